--- a/balance/sequence_test.go
+++ b/balance/sequence_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"milletramp.example/milletramp/internal/lab/aside"
+	"milletramp.example/milletramp/internal/lab/testrun"
 )
 
 // sequences is how many random sequences of events are played, unless -rapid.checks asks for another number.
@@ -20,7 +20,7 @@
 // and in all, and that a request with nothing out is answered at once.
 func TestSequences(t *testing.T) {
 	if f := flag.Lookup("rapid.checks"); f != nil && f.Value.String() == f.DefValue {
-		_ = f.Value.Set(fmt.Sprint(aside.Draws(sequences)))
+		_ = f.Value.Set(fmt.Sprint(testrun.Draws(sequences)))
 		defer func() { _ = f.Value.Set(f.DefValue) }()
 	}
 	copies := 0 // sequences that had one
--- a/deploy/policy_test.go
+++ b/deploy/policy_test.go
@@ -18,7 +18,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"milletramp.example/milletramp/internal/fleet/policyagent"
-	"milletramp.example/milletramp/internal/lab/aside"
+	"milletramp.example/milletramp/internal/lab/testrun"
 	"milletramp.example/milletramp/internal/member"
 )
 
@@ -35,7 +35,7 @@
 // newDeciders starts n sidecars of one fleet, of which the first three decide on its policy.
 func newDeciders(t *testing.T, n int, promise time.Duration) (sites []*site, processes []*process) {
 	t.Helper()
-	dir := aside.Folder(t)
+	dir := testrun.MemoryDir(t)
 	var peers []string
 	for range n {
 		peers = append(peers, freeAddress(t))
--- a/internal/fleet/policy/explore_test.go
+++ b/internal/fleet/policy/explore_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"milletramp.example/milletramp/internal/lab/aside"
+	"milletramp.example/milletramp/internal/lab/testrun"
 )
 
 // model is a state of a small fleet: check, stage, commit and switch with all orders of what may happen. Time goes in ticks;
@@ -310,7 +310,7 @@
 // do not wait for their forerunners' promises, somewhere they do.
 func TestAllInterleavings(t *testing.T) {
 	all := sizes
-	if aside.Raced { // there is one goroutine
+	if testrun.RaceEnabled { // there is one goroutine
 		all = sizes[:1]
 	}
 	if *explore != "" {
@@ -332,7 +332,7 @@
 	}
 	t.Run("forgetful leaders", func(t *testing.T) {
 		t.Parallel()
-		if aside.Raced {
+		if testrun.RaceEnabled {
 			t.Skip("one goroutine: played without the race detector")
 		}
 		if states, _, wrong := exhaust(size{2, 1, 1, 0, 3}, true); wrong == "" {
--- a/internal/fleet/policy/main_test.go
+++ b/internal/fleet/policy/main_test.go
@@ -4,8 +4,8 @@
 	"os"
 	"testing"
 
-	"milletramp.example/milletramp/internal/lab/aside"
+	"milletramp.example/milletramp/internal/lab/testrun"
 )
 
-// TestMain has these tests, which ask no clock, go behind those that do.
-func TestMain(m *testing.M) { os.Exit(aside.Run(m)) }
+// TestMain runs these tests, which ask no clock, in a slot for packages that only compute.
+func TestMain(m *testing.M) { os.Exit(testrun.Compute(m)) }
--- a/internal/lab/fleet/mutants/mutants_test.go
+++ b/internal/lab/fleet/mutants/mutants_test.go
@@ -8,12 +8,13 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"runtime"
 	"slices"
 	"strconv"
 	"strings"
 	"testing"
 
-	"milletramp.example/milletramp/internal/lab/aside"
+	"milletramp.example/milletramp/internal/lab/testrun"
 )
 
 // mutant is a change of one file of the program.
@@ -55,8 +56,17 @@
 		"	m.figures.Wants++\n	m.post(now.Time, address, Packet{Want: &digest}, false)\n", "	m.figures.Wants++\n", "copies equal", ""},
 }
 
-// behind has a command go behind what keeps time, as package aside has tests do.
-var behind = []string{"nice", "-n", strconv.Itoa(aside.Nice)}
+// TestMain runs these tests, which build and play programs, in a slot for packages that only compute.
+func TestMain(m *testing.M) { os.Exit(testrun.Compute(m)) }
+
+// goTest returns a command that plays one test in the share of the machine that this process has.
+func goTest(where, test string, flags, env []string) *exec.Cmd {
+	processors := strconv.Itoa(runtime.GOMAXPROCS(0))
+	args := slices.Concat([]string{"test", "-count=1", "-p", processors, "-run", test, where}, flags)
+	command := exec.Command("go", args...)
+	command.Env = append(env, testrun.Shared, "GOMAXPROCS="+processors)
+	return command
+}
 
 // overlay has the go command build with a mutant in the place of the file that it changes, and returns the environment for
 // that.
@@ -94,15 +104,11 @@
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
 			where, test, _ := strings.Cut(cmp.Or(m.play, "sim TestDrawnPlans"), " ")
-			args, env := []string{"go", "test", "-count=1", "-run", test, "../" + where}, overlay(t, m.file, m.from, m.to)
+			flags := []string{"-fleet.plans=40", "-fleet.shrink=false"}
 			if where == "procs" {
-				args, env = append(args, "-fleet.plans=1", "-fleet.sidecars=6"), append(env, aside.Beside)
-			} else {
-				args = slices.Concat(behind, args, []string{"-fleet.plans=40", "-fleet.shrink=false"})
+				flags = []string{"-fleet.plans=1", "-fleet.sidecars=6"}
 			}
-			play := exec.Command(args[0], args[1:]...)
-			play.Env = env
-			out, err := play.CombinedOutput()
+			out, err := goTest("../"+where, test, flags, overlay(t, m.file, m.from, m.to)).CombinedOutput()
 			if err == nil || !strings.Contains(string(out), m.rule+" at ") {
 				t.Errorf("the referee did not find %q broken: %v\n%.2000s", m.rule, err, out)
 			}
@@ -146,9 +152,7 @@
 				where, found = filepath.Dir(m.file), m.found
 				flags = []string{"-rapid.checks=4000", "-rapid.nofailfile", "-rapid.shrinktime=0s"}
 			}
-			args := slices.Concat(behind, []string{"go", "test", "-count=1", "-run", found, "../../../fleet/" + where}, flags)
-			test := exec.Command(args[0], args[1:]...)
-			test.Env = overlay(t, m.file, m.from, m.to)
+			test := goTest("../../../fleet/"+where, found, flags, overlay(t, m.file, m.from, m.to))
 			if out, err := test.CombinedOutput(); err == nil || !strings.Contains(string(out), "--- FAIL: "+found) {
 				t.Errorf("%s did not find it: %v\n%.2000s", found, err, out)
 			}
--- a/internal/lab/fleet/procs/policy_test.go
+++ b/internal/lab/fleet/procs/policy_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"milletramp.example/milletramp/internal/lab/aside"
 	"milletramp.example/milletramp/internal/lab/fleet/plan"
+	"milletramp.example/milletramp/internal/lab/testrun"
 )
 
 var changes = flag.Int("fleet.changes", 1, "plans of changes of policy that TestChanges draws; each has four")
@@ -70,7 +70,7 @@
 			p := plan.DrawChanges(seed, 7, 15*time.Second)
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 			defer cancel()
-			_, seen, err := RunWithPolicy(ctx, p, Options{Sidecar: command, Dir: aside.Folder(t), Settle: 28 * time.Second})
+			_, seen, err := RunWithPolicy(ctx, p, Options{Sidecar: command, Dir: testrun.MemoryDir(t), Settle: 28 * time.Second})
 			if err != nil {
 				t.Fatalf("%v\nin\n%v", err, p)
 			}
--- a/internal/lab/fleet/procs/procs_test.go
+++ b/internal/lab/fleet/procs/procs_test.go
@@ -15,9 +15,9 @@
 
 	"milletramp.example/milletramp/internal/fleet/gossip"
 	"milletramp.example/milletramp/internal/fleet/membership"
-	"milletramp.example/milletramp/internal/lab/aside"
 	"milletramp.example/milletramp/internal/lab/fleet/plan"
 	"milletramp.example/milletramp/internal/lab/fleet/referee"
+	"milletramp.example/milletramp/internal/lab/testrun"
 )
 
 var (
@@ -44,7 +44,7 @@
 	}
 	release := func() {}
 	if err == nil {
-		release, err = aside.Alone()
+		release, err = testrun.Exclusive()
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/internal/lab/fleet/sim/cost_test.go
+++ b/internal/lab/fleet/sim/cost_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"milletramp.example/milletramp/internal/fleet/gossip"
-	"milletramp.example/milletramp/internal/lab/aside"
 	"milletramp.example/milletramp/internal/lab/fleet/plan"
+	"milletramp.example/milletramp/internal/lab/testrun"
 )
 
 var most = flag.Int("fleet.most", 100, "sidecars of the largest fleet that costs are taken of")
@@ -49,7 +49,7 @@
 
 // TestCostUnderFaults: with anything wrong between sidecars each keeps to its bound, whether they have much to say or nothing.
 func TestCostUnderFaults(t *testing.T) {
-	if aside.Raced {
+	if testrun.RaceEnabled {
 		t.Skip("one goroutine: played without the race detector")
 	}
 	n := min(*most, 30)
@@ -81,7 +81,7 @@
 
 // TestCost: what a sidecar sends in a second does not grow with the fleet, and stays within the bound.
 func TestCost(t *testing.T) {
-	if aside.Raced {
+	if testrun.RaceEnabled {
 		t.Skip("one goroutine: played without the race detector")
 	}
 	calm, packets, _ := cost(10, 0)
--- a/internal/lab/fleet/sim/sim_test.go
+++ b/internal/lab/fleet/sim/sim_test.go
@@ -6,14 +6,14 @@
 	"testing"
 	"time"
 
-	"milletramp.example/milletramp/internal/lab/aside"
 	"milletramp.example/milletramp/internal/lab/fleet/plan"
 	"milletramp.example/milletramp/internal/lab/fleet/referee"
+	"milletramp.example/milletramp/internal/lab/testrun"
 )
 
 var (
-	plans  = flag.Int("fleet.plans", aside.Draws(30), "plans that TestDrawnPlans draws")
-	large  = flag.Int("fleet.large", map[bool]int{false: 100, true: 30}[aside.Raced], "sidecars of the largest fleet that TestConverge plays")
+	plans  = flag.Int("fleet.plans", testrun.Draws(30), "plans that TestDrawnPlans draws")
+	large  = flag.Int("fleet.large", map[bool]int{false: 100, true: 30}[testrun.RaceEnabled], "sidecars of the largest fleet that TestConverge plays")
 	shrink = flag.Bool("fleet.shrink", true, "take out of a plan that shows a breach what it can do without")
 	first  = flag.Uint64("fleet.seed", 1, "the first of their seeds")
 )
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -14,13 +14,13 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
-	"milletramp.example/milletramp/internal/lab/aside"
 	"milletramp.example/milletramp/internal/lab/baseline"
 	"milletramp.example/milletramp/internal/lab/record"
 	"milletramp.example/milletramp/internal/lab/referee"
 	"milletramp.example/milletramp/internal/lab/report"
 	"milletramp.example/milletramp/internal/lab/scenario"
 	"milletramp.example/milletramp/internal/lab/sim"
+	"milletramp.example/milletramp/internal/lab/testrun"
 )
 
 const scenarios = "../../lab"
@@ -55,7 +55,7 @@
 	}
 	for _, file := range files {
 		name := strings.TrimSuffix(filepath.Base(file), ".toml")
-		if strings.HasPrefix(name, "large") || aside.Raced && strings.HasPrefix(name, "fleet") {
+		if strings.HasPrefix(name, "large") || testrun.RaceEnabled && strings.HasPrefix(name, "fleet") {
 			continue
 		}
 		t.Run(name, func(t *testing.T) {
@@ -146,7 +146,7 @@
 // TestMutants has the referee judge sidecars that are each broken in one rule: it names that rule, and clears the whole
 // one on the same day.
 func TestMutants(t *testing.T) {
-	if aside.Raced {
+	if testrun.RaceEnabled {
 		t.Skip("one goroutine: played without the race detector")
 	}
 	every := func(effect balance.Effect) func(s *balance.Settings) {
@@ -250,7 +250,7 @@
 // TestQueueingTheory holds the emulator against M/M/c and Little's law. The seeds are fixed, so the verdict is too; the
 // interval, half as wide again, leaves room for seeds that were not picked.
 func TestQueueingTheory(t *testing.T) {
-	if aside.Raced {
+	if testrun.RaceEnabled {
 		t.Skip("one goroutine: played without the race detector")
 	}
 	random, err := baseline.New("random")
@@ -286,7 +286,7 @@
 
 // TestBaselines holds the baseline policies against each other where the order is known: an idle fleet with a slow part.
 func TestBaselines(t *testing.T) {
-	if aside.Raced {
+	if testrun.RaceEnabled {
 		t.Skip("one goroutine: played without the race detector")
 	}
 	s := load(t, "slow-fifth")
--- a/internal/lab/sockets/days_test.go
+++ b/internal/lab/sockets/days_test.go
@@ -9,8 +9,8 @@
 	"go.uber.org/goleak"
 
 	"milletramp.example/milletramp/internal/lab"
-	"milletramp.example/milletramp/internal/lab/aside"
 	"milletramp.example/milletramp/internal/lab/scenario"
+	"milletramp.example/milletramp/internal/lab/testrun"
 )
 
 // TestSockets plays four short days on loopback, with real sidecars. The days run side by side.
@@ -19,7 +19,7 @@
 	if out, err := exec.Command("go", "build", "-o", bin, "../../../cmd/sidecar").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	release, err := aside.Alone()
+	release, err := testrun.Exclusive()
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/lab/testrun/exclusive.go
@@ -0,0 +1,33 @@
+package testrun
+
+import (
+	"os"
+	"testing"
+)
+
+const sharedVariable = "MILLETRAMP_TEST_SHARES_MACHINE"
+
+// Shared is added to the environment of a test process that another test starts and waits for: it needs no lock of its
+// own, as the test that started it holds one or does not measure time.
+const Shared = sharedVariable + "=1"
+
+// Exclusive waits until no other package that measures time has the machine, and keeps it until release is called or
+// the process ends. It is for packages that start many processes and judge each by tenths of a second.
+func Exclusive() (release func(), err error) {
+	if os.Getenv(sharedVariable) != "" {
+		return func() {}, nil
+	}
+	return lockFile("exclusive")
+}
+
+// MemoryDir returns a directory for the test's time that is kept in memory where the system has such: what other
+// packages' tests sync to disk then holds up nothing that is timed here.
+func MemoryDir(t testing.TB) string {
+	t.Helper()
+	dir, err := os.MkdirTemp("/dev/shm", "milletramp-test-")
+	if err != nil {
+		return t.TempDir()
+	}
+	t.Cleanup(func() { _ = os.RemoveAll(dir) }) // what is left is the system's
+	return dir
+}
--- a/internal/lab/variants_test.go
+++ b/internal/lab/variants_test.go
@@ -5,9 +5,9 @@
 	"strings"
 	"testing"
 
-	"milletramp.example/milletramp/internal/lab/aside"
 	"milletramp.example/milletramp/internal/lab/report"
 	"milletramp.example/milletramp/internal/lab/scenario"
+	"milletramp.example/milletramp/internal/lab/testrun"
 )
 
 // small reads a scenario of 80 sidecars by 60 nodes and makes it one that CI plays in seconds.
@@ -40,7 +40,7 @@
 // TestFleetKnows: where nodes fall silent, sidecars that hold in common what they see know it sooner than each alone, of more
 // nodes, and before most have lost anything there; what they serve is no less. The same day has the same figures again.
 func TestFleetKnows(t *testing.T) {
-	if aside.Raced {
+	if testrun.RaceEnabled {
 		t.Skip("one goroutine: played without the race detector")
 	}
 	s := small(t, "fleet-vanish", "14s")
@@ -63,7 +63,7 @@
 
 // TestFalseWord: what liars cost is bounded, and a fleet cut to ones is no worse than none.
 func TestFalseWord(t *testing.T) {
-	if aside.Raced {
+	if testrun.RaceEnabled {
 		t.Skip("one goroutine: played without the race detector")
 	}
 	s := small(t, "fleet-quiet", "10s")
