--- a/internal/lab/testrun/compute.go
+++ b/internal/lab/testrun/compute.go
@@ -53,15 +53,15 @@
 	return m.Run()
 }
 
-// takeSlot waits for a slot and restricts this process to the processors that come with it. A test process that
-// another test started shares the slot of that one.
+// takeSlot waits for a slot and restricts this process to the processors that come with it. Where nothing measures
+// time beside it, or a test that holds a slot started it, it takes none.
 func takeSlot() (release func(), err error) {
-	processors := computeProcessors()
-	runtime.GOMAXPROCS(processors)
-	_ = flag.Set("test.parallel", strconv.Itoa(processors)) // the command line, read later, may give another one
 	if os.Getenv(sharedVariable) != "" {
 		return func() {}, nil
 	}
+	processors := computeProcessors()
+	runtime.GOMAXPROCS(processors)
+	_ = flag.Set("test.parallel", strconv.Itoa(processors)) // the command line, read later, may give another one
 	return lockFile(fmt.Sprintf("compute-%d", os.Getpid()%processors))
 }
 
--- a/internal/lab/testrun/exclusive.go
+++ b/internal/lab/testrun/exclusive.go
@@ -7,8 +7,8 @@
 
 const sharedVariable = "MILLETRAMP_TEST_SHARES_MACHINE"
 
-// Shared is added to the environment of a test process that another test starts and waits for: it needs no lock of its
-// own, as the test that started it holds one or does not measure time.
+// Shared is added to the environment of test processes that need no part of the machine of their own: another test
+// started them and holds it, or nothing that measures time runs beside them.
 const Shared = sharedVariable + "=1"
 
 // Exclusive waits until no other package that measures time has the machine, and keeps it until release is called or
