--- /dev/null
+++ b/cmd/adapter/recorded_test.go
@@ -0,0 +1,337 @@
+package main
+
+import (
+	"bufio"
+	"bytes"
+	"crypto/sha256"
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// record has TestRecordedReplies play its scenarios anew, write their events to testdata and the hashes of the replies
+// beside them. It is for changes that are meant to change decisions, and for those alone.
+var record = flag.Bool("record", false, "record the events and the hashes of the replies anew")
+
+// scenario is a deployment, and what happens to it while its events are recorded.
+type scenario struct {
+	name     string
+	settings string
+	servers  int
+	seconds  float64
+	rate     float64 // requests a second
+	// faults change the servers at each second.
+	faults func(r *recorder, second int)
+}
+
+// commonSettings are those that the scenarios share: three classes, one of each effect, and two tenants.
+const commonSettings = "areas=north,south\tmodels=big,small\tmy_zone=north\ttier=0\ttiers=back\t" +
+	"rules.cold_s=6\trules.start_capacity=0.3\trules.fall_multiple=3\trules.fall_s=1\tcharges.cross_zone=0.03\t" +
+	"tenants.count=2\ttenants.0.name=inside\ttenants.0.allowance_per_s=400\ttenants.1.name=beyond\ttenants.1.allowance_per_s=4\t" +
+	"request_classes.count=3\t" +
+	"request_classes.0.name=read\trequest_classes.0.effect=idempotent\trequest_classes.0.aim_s=0.3\t" +
+	"request_classes.0.deadline_s=2\trequest_classes.0.credit=1\trequest_classes.0.late_value=0.4\t" +
+	"request_classes.1.name=write\trequest_classes.1.effect=deduplicated\trequest_classes.1.group=zone\t" +
+	"request_classes.1.window_s=0.6\trequest_classes.1.aim_s=0.4\trequest_classes.1.deadline_s=2.5\trequest_classes.1.credit=3\t" +
+	"request_classes.2.name=pay\trequest_classes.2.effect=at_most_once\trequest_classes.2.aim_s=0.5\t" +
+	"request_classes.2.deadline_s=3\trequest_classes.2.credit=5\t"
+
+var scenarios = []scenario{
+	{name: "few", servers: 6, seconds: 25, rate: 30,
+		settings: "ordinal=0\tpeers_total=1\tdiscovery=pushed\tlimits.try_limit=3\t" + commonSettings,
+		faults: func(r *recorder, second int) {
+			r.servers[0].failing = second >= 5 && second < 10
+			r.servers[2].silent = second >= 12 && second < 15
+			for _, s := range r.servers { // more than they can do
+				s.slow = 1
+				if second >= 18 && second < 21 {
+					s.slow = 15
+				}
+			}
+		}},
+	{name: "polled", servers: 40, seconds: 25, rate: 40,
+		settings: "ordinal=5\tpeers_total=12\tdiscovery=on_request\tlimits.try_limit=4\tlimits.cancelling=1\t" +
+			"limits.second_copies=1\trules.must_ask_in_s=6\t" + commonSettings,
+		faults: func(r *recorder, second int) {
+			for _, s := range r.servers[:14] {
+				s.slow = 1
+				if second >= 6 && second < 12 {
+					s.slow = 8
+				}
+			}
+			r.servers[16].silent = second >= 14 && second < 18
+			r.servers[18].failing = second >= 16
+			if second == 20 {
+				r.change(r.servers[20], "cordoned")
+			}
+		}},
+	{name: "rolling", servers: 200, seconds: 25, rate: 40,
+		settings: "ordinal=17\tpeers_total=300\tdiscovery=pushed\tlimits.try_limit=3\tlimits.cancelling=1\t" +
+			"limits.second_copies=1\t" + commonSettings,
+		faults: func(r *recorder, second int) {
+			for i := range r.servers {
+				if second >= 4 && i%20 == second-4 {
+					r.change(r.servers[i], "deregistered")
+					r.add("north")
+				}
+			}
+		}},
+}
+
+// TestRecordedReplies feeds the adapter recorded events, over several settings: its replies are byte for byte what they
+// were when the events were recorded.
+func TestRecordedReplies(t *testing.T) {
+	for _, s := range scenarios {
+		t.Run(s.name, func(t *testing.T) {
+			events, hash := filepath.Join("testdata", s.name+".events"), filepath.Join("testdata", s.name+".sha256")
+			if *record {
+				writeFile(t, events, recordEvents(t, s))
+			}
+			input, err := os.ReadFile(events)
+			if err != nil {
+				t.Fatal(err)
+			}
+			replies := sha256.New()
+			if err := run(bytes.NewReader(input), replies); err != nil {
+				t.Fatal(err)
+			}
+			got := hex.EncodeToString(replies.Sum(nil)) + "\n"
+			if *record {
+				writeFile(t, hash, []byte(got))
+			}
+			want, err := os.ReadFile(hash)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got != string(want) {
+				t.Errorf("the replies hash to %s, want %s", got, want)
+			}
+			if lines := bytes.Count(input, []byte("YOUR_TURN\n")); lines < 1000 {
+				t.Errorf("%d batches of events, want 1000 or more", lines)
+			}
+		})
+	}
+}
+
+func writeFile(t *testing.T, name string, text []byte) {
+	t.Helper()
+	if err := os.WriteFile(name, text, 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// recordedServer is a server of a scenario.
+type recordedServer struct {
+	id, zone, model string
+	started         string // as the list has it
+	failing, silent bool
+	slow            float64 // times as long as usual; 0: 1
+	held            int
+}
+
+// recorder plays a scenario against an adapter and keeps the events.
+type recorder struct {
+	random   *rand.Rand
+	servers  []*recordedServer
+	now      float64
+	due      []dueEvent // in order of time
+	changed  []string   // entries of the list since the last one was sent
+	events   bytes.Buffer
+	attempts map[string]int // by request
+	over     map[string]bool
+	next     int // number of the next request
+	added    int
+	replies  *bufio.Scanner
+	to       io.Writer
+}
+
+// dueEvent is an event to come. text returns its lines, "" if it does not happen any more.
+type dueEvent struct {
+	at   float64
+	text func() string
+}
+
+// recordEvents plays a scenario and returns its events.
+func recordEvents(t *testing.T, s scenario) []byte {
+	t.Helper()
+	in, to := io.Pipe()
+	from, out := io.Pipe()
+	ended := make(chan error, 1)
+	go func() { // ends with its input, which this closes
+		err := run(in, out)
+		_ = out.CloseWithError(err)
+		ended <- err
+	}()
+	r := &recorder{random: rand.New(rand.NewPCG(1, uint64(len(s.name)))), replies: bufio.NewScanner(from), to: to,
+		attempts: map[string]int{}, over: map[string]bool{}, now: 100}
+	for i := range s.servers {
+		zone, model := []string{"north", "south"}[i%2], []string{"big", "small"}[i/2%2]
+		r.servers = append(r.servers, &recordedServer{id: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), zone: zone, model: model,
+			started: "-"})
+	}
+	r.batch("OPEN_INSTANCE\t7\t" + strings.TrimSuffix(s.settings, "\t") + "\n" + r.list("remembered", r.entries()))
+	for second := range int(s.seconds) {
+		r.at(100+float64(second), func() string {
+			s.faults(r, second)
+			return r.changes()
+		})
+	}
+	for at := 100.5; at < 100+s.seconds-3; at += r.random.ExpFloat64() / s.rate {
+		r.at(at, r.request)
+	}
+	for len(r.due) > 0 && r.due[0].at < 100+s.seconds {
+		e := r.due[0]
+		r.due = r.due[1:]
+		r.now = e.at
+		if text := e.text(); text != "" {
+			r.batch(text)
+		}
+	}
+	_ = to.Close() // which ends run
+	if err := <-ended; err != nil {
+		t.Fatal(err)
+	}
+	return r.events.Bytes()
+}
+
+// at has an event happen at a time.
+func (r *recorder) at(at float64, text func() string) {
+	i, _ := slices.BinarySearchFunc(r.due, at, func(e dueEvent, at float64) int {
+		if e.at <= at { // events of one time keep their order
+			return -1
+		}
+		return 1
+	})
+	r.due = slices.Insert(r.due, i, dueEvent{at, text})
+}
+
+// batch sends events of one time and takes in the reply.
+func (r *recorder) batch(text string) {
+	lines := fmt.Sprintf("FRAME\t%.6f\nSWITCH_TO\t0\n%sYOUR_TURN\n", r.now, text)
+	r.events.WriteString(lines)
+	_, _ = io.WriteString(r.to, lines) // a failure ends run, which tells
+	for r.replies.Scan() && r.replies.Text() != "END" {
+		r.reply(strings.Split(r.replies.Text(), "\t"))
+	}
+}
+
+// reply takes in one line of a reply.
+func (r *recorder) reply(parts []string) {
+	switch parts[0] {
+	case "FORWARD":
+		attempt := r.attempts[parts[1]]
+		r.attempts[parts[1]]++
+		r.forward(parts[1], attempt, parts[2])
+	case "NOT_NOW", "END_FAILED":
+		r.over[parts[1]] = true
+	case "AFTER":
+		after, _ := strconv.ParseFloat(parts[1], 64)
+		r.at(r.now+after, func() string { return "DUE\t" + parts[2] + "\n" })
+	case "DROP_ATTEMPT": // its answer comes all the same, after the request is over
+	case "TAIL":
+		r.at(r.now+0.05, func() string { return r.list("all", r.entries()) })
+	}
+}
+
+// forward has a server answer an attempt.
+func (r *recorder) forward(id string, attempt int, server string) {
+	at := slices.IndexFunc(r.servers, func(s *recordedServer) bool { return s.id == server })
+	result := func(outcome string, took float64) {
+		r.at(r.now+took, func() string {
+			if at >= 0 {
+				r.servers[at].held--
+			}
+			finished := 0
+			if r.over[id] || outcome == "completed" {
+				r.over[id], finished = true, 1
+			}
+			return fmt.Sprintf("RESPONSE\t%s\t%d\t%s\t%s\t%.6f\t%d\t-\n", id, attempt, server, outcome, took, finished)
+		})
+	}
+	if at < 0 {
+		result("refused_conn", 0.002)
+		return
+	}
+	s := r.servers[at]
+	s.held++
+	took := (0.02 + r.random.ExpFloat64()*0.02) * max(s.slow, 1) * float64(1+s.held/4)
+	switch {
+	case s.silent:
+		result("overdue", 2)
+	case s.failing:
+		result("errored", 0.01)
+	case r.random.Float64() < 0.005:
+		result("severed", took)
+	default:
+		result("completed", took)
+	}
+}
+
+// request is a client's request. A few of the clients leave early.
+func (r *recorder) request() string {
+	r.next++
+	id := strconv.Itoa(r.next)
+	class := []string{"read", "read", "read", "write", "pay"}[r.random.IntN(5)]
+	tenant := []string{"-", "inside", "beyond"}[r.random.IntN(3)]
+	within, attributes := 2.0, "-"
+	if r.random.IntN(10) == 0 {
+		attributes = "2" // the client has asked before
+	}
+	if r.random.IntN(30) == 0 {
+		r.at(r.now+0.03, func() string {
+			if r.over[id] {
+				return ""
+			}
+			r.over[id] = true
+			return "CLIENT_LEFT\t" + id + "\n"
+		})
+	}
+	return fmt.Sprintf("DEMAND\t%s\t%s\t%s\t-\t%g\t-\t%s\n", id, class, tenant, within, attributes)
+}
+
+// change has the next list tell a server's new state.
+func (r *recorder) change(s *recordedServer, state string) {
+	r.changed = append(r.changed, s.entry(state))
+}
+
+// add has a new server start, cold.
+func (r *recorder) add(zone string) {
+	r.added++
+	s := &recordedServer{id: fmt.Sprintf("10.9.0.%d:80", r.added), zone: zone, model: "big", started: fmt.Sprintf("%.6f", r.now)}
+	r.servers = append(r.servers, s)
+	r.change(s, "healthy")
+}
+
+// changes returns a list of what has changed, "" if nothing has.
+func (r *recorder) changes() string {
+	if len(r.changed) == 0 {
+		return ""
+	}
+	text := r.list("changes", r.changed)
+	r.changed = nil
+	return text
+}
+
+// entries returns all servers' entries of a list.
+func (r *recorder) entries() (entries []string) {
+	for _, s := range r.servers {
+		entries = append(entries, s.entry("healthy"))
+	}
+	return entries
+}
+
+func (s *recordedServer) entry(state string) string {
+	return fmt.Sprintf("ITEM\t%s\t%s\t%s\t0\t%s\t1\t%s\n", s.id, s.zone, s.model, state, s.started)
+}
+
+func (r *recorder) list(mode string, entries []string) string {
+	return fmt.Sprintf("DEFINE_LIST\t0\t%d\n%sENDPOINTS\t0\t%s\t1\n", len(entries), strings.Join(entries, ""), mode)
+}
