--- a/balance/balance.go
+++ b/balance/balance.go
@@ -78,7 +78,7 @@
 	}
 	// Danger: in a burst what answers have taught is seconds old. All sidecars would go on sending for as long
 	// as it takes to jam the fleet, and a jammed one does less.
-	own /= b.pace.Level()
+	own /= b.loadLevel.Level()
 	if q.over {
 		own *= overBar
 	}
--- a/balance/health.go
+++ b/balance/health.go
@@ -235,7 +235,7 @@
 			e.home.heard = now
 		}
 		if e.home.speaks(now) {
-			b.pace.Ended(r.Took.Seconds(), r.Outcome == Served)
+			b.loadLevel.Ended(r.Took.Seconds(), r.Outcome == Served)
 		}
 		e.told = now
 		e.took += r.Took.Seconds()
@@ -345,7 +345,7 @@
 	}
 	// Danger: where attempts are lost, that they are out tells nothing of how long answers take.
 	owed *= max(0, 1-b.losses.Share(lossUsual)/partLost)
-	b.pace.Fade(math.Pow(keep, memory.Seconds()/newsMemory.Seconds()), keep, owed)
+	b.loadLevel.Fade(math.Pow(keep, memory.Seconds()/newsMemory.Seconds()), keep, owed)
 	b.panicking = out > ejectMost*all
 }
 
--- a/balance/pace_test.go
+++ b/balance/loadlevel_test.go
@@ -86,8 +86,8 @@
 		z.inFlight, z.sent = 10, 10*(h.now-Time(time.Second)) // ten have been out for a second
 		a := attempt{to: z, sent: h.now - 3*time.Second, held: 2, scale: 0.02}
 		b.learn(&a, Result{Outcome: TimedOut, Took: 3 * time.Second}, h.now)
-		if tick(); b.pace.Level() < tt.low || b.pace.Level() > tt.high {
-			t.Errorf("%s: level %.2f, want %v to %v", tt.name, b.pace.Level(), tt.low, tt.high)
+		if tick(); b.loadLevel.Level() < tt.low || b.loadLevel.Level() > tt.high {
+			t.Errorf("%s: level %.2f, want %v to %v", tt.name, b.loadLevel.Level(), tt.low, tt.high)
 		}
 	}
 }
--- a/balance/state.go
+++ b/balance/state.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"milletramp.example/milletramp/internal/pace"
+	"milletramp.example/milletramp/internal/loadlevel"
 	"milletramp.example/milletramp/internal/quota"
 	"milletramp.example/milletramp/internal/repeats"
 )
@@ -25,7 +25,7 @@
 	back       map[string]Time      // put back by hand, and when
 	groups     []*group             // of the best rule, and a last one of all endpoints
 	fleet      *group               // the last of them
-	pace       pace.Meter           // of answers now, against those that the rest of this knows
+	loadLevel  loadlevel.Meter      // of answers now, against those that the rest of this knows
 	apart      [2]group             // what answers took in the own zone and in the others
 	requests   map[RequestID]*request
 	tenants    []quota.Meter // of this sidecar's parts of their allowances
--- a/internal/pace/pace.go
+++ b/internal/loadlevel/loadlevel.go
@@ -1,9 +1,9 @@
-// Package pace tells how long answers take now, as a multiple of how long they took in the seconds before.
+// Package loadlevel tells how long answers take now, as a multiple of how long they took in the seconds before.
 //
 // It is pure: no clock, no randomness, no I/O, no allocation; what fades is faded by its owner. The estimate of either
 // time is that of Little's law, the time spent waiting over the answers that came of it, and so it counts also the time
 // for which answers are owed: of attempts that ended alone, the first to tell of a jam are the ones it did not catch.
-package pace
+package loadlevel
 
 // prior is the count of answers at the former pace that is added to those at the present one, and the least that a
 // former pace is told by.
--- a/internal/pace/pace_test.go
+++ b/internal/loadlevel/loadlevel_test.go
@@ -1,4 +1,4 @@
-package pace
+package loadlevel
 
 import (
 	"math"
