--- a/balance/health.go
+++ b/balance/health.go
@@ -345,7 +345,7 @@
 	}
 	// Danger: where attempts are lost, that they are out tells nothing of how long answers take.
 	owed *= max(0, 1-b.losses.Share(lossUsual)/partLost)
-	b.loadLevel.Fade(math.Pow(keep, memory.Seconds()/newsMemory.Seconds()), keep, owed)
+	b.loadLevel.Decay(math.Pow(keep, memory.Seconds()/newsMemory.Seconds()), keep, owed)
 	b.panicking = out > ejectMost*all
 }
 
--- a/internal/loadlevel/loadlevel.go
+++ b/internal/loadlevel/loadlevel.go
@@ -1,50 +1,67 @@
-// Package loadlevel tells how long answers take now, as a multiple of how long they took in the seconds before.
+// Package loadlevel estimates how full the servers are from how long answers take now, as a multiple of how long they
+// took in the seconds before.
 //
-// It is pure: no clock, no randomness, no I/O, no allocation; what fades is faded by its owner. The estimate of either
-// time is that of Little's law, the time spent waiting over the answers that came of it, and so it counts also the time
-// for which answers are owed: of attempts that ended alone, the first to tell of a jam are the ones it did not catch.
+// It is pure: no clock, no randomness, no I/O and no allocation. Records decay when their owner says so. Either time is
+// estimated by Little's law, as the time that attempts spent waiting over the answers that came of it. The time for
+// which answers are outstanding counts too: attempts that have ended are the ones that a jam did not hold up, and would
+// tell of it late.
+//
+// A Meter must not be used by two goroutines at once.
 package loadlevel
 
-// prior is the count of answers at the former pace that is added to those at the present one, and the least that a
-// former pace is told by.
-const prior = 2
+// priorAnswers is the count of answers at the former times that is added to those at the present ones, so that few
+// answers do not make a level; it is also the least that former times are told by.
+const priorAnswers = 2
+
+// leastSeconds keeps a ratio of times finite where former answers took no time at all.
+const leastSeconds = 1e-9
 
-// record is a fading record of answers.
+// record is a decaying record of attempts that have ended.
 type record struct {
-	took    float64 // seconds spent on attempts that ended
-	answers float64
+	waited  float64 // seconds spent on them
+	answers float64 // how many were answered
 }
 
-func (r *record) fade(keep float64) { r.took, r.answers = r.took*keep, r.answers*keep }
+// add counts an attempt that was out for so many seconds.
+func (r *record) add(seconds float64, answered bool) {
+	r.waited += seconds
+	if answered {
+		r.answers++
+	}
+}
 
-// Meter measures the pace of one sidecar's answers. The zero value knows none.
+// decay keeps a share of the record.
+func (r *record) decay(keep float64) {
+	r.waited *= keep
+	r.answers *= keep
+}
+
+// Meter measures the load level from one sidecar's attempts. The zero value knows of none.
 type Meter struct {
-	now, before record
-	above       float64 // what the level is above 1
+	recent, former record
+	excess         float64 // level above 1
 }
 
-// Ended takes in how long an attempt was out, and whether it was answered.
+// Ended counts an attempt that was out for so many seconds, and whether it was answered.
 func (m *Meter) Ended(seconds float64, answered bool) {
-	for _, r := range [...]*record{&m.now, &m.before} {
-		if r.took += seconds; answered {
-			r.answers++
-		}
-	}
+	m.recent.add(seconds, answered)
+	m.former.add(seconds, answered)
 }
 
-// Fade keeps shares of the present and the former record, and takes the level anew. owed is the sum of the seconds for
-// which attempts that will be answered have been out.
-func (m *Meter) Fade(now, before, owed float64) {
-	m.now.fade(now)
-	m.before.fade(before)
-	m.above = 0
-	if m.before.answers >= prior {
-		former := (m.before.took + owed) / m.before.answers
-		present := (m.now.took + owed + prior*former) / (m.now.answers + prior)
-		m.above = max(present/max(former, 1e-9)-1, 0)
+// Decay keeps the given shares, from 0 to 1, of the recent and the former record, and computes the level anew.
+// outstanding is the sum of the seconds for which attempts that are expected to be answered have been out.
+func (m *Meter) Decay(keepRecent, keepFormer, outstanding float64) {
+	m.recent.decay(keepRecent)
+	m.former.decay(keepFormer)
+	m.excess = 0
+	if m.former.answers < priorAnswers {
+		return
 	}
+	former := (m.former.waited + outstanding) / m.former.answers
+	present := (m.recent.waited + outstanding + priorAnswers*former) / (m.recent.answers + priorAnswers)
+	m.excess = max(present/max(former, leastSeconds)-1, 0)
 }
 
-// Level is the multiple, at least 1: that answers come sooner than they did is told by themselves in time, and to wait
-// for that does no harm.
-func (m *Meter) Level() float64 { return 1 + m.above }
+// Level returns the multiple, 1 or more. Answers that come sooner than before show in the answer times themselves, and
+// waiting for that does no harm, so a level under 1 is not told.
+func (m *Meter) Level() float64 { return 1 + m.excess }
--- a/internal/loadlevel/loadlevel_test.go
+++ b/internal/loadlevel/loadlevel_test.go
@@ -9,13 +9,13 @@
 
 const tick, second, memory = 0.1, 1.0, 6.0
 
-// play has a number of answers come in each tick, each after some seconds, with owed seconds out.
-func (m *Meter) play(seconds, perTick, took, owed float64) {
+// play has a number of answers come in each tick, each after some seconds, with so many seconds outstanding.
+func (m *Meter) play(seconds, perTick, took, outstanding float64) {
 	for range int(seconds / tick) {
 		for range int(perTick) {
 			m.Ended(took, true)
 		}
-		m.Fade(math.Exp(-tick/second), math.Exp(-tick/memory), owed)
+		m.Decay(math.Exp(-tick/second), math.Exp(-tick/memory), outstanding)
 	}
 }
 
@@ -30,8 +30,8 @@
 		{"quicker", func(m *Meter) { m.play(2, 2, 0.02, 0.02) }, 1, 1},
 		{"three times as slow for a second", func(m *Meter) { m.play(1, 2, 0.3, 0.1) }, 1.4, 2.2},
 		{"three times as slow for good", func(m *Meter) { m.play(30, 2, 0.3, 0.3) }, 1, 1.08},
-		// Danger: in a jam the answers that still come are the quick ones.
-		{"quick answers, and half a second of ten owed", func(m *Meter) { m.play(0.3, 1, 0.1, 5) }, 2, 5},
+		// In a jam the answers that still come are the quick ones.
+		{"quick answers, and half a second of ten outstanding", func(m *Meter) { m.play(0.3, 1, 0.1, 5) }, 2, 5},
 		{"no answer for half a second", func(m *Meter) { m.play(0.5, 0, 0, 2) }, 1.7, 4},
 		{"no answer for a minute", func(m *Meter) { m.play(60, 0, 0, 9) }, 1, 1},
 		{"time-outs", func(m *Meter) {
@@ -41,14 +41,16 @@
 			m.play(0.1, 2, 0.1, 0.1)
 		}, 2, 6},
 	} {
-		var m Meter
-		if m.Level() != 1 {
-			t.Fatalf("a meter that knows nothing is at %v", m.Level())
-		}
-		m.play(20, 2, 0.1, 0.1)
-		if tt.then(&m); m.Level() < tt.low || m.Level() > tt.high {
-			t.Errorf("%s: level %.3f, want %v to %v", tt.name, m.Level(), tt.low, tt.high)
-		}
+		t.Run(tt.name, func(t *testing.T) {
+			var m Meter
+			if m.Level() != 1 {
+				t.Fatalf("a meter that knows nothing is at %v", m.Level())
+			}
+			m.play(20, 2, 0.1, 0.1)
+			if tt.then(&m); m.Level() < tt.low || m.Level() > tt.high {
+				t.Errorf("level %.3f, want %v to %v", m.Level(), tt.low, tt.high)
+			}
+		})
 	}
 }
 
@@ -57,11 +59,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var m, ms Meter
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
-			took, owed := rapid.Float64Range(0, 60).Draw(t, "took"), rapid.Float64Range(0, 900).Draw(t, "owed")
+			took := rapid.Float64Range(0, 60).Draw(t, "took")
+			outstanding := rapid.Float64Range(0, 900).Draw(t, "outstanding")
 			answered, keep := rapid.Bool().Draw(t, "answered"), rapid.Float64Range(0, 1).Draw(t, "keep")
 			for unit, m := range map[float64]*Meter{1: &m, 1000: &ms} {
 				m.Ended(took*unit, answered)
-				m.Fade(keep, math.Sqrt(keep), owed*unit)
+				m.Decay(keep, math.Sqrt(keep), outstanding*unit)
 			}
 			if l := m.Level(); !(l >= 1) || math.IsInf(l, 0) {
 				t.Fatalf("level %v", l)
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,19 +1,23 @@
-// Package quota meters who keeps to an allowance. It is pure: the time comes in as an argument.
+// Package quota meters the rate of a tenant's requests against its allowance. It is pure: the time comes in as an
+// argument, a reading of any monotonic clock.
 package quota
 
 import "time"
 
-// Meter is a token bucket. The zero value holds what comes in from time 0 on.
+// Meter is a token bucket whose rate may change from one event to the next. The zero value is empty at time 0.
+// A Meter must not be used by two goroutines at once.
 type Meter struct {
-	tokens float64
-	at     time.Duration
+	tokens  float64
+	updated time.Duration
 }
 
-// Over takes in one event and tells whether it is beyond a rate a second, of which so much time's may be put by. The rate
-// may change from one event to the next. An event that is over takes nothing.
-func (m *Meter) Over(now time.Duration, rate float64, putBy time.Duration) bool {
-	m.tokens = min(m.tokens+rate*(now-m.at).Seconds(), 1+rate*putBy.Seconds())
-	m.at = now
+// Over counts one event at a time and reports whether it is beyond the allowed rate, in events a second. The bucket
+// holds one event and what the rate brings within burst. An event that is over takes no token.
+func (m *Meter) Over(now time.Duration, rate float64, burst time.Duration) bool {
+	earned := rate * (now - m.updated).Seconds()
+	capacity := 1 + rate*burst.Seconds()
+	m.tokens = min(m.tokens+earned, capacity)
+	m.updated = now
 	if m.tokens < 1 {
 		return true
 	}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -7,26 +7,26 @@
 	"pgregory.net/rapid"
 )
 
-// TestOver has no times of events let more through than the rate brings and was put by, and a steady one within the rate
-// lose nothing.
+// TestOver: whenever events come, no more pass than the rate brings and the burst allows, and a steady stream within
+// the rate loses none.
 func TestOver(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rate, putBy := rapid.Float64Range(0.1, 100).Draw(t, "rate"), 6*time.Second
+		rate, burst := rapid.Float64Range(0.1, 100).Draw(t, "rate"), 6*time.Second
 		var m Meter
 		now := time.Minute
-		began, passed := now, 0.0
+		start, passed := now, 0.0
 		for _, ms := range rapid.SliceOfN(rapid.IntRange(0, 3000), 1, 200).Draw(t, "waits in ms") {
 			now += time.Duration(ms) * time.Millisecond
-			if !m.Over(now, rate, putBy) {
+			if !m.Over(now, rate, burst) {
 				passed++
 			}
-			if most := 1 + rate*(putBy+now-began).Seconds() + 1e-6; passed > most {
-				t.Fatalf("%.0f passed by %v, want %.1f at most", passed, now-began, most)
+			if most := 1 + rate*(burst+now-start).Seconds() + 1e-6; passed > most {
+				t.Fatalf("%.0f passed by %v, want %.1f at most", passed, now-start, most)
 			}
 		}
 		for range 50 {
 			now += time.Duration(1.01 / rate * float64(time.Second))
-			if m.Over(now, rate, putBy) {
+			if m.Over(now, rate, burst) {
 				t.Fatal("an event within the rate is over")
 			}
 		}
