--- a/internal/fleet/evidence/evidence_test.go
+++ b/internal/fleet/failuredetector/failuredetector_test.go
@@ -1,4 +1,4 @@
-package evidence
+package failuredetector
 
 import (
 	"fmt"
--- a/internal/fleet/evidence/evidence.go
+++ b/internal/fleet/failuredetector/recorder.go
@@ -1,8 +1,8 @@
-// Package evidence decides what a sidecar writes for the fleet of the servers that it has sent requests to, and when. It is
+// Package failuredetector decides what a sidecar writes for the fleet of the servers that it has sent requests to, and when. It is
 // a stepped machine: ends of the sidecar's own requests, what others say and the time go in, rows to be written come out.
 // It has no clock, socket or goroutine. What a row says is the sidecar's own experience alone; the weighing of all rows is
 // package replication's.
-package evidence
+package failuredetector
 
 import (
 	"maps"
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -17,7 +17,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"milletramp.example/milletramp/internal/fleet/evidence"
+	"milletramp.example/milletramp/internal/fleet/failuredetector"
 	"milletramp.example/milletramp/internal/fleet/gossip"
 	"milletramp.example/milletramp/internal/fleet/link"
 	"milletramp.example/milletramp/internal/fleet/membership"
@@ -51,7 +51,7 @@
 	waiting map[replication.Key][]chan gossip.Held
 	out     []string
 	tell    bool // Out is to be called though out has not changed
-	book    *evidence.Book
+	book    *failuredetector.Book
 	doubts  bool             // some server is in doubt, as was told
 	boots   map[string]int64 // of the own list
 	done    bool             // ready is closed
@@ -119,7 +119,7 @@
 	var random [16]byte
 	_, _ = rand.Read(random[:]) // never fails
 	now := f.now()
-	f.book = evidence.New(binary.LittleEndian.Uint64(random[:8]))
+	f.book = failuredetector.New(binary.LittleEndian.Uint64(random[:8]))
 	f.machine = gossip.New(now, gossip.Settings{Label: c.Label, CatchUp: c.CatchUp(), Before: before, Membership: membership.Settings{Name: name,
 		Address: f.address, Peers: peers, Seed: binary.LittleEndian.Uint64(random[:8]),
 		Nonce: binary.LittleEndian.Uint64(random[8:]) | 1, Number: uint64(max(now.Wall, 1))}}, warm)
@@ -320,13 +320,13 @@
 }
 
 // Saw takes in what this sidecar has seen of a server. It does not wait: where much comes at once some is lost.
-func (f *Fleet) Saw(server string, e evidence.End) {
+func (f *Fleet) Saw(server string, e failuredetector.End) {
 	select {
 	case f.events <- func(now replication.Now) {
 		if note, due := f.book.Saw(now.Time, server, e); due {
 			f.machine.Note(now.Time, note)
 		}
-		if e == evidence.Silent || e == evidence.Refused {
+		if e == failuredetector.Silent || e == failuredetector.Refused {
 			f.write(now)
 		}
 	}:
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -16,7 +16,7 @@
 
 	"go.uber.org/goleak"
 
-	"milletramp.example/milletramp/internal/fleet/evidence"
+	"milletramp.example/milletramp/internal/fleet/failuredetector"
 )
 
 const patience = 30 * time.Second
@@ -188,7 +188,7 @@
 	late := func(servers ...string) {
 		for _, m := range all[:5] {
 			for _, server := range servers {
-				m.Saw(server, evidence.Late)
+				m.Saw(server, failuredetector.Late)
 			}
 		}
 	}
@@ -208,7 +208,7 @@
 		}
 		return all[0].doubted("s-1", "s-2", "s-3") && all[5].doubted("s-1")
 	})
-	all[2].Saw("s-1", evidence.Answered)
+	all[2].Saw("s-1", failuredetector.Answered)
 	until(t, "one good answer ends the doubt of all", func() bool {
 		late("s-2", "s-3")
 		return all[5].doubted() && all[0].doubted("s-2", "s-3")
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -15,7 +15,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"milletramp.example/milletramp/internal/fleet/evidence"
+	"milletramp.example/milletramp/internal/fleet/failuredetector"
 	"milletramp.example/milletramp/internal/fleet/membership"
 	"milletramp.example/milletramp/internal/fleet/replication"
 )
@@ -165,7 +165,7 @@
 	contacts map[string]*contact
 	confirms []confirm
 	tries    uint64
-	court    evidence.Court
+	court    failuredetector.Court
 	figures  Figures
 	out      Actions
 
@@ -350,7 +350,7 @@
 }
 
 // Note tells the collectors of a server what this sidecar has noted of it.
-func (m *Machine) Note(now Time, n evidence.Note) {
+func (m *Machine) Note(now Time, n failuredetector.Note) {
 	self, bears := m.Members.Self()
 	if !bears {
 		return
@@ -362,30 +362,30 @@
 			places[p.Name] = p.Address
 		}
 	}
-	for _, to := range evidence.Collectors(n.Server, names) {
+	for _, to := range failuredetector.Collectors(n.Server, names) {
 		if to == self.Name {
 			m.noted(now, self.Name, n)
 		} else {
-			m.post(now, places[to], Packet{Notes: []evidence.Note{n}}, false)
+			m.post(now, places[to], Packet{Notes: []failuredetector.Note{n}}, false)
 		}
 	}
 }
 
 // noted takes in a note of a sidecar.
-func (m *Machine) noted(now Time, from string, n evidence.Note) {
+func (m *Machine) noted(now Time, from string, n failuredetector.Note) {
 	switch n.What {
-	case evidence.IsLate:
+	case failuredetector.IsLate:
 		self, _ := m.Members.Self()
 		for _, owner := range m.court.Late(now, n.Server, from, m.Members.Here()) {
 			if owner == self.Name {
 				m.out.Speak = append(m.out.Speak, n.Server)
 			} else if o, known := m.Members.Member(owner); known && o.Here() {
-				m.post(now, o.Address, Packet{Notes: []evidence.Note{{Server: n.Server, What: evidence.Speak}}}, false)
+				m.post(now, o.Address, Packet{Notes: []failuredetector.Note{{Server: n.Server, What: failuredetector.Speak}}}, false)
 			}
 		}
-	case evidence.Heard:
+	case failuredetector.Heard:
 		m.court.Heard(n.Server)
-	case evidence.Speak:
+	case failuredetector.Speak:
 		m.out.Speak = append(m.out.Speak, n.Server)
 	}
 }
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"milletramp.example/milletramp/internal/fleet/evidence"
+	"milletramp.example/milletramp/internal/fleet/failuredetector"
 	"milletramp.example/milletramp/internal/fleet/membership"
 	"milletramp.example/milletramp/internal/fleet/replication"
 )
@@ -325,33 +325,33 @@
 	}
 	run(t, &now, 10*time.Second, all...)
 	asked := map[string]int{}
-	note := func(i int, w evidence.What) {
-		all[i].Note(now.Time, evidence.Note{Server: "s-1", What: w})
+	note := func(i int, w failuredetector.What) {
+		all[i].Note(now.Time, failuredetector.Note{Server: "s-1", What: w})
 		_, spoke := passed(t, now, all...)
 		for name, n := range spoke {
 			asked[name] += n
 		}
 	}
 	for _, i := range []int{0, 1, 2} {
-		note(i, evidence.IsLate)
+		note(i, failuredetector.IsLate)
 	}
-	note(0, evidence.Heard)
+	note(0, failuredetector.Heard)
 	for _, i := range []int{0, 1, 2} {
-		note(i, evidence.IsLate)
+		note(i, failuredetector.IsLate)
 	}
 	for name, n := range asked {
 		if n > 0 {
 			t.Errorf("three wait at the same time, and %s is asked", name)
 		}
 	}
-	note(5, evidence.IsLate)
+	note(5, failuredetector.IsLate)
 	for i := range all {
 		if want := i < 3 || i == 5; (asked[fmt.Sprint("n", i)] > 0) != want {
 			t.Errorf("sidecar %d is asked %d times, wanted: %v", i, asked[fmt.Sprint("n", i)], want)
 		}
 	}
 	for i := range 4 * MostBytes / 60 { // a flood of notes keeps to the bound
-		all[0].Note(now.Time, evidence.Note{Server: fmt.Sprint("s-", i), What: evidence.IsLate})
+		all[0].Note(now.Time, failuredetector.Note{Server: fmt.Sprint("s-", i), What: failuredetector.IsLate})
 	}
 	bytes := 0
 	for _, d := range all[0].Out().Send {
--- a/internal/fleet/gossip/packet.go
+++ b/internal/fleet/gossip/packet.go
@@ -6,7 +6,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"milletramp.example/milletramp/internal/fleet/evidence"
+	"milletramp.example/milletramp/internal/fleet/failuredetector"
 	"milletramp.example/milletramp/internal/fleet/membership"
 	"milletramp.example/milletramp/internal/fleet/replication"
 )
@@ -35,7 +35,7 @@
 	Call    bool                       `cbor:"11,keyasint,omitempty"` // send me some of your members
 	Back    bool                       `cbor:"8,keyasint,omitempty"`  // the Want answers another one
 	Items   []cbor.RawMessage          `cbor:"9,keyasint,omitempty"`
-	Notes   []evidence.Note            `cbor:"12,keyasint,omitempty"`
+	Notes   []failuredetector.Note     `cbor:"12,keyasint,omitempty"`
 }
 
 // Snapshot is all that a sidecar holds, for one that has missed much.
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
-	"milletramp.example/milletramp/internal/fleet/evidence"
+	"milletramp.example/milletramp/internal/fleet/failuredetector"
 	"milletramp.example/milletramp/internal/fleet/gossip"
 	"milletramp.example/milletramp/internal/fleet/membership"
 	"milletramp.example/milletramp/internal/fleet/replication"
@@ -40,7 +40,7 @@
 type member struct {
 	c       *sidecar
 	machine *gossip.Machine
-	book    *evidence.Book
+	book    *failuredetector.Book
 	rng     *rand.Rand
 	life    int32
 	doubted map[string]bool // by the fleet's word, as the decider was told
@@ -66,7 +66,7 @@
 	}
 	rng := rand.New(rand.NewPCG(c.w.p.Seed, uint64(c.i)<<32|uint64(c.life)))
 	now := c.fleetNow()
-	m := &member{c: c, book: evidence.New(rng.Uint64()), rng: rng, life: c.life, doubted: map[string]bool{}}
+	m := &member{c: c, book: failuredetector.New(rng.Uint64()), rng: rng, life: c.life, doubted: map[string]bool{}}
 	m.machine = gossip.New(now, gossip.Settings{Label: "lab", Membership: membership.Settings{Name: fmt.Sprintf("n%d", c.i),
 		Address: sidecarAddress(c.i), Peers: peers, Seed: rng.Uint64(), Nonce: rng.Uint64() | 1, Number: uint64(now.Wall)}}, nil)
 	c.member = m
@@ -101,7 +101,7 @@
 
 // Saw implements balance.Witness.
 func (m *member) Saw(endpoint string, s balance.Sight) {
-	note, due := m.book.Saw(m.c.w.now+epoch, endpoint, evidence.End(s))
+	note, due := m.book.Saw(m.c.w.now+epoch, endpoint, failuredetector.End(s))
 	if due {
 		m.machine.Note(m.c.w.now+epoch, note)
 	}
@@ -119,7 +119,7 @@
 		entries = nil
 		for i, n := range w.nodes {
 			if n.listed && w.now%(500*time.Millisecond) < fleetTick && i%max(w.opt.Fleet.Part, 1) == 0 {
-				entries = append(entries, evidence.Entry{Server: n.ID, Evidence: replication.Evidence{Tries: 9, Silent: 9}})
+				entries = append(entries, failuredetector.Entry{Server: n.ID, Evidence: replication.Evidence{Tries: 9, Silent: 9}})
 			}
 		}
 	}
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -12,7 +12,7 @@
 
 	"milletramp.example/milletramp/balance"
 	"milletramp.example/milletramp/internal/fleet"
-	"milletramp.example/milletramp/internal/fleet/evidence"
+	"milletramp.example/milletramp/internal/fleet/failuredetector"
 	"milletramp.example/milletramp/internal/sidecar"
 )
 
@@ -60,8 +60,8 @@
 }
 
 // ends are the Balancer's sights as the fleet calls them.
-var ends = [...]evidence.End{balance.SawAnswer: evidence.Answered, balance.SawLate: evidence.Late, balance.SawSilence: evidence.Silent,
-	balance.SawFailure: evidence.Failed, balance.SawRefusal: evidence.Refused}
+var ends = [...]failuredetector.End{balance.SawAnswer: failuredetector.Answered, balance.SawLate: failuredetector.Late, balance.SawSilence: failuredetector.Silent,
+	balance.SawFailure: failuredetector.Failed, balance.SawRefusal: failuredetector.Refused}
 
 // Saw implements balance.Witness.
 func (p part) Saw(endpoint string, s balance.Sight) { p.Fleet.Saw(endpoint, ends[s]) }
