--- a/internal/fleet/failuredetector/failuredetector_test.go
+++ b/internal/fleet/failuredetector/failuredetector_test.go
@@ -17,7 +17,7 @@
 func TestRows(t *testing.T) {
 	type step struct {
 		after time.Duration
-		end   End
+		end   Outcome
 	}
 	late, silent := step{200 * time.Millisecond, Late}, step{300 * time.Millisecond, Silent}
 	for _, tt := range []struct {
@@ -42,22 +42,22 @@
 		b, now := New(1), start
 		var wrote []replication.Evidence
 		write := func() {
-			for _, e := range b.Due(now, 10) {
+			for _, e := range b.DueRows(now, 10) {
 				wrote = append(wrote, e.Evidence)
 			}
 		}
 		for i, s := range tt.steps {
 			now += s.after
 			if i == len(tt.steps)-1 && tt.doubt > 0 {
-				b.Saw(now, "s", Answered)
-				b.pages["s"].good = 0 // known, and without an answer
-				b.Doubted(now, map[string]Time{"s": now - tt.doubt})
+				b.Observe(now, "s", Answered)
+				b.servers["s"].lastGood = 0 // known, and without an answer
+				b.SetSuspected(now, map[string]Time{"s": now - tt.doubt})
 			}
-			b.Saw(now, "s", s.end)
+			b.Observe(now, "s", s.end)
 			write()
 		}
 		if tt.asked {
-			b.Asked(now, "s")
+			b.RequestReport(now, "s")
 		}
 		now += 300 * time.Millisecond
 		write()
@@ -70,10 +70,10 @@
 // TestRowsStand: a row that speaks ill is renewed until its owner has had an answer, or for some seconds.
 func TestRowsStand(t *testing.T) {
 	b, now := New(1), start
-	b.Saw(now, "s", Refused)
+	b.Observe(now, "s", Refused)
 	var at []time.Duration
 	for range 200 {
-		for _, e := range b.Due(now, 10) {
+		for _, e := range b.DueRows(now, 10) {
 			at = append(at, now-start)
 			if bad := time.Duration(e.Evidence.Bad) * time.Millisecond; now-bad != start {
 				t.Errorf("after %v: the last bad end is said to be %v old", now-start, bad)
@@ -84,8 +84,8 @@
 	if want := []time.Duration{0, time.Second, 2 * time.Second}; !slices.Equal(at, want) {
 		t.Errorf("written at %v, want %v", at, want)
 	}
-	if b.Due(now+keepFor, 10); len(b.pages)+len(b.open) > 0 {
-		t.Errorf("kept for good: %d servers", len(b.pages))
+	if b.DueRows(now+recordLifetime, 10); len(b.servers)+len(b.pending) > 0 {
+		t.Errorf("kept for good: %d servers", len(b.servers))
 	}
 }
 
@@ -99,10 +99,10 @@
 		steps := rapid.IntRange(1, 100).Draw(t, "steps")
 		for range steps {
 			for range rapid.IntRange(0, 20).Draw(t, "ends") {
-				b.Saw(now, fmt.Sprint(rapid.IntRange(0, servers-1).Draw(t, "server")), End(rapid.IntRange(0, 4).Draw(t, "end")))
+				b.Observe(now, fmt.Sprint(rapid.IntRange(0, servers-1).Draw(t, "server")), Outcome(rapid.IntRange(0, 4).Draw(t, "end")))
 			}
-			for _, e := range b.Due(now, sidecars) {
-				if at, known := last[e.Server]; known && now-at < writeEvery {
+			for _, e := range b.DueRows(now, sidecars) {
+				if at, known := last[e.Server]; known && now-at < minRowInterval {
 					t.Errorf("server %s was written of after %v", e.Server, now-at)
 				}
 				last[e.Server] = now
@@ -110,55 +110,55 @@
 			}
 			now += 50 * time.Millisecond
 		}
-		if most := rowsBurst + rowsEach/float64(sidecars)*(now-start).Seconds(); float64(wrote) > most {
+		if most := rowBurst + fleetRowRate/float64(sidecars)*(now-start).Seconds(); float64(wrote) > most {
 			t.Errorf("%d rows in %v, %.1f are allowed", wrote, now-start, most)
 		}
 	})
 }
 
-// TestCourt: owners are asked to speak once enough of them wait at the same time.
-func TestCourt(t *testing.T) {
-	var c Court
+// TestReportQuorum: owners are asked to speak once enough of them wait at the same time.
+func TestReportQuorum(t *testing.T) {
+	var c ReportQuorum
 	now := start
-	for i := range enough {
-		ask := c.Late(now, "s", fmt.Sprint("n", i), 80)
-		if want := i == enough-1; (len(ask) > 0) != want {
+	for i := range quorumSize {
+		ask := c.AddLate(now, "s", fmt.Sprint("n", i), 80)
+		if want := i == quorumSize-1; (len(ask) > 0) != want {
 			t.Errorf("%d notes: asked %v", i+1, ask)
 		}
 	}
-	if ask := c.Late(now+callEvery/2, "s", "n9", 80); !slices.Equal(ask, []string{"n9"}) {
+	if ask := c.AddLate(now+askInterval/2, "s", "n9", 80); !slices.Equal(ask, []string{"n9"}) {
 		t.Errorf("asked %v, the others have just been", ask)
 	}
-	if ask := c.Late(now+callEvery, "s", "n9", 80); len(ask) != enough {
+	if ask := c.AddLate(now+askInterval, "s", "n9", 80); len(ask) != quorumSize {
 		t.Errorf("asked %v", ask)
 	}
-	for range 2 * enough { // the same one again and again
-		if ask := c.Late(now, "other", "n0", 80); len(ask) > 0 {
+	for range 2 * quorumSize { // the same one again and again
+		if ask := c.AddLate(now, "other", "n0", 80); len(ask) > 0 {
 			t.Errorf("one owner's word was enough: %v", ask)
 		}
 	}
-	for i := range 2 * enough { // each waits, and is answered before the next does
-		if ask := c.Late(now, "slow", fmt.Sprint("n", i), 80); len(ask) > 0 {
+	for i := range 2 * quorumSize { // each waits, and is answered before the next does
+		if ask := c.AddLate(now, "slow", fmt.Sprint("n", i), 80); len(ask) > 0 {
 			t.Errorf("a slow server was taken for silent: %v", ask)
 		}
-		c.Heard("slow")
+		c.Clear("slow")
 	}
-	for i := range 2 * enough {
-		if ask := c.Late(now, "rare", fmt.Sprint("n", i), 80); len(ask) > 0 {
-			t.Errorf("notes of %v apart: asked %v", noteFor, ask)
+	for i := range 2 * quorumSize {
+		if ask := c.AddLate(now, "rare", fmt.Sprint("n", i), 80); len(ask) > 0 {
+			t.Errorf("notes of %v apart: asked %v", noteLifetime, ask)
 		}
-		now += noteFor
+		now += noteLifetime
 	}
-	for i := range 10 * mostCases {
-		c.Late(now, fmt.Sprint(i), "n0", 80)
+	for i := range 10 * maxServers {
+		c.AddLate(now, fmt.Sprint(i), "n0", 80)
 	}
-	if len(c.cases) > mostCases {
-		t.Errorf("%d servers are held", len(c.cases))
+	if len(c.notes) > maxServers {
+		t.Errorf("%d servers are held", len(c.notes))
 	}
-	if ask := c.Late(now+noteFor, "new", "n0", 80); len(ask) > 0 || len(c.cases) != 1 {
-		t.Errorf("notes that count for nothing take the room: %d", len(c.cases))
+	if ask := c.AddLate(now+noteLifetime, "new", "n0", 80); len(ask) > 0 || len(c.notes) != 1 {
+		t.Errorf("notes that count for nothing take the room: %d", len(c.notes))
 	}
-	if ask := new(Court).Late(now, "s", "n0", 3); len(ask) > 0 {
+	if ask := new(ReportQuorum).AddLate(now, "s", "n0", 3); len(ask) > 0 {
 		t.Errorf("one of a small fleet was enough: %v", ask)
 	}
 }
--- a/internal/fleet/failuredetector/quorum.go
+++ b/internal/fleet/failuredetector/quorum.go
@@ -12,13 +12,13 @@
 // room for nothing else. So that an answer is late is told to a few that are the same for all, and only where they hold
 // enough such notes are those asked who wrote them to say so to everybody.
 const (
-	noteFor    = 2 * time.Second        // a note that is not taken back counts
-	callEvery  = 500 * time.Millisecond // that the owner of a note is asked to speak, at most
-	mostCases  = 512                    // servers of which notes are held
-	mostOwners = 32                     // whose notes on one server are held
-	enough     = 4                      // notes of different owners, as many as bad ends make a doubt
-	enoughFew  = 2                      // in a fleet of smallFleet or fewer
-	smallFleet = 4
+	noteLifetime    = 2 * time.Second        // a note that is not taken back counts
+	askInterval     = 500 * time.Millisecond // that the owner of a note is asked to speak, at most
+	maxServers      = 512                    // servers of which notes are held
+	maxOwners       = 32                     // whose notes on one server are held
+	quorumSize      = 4                      // notes of different owners, as many as bad ends make a doubt
+	smallQuorumSize = 2                      // in a fleet of smallFleet or fewer
+	smallFleetSize  = 4
 )
 
 // Collectors are those of the sidecars that collect notes on a server: the two of the highest rendezvous hash. That all agree on
@@ -48,48 +48,48 @@
 	return []string{first, second}
 }
 
-// Court collects notes that answers are late. The zero value is ready.
-type Court struct {
-	cases map[string]map[string]held // by server and owner
+// ReportQuorum collects notes that answers are late. The zero value is ready.
+type ReportQuorum struct {
+	notes map[string]map[string]heldNote // by server and owner
 }
 
-// held is a note in hand.
-type held struct {
-	at    Time
-	asked Time // when its owner was asked to speak; 0: not yet
+// heldNote is a note in hand.
+type heldNote struct {
+	received Time
+	asked    Time // when its owner was asked to speak; 0: not yet
 }
 
-// Late takes in a note, and returns whom to ask to say it to everybody: none, as long as there are too few. sidecars is how
+// AddLate takes in a note, and returns whom to ask to say it to everybody: none, as long as there are too few. sidecars is how
 // many there are in the fleet.
-func (c *Court) Late(now Time, server, owner string, sidecars int) (ask []string) {
-	if c.cases == nil {
-		c.cases = map[string]map[string]held{}
+func (c *ReportQuorum) AddLate(now Time, server, owner string, sidecars int) (ask []string) {
+	if c.notes == nil {
+		c.notes = map[string]map[string]heldNote{}
 	}
-	notes := c.cases[server]
+	notes := c.notes[server]
 	if notes == nil {
-		if len(c.cases) >= mostCases {
-			c.sweep(now)
+		if len(c.notes) >= maxServers {
+			c.evictStale(now)
 		}
-		if len(c.cases) >= mostCases {
+		if len(c.notes) >= maxServers {
 			return nil
 		}
-		notes = map[string]held{}
-		c.cases[server] = notes
+		notes = map[string]heldNote{}
+		c.notes[server] = notes
 	}
-	maps.DeleteFunc(notes, stale(now))
-	if n, known := notes[owner]; known || len(notes) < mostOwners {
-		notes[owner] = held{now, n.asked}
+	maps.DeleteFunc(notes, isStale(now))
+	if n, known := notes[owner]; known || len(notes) < maxOwners {
+		notes[owner] = heldNote{now, n.asked}
 	}
-	needed := enough
-	if sidecars <= smallFleet {
-		needed = enoughFew
+	needed := quorumSize
+	if sidecars <= smallFleetSize {
+		needed = smallQuorumSize
 	}
 	if len(notes) < needed {
 		return nil
 	}
 	for owner, n := range notes {
-		if n.asked == 0 || now-n.asked >= callEvery {
-			notes[owner] = held{n.at, now}
+		if n.asked == 0 || now-n.asked >= askInterval {
+			notes[owner] = heldNote{n.received, now}
 			ask = append(ask, owner)
 		}
 	}
@@ -97,36 +97,36 @@
 	return ask
 }
 
-func stale(now Time) func(string, held) bool {
-	return func(_ string, n held) bool { return now-n.at >= noteFor }
+func isStale(now Time) func(string, heldNote) bool {
+	return func(_ string, n heldNote) bool { return now-n.received >= noteLifetime }
 }
 
-// Heard takes in that a late answer has come after all. Danger: a slow server is not silent. Its answer speaks against
+// Clear takes in that a late answer has come after all. Danger: a slow server is not silent. Its answer speaks against
 // all notes that were written before it, whosever they are.
-func (c *Court) Heard(server string) {
-	clear(c.cases[server])
+func (c *ReportQuorum) Clear(server string) {
+	clear(c.notes[server])
 }
 
-// sweep makes room.
-func (c *Court) sweep(now Time) {
-	maps.DeleteFunc(c.cases, func(_ string, notes map[string]held) bool {
-		maps.DeleteFunc(notes, stale(now))
+// evictStale makes room.
+func (c *ReportQuorum) evictStale(now Time) {
+	maps.DeleteFunc(c.notes, func(_ string, notes map[string]heldNote) bool {
+		maps.DeleteFunc(notes, isStale(now))
 		return len(notes) == 0
 	})
 }
 
 // Note is what the owner of a late request tells the collectors, or what they ask of it.
 type Note struct {
-	Server string `cbor:"1,keyasint"`
-	What   What   `cbor:"2,keyasint"`
+	Server string   `cbor:"1,keyasint"`
+	Kind   NoteKind `cbor:"2,keyasint"`
 }
 
-// What a note says.
-type What uint8
+// NoteKind a note says.
+type NoteKind uint8
 
 // The kinds of notes.
 const (
-	IsLate What = 1 + iota // to the collectors: an answer is late
-	Heard                  // to the collectors: there has been an answer
-	Speak                  // to the owner: enough others say so too; tell everybody
+	NoteLate     NoteKind = 1 + iota // to the collectors: an answer is late
+	NoteAnswered                     // to the collectors: there has been an answer
+	NoteReport                       // to the owner: enough others say so too; tell everybody
 )
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -47,20 +47,20 @@
 	ready   chan struct{}      // closed once it has caught up for the first time
 
 	// Of the loop.
-	machine *gossip.Machine
-	waiting map[replication.Key][]chan gossip.Held
-	out     []string
-	tell    bool // Out is to be called though out has not changed
-	book    *failuredetector.Book
-	doubts  bool             // some server is in doubt, as was told
-	boots   map[string]int64 // of the own list
-	done    bool             // ready is closed
-	list    []Server
-	renewed time.Duration            // when the list was last gone through
-	stands  map[string]time.Duration // servers in doubt, and since when without a break
-	states  chan []byte              // to be left for the next life; nil: nowhere
-	kept    uint64                   // sum of what was last left
-	keptAt  time.Duration
+	machine  *gossip.Machine
+	waiting  map[replication.Key][]chan gossip.Held
+	out      []string
+	tell     bool // Out is to be called though out has not changed
+	recorder *failuredetector.Recorder
+	doubts   bool             // some server is in doubt, as was told
+	boots    map[string]int64 // of the own list
+	done     bool             // ready is closed
+	list     []Server
+	renewed  time.Duration            // when the list was last gone through
+	stands   map[string]time.Duration // servers in doubt, and since when without a break
+	states   chan []byte              // to be left for the next life; nil: nowhere
+	kept     uint64                   // sum of what was last left
+	keptAt   time.Duration
 }
 
 // Server is an entry of the own list.
@@ -119,7 +119,7 @@
 	var random [16]byte
 	_, _ = rand.Read(random[:]) // never fails
 	now := f.now()
-	f.book = failuredetector.New(binary.LittleEndian.Uint64(random[:8]))
+	f.recorder = failuredetector.New(binary.LittleEndian.Uint64(random[:8]))
 	f.machine = gossip.New(now, gossip.Settings{Label: c.Label, CatchUp: c.CatchUp(), Before: before, Membership: membership.Settings{Name: name,
 		Address: f.address, Peers: peers, Seed: binary.LittleEndian.Uint64(random[:8]),
 		Nonce: binary.LittleEndian.Uint64(random[8:]) | 1, Number: uint64(max(now.Wall, 1))}}, warm)
@@ -270,7 +270,7 @@
 func (f *Fleet) hear(out gossip.Actions) {
 	now := f.now()
 	for _, server := range out.Speak {
-		f.book.Asked(now.Time, server)
+		f.recorder.RequestReport(now.Time, server)
 	}
 	if len(out.Speak) > 0 {
 		f.write(now)
@@ -286,7 +286,7 @@
 	if _, bears := f.machine.Members.Self(); !bears {
 		return
 	}
-	for _, e := range f.book.Due(now.Time, f.machine.Members.Here()) {
+	for _, e := range f.recorder.DueRows(now.Time, f.machine.Members.Here()) {
 		key, err := f.machine.Store.Saw(now, e.Server, f.boots[e.Server], e.Evidence)
 		if err != nil {
 			f.log.Debug("not written", "server", e.Server, "err", err)
@@ -312,7 +312,7 @@
 		}
 	}
 	f.stands = stands
-	f.book.Doubted(now.Time, since)
+	f.recorder.SetSuspected(now.Time, since)
 	if len(doubts) > 0 || f.doubts {
 		f.doubts = len(doubts) > 0
 		f.told.Doubts(doubts)
@@ -320,10 +320,10 @@
 }
 
 // Saw takes in what this sidecar has seen of a server. It does not wait: where much comes at once some is lost.
-func (f *Fleet) Saw(server string, e failuredetector.End) {
+func (f *Fleet) Saw(server string, e failuredetector.Outcome) {
 	select {
 	case f.events <- func(now replication.Now) {
-		if note, due := f.book.Saw(now.Time, server, e); due {
+		if note, due := f.recorder.Observe(now.Time, server, e); due {
 			f.machine.Note(now.Time, note)
 		}
 		if e == failuredetector.Silent || e == failuredetector.Refused {
@@ -493,7 +493,7 @@
 		for _, s := range servers {
 			f.boots[s.ID] = s.Boot
 			if boot, known := former[s.ID]; known && boot != s.Boot {
-				f.book.Forget(s.ID) // it was another process
+				f.recorder.Forget(s.ID) // it was another process
 			}
 		}
 		f.renew(now)
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -165,7 +165,7 @@
 	contacts map[string]*contact
 	confirms []confirm
 	tries    uint64
-	court    failuredetector.Court
+	quorum   failuredetector.ReportQuorum
 	figures  Figures
 	out      Actions
 
@@ -373,19 +373,19 @@
 
 // noted takes in a note of a sidecar.
 func (m *Machine) noted(now Time, from string, n failuredetector.Note) {
-	switch n.What {
-	case failuredetector.IsLate:
+	switch n.Kind {
+	case failuredetector.NoteLate:
 		self, _ := m.Members.Self()
-		for _, owner := range m.court.Late(now, n.Server, from, m.Members.Here()) {
+		for _, owner := range m.quorum.AddLate(now, n.Server, from, m.Members.Here()) {
 			if owner == self.Name {
 				m.out.Speak = append(m.out.Speak, n.Server)
 			} else if o, known := m.Members.Member(owner); known && o.Here() {
-				m.post(now, o.Address, Packet{Notes: []failuredetector.Note{{Server: n.Server, What: failuredetector.Speak}}}, false)
+				m.post(now, o.Address, Packet{Notes: []failuredetector.Note{{Server: n.Server, Kind: failuredetector.NoteReport}}}, false)
 			}
 		}
-	case failuredetector.Heard:
-		m.court.Heard(n.Server)
-	case failuredetector.Speak:
+	case failuredetector.NoteAnswered:
+		m.quorum.Clear(n.Server)
+	case failuredetector.NoteReport:
 		m.out.Speak = append(m.out.Speak, n.Server)
 	}
 }
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -325,33 +325,33 @@
 	}
 	run(t, &now, 10*time.Second, all...)
 	asked := map[string]int{}
-	note := func(i int, w failuredetector.What) {
-		all[i].Note(now.Time, failuredetector.Note{Server: "s-1", What: w})
+	note := func(i int, w failuredetector.NoteKind) {
+		all[i].Note(now.Time, failuredetector.Note{Server: "s-1", Kind: w})
 		_, spoke := passed(t, now, all...)
 		for name, n := range spoke {
 			asked[name] += n
 		}
 	}
 	for _, i := range []int{0, 1, 2} {
-		note(i, failuredetector.IsLate)
+		note(i, failuredetector.NoteLate)
 	}
-	note(0, failuredetector.Heard)
+	note(0, failuredetector.NoteAnswered)
 	for _, i := range []int{0, 1, 2} {
-		note(i, failuredetector.IsLate)
+		note(i, failuredetector.NoteLate)
 	}
 	for name, n := range asked {
 		if n > 0 {
 			t.Errorf("three wait at the same time, and %s is asked", name)
 		}
 	}
-	note(5, failuredetector.IsLate)
+	note(5, failuredetector.NoteLate)
 	for i := range all {
 		if want := i < 3 || i == 5; (asked[fmt.Sprint("n", i)] > 0) != want {
 			t.Errorf("sidecar %d is asked %d times, wanted: %v", i, asked[fmt.Sprint("n", i)], want)
 		}
 	}
 	for i := range 4 * MostBytes / 60 { // a flood of notes keeps to the bound
-		all[0].Note(now.Time, failuredetector.Note{Server: fmt.Sprint("s-", i), What: failuredetector.IsLate})
+		all[0].Note(now.Time, failuredetector.Note{Server: fmt.Sprint("s-", i), Kind: failuredetector.NoteLate})
 	}
 	bytes := 0
 	for _, d := range all[0].Out().Send {
--- a/internal/lab/fleet/mutants/mutants_test.go
+++ b/internal/lab/fleet/mutants/mutants_test.go
@@ -30,7 +30,7 @@
 		rule: "nothing new to a server out by hand", play: "procs TestDrawnPlans"},
 	{"evidence kept to oneself", "fleet.go", "range f.book.Due(now.Time, f.machine.Members.Here()) {", "range f.book.Due(now.Time, f.machine.Members.Here())[:0] {",
 		"silent servers known to all", "procs TestServersFallSilent"},
-	{"words that stand for good", "failuredetector/recorder.go", "p.said.Bad = uint32((now - bad) / time.Millisecond)", "p.bad, p.said.Bad = now, uint32((now-max(bad, now))/time.Millisecond)",
+	{"words that stand for good", "failuredetector/recorder.go", "p.row.Bad = uint32((now - bad) / time.Millisecond)", "p.lastBad, p.row.Bad = now, uint32((now-max(bad, now))/time.Millisecond)",
 		"no doubt that lasts without silence", "procs TestServersFallSilent"},
 	{"merge by arrival", "replication/store.go",
 		"	merged := mergeHands(former, h)\n", "	merged := h\n", "nothing acknowledged forgotten", ""},
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -38,12 +38,12 @@
 
 // member is a sidecar's part in the fleet.
 type member struct {
-	c       *sidecar
-	machine *gossip.Machine
-	book    *failuredetector.Book
-	rng     *rand.Rand
-	life    int32
-	doubted map[string]bool // by the fleet's word, as the decider was told
+	c        *sidecar
+	machine  *gossip.Machine
+	recorder *failuredetector.Recorder
+	rng      *rand.Rand
+	life     int32
+	doubted  map[string]bool // by the fleet's word, as the decider was told
 }
 
 // hearer is a decider that takes the fleet's word, and says what it sees.
@@ -66,7 +66,7 @@
 	}
 	rng := rand.New(rand.NewPCG(c.w.p.Seed, uint64(c.i)<<32|uint64(c.life)))
 	now := c.fleetNow()
-	m := &member{c: c, book: failuredetector.New(rng.Uint64()), rng: rng, life: c.life, doubted: map[string]bool{}}
+	m := &member{c: c, recorder: failuredetector.New(rng.Uint64()), rng: rng, life: c.life, doubted: map[string]bool{}}
 	m.machine = gossip.New(now, gossip.Settings{Label: "lab", Membership: membership.Settings{Name: fmt.Sprintf("n%d", c.i),
 		Address: sidecarAddress(c.i), Peers: peers, Seed: rng.Uint64(), Nonce: rng.Uint64() | 1, Number: uint64(now.Wall)}}, nil)
 	c.member = m
@@ -101,7 +101,7 @@
 
 // Saw implements balance.Witness.
 func (m *member) Saw(endpoint string, s balance.Sight) {
-	note, due := m.book.Saw(m.c.w.now+epoch, endpoint, failuredetector.End(s))
+	note, due := m.recorder.Observe(m.c.w.now+epoch, endpoint, failuredetector.Outcome(s))
 	if due {
 		m.machine.Note(m.c.w.now+epoch, note)
 	}
@@ -114,12 +114,12 @@
 // write has the fleet know what this sidecar has seen.
 func (m *member) write() {
 	now, w := m.c.fleetNow(), m.c.w
-	entries := m.book.Due(now.Time, m.machine.Members.Here())
+	entries := m.recorder.DueRows(now.Time, m.machine.Members.Here())
 	if lies := w.opt.Fleet.Lies; lies != nil && lies(w.now, int(m.c.i)) {
 		entries = nil
 		for i, n := range w.nodes {
 			if n.listed && w.now%(500*time.Millisecond) < fleetTick && i%max(w.opt.Fleet.Part, 1) == 0 {
-				entries = append(entries, failuredetector.Entry{Server: n.ID, Evidence: replication.Evidence{Tries: 9, Silent: 9}})
+				entries = append(entries, failuredetector.Row{Server: n.ID, Evidence: replication.Evidence{Tries: 9, Silent: 9}})
 			}
 		}
 	}
@@ -162,7 +162,7 @@
 	for _, word := range words {
 		since[word.ID] = word.Since
 	}
-	m.book.Doubted(now.Time, since)
+	m.recorder.SetSuspected(now.Time, since)
 	m.doubted = said
 	m.c.learn()
 }
@@ -188,7 +188,7 @@
 	}
 	if len(out.Speak) > 0 {
 		for _, server := range out.Speak {
-			m.book.Asked(w.now+epoch, server)
+			m.recorder.RequestReport(w.now+epoch, server)
 		}
 		m.write()
 		m.act()
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -60,7 +60,7 @@
 }
 
 // ends are the Balancer's sights as the fleet calls them.
-var ends = [...]failuredetector.End{balance.SawAnswer: failuredetector.Answered, balance.SawLate: failuredetector.Late, balance.SawSilence: failuredetector.Silent,
+var ends = [...]failuredetector.Outcome{balance.SawAnswer: failuredetector.Answered, balance.SawLate: failuredetector.Late, balance.SawSilence: failuredetector.Silent,
 	balance.SawFailure: failuredetector.Failed, balance.SawRefusal: failuredetector.Refused}
 
 // Saw implements balance.Witness.
