--- a/internal/fleet/failuredetector/failuredetector_test.go
+++ b/internal/fleet/failuredetector/failuredetector_test.go
@@ -24,7 +24,7 @@
 		name  string
 		steps []step
 		asked bool          // by a collector, after these
-		doubt time.Duration // others speak ill of it since so long before the last step; 0: they do not
+		doubt time.Duration // peers suspect it since so long before the last step; 0: they do not
 		want  []replication.Evidence
 	}{
 		{"answers", []step{{1, Answered}, {1, Answered}}, false, 0, nil},
@@ -35,39 +35,42 @@
 		{"refused", []step{{1, Refused}}, false, 0, []replication.Evidence{{Tries: 1, Refused: 1}}},
 		{"errors say nothing", []step{{1, Failed}, {1, Failed}}, false, 0, nil},
 		{"silent, and the fleet knows", []step{late, silent}, false, time.Second, nil},
-		{"it answers, and others speak ill of it", []step{{1, Answered}}, false, time.Second, []replication.Evidence{{Good: 300}}},
+		{"it answers, and peers suspect it", []step{{1, Answered}}, false, time.Second,
+			[]replication.Evidence{{Good: 300}}},
 		{"taken back", []step{late, silent, {time.Second, Answered}}, false, 0,
 			[]replication.Evidence{{Tries: 1, Late: 1, Silent: 1}, {Good: 1}}},
 	} {
-		b, now := New(1), start
-		var wrote []replication.Evidence
-		write := func() {
-			for _, e := range b.DueRows(now, 10) {
-				wrote = append(wrote, e.Evidence)
+		t.Run(tt.name, func(t *testing.T) {
+			b, now := New(1), start
+			var wrote []replication.Evidence
+			write := func() {
+				for _, e := range b.DueRows(now, 10) {
+					wrote = append(wrote, e.Evidence)
+				}
 			}
-		}
-		for i, s := range tt.steps {
-			now += s.after
-			if i == len(tt.steps)-1 && tt.doubt > 0 {
-				b.Observe(now, "s", Answered)
-				b.servers["s"].lastGood = 0 // known, and without an answer
-				b.SetSuspected(now, map[string]Time{"s": now - tt.doubt})
+			for i, s := range tt.steps {
+				now += s.after
+				if i == len(tt.steps)-1 && tt.doubt > 0 {
+					b.Observe(now, "s", Answered)
+					b.servers["s"].lastGood = 0 // known, and without an answer
+					b.SetSuspected(now, map[string]Time{"s": now - tt.doubt})
+				}
+				b.Observe(now, "s", s.end)
+				write()
+			}
+			if tt.asked {
+				b.RequestReport(now, "s")
 			}
-			b.Observe(now, "s", s.end)
+			now += 300 * time.Millisecond
 			write()
-		}
-		if tt.asked {
-			b.RequestReport(now, "s")
-		}
-		now += 300 * time.Millisecond
-		write()
-		if !slices.Equal(wrote, tt.want) {
-			t.Errorf("%s: wrote %+v, want %+v", tt.name, wrote, tt.want)
-		}
+			if !slices.Equal(wrote, tt.want) {
+				t.Errorf("wrote %+v, want %+v", wrote, tt.want)
+			}
+		})
 	}
 }
 
-// TestRowsStand: a row that speaks ill is renewed until its owner has had an answer, or for some seconds.
+// TestRowsStand: a row that accuses a server is renewed until its owner has had an answer, or for some seconds.
 func TestRowsStand(t *testing.T) {
 	b, now := New(1), start
 	b.Observe(now, "s", Refused)
@@ -89,8 +92,8 @@
 	}
 }
 
-// TestRowsAreBounded has all fail at once: a sidecar writes a few rows at once and no more than its part of the fleet's a
-// second, the same server no more than twice a second, and forgets no server for good.
+// TestRowsAreBounded has all fail at once: a sidecar writes a few rows at once and no more than its part of the
+// fleet's a second, and on one server no more than two a second.
 func TestRowsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, now := New(1), start
@@ -99,7 +102,8 @@
 		steps := rapid.IntRange(1, 100).Draw(t, "steps")
 		for range steps {
 			for range rapid.IntRange(0, 20).Draw(t, "ends") {
-				b.Observe(now, fmt.Sprint(rapid.IntRange(0, servers-1).Draw(t, "server")), Outcome(rapid.IntRange(0, 4).Draw(t, "end")))
+				server := fmt.Sprint(rapid.IntRange(0, servers-1).Draw(t, "server"))
+				b.Observe(now, server, Outcome(rapid.IntRange(0, 4).Draw(t, "outcome")))
 			}
 			for _, e := range b.DueRows(now, sidecars) {
 				if at, known := last[e.Server]; known && now-at < minRowInterval {
--- a/internal/fleet/failuredetector/quorum.go
+++ b/internal/fleet/failuredetector/quorum.go
@@ -8,77 +8,92 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// How notes are collected. Danger: one answer in some is late in any fleet, and were each told to all, the fleet would have
-// room for nothing else. So that an answer is late is told to a few that are the same for all, and only where they hold
-// enough such notes are those asked who wrote them to say so to everybody.
+// In any fleet some answers are late, and reporting each one to everybody would leave no capacity for anything else. So
+// a late answer is noted to few collectors, the same ones for all sidecars, and only once these hold a quorum of notes
+// on a server do they ask the owners of the notes to report to the whole fleet.
 const (
-	noteLifetime    = 2 * time.Second        // a note that is not taken back counts
-	askInterval     = 500 * time.Millisecond // that the owner of a note is asked to speak, at most
-	maxServers      = 512                    // servers of which notes are held
-	maxOwners       = 32                     // whose notes on one server are held
-	quorumSize      = 4                      // notes of different owners, as many as bad ends make a doubt
-	smallQuorumSize = 2                      // in a fleet of smallFleet or fewer
+	noteLifetime = 2 * time.Second        // for which a note counts unless it is retracted
+	askInterval  = 500 * time.Millisecond // least time between two requests to one owner
+	maxServers   = 512                    // servers of which notes are held
+	maxOwners    = 32                     // owners whose notes on one server are held
+	// quorumSize is how many owners' notes lead to reports: as many as bad outcomes make a suspicion.
+	quorumSize      = 4
+	smallQuorumSize = 2 // in a fleet of smallFleetSize sidecars or fewer
 	smallFleetSize  = 4
 )
 
-// Collectors are those of the sidecars that collect notes on a server: the two of the highest rendezvous hash. That all agree on
-// who they are is not needed: notes that go astray are too few to be acted upon.
+// Note is what a sidecar with a late request sends to the collectors, or what a collector asks of it.
+type Note struct {
+	Server string   `cbor:"1,keyasint"`
+	Kind   NoteKind `cbor:"2,keyasint"`
+}
+
+// NoteKind says what a note means.
+type NoteKind uint8
+
+// The kinds of notes.
+const (
+	NoteLate     NoteKind = 1 + iota // to the collectors: an answer is late
+	NoteAnswered                     // to the collectors: there has been an answer
+	NoteReport                       // to the owner: a quorum is late; report to everybody
+)
+
+// Collectors returns those of the sidecars that collect notes on a server: the two of the highest rendezvous hash
+// (Thaler and Ravishankar 1998). Sidecars need not agree on who they are: notes that go astray are too few to act upon.
 func Collectors(server string, sidecars []string) []string {
-	rank := func(name string) uint64 {
-		var d xxhash.Digest
-		d.Reset()
-		_, _ = d.WriteString(server) // a Digest never fails
-		_, _ = d.Write([]byte{1})
-		_, _ = d.WriteString(name)
-		return d.Sum64()
-	}
 	var first, second string
-	var high, next uint64
-	for _, s := range sidecars {
-		switch r := rank(s); {
-		case first == "" || r > high:
-			first, second, high, next = s, first, r, high
-		case second == "" || r > next:
-			second, next = s, r
+	var firstRank, secondRank uint64
+	for _, sidecar := range sidecars {
+		switch rank := rendezvousRank(server, sidecar); {
+		case first == "" || rank > firstRank:
+			first, second, firstRank, secondRank = sidecar, first, rank, firstRank
+		case second == "" || rank > secondRank:
+			second, secondRank = sidecar, rank
 		}
 	}
-	if second == "" {
-		return slices.DeleteFunc([]string{first}, func(s string) bool { return s == "" })
+	switch {
+	case first == "":
+		return nil
+	case second == "":
+		return []string{first}
 	}
 	return []string{first, second}
 }
 
-// ReportQuorum collects notes that answers are late. The zero value is ready.
+// rendezvousRank is the weight of a sidecar for a server.
+func rendezvousRank(server, sidecar string) uint64 {
+	var digest xxhash.Digest
+	digest.Reset()
+	_, _ = digest.WriteString(server) // a Digest never fails
+	_, _ = digest.Write([]byte{1})
+	_, _ = digest.WriteString(sidecar)
+	return digest.Sum64()
+}
+
+// ReportQuorum collects notes on late answers. The zero value is ready. It must not be used by two goroutines at once.
 type ReportQuorum struct {
 	notes map[string]map[string]heldNote // by server and owner
 }
 
-// heldNote is a note in hand.
+// heldNote is a note that counts.
 type heldNote struct {
 	received Time
-	asked    Time // when its owner was asked to speak; 0: not yet
+	asked    Time // when its owner was asked to report; 0: not yet
 }
 
-// AddLate takes in a note, and returns whom to ask to say it to everybody: none, as long as there are too few. sidecars is how
-// many there are in the fleet.
-func (c *ReportQuorum) AddLate(now Time, server, owner string, sidecars int) (ask []string) {
-	if c.notes == nil {
-		c.notes = map[string]map[string]heldNote{}
-	}
-	notes := c.notes[server]
+// expired reports whether the note counts no longer.
+func (n heldNote) expired(now Time) bool { return now-n.received >= noteLifetime }
+
+// AddLate counts a note and returns the owners to ask for a report, in order: none as long as there is no quorum.
+// sidecars is how many there are in the fleet.
+func (q *ReportQuorum) AddLate(now Time, server, owner string, sidecars int) (ask []string) {
+	notes := q.notesOn(now, server)
 	if notes == nil {
-		if len(c.notes) >= maxServers {
-			c.evictStale(now)
-		}
-		if len(c.notes) >= maxServers {
-			return nil
-		}
-		notes = map[string]heldNote{}
-		c.notes[server] = notes
+		return nil
 	}
-	maps.DeleteFunc(notes, isStale(now))
-	if n, known := notes[owner]; known || len(notes) < maxOwners {
-		notes[owner] = heldNote{now, n.asked}
+	maps.DeleteFunc(notes, func(_ string, n heldNote) bool { return n.expired(now) })
+	if note, known := notes[owner]; known || len(notes) < maxOwners {
+		notes[owner] = heldNote{received: now, asked: note.asked}
 	}
 	needed := quorumSize
 	if sidecars <= smallFleetSize {
@@ -87,9 +102,10 @@
 	if len(notes) < needed {
 		return nil
 	}
-	for owner, n := range notes {
-		if n.asked == 0 || now-n.asked >= askInterval {
-			notes[owner] = heldNote{n.received, now}
+	for owner, note := range notes {
+		if note.asked == 0 || now-note.asked >= askInterval {
+			note.asked = now
+			notes[owner] = note
 			ask = append(ask, owner)
 		}
 	}
@@ -97,36 +113,35 @@
 	return ask
 }
 
-func isStale(now Time) func(string, heldNote) bool {
-	return func(_ string, n heldNote) bool { return now-n.received >= noteLifetime }
+// notesOn returns the notes on a server, nil where notes on too many servers are held already.
+func (q *ReportQuorum) notesOn(now Time, server string) map[string]heldNote {
+	if notes := q.notes[server]; notes != nil {
+		return notes
+	}
+	if q.notes == nil {
+		q.notes = map[string]map[string]heldNote{}
+	}
+	if len(q.notes) >= maxServers {
+		q.evictExpired(now)
+	}
+	if len(q.notes) >= maxServers {
+		return nil
+	}
+	notes := map[string]heldNote{}
+	q.notes[server] = notes
+	return notes
 }
 
-// Clear takes in that a late answer has come after all. Danger: a slow server is not silent. Its answer speaks against
-// all notes that were written before it, whosever they are.
-func (c *ReportQuorum) Clear(server string) {
-	clear(c.notes[server])
+// Clear drops the notes on a server, as a late answer has come after all: a slow server is not silent, and its answer
+// speaks against all notes that were written before it, whoever wrote them.
+func (q *ReportQuorum) Clear(server string) {
+	clear(q.notes[server])
 }
 
-// evictStale makes room.
-func (c *ReportQuorum) evictStale(now Time) {
-	maps.DeleteFunc(c.notes, func(_ string, notes map[string]heldNote) bool {
-		maps.DeleteFunc(notes, isStale(now))
+// evictExpired drops notes that count no longer.
+func (q *ReportQuorum) evictExpired(now Time) {
+	maps.DeleteFunc(q.notes, func(_ string, notes map[string]heldNote) bool {
+		maps.DeleteFunc(notes, func(_ string, n heldNote) bool { return n.expired(now) })
 		return len(notes) == 0
 	})
 }
-
-// Note is what the owner of a late request tells the collectors, or what they ask of it.
-type Note struct {
-	Server string   `cbor:"1,keyasint"`
-	Kind   NoteKind `cbor:"2,keyasint"`
-}
-
-// NoteKind a note says.
-type NoteKind uint8
-
-// The kinds of notes.
-const (
-	NoteLate     NoteKind = 1 + iota // to the collectors: an answer is late
-	NoteAnswered                     // to the collectors: there has been an answer
-	NoteReport                       // to the owner: enough others say so too; tell everybody
-)
--- a/internal/fleet/failuredetector/recorder.go
+++ b/internal/fleet/failuredetector/recorder.go
@@ -1,7 +1,10 @@
-// Package failuredetector decides what a sidecar writes for the fleet of the servers that it has sent requests to, and when. It is
-// a stepped machine: ends of the sidecar's own requests, what others say and the time go in, rows to be written come out.
-// It has no clock, socket or goroutine. What a row says is the sidecar's own experience alone; the weighing of all rows is
-// package replication's.
+// Package failuredetector decides what a sidecar reports to the fleet about servers that seem to have failed, and when.
+//
+// Recorder turns the outcomes of the sidecar's own attempts into rows of evidence. ReportQuorum collects notes on late
+// answers, so that a report goes to the whole fleet only where several sidecars wait for one server at the same time.
+// Both are stepped state machines: outcomes, peers' messages and the time go in, rows and notes come out. They have no
+// clock, socket or goroutine and must not be used by two goroutines at once. A row holds the sidecar's own experience
+// alone; package replication weighs the rows of all sidecars.
 package failuredetector
 
 import (
@@ -13,199 +16,251 @@
 	"milletramp.example/milletramp/internal/fleet/replication"
 )
 
-// Time is a reading of the host's monotonic clock.
+// Time is a reading of the host's monotonic clock. 0 means never.
 type Time = time.Duration
 
 // Outcome is how an attempt at a server ended, as far as it tells of the server.
 type Outcome uint8
 
-// The ends of attempts.
+// The outcomes of attempts.
 const (
 	Answered Outcome = iota // well
-	Late                    // no answer in the time in which nearly all come; it may come yet
-	Silent                  // a late one: no answer, for longer than all but one in a thousand take
+	Late                    // no answer in the time in which nearly all come; it may still come
+	Silent                  // a late attempt: no answer for longer than all but one in a thousand take
 	Failed                  // an error, or the connection broke
 	Refused                 // no connection
 )
 
 const (
-	minRowInterval = 500 * time.Millisecond // of one server a row is written no more often
-	renewInterval  = time.Second            // a row that stands is written again: others weigh it for twice that
-	// After the last bad end a row is renewed for this long. Danger: nobody tries a server that all put behind the others, and
-	// nobody would find out that it is well. So all words on it end, and it has its turns again.
-	renewFor       = 3 * time.Second
-	recordLifetime = 10 * time.Second // a server of which nothing is heard
-	maxRecords     = 2048             // servers; of further ones nothing is written
-	// All sidecars together write so many rows a second, and each a few at once. Danger: when much fails all have much to
-	// say, and what a copy of the fleet's state costs grows with what is said.
+	// minRowInterval is the least time between two rows on one server.
+	minRowInterval = 500 * time.Millisecond
+	// renewInterval is when a row that still holds is written again; other sidecars count it for twice that.
+	renewInterval = time.Second
+	// renewFor is how long after the last bad outcome a row is renewed. A server that everybody avoids gets no
+	// request that could show that it has recovered, so all rows on it expire and it gets its turns again.
+	renewFor = 3 * time.Second
+	// recordLifetime is how long a server is remembered after it was last seen or written of.
+	recordLifetime = 10 * time.Second
+	// maxRecords bounds the servers that are remembered; nothing is written of further ones.
+	maxRecords = 2048
+	// fleetRowRate is how many rows a second all sidecars write together. When much fails at once everybody has much
+	// to report, and the cost of a copy of the fleet's state grows with what is reported.
 	fleetRowRate = 256.0
-	rowBurst     = 16.0
-	// A word for a server that is in doubt comes after a time drawn within this: one is enough, and the first to speak
-	// spares the others.
+	// rowBurst is how many rows a sidecar may write at once.
+	rowBurst = 16.0
+	// refuteWithin bounds the random delay before a sidecar refutes a suspicion: one refutation is enough, and the
+	// first spares the others.
 	refuteWithin = 200 * time.Millisecond
 )
 
-// Row is a row to be written.
+// Row is a row of evidence to be written to the fleet's replicated state.
 type Row struct {
 	Server   string
 	Evidence replication.Evidence
 }
 
-// Recorder is what one sidecar has seen of servers of late. New makes one.
+// Recorder keeps what one sidecar has observed of servers of late. New returns one that is ready.
 type Recorder struct {
 	random    *rand.Rand
 	servers   map[string]*serverRecord
-	pending   map[string]bool // pages of which something may be due
+	pending   map[string]bool // servers of which a row may be due
 	evictedAt Time
 	rowTokens float64 // rows that may be written now
-	tokensAt  Time    // when room was last counted
+	tokensAt  Time    // when rowTokens was last updated
 }
 
-// serverRecord is what was seen of one server.
+// serverRecord is what was observed of one server.
 type serverRecord struct {
-	sinceGood       replication.Evidence // what was seen since the last good answer
-	lastSeen        Time
-	lastGood        Time // last good answer; 0: none
-	lastBad         Time // last attempt that is silent or was refused; 0: none
-	lastLate        Time // last late one; 0: none
-	reportRequested Time // when a collector last asked to speak; 0: never
+	sinceGood replication.Evidence // outcomes since the last good answer
+	lastSeen  Time
+	lastGood  Time // last good answer
+	lastBad   Time // last attempt that is silent or was refused
+	lastLate  Time
+
 	noteSent        bool // the collectors hold a note of this sidecar
-	suspectedAt     Time // it is in doubt by the word of others, of whom one last had no answer then; 0: it is not
-	refuteAt        Time // and a word for it may go from then on
-	rowWritten      Time // 0: never
-	row             replication.Evidence
+	reportRequested Time // when a collector last asked for a report
+
+	// suspectedAt is when one of the peers that suspect the server last waited in vain; 0: nobody suspects it.
+	suspectedAt Time
+	refuteAt    Time // a row in the server's favour may go from then on
+
+	rowWritten Time
+	row        replication.Evidence // as last written
 }
 
-// New returns a book with nothing in it.
+// New returns a recorder that has seen nothing. seed determines the random delays that it draws.
 func New(seed uint64) *Recorder {
-	return &Recorder{random: rand.New(rand.NewPCG(seed, 0xb00c)), servers: map[string]*serverRecord{}, pending: map[string]bool{}, rowTokens: rowBurst}
+	return &Recorder{
+		random:    rand.New(rand.NewPCG(seed, 0xb00c)),
+		servers:   map[string]*serverRecord{},
+		pending:   map[string]bool{},
+		rowTokens: rowBurst,
+	}
 }
 
-// Observe takes in how an attempt ended, or that it is late, and returns a note for the collectors, if there is to be one.
-func (b *Recorder) Observe(now Time, server string, e Outcome) (note Note, due bool) {
-	p := b.servers[server]
-	if p == nil {
-		if len(b.servers) >= maxRecords {
-			return Note{}, false
-		}
-		p = &serverRecord{}
-		b.servers[server] = p
+// Observe records how an attempt ended, or that it is late, and returns a note for the collectors where one is due.
+func (r *Recorder) Observe(now Time, server string, outcome Outcome) (note Note, due bool) {
+	record := r.record(server)
+	if record == nil {
+		return Note{}, false
 	}
-	p.lastSeen = now
-	switch e {
+	record.lastSeen = now
+	switch outcome {
 	case Answered:
-		p.lastGood, p.sinceGood = now, replication.Evidence{}
-		if p.suspectedAt > 0 || accuses(p.row) {
-			b.pending[server] = true
-		}
-		if p.noteSent {
-			p.noteSent = false
-			return Note{server, NoteAnswered}, true
-		}
-		return Note{}, false
+		return r.observeAnswer(now, server, record)
 	case Late:
-		p.lastLate, p.noteSent = now, true
-		p.sinceGood.Late++
-		p.sinceGood.Tries++
+		record.lastLate, record.noteSent = now, true
+		record.sinceGood.Late++
+		record.sinceGood.Tries++
 		return Note{server, NoteLate}, true
-	case Silent: // it was late before
-		p.lastBad = now
-		p.sinceGood.Silent++
+	case Silent: // was counted as a try when it was late
+		record.lastBad = now
+		record.sinceGood.Silent++
+		r.pending[server] = true
 	case Refused:
-		p.lastBad = now
-		p.sinceGood.Refused++
-		p.sinceGood.Tries++
+		record.lastBad = now
+		record.sinceGood.Refused++
+		record.sinceGood.Tries++
+		r.pending[server] = true
 	case Failed: // says nothing of silence
-		p.sinceGood.Failed++
-		p.sinceGood.Tries++
-		return Note{}, false
+		record.sinceGood.Failed++
+		record.sinceGood.Tries++
 	}
-	b.pending[server] = true
 	return Note{}, false
 }
 
-// RequestReport takes in that a collector asks this sidecar to say to everybody what it has noted.
-func (b *Recorder) RequestReport(now Time, server string) {
-	if p := b.servers[server]; p != nil && p.lastLate > p.lastGood {
-		p.reportRequested = now
-		b.pending[server] = true
+// record returns the record of a server, nil where there are too many already.
+func (r *Recorder) record(server string) *serverRecord {
+	record := r.servers[server]
+	if record == nil && len(r.servers) < maxRecords {
+		record = &serverRecord{}
+		r.servers[server] = record
+	}
+	return record
+}
+
+// observeAnswer records a good answer.
+func (r *Recorder) observeAnswer(now Time, server string, record *serverRecord) (note Note, due bool) {
+	record.lastGood, record.sinceGood = now, replication.Evidence{}
+	if record.suspectedAt > 0 || accuses(record.row) {
+		r.pending[server] = true
+	}
+	if !record.noteSent {
+		return Note{}, false
+	}
+	record.noteSent = false
+	return Note{server, NoteAnswered}, true
+}
+
+// RequestReport records that a collector asks this sidecar to report what it has noted to everybody.
+func (r *Recorder) RequestReport(now Time, server string) {
+	if record := r.servers[server]; record != nil && record.lastLate > record.lastGood {
+		record.reportRequested = now
+		r.pending[server] = true
 	}
 }
 
-// SetSuspected takes in which servers are in doubt by the word of others, and when one of these last had no answer from each, in
-// place of what was said before.
-func (b *Recorder) SetSuspected(now Time, words map[string]Time) {
-	for _, server := range slices.Sorted(maps.Keys(b.servers)) { // in order: what is drawn must not depend on the map's
-		p := b.servers[server]
-		if p.suspectedAt == 0 && words[server] > 0 {
-			p.refuteAt = now + Time(b.random.Int64N(int64(refuteWithin)))
+// SetSuspected replaces the servers that peers suspect, each with the time at which one of these peers last waited for
+// an answer in vain.
+func (r *Recorder) SetSuspected(now Time, suspected map[string]Time) {
+	for _, server := range slices.Sorted(maps.Keys(r.servers)) { // in order, as random delays are drawn
+		record := r.servers[server]
+		if record.suspectedAt == 0 && suspected[server] > 0 {
+			record.refuteAt = now + Time(r.random.Int64N(int64(refuteWithin)))
 		}
-		if p.suspectedAt = words[server]; p.suspectedAt > 0 {
-			b.pending[server] = true
+		record.suspectedAt = suspected[server]
+		if record.suspectedAt > 0 {
+			r.pending[server] = true
 		}
 	}
 }
 
-// Forget lets go of what was seen of a server: its process is another one.
-func (b *Recorder) Forget(server string) {
-	delete(b.servers, server)
-	delete(b.pending, server)
-}
-
-// DueRows returns the rows that are to be written now, by server, where the fleet has so many sidecars. It is to be called after
-// a bad end and about each 50 ms.
-func (b *Recorder) DueRows(now Time, sidecars int) (entries []Row) {
-	b.rowTokens = min(b.rowTokens+(now-b.tokensAt).Seconds()*fleetRowRate/float64(max(sidecars, 1)), rowBurst)
-	b.tokensAt = now
-	for _, server := range slices.Sorted(maps.Keys(b.pending)) {
-		p := b.servers[server]
-		if b.rowTokens >= 1 && p.rowDue(now) {
-			b.rowTokens--
-			p.rowWritten, p.row = now, p.sinceGood
-			if p.lastGood > 0 && now-p.lastGood < recordLifetime {
-				p.row.Good = uint32(max(now-p.lastGood, time.Millisecond) / time.Millisecond)
-			}
-			if bad := max(p.lastBad, p.lastLate); accuses(p.row) {
-				p.row.Bad = uint32((now - bad) / time.Millisecond)
-			}
-			entries = append(entries, Row{server, p.row})
+// Forget drops what was observed of a server, as its process is another one.
+func (r *Recorder) Forget(server string) {
+	delete(r.servers, server)
+	delete(r.pending, server)
+}
+
+// DueRows returns the rows that are to be written now, by server, in a fleet of so many sidecars. It is to be called
+// after a bad outcome and about each 50 ms.
+func (r *Recorder) DueRows(now Time, sidecars int) (rows []Row) {
+	r.refillRowTokens(now, sidecars)
+	for _, server := range slices.Sorted(maps.Keys(r.pending)) {
+		record := r.servers[server]
+		if r.rowTokens >= 1 && record.rowDue(now) {
+			r.rowTokens--
+			rows = append(rows, Row{server, record.writeRow(now)})
 		}
-		if p.suspectedAt == 0 && !accuses(p.row) && p.lastBad <= p.rowWritten && p.reportRequested <= p.rowWritten {
-			delete(b.pending, server)
+		if record.settled() {
+			delete(r.pending, server)
 		}
 	}
-	if now-b.evictedAt >= renewInterval {
-		b.evictedAt = now
-		maps.DeleteFunc(b.servers, func(server string, p *serverRecord) bool {
-			over := now-max(p.lastSeen, p.rowWritten) >= recordLifetime
-			if over {
-				delete(b.pending, server)
-			}
-			return over
-		})
+	r.evict(now)
+	return rows
+}
+
+// refillRowTokens adds this sidecar's part of what the fleet may write since the last call.
+func (r *Recorder) refillRowTokens(now Time, sidecars int) {
+	rate := fleetRowRate / float64(max(sidecars, 1))
+	r.rowTokens = min(r.rowTokens+rate*(now-r.tokensAt).Seconds(), rowBurst)
+	r.tokensAt = now
+}
+
+// evict drops records that are out of date.
+func (r *Recorder) evict(now Time) {
+	if now-r.evictedAt < renewInterval {
+		return
+	}
+	r.evictedAt = now
+	for server, record := range r.servers {
+		if now-max(record.lastSeen, record.rowWritten) >= recordLifetime {
+			r.Forget(server)
+		}
 	}
-	return entries
 }
 
-// accuses tells whether a row speaks ill of its server.
-func accuses(e replication.Evidence) bool { return e.Silent+e.Refused+e.Late > 0 }
+// accuses reports whether a row counts against its server.
+func accuses(row replication.Evidence) bool { return row.Silent+row.Refused+row.Late > 0 }
 
-// rowDue tells whether a row is to be written now.
-func (p *serverRecord) rowDue(now Time) bool {
-	if p.rowWritten > 0 && now-p.rowWritten < minRowInterval {
+// writeRow returns the row that stands for the record from now on.
+func (s *serverRecord) writeRow(now Time) replication.Evidence {
+	s.rowWritten, s.row = now, s.sinceGood
+	if s.lastGood > 0 && now-s.lastGood < recordLifetime {
+		s.row.Good = uint32(max(now-s.lastGood, time.Millisecond) / time.Millisecond)
+	}
+	if bad := max(s.lastBad, s.lastLate); accuses(s.row) {
+		s.row.Bad = uint32((now - bad) / time.Millisecond)
+	}
+	return s.row
+}
+
+// settled reports whether no row on the server can become due without a new event.
+func (s *serverRecord) settled() bool {
+	return s.suspectedAt == 0 && !accuses(s.row) && s.lastBad <= s.rowWritten && s.reportRequested <= s.rowWritten
+}
+
+// rowDue reports whether a row is to be written now.
+func (s *serverRecord) rowDue(now Time) bool {
+	if s.rowWritten > 0 && now-s.rowWritten < minRowInterval {
 		return false
 	}
-	bad := p.lastBad
-	if p.reportRequested > 0 {
-		bad = max(bad, p.lastLate)
+	bad := s.lastBad
+	if s.reportRequested > 0 {
+		bad = max(bad, s.lastLate)
 	}
-	stands := accuses(p.row) // the row that was written last speaks ill of the server
+	standing := accuses(s.row)
 	switch {
-	case p.lastGood >= bad: // a word to be taken back, or one for a server that others speak ill of
-		return p.lastGood > p.rowWritten && (stands || p.suspectedAt > 0 && p.lastGood > p.suspectedAt && now >= p.refuteAt)
-	case bad > p.rowWritten:
-		// Danger: were all to say what the fleet knows, it would have no room for news.
-		return p.suspectedAt == 0 || stands
+	case s.lastGood >= bad: // retract the own row, or refute the peers' suspicion
+		return s.lastGood > s.rowWritten && (standing || s.refutes(now))
+	case bad > s.rowWritten:
+		// What the fleet knows already is not repeated by everybody: the rate of rows is needed for news.
+		return s.suspectedAt == 0 || standing
 	}
-	return stands && now-bad < renewFor && now-p.rowWritten >= renewInterval
+	return standing && now-bad < renewFor && now-s.rowWritten >= renewInterval
+}
+
+// refutes reports whether the last good answer speaks against the peers' suspicion and it is this sidecar's time to say
+// so.
+func (s *serverRecord) refutes(now Time) bool {
+	return s.suspectedAt > 0 && s.lastGood > s.suspectedAt && now >= s.refuteAt
 }
