--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -19,10 +19,10 @@
 
 	"milletramp.example/milletramp/internal/fleet/failuredetector"
 	"milletramp.example/milletramp/internal/fleet/gossip"
-	"milletramp.example/milletramp/internal/fleet/link"
 	"milletramp.example/milletramp/internal/fleet/membership"
 	"milletramp.example/milletramp/internal/fleet/policyagent"
 	"milletramp.example/milletramp/internal/fleet/replication"
+	"milletramp.example/milletramp/internal/fleet/transport"
 )
 
 const (
@@ -32,11 +32,11 @@
 
 // Fleet is a sidecar's part in the fleet.
 type Fleet struct {
-	log    *slog.Logger
-	link   *link.Link
-	origin time.Time
-	clock  time.Duration // by which the clock of day is taken to be off
-	told   Told
+	log       *slog.Logger
+	transport *transport.Transport
+	origin    time.Time
+	clock     time.Duration // by which the clock of day is taken to be off
+	told      Told
 
 	events  chan func(now replication.Now)
 	over    sync.WaitGroup
@@ -91,11 +91,11 @@
 
 // Start begins a sidecar's part. before are the addresses of its other processes, which this one replaces.
 func Start(c *Config, name string, before []string, log *slog.Logger, told Told) (*Fleet, error) {
-	l, err := link.Listen(c.Address, gossip.MostSnapshot)
+	l, err := transport.Listen(c.Address, gossip.MostSnapshot)
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{log: log.With("part", "fleet"), link: l, origin: time.Now(), clock: c.clock, told: told, boots: map[string]int64{}, events: make(chan func(replication.Now), mostQueued),
+	f := &Fleet{log: log.With("part", "fleet"), transport: l, origin: time.Now(), clock: c.clock, told: told, boots: map[string]int64{}, events: make(chan func(replication.Now), mostQueued),
 		ready: make(chan struct{}), waiting: map[replication.Key][]chan gossip.Held{}}
 	f.ctx, f.stop = context.WithCancel(context.Background())
 	f.address = c.told(l.Address())
@@ -135,7 +135,7 @@
 			f.over.Wait()
 			return nil, errors.Join(err, l.Close())
 		}
-		l.Answer(f.agent)
+		l.SetCallHandler(f.agent)
 	}
 	l.Serve(f, gossip.MostPacket)
 	return f, nil
@@ -166,7 +166,7 @@
 	if address == "" {
 		return nil, fmt.Errorf("fleet: %s is not there", name)
 	}
-	return f.link.Call(ctx, address, text)
+	return f.transport.Call(ctx, address, text)
 }
 
 // monotonic readings begin at an hour, so that none is 0.
@@ -227,7 +227,7 @@
 func (f *Fleet) act() {
 	out := f.machine.Out()
 	for _, d := range out.Send {
-		if err := f.link.Send(d.To, d.Text); err != nil {
+		if err := f.transport.Send(d.To, d.Text); err != nil {
 			f.log.Debug("not sent", "to", d.To, "err", err)
 		}
 	}
@@ -235,7 +235,7 @@
 		f.over.Add(1)
 		go func() {
 			defer f.over.Done()
-			text, err := f.link.Fetch(f.ctx, from)
+			text, err := f.transport.Fetch(f.ctx, from)
 			f.do(f.ctx, func(now replication.Now) {
 				if err := f.machine.Fetched(now, from, text, err); err != nil {
 					f.log.Debug("no snapshot", "from", from, "err", err)
@@ -411,7 +411,7 @@
 	return ErrEnded
 }
 
-// Datagram implements link.Handler.
+// Datagram implements transport.Handler.
 func (f *Fleet) Datagram(from string, text []byte) {
 	text = slices.Clone(text)
 	select {
@@ -425,7 +425,7 @@
 	}
 }
 
-// Snapshot implements link.Handler.
+// Snapshot implements transport.Handler.
 func (f *Fleet) Snapshot(ctx context.Context) (text []byte, err error) {
 	failed := f.ask(ctx, func(now replication.Now) { text, err = f.machine.Serve(now) })
 	return text, errors.Join(failed, err)
@@ -532,5 +532,5 @@
 	}
 	f.stop()
 	f.over.Wait()
-	return f.link.Close()
+	return f.transport.Close()
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -78,7 +78,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	a := join(t, "a")
-	at := a.link.Address()
+	at := a.transport.Address()
 	if held, asked, err := a.TakeOut(ctx, "s-0", true, true); held != 0 || asked != 0 || err != nil {
 		t.Errorf("held by %d of %d, error %v where there is nobody else", held, asked, err)
 	}
@@ -153,7 +153,7 @@
 	var peers []string
 	for i := range 6 {
 		m := join(t, fmt.Sprint("n", i), peers...)
-		all, peers = append(all, m), append(peers, m.link.Address())
+		all, peers = append(all, m), append(peers, m.transport.Address())
 		<-m.CaughtUp()
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
--- a/internal/fleet/policyagent/agent.go
+++ b/internal/fleet/policyagent/agent.go
@@ -198,7 +198,7 @@
 
 var errBusy = errors.New("policy: this decider is busy")
 
-// Call implements link.Called.
+// Call implements transport.Called.
 func (c *Agent) Call(ctx context.Context, text []byte) ([]byte, error) {
 	var m message
 	if err := cbor.Unmarshal(text, &m); err != nil {
--- a/internal/fleet/link/link_test.go
+++ b/internal/fleet/transport/transport_test.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"bytes"
@@ -29,7 +29,7 @@
 
 func (h *handler) Snapshot(context.Context) ([]byte, error) { return h.snapshot, h.err }
 
-func open(t *testing.T, h *handler) *Link {
+func open(t *testing.T, h *handler) *Transport {
 	t.Helper()
 	h.datagrams = make(chan string, 100)
 	l, err := Listen("127.0.0.1:0", 1<<20)
@@ -110,7 +110,7 @@
 		c.Close()
 	}
 	// Callers that say nothing hold their places for a time, and then others have them.
-	for range mostCallers {
+	for range maxSnapshots {
 		c, err := net.Dial("tcp", b.Address())
 		if err != nil {
 			t.Fatal(err)
@@ -139,7 +139,7 @@
 				return
 			}
 			defer c.Close()
-			_, _ = io.ReadFull(c, make([]byte, len(greeting)))
+			_, _ = io.ReadFull(c, make([]byte, len(snapshotHello)))
 			fmt.Fprintf(c, "%s%s", binary.BigEndian.AppendUint32(nil, length), "half")
 		}()
 		if got, err := a.Fetch(context.Background(), l.Addr().String()); err == nil {
