--- a/internal/fleet/transport/transport.go
+++ b/internal/fleet/transport/transport.go
@@ -1,5 +1,5 @@
-// Package transport holds the only sockets between sidecars: one for datagrams and a listener for snapshots and calls, at one address.
-// It decides nothing; what comes is bounded in size, number and time before anybody looks at it.
+// Package transport holds the only sockets between sidecars: one for datagrams and a listener for snapshots and calls, at
+// one address. It decides nothing. What comes is bounded in size, number and time before it is handed on.
 package transport
 
 import (
@@ -14,19 +14,35 @@
 	"time"
 )
 
+// MaxCall is the largest size of a call and of its answer, in bytes. Calls over maxSmallCall come one at a time.
+const MaxCall = 8 << 20
+
+const (
+	maxSmallCall   = 64 << 10 // bytes
+	maxConnections = 64       // at a time
+	maxSnapshots   = 4        // served at a time
+	// exchangeTimeout bounds a snapshot or a call, from the connection's first byte to its last.
+	exchangeTimeout = 2 * time.Second
+	// maxPortTries is how many ports are tried for both sockets. A port that is free for datagrams is often taken for
+	// connections on a machine where tens of thousands of them have just closed.
+	maxPortTries = 4
+	// acceptRetry is the pause after a connection could not be accepted, most likely for want of descriptors.
+	acceptRetry = 10 * time.Millisecond
+)
+
+// The first bytes of a connection say what it is for. Both are of one length.
 const (
-	maxSnapshots    = 4               // that get a snapshot at a time
-	exchangeTimeout = 2 * time.Second // a snapshot takes at most, from the connection's first byte to its last
-	snapshotHello   = "milletramp-fleet 1\n"
-	callHello       = "milletramp-call  1\n" // as long as the other one
+	snapshotHello = "milletramp-fleet 1\n"
+	callHello     = "milletramp-call  1\n"
+)
 
-	// MaxCall is the most bytes of a call and of its answer. Large ones come one at a time.
-	MaxCall        = 8 << 20
-	maxSmallCall   = 64 << 10
-	maxConnections = 64 // small calls at a time
+// Errors of calls that this sidecar does not serve.
+var (
+	errNoCalls   = errors.New("fleet: nobody answers calls")
+	errLargeCall = errors.New("fleet: another large call is being served")
 )
 
-// Handler is who a Link hands to what has come. Its methods are called from the Link's goroutines, datagrams one at a time.
+// Handler takes what comes. Its methods are called from the Transport's goroutines, datagrams one at a time.
 type Handler interface {
 	// Datagram takes a datagram. text is the handler's only until it returns.
 	Datagram(from string, text []byte)
@@ -39,99 +55,125 @@
 	Call(ctx context.Context, text []byte) ([]byte, error)
 }
 
-// Transport is a sidecar's way to the others.
+// Transport connects a sidecar to the others. Its methods may be called from many goroutines.
 type Transport struct {
-	datagrams       *net.UDPConn
-	listener        *net.TCPListener
-	maxSnapshot     int // bytes of a snapshot
-	goroutines      sync.WaitGroup
-	ctx             context.Context
-	stop            context.CancelFunc
+	datagrams   *net.UDPConn
+	listener    *net.TCPListener
+	maxSnapshot int         // bytes
+	callHandler CallHandler // nil: calls are turned away
+
+	ctx        context.Context // ends with Close, and with it all connections
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
+
+	// Each of these channels holds one element for each of its kind that is being served.
+	connectionSlots chan struct{}
 	snapshotSlots   chan struct{}
-	callHandler     CallHandler   // nil: calls are turned away
-	connectionSlots chan struct{} // has one for each call in hand
-	largeCallSlot   chan struct{} // and for each large one
+	largeCallSlot   chan struct{}
 }
 
-// Listen listens at an address, of IPv4 and with a port. Where another process has the port, as in an upgrade, any other
-// port of the same address serves: others hear of it from this sidecar itself.
-func Listen(address string, mostSnapshot int) (l *Transport, err error) {
+// Listen listens at an address, of IPv4 and with a port. Where another process has the port, as in an upgrade, any
+// other port of the same address serves: others hear of it from this sidecar itself. maxSnapshot is in bytes.
+func Listen(address string, maxSnapshot int) (*Transport, error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil || !at.Addr().Is4() {
 		return nil, fmt.Errorf("fleet: address %q: an IPv4 address and a port are needed", address)
 	}
-	l = &Transport{maxSnapshot: mostSnapshot, snapshotSlots: make(chan struct{}, maxSnapshots), connectionSlots: make(chan struct{}, maxConnections),
-		largeCallSlot: make(chan struct{}, 1)}
-	l.ctx, l.stop = context.WithCancel(context.Background())
-	for _, port := range []uint16{at.Port(), 0, 0, 0} { // a free port for both may take some tries
-		if l.datagrams, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(at.Addr(), port))); err != nil {
-			continue
-		}
-		same := netip.AddrPortFrom(at.Addr(), l.datagrams.LocalAddr().(*net.UDPAddr).AddrPort().Port())
-		if l.listener, err = net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(same)); err == nil {
-			return l, nil
+	t := &Transport{
+		maxSnapshot:     maxSnapshot,
+		snapshotSlots:   make(chan struct{}, maxSnapshots),
+		connectionSlots: make(chan struct{}, maxConnections),
+		largeCallSlot:   make(chan struct{}, 1),
+	}
+	t.ctx, t.stop = context.WithCancel(context.Background())
+	port := at.Port()
+	for range maxPortTries {
+		if err = t.bind(netip.AddrPortFrom(at.Addr(), port)); err == nil {
+			return t, nil
 		}
-		err = errors.Join(err, l.datagrams.Close())
+		port = 0 // any other
 	}
-	l.stop()
+	t.stop()
 	return nil, fmt.Errorf("fleet: %w", err)
 }
 
+// bind opens both sockets at one address. Port 0 is a port that is free for datagrams.
+func (t *Transport) bind(at netip.AddrPort) (err error) {
+	if t.datagrams, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at)); err != nil {
+		return err
+	}
+	same := netip.AddrPortFrom(at.Addr(), t.datagrams.LocalAddr().(*net.UDPAddr).AddrPort().Port())
+	if t.listener, err = net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(same)); err != nil {
+		return errors.Join(err, t.datagrams.Close())
+	}
+	return nil
+}
+
 // Address is where others reach this sidecar.
-func (l *Transport) Address() string { return l.listener.Addr().String() }
+func (t *Transport) Address() string { return t.listener.Addr().String() }
 
 // SetCallHandler has calls be answered. It is to be called before Serve, where there is to be an answer.
-func (l *Transport) SetCallHandler(c CallHandler) { l.callHandler = c }
+func (t *Transport) SetCallHandler(c CallHandler) { t.callHandler = c }
 
-// Serve hands to h what comes, until Close.
-func (l *Transport) Serve(h Handler, mostPacket int) {
-	l.goroutines.Add(2)
-	go func() {
-		defer l.goroutines.Done()
-		buffer := make([]byte, mostPacket+1) // a byte more shows that one is too long
-		for {
-			n, from, err := l.datagrams.ReadFromUDPAddrPort(buffer)
-			switch {
-			case errors.Is(err, net.ErrClosed):
-				return
-			case err == nil:
-				h.Datagram(from.String(), buffer[:n])
-			}
-		}
+// Serve hands to h what comes, until Close. Datagrams of more than maxDatagram bytes are passed on one byte longer than
+// that, so that h can tell.
+func (t *Transport) Serve(h Handler, maxDatagram int) {
+	t.goroutines.Add(2)
+	go func() { // ends when Close closes the socket
+		defer t.goroutines.Done()
+		t.readDatagrams(h, make([]byte, maxDatagram+1))
 	}()
-	go func() {
-		defer l.goroutines.Done()
-		for {
-			c, err := l.listener.Accept()
-			switch {
-			case errors.Is(err, net.ErrClosed):
-				return
-			case err != nil:
-				select {
-				case <-time.After(10 * time.Millisecond): // out of descriptors, most likely
-				case <-l.ctx.Done():
-				}
-				continue
-			}
+	go func() { // ends when Close closes the listener
+		defer t.goroutines.Done()
+		t.acceptConnections(h)
+	}()
+}
+
+// readDatagrams hands on datagrams until the socket is closed.
+func (t *Transport) readDatagrams(h Handler, buffer []byte) {
+	for {
+		n, from, err := t.datagrams.ReadFromUDPAddrPort(buffer)
+		switch {
+		case errors.Is(err, net.ErrClosed):
+			return
+		case err == nil:
+			h.Datagram(from.String(), buffer[:n])
+		}
+	}
+}
+
+// acceptConnections serves connections until the listener is closed.
+func (t *Transport) acceptConnections(h Handler) {
+	for {
+		c, err := t.listener.Accept()
+		switch {
+		case errors.Is(err, net.ErrClosed):
+			return
+		case err != nil:
 			select {
-			case l.connectionSlots <- struct{}{}:
-				l.goroutines.Add(1)
-				go func() {
-					defer l.goroutines.Done()
-					l.serveConnection(c, h)
-					<-l.connectionSlots
-				}()
-			default:
-				c.Close() // it asks another one
+			case <-time.After(acceptRetry):
+			case <-t.ctx.Done():
 			}
+			continue
 		}
-	}()
+		select {
+		case t.connectionSlots <- struct{}{}:
+			t.goroutines.Add(1)
+			go func() { // ends within exchangeTimeout, or with Close
+				defer t.goroutines.Done()
+				t.serveConnection(c, h)
+				<-t.connectionSlots
+			}()
+		default:
+			_ = c.Close() // its peer asks another sidecar
+		}
+	}
 }
 
 // serveConnection gives a caller a snapshot, or the answer to a call: its length in 4 bytes, and its bytes.
-func (l *Transport) serveConnection(c net.Conn, h Handler) {
+func (t *Transport) serveConnection(c net.Conn, h Handler) {
 	defer c.Close()
-	defer context.AfterFunc(l.ctx, func() { c.Close() })()
+	defer context.AfterFunc(t.ctx, func() { c.Close() })()
 	_ = c.SetDeadline(time.Now().Add(exchangeTimeout))
 	hello := make([]byte, len(snapshotHello))
 	if _, err := io.ReadFull(c, hello); err != nil {
@@ -142,16 +184,16 @@
 	switch string(hello) {
 	case snapshotHello:
 		select {
-		case l.snapshotSlots <- struct{}{}:
-			defer func() { <-l.snapshotSlots }()
+		case t.snapshotSlots <- struct{}{}:
+			defer func() { <-t.snapshotSlots }()
 		default:
 			return
 		}
-		if text, err = h.Snapshot(l.ctx); len(text) > l.maxSnapshot {
+		if text, err = h.Snapshot(t.ctx); len(text) > t.maxSnapshot {
 			return
 		}
 	case callHello:
-		if text, err = l.serveCall(c); len(text) > MaxCall {
+		if text, err = t.serveCall(c); len(text) > MaxCall {
 			return
 		}
 	default:
@@ -163,9 +205,9 @@
 }
 
 // serveCall reads a call and returns its answer.
-func (l *Transport) serveCall(c net.Conn) ([]byte, error) {
-	if l.callHandler == nil {
-		return nil, errors.New("fleet: nobody answers calls")
+func (t *Transport) serveCall(c net.Conn) ([]byte, error) {
+	if t.callHandler == nil {
+		return nil, errNoCalls
 	}
 	var head [4]byte
 	if _, err := io.ReadFull(c, head[:]); err != nil {
@@ -175,19 +217,19 @@
 	if n > MaxCall {
 		return nil, fmt.Errorf("fleet: a call of %d bytes, %d are allowed", n, MaxCall)
 	}
-	if n > maxSmallCall { // Danger: many large ones at once would take all memory
+	if n > maxSmallCall { // many large ones at once would take all memory
 		select {
-		case l.largeCallSlot <- struct{}{}:
-			defer func() { <-l.largeCallSlot }()
+		case t.largeCallSlot <- struct{}{}:
+			defer func() { <-t.largeCallSlot }()
 		default:
-			return nil, errors.New("fleet: another large call is in hand")
+			return nil, errLargeCall
 		}
 	}
 	text, err := readMessage(c, n)
 	if err != nil {
 		return nil, err
 	}
-	return l.callHandler.Call(l.ctx, text)
+	return t.callHandler.Call(t.ctx, text)
 }
 
 // writeMessage writes a length in 4 bytes, and so many bytes.
@@ -196,7 +238,7 @@
 	return err
 }
 
-// readMessage reads so many bytes. Danger: a length alone must not take memory: it is taken as the bytes come.
+// readMessage reads so many bytes. Memory is taken as they come: a length alone must not take any.
 func readMessage(c net.Conn, n uint32) ([]byte, error) {
 	text, err := io.ReadAll(io.LimitReader(c, int64(n)))
 	if err == nil && len(text) < int(n) {
@@ -206,18 +248,18 @@
 }
 
 // Send sends a datagram. What cannot be sent is lost, as on the way.
-func (l *Transport) Send(to string, text []byte) error {
+func (t *Transport) Send(to string, text []byte) error {
 	at, err := netip.ParseAddrPort(to)
 	if err != nil {
 		return fmt.Errorf("fleet: address %.80q: %w", to, err)
 	}
-	_, err = l.datagrams.WriteToUDPAddrPort(text, at)
+	_, err = t.datagrams.WriteToUDPAddrPort(text, at)
 	return err
 }
 
 // Fetch gets a snapshot from another sidecar.
-func (l *Transport) Fetch(ctx context.Context, from string) ([]byte, error) {
-	text, err := l.exchange(ctx, from, snapshotHello, nil, l.maxSnapshot)
+func (t *Transport) Fetch(ctx context.Context, from string) ([]byte, error) {
+	text, err := t.exchange(ctx, from, snapshotHello, nil, t.maxSnapshot)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: snapshot of %s: %w", from, err)
 	}
@@ -225,11 +267,11 @@
 }
 
 // Call calls another sidecar and returns its answer.
-func (l *Transport) Call(ctx context.Context, to string, text []byte) ([]byte, error) {
+func (t *Transport) Call(ctx context.Context, to string, text []byte) ([]byte, error) {
 	if len(text) > MaxCall {
 		return nil, fmt.Errorf("fleet: a call of %d bytes, %d are allowed", len(text), MaxCall)
 	}
-	answer, err := l.exchange(ctx, to, callHello, text, MaxCall)
+	answer, err := t.exchange(ctx, to, callHello, text, MaxCall)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: call of %s: %w", to, err)
 	}
@@ -237,11 +279,11 @@
 }
 
 // exchange greets another sidecar, sends it a text, nil: none, and returns what it answers.
-func (l *Transport) exchange(ctx context.Context, from, hello string, send []byte, most int) ([]byte, error) {
+func (t *Transport) exchange(ctx context.Context, from, hello string, send []byte, most int) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	// From the own address: that is what a firewall between sidecars goes by.
-	own := l.listener.Addr().(*net.TCPAddr).AddrPort().Addr()
+	own := t.listener.Addr().(*net.TCPAddr).AddrPort().Addr()
 	c, err := (&net.Dialer{LocalAddr: &net.TCPAddr{IP: own.AsSlice()}}).DialContext(ctx, "tcp4", from)
 	if err != nil {
 		return nil, err
@@ -268,9 +310,9 @@
 }
 
 // Close ends the sockets and waits for all that was begun.
-func (l *Transport) Close() error {
-	l.stop()
-	err := errors.Join(l.datagrams.Close(), l.listener.Close())
-	l.goroutines.Wait()
+func (t *Transport) Close() error {
+	t.stop()
+	err := errors.Join(t.datagrams.Close(), t.listener.Close())
+	t.goroutines.Wait()
 	return err
 }
