--- a/internal/fleet/transport/transport.go
+++ b/internal/fleet/transport/transport.go
@@ -25,7 +25,7 @@
 	exchangeTimeout = 2 * time.Second
 	// maxPortTries is how many ports are tried for both sockets. A port that is free for datagrams is often taken for
 	// connections on a machine where tens of thousands of them have just closed.
-	maxPortTries = 4
+	maxPortTries = 64
 	// acceptRetry is the pause after a connection could not be accepted, most likely for want of descriptors.
 	acceptRetry = 10 * time.Millisecond
 )
