--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -259,7 +259,7 @@
 		}
 		delete(f.waiting, h.Key)
 	}
-	if now := f.machine.Store.Out(); f.tell || !slices.Equal(now, f.out) {
+	if now := f.machine.Store.AdminDown(); f.tell || !slices.Equal(now, f.out) {
 		f.out, f.tell = now, false
 		f.told.Out(slices.Clone(now))
 	}
@@ -287,7 +287,7 @@
 		return
 	}
 	for _, e := range f.recorder.DueRows(now.Time, f.machine.Members.Here()) {
-		key, err := f.machine.Store.Saw(now, e.Server, f.boots[e.Server], e.Evidence)
+		key, err := f.machine.Store.WriteRow(now, e.Server, f.boots[e.Server], e.Evidence)
 		if err != nil {
 			f.log.Debug("not written", "server", e.Server, "err", err)
 			continue
@@ -336,7 +336,7 @@
 
 // leaveWarm has what the staff has said be written down, where it has changed and a folder is named.
 func (f *Fleet) leaveWarm(now replication.Now) {
-	sum := f.machine.Store.Digest().Whole()[replication.KindHand] ^ f.machine.Members.Sum()
+	sum := f.machine.Store.Digest().PerKind()[replication.KindAdmin] ^ f.machine.Members.Sum()
 	if f.states == nil || sum == f.kept || f.keptAt > 0 && now.Time-f.keptAt < warmEvery {
 		return
 	}
@@ -360,12 +360,12 @@
 	for _, s := range f.list {
 		ids = append(ids, s.ID)
 		if s.Boot > 0 {
-			if key, changed := f.machine.Store.Started(now, s.ID, s.Boot); changed {
+			if key, changed := f.machine.Store.RecordStart(now, s.ID, s.Boot); changed {
 				f.machine.Tell(key)
 			}
 		}
 	}
-	for _, key := range f.machine.Store.Listed(now, ids) {
+	for _, key := range f.machine.Store.MarkListed(now, ids) {
 		f.machine.Tell(key)
 	}
 }
@@ -448,11 +448,11 @@
 			return
 		}
 		var key replication.Key
-		former, _ := f.machine.Store.Hand(server)
-		if key, err = f.machine.Store.Call(now, server, out); err != nil {
+		former, _ := f.machine.Store.AdminState(server)
+		if key, err = f.machine.Store.RecordCall(now, server, out); err != nil {
 			return
 		}
-		call, _ := f.machine.Store.Hand(server)
+		call, _ := f.machine.Store.AdminState(server)
 		f.log.Info("by hand", "server", server, "out", out, "call", strings.Join(calls(call), ","), "replaces", strings.Join(calls(former), ","))
 		f.machine.Tell(key)
 		if f.tell = true; !confirm {
@@ -476,8 +476,8 @@
 }
 
 // calls names the calls that stand.
-func calls(h replication.Hand) (names []string) {
-	for _, c := range h.Calls {
+func calls(h replication.AdminState) (names []string) {
+	for _, c := range h.Standing {
 		names = append(names, c.Dot.String())
 	}
 	return names
@@ -507,7 +507,7 @@
 
 // Knows tells whether the staff has ever said anything of a server.
 func (f *Fleet) Knows(ctx context.Context, server string) (known bool, err error) {
-	err = f.ask(ctx, func(replication.Now) { _, known = f.machine.Store.Hand(server) })
+	err = f.ask(ctx, func(replication.Now) { _, known = f.machine.Store.AdminState(server) })
 	return known, err
 }
 
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -146,7 +146,7 @@
 
 // contact is what is known of how a peer's copy compares.
 type contact struct {
-	sums   [replication.Kinds]uint64
+	sums   [replication.NumKinds]uint64
 	heard  Time // when it last told its sums
 	same   Time // when they were last those of the own copy
 	asked  Time // what was missed
@@ -301,7 +301,7 @@
 // live has the copy go under the life that membership has come to.
 func (m *Machine) live() {
 	if self, bears := m.Members.Self(); bears {
-		m.Store.Alive(self.Life)
+		m.Store.SetLife(self.Life)
 	}
 }
 
@@ -400,14 +400,14 @@
 }
 
 // compare asks for what a peer's copy has and the own one has not.
-func (m *Machine) compare(now replication.Now, name, address string, sums [replication.Kinds]uint64, roll uint64) {
+func (m *Machine) compare(now replication.Now, name, address string, sums [replication.NumKinds]uint64, roll uint64) {
 	digest := m.Store.Digest()
 	c := m.contact(name)
 	if roll != m.Members.Sum() && !m.Members.Waiting() && now.Time-m.called >= wantEvery {
 		m.called = now.Time
 		m.post(now.Time, address, Packet{Call: true, Members: m.Members.Draw(mostNews)}, false)
 	}
-	if c.sums, c.heard = sums, now.Time; sums == digest.Whole() {
+	if c.sums, c.heard = sums, now.Time; sums == digest.PerKind() {
 		c.same = now.Time
 		return
 	}
@@ -534,7 +534,7 @@
 		m.changed(c)
 	}
 	for _, s := range sends {
-		sums := m.Store.Digest().Whole()
+		sums := m.Store.Digest().PerKind()
 		p := Packet{Probe: &s.Message, Sums: &sums, Roll: m.Members.Sum(), Members: m.Members.News(mostNews, from)}
 		m.fillRumors(now, &p)
 		m.post(now.Time, s.To, p, true)
@@ -549,11 +549,11 @@
 		return
 	}
 	if c.Former.Life != c.Member.Life {
-		m.Store.Died(c.Member.Name, c.Former.Life)
+		m.Store.MarkDead(c.Member.Name, c.Former.Life)
 	}
 	switch c.Member.State {
 	case membership.Left:
-		m.Store.Died(c.Member.Name, c.Member.Life)
+		m.Store.MarkDead(c.Member.Name, c.Member.Life)
 		delete(m.contacts, c.Member.Name)
 	case membership.Gone:
 		// Danger: it may live on. Were its rows dropped, an older version that another sidecar still passes on would come back
@@ -589,7 +589,7 @@
 	m.settle(now, membership.Member{})
 	if now.Time-m.faded >= time.Second {
 		m.faded = now.Time
-		m.Store.Fade(now)
+		m.Store.Expire(now)
 	}
 	m.spread(now, false)
 	m.confirm(now)
@@ -831,12 +831,12 @@
 }
 
 // Doubts is of which servers the fleet speaks ill, the worst first, where the own list has so many.
-func (m *Machine) Doubts(now replication.Now, servers int) []replication.Doubt {
+func (m *Machine) Doubts(now replication.Now, servers int) []replication.Suspicion {
 	here := func(owner string) bool {
 		o, known := m.Members.Member(owner)
 		return known && o.Here()
 	}
-	return m.Store.Doubts(now, here, m.Members.Here(), servers)
+	return m.Store.Suspicions(now, here, m.Members.Here(), servers)
 }
 
 // Lag is how a peer's copy compares to the own one.
@@ -850,7 +850,7 @@
 
 // Lags tells for each member that counts how its copy compares, by name.
 func (m *Machine) Lags(now Time) []Lag {
-	ours := m.Store.Digest().Whole()
+	ours := m.Store.Digest().PerKind()
 	var lags []Lag
 	for _, p := range m.Members.Members() {
 		if !p.Here() {
@@ -862,7 +862,7 @@
 			if !l.Same {
 				l.For = now - c.same
 			}
-			for k := range replication.Kinds {
+			for k := range replication.NumKinds {
 				if c.sums[k] != ours[k] && !l.Same {
 					l.Differ = append(l.Differ, k)
 				}
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -107,7 +107,7 @@
 
 func call(t testing.TB, m *Machine, now replication.Now, server string, out bool) replication.Key {
 	t.Helper()
-	key, err := m.Store.Call(now, server, out)
+	key, err := m.Store.RecordCall(now, server, out)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,8 +126,8 @@
 		t.Errorf("held %+v, want by two others", held)
 	}
 	for _, m := range all {
-		if len(m.Store.Out()) != 1 {
-			t.Errorf("out %v", m.Store.Out())
+		if len(m.Store.AdminDown()) != 1 {
+			t.Errorf("out %v", m.Store.AdminDown())
 		}
 	}
 	key = call(t, all[0], now, "r", true)
@@ -158,8 +158,8 @@
 		t.Errorf("phase %v before anybody has answered", p)
 	}
 	pass(t, now, append(all, last)...)
-	if p, _ := last.Phase(); p != Whole || len(last.Store.Out()) != 1 {
-		t.Errorf("phase %v, out %v with a snapshot", p, last.Store.Out())
+	if p, _ := last.Phase(); p != Whole || len(last.Store.AdminDown()) != 1 {
+		t.Errorf("phase %v, out %v with a snapshot", p, last.Store.AdminDown())
 	}
 	lost := newMachine(now, 4, "a7", "a8")
 	run(t, &now, usualCatchUp+100*time.Millisecond, lost)
@@ -195,13 +195,13 @@
 	now := start
 	all := trio(t, &now)
 	for i := range 40 {
-		if _, err := all[1].Store.Call(now, fmt.Sprint("s-", i), true); err != nil { // and nobody is told
+		if _, err := all[1].Store.RecordCall(now, fmt.Sprint("s-", i), true); err != nil { // and nobody is told
 			t.Fatal(err)
 		}
 	}
 	run(t, &now, 15*time.Second, all...)
 	for i, m := range all {
-		if n := len(m.Store.Out()); n != 40 {
+		if n := len(m.Store.AdminDown()); n != 40 {
 			t.Errorf("copy %d has %d of 40", i, n)
 		}
 	}
@@ -259,7 +259,7 @@
 		before := all[0].Figures().Bytes
 		for range 20 {
 			for i := range 60 {
-				key, err := all[0].Store.Saw(now, fmt.Sprint("s-", i), 0, replication.Evidence{Tries: 9, Silent: 9})
+				key, err := all[0].Store.WriteRow(now, fmt.Sprint("s-", i), 0, replication.Evidence{Tries: 9, Silent: 9})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -284,7 +284,7 @@
 	member := membership.Member{Name: "x", Address: "ax", Life: membership.Life{Number: 1, Nonce: 1}}
 	for _, p := range []Packet{
 		{Format: Format, Label: "test", From: member, Probe: &membership.Message{Kind: membership.Ping, Seq: math.MaxUint64}},
-		{Format: Format, Label: "test", From: member, Want: &replication.Digest{}, Sums: &[replication.Kinds]uint64{1}},
+		{Format: Format, Label: "test", From: member, Want: &replication.Digest{}, Sums: &[replication.NumKinds]uint64{1}},
 	} {
 		text, err := p.Encode()
 		if err != nil {
@@ -386,8 +386,8 @@
 	}
 	run(t, &now, 10*time.Second, first, second)
 	for i, m := range []*Machine{first, second} {
-		if p, _ := m.Phase(); p != Whole || len(m.Store.Out()) != 1 {
-			t.Errorf("machine %d: phase %v, out %v", i, p, m.Store.Out())
+		if p, _ := m.Phase(); p != Whole || len(m.Store.AdminDown()) != 1 {
+			t.Errorf("machine %d: phase %v, out %v", i, p, m.Store.AdminDown())
 		}
 	}
 }
@@ -399,7 +399,7 @@
 	former, third := newMachine(now, 0), newMachine(now, 1)
 	call := func(m *Machine, server string) {
 		t.Helper()
-		key, err := m.Store.Call(now, server, true)
+		key, err := m.Store.RecordCall(now, server, true)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -420,14 +420,14 @@
 	}
 	next.Tick(now)
 	pass(t, now, former, next)
-	if p, _ := next.Phase(); p != Whole || len(next.Store.Out()) != 1 {
-		t.Errorf("%v with %v out, the process that it replaces has answered", p, next.Store.Out())
+	if p, _ := next.Phase(); p != Whole || len(next.Store.AdminDown()) != 1 {
+		t.Errorf("%v with %v out, the process that it replaces has answered", p, next.Store.AdminDown())
 	}
 	if _, bears := former.Members.Self(); bears {
 		t.Error("the process that is replaced has not heard of it")
 	}
 	call(third, "s-1") // of which only the former one hears
-	item, ok := third.Store.Item(now, replication.Key{Kind: replication.KindHand, Server: "s-1"})
+	item, ok := third.Store.Item(now, replication.Key{Kind: replication.KindAdmin, Server: "s-1"})
 	if !ok {
 		t.Fatal("the third has no call")
 	}
@@ -444,13 +444,13 @@
 		t.Error(err)
 	}
 	pass(t, now, former, next)
-	if len(next.Store.Out()) != 2 {
-		t.Errorf("%v out, want what the former process has heard as well", next.Store.Out())
+	if len(next.Store.AdminDown()) != 2 {
+		t.Errorf("%v out, want what the former process has heard as well", next.Store.AdminDown())
 	}
 	former.Leave(now)
 	pass(t, now, former, next)
-	if len(next.Store.Out()) != 2 {
-		t.Errorf("%v out, want what the former process had as well", next.Store.Out())
+	if len(next.Store.AdminDown()) != 2 {
+		t.Errorf("%v out, want what the former process had as well", next.Store.AdminDown())
 	}
 	// One that is gone is not waited for.
 	alone := New(now, Settings{Label: "test", Before: []string{"a0"}, Membership: membership.Settings{Name: "n0", Address: "c0", Peers: []string{"a1"}, Nonce: 10, Number: 10}}, nil)
--- a/internal/fleet/gossip/packet.go
+++ b/internal/fleet/gossip/packet.go
@@ -24,18 +24,18 @@
 
 // Packet is one datagram between sidecars.
 type Packet struct {
-	Format  uint8                      `cbor:"1,keyasint"`
-	Label   string                     `cbor:"2,keyasint"` // of the fleet
-	From    membership.Member          `cbor:"3,keyasint"` // what the sender says of itself
-	Probe   *membership.Message        `cbor:"4,keyasint,omitempty"`
-	Members []membership.Member        `cbor:"5,keyasint,omitempty"`
-	Sums    *[replication.Kinds]uint64 `cbor:"6,keyasint,omitempty"`  // of what the sender holds
-	Want    *replication.Digest        `cbor:"7,keyasint,omitempty"`  // send me what is not in this
-	Roll    uint64                     `cbor:"10,keyasint,omitempty"` // with Sums: of what the sender holds of members
-	Call    bool                       `cbor:"11,keyasint,omitempty"` // send me some of your members
-	Back    bool                       `cbor:"8,keyasint,omitempty"`  // the Want answers another one
-	Items   []cbor.RawMessage          `cbor:"9,keyasint,omitempty"`
-	Notes   []failuredetector.Note     `cbor:"12,keyasint,omitempty"`
+	Format  uint8                         `cbor:"1,keyasint"`
+	Label   string                        `cbor:"2,keyasint"` // of the fleet
+	From    membership.Member             `cbor:"3,keyasint"` // what the sender says of itself
+	Probe   *membership.Message           `cbor:"4,keyasint,omitempty"`
+	Members []membership.Member           `cbor:"5,keyasint,omitempty"`
+	Sums    *[replication.NumKinds]uint64 `cbor:"6,keyasint,omitempty"`  // of what the sender holds
+	Want    *replication.Digest           `cbor:"7,keyasint,omitempty"`  // send me what is not in this
+	Roll    uint64                        `cbor:"10,keyasint,omitempty"` // with Sums: of what the sender holds of members
+	Call    bool                          `cbor:"11,keyasint,omitempty"` // send me some of your members
+	Back    bool                          `cbor:"8,keyasint,omitempty"`  // the Want answers another one
+	Items   []cbor.RawMessage             `cbor:"9,keyasint,omitempty"`
+	Notes   []failuredetector.Note        `cbor:"12,keyasint,omitempty"`
 }
 
 // Snapshot is all that a sidecar holds, for one that has missed much.
@@ -111,7 +111,7 @@
 	self, _ := m.Members.Self()
 	s := Snapshot{Format: Format, Label: m.set.Label, From: self, Members: m.Members.Members()}
 	for _, key := range m.Store.Keys() {
-		if item, ok := m.Store.Item(now, key); ok && key.Kind == replication.KindHand {
+		if item, ok := m.Store.Item(now, key); ok && key.Kind == replication.KindAdmin {
 			text, err := writing.Marshal(item)
 			if err != nil {
 				return nil, fmt.Errorf("server %q: %w", key.Server, err)
--- a/internal/fleet/replication/hand.go
+++ b/internal/fleet/replication/admin.go
@@ -21,66 +21,68 @@
 // compare orders dots by life alone where both are of one life.
 func (d Dot) compare(o Dot) int { return cmp.Compare(d.Nonce, o.Nonce) }
 
-// Call is one call of the staff that no later one has taken the place of.
-type Call struct {
-	Dot Dot   `cbor:"1,keyasint"`
-	Out bool  `cbor:"2,keyasint"`
-	At  Stamp `cbor:"3,keyasint"` // for people; it decides nothing
+// OperatorCall is one call of the staff that no later one has taken the place of.
+type OperatorCall struct {
+	Dot  Dot   `cbor:"1,keyasint"`
+	Down bool  `cbor:"2,keyasint"`
+	At   Stamp `cbor:"3,keyasint"` // for people; it decides nothing
 }
 
-// Hand is what the staff has said of one server: the calls that nobody who knew of them has answered with another, and
+// AdminState is what the staff has said of one server: the calls that nobody who knew of them has answered with another, and
 // of each life how many calls have been seen. A call takes the place of those that its sidecar had seen; two that did not
 // know of each other stand beside each other until a third, and then out wins. No clock has a say in it. Danger: a
 // sidecar whose clock is an hour ahead would have the last word for an hour.
-type Hand struct {
-	Server string `cbor:"1,keyasint"`
-	Calls  []Call `cbor:"2,keyasint"` // by nonce; one of each life at most
-	Seen   []Dot  `cbor:"3,keyasint"` // by nonce; the last one of each life
+type AdminState struct {
+	Server   string         `cbor:"1,keyasint"`
+	Standing []OperatorCall `cbor:"2,keyasint"` // by nonce; one of each life at most
+	Seen     []Dot          `cbor:"3,keyasint"` // by nonce; the last one of each life
 	// Listed is when some sidecar last had the server in its list, in Unix hours.
 	Listed int64 `cbor:"4,keyasint"`
 }
 
-// Out tells whether the server is out: one standing call that says so is enough.
-func (h Hand) Out() bool { return slices.ContainsFunc(h.Calls, func(c Call) bool { return c.Out }) }
+// Down tells whether the server is out: one standing call that says so is enough.
+func (h AdminState) Down() bool {
+	return slices.ContainsFunc(h.Standing, func(c OperatorCall) bool { return c.Down })
+}
 
 // Disputed tells whether calls stand beside each other that say different things.
-func (h Hand) Disputed() bool {
-	return h.Out() && slices.ContainsFunc(h.Calls, func(c Call) bool { return !c.Out })
+func (h AdminState) Disputed() bool {
+	return h.Down() && slices.ContainsFunc(h.Standing, func(c OperatorCall) bool { return !c.Down })
 }
 
-// seen is how many calls of a life have been seen.
-func (h Hand) seen(nonce uint64) uint64 {
+// seenCount is how many calls of a life have been seen.
+func (h AdminState) seenCount(nonce uint64) uint64 {
 	if i, ok := slices.BinarySearchFunc(h.Seen, Dot{Nonce: nonce}, Dot.compare); ok {
 		return h.Seen[i].Count
 	}
 	return 0
 }
 
-// standing is the call of a life that stands.
-func (h Hand) standing(nonce uint64) (Call, bool) {
-	i, ok := slices.BinarySearchFunc(h.Calls, nonce, func(c Call, n uint64) int { return cmp.Compare(c.Dot.Nonce, n) })
+// standingCall is the call of a life that stands.
+func (h AdminState) standingCall(nonce uint64) (OperatorCall, bool) {
+	i, ok := slices.BinarySearchFunc(h.Standing, nonce, func(c OperatorCall, n uint64) int { return cmp.Compare(c.Dot.Nonce, n) })
 	if !ok {
-		return Call{}, false
+		return OperatorCall{}, false
 	}
-	return h.Calls[i], true
+	return h.Standing[i], true
 }
 
-// mergeHands is what is known to whoever knows both. It is associative, commutative and idempotent: a call stands if
+// mergeAdminStates is what is known to whoever knows both. It is associative, commutative and idempotent: a call stands if
 // each side either has it standing or has not seen it.
-func mergeHands(a, b Hand) Hand {
-	out := Hand{Server: a.Server, Listed: max(a.Listed, b.Listed)}
-	keep := func(from, other Hand) {
-		for _, c := range from.Calls {
-			twin, stands := other.standing(c.Dot.Nonce)
+func mergeAdminStates(a, b AdminState) AdminState {
+	out := AdminState{Server: a.Server, Listed: max(a.Listed, b.Listed)}
+	keep := func(from, other AdminState) {
+		for _, c := range from.Standing {
+			twin, stands := other.standingCall(c.Dot.Nonce)
 			switch {
 			case stands && twin.Dot.Count == c.Dot.Count:
 				c = laterCall(c, twin)
-			case other.seen(c.Dot.Nonce) >= c.Dot.Count:
+			case other.seenCount(c.Dot.Nonce) >= c.Dot.Count:
 				continue // the other side knows what took its place
 			}
-			if _, twice := out.standing(c.Dot.Nonce); !twice {
-				i, _ := slices.BinarySearchFunc(out.Calls, c, func(x, y Call) int { return x.Dot.compare(y.Dot) })
-				out.Calls = slices.Insert(out.Calls, i, c)
+			if _, twice := out.standingCall(c.Dot.Nonce); !twice {
+				i, _ := slices.BinarySearchFunc(out.Standing, c, func(x, y OperatorCall) int { return x.Dot.compare(y.Dot) })
+				out.Standing = slices.Insert(out.Standing, i, c)
 			}
 		}
 	}
@@ -108,10 +110,10 @@
 }
 
 // laterCall decides between two texts of one call, which differ only where somebody made one up: out wins.
-func laterCall(a, b Call) Call {
+func laterCall(a, b OperatorCall) OperatorCall {
 	switch {
-	case a.Out != b.Out:
-		if b.Out {
+	case a.Down != b.Down:
+		if b.Down {
 			return b
 		}
 		return a
@@ -121,10 +123,10 @@
 	return a
 }
 
-// call is what a further call of a life makes of h: the calls that it had seen stand no longer.
-func (h Hand) call(by string, nonce uint64, out bool, at Stamp) Hand {
-	dot := Dot{by, nonce, h.seen(nonce) + 1}
-	own := Hand{Server: h.Server, Calls: []Call{{dot, out, at}}, Seen: []Dot{dot}, Listed: h.Listed}
+// withCall is what a further call of a life makes of h: the calls that it had seen stand no longer.
+func (h AdminState) withCall(by string, nonce uint64, out bool, at Stamp) AdminState {
+	dot := Dot{by, nonce, h.seenCount(nonce) + 1}
+	own := AdminState{Server: h.Server, Standing: []OperatorCall{{dot, out, at}}, Seen: []Dot{dot}, Listed: h.Listed}
 	for i := range h.Seen { // all that was seen has this call in its place
 		if h.Seen[i].Nonce != nonce {
 			own.Seen = append(own.Seen, h.Seen[i])
@@ -135,24 +137,24 @@
 }
 
 // check says what is wrong with what a peer says.
-func (h Hand) check() error {
+func (h AdminState) check() error {
 	switch {
-	case h.Server == "" || len(h.Server) > mostKey:
-		return fmt.Errorf("a server's id of %d bytes, 1 to %d are allowed", len(h.Server), mostKey)
-	case len(h.Seen) == 0 || len(h.Seen) > mostLives:
-		return fmt.Errorf("server %q: calls of %d lives, 1 to %d are allowed", h.Server, len(h.Seen), mostLives)
-	case !slices.IsSortedFunc(h.Seen, Dot.compare) || !slices.IsSortedFunc(h.Calls, func(a, b Call) int { return a.Dot.compare(b.Dot) }):
+	case h.Server == "" || len(h.Server) > maxKeyBytes:
+		return fmt.Errorf("a server's id of %d bytes, 1 to %d are allowed", len(h.Server), maxKeyBytes)
+	case len(h.Seen) == 0 || len(h.Seen) > maxLives:
+		return fmt.Errorf("server %q: calls of %d lives, 1 to %d are allowed", h.Server, len(h.Seen), maxLives)
+	case !slices.IsSortedFunc(h.Seen, Dot.compare) || !slices.IsSortedFunc(h.Standing, func(a, b OperatorCall) int { return a.Dot.compare(b.Dot) }):
 		return fmt.Errorf("server %q: calls out of order", h.Server)
-	case len(h.Calls) == 0:
+	case len(h.Standing) == 0:
 		return fmt.Errorf("server %q: no call stands", h.Server)
 	}
 	for i, d := range h.Seen {
-		if d.Count == 0 || len(d.By) > mostKey || i > 0 && d.Nonce == h.Seen[i-1].Nonce {
+		if d.Count == 0 || len(d.By) > maxKeyBytes || i > 0 && d.Nonce == h.Seen[i-1].Nonce {
 			return fmt.Errorf("server %q: calls of life %x given twice or not at all", h.Server, d.Nonce)
 		}
 	}
-	for i, c := range h.Calls {
-		if i > 0 && c.Dot.Nonce == h.Calls[i-1].Dot.Nonce || c.Dot.Count == 0 || h.seen(c.Dot.Nonce) < c.Dot.Count || len(c.Dot.By) > mostKey {
+	for i, c := range h.Standing {
+		if i > 0 && c.Dot.Nonce == h.Standing[i-1].Dot.Nonce || c.Dot.Count == 0 || h.seenCount(c.Dot.Nonce) < c.Dot.Count || len(c.Dot.By) > maxKeyBytes {
 			return fmt.Errorf("server %q: call %d of life %x stands and was not seen", h.Server, c.Dot.Count, c.Dot.Nonce)
 		}
 	}
--- a/internal/fleet/replication/row.go
+++ b/internal/fleet/replication/row.go
@@ -32,7 +32,7 @@
 	Age      uint32          `cbor:"6,keyasint,omitempty"` // milliseconds since it was written, as sent
 	Evidence Evidence        `cbor:"7,keyasint"`
 
-	born Time // when it was written, by the own clock
+	writtenAt Time // when it was written, by the own clock
 }
 
 // compare orders the versions of one row. Two of one version differ only where somebody else wrote one.
@@ -53,14 +53,14 @@
 	case c < 0:
 		return b
 	case c == 0:
-		a.born = min(a.born, b.born)
+		a.writtenAt = min(a.writtenAt, b.writtenAt)
 	}
 	return a
 }
 
-// rank orders owners for one server: a sample of those who have something to say of it, the same in every copy, that
+// observerRank orders owners for one server: a sample of those who have something to say of it, the same in every copy, that
 // favors nobody.
-func (r Row) rank() uint64 {
+func (r Row) observerRank() uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(r.Server) // a Digest never fails
@@ -69,21 +69,21 @@
 	return d.Sum64()
 }
 
-// keepRows keeps of the rows of one server those of the mostWitnesses owners of the highest rank. To do so again, or with
+// sampleRows keeps of the rows of one server those of the mostWitnesses owners of the highest rank. To do so again, or with
 // more rows, gives what doing it once with all of them does.
-func keepRows(rows []Row) []Row {
+func sampleRows(rows []Row) []Row {
 	slices.SortFunc(rows, func(a, b Row) int {
-		return cmp.Or(cmp.Compare(b.rank(), a.rank()), strings.Compare(a.Owner, b.Owner))
+		return cmp.Or(cmp.Compare(b.observerRank(), a.observerRank()), strings.Compare(a.Owner, b.Owner))
 	})
-	return rows[:min(len(rows), mostWitnesses)]
+	return rows[:min(len(rows), maxObservers)]
 }
 
 func (r Row) check() error {
 	switch {
-	case r.Server == "" || len(r.Server) > mostKey:
-		return fmt.Errorf("a server's id of %d bytes, 1 to %d are allowed", len(r.Server), mostKey)
-	case r.Owner == "" || len(r.Owner) > mostKey:
-		return fmt.Errorf("server %q: an owner of %d bytes, 1 to %d are allowed", r.Server, len(r.Owner), mostKey)
+	case r.Server == "" || len(r.Server) > maxKeyBytes:
+		return fmt.Errorf("a server's id of %d bytes, 1 to %d are allowed", len(r.Server), maxKeyBytes)
+	case r.Owner == "" || len(r.Owner) > maxKeyBytes:
+		return fmt.Errorf("server %q: an owner of %d bytes, 1 to %d are allowed", r.Server, len(r.Owner), maxKeyBytes)
 	case r.Version == 0 || r.Life == membership.Life{}:
 		return fmt.Errorf("server %q: a row of %q of no life or version", r.Server, r.Owner)
 	}
--- a/internal/fleet/replication/stamp.go
+++ b/internal/fleet/replication/stamp.go
@@ -21,9 +21,9 @@
 	return fmt.Sprintf("%s+%d", time.UnixMilli(s.Wall).UTC().Format("2006-01-02T15:04:05.000Z"), s.Logic)
 }
 
-// mostAhead is how far a stamp may be ahead of the own clock to be followed, in milliseconds. Danger: one sidecar's
+// maxAheadMillis is how far a stamp may be ahead of the own clock to be followed, in milliseconds. Danger: one sidecar's
 // clock that is an hour ahead would take all others along.
-const mostAhead = 5000
+const maxAheadMillis = 5000
 
 // clock makes stamps.
 type clock struct{ last Stamp }
@@ -40,7 +40,7 @@
 
 // follow takes in a stamp of another sidecar.
 func (c *clock) follow(s Stamp, wall int64) {
-	if s.Wall <= wall+mostAhead && s.compare(c.last) > 0 {
+	if s.Wall <= wall+maxAheadMillis && s.compare(c.last) > 0 {
 		c.last = s
 	}
 }
--- a/internal/fleet/replication/store_test.go
+++ b/internal/fleet/replication/store_test.go
@@ -15,18 +15,18 @@
 var lives = []membership.Life{{Number: 1, Nonce: 1}, {Number: 2, Nonce: 1}, {Number: 2, Nonce: 2}}
 
 // drawHand draws what some sidecars' calls on one server may have left: it plays calls and exchanges between three.
-func drawHands(t *rapid.T) [3]Hand {
-	hands := [3]Hand{}
+func drawHands(t *rapid.T) [3]AdminState {
+	hands := [3]AdminState{}
 	clock := clock{}
 	for i := range hands {
-		hands[i] = Hand{Server: "s"}.call(fmt.Sprint("n", i), uint64(i+1), rapid.Bool().Draw(t, "first"), clock.next(1))
+		hands[i] = AdminState{Server: "s"}.withCall(fmt.Sprint("n", i), uint64(i+1), rapid.Bool().Draw(t, "first"), clock.next(1))
 	}
 	for range rapid.IntRange(0, 12).Draw(t, "steps") {
 		i, j := rapid.IntRange(0, 2).Draw(t, "one"), rapid.IntRange(0, 2).Draw(t, "other")
 		if i == j {
-			hands[i] = hands[i].call(fmt.Sprint("n", i), uint64(i+1), rapid.Bool().Draw(t, "out"), clock.next(1))
+			hands[i] = hands[i].withCall(fmt.Sprint("n", i), uint64(i+1), rapid.Bool().Draw(t, "out"), clock.next(1))
 		} else {
-			hands[i] = mergeHands(hands[i], hands[j])
+			hands[i] = mergeAdminStates(hands[i], hands[j])
 		}
 		hands[i].Listed = max(hands[i].Listed, rapid.Int64Range(0, 2).Draw(t, "listed"))
 	}
@@ -37,7 +37,7 @@
 func TestMergesAreJoins(t *testing.T) {
 	t.Run("by hand", rapid.MakeCheck(func(t *rapid.T) {
 		h := drawHands(t)
-		joins(t, h[0], h[1], h[2], mergeHands, func(a, b Hand) bool { return reflect.DeepEqual(a, b) })
+		joins(t, h[0], h[1], h[2], mergeAdminStates, func(a, b AdminState) bool { return reflect.DeepEqual(a, b) })
 		for _, hand := range h {
 			if err := hand.check(); err != nil {
 				t.Error(err)
@@ -48,14 +48,14 @@
 		draw := func() Row {
 			return Row{Owner: "n", Server: "s", Life: rapid.SampledFrom(lives).Draw(t, "life"), Version: rapid.Uint64Range(1, 2).Draw(t, "version"),
 				Boot: rapid.Int64Range(0, 1).Draw(t, "boot"), Evidence: Evidence{Tries: rapid.Uint32Range(0, 1).Draw(t, "tries")},
-				born: Time(rapid.Int64Range(0, 2).Draw(t, "born"))}
+				writtenAt: Time(rapid.Int64Range(0, 2).Draw(t, "born"))}
 		}
 		joins(t, draw(), draw(), draw(), laterRow, func(a, b Row) bool { return a == b })
 	}))
 	t.Run("tests", rapid.MakeCheck(func(t *rapid.T) {
 		draw := func() Test {
 			return Test{Server: "s", Version: rapid.Uint64Range(1, 2).Draw(t, "version"), Tester: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "by"),
-				Ended: rapid.Bool().Draw(t, "ended"), Well: rapid.Bool().Draw(t, "well"), born: Time(rapid.Int64Range(0, 2).Draw(t, "born"))}
+				Ended: rapid.Bool().Draw(t, "ended"), Well: rapid.Bool().Draw(t, "well"), writtenAt: Time(rapid.Int64Range(0, 2).Draw(t, "born"))}
 		}
 		joins(t, draw(), draw(), draw(), laterTest, func(a, b Test) bool { return a == b })
 	}))
@@ -64,10 +64,10 @@
 		for i := range rapid.IntRange(0, 60).Draw(t, "rows") {
 			all = append(all, Row{Owner: fmt.Sprint("n", i), Server: "s"})
 		}
-		once := slices.Clone(keepRows(slices.Clone(all)))
+		once := slices.Clone(sampleRows(slices.Clone(all)))
 		cut := rapid.IntRange(0, len(all)).Draw(t, "cut")
-		parts := append(slices.Clone(keepRows(slices.Clone(all[:cut]))), keepRows(slices.Clone(all[cut:]))...)
-		if parts = keepRows(parts); !slices.Equal(parts, once) {
+		parts := append(slices.Clone(sampleRows(slices.Clone(all[:cut]))), sampleRows(slices.Clone(all[cut:]))...)
+		if parts = sampleRows(parts); !slices.Equal(parts, once) {
 			t.Errorf("kept %v in parts, %v at once", parts, once)
 		}
 	}))
@@ -122,19 +122,19 @@
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
 				out := rapid.Bool().Draw(t, "out")
-				if _, err := all[i].Call(now, server, out); err != nil {
+				if _, err := all[i].RecordCall(now, server, out); err != nil {
 					t.Fatal(err)
 				}
 				calls[server] = append(calls[server], call{out, slices.Clone(knows[i][server])})
 				knows[i][server] = append(knows[i][server], len(calls[server])-1)
 			case 1:
-				if _, err := all[i].Saw(now, server, 0, Evidence{Tries: 1, Silent: 1}); err != nil {
+				if _, err := all[i].WriteRow(now, server, 0, Evidence{Tries: 1, Silent: 1}); err != nil {
 					t.Fatal(err)
 				}
 			case 2:
-				all[i].Started(now, server, now.Wall-rapid.Int64Range(0, 9000).Draw(t, "boot"))
+				all[i].RecordStart(now, server, now.Wall-rapid.Int64Range(0, 9000).Draw(t, "boot"))
 			case 3:
-				if _, err := all[i].Tested(now, server, 0, rapid.Bool().Draw(t, "ended"), rapid.Bool().Draw(t, "well")); err != nil {
+				if _, err := all[i].RecordTest(now, server, 0, rapid.Bool().Draw(t, "ended"), rapid.Bool().Draw(t, "well")); err != nil {
 					t.Fatal(err)
 				}
 			default:
@@ -142,7 +142,7 @@
 				for _, k := range all[j].Keys() {
 					if k.Server == server && rapid.IntRange(0, 3).Draw(t, "lost") > 0 {
 						give(t, now, all[i], all[j], k)
-						if k.Kind == KindHand {
+						if k.Kind == KindAdmin {
 							for _, c := range knows[j][server] {
 								if !slices.Contains(knows[i][server], c) {
 									knows[i][server] = append(knows[i][server], c)
@@ -173,7 +173,7 @@
 				answered := slices.ContainsFunc(list, func(later call) bool { return slices.Contains(later.knew, n) })
 				want = want || c.out && !answered
 			}
-			if got := slices.Contains(all[0].Out(), server); got != want {
+			if got := slices.Contains(all[0].AdminDown(), server); got != want {
 				t.Errorf("%s is out %v, want %v by calls %v", server, got, want, list)
 			}
 		}
@@ -185,20 +185,20 @@
 	c, now := copies(2), Now{Time: time.Minute, Wall: 1e12}
 	both := func() {
 		for range 2 {
-			give(t, now, c[0], c[1], Key{KindHand, "s", ""})
-			give(t, now, c[1], c[0], Key{KindHand, "s", ""})
+			give(t, now, c[0], c[1], Key{KindAdmin, "s", ""})
+			give(t, now, c[1], c[0], Key{KindAdmin, "s", ""})
 		}
 	}
 	call := func(i int, wall int64, out bool) {
 		t.Helper()
-		if _, err := c[i].Call(Now{now.Time, wall}, "s", out); err != nil {
+		if _, err := c[i].RecordCall(Now{now.Time, wall}, "s", out); err != nil {
 			t.Fatal(err)
 		}
 	}
 	want := func(out bool) {
 		t.Helper()
 		for i := range c {
-			if got := len(c[i].Out()) == 1; got != out {
+			if got := len(c[i].AdminDown()) == 1; got != out {
 				t.Errorf("copy %d has it out %v, want %v", i, got, out)
 			}
 		}
@@ -216,7 +216,7 @@
 	call(1, 1e12+3, true)
 	both()
 	want(true)
-	if h, _ := c[0].Hand("s"); !h.Disputed() {
+	if h, _ := c[0].AdminState("s"); !h.Disputed() {
 		t.Error("nobody sees that two calls stand beside each other")
 	}
 	call(0, 1e12+4, false)
@@ -227,7 +227,7 @@
 // TestRowsDie: a row fades, dies with its owner, and never comes back from a former life, in whatever order it arrives.
 func TestRowsDie(t *testing.T) {
 	c, now := copies(2), Now{Time: time.Minute, Wall: 1e12}
-	k, err := c[0].Saw(now, "s", 0, Evidence{Tries: 3, Silent: 3})
+	k, err := c[0].WriteRow(now, "s", 0, Evidence{Tries: 3, Silent: 3})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -240,30 +240,30 @@
 		}
 	}
 	has(1)
-	c[1].Died("n0", membership.Life{Number: 1, Nonce: 1})
+	c[1].MarkDead("n0", membership.Life{Number: 1, Nonce: 1})
 	has(0)
 	if news, _ := c[1].Merge(now, former, "n0"); news {
 		t.Error("a dead one's row came back")
 	}
 	has(0)
-	c[0].Alive(membership.Life{Number: 2, Nonce: 1})
-	if k, err = c[0].Saw(now, "s", 0, Evidence{Tries: 3, Silent: 3}); err != nil {
+	c[0].SetLife(membership.Life{Number: 2, Nonce: 1})
+	if k, err = c[0].WriteRow(now, "s", 0, Evidence{Tries: 3, Silent: 3}); err != nil {
 		t.Fatal(err)
 	}
 	give(t, now, c[1], c[0], k)
 	has(1)
 	former, _ = c[0].Item(now, k)
 	late := now
-	late.Time += rowLife - time.Millisecond
-	c[1].Fade(late)
+	late.Time += rowLifetime - time.Millisecond
+	c[1].Expire(late)
 	has(1)
 	late.Time += time.Millisecond
-	c[1].Fade(late)
-	if len(c[1].Suspects()) != 0 {
+	c[1].Expire(late)
+	if len(c[1].ServersWithEvidence()) != 0 {
 		t.Error("a row that was not written again has not faded")
 	}
 	old := *former.Row
-	old.Age = uint32(rowLife / time.Millisecond)
+	old.Age = uint32(rowLifetime / time.Millisecond)
 	if news, _ := c[1].Merge(now, Item{Row: &old}, "n0"); news {
 		t.Error("a faded row came back")
 	}
@@ -276,28 +276,28 @@
 // TestForgotten: what the staff said is kept as long as any sidecar lists the server, and a day longer.
 func TestForgotten(t *testing.T) {
 	c, now := copies(2), Now{Time: time.Minute, Wall: 1e12}
-	if _, err := c[0].Call(now, "s", true); err != nil {
+	if _, err := c[0].RecordCall(now, "s", true); err != nil {
 		t.Fatal(err)
 	}
-	give(t, now, c[1], c[0], Key{KindHand, "s", ""})
+	give(t, now, c[1], c[0], Key{KindAdmin, "s", ""})
 	day := int64(24 * time.Hour / time.Millisecond)
 	for range 30 { // a month on one list
 		now.Wall += day
-		c[1].Listed(now, []string{"s"})
-		give(t, now, c[0], c[1], Key{KindHand, "s", ""})
-		c[0].Fade(now)
-		c[1].Fade(now)
+		c[1].MarkListed(now, []string{"s"})
+		give(t, now, c[0], c[1], Key{KindAdmin, "s", ""})
+		c[0].Expire(now)
+		c[1].Expire(now)
 	}
-	if len(c[0].Out()) != 1 {
+	if len(c[0].AdminDown()) != 1 {
 		t.Fatal("it was forgotten while a sidecar listed it")
 	}
-	left, _ := c[1].Item(now, Key{KindHand, "s", ""})
+	left, _ := c[1].Item(now, Key{KindAdmin, "s", ""})
 	now.Wall += 2 * day
-	c[0].Fade(now)
-	if len(c[0].Out()) != 0 {
+	c[0].Expire(now)
+	if len(c[0].AdminDown()) != 0 {
 		t.Error("it was not forgotten")
 	}
-	if news, _ := c[0].Merge(now, left, "n1"); news || len(c[0].Out()) != 0 {
+	if news, _ := c[0].Merge(now, left, "n1"); news || len(c[0].AdminDown()) != 0 {
 		t.Error("what was forgotten came back")
 	}
 }
@@ -317,10 +317,10 @@
 			}
 		}
 	}
-	if len(s.rows) > mostSuspects || len(s.start) > mostStarts || len(s.tests) > mostTests || refused == 0 {
-		t.Errorf("it holds evidence on %d, starts of %d, tests of %d", len(s.rows), len(s.start), len(s.tests))
+	if len(s.rows) > maxSuspects || len(s.starts) > maxStarts || len(s.tests) > maxTests || refused == 0 {
+		t.Errorf("it holds evidence on %d, starts of %d, tests of %d", len(s.rows), len(s.starts), len(s.tests))
 	}
-	if _, err := s.Call(now, "s-1", true); err != nil {
+	if _, err := s.RecordCall(now, "s-1", true); err != nil {
 		t.Errorf("no room for the staff: %v", err)
 	}
 	for i := range 1000 {
@@ -329,24 +329,24 @@
 			t.Fatal(err)
 		}
 	}
-	if n := len(s.Rows(now, "s-0")); n != mostWitnesses {
-		t.Errorf("%d rows on one server, want %d", n, mostWitnesses)
+	if n := len(s.Rows(now, "s-0")); n != maxObservers {
+		t.Errorf("%d rows on one server, want %d", n, maxObservers)
 	}
 }
 
 // TestBadItems turns down what cannot be.
 func TestBadItems(t *testing.T) {
 	now := Now{Time: time.Minute, Wall: 1e12}
-	good := Hand{Server: "s"}.call("n", 1, true, Stamp{1, 0})
+	good := AdminState{Server: "s"}.withCall("n", 1, true, Stamp{1, 0})
 	twice := good
 	twice.Seen = append(slices.Clone(good.Seen), good.Seen...)
 	unseen := good
 	unseen.Seen = []Dot{{"n", 2, 1}}
 	none := good
-	none.Calls = nil
+	none.Standing = nil
 	for name, item := range map[string]Item{
-		"nothing": {}, "two kinds": {Hand: &good, Start: &Start{"s", 1}}, "a life twice": {Hand: &twice},
-		"a call not seen": {Hand: &unseen}, "no call": {Hand: &none}, "no server": {Start: &Start{"", 1}},
+		"nothing": {}, "two kinds": {Admin: &good, Start: &Start{"s", 1}}, "a life twice": {Admin: &twice},
+		"a call not seen": {Admin: &unseen}, "no call": {Admin: &none}, "no server": {Start: &Start{"", 1}},
 		"a start to come": {Start: &Start{"s", 1e12 + 60_000}}, "a row of nobody": {Row: &Row{Server: "s", Version: 1, Life: lives[0]}},
 		"a row of no version": {Row: &Row{Server: "s", Owner: "x", Life: lives[0]}}, "a test by nobody": {Test: &Test{Server: "s", Version: 1}},
 	} {
@@ -363,7 +363,7 @@
 	first := c.next(1000)
 	c.follow(Stamp{1000 + 3600_000, 0}, 1000)
 	second := c.next(900)
-	if first.compare(second) >= 0 || second.Wall > 1000+mostAhead {
+	if first.compare(second) >= 0 || second.Wall > 1000+maxAheadMillis {
 		t.Errorf("stamps %v, %v", first, second)
 	}
 	c.follow(Stamp{3000, 7}, 1000)
@@ -376,22 +376,22 @@
 func TestDigestTellsKinds(t *testing.T) {
 	now := Now{Time: time.Minute, Wall: 1e12}
 	for k, change := range map[Kind]func(*Store) error{
-		KindHand:  func(s *Store) error { _, err := s.Call(now, "s", true); return err },
-		KindRow:   func(s *Store) error { _, err := s.Saw(now, "s", 0, Evidence{Tries: 1}); return err },
-		KindStart: func(s *Store) error { s.Started(now, "s", 1e12); return nil },
-		KindTest:  func(s *Store) error { _, err := s.Tested(now, "s", 0, false, false); return err },
+		KindAdmin: func(s *Store) error { _, err := s.RecordCall(now, "s", true); return err },
+		KindRow:   func(s *Store) error { _, err := s.WriteRow(now, "s", 0, Evidence{Tries: 1}); return err },
+		KindStart: func(s *Store) error { s.RecordStart(now, "s", 1e12); return nil },
+		KindTest:  func(s *Store) error { _, err := s.RecordTest(now, "s", 0, false, false); return err },
 	} {
 		s := New("n0", lives[0])
 		for range 2 { // a first one, and a change to it
-			before := s.Digest().Whole()
+			before := s.Digest().PerKind()
 			now.Wall++
 			if err := change(s); err != nil {
 				t.Fatal(err)
 			}
 			if k == KindStart {
-				s.Started(now, "s", now.Wall)
+				s.RecordStart(now, "s", now.Wall)
 			}
-			for other, sum := range s.Digest().Whole() {
+			for other, sum := range s.Digest().PerKind() {
 				if changed := sum != before[other]; changed != (Kind(other) == k) {
 					t.Errorf("a change of %v: sum of %v changed %v", k, Kind(other), changed)
 				}
--- a/internal/fleet/replication/view_test.go
+++ b/internal/fleet/replication/suspicion_test.go
@@ -47,7 +47,7 @@
 
 func everybody(string) bool { return true }
 
-func about(doubts []Doubt) (servers []string) {
+func about(doubts []Suspicion) (servers []string) {
 	for _, d := range doubts {
 		servers = append(servers, d.Server)
 	}
@@ -62,7 +62,7 @@
 		later[i].age = 100 * time.Millisecond
 	}
 	stale := slices.Clone(three)
-	stale[0].age = rowSpeaks
+	stale[0].age = rowCountsFor
 	everywhere := slices.Clone(three)
 	for i := range 10 {
 		everywhere = append(everywhere, word{"a", fmt.Sprint("r", i), bad, 0})
@@ -91,16 +91,16 @@
 	} {
 		s, now := hears(t, tt.words)
 		if strings.HasPrefix(tt.name, "the own word") {
-			if _, err := s.Saw(now, "s", 0, bad); err != nil {
+			if _, err := s.WriteRow(now, "s", 0, bad); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if got := slices.Contains(about(s.Doubts(now, tt.here, 10, 20)), "s"); got != tt.want {
+		if got := slices.Contains(about(s.Suspicions(now, tt.here, 10, 20)), "s"); got != tt.want {
 			t.Errorf("%s: in doubt %v, want %v", tt.name, got, tt.want)
 		}
 	}
 	s, now := hears(t, three[:2])
-	if got := s.Doubts(now, everybody, 3, 20); len(got) != 1 {
+	if got := s.Suspicions(now, everybody, 3, 20); len(got) != 1 {
 		t.Errorf("in a fleet of three two are enough: %v", got)
 	}
 }
@@ -127,18 +127,18 @@
 			}
 		}
 		s, now := hears(t, words)
-		doubts := s.Doubts(now, everybody, 6, 40)
+		doubts := s.Suspicions(now, everybody, 6, 40)
 		for _, d := range doubts {
 			if len(votes[d.Server]) < quorum {
 				t.Errorf("%s is in doubt by %v", d.Server, votes[d.Server])
 			}
 		}
 		other, _ := hears(t, rapid.Permutation(words).Draw(t, "order"))
-		if got := other.Doubts(now, everybody, 6, 40); !slices.Equal(about(got), about(doubts)) {
+		if got := other.Suspicions(now, everybody, 6, 40); !slices.Equal(about(got), about(doubts)) {
 			t.Errorf("%v in one order, %v in another", about(doubts), about(got))
 		}
 		kind, _ := hears(t, append(words, word{"n9", "s0", good, 0}))
-		if got := about(kind.Doubts(now, everybody, 6, 40)); slices.Contains(got, "s0") && !slices.Contains(about(doubts), "s0") {
+		if got := about(kind.Suspicions(now, everybody, 6, 40)); slices.Contains(got, "s0") && !slices.Contains(about(doubts), "s0") {
 			t.Error("a word for a server brought it into doubt")
 		}
 	})
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -90,7 +90,7 @@
 	phase, since := m.Phase()
 	s := Status{Name: self.Name, Address: self.Address, Life: self.Life.Number, Bears: bears, Phase: phase.String(),
 		For: seconds(now.Time - since), Here: m.Members.Here(), Sick: m.Members.Sick(), Sums: map[string]string{}, Figures: m.Figures()}
-	for k, sum := range m.Store.Digest().Whole() {
+	for k, sum := range m.Store.Digest().PerKind() {
 		s.Sums[replication.Kind(k).String()] = hex(sum)
 	}
 	lags := map[string]gossip.Lag{}
@@ -110,13 +110,13 @@
 		s.Members = append(s.Members, o)
 	}
 	for _, k := range m.Store.Keys() {
-		if k.Kind != replication.KindHand {
+		if k.Kind != replication.KindAdmin {
 			continue
 		}
-		h, _ := m.Store.Hand(k.Server)
-		o := ServerStatus{ID: h.Server, Out: h.Out(), Disputed: h.Disputed()}
-		for _, c := range h.Calls {
-			o.Calls = append(o.Calls, CallStatus{c.Dot.String(), c.Dot.By, c.Out, c.At.String()})
+		h, _ := m.Store.AdminState(k.Server)
+		o := ServerStatus{ID: h.Server, Out: h.Down(), Disputed: h.Disputed()}
+		for _, c := range h.Standing {
+			o.Calls = append(o.Calls, CallStatus{c.Dot.String(), c.Dot.By, c.Down, c.At.String()})
 		}
 		s.Servers = append(s.Servers, o)
 	}
@@ -129,7 +129,7 @@
 	for _, d := range f.machine.Doubts(now, len(f.list)) {
 		doubted[d.Server] = d.Boot
 	}
-	for _, server := range f.machine.Store.Suspects() {
+	for _, server := range f.machine.Store.ServersWithEvidence() {
 		own, listed := f.boots[server]
 		boot, doubt := doubted[server]
 		o := DoubtStatus{ID: server, Doubt: doubt, Listed: listed && (!doubt || own == boot)}
--- a/internal/lab/fleet/sim/sim.go
+++ b/internal/lab/fleet/sim/sim.go
@@ -255,7 +255,7 @@
 	if s.Machine == nil {
 		return false
 	}
-	h, _ := s.Machine.Store.Hand(server)
+	h, _ := s.Machine.Store.AdminState(server)
 	return slices.ContainsFunc(h.Seen, func(seen replication.Dot) bool { return seen.Nonce == d.Nonce && seen.Count >= d.Count })
 }
 
@@ -390,26 +390,26 @@
 		for _, c := range s.standing(server) {
 			knew = append(knew, c.ID)
 		}
-		key, err := s.Machine.Store.Call(s.Clock(), server, out)
+		key, err := s.Machine.Store.RecordCall(s.Clock(), server, out)
 		if err != nil {
 			return // a no
 		}
 		s.Machine.Tell(key)
-		h, _ := s.Machine.Store.Hand(server)
-		id := callID(server, h.Calls[0])
-		s.world.dots[id] = h.Calls[0].Dot
+		h, _ := s.Machine.Store.AdminState(server)
+		id := callID(server, h.Standing[0])
+		s.world.dots[id] = h.Standing[0].Dot
 		s.world.Record.Acks = append(s.world.Record.Acks, referee.Ack{At: s.world.now, Server: server, ID: id, Out: out, Knew: knew})
 		s.knows()
 	})
 }
 
 // callID names a call: a life counts its calls for each server apart.
-func callID(server string, c replication.Call) string { return server + "/" + c.Dot.String() }
+func callID(server string, c replication.OperatorCall) string { return server + "/" + c.Dot.String() }
 
 func (s *Sidecar) standing(server string) (calls []referee.Standing) {
-	h, _ := s.Machine.Store.Hand(server)
-	for _, c := range h.Calls {
-		calls = append(calls, referee.Standing{ID: callID(server, c), Out: c.Out})
+	h, _ := s.Machine.Store.AdminState(server)
+	for _, c := range h.Standing {
+		calls = append(calls, referee.Standing{ID: callID(server, c), Out: c.Down})
 	}
 	return calls
 }
@@ -440,7 +440,7 @@
 			return
 		}
 		on := server(w.rng.IntN(w.Plan.Servers))
-		key, err := s.Machine.Store.Saw(s.Clock(), on, 0, replication.Evidence{Tries: 4, Silent: 1})
+		key, err := s.Machine.Store.WriteRow(s.Clock(), on, 0, replication.Evidence{Tries: 4, Silent: 1})
 		if err != nil {
 			return
 		}
@@ -468,9 +468,9 @@
 		s.former.show()
 		return
 	}
-	sums := s.Machine.Store.Digest().Whole()
+	sums := s.Machine.Store.Digest().PerKind()
 	show := referee.Show{At: s.world.now, Sidecar: s.Name, Life: s.Life, Ready: phase == gossip.Whole || phase == gossip.Fresh,
-		Calls: map[string][]referee.Standing{}, Out: s.Machine.Store.Out()}
+		Calls: map[string][]referee.Standing{}, Out: s.Machine.Store.AdminDown()}
 	var parts []string
 	for k, sum := range sums {
 		parts = append(parts, fmt.Sprintf("%v %x", replication.Kind(k), sum))
@@ -481,7 +481,7 @@
 			show.Calls[server(i)] = calls
 		}
 	}
-	for _, suspect := range s.Machine.Store.Suspects() {
+	for _, suspect := range s.Machine.Store.ServersWithEvidence() {
 		for _, r := range s.Machine.Store.Rows(s.Clock(), suspect) {
 			show.Rows = append(show.Rows, referee.Row{Owner: r.Owner, Life: r.Life.Number, Server: r.Server, Version: r.Version})
 		}
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -125,7 +125,7 @@
 	}
 	for _, e := range entries {
 		n := w.byID[e.Server]
-		key, err := m.machine.Store.Saw(now, e.Server, m.boot(n), e.Evidence)
+		key, err := m.machine.Store.WriteRow(now, e.Server, m.boot(n), e.Evidence)
 		if err == nil {
 			m.machine.Spoke(now, key)
 		}
