--- a/internal/fleet/replication/admin.go
+++ b/internal/fleet/replication/admin.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Dot names a call of the staff: the Count'th that a life of a sidecar took. The nonce alone tells lives apart; the name
-// is for people.
+// Dot names an operator's call, in the sense of dotted version vectors (Preguica et al. 2010): the Count'th that one
+// life of a sidecar took. The nonce alone tells lives apart; the name is for people.
 type Dot struct {
 	By    string `cbor:"1,keyasint"`
 	Nonce uint64 `cbor:"2,keyasint"`
@@ -18,20 +18,23 @@
 // String implements fmt.Stringer.
 func (d Dot) String() string { return fmt.Sprintf("%s.%x.%d", d.By, d.Nonce, d.Count) }
 
-// compare orders dots by life alone where both are of one life.
+// compare orders dots by life.
 func (d Dot) compare(o Dot) int { return cmp.Compare(d.Nonce, o.Nonce) }
 
-// OperatorCall is one call of the staff that no later one has taken the place of.
+// OperatorCall is a call of an operator that no later one has replaced.
 type OperatorCall struct {
 	Dot  Dot   `cbor:"1,keyasint"`
 	Down bool  `cbor:"2,keyasint"`
 	At   Stamp `cbor:"3,keyasint"` // for people; it decides nothing
 }
 
-// AdminState is what the staff has said of one server: the calls that nobody who knew of them has answered with another, and
-// of each life how many calls have been seen. A call takes the place of those that its sidecar had seen; two that did not
-// know of each other stand beside each other until a third, and then out wins. No clock has a say in it. Danger: a
-// sidecar whose clock is an hour ahead would have the last word for an hour.
+// compare orders calls by the life that took them.
+func (c OperatorCall) compare(o OperatorCall) int { return c.Dot.compare(o.Dot) }
+
+// AdminState is what operators have said of one server: the calls that no call made with knowledge of them has
+// replaced, and for each life how many of its calls have been seen. A call replaces those that its sidecar had seen.
+// Two concurrent calls both stand until a third one, and meanwhile the server is down if either says so. No clock
+// decides: a sidecar whose clock is an hour ahead would overrule all others for an hour.
 type AdminState struct {
 	Server   string         `cbor:"1,keyasint"`
 	Standing []OperatorCall `cbor:"2,keyasint"` // by nonce; one of each life at most
@@ -40,17 +43,22 @@
 	Listed int64 `cbor:"4,keyasint"`
 }
 
-// Down tells whether the server is out: one standing call that says so is enough.
+// Down reports whether the server is administratively down: one standing call that says so is enough.
 func (h AdminState) Down() bool {
 	return slices.ContainsFunc(h.Standing, func(c OperatorCall) bool { return c.Down })
 }
 
-// Disputed tells whether calls stand beside each other that say different things.
+// equal reports whether two states of one server are the same.
+func (h AdminState) equal(o AdminState) bool {
+	return h.Listed == o.Listed && slices.Equal(h.Standing, o.Standing) && slices.Equal(h.Seen, o.Seen)
+}
+
+// Disputed reports whether concurrent calls say different things.
 func (h AdminState) Disputed() bool {
 	return h.Down() && slices.ContainsFunc(h.Standing, func(c OperatorCall) bool { return !c.Down })
 }
 
-// seenCount is how many calls of a life have been seen.
+// seenCount returns how many calls of a life have been seen.
 func (h AdminState) seenCount(nonce uint64) uint64 {
 	if i, ok := slices.BinarySearchFunc(h.Seen, Dot{Nonce: nonce}, Dot.compare); ok {
 		return h.Seen[i].Count
@@ -58,17 +66,21 @@
 	return 0
 }
 
-// standingCall is the call of a life that stands.
+// standingCall returns the call of a life that stands, if any.
 func (h AdminState) standingCall(nonce uint64) (OperatorCall, bool) {
-	i, ok := slices.BinarySearchFunc(h.Standing, nonce, func(c OperatorCall, n uint64) int { return cmp.Compare(c.Dot.Nonce, n) })
+	i, ok := slices.BinarySearchFunc(
+		h.Standing,
+		nonce,
+		func(c OperatorCall, n uint64) int { return cmp.Compare(c.Dot.Nonce, n) },
+	)
 	if !ok {
 		return OperatorCall{}, false
 	}
 	return h.Standing[i], true
 }
 
-// mergeAdminStates is what is known to whoever knows both. It is associative, commutative and idempotent: a call stands if
-// each side either has it standing or has not seen it.
+// mergeAdminStates returns the join of two states. It is associative, commutative and idempotent: a call stands if each
+// side either has it standing or has not seen it.
 func mergeAdminStates(a, b AdminState) AdminState {
 	out := AdminState{Server: a.Server, Listed: max(a.Listed, b.Listed)}
 	keep := func(from, other AdminState) {
@@ -81,7 +93,7 @@
 				continue // the other side knows what took its place
 			}
 			if _, twice := out.standingCall(c.Dot.Nonce); !twice {
-				i, _ := slices.BinarySearchFunc(out.Standing, c, func(x, y OperatorCall) int { return x.Dot.compare(y.Dot) })
+				i, _ := slices.BinarySearchFunc(out.Standing, c, OperatorCall.compare)
 				out.Standing = slices.Insert(out.Standing, i, c)
 			}
 		}
@@ -101,7 +113,7 @@
 	return out
 }
 
-// laterDot is the later of two of one life. Two of the same count differ only where somebody made one up.
+// laterDot returns the later of two dots of one life. Two of the same count differ only where one was forged.
 func laterDot(a, b Dot) Dot {
 	if cmp.Or(cmp.Compare(a.Count, b.Count), strings.Compare(a.By, b.By)) < 0 {
 		return b
@@ -109,7 +121,7 @@
 	return a
 }
 
-// laterCall decides between two texts of one call, which differ only where somebody made one up: out wins.
+// laterCall decides between two texts of one call, which differ only where one was forged: down wins.
 func laterCall(a, b OperatorCall) OperatorCall {
 	switch {
 	case a.Down != b.Down:
@@ -123,7 +135,7 @@
 	return a
 }
 
-// withCall is what a further call of a life makes of h: the calls that it had seen stand no longer.
+// withCall returns the state after a further call of a life, which replaces all calls that were seen here.
 func (h AdminState) withCall(by string, nonce uint64, out bool, at Stamp) AdminState {
 	dot := Dot{by, nonce, h.seenCount(nonce) + 1}
 	own := AdminState{Server: h.Server, Standing: []OperatorCall{{dot, out, at}}, Seen: []Dot{dot}, Listed: h.Listed}
@@ -136,14 +148,14 @@
 	return own
 }
 
-// check says what is wrong with what a peer says.
+// check returns what is wrong with a state that a peer sent.
 func (h AdminState) check() error {
 	switch {
 	case h.Server == "" || len(h.Server) > maxKeyBytes:
 		return fmt.Errorf("a server's id of %d bytes, 1 to %d are allowed", len(h.Server), maxKeyBytes)
 	case len(h.Seen) == 0 || len(h.Seen) > maxLives:
 		return fmt.Errorf("server %q: calls of %d lives, 1 to %d are allowed", h.Server, len(h.Seen), maxLives)
-	case !slices.IsSortedFunc(h.Seen, Dot.compare) || !slices.IsSortedFunc(h.Standing, func(a, b OperatorCall) int { return a.Dot.compare(b.Dot) }):
+	case !slices.IsSortedFunc(h.Seen, Dot.compare) || !slices.IsSortedFunc(h.Standing, OperatorCall.compare):
 		return fmt.Errorf("server %q: calls out of order", h.Server)
 	case len(h.Standing) == 0:
 		return fmt.Errorf("server %q: no call stands", h.Server)
@@ -154,8 +166,11 @@
 		}
 	}
 	for i, c := range h.Standing {
-		if i > 0 && c.Dot.Nonce == h.Standing[i-1].Dot.Nonce || c.Dot.Count == 0 || h.seenCount(c.Dot.Nonce) < c.Dot.Count || len(c.Dot.By) > maxKeyBytes {
-			return fmt.Errorf("server %q: call %d of life %x stands and was not seen", h.Server, c.Dot.Count, c.Dot.Nonce)
+		twice := i > 0 && c.Dot.Nonce == h.Standing[i-1].Dot.Nonce
+		unseen := c.Dot.Count == 0 || h.seenCount(c.Dot.Nonce) < c.Dot.Count
+		if twice || unseen || len(c.Dot.By) > maxKeyBytes {
+			return fmt.Errorf("server %q: call %d of life %x stands and was not seen",
+				h.Server, c.Dot.Count, c.Dot.Nonce)
 		}
 	}
 	return nil
--- /dev/null
+++ b/internal/fleet/replication/item.go
@@ -0,0 +1,119 @@
+package replication
+
+import (
+	"cmp"
+	"fmt"
+	"strings"
+)
+
+// Kind is a kind of state.
+type Kind uint8
+
+// The kinds of state.
+const (
+	KindAdmin Kind = iota
+	KindRow
+	KindStart
+	KindTest
+	NumKinds
+)
+
+var kindNames = [NumKinds]string{"by hand", "evidence", "starts", "tests"}
+
+// String implements fmt.Stringer.
+func (k Kind) String() string {
+	if k < NumKinds {
+		return kindNames[k]
+	}
+	return fmt.Sprintf("kind %d", uint8(k))
+}
+
+// Start is the last start of a server's process that any sidecar knows of: the latest wins.
+type Start struct {
+	Server string `cbor:"1,keyasint"`
+	Boot   int64  `cbor:"2,keyasint"` // Unix milliseconds
+}
+
+// Test is the test of a suspect server: who does it and how it ended. Each step raises the version; of two concurrent
+// ones that of the greater name counts.
+type Test struct {
+	Server  string `cbor:"1,keyasint"`
+	Boot    int64  `cbor:"2,keyasint,omitempty"`
+	Version uint64 `cbor:"3,keyasint"`
+	Tester  string `cbor:"4,keyasint"`
+	Ended   bool   `cbor:"5,keyasint,omitempty"`
+	Well    bool   `cbor:"6,keyasint,omitempty"`
+	Age     uint32 `cbor:"7,keyasint,omitempty"` // milliseconds since the step, as sent
+
+	writtenAt Time
+}
+
+func (t Test) compare(o Test) int {
+	return cmp.Or(cmp.Compare(t.Version, o.Version), strings.Compare(t.Tester, o.Tester), cmp.Compare(t.Boot, o.Boot),
+		compareBool(t.Ended, o.Ended), compareBool(o.Well, t.Well)) // of two forged ones: that it is not well
+}
+
+// check returns what is wrong with a test that a peer sent.
+func (t Test) check() error {
+	nameless := t.Server == "" || t.Tester == ""
+	if nameless || len(t.Server) > maxKeyBytes || len(t.Tester) > maxKeyBytes || t.Version == 0 {
+		return fmt.Errorf("a test of server %.80q by %.80q, version %d", t.Server, t.Tester, t.Version)
+	}
+	return nil
+}
+
+func compareBool(a, b bool) int {
+	switch {
+	case a == b:
+		return 0
+	case a:
+		return 1
+	}
+	return -1
+}
+
+func laterTest(a, b Test) Test {
+	switch c := a.compare(b); {
+	case c < 0:
+		return b
+	case c == 0:
+		a.writtenAt = min(a.writtenAt, b.writtenAt)
+	}
+	return a
+}
+
+// Item is one piece of state, as it is passed on: exactly one of its fields is set.
+type Item struct {
+	Admin *AdminState `cbor:"1,keyasint,omitempty"`
+	Row   *Row        `cbor:"2,keyasint,omitempty"`
+	Start *Start      `cbor:"3,keyasint,omitempty"`
+	Test  *Test       `cbor:"4,keyasint,omitempty"`
+}
+
+// Key names a piece of state.
+type Key struct {
+	Kind   Kind
+	Server string
+	Owner  string // KindRow
+}
+
+// Key returns the key of an item, or an error where not exactly one field is set.
+func (i Item) Key() (Key, error) {
+	set, key := 0, Key{}
+	if i.Admin != nil {
+		set, key = set+1, Key{KindAdmin, i.Admin.Server, ""}
+	}
+	if i.Row != nil {
+		set, key = set+1, Key{KindRow, i.Row.Server, i.Row.Owner}
+	}
+	if i.Start != nil {
+		set, key = set+1, Key{KindStart, i.Start.Server, ""}
+	}
+	if i.Test != nil {
+		set, key = set+1, Key{KindTest, i.Test.Server, ""}
+	}
+	if set != 1 {
+		return Key{}, fmt.Errorf("an item with %d kinds, 1 is allowed", set)
+	}
+	return key, nil
+}
--- a/internal/fleet/replication/row.go
+++ b/internal/fleet/replication/row.go
@@ -11,7 +11,7 @@
 	"milletramp.example/milletramp/internal/fleet/membership"
 )
 
-// Evidence is what one sidecar has seen of one server of late, in its own requests alone.
+// Evidence is what one sidecar has observed of one server of late, in its own requests alone.
 type Evidence struct {
 	Tries   uint32 `cbor:"1,keyasint,omitempty"` // that ended, or are out for longer than usual
 	Silent  uint32 `cbor:"2,keyasint,omitempty"` // of these, without an answer
@@ -35,7 +35,7 @@
 	writtenAt Time // when it was written, by the own clock
 }
 
-// compare orders the versions of one row. Two of one version differ only where somebody else wrote one.
+// compare orders the versions of one row. Two of one version differ only where one was forged.
 func (r Row) compare(o Row) int {
 	return cmp.Or(r.Life.Compare(o.Life), cmp.Compare(r.Version, o.Version), cmp.Compare(r.Boot, o.Boot),
 		r.Evidence.compare(o.Evidence))
@@ -43,11 +43,12 @@
 
 func (e Evidence) compare(o Evidence) int {
 	return cmp.Or(cmp.Compare(e.Tries, o.Tries), cmp.Compare(e.Silent, o.Silent), cmp.Compare(e.Failed, o.Failed),
-		cmp.Compare(e.Refused, o.Refused), cmp.Compare(e.Late, o.Late), cmp.Compare(e.Good, o.Good), cmp.Compare(e.Bad, o.Bad))
+		cmp.Compare(e.Refused, o.Refused), cmp.Compare(e.Late, o.Late), cmp.Compare(e.Good, o.Good),
+		cmp.Compare(e.Bad, o.Bad))
 }
 
-// laterRow is the newest of two versions of one row, whenever they arrive. The same one that came two ways is as old as
-// the older of the two says.
+// laterRow returns the newer of two versions of one row. One version that came two ways is as old as the older of the
+// two says.
 func laterRow(a, b Row) Row {
 	switch c := a.compare(b); {
 	case c < 0:
@@ -58,8 +59,8 @@
 	return a
 }
 
-// observerRank orders owners for one server: a sample of those who have something to say of it, the same in every copy, that
-// favors nobody.
+// observerRank orders the owners of rows on one server by rendezvous hash: the sample of them that is held is the
+// same in every copy and favours nobody.
 func (r Row) observerRank() uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -69,8 +70,8 @@
 	return d.Sum64()
 }
 
-// sampleRows keeps of the rows of one server those of the mostWitnesses owners of the highest rank. To do so again, or with
-// more rows, gives what doing it once with all of them does.
+// sampleRows keeps of the rows on one server those of the maxObservers owners of the highest rank. Sampling again, or
+// with more rows, gives what sampling all of them at once does.
 func sampleRows(rows []Row) []Row {
 	slices.SortFunc(rows, func(a, b Row) int {
 		return cmp.Or(cmp.Compare(b.observerRank(), a.observerRank()), strings.Compare(a.Owner, b.Owner))
@@ -78,6 +79,7 @@
 	return rows[:min(len(rows), maxObservers)]
 }
 
+// check returns what is wrong with a row that a peer sent.
 func (r Row) check() error {
 	switch {
 	case r.Server == "" || len(r.Server) > maxKeyBytes:
--- a/internal/fleet/replication/stamp.go
+++ b/internal/fleet/replication/stamp.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Stamp is a reading of a hybrid logical clock: later than whatever its sidecar had seen, and close to the time of day.
+// Stamp is a reading of a hybrid logical clock (Kulkarni et al. 2014): later than whatever its sidecar had seen, and
+// close to the time of day. Stamps are for people; they decide nothing.
 type Stamp struct {
 	Wall  int64  `cbor:"1,keyasint"` // Unix milliseconds
 	Logic uint32 `cbor:"2,keyasint"`
@@ -21,8 +22,8 @@
 	return fmt.Sprintf("%s+%d", time.UnixMilli(s.Wall).UTC().Format("2006-01-02T15:04:05.000Z"), s.Logic)
 }
 
-// maxAheadMillis is how far a stamp may be ahead of the own clock to be followed, in milliseconds. Danger: one sidecar's
-// clock that is an hour ahead would take all others along.
+// maxAheadMillis is how far a stamp may be ahead of the own clock to be followed, in milliseconds. Without a bound one
+// sidecar's clock that is an hour ahead would take all others along.
 const maxAheadMillis = 5000
 
 // clock makes stamps.
@@ -38,7 +39,7 @@
 	return c.last
 }
 
-// follow takes in a stamp of another sidecar.
+// follow makes later stamps later than one of another sidecar.
 func (c *clock) follow(s Stamp, wall int64) {
 	if s.Wall <= wall+maxAheadMillis && s.compare(c.last) > 0 {
 		c.last = s
--- a/internal/fleet/replication/store_test.go
+++ b/internal/fleet/replication/store_test.go
@@ -19,7 +19,14 @@
 	hands := [3]AdminState{}
 	clock := clock{}
 	for i := range hands {
-		hands[i] = AdminState{Server: "s"}.withCall(fmt.Sprint("n", i), uint64(i+1), rapid.Bool().Draw(t, "first"), clock.next(1))
+		hands[i] = AdminState{
+			Server: "s",
+		}.withCall(
+			fmt.Sprint("n", i),
+			uint64(i+1),
+			rapid.Bool().Draw(t, "first"),
+			clock.next(1),
+		)
 	}
 	for range rapid.IntRange(0, 12).Draw(t, "steps") {
 		i, j := rapid.IntRange(0, 2).Draw(t, "one"), rapid.IntRange(0, 2).Draw(t, "other")
@@ -46,16 +53,28 @@
 	}))
 	t.Run("rows", rapid.MakeCheck(func(t *rapid.T) {
 		draw := func() Row {
-			return Row{Owner: "n", Server: "s", Life: rapid.SampledFrom(lives).Draw(t, "life"), Version: rapid.Uint64Range(1, 2).Draw(t, "version"),
-				Boot: rapid.Int64Range(0, 1).Draw(t, "boot"), Evidence: Evidence{Tries: rapid.Uint32Range(0, 1).Draw(t, "tries")},
-				writtenAt: Time(rapid.Int64Range(0, 2).Draw(t, "born"))}
+			return Row{
+				Owner:     "n",
+				Server:    "s",
+				Life:      rapid.SampledFrom(lives).Draw(t, "life"),
+				Version:   rapid.Uint64Range(1, 2).Draw(t, "version"),
+				Boot:      rapid.Int64Range(0, 1).Draw(t, "boot"),
+				Evidence:  Evidence{Tries: rapid.Uint32Range(0, 1).Draw(t, "tries")},
+				writtenAt: Time(rapid.Int64Range(0, 2).Draw(t, "born")),
+			}
 		}
 		joins(t, draw(), draw(), draw(), laterRow, func(a, b Row) bool { return a == b })
 	}))
 	t.Run("tests", rapid.MakeCheck(func(t *rapid.T) {
 		draw := func() Test {
-			return Test{Server: "s", Version: rapid.Uint64Range(1, 2).Draw(t, "version"), Tester: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "by"),
-				Ended: rapid.Bool().Draw(t, "ended"), Well: rapid.Bool().Draw(t, "well"), writtenAt: Time(rapid.Int64Range(0, 2).Draw(t, "born"))}
+			return Test{
+				Server:    "s",
+				Version:   rapid.Uint64Range(1, 2).Draw(t, "version"),
+				Tester:    rapid.SampledFrom([]string{"a", "b"}).Draw(t, "by"),
+				Ended:     rapid.Bool().Draw(t, "ended"),
+				Well:      rapid.Bool().Draw(t, "well"),
+				writtenAt: Time(rapid.Int64Range(0, 2).Draw(t, "born")),
+			}
 		}
 		joins(t, draw(), draw(), draw(), laterTest, func(a, b Test) bool { return a == b })
 	}))
@@ -104,9 +123,9 @@
 	}
 }
 
-// TestCopiesAgree has three copies write and exchange pieces in any order, some of them twice. Once each has heard what
-// the others hold, all hold the same, and nothing acknowledged to the staff is forgotten: a server is out exactly if some
-// last call on it, of which no later caller knew otherwise, says so.
+// TestCopiesAgree has three copies write and exchange pieces in any order, some of them twice. Once each has heard
+// what the others hold, all hold the same, and nothing acknowledged to the staff is forgotten: a server is out
+// exactly if some last call on it, of which no later caller knew otherwise, says so.
 func TestCopiesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all, now := copies(3), Now{Time: time.Minute, Wall: 1e12}
@@ -324,7 +343,13 @@
 		t.Errorf("no room for the staff: %v", err)
 	}
 	for i := range 1000 {
-		r := Row{Owner: fmt.Sprint("n", i), Life: lives[1], Server: "s-0", Version: 1, Evidence: Evidence{Tries: 1, Silent: 1}}
+		r := Row{
+			Owner:    fmt.Sprint("n", i),
+			Life:     lives[1],
+			Server:   "s-0",
+			Version:  1,
+			Evidence: Evidence{Tries: 1, Silent: 1},
+		}
 		if _, err := s.Merge(now, Item{Row: &r}, "peer"); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fleet/replication/suspicion.go
+++ b/internal/fleet/replication/suspicion.go
@@ -7,91 +7,111 @@
 	"time"
 )
 
-// How rows are weighed. A server is in doubt by the fleet's word where enough sidecars have had no answer from it and none
-// has had one since.
+// A server is suspected where enough sidecars have had no answer from it and none has had one since.
 const (
-	rowCountsFor     = 2 * time.Second // a row is weighed for this long; its owner writes it again sooner
-	minBadOutcomes   = 4               // requests without an answer, over all who speak against a server,
-	maxBadPerSidecar = 2               // of which one sidecar brings so many at most
-	quorum           = 3               // sidecars that have to agree, oneself among them; 2 in a fleet of 3 or fewer
-	maxAccusedShare  = 0.5             // of the servers: who speaks against more is not believed, the fault is likely its own
+	// rowCountsFor is how long a row counts; its owner writes it again sooner while it holds.
+	rowCountsFor = 2 * time.Second
+	// minBadOutcomes is how many requests without an answer are needed over all sidecars that accuse a server, of which
+	// one sidecar brings maxBadPerSidecar at most.
+	minBadOutcomes   = 4
+	maxBadPerSidecar = 2
+	// quorum is how many sidecars have to agree, this one among them, and smallQuorum in a fleet of quorum or fewer.
+	quorum      = 3
+	smallQuorum = 2
+	// maxAccusedShare is the share of the servers that a sidecar may accuse and be believed: beyond it the fault is
+	// likely its own.
+	maxAccusedShare = 0.5
 )
 
-// badOutcomes counts what speaks against a server since its last good answer. Errors do not: a server that fails some of its
-// requests serves the others. What a peer writes may be as large as it likes.
+// badOutcomes counts what accuses a server since its last good answer. Errors do not: a server that fails some of its
+// requests serves the others. A peer may write counts of any size.
 func (e Evidence) badOutcomes() uint64 { return uint64(max(e.Silent, e.Late)) + uint64(e.Refused) }
 
-// accuses tells whether a row speaks against its server now.
+// accuses reports whether a row counts against its server now.
 func (r Row) accuses(now Now) bool {
 	return now.Time-r.writtenAt < rowCountsFor && r.Evidence.badOutcomes() > 0
 }
 
-// lastGood is when the row's owner last had a good answer, and whether it has told.
+// lastGood returns when the row's owner last had a good answer, and whether the row says so.
 func (r Row) lastGood() (at Time, told bool) {
 	return r.writtenAt - Time(r.Evidence.Good)*time.Millisecond, r.Evidence.Good > 0
 }
 
-// lastBad is when the row's owner last had no answer. A row that is written again does not make that any younger: were it to,
-// a good answer would be forgotten with the next row of one that has not tried the server since.
+// lastBad returns when the row's owner last waited in vain. Writing a row again does not make that any younger: a good
+// answer would otherwise be outdated by the next row of an owner that has not tried the server since.
 func (r Row) lastBad() Time { return r.writtenAt - Time(r.Evidence.Bad)*time.Millisecond }
 
-// Suspicion is a server that the fleet speaks against.
+// Suspicion is a server that the fleet suspects.
 type Suspicion struct {
 	Server   string
 	Boot     int64 // of the process that is spoken of
-	Sidecars int   // sidecars
-	Newest   Time  // when one of them last had no answer
+	Sidecars int   // that accuse it
+	Newest   Time  // when one of them last waited in vain
 }
 
-// Suspicions weighs the rows: those of sidecars that are here, on the process of each server that most of them speak of. servers
-// is how many there are. The most widely doubted come first.
+// Suspicions weighs the rows of sidecars that are here, on the process of each server that most of them accuse.
+// members is how many sidecars there are, servers how many servers. The most widely suspected come first.
 //
-// Danger: one sidecar whose network is broken believes all servers dead; it is not believed. Danger: late answers are
-// no silence. Any good answer after an owner's last bad end, of whomever, answers its row: then the word of one is enough to have
-// the others decide as if there were no fleet, which is no harm.
-func (s *Store) Suspicions(now Now, here func(owner string) bool, members, servers int) (doubts []Suspicion) {
-	spoken := map[string]int{}
-	for _, rows := range s.rows {
-		for _, r := range rows {
-			if r.accuses(now) {
-				spoken[r.Owner]++
-			}
-		}
-	}
+// A sidecar whose network is broken believes all servers dead; it is not believed. Late answers are no silence: a
+// good answer of anybody after an owner's last bad outcome refutes its row. So one sidecar's word is enough to have
+// the others decide as if there were no fleet, which does no harm.
+func (s *Store) Suspicions(now Now, here func(owner string) bool, members, servers int) (suspicions []Suspicion) {
+	accused := s.accusedByOwner(now)
 	counts := func(r Row) bool {
-		return (r.Owner == s.name || here(r.Owner)) && float64(spoken[r.Owner]) <= max(maxAccusedShare*float64(servers), 1)
+		believed := float64(accused[r.Owner]) <= max(maxAccusedShare*float64(servers), 1)
+		return believed && (r.Owner == s.name || here(r.Owner))
 	}
 	needed := quorum
 	if members <= quorum {
-		needed = 2
+		needed = smallQuorum
 	}
 	for server, rows := range s.rows {
-		d := Suspicion{Server: server, Boot: accusedProcess(now, rows)}
-		answered, ends := Time(0), uint64(0)
-		for _, r := range rows {
-			if at, told := r.lastGood(); told && r.Boot == d.Boot && counts(r) {
-				answered = max(answered, at)
-			}
+		suspicion, outcomes := weigh(now, server, rows, counts)
+		if suspicion.Sidecars >= needed && outcomes >= minBadOutcomes {
+			suspicions = append(suspicions, suspicion)
 		}
+	}
+	slices.SortFunc(suspicions, func(a, b Suspicion) int {
+		return cmp.Or(cmp.Compare(b.Sidecars, a.Sidecars), strings.Compare(a.Server, b.Server))
+	})
+	return suspicions
+}
+
+// accusedByOwner counts the servers that each sidecar accuses.
+func (s *Store) accusedByOwner(now Now) map[string]int {
+	accused := map[string]int{}
+	for _, rows := range s.rows {
 		for _, r := range rows {
-			if r.Boot == d.Boot && counts(r) && r.accuses(now) && r.lastBad() > answered {
-				ends += min(r.Evidence.badOutcomes(), maxBadPerSidecar)
-				d.Sidecars++
-				d.Newest = max(d.Newest, r.lastBad())
+			if r.accuses(now) {
+				accused[r.Owner]++
 			}
 		}
-		if d.Sidecars >= needed && ends >= minBadOutcomes {
-			doubts = append(doubts, d)
+	}
+	return accused
+}
+
+// weigh returns what the rows that count say of one server, and the bad outcomes that they bring.
+func weigh(now Now, server string, rows []Row, counts func(Row) bool) (suspicion Suspicion, outcomes uint64) {
+	suspicion = Suspicion{Server: server, Boot: accusedProcess(now, rows)}
+	answered := Time(0)
+	for _, r := range rows {
+		if at, known := r.lastGood(); known && r.Boot == suspicion.Boot && counts(r) {
+			answered = max(answered, at)
+		}
+	}
+	for _, r := range rows {
+		if r.Boot != suspicion.Boot || !counts(r) || !r.accuses(now) || r.lastBad() <= answered {
+			continue
 		}
+		outcomes += min(r.Evidence.badOutcomes(), maxBadPerSidecar)
+		suspicion.Sidecars++
+		suspicion.Newest = max(suspicion.Newest, r.lastBad())
 	}
-	slices.SortFunc(doubts, func(a, b Suspicion) int {
-		return cmp.Or(cmp.Compare(b.Sidecars, a.Sidecars), strings.Compare(a.Server, b.Server))
-	})
-	return doubts
+	return suspicion, outcomes
 }
 
-// accusedProcess is the process of a server that most rows speak of, of two the newer one. Danger: were it the newest that any
-// speaks of, one false start would make all others' words void.
+// accusedProcess returns the process of a server that most rows accuse, of two the newer one. Were it the newest that
+// any row names, one false start would void the rows of all others.
 func accusedProcess(now Now, rows []Row) (boot int64) {
 	count := map[int64]int{}
 	for _, r := range rows {
--- a/internal/fleet/replication/suspicion_test.go
+++ b/internal/fleet/replication/suspicion_test.go
@@ -28,7 +28,14 @@
 	t.Helper()
 	s, now := New("self", lives[0]), Now{Time: time.Hour, Wall: 1e12}
 	for i, w := range words {
-		r := Row{Owner: w.owner, Life: lives[0], Server: w.server, Version: uint64(i + 1), Evidence: w.evidence, Age: uint32(w.age.Milliseconds())}
+		r := Row{
+			Owner:    w.owner,
+			Life:     lives[0],
+			Server:   w.server,
+			Version:  uint64(i + 1),
+			Evidence: w.evidence,
+			Age:      uint32(w.age.Milliseconds()),
+		}
 		if _, err := s.Merge(now, Item{Row: &r}, w.owner); err != nil {
 			t.Fatal(err)
 		}
@@ -105,16 +112,20 @@
 	}
 }
 
-// TestNoOneAlone: whatever a single sidecar says, in however many rows, beside whatever few others say, no server that two
-// others at least do not speak against comes into doubt; a word for a server never brings one into doubt; and the order in which words
-// come does not matter.
+// TestNoOneAlone: whatever a single sidecar says, in however many rows, beside whatever few others say, no server
+// that two others at least do not speak against comes into doubt; a word for a server never brings one into doubt;
+// and the order in which words come does not matter.
 func TestNoOneAlone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var words []word
 		votes := map[string]map[string]bool{}
 		for range rapid.IntRange(0, 60).Draw(t, "words") {
-			w := word{fmt.Sprint("n", rapid.IntRange(0, 5).Draw(t, "owner")), fmt.Sprint("s", rapid.IntRange(0, 7).Draw(t, "server")),
-				rapid.SampledFrom([]Evidence{bad, good}).Draw(t, "evidence"), 0}
+			w := word{
+				fmt.Sprint("n", rapid.IntRange(0, 5).Draw(t, "owner")),
+				fmt.Sprint("s", rapid.IntRange(0, 7).Draw(t, "server")),
+				rapid.SampledFrom([]Evidence{bad, good}).Draw(t, "evidence"),
+				0,
+			}
 			if slices.ContainsFunc(words, func(o word) bool { return o.owner == w.owner && o.server == w.server }) {
 				continue
 			}
@@ -138,7 +149,8 @@
 			t.Errorf("%v in one order, %v in another", about(doubts), about(got))
 		}
 		kind, _ := hears(t, append(words, word{"n9", "s0", good, 0}))
-		if got := about(kind.Suspicions(now, everybody, 6, 40)); slices.Contains(got, "s0") && !slices.Contains(about(doubts), "s0") {
+		if got := about(kind.Suspicions(now, everybody, 6, 40)); slices.Contains(got, "s0") &&
+			!slices.Contains(about(doubts), "s0") {
 			t.Error("a word for a server brought it into doubt")
 		}
 	})
--- a/internal/lab/fleet/mutants/mutants_test.go
+++ b/internal/lab/fleet/mutants/mutants_test.go
@@ -51,7 +51,7 @@
 	{"another's row written", "replication/store.go", "		return s.mergeRow(now, r)\n	case KindStart:",
 		"		if r.Version++; r.Version%2 == 0 {\n			r.Version++\n		}\n		return s.mergeRow(now, r)\n	case KindStart:",
 		"rows written by their owners alone", ""},
-	{"digest that ignores a kind", "replication/store.go",
+	{"digest that ignores a kind", "replication/digest.go",
 		"		add(Key{KindAdmin, server, \"\"}, parts...)\n", "		_, _ = server, parts\n", "nothing acknowledged forgotten", ""},
 	{"catch-up skipped", "gossip/gossip.go",
 		"	if len(set.Membership.Peers) == 0 && len(m.before) == 0 {\n		m.enter(now.Time, Fresh)", "	if len(set.Membership.Peers) >= 0 {\n		m.enter(now.Time, Whole)",
