--- a/balance/balance.go
+++ b/balance/balance.go
@@ -113,7 +113,7 @@
 	q.out++
 	within := q.startWithin(now)
 	q.attempts = append(q.attempts, attempt{to: to, sent: now, owed: now, held: float64(to.inFlight) + unseen,
-		scale: scale})
+		expected: scale, scale: scale})
 	b.sends++
 	to.last = b.sends
 	b.act.Send(q.ID, to.ID, within)
@@ -138,10 +138,12 @@
 	// Danger: an endpoint that has slowed since would be thought to lose what it still owes. What this attempt
 	// itself has waited says nothing of that: it would never be in doubt where little else is out.
 	a.to.sent += now - a.sent
-	a.scale = max(a.scale, b.scale(b.expect(a.to, now), q.Class))
+	slowdown := a.to.slowdown.Factor()
+	a.scale = max(a.scale, b.scale(b.expect(a.to, now), q.Class)*slowdown)
 	a.to.sent -= now - a.sent
 	doubt, next := b.doubtTime(q, a), tickEvery.Seconds()
-	if answers && out >= min(doubt, b.lateTime(q.Class)) {
+	// A slow endpoint whose late attempts count no more looks idle, and draws requests.
+	if answers && out >= min(doubt, b.lateTime(q.Class)*slowdown) {
 		a.drop()
 	}
 	if !answers && !a.late && out >= b.lateTime(q.Class) {
--- a/balance/health.go
+++ b/balance/health.go
@@ -165,6 +165,9 @@
 			b.shape.Answered(out)
 		}
 		e.silent = 0
+		if a.expected > 0 {
+			e.slowdown.Answered(r.Took.Seconds() / a.expected)
+		}
 		e.classes[q.Class].Served(b.usualLoss(e), loseAll)
 		b.record(q.Class, a, 0)
 	case r.Outcome == TimedOut || r.Outcome == Cancelled && e.heard >= a.sent:
@@ -332,6 +335,7 @@
 		}
 		e.took, e.held, e.ended, e.failed = e.took*keep, e.held*keep, e.ended*keep, e.failed*keep
 		e.loss.Fade(keep)
+		e.slowdown.Fade(keep)
 		for i := range e.classes {
 			e.classes[i].Loss.Fade(keep)
 		}
--- a/balance/loss_test.go
+++ b/balance/loss_test.go
@@ -28,7 +28,8 @@
 	inTime  int
 	refused int
 	failed  int
-	copies  int // attempts made while another was out
+	copies  int       // attempts made while another was out
+	sending RequestID // whose attempt answer is asked for
 }
 
 type occasion struct {
@@ -70,6 +71,7 @@
 	f.sends[to]++
 	n, sent := len(f.to[id]), f.now
 	f.to[id], f.done[id] = append(f.to[id], to), append(f.done[id], false)
+	f.sending = id
 	took, lost := f.answer(f, to, f.class[id])
 	if left := f.left(id); lost || took > left {
 		f.after(left, func() { f.result(id, n, sent, TimedOut) })
--- a/balance/state.go
+++ b/balance/state.go
@@ -78,9 +78,11 @@
 	silent  bool    // counts for the silence of its endpoint
 	late    bool    // a witness was told that it is late
 	copied  bool    // another attempt was made as this one seemed lost
-	scale   float64 // seconds that its answer was expected to take
+	scale   float64 // seconds that its answer is expected to take
 	alarm   float64 // weight of its silence in the test of its class
 	doubt   float64 // probability with which it counts as lost already; 0: it does not count yet
+
+	expected float64 // seconds that its answer was expected to take at the sending
 }
 
 // forgive has the attempt's answer be due from now on.
@@ -133,6 +135,8 @@
 	silent  repeats.Alarm  // for an endpoint that loses all
 	hushed  Time           // when a silence last counted
 	classes []repeats.Access
+
+	slowdown repeats.Slowdown // of its latest answers, against what was expected of them
 }
 
 func (b *Balancer) nothing(now Time) seen {
--- a/internal/repeats/repeats_test.go
+++ b/internal/repeats/repeats_test.go
@@ -122,6 +122,36 @@
 
 const p0 = 0.001
 
+// TestSlowdown has any answers keep the factor between 1 and the most, answers in the expected time keep it at 1, four
+// that are slower by a factor show most of it, a single outlier little, and fading forget it.
+func TestSlowdown(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		var s Slowdown
+		for _, m := range rapid.SliceOfN(rapid.Float64Range(0, 1000), 0, 50).Draw(t, "answers") {
+			if s.Answered(m); s.Factor() < 1 || s.Factor() > slowdownMost {
+				t.Fatalf("factor %v", s.Factor())
+			}
+		}
+		s.Fade(0)
+		for range 30 {
+			s.Answered(1)
+		}
+		if s.Answered(1000); s.Factor() < 1 || s.Factor() > 1.6 {
+			t.Fatalf("factor %v after one outlier", s.Factor())
+		}
+		slower := rapid.Float64Range(1, slowdownMost).Draw(t, "slower")
+		for range 4 {
+			s.Answered(slower)
+		}
+		if got := s.Factor(); got < 1+(slower-1)/2 {
+			t.Fatalf("factor %v after four answers slower by %v", got, slower)
+		}
+		if s.Fade(0); s.Factor() != 1 {
+			t.Fatalf("factor %v once it is forgotten", s.Factor())
+		}
+	})
+}
+
 // TestBudget has no order of successes, further attempts and clients' retries spend more than was put by at the start and
 // earned, in a class or in all.
 func TestBudget(t *testing.T) {
--- /dev/null
+++ b/internal/repeats/slowdown.go
@@ -0,0 +1,27 @@
+package repeats
+
+const (
+	slowdownKeep  = 0.75 // share of the record that an answer leaves: some four of the last ones count
+	slowdownPrior = 2.0  // answers in the expected time by which a small record is outweighed
+	slowdownMost  = 4.0  // multiple at which an answer counts at most: a single outlier proves little
+)
+
+// Slowdown is by which factor an endpoint answers later just now than was expected when the requests were sent, from
+// a fading record of its answers. The expectation follows answers over seconds; this follows the last few of them. An
+// endpoint that loses requests answers the others as expected, so the factor tells late attempts from lost ones.
+// The zero value is a factor of 1.
+type Slowdown struct{ answers, multiples float64 }
+
+// Answered takes in an answer by its time as a multiple of the time that was expected at the sending.
+func (s *Slowdown) Answered(multiple float64) {
+	s.answers = s.answers*slowdownKeep + 1
+	s.multiples = s.multiples*slowdownKeep + min(multiple, slowdownMost)
+}
+
+// Fade keeps a share of the record.
+func (s *Slowdown) Fade(keep float64) { s.answers, s.multiples = s.answers*keep, s.multiples*keep }
+
+// Factor is the factor, from 1 to the multiple at which an answer counts at most.
+func (s *Slowdown) Factor() float64 {
+	return max((s.multiples+slowdownPrior)/(s.answers+slowdownPrior), 1)
+}
