--- a/balance/balance.go
+++ b/balance/balance.go
@@ -38,6 +38,9 @@
 		b.send(q, to, now)
 		return
 	}
+	if b.capacity.warm[1] == 0 {
+		b.sends++ // turns go on by what is refused: where all are cold, nothing else would bring the next one
+	}
 	if b.mayRefuse(q) {
 		b.act.Refuse(q.ID, time.Duration(min(max(late, 0), b.aim)*float64(time.Second)))
 	} else {
@@ -90,7 +93,7 @@
 		}
 		in := now >= e.until || pass > 0 && b.panicking
 		in = in && (pass > 1 || !b.doubted(e, now))
-		e.open = e.State == Ready && !b.out[e.ID] && in && b.coldRoom(e, pass > 0)
+		e.open = e.State == Ready && !b.out[e.ID] && in && b.coldRoom(e, pass > 0, now)
 		if expect, held := b.expect(e, now), float64(e.inFlight); e.open {
 			e.expects = expect
 			fits := expect <= limit && e.owed(now) <= bar*held
@@ -115,7 +118,7 @@
 	q.attempts = append(q.attempts, attempt{to: to, sent: now, owed: now, held: float64(to.inFlight) + unseen,
 		scale: scale})
 	b.sends++
-	to.last = b.sends
+	to.turns.begin(b.sends, now, 0)
 	b.act.Send(q.ID, to.ID, within)
 	token := tokenLate + uint64(q.ID)*mostTries + uint64(len(q.attempts)-1)
 	b.lookAgain(min(b.lateTime(q.Class), b.doubtTime(q, &q.attempts[len(q.attempts)-1])), token)
@@ -242,6 +245,9 @@
 		b.spread[q.Class] += workStep * (math.Abs(off) - b.spread[q.Class])
 		b.mean += workStep * (max(r.Took.Seconds(), 1e-6) - b.mean)
 		b.budget.Earn(q.Class)
+		if a.to.warm >= 1 {
+			b.capacity.served++
+		}
 	}
 	if a.sent >= a.to.Started { // what a former process did tells nothing of this one
 		b.settle(q, a, r, now)
@@ -358,7 +364,7 @@
 	b.regroup(now)
 	b.fade(now, 1)
 	b.shift(now)
-	b.drawTurns()
+	b.drawTurns(now)
 }
 
 // TakeOut takes an endpoint out by hand, or puts it back, and tells whether it is known: listed, or out. Both
@@ -439,6 +445,7 @@
 		}
 	case tokenTick:
 		b.act.Timer(tickEvery, tokenTick)
+		b.capacity.elapsed(tickEvery)
 		b.fade(now, math.Exp(-tickEvery.Seconds()/memory.Seconds()))
 		b.shift(now)
 		if now >= b.grouped+time.Second {
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -22,6 +22,8 @@
 	out   []answerDue // in order
 	sends map[string][]Time
 	full  map[string]float64 // share that an endpoint turns away at once
+	most  float64            // answers a second that an endpoint gives, more is turned away; 0: any number
+	busy  map[string]Time    // until when those that it has given take it
 	share []float64          // of the traffic, by sidecar, summed up; nil: all have the same
 }
 
@@ -87,6 +89,18 @@
 	return min(sort.SearchFloat64s(f.share, x), len(f.all)-1)
 }
 
+// serves tells whether an endpoint can take one more now; what comes together may take it a quarter of a second.
+func (f *party) serves(id string) bool {
+	if f.most == 0 {
+		return true
+	}
+	if f.busy[id] > f.now+time.Second/4 {
+		return false
+	}
+	f.busy[id] = max(f.busy[id], f.now) + Time(float64(time.Second)/f.most)
+	return true
+}
+
 // run has requests come to the sidecars at random, so many a second in all.
 func (f *party) run(length time.Duration, rate float64) {
 	end, tick := f.now+length, f.now
@@ -101,7 +115,7 @@
 			d := f.out[0]
 			f.out = f.out[1:]
 			result := Result{ID: d.s.id, Attempt: d.s.attempt, Endpoint: d.s.to, Took: fleetAnswers, Finished: true}
-			if f.rng.Float64() < f.full[d.s.to] {
+			if f.rng.Float64() < f.full[d.s.to] || !f.serves(d.s.to) {
 				result.Outcome, result.Finished = Saturated, false
 			}
 			f.all[d.by].Result(d.at, result)
--- a/balance/health.go
+++ b/balance/health.go
@@ -45,8 +45,6 @@
 	arrivalMargin = time.Second / 8
 	workStep      = 0.05    // weight of an answer in the mean time of its class
 	overBar       = 0.5     // bar of requests beyond an allowance, as a share of their class's
-	coldEarly     = 2.0     // shares that a cold endpoint gets at most
-	coldSafe      = 0.5     // and of what makes it fall, as others have bursts and repeats too
 	leastSubset   = 4       // endpoints of a group that a sidecar uses at least: some may fail
 	mostTries     = 1 << 12 // of a request, that timers can tell apart
 	mostClasses   = 256     // that may come and go by new settings
@@ -318,6 +316,7 @@
 func (b *Balancer) fade(now Time, keep float64) {
 	var out, all, owed float64
 	b.arrived, b.room, b.whole, b.ended, b.failed = b.arrived*keep, 0, 0, b.ended*keep, b.failed*keep
+	b.capacity.warm = [2]float64{}
 	b.losses.Fade(keep)
 	b.shape.Fade(math.Pow(keep, memory.Seconds()/shapeMemory.Seconds()))
 	for _, g := range b.groups {
@@ -341,6 +340,9 @@
 		b.whole += e.Size * e.warm
 		if all += e.Size; now < e.until {
 			out += e.Size
+		} else if e.warm >= 1 {
+			b.capacity.warm[0] += e.Size * b.near[e.abroad]
+			b.capacity.warm[1] += e.Size
 		}
 	}
 	// Danger: where attempts are lost, that they are out tells nothing of how long answers take.
@@ -361,25 +363,13 @@
 	return b.set.StartCapacity + (1-b.set.StartCapacity)*max(age.Seconds(), 0)/b.set.ColdTime.Seconds()
 }
 
-// coldRoom tells whether an endpoint is warm, or has its next turn for the share of its capacity that it has.
-// Danger: sidecars that all turn to a cold endpoint, as it alone seems free, push it over. When each keeps to
-// its turns, it gets no more for its warmth than the fleet's mean, whatever the number of sidecars. A request
-// that finds no other place may have an early turn, in any zone. Danger: where the whole fleet is cold, turns
-// kept to the letter leave most requests none, and other zones have next to none as long as the own one is
-// thought to do. Early turns are counted over the fleet: all sidecars together give some times its share.
-func (b *Balancer) coldRoom(e *endpoint, early bool) bool {
-	turn := (b.sends - e.last) * e.Size * e.warm
-	return e.warm >= 1 || turn*b.near[e.abroad] >= b.room ||
-		early && min(coldEarly, b.set.FallMultiple*coldSafe)*turn >= b.whole
-}
-
 // drawTurns draws when started endpoints have their first turn: within the time in which each has one.
-// Danger: sidecars that are told at once must not send at once. Danger: that time is long for one of many
-// sidecars, and where each began it with the start, the fleet would leave what started idle until it is warm.
-func (b *Balancer) drawTurns() {
+// Sidecars that are told at once must not send at once. That time is long for one of many sidecars, and where
+// each began it with the start, the fleet would leave what started idle until it is warm.
+func (b *Balancer) drawTurns(now Time) {
 	for _, e := range b.endpoints {
-		if e.fresh && e.warm > 0 {
-			e.last = b.sends - b.rng.Float64()*b.room/(max(e.Size, 1e-9)*e.warm*b.near[e.abroad])
+		if e.fresh {
+			e.turns.begin(b.sends, now, b.rng.Float64())
 		}
 		e.fresh = false
 	}
--- a/balance/state.go
+++ b/balance/state.go
@@ -51,6 +51,8 @@
 	subscribed bool
 	tight      Time // until then lesser classes give way
 	refusals   int  // of discovery calls, in a row
+
+	capacity capacityMeter // of warm endpoints, as this sidecar sees it
 }
 
 // request is a request that is not over, or has attempts out.
@@ -110,7 +112,7 @@
 	word     Time    // when others last spoke ill of it; 0: they do not
 	warm     float64 // share of its capacity that it has
 	fresh    bool    // its process has started and has no turn yet
-	last     float64 // the balancer's count of sends at the last one to it
+	turns    turns   // while it is cold, towards its next request
 	abroad   int     // 1 in another zone, 0 in the sidecar's own
 	home     *group  // the first whose tags it carries; its peers there are alike
 	joins    []bool  // which groups' tags it carries
