--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -14,6 +14,8 @@
 	"net/http"
 	"sync/atomic"
 	"time"
+
+	"milletramp.example/milletramp/internal/netretry"
 )
 
 // Sidecar is what the console asks.
@@ -66,7 +68,7 @@
 
 // New returns a server for the calls that come to l.
 func New(l net.Listener, sidecar Sidecar, log *slog.Logger) *Server {
-	s := &Server{sidecar: sidecar, callers: newCallers(l, Connections)}
+	s := &Server{sidecar: sidecar, callers: newCallers(netretry.NewListener(l, log), Connections)}
 	mux := http.NewServeMux()
 	for _, c := range []struct {
 		path, method string
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -9,7 +9,9 @@
 	"log/slog"
 	"net"
 	"net/http"
+	"os"
 	"strings"
+	"syscall"
 	"testing"
 	"time"
 )
@@ -56,6 +58,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	return serve(t, l, f)
+}
+
+// serve starts a console at a listener.
+func serve(t *testing.T, l net.Listener, f *fake) string {
+	t.Helper()
 	s, done := New(l, f, slog.New(slog.DiscardHandler)), make(chan error, 1)
 	go func() { done <- s.Serve() }()
 	t.Cleanup(func() {
@@ -177,6 +185,35 @@
 	}
 }
 
+// failing is a listener whose Accept fails with each of the errors first.
+type failing struct {
+	net.Listener
+	errnos []syscall.Errno
+}
+
+// Accept implements net.Listener.
+func (l *failing) Accept() (net.Conn, error) {
+	if len(l.errnos) > 0 {
+		errno := l.errnos[0]
+		l.errnos = l.errnos[1:]
+		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", errno)}
+	}
+	return l.Listener.Accept()
+}
+
+// TestAcceptFails has accepting fail with errors at which net/http ends: the console goes on.
+func TestAcceptFails(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	address := serve(t, &failing{l, []syscall.Errno{syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENETDOWN,
+		syscall.EPROTO, syscall.EPERM, syscall.ECONNABORTED}}, &fake{})
+	if status, _, _ := say(t, address, call("GET", "/ops/readiness", "")); status != 200 {
+		t.Errorf("status %d", status)
+	}
+}
+
 // TestPassedOn tells calls of the staff from those that the other process of an upgrade passes on.
 func TestPassedOn(t *testing.T) {
 	f := &fake{out: map[string]bool{"s-1": false}}
--- /dev/null
+++ b/internal/netretry/netretry.go
@@ -0,0 +1,136 @@
+// Package netretry holds the one policy for system calls on sockets that fail for a reason of this machine: they are
+// tried again, with a short and bounded backoff. A shortage of descriptors, buffers or memory passes, and neither a
+// peer nor the process may be given up for it.
+package netretry
+
+import (
+	"context"
+	"errors"
+	"io"
+	"log/slog"
+	"net"
+	"syscall"
+	"time"
+)
+
+const (
+	firstBackoff   = time.Millisecond
+	longestBackoff = 50 * time.Millisecond
+	mostTries      = 8 // of a read or a write, over about 0.1 s
+	mostDials      = 5 // of a connection, over about 15 ms: another server may be asked instead
+)
+
+// backoff is how long to wait after the given number of failures in a row.
+func backoff(failures int) time.Duration {
+	return min(firstBackoff<<min(failures-1, 10), longestBackoff)
+}
+
+// machineErrors are the errors of socket, connect, read and write that say something of this machine only.
+var machineErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
+	syscall.EAGAIN, syscall.EINTR}
+
+// MachineError reports whether err is a failure of this machine, which tells nothing of the peer.
+func MachineError(err error) bool {
+	for _, machine := range machineErrors {
+		if errors.Is(err, machine) {
+			return true
+		}
+	}
+	return false
+}
+
+// Listener is a listener whose Accept ends only when it is closed.
+type Listener struct {
+	net.Listener
+	log *slog.Logger
+}
+
+// NewListener returns a Listener that accepts from l.
+func NewListener(l net.Listener, log *slog.Logger) *Listener { return &Listener{l, log} }
+
+// Accept implements net.Listener. Any error but net.ErrClosed is tried again: accept(2) reports shortages, errors of
+// the network, and those of a connection that ended before it was accepted, and none of them ends the listener. A run
+// of failures is logged once.
+func (l *Listener) Accept() (net.Conn, error) {
+	for failures := 1; ; failures++ {
+		c, err := l.Listener.Accept()
+		if err == nil || errors.Is(err, net.ErrClosed) {
+			return c, err
+		}
+		if failures == 1 {
+			l.log.Warn("accept failed and is tried again", "err", err)
+		}
+		time.Sleep(backoff(failures))
+	}
+}
+
+// Listen calls listen until it succeeds, ctx is done, or it fails for a reason that does not pass, as an address that
+// is in use or is not of this machine.
+func Listen[L net.Listener](ctx context.Context, listen func() (L, error)) (L, error) {
+	for failures := 1; ; failures++ {
+		l, err := listen()
+		if err == nil || !MachineError(err) || errors.Is(err, syscall.EADDRNOTAVAIL) {
+			return l, err
+		}
+		select {
+		case <-time.After(backoff(failures)):
+		case <-ctx.Done():
+			return l, err
+		}
+	}
+}
+
+// Dial calls dial, and tries a failure of this machine again for a bounded time, or until ctx is done.
+func Dial(ctx context.Context, dial func() (net.Conn, error)) (net.Conn, error) {
+	for failures := 1; ; failures++ {
+		c, err := dial()
+		if err == nil || failures == mostDials || !MachineError(err) {
+			return c, err
+		}
+		select {
+		case <-time.After(backoff(failures)):
+		case <-ctx.Done():
+			return nil, err
+		}
+	}
+}
+
+// Read reads from r as its Read does, and tries a failure of this machine again for a bounded time.
+func Read(r io.Reader, p []byte) (n int, err error) {
+	for failures := 1; ; failures++ {
+		n, err = r.Read(p)
+		if n > 0 || failures == mostTries || !MachineError(err) {
+			return n, err
+		}
+		time.Sleep(backoff(failures))
+	}
+}
+
+// Write writes all of p to w. What a short write or a failure of this machine left is written after it, for a bounded
+// time where nothing can be written.
+func Write(w io.Writer, p []byte) (written int, err error) {
+	for failures := 1; ; failures++ {
+		n, err := w.Write(p[written:])
+		if err == nil && written+n < len(p) {
+			err = io.ErrShortWrite
+		}
+		retry := MachineError(err) || errors.Is(err, io.ErrShortWrite)
+		if written += n; !retry || n == 0 && failures == mostTries {
+			return written, err
+		}
+		if n > 0 {
+			failures = 0 // it gets on
+			continue
+		}
+		time.Sleep(backoff(failures))
+	}
+}
+
+// Uninterrupted calls call again as long as a signal interrupted it.
+func Uninterrupted(call func() error) error {
+	for {
+		if err := call(); !errors.Is(err, syscall.EINTR) {
+			return err
+		}
+	}
+}
--- /dev/null
+++ b/internal/netretry/netretry_test.go
@@ -0,0 +1,190 @@
+//go:build go1.25
+
+package netretry
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"log/slog"
+	"net"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// acceptErrors are what accept(2) fails with, but for a listener that is closed.
+var acceptErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN,
+	syscall.EINTR, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.EHOSTDOWN, syscall.ENONET,
+	syscall.EPROTO, syscall.EPERM, syscall.ECONNABORTED, syscall.ENOPROTOOPT, syscall.EOPNOTSUPP}
+
+// failing fails with err as long as left says, and then as then says.
+type failing struct {
+	net.Listener
+	net.Conn
+	err   error
+	left  int
+	then  error
+	calls int
+}
+
+func (f *failing) call() error {
+	if f.calls++; f.left > 0 {
+		f.left--
+		return f.err
+	}
+	return f.then
+}
+
+// Accept implements net.Listener.
+func (f *failing) Accept() (net.Conn, error) {
+	if err := f.call(); err != nil {
+		return nil, err
+	}
+	return f, nil
+}
+
+// Read implements io.Reader.
+func (f *failing) Read(p []byte) (int, error) {
+	if err := f.call(); err != nil {
+		return 0, err
+	}
+	return len(p), nil
+}
+
+// Write implements io.Writer. It is short even where it does not fail.
+func (f *failing) Write(p []byte) (int, error) { return len(p) / 2, f.call() }
+
+// Close implements io.Closer.
+func (f *failing) Close() error { return nil }
+
+func TestAccept(t *testing.T) {
+	for _, errno := range acceptErrors {
+		t.Run(errno.Error(), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				log := &bytes.Buffer{}
+				f := &failing{err: &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", errno)}, left: 100}
+				l, begun := NewListener(f, slog.New(slog.NewTextHandler(log, nil))), time.Now()
+				if c, err := l.Accept(); c == nil || err != nil {
+					t.Fatalf("connection %v, error %v", c, err)
+				}
+				if took := time.Since(begun); took > 101*longestBackoff || took < 90*longestBackoff || f.calls != 101 {
+					t.Errorf("%d calls in %v", f.calls, took)
+				}
+				f.left = 1
+				begun = time.Now()
+				if _, err := l.Accept(); err != nil || time.Since(begun) != firstBackoff {
+					t.Errorf("error %v after one failure, and %v", err, time.Since(begun))
+				}
+				if lines := strings.Count(log.String(), "\n"); lines != 2 {
+					t.Errorf("%d lines for two runs of failures:\n%s", lines, log)
+				}
+				f.left, f.then = 2, &net.OpError{Op: "accept", Err: net.ErrClosed}
+				if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
+					t.Errorf("error %v of a listener that is closed", err)
+				}
+			})
+		})
+	}
+}
+
+// TestBounded has each other call fail a number of times, and tells how often it was made and how it ended.
+func TestBounded(t *testing.T) {
+	const forever = 1 << 20
+	listen := func(ctx context.Context, f *failing) error {
+		_, err := Listen(ctx, func() (*failing, error) { return f, f.call() })
+		return err
+	}
+	dial := func(ctx context.Context, f *failing) error {
+		_, err := Dial(ctx, func() (net.Conn, error) { return f, f.call() })
+		return err
+	}
+	read := func(_ context.Context, f *failing) error {
+		n, err := Read(f, make([]byte, 10))
+		if (n == 10) != (err == nil) {
+			t.Errorf("%d bytes read, error %v", n, err)
+		}
+		return err
+	}
+	write := func(_ context.Context, f *failing) error { // 500, 250, 125, 62 and so on: ten calls
+		n, err := Write(f, make([]byte, 1000))
+		if (n == 1000) != (err == nil) {
+			t.Errorf("%d bytes written, error %v", n, err)
+		}
+		return err
+	}
+	for _, tt := range []struct {
+		name   string
+		do     func(context.Context, *failing) error
+		err    syscall.Errno
+		fails  int
+		calls  int // 0: any number
+		within time.Duration
+		passes bool
+	}{
+		{"listen, no descriptor", listen, syscall.EMFILE, 20, 21, time.Second, true},
+		{"listen, no memory, for good", listen, syscall.ENOMEM, forever, 0, 4*time.Second + longestBackoff, false},
+		{"listen, in use", listen, syscall.EADDRINUSE, forever, 1, 0, false},
+		{"listen, no such address", listen, syscall.EADDRNOTAVAIL, forever, 1, 0, false},
+		{"listen, not allowed", listen, syscall.EACCES, forever, 1, 0, false},
+		{"dial, no port", dial, syscall.EADDRNOTAVAIL, 2, 3, 3 * time.Millisecond, true},
+		{"dial, no descriptor, for good", dial, syscall.ENFILE, forever, mostDials, 15 * time.Millisecond, false},
+		{"dial, refused", dial, syscall.ECONNREFUSED, forever, 1, 0, false},
+		{"dial, unreachable", dial, syscall.ENETUNREACH, forever, 1, 0, false},
+		{"read, no memory", read, syscall.ENOMEM, 3, 4, 7 * time.Millisecond, true},
+		{"read, no buffer, for good", read, syscall.ENOBUFS, forever, mostTries, 200 * time.Millisecond, false},
+		{"read, reset", read, syscall.ECONNRESET, forever, 1, 0, false},
+		{"read, no time left", read, syscall.ETIMEDOUT, forever, 1, 0, false},
+		{"write, short", write, 0, 0, 0, 500 * time.Millisecond, false}, // never the last byte
+		{"write, reset", write, syscall.EPIPE, forever, 1, 0, false},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				ctx, cancel := context.WithTimeout(t.Context(), 4*time.Second)
+				defer cancel()
+				f, begun := &failing{err: os.NewSyscallError("call", tt.err), left: tt.fails}, time.Now()
+				err := tt.do(ctx, f)
+				if (err == nil) != tt.passes || tt.calls > 0 && f.calls != tt.calls || time.Since(begun) > tt.within {
+					t.Errorf("%d calls, error %v after %v", f.calls, err, time.Since(begun))
+				}
+				if !tt.passes && !errors.Is(err, tt.err) && !errors.Is(err, io.ErrShortWrite) {
+					t.Errorf("error %v", err)
+				}
+			})
+		})
+	}
+}
+
+// TestWrite has writes be short and fail in turn: all bytes go out once, in their order.
+func TestWrite(t *testing.T) {
+	text, out, turn := bytes.Repeat([]byte("0123456789"), 30), &bytes.Buffer{}, 0
+	n, err := Write(writer(func(p []byte) (int, error) {
+		errs := []error{nil, syscall.ENOBUFS, syscall.EAGAIN}
+		turn++
+		n, _ := out.Write(p[:min(len(p), turn%4*7)])
+		if n == len(p) {
+			return n, nil
+		}
+		return n, errs[turn%3]
+	}), text)
+	if n != len(text) || err != nil || !bytes.Equal(out.Bytes(), text) {
+		t.Errorf("%d bytes of %d, error %v, wrote %q", n, len(text), err, out)
+	}
+}
+
+// writer is a function that writes.
+type writer func(p []byte) (int, error)
+
+// Write implements io.Writer.
+func (w writer) Write(p []byte) (int, error) { return w(p) }
+
+func TestUninterrupted(t *testing.T) {
+	f := &failing{err: os.NewSyscallError("poll", syscall.EINTR), left: 3, then: syscall.EBADF}
+	if err := Uninterrupted(f.call); err != syscall.EBADF || f.calls != 4 {
+		t.Errorf("error %v after %d calls", err, f.calls)
+	}
+}
--- a/internal/sidecar/conns.go
+++ b/internal/sidecar/conns.go
@@ -12,6 +12,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"milletramp.example/milletramp/internal/netretry"
 	"milletramp.example/milletramp/internal/stats"
 )
 
@@ -111,9 +112,9 @@
 	if c.bad != nil {
 		return 0, c.bad
 	}
-	n, err := c.Conn.Read(p)
+	n, err := netretry.Read(c.Conn, p)
 	for n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.owner.readOn(c) {
-		n, err = c.Conn.Read(p)
+		n, err = netretry.Read(c.Conn, p)
 	}
 	heads, partial := c.frames.heads, c.frames.partial()
 	if good, bad := c.frames.feed(p[:n]); bad != nil {
@@ -128,6 +129,9 @@
 	return n, err
 }
 
+// Write implements net.Conn. net/http ends the connection at the first error, and the answer would be lost.
+func (c *clientConn) Write(p []byte) (int, error) { return netretry.Write(c.Conn, p) }
+
 // Close implements net.Conn. Behind an answer it first ends the sending and reads on for a time: closing over bytes that nobody has read
 // resets the connection, and what of the answer is still on its way is lost with it. A connection that idles is closed at once: a
 // request that comes just then finds it reset, so that its client knows that it was not read.
@@ -156,9 +160,9 @@
 		if c.Conn.SetReadDeadline(time.Now().Add(lingerStep)) != nil {
 			return
 		}
-		_, err := c.Conn.Read(unread)
+		_, err := netretry.Read(c.Conn, unread)
 		for err == nil && time.Now().Before(end) {
-			_, err = c.Conn.Read(unread)
+			_, err = netretry.Read(c.Conn, unread)
 		}
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return
@@ -238,9 +242,34 @@
 		return false
 	}
 	n := 0
+	failed := raw.Control(func(fd uintptr) { n, err = peek(int(fd), unix.Recvfrom) })
+	return failed == nil && err == nil && n > 0
+}
+
+// recvfrom is unix.Recvfrom, or fails as a test says.
+type recvfrom func(fd int, p []byte, flags int) (int, unix.Sockaddr, error)
+
+// peek tells how many bytes wait at a socket, of which it looks for one. It neither waits nor takes them.
+func peek(fd int, receive recvfrom) (n int, err error) {
 	var first [1]byte
-	err = raw.Control(func(fd uintptr) { n, _, err = unix.Recvfrom(int(fd), first[:], unix.MSG_PEEK|unix.MSG_DONTWAIT) })
-	return err == nil && n > 0
+	err = netretry.Uninterrupted(func() error {
+		n, _, err = receive(fd, first[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		return err
+	})
+	return n, err
+}
+
+// polling is unix.Poll, or fails as a test says.
+type polling func(fds []unix.PollFd, timeout int) (int, error)
+
+// polled tells which of the events a file has now, or POLLHUP and POLLERR.
+func polled(fd int, events int16, poll polling) (int16, error) {
+	state := []unix.PollFd{{Fd: int32(fd), Events: events}}
+	err := netretry.Uninterrupted(func() error {
+		_, err := poll(state, 0)
+		return err
+	})
+	return state[0].Revents, err
 }
 
 // hungUp tells whether the client has ended its sending, also where bytes that came before that are not read yet.
@@ -253,12 +282,9 @@
 	if err != nil {
 		return false
 	}
-	state := []unix.PollFd{{Events: unix.POLLRDHUP}}
-	err = raw.Control(func(fd uintptr) {
-		state[0].Fd = int32(fd)
-		_, err = unix.Poll(state, 0)
-	})
-	return err == nil && state[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+	var state int16
+	failed := raw.Control(func(fd uintptr) { state, err = polled(int(fd), unix.POLLRDHUP, unix.Poll) })
+	return failed == nil && err == nil && state&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
 // retire has c's reader end it, if it has nothing to read. The lock is held.
--- a/internal/sidecar/family_test.go
+++ b/internal/sidecar/family_test.go
@@ -29,7 +29,7 @@
 	started, ended := make(chan *ops, 1), make(chan error, 1)
 	go func() {
 		ended <- run(stop, nil, c, slog.New(slog.DiscardHandler), nil, drainTimes{quiet: time.Millisecond},
-			func(o *ops) { started <- o })
+			hooks{started: func(o *ops) { started <- o }})
 	}()
 	w := within(t, d.watches, "watch")
 	select {
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -212,6 +212,7 @@
 	slog.Handler
 	address chan string
 	overdue *atomic.Int32
+	ejected *atomic.Int32
 }
 
 // Enabled implements slog.Handler.
@@ -222,6 +223,9 @@
 	if r.Message == "request overdue" {
 		l.overdue.Add(1)
 	}
+	if strings.HasPrefix(r.Message, "ejected ") {
+		l.ejected.Add(1)
+	}
 	r.Attrs(func(a slog.Attr) bool {
 		if a.Key == "address" {
 			l.address <- a.Value.String()
@@ -243,6 +247,7 @@
 	client  *http.Client
 	ids     atomic.Int64
 	overdue atomic.Int32 // answers without a decision: the machine stood still about their deadlines
+	ejected atomic.Int32 // servers
 }
 
 func start(t *testing.T, config string) *program {
@@ -257,6 +262,12 @@
 
 // startIn starts a sidecar with a part in a fleet; nil: with none.
 func startIn(t *testing.T, config string, times drainTimes, join Join) *program {
+	t.Helper()
+	return startWith(t, config, times, join, hooks{})
+}
+
+// startWith starts a sidecar with hooks of its test.
+func startWith(t *testing.T, config string, times drainTimes, join Join, with hooks) *program {
 	t.Helper()
 	c, err := load(t, config)
 	if err != nil {
@@ -265,12 +276,13 @@
 	times.deadline = cmp.Or(times.deadline, patience) // no verdict hangs on how soon a request in hand has to be given up
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &program{t: t, stop: cancel, file: c.Getenv("PROXY_CONFIG"), hup: make(chan os.Signal, 1), ended: make(chan error, 1), client: &http.Client{Transport: &http.Transport{}}}
-	log := addressLog{slog.DiscardHandler, make(chan string, 1), &p.overdue}
+	with.started = func(o *ops) { p.staff = o }
+	log := addressLog{slog.DiscardHandler, make(chan string, 1), &p.overdue, &p.ejected}
 	var over sync.WaitGroup
 	over.Add(1)
 	go func() {
 		defer over.Done()
-		p.ended <- run(ctx, p.hup, c, slog.New(log), join, times, func(o *ops) { p.staff = o })
+		p.ended <- run(ctx, p.hup, c, slog.New(log), join, times, with)
 	}()
 	t.Cleanup(func() {
 		p.client.CloseIdleConnections()
--- a/internal/sidecar/listen.go
+++ b/internal/sidecar/listen.go
@@ -11,8 +11,46 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"milletramp.example/milletramp/internal/netretry"
 )
 
+// listenWithin bounds how long listening is tried where this machine is short of something. A process has to be ready
+// within 10 s, and listens at two addresses.
+const listenWithin = 4 * time.Second
+
+// hooks let a test see and replace what a process does with the system; zero: nothing is.
+type hooks struct {
+	started func(*ops) // gets what the console asks, once the process listens
+	listen  func(open openFunc) (*net.TCPListener, error)
+	accept  func(*net.TCPListener) (net.Conn, error)
+	dial    dialFunc // to servers
+}
+
+// openFunc opens a listener.
+type openFunc func() (*net.TCPListener, error)
+
+// listening has open tried for listenWithin, or until stop is done.
+func (h *hooks) listening(stop context.Context, open openFunc) (*net.TCPListener, error) {
+	within, cancel := context.WithTimeout(stop, listenWithin)
+	defer cancel()
+	return netretry.Listen(within, func() (*net.TCPListener, error) {
+		if h.listen != nil {
+			return h.listen(open)
+		}
+		return open()
+	})
+}
+
+// listenPlainly listens at an address that one process has at a time.
+func listenPlainly(address string) (*net.TCPListener, error) {
+	l, err := net.Listen("tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	return l.(*net.TCPListener), nil
+}
+
 // listenShared listens at an address that the sidecar's next process can listen at too.
 func listenShared(address string, log *slog.Logger) (*net.TCPListener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
@@ -72,9 +110,11 @@
 // drainListener goes on accepting for some time after it is told to stop.
 type drainListener struct {
 	*net.TCPListener
+	accept func(*net.TCPListener) (net.Conn, error) // nil: its Accept
 	quiet  time.Duration
 	rounds int  // of looking for connections left waiting; 0: not yet
 	taken  bool // one in this round
+	failed bool // to take one in this round
 }
 
 // waiting tells whether a connection waits to be accepted. The accepting looks no more once its time is over, and
@@ -84,35 +124,46 @@
 	if err != nil {
 		return false
 	}
-	n := 0
-	err = raw.Control(func(fd uintptr) {
-		n, err = unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 0)
-	})
-	return err == nil && n > 0
+	var state int16
+	failed := raw.Control(func(fd uintptr) { state, err = polled(int(fd), unix.POLLIN, unix.Poll) })
+	return failed == nil && err == nil && state != 0
 }
 
 // mostRounds bounds how long connections that keep coming hold the end up.
 const mostRounds = 8
 
+// mostFailed bounds how many rounds are made while connections wait and accepting them fails. Closing resets those
+// connections, of which nothing was read.
+const mostFailed = 20
+
 // drain has Accept go on for some time, and end once no connection is left waiting.
 func (l *drainListener) drain(atLeast time.Duration) error {
 	return l.SetDeadline(time.Now().Add(atLeast))
 }
 
+func (l *drainListener) take() (net.Conn, error) {
+	if l.accept != nil {
+		return l.accept(l.TCPListener)
+	}
+	return l.TCPListener.Accept()
+}
+
 // Accept implements net.Listener. A deadline can pass with connections waiting, and closing the listener
-// resets them, so the end comes only after a round in which none was found.
+// resets them, so the end comes only after a round in which none was found. Other errors are
+// those of the system call, after which netretry.Listener calls again.
 func (l *drainListener) Accept() (net.Conn, error) {
 	for {
-		c, err := l.TCPListener.Accept()
+		c, err := l.take()
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
-			l.taken = true
+			l.taken, l.failed = l.taken || err == nil, l.failed || err != nil
 			return c, err
 		}
-		if (l.rounds > 0 && !l.taken || l.rounds >= mostRounds) && !l.waiting() {
+		futile := l.failed && !l.taken && l.rounds >= mostFailed
+		if futile || (l.rounds > 0 && !l.taken || l.rounds >= mostRounds) && !l.waiting() {
 			// Each moment until it is closed, more may come to wait.
 			return nil, errors.Join(net.ErrClosed, l.Close())
 		}
-		l.rounds, l.taken = l.rounds+1, false
+		l.rounds, l.taken, l.failed = l.rounds+1, false, false
 		if err := l.SetDeadline(time.Now().Add(l.quiet)); err != nil {
 			return nil, err
 		}
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -13,6 +13,10 @@
 	"sync/atomic"
 	"syscall"
 	"time"
+
+	"golang.org/x/sys/unix"
+
+	"milletramp.example/milletramp/internal/netretry"
 )
 
 // errNoSocket says that the descriptors do not allow one more connection.
@@ -120,11 +124,11 @@
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: time.Duration(p.connectWithin.Load()), KeepAlive: -1}).DialContext
 	}
-	inner, err := dial(ctx, "tcp", to.address)
+	inner, err := netretry.Dial(ctx, func() (net.Conn, error) { return dial(ctx, "tcp", to.address) })
 	if err != nil {
 		return nil, err
 	}
-	raw, err := inner.(*net.TCPConn).SyscallConn()
+	raw, err := inner.(syscall.Conn).SyscallConn()
 	if err != nil {
 		_ = inner.Close()
 		return nil, fmt.Errorf("connection: %w", err)
@@ -143,9 +147,12 @@
 			return 0, err
 		}
 	}
-	return c.Conn.Read(p)
+	return netretry.Read(c.Conn, p)
 }
 
+// Write implements net.Conn.
+func (c *serverConn) Write(p []byte) (int, error) { return netretry.Write(c.Conn, p) }
+
 func (c *serverConn) setPause() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -254,8 +261,7 @@
 	}
 	silent := false
 	err := c.raw.Read(func(fd uintptr) bool {
-		var b [1]byte
-		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		_, err := peek(int(fd), unix.Recvfrom)
 		silent = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -34,11 +34,12 @@
 func Run(stop context.Context, reload <-chan os.Signal, c *Config, log *slog.Logger, join Join) error {
 	return run(stop, reload, c, log, join, drainTimes{accept: 450 * time.Millisecond, quiet: 25 * time.Millisecond,
 		closeIdle: 300 * time.Millisecond, unused: 300 * time.Millisecond, listen: time.Second,
-		idle: idleWithin + 200*time.Millisecond, deadline: killDeadline}, func(*ops) {})
+		idle: idleWithin + 200*time.Millisecond, deadline: killDeadline}, hooks{started: func(*ops) {}})
 }
 
-// run hands what the staff asks to started once it listens.
-func run(stop context.Context, reload <-chan os.Signal, c *Config, log *slog.Logger, join Join, times drainTimes, started func(*ops)) error {
+// run is Run with the times and hooks of a test.
+func run(stop context.Context, reload <-chan os.Signal, c *Config, log *slog.Logger, join Join, times drainTimes,
+	with hooks) error {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Cores))))
 	debug.SetMemoryLimit(int64(float64(c.MemoryMB<<20) * memoryShare))
 
@@ -48,6 +49,7 @@
 	if err != nil {
 		return err
 	}
+	h.upstream.pool.dial = with.dial
 	var loop sync.WaitGroup
 	loop.Add(2)
 	go func() {
@@ -71,8 +73,9 @@
 	// Other processes may call the console as soon as they see this one, so it listens first.
 	var calls net.Listener
 	if c.Console != "" {
-		if calls, err = net.Listen("tcp", c.Console); err != nil {
-			return fmt.Errorf("console: %w", err)
+		calls, err = with.listening(stop, func() (*net.TCPListener, error) { return listenPlainly(c.Console) })
+		if err != nil {
+			return endedBefore(stop, fmt.Errorf("console: %w", err))
 		}
 		defer calls.Close()
 	}
@@ -104,12 +107,12 @@
 			return nil
 		}
 	}
-	inner, err := listenShared(c.Listen, log)
+	inner, err := with.listening(stop, func() (*net.TCPListener, error) { return listenShared(c.Listen, log) })
 	if err != nil {
-		return err
+		return endedBefore(stop, err)
 	}
 	defer inner.Close()
-	l := &drainListener{TCPListener: inner, quiet: times.quiet}
+	l := &drainListener{TCPListener: inner, accept: with.accept, quiet: times.quiet}
 	if err := l.takeTurns(); err != nil {
 		log.Debug("the kernel chooses among the processes of this address", "err", err)
 	}
@@ -131,7 +134,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- web.Serve(s.conns) }()
 	staff.server.Store(s)
-	started(staff)
+	with.started(staff)
 	log.Info("serving", "name", c.Name, "address", inner.Addr().String())
 	for waiting := h.ready; ; {
 		select {
@@ -189,6 +192,14 @@
 	return nil
 }
 
+// endedBefore returns err, with which the start failed, or nil where the process was told to stop meanwhile.
+func endedBefore(stop context.Context, err error) error {
+	if stop.Err() != nil {
+		return nil
+	}
+	return err
+}
+
 // startConsole answers the calls that come to l, and returns what ends it.
 func startConsole(l net.Listener, staff *ops, log *slog.Logger) (stop func()) {
 	calls := console.New(l, staff, log)
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/netretry"
 )
 
 const (
@@ -49,7 +50,8 @@
 	if c.Limits.MostHeld > 0 {
 		b.requests = min(b.requests, c.Limits.MostHeld)
 	}
-	return &server{host: h, config: c, ids: newIDs(b.requests), conns: newClientConns(l, b.clients, b.usual, &h.figures.Unserved),
+	conns := newClientConns(netretry.NewListener(l, h.log), b.clients, b.usual, &h.figures.Unserved)
+	return &server{host: h, config: c, ids: newIDs(b.requests), conns: conns,
 		room: &room{most: c.MemoryMB << 20 / bodyShare / mostBody}}
 }
 
--- /dev/null
+++ b/internal/sidecar/syscalls_test.go
@@ -0,0 +1,469 @@
+package sidecar
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"slices"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+	"pgregory.net/rapid"
+
+	"milletramp.example/milletramp/balance"
+)
+
+// failure is a system call that fails, or is short.
+type failure struct {
+	errno syscall.Errno // 0: none
+	most  int           // bytes that it reads or writes; 0 without an errno: all
+}
+
+// failures has the calls of a program fail, each kind as planned and then no more.
+type failures struct {
+	mu   sync.Mutex
+	plan map[string][]failure // by kind of call
+}
+
+func (f *failures) set(call string, plan ...failure) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.plan == nil {
+		f.plan = map[string][]failure{}
+	}
+	f.plan[call] = plan
+}
+
+// next is how the next call of a kind goes.
+func (f *failures) next(call string) (most int, err error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	plan := f.plan[call]
+	if len(plan) == 0 {
+		return 0, nil
+	}
+	f.plan[call] = plan[1:]
+	if plan[0].errno != 0 {
+		err = &net.OpError{Op: call, Err: os.NewSyscallError(call, plan[0].errno)}
+	}
+	return plan[0].most, err
+}
+
+// hooks has a program's calls fail as f says.
+func (f *failures) hooks() hooks {
+	return hooks{
+		listen: func(open openFunc) (*net.TCPListener, error) {
+			if _, err := f.next("listen"); err != nil {
+				return nil, err
+			}
+			return open()
+		},
+		accept: func(l *net.TCPListener) (net.Conn, error) {
+			if _, err := f.next("accept"); err != nil {
+				return nil, err
+			}
+			c, err := l.AcceptTCP()
+			if err != nil {
+				return nil, err
+			}
+			return &failingConn{c, f, "client "}, nil
+		},
+		dial: f.dial,
+	}
+}
+
+// dial connects to a server.
+func (f *failures) dial(ctx context.Context, network, address string) (net.Conn, error) {
+	if _, err := f.next("connect"); err != nil {
+		return nil, err
+	}
+	c, err := (&net.Dialer{}).DialContext(ctx, network, address)
+	if err != nil {
+		return nil, err
+	}
+	return &failingConn{c.(*net.TCPConn), f, "server "}, nil
+}
+
+// failingConn is a connection whose calls fail as planned for its side.
+type failingConn struct {
+	*net.TCPConn
+	plan *failures
+	side string
+}
+
+// Read implements net.Conn.
+func (c *failingConn) Read(p []byte) (int, error) {
+	most, err := c.plan.next(c.side + "read")
+	if err != nil {
+		return 0, err
+	}
+	if most > 0 {
+		p = p[:min(most, len(p))]
+	}
+	return c.TCPConn.Read(p)
+}
+
+// Write implements net.Conn.
+func (c *failingConn) Write(p []byte) (int, error) {
+	most, err := c.plan.next(c.side + "write")
+	if most > 0 || err != nil {
+		p = p[:min(most, len(p))]
+	}
+	n, failed := c.TCPConn.Write(p)
+	return n, errors.Join(err, failed)
+}
+
+// machineErrnos are the failures that tell nothing of a server, and acceptErrnos those of accept(2).
+var (
+	machineErrnos = []syscall.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL,
+		unix.EAGAIN, unix.EINTR}
+	acceptErrnos = []syscall.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENETUNREACH, unix.ENETDOWN,
+		unix.EHOSTUNREACH, unix.EPROTO, unix.EPERM, unix.ECONNABORTED}
+	streamErrnos = []syscall.Errno{unix.ENOBUFS, unix.ENOMEM, unix.EAGAIN, unix.EINTR}
+)
+
+// TestAcceptFails has accepting fail in service and while draining, with each error: who waits is answered.
+func TestAcceptFails(t *testing.T) {
+	for _, errno := range acceptErrnos {
+		t.Run(errno.Error(), func(t *testing.T) {
+			f, d, b := &failures{}, startRegistry(t), startBackend(t, say(200, "", "ok"))
+			once := failure{errno: errno}
+			f.set("accept", once, once)
+			p := startWith(t, configText(d.address, serving(1, b), testSettings),
+				drainTimes{quiet: time.Millisecond, unused: patience}, nil, f.hooks())
+			if g := p.ask("read"); g.status != 200 {
+				t.Errorf("answer %+v in service", g)
+			}
+			p.client.CloseIdleConnections()
+			f.set("accept", slices.Repeat([]failure{once}, 1000)...)
+			answers := make(chan error, 2)
+			for i := range 2 { // the call that is out takes the first
+				c := p.dial()
+				go func() { answers <- oneAnswer(c, fmt.Sprint("waits-", i), "read") }()
+			}
+			p.stop()
+			for end := time.Now().Add(patience); !p.staff.server.Load().draining.Load(); time.Sleep(time.Millisecond) {
+				if time.Now().After(end) {
+					t.Fatal("it does not drain")
+				}
+			}
+			f.set("accept", once, once)
+			for range 2 {
+				if err := within(t, answers, "answer"); err != nil {
+					t.Errorf("while draining: %v", err)
+				}
+			}
+			if err := within(t, p.ended, "end"); err != nil {
+				t.Errorf("it ended with %v", err)
+			}
+		})
+	}
+}
+
+// TestDrainEnds has accepting fail for good while a connection waits: the end comes after some rounds.
+func TestDrainEnds(t *testing.T) {
+	inner, calls := listen(t).(*net.TCPListener), 0
+	c, err := net.Dial("tcp", inner.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	l := &drainListener{TCPListener: inner, quiet: time.Nanosecond, accept: func(*net.TCPListener) (net.Conn, error) {
+		if calls++; calls%3 == 0 {
+			return nil, os.ErrDeadlineExceeded
+		}
+		return nil, os.NewSyscallError("accept4", unix.EMFILE)
+	}}
+	for calls < 10*mostFailed && !errors.Is(err, net.ErrClosed) {
+		_, err = l.Accept()
+	}
+	if !errors.Is(err, net.ErrClosed) || calls < 3*mostFailed {
+		t.Errorf("error %v after %d calls", err, calls)
+	}
+}
+
+// TestListenFails has listening fail at the start.
+func TestListenFails(t *testing.T) {
+	for _, tt := range []struct {
+		name   string
+		errno  syscall.Errno
+		times  int
+		starts bool
+	}{
+		{"no descriptor", unix.EMFILE, 5, true},
+		{"no memory", unix.ENOMEM, 5, true},
+		{"no buffer", unix.ENOBUFS, 5, true},
+		{"in use", unix.EADDRINUSE, 1, false},
+		{"not of this machine", unix.EADDRNOTAVAIL, 1, false},
+		{"not allowed", unix.EACCES, 1, false},
+	} {
+		for _, at := range []string{"console", "clients"} {
+			t.Run(at+", "+tt.name, func(t *testing.T) {
+				f, d, b := &failures{}, startRegistry(t), startBackend(t, say(200, "", "ok"))
+				text := configText(d.address, serving(1, b), testSettings)
+				if at == "console" {
+					text = strings.Replace(text, `"new":1`, `"new":1,"console":"127.0.0.1:0"`, 1)
+				}
+				f.set("listen", slices.Repeat([]failure{{errno: tt.errno}}, tt.times)...)
+				if tt.starts {
+					if g := startWith(t, text, drainTimes{quiet: time.Millisecond}, nil, f.hooks()).ask("read"); g.status != 200 {
+						t.Errorf("answer %+v", g)
+					}
+					return
+				}
+				c, err := load(t, text)
+				if err != nil {
+					t.Fatal(err)
+				}
+				with := f.hooks()
+				with.started = func(*ops) { t.Error("it serves") }
+				err = run(context.Background(), nil, c, slog.New(slog.DiscardHandler), nil, drainTimes{}, with)
+				if !errors.Is(err, tt.errno) {
+					t.Errorf("error %v", err)
+				}
+			})
+		}
+	}
+}
+
+// TestConnectFails has an attempt fail with each error: what it tells of the server, and whether idle connections are
+// kept.
+func TestConnectFails(t *testing.T) {
+	of := func(call string, want balance.Outcome, keeps bool, errnos ...syscall.Errno) (tests []connectTest) {
+		for _, errno := range errnos {
+			tests = append(tests, connectTest{call, errno, want, keeps})
+		}
+		return tests
+	}
+	tests := of("connect", balance.NotSent, true, machineErrnos...)
+	tests = append(tests, of("connect", balance.ConnectFailed, false, unix.ENETUNREACH, unix.EHOSTUNREACH,
+		unix.ETIMEDOUT, unix.ECONNREFUSED)...)
+	tests = append(tests, of("server write", balance.NotSent, true, streamErrnos...)...)
+	tests = append(tests, of("server read", balance.Cancelled, true, streamErrnos...)...)
+	tests = append(tests, of("server read", balance.Reset, false, unix.ECONNRESET, unix.ETIMEDOUT)...)
+	for _, tt := range tests {
+		t.Run(tt.call+", "+tt.errno.Error(), func(t *testing.T) {
+			f, b := &failures{}, startBackend(t, say(200, "", "ok"))
+			u := to(t, b)
+			u.pool.dial = f.dial
+			ask := func() balance.Outcome {
+				return u.attempt(context.Background(), sending{server: "s-0", message: post(""), begins: whole}).outcome
+			}
+			idle, err := u.pool.take(context.Background(), u.targets["s-0"])
+			if err != nil {
+				t.Fatal(err)
+			}
+			once := failure{errno: tt.errno}
+			if f.set(tt.call, once); tt.keeps {
+				if got := ask(); got != balance.Served {
+					t.Errorf("outcome %d after one failure, want that it was tried again", got)
+				}
+				u.pool.empty(u.targets["s-0"], false)
+			}
+			f.set(tt.call, slices.Repeat([]failure{once}, 10)...)
+			u.pool.settles = patience // the idle connection is not taken for the attempt
+			u.pool.put(idle, true)
+			if got := ask(); got != tt.want {
+				t.Errorf("outcome %d, want %d", got, tt.want)
+			}
+			if kept := len(u.targets["s-0"].idle) == 1; kept != tt.keeps {
+				t.Errorf("the idle connection is kept: %v", kept)
+			}
+		})
+	}
+}
+
+type connectTest struct {
+	call  string
+	errno syscall.Errno
+	want  balance.Outcome
+	keeps bool
+}
+
+// TestNobodyIsEjected has no connection come up for a lack of descriptors, many times: no server is ejected for that, and
+// all are used once it has passed.
+func TestNobodyIsEjected(t *testing.T) {
+	var backends []*backend
+	for range 4 {
+		backends = append(backends, startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+			say(200, "Connection: close\r\n", "ok")(c, r, body)
+			return false // each request needs a connection of its own
+		}))
+	}
+	f := &failures{}
+	p := startWith(t, configText(startRegistry(t).address, serving(1, backends...), testSettings),
+		drainTimes{quiet: time.Millisecond}, nil, f.hooks())
+	ask := func(want int) {
+		t.Helper()
+		var clients sync.WaitGroup
+		for range 8 {
+			clients.Add(1)
+			go func() {
+				defer clients.Done()
+				for range 10 {
+					if g := p.do(p.request(context.Background(), "read", "50000")); g.status != want {
+						t.Errorf("answer %+v, want %d", g, want)
+					}
+				}
+			}()
+		}
+		clients.Wait()
+	}
+	ask(200)
+	f.set("connect", slices.Repeat([]failure{{errno: unix.EMFILE}}, 1<<15)...)
+	ask(503)
+	f.set("connect")
+	ask(200)
+	if n := p.ejected.Load(); n != 0 {
+		t.Errorf("%d servers ejected", n)
+	}
+}
+
+// TestInterruptedLooks has signals interrupt the calls that look at a socket.
+func TestInterruptedLooks(t *testing.T) {
+	interrupted := 0
+	interrupts := func() error {
+		if interrupted++; interrupted%3 != 0 {
+			return unix.EINTR
+		}
+		return nil
+	}
+	n, err := peek(0, func(int, []byte, int) (int, unix.Sockaddr, error) { return 1, nil, interrupts() })
+	if n != 1 || err != nil {
+		t.Errorf("peek: %d, error %v", n, err)
+	}
+	state, err := polled(0, unix.POLLRDHUP, func(fds []unix.PollFd, _ int) (int, error) {
+		fds[0].Revents = 0
+		if err := interrupts(); err != nil {
+			return -1, err
+		}
+		fds[0].Revents = unix.POLLRDHUP
+		return 1, nil
+	})
+	if state != unix.POLLRDHUP || err != nil || interrupted != 6 {
+		t.Errorf("polled: %d, error %v after %d calls", state, err, interrupted)
+	}
+}
+
+// drawFailures draws up to most failures of a kind of call.
+func drawFailures(t *rapid.T, call string, most int, errnos []syscall.Errno) []failure {
+	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) failure {
+		f := failure{most: rapid.IntRange(0, 40).Draw(t, "bytes")}
+		if rapid.Bool().Draw(t, "fails") {
+			f.errno = rapid.SampledFrom(errnos).Draw(t, "errno")
+		}
+		return f
+	}), 0, most).Draw(t, call)
+}
+
+// TestFailuresBreakNoRule draws failures of this machine at the start, in service and while draining. Each request that
+// was read gets one final answer, none that may run once only runs twice, nobody is ejected, and the process ends when
+// it is told to and not before.
+func TestFailuresBreakNoRule(t *testing.T) {
+	d := startRegistry(t)
+	var mu sync.Mutex
+	ran := map[string]int{}
+	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+		mu.Lock()
+		ran[r.Header.Get("X-Request-ID")]++
+		mu.Unlock()
+		return say(200, "", strings.Repeat("ok", 100))(c, r, body)
+	})
+	go func() {
+		for range b.came {
+		}
+	}()
+	config, asked := configText(d.address, serving(1, b, b), testSettings), 0
+	rapid.Check(t, func(rt *rapid.T) {
+		f := &failures{}
+		draw := func() { // at listeners and clients fewer in a row than it tries again
+			f.set("accept", drawFailures(rt, "accept", 5, acceptErrnos)...)
+			f.set("connect", drawFailures(rt, "connect", 20, machineErrnos)...)
+			f.set("server read", drawFailures(rt, "server read", 12, streamErrnos)...)
+			f.set("server write", drawFailures(rt, "server write", 12, streamErrnos)...)
+			f.set("client read", drawFailures(rt, "client read", 6, streamErrnos)...)
+			f.set("client write", drawFailures(rt, "client write", 6, streamErrnos)...)
+		}
+		f.set("listen", drawFailures(rt, "listen", 5, []syscall.Errno{unix.EMFILE, unix.ENOBUFS, unix.ENOMEM})...)
+		p := startWith(t, config, drainTimes{quiet: time.Millisecond, unused: patience}, nil, f.hooks())
+		ask := func(classes []string, between func()) {
+			var clients sync.WaitGroup
+			var conns []net.Conn
+			for range classes {
+				conns = append(conns, p.dial())
+			}
+			between()
+			for i, class := range classes {
+				asked++
+				id, c := fmt.Sprintf("drawn-%d", asked), conns[i]
+				clients.Add(1)
+				go func() {
+					defer clients.Done()
+					if err := oneAnswer(c, id, class); err != nil {
+						rt.Errorf("%s, %s: %v", id, class, err)
+					}
+					mu.Lock()
+					defer mu.Unlock()
+					if n := ran[id]; n > 1 && class == "pay" {
+						rt.Errorf("%s ran %d times", id, n)
+					}
+				}()
+			}
+			clients.Wait()
+		}
+		classes := rapid.SliceOfN(rapid.SampledFrom([]string{"read", "book", "pay"}), 1, 4)
+		draw()
+		ask(classes.Draw(rt, "in service"), func() {})
+		draining := classes.Draw(rt, "draining")
+		draw()
+		ask(draining, p.stop)
+		if err := within(t, p.ended, "end"); err != nil {
+			rt.Errorf("it ended with %v", err)
+		}
+		if n := p.ejected.Load(); n > 0 {
+			rt.Errorf("%d servers ejected", n)
+		}
+	})
+}
+
+// oneAnswer asks for a class on a connection, and tells what is wrong with what comes back.
+func oneAnswer(c net.Conn, id, class string) error {
+	defer c.Close()
+	text := head("GET", id, class) + "Connection: close\r\n\r\n"
+	switch class {
+	case "book":
+		text = head("POST", id, class) + "Idempotency-Key: " + id + "\r\nContent-Length: 4\r\nConnection: close\r\n\r\nskip"
+	case "pay":
+		text = head("POST", id, class) + "Content-Length: 4\r\nConnection: close\r\n\r\nskip"
+	}
+	if _, err := io.WriteString(c, text); err != nil {
+		return err
+	}
+	in := bufio.NewReader(c)
+	resp, err := http.ReadResponse(in, nil)
+	if err != nil {
+		return err
+	}
+	body, err := io.ReadAll(resp.Body)
+	if err != nil {
+		return err
+	}
+	mayFail := class != "read" && resp.StatusCode == http.StatusBadGateway
+	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusServiceUnavailable && !mayFail {
+		return fmt.Errorf("status %d, %q", resp.StatusCode, body)
+	}
+	if n, err := in.Read(make([]byte, 1)); n != 0 || err != io.EOF {
+		return fmt.Errorf("%d bytes, error %v behind the answer", n, err)
+	}
+	return nil
+}
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/netretry"
 	"milletramp.example/milletramp/internal/wire"
 )
 
@@ -262,7 +263,9 @@
 	switch {
 	case errors.Is(err, errNoSocket) || errors.Is(err, errNotDue) || errors.Is(cause, context.Canceled) && !ran:
 		return reply{outcome: balance.NotSent}
-	case errors.Is(cause, context.Canceled):
+	case netretry.MachineError(err) && !ran: // it tells nothing of the server
+		return reply{outcome: balance.NotSent}
+	case errors.Is(cause, context.Canceled) || netretry.MachineError(err):
 		return reply{outcome: balance.Cancelled}
 	case errors.Is(err, errSpoilt):
 		return reply{outcome: balance.Errored}
