--- a/internal/netretry/netretry.go
+++ b/internal/netretry/netretry.go
@@ -64,18 +64,18 @@
 	}
 }
 
-// Listen calls listen until it succeeds, ctx is done, or it fails for a reason that does not pass, as an address that
-// is in use or is not of this machine.
-func Listen[L net.Listener](ctx context.Context, listen func() (L, error)) (L, error) {
+// Open calls open, which opens a listener or a file, until it succeeds, ctx is done, or it fails for a reason that does
+// not pass, as an address that is in use or is not of this machine.
+func Open[T any](ctx context.Context, open func() (T, error)) (T, error) {
 	for failures := 1; ; failures++ {
-		l, err := listen()
+		opened, err := open()
 		if err == nil || !MachineError(err) || errors.Is(err, syscall.EADDRNOTAVAIL) {
-			return l, err
+			return opened, err
 		}
 		select {
 		case <-time.After(backoff(failures)):
 		case <-ctx.Done():
-			return l, err
+			return opened, err
 		}
 	}
 }
--- a/internal/netretry/netretry_test.go
+++ b/internal/netretry/netretry_test.go
@@ -96,7 +96,7 @@
 func TestBounded(t *testing.T) {
 	const forever = 1 << 20
 	listen := func(ctx context.Context, f *failing) error {
-		_, err := Listen(ctx, func() (*failing, error) { return f, f.call() })
+		_, err := Open(ctx, func() (*failing, error) { return f, f.call() })
 		return err
 	}
 	dial := func(ctx context.Context, f *failing) error {
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -4,6 +4,7 @@
 
 import (
 	"cmp"
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -13,6 +14,7 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/netretry"
 	"milletramp.example/milletramp/internal/wire"
 )
 
@@ -84,7 +86,7 @@
 	if path == "" {
 		return nil, errors.New("PROXY_CONFIG is not set")
 	}
-	text, err := os.ReadFile(path)
+	text, err := readFile(path, os.ReadFile)
 	if err != nil {
 		return nil, fmt.Errorf("PROXY_CONFIG: %w", err)
 	}
@@ -104,6 +106,17 @@
 	return c, nil
 }
 
+// readWithin bounds how long reading the configuration is tried where this machine is short of something. A new one has
+// to be in use 4 s after the signal.
+const readWithin = 3 * time.Second
+
+// readFile reads a file by read. The signal to reload comes once, so that a shortage of descriptors must not undo it.
+func readFile(path string, read func(string) ([]byte, error)) ([]byte, error) {
+	within, cancel := context.WithTimeout(context.Background(), readWithin)
+	defer cancel()
+	return netretry.Open(within, func() ([]byte, error) { return read(path) })
+}
+
 func (file *configFile) config(getenv func(string) string) (*Config, error) {
 	c := &Config{
 		Name:      cmp.Or(getenv("PROXY_NAME"), file.Name),
--- a/internal/sidecar/listen.go
+++ b/internal/sidecar/listen.go
@@ -34,7 +34,7 @@
 func (h *hooks) listening(stop context.Context, open openFunc) (*net.TCPListener, error) {
 	within, cancel := context.WithTimeout(stop, listenWithin)
 	defer cancel()
-	return netretry.Listen(within, func() (*net.TCPListener, error) {
+	return netretry.Open(within, func() (*net.TCPListener, error) {
 		if h.listen != nil {
 			return h.listen(open)
 		}
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -236,6 +236,32 @@
 	}
 }
 
+// TestReadFileFails has the configuration's file not be opened at first, or at all.
+func TestReadFileFails(t *testing.T) {
+	for _, tt := range []struct {
+		errno syscall.Errno
+		fails int
+		reads bool
+		calls int
+	}{
+		{unix.EMFILE, 5, true, 6},
+		{unix.ENOMEM, 1, true, 2},
+		{unix.ENOENT, 1, false, 1},
+		{unix.EACCES, 1, false, 1},
+	} {
+		calls := 0
+		text, err := readFile("config.json", func(path string) ([]byte, error) {
+			if calls++; calls <= tt.fails {
+				return nil, &os.PathError{Op: "open", Path: path, Err: tt.errno}
+			}
+			return []byte("text"), nil
+		})
+		if (string(text) == "text" && err == nil) != tt.reads || calls != tt.calls || !tt.reads && !errors.Is(err, tt.errno) {
+			t.Errorf("%v: %q, error %v after %d calls", tt.errno, text, err, calls)
+		}
+	}
+}
+
 // TestConnectFails has an attempt fail with each error: what it tells of the server, and whether idle connections are
 // kept.
 func TestConnectFails(t *testing.T) {
