--- a/internal/fleet/link/link.go
+++ b/internal/fleet/link/link.go
@@ -17,8 +17,10 @@
 const (
 	mostCallers = 4               // that get a snapshot at a time
 	callWithin  = 2 * time.Second // a snapshot takes at most, from the connection's first byte to its last
-	greeting    = "milletramp-fleet 1\n"
-	callHello   = "milletramp-call  1\n" // as long as the other one
+	// failurePause follows a system call that failed, which may fail again for some time.
+	failurePause = 10 * time.Millisecond
+	greeting     = "milletramp-fleet 1\n"
+	callHello    = "milletramp-call  1\n" // as long as the other one
 
 	// MostCall is the most bytes of a call and of its answer. Large ones come one at a time.
 	MostCall   = 8 << 20
@@ -88,16 +90,7 @@
 	l.over.Add(2)
 	go func() {
 		defer l.over.Done()
-		buffer := make([]byte, mostPacket+1) // a byte more shows that one is too long
-		for {
-			n, from, err := l.packets.ReadFromUDPAddrPort(buffer)
-			switch {
-			case errors.Is(err, net.ErrClosed):
-				return
-			case err == nil:
-				h.Datagram(from.String(), buffer[:n])
-			}
-		}
+		receive(l.packets.ReadFromUDPAddrPort, h, mostPacket)
 	}()
 	go func() {
 		defer l.over.Done()
@@ -108,7 +101,7 @@
 				return
 			case err != nil:
 				select {
-				case <-time.After(10 * time.Millisecond): // out of descriptors, most likely
+				case <-time.After(failurePause): // out of descriptors, most likely
 				case <-l.ctx.Done():
 				}
 				continue
@@ -128,6 +121,22 @@
 	}()
 }
 
+// receive hands to h each datagram that read gives, until its socket is closed.
+func receive(read func([]byte) (int, netip.AddrPort, error), h Handler, mostPacket int) {
+	buffer := make([]byte, mostPacket+1) // a byte more shows that one is too long
+	for {
+		n, from, err := read(buffer)
+		switch {
+		case errors.Is(err, net.ErrClosed):
+			return
+		case err != nil:
+			time.Sleep(failurePause)
+		default:
+			h.Datagram(from.String(), buffer[:n])
+		}
+	}
+}
+
 // answer gives a caller a snapshot, or the answer to a call: its length in 4 bytes, and its bytes.
 func (l *Link) answer(c net.Conn, h Handler) {
 	defer c.Close()
--- /dev/null
+++ b/internal/fleet/link/receive_test.go
@@ -0,0 +1,42 @@
+//go:build go1.25
+
+package link
+
+import (
+	"context"
+	"net"
+	"net/netip"
+	"os"
+	"syscall"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// taker is a Handler that counts datagrams.
+type taker struct{ came int }
+
+// Datagram implements Handler.
+func (h *taker) Datagram(string, []byte) { h.came++ }
+
+// Snapshot implements Handler.
+func (*taker) Snapshot(context.Context) ([]byte, error) { return nil, nil }
+
+// TestReceiveFails has receiving fail for a while: it goes on, and the processor is not used up meanwhile.
+func TestReceiveFails(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		calls, h, begun := 0, &taker{}, time.Now()
+		receive(func([]byte) (int, netip.AddrPort, error) {
+			switch calls++; {
+			case calls <= 100:
+				return 0, netip.AddrPort{}, os.NewSyscallError("recvfrom", syscall.ENOBUFS)
+			case calls == 101:
+				return 1, netip.AddrPort{}, nil
+			}
+			return 0, netip.AddrPort{}, net.ErrClosed
+		}, h, 10)
+		if took := time.Since(begun); took != 100*failurePause || h.came != 1 || calls != 102 {
+			t.Errorf("%d datagrams after %d calls in %v", h.came, calls, took)
+		}
+	})
+}
