--- a/internal/fleet/transport/transport.go
+++ b/internal/fleet/transport/transport.go
@@ -26,8 +26,8 @@
 	// maxPortTries is how many ports are tried for both sockets. A port that is free for datagrams is often taken for
 	// connections on a machine where tens of thousands of them have just closed.
 	maxPortTries = 64
-	// acceptRetry is the pause after a connection could not be accepted, most likely for want of descriptors.
-	acceptRetry = 10 * time.Millisecond
+	// failurePause follows a system call that failed, which may fail again for some time.
+	failurePause = 10 * time.Millisecond
 )
 
 // The first bytes of a connection say what it is for. Both are of one length.
@@ -121,7 +121,7 @@
 	t.goroutines.Add(2)
 	go func() { // ends when Close closes the socket
 		defer t.goroutines.Done()
-		t.readDatagrams(h, make([]byte, maxDatagram+1))
+		readDatagrams(t.datagrams.ReadFromUDPAddrPort, h, maxDatagram)
 	}()
 	go func() { // ends when Close closes the listener
 		defer t.goroutines.Done()
@@ -129,14 +129,17 @@
 	}()
 }
 
-// readDatagrams hands on datagrams until the socket is closed.
-func (t *Transport) readDatagrams(h Handler, buffer []byte) {
+// readDatagrams hands to h each datagram that read returns, until its socket is closed.
+func readDatagrams(read func([]byte) (int, netip.AddrPort, error), h Handler, maxDatagram int) {
+	buffer := make([]byte, maxDatagram+1) // a byte more shows that one is too long
 	for {
-		n, from, err := t.datagrams.ReadFromUDPAddrPort(buffer)
+		n, from, err := read(buffer)
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
-		case err == nil:
+		case err != nil:
+			time.Sleep(failurePause)
+		default:
 			h.Datagram(from.String(), buffer[:n])
 		}
 	}
@@ -151,7 +154,7 @@
 			return
 		case err != nil:
 			select {
-			case <-time.After(acceptRetry):
+			case <-time.After(failurePause):
 			case <-t.ctx.Done():
 			}
 			continue
