--- a/balance/api.go
+++ b/balance/api.go
@@ -1,8 +1,9 @@
 // Package balance decides, inside one client process (a sidecar), which endpoint gets which request.
 //
 // It is a pure state machine: the host feeds it events, each with the time, and it answers by calling the
-// host's Actions before the event method returns. It has no clock, goroutine, lock, I/O or global, and the same
-// settings and events always give the same actions. A Balancer must not be used by two goroutines at once.
+// host's Actions before the event method returns. It has no clock, goroutine, lock, I/O or global, and the
+// same settings and events always give the same actions. A Balancer must not be used by two goroutines at
+// once.
 package balance
 
 import "time"
@@ -52,12 +53,12 @@
 	Allowance float64 // requests a second
 }
 
-// Match is a set of tags and the values they must have; "*" matches any value, but the tag must be there, except
-// for the tag "service", which every client and endpoint has.
+// Match is a set of tags and the values they must have; "*" matches any value, but the tag must be there,
+// except for the tag "service", which every client and endpoint has.
 type Match map[string]string
 
-// Destination is one weighted group of a rule: the ready endpoints that carry all its tags. An endpoint carries
-// the tags "service", "region" (its zone) and "version" (its kind).
+// Destination is one weighted group of a rule: the ready endpoints that carry all its tags. An endpoint
+// carries the tags "service", "region" (its zone) and "version" (its kind).
 type Destination struct {
 	Weight float64
 	Match  Match
@@ -114,9 +115,10 @@
 	Removed
 )
 
-// After a call of discovery that failed, the next one is made within FirstReask; the bound doubles with each
-// further failure, up to LongestReask. Where lists are pushed, each sidecar has an agent of its own, and the next call
-// is made within PushedReask: what the agent gets when discovery is back counts as told at once.
+// After a call of discovery that failed, the next one is made within FirstReask; the bound doubles with
+// each further failure, up to LongestReask. Where lists are pushed, each sidecar has an agent of its own,
+// and the next call is made within PushedReask: what the agent gets when discovery is back counts as told
+// at once.
 const (
 	FirstReask   = 500 * time.Millisecond
 	LongestReask = 1500 * time.Millisecond
@@ -181,17 +183,19 @@
 	Finished bool // the request has had its final answer
 }
 
-// Actions is what the host does for a Balancer, called for its answers to events. The events are the methods
-// Request, Result, AnswerStarted, ClientGone, Endpoints and Timer of Balancer. The host calls them in the order of
-// what happened; the first list follows New at once. Each Request ends with one final answer: a Result that is
-// Finished, Refuse or Fail. Each Send ends with one Result, also after the final answer.
+// Actions is what the host does for a Balancer, called for its answers to events. The events are the
+// methods Request, Result, AnswerStarted, ClientGone, Endpoints and Timer of Balancer. The host calls them
+// in the order of what happened; the first list follows New at once. Each Request ends with one final
+// answer: a Result that is Finished, Refuse or Fail. Each Send ends with one Result, also after the final
+// answer.
 //
-// Misuse never panics: an unknown request, attempt, timer or removed endpoint, an id used twice and a result told
-// twice are passed over. A Request whose class is not in the settings is passed over too, and gets no answer. Times
-// should not go back; if they do, requests still end, but what is measured is off for some seconds.
+// Misuse never panics: an unknown request, attempt, timer or removed endpoint, an id used twice and a
+// result told twice are passed over. A Request whose class is not in the settings is passed over too, and
+// gets no answer. Times should not go back; if they do, requests still end, but what is measured is off for
+// some seconds.
 //
-// An action is called only during an event, in the order in which things are to be done, and must not call back
-// into the Balancer.
+// An action is called only during an event, in the order in which things are to be done, and must not call
+// back into the Balancer.
 type Actions interface {
 	// Send starts an attempt, which may wait for its connection. Where its first byte cannot be written within a
 	// time (0: any), it is not made, and its outcome is NotSent.
@@ -216,8 +220,10 @@
 // What is seen of attempts. One that is late, and then silent, is told once as either.
 const (
 	SawAnswer  Sight = iota // served
-	SawLate                 // no answer after the time in which nearly all come, and nothing else from there since
-	SawSilence              // no answer for so long that it is taken to be lost, and nothing else from there since
+	// no answer after the time in which nearly all come, and nothing else from there since
+	SawLate
+	// no answer for so long that it is taken to be lost, and nothing else from there since
+	SawSilence
 	SawFailure              // an error, or the connection broke
 	SawRefusal              // no connection
 )
--- a/balance/burst_test.go
+++ b/balance/burst_test.go
@@ -15,8 +15,9 @@
 	return list
 }
 
-// TestBurstIsOneFault has all attempts at one endpoint fail together: its connections broke, which tells no more than one
-// fault. Where what is sent after it fails as well, burst after burst, the endpoint is ejected, once.
+// TestBurstIsOneFault has all attempts at one endpoint fail together: its connections broke, which tells no
+// more than one fault. Where what is sent after it fails as well, burst after burst, the endpoint is
+// ejected, once.
 func TestBurstIsOneFault(t *testing.T) {
 	b, h := start(t, settings(), many(4))
 	serve(b, h, 200, 20*time.Millisecond)
@@ -44,7 +45,8 @@
 	}
 }
 
-// TestFaultsOfAllEjectNone has one answer in fifteen fail at every endpoint, and then one endpoint fail always.
+// TestFaultsOfAllEjectNone has one answer in fifteen fail at every endpoint, and then one endpoint fail
+// always.
 func TestFaultsOfAllEjectNone(t *testing.T) {
 	set := settings()
 	set.MaxAttempts = 1
@@ -82,7 +84,8 @@
 	}
 }
 
-// TestGoodOnesGoFirstInPanic has three of four endpoints ejected, too many to leave out: the fourth still goes first.
+// TestGoodOnesGoFirstInPanic has three of four endpoints ejected, too many to leave out: the fourth still
+// goes first.
 func TestGoodOnesGoFirstInPanic(t *testing.T) {
 	b, h := start(t, settings(), many(4))
 	serve(b, h, 200, 20*time.Millisecond)
@@ -109,8 +112,8 @@
 	}
 }
 
-// TestResetsEjectAnyNumber has half of the endpoints reset half of their requests: each is ejected, though the
-// others do the same.
+// TestResetsEjectAnyNumber has half of the endpoints reset half of their requests: each is ejected, though
+// the others do the same.
 func TestResetsEjectAnyNumber(t *testing.T) {
 	set := settings()
 	set.MaxAttempts = 1
--- a/balance/byhand_test.go
+++ b/balance/byhand_test.go
@@ -20,8 +20,8 @@
 	return got
 }
 
-// TestTakenOut takes an endpoint out by hand, with everything that discovery can say of it in between. Danger: the staff
-// works on a machine that traffic returns to.
+// TestTakenOut takes an endpoint out by hand, with everything that discovery can say of it in between.
+// Danger: the staff works on a machine that traffic returns to.
 func TestTakenOut(t *testing.T) {
 	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "b", Zone: "x", Kind: "big", Size: 1}}
 	restarted := slices.Clone(list)
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -89,7 +89,8 @@
 	return min(sort.SearchFloat64s(f.share, x), len(f.all)-1)
 }
 
-// serves tells whether an endpoint can take one more now; what comes together may take it a quarter of a second.
+// serves tells whether an endpoint can take one more now; what comes together may take it a quarter of a
+// second.
 func (f *party) serves(id string) bool {
 	if f.most == 0 {
 		return true
@@ -128,10 +129,11 @@
 	}
 }
 
-// TestStartedEndpointsGetTheirShare has all sidecars be told at one moment that a part of the fleet has started cold. From
-// then on each cold endpoint gets, over the fleet and in any window of the rule on cold endpoints, no more than the rule
-// allows, and over the time until it is warm a good part of its share. Danger: each of many sidecars that counts its own
-// turns from the news on leaves a new endpoint idle until it is warm, and the others carry the whole load.
+// TestStartedEndpointsGetTheirShare has all sidecars be told at one moment that a part of the fleet has
+// started cold. From then on each cold endpoint gets, over the fleet and in any window of the rule on cold
+// endpoints, no more than the rule allows, and over the time until it is warm a good part of its share.
+// Danger: each of many sidecars that counts its own turns from the news on leaves a new endpoint idle until
+// it is warm, and the others carry the whole load.
 func TestStartedEndpointsGetTheirShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sidecars := rapid.SampledFrom([]int{1, 2, 3, 10, 80, 300}).Draw(t, "sidecars")
@@ -183,7 +185,8 @@
 				return
 			}
 		}
-		// As a warm one would get: the load over what all have of their capacity, which is 0.65 on the mean of the cold.
+		// As a warm one would get: the load over what all have of their capacity, which is 0.65 on the mean
+		// of the cold.
 		fair := rate / (float64(warm) + 0.65*float64(cold)) * 0.65 * set.ColdTime.Seconds()
 		if got := float64(len(sends)); got < 0.6*fair || got > 1.5*fair {
 			t.Errorf("%d sidecars, %d warm: a cold endpoint of %d got %v requests, %.0f would be even", sidecars, warm, cold, got, fair)
@@ -191,9 +194,10 @@
 	}
 }
 
-// TestColdServersStandThirtySidecars steps thirty sidecars with uneven traffic, some of which are restarted again and again, beside an
-// endpoint that has started cold while all others turn away a part of what comes, in a burst: the sum of what all send in any window of the rule is
-// within what fells it, N + 2 x root N + 2, whatever multiple of its capacity the settings say.
+// TestColdServersStandThirtySidecars steps thirty sidecars with uneven traffic, some of which are restarted
+// again and again, beside an endpoint that has started cold while all others turn away a part of what
+// comes, in a burst: the sum of what all send in any window of the rule is within what fells it, N + 2 x
+// root N + 2, whatever multiple of its capacity the settings say.
 func TestColdServersStandThirtySidecars(t *testing.T) {
 	const sidecars, warm, each, burst, away = 30, 10, 40.0, 1.5, 0.3
 	for _, multiple := range []float64{1.25, 2, 4} {
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -178,8 +178,9 @@
 	}
 }
 
-// TestClassThatGivesWayDoesNotKeepItTight has a lesser class refused by its own lowered bar while the dearer one finds
-// room: that is no news of the load, and the time in which lesser classes give way must come to its end.
+// TestClassThatGivesWayDoesNotKeepItTight has a lesser class refused by its own lowered bar while the
+// dearer one finds room: that is no news of the load, and the time in which lesser classes give way must
+// come to its end.
 func TestClassThatGivesWayDoesNotKeepItTight(t *testing.T) {
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
@@ -198,8 +199,8 @@
 	}
 }
 
-// TestGivingWayEndsWithTheCrowd has a lesser class find all full for a moment: once that is worked off, it is served
-// again, though its answers take longer than its lowered bar.
+// TestGivingWayEndsWithTheCrowd has a lesser class find all full for a moment: once that is worked off, it
+// is served again, though its answers take longer than its lowered bar.
 func TestGivingWayEndsWithTheCrowd(t *testing.T) {
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
@@ -334,8 +335,8 @@
 }
 
 func TestGroupIsJudgedByWhatItOwes(t *testing.T) {
-	// Three endpoints of one group, quick so far, hold a request each for half a second: the fourth, idle and never
-	// heard of, is not expected to be quick either.
+	// Three endpoints of one group, quick so far, hold a request each for half a second: the fourth, idle
+	// and never heard of, is not expected to be quick either.
 	b, h := start(t, settings(), fleet(4))
 	serve(b, h, 40, 20*time.Millisecond)
 	for i := range RequestID(3) {
@@ -351,8 +352,8 @@
 	}
 }
 
-// TestRefusalSaysWhen has clients ask a busy endpoint for more than it can do: each is told to come back when what
-// is there will have been worked off. Without that they come back at once, all together.
+// TestRefusalSaysWhen has clients ask a busy endpoint for more than it can do: each is told to come back
+// when what is there will have been worked off. Without that they come back at once, all together.
 func TestRefusalSaysWhen(t *testing.T) {
 	b, h := start(t, settings(), []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}})
 	b.Request(h.now, Request{ID: 1, Tenant: -1, Within: time.Second})
@@ -375,8 +376,8 @@
 	}
 }
 
-// TestRepeatNeedsTimeToArrive has a keyed request fail near the end of the time for which its repeats are dropped: one
-// that has to connect first would arrive after it and take effect twice.
+// TestRepeatNeedsTimeToArrive has a keyed request fail near the end of the time for which its repeats are
+// dropped: one that has to connect first would arrive after it and take effect twice.
 func TestRepeatNeedsTimeToArrive(t *testing.T) {
 	for _, tt := range []struct {
 		after   time.Duration
@@ -393,8 +394,9 @@
 	}
 }
 
-// TestRepeatsBeginInTime: a repeat of a keyed request may begin only as long as the attempt before it has its repeats dropped, counted
-// from the sending of that one, not from the request's arrival. Attempts at others may begin at any time.
+// TestRepeatsBeginInTime: a repeat of a keyed request may begin only as long as the attempt before it has
+// its repeats dropped, counted from the sending of that one, not from the request's arrival. Attempts at
+// others may begin at any time.
 func TestRepeatsBeginInTime(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
@@ -420,8 +422,9 @@
 	}
 }
 
-// TestTurnedAwayClassLeavesTheOthers has one endpoint turn one class away and serve the other: the first class goes
-// elsewhere, and the endpoint keeps its even share of the other class and passes for as quick as it is.
+// TestTurnedAwayClassLeavesTheOthers has one endpoint turn one class away and serve the other: the first
+// class goes elsewhere, and the endpoint keeps its even share of the other class and passes for as quick as
+// it is.
 func TestTurnedAwayClassLeavesTheOthers(t *testing.T) {
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
@@ -460,8 +463,9 @@
 	}
 }
 
-// TestSwallowedClassIsShut has one endpoint never answer one class and serve the other: after four losses the class goes
-// elsewhere, one request at a time tries again, and the first answer opens the endpoint to all.
+// TestSwallowedClassIsShut has one endpoint never answer one class and serve the other: after four losses
+// the class goes elsewhere, one request at a time tries again, and the first answer opens the endpoint to
+// all.
 func TestSwallowedClassIsShut(t *testing.T) {
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
--- a/balance/late_test.go
+++ b/balance/late_test.go
@@ -7,8 +7,8 @@
 	"milletramp.example/milletramp/internal/repeats"
 )
 
-// TestDeadConnectionIsNotASlowEndpoint has one attempt stay without an answer while its endpoint answers all others:
-// it must not count against the endpoint. Where the endpoint is silent to all, it must.
+// TestDeadConnectionIsNotASlowEndpoint has one attempt stay without an answer while its endpoint answers
+// all others: it must not count against the endpoint. Where the endpoint is silent to all, it must.
 func TestDeadConnectionIsNotASlowEndpoint(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		b, h := start(t, settings(), pair())
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestSwallowedRequestIsNoSlowness has attempts time out while their endpoint answers all others, and then while it
-// answers none: only then does it look slower, and only then are they its own fault.
+// TestSwallowedRequestIsNoSlowness has attempts time out while their endpoint answers all others, and then
+// while it answers none: only then does it look slower, and only then are they its own fault.
 func TestSwallowedRequestIsNoSlowness(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		b, h := start(t, settings(), many(4))
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestBeliefNeedsTesting has one endpoint be far too slow while the other goes on answering: it is tried again in time,
-// with one request at a time, and as long as it is slow only now and then.
+// TestBeliefNeedsTesting has one endpoint be far too slow while the other goes on answering: it is tried
+// again in time, with one request at a time, and as long as it is slow only now and then.
 func TestBeliefNeedsTesting(t *testing.T) {
 	b, h := start(t, settings(), pair())
 	serve(b, h, 200, 20*time.Millisecond)
@@ -106,8 +106,8 @@
 	}
 }
 
-// TestLateAttemptIsLookedAtAgain has an endpoint be silent to all until an attempt is late and then answer others: the
-// attempt is on a dead connection, and counts no more from then on.
+// TestLateAttemptIsLookedAtAgain has an endpoint be silent to all until an attempt is late and then answer
+// others: the attempt is on a dead connection, and counts no more from then on.
 func TestLateAttemptIsLookedAtAgain(t *testing.T) {
 	b, h := start(t, settings(), pair())
 	serve(b, h, 200, 20*time.Millisecond)
@@ -126,9 +126,9 @@
 	}
 }
 
-// TestSwallowedRequestIsMadeAnew has one request in six swallowed while all others are answered: once that is seen, late
-// attempts are called off and made anew, a payment's never. Where answers just come late, or where requests are no
-// longer swallowed, nothing is called off.
+// TestSwallowedRequestIsMadeAnew has one request in six swallowed while all others are answered: once that
+// is seen, late attempts are called off and made anew, a payment's never. Where answers just come late, or
+// where requests are no longer swallowed, nothing is called off.
 func TestSwallowedRequestIsMadeAnew(t *testing.T) {
 	for _, tt := range []struct {
 		name      string
@@ -197,10 +197,10 @@
 	}
 }
 
-// TestPauseIsNoSilence has an endpoint pause with many requests out, each for longer than nearly all answers take.
-// Danger: where all is nearly full, a pause that takes the largest endpoint out for seconds leaves the others overrun.
-// Danger: one that has vanished swallows what is sent to it until it is known. So what is sent later tells more at once,
-// and what was out counts in full once the silence lasts.
+// TestPauseIsNoSilence has an endpoint pause with many requests out, each for longer than nearly all
+// answers take. Danger: where all is nearly full, a pause that takes the largest endpoint out for seconds
+// leaves the others overrun. Danger: one that has vanished swallows what is sent to it until it is known.
+// So what is sent later tells more at once, and what was out counts in full once the silence lasts.
 func TestPauseIsNoSilence(t *testing.T) {
 	const survival, requests = 0.001, 40
 	for _, tt := range []struct {
--- a/balance/loadlevel_test.go
+++ b/balance/loadlevel_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestJamIsMetAtOnce has a fleet of 40 endpoints answer six times as late from one moment on. Danger: a sidecar that
-// goes by what answers have taught over seconds goes on as before, and so do all others.
+// TestJamIsMetAtOnce has a fleet of 40 endpoints answer six times as late from one moment on. Danger: a
+// sidecar that goes by what answers have taught over seconds goes on as before, and so do all others.
 func TestJamIsMetAtOnce(t *testing.T) {
 	set := settings()
 	set.Classes[0].Aim = 300 * time.Millisecond
@@ -56,8 +56,9 @@
 	return list
 }
 
-// TestSilenceIsNoJam has all endpoints of a kind fall silent while the others answer as ever: neither what is out at those
-// nor its time-outs say how long the others take. Danger: as a zone is lost, requests that the rest could serve are refused.
+// TestSilenceIsNoJam has all endpoints of a kind fall silent while the others answer as ever: neither what
+// is out at those nor its time-outs say how long the others take. Danger: as a zone is lost, requests that
+// the rest could serve are refused.
 func TestSilenceIsNoJam(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
--- a/balance/loss_test.go
+++ b/balance/loss_test.go
@@ -123,8 +123,8 @@
 	return requests
 }
 
-// TestLosses plays a calm time and then a fault: what the fault takes may go, what it leaves must not, and where nothing
-// is lost nothing goes out twice.
+// TestLosses plays a calm time and then a fault: what the fault takes may go, what it leaves must not, and
+// where nothing is lost nothing goes out twice.
 func TestLosses(t *testing.T) {
 	usual := func(f *lossy) time.Duration {
 		return time.Duration(20 * math.Exp(f.rng.NormFloat64()*0.4) * float64(time.Millisecond))
@@ -217,8 +217,8 @@
 	}
 }
 
-// TestBudgetOfRepeats has a request's next attempt be paid for unless none of those before got anywhere. What clients ask
-// again is served, and leaves less for that.
+// TestBudgetOfRepeats has a request's next attempt be paid for unless none of those before got anywhere.
+// What clients ask again is served, and leaves less for that.
 func TestBudgetOfRepeats(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
--- a/balance/route_test.go
+++ b/balance/route_test.go
@@ -134,7 +134,8 @@
 }
 
 func TestEmptyGroups(t *testing.T) {
-	// A group without members gives its turns to the others; with no member in any, all ready ones are one group.
+	// A group without members gives its turns to the others; with no member in any, all ready ones are one
+	// group.
 	one := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}}
 	if got := count(routes(t, canary(50, 50), one, 10)); got["a"] != 10 {
 		t.Errorf("turns %v, want all at a", got)
@@ -236,7 +237,8 @@
 }
 
 func TestCheapCrossingsShiftSooner(t *testing.T) {
-	// The own zone answers in 200 ms, the other one in 50 ms: an eighth of the aim, and more than a cheap crossing.
+	// The own zone answers in 200 ms, the other one in 50 ms: an eighth of the aim, and more than a cheap
+	// crossing.
 	abroad := func(charge float64) float64 {
 		set := settings()
 		set.CrossCharge = charge
@@ -255,8 +257,8 @@
 	}
 }
 
-// TestFarIsNotFull has the own zone busy and an idle endpoint in a zone far away, whose answers take the way there and
-// back: it gets the next request, and nothing is tight.
+// TestFarIsNotFull has the own zone busy and an idle endpoint in a zone far away, whose answers take the
+// way there and back: it gets the next request, and nothing is tight.
 func TestFarIsNotFull(t *testing.T) {
 	far := Endpoint{ID: "far", Zone: "y", Kind: "big", Size: 1}
 	b, h := start(t, settings(), append(pair(), far))
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// checker is a host that holds every action against the rules. It keeps its own books, apart from the module's.
+// checker is a host that holds every action against the rules. It keeps its own books, apart from the
+// module's.
 type checker struct {
 	set      Settings
 	now      Time
@@ -366,8 +367,9 @@
 	}
 }
 
-// coldSends plays a burst on a fleet of warm endpoints that take 20 ms a request and a freshly started one, and
-// returns how many sends the started one gets in each FallTime at most, and how many it may get from this sidecar.
+// coldSends plays a burst on a fleet of warm endpoints that take 20 ms a request and a freshly started one,
+// and returns how many sends the started one gets in each FallTime at most, and how many it may get from
+// this sidecar.
 func coldSends(t *testing.T, peers int, retries bool) (most int, part float64) {
 	t.Helper()
 	set := settings()
@@ -429,8 +431,9 @@
 	}
 }
 
-// overShares counts which of the requests of two equal tenants count as beyond their share in one of a thousand
-// sidecars that gets rate requests a second for 20 s, of which the second tenant sends the given part.
+// overShares counts which of the requests of two equal tenants count as beyond their share in one of a
+// thousand sidecars that gets rate requests a second for 20 s, of which the second tenant sends the given
+// part.
 func overShares(t *testing.T, rate, second float64) (over [2]float64) {
 	t.Helper()
 	set := settings()
--- a/balance/sequence_test.go
+++ b/balance/sequence_test.go
@@ -15,9 +15,9 @@
 // sequences is how many random sequences of events are played, unless -rapid.checks asks for another number.
 const sequences = 10_000
 
-// TestSequences plays short random sequences of events, in which attempts are answered, lost, broken and turned away in
-// any order. The checker holds the rules on repeats and answers; here are further the budget for what goes out again, by class
-// and in all, and that a request with nothing out is answered at once.
+// TestSequences plays short random sequences of events, in which attempts are answered, lost, broken and
+// turned away in any order. The checker holds the rules on repeats and answers; here are further the budget
+// for what goes out again, by class and in all, and that a request with nothing out is answered at once.
 func TestSequences(t *testing.T) {
 	if f := flag.Lookup("rapid.checks"); f != nil && f.Value.String() == f.DefValue {
 		_ = f.Value.Set(fmt.Sprint(testrun.Draws(sequences)))
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -10,16 +10,18 @@
 //	N + 2*sqrt(N) + 2 requests of mean work (N under 30: N + 3*sqrt(N) + 3), where
 //	N = FallMultiple * its present share of its capacity * its warm capacity * FallTime.
 //
-// Sidecars share nothing, so each keeps to a rate of its own, and the rates add up to one for the endpoint. Each sends
-// one request a turn, and draws for itself when its first turn is. A sum of such counts varies no more than a Poisson
-// process of the same mean, whatever the number of sidecars and however uneven their traffic; that of one sidecar
-// hardly varies at all. A Poisson count of mean 0.7 N is above the budget with a probability of 2 in 100,000 at the
-// least favourable N, which is 30 (mean 21, budget 42.9), and with a lower one elsewhere. That gives fallChance.
+// Sidecars share nothing, so each keeps to a rate of its own, and the rates add up to one for the endpoint.
+// Each sends one request a turn, and draws for itself when its first turn is. A sum of such counts varies
+// no more than a Poisson process of the same mean, whatever the number of sidecars and however uneven their
+// traffic; that of one sidecar hardly varies at all. A Poisson count of mean 0.7 N is above the budget with
+// a probability of 2 in 100,000 at the least favourable N, which is 30 (mean 21, budget 42.9), and with a
+// lower one elsewhere. That gives fallChance.
 //
-// The capacity is not disclosed: a sidecar takes for its part of it what warm endpoints have served it for a unit of
-// size over capacityMemory, which is no more than they can do. While it does not know that, it keeps to shares of its
-// own traffic, which a burst may raise to 1.4 times what warm endpoints can do. That gives coldSafe. Where a whole
-// fleet has started cold, and the sidecars as well, nothing tells the capacity, and shares are all there is.
+// The capacity is not disclosed: a sidecar takes for its part of it what warm endpoints have served it for
+// a unit of size over capacityMemory, which is no more than they can do. While it does not know that, it
+// keeps to shares of its own traffic, which a burst may raise to 1.4 times what warm endpoints can do. That
+// gives coldSafe. Where a whole fleet has started cold, and the sidecars as well, nothing tells the
+// capacity, and shares are all there is.
 const (
 	fallChance = 0.7              // of N: what all sidecars send in the mean, at most
 	coldSafe   = fallChance / 1.4 // of N, where the capacity is not known
@@ -48,9 +50,9 @@
 	}
 }
 
-// turns are parts of the next turn of a cold endpoint that have come due, 1 or more where the turn is there. They add
-// up as warmth, traffic and capacity go: what has come due is not counted anew by a warmth that has risen since, or
-// sidecars with little traffic would all have their turn well before its time.
+// turns are parts of the next turn of a cold endpoint that have come due, 1 or more where the turn is
+// there. They add up as warmth, traffic and capacity go: what has come due is not counted anew by a warmth
+// that has risen since, or sidecars with little traffic would all have their turn well before its time.
 type turns struct {
 	sends float64 // the balancer's count of sends up to which they are counted
 	until Time    // and the time
@@ -65,8 +67,8 @@
 	*t = turns{sends: sends, until: now, share: phase, early: phase, near: phase, whole: phase}
 }
 
-// accrue brings the turns of a cold endpoint up to date, and returns what the request in hand adds to its share and
-// to its early one.
+// accrue brings the turns of a cold endpoint up to date, and returns what the request in hand adds to its
+// share and to its early one.
 func (b *Balancer) accrue(e *endpoint, now Time) (share, early float64) {
 	t, m, able := &e.turns, &b.capacity, e.Size*e.warm
 	share, early = 1, coldEarly
@@ -92,8 +94,8 @@
 	return share, early
 }
 
-// usedPart is the part of the fleet that all sidecars use if each uses as much as this one. A few that begin with
-// small subsets, or keep to a zone each, crowd what they use.
+// usedPart is the part of the fleet that all sidecars use if each uses as much as this one. A few that
+// begin with small subsets, or keep to a zone each, crowd what they use.
 func (b *Balancer) usedPart(used float64) float64 {
 	whole := 0.0
 	for _, g := range b.groups {
@@ -102,12 +104,13 @@
 	return min(float64(b.set.Peers)*used/math.Max(whole, 1e-9), 1)
 }
 
-// coldRoom tells whether an endpoint is warm, or has its next turn for the share of its capacity that it has.
-// Sidecars that all turn to a cold endpoint, as it alone seems free, push it over. When each keeps to its turns, it
-// gets no more for its warmth than the fleet's mean, whatever the number of sidecars. A request that finds no other
-// place may have an early turn, in any zone: where the whole fleet is cold, turns kept to the letter leave most
-// requests none, and other zones have next to none as long as the own one is thought to do. Early turns are counted
-// over the fleet: all sidecars together give some times its share. No turn goes beyond the allowance.
+// coldRoom tells whether an endpoint is warm, or has its next turn for the share of its capacity that it
+// has. Sidecars that all turn to a cold endpoint, as it alone seems free, push it over. When each keeps to
+// its turns, it gets no more for its warmth than the fleet's mean, whatever the number of sidecars. A
+// request that finds no other place may have an early turn, in any zone: where the whole fleet is cold,
+// turns kept to the letter leave most requests none, and other zones have next to none as long as the own
+// one is thought to do. Early turns are counted over the fleet: all sidecars together give some times its
+// share. No turn goes beyond the allowance.
 func (b *Balancer) coldRoom(e *endpoint, early bool, now Time) bool {
 	if e.warm >= 1 {
 		return true
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -10,7 +10,8 @@
 	"milletramp.example/milletramp/internal/lab/testrun"
 )
 
-// fallBudget is the number of requests of mean work that a cold endpoint stands where the settings allow it n.
+// fallBudget is the number of requests of mean work that a cold endpoint stands where the settings allow it
+// n.
 func fallBudget(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -29,9 +30,9 @@
 	multiple float64
 }
 
-// TestFallBudgetHoldsForAnyFleet plays fleets of one to 900 sidecars with uneven traffic. In no window of the fall
-// rule may all sidecars together send a cold endpoint more than its budget, and without restarts it has to get a part
-// of what it can do.
+// TestFallBudgetHoldsForAnyFleet plays fleets of one to 900 sidecars with uneven traffic. In no window of
+// the fall rule may all sidecars together send a cold endpoint more than its budget, and without restarts
+// it has to get a part of what it can do.
 func TestFallBudgetHoldsForAnyFleet(t *testing.T) {
 	for _, f := range []coldFleet{
 		{name: "one cold", zones: 1},
@@ -111,8 +112,9 @@
 	}
 }
 
-// TestColdFleetOfUnknownCapacity has a sidecar begin on a fleet that is cold as a whole, of whose capacity it can know
-// nothing, where the settings allow less than a cold endpoint's share: it sends a part of its requests, and goes on.
+// TestColdFleetOfUnknownCapacity has a sidecar begin on a fleet that is cold as a whole, of whose capacity
+// it can know nothing, where the settings allow less than a cold endpoint's share: it sends a part of its
+// requests, and goes on.
 func TestColdFleetOfUnknownCapacity(t *testing.T) {
 	set, list := settings(), fleet(12)
 	set.FallMultiple = 1.25
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -110,8 +110,9 @@
 	}
 }
 
-// TestColdEndpointAmongManySidecars guards rule 4: what all sidecars together send to a cold endpoint stays within
-// its turns, also when each has nowhere else to go, whatever their number, and with none of them knowing it.
+// TestColdEndpointAmongManySidecars guards rule 4: what all sidecars together send to a cold endpoint stays
+// within its turns, also when each has nowhere else to go, whatever their number, and with none of them
+// knowing it.
 func TestColdEndpointAmongManySidecars(t *testing.T) {
 	const seconds = 2
 	for _, peers := range []int{5, 100, 1000} {
@@ -183,8 +184,9 @@
 	}
 }
 
-// TestAllCold guards the time after a power cut: where every endpoint has just started, requests still go out, and none
-// of the endpoints gets much more than its share. Danger: turns kept to the letter leave nearly every request without one.
+// TestAllCold guards the time after a power cut: where every endpoint has just started, requests still go
+// out, and none of the endpoints gets much more than its share. Danger: turns kept to the letter leave
+// nearly every request without one.
 func TestAllCold(t *testing.T) {
 	set := settings()
 	set.Zones = []string{"x", "y", "z"}
--- a/balance/word_test.go
+++ b/balance/word_test.go
@@ -59,8 +59,8 @@
 	return w
 }
 
-// ask has requests come one after another, each answered in 50 ms but by those that are silent, and returns how many went
-// where.
+// ask has requests come one after another, each answered in 50 ms but by those that are silent, and returns
+// how many went where.
 func (w *worded) ask(n int, silent ...string) map[string]int {
 	went := map[string]int{}
 	for range n {
@@ -79,7 +79,8 @@
 	return went
 }
 
-// TestDoubtedGoBehind: what others speak ill of gets nothing while another has room, and is used where nothing else is.
+// TestDoubtedGoBehind: what others speak ill of gets nothing while another has room, and is used where
+// nothing else is.
 func TestDoubtedGoBehind(t *testing.T) {
 	w := newWorded(t, 6)
 	if went := w.ask(60); went["e1"] < 6 {
@@ -101,8 +102,8 @@
 	}
 }
 
-// TestDoubtEnds: word counts for a while, until a good answer of one's own, until the process is another one, or until
-// others take it back.
+// TestDoubtEnds: word counts for a while, until a good answer of one's own, until the process is another
+// one, or until others take it back.
 func TestDoubtEnds(t *testing.T) {
 	for name, end := range map[string]func(w *worded){
 		"it grows old":   func(w *worded) { w.now += wordFor },
@@ -125,9 +126,9 @@
 	}
 }
 
-// TestWordOpensNothing: whatever others say, no endpoint gets anything that would not get anything without a word: one that is
-// draining, gone, out by hand, ejected or of another list; at most a share of the size is put behind; and a request that
-// finds a place without the word finds one with it.
+// TestWordOpensNothing: whatever others say, no endpoint gets anything that would not get anything without
+// a word: one that is draining, gone, out by hand, ejected or of another list; at most a share of the size
+// is put behind; and a request that finds a place without the word finds one with it.
 func TestWordOpensNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "endpoints")
@@ -182,8 +183,8 @@
 
 func (w *watcher) Saw(endpoint string, s Sight) { w.saw = append(w.saw, fmt.Sprint(endpoint, " ", s)) }
 
-// TestWitnessChangesNothing plays the same events with and without a witness, and with words about nobody: the actions are
-// the same to the letter.
+// TestWitnessChangesNothing plays the same events with and without a witness, and with words about nobody:
+// the actions are the same to the letter.
 func TestWitnessChangesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plain, watched := newWorded(t, 5), newWorded(t, 5)
