--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -23,6 +23,7 @@
 	"milletramp.example/milletramp/internal/fleet/membership"
 	"milletramp.example/milletramp/internal/fleet/policyagent"
 	"milletramp.example/milletramp/internal/fleet/replication"
+	"milletramp.example/milletramp/internal/wallclock"
 )
 
 const (
@@ -174,7 +175,7 @@
 
 func (f *Fleet) now() replication.Now {
 	now := time.Now()
-	return replication.Now{Time: monotonicOrigin + now.Sub(f.origin), Wall: now.Add(f.clock).UnixMilli()}
+	return replication.Now{Time: monotonicOrigin + now.Sub(f.origin), Wall: wallclock.Milliseconds(now.Add(f.clock))}
 }
 
 // run is the loop. It ends with Close.
--- a/internal/fleet/replication/stamp.go
+++ b/internal/fleet/replication/stamp.go
@@ -3,7 +3,8 @@
 import (
 	"cmp"
 	"fmt"
-	"time"
+
+	"milletramp.example/milletramp/internal/wallclock"
 )
 
 // Stamp is a reading of a hybrid logical clock: later than whatever its sidecar had seen, and close to the time of day.
@@ -18,7 +19,7 @@
 
 // String implements fmt.Stringer.
 func (s Stamp) String() string {
-	return fmt.Sprintf("%s+%d", time.UnixMilli(s.Wall).UTC().Format("2006-01-02T15:04:05.000Z"), s.Logic)
+	return fmt.Sprintf("%s+%d", wallclock.FromMilliseconds(s.Wall).UTC().Format("2006-01-02T15:04:05.000Z"), s.Logic)
 }
 
 // mostAhead is how far a stamp may be ahead of the own clock to be followed, in milliseconds. Danger: one sidecar's
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -5,7 +5,6 @@
 
 import (
 	"bytes"
-	"cmp"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -21,6 +20,8 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"milletramp.example/milletramp/internal/wallclock"
 )
 
 // Phase is how far a process is.
@@ -114,7 +115,7 @@
 func Join(dir string, s State, log *slog.Logger) (*Member, error) {
 	sum := crc32.ChecksumIEEE([]byte(s.Name + "\x00" + s.Listen))
 	m := &Member{dir: filepath.Join(dir, fmt.Sprintf("milletramp-%08x", sum)), log: log, state: s,
-		id: fmt.Sprintf("%d-%d", os.Getpid(), s.Started.UnixNano())}
+		id: fmt.Sprintf("%d-%d", os.Getpid(), wallclock.Nanoseconds(s.Started))}
 	if err := os.MkdirAll(m.dir, 0o700); err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
@@ -196,7 +197,7 @@
 	if err != nil {
 		return -1
 	}
-	return info.ModTime().UnixNano()
+	return wallclock.Nanoseconds(info.ModTime())
 }
 
 // Others returns the states of the other processes that live, the oldest first. What dead ones left is removed, with a
@@ -236,7 +237,7 @@
 		}
 		others = append(others, s)
 	}
-	slices.SortFunc(others, func(a, b State) int { return cmp.Compare(a.Started.UnixNano(), b.Started.UnixNano()) })
+	slices.SortFunc(others, func(a, b State) int { return a.Started.Compare(b.Started) })
 	return others
 }
 
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -14,6 +14,7 @@
 	"milletramp.example/milletramp/internal/fleet"
 	"milletramp.example/milletramp/internal/fleet/evidence"
 	"milletramp.example/milletramp/internal/sidecar"
+	"milletramp.example/milletramp/internal/wallclock"
 )
 
 // part implements sidecar.Part.
@@ -52,7 +53,7 @@
 	for _, s := range servers {
 		o := fleet.Server{ID: s.ID}
 		if !s.Boot.IsZero() {
-			o.Boot = s.Boot.UnixMilli()
+			o.Boot = wallclock.Milliseconds(s.Boot)
 		}
 		list = append(list, o)
 	}
--- a/internal/sidecar/conns.go
+++ b/internal/sidecar/conns.go
@@ -26,9 +26,6 @@
 	lingerStep = 20 * time.Millisecond
 )
 
-// past is a deadline that is over.
-var past = time.Unix(1, 0)
-
 // clientConns is a listener that bounds the connections from clients, and ends those that have no request: the longest
 // idle ones when they are too many, and all of them when the process stops.
 //
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/wallclock"
 )
 
 // The times of the client of discovery. What discovery tells counts as told toldWithin after it had it and could be reached, whatever
@@ -104,7 +105,7 @@
 			}
 		}
 		if e.BootMS > 0 {
-			t.Boot = time.UnixMilli(e.BootMS)
+			t.Boot = wallclock.FromMilliseconds(e.BootMS)
 		}
 		list.Targets = append(list.Targets, t)
 	}
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -48,7 +48,7 @@
 type target struct {
 	address string
 	boot    time.Time
-	// answered is when it last did, in Unix nanoseconds.
+	// answered is when it last did, an uptime.
 	answered atomic.Int64
 	draining atomic.Bool   // it finishes what it has
 	gone     bool          // removed, moved or restarted: the pool's lock guards it and idle
@@ -160,7 +160,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.givenUp = true
-	_ = c.SetDeadline(time.Unix(1, 0)) // it fails where the connection is closed
+	_ = c.SetDeadline(past) // it fails where the connection is closed
 }
 
 // setMost changes how many connections may be open. Idle ones beyond that are closed at once, others as they end.
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -38,7 +38,7 @@
 	ids      *ids
 	conns    *clientConns
 	draining atomic.Bool
-	ends     atomic.Int64 // when this process may be killed at the earliest, once it drains; in Unix nanoseconds
+	ends     atomic.Int64 // when this process may be killed at the earliest, once it drains; an uptime
 	gate     *gate        // set before it serves; nil: the settings are those of the own file
 	room     *room        // for what of bodies goes beyond the usual
 }
@@ -63,7 +63,7 @@
 // drain has answers end their connections from now on, and requests be answered before this process may be killed.
 func (s *server) drain(mostDeadline time.Duration) {
 	ends := time.Now().Add(min(s.longestDeadline(), mostDeadline) + killAfter - killMargin)
-	s.ends.Store(ends.UnixNano())
+	s.ends.Store(int64(uptime(ends)))
 	s.draining.Store(true)
 	s.host.post(func() { s.host.endBy(ends) })
 }
@@ -152,7 +152,7 @@
 	}
 	c.deadline = came.Add(wait - answerMargin)
 	if s.draining.Load() {
-		if ends := time.Unix(0, s.ends.Load()); ends.Before(c.deadline) {
+		if ends := processStart.Add(time.Duration(s.ends.Load())); ends.Before(c.deadline) {
 			c.deadline = ends
 		}
 	}
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -223,7 +223,7 @@
 	if err != nil {
 		return u.failed(ctx, to, begun, ran, err)
 	}
-	to.answered.Store(time.Now().UnixNano())
+	to.answered.Store(int64(uptime(time.Now())))
 	return r
 }
 
@@ -270,7 +270,7 @@
 	// When a machine vanishes, its idle connections stay open and swallow requests that may then never be
 	// repeated. A new connection fails before anything is sent. Where the server has answered since, only this one is
 	// dead, and to close the others would have it work on new ones all the time.
-	if cause == nil || to.answered.Load() < begun.UnixNano() {
+	if cause == nil || time.Duration(to.answered.Load()) < uptime(begun) {
 		u.pool.empty(to, false)
 	}
 	switch {
