--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -5,6 +5,7 @@
 
 import (
 	"bytes"
+	"cmp"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -41,8 +42,19 @@
 	Console string    `json:"console"`         // its address for the staff; "": none
 	Fleet   string    `json:"fleet,omitempty"` // its address for other sidecars; "": it has no part in a fleet
 	Started time.Time `json:"started"`
-	Phase   Phase     `json:"phase"`
-	Out     []string  `json:"out"` // servers taken out by hand
+	// Generation counts the processes that follow each other, from 1. 0: of a build that did not count.
+	Generation uint64   `json:"generation,omitempty"`
+	Phase      Phase    `json:"phase"`
+	Out        []string `json:"out"` // servers taken out by hand
+}
+
+// Compare orders the processes of a sidecar, the oldest first. The clock of day, which may step, counts only between
+// two of which one did not count its generation, or that joined in the same moment.
+func (s State) Compare(o State) int {
+	if s.Generation > 0 && o.Generation > 0 && s.Generation != o.Generation {
+		return cmp.Compare(s.Generation, o.Generation)
+	}
+	return s.Started.Compare(o.Started)
 }
 
 const (
@@ -131,6 +143,10 @@
 	if err := os.Rename(m.file(".new"), m.file(lockEnd)); err != nil {
 		return nil, errors.Join(fmt.Errorf("handover: %w", err), m.Leave())
 	}
+	for _, o := range m.Others() {
+		m.state.Generation = max(m.state.Generation, o.Generation)
+	}
+	m.state.Generation++
 	if err := m.write(); err != nil {
 		return nil, errors.Join(err, m.Leave())
 	}
@@ -139,6 +155,17 @@
 
 func (m *Member) file(end string) string { return filepath.Join(m.dir, m.id+end) }
 
+// Succeeded tells whether a newer process of the sidecar is ready.
+func (m *Member) Succeeded() bool {
+	others := m.Others()
+	if len(others) == 0 {
+		return false
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return slices.ContainsFunc(others, func(s State) bool { return s.Phase == Ready && s.Compare(m.state) > 0 })
+}
+
 // Update changes this process's state. Others see it once this has returned.
 func (m *Member) Update(change func(*State)) error {
 	if m == nil {
@@ -237,7 +264,7 @@
 		}
 		others = append(others, s)
 	}
-	slices.SortFunc(others, func(a, b State) int { return a.Started.Compare(b.Started) })
+	slices.SortFunc(others, State.Compare)
 	return others
 }
 
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -179,3 +179,42 @@
 		}
 	})
 }
+
+// TestOrderUnderClockSteps has processes follow each other while the clock of day steps: each takes those before it for
+// older. One of a build that does not count generations goes by the clock, as it always did, and its file is read.
+func TestOrderUnderClockSteps(t *testing.T) {
+	const former = `{"name":"n0","listen":"127.0.0.1:80","console":"127.0.0.1:81",` +
+		`"started":"2026-01-02T03:04:05.000000006Z","phase":"ready","out":[]}`
+	begun := time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC)
+	for _, step := range []time.Duration{-time.Hour, -3 * time.Second, 3 * time.Second, time.Hour} {
+		t.Run(step.String(), func(t *testing.T) {
+			dir := t.TempDir()
+			ready := func(started time.Time) *Member {
+				s := state(0)
+				s.Started, s.Phase = started, Ready
+				return join(t, dir, s, quiet())
+			}
+			a := ready(begun)
+			b := ready(begun.Add(time.Second + step))
+			c := ready(begun.Add(2*time.Second + 2*step))
+			if !a.Succeeded() || !b.Succeeded() || c.Succeeded() {
+				t.Errorf("succeeded: %v, %v and %v, want all but the last", a.Succeeded(), b.Succeeded(), c.Succeeded())
+			}
+			if got := c.Others(); len(got) != 2 || got[0].Compare(a.state) != 0 || got[1].Compare(b.state) != 0 {
+				t.Errorf("the last one sees %+v", got)
+			}
+			if err := a.Leave(); err != nil {
+				t.Error(err)
+			}
+			sum := crc32.ChecksumIEEE([]byte(former))
+			text := fmt.Appendf(nil, "%s %d %d %08x\n%s", magic, version, len(former), sum, former)
+			if err := os.WriteFile(b.file(stateEnd), text, 0o600); err != nil {
+				t.Fatal(err)
+			}
+			got, succeeded := c.Others(), c.Succeeded()
+			if len(got) != 1 || got[0].Generation != 0 || !got[0].Started.Equal(begun) || succeeded != (step < 0) {
+				t.Errorf("beside one that does not count it sees %+v, succeeded %v", got, succeeded)
+			}
+		})
+	}
+}
--- a/internal/sidecar/family.go
+++ b/internal/sidecar/family.go
@@ -20,12 +20,11 @@
 // family is this process among those of its sidecar: one most of the time, two in an upgrade.
 type family struct {
 	member *handover.Member // nil: there is no way to know of others
-	since  time.Time
-	shares atomic.Int32 // into which what the sidecar may hold is parted
+	shares atomic.Int32     // into which what the sidecar may hold is parted
 }
 
 func joinFamily(c *Config, log *slog.Logger) *family {
-	f := &family{since: time.Now()}
+	f := &family{}
 	f.shares.Store(1)
 	dir := c.Getenv("TMPDIR")
 	if dir == "" {
@@ -33,8 +32,8 @@
 		return f
 	}
 	var err error
-	f.member, err = handover.Join(dir, handover.State{Name: c.Name, Listen: c.Listen, Console: c.Console, Started: f.since,
-		Phase: handover.Starting}, log)
+	f.member, err = handover.Join(dir, handover.State{Name: c.Name, Listen: c.Listen, Console: c.Console,
+		Started: time.Now(), Phase: handover.Starting}, log)
 	if err != nil {
 		log.Warn("nothing is handed over in an upgrade", "err", err)
 	}
@@ -43,9 +42,7 @@
 
 // successor tells whether a newer process of the sidecar is ready to take what comes.
 func (f *family) successor() bool {
-	return slices.ContainsFunc(f.member.Others(), func(s handover.State) bool {
-		return s.Phase == handover.Ready && s.Started.After(f.since)
-	})
+	return f.member.Succeeded()
 }
 
 // tell passes a call of the staff on to the other processes. It returns whether any knows the server, and an error if one
@@ -59,7 +56,7 @@
 		case failed == nil:
 			known = true
 		case errors.Is(failed, console.ErrUnknown):
-		case slices.ContainsFunc(f.member.Others(), func(o handover.State) bool { return o.Started.Equal(s.Started) }):
+		case slices.ContainsFunc(f.member.Others(), func(o handover.State) bool { return o.Compare(s) == 0 }):
 			err = errors.Join(err, fmt.Errorf("the other process at %s was not told: %w", s.Console, failed))
 		}
 	}
