--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -62,6 +62,7 @@
 	states  chan []byte              // to be left for the next life; nil: nowhere
 	kept    uint64                   // sum of what was last left
 	keptAt  time.Duration
+	raise   func(life uint64) // tells the part in the policy the life that membership has come to; nil: there is none
 }
 
 // Server is an entry of the own list.
@@ -137,6 +138,8 @@
 			return nil, errors.Join(err, l.Close())
 		}
 		l.Answer(f.agent)
+		raise := f.agent.Raise
+		f.events <- func(replication.Now) { f.raise = raise } // the loop, which has begun, takes it
 	}
 	l.Serve(f, gossip.MostPacket)
 	return f, nil
@@ -247,6 +250,9 @@
 	for _, c := range out.Changes {
 		f.changed(c)
 	}
+	if self, bears := f.machine.Members.Self(); bears && f.raise != nil {
+		f.raise(self.Life.Number)
+	}
 	for _, p := range out.Phase {
 		f.log.Info("caught up", "phase", p.String(), "members", f.machine.Members.Here())
 		if p != gossip.Catching && !f.done {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -17,6 +17,8 @@
 	"go.uber.org/goleak"
 
 	"milletramp.example/milletramp/internal/fleet/evidence"
+	"milletramp.example/milletramp/internal/fleet/membership"
+	"milletramp.example/milletramp/internal/fleet/replication"
 )
 
 const patience = 30 * time.Second
@@ -344,3 +346,36 @@
 		t.Errorf("%v, error %v where there is no file", items, err)
 	}
 }
+
+// TestLifeOfThePolicy has membership come to a higher life, as that of a former process was higher: the part in the
+// policy follows.
+func TestLifeOfThePolicy(t *testing.T) {
+	c := &Config{Label: "test", Address: "127.0.0.1:0",
+		Policy: &PolicyConfig{Deciders: []string{"d0", "d1", "d2"}, text: []byte("first")}}
+	f, err := Start(c, "n0", nil, slog.New(slog.DiscardHandler), Told{Check: func(uint64, []byte) string { return "" }})
+	if err != nil {
+		t.Fatal(err)
+	}
+	raised := make(chan uint64, 100)
+	former := membership.Member{Name: "n0", Address: f.address, Life: membership.Life{Number: 1 << 60, Nonce: 1}}
+	f.do(t.Context(), func(now replication.Now) {
+		if f.raise == nil {
+			t.Error("the part in the policy is not told of the life")
+		}
+		f.raise = func(life uint64) { raised <- life }
+		if err := f.machine.Members.Merge(now.Time, []membership.Member{former}, "n1"); err != nil {
+			t.Error(err)
+		}
+	})
+	select {
+	case got := <-raised:
+		if got != 1<<60+1 {
+			t.Errorf("it goes under life %d, want %d", got, uint64(1<<60+1))
+		}
+	case <-time.After(patience):
+		t.Error("the part in the policy is told of no life")
+	}
+	if err := f.Close(); err != nil {
+		t.Error(err)
+	}
+}
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -19,7 +19,7 @@
 	Peers   []string // addresses to find the fleet by; the own one may be among them
 	Seed    uint64
 	Nonce   uint64 // of this life: drawn anew for each
-	Number  uint64 // of this life at least, such as its start's Unix time; a clock that is off does no harm
+	Number  uint64 // of this life at least, such as its start's Unix time; raised above those of former lives
 
 	Interval time.Duration // between two probes, where this sidecar is well; usual: 1 s
 	Timeout  time.Duration // for an answer, before others are asked to try; usual: 300 ms
@@ -310,7 +310,7 @@
 			m.sicker(1)
 			m.spread(m.self.Name)
 		}
-	case !m.joined && !m.yields:
+	case !m.yields && (!m.joined || m.former(said)):
 		m.self.Life.Number, m.self.Incarnation = said.Life.Number+1, 0
 		m.spread(m.self.Name)
 	case !m.yields: // the younger one bears the name
@@ -322,6 +322,10 @@
 	}
 }
 
+// former tells whether a later life under the own name has ended, though its number is the higher one, as the clock of
+// day has gone back since. No other process can have this one's address.
+func (m *Machine) former(said Member) bool { return said.Address == m.self.Address || !said.Here() }
+
 func (m *Machine) merge(now Time, said Member, from string) {
 	p := m.peers[said.Name]
 	if p == nil {
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -309,3 +309,37 @@
 		}
 	})
 }
+
+// TestLivesUnderClockSteps has a sidecar start again while the clock of day has stepped, and hear of its former life
+// only after it has given up to catch up: that one is over, whatever its number. One that lives elsewhere under a
+// higher number goes before it.
+func TestLivesUnderClockSteps(t *testing.T) {
+	const began = 10_000_000 // of the former life, in milliseconds
+	for _, step := range []time.Duration{-time.Hour, -3 * time.Second, 3 * time.Second, time.Hour} {
+		for _, tt := range []struct {
+			name   string
+			former Member
+			bears  bool
+		}{
+			{"alive by hearsay, at the own address", Member{Address: "a0", State: Alive}, true},
+			{"suspected, at the own address", Member{Address: "a0", State: Suspect, Incarnation: 3}, true},
+			{"gone, at another address", Member{Address: "b0", State: Gone}, true},
+			{"left, at another address", Member{Address: "b0", State: Left}, true},
+			{"alive at another address", Member{Address: "b0", State: Alive}, step > 0},
+		} {
+			t.Run(fmt.Sprintf("%s, %v", tt.name, step), func(t *testing.T) {
+				number := uint64(began + (time.Second + step).Milliseconds())
+				m := New(0, Settings{Name: "n0", Address: "a0", Seed: 7, Nonce: 2, Number: number})
+				m.Joined()
+				tt.former.Name, tt.former.Life = "n0", Life{Number: began, Nonce: 1}
+				if err := m.Merge(1, []Member{tt.former}, "n1"); err != nil {
+					t.Fatal(err)
+				}
+				self, bears := m.Self()
+				if bears != tt.bears || bears && self.Life.Compare(tt.former.Life) <= 0 || self.Life.Nonce != 2 {
+					t.Errorf("it is %+v, bears its name %v, want %v", self, bears, tt.bears)
+				}
+			})
+		}
+	}
+}
--- a/internal/fleet/policy/holder.go
+++ b/internal/fleet/policy/holder.go
@@ -23,6 +23,10 @@
 	return &Holder{name: name, life: life, terms: t, have: map[uint64]bool{}}
 }
 
+// Raise says that the fleet has come to a higher life of this process: what is asked under a lower one than a former
+// process had is not answered. What was promised under the lower one goes on counting.
+func (h *Holder) Raise(life uint64) { h.life = max(h.life, life) }
+
 // Ask returns the question to be sent now. The host notes the time: the promise counts from it.
 func (h *Holder) Ask() Question {
 	return Question{Sidecar: h.name, Life: h.life, Heard: h.heard, Checked: h.checked, Fault: h.fault}
--- a/internal/fleet/policy/ledger_test.go
+++ b/internal/fleet/policy/ledger_test.go
@@ -135,3 +135,28 @@
 		}
 	}
 }
+
+// TestLivesUnderClockSteps has a sidecar start again while the clock of day has stepped, and ask at once: the leader
+// still holds what it promised to the former process. It answers under the life that the fleet comes to, and not under
+// one that may be a former one's.
+func TestLivesUnderClockSteps(t *testing.T) {
+	const began = 10_000_000 // of the former life, in milliseconds
+	for _, step := range []time.Duration{-time.Hour, -3 * time.Second, 3 * time.Second, time.Hour} {
+		ledger, grants := NewLedger([]byte("first")), NewGrants(time.Hour, 1, UsualTerms)
+		promised := func(h *Holder) bool {
+			grant, _ := grants.Ask(2*time.Hour, ledger, h.Ask())
+			return grant.Number == 1 && grant.For > 0
+		}
+		if !promised(NewHolder("n0", began, UsualTerms)) {
+			t.Fatal("the former process gets no promise")
+		}
+		h := NewHolder("n0", uint64(began+(time.Second+step).Milliseconds()), UsualTerms)
+		if got := promised(h); got != (step > 0) {
+			t.Errorf("step %v: promised %v under the life that it begins with", step, got)
+		}
+		h.Raise(began + 1)
+		if !promised(h) {
+			t.Errorf("step %v: nothing is promised under the life that the fleet has come to", step)
+		}
+	}
+}
--- a/internal/fleet/policyagent/agent.go
+++ b/internal/fleet/policyagent/agent.go
@@ -43,7 +43,7 @@
 // Settings say what a Agent is to do.
 type Settings struct {
 	Name     string
-	Life     uint64 // of this process: higher than any before it under the name
+	Life     uint64 // of this process; see Raise
 	Deciders []string
 	First    []byte // the policy in force before any change
 	Folder   string // of this decider; "": this sidecar is none
@@ -127,6 +127,13 @@
 // now reads the monotonic clock. Danger: a clock of day that is set would end promises late.
 func (c *Agent) now() time.Duration { return monotonic + time.Since(c.origin) }
 
+// Raise takes in the life of this process that the fleet has come to: higher than any before it under the name.
+func (c *Agent) Raise(life uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.holder.Raise(life)
+}
+
 // Serves tells under which policy a request may be taken now; wait is how long it would have to wait for the next one, where that is
 // known. Danger: it is to be called for each request, after whatever may have stopped the process: it reads the clock itself.
 func (c *Agent) Serves() (number uint64, wait time.Duration, ok bool) {
--- a/internal/fleet/policyagent/agent_test.go
+++ b/internal/fleet/policyagent/agent_test.go
@@ -373,3 +373,18 @@
 		}
 	}
 }
+
+// TestRaisedLife has the fleet come to a higher life of a sidecar, and then be told of a lower one: it asks under the
+// highest.
+func TestRaisedLife(t *testing.T) {
+	h := newHouse(t, 1)
+	c := h.room("n0")
+	for _, life := range []uint64{7, 5} {
+		c.Raise(life)
+		c.mu.Lock()
+		if got := c.holder.Ask().Life; got != 7 {
+			t.Errorf("it asks under life %d, want 7", got)
+		}
+		c.mu.Unlock()
+	}
+}
