--- a/internal/sidecar/churn_test.go
+++ b/internal/sidecar/churn_test.go
@@ -28,6 +28,7 @@
 		t.Fatal(err)
 	}
 	c.Settings.AskDiscovery = true // and so no watch but that of this test
+	c.Settings.StartCapacity = 1   // all servers start over and over, and are to serve at once
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	log := slog.New(slog.DiscardHandler)
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"bytes"
 	"context"
 	"encoding/json"
 	"errors"
@@ -136,9 +137,10 @@
 	}}
 }
 
-// watch asks for the changes after version from (below 0: for the whole list) and hands each list to told, until the watch
-// ends. It always returns an error, which says why.
-func (d *discovery) watch(ctx context.Context, from int64, told func(List)) error {
+// watch asks for the changes after version from (below 0: for the whole list) and hands each list to told, until the
+// watch ends. Where discovery says that nothing has changed since the last list, or since version from, it calls
+// unchanged. It always returns an error, which says why.
+func (d *discovery) watch(ctx context.Context, from int64, told func(List), unchanged func()) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	patience := d.silence
@@ -154,7 +156,10 @@
 	defer body.Close()
 
 	lists := &objects{}
-	came := func() {
+	came := func(text []byte) {
+		if from >= 0 && !lists.begun() && len(bytes.TrimSpace(text)) == 0 {
+			unchanged()
+		}
 		if from >= 0 && lists.age() < d.object {
 			silent.Reset(d.silence)
 		}
@@ -198,17 +203,17 @@
 	return resp.Body, nil
 }
 
-// progress calls came each time that something was read.
+// progress calls came each time that something was read, with what it was.
 type progress struct {
 	io.Reader
-	came func()
+	came func(text []byte)
 }
 
 // Read implements io.Reader.
 func (p *progress) Read(b []byte) (int, error) {
 	n, err := p.Reader.Read(b)
 	if n > 0 {
-		p.came()
+		p.came(b[:n])
 	}
 	return n, err
 }
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -88,6 +88,7 @@
 	isReady  bool
 	hasHeard bool
 	watches  watches
+	starts   *startTimes
 	ends     time.Time      // what is open then is given up, as the process may be killed; zero: it goes on
 	gate     *gate          // nil: the settings are those of the own file
 	listed   func([]Server) // is told each list; nil: nobody is
@@ -106,6 +107,7 @@
 		calls: map[balance.RequestID]*call{}, rev: -1, ctx: ctx, watches: watches{address: c.Discovery}}
 	h.upstream = newUpstream(c, &h.figures.Tries)
 	h.now = h.clock()
+	h.starts = newStartTimes(h.clock)
 	var err error
 	if h.balancer, err = balance.New(c.Settings, h); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -377,8 +379,9 @@
 	entries := make([]balance.Endpoint, 0, len(l.Targets))
 	for _, t := range l.Targets {
 		entries = append(entries, balance.Endpoint{ID: t.ID, Zone: t.Zone, Kind: t.Kind, Cell: t.Cell, State: t.State,
-			Size: t.Size, Started: h.started(t)})
+			Size: t.Size, Started: h.starts.of(t)})
 	}
+	h.starts.update(h.now, kind, l)
 	h.balancer.Endpoints(h.now, kind, entries)
 	h.tellList()
 	if !h.hasHeard && kind != balance.ListRemembered {
@@ -390,11 +393,3 @@
 		close(h.ready)
 	}
 }
-
-// started is when a server started, in the Balancer's time; 0: long ago.
-func (h *host) started(t Target) balance.Time {
-	if t.Boot.IsZero() {
-		return 0
-	}
-	return max(t.Boot.Sub(h.origin), 0)
-}
--- a/internal/sidecar/objects.go
+++ b/internal/sidecar/objects.go
@@ -19,6 +19,9 @@
 	began   time.Time
 }
 
+// begun tells whether an object is on its way.
+func (o *objects) begun() bool { return o.scanned > 0 }
+
 // age is for how long an object has been coming; 0: none has begun.
 func (o *objects) age() time.Duration {
 	if o.scanned == 0 {
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -102,7 +102,8 @@
 	d := newDiscovery(h.watches.address, h.connect, h.dialDiscovery)
 	go func() {
 		defer cancel()
-		err := d.watch(ctx, from, func(l List) { h.post(func() { h.told(w, l) }) })
+		told := func(l List) { h.post(func() { h.told(w, l) }) }
+		err := d.watch(ctx, from, told, func() { h.post(func() { h.unchanged(w) }) })
 		if h.ctx.Err() == nil {
 			h.post(func() { h.unwatched(w, err) })
 		}
@@ -132,6 +133,13 @@
 	h.list(kind, l)
 }
 
+// unchanged takes in that a watch has nothing to tell beyond what it has told.
+func (h *host) unchanged(from *watch) {
+	if from == h.watches.current {
+		h.starts.confirm(h.now)
+	}
+}
+
 // unwatched takes in that a watch has ended.
 func (h *host) unwatched(ended *watch, err error) {
 	w := &h.watches
--- /dev/null
+++ b/internal/sidecar/starts_test.go
@@ -0,0 +1,187 @@
+//go:build go1.25
+
+package sidecar
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"milletramp.example/milletramp/balance"
+)
+
+// clockSteps are the steps of a clock of day that these tests try.
+var clockSteps = []time.Duration{-time.Hour, -3 * time.Second, 3 * time.Second, time.Hour}
+
+// hearing runs play in a bubble with a host that is told what play says, as by its watch.
+func hearing(t *testing.T, play func(t *testing.T, h *host, says func(all bool, targets ...Target))) {
+	synctest.Test(t, func(t *testing.T) {
+		c, err := load(t, configText("127.0.0.1:9", "", testSettings))
+		if err != nil {
+			t.Fatal(err)
+		}
+		c.Settings.AskDiscovery = true // and so no watch but that of this test
+		h, err := newHost(context.Background(), c, slog.New(slog.DiscardHandler), nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		h.watches.current = &watch{func() {}}
+		play(t, h, func(all bool, targets ...Target) {
+			h.now = h.clock()
+			h.told(h.watches.current, List{Rev: 1, All: all, Targets: targets})
+		})
+	})
+}
+
+// claimed is a server that discovery claims to have started at a time; zero: long ago.
+func claimed(id string, boot time.Time) Target {
+	return Target{ID: id, Address: "127.0.0.1:9", Zone: "a", Kind: "m", Size: 1, Boot: boot}
+}
+
+// TestStartsUnderClockSteps has the clocks of day step and then a server start, half a second before it is listed.
+// Where all clocks step alike its age is what it is. Where discovery's alone does, it is between none and the time
+// since the last list.
+func TestStartsUnderClockSteps(t *testing.T) {
+	const age, pause = 500 * time.Millisecond, 1500 * time.Millisecond
+	for _, step := range clockSteps {
+		for _, tt := range []struct {
+			name         string
+			here, abroad time.Duration
+			beat         bool // discovery has said that nothing changed, 0.1 s before
+			want         time.Duration
+		}{
+			{"all clocks", step, step, false, age},
+			{"discovery's clock", 0, step, false, max(0, min(pause, age-step))},
+			{"this clock", step, 0, false, max(0, min(pause, age+step))},
+			{"discovery's clock, behind a heartbeat", 0, step, true, max(0, min(100*time.Millisecond, age-step))},
+		} {
+			t.Run(fmt.Sprintf("%s by %v", tt.name, step), func(t *testing.T) {
+				hearing(t, func(t *testing.T, h *host, says func(bool, ...Target)) {
+					old := claimed("s-0", time.Now().Add(-5*time.Second).Round(0))
+					says(true, old, claimed("s-1", time.Time{}))
+					if got := h.clock() - h.starts.of(old); got != 5*time.Second {
+						t.Fatalf("in the first list a server is %v old, want 5s", got)
+					}
+					time.Sleep(pause - 100*time.Millisecond)
+					if tt.beat {
+						h.now = h.clock()
+						h.unchanged(h.watches.current)
+					}
+					time.Sleep(100 * time.Millisecond)
+					h.starts.wall = func() time.Time { return time.Now().Add(tt.here).Round(0) }
+					fresh := claimed("s-2", time.Now().Add(tt.abroad-age).Round(0))
+					says(false, fresh)
+					if got := h.clock() - h.starts.of(fresh); got != tt.want {
+						t.Errorf("it is %v old, want %v", got, tt.want)
+					}
+					again := claimed("s-0", fresh.Boot)
+					says(false, again)
+					if got := h.clock() - h.starts.of(again); got != 0 {
+						t.Errorf("one that has started since the list before, at the same time, is %v old", got)
+					}
+					says(true, fresh, old)
+					if h.starts.of(claimed("s-1", time.Time{})) != 0 || h.clock()-h.starts.of(fresh) != tt.want {
+						t.Error("a list that tells nothing new changes a start")
+					}
+				})
+			})
+		}
+	}
+}
+
+// TestStartsThatAreKnown has a server be on no list for a while and come back with the start that it had: it is as warm
+// as it was. One that a new discovery lists and the former did not is at most as old as the former one's last list.
+func TestStartsThatAreKnown(t *testing.T) {
+	hearing(t, func(t *testing.T, h *host, says func(bool, ...Target)) {
+		warm, other := claimed("s-0", time.Now().Add(-time.Minute).Round(0)), claimed("s-1", time.Time{})
+		says(true, warm, other)
+		was := h.starts.of(warm)
+		says(true, other)
+		time.Sleep(2 * time.Second)
+		says(true, other, warm)
+		if got := h.starts.of(warm); got != was {
+			t.Errorf("back on the list it started %v later", got-was)
+		}
+		time.Sleep(3 * time.Second)
+		h.unwatched(h.watches.current, errors.New("ended"))
+		next := &watch{func() {}}
+		h.watches.next = next
+		h.now = h.clock()
+		h.unchanged(next) // which has told nothing yet
+		unheard := claimed("s-2", time.Now().Add(-time.Hour).Round(0))
+		h.told(next, List{Rev: 1, All: true, Targets: []Target{warm, other, unheard}})
+		if got := h.clock() - h.starts.of(unheard); got != 3*time.Second {
+			t.Errorf("a server that the former discovery did not list is %v old, want 3s", got)
+		}
+	})
+}
+
+// TestStartsAreBounded has many servers pass by: the starts of the last ones are kept, and those of servers that are
+// listed.
+func TestStartsAreBounded(t *testing.T) {
+	s := newStartTimes(func() balance.Time { return originAge })
+	says := func(target Target) {
+		s.of(target)
+		s.update(originAge, balance.ListChanges, List{Targets: []Target{target}})
+	}
+	stays, last := claimed("s-0", time.Now()), Target{}
+	says(stays)
+	for i := range 2 * mostDelisted {
+		last = claimed(fmt.Sprintf("p-%d", i), time.Now())
+		says(last)
+		gone := last
+		gone.State = balance.Removed
+		says(gone)
+	}
+	if got := len(s.starts); got != mostDelisted+1 || s.starts[stays.ID] == nil || s.starts[last.ID] == nil {
+		t.Errorf("%d starts are kept, want %d", got, mostDelisted+1)
+	}
+}
+
+// TestListOfAnyAge has a process begin with a list that the platform wrote down: what the first list of discovery has
+// beyond that may have started long before.
+func TestListOfAnyAge(t *testing.T) {
+	hearing(t, func(t *testing.T, h *host, says func(bool, ...Target)) {
+		h.list(balance.ListRemembered, List{Targets: []Target{claimed("s-0", time.Time{})}})
+		time.Sleep(time.Second)
+		warm := claimed("s-1", time.Now().Add(-time.Hour).Round(0))
+		says(true, claimed("s-0", time.Time{}), warm)
+		if got := h.clock() - h.starts.of(warm); got != time.Hour {
+			t.Errorf("it is %v old, want 1h", got)
+		}
+	})
+}
+
+// TestHeartbeats counts what is a heartbeat: white space alone, outside a list and behind one or a version to begin
+// with.
+func TestHeartbeats(t *testing.T) {
+	first, half, rest := listText(2, true), `{"rev":3,"targets":`, "[]}\n"
+	for _, tt := range []struct {
+		name   string
+		from   int64
+		pieces []string
+		want   int
+	}{
+		{"behind a version", 1, []string{"\n", "\n"}, 2},
+		{"before the first list", -1, []string{"\n", first, "\n"}, 1},
+		{"with a list", 1, []string{"\n" + first + "\n"}, 0},
+		{"within a list", 1, []string{half, "\n", rest, "\n"}, 1},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				pieces := append([]string{"HTTP/1.1 200 OK\r\n\r\n"}, tt.pieces...)
+				d := newDiscovery("127.0.0.1:9", 0, spoken(time.Millisecond, pieces...))
+				got := 0
+				err := d.watch(context.Background(), tt.from, func(List) {}, func() { got++ })
+				if got != tt.want || !errors.Is(err, errSilent) && !errors.Is(err, io.EOF) {
+					t.Errorf("%d heartbeats, want %d, error %v", got, tt.want, err)
+				}
+			})
+		})
+	}
+}
