--- a/balance/api.go
+++ b/balance/api.go
@@ -219,13 +219,13 @@
 
 // What is seen of attempts. One that is late, and then silent, is told once as either.
 const (
-	SawAnswer  Sight = iota // served
+	SawAnswer Sight = iota // served
 	// no answer after the time in which nearly all come, and nothing else from there since
 	SawLate
 	// no answer for so long that it is taken to be lost, and nothing else from there since
 	SawSilence
-	SawFailure              // an error, or the connection broke
-	SawRefusal              // no connection
+	SawFailure // an error, or the connection broke
+	SawRefusal // no connection
 )
 
 // Witness is told what a Balancer sees at endpoints, for other sidecars to know. It is called as Actions is.
