--- a/cmd/milletramp/lab.go
+++ b/cmd/milletramp/lab.go
@@ -24,6 +24,7 @@
 	Run     labRun     `cmd:"" help:"Play scenarios and report; exit status 1 if a rule is broken or an expectation missed."`
 	Sweep   labSweep   `cmd:"" help:"Play a scenario over a range of one of its values."`
 	Compare labCompare `cmd:"" help:"Play a scenario with two policies, or two builds of the sidecar, on the same seeds."`
+	Scale   labScale   `cmd:"" help:"Measure a sidecar in fleets of up to 3,200 servers; exit status 1 if a figure is over its limit."`
 	List    labList    `cmd:"" help:"List the scenarios."`
 }
 
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -6,6 +6,7 @@
 	"net"
 	"net/http"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"milletramp.example/milletramp/internal/lab/record"
@@ -41,6 +42,7 @@
 	sidecar int32
 	log     *Log
 	number  func(uid string) int32
+	written atomic.Int64 // bytes of lists
 
 	mu       sync.Mutex
 	rev      int64
@@ -82,6 +84,9 @@
 	return d.listener.Addr().String()
 }
 
+// Written is how many bytes of lists watches have been sent.
+func (d *Discovery) Written() int { return int(d.written.Load()) }
+
 // Close ends it and its watches.
 func (d *Discovery) Close() { _ = d.http.Close() }
 
@@ -213,6 +218,7 @@
 				panic(http.ErrAbortHandler)
 			}
 			d.told(l.Targets)
+			d.written.Add(int64(len(text) + 1))
 			if _, err := w.Write(append(text, '\n')); err != nil {
 				return
 			}
