--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,13 +1,13 @@
 package balance
 
-// Here are the life of a request and the list; in route.go rules and rotation; in health.go what is believed.
+// Here is the life of a request; in endpoints.go the list; in subset.go the part of it that is used; in route.go rules and
+// rotation; in health.go what is believed.
 
 import (
 	"cmp"
 	"maps"
 	"math"
 	"slices"
-	"strings"
 	"time"
 )
 
@@ -293,74 +293,6 @@
 	return b.tenants[i].Over(now, b.set.Tenants[i].Allowance*part, memory)
 }
 
-// Endpoints takes in discovery's news. Entries that discovery refused leave the list in hand as it is.
-func (b *Balancer) Endpoints(now Time, kind ListKind, list []Endpoint) {
-	switch kind {
-	case ListRefused:
-		// Sidecars that call again at once, all together, keep a weak list service from ever answering. One
-		// that waits for long is told of changes too late.
-		b.subscribed = false
-		wait := min(FirstReask<<min(b.refusals, 8), LongestReask)
-		if !b.set.AskDiscovery {
-			wait = PushedReask // an own agent tells: what it has counts as told
-		}
-		b.refusals++
-		b.act.Timer(time.Duration((1+3*b.rng.Float64())*float64(wait)/4), tokenAsk)
-		return
-	case ListFull, ListRemembered:
-		for _, e := range b.endpoints {
-			e.State = Removed
-		}
-	}
-	for _, entry := range list {
-		e := b.known[entry.ID]
-		if e == nil && entry.State == Removed {
-			continue
-		}
-		if e == nil {
-			e = &endpoint{seen: b.nothing(now)}
-			b.known[entry.ID] = e
-		}
-		if e.joins == nil || e.Zone != entry.Zone || e.Kind != entry.Kind {
-			e.joins = b.groupsOf(entry)
-			e.home = b.groups[slices.Index(e.joins, true)]
-		}
-		if e.abroad = 0; entry.Zone != b.set.Zone {
-			e.abroad = 1
-		}
-		if entry.Started = max(entry.Started, b.back[entry.ID]); entry.Started != e.Started {
-			// A restart under the same id is a new process: what was seen of the old one does not count.
-			b.forget(e, entry.Started, now)
-			e.fresh = true
-		}
-		e.Endpoint, e.Size = entry, cmp.Or(max(entry.Size, 0), 1)
-	}
-	maps.DeleteFunc(b.back, func(id string, back Time) bool {
-		return b.known[id] == nil && now-back > b.set.ColdTime
-	})
-	b.endpoints = b.endpoints[:0]
-	for id, e := range b.known {
-		if e.State != Removed {
-			b.endpoints = append(b.endpoints, e)
-		} else if e.inFlight == 0 {
-			delete(b.known, id)
-		}
-	}
-	slices.SortFunc(b.endpoints, func(x, y *endpoint) int { return strings.Compare(x.ID, y.ID) })
-	b.recount(now)
-	if kind != ListRemembered {
-		b.refusals = 0
-	}
-}
-
-// recount takes in that endpoints have come, gone, or started.
-func (b *Balancer) recount(now Time) {
-	b.regroup(now)
-	b.fade(now, 1)
-	b.shift(now)
-	b.drawTurns()
-}
-
 // TakeOut takes an endpoint out by hand, or puts it back, and tells whether it is known: listed, or out. Both
 // may be asked for again. Nothing is sent to one that is out, whatever discovery says of it meanwhile.
 func (b *Balancer) TakeOut(now Time, id string, out bool) (known bool) {
@@ -371,16 +303,17 @@
 	case b.out[id] == out:
 		return true
 	case out:
-		b.out[id] = true
+		b.bar(now, id, true)
 		b.act.Log("taken out by hand " + id)
 	default:
 		// Danger: it was restarted while it was out, and discovery may say so late, or never.
-		delete(b.out, id)
 		b.back[id] = now
 		if e != nil {
 			b.forget(e, now, now)
 			e.Started, e.fresh = now, true
+			b.started = append(b.started, e)
 		}
+		b.bar(now, id, false)
 		b.act.Log("put back by hand " + id)
 	}
 	b.recount(now)
@@ -390,7 +323,7 @@
 // HandedOut takes out what was out by hand where this Balancer takes over, listed or not.
 func (b *Balancer) HandedOut(now Time, ids []string) {
 	for _, id := range ids {
-		b.out[id] = true
+		b.bar(now, id, true)
 	}
 	b.recount(now)
 }
@@ -401,6 +334,9 @@
 // Doubted takes in of which endpoints others speak ill, the worst first, in place of what they said before.
 // These stay in use, behind all others. Danger: false word; a share of the ready size is the most it moves.
 func (b *Balancer) Doubted(words []Word) {
+	if len(words) == 0 && b.doubts == 0 {
+		return
+	}
 	room := 0.0
 	for _, e := range b.endpoints {
 		if e.word = 0; e.State == Ready {
@@ -441,7 +377,7 @@
 		b.act.Timer(tickEvery, tokenTick)
 		b.fade(now, math.Exp(-tickEvery.Seconds()/memory.Seconds()))
 		b.shift(now)
-		if now >= b.grouped+time.Second {
+		if now >= b.grouped+groupTime {
 			b.regroup(now)
 		}
 	default:
--- a/balance/health.go
+++ b/balance/health.go
@@ -47,7 +47,6 @@
 	overBar       = 0.5     // bar of requests beyond an allowance, as a share of their class's
 	coldEarly     = 2.0     // shares that a cold endpoint gets at most
 	coldSafe      = 0.5     // and of what makes it fall, as others have bursts and repeats too
-	leastSubset   = 4       // endpoints of a group that a sidecar uses at least: some may fail
 	mostTries     = 1 << 12 // of a request, that timers can tell apart
 	mostClasses   = 256     // that may come and go by new settings
 	leastNear     = 0.001   // weight of other zones at least: enough to know them
@@ -326,6 +325,7 @@
 	for i := range b.apart {
 		b.apart[i].took, b.apart[i].held = b.apart[i].took*keep, b.apart[i].held*keep
 	}
+	b.looked += len(b.active)
 	for _, e := range b.active {
 		if now >= e.until && e.home.speaks(now) {
 			owed += e.owed(now)
@@ -377,7 +377,7 @@
 // Danger: sidecars that are told at once must not send at once. Danger: that time is long for one of many
 // sidecars, and where each began it with the start, the fleet would leave what started idle until it is warm.
 func (b *Balancer) drawTurns() {
-	for _, e := range b.endpoints {
+	for _, e := range b.started {
 		if e.fresh && e.warm > 0 {
 			e.last = b.sends - b.rng.Float64()*b.room/(max(e.Size, 1e-9)*e.warm*b.near[e.abroad])
 		}
--- a/balance/route.go
+++ b/balance/route.go
@@ -62,62 +62,20 @@
 	}
 }
 
-// groupsOf tells which groups' tags an endpoint carries.
-func (b *Balancer) groupsOf(e Endpoint) (joins []bool) {
-	tags := map[string]string{"service": b.set.Service, "region": e.Zone, "version": e.Kind}
-	for _, g := range b.groups {
-		ok, _ := g.dest.Match.matches(tags)
-		joins = append(joins, ok)
-	}
-	return joins
-}
-
-// regroup sorts the ready endpoints into the groups, which keep their turns, and takes this sidecar's subset
-// of each. Danger: endpoints are ready, but none is in a group of the rule. As without a rule, all ready ones
-// then form one group.
-func (b *Balancer) regroup(now Time) {
-	near, listed := 0.0, 0
-	for _, e := range b.endpoints {
-		e.active, e.warm = false, b.warmth(e, now)
-		near += b.near[e.abroad]
+// groupsOf tells which groups of the rule have an endpoint's tags.
+func (b *Balancer) groupsOf(e Endpoint) (joins []*group) {
+	joins, known := b.joins[[2]string{e.Zone, e.Kind}]
+	if known {
+		return joins
 	}
-	b.grouped, b.active = now, b.active[:0]
-	for i, g := range b.groups {
-		size, spare := 0.0, i == len(b.groups)-1 && listed > 0
-		g.ready, g.size = g.ready[:0], [2]float64{}
-		for _, e := range b.endpoints {
-			if !spare && e.State == Ready && !b.out[e.ID] && e.joins[i] {
-				g.ready = append(g.ready, e)
-				size += e.Size
-				g.size[e.abroad] += e.Size * e.warm
-			}
-		}
-		listed += len(g.ready)
-		g.whole = math.Max(g.whole, size)
-		b.subset(g, b.arrived/near, now)
-	}
-}
-
-// subset takes the part of a group that this sidecar uses: a run of the group's order from its own place on,
-// long enough that each member gets a request within the memory. Danger: a sidecar with little traffic that
-// goes through a large fleet knows none of its servers, and connects to all of them. Places that follow the
-// golden ratio spread any number of sidecars evenly. Members that are ejected are made up for.
-func (b *Balancer) subset(g *group, share float64, now Time) {
-	n := len(g.ready)
-	want := max(leastSubset, int(math.Ceil(share*float64(n))))
-	start := int(math.Mod(float64(b.set.Self)*(math.Sqrt(5)-1)/2, 1) * float64(n))
-	g.members = g.members[:0]
-	for i := 0; i < n && want > 0; i++ {
-		e := g.ready[(start+i)%n]
-		g.members = append(g.members, e)
-		if now >= e.until {
-			want--
-		}
-		if !e.active {
-			e.active = true
-			b.active = append(b.active, e)
+	tags := map[string]string{"service": b.set.Service, "region": e.Zone, "version": e.Kind}
+	for _, g := range b.groups[:len(b.groups)-1] {
+		if ok, _ := g.dest.Match.matches(tags); ok {
+			joins = append(joins, g)
 		}
 	}
+	b.joins[[2]string{e.Zone, e.Kind}] = joins
+	return joins
 }
 
 // weight is the configured weight for what the group's ready members can do. Danger: a shrunken, lost or cold
--- a/balance/state.go
+++ b/balance/state.go
@@ -14,19 +14,18 @@
 
 // Balancer makes the decisions of one sidecar.
 type Balancer struct {
-	set        Settings
-	act        Actions
-	witness    Witness // nil: nobody wants to know
-	rng        *rand.Rand
-	endpoints  []*endpoint          // listed, by id
-	known      map[string]*endpoint // listed, or removed with attempts out
-	active     []*endpoint          // members of the subsets
-	out        map[string]bool      // taken out by hand, listed or not
-	back       map[string]Time      // put back by hand, and when
-	groups     []*group             // of the best rule, and a last one of all endpoints
-	fleet      *group               // the last of them
-	pace       pace.Meter           // of answers now, against those that the rest of this knows
-	apart      [2]group             // what answers took in the own zone and in the others
+	set     Settings
+	act     Actions
+	witness Witness // nil: nobody wants to know
+	rng     *rand.Rand
+	index
+	active     []*endpoint     // members of the subsets
+	out        map[string]bool // taken out by hand, listed or not
+	back       map[string]Time // put back by hand, and when
+	groups     []*group        // of the best rule, and a last one of all endpoints
+	fleet      *group          // the last of them
+	pace       pace.Meter      // of answers now, against those that the rest of this knows
+	apart      [2]group        // what answers took in the own zone and in the others
 	requests   map[RequestID]*request
 	tenants    []quota.Meter // of this sidecar's parts of their allowances
 	work       []float64     // mean time of the answers in seconds, by class
@@ -104,19 +103,25 @@
 type endpoint struct {
 	Endpoint
 	seen
-	inFlight int     // this sidecar's attempts out
-	sent     Time    // sum of the times since which those are owed
-	heard    Time    // when it last answered
-	word     Time    // when others last spoke ill of it; 0: they do not
-	warm     float64 // share of its capacity that it has
-	fresh    bool    // its process has started and has no turn yet
-	last     float64 // the balancer's count of sends at the last one to it
-	abroad   int     // 1 in another zone, 0 in the sidecar's own
-	home     *group  // the first whose tags it carries; its peers there are alike
-	joins    []bool  // which groups' tags it carries
-	active   bool    // in the subset of one of them
-	open     bool    // may be chosen for the request in hand
-	expects  float64 // seconds that it was expected to take for that
+	inFlight int      // this sidecar's attempts out
+	sent     Time     // sum of the times since which those are owed
+	heard    Time     // when it last answered
+	word     Time     // when others last spoke ill of it; 0: they do not
+	warm     float64  // share of its capacity that it has
+	fresh    bool     // its process has started and has no turn yet
+	last     float64  // the balancer's count of sends at the last one to it
+	abroad   int      // 1 in another zone, 0 in the sidecar's own
+	home     *group   // the first whose tags it carries; its peers there are alike
+	joins    []*group // of the rule, whose tags it carries
+	key      uint64   // its place on their rings
+	listed   bool     // it is in the index
+	at       int      // and where
+	placed   bool     // and in the rings: ready, and not out
+	warming  bool     // in the list of the cold ones
+	weighed  float64  // the warmth that it counts with in its groups' sizes
+	active   bool     // in the subset of one of them
+	open     bool     // may be chosen for the request in hand
+	expects  float64  // seconds that it was expected to take for that
 }
 
 // seen is what the sidecar has seen of an endpoint's process.
@@ -141,18 +146,23 @@
 
 // group is one destination of the best rule, or all endpoints.
 type group struct {
-	dest    Destination
-	ready   []*endpoint // by id
-	members []*endpoint // the sidecar's subset of them, in order of rotation
-	size    [2]float64  // registered size of the ready ones for their warmth, in the own zone and elsewhere
-	heard   Time        // when any of its endpoints last answered
-	told    Time        // when an attempt last told how fast its endpoints are
-	took    float64     // fading sum of the seconds that answers of endpoints at home in it took
-	held    float64     // and of the requests held for a unit of size
-	owed    float64     // seconds for which answers of those have been due, at the last tick
-	whole   float64     // the largest registered size ever ready in it
-	next    int         // whose turn it is
-	credit  float64     // of the smooth weighted schedule
+	dest     Destination
+	ready    []*endpoint // in order of the ring
+	anchor   uint64      // where on the ring the subset begins
+	anchored bool
+	wants    int         // how many the subset is to have
+	inUse    bool        // it has a part in the schedule
+	total    float64     // registered size of the ready ones
+	members  []*endpoint // the sidecar's subset of them, in order of rotation
+	size     [2]float64  // registered size of the ready ones for their warmth, in the own zone and elsewhere
+	heard    Time        // when any of its endpoints last answered
+	told     Time        // when an attempt last told how fast its endpoints are
+	took     float64     // fading sum of the seconds that answers of endpoints at home in it took
+	held     float64     // and of the requests held for a unit of size
+	owed     float64     // seconds for which answers of those have been due, at the last tick
+	whole    float64     // the largest registered size ever ready in it
+	next     int         // whose turn it is
+	credit   float64     // of the smooth weighted schedule
 }
 
 // New returns a Balancer, or an error that says what is wrong with the settings.
@@ -163,8 +173,8 @@
 	if err := check(set, act); err != nil {
 		return nil, fmt.Errorf("balance: %w", err)
 	}
-	b := &Balancer{set: set, act: act, known: map[string]*endpoint{}, out: map[string]bool{},
-		back: map[string]Time{}, requests: map[RequestID]*request{},
+	b := &Balancer{set: set, act: act, out: map[string]bool{},
+		index: index{known: map[string]*endpoint{}, joins: map[[2]string][]*group{}}, back: map[string]Time{}, requests: map[RequestID]*request{},
 		rng: rand.New(rand.NewPCG(set.Seed, uint64(set.Self))), tenants: make([]quota.Meter, len(set.Tenants)),
 		near:  [2]float64{1, leastNear},
 		shape: repeats.NewShape(), budget: repeats.NewBudget(len(set.Classes), budgetShare, budgetMost)}
