--- a/balance/endpoints_test.go
+++ b/balance/endpoints_test.go
@@ -166,7 +166,8 @@
 	usualChange, usualTick := cost(200)
 	change, tick := cost(3200)
 	t.Logf("looked at: %.1f and %.1f a change, %.1f and %.1f a tick", usualChange, change, usualTick, tick)
-	if change > usualChange {
+	// Of the usual fleet all endpoints are in the subset, of the large one few.
+	if change > usualChange/10 {
 		t.Errorf("a change has %.1f endpoints looked at among 3200, %.1f among 200", change, usualChange)
 	}
 	if tick > 1.5*usualTick {
