--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -112,11 +112,12 @@
 	if bare := b.bare(); bare != b.fleet.inUse {
 		b.gather(bare)
 	}
-	if b.stale {
+	if b.stale || b.wide() == 0 {
 		b.regroup(now)
 		b.fade(now, 1)
 		b.shift(now)
 	}
+	slices.SortFunc(b.started, func(x, y *endpoint) int { return strings.Compare(x.ID, y.ID) })
 	b.drawTurns()
 	b.started = b.started[:0]
 }
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -28,9 +28,10 @@
 // without a rule, all ready ones then form one group.
 func (b *Balancer) regroup(now Time) {
 	// In a wide fleet, what one change does to lengths and places may move members of all groups.
-	settle := !b.stale || b.renewed || len(b.endpoints) <= wideFleet
+	usual := b.wide() == 0
+	settle := !b.stale || b.renewed || usual
 	b.stale, b.renewed = false, false
-	if now >= b.warmed+groupTime {
+	if now >= b.warmed+groupTime || usual {
 		b.warmUp(now)
 	}
 	for _, e := range b.active {
@@ -65,7 +66,7 @@
 // request within the memory.
 func (b *Balancer) used() float64 {
 	share := b.arrived / math.Max(float64(b.sides[0])*b.near[0]+float64(b.sides[1])*b.near[1], 1e-9)
-	if len(b.endpoints) <= wideFleet {
+	if b.wide() == 0 {
 		return share
 	}
 	total := 0
