--- a/balance/health.go
+++ b/balance/health.go
@@ -45,7 +45,6 @@
 	arrivalMargin = time.Second / 8
 	workStep      = 0.05    // weight of an answer in the mean time of its class
 	overBar       = 0.5     // bar of requests beyond an allowance, as a share of their class's
-	leastSubset   = 4       // endpoints of a group that a sidecar uses at least: some may fail
 	mostTries     = 1 << 12 // of a request, that timers can tell apart
 	mostClasses   = 256     // that may come and go by new settings
 	leastNear     = 0.001   // weight of other zones at least: enough to know them
@@ -328,6 +327,7 @@
 	for i := range b.apart {
 		b.apart[i].took, b.apart[i].held = b.apart[i].took*keep, b.apart[i].held*keep
 	}
+	b.looked += len(b.active)
 	for _, e := range b.active {
 		if now >= e.until && e.home.speaks(now) {
 			owed += e.owed(now)
@@ -371,7 +371,7 @@
 // Sidecars that are told at once must not send at once. That time is long for one of many sidecars, and where
 // each began it with the start, the fleet would leave what started idle until it is warm.
 func (b *Balancer) drawTurns(now Time) {
-	for _, e := range b.endpoints {
+	for _, e := range b.started {
 		if e.fresh {
 			e.turns.begin(b.sends, now, b.rng.Float64())
 		}
--- a/balance/loss_test.go
+++ b/balance/loss_test.go
@@ -1,12 +1,15 @@
 package balance
 
 import (
+	"cmp"
 	"math"
 	"math/rand/v2"
 	"slices"
 	"strings"
 	"testing"
 	"time"
+
+	"github.com/cespare/xxhash/v2"
 )
 
 // lossy is a host with endpoints that answer after a random time, whatever their load, or never.
@@ -123,13 +126,23 @@
 	return requests
 }
 
+// ringOrder returns the ids of endpoints in the order in which the rotation goes through them.
+func ringOrder(list []Endpoint) (ids []string) {
+	for _, e := range list {
+		ids = append(ids, e.ID)
+	}
+	slices.SortFunc(ids, func(a, b string) int { return cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)) })
+	return ids
+}
+
 // TestLosses plays a calm time and then a fault: what the fault takes may go, what it leaves must not, and
 // where nothing is lost nothing goes out twice.
 func TestLosses(t *testing.T) {
 	usual := func(f *lossy) time.Duration {
 		return time.Duration(20 * math.Exp(f.rng.NormFloat64()*0.4) * float64(time.Millisecond))
 	}
-	half := func(to string) bool { return to < "d" } // of a to f
+	ids := ringOrder(many(6)) // the endpoints at fault follow each other in the rotation
+	half := func(to string) bool { return slices.Contains(ids[:3], to) }
 	for _, tt := range []struct {
 		name   string
 		fault  func(f *lossy, to string, class int) (time.Duration, bool)
@@ -153,8 +166,8 @@
 		{"half swallow a class", func(f *lossy, to string, class int) (time.Duration, bool) {
 			return usual(f), half(to) && class == 1
 		}, [2]int{3, 12}, "", [2]float64{0.001, 0.05}, 0.96, [2]float64{0.2, 0.35}},
-		{"one is silent", func(f *lossy, to string, _ int) (time.Duration, bool) { return usual(f), to == "a" },
-			[2]int{1, 6}, "ejected a", [2]float64{0, 0.05}, 0.97, [2]float64{0.3, 0.45}},
+		{"one is silent", func(f *lossy, to string, _ int) (time.Duration, bool) { return usual(f), to == ids[0] },
+			[2]int{1, 6}, "ejected " + ids[0], [2]float64{0, 0.05}, 0.97, [2]float64{0.3, 0.45}},
 		{"all answer late", func(f *lossy, _ string, _ int) (time.Duration, bool) { return 3 * usual(f), false },
 			[2]int{0, 0}, "", [2]float64{0, 0.02}, 0.9, [2]float64{0.45, 0.55}},
 		{"half answer late", func(f *lossy, to string, _ int) (time.Duration, bool) {
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -50,6 +50,11 @@
 	}
 }
 
+// known tells whether there is enough to go by.
+func (m *capacityMeter) known() bool {
+	return m.served >= leastServed && m.seconds >= leastMeasured && m.sizes[0] > 0
+}
+
 // turns are parts of the next turn of a cold endpoint that have come due, 1 or more where the turn is
 // there. They add up as warmth, traffic and capacity go: what has come due is not counted anew by a warmth
 // that has risen since, or sidecars with little traffic would all have their turn well before its time.
@@ -60,6 +65,9 @@
 	early float64 // of the traffic, regardless of zones
 	near  float64 // of the allowance, in the endpoint's zone
 	whole float64 // of the allowance, regardless of zones
+	// ahead has the endpoint go before the rotation, once its turn has come. Where that takes longer than the
+	// memory to come round, most turns would pass before it does.
+	ahead bool
 }
 
 // begin has all begin at a phase, the same for all, as the parts that have come due otherwise had to meet.
@@ -72,7 +80,7 @@
 func (b *Balancer) accrue(e *endpoint, now Time) (share, early float64) {
 	t, m, able := &e.turns, &b.capacity, e.Size*e.warm
 	share, early = 1, coldEarly
-	if m.served < leastServed || m.seconds < leastMeasured || m.sizes[0] <= 0 {
+	if !m.known() {
 		t.near, t.whole = max(t.near, 1), max(t.whole, 1)
 		early = min(coldEarly, coldSafe*b.set.FallMultiple)
 		share, early = min(early, 1)*b.usedPart(b.room), early*b.usedPart(b.whole)
@@ -118,6 +126,7 @@
 	share, earlyShare := b.accrue(e, now)
 	t := &e.turns
 	inZone, anywhere := t.share+share >= 1 && t.near >= 1, t.early+earlyShare >= 1 && t.whole >= 1
+	t.ahead = inZone && b.capacity.known() && b.arrived < leastSubset
 	if b.capacity.warm[1] == 0 {
 		return anywhere && (early || inZone) // all are cold: the own zone's have no more than the others
 	}
