--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -194,6 +194,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			s := load(t, tt.day)
+			seeds, least := []uint64{3}, 1 // days played, and those on which the rule has to be seen broken
 			if tt.name == "delivery records repeated too late" {
 				// Errors come late on slow nodes of one large pod, beyond a window that is short.
 				s.Fleet.PodSize = 12
@@ -204,12 +205,20 @@
 				slow := s.Trouble[0]
 				slow.Kind, slow.Size, slow.Part = "slow", 8, 0.9
 				s.Trouble = append(s.Trouble, slow)
+				// Such a repeat is rare: one day may have none.
+				seeds, least = []uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}, 3
 			}
-			if d := play(t, s, 3, tt.opt); d.Verdict.Counts[tt.rule] == 0 {
-				t.Errorf("the rule %q is not seen broken: %v", tt.rule, d.Verdict.Counts)
+			seen := 0
+			for _, seed := range seeds {
+				if d := play(t, s, seed, tt.opt); d.Verdict.Counts[tt.rule] > 0 {
+					seen++
+				}
+				if d := play(t, s, seed, sim.Options{}); !d.Verdict.Clean() {
+					t.Errorf("seed %d: the whole sidecar is found broken: %v %v", seed, d.Verdict.Counts, d.Verdict.Breaches)
+				}
 			}
-			if d := play(t, s, 3, sim.Options{}); !d.Verdict.Clean() {
-				t.Errorf("the whole sidecar is found broken: %v %v", d.Verdict.Counts, d.Verdict.Breaches)
+			if seen < least {
+				t.Errorf("the rule %q is seen broken on %d of %d days, want %d", tt.rule, seen, len(seeds), least)
 			}
 		})
 	}
