--- a/balance/health.go
+++ b/balance/health.go
@@ -40,9 +40,11 @@
 	spillAt      = 0.5                    // of the shortest aim: above it an endpoint is full
 	crossAt      = 8.0                    // of the crossing charge, in aims: an answer that much sooner pays
 	refuseAt     = 0.85                   // of the shortest aim: no answer expected later is worth its work
-	// Of the time for which repeats are dropped, what is left free before a repeat is chosen, and sent.
+	// Of the time for which repeats are dropped, what is left free before a repeat is chosen, and before its last byte
+	// is sent: it may be held up after the host has checked its time, and then has its way to go.
 	repeatMargin  = time.Second / 2
-	arrivalMargin = time.Second / 8
+	arrivalMargin = SchedulingStall + wayMargin
+	wayMargin     = 25 * time.Millisecond
 	workStep      = 0.05    // weight of an answer in the mean time of its class
 	overBar       = 0.5     // bar of requests beyond an allowance, as a share of their class's
 	coldEarly     = 2.0     // shares that a cold endpoint gets at most
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -124,7 +124,7 @@
 	if err != nil {
 		return nil, err
 	}
-	raw, err := inner.(*net.TCPConn).SyscallConn()
+	raw, err := inner.(syscall.Conn).SyscallConn()
 	if err != nil {
 		_ = inner.Close()
 		return nil, fmt.Errorf("connection: %w", err)
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -57,7 +57,8 @@
 const (
 	killAfter    = 700 * time.Millisecond
 	killDeadline = 3 * time.Second
-	killMargin   = 200 * time.Millisecond // for the last answers
+	// killMargin is for the last answers: each may be held up, and then has its way to go.
+	killMargin = balance.SchedulingStall + 50*time.Millisecond
 )
 
 // drain has answers end their connections from now on, and requests be answered before this process may be killed.
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -145,8 +145,9 @@
 	begins func(reply) bool
 }
 
-// notDue tells why an attempt whose connection is up must not begin any more, or nil. A connection may come up long after it was asked
-// for, and another event may have come first.
+// notDue tells why an attempt whose connection is up must not begin any more, or nil. A connection may come up long
+// after it was asked for, and another event may have come first. A close by the client has the least slack, so it is
+// looked for last: what holds the process up after its clock was read is over by then.
 func (u *upstream) notDue(s *sending, to *target) error {
 	switch {
 	case u.pool.left(to):
