--- a/internal/sidecar/attempts_test.go
+++ b/internal/sidecar/attempts_test.go
@@ -111,6 +111,21 @@
 	}
 }
 
+// TestRepeatThatIsTakenTooLate: an attempt whose server takes only a part of it by its time is given up, and never gets
+// the rest.
+func TestRepeatThatIsTakenTooLate(t *testing.T) {
+	b := &backend{address: listen(t).Addr().String()} // takes no more than the system holds
+	u := to(t, b)
+	m := post("k")
+	m.body = [][]byte{make([]byte, mostRequest), make([]byte, mostRequest)}
+	s := sending{server: "s-0", message: m, by: time.Now().Add(50 * time.Millisecond), begins: whole}
+	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	defer cancel()
+	if r := u.attempt(ctx, s); r.outcome != balance.NotSent || ctx.Err() != nil || u.pool.open != 0 {
+		t.Errorf("outcome %d, error %v, %d connections are left", r.outcome, ctx.Err(), u.pool.open)
+	}
+}
+
 // TestSecondAnswer has a server send one more answer as soon as a second request comes on a connection. A connection that has just had
 // an answer gets no request, so that nobody takes the one for the other.
 func TestSecondAnswer(t *testing.T) {
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -155,6 +155,17 @@
 	return c.SetReadDeadline(time.Now().Add(c.pause))
 }
 
+// setWriteDeadline bounds what is written, unless it is given up already: the deadline that ends it would be
+// overwritten.
+func (c *serverConn) setWriteDeadline(t time.Time) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.givenUp {
+		return nil
+	}
+	return c.SetWriteDeadline(t)
+}
+
 // giveUp ends what is read and written, now and later.
 func (c *serverConn) giveUp() {
 	c.mu.Lock()
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -138,7 +138,7 @@
 type sending struct {
 	server  string
 	message *message
-	by      time.Time // its first byte is written before then, or never; zero: at any time
+	by      time.Time // it is written whole before then, or never; zero: at any time
 	// withdrawn tells whether nobody waits for the request any more; nil: somebody does.
 	withdrawn func() bool
 	// begins tells whether a long answer that has come in part is to be passed on.
@@ -188,12 +188,7 @@
 	}
 	unused := err != nil // the connection has had nothing written
 	if err == nil {
-		n, err = c.Write(request)
-	}
-	for i := 0; err == nil && i < len(body); i++ {
-		more := 0
-		more, err = c.Write(body[i])
-		n += more
+		n, err = c.send(s.by, request, body)
 	}
 	whole := len(request)
 	if len(body) > 0 {
@@ -228,6 +223,29 @@
 	return r
 }
 
+// send writes a request whole, and tells how much of it was written. A server that gets its last byte after by would
+// not drop it as a repeat, so it is given up then; without its last byte it never runs.
+func (c *serverConn) send(by time.Time, head []byte, body [][]byte) (n int, err error) {
+	if !by.IsZero() {
+		if err := c.setWriteDeadline(by); err != nil {
+			return 0, err
+		}
+	}
+	n, err = c.Write(head)
+	for i := 0; err == nil && i < len(body); i++ {
+		more := 0
+		more, err = c.Write(body[i])
+		n += more
+	}
+	if !by.IsZero() {
+		if errors.Is(err, os.ErrDeadlineExceeded) && !time.Now().Before(by) {
+			err = errTooLate
+		}
+		err = errors.Join(err, c.setWriteDeadline(time.Time{}))
+	}
+	return n, err
+}
+
 // connect takes a connection for an attempt. One that would come up too late for it is not waited for.
 func (u *upstream) connect(ctx context.Context, s *sending, to *target) (*serverConn, error) {
 	if s.by.IsZero() {
