--- a/internal/sidecar/conns.go
+++ b/internal/sidecar/conns.go
@@ -24,6 +24,8 @@
 const (
 	lingerTime = 200 * time.Millisecond
 	lingerStep = 20 * time.Millisecond
+	// lastLinger bounds it once the process ends, so that it is over before the kill.
+	lastLinger = killMargin / 4
 )
 
 // past is a deadline that is over.
@@ -46,6 +48,7 @@
 	leaving int           // of these, that are retired
 	idle    *list.List    // of *clientConn without a request, the longest idle first
 	freed   chan struct{} // has one if a connection was closed or became idle
+	ended   time.Time     // when all had to be answered, as the process ends; zero: not yet
 }
 
 // clientConn is a connection from a client. Its clientConns' lock guards idle and what follows it.
@@ -152,12 +155,12 @@
 		return // it is closed already
 	}
 	unread := make([]byte, 4<<10)
-	for end := time.Now().Add(lingerTime); time.Now().Before(end) && !c.owner.full(); {
+	for began := time.Now(); time.Now().Before(c.owner.lingerUntil(began)) && !c.owner.full(); {
 		if c.Conn.SetReadDeadline(time.Now().Add(lingerStep)) != nil {
 			return
 		}
 		_, err := c.Conn.Read(unread)
-		for err == nil && time.Now().Before(end) {
+		for err == nil && time.Now().Before(c.owner.lingerUntil(began)) {
 			_, err = c.Conn.Read(unread)
 		}
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -166,6 +169,24 @@
 	}
 }
 
+// lingerUntil is when a connection is closed at the latest that has lingered since began.
+func (l *clientConns) lingerUntil(began time.Time) time.Time {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	until := began.Add(lingerTime)
+	if l.ended.IsZero() {
+		return until
+	}
+	last := l.ended.Add(lastLinger)
+	if began.After(l.ended) {
+		last = began.Add(lastLinger)
+	}
+	if last.Before(until) {
+		return last
+	}
+	return until
+}
+
 // lingers tells, the first time, whether c has had an answer just now and its descriptor is not wanted.
 func (l *clientConns) lingers(c *clientConn) bool {
 	l.mu.Lock()
@@ -301,6 +322,22 @@
 	}
 }
 
+// retireAll has all connections end on which no request was read whole, also those that have a part of one: the process
+// may be killed before its answer. One that lingers behind its last answer is left to do so.
+func (l *clientConns) retireAll() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.ended.IsZero() {
+		l.ended = time.Now()
+	}
+	for e, next := l.idle.Front(), (*list.Element)(nil); e != nil; e = next {
+		next = e.Next() // retiring may take e out
+		if c := e.Value.(*clientConn); !c.over {
+			l.retire(c, stats.Stopping)
+		}
+	}
+}
+
 // makeRoom waits until there is room for one more connection.
 func (l *clientConns) makeRoom() {
 	for {
--- /dev/null
+++ b/internal/sidecar/kill_test.go
@@ -0,0 +1,150 @@
+package sidecar
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"milletramp.example/milletramp/internal/stats"
+)
+
+// heldUp counts by how much the machine holds this test up, until the returned function tells it.
+func heldUp() func() time.Duration {
+	const step = 5 * time.Millisecond
+	var total atomic.Int64
+	ctx, cancel := context.WithCancel(context.Background())
+	go func() {
+		for ctx.Err() == nil {
+			began := time.Now()
+			time.Sleep(step)
+			if over := time.Since(began) - 2*step; over > 0 {
+				total.Add(int64(over))
+			}
+		}
+	}()
+	return func() time.Duration { cancel(); return time.Duration(total.Load()) }
+}
+
+// TestKilledUnderHangingServers has all servers hang through the whole of a shutdown, while clients go on sending on
+// every connection that stays open: each request that was read has one answer, and the process its end, before it may
+// be killed. Connections that idle are closed by nothing else here.
+func TestKilledUnderHangingServers(t *testing.T) {
+	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+		if r.Header.Get("Idempotency-Key") != "" { // a long answer, which stops
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", mostBody+1)
+		}
+		return silent(c, r, body)
+	})
+	go func() {
+		for range b.came {
+		}
+	}()
+	const deadline = 300 * time.Millisecond
+	short := strings.NewReplacer(`"deadline_s":60.0`, `"deadline_s":0.3`, `"aim_s":20.0`, `"aim_s":0.2`)
+	settings := short.Replace(testSettings)
+	for _, gated := range []bool{false, true} {
+		t.Run(fmt.Sprint("waits for a policy ", gated), func(t *testing.T) {
+			times := drainTimes{accept: 100 * time.Millisecond, quiet: time.Millisecond, closeIdle: patience, unused: patience}
+			var join Join
+			f := &fakePart{}
+			if gated {
+				join = f.join
+			}
+			p := startIn(t, configText(startRegistry(t).address, serving(1, b), settings), times, join)
+			if gated {
+				f.check(t, 1, f.document(t, ""), "")
+				f.set(1, 20*time.Millisecond, true)
+			}
+			used := p.dial()
+			fmt.Fprint(used, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+			if resp, err := http.ReadResponse(bufio.NewReader(used), nil); err != nil || resp.StatusCode != 200 {
+				t.Fatalf("answer %+v, error %v", resp, err)
+			}
+			unused, partial, uploading, late := p.dial(), p.dial(), p.dial(), p.dial()
+			fmt.Fprint(partial, head("GET", "partial", "read"))
+			fmt.Fprint(uploading, head("POST", "uploading", "pay"), "Content-Length: 8\r\n\r\nhalf")
+			long, err := p.client.Do(p.request(context.Background(), "book", "50000"))
+			if err != nil || long.StatusCode != 200 {
+				t.Fatalf("answer %+v, error %v", long, err)
+			}
+			defer long.Body.Close()
+			var asked atomic.Int64
+			var clients sync.WaitGroup
+			for i := range 8 {
+				clients.Add(1)
+				go func() {
+					defer clients.Done()
+					for n := 0; ; n++ {
+						c, err := net.Dial("tcp", p.address)
+						if err != nil {
+							return // it listens no more
+						}
+						if askOn(t, c, fmt.Sprintf("c-%d-%d", i, n), time.Millisecond, &asked) && readThenDropped(t, c) {
+							t.Errorf("client %d's request was read and has no answer", i)
+						}
+						c.Close()
+					}
+				}()
+			}
+			p.inUse(8)
+			f.set(1, 20*time.Millisecond, false) // and it comes no more
+			held, stopped := heldUp(), time.Now()
+			p.stop()
+			p.deaf()
+			fmt.Fprintf(late, "%s\r\n", head("GET", "late", "read"))
+			if err := within(t, p.ended, "end"); err != nil {
+				t.Errorf("it ended with %v", err)
+			}
+			if took, kill := time.Since(stopped), deadline+killAfter; took > kill+held() {
+				t.Errorf("it ended after %v, and may be killed after %v", took, kill)
+			}
+			clients.Wait()
+			if resp, err := http.ReadResponse(bufio.NewReader(late), nil); err != nil || !resp.Close {
+				t.Errorf("answer %+v, error %v to a request that came while draining", resp, err)
+			}
+			lastAnswer(t, uploading, http.StatusServiceUnavailable)
+			if n, err := io.Copy(io.Discard, long.Body); err == nil {
+				t.Errorf("a long answer that hangs looks whole behind %d bytes", n)
+			}
+			for _, c := range []net.Conn{used, unused, partial} {
+				if n, err := c.Read(make([]byte, 1)); n != 0 || err != io.EOF {
+					t.Errorf("%d bytes, error %v on a connection without a request, want its end", n, err)
+				}
+			}
+		})
+	}
+}
+
+// TestEndLeavesTheLastAnswer: a connection that lingers is not closed by the end, which would reset it where bytes are
+// unread, but lingers for less.
+func TestEndLeavesTheLastAnswer(t *testing.T) {
+	l := newClientConns(listen(t), 2, 2, &stats.Unserved{})
+	out, err := net.Dial("tcp", l.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer out.Close()
+	accepted, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer accepted.Close()
+	c, began := accepted.(*clientConn), time.Now()
+	l.state(c, http.StateActive)
+	l.ending(c)
+	l.retireAll()
+	if c.closed || c.retired {
+		t.Error("it is closed behind its last answer")
+	}
+	if until := l.lingerUntil(began); !until.Equal(l.ended.Add(lastLinger)) {
+		t.Errorf("it lingers for %v, want %v behind the end", until.Sub(began), lastLinger)
+	}
+}
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -69,6 +69,7 @@
 
 	mu      sync.Mutex
 	givenUp bool          // nothing is waited for any more
+	hurried bool          // the server may pause for lastPause at most
 	place   *list.Element // in the pool's list; nil: it has a request
 }
 
@@ -152,7 +153,20 @@
 	if c.givenUp { // The deadline that ends the read would be overwritten.
 		return nil
 	}
-	return c.SetReadDeadline(time.Now().Add(c.pause))
+	pause := c.pause
+	if c.hurried {
+		pause = min(pause, lastPause)
+	}
+	return c.SetReadDeadline(time.Now().Add(pause))
+}
+
+// hurry has the server pause for lastPause at most from now on.
+func (c *serverConn) hurry() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.hurried = true; !c.givenUp {
+		_ = c.SetReadDeadline(time.Now().Add(lastPause)) // it fails where the connection is closed
+	}
 }
 
 // setWriteDeadline bounds what is written, unless it is given up already: the deadline that ends it would be
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -150,9 +150,9 @@
 	}
 	// Connections that are waiting when the listener closes are reset, and what they sent is lost. So this
 	// goes on accepting and serving first, and only asks clients to close.
+	s.drain(times.deadline) // first: the time until the kill runs
 	succeeded := staff.family.successor()
 	log.Info("draining", "succeeded", succeeded)
-	s.drain(times.deadline)
 	if err := staff.family.member.Update(func(s *handover.State) { s.Phase = handover.Draining }); err != nil {
 		log.Warn("the next process does not know that this one drains", "err", err)
 	}
@@ -172,7 +172,10 @@
 	// http.Server.Shutdown reads what still comes on connections and drops it, and closes others under a request
 	// that was just read. So connections end one by one, each when it has answered, or has nothing to answer.
 	for s.conns.held() > 0 {
-		if time.Now().After(closeIdle) {
+		switch {
+		case s.ending.Err() != nil:
+			s.conns.retireAll()
+		case time.Now().After(closeIdle):
 			s.conns.retireIdle(times.unused)
 		}
 		time.Sleep(times.quiet)
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -41,6 +41,9 @@
 	ends     atomic.Int64 // when this process may be killed at the earliest, once it drains; in Unix nanoseconds
 	gate     *gate        // set before it serves; nil: the settings are those of the own file
 	room     *room        // for what of bodies goes beyond the usual
+
+	ending context.Context // is done when all has to be answered, shortly before this process may be killed
+	end    context.CancelFunc
 }
 
 // newServer returns a server for the connections that l accepts.
@@ -49,8 +52,9 @@
 	if c.Limits.MostHeld > 0 {
 		b.requests = min(b.requests, c.Limits.MostHeld)
 	}
+	ending, end := context.WithCancel(context.Background())
 	return &server{host: h, config: c, ids: newIDs(b.requests), conns: newClientConns(l, b.clients, b.usual, &h.figures.Unserved),
-		room: &room{most: c.MemoryMB << 20 / bodyShare / mostBody}}
+		room: &room{most: c.MemoryMB << 20 / bodyShare / mostBody}, ending: ending, end: end}
 }
 
 // The least time from the word to stop to the kill, on top of the longest deadline, which counts for no more than most.
@@ -67,6 +71,32 @@
 	s.ends.Store(ends.UnixNano())
 	s.draining.Store(true)
 	s.host.post(func() { s.host.endBy(ends) })
+	time.AfterFunc(time.Until(ends), func() {
+		s.end()
+		s.conns.retireAll()
+	})
+}
+
+// enter waits for a policy, for as long as an answer can still be given.
+func (s *server) enter(ctx context.Context, within time.Duration) bool {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	defer context.AfterFunc(s.ending, cancel)()
+	return s.gate.enter(ctx, within)
+}
+
+// stopReading ends what is read on a connection once the process ends. Nothing is ended any more after done.
+func (s *server) stopReading(conn *http.ResponseController) (done func()) {
+	ended := make(chan struct{})
+	stop := context.AfterFunc(s.ending, func() {
+		_ = conn.SetReadDeadline(past) // it fails where the connection is closed
+		close(ended)
+	})
+	return func() {
+		if !stop() {
+			<-ended // or it would come after the deadline that the next reader sets
+		}
+	}
 }
 
 // longestDeadline is that of the settings in force now: the platform goes by its newest file.
@@ -133,8 +163,7 @@
 
 // api serves a request, or says why it cannot be taken.
 func (s *server) api(w http.ResponseWriter, r *http.Request, came time.Time) *fault {
-	gate := s.gate
-	if gate != nil && !gate.enter(r.Context(), waits(r)) {
+	if s.gate != nil && !s.enter(r.Context(), waits(r)) {
 		return s.unserved(w, r)
 	}
 	c, wait, f := s.parse(r)
@@ -177,7 +206,7 @@
 	c.left = leaving(r)
 	a, ok := s.host.serve(r.Context(), c)
 	for ok && a.kind == stale { // the policy has changed since the head was read
-		if !gate.enter(r.Context(), time.Until(c.deadline)) {
+		if !s.enter(r.Context(), time.Until(c.deadline)) {
 			c.released()
 			return s.unserved(w, r)
 		}
@@ -240,6 +269,7 @@
 	if c, ok := r.Context().Value(connKey{}).(*clientConn); ok && c.came.Add(bodyWithin).After(start) {
 		start = c.came.Add(bodyWithin)
 	}
+	defer s.stopReading(conn)()
 	size := 4 << 10
 	if r.ContentLength > 0 {
 		size = int(min(r.ContentLength+1, mostBody)) // and a byte for the end
@@ -276,11 +306,16 @@
 		if err := conn.SetReadDeadline(start.Add(time.Duration(all) * time.Second / bodyPace)); err != nil {
 			return bad(http.StatusInternalServerError, "no deadline")
 		}
+		if s.ending.Err() != nil { // this process may be killed before the body is whole
+			_ = conn.SetReadDeadline(past) // or net/http would wait for the rest; it fails where the connection is closed
+			return bad(http.StatusServiceUnavailable, "refused: this process ends")
+		}
 		n, err := r.Body.Read(piece[len(piece):cap(piece)])
 		body[len(body)-1], all = piece[:len(piece)+n], all+n
 		switch {
 		case err == io.EOF:
 			return body, release, nil
+		case errors.Is(err, os.ErrDeadlineExceeded) && s.ending.Err() != nil: // and so the loop says
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return bad(http.StatusRequestTimeout, "body came too slowly")
 		case err != nil:
--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -1,6 +1,7 @@
 package sidecar
 
 import (
+	"context"
 	"errors"
 	"io"
 	"net"
@@ -18,6 +19,9 @@
 	// lateGrace is how long after its client's time an answer of usual length may still end. Its client counts it as lost 0.5 s after
 	// that time, and as failed where it was told before that it has no end.
 	lateGrace = 250 * time.Millisecond
+	// lastPause is how long it may pause once this process ends: an answer that hangs is cut off before the kill, and one
+	// that comes goes on.
+	lastPause = killMargin / 4
 	// leastStall is how long a server may pause in any case. Whether an answer of untold length is a long one, of which only the first
 	// bytes are timed, is not known while it comes: one that a server is still giving must not be cut off.
 	leastStall = time.Second
@@ -106,6 +110,7 @@
 		}
 	}
 	defer func() { a.rest.end(whole) }()
+	defer context.AfterFunc(s.ending, a.rest.body.c.hurry)()
 	w.Header()["Content-Type"] = nil
 	if a.ctype != "" {
 		w.Header().Set("Content-Type", a.ctype)
