--- a/internal/sidecar/answer.go
+++ b/internal/sidecar/answer.go
@@ -47,6 +47,9 @@
 		return reply{}, false, err
 	}
 	r.outcome = outcomeOf(status, header.Get("X-Not-Processed") == "1")
+	if r.outcome != balance.Served && endsWithConnection(header) {
+		return r, false, nil // its body is not needed and may never end
+	}
 	body, rest, err := c.body(header)
 	switch {
 	case err == nil:
@@ -113,15 +116,21 @@
 		b.length, b.left = int64(n), int64(n)
 	case len(lengths) == 0 && len(codings) == 1 && strings.EqualFold(codings[0], "chunked"):
 		b.chunks = &chunks{}
-	case len(lengths) == 0 && len(codings) == 0 && strings.EqualFold(header.Get("Connection"), "close"):
-		// A body that ends with its connection may have been cut off anywhere. It is believed where the server
-		// has said that the connection ends, and then ends it in order.
+	case endsWithConnection(header):
+		// Whole once the server has closed the connection in order, whether or not it announced that. A reset or a
+		// silence is no end.
 	default:
 		return nil, nil, spoilt("lengths %q, codings %q", lengths, codings)
 	}
 	return c.gather(b)
 }
 
+// endsWithConnection reports whether a response declares no length, so that the close of its connection ends its body
+// (RFC 9112, section 6.3).
+func endsWithConnection(header http.Header) bool {
+	return len(header["Content-Length"]) == 0 && len(header["Transfer-Encoding"]) == 0
+}
+
 // gather reads a body until it is whole or is to be passed on.
 func (c *serverConn) gather(b *serverBody) (whole []byte, rest *stream, err error) {
 	long, usual, first := b.length > mostBody, c.pause, time.Time{}
