--- a/internal/sidecar/conns.go
+++ b/internal/sidecar/conns.go
@@ -64,6 +64,7 @@
 	heads   int         // read whole
 	answers int         // given, and the connection kept
 	partial bool        // and a part of another one
+	readBy  time.Time   // as net/http set it last
 	retired bool        // its reader reads no more, if nothing is left to read
 	last    bool        // its next answer ends it
 	active  bool        // it has a request, or has just had an answer and is kept no longer
@@ -109,7 +110,7 @@
 // Read implements net.Conn. What net/http would mend it turns down. The one goroutine that reads at a time owns frames.
 func (c *clientConn) Read(p []byte) (int, error) {
 	if c.bad != nil {
-		return 0, c.bad
+		return 0, c.readBehindBad()
 	}
 	n, err := c.Conn.Read(p)
 	for n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.owner.readOn(c) {
@@ -119,7 +120,7 @@
 	if good, bad := c.frames.feed(p[:n]); bad != nil {
 		c.bad = bad
 		if n, err = good, nil; good == 0 {
-			err = bad
+			err = c.readBehindBad()
 		}
 	}
 	if heads != c.frames.heads || partial != c.frames.partial() || err != nil {
@@ -128,6 +129,19 @@
 	return n, err
 }
 
+// readBehindBad returns the error of what cannot be read, once no request before it is in hand. net/http reads ahead
+// while it serves one, and takes any error of that for the client's leaving: the request would have no answer.
+func (c *clientConn) readBehindBad() error {
+	unread := make([]byte, 4<<10)
+	for !c.frames.inBody && c.owner.hasRequest(c) {
+		_, err := c.Conn.Read(unread)
+		if err != nil && !(errors.Is(err, os.ErrDeadlineExceeded) && c.owner.readOn(c)) {
+			return err
+		}
+	}
+	return c.bad
+}
+
 // Close implements net.Conn. Behind an answer it first ends the sending and reads on for a time: closing over bytes that nobody has read
 // resets the connection, and what of the answer is still on its way is lost with it. A connection that idles is closed at once: a
 // request that comes just then finds it reset, so that its client knows that it was not read.
@@ -166,13 +180,14 @@
 	}
 }
 
-// lingers tells, the first time, whether c has had an answer just now and its descriptor is not wanted.
+// lingers tells, the first time, whether c has had an answer just now, or sent what cannot be read, and its descriptor is
+// not wanted.
 func (l *clientConns) lingers(c *clientConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	first := !c.closing
 	c.closing = true
-	return first && (c.active || c.over) && l.open < l.most
+	return first && (c.active || c.over || c.bad != nil) && l.open < l.most
 }
 
 // full tells whether there is no room for one more connection.
@@ -186,7 +201,7 @@
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
-	if c.retired {
+	if c.readBy = t; c.retired {
 		return nil
 	}
 	return c.Conn.SetReadDeadline(t)
@@ -213,10 +228,21 @@
 	}
 }
 
-// readOn tells whether c is to be read on though the time for it is over: a request waits there.
+// hasRequest reports whether c has a request that was read and not answered.
+func (l *clientConns) hasRequest(c *clientConn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return c.idle == nil && !c.closed && c.heads > c.answers
+}
+
+// readOn tells whether c is to be read on though the time for it is over: a request waits there, or one that came whole is
+// in hand. The time for its body must not end it; net/http's own end of reading ahead does.
 func (l *clientConns) readOn(c *clientConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
+	if c.idle == nil && c.heads > c.answers && !c.frames.inBody && !c.readBy.Equal(past) {
+		return c.Conn.SetReadDeadline(time.Time{}) == nil
+	}
 	if c.idle == nil || c.partial || !c.retired && !c.used || !c.waiting() {
 		return false
 	}
--- a/internal/sidecar/framing.go
+++ b/internal/sidecar/framing.go
@@ -17,7 +17,7 @@
 // given twice, and folded lines. Whoever else read such a message would see another one. The zero value is at a
 // connection's start.
 type framing struct {
-	heads  int // that have come whole
+	heads  int // that have come whole and can be read
 	inBody bool
 	line   []byte // of a head, as far as it has come
 	size   int    // of the head
@@ -120,7 +120,7 @@
 // body takes in the end of a head.
 func (f *framing) body() error {
 	length, coded := f.length, f.coded
-	*f = framing{heads: f.heads + 1, line: f.line[:0]}
+	*f = framing{heads: f.heads, line: f.line[:0]}
 	switch {
 	case coded && length != nil:
 		return fmt.Errorf("%w: a length beside chunks", errFraming)
@@ -133,5 +133,6 @@
 		}
 		f.left, f.inBody = int64(n), n > 0
 	}
+	f.heads++
 	return nil
 }
--- /dev/null
+++ b/internal/sidecar/readahead_test.go
@@ -0,0 +1,99 @@
+package sidecar
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"testing"
+	"time"
+
+	"milletramp.example/milletramp/internal/stats"
+)
+
+// TestBadBehindARequest has a client send a good request and, behind it, one that cannot be read, whole or but for its
+// last byte, which net/http reads ahead while the first is out at its server. The first is served, and the second gets
+// an error or the end.
+func TestBadBehindARequest(t *testing.T) {
+	unread := head("GET", "bad", "read") + "Content-Length: 0\r\n"
+	for name, bad := range map[string]string{
+		"two lengths":       unread + "Content-Length: 0\r\n",
+		"length and chunks": unread + "Transfer-Encoding: chunked\r\n\r\n",
+	} {
+		for later := range 2 {
+			gate := make(chan struct{})
+			b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+				<-gate
+				return say(200, "", "ok")(c, r, body)
+			})
+			p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
+			c := p.dial()
+			fmt.Fprintf(c, "%s\r\n%s", head("GET", "good", "read"), bad[:len(bad)-later])
+			within(t, b.came, "first request")
+			fmt.Fprint(c, bad[len(bad)-later:])
+			_ = c.SetReadDeadline(time.Now().Add(100 * time.Millisecond)) // nothing may come, however long this is
+			if n, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
+				t.Errorf("%s, %d bytes later: %d bytes, error %v while the first request is out", name, later, n, err)
+			}
+			close(gate)
+			_ = c.SetReadDeadline(time.Now().Add(patience))
+			in := bufio.NewReader(c)
+			resp, err := http.ReadResponse(in, nil)
+			if err != nil || resp.StatusCode != http.StatusOK {
+				t.Errorf("%s, %d bytes later: answer %+v, error %v to the first", name, later, resp, err)
+				continue
+			}
+			_, _ = io.Copy(io.Discard, resp.Body)
+			if resp, err = http.ReadResponse(in, nil); err == nil && resp.StatusCode != http.StatusBadRequest ||
+				err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
+				t.Errorf("%s, %d bytes later: answer %+v, error %v to the second", name, later, resp, err)
+			}
+		}
+	}
+}
+
+// TestBodyTimeBehindARequest lets the time for a body run out once the body has come whole: the request is in hand, and
+// what net/http reads ahead must not fail, but for net/http's own end of it.
+func TestBodyTimeBehindARequest(t *testing.T) {
+	l := newClientConns(listen(t), 2, 2, &stats.Unserved{})
+	out, err := net.Dial("tcp", l.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer out.Close()
+	accepted, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	c := accepted.(*clientConn)
+	read := func() (int, error) { return c.Read(make([]byte, 1000)) }
+	fmt.Fprint(out, "POST /api HTTP/1.1\r\nContent-Length: 4\r\n\r\nsk")
+	if _, err := read(); err != nil {
+		t.Fatal(err)
+	}
+	l.state(c, http.StateActive)
+	over := time.Now().Add(-time.Second)
+	if err := c.SetReadDeadline(over); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := read(); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("error %v in a body whose time is over", err)
+	}
+	fmt.Fprint(out, "ip")
+	_ = c.SetReadDeadline(time.Now().Add(patience))
+	if _, err := read(); err != nil {
+		t.Fatal(err)
+	}
+	_ = c.SetReadDeadline(over)
+	fmt.Fprint(out, "G")
+	if n, err := read(); n != 1 || err != nil {
+		t.Errorf("%d bytes, error %v behind a whole body", n, err)
+	}
+	_ = c.SetReadDeadline(past)
+	if _, err := read(); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("error %v where reading ahead is ended", err)
+	}
+}
