--- a/internal/sidecar/readahead_test.go
+++ b/internal/sidecar/readahead_test.go
@@ -97,3 +97,19 @@
 		t.Errorf("error %v where reading ahead is ended", err)
 	}
 }
+
+// TestHandlerPanics has a fault of the program end the handler: the request gets an error and its connection ends in
+// order, and the next one is served.
+func TestHandlerPanics(t *testing.T) {
+	p := start(t, configText(startRegistry(t).address, serving(1, startBackend(t, say(200, "", "ok"))), testSettings))
+	s := p.staff.server.Load()
+	ids := s.ids
+	s.ids = nil // which api uses once it has read the request
+	c := p.dial()
+	fmt.Fprintf(c, "%s\r\n", head("GET", "first", "read"))
+	lastAnswer(t, c, http.StatusInternalServerError)
+	s.ids = ids
+	if g := p.ask("pay"); g.status != http.StatusOK {
+		t.Errorf("answer %+v to the next request", g)
+	}
+}
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -87,10 +87,11 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	came := time.Now()
+func (s *server) ServeHTTP(to http.ResponseWriter, r *http.Request) {
+	came, w := time.Now(), &response{ResponseWriter: to}
 	// What HTTP/1.0 says of a body's length is not to be relied on, and so what follows it is not either.
 	conn, _ := r.Context().Value(connKey{}).(*clientConn) // nil: not from httpServer
+	defer s.answerPanic(w, conn)
 	if s.draining.Load() || !r.ProtoAtLeast(1, 1) || s.conns.ends(conn) {
 		w.Header().Set("Connection", "close")
 	}
