--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -207,11 +207,10 @@
 	})
 }
 
-// addressLog is a log that passes on the address served, and counts what the host answered by itself as no decision came in time.
+// addressLog is a log that passes on the address served.
 type addressLog struct {
 	slog.Handler
 	address chan string
-	overdue *atomic.Int32
 	ejected *atomic.Int32
 }
 
@@ -220,9 +219,6 @@
 
 // Handle implements slog.Handler.
 func (l addressLog) Handle(_ context.Context, r slog.Record) error {
-	if r.Message == "request overdue" {
-		l.overdue.Add(1)
-	}
 	if strings.HasPrefix(r.Message, "ejected ") {
 		l.ejected.Add(1)
 	}
@@ -246,7 +242,6 @@
 	staff   *ops
 	client  *http.Client
 	ids     atomic.Int64
-	overdue atomic.Int32 // answers without a decision: the machine stood still about their deadlines
 	ejected atomic.Int32 // servers
 }
 
@@ -277,7 +272,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &program{t: t, stop: cancel, file: c.Getenv("PROXY_CONFIG"), hup: make(chan os.Signal, 1), ended: make(chan error, 1), client: &http.Client{Transport: &http.Transport{}}}
 	with.started = func(o *ops) { p.staff = o }
-	log := addressLog{slog.DiscardHandler, make(chan string, 1), &p.overdue, &p.ejected}
+	log := addressLog{slog.DiscardHandler, make(chan string, 1), &p.ejected}
 	var over sync.WaitGroup
 	over.Add(1)
 	go func() {
