--- /dev/null
+++ b/internal/fleet/disk/fault_test.go
@@ -0,0 +1,189 @@
+package disk
+
+import (
+	"fmt"
+	"os"
+	"syscall"
+	"testing"
+
+	"go.etcd.io/raft/v3/raftpb"
+	"pgregory.net/rapid"
+
+	"milletramp.example/milletramp/internal/fleet/consensus"
+	"milletramp.example/milletramp/internal/fsys"
+	"milletramp.example/milletramp/internal/fsys/faultfs"
+)
+
+const (
+	smallGrown = 400 // bytes after which a file of these tests is written anew
+	mostTries  = 50
+)
+
+// life is a folder on a file system that fails, and what it has to hold.
+type life struct {
+	dir  string
+	fs   *faultfs.FS
+	log  *Log
+	kept Memory // all that was acknowledged
+	next Memory // with what was not acknowledged at the end
+}
+
+// open opens the folder, as often as it takes, unless the process is killed.
+func (f *life) open(t rapid.TB) {
+	for range mostTries {
+		l, _, err := open(f.dir, 1, f.fs, smallGrown)
+		if err == nil {
+			f.log = l
+			f.check(t, "opened", l.Memory(), f.kept, f.next)
+			f.kept, f.next = l.Memory(), l.Memory()
+			return
+		}
+		if f.fs.Killed() {
+			return
+		}
+	}
+	t.Fatalf("never opened")
+}
+
+// keep has a batch be kept, as often as it takes, unless the process is killed.
+func (f *life) keep(t rapid.TB, b consensus.Batch) {
+	r, err := recordOf(b)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if f.next, err = f.kept.with(r); err != nil {
+		t.Fatal(err)
+	}
+	for range mostTries {
+		if err = f.log.Keep(b); err == nil {
+			f.kept = f.next
+		}
+		f.check(t, "held", f.log.Memory(), f.kept)
+		if err == nil || f.fs.Killed() {
+			return
+		}
+	}
+	t.Fatalf("never kept: %v", err)
+}
+
+// end ends the process, and reads what the next one would.
+func (f *life) end(t rapid.TB, power bool) {
+	if err := f.fs.End(power); err != nil {
+		t.Fatal(err)
+	}
+	if f.log != nil {
+		done(t, f.log)
+	}
+	l, _, err := open(f.dir, 1, fsys.OS{}, smallGrown)
+	if err != nil {
+		t.Fatalf("after the end: %v", err)
+	}
+	f.check(t, "read", l.Memory(), f.kept, f.next)
+	f.kept, f.next, f.log = l.Memory(), l.Memory(), nil
+	done(t, l)
+}
+
+func (f *life) check(t rapid.TB, what string, got Memory, want ...Memory) {
+	t.Helper()
+	for _, w := range want {
+		if w.Self.ID == 0 && got.Bootstrap == nil || same(got, w) { // before the first life there is nothing to hold
+			return
+		}
+	}
+	t.Fatalf("%s %+v, want one of %+v", what, got, want)
+}
+
+// TestFaultAtEachOperation has each operation of a short life fail, once or for a while, or be the one in which the
+// process is killed, with and without a loss of power: what was acknowledged is read by the next life, and with a fault
+// all of it is kept.
+func TestFaultAtEachOperation(t *testing.T) {
+	clean := faultfs.New(0)
+	play := func(t *testing.T, fs *faultfs.FS, power bool) {
+		f := &life{dir: t.TempDir(), fs: fs}
+		f.open(t)
+		for _, b := range batches() {
+			if f.log != nil && !fs.Killed() {
+				f.keep(t, b)
+			}
+		}
+		f.end(t, power)
+	}
+	play(t, clean, false)
+	operations := clean.Operations()
+	if operations < 3*len(batches()) {
+		t.Fatalf("only %d operations, so no file was written anew", operations)
+	}
+	for _, tt := range []struct {
+		name  string
+		fault error
+		count int
+		power bool
+	}{
+		{"ENOSPC once", syscall.ENOSPC, 1, false},
+		{"ENOSPC for a while", syscall.ENOSPC, 7, true},
+		{"EIO once", syscall.EIO, 1, true},
+		{"EIO for a while", syscall.EIO, 7, false},
+		{"kill", nil, 0, false},
+		{"loss of power", nil, 0, true},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			for at := range operations {
+				for seed := range uint64(2) {
+					fs := faultfs.New(seed)
+					if tt.fault == nil {
+						fs.KillAfter(at)
+					} else {
+						fs.Fail(at, tt.count, tt.fault)
+					}
+					t.Run(fmt.Sprintf("operation %d seed %d", at, seed), func(t *testing.T) { play(t, fs, tt.power) })
+				}
+			}
+		})
+	}
+}
+
+// TestLivesWithFaults draws lives with batches, faults, kills and losses of power.
+func TestLivesWithFaults(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		dir, err := os.MkdirTemp("", "disk")
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer os.RemoveAll(dir)
+		f := &life{dir: dir}
+		term := uint64(1)
+		for range rapid.IntRange(1, 4).Draw(t, "lives") {
+			f.fs = faultfs.New(rapid.Uint64().Draw(t, "seed"))
+			f.open(t)
+			for range rapid.IntRange(1, 12).Draw(t, "batches") {
+				skip := rapid.IntRange(0, 6).Draw(t, "skip")
+				switch rapid.IntRange(0, 9).Draw(t, "fault") {
+				case 0, 1:
+					f.fs.Fail(skip, rapid.IntRange(1, 9).Draw(t, "count"), syscall.ENOSPC)
+				case 2, 3:
+					f.fs.Fail(skip, rapid.IntRange(1, 9).Draw(t, "count"), syscall.EIO)
+				case 4:
+					f.fs.KillAfter(skip)
+				}
+				first := f.kept.Kept.Snapshot.Metadata.Index + 1
+				end := first + uint64(len(f.kept.Kept.Entries))
+				var b consensus.Batch
+				switch rapid.IntRange(0, 3).Draw(t, "what") {
+				case 0:
+					term++
+					b.State = &raftpb.HardState{Term: term, Vote: 1}
+				case 1, 2:
+					from := rapid.Uint64Range(first, end).Draw(t, "from")
+					b.Entries, b.Heard = entries(from, from+rapid.Uint64Range(0, 5).Draw(t, "more"), term), map[uint64]uint64{2: term}
+				case 3:
+					at := rapid.Uint64Range(first, end).Draw(t, "at")
+					b.Snapshot = &raftpb.Snapshot{Data: []byte("all"), Metadata: raftpb.SnapshotMetadata{Index: at, Term: term}}
+				}
+				if f.keep(t, b); f.fs.Killed() {
+					break
+				}
+			}
+			f.end(t, rapid.Bool().Draw(t, "power"))
+		}
+	})
+}
