--- a/internal/fleet/raftnode/node.go
+++ b/internal/fleet/raftnode/node.go
@@ -1,6 +1,10 @@
 // Package raftnode is a decider's place in the consensus group: it finds or bootstraps the consensus group (consensus.Bootstrapper), runs its part of it
 // (consensus.Machine), and has its folder (package disk) keep whatever must outlast this life before anything that rests on it is told. It
 // is stepped by one goroutine; what it waits for is the folder alone.
+//
+// While the folder fails, the node is suspended: it neither votes, acknowledges nor answers, and drops what comes, as a
+// process that stands still would. What the folder did not keep is written again, with a backoff, and then the node
+// goes on.
 package raftnode
 
 import (
@@ -27,9 +31,13 @@
 	waitsFor   = 4 * helloEvery // one that waits for a place is heard of within this
 	mostText   = 8 << 20        // bytes of a message: entries and a snapshot
 	mostName   = 64             // bytes of a decider's
+
+	leastBackoff = 2 * consensus.TickEvery // until a write that failed is tried again; it doubles
+	mostBackoff  = 5 * time.Second
 )
 
-// Folder keeps what outlasts a life. *disk.Log is one.
+// Folder keeps what outlasts a life. *disk.Log is one. After an error the same is to be kept again, until that
+// succeeds.
 type Folder interface {
 	Memory() disk.Memory
 	Found(consensus.Bootstrap) error
@@ -76,9 +84,19 @@
 	others       []string // to whom hello is said: those of the file, and those that a consensus group told of
 	waits        map[string]waiting
 	broken       error
+	unkept       *unkept // nil: all is kept
 	out          Actions
 }
 
+// unkept is a write that has failed and is tried again.
+type unkept struct {
+	write func() error
+	kept  func(now Time) // what rests on it
+	err   error          // of the last try
+	wait  time.Duration
+	at    Time // of the next try
+}
+
 // waiting is one that is of no consensus group and says hello, as it might take the place of a decider that is gone.
 type waiting struct {
 	id uint64
@@ -130,7 +148,7 @@
 
 // Replace has one that waits for a place take that of a decider. Which folder it has is what it said itself.
 func (s *Node) Replace(now Time, out, in string) error {
-	if s.machine == nil || s.broken != nil {
+	if s.machine == nil || s.Err() != nil {
 		return consensus.ErrNoLeader
 	}
 	w, known := s.waits[in]
@@ -142,8 +160,14 @@
 	return err
 }
 
-// Err says why this decider takes part no more; nil: it does. Another life may, where its folder is whole.
-func (s *Node) Err() error { return s.broken }
+// Err says why this decider takes no part; nil: it does. Where its folder fails it takes part again once that keeps
+// what it must; otherwise another life may, where its folder is whole.
+func (s *Node) Err() error {
+	if s.broken == nil && s.unkept != nil {
+		return s.unkept.err
+	}
+	return s.broken
+}
 
 // LeftOut tells whether there is a consensus group that this decider waits for a place in.
 func (s *Node) LeftOut() bool { return s.leftOut && s.machine == nil }
@@ -158,7 +182,7 @@
 
 // Leader is the decider that leads as far as is known here; "": nobody is known to.
 func (s *Node) Leader() string {
-	if s.machine == nil || s.broken != nil {
+	if s.machine == nil || s.Err() != nil {
 		return ""
 	}
 	return s.names[s.machine.Leader()]
@@ -166,7 +190,7 @@
 
 // Waiting lists the sidecars that the change under way waits for, and how long at most, on the one that leads.
 func (s *Node) Waiting(now Time) (names []string, most time.Duration) {
-	if s.machine == nil || s.broken != nil {
+	if s.machine == nil || s.Err() != nil {
 		return nil, 0
 	}
 	return s.machine.Waiting(now)
@@ -183,6 +207,8 @@
 func (s *Node) Tick(now Time) {
 	switch {
 	case s.broken != nil:
+	case s.unkept != nil:
+		s.keepAgain(now)
 	case s.machine == nil && now >= s.hello:
 		s.hello = now + helloEvery
 		h := s.bootstrapper.Hello()
@@ -199,7 +225,7 @@
 
 // Receive takes in a message of another decider. Its error says what is wrong with that message, not with this decider.
 func (s *Node) Receive(now Time, text []byte) error {
-	if s.broken != nil {
+	if s.Err() != nil {
 		return nil
 	}
 	if len(text) > mostText {
@@ -245,24 +271,27 @@
 		return nil
 	}
 	if f := s.bootstrapper.Bootstrap(); f != nil && s.machine == nil {
-		// Danger: what the others are told of a consensus group they count on.
-		if err := s.folder.Found(*f); err != nil {
-			s.fail(err)
-			return nil
-		}
-		s.log.Info("of a consensus group", "group", f.String())
-		if err := s.sit(now, s.folder.Memory()); err != nil {
-			s.fail(err)
-			return nil
-		}
-		s.settle(now)
-		if h.Bootstrap == nil {
+		// The others count on what they are told of a consensus group, so it is kept first.
+		s.keep(now, func() error { return s.folder.Found(*f) }, s.bootstrapped)
+		if s.Err() == nil && h.Bootstrap == nil {
 			return s.greet(now, h)
 		}
+		return nil
 	}
 	return err
 }
 
+// bootstrapped has this decider take part in the consensus group that its folder has just been told of.
+func (s *Node) bootstrapped(now Time) {
+	m := s.folder.Memory()
+	s.log.Info("of a consensus group", "group", m.Bootstrap.String())
+	if err := s.sit(now, m); err != nil {
+		s.fail(err)
+		return
+	}
+	s.settle(now)
+}
+
 // mostWaits is how many may wait for a place at a time.
 const mostWaits = 16
 
@@ -287,7 +316,7 @@
 
 // Ask takes in a sidecar's question. The answer follows under its token.
 func (s *Node) Ask(now Time, token uint64, q policy.Question) {
-	if s.machine == nil || s.broken != nil {
+	if s.machine == nil || s.Err() != nil {
 		s.out.Answers = append(s.out.Answers, consensus.Answer{Token: token, Err: consensus.ErrNoLeader})
 		return
 	}
@@ -297,7 +326,7 @@
 
 // Propose asks for a change. What becomes of it stands in the ledger under its id.
 func (s *Node) Propose(now Time, p policy.Propose) error {
-	if s.machine == nil || s.broken != nil {
+	if s.machine == nil || s.Err() != nil {
 		return consensus.ErrNoLeader
 	}
 	err := s.machine.Propose(p)
@@ -307,34 +336,17 @@
 
 // settle keeps what is to be kept, and then tells what rests on it.
 func (s *Node) settle(now Time) {
-	for s.broken == nil {
+	for s.Err() == nil {
 		b, due := s.machine.Batch()
 		if !due {
 			break
 		}
-		if err := s.folder.Keep(b); err != nil {
-			s.fail(err)
-			return
-		}
-		if err := s.machine.Saved(now); err != nil {
-			s.fail(err)
-			return
-		}
-		s.names = s.machine.Named()
-		if err := s.machine.Err(); err != nil {
-			s.fail(err)
-			return
-		}
-		snapshot, err := s.machine.Compact()
-		if err == nil && snapshot != nil {
-			err = s.folder.Compact(*snapshot)
-		}
-		if err != nil {
-			s.fail(err)
-			return
-		}
+		s.keep(now, func() error { return s.folder.Keep(b) }, s.saved)
+	}
+	if s.broken != nil {
+		return
 	}
-	out := s.machine.Out()
+	out := s.machine.Out() // of what is kept alone, also where a later batch is not
 	for _, m := range out.Send {
 		if to := s.names[m.To]; to != "" { // else it was replaced meanwhile
 			s.send(to, packet{Sealed: m.Text})
@@ -343,6 +355,56 @@
 	s.out.Answers = append(s.out.Answers, out.Answers...)
 }
 
+// saved takes in that the batch that was due is kept.
+func (s *Node) saved(now Time) {
+	if err := s.machine.Saved(now); err != nil {
+		s.fail(err)
+		return
+	}
+	s.names = s.machine.Named()
+	if err := s.machine.Err(); err != nil {
+		s.fail(err)
+		return
+	}
+	snapshot, err := s.machine.Compact()
+	if err != nil {
+		s.fail(err)
+		return
+	}
+	if snapshot != nil {
+		s.keep(now, func() error { return s.folder.Compact(*snapshot) }, func(Time) {})
+	}
+}
+
+// keep writes something down, and has follow what rests on it. Where the write fails the node is suspended until it
+// succeeds.
+func (s *Node) keep(now Time, write func() error, kept func(now Time)) {
+	if err := write(); err != nil {
+		s.unkept = &unkept{write: write, kept: kept, err: err, wait: leastBackoff, at: now + leastBackoff}
+		s.log.Error("this decider takes no part until its folder keeps again", "err", err)
+		return
+	}
+	kept(now)
+}
+
+// keepAgain tries a write that has failed again, when that is due.
+func (s *Node) keepAgain(now Time) {
+	u := s.unkept
+	if now < u.at {
+		return
+	}
+	if err := u.write(); err != nil {
+		u.wait = min(2*u.wait, mostBackoff)
+		u.err, u.at = err, now+u.wait
+		return
+	}
+	s.unkept = nil
+	s.log.Info("the folder keeps again, and this decider takes part")
+	if u.kept(now); s.machine != nil && s.broken == nil {
+		s.settle(now)
+	}
+}
+
 func (s *Node) send(to string, p packet) {
 	text, err := cbor.Marshal(p)
 	if err != nil || len(text) > mostText {
--- a/internal/fleet/raftnode/node_test.go
+++ b/internal/fleet/raftnode/node_test.go
@@ -1,6 +1,7 @@
 package raftnode
 
 import (
+	"bytes"
 	"errors"
 	"flag"
 	"fmt"
@@ -9,6 +10,8 @@
 	"os"
 	"path/filepath"
 	"slices"
+	"strings"
+	"syscall"
 	"testing"
 	"time"
 
@@ -44,13 +47,16 @@
 	node    *Node    // nil: down
 	log     *disk.Log
 	still   time.Duration
-	partial int // of the writes to come, the one that kills it; 0: none does
+	partial int           // of the writes to come, the one that kills it; 0: none does
+	full    time.Duration // until when its folder keeps nothing
+	said    *bytes.Buffer // what it has logged
 }
 
 // killing is a folder of a process that is killed behind one of its writes, before it can tell anybody.
 type killing struct {
 	*disk.Log
 	p *place
+	w *table
 }
 
 var errKilled = errors.New("killed")
@@ -62,9 +68,26 @@
 	return err
 }
 
-func (k killing) Found(f consensus.Bootstrap) error { return k.done(k.Log.Found(f)) }
-func (k killing) Keep(b consensus.Batch) error      { return k.done(k.Log.Keep(b)) }
-func (k killing) Compact(s raftpb.Snapshot) error   { return k.done(k.Log.Compact(s)) }
+// keep has the folder keep something, unless it is full.
+func (k killing) keep(write func() error) error {
+	if k.w.now < k.p.full {
+		return syscall.ENOSPC
+	}
+	return k.done(write())
+}
+
+func (k killing) Found(f consensus.Bootstrap) error {
+	return k.keep(func() error { return k.Log.Found(f) })
+}
+
+func (k killing) Keep(b consensus.Batch) error {
+	return k.keep(func() error { return k.Log.Keep(b) })
+}
+
+func (k killing) Compact(s raftpb.Snapshot) error {
+	return k.keep(func() error { return k.Log.Compact(s) })
+}
+
 func (w *table) folder(name string) (folder string) { return filepath.Join(w.dir, name) }
 
 func newTable(t testing.TB, dir string, seed uint64) *table {
@@ -78,7 +101,7 @@
 
 // add adds a decider that is down.
 func (w *table) add(name string, named []string) *place {
-	w.places[name] = &place{name: name, named: named}
+	w.places[name] = &place{name: name, named: named, said: &bytes.Buffer{}}
 	w.order = append(w.order, name)
 	return w.places[name]
 }
@@ -135,7 +158,8 @@
 		w.t.Fatal(err)
 	}
 	p.log = log
-	if p.node, err = New(w.now, Settings{p.name, p.named, []byte("first"), policy.UsualTerms}, killing{log, p}, slog.New(slog.DiscardHandler)); err != nil {
+	if p.node, err = New(w.now, Settings{p.name, p.named, []byte("first"), policy.UsualTerms}, killing{log, p, w},
+		slog.New(slog.NewTextHandler(p.said, nil))); err != nil {
 		w.t.Fatal(err)
 	}
 }
@@ -155,8 +179,12 @@
 	if p.node == nil || p.still > w.now {
 		return
 	}
+	suspended := p.node.Err() != nil
 	do(p.node)
 	out := p.node.Out()
+	if suspended && p.node.Err() != nil && len(out.Send) > 0 {
+		w.t.Fatalf("%s sends %d messages while it is suspended", p.name, len(out.Send))
+	}
 	if errors.Is(p.node.Err(), errKilled) {
 		w.kill(p)
 		return
@@ -247,8 +275,9 @@
 	}
 }
 
-// TestKilledAnywhere has three deciders on disk be killed at any moment, behind any write: no answer that anybody has seen is ever
-// contradicted, they are of one consensus group, and once the faults are over changes come into force.
+// TestKilledAnywhere has three deciders on disk be killed at any moment, behind any write, and their folders fail for a
+// while: no answer that anybody has seen is ever contradicted, they are of one consensus group, and once the faults are
+// over changes come into force.
 func TestKilledAnywhere(t *testing.T) {
 	for seed := range uint64(*plays) {
 		w := newTable(t, t.TempDir(), seed)
@@ -266,12 +295,14 @@
 				p.still = w.now + time.Duration(w.rng.IntN(3000))*time.Millisecond
 			case 8:
 				w.propose()
+			case 9, 10:
+				p.full = w.now + time.Duration(w.rng.IntN(4000))*time.Millisecond
 			}
 			w.step()
 		}
 		w.loss = 0
 		for _, p := range w.places {
-			p.still, p.partial = 0, 0
+			p.still, p.partial, p.full = 0, 0, 0
 			w.start(p)
 		}
 		w.steps(250)
@@ -294,6 +325,72 @@
 	}
 }
 
+// TestFolderFails has a decider's folder fail for a while: it acknowledges nothing, answers nobody and leads no more,
+// says so once, and takes part again once its folder keeps.
+func TestFolderFails(t *testing.T) {
+	for _, tt := range []struct {
+		name    string
+		steps   int  // that the others take before its folder fails
+		leads   bool // it leads by then
+		without bool // one of the other two is down meanwhile
+	}{
+		{"before there is a group", 0, false, false},
+		{"one that follows", 100, false, false},
+		{"one that follows and is needed", 100, false, true},
+		{"one that leads", 100, true, false},
+		{"one that leads and is needed", 100, true, true},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			w := newTable(t, t.TempDir(), 4)
+			defer w.end()
+			for _, name := range names {
+				w.start(w.places[name])
+			}
+			w.steps(tt.steps)
+			leader := w.leader()
+			followers := slices.DeleteFunc([]*place{w.places["a"], w.places["b"], w.places["c"]},
+				func(p *place) bool { return p == leader })
+			p, other := followers[0], followers[1]
+			if tt.leads {
+				p = leader
+			}
+			if tt.without {
+				w.kill(other)
+			}
+			p.full = w.now + time.Minute
+			if tt.leads {
+				w.run(p, func(s *Node) {
+					_ = s.Propose(w.now, policy.Propose{ID: "x", Author: "x", Follows: 1, Text: []byte("x")})
+				})
+			}
+			w.steps(200)
+			id := w.propose()
+			w.steps(200)
+			if inForce := w.ended[id].State == policy.InForce; inForce == tt.without {
+				t.Errorf("change %q in force: %v", id, inForce)
+			}
+			w.run(p, func(s *Node) { s.Ask(w.now, 7, policy.Question{Sidecar: "n1", Life: 1}) })
+			if got := w.answers[7]; !errors.Is(got.Err, consensus.ErrNoLeader) ||
+				!errors.Is(p.node.Err(), syscall.ENOSPC) || p.node.Leader() != "" {
+				t.Errorf("it answers %+v, error %v, leader %q", got, p.node.Err(), p.node.Leader())
+			}
+			p.full = 0
+			w.steps(300)
+			if err := p.node.Err(); err != nil || p.node.Ledger() == nil {
+				t.Errorf("it takes no part again: %v, ledger %v", err, p.node.Ledger())
+			}
+			w.start(other)
+			w.steps(100)
+			w.changes("its folder keeps again")
+			for _, line := range []string{"until its folder keeps", "the folder keeps again"} {
+				if n := strings.Count(p.said.String(), line); n != 1 {
+					t.Errorf("it says %d times %q", n, line)
+				}
+			}
+		})
+	}
+}
+
 // TestFolderLost: a decider that comes back with an empty folder takes part no more and says why; the others go on. It is the same
 // with a majority of them, for whom nobody can say what was decided: nothing is in force anew.
 func TestFolderLost(t *testing.T) {
