--- a/internal/fleet/policyagent/agent.go
+++ b/internal/fleet/policyagent/agent.go
@@ -11,6 +11,7 @@
 	"math/rand/v2"
 	"slices"
 	"sync"
+	"syscall"
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
@@ -29,6 +30,7 @@
 	mostEvents   = 1024                   // for the Raft node
 	nodeWithin   = 3 * time.Second        // a message between deciders takes at most
 	openEvery    = 200 * time.Millisecond // that a folder is tried which another process has
+	mostOpen     = 5 * time.Second        // between two tries of a folder that fails
 	monotonic    = time.Hour              // readings begin at, so that none is 0
 	largestName  = 64
 	mostDeciders = 9
@@ -366,10 +368,10 @@
 	return queue
 }
 
-// open opens the folder, once no other process has it, and takes the Raft node. Whatever else is wrong with it, this sidecar decides
-// nothing, and serves as any other.
+// open opens the folder, once no other process has it and the system lets it, and takes the Raft node. Until then, and
+// for good with whatever else is wrong with it, this sidecar decides nothing, and serves as any other.
 func (c *Agent) open() {
-	for said := false; ; {
+	for said, wait := false, openEvery; ; {
 		folder, dropped, err := disk.Open(c.set.Folder, rand.Uint64()|1)
 		if err == nil {
 			if dropped > 0 {
@@ -384,16 +386,20 @@
 			c.node, c.folder = s, folder
 			return
 		}
-		if !errors.Is(err, disk.ErrHeld) {
+		held, errno := errors.Is(err, disk.ErrHeld), syscall.Errno(0)
+		if !held && !errors.As(err, &errno) {
 			c.log.Error("this decider takes no part", "err", err)
 			return
 		}
 		if !said {
-			c.log.Info("waiting for the folder", "err", err)
+			c.log.Warn("waiting for the folder", "err", err)
 			said = true
 		}
+		if wait = min(2*wait, mostOpen); held { // by the former process of an upgrade
+			wait = openEvery
+		}
 		select {
-		case <-time.After(openEvery): // the former process of an upgrade has it
+		case <-time.After(wait):
 		case <-c.ctx.Done():
 			return
 		}
--- a/internal/fleet/policyagent/agent_test.go
+++ b/internal/fleet/policyagent/agent_test.go
@@ -7,11 +7,13 @@
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
+	"os"
 	"path/filepath"
 	"slices"
 	"strconv"
 	"strings"
 	"sync"
+	"syscall"
 	"testing"
 	"time"
 
@@ -34,6 +36,7 @@
 	t     *testing.T
 	dir   string
 	terms policy.Terms
+	log   slog.Handler
 
 	mu    sync.Mutex
 	rooms map[string]*Agent
@@ -71,7 +74,7 @@
 }
 
 func newHouse(t *testing.T, sidecars int) *house {
-	h := &house{t: t, dir: t.TempDir(), terms: short, rooms: map[string]*Agent{}, lives: map[string]uint64{}, cut: map[string]bool{}, fault: map[string]string{},
+	h := &house{t: t, dir: t.TempDir(), terms: short, log: slog.DiscardHandler, rooms: map[string]*Agent{}, lives: map[string]uint64{}, cut: map[string]bool{}, fault: map[string]string{},
 		begun: time.Now(), old: map[uint64]time.Duration{}, first: map[uint64]time.Duration{}, stop: make(chan struct{})}
 	for i := range sidecars {
 		h.start(fmt.Sprint("n", i), false)
@@ -101,7 +104,7 @@
 			h.mu.Unlock()
 			return ""
 		}}
-	c, err := Start(set, door{h, name}, slog.New(slog.DiscardHandler))
+	c, err := Start(set, door{h, name}, slog.New(h.log))
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -373,3 +376,37 @@
 		}
 	}
 }
+
+// lines takes what is logged.
+type lines chan string
+
+func (l lines) Write(text []byte) (int, error) {
+	select {
+	case l <- string(text):
+	default: // nobody waits for further ones
+	}
+	return len(text), nil
+}
+
+// TestFolderFailsAtTheStart has a decider's folder fail when it is opened: the sidecar runs on, and decides once the
+// folder is there.
+func TestFolderFailsAtTheStart(t *testing.T) {
+	h := newHouse(t, 0)
+	blocked := filepath.Join(h.dir, "n0")
+	if err := os.WriteFile(blocked, nil, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	said := make(lines, 1)
+	h.log = slog.NewTextHandler(said, nil)
+	h.start("n0", false)
+	if line := <-said; !strings.Contains(line, syscall.ENOTDIR.Error()) {
+		t.Errorf("it says %q", line)
+	}
+	for _, name := range deciders[1:] {
+		h.start(name, false)
+	}
+	if err := os.Remove(blocked); err != nil {
+		t.Fatal(err)
+	}
+	h.until("all serve", func() bool { return h.all(1, deciders...) }) // none does before all deciders are there
+}
