--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -23,6 +23,7 @@
 	"milletramp.example/milletramp/internal/fleet/membership"
 	"milletramp.example/milletramp/internal/fleet/policyagent"
 	"milletramp.example/milletramp/internal/fleet/replication"
+	"milletramp.example/milletramp/internal/fsys"
 )
 
 const (
@@ -113,7 +114,7 @@
 		f.over.Add(1)
 		go func() {
 			defer f.over.Done()
-			f.keep(file, f.states)
+			f.keep(fsys.OS{}, file, f.states)
 		}()
 	}
 	var random [16]byte
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -17,6 +17,7 @@
 	"go.uber.org/goleak"
 
 	"milletramp.example/milletramp/internal/fleet/evidence"
+	"milletramp.example/milletramp/internal/fsys"
 )
 
 const patience = 30 * time.Second
@@ -314,7 +315,7 @@
 // TestTorn cuts a sealed state at each byte and changes each: all are dropped, with a reason.
 func TestTorn(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "x.state")
-	if err := writeWarm(file, []byte("what the staff said")); err != nil {
+	if err := writeWarm(fsys.OS{}, file, []byte("what the staff said")); err != nil {
 		t.Fatal(err)
 	}
 	sealed, err := os.ReadFile(file)
--- a/internal/fleet/warm.go
+++ b/internal/fleet/warm.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"math/rand/v2"
 	"os"
 	"path/filepath"
 	"strconv"
@@ -15,12 +16,15 @@
 
 	"milletramp.example/milletramp/internal/fleet/gossip"
 	"milletramp.example/milletramp/internal/fleet/replication"
+	"milletramp.example/milletramp/internal/fsys"
 )
 
 const (
 	warmMagic = "milletramp-fleet-warm"
 	warmForm  = 1
 	warmEvery = time.Second // between two files, at least
+
+	mostWarmWait = 5 * time.Second // between two tries of one that cannot be written
 )
 
 // seal puts a head before a text: its form, length and checksum.
@@ -78,29 +82,43 @@
 }
 
 // writeWarm leaves a state for the next life. Whoever reads the file sees the former or the new one, also behind a loss of
-// power.
-func writeWarm(file string, text []byte) (err error) {
-	f, err := os.CreateTemp(filepath.Dir(file), filepath.Base(file)+".new*")
-	if err != nil {
-		return err
-	}
-	defer func() {
-		if err != nil {
-			err = errors.Join(err, os.Remove(f.Name()))
-		}
-	}()
-	_, err = f.Write(seal(text))
-	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
-		return err
-	}
-	return os.Rename(f.Name(), file)
+// power. Another process of an upgrade may write at the same time.
+func writeWarm(fs fsys.FS, file string, text []byte) error {
+	return fsys.Replace(fs, fmt.Sprintf("%s.new%016x", file, rand.Uint64()), file, seal(text), true)
 }
 
-// keep writes what comes to a file, the last of what has come, until states is closed.
-func (f *Fleet) keep(file string, states <-chan []byte) {
-	for text := range states {
-		if err := writeWarm(file, text); err != nil {
-			f.log.Warn("a fleet that is lost as a whole will not know what is out by hand", "err", err)
+// keep writes what comes to a file, the last of what has come, until states is closed. What could not be written is
+// tried again, with a backoff, until it is or something newer comes; at the end once more.
+func (f *Fleet) keep(fs fsys.FS, file string, states <-chan []byte) {
+	var owed []byte // nil: all is written
+	failing := false
+	wait, again := warmEvery, time.NewTimer(0)
+	again.Stop()
+	defer again.Stop()
+	for open := true; open; {
+		var text []byte
+		select {
+		case text, open = <-states:
+			if open {
+				owed, wait = text, warmEvery
+			}
+		case <-again.C:
+		}
+		if owed == nil {
+			continue
+		}
+		err := writeWarm(fs, file, owed)
+		switch {
+		case err != nil && !failing:
+			f.log.Warn("a fleet that is lost as a whole will not know what is out by hand; it is tried again", "err", err)
+		case err == nil && failing:
+			f.log.Info("what is out by hand is written down again")
+		}
+		if failing = err != nil; !failing {
+			owed = nil
+			continue
 		}
+		again.Reset(wait)
+		wait = min(2*wait, mostWarmWait)
 	}
 }
