--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -21,6 +21,8 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"milletramp.example/milletramp/internal/fsys"
 )
 
 // Phase is how far a process is.
@@ -99,12 +101,21 @@
 	id   string // of this process's files
 	held *os.File
 	log  *slog.Logger
+	fs   fsys.FS
 
-	mu    sync.Mutex
-	state State
-	left  bool
+	mu      sync.Mutex
+	state   State
+	left    bool
+	backoff time.Duration // until the next try of a write that has failed; 0: the file holds the state
+	again   *time.Timer   // that begins it
 }
 
+// Between two tries of a write that fails.
+const (
+	leastBackoff = 100 * time.Millisecond
+	mostBackoff  = 5 * time.Second
+)
+
 const (
 	lockEnd  = ".lock"
 	stateEnd = ".state"
@@ -112,8 +123,12 @@
 
 // Join makes this process known in a folder below dir, which the processes of the sidecar share.
 func Join(dir string, s State, log *slog.Logger) (*Member, error) {
+	return joinOn(fsys.OS{}, dir, s, log)
+}
+
+func joinOn(fs fsys.FS, dir string, s State, log *slog.Logger) (*Member, error) {
 	sum := crc32.ChecksumIEEE([]byte(s.Name + "\x00" + s.Listen))
-	m := &Member{dir: filepath.Join(dir, fmt.Sprintf("milletramp-%08x", sum)), log: log, state: s,
+	m := &Member{dir: filepath.Join(dir, fmt.Sprintf("milletramp-%08x", sum)), log: log, fs: fs, state: s,
 		id: fmt.Sprintf("%d-%d", os.Getpid(), s.Started.UnixNano())}
 	if err := os.MkdirAll(m.dir, 0o700); err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
@@ -138,7 +153,8 @@
 
 func (m *Member) file(end string) string { return filepath.Join(m.dir, m.id+end) }
 
-// Update changes this process's state. Others see it once this has returned.
+// Update changes this process's state. Others see it once this has returned nil. After an error they see the former
+// state, and the new one as soon as it could be written: that is tried again until it succeeds or the process leaves.
 func (m *Member) Update(change func(*State)) error {
 	if m == nil {
 		return nil
@@ -149,19 +165,47 @@
 		return nil // nobody asks any more
 	}
 	change(&m.state)
-	return m.write()
+	err := m.write()
+	m.written(err)
+	return err
+}
+
+// written has a write that has failed be tried again.
+func (m *Member) written(err error) {
+	switch {
+	case err == nil && m.backoff > 0:
+		m.log.Info("handover: the state is written again")
+		m.backoff = 0
+		m.again.Stop()
+	case err != nil && m.backoff == 0:
+		m.log.Warn("handover: the state is not written, and is tried again", "err", err)
+		m.backoff = leastBackoff
+		m.again = time.AfterFunc(m.backoff, m.writeAgain)
+	}
+}
+
+// writeAgain is a try after one that has failed. It runs in the goroutine of its timer, which Leave stops.
+func (m *Member) writeAgain() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.left || m.backoff == 0 {
+		return
+	}
+	err := m.write()
+	if err != nil {
+		m.backoff = min(2*m.backoff, mostBackoff)
+		m.again.Reset(m.backoff)
+	}
+	m.written(err)
 }
 
 // write replaces the state file. A reader sees the former or the new one.
 func (m *Member) write() error {
 	text, err := encode(m.state)
-	if err != nil {
-		return fmt.Errorf("handover: %w", err)
-	}
-	if err := os.WriteFile(m.file(".new"), text, 0o600); err != nil {
-		return fmt.Errorf("handover: %w", err)
+	if err == nil { // not synced: after a loss of power nobody lives whose state counts
+		err = fsys.Replace(m.fs, m.file(".new"), m.file(stateEnd), text, false)
 	}
-	if err := os.Rename(m.file(".new"), m.file(stateEnd)); err != nil {
+	if err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
 	return nil
@@ -178,6 +222,9 @@
 		return nil
 	}
 	m.left = true
+	if m.again != nil {
+		m.again.Stop()
+	}
 	var errs []error
 	for _, end := range []string{".new", stateEnd, lockEnd} {
 		if err := os.Remove(m.file(end)); err != nil && !errors.Is(err, fs.ErrNotExist) {
