--- /dev/null
+++ b/internal/sidecar/family_fault_test.go
@@ -0,0 +1,59 @@
+package sidecar
+
+import (
+	"context"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+	"time"
+
+	"milletramp.example/milletramp/internal/handover"
+)
+
+// TestFolderFailsInService has the folder for upgrades be away for a while: the sidecar goes on serving, answers no call
+// of the operators with yes that the next process would not see, and once the folder is there again that process sees
+// what was called, without a further call.
+func TestFolderFailsInService(t *testing.T) {
+	dir := t.TempDir()
+	one, two := startBackend(t, say(200, "", "one")), startBackend(t, say(200, "", "two"))
+	three := startBackend(t, say(200, "", "three"))
+	d := startRegistry(t)
+	p := start(t, configText(d.address, serving(1, one, two, three), testSettings), "TMPDIR="+dir)
+	within(t, d.watches, "watch")
+	p.until("three")
+	next, err := handover.Join(dir, handover.State{Name: "n0", Listen: "127.0.0.1:0", Started: time.Now(),
+		Phase: handover.Starting}, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = next.Leave() }()
+	sees := func() []string { return next.Others()[0].Out }
+	if _, err := p.staff.TakeOut(context.Background(), "s-0", true, false); err != nil || !slices.Equal(sees(), []string{"s-0"}) {
+		t.Fatalf("error %v, the next process sees %v", err, sees())
+	}
+	folders, err := filepath.Glob(filepath.Join(dir, "milletramp-*"))
+	if err != nil || len(folders) != 1 {
+		t.Fatalf("folders %v, error %v", folders, err)
+	}
+	if err := os.Rename(folders[0], folders[0]+"-away"); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := p.staff.TakeOut(context.Background(), "s-1", true, false); err == nil {
+		t.Error("a call that the next process would not see is answered with yes")
+	}
+	for range 20 {
+		if g := p.ask("read"); g.status != 200 || g.body != "three" {
+			t.Fatalf("answer %+v while the folder is away", g)
+		}
+	}
+	if err := os.Rename(folders[0]+"-away", folders[0]); err != nil {
+		t.Fatal(err)
+	}
+	for end := time.Now().Add(patience); !slices.Equal(sees(), []string{"s-0", "s-1"}); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("the next process sees %v", sees())
+		}
+	}
+}
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -245,9 +245,9 @@
 	overdue atomic.Int32 // answers without a decision: the machine stood still about their deadlines
 }
 
-func start(t *testing.T, config string) *program {
+func start(t *testing.T, config string, env ...string) *program {
 	t.Helper()
-	return startDraining(t, config, drainTimes{quiet: time.Millisecond})
+	return startIn(t, config, drainTimes{quiet: time.Millisecond}, nil, env...)
 }
 
 func startDraining(t *testing.T, config string, times drainTimes) *program {
@@ -256,9 +256,9 @@
 }
 
 // startIn starts a sidecar with a part in a fleet; nil: with none.
-func startIn(t *testing.T, config string, times drainTimes, join Join) *program {
+func startIn(t *testing.T, config string, times drainTimes, join Join, env ...string) *program {
 	t.Helper()
-	c, err := load(t, config)
+	c, err := load(t, config, env...)
 	if err != nil {
 		t.Fatal(err)
 	}
