--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -19,6 +19,7 @@
 	"milletramp.example/milletramp/internal/fleet/failuredetector"
 	"milletramp.example/milletramp/internal/fleet/membership"
 	"milletramp.example/milletramp/internal/fleet/replication"
+	"milletramp.example/milletramp/internal/fsys"
 )
 
 const patience = 30 * time.Second
@@ -316,7 +317,7 @@
 // TestTorn cuts a sealed state at each byte and changes each: all are dropped, with a reason.
 func TestTorn(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "x.state")
-	if err := writeWarm(file, []byte("what the staff said")); err != nil {
+	if err := writeWarm(fsys.OS{}, file, []byte("what the staff said")); err != nil {
 		t.Fatal(err)
 	}
 	sealed, err := os.ReadFile(file)
