--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -21,9 +21,11 @@
 	warmed    Time                 // when that was last looked at
 	started   []*endpoint          // processes without a first turn
 	sides     [2]int               // how many are listed in the own zone, and in others
+	ready     int                  // how many are ready and not out
 	joins     map[[2]string][]*group
 	stale     bool // a subset is to be taken anew
 	renewed   bool // all are, as for a new fleet
+	hashed    bool // the rings are in order of hashes, not of ids
 	looked    int  // at endpoints so far, for lists and ticks: what a fleet's size costs
 }
 
@@ -45,7 +47,7 @@
 			continue
 		}
 		if e == nil {
-			e = &endpoint{seen: b.nothing(now), key: xxhash.Sum64String(entry.ID)}
+			e = &endpoint{seen: b.nothing(now), key: b.keyOf(entry.ID)}
 			b.known[entry.ID] = e
 		}
 		if !whole {
@@ -112,7 +114,11 @@
 	if bare := b.bare(); bare != b.fleet.inUse {
 		b.gather(bare)
 	}
-	if b.stale || b.wide() == 0 {
+	wide := b.wide()
+	if hashed := wide >= 1 || b.hashed && wide > 0; hashed != b.hashed {
+		b.reorder(hashed)
+	}
+	if b.stale || wide == 0 {
 		b.regroup(now)
 		b.fade(now, 1)
 		b.shift(now)
@@ -186,6 +192,7 @@
 	if !e.placed {
 		return
 	}
+	b.ready--
 	b.stale = b.stale || e.active
 	for _, g := range b.rings(e) {
 		at := g.rank(e.key, e.ID)
@@ -214,6 +221,9 @@
 	b.sides[e.abroad]++
 	e.listed, e.placed, e.warm = true, e.State == Ready && !b.out[e.ID], b.warmth(e, now)
 	e.weighed = e.warm
+	if e.placed {
+		b.ready++
+	}
 	if e.warm < 1 && !e.warming {
 		e.warming = true
 		b.cold = append(b.cold, e)
@@ -222,7 +232,8 @@
 
 // rebuild makes the index anew, as a whole list has come.
 func (b *Balancer) rebuild(now Time) {
-	b.endpoints, b.departing, b.sides, b.stale, b.renewed = b.endpoints[:0], b.departing[:0], [2]int{}, true, true
+	b.endpoints, b.departing, b.sides, b.ready = b.endpoints[:0], b.departing[:0], [2]int{}, 0
+	b.stale, b.renewed = true, true
 	var listed []*endpoint
 	for _, g := range b.groups {
 		g.empty()
@@ -275,8 +286,28 @@
 	})
 }
 
-// byKey orders endpoints on the ring of a group. The key is a hash, so that those that come and go are spread over it
-// whatever their names.
+// byKey orders endpoints on the ring of a group.
 func byKey(x, y *endpoint) int {
 	return cmp.Or(cmp.Compare(x.key, y.key), strings.Compare(x.ID, y.ID))
 }
+
+// keyOf is the place of an id on the rings. In a wide fleet it is a hash, so that those that come and go are spread over
+// the rings whatever their names.
+func (b *Balancer) keyOf(id string) uint64 {
+	if b.hashed {
+		return xxhash.Sum64String(id)
+	}
+	return 0
+}
+
+// reorder puts the rings in order of hashes, or of ids again.
+func (b *Balancer) reorder(hashed bool) {
+	b.hashed, b.stale, b.renewed = hashed, true, true
+	for _, e := range b.known {
+		e.key = b.keyOf(e.ID)
+	}
+	for _, g := range b.groups {
+		slices.SortFunc(g.ready, byKey)
+		g.anchored = false
+	}
+}
--- a/balance/state.go
+++ b/balance/state.go
@@ -149,6 +149,7 @@
 	dest     Destination
 	ready    []*endpoint // in order of the ring
 	anchor   uint64      // where on the ring the subset begins
+	anchorID string
 	anchored bool
 	wants    int         // how many the subset is to have
 	inUse    bool        // it has a part in the schedule
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -10,13 +10,16 @@
 
 const (
 	leastSubset = 4 // endpoints of a group that a sidecar uses at least: some may fail
-	// wideFleet is how many endpoints a sidecar uses at most, unless it has more requests within the memory. In a wider
-	// fleet its traffic is the same, and so is what it can know and keep connections to: of a fleet twice as wide or
-	// more it uses wideShare of that number, and no more than wideLeast and a further one for each wideEach listed.
-	wideFleet = 200
-	wideShare = 0.75
-	wideLeast = 25
-	wideEach  = 7
+	// A fleet is wide from usualMost ready endpoints on, by degrees, and wholly from wideFleet on. There a sidecar's traffic
+	// is the same, and so is what it can know and keep connections to: it uses no more than wideUsed endpoints, or
+	// that share of usualFleet of its requests within the memory, and no more than wideLeast and a further one for
+	// each wideEach listed.
+	usualFleet = 200
+	usualMost  = 300
+	wideFleet  = 400
+	wideUsed   = 150
+	wideLeast  = 25
+	wideEach   = 7
 	// mostDrift is how far a long subset may be from its place in such a fleet, as a share of its length, and longSubset
 	// how long it is then. Of short ones, a few that are out of place would make the spread over the servers uneven.
 	mostDrift  = 1.0 / 8
@@ -69,16 +72,15 @@
 	if b.wide() == 0 {
 		return share
 	}
-	total := 0
+	total := 0.0
 	for _, g := range b.groups {
 		if g.inUse {
-			total += g.wanted(share)
+			total += float64(g.wanted(share))
 		}
 	}
-	most := max(wideFleet, b.arrived)
-	wide := min(wideShare*most, wideLeast+float64(len(b.endpoints))/wideEach)
-	most += (wide - most) * b.wide()
-	return min(share, 1) * min(1, most/float64(max(total, 1)))
+	most := min(max(usualFleet, b.arrived)*wideUsed/usualFleet, wideLeast+float64(len(b.endpoints))/wideEach, total)
+	most += (total - most) * (1 - b.wide())
+	return min(share, 1) * most / max(total, 1)
 }
 
 // wanted is how many of a group's endpoints make up a share of it.
@@ -118,7 +120,7 @@
 	ideal := int(math.Mod(float64(b.set.Self)*(math.Sqrt(5)-1)/2, 1) * float64(n))
 	drift := 0
 	if g.anchored {
-		drift = (g.rank(g.anchor, "")%n-ideal+n+n/2)%n - n/2
+		drift = (g.rank(g.anchor, g.anchorID)%n-ideal+n+n/2)%n - n/2
 		slack := int(mostDrift * b.wide() * float64(want) * min(1, float64(want)/longSubset))
 		switch off := max(drift, -drift); {
 		case !settle || off <= slack:
@@ -129,12 +131,14 @@
 		}
 	}
 	first = (ideal + drift + n) % n
-	g.anchored, g.anchor = true, g.ready[first].key
+	g.anchored, g.anchor, g.anchorID = true, g.ready[first].key, g.ready[first].ID
 	return first
 }
 
-// wide is how far the fleet is wider than usual ones, up to 1 for twice as wide.
-func (b *Balancer) wide() float64 { return min(max(float64(len(b.endpoints))/wideFleet-1, 0), 1) }
+// wide is how far the fleet is wider than usual ones, from 0 to 1.
+func (b *Balancer) wide() float64 {
+	return min(max(float64(b.ready-usualMost)/(wideFleet-usualMost), 0), 1)
+}
 
 // rank is how many endpoints of the group come on its ring before a key, and an id that has it.
 func (g *group) rank(key uint64, id string) int {
@@ -147,5 +151,5 @@
 // reaches tells whether the endpoint at a rank is within the subset, or next behind it.
 func (g *group) reaches(at int) bool {
 	n := len(g.ready)
-	return g.inUse && (!g.anchored || (at-g.rank(g.anchor, "")%n+n)%n <= len(g.members))
+	return g.inUse && (!g.anchored || (at-g.rank(g.anchor, g.anchorID)%n+n)%n <= len(g.members))
 }
