--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -138,13 +138,16 @@
 	rapid.Check(t, func(t *rapid.T) {
 		sidecars := rapid.SampledFrom([]int{1, 2, 3, 10, 80, 300}).Draw(t, "sidecars")
 		warm, cold := rapid.IntRange(4, 12).Draw(t, "warm"), rapid.IntRange(1, 6).Draw(t, "cold")
-		checkShares(t, sidecars, warm, cold)
+		checkShares(t, sidecars, warm, cold, rapid.Bool().Draw(t, "mixed"))
 	})
 }
 
-// TestStartedEndpointsOfAThousandSidecars is the same at the end of the range.
+// TestStartedEndpointsOfAThousandSidecars is the same at the end of the range, with the cold endpoints behind the
+// warm ones in the rotation, and among them.
 func TestStartedEndpointsOfAThousandSidecars(t *testing.T) {
-	checkShares(t, 2000, 10, 4)
+	for _, mixed := range []bool{false, true} {
+		t.Run(fmt.Sprint("mixed ", mixed), func(t *testing.T) { checkShares(t, 2000, 10, 4, mixed) })
+	}
 }
 
 type tester interface {
@@ -152,12 +155,16 @@
 	Errorf(string, ...any)
 }
 
-func checkShares(t tester, sidecars, warm, cold int) {
+func checkShares(t tester, sidecars, warm, cold int, mixed bool) {
 	set := settings()
 	set.ColdTime, set.StartCapacity, set.FallMultiple, set.FallTime = 8*time.Second, 0.3, 4, 2*time.Second
 	var list []Endpoint
 	for i := range warm + cold {
-		list = append(list, Endpoint{ID: fmt.Sprintf("e%02d", i), Zone: "x", Kind: "big", Size: 1})
+		id := fmt.Sprintf("e%02d", i)
+		if mixed && i >= warm {
+			id = fmt.Sprintf("e%02dx", (i-warm)*warm/cold)
+		}
+		list = append(list, Endpoint{ID: id, Zone: "x", Kind: "big", Size: 1})
 	}
 	f := newParty(t, set, sidecars, list[:warm])
 	const each = 40.0 // requests a second for each warm endpoint
