--- a/internal/sidecar/family.go
+++ b/internal/sidecar/family.go
@@ -128,8 +128,11 @@
 	return errors.Join(err, o.publish(ctx))
 }
 
-// publish writes down which servers are out.
+// publish writes down which servers are out. One call at a time does: of two that overlapped, the one that read the
+// older list could write last, after both calls of the operators were answered with yes.
 func (o *ops) publish(ctx context.Context) error {
+	o.publishing.Lock()
+	defer o.publishing.Unlock()
 	var out []string
 	if err := o.host.ask(ctx, func() { out = o.host.balancer.Out() }); err != nil {
 		return err
--- a/internal/sidecar/ops.go
+++ b/internal/sidecar/ops.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"context"
 	"fmt"
+	"sync"
 	"sync/atomic"
 
 	"milletramp.example/milletramp/internal/stats"
@@ -20,6 +21,8 @@
 	gate    *gate                  // set before it listens; nil: the fleet has no policy, or there is none
 	obeyed  chan struct{}          // has one if what is out by hand has changed by word of the fleet
 
+	publishing sync.Mutex // held by publish
+
 	// Of the loop.
 	obeys map[string]bool // servers that the fleet last had out
 }
