--- a/balance/api.go
+++ b/balance/api.go
@@ -31,19 +31,19 @@
 const (
 	ScopeAll Scope = iota
 	ScopeZone
-	ScopeCell
+	ScopePodGroup
 )
 
 // Class describes one class of requests.
 type Class struct {
-	Name         string
-	Effect       Effect
-	Scope        Scope         // Deduplicated only
-	DedupeWindow time.Duration // Deduplicated only: how long a repeat is dropped, from the first send
-	Aim          time.Duration // an answer within the aim earns the full worth
-	Deadline     time.Duration // the client's patience over all its tries
-	Worth        float64
-	LateWorth    float64 // share of the worth that an answer past the aim still earns
+	Name             string
+	Effect           Effect
+	Scope            Scope         // Deduplicated only
+	DedupeWindow     time.Duration // Deduplicated only: how long a repeat is dropped, from the first send
+	LatencyObjective time.Duration // an answer within the aim earns the full worth
+	Deadline         time.Duration // the client's patience over all its tries
+	Priority         float64
+	LateShare        float64 // share of the worth that an answer past the aim still earns
 }
 
 // Tenant describes one tenant. Allowance is the rate, over all sidecars together, up to which its requests
@@ -62,9 +62,9 @@
 type Destination struct {
 	Weight float64
 	Match  Match
-	// PerSize makes Weight the weight of each unit of registered size that is ready in the group, in place of
+	// PerEndpointWeight makes Weight the weight of each unit of registered size that is ready in the group, in place of
 	// the weight of the whole group.
-	PerSize bool
+	PerEndpointWeight bool
 }
 
 // Rule is one routing rule. The table lists rules from the oldest to the newest.
@@ -78,7 +78,7 @@
 // Settings are what a Balancer is told at its start.
 type Settings struct {
 	Seed    uint64
-	Self    int // the number of this sidecar among its peers, from 0
+	Ordinal int // the number of this sidecar among its peers, from 0
 	Peers   int // how many sidecars there are, this one included
 	Zone    string
 	Zones   []string
@@ -90,19 +90,19 @@
 	Tags    map[string]string // the client's own tags besides its region: service, version
 	Rules   []Rule            // nil: DefaultRules(Service, Zones, Kinds)
 
-	MaxAttempts   int
-	CancelAllowed bool
-	CopiesAllowed bool // a request may have two attempts out at a time
+	MaxAttempts    int
+	CancelAllowed  bool
+	HedgingAllowed bool // a request may have two attempts out at a time
 
-	AskDiscovery bool          // list changes come only to a subscriber
-	MustAsk      time.Duration // without a call for this long, old listings count as told
+	PollDiscovery bool          // list changes come only to a subscriber
+	MaxListAge    time.Duration // without a call for this long, old listings count as told
 
-	ColdTime      time.Duration // a started endpoint is warm after this time
-	StartCapacity float64       // and starts at this share of its capacity
-	FallMultiple  float64       // a cold endpoint sent more than this multiple of what it can do
-	FallTime      time.Duration // for this long falls over
+	SlowStartWindow   time.Duration // a started endpoint is warm after this time
+	SlowStartCapacity float64       // and starts at this share of its capacity
+	OverloadMultiple  float64       // a cold endpoint sent more than this multiple of what it can do
+	OverloadWindow    time.Duration // for this long falls over
 
-	CrossCharge float64 // price of crossing zones, as a share of a request's worth
+	CrossZoneCharge float64 // price of crossing zones, as a share of a request's worth
 }
 
 // State is what discovery says of an endpoint.
@@ -120,9 +120,9 @@
 // and the next call is made within PushedReask: what the agent gets when discovery is back counts as told
 // at once.
 const (
-	FirstReask   = 500 * time.Millisecond
-	LongestReask = 1500 * time.Millisecond
-	PushedReask  = 200 * time.Millisecond
+	FirstDiscoveryBackoff  = 500 * time.Millisecond
+	MaxDiscoveryBackoff    = 1500 * time.Millisecond
+	PushedDiscoveryBackoff = 200 * time.Millisecond
 )
 
 // SchedulingStall is the longest time that a process is taken to be held up between a check, such as a reading of its
@@ -141,13 +141,13 @@
 
 // Endpoint is one entry of discovery's list.
 type Endpoint struct {
-	ID      string
-	Zone    string
-	Kind    string
-	Cell    int
-	State   State
-	Size    float64 // registered size, to compare with others
-	Started Time    // when the process last started; 0: long ago
+	ID       string
+	Zone     string
+	Kind     string
+	PodGroup int
+	State    State
+	Weight   float64 // registered size, to compare with others
+	Started  Time    // when the process last started; 0: long ago
 }
 
 // ListKind says how a list of endpoints is to be read.
@@ -163,13 +163,13 @@
 
 // Request is a client's request. Within is the time left before the client gives this try up.
 type Request struct {
-	ID     RequestID
-	Class  int // index into Settings.Classes
-	Tenant int // index into Settings.Tenants, or -1
-	Within time.Duration
-	Retry  bool // the client says that it asked before
-	// Terms are what the class was when the request came; nil: what it is now.
-	Terms *Class
+	ID      RequestID
+	Class   int // index into Settings.Classes
+	Tenant  int // index into Settings.Tenants, or -1
+	Timeout time.Duration
+	Retry   bool // the client says that it asked before
+	// ClassTerms are what the class was when the request came; nil: what it is now.
+	ClassTerms *Class
 }
 
 // Outcome is how an attempt ended.
@@ -216,8 +216,8 @@
 	Send(id RequestID, endpoint string, within time.Duration)
 	// Cancel stops waiting for an attempt. Its Result follows.
 	Cancel(id RequestID, attempt int)
-	// Refuse is the final answer that promises that a retry does no harm.
-	Refuse(id RequestID, after time.Duration)
+	// Reject is the final answer that promises that a retry does no harm.
+	Reject(id RequestID, after time.Duration)
 	// Fail is the final answer without a promise.
 	Fail(id RequestID)
 	// Timer asks for a Timer event.
@@ -228,34 +228,34 @@
 	Log(text string)
 }
 
-// Sight is what a Balancer sees at an endpoint.
-type Sight int
+// Observation is what a Balancer sees at an endpoint.
+type Observation int
 
 // What is seen of attempts. One that is late, and then silent, is told once as either.
 const (
-	SawAnswer Sight = iota // served
+	ObservedAnswer Observation = iota // served
 	// no answer after the time in which nearly all come, and nothing else from there since
-	SawLate
+	ObservedLate
 	// no answer for so long that it is taken to be lost, and nothing else from there since
-	SawSilence
-	SawFailure // an error, or the connection broke
-	SawRefusal // no connection
+	ObservedSilence
+	ObservedFailure // an error, or the connection broke
+	ObservedRefusal // no connection
 )
 
-// Witness is told what a Balancer sees at endpoints, for other sidecars to know. It is called as Actions is.
-type Witness interface {
-	Saw(endpoint string, s Sight)
+// Observer is told what a Balancer sees at endpoints, for other sidecars to know. It is called as Actions is.
+type Observer interface {
+	Observe(endpoint string, s Observation)
 }
 
-// Word is what other sidecars say of an endpoint: it does not do its work.
-type Word struct {
-	ID    string
-	Since Time // when the youngest of what it rests on was written
+// PeerReport is what other sidecars say of an endpoint: it does not do its work.
+type PeerReport struct {
+	ID        string
+	WrittenAt Time // when the youngest of what it rests on was written
 }
 
-// MayRefuse reports whether a request without a final answer may be refused by its host: as its class allows repeats, or
+// MayReject reports whether a request without a final answer may be refused by its host: as its class allows repeats, or
 // as none of its attempts may have run. One that is in flight may have. It changes nothing.
-func (b *Balancer) MayRefuse(id RequestID) bool {
+func (b *Balancer) MayReject(id RequestID) bool {
 	q := b.requests[id]
-	return q != nil && !q.ended && b.mayRefuse(q)
+	return q != nil && !q.ended && b.mayReject(q)
 }
--- a/balance/burst_test.go
+++ b/balance/burst_test.go
@@ -10,7 +10,7 @@
 // many is a group of like endpoints.
 func many(n int) (list []Endpoint) {
 	for i := range n {
-		list = append(list, Endpoint{ID: string(rune('a' + i)), Zone: "x", Kind: "big", Size: 1})
+		list = append(list, Endpoint{ID: string(rune('a' + i)), Zone: "x", Kind: "big", Weight: 1})
 	}
 	return list
 }
@@ -36,7 +36,7 @@
 			h.now += time.Millisecond
 			b.Result(h.now, Result{ID: s.id, Endpoint: s.to, Outcome: outcome, Took: time.Millisecond, Finished: true})
 		}
-		if b.known["a"].faults == 0 {
+		if b.known["a"].failureAlarm == 0 {
 			t.Fatal("a burst of faults counts as none")
 		}
 	}
@@ -90,7 +90,7 @@
 	b, h := start(t, settings(), many(4))
 	serve(b, h, 200, 20*time.Millisecond)
 	for _, id := range []string{"a", "b", "c"} {
-		b.known[id].until = h.now + time.Hour
+		b.known[id].ejectedUntil = h.now + time.Hour
 	}
 	b.Timer(h.now, tokenTick)
 	if !b.panicking {
--- a/balance/byhand_test.go
+++ b/balance/byhand_test.go
@@ -11,7 +11,7 @@
 	got := map[string]int{}
 	for range n {
 		h.now += time.Millisecond
-		b.Request(h.now, Request{ID: RequestID(h.now), Tenant: -1, Within: 3 * time.Second})
+		b.Request(h.now, Request{ID: RequestID(h.now), Tenant: -1, Timeout: 3 * time.Second})
 		for _, s := range h.sent {
 			got[s.to]++
 		}
@@ -23,18 +23,18 @@
 // TestTakenOut takes an endpoint out by hand, with everything that discovery can say of it in between.
 // Danger: the staff works on a machine that traffic returns to.
 func TestTakenOut(t *testing.T) {
-	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "b", Zone: "x", Kind: "big", Size: 1}}
+	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}, {ID: "b", Zone: "x", Kind: "big", Weight: 1}}
 	restarted := slices.Clone(list)
 	for _, tt := range []struct {
 		name string
 		do   func(b *Balancer, h *host)
 	}{
 		{"nothing said", func(*Balancer, *host) {}},
-		{"taken out again", func(b *Balancer, h *host) { b.TakeOut(h.now, "a", true) }},
+		{"taken out again", func(b *Balancer, h *host) { b.SetAdminDown(h.now, "a", true) }},
 		{"a whole list", func(b *Balancer, h *host) { b.Endpoints(h.now, ListFull, list) }},
 		{"ready again", func(b *Balancer, h *host) { b.Endpoints(h.now, ListChanges, list[:1]) }},
 		{"drained and ready", func(b *Balancer, h *host) {
-			b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1, State: Draining}})
+			b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1, State: Draining}})
 			b.Endpoints(h.now, ListChanges, list[:1])
 		}},
 		{"gone and back", func(b *Balancer, h *host) {
@@ -51,18 +51,18 @@
 			if got := tell(b, h, 100); got["a"] == 0 {
 				t.Fatal("it was never used before")
 			}
-			if !b.TakeOut(h.now, "a", true) {
+			if !b.SetAdminDown(h.now, "a", true) {
 				t.Fatal("it is unknown")
 			}
 			tt.do(b, h)
 			if got := tell(b, h, 200); got["a"] != 0 || got["b"] != 200 {
 				t.Errorf("attempts %v while a is out", got)
 			}
-			if listed, avoided := b.Count(h.now); listed != 2 || avoided != 1 {
+			if listed, avoided := b.CountEndpoints(h.now); listed != 2 || avoided != 1 {
 				t.Errorf("%d listed, %d avoided, want 2 and 1", listed, avoided)
 			}
 			for range 2 {
-				if !b.TakeOut(h.now, "a", false) {
+				if !b.SetAdminDown(h.now, "a", false) {
 					t.Error("it is unknown when put back, or again")
 				}
 			}
@@ -84,16 +84,16 @@
 func TestTakenOutUnknown(t *testing.T) {
 	b, h := start(t, settings(), pair())
 	for _, out := range []bool{true, false} {
-		if b.TakeOut(h.now, "nobody", out) {
+		if b.SetAdminDown(h.now, "nobody", out) {
 			t.Errorf("out %v: an id that nobody has is known", out)
 		}
 	}
-	b.TakeOut(h.now, "a", true)
+	b.SetAdminDown(h.now, "a", true)
 	b.Endpoints(h.now, ListFull, pair()[1:])
-	if !b.TakeOut(h.now, "a", true) || !b.TakeOut(h.now, "a", false) {
+	if !b.SetAdminDown(h.now, "a", true) || !b.SetAdminDown(h.now, "a", false) {
 		t.Error("one that is out has left the list, and is unknown")
 	}
-	if b.TakeOut(h.now, "a", false) {
+	if b.SetAdminDown(h.now, "a", false) {
 		t.Error("one that is neither listed nor out is known")
 	}
 	b.Endpoints(h.now, ListFull, pair())
@@ -105,16 +105,16 @@
 // TestAllTakenOut has a request find nobody: it is refused at once.
 func TestAllTakenOut(t *testing.T) {
 	b, h := start(t, settings(), pair())
-	b.HandedOut(h.now, []string{"a", "b", "later"})
-	b.Request(h.now, Request{ID: 1, Tenant: -1, Within: time.Second})
+	b.AdoptAdminDown(h.now, []string{"a", "b", "later"})
+	b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: time.Second})
 	if len(h.sent) != 0 || len(h.refused) != 1 {
 		t.Errorf("%d attempts, %d refusals, want a refusal alone", len(h.sent), len(h.refused))
 	}
-	if got := b.Out(); !slices.Equal(got, []string{"a", "b", "later"}) {
+	if got := b.AdminDown(); !slices.Equal(got, []string{"a", "b", "later"}) {
 		t.Errorf("out are %v", got)
 	}
-	b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "later", Zone: "x", Kind: "big", Size: 1}})
-	if b.Request(h.now, Request{ID: 2, Tenant: -1, Within: time.Second}); len(h.sent) != 0 {
+	b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "later", Zone: "x", Kind: "big", Weight: 1}})
+	if b.Request(h.now, Request{ID: 2, Tenant: -1, Timeout: time.Second}); len(h.sent) != 0 {
 		t.Errorf("an attempt at %v, which was handed over as out", h.sent)
 	}
 }
--- a/balance/check.go
+++ b/balance/check.go
@@ -16,14 +16,14 @@
 		return errors.New("field Classes: no classes")
 	case set.Peers < 1:
 		return fmt.Errorf("field Peers: %d sidecars", set.Peers)
-	case set.Self < 0 || set.Self >= set.Peers:
-		return fmt.Errorf("field Self: sidecar %d of %d", set.Self, set.Peers)
+	case set.Ordinal < 0 || set.Ordinal >= set.Peers:
+		return fmt.Errorf("field Self: sidecar %d of %d", set.Ordinal, set.Peers)
 	case set.MaxAttempts < 1:
 		return fmt.Errorf("field MaxAttempts: %d attempts", set.MaxAttempts)
-	case set.MaxAttempts > mostTries:
-		return fmt.Errorf("field MaxAttempts: %d attempts, %d at most", set.MaxAttempts, mostTries)
-	case !within(set.StartCapacity, 0, 1):
-		return fmt.Errorf("field StartCapacity: %v is no share from 0 to 1", set.StartCapacity)
+	case set.MaxAttempts > maxAttemptsPerRequest:
+		return fmt.Errorf("field MaxAttempts: %d attempts, %d at most", set.MaxAttempts, maxAttemptsPerRequest)
+	case !within(set.SlowStartCapacity, 0, 1):
+		return fmt.Errorf("field StartCapacity: %v is no share from 0 to 1", set.SlowStartCapacity)
 	}
 	for i, c := range set.Classes {
 		if err := checkClass(c); err != nil {
@@ -35,10 +35,10 @@
 			return fmt.Errorf("tenant %d, %q: %w", i, t.Name, err)
 		}
 	}
-	return errors.Join(checkAmount("FallMultiple", set.FallMultiple), checkAmount("CrossCharge", set.CrossCharge),
-		checkTime("MustAsk", set.MustAsk),
-		checkTime("ColdTime", set.ColdTime),
-		checkTime("FallTime", set.FallTime), checkRules(set.Rules))
+	return errors.Join(checkAmount("FallMultiple", set.OverloadMultiple), checkAmount("CrossCharge", set.CrossZoneCharge),
+		checkTime("MustAsk", set.MaxListAge),
+		checkTime("ColdTime", set.SlowStartWindow),
+		checkTime("FallTime", set.OverloadWindow), checkRules(set.Rules))
 }
 
 // within tells whether x is a number from low to high.
@@ -60,18 +60,18 @@
 
 func checkClass(c Class) error {
 	switch {
-	case c.Aim <= 0:
-		return fmt.Errorf("field Aim: %v is not above 0", c.Aim)
-	case c.Deadline < c.Aim:
-		return fmt.Errorf("field Deadline: %v is before the aim of %v", c.Deadline, c.Aim)
+	case c.LatencyObjective <= 0:
+		return fmt.Errorf("field Aim: %v is not above 0", c.LatencyObjective)
+	case c.Deadline < c.LatencyObjective:
+		return fmt.Errorf("field Deadline: %v is before the aim of %v", c.Deadline, c.LatencyObjective)
 	case c.Effect < Idempotent || c.Effect > AtMostOnce:
 		return fmt.Errorf("field Effect: %d is unknown", c.Effect)
-	case c.Scope < ScopeAll || c.Scope > ScopeCell:
+	case c.Scope < ScopeAll || c.Scope > ScopePodGroup:
 		return fmt.Errorf("field Scope: %d is unknown", c.Scope)
-	case !within(c.LateWorth, 0, 1):
-		return fmt.Errorf("field LateWorth: %v is no share from 0 to 1", c.LateWorth)
+	case !within(c.LateShare, 0, 1):
+		return fmt.Errorf("field LateWorth: %v is no share from 0 to 1", c.LateShare)
 	}
-	return errors.Join(checkAmount("Worth", c.Worth), checkTime("DedupeWindow", c.DedupeWindow))
+	return errors.Join(checkAmount("Worth", c.Priority), checkTime("DedupeWindow", c.DedupeWindow))
 }
 
 // checkRules says what is wrong with a rule table, naming the rule and its field.
--- a/balance/endpoints_test.go
+++ b/balance/endpoints_test.go
@@ -33,10 +33,10 @@
 				var list []Endpoint
 				for range rapid.IntRange(0, 6).Draw(t, "entries") {
 					e := Endpoint{ID: fmt.Sprint("e", rapid.IntRange(0, 12).Draw(t, "id")),
-						Zone:  rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "zone"),
-						Kind:  rapid.SampledFrom([]string{"big", "small"}).Draw(t, "kind"),
-						State: rapid.SampledFrom([]State{Ready, Ready, Draining, Removed}).Draw(t, "state"),
-						Size:  float64(rapid.IntRange(1, 3).Draw(t, "size"))}
+						Zone:   rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "zone"),
+						Kind:   rapid.SampledFrom([]string{"big", "small"}).Draw(t, "kind"),
+						State:  rapid.SampledFrom([]State{Ready, Ready, Draining, Removed}).Draw(t, "state"),
+						Weight: float64(rapid.IntRange(1, 3).Draw(t, "size"))}
 					if rapid.Bool().Draw(t, "cold") {
 						e.Started = now
 					}
@@ -47,7 +47,7 @@
 				b.Endpoints(now, kind, list)
 			case "out":
 				take := rapid.Bool().Draw(t, "take")
-				if b.TakeOut(now, id, take) {
+				if b.SetAdminDown(now, id, take) {
 					if out[id] = take; !take {
 						delete(out, id)
 					}
@@ -55,10 +55,10 @@
 			case "tick":
 				b.Timer(now, tokenTick)
 			case "order": // as a fleet becomes wide, or usual again
-				b.reorder(!b.hashed)
-				b.regroup(now)
+				b.reorderRings(!b.ringsHashed)
+				b.takeSubsets(now)
 			case "request": // and has no answer: what it was sent to stays known when it is removed
-				b.Request(now, Request{ID: RequestID(now), Tenant: -1, Within: time.Minute})
+				b.Request(now, Request{ID: RequestID(now), Tenant: -1, Timeout: time.Minute})
 			}
 			checkIndex(t, b, listed, out)
 		}
@@ -68,11 +68,11 @@
 // checkIndex holds a Balancer's index against what was listed, and what was taken out by hand.
 func checkIndex(t *rapid.T, b *Balancer, listed map[string]Endpoint, out map[string]bool) {
 	t.Helper()
-	if len(b.endpoints) != len(listed) || b.sides[0]+b.sides[1] != len(listed) || b.stale {
-		t.Fatalf("%d endpoints, %v by side, want %d", len(b.endpoints), b.sides, len(listed))
+	if len(b.listed) != len(listed) || b.listedByZone[0]+b.listedByZone[1] != len(listed) || b.subsetsStale {
+		t.Fatalf("%d endpoints, %v by side, want %d", len(b.listed), b.listedByZone, len(listed))
 	}
-	for i, e := range b.endpoints {
-		if want, known := listed[e.ID]; !known || e.at != i || e.Zone != want.Zone || e.State != want.State {
+	for i, e := range b.listed {
+		if want, known := listed[e.ID]; !known || e.listPosition != i || e.Zone != want.Zone || e.State != want.State {
 			t.Fatalf("%v at %d, listed %v", e.Endpoint, i, want)
 		}
 	}
@@ -81,27 +81,27 @@
 		var ids []string
 		var total float64
 		var size [2]float64
-		for _, e := range b.endpoints {
-			ok, _ := g.dest.Match.matches(map[string]string{"service": "backend", "region": e.Zone, "version": e.Kind})
-			if ok && e.State == Ready && !out[e.ID] && (g != b.fleet || g.inUse) {
+		for _, e := range b.listed {
+			ok, _ := g.destination.Match.matches(map[string]string{"service": "backend", "region": e.Zone, "version": e.Kind})
+			if ok && e.State == Ready && !out[e.ID] && (g != b.allEndpoints || g.inUse) {
 				ids = append(ids, e.ID)
-				total += e.Size
-				size[e.abroad] += e.Size * e.weighed
+				total += e.Weight
+				size[e.zoneIndex] += e.Weight * e.countedWarmth
 			}
 		}
-		if !sameIDs(g.ready, ids) || !slices.IsSortedFunc(g.ready, byKey) {
-			t.Fatalf("group %d has %v, want %v", i, idsOf(g.ready), ids)
+		if !sameIDs(g.endpoints, ids) || !slices.IsSortedFunc(g.endpoints, byKey) {
+			t.Fatalf("group %d has %v, want %v", i, idsOf(g.endpoints), ids)
 		}
-		if far := math.Abs(total-g.total) + math.Abs(size[0]-g.size[0]) + math.Abs(size[1]-g.size[1]); far > 1e-9 {
-			t.Fatalf("group %d sums up to %v and %v, want %v and %v", i, g.total, g.size, total, size)
+		if far := math.Abs(total-g.totalWeight) + math.Abs(size[0]-g.capacity[0]) + math.Abs(size[1]-g.capacity[1]); far > 1e-9 {
+			t.Fatalf("group %d sums up to %v and %v, want %v and %v", i, g.totalWeight, g.capacity, total, size)
 		}
-		for _, e := range g.members {
+		for _, e := range g.subset {
 			if users[e.ID] = true; !slices.Contains(ids, e.ID) || !e.active {
 				t.Fatalf("%s is used and not ready in group %d", e.ID, i)
 			}
 		}
-		if n := min(len(ids), leastSubset); g.inUse && len(g.members) < n {
-			t.Fatalf("%d of group %d are used, want %d at least", len(g.members), i, n)
+		if n := min(len(ids), minSubset); g.inUse && len(g.subset) < n {
+			t.Fatalf("%d of group %d are used, want %d at least", len(g.subset), i, n)
 		}
 	}
 	if len(b.active) != len(users) {
@@ -136,10 +136,10 @@
 func loaded(t *testing.T, self, peers int, list []Endpoint, rate float64) (*Balancer, *host) {
 	t.Helper()
 	set := settings()
-	set.Self, set.Peers, set.Zones = self, peers, []string{"x", "y", "z"}
+	set.Ordinal, set.Peers, set.Zones = self, peers, []string{"x", "y", "z"}
 	b, h := start(t, set, list)
-	b.arrived = rate * memory.Seconds()
-	b.regroup(h.now)
+	b.arrivals = rate * memory.Seconds()
+	b.takeSubsets(h.now)
 	return b, h
 }
 
@@ -150,7 +150,7 @@
 	cost := func(servers int) (change, tick float64) {
 		list := zoned(servers)
 		b, h := loaded(t, 7, 900, list, 30)
-		begun := b.looked
+		begun := b.endpointsVisited
 		for i := range changes {
 			e := list[i*servers/changes]
 			e.State = Removed
@@ -158,13 +158,13 @@
 			e.ID, e.State, e.Started = e.ID+"-next", Ready, h.now
 			b.Endpoints(h.now, ListChanges, []Endpoint{e})
 		}
-		change, begun = float64(b.looked-begun)/changes/2, b.looked
+		change, begun = float64(b.endpointsVisited-begun)/changes/2, b.endpointsVisited
 		for range 10 {
-			b.arrived = 180
+			b.arrivals = 180
 			h.now += tickEvery
 			b.Timer(h.now, tokenTick)
 		}
-		return change, float64(b.looked-begun) / 10
+		return change, float64(b.endpointsVisited-begun) / 10
 	}
 	usualChange, usualTick := cost(200)
 	change, tick := cost(3200)
@@ -283,10 +283,10 @@
 				for i, e := range list {
 					e.State = Removed
 					b.Endpoints(h.now, ListChanges, []Endpoint{e})
-					b.Endpoints(h.now, ListChanges, []Endpoint{{ID: fmt.Sprint("next", i), Zone: "x", Kind: "big", Size: 1}})
+					b.Endpoints(h.now, ListChanges, []Endpoint{{ID: fmt.Sprint("next", i), Zone: "x", Kind: "big", Weight: 1}})
 				}
 				for range 15 { // seconds
-					b.regroup(h.now)
+					b.takeSubsets(h.now)
 				}
 				for _, e := range b.active {
 					users[e.ID]++
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -38,7 +38,7 @@
 func newParty(t tester, set Settings, sidecars int, list []Endpoint) *party {
 	f := &party{now: time.Hour, rng: rand.New(rand.NewPCG(5, uint64(sidecars))), sends: map[string][]Time{}}
 	for i := range sidecars {
-		set.Self, set.Peers, set.Seed = i, sidecars, uint64(i)
+		set.Ordinal, set.Peers, set.Seed = i, sidecars, uint64(i)
 		h := &host{now: f.now}
 		b, err := New(set, h)
 		if err != nil {
@@ -69,7 +69,7 @@
 
 // restart replaces a sidecar by one that knows the list alone, as its process was killed.
 func (f *party) restart(t tester, i int, set Settings, list []Endpoint) {
-	set.Self, set.Peers, set.Seed = i, len(f.all), f.rng.Uint64()
+	set.Ordinal, set.Peers, set.Seed = i, len(f.all), f.rng.Uint64()
 	b, err := New(set, f.hosts[i])
 	if err != nil {
 		t.Fatal(err)
@@ -124,7 +124,7 @@
 		}
 		f.next++
 		i := f.whose()
-		f.all[i].Request(f.now, Request{ID: f.next, Tenant: -1, Within: 3 * time.Second})
+		f.all[i].Request(f.now, Request{ID: f.next, Tenant: -1, Timeout: 3 * time.Second})
 		f.took(i)
 	}
 }
@@ -157,14 +157,14 @@
 
 func checkShares(t tester, sidecars, warm, cold int, mixed bool) {
 	set := settings()
-	set.ColdTime, set.StartCapacity, set.FallMultiple, set.FallTime = 8*time.Second, 0.3, 4, 2*time.Second
+	set.SlowStartWindow, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow = 8*time.Second, 0.3, 4, 2*time.Second
 	var list []Endpoint
 	for i := range warm + cold {
 		id := fmt.Sprintf("e%02d", i)
 		if mixed && i >= warm {
 			id = fmt.Sprintf("e%02dx", (i-warm)*warm/cold)
 		}
-		list = append(list, Endpoint{ID: id, Zone: "x", Kind: "big", Size: 1})
+		list = append(list, Endpoint{ID: id, Zone: "x", Kind: "big", Weight: 1})
 	}
 	f := newParty(t, set, sidecars, list[:warm])
 	const each = 40.0 // requests a second for each warm endpoint
@@ -175,26 +175,26 @@
 		list[warm+i].Started = told
 	}
 	f.tell(ListChanges, list[warm:])
-	f.run(set.ColdTime, rate)
+	f.run(set.SlowStartWindow, rate)
 	for _, e := range list[warm:] {
 		sends := f.sends[e.ID]
 		for i, at := range sends { // each window that begins with a send
 			window, last := 0.0, at
 			for _, to := range sends[i:] {
-				if to > at+set.FallTime {
+				if to > at+set.OverloadWindow {
 					break
 				}
 				window, last = window+1, to
 			}
-			capacity := set.StartCapacity + (1-set.StartCapacity)*(last-told).Seconds()/set.ColdTime.Seconds()
-			if most := set.FallMultiple * capacity * each * set.FallTime.Seconds(); window > most {
-				t.Errorf("%d sidecars: %v requests to a cold endpoint within %v, the rule allows %.0f", sidecars, window, set.FallTime, most)
+			capacity := set.SlowStartCapacity + (1-set.SlowStartCapacity)*(last-told).Seconds()/set.SlowStartWindow.Seconds()
+			if most := set.OverloadMultiple * capacity * each * set.OverloadWindow.Seconds(); window > most {
+				t.Errorf("%d sidecars: %v requests to a cold endpoint within %v, the rule allows %.0f", sidecars, window, set.OverloadWindow, most)
 				return
 			}
 		}
 		// As a warm one would get: the load over what all have of their capacity, which is 0.65 on the mean
 		// of the cold.
-		fair := rate / (float64(warm) + 0.65*float64(cold)) * 0.65 * set.ColdTime.Seconds()
+		fair := rate / (float64(warm) + 0.65*float64(cold)) * 0.65 * set.SlowStartWindow.Seconds()
 		if got := float64(len(sends)); got < 0.6*fair || got > 1.5*fair {
 			t.Errorf("%d sidecars, %d warm: a cold endpoint of %d got %v requests, %.0f would be even", sidecars, warm, cold, got, fair)
 		}
@@ -209,10 +209,10 @@
 	const sidecars, warm, each, burst, away = 30, 10, 40.0, 1.5, 0.3
 	for _, multiple := range []float64{1.25, 2, 4} {
 		set := settings()
-		set.ColdTime, set.StartCapacity, set.FallMultiple, set.FallTime = 8*time.Second, 0.3, multiple, 2*time.Second
+		set.SlowStartWindow, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow = 8*time.Second, 0.3, multiple, 2*time.Second
 		var list []Endpoint
 		for i := range warm + 1 {
-			list = append(list, Endpoint{ID: fmt.Sprintf("e%02d", i), Zone: "x", Kind: "big", Size: 1})
+			list = append(list, Endpoint{ID: fmt.Sprintf("e%02d", i), Zone: "x", Kind: "big", Weight: 1})
 		}
 		f := newParty(t, set, sidecars, list[:warm])
 		sum := 0.0
@@ -240,11 +240,11 @@
 		}
 		for i, at := range sends {
 			behind := sends[i:]
-			window := sort.Search(len(behind), func(n int) bool { return behind[n] > at+set.FallTime })
-			capacity := set.StartCapacity + (1-set.StartCapacity)*(at-told).Seconds()/set.ColdTime.Seconds()
-			n := multiple * capacity * each * set.FallTime.Seconds()
+			window := sort.Search(len(behind), func(n int) bool { return behind[n] > at+set.OverloadWindow })
+			capacity := set.SlowStartCapacity + (1-set.SlowStartCapacity)*(at-told).Seconds()/set.SlowStartWindow.Seconds()
+			n := multiple * capacity * each * set.OverloadWindow.Seconds()
 			if most := n + 2*math.Sqrt(n) + 2; float64(window) > most {
-				t.Errorf("multiple %v: %d requests within %v from %v on, %.0f fell it", multiple, window, set.FallTime, at-told, most)
+				t.Errorf("multiple %v: %d requests within %v from %v on, %.0f fell it", multiple, window, set.OverloadWindow, at-told, most)
 				break
 			}
 		}
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -12,7 +12,7 @@
 	for range n {
 		h.now += 20 * time.Millisecond
 		id := RequestID(h.now)
-		b.Request(h.now, Request{ID: id, Tenant: -1, Within: 3 * time.Second})
+		b.Request(h.now, Request{ID: id, Tenant: -1, Timeout: 3 * time.Second})
 		for _, s := range h.sent {
 			b.Result(h.now, Result{ID: s.id, Endpoint: s.to, Took: took, Finished: true})
 		}
@@ -21,13 +21,13 @@
 }
 
 func pair() []Endpoint {
-	return []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "b", Zone: "x", Kind: "big", Size: 1}}
+	return []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}, {ID: "b", Zone: "x", Kind: "big", Weight: 1}}
 }
 
 // ask sends one request and returns where it went, or "".
 func ask(b *Balancer, h *host, id RequestID) string {
 	before := len(h.sent)
-	b.Request(h.now, Request{ID: id, Tenant: -1, Within: 3 * time.Second})
+	b.Request(h.now, Request{ID: id, Tenant: -1, Timeout: 3 * time.Second})
 	if len(h.sent) == before {
 		return ""
 	}
@@ -37,7 +37,7 @@
 func TestFastFailureIsEjected(t *testing.T) {
 	set := settings()
 	set.MaxAttempts = 1
-	b, h := start(t, set, append(pair(), Endpoint{ID: "c", Zone: "x", Kind: "big", Size: 1}))
+	b, h := start(t, set, append(pair(), Endpoint{ID: "c", Zone: "x", Kind: "big", Weight: 1}))
 	serve(b, h, 60, 20*time.Millisecond)
 	failed := 0
 	for i := range RequestID(60) {
@@ -54,7 +54,7 @@
 		t.Errorf("%d requests went to an endpoint that fails every one, want 1 to 3", failed)
 	}
 	// When its time is over it comes back, and the next fault ejects it at once.
-	h.now += ejectFor + time.Second
+	h.now += ejectionTime + time.Second
 	b.Timer(h.now, tokenTick)
 	back := 0
 	for i := RequestID(100); i < 112; i++ {
@@ -74,8 +74,8 @@
 func TestPanic(t *testing.T) {
 	// With every endpoint ejected, the fault is taken to be our own, and requests still go out.
 	b, h := start(t, settings(), pair())
-	for _, e := range b.endpoints {
-		e.until = h.now + time.Hour
+	for _, e := range b.listed {
+		e.ejectedUntil = h.now + time.Hour
 	}
 	if ask(b, h, 1) != "" {
 		t.Error("an ejected endpoint was used before the share was counted")
@@ -101,7 +101,7 @@
 }
 
 func TestRefusingEverythingEnds(t *testing.T) {
-	bar := refuseAt * settings().Classes[0].Aim.Seconds()
+	bar := rejectObjectiveShare * settings().Classes[0].LatencyObjective.Seconds()
 	for _, tt := range []struct {
 		name   string
 		took   float64 // times the bar
@@ -138,9 +138,9 @@
 	if b.known["a"].inFlight == 0 {
 		t.Fatal("nothing is out at the endpoint")
 	}
-	before := b.expect(b.known["a"], h.now)
+	before := b.expectedTime(b.known["a"], h.now)
 	h.now += 600 * time.Millisecond
-	if after := b.expect(b.known["a"], h.now); after < before*1.2 {
+	if after := b.expectedTime(b.known["a"], h.now); after < before*1.2 {
 		t.Errorf("a stuck endpoint is expected to answer in %.3f s, %.3f before", after, before)
 	}
 }
@@ -148,20 +148,20 @@
 func TestLesserClassesGiveWayOnlyWhenAllIsFull(t *testing.T) {
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
-	set.Classes[1].Worth = 3
-	aim := set.Classes[0].Aim
+	set.Classes[1].Priority = 3
+	aim := set.Classes[0].LatencyObjective
 	b, h := start(t, set, pair())
-	serve(b, h, 40, time.Duration(float64(aim)*refuseAt*0.8))
-	b.work[1] = b.work[0] // the lesser class has a third of the worth: its bar is at 0.58 of the other's
+	serve(b, h, 40, time.Duration(float64(aim)*rejectObjectiveShare*0.8))
+	b.meanTime[1] = b.meanTime[0] // the lesser class has a third of the worth: its bar is at 0.58 of the other's
 	if ask(b, h, 1) == "" {
 		t.Fatal("the lesser class is refused though nothing was full")
 	}
 	b.Result(h.now, Result{ID: 1, Endpoint: h.sent[0].to, Took: aim / 2, Finished: true})
-	b.tight = h.now + memory
+	b.overloadedUntil = h.now + memory
 	if to := ask(b, h, 2); to != "" {
 		t.Error("the lesser class does not give way")
 	}
-	b.Request(h.now, Request{ID: 3, Class: 1, Tenant: -1, Within: 3 * time.Second})
+	b.Request(h.now, Request{ID: 3, Class: 1, Tenant: -1, Timeout: 3 * time.Second})
 	if last := h.sent[len(h.sent)-1]; last.id != 3 {
 		t.Error("the dearer class gives way too")
 	}
@@ -173,7 +173,7 @@
 			t.Fatal("nothing is ever full")
 		}
 	}
-	if h.now >= b.tight {
+	if h.now >= b.overloadedUntil {
 		t.Error("all is full, and it does not count as tight")
 	}
 }
@@ -184,18 +184,18 @@
 func TestClassThatGivesWayDoesNotKeepItTight(t *testing.T) {
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
-	set.Classes[1].Worth = 3
+	set.Classes[1].Priority = 3
 	b, h := start(t, set, pair())
-	serve(b, h, 40, time.Duration(float64(set.Classes[0].Aim)*refuseAt*0.8))
-	b.work[1] = b.work[0]
+	serve(b, h, 40, time.Duration(float64(set.Classes[0].LatencyObjective)*rejectObjectiveShare*0.8))
+	b.meanTime[1] = b.meanTime[0]
 	h.now += time.Millisecond
 	end := h.now + memory/2
-	b.tight = end
+	b.overloadedUntil = end
 	if to := ask(b, h, 1); to != "" || len(h.refused) != 1 {
 		t.Fatalf("the lesser class goes to %q, refused %v: it does not give way", to, h.refused)
 	}
-	if b.tight != end {
-		t.Errorf("its refusal has lesser classes give way for %v more", b.tight-end)
+	if b.overloadedUntil != end {
+		t.Errorf("its refusal has lesser classes give way for %v more", b.overloadedUntil-end)
 	}
 }
 
@@ -204,12 +204,12 @@
 func TestGivingWayEndsWithTheCrowd(t *testing.T) {
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
-	set.Classes[1].Worth = 3
-	aim := set.Classes[0].Aim
+	set.Classes[1].Priority = 3
+	aim := set.Classes[0].LatencyObjective
 	b, h := start(t, set, pair())
-	serve(b, h, 40, time.Duration(float64(aim)*refuseAt*0.8))
-	b.work[1] = b.work[0]
-	for i := RequestID(1); h.now >= b.tight; i++ {
+	serve(b, h, 40, time.Duration(float64(aim)*rejectObjectiveShare*0.8))
+	b.meanTime[1] = b.meanTime[0]
+	for i := RequestID(1); h.now >= b.overloadedUntil; i++ {
 		if i > 100 {
 			t.Fatal("nothing is ever full")
 		}
@@ -232,11 +232,11 @@
 	b, h := start(t, settings(), pair())
 	serve(b, h, 40, 20*time.Millisecond)
 	e := b.known["a"]
-	e.until = h.now + time.Hour
+	e.ejectedUntil = h.now + time.Hour
 	again := e.Endpoint
 	again.Started = h.now
 	b.Endpoints(h.now, ListChanges, []Endpoint{again})
-	if e.until != 0 || e.held != 0 || e.warm >= 1 {
+	if e.ejectedUntil != 0 || e.answerInFlight != 0 || e.warmth >= 1 {
 		t.Errorf("a restarted endpoint keeps its past: %+v", e)
 	}
 }
@@ -244,29 +244,29 @@
 func TestDepartedEndpointsAreForgotten(t *testing.T) {
 	b, h := start(t, settings(), pair())
 	for i := range 1000 {
-		list := []Endpoint{{ID: string(rune('c' + i)), Zone: "x", Kind: "big", Size: 1}}
+		list := []Endpoint{{ID: string(rune('c' + i)), Zone: "x", Kind: "big", Weight: 1}}
 		b.Endpoints(h.now, ListFull, list)
 		serve(b, h, 2, time.Millisecond)
 	}
-	if len(b.known) > 2 || len(b.endpoints) != 1 || len(b.requests) != 0 {
+	if len(b.known) > 2 || len(b.listed) != 1 || len(b.requests) != 0 {
 		t.Errorf("%d endpoints and %d requests are still known", len(b.known), len(b.requests))
 	}
 }
 
 func TestDiscoveryCallsBackOff(t *testing.T) {
 	set := settings()
-	set.AskDiscovery, set.MustAsk = true, 10*time.Second
+	set.PollDiscovery, set.MaxListAge = true, 10*time.Second
 	b, h := start(t, set, pair())
 	for range 20 {
 		calls := h.subscribed
-		b.Timer(h.now, tokenAsk)
-		b.Timer(h.now, tokenAsk)
+		b.Timer(h.now, tokenDiscovery)
+		b.Timer(h.now, tokenDiscovery)
 		if h.subscribed != calls+1 {
 			t.Fatalf("%d calls, want one more than %d: a call is out", h.subscribed, calls)
 		}
 		b.Endpoints(h.now, ListRefused, nil)
 	}
-	if len(b.endpoints) != 2 {
+	if len(b.listed) != 2 {
 		t.Error("a refused call lost the list in hand")
 	}
 }
@@ -280,7 +280,7 @@
 func benchmarkRequest(b *testing.B, endpoints int) {
 	var list []Endpoint
 	for i := range endpoints {
-		list = append(list, Endpoint{ID: strconv.Itoa(i), Zone: "x", Kind: "big", Size: 1})
+		list = append(list, Endpoint{ID: strconv.Itoa(i), Zone: "x", Kind: "big", Weight: 1})
 	}
 	bal, h := start(b, settings(), list)
 	b.ReportAllocs()
@@ -289,7 +289,7 @@
 		if h.now += 10 * time.Millisecond; i%10 == 0 { // at 100 requests a second all 60 are in use
 			bal.Timer(h.now, tokenTick)
 		}
-		bal.Request(h.now, Request{ID: RequestID(i), Tenant: -1, Within: time.Second})
+		bal.Request(h.now, Request{ID: RequestID(i), Tenant: -1, Timeout: time.Second})
 		bal.Result(h.now, Result{ID: RequestID(i), Endpoint: h.sent[0].to, Took: time.Millisecond, Finished: true})
 	}
 }
@@ -297,8 +297,8 @@
 func TestLittleUsedEndpointIsJudgedByItsGroup(t *testing.T) {
 	// Small endpoints are idle and quick, big ones crowded and slow, though twice the size. A small one that was
 	// never used must not be expected to be slower than the big ones.
-	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 2}, {ID: "b", Zone: "x", Kind: "small", Size: 1},
-		{ID: "c", Zone: "x", Kind: "small", Size: 1}}
+	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 2}, {ID: "b", Zone: "x", Kind: "small", Weight: 1},
+		{ID: "c", Zone: "x", Kind: "small", Weight: 1}}
 	b, h := start(t, settings(), list)
 	for i := range RequestID(60) {
 		to := ask(b, h, i)
@@ -310,8 +310,8 @@
 		b.Result(h.now, Result{ID: i, Endpoint: to, Took: took, Finished: true})
 	}
 	unused := b.known["c"]
-	unused.took, unused.held = 0, 0
-	if got := b.expect(unused, h.now); got > 0.15 {
+	unused.answerSeconds, unused.answerInFlight = 0, 0
+	if got := b.expectedTime(unused, h.now); got > 0.15 {
 		t.Errorf("an unused endpoint of a quick group is expected to take %.3f s", got)
 	}
 }
@@ -324,12 +324,12 @@
 	for i := range RequestID(200) {
 		class := int(i % 2)
 		took := time.Duration(1+3*class) * 50 * time.Millisecond
-		b.Request(h.now, Request{ID: i, Class: class, Tenant: -1, Within: 3 * time.Second})
+		b.Request(h.now, Request{ID: i, Class: class, Tenant: -1, Timeout: 3 * time.Second})
 		to := h.sent[len(h.sent)-1].to
 		b.Result(h.now+took, Result{ID: i, Endpoint: to, Took: took, Finished: true})
 	}
-	light, heavy := b.tightBar(0), b.tightBar(1)
-	if ratio := heavy / light; ratio < 0.45 || ratio > 0.55 || light != refuseAt*b.aim {
+	light, heavy := b.overloadLimit(0), b.overloadLimit(1)
+	if ratio := heavy / light; ratio < 0.45 || ratio > 0.55 || light != rejectObjectiveShare*b.objective {
 		t.Errorf("the tight bars are %.3f and %.3f s, want the full bar and half of it", light, heavy)
 	}
 }
@@ -342,12 +342,12 @@
 	for i := range RequestID(3) {
 		ask(b, h, i)
 	}
-	idle := b.endpoints[slices.IndexFunc(b.endpoints, func(e *endpoint) bool { return e.inFlight == 0 })]
-	idle.took, idle.held = 0, 0
-	before := b.expect(idle, h.now)
+	idle := b.listed[slices.IndexFunc(b.listed, func(e *endpoint) bool { return e.inFlight == 0 })]
+	idle.answerSeconds, idle.answerInFlight = 0, 0
+	before := b.expectedTime(idle, h.now)
 	h.now += tickEvery * 5
 	b.Timer(h.now, tokenTick)
-	if after := b.expect(idle, h.now); after < 1.3*before {
+	if after := b.expectedTime(idle, h.now); after < 1.3*before {
 		t.Errorf("%.4f s are expected of it while its peers owe answers, %.4f before", after, before)
 	}
 }
@@ -355,22 +355,22 @@
 // TestRefusalSaysWhen has clients ask a busy endpoint for more than it can do: each is told to come back
 // when what is there will have been worked off. Without that they come back at once, all together.
 func TestRefusalSaysWhen(t *testing.T) {
-	b, h := start(t, settings(), []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}})
-	b.Request(h.now, Request{ID: 1, Tenant: -1, Within: time.Second})
+	b, h := start(t, settings(), []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}})
+	b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: time.Second})
 	h.answer(b, h.now+200*time.Millisecond, Served)
 	b.Result(h.now, Result{ID: 1, Outcome: Served, Took: 200 * time.Millisecond, Finished: true})
 	for i := RequestID(2); len(h.refused) == 0; i++ {
 		if i > 1000 {
 			t.Fatal("never full")
 		}
-		b.Request(h.now, Request{ID: i, Tenant: -1, Within: time.Second})
+		b.Request(h.now, Request{ID: i, Tenant: -1, Timeout: time.Second})
 	}
 	first := h.advice
-	if aim := b.set.Classes[0].Aim; first <= 0 || first > aim {
+	if aim := b.settings.Classes[0].LatencyObjective; first <= 0 || first > aim {
 		t.Errorf("advice to wait %v with an aim of %v", first, aim)
 	}
 	h.refused = nil
-	b.Request(h.now+100*time.Millisecond, Request{ID: 2000, Tenant: -1, Within: 0})
+	b.Request(h.now+100*time.Millisecond, Request{ID: 2000, Tenant: -1, Timeout: 0})
 	if len(h.refused) != 1 || h.advice != 0 {
 		t.Errorf("%d refusals of what has no time left, advice to wait %v", len(h.refused), h.advice)
 	}
@@ -386,7 +386,7 @@
 		set := settings()
 		set.Classes[0].Effect, set.Classes[0].Scope, set.Classes[0].DedupeWindow = Deduplicated, ScopeAll, 5*time.Second
 		b, h := start(t, set, pair())
-		b.Request(h.now, Request{ID: 1, Tenant: -1, Within: 10 * time.Second})
+		b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: 10 * time.Second})
 		h.answer(b, h.now+tt.after, Errored)
 		if len(h.sent) != tt.repeats {
 			t.Errorf("%d repeats after %v, want %d", len(h.sent), tt.after, tt.repeats)
@@ -412,7 +412,7 @@
 		set := settings()
 		set.Classes[0].Effect, set.Classes[0].Scope, set.Classes[0].DedupeWindow = tt.effect, ScopeAll, 5*time.Second
 		b, h := start(t, set, pair())
-		b.Request(h.now, Request{ID: 1, Tenant: -1, Within: 10 * time.Second})
+		b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: 10 * time.Second})
 		if first := h.sent[0]; first.within != 0 {
 			t.Errorf("%s: the first attempt is to begin within %v", tt.name, first.within)
 		}
@@ -430,12 +430,12 @@
 	set.Classes = append(set.Classes, set.Classes[0])
 	b, h := start(t, set, pair())
 	serve(b, h, 40, 20*time.Millisecond)
-	before := b.expect(b.known["a"], h.now)
+	before := b.expectedTime(b.known["a"], h.now)
 	var away, other, tries int
 	for i := range RequestID(400) {
 		h.now += 5 * time.Millisecond
 		first := len(h.sent)
-		b.Request(h.now, Request{ID: i, Class: int(i / 2 % 2), Tenant: -1, Within: time.Second})
+		b.Request(h.now, Request{ID: i, Class: int(i / 2 % 2), Tenant: -1, Timeout: time.Second})
 		for n := first; n < len(h.sent); n++ {
 			outcome := Served
 			if h.sent[n].to == "a" && i/2%2 == 0 {
@@ -458,7 +458,7 @@
 	if other < 90 {
 		t.Errorf("the endpoint had %d of 200 requests of the class that it serves", other)
 	}
-	if after := b.expect(b.known["a"], h.now); after > before*1.1 {
+	if after := b.expectedTime(b.known["a"], h.now); after > before*1.1 {
 		t.Errorf("it is expected to answer in %.4f s, %.4f before", after, before)
 	}
 }
@@ -475,7 +475,7 @@
 	send := func(class int) string {
 		id++
 		first := len(h.sent)
-		b.Request(h.now, Request{ID: id, Class: class, Tenant: -1, Within: 3 * time.Second})
+		b.Request(h.now, Request{ID: id, Class: class, Tenant: -1, Timeout: 3 * time.Second})
 		if len(h.sent) == first {
 			return ""
 		}
@@ -488,7 +488,7 @@
 	for range 8 { // requests of the class, half of which go to a
 		if to := send(0); to == "a" {
 			h.now += 3 * time.Second
-			e.heard = h.now // it answered others meanwhile
+			e.lastResponse = h.now // it answered others meanwhile
 			end(id, to, TimedOut, 3*time.Second)
 		} else {
 			end(id, to, Served, 20*time.Millisecond)
@@ -510,7 +510,7 @@
 	if n := share(1); n < 9 {
 		t.Errorf("%d of 20 requests of the other class go there", n)
 	}
-	h.now += ejectFor
+	h.now += ejectionTime
 	var tries []RequestID
 	for range 6 {
 		if send(0) == "a" {
--- a/balance/hedge_test.go
+++ b/balance/hedge_test.go
@@ -45,8 +45,8 @@
 		var waited time.Duration
 		for seed := range uint64(4) {
 			set := settings()
-			set.CancelAllowed, set.CopiesAllowed, set.Seed = true, true, seed
-			set.Classes[0].Aim, set.Classes[0].Deadline = 130*time.Millisecond, patience
+			set.CancelAllowed, set.HedgingAllowed, set.Seed = true, true, seed
+			set.Classes[0].LatencyObjective, set.Classes[0].Deadline = 130*time.Millisecond, patience
 			f := &lossy{t: t, now: time.Minute, rng: rand.New(rand.NewPCG(seed, 4)), class: map[RequestID]int{},
 				out: map[RequestID]int{}, over: map[RequestID]bool{}, to: map[RequestID][]string{},
 				done: map[RequestID][]bool{}, sends: map[string]int{}}
@@ -115,7 +115,7 @@
 		{"others are answered as late", 4, true},
 	} {
 		set := settings()
-		set.CopiesAllowed = true
+		set.HedgingAllowed = true
 		b, h := start(t, set, pair())
 		serve(b, h, 400, usual)
 		h.timers = nil
@@ -126,7 +126,7 @@
 			e.classes[0].Loss.Add(1, 1)
 		}
 		h.now += usual * 5 / 4
-		e.heard = h.now
+		e.lastResponse = h.now
 		if b.Timer(h.now, look); (len(h.sent) == 1) != tt.late || (e.inFlight == 1) != tt.late {
 			t.Errorf("%s: %d attempts, %d in flight", tt.name, len(h.sent), e.inFlight)
 		}
--- a/balance/host_test.go
+++ b/balance/host_test.go
@@ -35,7 +35,7 @@
 	h.attempts[id]++
 }
 func (h *host) Cancel(RequestID, int) { h.cancelled++ }
-func (h *host) Refuse(id RequestID, after time.Duration) {
+func (h *host) Reject(id RequestID, after time.Duration) {
 	h.refused, h.advice = append(h.refused, id), after
 }
 func (h *host) Fail(id RequestID)                   { h.failed = append(h.failed, id) }
@@ -57,9 +57,9 @@
 // settings are those of a small deployment with one safe class.
 func settings() Settings {
 	return Settings{Seed: 1, Peers: 1, Zone: "x", Zones: []string{"x", "y"}, Kinds: []string{"big", "small"},
-		Service: "backend", MaxAttempts: 3, ColdTime: 10 * time.Second, StartCapacity: 0.3, FallMultiple: 3,
-		FallTime: time.Second, CrossCharge: 0.03,
-		Classes: []Class{{Name: "read", Effect: Idempotent, Aim: time.Second, Deadline: 3 * time.Second, Worth: 1}}}
+		Service: "backend", MaxAttempts: 3, SlowStartWindow: 10 * time.Second, SlowStartCapacity: 0.3, OverloadMultiple: 3,
+		OverloadWindow: time.Second, CrossZoneCharge: 0.03,
+		Classes: []Class{{Name: "read", Effect: Idempotent, LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1}}}
 }
 
 // start returns a running Balancer that knows list.
@@ -75,8 +75,8 @@
 }
 
 func TestMisuseIsPassedOver(t *testing.T) {
-	b, h := start(t, settings(), []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}})
-	b.Request(h.now, Request{ID: 1, Tenant: -1, Within: time.Second})
+	b, h := start(t, settings(), []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}})
+	b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: time.Second})
 	if len(h.sent) != 1 {
 		t.Fatalf("%d attempts for a request, want 1", len(h.sent))
 	}
@@ -84,8 +84,8 @@
 		name string
 		do   func()
 	}{
-		{"duplicate request", func() { b.Request(h.now, Request{ID: 1, Tenant: -1, Within: time.Second}) }},
-		{"unknown class", func() { b.Request(h.now, Request{ID: 2, Class: 9, Tenant: -1, Within: time.Second}) }},
+		{"duplicate request", func() { b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: time.Second}) }},
+		{"unknown class", func() { b.Request(h.now, Request{ID: 2, Class: 9, Tenant: -1, Timeout: time.Second}) }},
 		{"result of an unknown request", func() { b.Result(h.now, Result{ID: 7}) }},
 		{"result of an attempt not made", func() { b.Result(h.now, Result{ID: 1, Attempt: 1}) }},
 		{"result of a negative attempt", func() { b.Result(h.now, Result{ID: 1, Attempt: -1}) }},
@@ -101,14 +101,14 @@
 			if len(h.sent) != sent || len(h.timers) != timers || len(h.refused)+len(h.failed)+h.cancelled > 0 {
 				t.Errorf("it led to an action: %+v", h)
 			}
-			if len(b.requests) != 1 || b.known["a"].inFlight != 1 || len(b.endpoints) != 1 {
+			if len(b.requests) != 1 || b.known["a"].inFlight != 1 || len(b.listed) != 1 {
 				t.Errorf("it changed the state: %d requests, %d in flight", len(b.requests), b.known["a"].inFlight)
 			}
 		})
 	}
 	b.Result(h.now, Result{ID: 1, Outcome: Served, Took: time.Millisecond, Finished: true})
 	b.Result(h.now, Result{ID: 1, Outcome: Served, Took: time.Millisecond, Finished: true})
-	if e := b.known["a"]; len(b.requests) != 0 || e.inFlight != 0 || e.sent != 0 {
+	if e := b.known["a"]; len(b.requests) != 0 || e.inFlight != 0 || e.dueSinceSum != 0 {
 		t.Errorf("%d requests, %d in flight after the end, told twice", len(b.requests), e.inFlight)
 	}
 }
@@ -118,7 +118,7 @@
 	b, h := start(t, settings(), pair())
 	for i := range RequestID(200) {
 		h.now += time.Duration(i%7-3) * 300 * time.Millisecond
-		b.Request(h.now, Request{ID: i, Tenant: -1, Within: time.Second})
+		b.Request(h.now, Request{ID: i, Tenant: -1, Timeout: time.Second})
 		b.Timer(h.now, tokenTick)
 		h.answer(b, h.now-time.Duration(i%3)*time.Second, Served)
 	}
--- a/balance/late_test.go
+++ b/balance/late_test.go
@@ -18,22 +18,22 @@
 		h.sent = nil
 		e := b.known[to]
 		h.now += time.Second
-		if e.heard = 0; !silent {
-			e.heard = h.now
+		if e.lastResponse = 0; !silent {
+			e.lastResponse = h.now
 		}
-		if owed := e.owed(h.now); owed < 0.9 {
+		if owed := e.waitingSeconds(h.now); owed < 0.9 {
 			t.Fatalf("%v s are owed before it is late", owed)
 		}
 		b.Timer(h.now, late)
-		if owed := e.owed(h.now); (owed < 0.1) == silent || (e.inFlight == 0) == silent {
+		if owed := e.waitingSeconds(h.now); (owed < 0.1) == silent || (e.inFlight == 0) == silent {
 			t.Errorf("silent to all %v: %d in flight, %v s are owed", silent, e.inFlight, owed)
 		}
 		b.Result(h.now, Result{ID: 1, Endpoint: to, Outcome: TimedOut, Took: time.Second})
 		if len(h.sent) > 0 { // its next attempt, at the other one
 			b.Result(h.now, Result{ID: 1, Attempt: 1, Endpoint: h.sent[0].to, Finished: true})
 		}
-		if e.inFlight != 0 || e.sent != 0 || len(b.requests) != 0 {
-			t.Errorf("%d in flight, %v owed since, %d requests are left", e.inFlight, e.sent, len(b.requests))
+		if e.inFlight != 0 || e.dueSinceSum != 0 || len(b.requests) != 0 {
+			t.Errorf("%d in flight, %v owed since, %d requests are left", e.inFlight, e.dueSinceSum, len(b.requests))
 		}
 	}
 }
@@ -44,7 +44,7 @@
 	for _, silent := range []bool{false, true} {
 		b, h := start(t, settings(), many(4))
 		serve(b, h, 400, 20*time.Millisecond)
-		before := b.expect(b.known["a"], h.now)
+		before := b.expectedTime(b.known["a"], h.now)
 		h.sent, h.timers = nil, nil
 		h.now += time.Millisecond
 		for i := range RequestID(28) {
@@ -65,7 +65,7 @@
 			}
 			b.Result(h.now, Result{ID: s.id, Endpoint: s.to, Outcome: TimedOut, Took: 3 * time.Second})
 		}
-		if after := b.expect(b.known["a"], h.now); (after > 1.5*before) != silent {
+		if after := b.expectedTime(b.known["a"], h.now); (after > 1.5*before) != silent {
 			t.Errorf("silent to all %v: %.3f s are expected after time-outs, %.3f before", silent, after, before)
 		}
 		if n := len(h.logs); (n == 4) != silent || n > 0 && !silent {
@@ -80,7 +80,7 @@
 	b, h := start(t, settings(), pair())
 	serve(b, h, 200, 20*time.Millisecond)
 	e := b.known["a"]
-	e.took, e.told = e.held*10*b.aim, h.now
+	e.answerSeconds, e.lastSample = e.answerInFlight*10*b.objective, h.now
 	begun, tries, out := h.now, 0, Result{}
 	for i := RequestID(1e6); h.now < begun+5*memory; i++ {
 		h.now += 20 * time.Millisecond
@@ -119,7 +119,7 @@
 	if e.inFlight != 1 {
 		t.Fatalf("%d in flight while it is silent to all", e.inFlight)
 	}
-	e.heard = h.now
+	e.lastResponse = h.now
 	b.Timer(h.now+tickEvery, h.timers[len(h.timers)-1])
 	if e.inFlight != 0 {
 		t.Error("an attempt on a dead connection counts as in flight though its endpoint answers others")
@@ -155,7 +155,7 @@
 		for i := RequestID(1e6); i < 1e6+2000; i++ {
 			h.now += 10 * time.Millisecond
 			h.timers, h.sent, h.cancelled = nil, nil, 0
-			b.Request(h.now, Request{ID: i, Tenant: -1, Within: time.Second})
+			b.Request(h.now, Request{ID: i, Tenant: -1, Timeout: time.Second})
 			took := 20 * time.Millisecond
 			if tt.late {
 				took = time.Duration(200+i%7*100) * time.Millisecond
@@ -182,9 +182,9 @@
 				if out == nil {
 					continue
 				}
-				out.attempts[0].sent -= set.Classes[0].Aim / 2 // as if half an aim had passed
+				out.attempts[0].sent -= set.Classes[0].LatencyObjective / 2 // as if half an aim had passed
 				b.Timer(h.now, token)
-				out.attempts[0].sent += set.Classes[0].Aim / 2
+				out.attempts[0].sent += set.Classes[0].LatencyObjective / 2
 			}
 			off += h.cancelled
 			if i%10 == 0 {
@@ -211,7 +211,7 @@
 	}{
 		{"a pause", false, 200 * time.Millisecond, false},
 		{"what is sent later", true, 0, true},
-		{"it lasts", false, time.Duration(pauseMost * float64(time.Second)), true},
+		{"it lasts", false, time.Duration(maxPauseObjectives * float64(time.Second)), true},
 	} {
 		b, h := start(t, settings(), many(4))
 		serve(b, h, 400, 20*time.Millisecond)
@@ -224,10 +224,10 @@
 			if i == 1 {
 				h.now += tt.noticed
 			}
-			a := attempt{to: e, sent: sent, scale: 0.02}
-			b.unanswered(0, &a, survival, repeats.Lost(lossUsual, survival), h.now)
+			a := attempt{endpoint: e, sent: sent, expectedNow: 0.02}
+			b.recordUnanswered(0, &a, survival, repeats.Lost(usualLoss, survival), h.now)
 		}
-		if ejected := h.now < e.until; ejected != tt.ejected {
+		if ejected := h.now < e.ejectedUntil; ejected != tt.ejected {
 			t.Errorf("%s: ejected %v, want %v", tt.name, ejected, tt.ejected)
 		}
 	}
--- a/balance/loadlevel_test.go
+++ b/balance/loadlevel_test.go
@@ -9,7 +9,7 @@
 // sidecar that goes by what answers have taught over seconds goes on as before, and so do all others.
 func TestJamIsMetAtOnce(t *testing.T) {
 	set := settings()
-	set.Classes[0].Aim = 300 * time.Millisecond
+	set.Classes[0].LatencyObjective = 300 * time.Millisecond
 	b, h := start(t, set, wide(40))
 	type due struct {
 		at   Time
@@ -51,7 +51,7 @@
 // wide is a list of many endpoints that are alike.
 func wide(n int) (list []Endpoint) {
 	for i := range n {
-		list = append(list, Endpoint{ID: string(rune('a'+i/26)) + string(rune('a'+i%26)), Zone: "x", Kind: "big", Size: 1})
+		list = append(list, Endpoint{ID: string(rune('a'+i/26)) + string(rune('a'+i%26)), Zone: "x", Kind: "big", Weight: 1})
 	}
 	return list
 }
@@ -66,27 +66,27 @@
 		low    float64
 		high   float64
 	}{{"silent", true, 1, 1.2}, {"late", false, 2, 99}} {
-		list := append(many(4), Endpoint{ID: "z", Zone: "y", Kind: "small", Size: 1})
+		list := append(many(4), Endpoint{ID: "z", Zone: "y", Kind: "small", Weight: 1})
 		b, h := start(t, settings(), list)
 		serve(b, h, 400, 20*time.Millisecond)
 		z := b.known["z"]
 		tick := func() {
 			h.now += tickEvery
 			for range 3 {
-				a := attempt{to: b.known["a"], sent: h.now, held: 2, scale: 0.02}
-				b.learn(&a, Result{Outcome: Served, Took: 20 * time.Millisecond}, h.now)
+				a := attempt{endpoint: b.known["a"], sent: h.now, inFlightThen: 2, expectedNow: 0.02}
+				b.recordOutcome(&a, Result{Outcome: Served, Took: 20 * time.Millisecond}, h.now)
 			}
 			b.Timer(h.now, tokenTick)
 		}
-		z.home.heard = h.now
+		z.homeGroup.lastResponse = h.now
 		for range 15 {
 			if tick(); !tt.silent {
-				z.home.heard = h.now
+				z.homeGroup.lastResponse = h.now
 			}
 		}
-		z.inFlight, z.sent = 10, 10*(h.now-Time(time.Second)) // ten have been out for a second
-		a := attempt{to: z, sent: h.now - 3*time.Second, held: 2, scale: 0.02}
-		b.learn(&a, Result{Outcome: TimedOut, Took: 3 * time.Second}, h.now)
+		z.inFlight, z.dueSinceSum = 10, 10*(h.now-Time(time.Second)) // ten have been out for a second
+		a := attempt{endpoint: z, sent: h.now - 3*time.Second, inFlightThen: 2, expectedNow: 0.02}
+		b.recordOutcome(&a, Result{Outcome: TimedOut, Took: 3 * time.Second}, h.now)
 		if tick(); b.loadLevel.Level() < tt.low || b.loadLevel.Level() > tt.high {
 			t.Errorf("%s: level %.2f, want %v to %v", tt.name, b.loadLevel.Level(), tt.low, tt.high)
 		}
--- a/balance/loss_test.go
+++ b/balance/loss_test.go
@@ -94,7 +94,7 @@
 	if how == Served && !f.over[id] {
 		f.over[id] = true
 		f.served++
-		if f.now-Time(id) <= f.b.set.Classes[f.class[id]].Aim {
+		if f.now-Time(id) <= f.b.settings.Classes[f.class[id]].LatencyObjective {
 			f.inTime++
 		}
 	}
@@ -104,7 +104,7 @@
 func (f *lossy) Cancel(id RequestID, n int) {
 	f.after(0, func() { f.result(id, n, f.now, Cancelled) })
 }
-func (f *lossy) Refuse(id RequestID, _ time.Duration) { f.refused, f.over[id] = f.refused+1, true }
+func (f *lossy) Reject(id RequestID, _ time.Duration) { f.refused, f.over[id] = f.refused+1, true }
 func (f *lossy) Fail(id RequestID)                    { f.failed, f.over[id] = f.failed+1, true }
 func (f *lossy) Timer(d time.Duration, token uint64) {
 	f.after(d, func() { f.b.Timer(f.now, token) })
@@ -116,8 +116,8 @@
 func (f *lossy) run(length, step time.Duration) (requests int) {
 	for end := f.now + length; f.now < end; requests++ {
 		id := RequestID(f.now)
-		f.class[id] = f.rng.IntN(len(f.b.set.Classes))
-		f.b.Request(f.now, Request{ID: id, Class: f.class[id], Tenant: -1, Within: patience})
+		f.class[id] = f.rng.IntN(len(f.b.settings.Classes))
+		f.b.Request(f.now, Request{ID: id, Class: f.class[id], Tenant: -1, Timeout: patience})
 		f.until(f.now + step)
 	}
 	return requests
@@ -165,8 +165,8 @@
 		}, [2]int{0, 0}, "", [2]float64{0, 0.03}, 0.8, [2]float64{0.05, 0.5}},
 	} {
 		set := settings()
-		set.CancelAllowed, set.CopiesAllowed = true, true
-		set.Classes[0].Aim, set.Classes[0].Deadline = 130*time.Millisecond, patience
+		set.CancelAllowed, set.HedgingAllowed = true, true
+		set.Classes[0].LatencyObjective, set.Classes[0].Deadline = 130*time.Millisecond, patience
 		set.Classes = append(set.Classes, set.Classes[0])
 		set.Classes[1].Name = "write"
 		f := &lossy{t: t, now: time.Minute, rng: rand.New(rand.NewPCG(3, 4)), class: map[RequestID]int{},
@@ -199,7 +199,7 @@
 			}
 		}
 		between("second copies a request", float64(f.copies)/n, tt.copies[0], tt.copies[1])
-		if most := budgetMost + budgetShare*float64(f.served); float64(f.copies) > most {
+		if most := retryBudgetMax + retryBudgetRatio*float64(f.served); float64(f.copies) > most {
 			t.Errorf("%s: %d second copies after %d answers, want %.0f at most", tt.name, f.copies, f.served, most)
 		}
 		between("share in time", float64(f.inTime)/n, tt.inTime, 1)
@@ -228,30 +228,30 @@
 	}{
 		{"an error", 0, Errored, true},
 		{"turned away", 0, Saturated, true},
-		{"an error after clients' retries", budgetMost, Errored, false},
-		{"turned away after clients' retries", budgetMost, Saturated, false},
-		{"no connection after clients' retries", budgetMost, ConnectFailed, true},
-		{"not sent after clients' retries", budgetMost, NotSent, true},
+		{"an error after clients' retries", retryBudgetMax, Errored, false},
+		{"turned away after clients' retries", retryBudgetMax, Saturated, false},
+		{"no connection after clients' retries", retryBudgetMax, ConnectFailed, true},
+		{"not sent after clients' retries", retryBudgetMax, NotSent, true},
 	} {
 		b, h := start(t, settings(), many(6))
 		for i := range RequestID(tt.retries) {
-			b.Request(h.now, Request{ID: i + 2, Tenant: -1, Within: time.Second, Retry: true})
+			b.Request(h.now, Request{ID: i + 2, Tenant: -1, Timeout: time.Second, Retry: true})
 			b.ClientGone(h.now, i+2)
 		}
 		if len(h.sent) != tt.retries {
 			t.Errorf("%s: %d of %d retries were sent", tt.name, len(h.sent), tt.retries)
 		}
 		h.sent = nil
-		b.Request(h.now, Request{ID: 1, Tenant: -1, Within: time.Second})
+		b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: time.Second})
 		h.answer(b, h.now, tt.outcome)
 		if again := len(h.sent) == 1; again != tt.again || len(h.refused) > 0 == tt.again {
 			t.Errorf("%s: sent again %v, refused %v, want sent again %v", tt.name, again, h.refused, tt.again)
 		}
 	}
 	b, h := start(t, settings(), many(6))
-	b.Request(h.now, Request{ID: 1, Tenant: -1, Within: time.Second})
-	b.requests[1].paid = true // as when its first attempt was called off to be made anew
-	for b.budget.Spend(0) {
+	b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: time.Second})
+	b.requests[1].prepaid = true // as when its first attempt was called off to be made anew
+	for b.retryBudget.Spend(0) {
 	}
 	h.answer(b, h.now, Cancelled)
 	if len(h.sent) != 1 {
--- a/balance/oncall_test.go
+++ b/balance/oncall_test.go
@@ -30,13 +30,13 @@
 	before := len(h.logs)
 	for i := range RequestID(2) { // the second is not told again
 		b.Result(h.now, Result{ID: 100 + i, Endpoint: ask(b, h, 100+i), Outcome: Saturated, Finished: true})
-		h.now += shutFor
+		h.now += classEjectionTime
 	}
 	if n := len(h.logs) - before; n != 1 {
 		t.Errorf("%d log lines for an endpoint that turns a class away twice, want 1", n)
 	}
 	for _, line := range h.logs {
-		for _, e := range b.endpoints {
+		for _, e := range b.listed {
 			line = strings.ReplaceAll(line, " "+e.ID, " 10.0.0.1:8080")
 		}
 		if !strings.Contains(string(page), "    "+line+"\n") {
--- a/balance/refuse_test.go
+++ b/balance/refuse_test.go
@@ -19,22 +19,22 @@
 		{"unsafe to repeat", Class{Effect: AtMostOnce}, false},
 	} {
 		set := settings()
-		tt.class.Aim, tt.class.Deadline, tt.class.Worth = time.Second, 3*time.Second, 1
+		tt.class.LatencyObjective, tt.class.Deadline, tt.class.Priority = time.Second, 3*time.Second, 1
 		set.Classes = []Class{tt.class}
 		b, h := start(t, set, pair())
-		b.Request(h.now, Request{ID: 1, Tenant: -1, Within: time.Second})
+		b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: time.Second})
 		if len(h.sent) != 1 {
 			t.Fatalf("%s: %d attempts, want 1", tt.name, len(h.sent))
 		}
-		if got := b.MayRefuse(1); got != tt.want {
+		if got := b.MayReject(1); got != tt.want {
 			t.Errorf("%s, in flight: %v, want %v", tt.name, got, tt.want)
 		}
 		b.Result(h.now, Result{ID: 1, Outcome: ConnectFailed}) // and the next attempt is in flight
-		if got := b.MayRefuse(1); got != tt.want || len(h.sent) != 2 {
+		if got := b.MayReject(1); got != tt.want || len(h.sent) != 2 {
 			t.Errorf("%s, second attempt in flight: %v after %d attempts, want %v", tt.name, got, len(h.sent), tt.want)
 		}
 		b.ClientGone(h.now, 1)
-		if b.MayRefuse(1) || b.MayRefuse(2) {
+		if b.MayReject(1) || b.MayReject(2) {
 			t.Errorf("%s: a request that is over or unknown may be refused", tt.name)
 		}
 	}
--- a/balance/route.go
+++ b/balance/route.go
@@ -47,55 +47,55 @@
 	return best
 }
 
-// setRoutes makes the groups of the best rule, and a last one for all ready endpoints. Each sidecar's
+// makeGroups makes the groups of the best rule, and a last one for all ready endpoints. Each sidecar's
 // rotations start elsewhere, so that sidecars do not march in step.
-func (b *Balancer) setRoutes() {
-	client := map[string]string{"region": b.set.Zone}
-	maps.Copy(client, b.set.Tags)
-	all := Rule{Destinations: []Destination{{Weight: 1, PerSize: true}}}
-	if best := bestRule(b.set.Rules, client, b.set.Service); best != nil {
+func (b *Balancer) makeGroups() {
+	client := map[string]string{"region": b.settings.Zone}
+	maps.Copy(client, b.settings.Tags)
+	all := Rule{Destinations: []Destination{{Weight: 1, PerEndpointWeight: true}}}
+	if best := bestRule(b.settings.Rules, client, b.settings.Service); best != nil {
 		all.Destinations = append(slices.Clone(best.Destinations), all.Destinations...)
 	}
 	for _, d := range all.Destinations {
-		b.fleet = &group{dest: d, next: b.rng.IntN(1 << 16), credit: b.rng.Float64()}
-		b.groups = append(b.groups, b.fleet)
+		b.allEndpoints = &group{destination: d, next: b.random.IntN(1 << 16), credit: b.random.Float64()}
+		b.groups = append(b.groups, b.allEndpoints)
 	}
 }
 
-// groupsOf tells which groups of the rule have an endpoint's tags.
-func (b *Balancer) groupsOf(e Endpoint) (joins []*group) {
-	joins, known := b.joins[[2]string{e.Zone, e.Kind}]
+// matchingGroups tells which groups of the rule have an endpoint's tags.
+func (b *Balancer) matchingGroups(e Endpoint) (joins []*group) {
+	joins, known := b.groupsByTags[[2]string{e.Zone, e.Kind}]
 	if known {
 		return joins
 	}
-	tags := map[string]string{"service": b.set.Service, "region": e.Zone, "version": e.Kind}
+	tags := map[string]string{"service": b.settings.Service, "region": e.Zone, "version": e.Kind}
 	for _, g := range b.groups[:len(b.groups)-1] {
-		if ok, _ := g.dest.Match.matches(tags); ok {
+		if ok, _ := g.destination.Match.matches(tags); ok {
 			joins = append(joins, g)
 		}
 	}
-	b.joins[[2]string{e.Zone, e.Kind}] = joins
+	b.groupsByTags[[2]string{e.Zone, e.Kind}] = joins
 	return joins
 }
 
 // weight is the configured weight for what the group's ready members can do. Danger: a shrunken, lost or cold
 // group that keeps its full weight swamps its last members.
 func (g *group) weight(near [2]float64) float64 {
-	size := g.size[0]*near[0] + g.size[1]*near[1]
-	if g.dest.PerSize {
-		return g.dest.Weight * size
+	size := g.capacity[0]*near[0] + g.capacity[1]*near[1]
+	if g.destination.PerEndpointWeight {
+		return g.destination.Weight * size
 	}
-	return g.dest.Weight * size / math.Max(g.whole, 1e-9)
+	return g.destination.Weight * size / math.Max(g.largestWeight, 1e-9)
 }
 
-// turn takes the next turn of the smooth interleaved schedule among the groups with an open member, and in
+// nextEndpoint takes the next turn of the smooth interleaved schedule among the groups with an open member, and in
 // that group the next turn of the rotation. It returns nil if no member of any group is open.
-func (b *Balancer) turn() *endpoint {
+func (b *Balancer) nextEndpoint() *endpoint {
 	var due *group
 	var total float64
 	for _, g := range b.groups {
-		w := g.weight(b.near)
-		if w <= 0 || !slices.ContainsFunc(g.members, func(e *endpoint) bool { return e.open }) {
+		w := g.weight(b.zoneWeight)
+		if w <= 0 || !slices.ContainsFunc(g.subset, func(e *endpoint) bool { return e.eligible }) {
 			continue
 		}
 		total += w
@@ -107,19 +107,19 @@
 		return nil
 	}
 	due.credit -= total
-	return due.rotate()
+	return due.nextMember()
 }
 
-// rotate gives the turn to the first open member from the due one on. If the open member after it has less of
+// nextMember gives the turn to the first open member from the due one on. If the open member after it has less of
 // this sidecar's requests in flight, the due one yields. A cold member may go ahead of both.
-func (g *group) rotate() (due *endpoint) {
-	n, at := len(g.members), 0
+func (g *group) nextMember() (due *endpoint) {
+	n, at := len(g.subset), 0
 	for i, seen := 0, 0; i < n && seen < 2; i++ {
-		e := g.members[(g.next+i)%n]
-		if !e.open {
+		e := g.subset[(g.next+i)%n]
+		if !e.eligible {
 			continue
 		}
-		if e.warm < 1 && e.turns.ahead {
+		if e.warmth < 1 && e.turns.ahead {
 			return e
 		}
 		if seen++; due == nil || e.inFlight < due.inFlight {
@@ -130,22 +130,22 @@
 	return due
 }
 
-// shift moves the weight that other zones get, as a share of the own zone's. Danger: a zone with more traffic
+// updateZoneWeight moves the weight that other zones get, as a share of the own zone's. Danger: a zone with more traffic
 // than its servers can carry. Elsewhere counts in full once the own zone answers later by what a crossing is
 // worth, at most the zones' bar, and not at all below half of that. It moves slowly, so that turns stay even.
-func (b *Balancer) shift(now Time) {
+func (b *Balancer) updateZoneWeight(now Time) {
 	var wait, size [2]float64
 	for _, e := range b.active {
-		if now >= e.until {
-			wait[e.abroad] += b.expect(e, now) * e.Size
-			size[e.abroad] += e.Size
+		if now >= e.ejectedUntil {
+			wait[e.zoneIndex] += b.expectedTime(e, now) * e.Weight
+			size[e.zoneIndex] += e.Weight
 		}
 	}
 	if size[0] == 0 || size[1] == 0 {
-		b.near[1] = 1
+		b.zoneWeight[1] = 1
 		return
 	}
-	pays := min(max(crossAt*b.set.CrossCharge, 0.01), spillAt) * b.aim
+	pays := min(max(crossZoneObjectives*b.settings.CrossZoneCharge, 0.01), spillObjectiveShare) * b.objective
 	to := min(max(2*(wait[0]/size[0]-wait[1]/size[1])/pays-1, 0), 1)
-	b.near[1] = max(b.near[1]+(to*to-b.near[1])*shiftStep, leastNear)
+	b.zoneWeight[1] = max(b.zoneWeight[1]+(to*to-b.zoneWeight[1])*zoneWeightStep, minZoneWeight)
 }
--- a/balance/route_test.go
+++ b/balance/route_test.go
@@ -61,7 +61,7 @@
 	var order []string
 	for i := range n {
 		now := h.now + 10*time.Millisecond
-		b.Request(now, Request{ID: RequestID(i), Tenant: -1, Within: time.Second})
+		b.Request(now, Request{ID: RequestID(i), Tenant: -1, Timeout: time.Second})
 		if len(h.sent) != 1 {
 			t.Fatalf("request %d: %d sends", i, len(h.sent))
 		}
@@ -89,7 +89,7 @@
 }
 
 func TestSplitIsSmooth(t *testing.T) {
-	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "b", Zone: "x", Kind: "small", Size: 1}}
+	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}, {ID: "b", Zone: "x", Kind: "small", Weight: 1}}
 	order := routes(t, canary(80, 20), list, 100)
 	if got := count(order); got["a"] != 80 || got["b"] != 20 {
 		t.Fatalf("split %v, want 80 and 20", got)
@@ -104,7 +104,7 @@
 func TestRotationIsEven(t *testing.T) {
 	var list []Endpoint
 	for _, id := range []string{"a", "b", "c", "d"} {
-		list = append(list, Endpoint{ID: id, Zone: "x", Kind: "big", Size: 1})
+		list = append(list, Endpoint{ID: id, Zone: "x", Kind: "big", Weight: 1})
 	}
 	order := routes(t, nil, list, 40)
 	for i := 4; i < len(order); i++ {
@@ -115,20 +115,20 @@
 }
 
 func TestUnequalKindsBySize(t *testing.T) {
-	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 3}, {ID: "b", Zone: "x", Kind: "small", Size: 1}}
+	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 3}, {ID: "b", Zone: "x", Kind: "small", Weight: 1}}
 	if got := count(routes(t, nil, list, 40)); got["a"] != 30 || got["b"] != 10 {
 		t.Errorf("turns %v, want 30 and 10", got)
 	}
 }
 
 func TestWeightFollowsReadyMembers(t *testing.T) {
-	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "b", Zone: "x", Kind: "big", Size: 1},
-		{ID: "c", Zone: "x", Kind: "small", Size: 1}}
+	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}, {ID: "b", Zone: "x", Kind: "big", Weight: 1},
+		{ID: "c", Zone: "x", Kind: "small", Weight: 1}}
 	set := settings()
 	set.Rules = canary(50, 50)
 	b, _ := start(t, set, list)
-	b.Endpoints(time.Second, ListChanges, []Endpoint{{ID: "b", Zone: "x", Kind: "big", Size: 1, State: Draining}})
-	if w := b.groups[0].weight(b.near); math.Abs(w-25) > 1e-9 {
+	b.Endpoints(time.Second, ListChanges, []Endpoint{{ID: "b", Zone: "x", Kind: "big", Weight: 1, State: Draining}})
+	if w := b.groups[0].weight(b.zoneWeight); math.Abs(w-25) > 1e-9 {
 		t.Errorf("a group that lost half of its members weighs %v, want 25", w)
 	}
 }
@@ -136,23 +136,23 @@
 func TestEmptyGroups(t *testing.T) {
 	// A group without members gives its turns to the others; with no member in any, all ready ones are one
 	// group.
-	one := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}}
+	one := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}}
 	if got := count(routes(t, canary(50, 50), one, 10)); got["a"] != 10 {
 		t.Errorf("turns %v, want all at a", got)
 	}
-	unknown := []Endpoint{{ID: "a", Zone: "x", Kind: "new", Size: 1}, {ID: "b", Zone: "x", Kind: "new", Size: 1}}
+	unknown := []Endpoint{{ID: "a", Zone: "x", Kind: "new", Weight: 1}, {ID: "b", Zone: "x", Kind: "new", Weight: 1}}
 	if got := count(routes(t, canary(50, 50), unknown, 10)); got["a"] != 5 || got["b"] != 5 {
 		t.Errorf("turns %v, want 5 each", got)
 	}
 }
 
 func TestYield(t *testing.T) {
-	b, h := start(t, settings(), []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "b", Zone: "x", Kind: "big", Size: 1}})
+	b, h := start(t, settings(), []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}, {ID: "b", Zone: "x", Kind: "big", Weight: 1}})
 	for i := range 4 {
-		b.Request(h.now, Request{ID: RequestID(i), Tenant: -1, Within: time.Second})
+		b.Request(h.now, Request{ID: RequestID(i), Tenant: -1, Timeout: time.Second})
 	}
 	// a and b hold two each. Once the one whose turn is next holds more, it yields.
-	due := b.groups[0].members[b.groups[0].next%2]
+	due := b.groups[0].subset[b.groups[0].next%2]
 	other := h.sent[0]
 	for _, s := range h.sent {
 		if s.to != due.ID {
@@ -160,7 +160,7 @@
 		}
 	}
 	b.Result(h.now, Result{ID: other.id, Endpoint: other.to, Took: time.Millisecond, Finished: true})
-	b.Request(h.now, Request{ID: 9, Tenant: -1, Within: time.Second})
+	b.Request(h.now, Request{ID: 9, Tenant: -1, Timeout: time.Second})
 	if got := h.sent[len(h.sent)-1].to; got == due.ID {
 		t.Errorf("the turn went to %s, which holds more than the next", got)
 	}
@@ -169,14 +169,14 @@
 func TestStartsDiffer(t *testing.T) {
 	list := []Endpoint{}
 	for _, id := range strings.Split("abcdefghij", "") {
-		list = append(list, Endpoint{ID: id, Zone: "x", Kind: "big", Size: 1})
+		list = append(list, Endpoint{ID: id, Zone: "x", Kind: "big", Weight: 1})
 	}
 	first := map[string]bool{}
 	for seed := range uint64(20) {
 		set := settings()
-		set.Seed, set.Self, set.Peers = seed, int(seed), 20
+		set.Seed, set.Ordinal, set.Peers = seed, int(seed), 20
 		b, h := start(t, set, list)
-		b.Request(h.now, Request{ID: 1, Tenant: -1, Within: time.Second})
+		b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: time.Second})
 		first[h.sent[0].to] = true
 	}
 	if len(first) < 5 {
@@ -191,23 +191,23 @@
 		want  string
 	}{
 		{"no classes", func(s *Settings) { s.Classes = nil }, "field Classes"},
-		{"no aim", func(s *Settings) { s.Classes[0].Aim = 0 }, `class 0, "read": field Aim`},
+		{"no aim", func(s *Settings) { s.Classes[0].LatencyObjective = 0 }, `class 0, "read": field Aim`},
 		{"deadline before the aim", func(s *Settings) { s.Classes[0].Deadline = time.Millisecond }, "field Deadline"},
 		{"unknown effect", func(s *Settings) { s.Classes[0].Effect = 9 }, "field Effect"},
 		{"unknown scope", func(s *Settings) { s.Classes[0].Scope = -1 }, "field Scope"},
-		{"worth is no number", func(s *Settings) { s.Classes[0].Worth = math.NaN() }, "field Worth"},
-		{"late answers worth more", func(s *Settings) { s.Classes[0].LateWorth = 1.5 }, "field LateWorth"},
+		{"worth is no number", func(s *Settings) { s.Classes[0].Priority = math.NaN() }, "field Worth"},
+		{"late answers worth more", func(s *Settings) { s.Classes[0].LateShare = 1.5 }, "field LateWorth"},
 		{"negative window", func(s *Settings) { s.Classes[0].DedupeWindow = -1 }, "field DedupeWindow"},
 		{"negative allowance", func(s *Settings) { s.Tenants = []Tenant{{"t", -1}} }, `tenant 0, "t": field Allowance`},
 		{"no peers", func(s *Settings) { s.Peers = 0 }, "field Peers"},
-		{"number beyond its peers", func(s *Settings) { s.Self = 1 }, "field Self: sidecar 1 of 1"},
+		{"number beyond its peers", func(s *Settings) { s.Ordinal = 1 }, "field Self: sidecar 1 of 1"},
 		{"no attempts", func(s *Settings) { s.MaxAttempts = 0 }, "field MaxAttempts"},
-		{"cold share above all", func(s *Settings) { s.StartCapacity = 1.1 }, "field StartCapacity"},
-		{"negative multiple", func(s *Settings) { s.FallMultiple = -1 }, "field FallMultiple"},
-		{"endless charge", func(s *Settings) { s.CrossCharge = math.Inf(1) }, "field CrossCharge"},
-		{"negative call time", func(s *Settings) { s.MustAsk = -1 }, "field MustAsk"},
-		{"negative cold time", func(s *Settings) { s.ColdTime = -1 }, "field ColdTime"},
-		{"negative fall time", func(s *Settings) { s.FallTime = -1 }, "field FallTime"},
+		{"cold share above all", func(s *Settings) { s.SlowStartCapacity = 1.1 }, "field StartCapacity"},
+		{"negative multiple", func(s *Settings) { s.OverloadMultiple = -1 }, "field FallMultiple"},
+		{"endless charge", func(s *Settings) { s.CrossZoneCharge = math.Inf(1) }, "field CrossCharge"},
+		{"negative call time", func(s *Settings) { s.MaxListAge = -1 }, "field MustAsk"},
+		{"negative cold time", func(s *Settings) { s.SlowStartWindow = -1 }, "field ColdTime"},
+		{"negative fall time", func(s *Settings) { s.OverloadWindow = -1 }, "field FallTime"},
 		{"negative weight", func(s *Settings) { s.Rules = canary(2, -1) },
 			`"canary": field Destinations[1]: weight -1`},
 		{"weight is no number", func(s *Settings) { s.Rules = canary(math.NaN(), 2) },
@@ -241,16 +241,16 @@
 	// crossing.
 	abroad := func(charge float64) float64 {
 		set := settings()
-		set.CrossCharge = charge
-		b, h := start(t, set, []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "b", Zone: "y", Kind: "big", Size: 1}})
+		set.CrossZoneCharge = charge
+		b, h := start(t, set, []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}, {ID: "b", Zone: "y", Kind: "big", Weight: 1}})
 		for range 300 {
 			h.now += tickEvery
 			for id, took := range map[string]time.Duration{"a": 200 * time.Millisecond, "b": 50 * time.Millisecond} {
-				b.learn(&attempt{to: b.known[id], held: 2}, Result{Outcome: Served, Took: took}, h.now)
+				b.recordOutcome(&attempt{endpoint: b.known[id], inFlightThen: 2}, Result{Outcome: Served, Took: took}, h.now)
 			}
 			b.Timer(h.now, tokenTick)
 		}
-		return b.near[1]
+		return b.zoneWeight[1]
 	}
 	if cheap, dear := abroad(0.01), abroad(0.1); cheap < 0.3 || dear > 0.1 {
 		t.Errorf("other zones weigh %.3f with cheap crossings and %.3f with dear ones", cheap, dear)
@@ -260,22 +260,22 @@
 // TestFarIsNotFull has the own zone busy and an idle endpoint in a zone far away, whose answers take the
 // way there and back: it gets the next request, and nothing is tight.
 func TestFarIsNotFull(t *testing.T) {
-	far := Endpoint{ID: "far", Zone: "y", Kind: "big", Size: 1}
+	far := Endpoint{ID: "far", Zone: "y", Kind: "big", Weight: 1}
 	b, h := start(t, settings(), append(pair(), far))
-	aim := b.set.Classes[0].Aim
+	aim := b.settings.Classes[0].LatencyObjective
 	away := pair()
 	away[0].State, away[1].State = Draining, Draining
 	b.Endpoints(h.now, ListChanges, away)
 	serve(b, h, 20, aim*6/10)
 	b.Endpoints(h.now, ListChanges, pair())
-	b.known["far"].until = h.now + time.Hour // the own zone answers in a tenth of that time
+	b.known["far"].ejectedUntil = h.now + time.Hour // the own zone answers in a tenth of that time
 	serve(b, h, 200, aim*6/100)
-	b.known["far"].until, b.near[1] = 0, leastNear
+	b.known["far"].ejectedUntil, b.zoneWeight[1] = 0, minZoneWeight
 	for i := range RequestID(100) {
 		switch to := ask(b, h, i+1); {
 		case to == "":
 			t.Fatalf("request %d is refused, and the idle far endpoint has had none", i)
-		case h.now < b.tight:
+		case h.now < b.overloadedUntil:
 			t.Fatalf("request %d finds all full, and the idle far endpoint has had none", i)
 		case to == "far":
 			return
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -74,7 +74,7 @@
 		if !a.done {
 			out++
 		}
-		if out > 1 || out > 0 && !c.set.CopiesAllowed {
+		if out > 1 || out > 0 && !c.set.HedgingAllowed {
 			c.fault("rule 2: %d attempts of %d are out already", out, id)
 		}
 		if a.done && !a.ran || r.class.Effect == Idempotent {
@@ -86,7 +86,7 @@
 			c.fault("rule 2: at-most-once request %d again", id)
 		case c.now-a.sent >= r.class.DedupeWindow:
 			c.fault("rule 2: request %d again after its window", id)
-		case r.class.Scope == ScopeZone && first.Zone != s.Zone, r.class.Scope == ScopeCell && first.Cell != s.Cell:
+		case r.class.Scope == ScopeZone && first.Zone != s.Zone, r.class.Scope == ScopePodGroup && first.PodGroup != s.PodGroup:
 			c.fault("rule 2: request %d again outside its scope", id)
 		}
 	}
@@ -107,7 +107,7 @@
 	return r
 }
 
-func (c *checker) Refuse(id RequestID, after time.Duration) {
+func (c *checker) Reject(id RequestID, after time.Duration) {
 	r := c.final(id)
 	if r == nil {
 		return
@@ -124,9 +124,9 @@
 
 // shortestAim is in seconds.
 func (c *checker) shortestAim() float64 {
-	shortest := c.set.Classes[0].Aim
+	shortest := c.set.Classes[0].LatencyObjective
 	for _, class := range c.set.Classes {
-		shortest = min(shortest, class.Aim)
+		shortest = min(shortest, class.LatencyObjective)
 	}
 	return shortest.Seconds()
 }
@@ -146,7 +146,7 @@
 }
 
 func (c *checker) Subscribe() {
-	if !c.set.AskDiscovery {
+	if !c.set.PollDiscovery {
 		c.fault("subscription where changes are pushed")
 	}
 	c.asked++
@@ -160,15 +160,15 @@
 	rng := rand.New(rand.NewPCG(seed, 7))
 	flip := func(p float64) bool { return rng.Float64() < p }
 	set := settings()
-	set.Seed, set.Peers, set.Self = seed, 1+rng.IntN(5), 0
+	set.Seed, set.Peers, set.Ordinal = seed, 1+rng.IntN(5), 0
 	set.MaxAttempts = 1 + rng.IntN(4)
-	set.CancelAllowed, set.CopiesAllowed = flip(.5), flip(.7)
-	set.AskDiscovery, set.MustAsk = flip(.7), 10*time.Second
+	set.CancelAllowed, set.HedgingAllowed = flip(.5), flip(.7)
+	set.PollDiscovery, set.MaxListAge = flip(.7), 10*time.Second
 	set.Tenants = []Tenant{{"a", 40}, {"b", 20}}
 	set.Classes = nil
 	for i, e := range []Effect{Idempotent, Deduplicated, Deduplicated, Deduplicated, AtMostOnce} {
 		set.Classes = append(set.Classes, Class{Name: fmt.Sprint(i), Effect: e, Scope: Scope((i - 1 + 3) % 3),
-			DedupeWindow: 300 * time.Millisecond, Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: float64(1 + i)})
+			DedupeWindow: 300 * time.Millisecond, LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, Priority: float64(1 + i)})
 	}
 	c := &checker{set: set, now: time.Minute, requests: map[RequestID]*held{}, servers: map[string]*server{}, timers: map[Time][]uint64{},
 		out: map[string]bool{}}
@@ -180,7 +180,7 @@
 	var list []Endpoint
 	for i := range 1 + rng.IntN(8) {
 		list = append(list, Endpoint{ID: fmt.Sprint("s", i), Zone: set.Zones[rng.IntN(2)], Kind: set.Kinds[rng.IntN(2)],
-			Cell: rng.IntN(2), Size: 1})
+			PodGroup: rng.IntN(2), Weight: 1})
 	}
 	tell := func(kind ListKind, entries []Endpoint) {
 		if kind != ListChanges {
@@ -245,7 +245,7 @@
 		if staff.Float64() < .01 { // the staff takes a server out, or puts it back, some that are not listed too
 			id, out := list[staff.IntN(len(list))].ID, staff.IntN(2) == 0
 			known := c.servers[id].listed || c.out[id]
-			if got := b.TakeOut(c.now, id, out); got != known {
+			if got := b.SetAdminDown(c.now, id, out); got != known {
 				c.fault("%s is known: %v, want %v", id, got, known)
 			} else if known {
 				c.out[id] = out
@@ -269,8 +269,8 @@
 		for range burst {
 			next++
 			r := Request{ID: next, Class: rng.IntN(len(set.Classes)), Tenant: rng.IntN(3) - 1,
-				Within: time.Duration(50+rng.IntN(950)) * time.Millisecond}
-			c.requests[next] = &held{class: &set.Classes[r.Class], deadline: c.now + r.Within}
+				Timeout: time.Duration(50+rng.IntN(950)) * time.Millisecond}
+			c.requests[next] = &held{class: &set.Classes[r.Class], deadline: c.now + r.Timeout}
 			b.Request(c.now, r)
 			if flip(.02) && !c.requests[next].ended {
 				b.Request(c.now, r) // a mistake of the host's
@@ -374,14 +374,14 @@
 	t.Helper()
 	set := settings()
 	set.Peers = peers
-	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "b", Zone: "x", Kind: "big", Size: 1}}
+	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}, {ID: "b", Zone: "x", Kind: "big", Weight: 1}}
 	b, h := start(t, set, list)
 	id := RequestID(0)
 	step := func(n int) {
 		h.now += 20 * time.Millisecond
 		for range n {
 			id++
-			b.Request(h.now, Request{ID: id, Tenant: -1, Within: 3 * time.Second})
+			b.Request(h.now, Request{ID: id, Tenant: -1, Timeout: 3 * time.Second})
 		}
 	}
 	for range 200 {
@@ -392,7 +392,7 @@
 			b.Result(h.now+20*time.Millisecond, Result{ID: s.id, Endpoint: s.to, Took: 20 * time.Millisecond, Finished: true})
 		}
 	}
-	b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "c", Zone: "x", Kind: "big", Size: 1, Started: h.now}})
+	b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "c", Zone: "x", Kind: "big", Weight: 1, Started: h.now}})
 	var cold []Time
 	for range 50 {
 		step(20)
@@ -409,15 +409,15 @@
 	for i, from := range cold {
 		n := 0
 		for _, at := range cold[i:] {
-			if at-from < set.FallTime {
+			if at-from < set.OverloadWindow {
 				n++
 			}
 		}
 		most = max(most, n)
 	}
 	// At the end of the second its share of capacity is a little higher than at the start.
-	share := set.StartCapacity + (1-set.StartCapacity)*1.0/set.ColdTime.Seconds()
-	return most, set.FallMultiple * share * 50 * set.FallTime.Seconds() / float64(peers)
+	share := set.SlowStartCapacity + (1-set.SlowStartCapacity)*1.0/set.SlowStartWindow.Seconds()
+	return most, set.OverloadMultiple * share * 50 * set.OverloadWindow.Seconds() / float64(peers)
 }
 
 func TestColdBudget(t *testing.T) {
@@ -451,7 +451,7 @@
 				i = 1
 			}
 			all[i]++
-			if b.overShare(i, h.now) {
+			if b.overAllowance(i, h.now) {
 				over[i]++
 			}
 		}
--- a/balance/sequence_test.go
+++ b/balance/sequence_test.go
@@ -27,11 +27,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		set := settings()
 		set.MaxAttempts = rapid.IntRange(1, 4).Draw(t, "attempts at most")
-		set.CancelAllowed, set.CopiesAllowed = rapid.Bool().Draw(t, "cancelling"), rapid.Bool().Draw(t, "second copies")
+		set.CancelAllowed, set.HedgingAllowed = rapid.Bool().Draw(t, "cancelling"), rapid.Bool().Draw(t, "second copies")
 		set.Classes = nil
 		for i, e := range []Effect{Idempotent, Deduplicated, Deduplicated, AtMostOnce} {
-			set.Classes = append(set.Classes, Class{Name: fmt.Sprint(i), Effect: e, Scope: ScopeCell,
-				DedupeWindow: 600 * time.Millisecond, Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 1})
+			set.Classes = append(set.Classes, Class{Name: fmt.Sprint(i), Effect: e, Scope: ScopePodGroup,
+				DedupeWindow: 600 * time.Millisecond, LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, Priority: 1})
 		}
 		set.Classes[2].Scope = ScopeAll
 		c := &checker{set: set, now: time.Minute, requests: map[RequestID]*held{}, servers: map[string]*server{},
@@ -42,7 +42,7 @@
 		}
 		list := many(4)
 		for i := range list {
-			list[i].Cell = i / 2
+			list[i].PodGroup = i / 2
 			c.servers[list[i].ID] = &server{Endpoint: list[i], listed: true}
 		}
 		b.Endpoints(c.now, ListRemembered, list)
@@ -55,7 +55,7 @@
 			r := &held{class: &set.Classes[class], deadline: c.now + within}
 			c.requests[next] = r
 			asked = append(asked, r)
-			b.Request(c.now, Request{ID: next, Class: class, Tenant: -1, Within: within, Retry: next > 60 && next%3 == 0})
+			b.Request(c.now, Request{ID: next, Class: class, Tenant: -1, Timeout: within, Retry: next > 60 && next%3 == 0})
 			return r
 		}
 		end := func(id RequestID, n int, how Outcome) {
@@ -194,11 +194,11 @@
 					}
 				}
 				for class, n := range spent {
-					if most := budgetMost + budgetShare*served[class]; n > most+1e-6 {
+					if most := retryBudgetMax + retryBudgetRatio*served[class]; n > most+1e-6 {
 						t.Fatalf("%.0f further attempts of a class after %.0f answers, want %.0f at most", n, served[class], most)
 					}
 				}
-				if most := budgetMost + budgetShare*float64(answers); whole > most+1e-6 {
+				if most := retryBudgetMax + retryBudgetRatio*float64(answers); whole > most+1e-6 {
 					t.Fatalf("%.0f further attempts after %d answers, want %.0f at most", whole, answers, most)
 				}
 			},
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -23,111 +23,111 @@
 // gives coldSafe. Where a whole fleet has started cold, and the sidecars as well, nothing tells the
 // capacity, and shares are all there is.
 const (
-	fallChance = 0.7              // of N: what all sidecars send in the mean, at most
-	coldSafe   = fallChance / 1.4 // of N, where the capacity is not known
-	coldEarly  = 2.0              // shares that a cold endpoint gets at most, if all else is full
+	overloadShare        = 0.7                 // of N: what all sidecars send in the mean, at most
+	unknownCapacityShare = overloadShare / 1.4 // of N, where the capacity is not known
+	maxEarlyShares       = 2.0                 // shares that a cold endpoint gets at most, if all else is full
 
 	capacityMemory = 30 * time.Second // what warm endpoints have served fades by 1/e in this time
-	leastServed    = 0.5              // answers, and
-	leastMeasured  = 2.0              // seconds, from which on the capacity counts as known
+	minServed      = 0.5              // answers, and
+	minMeasured    = 2.0              // seconds, from which on the capacity counts as known
 )
 
 // capacityMeter measures what warm endpoints serve this sidecar a second for each unit of registered size.
 type capacityMeter struct {
-	served  float64    // fading count of their answers
-	seconds float64    // fading length of the time
-	sizes   [2]float64 // size of those in use, by seconds: for their zone, and regardless of it
-	warm    [2]float64 // size of those in use now
+	served        float64    // fading count of their answers
+	seconds       float64    // fading length of the time
+	weightSeconds [2]float64 // size of those in use, by seconds: for their zone, and regardless of it
+	warmWeight    [2]float64 // size of those in use now
 }
 
-// elapsed takes in that a time has passed.
-func (m *capacityMeter) elapsed(d time.Duration) {
+// advance takes in that a time has passed.
+func (m *capacityMeter) advance(d time.Duration) {
 	keep := math.Exp(-d.Seconds() / capacityMemory.Seconds())
 	m.served *= keep
 	m.seconds = m.seconds*keep + d.Seconds()
-	for i := range m.sizes {
-		m.sizes[i] = m.sizes[i]*keep + m.warm[i]*d.Seconds()
+	for i := range m.weightSeconds {
+		m.weightSeconds[i] = m.weightSeconds[i]*keep + m.warmWeight[i]*d.Seconds()
 	}
 }
 
 // known tells whether there is enough to go by.
 func (m *capacityMeter) known() bool {
-	return m.served >= leastServed && m.seconds >= leastMeasured && m.sizes[0] > 0
+	return m.served >= minServed && m.seconds >= minMeasured && m.weightSeconds[0] > 0
 }
 
 // turns are parts of the next turn of a cold endpoint that have come due, 1 or more where the turn is
 // there. They add up as warmth, traffic and capacity go: what has come due is not counted anew by a warmth
 // that has risen since, or sidecars with little traffic would all have their turn well before its time.
 type turns struct {
-	sends float64 // the balancer's count of sends up to which they are counted
-	until Time    // and the time
-	share float64 // of the traffic, in the endpoint's zone
-	early float64 // of the traffic, regardless of zones
-	near  float64 // of the allowance, in the endpoint's zone
-	whole float64 // of the allowance, regardless of zones
+	sends         float64 // the balancer's count of sends up to which they are counted
+	until         Time    // and the time
+	share         float64 // of the traffic, in the endpoint's zone
+	early         float64 // of the traffic, regardless of zones
+	zoneAllowance float64 // of the allowance, in the endpoint's zone
+	allowance     float64 // of the allowance, regardless of zones
 	// ahead has the endpoint go before the rotation, once its turn has come. Where that takes longer than the
 	// memory to come round, most turns would pass before it does.
 	ahead bool
 }
 
-// begin has all begin at a phase, the same for all, as the parts that have come due otherwise had to meet.
-func (t *turns) begin(sends float64, now Time, phase float64) {
-	*t = turns{sends: sends, until: now, share: phase, early: phase, near: phase, whole: phase}
+// reset has all begin at a phase, the same for all, as the parts that have come due otherwise had to meet.
+func (t *turns) reset(sends float64, now Time, phase float64) {
+	*t = turns{sends: sends, until: now, share: phase, early: phase, zoneAllowance: phase, allowance: phase}
 }
 
 // accrue brings the turns of a cold endpoint up to date, and returns what the request in hand adds to its
 // share and to its early one.
 func (b *Balancer) accrue(e *endpoint, now Time) (share, early float64) {
-	t, m, able := &e.turns, &b.capacity, e.Size*e.warm
-	share, early = 1, coldEarly
+	t, m, able := &e.turns, &b.capacity, e.Weight*e.warmth
+	share, early = 1, maxEarlyShares
 	if !m.known() {
-		t.near, t.whole = max(t.near, 1), max(t.whole, 1)
-		early = min(coldEarly, coldSafe*b.set.FallMultiple)
-		share, early = min(early, 1)*b.usedPart(b.room), early*b.usedPart(b.whole)
+		t.zoneAllowance, t.allowance = max(t.zoneAllowance, 1), max(t.allowance, 1)
+		early = min(maxEarlyShares, unknownCapacityShare*b.settings.OverloadMultiple)
+		share, early = min(early, 1)*b.usedShare(b.zonedCapacity), early*b.usedShare(b.activeCapacity)
 	} else {
-		allowed := fallChance * b.set.FallMultiple * able * m.served * max(now-t.until, 0).Seconds()
-		if m.warm[1] > 0 {
+		allowed := overloadShare * b.settings.OverloadMultiple * able * m.served * max(now-t.until, 0).Seconds()
+		if m.warmWeight[1] > 0 {
 			// Where each zone keeps to itself, its sidecars alone may use up the allowance, and the early turns of
 			// all others come on top: one allowance less what is near of the whole.
-			allowed /= 2 - m.sizes[0]/m.sizes[1]
+			allowed /= 2 - m.weightSeconds[0]/m.weightSeconds[1]
 		}
-		t.near += allowed * b.near[e.abroad] / m.sizes[0]
-		t.whole += allowed / m.sizes[1]
+		t.zoneAllowance += allowed * b.zoneWeight[e.zoneIndex] / m.weightSeconds[0]
+		t.allowance += allowed / m.weightSeconds[1]
 	}
 	sent := b.sends - t.sends
-	share *= able * b.near[e.abroad] / math.Max(b.room, 1e-9)
-	early *= able / math.Max(b.whole, 1e-9)
+	share *= able * b.zoneWeight[e.zoneIndex] / math.Max(b.zonedCapacity, 1e-9)
+	early *= able / math.Max(b.activeCapacity, 1e-9)
 	t.share, t.early = t.share+share*sent, t.early+early*sent
 	t.sends, t.until = b.sends, now
 	return share, early
 }
 
-// usedPart is the part of the fleet that all sidecars use if each uses as much as this one. A few that
+// usedShare is the part of the fleet that all sidecars use if each uses as much as this one. A few that
 // begin with small subsets, or keep to a zone each, crowd what they use.
-func (b *Balancer) usedPart(used float64) float64 {
+func (b *Balancer) usedShare(used float64) float64 {
 	whole := 0.0
 	for _, g := range b.groups {
-		whole += g.size[0] + g.size[1]
+		whole += g.capacity[0] + g.capacity[1]
 	}
-	return min(float64(b.set.Peers)*used/math.Max(whole, 1e-9), 1)
+	return min(float64(b.settings.Peers)*used/math.Max(whole, 1e-9), 1)
 }
 
-// coldRoom tells whether an endpoint is warm, or has its next turn for the share of its capacity that it
+// slowStartAllows tells whether an endpoint is warm, or has its next turn for the share of its capacity that it
 // has. Sidecars that all turn to a cold endpoint, as it alone seems free, push it over. When each keeps to
 // its turns, it gets no more for its warmth than the fleet's mean, whatever the number of sidecars. A
 // request that finds no other place may have an early turn, in any zone: where the whole fleet is cold,
 // turns kept to the letter leave most requests none, and other zones have next to none as long as the own
 // one is thought to do. Early turns are counted over the fleet: all sidecars together give some times its
 // share. No turn goes beyond the allowance.
-func (b *Balancer) coldRoom(e *endpoint, early bool, now Time) bool {
-	if e.warm >= 1 {
+func (b *Balancer) slowStartAllows(e *endpoint, early bool, now Time) bool {
+	if e.warmth >= 1 {
 		return true
 	}
 	share, earlyShare := b.accrue(e, now)
 	t := &e.turns
-	inZone, anywhere := t.share+share >= 1 && t.near >= 1, t.early+earlyShare >= 1 && t.whole >= 1
-	t.ahead = inZone && b.capacity.known() && b.arrived < leastSubset
-	if b.capacity.warm[1] == 0 {
+	inZone, anywhere := t.share+share >= 1 && t.zoneAllowance >= 1, t.early+earlyShare >= 1 && t.allowance >= 1
+	t.ahead = inZone && b.capacity.known() && b.arrivals < minSubset
+	if b.capacity.warmWeight[1] == 0 {
 		return anywhere && (early || inZone) // all are cold: the own zone's have no more than the others
 	}
 	return inZone || early && anywhere
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -58,7 +58,7 @@
 func (c coldFleet) play(t *testing.T) {
 	const servers, burst, seconds = 10, 1.5, 4
 	set := settings()
-	set.ColdTime, set.StartCapacity, set.FallMultiple, set.FallTime = 8*time.Second, 0.3, c.multiple, 2*time.Second
+	set.SlowStartWindow, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow = 8*time.Second, 0.3, c.multiple, 2*time.Second
 	set.Zones = []string{"x", "y", "z"}[:c.zones]
 	list := fleet(servers + 1) // the first one comes later, into the subset that the first sidecar begins with
 	for i := range list {
@@ -98,12 +98,12 @@
 		sends := f.sends[e.ID]
 		sends = sends[sort.Search(len(sends), func(i int) bool { return sends[i] >= told }):]
 		got += float64(len(sends))
-		able += c.capacity * seconds * (set.StartCapacity + (1-set.StartCapacity)*seconds/2/set.ColdTime.Seconds())
+		able += c.capacity * seconds * (set.SlowStartCapacity + (1-set.SlowStartCapacity)*seconds/2/set.SlowStartWindow.Seconds())
 		for i, at := range sends {
-			window := sort.Search(len(sends)-i, func(n int) bool { return sends[i+n] > at+set.FallTime })
-			warm := set.StartCapacity + (1-set.StartCapacity)*(at-told).Seconds()/set.ColdTime.Seconds()
-			if n := c.multiple * warm * c.capacity * set.FallTime.Seconds(); float64(window) > fallBudget(n) {
-				t.Fatalf("%d requests within %v from %v on, %.0f fell it", window, set.FallTime, at-told, fallBudget(n))
+			window := sort.Search(len(sends)-i, func(n int) bool { return sends[i+n] > at+set.OverloadWindow })
+			warm := set.SlowStartCapacity + (1-set.SlowStartCapacity)*(at-told).Seconds()/set.SlowStartWindow.Seconds()
+			if n := c.multiple * warm * c.capacity * set.OverloadWindow.Seconds(); float64(window) > fallBudget(n) {
+				t.Fatalf("%d requests within %v from %v on, %.0f fell it", window, set.OverloadWindow, at-told, fallBudget(n))
 			}
 		}
 	}
@@ -117,7 +117,7 @@
 // requests, and goes on.
 func TestColdFleetOfUnknownCapacity(t *testing.T) {
 	set, list := settings(), fleet(12)
-	set.FallMultiple = 1.25
+	set.OverloadMultiple = 1.25
 	for i := range list {
 		list[i].Started = time.Minute
 	}
@@ -133,7 +133,7 @@
 			b.Timer(h.now, tokenTick)
 		}
 	}
-	if share := coldSafe * set.FallMultiple; sent < requests*share*0.6 || sent > requests*share {
+	if share := unknownCapacityShare * set.OverloadMultiple; sent < requests*share*0.6 || sent > requests*share {
 		t.Errorf("%.0f of %d requests are sent, want a share of about %.2f", sent, requests, share)
 	}
 }
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -11,7 +11,7 @@
 // fleet lists n alike endpoints of one group.
 func fleet(n int) (list []Endpoint) {
 	for i := range n {
-		list = append(list, Endpoint{ID: fmt.Sprintf("s%04d", i), Zone: "x", Kind: "big", Size: 1})
+		list = append(list, Endpoint{ID: fmt.Sprintf("s%04d", i), Zone: "x", Kind: "big", Weight: 1})
 	}
 	return list
 }
@@ -20,7 +20,7 @@
 func sidecar(t *testing.T, self, peers int, list []Endpoint) (*Balancer, *host) {
 	t.Helper()
 	set := settings()
-	set.Self, set.Peers, set.Seed = self, peers, uint64(self)
+	set.Ordinal, set.Peers, set.Seed = self, peers, uint64(self)
 	return start(t, set, list)
 }
 
@@ -37,14 +37,14 @@
 	users := map[string]int{}
 	for self := range peers {
 		b, _ := sidecar(t, self, peers, list)
-		if n := len(b.active); n != leastSubset {
-			t.Fatalf("an idle sidecar uses %d endpoints, want %d", n, leastSubset)
+		if n := len(b.active); n != minSubset {
+			t.Fatalf("an idle sidecar uses %d endpoints, want %d", n, minSubset)
 		}
 		for _, e := range b.active {
 			users[e.ID]++
 		}
 	}
-	mean := peers * leastSubset / servers
+	mean := peers * minSubset / servers
 	for _, e := range list {
 		if n := users[e.ID]; n < mean-2 || n > mean+2 {
 			t.Errorf("%s is used by %d sidecars, want about %d", e.ID, n, mean)
@@ -72,7 +72,7 @@
 	b, h := sidecar(t, 3, 10, fleet(200))
 	first := ids(b.active)
 	for range 4 {
-		for i := RequestID(0); i < leastSubset && len(h.logs) == 0; i++ {
+		for i := RequestID(0); i < minSubset && len(h.logs) == 0; i++ {
 			id := i + RequestID(h.now)
 			if to := ask(b, h, id); to != "" {
 				outcome := Served
@@ -87,7 +87,7 @@
 	if len(h.logs) != 1 {
 		t.Fatalf("%d ejections, want 1", len(h.logs))
 	}
-	if n, want := len(b.active), int(math.Ceil(b.arrived))+1; n != want {
+	if n, want := len(b.active), int(math.Ceil(b.arrivals))+1; n != want {
 		t.Errorf("%d endpoints are used with one ejected, want %d", n, want)
 	}
 }
@@ -98,7 +98,7 @@
 	for self := range 100 {
 		b, h := sidecar(t, self, 100, fleet(servers))
 		before := ids(b.active)
-		b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "s0100x", Zone: "x", Kind: "big", Size: 1}})
+		b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "s0100x", Zone: "x", Kind: "big", Weight: 1}})
 		for _, id := range ids(b.active) {
 			if !slices.Contains(before, id) {
 				moved++
@@ -144,7 +144,7 @@
 			}
 		}
 		// The mean endpoint gets one of 20 requests, and each request may be tried three times.
-		warm := settings().StartCapacity + (1-settings().StartCapacity)*seconds/settings().ColdTime.Seconds()
+		warm := settings().SlowStartCapacity + (1-settings().SlowStartCapacity)*seconds/settings().SlowStartWindow.Seconds()
 		if most := all / 20 * 3 * warm; cold > most {
 			t.Errorf("%d sidecars sent %.0f of %.0f requests to a cold endpoint, want %.0f at most", peers, cold, all, most)
 		}
@@ -158,22 +158,22 @@
 }
 
 func (a *asking) Timer(after time.Duration, token uint64) {
-	if token == tokenAsk {
+	if token == tokenDiscovery {
 		a.after = after
 	}
 }
 
 func TestFirstCallsAreSpread(t *testing.T) {
 	set := settings()
-	set.AskDiscovery, set.MustAsk, set.Peers = true, 10*time.Second, 1000
-	seconds := make([]int, set.MustAsk/2/time.Second)
-	for set.Self = range set.Peers {
+	set.PollDiscovery, set.MaxListAge, set.Peers = true, 10*time.Second, 1000
+	seconds := make([]int, set.MaxListAge/2/time.Second)
+	for set.Ordinal = range set.Peers {
 		a := &asking{}
 		if _, err := New(set, a); err != nil {
 			t.Fatal(err)
 		}
-		if a.after < 0 || a.after >= set.MustAsk/2 {
-			t.Fatalf("sidecar %d calls after %v, want half of MustAsk at most", set.Self, a.after)
+		if a.after < 0 || a.after >= set.MaxListAge/2 {
+			t.Fatalf("sidecar %d calls after %v, want half of MustAsk at most", set.Ordinal, a.after)
 		}
 		seconds[a.after/time.Second]++
 	}
@@ -192,7 +192,7 @@
 	set.Zones = []string{"x", "y", "z"}
 	var list []Endpoint
 	for i := range 12 {
-		list = append(list, Endpoint{ID: string(rune('a' + i)), Zone: set.Zones[i%3], Kind: set.Kinds[i/6], Size: 1,
+		list = append(list, Endpoint{ID: string(rune('a' + i)), Zone: set.Zones[i%3], Kind: set.Kinds[i/6], Weight: 1,
 			Started: time.Minute})
 	}
 	b, h := start(t, set, list)
@@ -203,7 +203,7 @@
 		if i%10 == 0 {
 			b.Timer(h.now, tokenTick)
 		}
-		b.Request(h.now, Request{ID: i, Tenant: -1, Within: time.Second})
+		b.Request(h.now, Request{ID: i, Tenant: -1, Timeout: time.Second})
 		for _, s := range h.sent {
 			got[s.to]++
 		}
@@ -213,7 +213,7 @@
 		t.Errorf("%d of %d requests are refused while all endpoints are idle and cold", n, requests)
 	}
 	for id, n := range got {
-		if most := coldEarly*requests/12 + 2; float64(n) > most {
+		if most := maxEarlyShares*requests/12 + 2; float64(n) > most {
 			t.Errorf("cold endpoint %s got %d requests, want %.0f at most", id, n, most)
 		}
 	}
--- a/balance/untested_test.go
+++ b/balance/untested_test.go
@@ -23,24 +23,24 @@
 		{"it alone slow", quick, quick, true, true},
 		{"all slow, nothing heard", slow, slow, false, true},
 	} {
-		list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "b", Zone: "y", Kind: "small", Size: 1}}
+		list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}, {ID: "b", Zone: "y", Kind: "small", Weight: 1}}
 		b, h := start(t, settings(), list)
 		serve(b, h, 200, 20*time.Millisecond)
 		e := b.known["a"]
-		e.held, e.home.held, b.fleet.held = 20, 40, 100
-		e.took, e.home.took, b.fleet.took = slow*e.held, tt.group*e.home.held, tt.fleet*b.fleet.held
-		e.told, e.home.told = h.now, h.now
-		if tt.fleet == slow && b.expect(e, h.now) < refuseAt*b.aim {
-			t.Fatalf("%s: a slow endpoint is expected to take %v s", tt.name, b.expect(e, h.now))
+		e.answerInFlight, e.homeGroup.answerInFlight, b.allEndpoints.answerInFlight = 20, 40, 100
+		e.answerSeconds, e.homeGroup.answerSeconds, b.allEndpoints.answerSeconds = slow*e.answerInFlight, tt.group*e.homeGroup.answerInFlight, tt.fleet*b.allEndpoints.answerInFlight
+		e.lastSample, e.homeGroup.lastSample = h.now, h.now
+		if tt.fleet == slow && b.expectedTime(e, h.now) < rejectObjectiveShare*b.objective {
+			t.Fatalf("%s: a slow endpoint is expected to take %v s", tt.name, b.expectedTime(e, h.now))
 		}
 		h.now += 2 * memory
-		if b.fleet.told = h.now; !tt.heard {
-			b.fleet.told -= 2 * memory
+		if b.allEndpoints.lastSample = h.now; !tt.heard {
+			b.allEndpoints.lastSample -= 2 * memory
 		}
 		if tt.name == "it alone slow" {
-			e.home.told = h.now
+			e.homeGroup.lastSample = h.now
 		}
-		if expect := b.expect(e, h.now); (expect <= refuseAt*b.aim) != tt.tried {
+		if expect := b.expectedTime(e, h.now); (expect <= rejectObjectiveShare*b.objective) != tt.tried {
 			t.Errorf("%s: %v s are expected, tried %v is wanted", tt.name, expect, tt.tried)
 		}
 	}
@@ -52,14 +52,14 @@
 	b, h := start(t, settings(), pair())
 	serve(b, h, 200, 20*time.Millisecond)
 	warm, cold := b.known["a"], b.known["b"]
-	cold.seen, cold.warm = warm.seen, 0.3
-	if got, want := b.expect(cold, h.now), b.expect(warm, h.now); got != want {
+	cold.observations, cold.warmth = warm.observations, 0.3
+	if got, want := b.expectedTime(cold, h.now), b.expectedTime(warm, h.now); got != want {
 		t.Errorf("idle and cold it is expected to take %v s, warm %v", got, want)
 	}
 	for _, e := range []*endpoint{warm, cold} {
-		e.inFlight, e.sent = 2, 2*h.now
+		e.inFlight, e.dueSinceSum = 2, 2*h.now
 	}
-	if got, want := b.expect(cold, h.now), b.expect(warm, h.now); got < 1.5*want {
+	if got, want := b.expectedTime(cold, h.now), b.expectedTime(warm, h.now); got < 1.5*want {
 		t.Errorf("with two in flight it is expected to take %v s, warm %v", got, want)
 	}
 }
@@ -68,33 +68,33 @@
 // started anew: they are taken for what the others are. Danger: a zone that is back is left idle for what
 // its former servers did not answer.
 func TestRestartIsForgottenOfItsGroup(t *testing.T) {
-	list := append(many(4), Endpoint{ID: "y", Zone: "y", Kind: "small", Size: 1}, Endpoint{ID: "z", Zone: "y", Kind: "small", Size: 1})
+	list := append(many(4), Endpoint{ID: "y", Zone: "y", Kind: "small", Weight: 1}, Endpoint{ID: "z", Zone: "y", Kind: "small", Weight: 1})
 	b, h := start(t, settings(), list)
 	serve(b, h, 400, 20*time.Millisecond)
-	before := b.fleet.usual()
+	before := b.allEndpoints.secondsPerRequest()
 	for i, id := range []string{"y", "z", "y", "z", "y", "z"} {
-		b.Request(h.now, Request{ID: RequestID(i + 1), Tenant: -1, Within: 3 * time.Second})
-		a := attempt{to: b.known[id], sent: h.now, held: 2, scale: 0.02}
-		b.learn(&a, Result{Outcome: TimedOut, Took: 3 * time.Second}, h.now)
+		b.Request(h.now, Request{ID: RequestID(i + 1), Tenant: -1, Timeout: 3 * time.Second})
+		a := attempt{endpoint: b.known[id], sent: h.now, inFlightThen: 2, expectedNow: 0.02}
+		b.recordOutcome(&a, Result{Outcome: TimedOut, Took: 3 * time.Second}, h.now)
 	}
 	z := b.known["z"]
-	if b.expect(z, h.now) < refuseAt*b.aim {
-		t.Fatalf("silent, it is expected to take %v s", b.expect(z, h.now))
+	if b.expectedTime(z, h.now) < rejectObjectiveShare*b.objective {
+		t.Fatalf("silent, it is expected to take %v s", b.expectedTime(z, h.now))
 	}
 	h.now += time.Second
 	for i := range list[4:] {
 		list[4+i].Started = h.now
 	}
 	b.Endpoints(h.now, ListChanges, list[4:])
-	if got := b.expect(z, h.now); got > 0.1 {
+	if got := b.expectedTime(z, h.now); got > 0.1 {
 		t.Errorf("started anew, it is expected to take %v s", got)
 	}
-	if after := b.fleet.usual(); after > 1.1*before || after < 0.9*before {
+	if after := b.allEndpoints.secondsPerRequest(); after > 1.1*before || after < 0.9*before {
 		t.Errorf("the fleet's usual time is %v s, %v before", after, before)
 	}
-	for _, e := range b.endpoints {
-		if e.home.held < 0 || e.home.took < 0 {
-			t.Errorf("a group's record is at %v s over %v", e.home.took, e.home.held)
+	for _, e := range b.listed {
+		if e.homeGroup.answerInFlight < 0 || e.homeGroup.answerSeconds < 0 {
+			t.Errorf("a group's record is at %v s over %v", e.homeGroup.answerSeconds, e.homeGroup.answerInFlight)
 		}
 	}
 }
@@ -119,8 +119,8 @@
 	list[0].Started = h.now - time.Second
 	b.Endpoints(h.now, ListChanges, list)
 	check := func(when string) {
-		if got := b.expect(e, h.now); got > 0.5 || e.inFlight != 0 || e.sent != 0 || e.until > h.now {
-			t.Errorf("%s: %.3f s are expected; %d in flight, ejected until %v", when, got, e.inFlight, e.until)
+		if got := b.expectedTime(e, h.now); got > 0.5 || e.inFlight != 0 || e.dueSinceSum != 0 || e.ejectedUntil > h.now {
+			t.Errorf("%s: %.3f s are expected; %d in flight, ejected until %v", when, got, e.inFlight, e.ejectedUntil)
 		}
 	}
 	check("told")
--- a/balance/word_test.go
+++ b/balance/word_test.go
@@ -30,7 +30,7 @@
 func (r *recorder) Cancel(id RequestID, n int) {
 	r.lines = append(r.lines, fmt.Sprint("cancel ", id, n))
 }
-func (r *recorder) Refuse(id RequestID, after time.Duration) {
+func (r *recorder) Reject(id RequestID, after time.Duration) {
 	r.lines = append(r.lines, fmt.Sprint("refuse ", id, after))
 }
 func (r *recorder) Fail(id RequestID) { r.lines = append(r.lines, fmt.Sprint("fail ", id)) }
@@ -44,16 +44,16 @@
 	t.Helper()
 	acts := &recorder{}
 	b, err := New(Settings{Seed: 1, Peers: 80, Zone: "a", Zones: []string{"a"}, Kinds: []string{"k"}, Service: "s",
-		Classes:     []Class{{Name: "c", Aim: 400 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1}},
-		MaxAttempts: 3, CancelAllowed: true, CopiesAllowed: true, MustAsk: time.Second, ColdTime: 5 * time.Second, StartCapacity: 0.3,
-		FallMultiple: 4, FallTime: 2 * time.Second}, acts)
+		Classes:     []Class{{Name: "c", LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, Priority: 1}},
+		MaxAttempts: 3, CancelAllowed: true, HedgingAllowed: true, MaxListAge: time.Second, SlowStartWindow: 5 * time.Second, SlowStartCapacity: 0.3,
+		OverloadMultiple: 4, OverloadWindow: 2 * time.Second}, acts)
 	if err != nil {
 		t.Fatal(err)
 	}
 	w := &worded{Balancer: b, acts: acts, now: 24 * time.Hour}
 	var list []Endpoint
 	for i := range n {
-		list = append(list, Endpoint{ID: fmt.Sprint("e", i), Zone: "a", Kind: "k", Size: 1})
+		list = append(list, Endpoint{ID: fmt.Sprint("e", i), Zone: "a", Kind: "k", Weight: 1})
 	}
 	b.Endpoints(w.now, ListFull, list)
 	return w
@@ -66,7 +66,7 @@
 	for range n {
 		w.next++
 		w.acts.sent = nil
-		w.Request(w.now, Request{ID: w.next, Tenant: -1, Within: 2 * time.Second})
+		w.Request(w.now, Request{ID: w.next, Tenant: -1, Timeout: 2 * time.Second})
 		w.now += 50 * time.Millisecond
 		w.Timer(w.now, tokenTick)
 		for i, to := range w.acts.sent {
@@ -86,14 +86,14 @@
 	if went := w.ask(60); went["e1"] < 6 {
 		t.Fatalf("without a word it gets its turns: %v", went)
 	}
-	w.Doubted([]Word{{"e1", w.now + 1}, {"nobody", w.now + 1}})
+	w.SetSuspected([]PeerReport{{"e1", w.now + 1}, {"nobody", w.now + 1}})
 	w.now += 2
 	went := w.ask(30)
 	if went["e1"] > 0 || went["nobody"] > 0 || len(went) != 5 {
 		t.Errorf("in doubt: %v", went)
 	}
 	for _, id := range []string{"e0", "e2", "e3", "e4", "e5"} {
-		if !w.TakeOut(w.now, id, true) {
+		if !w.SetAdminDown(w.now, id, true) {
 			t.Fatal("not known: ", id)
 		}
 	}
@@ -106,21 +106,21 @@
 // one, or until others take it back.
 func TestDoubtEnds(t *testing.T) {
 	for name, end := range map[string]func(w *worded){
-		"it grows old":   func(w *worded) { w.now += wordFor },
-		"own answer":     func(w *worded) { w.known["e1"].heard = w.now },
-		"taken back":     func(w *worded) { w.Doubted(nil) },
-		"restarted":      func(w *worded) { w.TakeOut(w.now, "e1", true); w.TakeOut(w.now, "e1", false) },
-		"others instead": func(w *worded) { w.Doubted([]Word{{"e2", w.now}}) },
+		"it grows old":   func(w *worded) { w.now += peerReportLifetime },
+		"own answer":     func(w *worded) { w.known["e1"].lastResponse = w.now },
+		"taken back":     func(w *worded) { w.SetSuspected(nil) },
+		"restarted":      func(w *worded) { w.SetAdminDown(w.now, "e1", true); w.SetAdminDown(w.now, "e1", false) },
+		"others instead": func(w *worded) { w.SetSuspected([]PeerReport{{"e2", w.now}}) },
 	} {
 		w := newWorded(t, 6)
 		w.ask(60)
-		w.Doubted([]Word{{"e1", w.now + 1}})
+		w.SetSuspected([]PeerReport{{"e1", w.now + 1}})
 		w.now += 2
-		if !w.doubted(w.known["e1"], w.now) {
+		if !w.suspectedByPeers(w.known["e1"], w.now) {
 			t.Fatal("not in doubt to begin with")
 		}
 		end(w)
-		if w.doubted(w.known["e1"], w.now) {
+		if w.suspectedByPeers(w.known["e1"], w.now) {
 			t.Errorf("%s: still in doubt", name)
 		}
 	}
@@ -139,32 +139,32 @@
 			id := fmt.Sprint("e", i)
 			switch rapid.IntRange(0, 5).Draw(t, "state") {
 			case 0:
-				w.Endpoints(w.now, ListChanges, []Endpoint{{ID: id, Zone: "a", Kind: "k", Size: 1, State: Draining}})
+				w.Endpoints(w.now, ListChanges, []Endpoint{{ID: id, Zone: "a", Kind: "k", Weight: 1, State: Draining}})
 			case 1:
-				w.Endpoints(w.now, ListChanges, []Endpoint{{ID: id, Zone: "a", Kind: "k", Size: 1, State: Removed}})
+				w.Endpoints(w.now, ListChanges, []Endpoint{{ID: id, Zone: "a", Kind: "k", Weight: 1, State: Removed}})
 			case 2:
-				w.TakeOut(w.now, id, true)
+				w.SetAdminDown(w.now, id, true)
 			default:
 				continue
 			}
 			shut[id] = true
 		}
-		var words []Word
+		var words []PeerReport
 		for range rapid.IntRange(0, 20).Draw(t, "words") {
-			words = append(words, Word{fmt.Sprint("e", rapid.IntRange(0, 14).Draw(t, "about")),
+			words = append(words, PeerReport{fmt.Sprint("e", rapid.IntRange(0, 14).Draw(t, "about")),
 				w.now + Time(rapid.Int64Range(-int64(10*time.Second), int64(time.Second)).Draw(t, "since"))})
 		}
-		w.Doubted(words)
+		w.SetSuspected(words)
 		behind, ready := 0.0, 0.0
-		for _, e := range w.endpoints {
+		for _, e := range w.listed {
 			if e.State == Ready {
-				ready += e.Size
+				ready += e.Weight
 			}
-			if e.word != 0 {
-				behind += e.Size
+			if e.reportedAt != 0 {
+				behind += e.Weight
 			}
 		}
-		if behind > wordMost*ready {
+		if behind > maxSuspectedShare*ready {
 			t.Errorf("%v of %v is put behind", behind, ready)
 		}
 		went := w.ask(3)
@@ -181,7 +181,9 @@
 
 type watcher struct{ saw []string }
 
-func (w *watcher) Saw(endpoint string, s Sight) { w.saw = append(w.saw, fmt.Sprint(endpoint, " ", s)) }
+func (w *watcher) Observe(endpoint string, s Observation) {
+	w.saw = append(w.saw, fmt.Sprint(endpoint, " ", s))
+}
 
 // TestWitnessChangesNothing plays the same events with and without a witness, and with words about nobody:
 // the actions are the same to the letter.
@@ -189,14 +191,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		plain, watched := newWorded(t, 5), newWorded(t, 5)
 		seen := &watcher{}
-		watched.Watch(seen)
+		watched.SetObserver(seen)
 		for range rapid.IntRange(1, 60).Draw(t, "rounds") {
 			silent := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"e0", "e1", "e2", "e3"}), 0, 2, rapid.ID).Draw(t, "silent")
 			for _, w := range []*worded{plain, watched} {
 				w.ask(3, silent...)
-				w.Timer(w.now, tokenLate+uint64(w.next)*mostTries)
+				w.Timer(w.now, tokenAttempt+uint64(w.next)*maxAttemptsPerRequest)
 			}
-			watched.Doubted([]Word{{"nobody", watched.now}})
+			watched.SetSuspected([]PeerReport{{"nobody", watched.now}})
 		}
 		if !slices.Equal(plain.acts.lines, watched.acts.lines) {
 			t.Error("a witness changed what is done")
@@ -212,8 +214,8 @@
 	for outcome, want := range map[Outcome][]string{Served: {"e0 0"}, Errored: {"e0 3"}, Reset: {"e0 3"}, ConnectFailed: {"e0 4"}, Saturated: nil,
 		Cancelled: nil, NotSent: nil} {
 		w, seen := newWorded(t, 1), &watcher{}
-		w.Watch(seen)
-		w.Request(w.now, Request{ID: 1, Tenant: -1, Within: time.Second})
+		w.SetObserver(seen)
+		w.Request(w.now, Request{ID: 1, Tenant: -1, Timeout: time.Second})
 		w.Result(w.now+time.Millisecond, Result{ID: 1, Endpoint: "e0", Outcome: outcome, Took: time.Millisecond, Finished: true})
 		if !slices.Equal(seen.saw, want) {
 			t.Errorf("outcome %d: %v, want %v", outcome, seen.saw, want)
@@ -221,14 +223,14 @@
 	}
 	w, seen := newWorded(t, 1), &watcher{}
 	w.ask(3000)
-	w.Watch(seen)
+	w.SetObserver(seen)
 	w.next++
 	w.now++
-	w.Request(w.now, Request{ID: w.next, Tenant: -1, Within: 10 * time.Second})
+	w.Request(w.now, Request{ID: w.next, Tenant: -1, Timeout: 10 * time.Second})
 	for range 30 { // its answer does not come
 		w.now += tickEvery
 		w.Timer(w.now, tokenTick)
-		w.Timer(w.now, tokenLate+uint64(w.next)*mostTries)
+		w.Timer(w.now, tokenAttempt+uint64(w.next)*maxAttemptsPerRequest)
 	}
 	if !slices.Equal(seen.saw, []string{"e0 1", "e0 2"}) {
 		t.Errorf("a silent one is late once, then silent once: %v", seen.saw)
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -89,7 +89,7 @@
 		if !ok {
 			tenant = -1
 		}
-		h.Balancer.Request(now, balance.Request{ID: e.ID, Class: class, Tenant: tenant, Within: e.Within, Retry: e.Retry})
+		h.Balancer.Request(now, balance.Request{ID: e.ID, Class: class, Tenant: tenant, Timeout: e.Within, Retry: e.Retry})
 	case wire.AnswerStarted:
 		h.Balancer.AnswerStarted(now, e.ID, e.Attempt)
 	case wire.Result:
@@ -110,8 +110,8 @@
 // Cancel passes a cancellation on.
 func (h *instance) Cancel(id balance.RequestID, attempt int) { h.out.Cancel(h.number, id, attempt) }
 
-// Refuse passes a refusal on.
-func (h *instance) Refuse(id balance.RequestID, after time.Duration) {
+// Reject passes a refusal on.
+func (h *instance) Reject(id balance.RequestID, after time.Duration) {
 	h.out.Refuse(h.number, id, after)
 }
 
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -64,7 +64,7 @@
 
 // Request implements sim.Decider, as do the methods after it.
 func (b *baseline) Request(now balance.Time, r balance.Request) {
-	q := &request{Request: r, deadline: now + r.Within}
+	q := &request{Request: r, deadline: now + r.Timeout}
 	b.requests[r.ID] = q
 	b.try(now, q)
 }
@@ -117,7 +117,7 @@
 		return x
 	case "oracle":
 		return least(func(e balance.Endpoint) float64 {
-			return b.view.Wait(b.set.Self, e.ID, q.Class, b.set.Classes[q.Class].Aim.Seconds()/4)
+			return b.view.Wait(b.set.Ordinal, e.ID, q.Class, b.set.Classes[q.Class].LatencyObjective.Seconds()/4)
 		})
 	}
 	return b.rng.IntN(len(may))
@@ -131,7 +131,7 @@
 			return false
 		case a.done && !a.mayRun || c.Effect == balance.Idempotent:
 		case c.Effect == balance.AtMostOnce, now-a.sent > c.DedupeWindow-time.Second/2,
-			c.Scope == balance.ScopeZone && a.to.Zone != e.Zone, c.Scope == balance.ScopeCell && a.to.Cell != e.Cell:
+			c.Scope == balance.ScopeZone && a.to.Zone != e.Zone, c.Scope == balance.ScopePodGroup && a.to.PodGroup != e.PodGroup:
 			return false
 		}
 	}
@@ -142,7 +142,7 @@
 	c := b.set.Classes[q.Class]
 	if c.Effect == balance.Idempotent || c.Effect == balance.Deduplicated && c.Scope == balance.ScopeAll ||
 		!slices.ContainsFunc(q.attempts, func(a attempt) bool { return !a.done || a.mayRun }) {
-		b.act.Refuse(q.ID, 0)
+		b.act.Reject(q.ID, 0)
 	} else {
 		b.act.Fail(q.ID)
 	}
--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -230,16 +230,16 @@
 // Settings are what sidecar i is told, as the platform's settings would say it.
 func (p *Plan) Settings(i int) balance.Settings {
 	s := p.Scenario
-	set := balance.Settings{Seed: p.Seed*1000003 + uint64(i), Self: i, Peers: s.Fleet.Sidecars,
-		Zone: s.Fleet.Zones[i%len(s.Fleet.Zones)], Zones: s.Fleet.Zones, Service: "lab", MaxAttempts: 6, CancelAllowed: true, CopiesAllowed: true,
-		ColdTime: s.Fleet.Cold.Std(), StartCapacity: s.Fleet.ColdFrom, FallMultiple: s.Fleet.FallMultiple,
-		FallTime: s.Fleet.Fall.Std(), CrossCharge: 0.093}
+	set := balance.Settings{Seed: p.Seed*1000003 + uint64(i), Ordinal: i, Peers: s.Fleet.Sidecars,
+		Zone: s.Fleet.Zones[i%len(s.Fleet.Zones)], Zones: s.Fleet.Zones, Service: "lab", MaxAttempts: 6, CancelAllowed: true, HedgingAllowed: true,
+		SlowStartWindow: s.Fleet.Cold.Std(), SlowStartCapacity: s.Fleet.ColdFrom, OverloadMultiple: s.Fleet.FallMultiple,
+		OverloadWindow: s.Fleet.Fall.Std(), CrossZoneCharge: 0.093}
 	for _, k := range s.Fleet.Kinds {
 		set.Kinds = append(set.Kinds, k.Name)
 	}
 	for _, c := range s.Classes {
-		set.Classes = append(set.Classes, balance.Class{Name: c.Name, Aim: c.Aim.Std(), Deadline: c.Deadline.Std(),
-			Worth: c.Worth, DedupeWindow: c.Window.Std(), Effect: Effects[c.Effect], Scope: Scopes[c.Scope]})
+		set.Classes = append(set.Classes, balance.Class{Name: c.Name, LatencyObjective: c.Aim.Std(), Deadline: c.Deadline.Std(),
+			Priority: c.Worth, DedupeWindow: c.Window.Std(), Effect: Effects[c.Effect], Scope: Scopes[c.Scope]})
 	}
 	for _, t := range s.Tenants {
 		set.Tenants = append(set.Tenants, balance.Tenant{Name: t.Name, Allowance: t.Allowance})
@@ -252,5 +252,5 @@
 	Effects = map[string]balance.Effect{"idempotent": balance.Idempotent, "deduplicated": balance.Deduplicated,
 		"at_most_once": balance.AtMostOnce}
 	Scopes = map[string]balance.Scope{"": balance.ScopeAll, "all": balance.ScopeAll, "zone": balance.ScopeZone,
-		"cell": balance.ScopeCell}
+		"cell": balance.ScopePodGroup}
 )
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -48,8 +48,8 @@
 
 // hearer is a decider that takes the fleet's word, and says what it sees.
 type hearer interface {
-	Watch(w balance.Witness)
-	Doubted(words []balance.Word)
+	SetObserver(o balance.Observer)
+	SetSuspected(reports []balance.PeerReport)
 }
 
 func sidecarAddress(i int32) string { return fmt.Sprintf("a%d", i) }
@@ -71,7 +71,7 @@
 		Address: sidecarAddress(c.i), Peers: peers, Seed: rng.Uint64(), Nonce: rng.Uint64() | 1, Number: uint64(now.Wall)}}, nil)
 	c.member = m
 	if h, ok := c.decider.(hearer); ok {
-		h.Watch(m)
+		h.SetObserver(m)
 	}
 	c.w.after(time.Duration(rng.Int64N(int64(fleetTick))), m.tick)
 }
@@ -99,13 +99,13 @@
 	m.c.w.after(fleetTick, m.tick)
 }
 
-// Saw implements balance.Witness.
-func (m *member) Saw(endpoint string, s balance.Sight) {
+// Observe implements balance.Observer.
+func (m *member) Observe(endpoint string, s balance.Observation) {
 	note, due := m.recorder.Observe(m.c.w.now+epoch, endpoint, failuredetector.Outcome(s))
 	if due {
 		m.machine.Note(m.c.w.now+epoch, note)
 	}
-	if s == balance.SawSilence || s == balance.SawRefusal {
+	if s == balance.ObservedSilence || s == balance.ObservedRefusal {
 		m.write()
 	}
 	m.act()
@@ -148,19 +148,19 @@
 	}
 	w, now := m.c.w, m.c.fleetNow()
 	doubts := m.machine.Doubts(now, len(m.c.list))
-	var words []balance.Word
+	var words []balance.PeerReport
 	said := map[string]bool{}
 	for _, d := range doubts {
 		n, known := w.byID[d.Server]
 		if known && d.Boot == m.boot(n) {
-			words = append(words, balance.Word{ID: d.Server, Since: d.Newest})
+			words = append(words, balance.PeerReport{ID: d.Server, WrittenAt: d.Newest})
 			said[d.Server] = true
 		}
 	}
-	h.Doubted(words)
+	h.SetSuspected(words)
 	since := map[string]Time{}
 	for _, word := range words {
-		since[word.ID] = word.Since
+		since[word.ID] = word.WrittenAt
 	}
 	m.recorder.SetSuspected(now.Time, since)
 	m.doubted = said
--- a/internal/lab/sim/known.go
+++ b/internal/lab/sim/known.go
@@ -10,9 +10,16 @@
 
 // Believer is a decider that says which share of a class's attempts it takes a node to lose.
 type Believer interface {
-	Loses(now balance.Time, endpoint string, class int) float64
+	LossShare(now balance.Time, endpoint string, class int) float64
 }
 
+// The module is told of observations and asked for its beliefs by interfaces: a method that is renamed must not pass
+// for one that is not there.
+var (
+	_ Believer = (*balance.Balancer)(nil)
+	_ hearer   = (*balance.Balancer)(nil)
+)
+
 // knownAt is the part of a node's true share of losses from which on a sidecar that believes it knows of them.
 const knownAt = 0.5
 
@@ -66,7 +73,7 @@
 		case mended:
 			kind = record.Unknown
 			fallthrough
-		case c.member != nil && c.member.doubted[w.nodes[l.node].ID], c.decider.(Believer).Loses(w.now+epoch, w.nodes[l.node].ID, l.class) >= knownAt*l.share:
+		case c.member != nil && c.member.doubted[w.nodes[l.node].ID], c.decider.(Believer).LossShare(w.now+epoch, w.nodes[l.node].ID, l.class) >= knownAt*l.share:
 			l.known = true
 			w.emit(record.Event{Kind: kind, Sidecar: c.i, Node: l.node, Wait: w.now - l.since, Attempt: l.times})
 		}
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -267,8 +267,8 @@
 
 func (w *world) entry(n int32) balance.Endpoint {
 	m := w.nodes[n]
-	e := balance.Endpoint{ID: m.ID, Zone: w.p.Scenario.Fleet.Zones[m.Zone], Kind: m.Kind, Cell: m.Cell, State: m.state,
-		Size: m.Size}
+	e := balance.Endpoint{ID: m.ID, Zone: w.p.Scenario.Fleet.Zones[m.Zone], Kind: m.Kind, PodGroup: m.Cell, State: m.state,
+		Weight: m.Size}
 	if m.boot > 0 {
 		e.Started = m.boot + epoch
 	}
@@ -401,7 +401,7 @@
 		w.q.push(event{at: w.now + a.Leaves, kind: evLeave, req: r})
 	}
 	c.decider.Request(w.now+epoch, balance.Request{ID: balance.RequestID(r.id), Class: a.Class, Tenant: a.Tenant,
-		Within: a.Wait - answerMargin, Retry: a.Try > 0})
+		Timeout: a.Wait - answerMargin, Retry: a.Try > 0})
 }
 
 // again has a client make its next try, where it does.
@@ -581,8 +581,8 @@
 	c.w.q.push(event{at: c.w.now, kind: evBack, att: r.attempts[n], status: uint8(record.Called)})
 }
 
-// Refuse answers that a retry does no harm.
-func (c *sidecar) Refuse(id balance.RequestID, after time.Duration) {
+// Reject answers that a retry does no harm.
+func (c *sidecar) Reject(id balance.RequestID, after time.Duration) {
 	c.final(id, record.Refused, after)
 }
 
--- a/internal/lab/sockets/process.go
+++ b/internal/lab/sockets/process.go
@@ -234,13 +234,13 @@
 		"settings": object{"areas": s.Fleet.Zones, "models": set.Kinds, "my_zone": set.Zone, "ordinal": i,
 			"peers_total": s.Fleet.Sidecars, "discovery": "pushed", "tier": 0, "tiers": []string{"lab"},
 			"weight_source": "nominal", "worth_by": "work", "request_classes": classes, "tenants": tenants,
-			"charges": object{"cross_zone": set.CrossCharge},
+			"charges": object{"cross_zone": set.CrossZoneCharge},
 			"limits": object{"cancelling": true, "connect_timeout_s": s.Network.Connect.Std().Seconds(),
 				"idle_close_s": s.Fleet.IdleClose.Std().Seconds(), "max_retry_after_s": s.Clients.MostAfter.Std().Seconds(),
 				"most_held": 20000, "probes": true, "retry_after": true, "second_copies": true, "streams_per_conn": 1,
 				"try_limit": set.MaxAttempts},
-			"rules": object{"answer_slack_s": 0.02, "cold_s": set.ColdTime.Seconds(), "start_capacity": set.StartCapacity,
-				"fall_multiple": set.FallMultiple, "fall_s": set.FallTime.Seconds(), "must_ask_in_s": 10,
+			"rules": object{"answer_slack_s": 0.02, "cold_s": set.SlowStartWindow.Seconds(), "start_capacity": set.SlowStartCapacity,
+				"fall_multiple": set.OverloadMultiple, "fall_s": set.OverloadWindow.Seconds(), "must_ask_in_s": 10,
 				"stop_sending_within_s": 1}}})
 	if err != nil {
 		panic(fmt.Sprintf("sockets: a configuration that cannot be written: %v", err)) // it holds plain values only
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -61,11 +61,11 @@
 }
 
 // ends are the Balancer's sights as the fleet calls them.
-var ends = [...]failuredetector.Outcome{balance.SawAnswer: failuredetector.Answered, balance.SawLate: failuredetector.Late, balance.SawSilence: failuredetector.Silent,
-	balance.SawFailure: failuredetector.Failed, balance.SawRefusal: failuredetector.Refused}
+var ends = [...]failuredetector.Outcome{balance.ObservedAnswer: failuredetector.Answered, balance.ObservedLate: failuredetector.Late, balance.ObservedSilence: failuredetector.Silent,
+	balance.ObservedFailure: failuredetector.Failed, balance.ObservedRefusal: failuredetector.Refused}
 
-// Saw implements balance.Witness.
-func (p part) Saw(endpoint string, s balance.Sight) { p.Fleet.Saw(endpoint, ends[s]) }
+// Observe implements balance.Observer.
+func (p part) Observe(endpoint string, s balance.Observation) { p.Fleet.Saw(endpoint, ends[s]) }
 
 // TakeOut implements sidecar.Part.
 func (p part) TakeOut(ctx context.Context, server string, out, confirm bool) (held, asked int, err error) {
--- a/internal/sidecar/churn_test.go
+++ b/internal/sidecar/churn_test.go
@@ -27,8 +27,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Settings.AskDiscovery = true // and so no watch but that of this test
-	c.Settings.StartCapacity = 1   // all servers start over and over, and are to serve at once
+	c.Settings.PollDiscovery = true  // and so no watch but that of this test
+	c.Settings.SlowStartCapacity = 1 // all servers start over and over, and are to serve at once
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	log := slog.New(slog.DiscardHandler)
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -35,7 +35,7 @@
 
 // longestUntold is the longest time from a watch's last byte to a new list, with one more call that fails though discovery could be
 // reached: the silence is noticed, the call waits its turn, fails, waits again, and the next one is answered.
-const longestUntold = watchSilence + balance.FirstReask + firstListWithin + 2*balance.FirstReask
+const longestUntold = watchSilence + balance.FirstDiscoveryBackoff + firstListWithin + 2*balance.FirstDiscoveryBackoff
 
 // errSilent says that a watch was given up as nothing came.
 var errSilent = errors.New("discovery is silent")
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -249,7 +249,7 @@
 			})
 		}
 	}
-	const longest = firstListWithin + balance.LongestReask // a call begun just before the return, and the wait behind it
+	const longest = firstListWithin + balance.MaxDiscoveryBackoff // a call begun just before the return, and the wait behind it
 	for outage := 100 * time.Millisecond; outage < 30*time.Second; outage += 370 * time.Millisecond {
 		followed(t, func(t *testing.T, a *agent, _ *host, told chan time.Time) {
 			<-told
@@ -282,7 +282,7 @@
 			a.down = false
 			a.mu.Unlock()
 			back := time.Now()
-			if took := (<-told).Sub(back); took > balance.PushedReask+20*time.Millisecond {
+			if took := (<-told).Sub(back); took > balance.PushedDiscoveryBackoff+20*time.Millisecond {
 				t.Errorf("told %v after an outage of %v", took, outage)
 			}
 		})
--- a/internal/sidecar/family.go
+++ b/internal/sidecar/family.go
@@ -123,7 +123,7 @@
 			list = append(list, id)
 			o.host.upstream.bar(id, true)
 		}
-		o.host.balancer.HandedOut(o.host.now, list)
+		o.host.balancer.AdoptAdminDown(o.host.now, list)
 	})
 	return errors.Join(err, o.publish(ctx))
 }
@@ -134,7 +134,7 @@
 	o.publishing.Lock()
 	defer o.publishing.Unlock()
 	var out []string
-	if err := o.host.ask(ctx, func() { out = o.host.balancer.Out() }); err != nil {
+	if err := o.host.ask(ctx, func() { out = o.host.balancer.AdminDown() }); err != nil {
 		return err
 	}
 	return o.family.member.Update(func(s *handover.State) { s.Out = out })
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -35,8 +35,8 @@
 	Ready(ctx context.Context) (ready bool, phase string)
 	// Listed says which servers the own list has. It does not wait.
 	Listed(servers []Server)
-	// Saw implements balance.Witness. It does not wait.
-	Saw(endpoint string, s balance.Sight)
+	// Observe implements balance.Observer. It does not wait.
+	Observe(endpoint string, s balance.Observation)
 	// Knows tells whether the staff has ever said anything of a server.
 	Knows(ctx context.Context, server string) (bool, error)
 	// TakeOut passes on a call of the staff. Where confirm says so it waits for others to hold it, and returns how many of those
@@ -118,7 +118,7 @@
 	o.part.Store(&part)
 	o.host.post(func() {
 		o.host.listed = part.Listed
-		o.host.balancer.Watch(part)
+		o.host.balancer.SetObserver(part)
 		o.host.tellList()
 	})
 	select {
@@ -127,7 +127,7 @@
 	}
 	return func() {
 		cancel()
-		o.host.post(func() { o.host.balancer.Watch(nil); o.host.balancer.Doubted(nil) })
+		o.host.post(func() { o.host.balancer.SetObserver(nil); o.host.balancer.SetSuspected(nil) })
 		if err := part.Close(); err != nil {
 			log.Warn("leaving the fleet", "err", err)
 		}
@@ -148,7 +148,7 @@
 func (o *ops) obey(out []string) {
 	o.host.post(func() {
 		now, here := map[string]bool{}, map[string]bool{}
-		for _, id := range o.host.balancer.Out() {
+		for _, id := range o.host.balancer.AdminDown() {
 			here[id] = true
 		}
 		var news []string
@@ -159,7 +159,7 @@
 			}
 		}
 		if len(news) > 0 {
-			o.host.balancer.HandedOut(o.host.now, news)
+			o.host.balancer.AdoptAdminDown(o.host.now, news)
 		}
 		for id := range o.obeys {
 			if !now[id] && here[id] {
@@ -177,11 +177,11 @@
 // doubt takes in which servers the fleet doubts. It does not wait.
 func (o *ops) doubt(doubts []Doubt) {
 	o.host.post(func() {
-		words := make([]balance.Word, 0, len(doubts))
+		words := make([]balance.PeerReport, 0, len(doubts))
 		for _, d := range doubts {
-			words = append(words, balance.Word{ID: d.ID, Since: o.host.now - d.Age})
+			words = append(words, balance.PeerReport{ID: d.ID, WrittenAt: o.host.now - d.Age})
 		}
-		o.host.balancer.Doubted(words)
+		o.host.balancer.SetSuspected(words)
 	})
 }
 
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -121,7 +121,7 @@
 		h.rev = c.Known.Rev
 	}
 	h.list(balance.ListRemembered, c.Known)
-	if !c.Settings.AskDiscovery {
+	if !c.Settings.PollDiscovery {
 		h.Subscribe() // an agent that pushes tells all who listen
 	}
 	return h, nil
@@ -195,7 +195,7 @@
 	h.calls[c.number] = c
 	h.giveUpInTime(c)
 	h.balancer.Request(h.now, balance.Request{ID: c.number, Class: c.place, Tenant: c.tenant,
-		Within: c.deadline.Sub(h.origin) - h.now, Retry: c.retry, Terms: &c.Class})
+		Timeout: c.deadline.Sub(h.origin) - h.now, Retry: c.retry, ClassTerms: &c.Class})
 }
 
 // gone tells whether the client of a request has left, also where its connection still has bytes that nobody has read.
@@ -251,7 +251,7 @@
 		h.log.Warn("request overdue", "class", c.Name)
 	}
 	final := answer{kind: failed}
-	if len(c.attempts) == 0 || h.balancer.MayRefuse(c.number) {
+	if len(c.attempts) == 0 || h.balancer.MayReject(c.number) {
 		final = answer{kind: refused, after: h.terms.Load().again}
 	}
 	h.answer(c, final)
@@ -353,8 +353,8 @@
 	}
 }
 
-// Refuse answers that a retry does no harm.
-func (h *host) Refuse(id balance.RequestID, after time.Duration) {
+// Reject answers that a retry does no harm.
+func (h *host) Reject(id balance.RequestID, after time.Duration) {
 	h.end(id, answer{kind: refused, after: after})
 }
 
@@ -382,8 +382,8 @@
 	h.upstream.update(l)
 	entries := make([]balance.Endpoint, 0, len(l.Targets))
 	for _, t := range l.Targets {
-		entries = append(entries, balance.Endpoint{ID: t.ID, Zone: t.Zone, Kind: t.Kind, Cell: t.Cell, State: t.State,
-			Size: t.Size, Started: h.starts.of(t)})
+		entries = append(entries, balance.Endpoint{ID: t.ID, Zone: t.Zone, Kind: t.Kind, PodGroup: t.Cell, State: t.State,
+			Weight: t.Size, Started: h.starts.of(t)})
 	}
 	h.starts.update(h.now, kind, l)
 	h.balancer.Endpoints(h.now, kind, entries)
--- a/internal/sidecar/ops.go
+++ b/internal/sidecar/ops.go
@@ -50,7 +50,7 @@
 // Figures implements console.Sidecar.
 func (o *ops) Figures(ctx context.Context) ([]byte, error) {
 	var g stats.Gauges
-	err := o.host.ask(ctx, func() { g.Known, g.Skipped = o.host.balancer.Count(o.host.now) })
+	err := o.host.ask(ctx, func() { g.Known, g.Skipped = o.host.balancer.CountEndpoints(o.host.now) })
 	if err != nil {
 		return nil, err
 	}
@@ -110,7 +110,7 @@
 
 // takeOut takes a server out by hand, or puts it back, and tells whether it is known.
 func (h *host) takeOut(id string, out bool) (known bool) {
-	if known = h.balancer.TakeOut(h.now, id, out); known {
+	if known = h.balancer.SetAdminDown(h.now, id, out); known {
 		h.upstream.bar(id, out)
 	}
 	return known
--- a/internal/sidecar/policy_test.go
+++ b/internal/sidecar/policy_test.go
@@ -38,7 +38,7 @@
 }
 func (f *fakePart) Ready(context.Context) (bool, string)                          { return true, "" }
 func (f *fakePart) Listed([]Server)                                               {}
-func (f *fakePart) Saw(string, balance.Sight)                                     {}
+func (f *fakePart) Observe(string, balance.Observation)                           {}
 func (f *fakePart) Knows(context.Context, string) (bool, error)                   { return false, nil }
 func (f *fakePart) TakeOut(context.Context, string, bool, bool) (int, int, error) { return 0, 0, nil }
 func (f *fakePart) Status(context.Context) ([]byte, error)                        { return nil, nil }
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -131,7 +131,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Settings.AskDiscovery = true // and so no watch but those of this test
+	c.Settings.PollDiscovery = true // and so no watch but those of this test
 	h, err := newHost(context.Background(), c, slog.New(slog.DiscardHandler), nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -221,7 +221,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Settings.AskDiscovery = true // and so no watch in this test
+	c.Settings.PollDiscovery = true // and so no watch in this test
 	booted := time.Now().Add(-3 * time.Second)
 	for _, tt := range []struct {
 		boot time.Time
@@ -422,7 +422,7 @@
 	}
 	if s := c.Settings; c.Name != "n7" || s.Seed != 0x8c1f30d27a5be964 || s.Service != "back" || len(s.Zones) != 2 || s.Peers != 1 ||
 		s.Classes[1].Effect != balance.Deduplicated || s.Classes[1].Scope != balance.ScopeAll ||
-		s.Classes[2].Aim != 20*time.Second || c.Names.Tenant["acme, east"] != 0 || len(c.Names.Tenant) != 1 ||
+		s.Classes[2].LatencyObjective != 20*time.Second || c.Names.Tenant["acme, east"] != 0 || len(c.Names.Tenant) != 1 ||
 		c.Limits.ConnectTimeout != 5*time.Second || c.Limits.MostHeld != 20000 || c.Sockets != 1024 {
 		t.Errorf("configuration %+v", c)
 	}
--- a/internal/sidecar/starts_test.go
+++ b/internal/sidecar/starts_test.go
@@ -25,7 +25,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Settings.AskDiscovery = true // and so no watch but that of this test
+		c.Settings.PollDiscovery = true // and so no watch but that of this test
 		h, err := newHost(context.Background(), c, slog.New(slog.DiscardHandler), nil)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/sidecar/terms.go
+++ b/internal/sidecar/terms.go
@@ -33,7 +33,7 @@
 	for name, i := range names.Class {
 		c := set.Classes[i]
 		t.classes[name] = &term{Class: c, place: places[i], counts: figures.Class(name)}
-		t.again = min(cmp.Or(t.again, c.Aim), c.Aim)
+		t.again = min(cmp.Or(t.again, c.LatencyObjective), c.LatencyObjective)
 	}
 	return t
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -189,14 +189,14 @@
 	}
 	c.above("limits.try_limit")
 	s := balance.Settings{
-		Seed: seed, Self: c.integer("ordinal"), Peers: c.integer("peers_total"), Zone: c.values["my_zone"],
+		Seed: seed, Ordinal: c.integer("ordinal"), Peers: c.integer("peers_total"), Zone: c.values["my_zone"],
 		Zones: c.list("areas"), Kinds: c.list("models"),
 		MaxAttempts: c.integer("limits.try_limit"), CancelAllowed: c.boolean("limits.cancelling"),
-		CopiesAllowed: c.boolean("limits.second_copies"),
-		AskDiscovery:  choose(c, "discovery", map[string]bool{"pushed": false, "on_request": true}),
-		MustAsk:       c.duration("rules.must_ask_in_s"), ColdTime: c.duration("rules.cold_s"),
-		StartCapacity: c.float("rules.start_capacity"), FallMultiple: c.float("rules.fall_multiple"),
-		FallTime: c.duration("rules.fall_s"), CrossCharge: c.float("charges.cross_zone"),
+		HedgingAllowed: c.boolean("limits.second_copies"),
+		PollDiscovery:  choose(c, "discovery", map[string]bool{"pushed": false, "on_request": true}),
+		MaxListAge:     c.duration("rules.must_ask_in_s"), SlowStartWindow: c.duration("rules.cold_s"),
+		SlowStartCapacity: c.float("rules.start_capacity"), OverloadMultiple: c.float("rules.fall_multiple"),
+		OverloadWindow: c.duration("rules.fall_s"), CrossZoneCharge: c.float("charges.cross_zone"),
 	}
 	if tiers := c.list("tiers"); c.integer("tier") >= 0 && c.integer("tier") < len(tiers) {
 		s.Service = tiers[c.integer("tier")]
@@ -209,11 +209,11 @@
 			Name: c.need(at + "name"),
 			Effect: choose(c, at+"effect", map[string]balance.Effect{"idempotent": balance.Idempotent,
 				"deduplicated": balance.Deduplicated, "at_most_once": balance.AtMostOnce}),
-			Scope: choose(c, at+"group", map[string]balance.Scope{"": balance.ScopeCell, "-": balance.ScopeCell,
-				"all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell}),
-			DedupeWindow: c.duration(at + "window_s"), Aim: c.duration(at + "aim_s"),
-			Deadline: c.duration(at + "deadline_s"), Worth: c.float(at + "credit"),
-			LateWorth: c.float(at + "late_value"),
+			Scope: choose(c, at+"group", map[string]balance.Scope{"": balance.ScopePodGroup, "-": balance.ScopePodGroup,
+				"all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopePodGroup}),
+			DedupeWindow: c.duration(at + "window_s"), LatencyObjective: c.duration(at + "aim_s"),
+			Deadline: c.duration(at + "deadline_s"), Priority: c.float(at + "credit"),
+			LateShare: c.float(at + "late_value"),
 		})
 		names.Class[s.Classes[i].Name] = i
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -344,7 +344,7 @@
 		if string(r.parts[0]) != "ITEM" {
 			return fmt.Errorf("%q where an entry is due", r.parts[0])
 		}
-		item := balance.Endpoint{ID: r.text(1), Zone: r.text(2), Kind: r.text(3), Cell: int(r.optional64(4)), Size: 1}
+		item := balance.Endpoint{ID: r.text(1), Zone: r.text(2), Kind: r.text(3), PodGroup: int(r.optional64(4)), Weight: 1}
 		if item.ID == "" {
 			r.fail(1, "a server")
 		}
@@ -358,7 +358,7 @@
 			r.fail(5, "a state")
 		}
 		if !r.absent(6) {
-			item.Size = r.float(6)
+			item.Weight = r.float(6)
 		}
 		if !r.absent(7) {
 			item.Started = r.duration(7)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -54,16 +54,16 @@
 		t.Errorf("time %v, instance %d", events[0].Now, events[1].Instance)
 	}
 	s := events[2].Settings
-	if s.Seed != 7 || s.Self != 1 || s.Peers != 3 || !s.AskDiscovery ||
-		s.ColdTime != 9500*time.Millisecond || len(s.Zones) != 2 || s.Service != "back" || s.Tenants[0].Allowance != 12 {
+	if s.Seed != 7 || s.Ordinal != 1 || s.Peers != 3 || !s.PollDiscovery ||
+		s.SlowStartWindow != 9500*time.Millisecond || len(s.Zones) != 2 || s.Service != "back" || s.Tenants[0].Allowance != 12 {
 		t.Errorf("settings %+v", s)
 	}
-	if c := s.Classes[0]; c.Effect != balance.Deduplicated || c.Scope != balance.ScopeCell || c.Worth != 4 || c.Aim != time.Second/2 {
+	if c := s.Classes[0]; c.Effect != balance.Deduplicated || c.Scope != balance.ScopePodGroup || c.Priority != 4 || c.LatencyObjective != time.Second/2 {
 		t.Errorf("class %+v", c)
 	}
 	list := events[3].Entries
-	if events[3].List != balance.ListRemembered || len(list) != 2 || list[0].Size != 1.5 || list[0].Cell != 4 ||
-		list[0].Started != 6100*time.Millisecond || list[1].State != balance.Draining || list[1].Size != 1 {
+	if events[3].List != balance.ListRemembered || len(list) != 2 || list[0].Weight != 1.5 || list[0].PodGroup != 4 ||
+		list[0].Started != 6100*time.Millisecond || list[1].State != balance.Draining || list[1].Weight != 1 {
 		t.Errorf("list %+v", list)
 	}
 	if e := events[4]; e.ID != 15 || e.Class != "read" || e.Tenant != "acme" || e.Within != 240*time.Millisecond || !e.Retry {
