--- a/balance/api.go
+++ b/balance/api.go
@@ -62,8 +62,8 @@
 type Destination struct {
 	Weight float64
 	Match  Match
-	// PerEndpointWeight makes Weight the weight of each unit of registered size that is ready in the group, in place of
-	// the weight of the whole group.
+	// PerEndpointWeight makes Weight the weight of each unit of registered size that is ready in the group,
+	// in place of the weight of the whole group.
 	PerEndpointWeight bool
 }
 
@@ -125,18 +125,26 @@
 	PushedDiscoveryBackoff = 200 * time.Millisecond
 )
 
-// SchedulingStall is the longest time that a process is taken to be held up between a check, such as a reading of its
-// clock, and the write that the check allowed. Each rule about when something is written covers it:
+// SchedulingStall is the longest time that a process is taken to be held up between a check, such as a
+// reading of its clock, and the write that the check allowed. Each rule about when something is written
+// covers it:
 //
-//   - the time that an attempt tells its server: the slack of the rule is as long as the stall and covers it whole.
-//     What the way takes comes from the margin that the host keeps before the client's deadline.
-//   - the final answer: it may come half a second after the client's time, which is longer.
-//   - drain: nothing begins later than 1 s after the notification. The host looks at the list again just before an
-//     attempt's first byte, so a list taken in late by one stall and a write held up by another one take 0.3 s.
+// - the time that an attempt tells its server: the slack of the rule is as long as the stall and covers it
+// whole.
+//
+//	  What the way takes comes from the margin that the host keeps before the client's deadline.
+//	- the final answer: it may come half a second after the client's time, which is longer.
+//
+// - drain: nothing begins later than 1 s after the notification. The host looks at the list again just
+// before an
+// attempt's first byte, so a list taken in late by one stall and a write held up by another one take 0.3 s.
 //   - the window in which repeats are dropped: no slack covers the stall, so arrivalMargin keeps it free.
-//   - a client that has gone: its 0.1 s are less than the stall, and no margin helps. The host reads the clock first
-//     and looks at the client's connection last, so that a stall behind the clock is over by then.
-//   - the kill: the host keeps the stall free between the last answers and the earliest kill.
+//
+// - a client that has gone: its 0.1 s are less than the stall, and no margin helps. The host reads the
+// clock first
+//
+//	  and looks at the client's connection last, so that a stall behind the clock is over by then.
+//	- the kill: the host keeps the stall free between the last answers and the earliest kill.
 const SchedulingStall = 150 * time.Millisecond
 
 // Endpoint is one entry of discovery's list.
@@ -252,10 +260,3 @@
 	ID        string
 	WrittenAt Time // when the youngest of what it rests on was written
 }
-
-// MayReject reports whether a request without a final answer may be refused by its host: as its class allows repeats, or
-// as none of its attempts may have run. One that is in flight may have. It changes nothing.
-func (b *Balancer) MayReject(id RequestID) bool {
-	q := b.requests[id]
-	return q != nil && !q.ended && b.mayReject(q)
-}
--- a/balance/burst_test.go
+++ b/balance/burst_test.go
@@ -61,7 +61,10 @@
 		if seed>>33%15 == 0 {
 			outcome = Errored
 		}
-		b.Result(h.now, Result{ID: i + 1, Endpoint: to, Outcome: outcome, Took: 20 * time.Millisecond, Finished: true})
+		b.Result(
+			h.now,
+			Result{ID: i + 1, Endpoint: to, Outcome: outcome, Took: 20 * time.Millisecond, Finished: true},
+		)
 		if i%20 == 0 {
 			b.Timer(h.now, tokenTick)
 		}
@@ -77,7 +80,10 @@
 			outcome = Errored
 			failed++
 		}
-		b.Result(h.now, Result{ID: i + 5000, Endpoint: to, Outcome: outcome, Took: 20 * time.Millisecond, Finished: true})
+		b.Result(
+			h.now,
+			Result{ID: i + 5000, Endpoint: to, Outcome: outcome, Took: 20 * time.Millisecond, Finished: true},
+		)
 	}
 	if failed > 20 {
 		t.Errorf("%d requests went to an endpoint that always fails", failed)
@@ -125,7 +131,10 @@
 		if to != "" && to < "e" && i%2 == 0 {
 			outcome = Reset
 		}
-		b.Result(h.now, Result{ID: i + 1, Endpoint: to, Outcome: outcome, Took: 20 * time.Millisecond, Finished: true})
+		b.Result(
+			h.now,
+			Result{ID: i + 1, Endpoint: to, Outcome: outcome, Took: 20 * time.Millisecond, Finished: true},
+		)
 	}
 	ejected := map[string]bool{}
 	for _, line := range h.logs {
--- a/balance/byhand_test.go
+++ b/balance/byhand_test.go
@@ -23,7 +23,10 @@
 // TestTakenOut takes an endpoint out by hand, with everything that discovery can say of it in between.
 // Danger: the staff works on a machine that traffic returns to.
 func TestTakenOut(t *testing.T) {
-	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}, {ID: "b", Zone: "x", Kind: "big", Weight: 1}}
+	list := []Endpoint{
+		{ID: "a", Zone: "x", Kind: "big", Weight: 1},
+		{ID: "b", Zone: "x", Kind: "big", Weight: 1},
+	}
 	restarted := slices.Clone(list)
 	for _, tt := range []struct {
 		name string
--- a/balance/check.go
+++ b/balance/check.go
@@ -35,10 +35,14 @@
 			return fmt.Errorf("tenant %d, %q: %w", i, t.Name, err)
 		}
 	}
-	return errors.Join(checkAmount("FallMultiple", set.OverloadMultiple), checkAmount("CrossCharge", set.CrossZoneCharge),
+	return errors.Join(
+		checkAmount("FallMultiple", set.OverloadMultiple),
+		checkAmount("CrossCharge", set.CrossZoneCharge),
 		checkTime("MustAsk", set.MaxListAge),
 		checkTime("ColdTime", set.SlowStartWindow),
-		checkTime("FallTime", set.OverloadWindow), checkRules(set.Rules))
+		checkTime("FallTime", set.OverloadWindow),
+		checkRules(set.Rules),
+	)
 }
 
 // within tells whether x is a number from low to high.
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -12,6 +12,31 @@
 	"github.com/cespare/xxhash/v2"
 )
 
+// endpoint is a server and what this sidecar has of it.
+type endpoint struct {
+	Endpoint
+	observations
+	inFlight        int      // this sidecar's attempts out
+	dueSinceSum     Time     // sum of the times since which those are owed
+	lastResponse    Time     // when it last answered
+	reportedAt      Time     // when others last spoke ill of it; 0: they do not
+	warmth          float64  // share of its capacity that it has
+	awaitsFirstTurn bool     // its process has started and has no turn yet
+	turns           turns    // while it is cold, towards its next request
+	zoneIndex       int      // 1 in another zone, 0 in the sidecar's own
+	homeGroup       *group   // the first whose tags it carries; its peers there are alike
+	memberOf        []*group // of the rule, whose tags it carries
+	ringKey         uint64   // its place on their rings
+	listed          bool     // it is in the index
+	listPosition    int      // and where
+	usable          bool     // and in the rings: ready, and not out
+	inColdList      bool     // in the list of the cold ones
+	countedWarmth   float64  // the warmth that it counts with in its groups' sizes
+	active          bool     // in the subset of one of them
+	eligible        bool     // may be chosen for the request in hand
+	expectedSeconds float64  // seconds that it was expected to take for that
+}
+
 // index is what is listed, in order.
 type index struct {
 	listed           []*endpoint          // listed, in no order; each has its place in at
@@ -77,9 +102,9 @@
 	}
 }
 
-// retryDiscovery has discovery be called again after a call that failed. Sidecars that call again at once, all
-// together, keep a weak list service from ever answering. One that waits for long is told of changes too
-// late.
+// retryDiscovery has discovery be called again after a call that failed. Sidecars that call again at once,
+// all together, keep a weak list service from ever answering. One that waits for long is told of changes
+// too late.
 func (b *Balancer) retryDiscovery() {
 	b.subscribed = false
 	wait := min(FirstDiscoveryBackoff<<min(b.discoveryFailures, 8), MaxDiscoveryBackoff)
@@ -134,7 +159,8 @@
 	return !slices.ContainsFunc(b.groups[:len(b.groups)-1], func(g *group) bool { return len(g.endpoints) > 0 })
 }
 
-// setFallbackGroup makes the ring of all ready endpoints, which is kept while no other has any, or lets go of it.
+// setFallbackGroup makes the ring of all ready endpoints, which is kept while no other has any, or lets go
+// of it.
 func (b *Balancer) setFallbackGroup(bare bool) {
 	g := b.allEndpoints
 	b.subsetsStale, b.resettled, g.inUse = true, true, bare
--- a/balance/endpoints_test.go
+++ b/balance/endpoints_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestIndexIsWhatIsListed draws lists, changes and what is taken out by hand: the index holds just what a look at all that
-// was told gives.
+// TestIndexIsWhatIsListed draws lists, changes and what is taken out by hand: the index holds just what a
+// look at all that was told gives.
 func TestIndexIsWhatIsListed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, err := New(settings(), &host{})
@@ -72,7 +72,8 @@
 		t.Fatalf("%d endpoints, %v by side, want %d", len(b.listed), b.listedByZone, len(listed))
 	}
 	for i, e := range b.listed {
-		if want, known := listed[e.ID]; !known || e.listPosition != i || e.Zone != want.Zone || e.State != want.State {
+		if want, known := listed[e.ID]; !known || e.listPosition != i || e.Zone != want.Zone ||
+			e.State != want.State {
 			t.Fatalf("%v at %d, listed %v", e.Endpoint, i, want)
 		}
 	}
@@ -82,7 +83,9 @@
 		var total float64
 		var size [2]float64
 		for _, e := range b.listed {
-			ok, _ := g.destination.Match.matches(map[string]string{"service": "backend", "region": e.Zone, "version": e.Kind})
+			ok, _ := g.destination.Match.matches(
+				map[string]string{"service": "backend", "region": e.Zone, "version": e.Kind},
+			)
 			if ok && e.State == Ready && !out[e.ID] && (g != b.allEndpoints || g.inUse) {
 				ids = append(ids, e.ID)
 				total += e.Weight
@@ -143,8 +146,8 @@
 	return b, h
 }
 
-// TestChangeCostsWhatItChanges counts the endpoints that a sidecar looks at while others come and go, and in its ticks:
-// these are no more where the fleet is sixteen times as large.
+// TestChangeCostsWhatItChanges counts the endpoints that a sidecar looks at while others come and go, and
+// in its ticks: these are no more where the fleet is sixteen times as large.
 func TestChangeCostsWhatItChanges(t *testing.T) {
 	const changes = 200
 	cost := func(servers int) (change, tick float64) {
@@ -202,8 +205,8 @@
 	}
 }
 
-// TestSubsetStaysPut changes a large fleet, one endpoint at a time: each change brings a subset one new member at most, and
-// over all no more come than have gone, or started in their midst.
+// TestSubsetStaysPut changes a large fleet, one endpoint at a time: each change brings a subset one new
+// member at most, and over all no more come than have gone, or started in their midst.
 func TestSubsetStaysPut(t *testing.T) {
 	numbered := func(i int) string { return fmt.Sprintf("s%05d", 5000+i) }
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -262,7 +265,8 @@
 	}
 }
 
-// TestSubsetsStayEven replaces a whole fleet, one endpoint at a time: the subsets of all sidecars are still spread over it.
+// TestSubsetsStayEven replaces a whole fleet, one endpoint at a time: the subsets of all sidecars are still
+// spread over it.
 func TestSubsetsStayEven(t *testing.T) {
 	const peers = 150
 	for _, tt := range []struct {
@@ -283,7 +287,11 @@
 				for i, e := range list {
 					e.State = Removed
 					b.Endpoints(h.now, ListChanges, []Endpoint{e})
-					b.Endpoints(h.now, ListChanges, []Endpoint{{ID: fmt.Sprint("next", i), Zone: "x", Kind: "big", Weight: 1}})
+					b.Endpoints(
+						h.now,
+						ListChanges,
+						[]Endpoint{{ID: fmt.Sprint("next", i), Zone: "x", Kind: "big", Weight: 1}},
+					)
 				}
 				for range 15 { // seconds
 					b.takeSubsets(h.now)
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -16,9 +16,14 @@
 func (printer) Cancel(id balance.RequestID, attempt int)     { fmt.Println("cancel", id, attempt) }
 func (printer) Reject(id balance.RequestID, _ time.Duration) { fmt.Println("refuse", id) }
 func (printer) Fail(id balance.RequestID)                    { fmt.Println("fail", id) }
-func (printer) Timer(time.Duration, uint64)                  {} // a real host calls Balancer.Timer when it is due
-func (printer) Subscribe()                                   {}
-func (printer) Log(text string)                              { fmt.Println(text) }
+
+func (printer) Timer(
+	time.Duration,
+	uint64,
+) {
+}                               // a real host calls Balancer.Timer when it is due
+func (printer) Subscribe()      {}
+func (printer) Log(text string) { fmt.Println(text) }
 
 func Example() {
 	b, err := balance.New(balance.Settings{
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -142,8 +142,8 @@
 	})
 }
 
-// TestStartedEndpointsOfAThousandSidecars is the same at the end of the range, with the cold endpoints behind the
-// warm ones in the rotation, and among them.
+// TestStartedEndpointsOfAThousandSidecars is the same at the end of the range, with the cold endpoints
+// behind the warm ones in the rotation, and among them.
 func TestStartedEndpointsOfAThousandSidecars(t *testing.T) {
 	for _, mixed := range []bool{false, true} {
 		t.Run(fmt.Sprint("mixed ", mixed), func(t *testing.T) { checkShares(t, 2000, 10, 4, mixed) })
@@ -188,7 +188,13 @@
 			}
 			capacity := set.SlowStartCapacity + (1-set.SlowStartCapacity)*(last-told).Seconds()/set.SlowStartWindow.Seconds()
 			if most := set.OverloadMultiple * capacity * each * set.OverloadWindow.Seconds(); window > most {
-				t.Errorf("%d sidecars: %v requests to a cold endpoint within %v, the rule allows %.0f", sidecars, window, set.OverloadWindow, most)
+				t.Errorf(
+					"%d sidecars: %v requests to a cold endpoint within %v, the rule allows %.0f",
+					sidecars,
+					window,
+					set.OverloadWindow,
+					most,
+				)
 				return
 			}
 		}
@@ -196,7 +202,14 @@
 		// of the cold.
 		fair := rate / (float64(warm) + 0.65*float64(cold)) * 0.65 * set.SlowStartWindow.Seconds()
 		if got := float64(len(sends)); got < 0.6*fair || got > 1.5*fair {
-			t.Errorf("%d sidecars, %d warm: a cold endpoint of %d got %v requests, %.0f would be even", sidecars, warm, cold, got, fair)
+			t.Errorf(
+				"%d sidecars, %d warm: a cold endpoint of %d got %v requests, %.0f would be even",
+				sidecars,
+				warm,
+				cold,
+				got,
+				fair,
+			)
 		}
 	}
 }
@@ -244,7 +257,14 @@
 			capacity := set.SlowStartCapacity + (1-set.SlowStartCapacity)*(at-told).Seconds()/set.SlowStartWindow.Seconds()
 			n := multiple * capacity * each * set.OverloadWindow.Seconds()
 			if most := n + 2*math.Sqrt(n) + 2; float64(window) > most {
-				t.Errorf("multiple %v: %d requests within %v from %v on, %.0f fell it", multiple, window, set.OverloadWindow, at-told, most)
+				t.Errorf(
+					"multiple %v: %d requests within %v from %v on, %.0f fell it",
+					multiple,
+					window,
+					set.OverloadWindow,
+					at-told,
+					most,
+				)
 				break
 			}
 		}
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -48,7 +48,10 @@
 			outcome = Errored
 			failed++
 		}
-		b.Result(h.now, Result{ID: i, Endpoint: to, Outcome: outcome, Took: time.Millisecond, Finished: outcome == Served})
+		b.Result(
+			h.now,
+			Result{ID: i, Endpoint: to, Outcome: outcome, Took: time.Millisecond, Finished: outcome == Served},
+		)
 	}
 	if failed == 0 || failed > 3 {
 		t.Errorf("%d requests went to an endpoint that fails every one, want 1 to 3", failed)
@@ -64,7 +67,10 @@
 			outcome = Errored
 			back++
 		}
-		b.Result(h.now, Result{ID: i, Endpoint: to, Outcome: outcome, Took: time.Millisecond, Finished: outcome == Served})
+		b.Result(
+			h.now,
+			Result{ID: i, Endpoint: to, Outcome: outcome, Took: time.Millisecond, Finished: outcome == Served},
+		)
 	}
 	if back != 1 {
 		t.Errorf("%d requests after its return, want 1", back)
@@ -297,8 +303,11 @@
 func TestLittleUsedEndpointIsJudgedByItsGroup(t *testing.T) {
 	// Small endpoints are idle and quick, big ones crowded and slow, though twice the size. A small one that was
 	// never used must not be expected to be slower than the big ones.
-	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 2}, {ID: "b", Zone: "x", Kind: "small", Weight: 1},
-		{ID: "c", Zone: "x", Kind: "small", Weight: 1}}
+	list := []Endpoint{
+		{ID: "a", Zone: "x", Kind: "big", Weight: 2},
+		{ID: "b", Zone: "x", Kind: "small", Weight: 1},
+		{ID: "c", Zone: "x", Kind: "small", Weight: 1},
+	}
 	b, h := start(t, settings(), list)
 	for i := range RequestID(60) {
 		to := ask(b, h, i)
--- a/balance/hedge_test.go
+++ b/balance/hedge_test.go
@@ -90,7 +90,13 @@
 			f.until(f.now + patience)
 		}
 		if most := tt.needless * float64(requests); float64(needless) > most {
-			t.Errorf("%s: %d of %d requests were hedged needlessly, want %.0f at most", tt.name, needless, requests, most)
+			t.Errorf(
+				"%s: %d of %d requests were hedged needlessly, want %.0f at most",
+				tt.name,
+				needless,
+				requests,
+				most,
+			)
 		}
 		if hedged < lost*9/10 {
 			t.Errorf("%s: %d of %d lost attempts were hedged", tt.name, hedged, lost)
--- a/balance/host_test.go
+++ b/balance/host_test.go
@@ -59,7 +59,9 @@
 	return Settings{Seed: 1, Peers: 1, Zone: "x", Zones: []string{"x", "y"}, Kinds: []string{"big", "small"},
 		Service: "backend", MaxAttempts: 3, SlowStartWindow: 10 * time.Second, SlowStartCapacity: 0.3, OverloadMultiple: 3,
 		OverloadWindow: time.Second, CrossZoneCharge: 0.03,
-		Classes: []Class{{Name: "read", Effect: Idempotent, LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1}}}
+		Classes: []Class{
+			{Name: "read", Effect: Idempotent, LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1},
+		}}
 }
 
 // start returns a running Balancer that knows list.
--- a/balance/loadlevel_test.go
+++ b/balance/loadlevel_test.go
@@ -51,7 +51,10 @@
 // wide is a list of many endpoints that are alike.
 func wide(n int) (list []Endpoint) {
 	for i := range n {
-		list = append(list, Endpoint{ID: string(rune('a'+i/26)) + string(rune('a'+i%26)), Zone: "x", Kind: "big", Weight: 1})
+		list = append(
+			list,
+			Endpoint{ID: string(rune('a'+i/26)) + string(rune('a'+i%26)), Zone: "x", Kind: "big", Weight: 1},
+		)
 	}
 	return list
 }
--- a/balance/loss_test.go
+++ b/balance/loss_test.go
@@ -98,7 +98,10 @@
 			f.inTime++
 		}
 	}
-	f.b.Result(f.now, Result{ID: id, Attempt: n, Endpoint: f.to[id][n], Outcome: how, Took: f.now - sent, Finished: f.over[id]})
+	f.b.Result(
+		f.now,
+		Result{ID: id, Attempt: n, Endpoint: f.to[id][n], Outcome: how, Took: f.now - sent, Finished: f.over[id]},
+	)
 }
 
 func (f *lossy) Cancel(id RequestID, n int) {
@@ -123,8 +126,8 @@
 	return requests
 }
 
-// TestLosses plays a calm time and then a fault: what the fault takes may go, what it leaves must not, and where nothing
-// is lost nothing goes out twice.
+// TestLosses plays a calm time and then a fault: what the fault takes may go, what it leaves must not, and
+// where nothing is lost nothing goes out twice.
 func TestLosses(t *testing.T) {
 	usual := func(f *lossy) time.Duration {
 		return time.Duration(20 * math.Exp(f.rng.NormFloat64()*0.4) * float64(time.Millisecond))
@@ -211,14 +214,21 @@
 			}
 		}
 		if len(f.b.requests) > 0 || f.served+f.refused+f.failed != len(f.class) {
-			t.Errorf("%s: %d requests are left; %d served, %d refused, %d failed of %d", tt.name, len(f.b.requests), f.served,
-				f.refused, f.failed, len(f.class))
+			t.Errorf(
+				"%s: %d requests are left; %d served, %d refused, %d failed of %d",
+				tt.name,
+				len(f.b.requests),
+				f.served,
+				f.refused,
+				f.failed,
+				len(f.class),
+			)
 		}
 	}
 }
 
-// TestBudgetOfRepeats has a request's next attempt be paid for unless none of those before got anywhere. What clients ask
-// again is served, and leaves less for that.
+// TestBudgetOfRepeats has a request's next attempt be paid for unless none of those before got anywhere.
+// What clients ask again is served, and leaves less for that.
 func TestBudgetOfRepeats(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
@@ -257,7 +267,9 @@
 	if len(h.sent) != 1 {
 		t.Fatal("what was paid for was not sent")
 	}
-	if b.Result(h.now, Result{ID: 1, Attempt: 1, Endpoint: h.sent[0].to, Outcome: Errored}); len(h.refused) != 1 {
+	if b.Result(h.now, Result{ID: 1, Attempt: 1, Endpoint: h.sent[0].to, Outcome: Errored}); len(
+		h.refused,
+	) != 1 {
 		t.Errorf("sent %v: one payment was for all attempts that followed", h.sent)
 	}
 }
--- /dev/null
+++ b/balance/requests.go
@@ -0,0 +1,205 @@
+package balance
+
+import (
+	"cmp"
+	"math"
+	"time"
+)
+
+// This file holds the life of a request and its attempts.
+
+const (
+	// maxAttemptsPerRequest is how many attempts of a request timers can tell apart.
+	maxAttemptsPerRequest = 1 << 12
+	// meanTimeStep is the weight of an answer in the mean time of its class.
+	meanTimeStep = 0.05
+	// minAnswerSeconds keeps mean times above 0 where answers seem to take no time.
+	minAnswerSeconds = 1e-6
+)
+
+// request is a request that has no final answer yet, or has attempts without a result.
+type request struct {
+	Request
+	class         *Class
+	deadline      Time
+	overAllowance bool // beyond its tenant's allowance
+	reached       bool // an attempt has reached an endpoint, or may have
+	prepaid       bool // the next attempt is paid from the retry budget already
+	ended         bool // has its final answer
+	outstanding   int  // attempts without a result
+	attempts      []attempt
+}
+
+// attempt is one attempt at a request.
+type attempt struct {
+	endpoint        *endpoint
+	sent            Time
+	dueSince        Time    // since when its answer is taken to be due
+	inFlightThen    float64 // requests that the endpoint held at the sending, this one included
+	done            bool    // has its result
+	mayHaveRun      bool    // done, and may have run
+	uncounted       bool    // does not count as in flight any more
+	countsAsSilence bool    // counts for the silence of its endpoint
+	reportedLate    bool    // the observer was notified that it is late
+	hedged          bool    // another attempt was made, as this one seemed lost
+	expectedAtSend  float64 // seconds that its answer was expected to take when it was sent
+	expectedNow     float64 // and is expected to take by now
+	alarmWeight     float64 // weight of its silence in the test of its class
+	lossProbability float64 // with which it counts as lost already; 0: it does not count yet
+}
+
+// restartWait makes the attempt's answer due from now on.
+func (a *attempt) restartWait(now Time) {
+	if !a.uncounted {
+		a.endpoint.dueSinceSum += now - a.dueSince
+		a.dueSince = now
+	}
+}
+
+// uncount stops counting the attempt as in flight at its endpoint.
+func (a *attempt) uncount() {
+	if !a.uncounted {
+		a.uncounted = true
+		a.endpoint.inFlight--
+		a.endpoint.dueSinceSum -= a.dueSince
+	}
+}
+
+// Request begins a client's request. One whose class is unknown or whose id is in use is ignored.
+func (b *Balancer) Request(now Time, r Request) {
+	if _, twice := b.requests[r.ID]; twice || r.Class < 0 || r.Class >= len(b.settings.Classes) {
+		return
+	}
+	q := &request{
+		Request:       r,
+		class:         cmp.Or(r.ClassTerms, &b.settings.Classes[r.Class]),
+		deadline:      now + r.Timeout,
+		overAllowance: b.overAllowance(r.Tenant, now),
+	}
+	b.requests[r.ID] = q
+	if r.Retry {
+		b.retryBudget.Charge(r.Class)
+	}
+	b.dispatch(q, now)
+}
+
+// dispatch sends the request's next attempt, or ends the request if none may or should be sent.
+func (b *Balancer) dispatch(q *request, now Time) {
+	to, late := (*endpoint)(nil), 0.0
+	if len(q.attempts) < b.settings.MaxAttempts && now < q.deadline {
+		to, late = b.pickEndpoint(q, now)
+	}
+	// Where everything fails, further attempts feed the overload that makes it fail, so they are paid for
+	// from the retry budget. An attempt that never reached an endpoint is free.
+	if to != nil && (!q.reached || q.prepaid || b.retryBudget.Spend(q.Class)) {
+		b.send(q, to, now)
+		return
+	}
+	if b.capacity.warmWeight[1] == 0 {
+		b.sends++ // where all are cold, rejected requests alone bring turns on
+	}
+	if b.mayReject(q) {
+		b.actions.Reject(q.ID, time.Duration(min(max(late, 0), b.objective)*float64(time.Second)))
+	} else {
+		b.actions.Fail(q.ID)
+	}
+	b.end(q)
+}
+
+// send makes an attempt of q at an endpoint.
+func (b *Balancer) send(q *request, to *endpoint, now Time) {
+	to.classes[q.Class].Sent(now, ejectionTime)
+	expected := b.expectedForClass(to.expectedSeconds, q.Class)
+	to.inFlight++
+	to.dueSinceSum += now
+	q.prepaid = false
+	q.outstanding++
+	within := q.latestStart(now)
+	q.attempts = append(q.attempts, attempt{
+		endpoint:       to,
+		sent:           now,
+		dueSince:       now,
+		inFlightThen:   float64(to.inFlight) + unseenRequests,
+		expectedAtSend: expected,
+		expectedNow:    expected,
+	})
+	b.sends++
+	to.turns.reset(b.sends, now, 0)
+	b.actions.Send(q.ID, to.ID, within)
+	last := len(q.attempts) - 1
+	token := tokenAttempt + uint64(q.ID)*maxAttemptsPerRequest + uint64(last)
+	b.scheduleCheck(min(b.lateThreshold(q.Class), b.hedgeDelay(q, &q.attempts[last])), token)
+}
+
+// Result ends an attempt. It leads to the request's final answer, to a retry, or to nothing where others are
+// still out.
+func (b *Balancer) Result(now Time, r Result) {
+	q := b.requests[r.ID]
+	if q == nil || r.Attempt < 0 || r.Attempt >= len(q.attempts) || q.attempts[r.Attempt].done {
+		return
+	}
+	a := &q.attempts[r.Attempt]
+	a.done = true
+	a.mayHaveRun = r.Outcome != Saturated && r.Outcome != ConnectFailed && r.Outcome != NotSent
+	a.uncount()
+	q.reached = q.reached || a.mayHaveRun || r.Outcome == Saturated
+	q.outstanding--
+	switch r.Outcome {
+	case Saturated:
+		// Some endpoints serve one class and turn another away. That makes them neither slow nor full for what
+		// they serve, so they are ejected for that class alone.
+		b.ejectForClass(a.endpoint, q.Class, now+classEjectionTime)
+	case Served:
+		b.recordAnswerTime(q.Class, r.Took)
+		b.retryBudget.Earn(q.Class)
+		if a.endpoint.warmth >= 1 {
+			b.capacity.served++
+		}
+	}
+	if a.sent >= a.endpoint.Started { // what a former process did tells nothing of this one
+		b.recordEnd(q, a, r, now)
+		b.recordOutcome(a, r, now)
+	}
+	switch {
+	case r.Finished || q.ended:
+		b.end(q)
+	case q.outstanding == 0:
+		b.dispatch(q, now)
+	}
+}
+
+// recordAnswerTime updates the mean times with an answer of a class.
+func (b *Balancer) recordAnswerTime(class int, took time.Duration) {
+	seconds := max(took.Seconds(), minAnswerSeconds)
+	deviation := seconds - b.meanTime[class]
+	b.meanTime[class] += meanTimeStep * deviation
+	b.timeDeviation[class] += meanTimeStep * (math.Abs(deviation) - b.timeDeviation[class])
+	b.meanTimeOfAll += meanTimeStep * (seconds - b.meanTimeOfAll)
+}
+
+// AnswerStarted records that a streamed answer has begun.
+func (b *Balancer) AnswerStarted(now Time, id RequestID, attempt int) {
+	q := b.requests[id]
+	if q != nil && attempt >= 0 && attempt < len(q.attempts) && !q.attempts[attempt].done {
+		q.attempts[attempt].restartWait(now) // nothing is due for the time it streams
+	}
+}
+
+// ClientGone ends a request whose client has left: nothing more is owed or sent.
+func (b *Balancer) ClientGone(now Time, id RequestID) {
+	if q := b.requests[id]; q != nil && !q.ended {
+		b.end(q)
+	}
+}
+
+// end marks a request as ended, cancels what is still out for it, and forgets it once nothing is.
+func (b *Balancer) end(q *request) {
+	for i := range q.attempts {
+		if !q.attempts[i].done && !q.ended && b.settings.CancelAllowed {
+			b.actions.Cancel(q.ID, i)
+		}
+	}
+	if q.ended = true; q.outstanding == 0 {
+		delete(b.requests, q.ID)
+	}
+}
--- a/balance/route_test.go
+++ b/balance/route_test.go
@@ -83,13 +83,19 @@
 	kinds := []string{"big", "small"}
 	r := Rule{Name: "canary", Source: Match{"service": "*"}, Service: Match{"service": "*"}}
 	for i, w := range weights {
-		r.Destinations = append(r.Destinations, Destination{Weight: w, Match: Match{"service": "backend", "version": kinds[i]}})
+		r.Destinations = append(
+			r.Destinations,
+			Destination{Weight: w, Match: Match{"service": "backend", "version": kinds[i]}},
+		)
 	}
 	return []Rule{r}
 }
 
 func TestSplitIsSmooth(t *testing.T) {
-	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}, {ID: "b", Zone: "x", Kind: "small", Weight: 1}}
+	list := []Endpoint{
+		{ID: "a", Zone: "x", Kind: "big", Weight: 1},
+		{ID: "b", Zone: "x", Kind: "small", Weight: 1},
+	}
 	order := routes(t, canary(80, 20), list, 100)
 	if got := count(order); got["a"] != 80 || got["b"] != 20 {
 		t.Fatalf("split %v, want 80 and 20", got)
@@ -115,19 +121,29 @@
 }
 
 func TestUnequalKindsBySize(t *testing.T) {
-	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 3}, {ID: "b", Zone: "x", Kind: "small", Weight: 1}}
+	list := []Endpoint{
+		{ID: "a", Zone: "x", Kind: "big", Weight: 3},
+		{ID: "b", Zone: "x", Kind: "small", Weight: 1},
+	}
 	if got := count(routes(t, nil, list, 40)); got["a"] != 30 || got["b"] != 10 {
 		t.Errorf("turns %v, want 30 and 10", got)
 	}
 }
 
 func TestWeightFollowsReadyMembers(t *testing.T) {
-	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}, {ID: "b", Zone: "x", Kind: "big", Weight: 1},
-		{ID: "c", Zone: "x", Kind: "small", Weight: 1}}
+	list := []Endpoint{
+		{ID: "a", Zone: "x", Kind: "big", Weight: 1},
+		{ID: "b", Zone: "x", Kind: "big", Weight: 1},
+		{ID: "c", Zone: "x", Kind: "small", Weight: 1},
+	}
 	set := settings()
 	set.Rules = canary(50, 50)
 	b, _ := start(t, set, list)
-	b.Endpoints(time.Second, ListChanges, []Endpoint{{ID: "b", Zone: "x", Kind: "big", Weight: 1, State: Draining}})
+	b.Endpoints(
+		time.Second,
+		ListChanges,
+		[]Endpoint{{ID: "b", Zone: "x", Kind: "big", Weight: 1, State: Draining}},
+	)
 	if w := b.groups[0].weight(b.zoneWeight); math.Abs(w-25) > 1e-9 {
 		t.Errorf("a group that lost half of its members weighs %v, want 25", w)
 	}
@@ -140,14 +156,21 @@
 	if got := count(routes(t, canary(50, 50), one, 10)); got["a"] != 10 {
 		t.Errorf("turns %v, want all at a", got)
 	}
-	unknown := []Endpoint{{ID: "a", Zone: "x", Kind: "new", Weight: 1}, {ID: "b", Zone: "x", Kind: "new", Weight: 1}}
+	unknown := []Endpoint{
+		{ID: "a", Zone: "x", Kind: "new", Weight: 1},
+		{ID: "b", Zone: "x", Kind: "new", Weight: 1},
+	}
 	if got := count(routes(t, canary(50, 50), unknown, 10)); got["a"] != 5 || got["b"] != 5 {
 		t.Errorf("turns %v, want 5 each", got)
 	}
 }
 
 func TestYield(t *testing.T) {
-	b, h := start(t, settings(), []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}, {ID: "b", Zone: "x", Kind: "big", Weight: 1}})
+	b, h := start(
+		t,
+		settings(),
+		[]Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}, {ID: "b", Zone: "x", Kind: "big", Weight: 1}},
+	)
 	for i := range 4 {
 		b.Request(h.now, Request{ID: RequestID(i), Tenant: -1, Timeout: time.Second})
 	}
@@ -192,13 +215,21 @@
 	}{
 		{"no classes", func(s *Settings) { s.Classes = nil }, "field Classes"},
 		{"no aim", func(s *Settings) { s.Classes[0].LatencyObjective = 0 }, `class 0, "read": field Aim`},
-		{"deadline before the aim", func(s *Settings) { s.Classes[0].Deadline = time.Millisecond }, "field Deadline"},
+		{
+			"deadline before the aim",
+			func(s *Settings) { s.Classes[0].Deadline = time.Millisecond },
+			"field Deadline",
+		},
 		{"unknown effect", func(s *Settings) { s.Classes[0].Effect = 9 }, "field Effect"},
 		{"unknown scope", func(s *Settings) { s.Classes[0].Scope = -1 }, "field Scope"},
 		{"worth is no number", func(s *Settings) { s.Classes[0].Priority = math.NaN() }, "field Worth"},
 		{"late answers worth more", func(s *Settings) { s.Classes[0].LateShare = 1.5 }, "field LateWorth"},
 		{"negative window", func(s *Settings) { s.Classes[0].DedupeWindow = -1 }, "field DedupeWindow"},
-		{"negative allowance", func(s *Settings) { s.Tenants = []Tenant{{"t", -1}} }, `tenant 0, "t": field Allowance`},
+		{
+			"negative allowance",
+			func(s *Settings) { s.Tenants = []Tenant{{"t", -1}} },
+			`tenant 0, "t": field Allowance`,
+		},
 		{"no peers", func(s *Settings) { s.Peers = 0 }, "field Peers"},
 		{"number beyond its peers", func(s *Settings) { s.Ordinal = 1 }, "field Self: sidecar 1 of 1"},
 		{"no attempts", func(s *Settings) { s.MaxAttempts = 0 }, "field MaxAttempts"},
@@ -216,7 +247,11 @@
 			`"canary": field Destinations`},
 		{"no weight", func(s *Settings) { s.Rules = canary(0, 0) }, `"canary": field Destinations`},
 		{"no destination", func(s *Settings) { s.Rules = canary() }, `"canary": field Destinations`},
-		{"no source", func(s *Settings) { s.Rules = canary(1, 1); s.Rules[0].Source = nil }, `"canary": field Source`},
+		{
+			"no source",
+			func(s *Settings) { s.Rules = canary(1, 1); s.Rules[0].Source = nil },
+			`"canary": field Source`,
+		},
 		{"destinations by other tags", func(s *Settings) {
 			s.Rules = canary(1, 1)
 			s.Rules[0].Service = Match{"region": "x"}
@@ -242,11 +277,19 @@
 	abroad := func(charge float64) float64 {
 		set := settings()
 		set.CrossZoneCharge = charge
-		b, h := start(t, set, []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}, {ID: "b", Zone: "y", Kind: "big", Weight: 1}})
+		b, h := start(
+			t,
+			set,
+			[]Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}, {ID: "b", Zone: "y", Kind: "big", Weight: 1}},
+		)
 		for range 300 {
 			h.now += tickEvery
 			for id, took := range map[string]time.Duration{"a": 200 * time.Millisecond, "b": 50 * time.Millisecond} {
-				b.recordOutcome(&attempt{endpoint: b.known[id], inFlightThen: 2}, Result{Outcome: Served, Took: took}, h.now)
+				b.recordOutcome(
+					&attempt{endpoint: b.known[id], inFlightThen: 2},
+					Result{Outcome: Served, Took: took},
+					h.now,
+				)
 			}
 			b.Timer(h.now, tokenTick)
 		}
--- a/balance/route.go
+++ b/balance/routing.go
@@ -6,6 +6,8 @@
 	"slices"
 )
 
+// This file holds the best rule, its groups and the rotation.
+
 // DefaultRules is the table used where none is given: a group for each zone and kind, weighted by size.
 func DefaultRules(service string, zones, kinds []string) []Rule {
 	var groups []Destination
@@ -47,6 +49,29 @@
 	return best
 }
 
+// group is one destination of the best rule, or all endpoints.
+type group struct {
+	destination Destination
+	endpoints   []*endpoint // in order of the ring
+	anchor      uint64      // where on the ring the subset begins
+	anchorID    string
+	anchored    bool
+	subsetSize  int         // how many the subset is to have
+	inUse       bool        // it has a part in the schedule
+	totalWeight float64     // registered size of the ready ones
+	subset      []*endpoint // the sidecar's subset of them, in order of rotation
+	// registered size of the ready ones for their warmth, in the own zone and elsewhere
+	capacity       [2]float64
+	lastResponse   Time    // when any of its endpoints last answered
+	lastSample     Time    // when an attempt last told how fast its endpoints are
+	answerSeconds  float64 // fading sum of the seconds that answers of endpoints at home in it took
+	answerInFlight float64 // and of the requests held for a unit of size
+	waitingSeconds float64 // seconds for which answers of those have been due, at the last tick
+	largestWeight  float64 // the largest registered size ever ready in it
+	next           int     // whose turn it is
+	credit         float64 // of the smooth weighted schedule
+}
+
 // makeGroups makes the groups of the best rule, and a last one for all ready endpoints. Each sidecar's
 // rotations start elsewhere, so that sidecars do not march in step.
 func (b *Balancer) makeGroups() {
@@ -88,8 +113,8 @@
 	return g.destination.Weight * size / math.Max(g.largestWeight, 1e-9)
 }
 
-// nextEndpoint takes the next turn of the smooth interleaved schedule among the groups with an open member, and in
-// that group the next turn of the rotation. It returns nil if no member of any group is open.
+// nextEndpoint takes the next turn of the smooth interleaved schedule among the groups with an open member,
+// and in that group the next turn of the rotation. It returns nil if no member of any group is open.
 func (b *Balancer) nextEndpoint() *endpoint {
 	var due *group
 	var total float64
@@ -110,8 +135,8 @@
 	return due.nextMember()
 }
 
-// nextMember gives the turn to the first open member from the due one on. If the open member after it has less of
-// this sidecar's requests in flight, the due one yields. A cold member may go ahead of both.
+// nextMember gives the turn to the first open member from the due one on. If the open member after it has
+// less of this sidecar's requests in flight, the due one yields. A cold member may go ahead of both.
 func (g *group) nextMember() (due *endpoint) {
 	n, at := len(g.subset), 0
 	for i, seen := 0, 0; i < n && seen < 2; i++ {
@@ -129,23 +154,3 @@
 	g.next = (g.next + at + 1) % n
 	return due
 }
-
-// updateZoneWeight moves the weight that other zones get, as a share of the own zone's. Danger: a zone with more traffic
-// than its servers can carry. Elsewhere counts in full once the own zone answers later by what a crossing is
-// worth, at most the zones' bar, and not at all below half of that. It moves slowly, so that turns stay even.
-func (b *Balancer) updateZoneWeight(now Time) {
-	var wait, size [2]float64
-	for _, e := range b.active {
-		if now >= e.ejectedUntil {
-			wait[e.zoneIndex] += b.expectedTime(e, now) * e.Weight
-			size[e.zoneIndex] += e.Weight
-		}
-	}
-	if size[0] == 0 || size[1] == 0 {
-		b.zoneWeight[1] = 1
-		return
-	}
-	pays := min(max(crossZoneObjectives*b.settings.CrossZoneCharge, 0.01), spillObjectiveShare) * b.objective
-	to := min(max(2*(wait[0]/size[0]-wait[1]/size[1])/pays-1, 0), 1)
-	b.zoneWeight[1] = max(b.zoneWeight[1]+(to*to-b.zoneWeight[1])*zoneWeightStep, minZoneWeight)
-}
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -86,7 +86,8 @@
 			c.fault("rule 2: at-most-once request %d again", id)
 		case c.now-a.sent >= r.class.DedupeWindow:
 			c.fault("rule 2: request %d again after its window", id)
-		case r.class.Scope == ScopeZone && first.Zone != s.Zone, r.class.Scope == ScopePodGroup && first.PodGroup != s.PodGroup:
+		case r.class.Scope == ScopeZone && first.Zone != s.Zone,
+			r.class.Scope == ScopePodGroup && first.PodGroup != s.PodGroup:
 			c.fault("rule 2: request %d again outside its scope", id)
 		}
 	}
@@ -116,7 +117,8 @@
 		c.fault("advice to wait %v", after) // a client that waits longer than its aim comes back for nothing
 	}
 	for _, a := range r.attempts {
-		if (!a.done || a.ran) && (r.class.Effect == AtMostOnce || r.class.Effect == Deduplicated && r.class.Scope != ScopeAll) {
+		if (!a.done || a.ran) &&
+			(r.class.Effect == AtMostOnce || r.class.Effect == Deduplicated && r.class.Scope != ScopeAll) {
 			c.fault("rule 2: refusal of %d, which may have run", id)
 		}
 	}
@@ -170,8 +172,14 @@
 		set.Classes = append(set.Classes, Class{Name: fmt.Sprint(i), Effect: e, Scope: Scope((i - 1 + 3) % 3),
 			DedupeWindow: 300 * time.Millisecond, LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, Priority: float64(1 + i)})
 	}
-	c := &checker{set: set, now: time.Minute, requests: map[RequestID]*held{}, servers: map[string]*server{}, timers: map[Time][]uint64{},
-		out: map[string]bool{}}
+	c := &checker{
+		set:      set,
+		now:      time.Minute,
+		requests: map[RequestID]*held{},
+		servers:  map[string]*server{},
+		timers:   map[Time][]uint64{},
+		out:      map[string]bool{},
+	}
 	staff := rand.New(rand.NewPCG(seed, 8))
 	b, err := New(set, c)
 	if err != nil {
@@ -179,8 +187,11 @@
 	}
 	var list []Endpoint
 	for i := range 1 + rng.IntN(8) {
-		list = append(list, Endpoint{ID: fmt.Sprint("s", i), Zone: set.Zones[rng.IntN(2)], Kind: set.Kinds[rng.IntN(2)],
-			PodGroup: rng.IntN(2), Weight: 1})
+		list = append(
+			list,
+			Endpoint{ID: fmt.Sprint("s", i), Zone: set.Zones[rng.IntN(2)], Kind: set.Kinds[rng.IntN(2)],
+				PodGroup: rng.IntN(2), Weight: 1},
+		)
 	}
 	tell := func(kind ListKind, entries []Endpoint) {
 		if kind != ListChanges {
@@ -282,7 +293,8 @@
 				continue
 			}
 			for n := range r.attempts {
-				if slices.ContainsFunc(endings, func(e ending) bool { return e.id == id && e.n == n }) || r.attempts[n].done {
+				if slices.ContainsFunc(endings, func(e ending) bool { return e.id == id && e.n == n }) ||
+					r.attempts[n].done {
 					continue
 				}
 				e := ending{at: c.now + time.Duration(20+rng.IntN(20))*time.Millisecond, id: id, n: n, how: Served}
@@ -374,7 +386,10 @@
 	t.Helper()
 	set := settings()
 	set.Peers = peers
-	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}, {ID: "b", Zone: "x", Kind: "big", Weight: 1}}
+	list := []Endpoint{
+		{ID: "a", Zone: "x", Kind: "big", Weight: 1},
+		{ID: "b", Zone: "x", Kind: "big", Weight: 1},
+	}
 	b, h := start(t, set, list)
 	id := RequestID(0)
 	step := func(n int) {
@@ -389,7 +404,10 @@
 		sent := h.sent
 		h.sent = nil
 		for _, s := range sent {
-			b.Result(h.now+20*time.Millisecond, Result{ID: s.id, Endpoint: s.to, Took: 20 * time.Millisecond, Finished: true})
+			b.Result(
+				h.now+20*time.Millisecond,
+				Result{ID: s.id, Endpoint: s.to, Took: 20 * time.Millisecond, Finished: true},
+			)
 		}
 	}
 	b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "c", Zone: "x", Kind: "big", Weight: 1, Started: h.now}})
@@ -425,7 +443,13 @@
 		for _, retries := range []bool{false, true} {
 			most, part := coldSends(t, peers, retries)
 			if float64(most) > max(part, 1) || most == 0 {
-				t.Errorf("%d peers, retries %v: %d sends to the cold endpoint, want 1 to %.1f", peers, retries, most, part)
+				t.Errorf(
+					"%d peers, retries %v: %d sends to the cold endpoint, want 1 to %.1f",
+					peers,
+					retries,
+					most,
+					part,
+				)
 			}
 		}
 	}
--- a/balance/sequence_test.go
+++ b/balance/sequence_test.go
@@ -27,7 +27,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		set := settings()
 		set.MaxAttempts = rapid.IntRange(1, 4).Draw(t, "attempts at most")
-		set.CancelAllowed, set.HedgingAllowed = rapid.Bool().Draw(t, "cancelling"), rapid.Bool().Draw(t, "second copies")
+		set.CancelAllowed, set.HedgingAllowed = rapid.Bool().
+			Draw(t, "cancelling"),
+			rapid.Bool().
+				Draw(t, "second copies")
 		set.Classes = nil
 		for i, e := range []Effect{Idempotent, Deduplicated, Deduplicated, AtMostOnce} {
 			set.Classes = append(set.Classes, Class{Name: fmt.Sprint(i), Effect: e, Scope: ScopePodGroup,
@@ -55,7 +58,10 @@
 			r := &held{class: &set.Classes[class], deadline: c.now + within}
 			c.requests[next] = r
 			asked = append(asked, r)
-			b.Request(c.now, Request{ID: next, Class: class, Tenant: -1, Timeout: within, Retry: next > 60 && next%3 == 0})
+			b.Request(
+				c.now,
+				Request{ID: next, Class: class, Tenant: -1, Timeout: within, Retry: next > 60 && next%3 == 0},
+			)
 			return r
 		}
 		end := func(id RequestID, n int, how Outcome) {
@@ -68,7 +74,10 @@
 				served[r.class]++
 				r.ended = true
 			}
-			b.Result(c.now, Result{ID: id, Attempt: n, Endpoint: a.to, Outcome: how, Took: c.now - a.sent, Finished: r.ended})
+			b.Result(
+				c.now,
+				Result{ID: id, Attempt: n, Endpoint: a.to, Outcome: how, Took: c.now - a.sent, Finished: r.ended},
+			)
 		}
 		var ids []RequestID
 		var ns []int
@@ -120,7 +129,10 @@
 		warm, spent := next, map[*Class]float64{}
 		t.Repeat(map[string]func(*rapid.T){
 			"request": func(t *rapid.T) {
-				request(rapid.IntRange(0, 3).Draw(t, "class"), time.Duration(rapid.SampledFrom([]int{20, 200, 1000}).Draw(t, "within"))*time.Millisecond)
+				request(
+					rapid.IntRange(0, 3).Draw(t, "class"),
+					time.Duration(rapid.SampledFrom([]int{20, 200, 1000}).Draw(t, "within"))*time.Millisecond,
+				)
 			},
 			"burst": func(t *rapid.T) { // that would take more than what is put by
 				class := rapid.IntRange(0, 1).Draw(t, "class")
@@ -165,7 +177,8 @@
 					t.Skip("nothing is out")
 				}
 				i := rapid.IntRange(0, len(ids)-1).Draw(t, "which")
-				how := rapid.SampledFrom([]Outcome{Errored, Saturated, ConnectFailed, Reset, Cancelled, NotSent}).Draw(t, "how")
+				how := rapid.SampledFrom([]Outcome{Errored, Saturated, ConnectFailed, Reset, Cancelled, NotSent}).
+					Draw(t, "how")
 				end(ids[i], ns[i], how)
 			},
 			"leave": func(t *rapid.T) {
@@ -195,7 +208,12 @@
 				}
 				for class, n := range spent {
 					if most := retryBudgetMax + retryBudgetRatio*served[class]; n > most+1e-6 {
-						t.Fatalf("%.0f further attempts of a class after %.0f answers, want %.0f at most", n, served[class], most)
+						t.Fatalf(
+							"%.0f further attempts of a class after %.0f answers, want %.0f at most",
+							n,
+							served[class],
+							most,
+						)
 					}
 				}
 				if most := retryBudgetMax + retryBudgetRatio*float64(answers); whole > most+1e-6 {
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -112,13 +112,13 @@
 	return min(float64(b.settings.Peers)*used/math.Max(whole, 1e-9), 1)
 }
 
-// slowStartAllows tells whether an endpoint is warm, or has its next turn for the share of its capacity that it
-// has. Sidecars that all turn to a cold endpoint, as it alone seems free, push it over. When each keeps to
-// its turns, it gets no more for its warmth than the fleet's mean, whatever the number of sidecars. A
-// request that finds no other place may have an early turn, in any zone: where the whole fleet is cold,
-// turns kept to the letter leave most requests none, and other zones have next to none as long as the own
-// one is thought to do. Early turns are counted over the fleet: all sidecars together give some times its
-// share. No turn goes beyond the allowance.
+// slowStartAllows tells whether an endpoint is warm, or has its next turn for the share of its capacity
+// that it has. Sidecars that all turn to a cold endpoint, as it alone seems free, push it over. When each
+// keeps to its turns, it gets no more for its warmth than the fleet's mean, whatever the number of
+// sidecars. A request that finds no other place may have an early turn, in any zone: where the whole fleet
+// is cold, turns kept to the letter leave most requests none, and other zones have next to none as long as
+// the own one is thought to do. Early turns are counted over the fleet: all sidecars together give some
+// times its share. No turn goes beyond the allowance.
 func (b *Balancer) slowStartAllows(e *endpoint, early bool, now Time) bool {
 	if e.warmth >= 1 {
 		return true
@@ -132,3 +132,27 @@
 	}
 	return inZone || early && anywhere
 }
+
+// warmth is the share of its capacity that an endpoint has: it rises evenly from its start.
+func (b *Balancer) warmth(e *endpoint, now Time) float64 {
+	age := now - e.Started
+	if e.Started <= 0 || age >= b.settings.SlowStartWindow {
+		return 1
+	}
+	return b.settings.SlowStartCapacity + (1-b.settings.SlowStartCapacity)*max(
+		age.Seconds(),
+		0,
+	)/b.settings.SlowStartWindow.Seconds()
+}
+
+// drawFirstTurns draws when started endpoints have their first turn: within the time in which each has one.
+// Sidecars that are told at once must not send at once. That time is long for one of many sidecars, and where
+// each began it with the start, the fleet would leave what started idle until it is warm.
+func (b *Balancer) drawFirstTurns(now Time) {
+	for _, e := range b.started {
+		if e.awaitsFirstTurn {
+			e.turns.reset(b.sends, now, b.random.Float64())
+		}
+		e.awaitsFirstTurn = false
+	}
+}
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -66,7 +66,16 @@
 	}
 	f := newParty(t, set, 0, nil)
 	f.most, f.busy = c.capacity, map[string]Time{}
-	f.all, f.hosts, f.share = make([]*Balancer, c.sidecars), make([]*host, c.sidecars), make([]float64, c.sidecars)
+	f.all, f.hosts, f.share = make(
+		[]*Balancer,
+		c.sidecars,
+	), make(
+		[]*host,
+		c.sidecars,
+	), make(
+		[]float64,
+		c.sidecars,
+	)
 	begin := func(i int, list []Endpoint) {
 		set.Zone = set.Zones[i%c.zones]
 		f.restart(t, i, set, list)
@@ -103,7 +112,13 @@
 			window := sort.Search(len(sends)-i, func(n int) bool { return sends[i+n] > at+set.OverloadWindow })
 			warm := set.SlowStartCapacity + (1-set.SlowStartCapacity)*(at-told).Seconds()/set.SlowStartWindow.Seconds()
 			if n := c.multiple * warm * c.capacity * set.OverloadWindow.Seconds(); float64(window) > fallBudget(n) {
-				t.Fatalf("%d requests within %v from %v on, %.0f fell it", window, set.OverloadWindow, at-told, fallBudget(n))
+				t.Fatalf(
+					"%d requests within %v from %v on, %.0f fell it",
+					window,
+					set.OverloadWindow,
+					at-told,
+					fallBudget(n),
+				)
 			}
 		}
 	}
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -28,8 +28,8 @@
 	subsetInterval = time.Second // the subsets are taken anew at least this often
 )
 
-// takeSubsets takes this sidecar's subset of each group. Danger: endpoints are ready, but none is in a group of
-// the rule. As without a rule, all ready ones then form one group.
+// takeSubsets takes this sidecar's subset of each group. Danger: endpoints are ready, but none is in a
+// group of the rule. As without a rule, all ready ones then form one group.
 func (b *Balancer) takeSubsets(now Time) {
 	// In a wide fleet, what one change does to lengths and places may move members of all groups.
 	usual := b.widthFactor() == 0
@@ -66,10 +66,13 @@
 	}
 }
 
-// subsetShare is the share of each group that this sidecar uses, if that is enough of it: so much that each member
-// gets a request within the memory.
+// subsetShare is the share of each group that this sidecar uses, if that is enough of it: so much that each
+// member gets a request within the memory.
 func (b *Balancer) subsetShare() float64 {
-	share := b.arrivals / math.Max(float64(b.listedByZone[0])*b.zoneWeight[0]+float64(b.listedByZone[1])*b.zoneWeight[1], 1e-9)
+	share := b.arrivals / math.Max(
+		float64(b.listedByZone[0])*b.zoneWeight[0]+float64(b.listedByZone[1])*b.zoneWeight[1],
+		1e-9,
+	)
 	if b.widthFactor() == 0 {
 		return share
 	}
@@ -79,7 +82,11 @@
 			total += float64(g.lengthFor(share))
 		}
 	}
-	most := min(max(usualFleet, b.arrivals)*wideFleetUsed/usualFleet, wideFleetBase+float64(len(b.listed))/wideFleetStep, total)
+	most := min(
+		max(usualFleet, b.arrivals)*wideFleetUsed/usualFleet,
+		wideFleetBase+float64(len(b.listed))/wideFleetStep,
+		total,
+	)
 	most += (total - most) * (1 - b.widthFactor())
 	return min(share, 1) * most / max(total, 1)
 }
@@ -89,8 +96,8 @@
 	return int(min(math.Max(minSubset, math.Ceil(share*float64(len(g.endpoints)))), float64(len(g.endpoints))))
 }
 
-// takeSubset takes the part of a group that this sidecar uses: a run of the group's ring from its own place on.
-// Danger: a sidecar with little traffic that goes through a large fleet knows none of its servers, and
+// takeSubset takes the part of a group that this sidecar uses: a run of the group's ring from its own place
+// on. Danger: a sidecar with little traffic that goes through a large fleet knows none of its servers, and
 // connects to all of them. Places that follow the golden ratio spread any number of sidecars evenly.
 // Members that are ejected are made up for.
 func (b *Balancer) takeSubset(g *group, settle bool, now Time) {
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -106,7 +106,11 @@
 		}
 	}
 	if moved > 100 {
-		t.Errorf("one more endpoint among %d moved %d members of 100 subsets, want one a subset at most", servers, moved)
+		t.Errorf(
+			"one more endpoint among %d moved %d members of 100 subsets, want one a subset at most",
+			servers,
+			moved,
+		)
 	}
 }
 
@@ -146,7 +150,13 @@
 		// The mean endpoint gets one of 20 requests, and each request may be tried three times.
 		warm := settings().SlowStartCapacity + (1-settings().SlowStartCapacity)*seconds/settings().SlowStartWindow.Seconds()
 		if most := all / 20 * 3 * warm; cold > most {
-			t.Errorf("%d sidecars sent %.0f of %.0f requests to a cold endpoint, want %.0f at most", peers, cold, all, most)
+			t.Errorf(
+				"%d sidecars sent %.0f of %.0f requests to a cold endpoint, want %.0f at most",
+				peers,
+				cold,
+				all,
+				most,
+			)
 		}
 	}
 }
@@ -192,8 +202,11 @@
 	set.Zones = []string{"x", "y", "z"}
 	var list []Endpoint
 	for i := range 12 {
-		list = append(list, Endpoint{ID: string(rune('a' + i)), Zone: set.Zones[i%3], Kind: set.Kinds[i/6], Weight: 1,
-			Started: time.Minute})
+		list = append(
+			list,
+			Endpoint{ID: string(rune('a' + i)), Zone: set.Zones[i%3], Kind: set.Kinds[i/6], Weight: 1,
+				Started: time.Minute},
+		)
 	}
 	b, h := start(t, set, list)
 	got := map[string]int{}
--- a/balance/untested_test.go
+++ b/balance/untested_test.go
@@ -23,7 +23,10 @@
 		{"it alone slow", quick, quick, true, true},
 		{"all slow, nothing heard", slow, slow, false, true},
 	} {
-		list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}, {ID: "b", Zone: "y", Kind: "small", Weight: 1}}
+		list := []Endpoint{
+			{ID: "a", Zone: "x", Kind: "big", Weight: 1},
+			{ID: "b", Zone: "y", Kind: "small", Weight: 1},
+		}
 		b, h := start(t, settings(), list)
 		serve(b, h, 200, 20*time.Millisecond)
 		e := b.known["a"]
@@ -68,7 +71,11 @@
 // started anew: they are taken for what the others are. Danger: a zone that is back is left idle for what
 // its former servers did not answer.
 func TestRestartIsForgottenOfItsGroup(t *testing.T) {
-	list := append(many(4), Endpoint{ID: "y", Zone: "y", Kind: "small", Weight: 1}, Endpoint{ID: "z", Zone: "y", Kind: "small", Weight: 1})
+	list := append(
+		many(4),
+		Endpoint{ID: "y", Zone: "y", Kind: "small", Weight: 1},
+		Endpoint{ID: "z", Zone: "y", Kind: "small", Weight: 1},
+	)
 	b, h := start(t, settings(), list)
 	serve(b, h, 400, 20*time.Millisecond)
 	before := b.allEndpoints.secondsPerRequest()
@@ -119,7 +126,8 @@
 	list[0].Started = h.now - time.Second
 	b.Endpoints(h.now, ListChanges, list)
 	check := func(when string) {
-		if got := b.expectedTime(e, h.now); got > 0.5 || e.inFlight != 0 || e.dueSinceSum != 0 || e.ejectedUntil > h.now {
+		if got := b.expectedTime(e, h.now); got > 0.5 || e.inFlight != 0 || e.dueSinceSum != 0 ||
+			e.ejectedUntil > h.now {
 			t.Errorf("%s: %.3f s are expected; %d in flight, ejected until %v", when, got, e.inFlight, e.ejectedUntil)
 		}
 	}
--- a/balance/word_test.go
+++ b/balance/word_test.go
@@ -43,10 +43,15 @@
 func newWorded(t rapid.TB, n int) *worded {
 	t.Helper()
 	acts := &recorder{}
-	b, err := New(Settings{Seed: 1, Peers: 80, Zone: "a", Zones: []string{"a"}, Kinds: []string{"k"}, Service: "s",
-		Classes:     []Class{{Name: "c", LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, Priority: 1}},
-		MaxAttempts: 3, CancelAllowed: true, HedgingAllowed: true, MaxListAge: time.Second, SlowStartWindow: 5 * time.Second, SlowStartCapacity: 0.3,
-		OverloadMultiple: 4, OverloadWindow: 2 * time.Second}, acts)
+	b, err := New(
+		Settings{Seed: 1, Peers: 80, Zone: "a", Zones: []string{"a"}, Kinds: []string{"k"}, Service: "s",
+			Classes: []Class{
+				{Name: "c", LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, Priority: 1},
+			},
+			MaxAttempts: 3, CancelAllowed: true, HedgingAllowed: true, MaxListAge: time.Second, SlowStartWindow: 5 * time.Second, SlowStartCapacity: 0.3,
+			OverloadMultiple: 4, OverloadWindow: 2 * time.Second},
+		acts,
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -193,7 +198,8 @@
 		seen := &watcher{}
 		watched.SetObserver(seen)
 		for range rapid.IntRange(1, 60).Draw(t, "rounds") {
-			silent := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"e0", "e1", "e2", "e3"}), 0, 2, rapid.ID).Draw(t, "silent")
+			silent := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"e0", "e1", "e2", "e3"}), 0, 2, rapid.ID).
+				Draw(t, "silent")
 			for _, w := range []*worded{plain, watched} {
 				w.ask(3, silent...)
 				w.Timer(w.now, tokenAttempt+uint64(w.next)*maxAttemptsPerRequest)
@@ -216,7 +222,10 @@
 		w, seen := newWorded(t, 1), &watcher{}
 		w.SetObserver(seen)
 		w.Request(w.now, Request{ID: 1, Tenant: -1, Timeout: time.Second})
-		w.Result(w.now+time.Millisecond, Result{ID: 1, Endpoint: "e0", Outcome: outcome, Took: time.Millisecond, Finished: true})
+		w.Result(
+			w.now+time.Millisecond,
+			Result{ID: 1, Endpoint: "e0", Outcome: outcome, Took: time.Millisecond, Finished: true},
+		)
 		if !slices.Equal(seen.saw, want) {
 			t.Errorf("outcome %d: %v, want %v", outcome, seen.saw, want)
 		}
