--- a/balance/api.go
+++ b/balance/api.go
@@ -40,14 +40,14 @@
 	Effect           Effect
 	Scope            Scope         // Deduplicated only
 	DedupeWindow     time.Duration // Deduplicated only: how long a repeat is dropped, from the first send
-	LatencyObjective time.Duration // an answer within the aim earns the full worth
+	LatencyObjective time.Duration // an answer within it earns the full priority
 	Deadline         time.Duration // the client's patience over all its tries
 	Priority         float64
-	LateShare        float64 // share of the worth that an answer past the aim still earns
+	LateShare        float64 // share of the priority that a later answer still earns
 }
 
 // Tenant describes one tenant. Allowance is the rate, over all sidecars together, up to which its requests
-// have their full worth.
+// have their full priority.
 type Tenant struct {
 	Name      string
 	Allowance float64 // requests a second
@@ -62,7 +62,7 @@
 type Destination struct {
 	Weight float64
 	Match  Match
-	// PerEndpointWeight makes Weight the weight of each unit of registered size that is ready in the group,
+	// PerEndpointWeight makes Weight the weight of each unit of weight that is ready in the group,
 	// in place of the weight of the whole group.
 	PerEndpointWeight bool
 }
@@ -75,7 +75,7 @@
 	Destinations []Destination
 }
 
-// Settings are what a Balancer is told at its start.
+// Settings configure a Balancer.
 type Settings struct {
 	Seed    uint64
 	Ordinal int // the number of this sidecar among its peers, from 0
@@ -95,14 +95,14 @@
 	HedgingAllowed bool // a request may have two attempts out at a time
 
 	PollDiscovery bool          // list changes come only to a subscriber
-	MaxListAge    time.Duration // without a call for this long, old listings count as told
+	MaxListAge    time.Duration // without a call for this long, changes count as notified
 
 	SlowStartWindow   time.Duration // a started endpoint is warm after this time
 	SlowStartCapacity float64       // and starts at this share of its capacity
 	OverloadMultiple  float64       // a cold endpoint sent more than this multiple of what it can do
 	OverloadWindow    time.Duration // for this long falls over
 
-	CrossZoneCharge float64 // price of crossing zones, as a share of a request's worth
+	CrossZoneCharge float64 // price of crossing zones, as a share of a request's priority
 }
 
 // State is what discovery says of an endpoint.
@@ -115,10 +115,10 @@
 	Removed
 )
 
-// After a call of discovery that failed, the next one is made within FirstReask; the bound doubles with
-// each further failure, up to LongestReask. Where lists are pushed, each sidecar has an agent of its own,
-// and the next call is made within PushedReask: what the agent gets when discovery is back counts as told
-// at once.
+// After a call of discovery that failed, the next one is made within FirstDiscoveryBackoff; the bound
+// doubles with each further failure, up to MaxDiscoveryBackoff. Where lists are pushed, each sidecar has an
+// agent of its own, and the next call is made within PushedDiscoveryBackoff: what the agent gets when
+// discovery is back counts as notified at once.
 const (
 	FirstDiscoveryBackoff  = 500 * time.Millisecond
 	MaxDiscoveryBackoff    = 1500 * time.Millisecond
@@ -154,7 +154,7 @@
 	Kind     string
 	PodGroup int
 	State    State
-	Weight   float64 // registered size, to compare with others
+	Weight   float64 // weight, to compare with others
 	Started  Time    // when the process last started; 0: long ago
 }
 
@@ -208,19 +208,19 @@
 // Actions is what the host does for a Balancer, called for its answers to events. The events are the
 // methods Request, Result, AnswerStarted, ClientGone, Endpoints and Timer of Balancer. The host calls them
 // in the order of what happened; the first list follows New at once. Each Request ends with one final
-// answer: a Result that is Finished, Refuse or Fail. Each Send ends with one Result, also after the final
+// answer: a Result that is Finished, Reject or Fail. Each Send ends with one Result, also after the final
 // answer.
 //
 // Misuse never panics: an unknown request, attempt, timer or removed endpoint, an id used twice and a
-// result told twice are passed over. A Request whose class is not in the settings is passed over too, and
-// gets no answer. Times should not go back; if they do, requests still end, but what is measured is off for
+// result given twice are ignored. A Request whose class is not in the settings is ignored too, and gets no
+// answer. Times should not go back; if they do, requests still end, but what is measured is off for
 // some seconds.
 //
 // An action is called only during an event, in the order in which things are to be done, and must not call
 // back into the Balancer.
 type Actions interface {
-	// Send starts an attempt, which may wait for its connection. Where its first byte cannot be written within a
-	// time (0: any), it is not made, and its outcome is NotSent.
+	// Send starts an attempt, which may wait for its connection. Where it cannot be written whole within a time
+	// (0: any), it is given up, and its outcome is NotSent.
 	Send(id RequestID, endpoint string, within time.Duration)
 	// Cancel stops waiting for an attempt. Its Result follows.
 	Cancel(id RequestID, attempt int)
@@ -232,31 +232,35 @@
 	Timer(after time.Duration, token uint64)
 	// Subscribe asks discovery for changes from now on. Endpoints follows.
 	Subscribe()
-	// Log writes a line for the people on call.
+	// Log writes a line for the engineers on call.
 	Log(text string)
 }
 
-// Observation is what a Balancer sees at an endpoint.
+// Observation is what a Balancer observes of an attempt at an endpoint.
 type Observation int
 
-// What is seen of attempts. One that is late, and then silent, is told once as either.
+// The observations. An attempt that is late, and then silent, is observed once as either.
 const (
-	ObservedAnswer Observation = iota // served
-	// no answer after the time in which nearly all come, and nothing else from there since
+	// ObservedAnswer is an answer.
+	ObservedAnswer Observation = iota
+	// ObservedLate is no answer after the time in which nearly all come, and nothing else from there since.
 	ObservedLate
-	// no answer for so long that it is taken to be lost, and nothing else from there since
+	// ObservedSilence is no answer for so long that it is taken to be lost, and nothing else from there since.
 	ObservedSilence
-	ObservedFailure // an error, or the connection broke
-	ObservedRefusal // no connection
+	// ObservedFailure is an error, or a connection that broke.
+	ObservedFailure
+	// ObservedRefusal is a connection that did not come up.
+	ObservedRefusal
 )
 
-// Observer is told what a Balancer sees at endpoints, for other sidecars to know. It is called as Actions is.
+// Observer is notified of what a Balancer observes at endpoints, for other sidecars to know. It is called
+// as Actions is.
 type Observer interface {
-	Observe(endpoint string, s Observation)
+	Observe(endpoint string, o Observation)
 }
 
-// PeerReport is what other sidecars say of an endpoint: it does not do its work.
+// PeerReport says that other sidecars suspect an endpoint.
 type PeerReport struct {
 	ID        string
-	WrittenAt Time // when the youngest of what it rests on was written
+	WrittenAt Time // when the newest evidence for it was written
 }
--- a/balance/check.go
+++ b/balance/check.go
@@ -45,7 +45,7 @@
 	)
 }
 
-// within tells whether x is a number from low to high.
+// within reports whether x is a number from low to high.
 func within(x, low, high float64) bool { return x >= low && x <= high }
 
 func checkAmount(field string, x float64) error {
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -1,6 +1,7 @@
 package balance
 
-// Here is the list of endpoints and its index, which is kept in order: a change costs what it changes.
+// This file holds the list of endpoints and its index, which is kept in order: a change costs what it
+// changes.
 
 import (
 	"cmp"
@@ -12,49 +13,56 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// endpoint is a server and what this sidecar has of it.
+// endpoint is a server as listed, and what this sidecar knows of it.
 type endpoint struct {
 	Endpoint
 	observations
-	inFlight        int      // this sidecar's attempts out
-	dueSinceSum     Time     // sum of the times since which those are owed
-	lastResponse    Time     // when it last answered
-	reportedAt      Time     // when others last spoke ill of it; 0: they do not
-	warmth          float64  // share of its capacity that it has
-	awaitsFirstTurn bool     // its process has started and has no turn yet
-	turns           turns    // while it is cold, towards its next request
-	zoneIndex       int      // 1 in another zone, 0 in the sidecar's own
-	homeGroup       *group   // the first whose tags it carries; its peers there are alike
-	memberOf        []*group // of the rule, whose tags it carries
-	ringKey         uint64   // its place on their rings
-	listed          bool     // it is in the index
-	listPosition    int      // and where
-	usable          bool     // and in the rings: ready, and not out
-	inColdList      bool     // in the list of the cold ones
-	countedWarmth   float64  // the warmth that it counts with in its groups' sizes
-	active          bool     // in the subset of one of them
-	eligible        bool     // may be chosen for the request in hand
-	expectedSeconds float64  // seconds that it was expected to take for that
+
+	inFlight     int  // attempts of this sidecar that are out and count
+	dueSinceSum  Time // sum of the times since which their answers are due
+	lastResponse Time // when it last answered
+	reportedAt   Time // when the newest peers' report against it was written; 0: there is none
+
+	warmth          float64 // share of its capacity that it has, from 0 to 1
+	awaitsFirstTurn bool    // its process has started and had no turn drawn yet
+	turns           turns   // while it is cold, towards its next request
+
+	zoneIndex int      // 0 in the sidecar's own zone, 1 in others
+	memberOf  []*group // groups of the rule whose tags it carries
+	homeGroup *group   // the first of them, or that of all endpoints: its peers there are alike
+	ringKey   uint64   // its place on the rings of its groups
+
+	listed        bool    // it is in the index
+	listPosition  int     // where in index.listed
+	usable        bool    // it is in the rings: ready and not administratively down
+	inColdList    bool    // it is in index.cold
+	countedWarmth float64 // the warmth that its groups' capacities count
+	active        bool    // it is in the subset of one of its groups
+
+	eligible        bool    // may be chosen for the request that is being decided
+	expectedSeconds float64 // answer time expected for that request
 }
 
-// index is what is listed, in order.
+// index holds the endpoints so that a change costs what it changes.
 type index struct {
-	listed           []*endpoint          // listed, in no order; each has its place in at
-	known            map[string]*endpoint // listed, or removed with attempts out
-	departing        []*endpoint          // removed with attempts out
-	cold             []*endpoint          // not known to be warm yet
-	warmthUpdated    Time                 // when that was last looked at
-	started          []*endpoint          // processes without a first turn
-	listedByZone     [2]int               // how many are listed in the own zone, and in others
-	usableCount      int                  // how many are ready and not out
-	groupsByTags     map[[2]string][]*group
-	subsetsStale     bool // a subset is to be taken anew
-	resettled        bool // all are, as for a new fleet
-	ringsHashed      bool // the rings are in order of hashes, not of ids
-	endpointsVisited int  // at endpoints so far, for lists and ticks: what a fleet's size costs
+	listed        []*endpoint          // in no order
+	known         map[string]*endpoint // by id: listed, or removed with attempts out
+	departing     []*endpoint          // removed with attempts out
+	cold          []*endpoint          // not known to be warm yet
+	warmthUpdated Time                 // when the warmth of the cold ones was last updated
+	started       []*endpoint          // processes without a first turn
+	listedByZone  [2]int               // how many are listed in the own zone, and in others
+	usableCount   int                  // how many are ready and not administratively down
+	groupsByTags  map[[2]string][]*group
+
+	subsetsStale bool // a subset is to be taken anew
+	resettled    bool // all of them are, as for a new fleet
+	ringsHashed  bool // the rings are in order of hashes, not of ids
+
+	endpointsVisited int // by lists and ticks so far: what the size of a fleet costs
 }
 
-// Endpoints takes in discovery's news. Entries that discovery refused leave the list in hand as it is.
+// Endpoints takes over a list of discovery. A call of discovery that failed leaves the list as it is.
 func (b *Balancer) Endpoints(now Time, kind ListKind, list []Endpoint) {
 	if kind == ListRefused {
 		b.retryDiscovery()
@@ -103,13 +111,13 @@
 }
 
 // retryDiscovery has discovery be called again after a call that failed. Sidecars that call again at once,
-// all together, keep a weak list service from ever answering. One that waits for long is told of changes
+// all together, keep a weak list service from ever answering. One that waits for long is notified of changes
 // too late.
 func (b *Balancer) retryDiscovery() {
 	b.subscribed = false
 	wait := min(FirstDiscoveryBackoff<<min(b.discoveryFailures, 8), MaxDiscoveryBackoff)
 	if !b.settings.PollDiscovery {
-		wait = PushedDiscoveryBackoff // an own agent tells: what it has counts as told
+		wait = PushedDiscoveryBackoff // an agent of this sidecar's own: what it has counts as notified
 	}
 	b.discoveryFailures++
 	b.actions.Timer(time.Duration((1+3*b.random.Float64())*float64(wait)/4), tokenDiscovery)
@@ -135,7 +143,7 @@
 	e.Endpoint, e.Weight = entry, cmp.Or(max(entry.Weight, 0), 1)
 }
 
-// refreshAfterChange takes in that endpoints have come, gone, or started.
+// refreshAfterChange records that endpoints have come, gone, or started.
 func (b *Balancer) refreshAfterChange(now Time) {
 	if bare := b.ruleMatchesNone(); bare != b.allEndpoints.inUse {
 		b.setFallbackGroup(bare)
@@ -154,7 +162,7 @@
 	b.started = b.started[:0]
 }
 
-// ruleMatchesNone tells whether no endpoint is ready in a group of the rule.
+// ruleMatchesNone reports whether no endpoint is ready in a group of the rule.
 func (b *Balancer) ruleMatchesNone() bool {
 	return !slices.ContainsFunc(b.groups[:len(b.groups)-1], func(g *group) bool { return len(g.endpoints) > 0 })
 }
@@ -229,7 +237,7 @@
 	e.usable = false
 }
 
-// setBarred takes an endpoint out by hand, or puts it back, whether or not it is listed.
+// setBarred takes an endpoint administratively down, or puts it back, whether or not it is listed.
 func (b *Balancer) setBarred(now Time, id string, out bool) {
 	if b.adminDown[id] = out; !out {
 		delete(b.adminDown, id)
@@ -241,7 +249,7 @@
 	}
 }
 
-// enterList takes in that an endpoint is listed, and whether it may be used.
+// enterList records that an endpoint is listed, and whether it may be used.
 func (b *Balancer) enterList(e *endpoint, now Time) {
 	b.endpointsVisited++
 	e.listPosition, b.listed = len(b.listed), append(b.listed, e)
@@ -296,7 +304,7 @@
 	}
 }
 
-// updateWarmth takes in how warm the endpoints have become that were cold.
+// updateWarmth records how warm the endpoints have become that were cold.
 func (b *Balancer) updateWarmth(now Time) {
 	b.warmthUpdated = now
 	b.endpointsVisited += len(b.cold)
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -41,11 +41,11 @@
 // are not equally loaded, and a little-used group by the fleet.
 //
 // A sidecar that believes the fleet too slow sends nothing and never learns better, so a belief that is not
-// tested fades until a request tries it, one at a time. Where everything is full, each of many sidecars would
-// try each endpoint in turn, and such tries alone would keep the fleet full. So an endpoint that is not
-// tested is taken to be like its group, not to be idle, and a group like the fleet; the belief about the
-// fleet fades only while no answer at all comes. A cold endpoint can do less at a time, but answers what
-// finds it idle as soon as a warm one.
+// tested decays until a request tries it, one at a time. Where everything is full, each of many sidecars
+// would try each endpoint in turn, and such tries alone would keep the fleet full. So an endpoint that is
+// not tested is taken to be like its group, not to be idle, and a group like the fleet; the belief about
+// the fleet decays only while no answer at all comes. A cold endpoint can do less at a time, but answers
+// what finds it idle as soon as a warm one.
 func (b *Balancer) expectedTime(e *endpoint, now Time) float64 {
 	fleet := b.allEndpoints.secondsPerRequest()
 	g := e.homeGroup
@@ -62,7 +62,7 @@
 }
 
 // regress returns what is left of a belief that has not been tested for some time: what of it exceeds the
-// belief about similar endpoints fades linearly over memory.
+// belief about similar endpoints decays linearly over memory.
 func regress(belief, like float64, untested time.Duration) float64 {
 	return like + max(belief-like, 0)*max(0, 1-untested.Seconds()/memory.Seconds()) + min(belief-like, 0)
 }
--- a/balance/losses.go
+++ b/balance/losses.go
@@ -122,7 +122,7 @@
 
 // recordSilence records an attempt whose endpoint has answered nothing since it was sent. A pause of the
 // endpoint holds up everything that is out there. That is one silence, not many: at first only what is sent
-// after it was noticed tells whether it lasts.
+// after it was noticed reports whether it lasts.
 func (b *Balancer) recordSilence(a *attempt, survival float64, now Time) {
 	e := a.endpoint
 	first := a.sent >= e.lastSilence
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -23,7 +23,7 @@
 type observations struct {
 	answerSeconds  float64          // decaying sum of the seconds that answers took
 	answerInFlight float64          // and of the requests that were in flight then
-	lastSample     Time             // when an attempt last told how fast it is
+	lastSample     Time             // when an attempt last showed how fast it is
 	endedAttempts  float64          // decaying count of attempts that ended
 	failedAttempts float64          // and of those that failed
 	failureAlarm   repeats.Alarm    // rings if it fails much more than the others
@@ -80,7 +80,7 @@
 // recordFailure counts an attempt for or against its endpoint, and ejects one that fails much more than the
 // others: one that fails fast looks idle and draws all requests. Where connections break or answers come
 // spoilt from all alike, each would be ejected for what the others do too, so the usual share is taken from
-// the others. Connections that break together are one failure: only what is sent after it tells whether it
+// the others. Connections that break together are one failure: only what is sent after it reports whether it
 // lasts.
 func (b *Balancer) recordFailure(a *attempt, r Result, now Time) {
 	e := a.endpoint
--- a/balance/routing.go
+++ b/balance/routing.go
@@ -8,6 +8,9 @@
 
 // This file holds the best rule, its groups and the rotation.
 
+// minWeight keeps a ratio finite where a group has had no endpoint yet.
+const minWeight = 1e-9
+
 // DefaultRules is the table used where none is given: a group for each zone and kind, weighted by size.
 func DefaultRules(service string, zones, kinds []string) []Rule {
 	var groups []Destination
@@ -19,7 +22,7 @@
 	return []Rule{{"default", Match{"service": "*"}, Match{"service": service}, groups}}
 }
 
-// matches tells whether tags satisfy m, and how many of m's values are exact.
+// matches reports whether tags satisfy m, and how many of m's values are exact.
 func (m Match) matches(tags map[string]string) (ok bool, exact int) {
 	for tag, want := range m {
 		have, known := tags[tag]
@@ -34,7 +37,7 @@
 	return true, exact
 }
 
-// bestRule picks the one rule that decides: more tags beat fewer, then more exact values beat "*", then the
+// bestRule returns the one rule that decides: more tags beat fewer, then more exact values beat "*", then the
 // newest wins. It returns nil if none matches.
 func bestRule(rules []Rule, client map[string]string, service string) (best *Rule) {
 	highest := -1
@@ -52,28 +55,31 @@
 // group is one destination of the best rule, or all endpoints.
 type group struct {
 	destination Destination
-	endpoints   []*endpoint // in order of the ring
-	anchor      uint64      // where on the ring the subset begins
-	anchorID    string
-	anchored    bool
-	subsetSize  int         // how many the subset is to have
-	inUse       bool        // it has a part in the schedule
-	totalWeight float64     // registered size of the ready ones
-	subset      []*endpoint // the sidecar's subset of them, in order of rotation
-	// registered size of the ready ones for their warmth, in the own zone and elsewhere
-	capacity       [2]float64
+	inUse       bool // it has a part in the schedule
+
+	endpoints   []*endpoint // that may be used, in order of the ring
+	totalWeight float64     // of the endpoints
+	capacity    [2]float64  // weight of the endpoints times their warmth, in the own zone and in others
+	largest     float64     // the largest totalWeight so far
+
+	subset     []*endpoint // the part that this sidecar uses, in order of rotation
+	subsetSize int         // how many the subset is to have
+	anchor     uint64      // ring key and id of the endpoint at which the subset begins
+	anchorID   string
+	anchored   bool // anchor is set
+
 	lastResponse   Time    // when any of its endpoints last answered
-	lastSample     Time    // when an attempt last told how fast its endpoints are
-	answerSeconds  float64 // fading sum of the seconds that answers of endpoints at home in it took
-	answerInFlight float64 // and of the requests held for a unit of size
-	waitingSeconds float64 // seconds for which answers of those have been due, at the last tick
-	largestWeight  float64 // the largest registered size ever ready in it
-	next           int     // whose turn it is
-	credit         float64 // of the smooth weighted schedule
+	lastSample     Time    // when an attempt last showed how fast its endpoints are
+	answerSeconds  float64 // decaying sum of the seconds that answers took
+	answerInFlight float64 // and of the requests in flight for each unit of weight
+	waitingSeconds float64 // for which requests in flight have been out, at the last tick
+
+	next   int     // index in subset of the member whose turn it is
+	credit float64 // of the smooth weighted schedule
 }
 
 // makeGroups makes the groups of the best rule, and a last one for all ready endpoints. Each sidecar's
-// rotations start elsewhere, so that sidecars do not march in step.
+// rotations start elsewhere, so that sidecars do not choose the same endpoints at the same time.
 func (b *Balancer) makeGroups() {
 	client := map[string]string{"region": b.settings.Zone}
 	maps.Copy(client, b.settings.Tags)
@@ -87,7 +93,7 @@
 	}
 }
 
-// matchingGroups tells which groups of the rule have an endpoint's tags.
+// matchingGroups returns the groups of the rule whose tags an endpoint carries.
 func (b *Balancer) matchingGroups(e Endpoint) (joins []*group) {
 	joins, known := b.groupsByTags[[2]string{e.Zone, e.Kind}]
 	if known {
@@ -103,18 +109,18 @@
 	return joins
 }
 
-// weight is the configured weight for what the group's ready members can do. Danger: a shrunken, lost or cold
-// group that keeps its full weight swamps its last members.
-func (g *group) weight(near [2]float64) float64 {
-	size := g.capacity[0]*near[0] + g.capacity[1]*near[1]
+// weight is the configured weight for what the group's ready members can do: a shrunken, lost or cold group
+// that kept its full weight would overload its last members.
+func (g *group) weight(zoneWeight [2]float64) float64 {
+	capacity := g.capacity[0]*zoneWeight[0] + g.capacity[1]*zoneWeight[1]
 	if g.destination.PerEndpointWeight {
-		return g.destination.Weight * size
+		return g.destination.Weight * capacity
 	}
-	return g.destination.Weight * size / math.Max(g.largestWeight, 1e-9)
+	return g.destination.Weight * capacity / math.Max(g.largest, minWeight)
 }
 
-// nextEndpoint takes the next turn of the smooth interleaved schedule among the groups with an open member,
-// and in that group the next turn of the rotation. It returns nil if no member of any group is open.
+// nextEndpoint takes the next turn of the smooth interleaved schedule among the groups with an eligible
+// member, and in that group the next turn of the rotation. It returns nil if no member is eligible.
 func (b *Balancer) nextEndpoint() *endpoint {
 	var due *group
 	var total float64
@@ -135,22 +141,23 @@
 	return due.nextMember()
 }
 
-// nextMember gives the turn to the first open member from the due one on. If the open member after it has
-// less of this sidecar's requests in flight, the due one yields. A cold member may go ahead of both.
+// nextMember gives the turn to the first eligible member from the due one on. If the eligible member after it
+// has fewer of this sidecar's requests in flight, the due one yields. A cold member may go ahead of both.
 func (g *group) nextMember() (due *endpoint) {
-	n, at := len(g.subset), 0
-	for i, seen := 0, 0; i < n && seen < 2; i++ {
-		e := g.subset[(g.next+i)%n]
+	members, offset := len(g.subset), 0
+	for i, seen := 0, 0; i < members && seen < 2; i++ {
+		e := g.subset[(g.next+i)%members]
 		if !e.eligible {
 			continue
 		}
 		if e.warmth < 1 && e.turns.ahead {
 			return e
 		}
-		if seen++; due == nil || e.inFlight < due.inFlight {
-			due, at = e, i
+		seen++
+		if due == nil || e.inFlight < due.inFlight {
+			due, offset = e, i
 		}
 	}
-	g.next = (g.next + at + 1) % n
+	g.next = (g.next + offset + 1) % members
 	return due
 }
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -27,20 +27,20 @@
 	unknownCapacityShare = overloadShare / 1.4 // of N, where the capacity is not known
 	maxEarlyShares       = 2.0                 // shares that a cold endpoint gets at most, if all else is full
 
-	capacityMemory = 30 * time.Second // what warm endpoints have served fades by 1/e in this time
+	capacityMemory = 30 * time.Second // what warm endpoints have served decays by 1/e in this time
 	minServed      = 0.5              // answers, and
 	minMeasured    = 2.0              // seconds, from which on the capacity counts as known
 )
 
-// capacityMeter measures what warm endpoints serve this sidecar a second for each unit of registered size.
+// capacityMeter measures what warm endpoints serve this sidecar a second for each unit of weight.
 type capacityMeter struct {
-	served        float64    // fading count of their answers
-	seconds       float64    // fading length of the time
+	served        float64    // decaying count of their answers
+	seconds       float64    // decaying length of the time
 	weightSeconds [2]float64 // size of those in use, by seconds: for their zone, and regardless of it
 	warmWeight    [2]float64 // size of those in use now
 }
 
-// advance takes in that a time has passed.
+// advance records that a time has passed with the endpoints in use as they are.
 func (m *capacityMeter) advance(d time.Duration) {
 	keep := math.Exp(-d.Seconds() / capacityMemory.Seconds())
 	m.served *= keep
@@ -50,7 +50,7 @@
 	}
 }
 
-// known tells whether there is enough to go by.
+// known reports whether enough was served to go by.
 func (m *capacityMeter) known() bool {
 	return m.served >= minServed && m.seconds >= minMeasured && m.weightSeconds[0] > 0
 }
@@ -70,7 +70,7 @@
 	ahead bool
 }
 
-// reset has all begin at a phase, the same for all, as the parts that have come due otherwise had to meet.
+// reset begins a turn at a phase from 0 to 1. It is the same for all parts: they have to come due together.
 func (t *turns) reset(sends float64, now Time, phase float64) {
 	*t = turns{sends: sends, until: now, share: phase, early: phase, zoneAllowance: phase, allowance: phase}
 }
@@ -112,7 +112,7 @@
 	return min(float64(b.settings.Peers)*used/math.Max(whole, 1e-9), 1)
 }
 
-// slowStartAllows tells whether an endpoint is warm, or has its next turn for the share of its capacity
+// slowStartAllows reports whether an endpoint is warm, or has its next turn for the share of its capacity
 // that it has. Sidecars that all turn to a cold endpoint, as it alone seems free, push it over. When each
 // keeps to its turns, it gets no more for its warmth than the fleet's mean, whatever the number of
 // sidecars. A request that finds no other place may have an early turn, in any zone: where the whole fleet
@@ -135,19 +135,16 @@
 
 // warmth is the share of its capacity that an endpoint has: it rises evenly from its start.
 func (b *Balancer) warmth(e *endpoint, now Time) float64 {
-	age := now - e.Started
-	if e.Started <= 0 || age >= b.settings.SlowStartWindow {
+	age, window, start := now-e.Started, b.settings.SlowStartWindow, b.settings.SlowStartCapacity
+	if e.Started <= 0 || age >= window {
 		return 1
 	}
-	return b.settings.SlowStartCapacity + (1-b.settings.SlowStartCapacity)*max(
-		age.Seconds(),
-		0,
-	)/b.settings.SlowStartWindow.Seconds()
+	return start + (1-start)*max(age.Seconds(), 0)/window.Seconds()
 }
 
-// drawFirstTurns draws when started endpoints have their first turn: within the time in which each has one.
-// Sidecars that are told at once must not send at once. That time is long for one of many sidecars, and where
-// each began it with the start, the fleet would leave what started idle until it is warm.
+// drawFirstTurns draws when started endpoints have their first turn, within the time in which each has one.
+// Sidecars that are notified together must not send together. That time is long for one of many sidecars, and
+// if each began it with the start, the fleet would leave what started idle until it is warm.
 func (b *Balancer) drawFirstTurns(now Time) {
 	for _, e := range b.started {
 		if e.awaitsFirstTurn {
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -1,6 +1,6 @@
 package balance
 
-// Here is which part of the fleet a sidecar uses.
+// This file holds which part of the fleet a sidecar uses.
 
 import (
 	"math"
@@ -9,7 +9,11 @@
 )
 
 const (
-	minSubset = 4 // endpoints of a group that a sidecar uses at least: some may fail
+	// minSubset is how many endpoints of a group a sidecar uses at least: some may fail.
+	minSubset = 4
+	// subsetInterval is how often the subsets are taken anew at least.
+	subsetInterval = time.Second
+
 	// A fleet is wide from usualMost ready endpoints on, by degrees, and wholly from wideFleet on. There a
 	// sidecar's traffic is the same, and so is what it can know and keep connections to: it uses no more
 	// than wideUsed endpoints, or that share of usualFleet of its requests within the memory, and no more
@@ -23,13 +27,12 @@
 	// maxDrift is how far a long subset may be from its place in such a fleet, as a share of its length,
 	// and longSubset how long it is then. Of short ones, a few that are out of place would make the spread
 	// over the servers uneven.
-	maxDrift       = 1.0 / 8
-	longSubset     = 16
-	subsetInterval = time.Second // the subsets are taken anew at least this often
+	maxDrift   = 1.0 / 8
+	longSubset = 16
 )
 
-// takeSubsets takes this sidecar's subset of each group. Danger: endpoints are ready, but none is in a
-// group of the rule. As without a rule, all ready ones then form one group.
+// takeSubsets takes this sidecar's subset of each group. Where endpoints are ready but none is in a group of
+// the rule, all ready ones form one group, as without a rule.
 func (b *Balancer) takeSubsets(now Time) {
 	// In a wide fleet, what one change does to lengths and places may move members of all groups.
 	usual := b.widthFactor() == 0
@@ -50,14 +53,14 @@
 	}
 	for _, g := range b.groups {
 		if g.subset = g.subset[:0]; g.inUse {
-			g.largestWeight = math.Max(g.largestWeight, g.totalWeight)
+			g.largest = math.Max(g.largest, g.totalWeight)
 			b.takeSubset(g, settle, now)
 		}
 	}
 	b.endpointsVisited += len(b.active)
 }
 
-// resizeSubsets takes in how long the subsets should be.
+// resizeSubsets updates how long the subsets should be.
 func (b *Balancer) resizeSubsets(now Time) {
 	b.subsetsTaken = now
 	share := b.subsetShare()
@@ -97,7 +100,7 @@
 }
 
 // takeSubset takes the part of a group that this sidecar uses: a run of the group's ring from its own place
-// on. Danger: a sidecar with little traffic that goes through a large fleet knows none of its servers, and
+// on. A sidecar with little traffic that goes through a large fleet knows none of its servers, and
 // connects to all of them. Places that follow the golden ratio spread any number of sidecars evenly.
 // Members that are ejected are made up for.
 func (b *Balancer) takeSubset(g *group, settle bool, now Time) {
@@ -120,7 +123,7 @@
 	}
 }
 
-// subsetStart is where on the ring the subset begins. Danger: a subset that followed the sidecar's own place
+// subsetStart is where on the ring the subset begins. A subset that followed the sidecar's own place
 // among those ready now would move with each endpoint that comes or goes, wherever on the ring, and meet
 // servers that know nothing of it. So it stays where it began, unless it has drifted so far from its place
 // that the sidecars would not be spread evenly any more. Then it moves back by one endpoint at a time.
@@ -157,7 +160,7 @@
 	})
 }
 
-// reaches tells whether the endpoint at a rank is within the subset, or next behind it.
+// reaches reports whether the endpoint at a rank is within the subset, or next behind it.
 func (g *group) reaches(at int) bool {
 	n := len(g.endpoints)
 	return g.inUse && (!g.anchored || (at-g.rank(g.anchor, g.anchorID)%n+n)%n <= len(g.subset))
