--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -124,7 +124,7 @@
 	f.recorder = failuredetector.New(binary.LittleEndian.Uint64(random[:8]))
 	f.machine = gossip.New(now, gossip.Settings{Label: c.Label, CatchUp: c.CatchUp(), Before: before, Membership: membership.Settings{Name: name,
 		Address: f.address, Peers: peers, Seed: binary.LittleEndian.Uint64(random[:8]),
-		Nonce: binary.LittleEndian.Uint64(random[8:]) | 1, Number: uint64(max(now.Wall, 1))}}, warm)
+		LifeNonce: binary.LittleEndian.Uint64(random[8:]) | 1, LifeNumber: uint64(max(now.Wall, 1))}}, warm)
 	f.log.Info("joining", "label", c.Label, "address", l.Address(), "peers", len(c.Peers))
 	f.over.Add(1)
 	go func() {
@@ -160,7 +160,7 @@
 	address := ""
 	if err := f.ask(ctx, func(replication.Now) {
 		for _, m := range f.machine.Members.Members() {
-			if m.Name == name && m.Here() {
+			if m.Name == name && m.Present() {
 				address = m.Address
 			}
 		}
@@ -254,7 +254,7 @@
 		f.raise(self.Life.Number)
 	}
 	for _, p := range out.Phase {
-		f.log.Info("caught up", "phase", p.String(), "members", f.machine.Members.Here())
+		f.log.Info("caught up", "phase", p.String(), "members", f.machine.Members.NumPresent())
 		if p != gossip.Catching && !f.done {
 			f.done = true
 			close(f.ready)
@@ -293,7 +293,7 @@
 	if _, bears := f.machine.Members.Self(); !bears {
 		return
 	}
-	for _, e := range f.recorder.DueRows(now.Time, f.machine.Members.Here()) {
+	for _, e := range f.recorder.DueRows(now.Time, f.machine.Members.NumPresent()) {
 		key, err := f.machine.Store.WriteRow(now, e.Server, f.boots[e.Server], e.Evidence)
 		if err != nil {
 			f.log.Debug("not written", "server", e.Server, "err", err)
@@ -343,7 +343,7 @@
 
 // leaveWarm has what the staff has said be written down, where it has changed and a folder is named.
 func (f *Fleet) leaveWarm(now replication.Now) {
-	sum := f.machine.Store.Digest().PerKind()[replication.KindAdmin] ^ f.machine.Members.Sum()
+	sum := f.machine.Store.Digest().PerKind()[replication.KindAdmin] ^ f.machine.Members.Digest()
 	if f.states == nil || sum == f.kept || f.keptAt > 0 && now.Time-f.keptAt < warmEvery {
 		return
 	}
@@ -382,7 +382,7 @@
 	if c.Member.State == membership.Suspect {
 		level = slog.LevelDebug
 	}
-	if c.Own {
+	if c.Superseded {
 		f.log.Warn("another process bears this sidecar's name; this one is silent from now on", "at", c.Member.Address, "life", c.Member.Life)
 		return
 	}
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -190,7 +190,7 @@
 // New returns a machine that catches up first. warm is what a former life has left on disk; it may be nil.
 func New(now replication.Now, set Settings, warm []replication.Item) *Machine {
 	set.CatchUp = cmp.Or(set.CatchUp, usualCatchUp)
-	m := &Machine{set: set, rng: rand.New(rand.NewPCG(set.Membership.Seed, ^set.Membership.Nonce)),
+	m := &Machine{set: set, rng: rand.New(rand.NewPCG(set.Membership.Seed, ^set.Membership.LifeNonce)),
 		Members: membership.New(now.Time, set.Membership), contacts: map[string]*contact{}, empty: map[string]bool{}, before: slices.Clone(set.Before),
 		tokens: mostBurst, filled: now.Time, ticked: now.Time, since: now.Time}
 	self, _ := m.Members.Self()
@@ -223,7 +223,7 @@
 		clear(m.empty)
 		m.fetch, m.learnt = now, false
 	} else {
-		m.Members.Joined()
+		m.Members.MarkJoined()
 	}
 	m.out.Phase = append(m.out.Phase, p)
 }
@@ -236,7 +236,7 @@
 		return
 	}
 	m.count++
-	times := bits.Len(uint(m.Members.Here()))
+	times := bits.Len(uint(m.Members.NumPresent()))
 	if key.Kind != replication.KindRow {
 		times *= passTimes
 	}
@@ -291,7 +291,7 @@
 	m.live()
 	for _, said := range list {
 		// Others have counted it as gone: they have gone on without it.
-		if said.Name == self.Name && said.Life == self.Life && said.State == membership.Gone && said.Incarnation >= m.wasGone && m.phase != Catching {
+		if said.Name == self.Name && said.Life == self.Life && said.State == membership.Dead && said.Incarnation >= m.wasGone && m.phase != Catching {
 			m.wasGone = said.Incarnation + 1
 			m.enter(now.Time, Catching)
 		}
@@ -357,7 +357,7 @@
 	}
 	names, places := []string{self.Name}, map[string]string{}
 	for _, p := range m.Members.Members() {
-		if p.Here() {
+		if p.Present() {
 			names = append(names, p.Name)
 			places[p.Name] = p.Address
 		}
@@ -376,10 +376,10 @@
 	switch n.Kind {
 	case failuredetector.NoteLate:
 		self, _ := m.Members.Self()
-		for _, owner := range m.quorum.AddLate(now, n.Server, from, m.Members.Here()) {
+		for _, owner := range m.quorum.AddLate(now, n.Server, from, m.Members.NumPresent()) {
 			if owner == self.Name {
 				m.out.Speak = append(m.out.Speak, n.Server)
-			} else if o, known := m.Members.Member(owner); known && o.Here() {
+			} else if o, known := m.Members.Member(owner); known && o.Present() {
 				m.post(now, o.Address, Packet{Notes: []failuredetector.Note{{Server: n.Server, Kind: failuredetector.NoteReport}}}, false)
 			}
 		}
@@ -403,9 +403,9 @@
 func (m *Machine) compare(now replication.Now, name, address string, sums [replication.NumKinds]uint64, roll uint64) {
 	digest := m.Store.Digest()
 	c := m.contact(name)
-	if roll != m.Members.Sum() && !m.Members.Waiting() && now.Time-m.called >= wantEvery {
+	if roll != m.Members.Digest() && !m.Members.HasBroadcasts() && now.Time-m.called >= wantEvery {
 		m.called = now.Time
-		m.post(now.Time, address, Packet{Call: true, Members: m.Members.Draw(mostNews)}, false)
+		m.post(now.Time, address, Packet{Call: true, Members: m.Members.SampleAll(mostNews)}, false)
 	}
 	if c.sums, c.heard = sums, now.Time; sums == digest.PerKind() {
 		c.same = now.Time
@@ -427,7 +427,7 @@
 		return
 	}
 	c.rolled = max(now.Time, 1)
-	for list := m.Members.Draw(mostReplies * mostNews); len(list) > 0; {
+	for list := m.Members.SampleAll(mostReplies * mostNews); len(list) > 0; {
 		n := min(len(list), mostNews)
 		m.post(now.Time, address, Packet{Members: list[:n]}, false)
 		list = list[n:]
@@ -529,13 +529,13 @@
 
 // settle does what membership asks for, with news on it. from is whose message led to it; it may be nobody.
 func (m *Machine) settle(now replication.Now, from membership.Member) {
-	sends, changes := m.Members.Out()
+	sends, changes := m.Members.TakeOutput()
 	for _, c := range changes {
 		m.changed(c)
 	}
 	for _, s := range sends {
 		sums := m.Store.Digest().PerKind()
-		p := Packet{Probe: &s.Message, Sums: &sums, Roll: m.Members.Sum(), Members: m.Members.News(mostNews, from)}
+		p := Packet{Probe: &s.Message, Sums: &sums, Roll: m.Members.Digest(), Members: m.Members.Broadcasts(mostNews, from)}
 		m.fillRumors(now, &p)
 		m.post(now.Time, s.To, p, true)
 	}
@@ -544,18 +544,18 @@
 // changed takes in news of a member.
 func (m *Machine) changed(c membership.Change) {
 	m.out.Changes = append(m.out.Changes, c)
-	if c.Own {
+	if c.Superseded {
 		m.heir, m.owed = c.Member.Address, m.Store.Keys()
 		return
 	}
-	if c.Former.Life != c.Member.Life {
-		m.Store.MarkDead(c.Member.Name, c.Former.Life)
+	if c.Previous.Life != c.Member.Life {
+		m.Store.MarkDead(c.Member.Name, c.Previous.Life)
 	}
 	switch c.Member.State {
 	case membership.Left:
 		m.Store.MarkDead(c.Member.Name, c.Member.Life)
 		delete(m.contacts, c.Member.Name)
-	case membership.Gone:
+	case membership.Dead:
 		// Danger: it may live on. Were its rows dropped, an older version that another sidecar still passes on would come back
 		// as news. They count for nothing while it is not here, and fade.
 		delete(m.contacts, c.Member.Name)
@@ -598,10 +598,10 @@
 
 // spread passes news on, where there is any and it is time.
 func (m *Machine) spread(now replication.Now, urgent bool) {
-	if now.Time >= m.gossip-m.hurry(urgent) && (len(m.rumors) > 0 || m.Members.Waiting()) {
+	if now.Time >= m.gossip-m.hurry(urgent) && (len(m.rumors) > 0 || m.Members.HasBroadcasts()) {
 		m.gossip, m.urgent = now.Time+gossipEvery, false
-		for _, to := range m.Members.Some(gossipTo) {
-			p := Packet{Members: m.Members.News(mostNews, membership.Member{})}
+		for _, to := range m.Members.SamplePresent(gossipTo) {
+			p := Packet{Members: m.Members.Broadcasts(mostNews, membership.Member{})}
 			before := slices.Clone(m.rumors)
 			if m.fillRumors(now, &p); len(p.Items)+len(p.Members) == 0 {
 				break
@@ -641,7 +641,7 @@
 // confirm tries those that have not answered, and others.
 func (m *Machine) confirm(now replication.Now) {
 	m.confirms = slices.DeleteFunc(m.confirms, func(c confirm) bool {
-		enough := min(confirmBy, m.Members.Here()-1)
+		enough := min(confirmBy, m.Members.NumPresent()-1)
 		if len(c.by) >= enough || now.Time >= c.until {
 			m.out.Held = append(m.out.Held, Held{c.key, len(c.by), len(c.asked)})
 			return true
@@ -654,7 +654,7 @@
 			continue
 		}
 		c.next = now.Time + confirmEvery
-		for _, to := range m.Members.Some(2 * confirmBy) {
+		for _, to := range m.Members.SamplePresent(2 * confirmBy) {
 			if c.by[to.Name] || len(c.by)+1 > confirmBy {
 				continue
 			}
@@ -695,7 +695,7 @@
 	}
 	places := slices.Clone(m.set.Membership.Peers)
 	for _, p := range m.Members.Members() {
-		if p.Here() {
+		if p.Present() {
 			places = append(places, p.Address)
 		}
 	}
@@ -761,7 +761,7 @@
 func (m *Machine) askedAll() bool {
 	here := 0
 	for _, p := range m.Members.Members() {
-		if p.Here() {
+		if p.Present() {
 			if here++; !m.empty[p.Address] {
 				return false
 			}
@@ -825,8 +825,8 @@
 		return
 	}
 	m.Members.Leave()
-	for _, to := range m.Members.Some(gossipTo) {
-		m.post(now.Time, to.Address, Packet{Members: m.Members.News(mostNews, membership.Member{})}, true)
+	for _, to := range m.Members.SamplePresent(gossipTo) {
+		m.post(now.Time, to.Address, Packet{Members: m.Members.Broadcasts(mostNews, membership.Member{})}, true)
 	}
 }
 
@@ -834,9 +834,9 @@
 func (m *Machine) Doubts(now replication.Now, servers int) []replication.Suspicion {
 	here := func(owner string) bool {
 		o, known := m.Members.Member(owner)
-		return known && o.Here()
+		return known && o.Present()
 	}
-	return m.Store.Suspicions(now, here, m.Members.Here(), servers)
+	return m.Store.Suspicions(now, here, m.Members.NumPresent(), servers)
 }
 
 // Lag is how a peer's copy compares to the own one.
@@ -853,7 +853,7 @@
 	ours := m.Store.Digest().PerKind()
 	var lags []Lag
 	for _, p := range m.Members.Members() {
-		if !p.Here() {
+		if !p.Present() {
 			continue
 		}
 		l := Lag{Name: p.Name}
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -21,7 +21,7 @@
 
 func newMachine(now replication.Now, i int, peers ...string) *Machine {
 	return New(now, Settings{Label: "test", Membership: membership.Settings{Name: fmt.Sprint("n", i), Address: fmt.Sprint("a", i),
-		Peers: peers, Nonce: uint64(i + 1)}}, nil)
+		Peers: peers, LifeNonce: uint64(i + 1)}}, nil)
 }
 
 // pass carries out what machines ask for, at once, until they have nothing more to say.
@@ -98,8 +98,8 @@
 	}
 	run(t, now, 10*time.Second, all...)
 	for _, m := range all {
-		if p, _ := m.Phase(); m.Members.Here() != 3 || p == Catching || p == Alone {
-			t.Fatalf("%d members, phase %v", m.Members.Here(), p)
+		if p, _ := m.Phase(); m.Members.NumPresent() != 3 || p == Catching || p == Alone {
+			t.Fatalf("%d members, phase %v", m.Members.NumPresent(), p)
 		}
 	}
 	return all
@@ -176,7 +176,7 @@
 		t.Errorf("phase %v when it goes on", p)
 	}
 	self, _ := last.Members.Self()
-	self.State = membership.Gone
+	self.State = membership.Dead
 	from, _ := all[0].Members.Self()
 	text, err := Packet{Format: Format, Label: "test", From: from, Members: []membership.Member{self}}.Encode()
 	if err != nil {
@@ -241,8 +241,8 @@
 			t.Errorf("%s was taken", name)
 		}
 	}
-	if f := m.Figures(); f.Foreign != 2 || f.Bad != 5 || f.Received != 0 || m.Members.Here() != 1 {
-		t.Errorf("figures %+v, %d members", f, m.Members.Here())
+	if f := m.Figures(); f.Foreign != 2 || f.Bad != 5 || f.Received != 0 || m.Members.NumPresent() != 1 {
+		t.Errorf("figures %+v, %d members", f, m.Members.NumPresent())
 	}
 }
 
@@ -304,7 +304,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		m := newMachine(now, 0)
 		err := m.Receive(now, "ax", text)
-		if err != nil && (m.Members.Here() != 1 || len(m.Store.Keys()) != 0) {
+		if err != nil && (m.Members.NumPresent() != 1 || len(m.Store.Keys()) != 0) {
 			t.Errorf("something came of a datagram with error %v", err)
 		}
 		_ = m.Fetched(now, "ax", text, nil)
@@ -407,7 +407,7 @@
 	}
 	call(former, "s-0") // the third has not heard of it
 	next := New(later(&now, time.Second), Settings{Label: "test", Before: []string{"a0"}, Membership: membership.Settings{Name: "n0", Address: "b0",
-		Peers: []string{"a1"}, Nonce: 9, Number: 9}}, nil)
+		Peers: []string{"a1"}, LifeNonce: 9, LifeNumber: 9}}, nil)
 	text, err := third.Serve(now)
 	if err != nil {
 		t.Fatal(err)
@@ -453,7 +453,7 @@
 		t.Errorf("%v out, want what the former process had as well", next.Store.AdminDown())
 	}
 	// One that is gone is not waited for.
-	alone := New(now, Settings{Label: "test", Before: []string{"a0"}, Membership: membership.Settings{Name: "n0", Address: "c0", Peers: []string{"a1"}, Nonce: 10, Number: 10}}, nil)
+	alone := New(now, Settings{Label: "test", Before: []string{"a0"}, Membership: membership.Settings{Name: "n0", Address: "c0", Peers: []string{"a1"}, LifeNonce: 10, LifeNumber: 10}}, nil)
 	if err := alone.Fetched(now, "a1", text, nil); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/membership/order.go
+++ b/internal/fleet/membership/member.go
@@ -38,16 +38,16 @@
 const (
 	Alive   State = iota
 	Suspect       // it did not answer, and may still say that it lives
-	Gone          // it did not say so in time
+	Dead          // it did not say so in time
 	Left          // it has said that it goes
-	states
+	numStates
 )
 
-var stateNames = [states]string{"alive", "suspect", "gone", "left"}
+var stateNames = [numStates]string{"alive", "suspect", "gone", "left"}
 
 // String implements fmt.Stringer.
 func (s State) String() string {
-	if s < states {
+	if s < numStates {
 		return stateNames[s]
 	}
 	return fmt.Sprintf("state %d", uint8(s))
@@ -69,25 +69,25 @@
 		cmp.Compare(m.Address, o.Address))
 }
 
-// Later is the greater of two.
-func Later(a, b Member) Member {
+// Newer is the greater of two.
+func Newer(a, b Member) Member {
 	if a.Compare(b) < 0 {
 		return b
 	}
 	return a
 }
 
-// Here tells whether the fleet counts on the member.
-func (m Member) Here() bool { return m.State == Alive || m.State == Suspect }
+// Present tells whether the fleet counts on the member.
+func (m Member) Present() bool { return m.State == Alive || m.State == Suspect }
 
-// check says what is wrong with what a peer says of a member.
-func (m Member) check() error {
+// validate says what is wrong with what a peer says of a member.
+func (m Member) validate() error {
 	switch {
-	case m.Name == "" || len(m.Name) > mostName:
-		return fmt.Errorf("a name of %d bytes, 1 to %d are allowed", len(m.Name), mostName)
-	case len(m.Address) == 0 || len(m.Address) > mostAddress:
-		return fmt.Errorf("member %q: an address of %d bytes, 1 to %d are allowed", m.Name, len(m.Address), mostAddress)
-	case m.State >= states:
+	case m.Name == "" || len(m.Name) > maxNameBytes:
+		return fmt.Errorf("a name of %d bytes, 1 to %d are allowed", len(m.Name), maxNameBytes)
+	case len(m.Address) == 0 || len(m.Address) > maxAddressBytes:
+		return fmt.Errorf("member %q: an address of %d bytes, 1 to %d are allowed", m.Name, len(m.Address), maxAddressBytes)
+	case m.State >= numStates:
 		return fmt.Errorf("member %q: %v is unknown", m.Name, m.State)
 	case m.Life == Life{}:
 		return fmt.Errorf("member %q: no life", m.Name)
@@ -96,6 +96,6 @@
 }
 
 const (
-	mostName    = 64 // bytes
-	mostAddress = 64 // bytes
+	maxNameBytes    = 64 // bytes
+	maxAddressBytes = 64 // bytes
 )
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -14,149 +14,149 @@
 
 // Settings are what a Machine is told at its start. The zero value of a time stands for the usual one.
 type Settings struct {
-	Name    string
-	Address string   // where others reach it
-	Peers   []string // addresses to find the fleet by; the own one may be among them
-	Seed    uint64
-	Nonce   uint64 // of this life: drawn anew for each
-	Number  uint64 // of this life at least, such as its start's Unix time; raised above those of former lives
+	Name       string
+	Address    string   // where others reach it
+	Peers      []string // addresses to find the fleet by; the own one may be among them
+	Seed       uint64
+	LifeNonce  uint64 // of this life: drawn anew for each
+	LifeNumber uint64 // of this life at least, such as its start's Unix time; raised above those of former lives
 
-	Interval time.Duration // between two probes, where this sidecar is well; usual: 1 s
-	Timeout  time.Duration // for an answer, before others are asked to try; usual: 300 ms
-	Forget   time.Duration // what is held of one that is gone or left is kept; usual: 10 min
-	Seek     time.Duration // between two tries at a peer that nobody has heard of, or that is gone; usual: 5 s
+	ProbeInterval  time.Duration // between two probes, where this sidecar is well; usual: 1 s
+	AckTimeout     time.Duration // for an answer, before others are asked to try; usual: 300 ms
+	Retention      time.Duration // what is held of one that is gone or left is kept; usual: 10 min
+	RejoinInterval time.Duration // between two tries at a peer that nobody has heard of, or that is gone; usual: 5 s
 }
 
 // The bounds of what a Machine holds and does.
 const (
-	usualInterval = time.Second
-	usualTimeout  = 300 * time.Millisecond
-	usualForget   = 10 * time.Minute
-	usualSeek     = 5 * time.Second
-
-	askOthers    = 3    // members that are asked to try one that does not answer
-	suspectFor   = 4    // intervals and decades of members that a suspicion lasts at least
-	suspectMore  = 6    // times as long that it lasts while nobody else has it
-	confirms     = 2    // others whose suspicion brings it down to the least
-	mostSick     = 8    // of the score of how well this sidecar itself does
-	spreadTimes  = 4    // decades of members that each news is passed on for
-	mostMembers  = 4096 // that are held, gone ones included
-	mostRelays   = 64   // tries for others at a time
-	heardExcuses = 2    // intervals for which something heard from a member itself holds its end up
+	defaultProbeInterval  = time.Second
+	defaultAckTimeout     = 300 * time.Millisecond
+	defaultRetention      = 10 * time.Minute
+	defaultRejoinInterval = 5 * time.Second
+
+	indirectProbers        = 3    // members that are asked to try one that does not answer
+	suspicionMult          = 4    // intervals and decades of members that a suspicion lasts at least
+	suspicionMaxMult       = 6    // times as long that it lasts while nobody else has it
+	suspicionConfirmations = 2    // others whose suspicion brings it down to the least
+	maxLocalHealth         = 8    // of the score of how well this sidecar itself does
+	retransmitMult         = 4    // decades of members that each news is passed on for
+	maxMembers             = 4096 // that are held, gone ones included
+	maxRelays              = 64   // tries for others at a time
+	recentContactIntervals = 2    // intervals for which something heard from a member itself holds its end up
 )
 
-// Kind is a kind of message.
-type Kind uint8
+// MessageKind is a kind of message.
+type MessageKind uint8
 
 // The kinds of messages.
 const (
-	Ping    Kind = iota + 1 // answer with Ack
-	Ack                     // of the Seq in the ping
-	Ask                     // ping Target for me, and pass its Ack on
-	NoReply                 // the one asked for has not answered me so far
+	Ping    MessageKind = iota + 1 // answer with Ack
+	Ack                            // of the Seq in the ping
+	PingReq                        // ping Target for me, and pass its Ack on
+	Nack                           // the one asked for has not answered me so far
 )
 
 // Message is what a sidecar says to another for the sake of membership. What travels along is not its business.
 type Message struct {
-	Kind   Kind   `cbor:"1,keyasint"`
-	Seq    uint64 `cbor:"2,keyasint"`
-	Target string `cbor:"3,keyasint,omitempty"` // Ping: whom it is for; Ask: whom to ping; "": whoever is there
-	At     string `cbor:"4,keyasint,omitempty"` // Ask: where
+	Kind          MessageKind `cbor:"1,keyasint"`
+	Seq           uint64      `cbor:"2,keyasint"`
+	Target        string      `cbor:"3,keyasint,omitempty"` // Ping: whom it is for; Ask: whom to ping; "": whoever is there
+	TargetAddress string      `cbor:"4,keyasint,omitempty"` // Ask: where
 }
 
-// Send is a message to be sent.
-type Send struct {
+// Outgoing is a message to be sent.
+type Outgoing struct {
 	To      string // an address
 	Message Message
 }
 
 // Change is news of a member, for logs and for what is held by member.
 type Change struct {
-	Member Member
-	Former Member // State is states where it was not known
-	Own    bool   // of this sidecar itself: another life bears its name now
+	Member     Member
+	Previous   Member // State is states where it was not known
+	Superseded bool   // of this sidecar itself: another life bears its name now
 }
 
 // peer is a member and what this sidecar has of it.
 type peer struct {
 	Member
-	since   Time // of its state here
-	heard   Time // something from itself, in this life
-	until   Time // Suspect: when it counts as gone
-	suspect Time // since
-	by      map[string]bool
+	stateSince  Time // of its state here
+	lastContact Time // something from itself, in this life
+	deadline    Time // Suspect: when it counts as gone
+	suspectedAt Time // since
+	suspectedBy map[string]bool
 }
 
 // probe is the try in hand.
 type probe struct {
-	name   string
-	seq    uint64
-	asked  bool // others
-	askAt  Time
-	endAt  Time
-	misses int // others that were asked and said that they have no answer either
-	wanted int // others that were asked
+	name       string
+	seq        uint64
+	indirect   bool // others
+	indirectAt Time
+	deadline   Time
+	nacks      int // others that were asked and said that they have no answer either
+	probers    int // others that were asked
 }
 
 // relay is a try for another member.
 type relay struct {
-	to    string // its address
-	seq   uint64 // its own
-	until Time   // then it is told that there is no answer yet
-	told  bool
+	requester    string // its address
+	requesterSeq uint64 // its own
+	deadline     Time   // then it is told that there is no answer yet
+	nackSent     bool
 }
 
-// news is what is held of a member and is to be passed on.
-type news struct {
-	name string
-	left int // times
+// broadcast is what is held of a member and is to be passed on.
+type broadcast struct {
+	name          string
+	transmitsLeft int // times
 }
 
 // Machine is one sidecar's part in the membership.
 type Machine struct {
-	set     Settings
-	rng     *rand.Rand
-	self    Member
-	yields  bool // another life bears the name
-	joined  bool // has heard what the fleet holds of its own name
-	peers   map[string]*peer
-	here    []string // names of those that count, in order
-	doubted []string // and of those that are not plainly alive
-	ring    []string // whom to try next
-	seq     uint64
-	probe   *probe
-	relays  map[uint64]relay
-	next    Time // probe
-	seek    Time // next try at one not known or gone
-	sick    int
-	news    []news
-	changes []Change
-	sends   []Send
-	version uint64 // counts what changes the sum
-	summed  uint64 // the version that sum is of
-	sum     uint64
+	settings      Settings
+	rng           *rand.Rand
+	self          Member
+	superseded    bool // another life bears the name
+	joined        bool // has heard what the fleet holds of its own name
+	peers         map[string]*peer
+	present       []string // names of those that count, in order
+	notAlive      []string // and of those that are not plainly alive
+	probeOrder    []string // whom to try next
+	lastSeq       uint64
+	probe         *probe
+	relays        map[uint64]relay
+	nextProbe     Time // probe
+	nextRejoin    Time // next try at one not known or gone
+	localHealth   int
+	broadcasts    []broadcast
+	changes       []Change
+	outgoing      []Outgoing
+	version       uint64 // counts what changes the sum
+	digestVersion uint64 // the version that sum is of
+	digest        uint64
 }
 
 // New returns a machine that knows of nobody.
 func New(now Time, set Settings) *Machine {
-	set.Interval = cmp.Or(set.Interval, usualInterval)
-	set.Timeout = cmp.Or(set.Timeout, usualTimeout)
-	set.Forget = cmp.Or(set.Forget, usualForget)
-	set.Seek = cmp.Or(set.Seek, usualSeek)
-	m := &Machine{set: set, rng: rand.New(rand.NewPCG(set.Seed, set.Nonce)), peers: map[string]*peer{},
+	set.ProbeInterval = cmp.Or(set.ProbeInterval, defaultProbeInterval)
+	set.AckTimeout = cmp.Or(set.AckTimeout, defaultAckTimeout)
+	set.Retention = cmp.Or(set.Retention, defaultRetention)
+	set.RejoinInterval = cmp.Or(set.RejoinInterval, defaultRejoinInterval)
+	m := &Machine{settings: set, rng: rand.New(rand.NewPCG(set.Seed, set.LifeNonce)), peers: map[string]*peer{},
 		relays: map[uint64]relay{},
-		self:   Member{Name: set.Name, Address: set.Address, Life: Life{max(set.Number, 1), set.Nonce}}}
-	m.next = now + Time(m.rng.Float64()*float64(set.Interval)) // not all that start together at once
-	m.spread(m.self.Name)
+		self:   Member{Name: set.Name, Address: set.Address, Life: Life{max(set.LifeNumber, 1), set.LifeNonce}}}
+	m.nextProbe = now + Time(m.rng.Float64()*float64(set.ProbeInterval)) // not all that start together at once
+	m.enqueueBroadcast(m.self.Name)
 	return m
 }
 
 // Self is what this sidecar says of itself, and whether it still may: not once another life bears its name.
-func (m *Machine) Self() (self Member, bears bool) { return m.self, !m.yields }
+func (m *Machine) Self() (self Member, bears bool) { return m.self, !m.superseded }
 
-// Joined says that this sidecar has heard what the fleet holds. From then on it takes a higher life under its own name
+// MarkJoined says that this sidecar has heard what the fleet holds. From then on it takes a higher life under its own name
 // for another process, not for its former life.
-func (m *Machine) Joined() { m.joined = true }
+func (m *Machine) MarkJoined() { m.joined = true }
 
 // Members lists what is held of all others, in the order of their names.
 func (m *Machine) Members() []Member {
@@ -179,69 +179,71 @@
 	return Member{}, false
 }
 
-// Here counts the members that the fleet counts on, this sidecar included.
-func (m *Machine) Here() int { return len(m.here) + 1 }
+// NumPresent counts the members that the fleet counts on, this sidecar included.
+func (m *Machine) NumPresent() int { return len(m.present) + 1 }
 
-// Sick tells how badly this sidecar itself does, from 0 to mostSick: answers of others that it did not get.
-func (m *Machine) Sick() int { return m.sick }
+// LocalHealth tells how badly this sidecar itself does, from 0 to mostSick: answers of others that it did not get.
+func (m *Machine) LocalHealth() int { return m.localHealth }
 
-// Heard is when something last came from a member itself, in its present life.
-func (m *Machine) Heard(name string) (Time, bool) {
-	if p := m.peers[name]; p != nil && p.heard > 0 {
-		return p.heard, true
+// LastContact is when something last came from a member itself, in its present life.
+func (m *Machine) LastContact(name string) (Time, bool) {
+	if p := m.peers[name]; p != nil && p.lastContact > 0 {
+		return p.lastContact, true
 	}
 	return 0, false
 }
 
-// Some draws up to n members that the fleet counts on, not this sidecar.
-func (m *Machine) Some(n int) []Member {
+// SamplePresent draws up to n members that the fleet counts on, not this sidecar.
+func (m *Machine) SamplePresent(n int) []Member {
 	list := make([]Member, 0, n)
-	for _, i := range m.rng.Perm(len(m.here))[:min(n, len(m.here))] {
-		list = append(list, m.peers[m.here[i]].Member)
+	for _, i := range m.rng.Perm(len(m.present))[:min(n, len(m.present))] {
+		list = append(list, m.peers[m.present[i]].Member)
 	}
 	return list
 }
 
-// Out takes what is to be done: messages to send and changes to take in.
-func (m *Machine) Out() (sends []Send, changes []Change) {
-	sends, changes = m.sends, m.changes
-	m.sends, m.changes = nil, nil
+// TakeOutput takes what is to be done: messages to send and changes to take in.
+func (m *Machine) TakeOutput() (sends []Outgoing, changes []Change) {
+	sends, changes = m.outgoing, m.changes
+	m.outgoing, m.changes = nil, nil
 	return sends, changes
 }
 
-func (m *Machine) send(to string, message Message) { m.sends = append(m.sends, Send{to, message}) }
+func (m *Machine) send(to string, message Message) {
+	m.outgoing = append(m.outgoing, Outgoing{to, message})
+}
 
-// News takes up to n members whose state is to be passed on, those passed on least first. What is held of the one that it
+// Broadcasts takes up to n members whose state is to be passed on, those passed on least first. What is held of the one that it
 // goes to goes first, where it is not what that says of itself: one that is thought gone must hear of it to say that it is
 // not, and one that has started again must hear of its former life. to may be the zero Member.
-func (m *Machine) News(n int, to Member) []Member {
+func (m *Machine) Broadcasts(n int, to Member) []Member {
 	list := make([]Member, 0, n)
 	if p := m.peers[to.Name]; p != nil && p.Compare(to) > 0 && n > 0 {
 		list = append(list, p.Member)
 	}
-	slices.SortStableFunc(m.news, func(a, b news) int { return cmp.Compare(b.left, a.left) })
-	for i := 0; i < len(m.news) && len(list) < n; i++ {
-		if member, ok := m.Member(m.news[i].name); ok && (len(list) == 0 || list[0].Name != member.Name) {
+	slices.SortStableFunc(m.broadcasts, func(a, b broadcast) int { return cmp.Compare(b.transmitsLeft, a.transmitsLeft) })
+	for i := 0; i < len(m.broadcasts) && len(list) < n; i++ {
+		if member, ok := m.Member(m.broadcasts[i].name); ok && (len(list) == 0 || list[0].Name != member.Name) {
 			list = append(list, member)
-			m.news[i].left--
+			m.broadcasts[i].transmitsLeft--
 		}
 	}
-	m.news = slices.DeleteFunc(m.news, func(x news) bool { return x.left <= 0 })
+	m.broadcasts = slices.DeleteFunc(m.broadcasts, func(x broadcast) bool { return x.transmitsLeft <= 0 })
 	return list
 }
 
-// Waiting tells whether there is news to be passed on.
-func (m *Machine) Waiting() bool { return len(m.news) > 0 }
+// HasBroadcasts tells whether there is news to be passed on.
+func (m *Machine) HasBroadcasts() bool { return len(m.broadcasts) > 0 }
 
-// Sum is the same for machines that hold the same of all members, themselves included.
-func (m *Machine) Sum() uint64 {
-	if m.summed != m.version {
-		m.sum, m.summed = m.total(), m.version
+// Digest is the same for machines that hold the same of all members, themselves included.
+func (m *Machine) Digest() uint64 {
+	if m.digestVersion != m.version {
+		m.digest, m.digestVersion = m.computeDigest(), m.version
 	}
-	return m.sum
+	return m.digest
 }
 
-func (m *Machine) total() (sum uint64) {
+func (m *Machine) computeDigest() (sum uint64) {
 	add := func(p Member) {
 		var h xxhash.Digest
 		h.Reset()
@@ -254,38 +256,38 @@
 		sum += h.Sum64()
 	}
 	for _, p := range m.peers {
-		if p.Here() { // those that are gone are forgotten at different times
+		if p.Present() { // those that are gone are forgotten at different times
 			add(p.Member)
 		}
 	}
-	if !m.yields && m.self.Here() {
+	if !m.superseded && m.self.Present() {
 		add(m.self)
 	}
 	return sum
 }
 
-// Draw draws up to n members, whatever is held of them.
-func (m *Machine) Draw(n int) []Member {
+// SampleAll draws up to n members, whatever is held of them.
+func (m *Machine) SampleAll(n int) []Member {
 	list := m.Members()
 	m.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list[:min(n, len(list))]
 }
 
-// spread has what is held of a member be passed on. Each news is passed on for some times that grow with the logarithm
+// enqueueBroadcast has what is held of a member be passed on. Each news is passed on for some times that grow with the logarithm
 // of the fleet: so all have it with near certainty, and what one sidecar sends does not grow with the fleet.
-func (m *Machine) spread(name string) {
+func (m *Machine) enqueueBroadcast(name string) {
 	m.version++
-	if m.yields && name == m.self.Name {
+	if m.superseded && name == m.self.Name {
 		return
 	}
-	m.news = slices.DeleteFunc(m.news, func(x news) bool { return x.name == name })
-	m.news = append(m.news, news{name, int(math.Ceil(spreadTimes * math.Log10(float64(len(m.peers)+2)+1)))})
+	m.broadcasts = slices.DeleteFunc(m.broadcasts, func(x broadcast) bool { return x.name == name })
+	m.broadcasts = append(m.broadcasts, broadcast{name, int(math.Ceil(retransmitMult * math.Log10(float64(len(m.peers)+2)+1)))})
 }
 
 // Merge takes in what a peer says of members. What cannot be is passed over with its reason.
 func (m *Machine) Merge(now Time, list []Member, from string) (err error) {
 	for _, said := range list {
-		if bad := said.check(); bad != nil {
+		if bad := said.validate(); bad != nil {
 			err = cmp.Or(err, bad)
 			continue
 		}
@@ -293,7 +295,7 @@
 			m.mergeSelf(said)
 			continue
 		}
-		m.merge(now, said, from)
+		m.mergePeer(now, said, from)
 	}
 	return err
 }
@@ -303,126 +305,132 @@
 func (m *Machine) mergeSelf(said Member) {
 	switch c := said.Life.Compare(m.self.Life); {
 	case c < 0: // a former life: what is said of this one goes before it
-		m.spread(m.self.Name)
+		m.enqueueBroadcast(m.self.Name)
 	case c == 0:
-		if !m.yields && said.State != m.self.State && said.Incarnation >= m.self.Incarnation && m.self.State != Left {
+		if !m.superseded && said.State != m.self.State && said.Incarnation >= m.self.Incarnation && m.self.State != Left {
 			m.self.Incarnation = said.Incarnation + 1
-			m.sicker(1)
-			m.spread(m.self.Name)
+			m.adjustLocalHealth(1)
+			m.enqueueBroadcast(m.self.Name)
 		}
-	case !m.yields && (!m.joined || m.former(said)):
+	case !m.superseded && (!m.joined || m.isFormerLife(said)):
 		m.self.Life.Number, m.self.Incarnation = said.Life.Number+1, 0
-		m.spread(m.self.Name)
-	case !m.yields: // the younger one bears the name
+		m.enqueueBroadcast(m.self.Name)
+	case !m.superseded: // the younger one bears the name
 		former := m.self
-		m.yields = true
+		m.superseded = true
 		m.version++
-		m.news = slices.DeleteFunc(m.news, func(x news) bool { return x.name == m.self.Name })
-		m.changes = append(m.changes, Change{Member: said, Former: former, Own: true})
+		m.broadcasts = slices.DeleteFunc(m.broadcasts, func(x broadcast) bool { return x.name == m.self.Name })
+		m.changes = append(m.changes, Change{Member: said, Previous: former, Superseded: true})
 	}
 }
 
-// former tells whether a later life under the own name has ended, though its number is the higher one, as the clock of
+// isFormerLife tells whether a later life under the own name has ended, though its number is the higher one, as the clock of
 // day has gone back since. No other process can have this one's address.
-func (m *Machine) former(said Member) bool { return said.Address == m.self.Address || !said.Here() }
+func (m *Machine) isFormerLife(said Member) bool {
+	return said.Address == m.self.Address || !said.Present()
+}
 
-func (m *Machine) merge(now Time, said Member, from string) {
+func (m *Machine) mergePeer(now Time, said Member, from string) {
 	p := m.peers[said.Name]
 	if p == nil {
-		if len(m.peers) >= mostMembers {
+		if len(m.peers) >= maxMembers {
 			return
 		}
-		p = &peer{Member: Member{Name: said.Name, State: states}}
+		p = &peer{Member: Member{Name: said.Name, State: numStates}}
 		m.peers[said.Name] = p
 	}
 	if p.State == Suspect && said.State == Suspect && said.Life == p.Life && said.Incarnation == p.Incarnation {
-		m.confirm(p, from)
+		m.confirmSuspicion(p, from)
 	}
-	if p.State != states && said.Compare(p.Member) <= 0 {
+	if p.State != numStates && said.Compare(p.Member) <= 0 {
 		return
 	}
 	former := p.Member
-	p.Member, p.since = said, now
+	p.Member, p.stateSince = said, now
 	if former.Life != said.Life {
-		p.heard = 0
+		p.lastContact = 0
 	}
 	if said.State == Suspect {
-		p.suspect, p.by = now, map[string]bool{from: true}
-		p.until = now + m.suspicion(0)
+		p.suspectedAt, p.suspectedBy = now, map[string]bool{from: true}
+		p.deadline = now + m.suspicionTimeout(0)
 	} else {
-		p.by = nil
+		p.suspectedBy = nil
 	}
-	m.recount()
-	m.spread(said.Name)
-	m.changes = append(m.changes, Change{Member: said, Former: former})
+	m.rebuildLists()
+	m.enqueueBroadcast(said.Name)
+	m.changes = append(m.changes, Change{Member: said, Previous: former})
 }
 
-// suspicion is how long a suspicion lasts that n others share.
-func (m *Machine) suspicion(n int) time.Duration {
-	least := suspectFor * max(1, math.Log10(float64(len(m.here)+1))) * float64(m.set.Interval)
-	share := min(1, math.Log(float64(n)+1)/math.Log(confirms+1))
-	return time.Duration(least * (suspectMore - (suspectMore-1)*share))
+// suspicionTimeout is how long a suspicion lasts that n others share.
+func (m *Machine) suspicionTimeout(n int) time.Duration {
+	least := suspicionMult * max(1, math.Log10(float64(len(m.present)+1))) * float64(m.settings.ProbeInterval)
+	share := min(1, math.Log(float64(n)+1)/math.Log(suspicionConfirmations+1))
+	return time.Duration(least * (suspicionMaxMult - (suspicionMaxMult-1)*share))
 }
 
-// confirm counts another one's suspicion.
-func (m *Machine) confirm(p *peer, from string) {
-	if p.by[from] || len(p.by) > confirms {
+// confirmSuspicion counts another one's suspicion.
+func (m *Machine) confirmSuspicion(p *peer, from string) {
+	if p.suspectedBy[from] || len(p.suspectedBy) > suspicionConfirmations {
 		return
 	}
-	p.by[from] = true
-	p.until = p.suspect + m.suspicion(len(p.by)-1)
-	m.spread(p.Name)
+	p.suspectedBy[from] = true
+	p.deadline = p.suspectedAt + m.suspicionTimeout(len(p.suspectedBy)-1)
+	m.enqueueBroadcast(p.Name)
 }
 
-// recount lists the members that count, and those that are not plainly alive.
-func (m *Machine) recount() {
-	m.here, m.doubted = m.here[:0], m.doubted[:0]
+// rebuildLists lists the members that count, and those that are not plainly alive.
+func (m *Machine) rebuildLists() {
+	m.present, m.notAlive = m.present[:0], m.notAlive[:0]
 	for name, p := range m.peers {
-		if p.Here() {
-			m.here = append(m.here, name)
+		if p.Present() {
+			m.present = append(m.present, name)
 		}
 		if p.State != Alive {
-			m.doubted = append(m.doubted, name)
+			m.notAlive = append(m.notAlive, name)
 		}
 	}
-	slices.Sort(m.here)
-	slices.Sort(m.doubted)
+	slices.Sort(m.present)
+	slices.Sort(m.notAlive)
 }
 
-func (m *Machine) sicker(by int) { m.sick = min(max(m.sick+by, 0), mostSick) }
+func (m *Machine) adjustLocalHealth(by int) {
+	m.localHealth = min(max(m.localHealth+by, 0), maxLocalHealth)
+}
 
-// pace is a time, longer while this sidecar does badly. Danger: one that is slow itself takes all others for gone.
-func (m *Machine) pace(d time.Duration) time.Duration { return d * time.Duration(m.sick+1) }
+// scaleByLocalHealth is a time, longer while this sidecar does badly. Danger: one that is slow itself takes all others for gone.
+func (m *Machine) scaleByLocalHealth(d time.Duration) time.Duration {
+	return d * time.Duration(m.localHealth+1)
+}
 
 // Receive takes in a message that came from a member's address.
 func (m *Machine) Receive(now Time, from, name string, life Life, message Message) {
 	if p := m.peers[name]; p != nil && p.Life == life {
-		p.heard = max(now, 1)
+		p.lastContact = max(now, 1)
 	}
 	switch message.Kind {
 	case Ping:
 		// Danger: a process that took the address of one that is gone would answer for it.
-		if message.Target == "" || message.Target == m.self.Name && !m.yields {
+		if message.Target == "" || message.Target == m.self.Name && !m.superseded {
 			m.send(from, Message{Kind: Ack, Seq: message.Seq})
 		}
-	case Ask:
-		if len(m.relays) < mostRelays && message.At != "" {
-			m.seq++
-			m.relays[m.seq] = relay{to: from, seq: message.Seq, until: now + m.set.Timeout}
-			m.send(message.At, Message{Kind: Ping, Seq: m.seq, Target: message.Target})
+	case PingReq:
+		if len(m.relays) < maxRelays && message.TargetAddress != "" {
+			m.lastSeq++
+			m.relays[m.lastSeq] = relay{requester: from, requesterSeq: message.Seq, deadline: now + m.settings.AckTimeout}
+			m.send(message.TargetAddress, Message{Kind: Ping, Seq: m.lastSeq, Target: message.Target})
 		}
 	case Ack:
 		if r, ok := m.relays[message.Seq]; ok {
 			delete(m.relays, message.Seq)
-			m.send(r.to, Message{Kind: Ack, Seq: r.seq})
+			m.send(r.requester, Message{Kind: Ack, Seq: r.requesterSeq})
 		}
 		if m.probe != nil && message.Seq == m.probe.seq {
 			m.probe = nil
-			m.sicker(-1)
+			m.adjustLocalHealth(-1)
 		}
-	case NoReply:
+	case Nack:
 		if m.probe != nil && message.Seq == m.probe.seq {
-			m.probe.misses++
+			m.probe.nacks++
 		}
 	}
 }
@@ -431,130 +439,130 @@
 func (m *Machine) Tick(now Time) {
 	for seq, r := range m.relays {
 		switch {
-		case now >= r.until && !r.told:
-			r.told, r.until = true, now+m.set.Interval
+		case now >= r.deadline && !r.nackSent:
+			r.nackSent, r.deadline = true, now+m.settings.ProbeInterval
 			m.relays[seq] = r
-			m.send(r.to, Message{Kind: NoReply, Seq: r.seq})
-		case now >= r.until:
+			m.send(r.requester, Message{Kind: Nack, Seq: r.requesterSeq})
+		case now >= r.deadline:
 			delete(m.relays, seq)
 		}
 	}
-	m.end(now)
-	if m.yields {
+	m.expire(now)
+	if m.superseded {
 		return
 	}
-	m.step(now)
-	if now >= m.next {
-		m.next = now + m.pace(m.set.Interval)
-		m.begin(now)
+	m.advanceProbe(now)
+	if now >= m.nextProbe {
+		m.nextProbe = now + m.scaleByLocalHealth(m.settings.ProbeInterval)
+		m.startProbe(now)
 	}
-	if now >= m.seek {
-		m.seek = now + m.set.Seek
-		m.find()
+	if now >= m.nextRejoin {
+		m.nextRejoin = now + m.settings.RejoinInterval
+		m.rejoin()
 	}
 }
 
-// end takes in that time has run out for suspected members, and forgets those long gone.
-func (m *Machine) end(now Time) {
-	for _, name := range slices.Clone(m.doubted) {
+// expire takes in that time has run out for suspected members, and forgets those long gone.
+func (m *Machine) expire(now Time) {
+	for _, name := range slices.Clone(m.notAlive) {
 		p := m.peers[name]
 		switch {
-		case p.State == Suspect && now >= p.until:
+		case p.State == Suspect && now >= p.deadline:
 			// Danger: a sidecar that all hear and that hears all, but whose own messages get lost, would bury everyone.
-			if len(p.by) <= 1 && p.by[m.self.Name] && p.heard > 0 && now-p.heard < m.pace(heardExcuses*m.set.Interval) {
+			if len(p.suspectedBy) <= 1 && p.suspectedBy[m.self.Name] && p.lastContact > 0 && now-p.lastContact < m.scaleByLocalHealth(recentContactIntervals*m.settings.ProbeInterval) {
 				continue
 			}
 			gone := p.Member
-			gone.State = Gone
-			m.merge(now, gone, m.self.Name)
-		case !p.Here() && now-p.since >= m.set.Forget:
+			gone.State = Dead
+			m.mergePeer(now, gone, m.self.Name)
+		case !p.Present() && now-p.stateSince >= m.settings.Retention:
 			delete(m.peers, name)
-			m.recount()
+			m.rebuildLists()
 		}
 	}
 }
 
-// step goes on with the try in hand: others are asked, and at its end the member is suspected.
-func (m *Machine) step(now Time) {
+// advanceProbe goes on with the try in hand: others are asked, and at its end the member is suspected.
+func (m *Machine) advanceProbe(now Time) {
 	t := m.probe
 	if t == nil {
 		return
 	}
 	p := m.peers[t.name]
-	if p == nil || !p.Here() {
+	if p == nil || !p.Present() {
 		m.probe = nil
 		return
 	}
-	if !t.asked && now >= t.askAt {
-		t.asked = true
-		for _, other := range m.Some(askOthers + 1) {
-			if other.Name != t.name && t.wanted < askOthers {
-				t.wanted++
-				m.send(other.Address, Message{Kind: Ask, Seq: t.seq, Target: t.name, At: p.Address})
+	if !t.indirect && now >= t.indirectAt {
+		t.indirect = true
+		for _, other := range m.SamplePresent(indirectProbers + 1) {
+			if other.Name != t.name && t.probers < indirectProbers {
+				t.probers++
+				m.send(other.Address, Message{Kind: PingReq, Seq: t.seq, Target: t.name, TargetAddress: p.Address})
 			}
 		}
 	}
-	if now < t.endAt {
+	if now < t.deadline {
 		return
 	}
 	// Those that were asked and said nothing at all: the fault is likely here.
-	m.sicker(max(t.wanted-t.misses, 1))
+	m.adjustLocalHealth(max(t.probers-t.nacks, 1))
 	m.probe = nil
 	suspect := p.Member
 	suspect.State = Suspect // where it is one already, that tells nothing new
-	m.merge(now, suspect, m.self.Name)
+	m.mergePeer(now, suspect, m.self.Name)
 }
 
-// begin tries the next member of the ring. Each has its turn within two rounds.
-func (m *Machine) begin(now Time) {
+// startProbe tries the next member of the ring. Each has its turn within two rounds.
+func (m *Machine) startProbe(now Time) {
 	if m.probe != nil {
 		return
 	}
-	for len(m.here) > 0 {
-		if len(m.ring) == 0 {
-			m.ring = slices.Clone(m.here)
-			m.rng.Shuffle(len(m.ring), func(i, j int) { m.ring[i], m.ring[j] = m.ring[j], m.ring[i] })
+	for len(m.present) > 0 {
+		if len(m.probeOrder) == 0 {
+			m.probeOrder = slices.Clone(m.present)
+			m.rng.Shuffle(len(m.probeOrder), func(i, j int) { m.probeOrder[i], m.probeOrder[j] = m.probeOrder[j], m.probeOrder[i] })
 		}
-		name := m.ring[0]
-		m.ring = m.ring[1:]
+		name := m.probeOrder[0]
+		m.probeOrder = m.probeOrder[1:]
 		p := m.peers[name]
-		if p == nil || !p.Here() {
+		if p == nil || !p.Present() {
 			continue
 		}
-		m.seq++
-		m.probe = &probe{name: name, seq: m.seq, askAt: now + m.pace(m.set.Timeout), endAt: now + m.pace(m.set.Interval)}
-		m.send(p.Address, Message{Kind: Ping, Seq: m.seq, Target: name})
+		m.lastSeq++
+		m.probe = &probe{name: name, seq: m.lastSeq, indirectAt: now + m.scaleByLocalHealth(m.settings.AckTimeout), deadline: now + m.scaleByLocalHealth(m.settings.ProbeInterval)}
+		m.send(p.Address, Message{Kind: Ping, Seq: m.lastSeq, Target: name})
 		return
 	}
 }
 
-// find tries one that the operator's file names and nobody has told of, or one that is gone: a cut that heals leaves
+// rejoin tries one that the operator's file names and nobody has told of, or one that is gone: a cut that heals leaves
 // two fleets that know of each other as gone.
-func (m *Machine) find() {
+func (m *Machine) rejoin() {
 	known := map[string]bool{m.self.Address: true}
 	var places []string
 	for _, p := range m.peers {
-		known[p.Address] = known[p.Address] || p.Here()
-		if p.State == Gone {
+		known[p.Address] = known[p.Address] || p.Present()
+		if p.State == Dead {
 			places = append(places, p.Address)
 		}
 	}
-	for _, a := range m.set.Peers {
+	for _, a := range m.settings.Peers {
 		if !known[a] {
 			places = append(places, a)
 		}
 	}
 	slices.Sort(places)
 	if places = slices.Compact(places); len(places) > 0 {
-		m.seq++
-		m.send(places[m.rng.IntN(len(places))], Message{Kind: Ping, Seq: m.seq})
+		m.lastSeq++
+		m.send(places[m.rng.IntN(len(places))], Message{Kind: Ping, Seq: m.lastSeq})
 	}
 }
 
 // Leave says that this sidecar goes. What it says goes along with the messages that follow.
 func (m *Machine) Leave() {
-	if !m.yields {
+	if !m.superseded {
 		m.self.State = Left
-		m.spread(m.self.Name)
+		m.enqueueBroadcast(m.self.Name)
 	}
 }
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -16,32 +16,32 @@
 		Incarnation: rapid.Uint32Range(0, 2).Draw(t, "incarnation"), State: State(rapid.IntRange(0, 3).Draw(t, "state"))}
 }
 
-// TestLater: which of two goes before the other does not depend on who hears what first, or how often.
-func TestLater(t *testing.T) {
+// TestNewerIsSemilattice: which of two goes before the other does not depend on who hears what first, or how often.
+func TestNewerIsSemilattice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawMember(t), drawMember(t), drawMember(t)
-		if Later(a, b) != Later(b, a) {
+		if Newer(a, b) != Newer(b, a) {
 			t.Errorf("%+v, %+v: the order matters", a, b)
 		}
-		if Later(Later(a, b), c) != Later(a, Later(b, c)) {
+		if Newer(Newer(a, b), c) != Newer(a, Newer(b, c)) {
 			t.Errorf("%+v, %+v, %+v: the grouping matters", a, b, c)
 		}
-		if Later(a, a) != a {
+		if Newer(a, a) != a {
 			t.Errorf("%+v: twice is not once", a)
 		}
 	})
 }
 
-// TestMergeOrder has machines hear the same of others in different orders and more than once: they hold the same.
-func TestMergeOrder(t *testing.T) {
+// TestMergeIgnoresOrder has machines hear the same of others in different orders and more than once: they hold the same.
+func TestMergeIgnoresOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		said := rapid.SliceOfN(rapid.Custom(drawMember), 1, 8).Draw(t, "said")
 		want := said[0]
 		for _, m := range said {
-			want = Later(want, m)
+			want = Newer(want, m)
 		}
 		order := rapid.Permutation(said).Draw(t, "order")
-		m := New(0, Settings{Name: "self", Address: "s", Nonce: 9})
+		m := New(0, Settings{Name: "self", Address: "s", LifeNonce: 9})
 		for i, member := range append(order, said[0]) {
 			if err := m.Merge(time.Duration(i), []Member{member}, "b"); err != nil {
 				t.Fatal(err)
@@ -53,29 +53,29 @@
 	})
 }
 
-// net steps machines in simulated time. cut tells which datagrams get lost.
-type net struct {
+// testFleet steps machines in simulated time. cut tells which datagrams get lost.
+type testFleet struct {
 	t        testing.TB
 	now      Time
 	machines map[string]*Machine // by address
 	order    []string
-	cut      func(from, to string) bool
+	lost     func(from, to string) bool
 	stopped  map[string]bool
 	changes  map[string][]Change
 	packets  int
 }
 
-func newNet(t testing.TB, n int) *net {
-	w := &net{t: t, machines: map[string]*Machine{}, stopped: map[string]bool{}, changes: map[string][]Change{},
-		cut: func(string, string) bool { return false }}
+func newTestFleet(t testing.TB, n int) *testFleet {
+	w := &testFleet{t: t, machines: map[string]*Machine{}, stopped: map[string]bool{}, changes: map[string][]Change{},
+		lost: func(string, string) bool { return false }}
 	for i := range n {
 		w.add(fmt.Sprintf("n%d", i), fmt.Sprintf("a%d", i), uint64(i+1), 1)
 	}
 	return w
 }
 
-func (w *net) add(name, address string, nonce, number uint64) *Machine {
-	m := New(w.now, Settings{Name: name, Address: address, Peers: []string{"a0", "a1"}, Seed: 7, Nonce: nonce, Number: number})
+func (w *testFleet) add(name, address string, nonce, number uint64) *Machine {
+	m := New(w.now, Settings{Name: name, Address: address, Peers: []string{"a0", "a1"}, Seed: 7, LifeNonce: nonce, LifeNumber: number})
 	if w.machines[address] == nil {
 		w.order = append(w.order, address)
 	}
@@ -84,7 +84,7 @@
 }
 
 // run steps all machines for some time, messages taking no time but their turn.
-func (w *net) run(d time.Duration) {
+func (w *testFleet) run(d time.Duration) {
 	for end := w.now + d; w.now < end; w.now += 50 * time.Millisecond {
 		for _, a := range w.order {
 			if !w.stopped[a] {
@@ -96,21 +96,21 @@
 }
 
 // deliver sends on what a machine has to say, and what is answered.
-func (w *net) deliver(a string) {
+func (w *testFleet) deliver(a string) {
 	m := w.machines[a]
-	sends, changes := m.Out()
+	sends, changes := m.TakeOutput()
 	w.changes[a] = append(w.changes[a], changes...)
 	for _, s := range sends {
 		w.packets++
 		to := w.machines[s.To]
-		if to == nil || w.stopped[s.To] || w.cut(a, s.To) {
+		if to == nil || w.stopped[s.To] || w.lost(a, s.To) {
 			continue
 		}
 		self, bears := m.Self()
 		if !bears {
 			continue
 		}
-		if err := to.Merge(w.now, append([]Member{self}, m.News(12, to.self)...), self.Name); err != nil {
+		if err := to.Merge(w.now, append([]Member{self}, m.Broadcasts(12, to.self)...), self.Name); err != nil {
 			w.t.Error(err)
 		}
 		to.Receive(w.now, a, self.Name, self.Life, s.Message)
@@ -118,70 +118,70 @@
 	}
 }
 
-// holds tells what a machine holds of a member.
-func (w *net) holds(address, name string) State {
+// stateOf tells what a machine holds of a member.
+func (w *testFleet) stateOf(address, name string) State {
 	m, ok := w.machines[address].Member(name)
 	if !ok {
-		return states
+		return numStates
 	}
 	return m.State
 }
 
-// all fails unless all that run hold the member in that state.
-func (w *net) all(name string, want State) {
+// expectState fails unless all that run hold the member in that state.
+func (w *testFleet) expectState(name string, want State) {
 	w.t.Helper()
 	for _, a := range w.order {
 		if self, _ := w.machines[a].Self(); !w.stopped[a] && self.Name != name {
-			if got := w.holds(a, name); got != want {
+			if got := w.stateOf(a, name); got != want {
 				w.t.Errorf("at %v %s holds %s as %v, want %v", w.now, a, name, got, want)
 			}
 		}
 	}
 }
 
-// TestFleetFindsItself starts from two known addresses, loses one member, gets it back, and says farewell to another.
-func TestFleetFindsItself(t *testing.T) {
+// TestJoinFailRefuteLeave starts from two known addresses, loses one member, gets it back, and says farewell to another.
+func TestJoinFailRefuteLeave(t *testing.T) {
 	for _, n := range []int{3, 10, 50} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			w := newNet(t, n)
+			w := newTestFleet(t, n)
 			w.run(20*time.Second + time.Duration(2*n)*time.Second) // each has tried each
 			for i := range n {
-				w.all(fmt.Sprintf("n%d", i), Alive)
+				w.expectState(fmt.Sprintf("n%d", i), Alive)
 			}
 			last := fmt.Sprintf("%d", n-1)
 			w.stopped["a"+last] = true
 			w.run(60 * time.Second)
-			w.all("n"+last, Gone)
+			w.expectState("n"+last, Dead)
 			w.stopped["a"+last] = false
 			w.run(20 * time.Second)
-			w.all("n"+last, Alive)
+			w.expectState("n"+last, Alive)
 			if self, _ := w.machines["a"+last].Self(); self.Incarnation == 0 {
 				t.Error("it lives on without having refuted that it is gone")
 			}
 			w.machines["a1"].Leave()
 			w.run(10 * time.Second)
-			w.all("n1", Left)
+			w.expectState("n1", Left)
 		})
 	}
 }
 
-// TestNoFalseAlarm: with a fifth of all messages lost nobody is buried that lives.
-func TestNoFalseAlarm(t *testing.T) {
-	w := newNet(t, 20)
+// TestLossCausesNoFalseDead: with a fifth of all messages lost nobody is buried that lives.
+func TestLossCausesNoFalseDead(t *testing.T) {
+	w := newTestFleet(t, 20)
 	lost := 0
-	w.cut = func(string, string) bool { lost++; return lost*7919%5 == 0 }
+	w.lost = func(string, string) bool { lost++; return lost*7919%5 == 0 }
 	w.run(3 * time.Minute)
 	for _, a := range w.order {
 		for _, c := range w.changes[a] {
-			if c.Member.State == Gone {
+			if c.Member.State == Dead {
 				t.Errorf("%s buried %s", a, c.Member.Name)
 			}
 		}
 	}
 }
 
-// TestHeals cuts the fleet into halves for long, and into ones: behind the cut all find each other again.
-func TestHeals(t *testing.T) {
+// TestPartitionHeals cuts the fleet into halves for long, and into ones: behind the cut all find each other again.
+func TestPartitionHeals(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		cut  func(from, to string) bool
@@ -190,49 +190,49 @@
 		{"ones", func(string, string) bool { return true }},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newNet(t, 10)
+			w := newTestFleet(t, 10)
 			w.run(20 * time.Second)
-			w.cut = tt.cut
+			w.lost = tt.cut
 			w.run(2 * time.Minute)
-			if w.holds("a0", "n9") != Gone {
-				t.Errorf("a0 holds n9 as %v behind a cut", w.holds("a0", "n9"))
+			if w.stateOf("a0", "n9") != Dead {
+				t.Errorf("a0 holds n9 as %v behind a cut", w.stateOf("a0", "n9"))
 			}
-			w.cut = func(string, string) bool { return false }
+			w.lost = func(string, string) bool { return false }
 			w.run(time.Minute)
 			for i := range 10 {
-				w.all(fmt.Sprintf("n%d", i), Alive)
+				w.expectState(fmt.Sprintf("n%d", i), Alive)
 			}
 		})
 	}
 }
 
-// TestHeardByNone has a member hear all, and none hear it: it is buried, and buries nobody itself.
-func TestHeardByNone(t *testing.T) {
-	w := newNet(t, 10)
+// TestOneWayLossRaisesLocalHealth has a member hear all, and none hear it: it is buried, and buries nobody itself.
+func TestOneWayLossRaisesLocalHealth(t *testing.T) {
+	w := newTestFleet(t, 10)
 	w.run(20 * time.Second)
-	w.cut = func(from, _ string) bool { return from == "a3" }
+	w.lost = func(from, _ string) bool { return from == "a3" }
 	w.run(90 * time.Second)
-	w.all("n3", Gone)
+	w.expectState("n3", Dead)
 	gone := 0
 	for _, m := range w.machines["a3"].Members() {
-		if m.State == Gone {
+		if m.State == Dead {
 			gone++
 		}
 	}
 	if gone > 0 {
 		t.Errorf("it buried %d that it hears", gone)
 	}
-	if w.machines["a3"].Sick() == 0 {
+	if w.machines["a3"].LocalHealth() == 0 {
 		t.Error("it does not know that it does badly")
 	}
-	w.cut = func(string, string) bool { return false }
+	w.lost = func(string, string) bool { return false }
 	w.run(30 * time.Second)
-	w.all("n3", Alive)
+	w.expectState("n3", Alive)
 }
 
-// TestNewLife has a sidecar start again, with a clock that went back: it is the same member in a later life.
-func TestNewLife(t *testing.T) {
-	w := newNet(t, 5)
+// TestRestartIsLaterLife has a sidecar start again, with a clock that went back: it is the same member in a later life.
+func TestRestartIsLaterLife(t *testing.T) {
+	w := newTestFleet(t, 5)
 	w.add("n4", "a4", 5, 1000)
 	w.run(20 * time.Second)
 	before, _ := w.machines["a0"].Member("n4")
@@ -242,7 +242,7 @@
 	if after.State != Alive || after.Life.Compare(before.Life) <= 0 || after.Life.Nonce != 77 {
 		t.Errorf("it is held as %+v, before as %+v", after, before)
 	}
-	w.machines["a4"].Joined()
+	w.machines["a4"].MarkJoined()
 	if err := w.machines["a4"].Merge(w.now, []Member{before}, "n0"); err != nil {
 		t.Fatal(err)
 	}
@@ -251,22 +251,22 @@
 	}
 }
 
-// TestTwoUnderOneName has a second process come under a name that one bears: the younger one bears it, and the older one
+// TestDuplicateNameSupersedesOlder has a second process come under a name that one bears: the younger one bears it, and the older one
 // says so and is silent. They do not fight.
-func TestTwoUnderOneName(t *testing.T) {
-	w := newNet(t, 5)
+func TestDuplicateNameSupersedesOlder(t *testing.T) {
+	w := newTestFleet(t, 5)
 	w.run(20 * time.Second)
 	for _, m := range w.machines {
-		m.Joined()
+		m.MarkJoined()
 	}
 	young := w.add("n4", "b4", 77, 2)
 	w.run(20 * time.Second)
-	young.Joined()
+	young.MarkJoined()
 	w.run(40 * time.Second)
 	if _, bears := w.machines["a4"].Self(); bears {
 		t.Error("the older one still bears the name")
 	}
-	own := slices.ContainsFunc(w.changes["a4"], func(c Change) bool { return c.Own && c.Member.Address == "b4" })
+	own := slices.ContainsFunc(w.changes["a4"], func(c Change) bool { return c.Superseded && c.Member.Address == "b4" })
 	if self, bears := young.Self(); !bears || self.Incarnation > 1 || !own {
 		t.Errorf("the younger one is %+v, bears the name %v, the older one was told %v", self, bears, own)
 	}
@@ -275,10 +275,10 @@
 	}
 }
 
-// TestMessagesDoNotGrow: what a sidecar sends a second for membership does not grow with the fleet.
-func TestMessagesDoNotGrow(t *testing.T) {
+// TestMessageRateIndependentOfFleetSize: what a sidecar sends a second for membership does not grow with the fleet.
+func TestMessageRateIndependentOfFleetSize(t *testing.T) {
 	perSecond := func(n int) float64 {
-		w := newNet(t, n)
+		w := newTestFleet(t, n)
 		w.run(30 * time.Second)
 		before := w.packets
 		w.run(20 * time.Second)
@@ -294,15 +294,15 @@
 	f.Add("a", "x", uint64(1), uint64(2), uint32(3), uint8(1), uint8(1), "self")
 	f.Add("self", "", uint64(0), uint64(0), uint32(0), uint8(9), uint8(3), "")
 	f.Fuzz(func(t *testing.T, name, address string, number, nonce uint64, incarnation uint32, state, kind uint8, target string) {
-		m := New(0, Settings{Name: "self", Address: "s", Nonce: 9})
+		m := New(0, Settings{Name: "self", Address: "s", LifeNonce: 9})
 		err := m.Merge(1, []Member{{name, address, Life{number, nonce}, incarnation, State(state)}}, name)
-		if err == nil && (name == "" || state >= uint8(states)) {
+		if err == nil && (name == "" || state >= uint8(numStates)) {
 			t.Errorf("%q in state %d was taken", name, state)
 		}
-		m.Receive(2, address, name, Life{number, nonce}, Message{Kind: Kind(kind), Seq: 1, Target: target, At: address})
+		m.Receive(2, address, name, Life{number, nonce}, Message{Kind: MessageKind(kind), Seq: 1, Target: target, TargetAddress: address})
 		for i := range 20 {
 			m.Tick(time.Duration(i) * time.Second)
-			m.Out()
+			m.TakeOutput()
 		}
 		if len(m.peers) > 1 {
 			t.Errorf("it holds %d members of one", len(m.peers))
@@ -310,10 +310,10 @@
 	})
 }
 
-// TestLivesUnderClockSteps has a sidecar start again while the clock of day has stepped, and hear of its former life
+// TestRestartAfterClockStep has a sidecar start again while the clock of day has stepped, and hear of its former life
 // only after it has given up to catch up: that one is over, whatever its number. One that lives elsewhere under a
 // higher number goes before it.
-func TestLivesUnderClockSteps(t *testing.T) {
+func TestRestartAfterClockStep(t *testing.T) {
 	const began = 10_000_000 // of the former life, in milliseconds
 	for _, step := range []time.Duration{-time.Hour, -3 * time.Second, 3 * time.Second, time.Hour} {
 		for _, tt := range []struct {
@@ -323,14 +323,14 @@
 		}{
 			{"alive by hearsay, at the own address", Member{Address: "a0", State: Alive}, true},
 			{"suspected, at the own address", Member{Address: "a0", State: Suspect, Incarnation: 3}, true},
-			{"gone, at another address", Member{Address: "b0", State: Gone}, true},
+			{"gone, at another address", Member{Address: "b0", State: Dead}, true},
 			{"left, at another address", Member{Address: "b0", State: Left}, true},
 			{"alive at another address", Member{Address: "b0", State: Alive}, step > 0},
 		} {
 			t.Run(fmt.Sprintf("%s, %v", tt.name, step), func(t *testing.T) {
 				number := uint64(began + (time.Second + step).Milliseconds())
-				m := New(0, Settings{Name: "n0", Address: "a0", Seed: 7, Nonce: 2, Number: number})
-				m.Joined()
+				m := New(0, Settings{Name: "n0", Address: "a0", Seed: 7, LifeNonce: 2, LifeNumber: number})
+				m.MarkJoined()
 				tt.former.Name, tt.former.Life = "n0", Life{Number: began, Nonce: 1}
 				if err := m.Merge(1, []Member{tt.former}, "n1"); err != nil {
 					t.Fatal(err)
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -89,7 +89,7 @@
 	self, bears := m.Members.Self()
 	phase, since := m.Phase()
 	s := Status{Name: self.Name, Address: self.Address, Life: self.Life.Number, Bears: bears, Phase: phase.String(),
-		For: seconds(now.Time - since), Here: m.Members.Here(), Sick: m.Members.Sick(), Sums: map[string]string{}, Figures: m.Figures()}
+		For: seconds(now.Time - since), Here: m.Members.NumPresent(), Sick: m.Members.LocalHealth(), Sums: map[string]string{}, Figures: m.Figures()}
 	for k, sum := range m.Store.Digest().PerKind() {
 		s.Sums[replication.Kind(k).String()] = hex(sum)
 	}
@@ -101,7 +101,7 @@
 		l := lags[p.Name]
 		o := MemberStatus{Name: p.Name, Address: p.Address, State: p.State.String(), Life: p.Life.Number, Incarnation: p.Incarnation,
 			Heard: -1, Same: l.Known && l.Same, Lag: seconds(l.For)}
-		if heard, ok := m.Members.Heard(p.Name); ok {
+		if heard, ok := m.Members.LastContact(p.Name); ok {
 			o.Heard = seconds(now.Time - heard)
 		}
 		for _, k := range l.Differ {
--- a/internal/lab/fleet/sim/sim.go
+++ b/internal/lab/fleet/sim/sim.go
@@ -229,7 +229,7 @@
 	s.rows = map[string]uint64{}
 	now := s.Clock()
 	s.Machine = gossip.New(now, gossip.Settings{Label: "lab", Before: before, Membership: membership.Settings{Name: s.Name, Address: s.address,
-		Peers: peers, Seed: w.Plan.Seed, Nonce: w.rng.Uint64() | 1, Number: uint64(max(now.Wall, 1))}}, nil)
+		Peers: peers, Seed: w.Plan.Seed, LifeNonce: w.rng.Uint64() | 1, LifeNumber: uint64(max(now.Wall, 1))}}, nil)
 	s.tick(s.epoch)
 }
 
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -68,7 +68,7 @@
 	now := c.fleetNow()
 	m := &member{c: c, recorder: failuredetector.New(rng.Uint64()), rng: rng, life: c.life, doubted: map[string]bool{}}
 	m.machine = gossip.New(now, gossip.Settings{Label: "lab", Membership: membership.Settings{Name: fmt.Sprintf("n%d", c.i),
-		Address: sidecarAddress(c.i), Peers: peers, Seed: rng.Uint64(), Nonce: rng.Uint64() | 1, Number: uint64(now.Wall)}}, nil)
+		Address: sidecarAddress(c.i), Peers: peers, Seed: rng.Uint64(), LifeNonce: rng.Uint64() | 1, LifeNumber: uint64(now.Wall)}}, nil)
 	c.member = m
 	if h, ok := c.decider.(hearer); ok {
 		h.Watch(m)
@@ -114,7 +114,7 @@
 // write has the fleet know what this sidecar has seen.
 func (m *member) write() {
 	now, w := m.c.fleetNow(), m.c.w
-	entries := m.recorder.DueRows(now.Time, m.machine.Members.Here())
+	entries := m.recorder.DueRows(now.Time, m.machine.Members.NumPresent())
 	if lies := w.opt.Fleet.Lies; lies != nil && lies(w.now, int(m.c.i)) {
 		entries = nil
 		for i, n := range w.nodes {
