--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -49,7 +49,7 @@
 
 	// Of the loop.
 	machine  *gossip.Machine
-	waiting  map[replication.Key][]chan gossip.Held
+	waiting  map[replication.Key][]chan gossip.Confirmation
 	out      []string
 	tell     bool // Out is to be called though out has not changed
 	recorder *failuredetector.Recorder
@@ -93,12 +93,12 @@
 
 // Start begins a sidecar's part. before are the addresses of its other processes, which this one replaces.
 func Start(c *Config, name string, before []string, log *slog.Logger, told Told) (*Fleet, error) {
-	l, err := transport.Listen(c.Address, gossip.MostSnapshot)
+	l, err := transport.Listen(c.Address, gossip.MaxSnapshotBytes)
 	if err != nil {
 		return nil, err
 	}
 	f := &Fleet{log: log.With("part", "fleet"), transport: l, origin: time.Now(), clock: c.clock, told: told, boots: map[string]int64{}, events: make(chan func(replication.Now), mostQueued),
-		ready: make(chan struct{}), waiting: map[replication.Key][]chan gossip.Held{}}
+		ready: make(chan struct{}), waiting: map[replication.Key][]chan gossip.Confirmation{}}
 	f.ctx, f.stop = context.WithCancel(context.Background())
 	f.address = c.told(l.Address())
 	var warm []replication.Item
@@ -122,7 +122,7 @@
 	_, _ = rand.Read(random[:]) // never fails
 	now := f.now()
 	f.recorder = failuredetector.New(binary.LittleEndian.Uint64(random[:8]))
-	f.machine = gossip.New(now, gossip.Settings{Label: c.Label, CatchUp: c.CatchUp(), Before: before, Membership: membership.Settings{Name: name,
+	f.machine = gossip.New(now, gossip.Settings{Label: c.Label, CatchUpTimeout: c.CatchUp(), Predecessors: before, Membership: membership.Settings{Name: name,
 		Address: f.address, Peers: peers, Seed: binary.LittleEndian.Uint64(random[:8]),
 		LifeNonce: binary.LittleEndian.Uint64(random[8:]) | 1, LifeNumber: uint64(max(now.Wall, 1))}}, warm)
 	f.log.Info("joining", "label", c.Label, "address", l.Address(), "peers", len(c.Peers))
@@ -141,7 +141,7 @@
 		raise := f.agent.Raise
 		f.events <- func(replication.Now) { f.raise = raise } // the loop, which has begun, takes it
 	}
-	l.Serve(f, gossip.MostPacket)
+	l.Serve(f, gossip.MaxPacketBytes)
 	return f, nil
 }
 
@@ -219,7 +219,7 @@
 	for key, waiting := range f.waiting {
 		for _, c := range waiting {
 			if !bears {
-				c <- gossip.Held{Key: key, Asked: 1} // has room for it
+				c <- gossip.Confirmation{Key: key, Asked: 1} // has room for it
 			}
 			close(c)
 		}
@@ -229,9 +229,9 @@
 
 // act carries out what the machine asks for.
 func (f *Fleet) act() {
-	out := f.machine.Out()
+	out := f.machine.TakeActions()
 	for _, d := range out.Send {
-		if err := f.transport.Send(d.To, d.Text); err != nil {
+		if err := f.transport.Send(d.To, d.Payload); err != nil {
 			f.log.Debug("not sent", "to", d.To, "err", err)
 		}
 	}
@@ -241,7 +241,7 @@
 			defer f.over.Done()
 			text, err := f.transport.Fetch(f.ctx, from)
 			f.do(f.ctx, func(now replication.Now) {
-				if err := f.machine.Fetched(now, from, text, err); err != nil {
+				if err := f.machine.ReceiveSnapshot(now, from, text, err); err != nil {
 					f.log.Debug("no snapshot", "from", from, "err", err)
 				}
 			})
@@ -253,14 +253,14 @@
 	if self, bears := f.machine.Members.Self(); bears && f.raise != nil {
 		f.raise(self.Life.Number)
 	}
-	for _, p := range out.Phase {
+	for _, p := range out.Phases {
 		f.log.Info("caught up", "phase", p.String(), "members", f.machine.Members.NumPresent())
-		if p != gossip.Catching && !f.done {
+		if p != gossip.CatchingUp && !f.done {
 			f.done = true
 			close(f.ready)
 		}
 	}
-	for _, h := range out.Held {
+	for _, h := range out.Confirmations {
 		for _, c := range f.waiting[h.Key] {
 			c <- h // has room for it
 		}
@@ -276,14 +276,14 @@
 // hear takes in what the machine has heard of servers.
 func (f *Fleet) hear(out gossip.Actions) {
 	now := f.now()
-	for _, server := range out.Speak {
+	for _, server := range out.ReportServers {
 		f.recorder.RequestReport(now.Time, server)
 	}
-	if len(out.Speak) > 0 {
+	if len(out.ReportServers) > 0 {
 		f.write(now)
 		f.act()
 	}
-	if slices.ContainsFunc(out.News, func(k replication.Key) bool { return k.Kind == replication.KindRow }) {
+	if slices.ContainsFunc(out.Updated, func(k replication.Key) bool { return k.Kind == replication.KindRow }) {
 		f.weigh(now)
 	}
 }
@@ -299,7 +299,7 @@
 			f.log.Debug("not written", "server", e.Server, "err", err)
 			continue
 		}
-		f.machine.Spoke(now, key)
+		f.machine.BroadcastUrgent(now, key)
 	}
 }
 
@@ -308,7 +308,7 @@
 func (f *Fleet) weigh(now replication.Now) {
 	var doubts []Doubt
 	since, stands := map[string]time.Duration{}, map[string]time.Duration{}
-	for _, d := range f.machine.Doubts(now, len(f.list)) {
+	for _, d := range f.machine.Suspicions(now, len(f.list)) {
 		if boot, listed := f.boots[d.Server]; listed && boot == d.Boot {
 			doubts = append(doubts, Doubt{d.Server, now.Time - d.Newest})
 			since[d.Server] = d.Newest
@@ -331,7 +331,7 @@
 	select {
 	case f.events <- func(now replication.Now) {
 		if note, due := f.recorder.Observe(now.Time, server, e); due {
-			f.machine.Note(now.Time, note)
+			f.machine.SendNote(now.Time, note)
 		}
 		if e == failuredetector.Silent || e == failuredetector.Refused {
 			f.write(now)
@@ -347,7 +347,7 @@
 	if f.states == nil || sum == f.kept || f.keptAt > 0 && now.Time-f.keptAt < warmEvery {
 		return
 	}
-	text, err := f.machine.Warm(now)
+	text, err := f.machine.EncodeWarmStart(now)
 	if err != nil {
 		f.log.Warn("nothing is left for the next life", "err", err)
 		return
@@ -368,12 +368,12 @@
 		ids = append(ids, s.ID)
 		if s.Boot > 0 {
 			if key, changed := f.machine.Store.RecordStart(now, s.ID, s.Boot); changed {
-				f.machine.Tell(key)
+				f.machine.Broadcast(key)
 			}
 		}
 	}
 	for _, key := range f.machine.Store.MarkListed(now, ids) {
-		f.machine.Tell(key)
+		f.machine.Broadcast(key)
 	}
 }
 
@@ -434,7 +434,7 @@
 
 // Snapshot implements transport.Handler.
 func (f *Fleet) Snapshot(ctx context.Context) (text []byte, err error) {
-	failed := f.ask(ctx, func(now replication.Now) { text, err = f.machine.Serve(now) })
+	failed := f.ask(ctx, func(now replication.Now) { text, err = f.machine.EncodeSnapshot(now) })
 	return text, errors.Join(failed, err)
 }
 
@@ -448,7 +448,7 @@
 // TakeOut takes a call of the staff into the fleet's state. Where confirm says so it waits for others to hold it, and returns how
 // many do by then; asked is 0 where there is nobody else.
 func (f *Fleet) TakeOut(ctx context.Context, server string, out, confirm bool) (held, asked int, err error) {
-	answer := make(chan gossip.Held, 1)
+	answer := make(chan gossip.Confirmation, 1)
 	failed := f.ask(ctx, func(now replication.Now) {
 		if _, bears := f.machine.Members.Self(); !bears {
 			err = ErrSilent
@@ -461,7 +461,7 @@
 		}
 		call, _ := f.machine.Store.AdminState(server)
 		f.log.Info("by hand", "server", server, "out", out, "call", strings.Join(calls(call), ","), "replaces", strings.Join(calls(former), ","))
-		f.machine.Tell(key)
+		f.machine.Broadcast(key)
 		if f.tell = true; !confirm {
 			return
 		}
@@ -476,7 +476,7 @@
 		if !ok {
 			return 0, 0, ErrEnded
 		}
-		return h.By, h.Asked, nil
+		return h.Holders, h.Asked, nil
 	case <-ctx.Done():
 		return 0, 0, fmt.Errorf("fleet: %w", context.Cause(ctx))
 	}
@@ -525,7 +525,7 @@
 func (f *Fleet) Ready(ctx context.Context) (ready bool, phase string) {
 	if err := f.ask(ctx, func(replication.Now) {
 		p, _ := f.machine.Phase()
-		ready, phase = p != gossip.Catching, p.String()
+		ready, phase = p != gossip.CatchingUp, p.String()
 	}); err != nil {
 		return false, err.Error()
 	}
--- a/internal/fleet/gossip/packet.go
+++ b/internal/fleet/gossip/packet.go
@@ -17,25 +17,25 @@
 
 // The bounds of what is said at once.
 const (
-	MostPacket   = 1200    // bytes of a datagram: it fits every network whole
-	MostSnapshot = 2 << 20 // bytes of a snapshot
-	mostNews     = 12      // members in a datagram
+	MaxPacketBytes   = 1200    // bytes of a datagram: it fits every network whole
+	MaxSnapshotBytes = 2 << 20 // bytes of a snapshot
+	maxPacketMembers = 12      // members in a datagram
 )
 
 // Packet is one datagram between sidecars.
 type Packet struct {
-	Format  uint8                         `cbor:"1,keyasint"`
-	Label   string                        `cbor:"2,keyasint"` // of the fleet
-	From    membership.Member             `cbor:"3,keyasint"` // what the sender says of itself
-	Probe   *membership.Message           `cbor:"4,keyasint,omitempty"`
-	Members []membership.Member           `cbor:"5,keyasint,omitempty"`
-	Sums    *[replication.NumKinds]uint64 `cbor:"6,keyasint,omitempty"`  // of what the sender holds
-	Want    *replication.Digest           `cbor:"7,keyasint,omitempty"`  // send me what is not in this
-	Roll    uint64                        `cbor:"10,keyasint,omitempty"` // with Sums: of what the sender holds of members
-	Call    bool                          `cbor:"11,keyasint,omitempty"` // send me some of your members
-	Back    bool                          `cbor:"8,keyasint,omitempty"`  // the Want answers another one
-	Items   []cbor.RawMessage             `cbor:"9,keyasint,omitempty"`
-	Notes   []failuredetector.Note        `cbor:"12,keyasint,omitempty"`
+	Format        uint8                         `cbor:"1,keyasint"`
+	Label         string                        `cbor:"2,keyasint"` // of the fleet
+	From          membership.Member             `cbor:"3,keyasint"` // what the sender says of itself
+	Probe         *membership.Message           `cbor:"4,keyasint,omitempty"`
+	Members       []membership.Member           `cbor:"5,keyasint,omitempty"`
+	Sums          *[replication.NumKinds]uint64 `cbor:"6,keyasint,omitempty"`  // of what the sender holds
+	WantMissing   *replication.Digest           `cbor:"7,keyasint,omitempty"`  // send me what is not in this
+	MembersDigest uint64                        `cbor:"10,keyasint,omitempty"` // with Sums: of what the sender holds of members
+	WantMembers   bool                          `cbor:"11,keyasint,omitempty"` // send me some of your members
+	WantReply     bool                          `cbor:"8,keyasint,omitempty"`  // the Want answers another one
+	Items         []cbor.RawMessage             `cbor:"9,keyasint,omitempty"`
+	Notes         []failuredetector.Note        `cbor:"12,keyasint,omitempty"`
 }
 
 // Snapshot is all that a sidecar holds, for one that has missed much.
@@ -43,14 +43,14 @@
 	Format  uint8               `cbor:"1,keyasint"`
 	Label   string              `cbor:"2,keyasint"`
 	From    membership.Member   `cbor:"3,keyasint"`
-	Whole   bool                `cbor:"4,keyasint"` // the sender itself has what the fleet holds
+	Synced  bool                `cbor:"4,keyasint"` // the sender itself has what the fleet holds
 	Members []membership.Member `cbor:"5,keyasint"`
 	Items   []cbor.RawMessage   `cbor:"6,keyasint"`
 }
 
 // Danger: a peer may send anything. What nests deeply, or says that it has a million members, is turned down as it is
 // read.
-var reading, writing = func() (cbor.DecMode, cbor.EncMode) {
+var decMode, encMode = func() (cbor.DecMode, cbor.EncMode) {
 	r, err := cbor.DecOptions{MaxNestedLevels: 8, MaxArrayElements: 1 << 16, MaxMapPairs: 64, DupMapKey: cbor.DupMapKeyEnforcedAPF,
 		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode()
 	if err != nil {
@@ -63,56 +63,56 @@
 	return r, w
 }()
 
-// errForeign says that a message is none of this fleet's, or of another format.
-var errForeign = errors.New("foreign")
+// ErrForeign says that a message is none of this fleet's, or of another format.
+var ErrForeign = errors.New("foreign")
 
 // Encode writes a packet.
-func (p Packet) Encode() ([]byte, error) { return writing.Marshal(p) }
+func (p Packet) Encode() ([]byte, error) { return encMode.Marshal(p) }
 
 // DecodePacket reads a datagram of the fleet of a label.
 func DecodePacket(text []byte, label string) (p Packet, err error) {
-	if len(text) > MostPacket {
-		return Packet{}, fmt.Errorf("a datagram of %d bytes, %d are allowed", len(text), MostPacket)
+	if len(text) > MaxPacketBytes {
+		return Packet{}, fmt.Errorf("a datagram of %d bytes, %d are allowed", len(text), MaxPacketBytes)
 	}
-	if err := reading.Unmarshal(text, &p); err != nil {
+	if err := decMode.Unmarshal(text, &p); err != nil {
 		return Packet{}, fmt.Errorf("a datagram: %w", err)
 	}
-	return p, check(p.Format, p.Label, label, p.From)
+	return p, checkHeader(p.Format, p.Label, label, p.From)
 }
 
 // Encode writes a snapshot.
-func (s Snapshot) Encode() ([]byte, error) { return writing.Marshal(s) }
+func (s Snapshot) Encode() ([]byte, error) { return encMode.Marshal(s) }
 
 // DecodeSnapshot reads a snapshot of the fleet of a label.
 func DecodeSnapshot(text []byte, label string) (s Snapshot, err error) {
-	if len(text) > MostSnapshot {
-		return Snapshot{}, fmt.Errorf("a snapshot of %d bytes, %d are allowed", len(text), MostSnapshot)
+	if len(text) > MaxSnapshotBytes {
+		return Snapshot{}, fmt.Errorf("a snapshot of %d bytes, %d are allowed", len(text), MaxSnapshotBytes)
 	}
-	if err := reading.Unmarshal(text, &s); err != nil {
+	if err := decMode.Unmarshal(text, &s); err != nil {
 		return Snapshot{}, fmt.Errorf("a snapshot: %w", err)
 	}
-	return s, check(s.Format, s.Label, label, s.From)
+	return s, checkHeader(s.Format, s.Label, label, s.From)
 }
 
-func check(format uint8, theirs, ours string, from membership.Member) error {
+func checkHeader(format uint8, theirs, ours string, from membership.Member) error {
 	switch {
 	case format != Format:
-		return fmt.Errorf("%w: format %d, this sidecar knows %d", errForeign, format, Format)
+		return fmt.Errorf("%w: format %d, this sidecar knows %d", ErrForeign, format, Format)
 	case theirs != ours:
-		return fmt.Errorf("%w: of fleet %.40q, this is %.40q", errForeign, theirs, ours)
+		return fmt.Errorf("%w: of fleet %.40q, this is %.40q", ErrForeign, theirs, ours)
 	case from.Name == "" || from.Life == membership.Life{}:
 		return errors.New("a message of nobody")
 	}
 	return nil
 }
 
-// Warm is what of a copy outlasts all sidecars: what the staff has said of servers, and where others were.
-func (m *Machine) Warm(now replication.Now) ([]byte, error) {
+// EncodeWarmStart is what of a copy outlasts all sidecars: what the staff has said of servers, and where others were.
+func (m *Machine) EncodeWarmStart(now replication.Now) ([]byte, error) {
 	self, _ := m.Members.Self()
-	s := Snapshot{Format: Format, Label: m.set.Label, From: self, Members: m.Members.Members()}
+	s := Snapshot{Format: Format, Label: m.settings.Label, From: self, Members: m.Members.Members()}
 	for _, key := range m.Store.Keys() {
 		if item, ok := m.Store.Item(now, key); ok && key.Kind == replication.KindAdmin {
-			text, err := writing.Marshal(item)
+			text, err := encMode.Marshal(item)
 			if err != nil {
 				return nil, fmt.Errorf("server %q: %w", key.Server, err)
 			}
@@ -122,15 +122,15 @@
 	return s.Encode()
 }
 
-// ReadWarm reads what Warm has written: pieces of state, and addresses of others.
-func ReadWarm(text []byte, label string) (items []replication.Item, peers []string, err error) {
+// DecodeWarmStart reads what Warm has written: pieces of state, and addresses of others.
+func DecodeWarmStart(text []byte, label string) (items []replication.Item, peers []string, err error) {
 	s, err := DecodeSnapshot(text, label)
 	if err != nil {
 		return nil, nil, err
 	}
 	for _, piece := range s.Items {
 		var item replication.Item
-		if err := reading.Unmarshal(piece, &item); err != nil {
+		if err := decMode.Unmarshal(piece, &item); err != nil {
 			return nil, nil, fmt.Errorf("a piece of state: %w", err)
 		}
 		items = append(items, item)
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -93,18 +93,18 @@
 	for k, sum := range m.Store.Digest().PerKind() {
 		s.Sums[replication.Kind(k).String()] = hex(sum)
 	}
-	lags := map[string]gossip.Lag{}
-	for _, l := range m.Lags(now.Time) {
+	lags := map[string]gossip.Divergence{}
+	for _, l := range m.Divergences(now.Time) {
 		lags[l.Name] = l
 	}
 	for _, p := range m.Members.Members() {
 		l := lags[p.Name]
 		o := MemberStatus{Name: p.Name, Address: p.Address, State: p.State.String(), Life: p.Life.Number, Incarnation: p.Incarnation,
-			Heard: -1, Same: l.Known && l.Same, Lag: seconds(l.For)}
+			Heard: -1, Same: l.Known && l.Equal, Lag: seconds(l.For)}
 		if heard, ok := m.Members.LastContact(p.Name); ok {
 			o.Heard = seconds(now.Time - heard)
 		}
-		for _, k := range l.Differ {
+		for _, k := range l.Kinds {
 			o.Differ = append(o.Differ, k.String())
 		}
 		s.Members = append(s.Members, o)
@@ -126,7 +126,7 @@
 
 func (f *Fleet) doubtStatus(now replication.Now) (all []DoubtStatus) {
 	doubted := map[string]int64{}
-	for _, d := range f.machine.Doubts(now, len(f.list)) {
+	for _, d := range f.machine.Suspicions(now, len(f.list)) {
 		doubted[d.Server] = d.Boot
 	}
 	for _, server := range f.machine.Store.ServersWithEvidence() {
--- a/internal/fleet/warm.go
+++ b/internal/fleet/warm.go
@@ -63,13 +63,13 @@
 		return nil, nil, err
 	}
 	defer f.Close()
-	sealed, err := io.ReadAll(io.LimitReader(f, gossip.MostSnapshot+1000))
+	sealed, err := io.ReadAll(io.LimitReader(f, gossip.MaxSnapshotBytes+1000))
 	if err != nil {
 		return nil, nil, err
 	}
 	text, err := unseal(sealed)
 	if err == nil {
-		items, peers, err = gossip.ReadWarm(text, label)
+		items, peers, err = gossip.DecodeWarmStart(text, label)
 	}
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s %w", file, err)
--- a/internal/lab/fleet/mutants/mutants_test.go
+++ b/internal/lab/fleet/mutants/mutants_test.go
@@ -56,12 +56,15 @@
 	{"digest that ignores a kind", "replication/digest.go",
 		"		add(Key{KindAdmin, server, \"\"}, parts...)\n", "		_, _ = server, parts\n", "nothing acknowledged forgotten", ""},
 	{"catch-up skipped", "gossip/gossip.go",
-		"	if len(set.Membership.Peers) == 0 && len(m.before) == 0 {\n		m.enter(now.Time, Fresh)", "	if len(set.Membership.Peers) >= 0 {\n		m.enter(now.Time, Whole)",
+		"	if len(set.Membership.Peers) == 0 && len(m.predecessors) == 0 {\n		m.enterPhase(now.Time, Bootstrapped)",
+		"	if len(set.Membership.Peers) >= 0 {\n		m.enterPhase(now.Time, Synced)",
 		"ready only with what the fleet holds", ""},
-	{"the process that is replaced not asked", "gossip/gossip.go", "before: slices.Clone(set.Before),", "before: nil,",
+	{"the process that is replaced not asked", "gossip/gossip.go",
+		"predecessors: slices.Clone(set.Predecessors),", "predecessors: nil,",
 		"nothing acknowledged forgotten", "sim TestUpgrades"},
 	{"nothing asked for again", "gossip/gossip.go",
-		"	m.figures.Wants++\n	m.post(now.Time, address, Packet{Want: &digest}, false)\n", "	m.figures.Wants++\n", "copies equal", ""},
+		"	m.figures.Wants++\n	m.sendPacket(now.Time, address, Packet{WantMissing: &digest}, false)\n", "	m.figures.Wants++\n",
+		"copies equal", ""},
 }
 
 // TestMain runs these tests, which build and play programs, in a slot for packages that only compute.
--- a/internal/lab/fleet/sim/cost_test.go
+++ b/internal/lab/fleet/sim/cost_test.go
@@ -58,7 +58,7 @@
 			bytes, packets, _ := cost(n, evidence, faults...)
 			t.Logf("%d sidecars, %s, evidence each %v: %.0f bytes in %.1f packets a second", n, name, evidence, bytes, packets)
 			// Probes go beyond the bound, some more of them while others are sought: ten of at most a packet's size.
-			if bound := float64(gossip.MostBytes + 10*gossip.MostPacket); bytes > bound {
+			if bound := float64(gossip.MaxBytesPerSecond + 10*gossip.MaxPacketBytes); bytes > bound {
 				t.Errorf("%s: %.0f bytes a second, %.0f are allowed", name, bytes, bound)
 			}
 		}
@@ -91,7 +91,7 @@
 	}
 	loud, loudPackets, _ := cost(30, 500*time.Millisecond)
 	// Probes and their answers go beyond the bound: five or so of at most a packet's size.
-	if bound := float64(gossip.MostBytes + 6*gossip.MostPacket); loud > bound {
+	if bound := float64(gossip.MaxBytesPerSecond + 6*gossip.MaxPacketBytes); loud > bound {
 		t.Errorf("%.0f bytes in %.1f packets a second where all write, %.0f are allowed", loud, loudPackets, bound)
 	}
 	t.Logf("bytes and packets a second and sidecar: calm %.0f, %.1f at 10 and %.0f, %.1f at %d; all write of a server twice a second: %.0f, %.1f at 30",
--- a/internal/lab/fleet/sim/sim.go
+++ b/internal/lab/fleet/sim/sim.go
@@ -228,7 +228,7 @@
 	s.epoch++
 	s.rows = map[string]uint64{}
 	now := s.Clock()
-	s.Machine = gossip.New(now, gossip.Settings{Label: "lab", Before: before, Membership: membership.Settings{Name: s.Name, Address: s.address,
+	s.Machine = gossip.New(now, gossip.Settings{Label: "lab", Predecessors: before, Membership: membership.Settings{Name: s.Name, Address: s.address,
 		Peers: peers, Seed: w.Plan.Seed, LifeNonce: w.rng.Uint64() | 1, LifeNumber: uint64(max(now.Wall, 1))}}, nil)
 	s.tick(s.epoch)
 }
@@ -299,7 +299,7 @@
 // act carries out what the machine asks for.
 func (s *Sidecar) act() {
 	w := s.world
-	out := s.Machine.Out()
+	out := s.Machine.TakeActions()
 	for _, d := range out.Send {
 		to := w.processes[d.To]
 		if to == nil {
@@ -316,13 +316,13 @@
 			copies = 2
 		}
 		for range copies {
-			w.carry(s, to, l, d.Text)
+			w.carry(s, to, l, d.Payload)
 		}
 	}
 	for _, from := range out.Fetch {
 		s.fetch(from)
 	}
-	if len(out.News) > 0 {
+	if len(out.Updated) > 0 {
 		s.knows()
 	}
 }
@@ -360,7 +360,7 @@
 		}
 		done = true
 		if s.epoch == epoch {
-			s.run(func() { _ = s.Machine.Fetched(s.Clock(), from, text, failed) })
+			s.run(func() { _ = s.Machine.ReceiveSnapshot(s.Clock(), from, text, failed) })
 		}
 	}
 	w.at(w.now+fetchMost, func() { finish(nil, errors.New("no answer")) })
@@ -375,7 +375,7 @@
 	}
 	w.at(w.now+w.way(there), func() {
 		o.run(func() {
-			text, err := o.Machine.Serve(o.Clock())
+			text, err := o.Machine.EncodeSnapshot(o.Clock())
 			if err == nil && !w.Plan.Link(w.now, o.Index, s.Index).Cut {
 				w.at(w.now+w.way(back), func() { finish(text, nil) })
 			}
@@ -394,7 +394,7 @@
 		if err != nil {
 			return // a no
 		}
-		s.Machine.Tell(key)
+		s.Machine.Broadcast(key)
 		h, _ := s.Machine.Store.AdminState(server)
 		id := callID(server, h.Standing[0])
 		s.world.dots[id] = h.Standing[0].Dot
@@ -444,7 +444,7 @@
 		if err != nil {
 			return
 		}
-		s.Machine.Tell(key)
+		s.Machine.Broadcast(key)
 		s.rows[on]++ // counted here, whatever the sidecar makes of it
 		self, _ := s.Machine.Members.Self()
 		w.Record.Wrote = append(w.Record.Wrote, referee.Row{Owner: s.Name, Life: self.Life.Number, Server: on, Version: s.rows[on]})
@@ -464,12 +464,12 @@
 		return
 	}
 	phase, _ := s.Machine.Phase()
-	if phase == gossip.Catching && s.former != nil { // the staff sees the former one's console until the next one says yes
+	if phase == gossip.CatchingUp && s.former != nil { // the staff sees the former one's console until the next one says yes
 		s.former.show()
 		return
 	}
 	sums := s.Machine.Store.Digest().PerKind()
-	show := referee.Show{At: s.world.now, Sidecar: s.Name, Life: s.Life, Ready: phase == gossip.Whole || phase == gossip.Fresh,
+	show := referee.Show{At: s.world.now, Sidecar: s.Name, Life: s.Life, Ready: phase == gossip.Synced || phase == gossip.Bootstrapped,
 		Calls: map[string][]referee.Standing{}, Out: s.Machine.Store.AdminDown()}
 	var parts []string
 	for k, sum := range sums {
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -103,7 +103,7 @@
 func (m *member) Saw(endpoint string, s balance.Sight) {
 	note, due := m.recorder.Observe(m.c.w.now+epoch, endpoint, failuredetector.Outcome(s))
 	if due {
-		m.machine.Note(m.c.w.now+epoch, note)
+		m.machine.SendNote(m.c.w.now+epoch, note)
 	}
 	if s == balance.SawSilence || s == balance.SawRefusal {
 		m.write()
@@ -127,7 +127,7 @@
 		n := w.byID[e.Server]
 		key, err := m.machine.Store.WriteRow(now, e.Server, m.boot(n), e.Evidence)
 		if err == nil {
-			m.machine.Spoke(now, key)
+			m.machine.BroadcastUrgent(now, key)
 		}
 	}
 }
@@ -147,7 +147,7 @@
 		return
 	}
 	w, now := m.c.w, m.c.fleetNow()
-	doubts := m.machine.Doubts(now, len(m.c.list))
+	doubts := m.machine.Suspicions(now, len(m.c.list))
 	var words []balance.Word
 	said := map[string]bool{}
 	for _, d := range doubts {
@@ -170,14 +170,14 @@
 // act carries out what the machine asks for.
 func (m *member) act() {
 	w := m.c.w
-	out := m.machine.Out()
+	out := m.machine.TakeActions()
 	for _, d := range out.Send {
 		w.opt.Fleet.Sent.Messages++
-		w.opt.Fleet.Sent.Bytes += uint64(len(d.Text))
+		w.opt.Fleet.Sent.Bytes += uint64(len(d.Payload))
 		if to := w.member(d.To); to != nil && m.passes(to) {
 			w.after(m.way(to), func() {
 				if to.alive() {
-					_ = to.machine.Receive(to.c.fleetNow(), sidecarAddress(m.c.i), d.Text) // what it thinks of it is in its figures
+					_ = to.machine.Receive(to.c.fleetNow(), sidecarAddress(m.c.i), d.Payload) // what it thinks of it is in its figures
 					to.act()
 				}
 			})
@@ -186,14 +186,14 @@
 	for _, from := range out.Fetch {
 		m.fetch(from)
 	}
-	if len(out.Speak) > 0 {
-		for _, server := range out.Speak {
+	if len(out.ReportServers) > 0 {
+		for _, server := range out.ReportServers {
 			m.recorder.RequestReport(w.now+epoch, server)
 		}
 		m.write()
 		m.act()
 	}
-	if slices.ContainsFunc(out.News, func(k replication.Key) bool { return k.Kind == replication.KindRow }) {
+	if slices.ContainsFunc(out.Updated, func(k replication.Key) bool { return k.Kind == replication.KindRow }) {
 		m.tell()
 	}
 }
@@ -233,7 +233,7 @@
 	finish := func(text []byte, failed error) {
 		if !done && m.alive() {
 			done = true
-			_ = m.machine.Fetched(m.c.fleetNow(), from, text, failed) // as above
+			_ = m.machine.ReceiveSnapshot(m.c.fleetNow(), from, text, failed) // as above
 			m.act()
 		}
 	}
@@ -246,7 +246,7 @@
 		if !to.alive() {
 			return
 		}
-		if text, err := to.machine.Serve(to.c.fleetNow()); err == nil && to.passes(m) {
+		if text, err := to.machine.EncodeSnapshot(to.c.fleetNow()); err == nil && to.passes(m) {
 			w.after(m.way(to), func() { finish(text, nil) })
 		}
 	})
