--- /dev/null
+++ b/internal/fleet/gossip/catchup.go
@@ -0,0 +1,170 @@
+package gossip
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"milletramp.example/milletramp/internal/fleet/membership"
+	"milletramp.example/milletramp/internal/fleet/replication"
+)
+
+const (
+	fetchInterval         = 250 * time.Millisecond // between two requests for snapshots while catching up
+	isolatedFetchInterval = time.Second            // the same while isolated
+	fetchFanout           = 3                      // members that are asked at once, predecessors apart
+)
+
+// Phase is how far a member has caught up with the fleet's state.
+type Phase uint8
+
+// The phases.
+const (
+	CatchingUp   Phase = iota // it fetches snapshots
+	Synced                    // it holds what the fleet holds
+	Bootstrapped              // no member holds anything: all have started anew
+	Isolated                  // no synced member has answered in time; it goes by what it holds, and fetches on
+	numPhases
+)
+
+var phaseNames = [numPhases]string{"catching up", "whole", "fresh", "alone"}
+
+// String implements fmt.Stringer.
+func (p Phase) String() string {
+	if p < numPhases {
+		return phaseNames[p]
+	}
+	return fmt.Sprintf("phase %d", uint8(p))
+}
+
+// Phase returns how far this member has caught up, and since when.
+func (m *Machine) Phase() (Phase, Time) { return m.phase, m.phaseSince }
+
+func (m *Machine) enterPhase(now Time, p Phase) {
+	m.phase, m.phaseSince = p, now
+	if p == CatchingUp {
+		clear(m.unsynced)
+		m.nextFetch, m.syncedAnswer = now, false
+	} else {
+		m.Members.MarkJoined()
+	}
+	m.actions.Phases = append(m.actions.Phases, p)
+}
+
+// requestSnapshots fetches snapshots when they are due, until a synced member has answered, or all have answered that
+// they hold nothing.
+func (m *Machine) requestSnapshots(now replication.Now) {
+	if m.phase == CatchingUp && now.Time-m.phaseSince >= m.settings.CatchUpTimeout {
+		m.catchUpTimedOut(now.Time)
+		return
+	}
+	if m.phase != CatchingUp && m.phase != Isolated || now.Time < m.nextFetch {
+		return
+	}
+	m.nextFetch = now.Time + fetchInterval
+	if m.phase == Isolated {
+		m.nextFetch = now.Time + isolatedFetchInterval
+	}
+	for _, address := range m.fetchTargets() {
+		m.figures.Fetches++
+		m.actions.Fetch = append(m.actions.Fetch, address)
+	}
+}
+
+// catchUpTimedOut goes on without the answers that are missing: a predecessor's, or those of all synced members.
+func (m *Machine) catchUpTimedOut(now Time) {
+	m.predecessors = nil
+	if m.syncedAnswer {
+		m.enterPhase(now, Synced)
+		return
+	}
+	m.enterPhase(now, Isolated)
+	m.nextFetch = now + isolatedFetchInterval
+}
+
+// fetchTargets returns the addresses of all predecessors, and of some seeds and present members.
+func (m *Machine) fetchTargets() []string {
+	addresses := slices.Clone(m.settings.Membership.Peers)
+	for _, member := range m.Members.Members() {
+		if member.Present() {
+			addresses = append(addresses, member.Address)
+		}
+	}
+	slices.Sort(addresses)
+	addresses = slices.Compact(addresses)
+	addresses = slices.DeleteFunc(addresses, func(a string) bool { return a == m.settings.Membership.Address })
+	m.rng.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
+	return slices.Concat(m.predecessors, addresses[:min(len(addresses), fetchFanout)])
+}
+
+// ReceiveSnapshot takes in the snapshot that was fetched from an address, or the error of the fetch. It returns that
+// error, or one that wraps ErrForeign or ErrMalformed.
+func (m *Machine) ReceiveSnapshot(now replication.Now, from string, encoded []byte, fetchErr error) error {
+	awaited := slices.Contains(m.predecessors, from)
+	m.predecessors = slices.DeleteFunc(m.predecessors, func(a string) bool { return a == from })
+	if fetchErr != nil {
+		if awaited { // the predecessor has ended; a synced member may have answered before
+			m.snapshotAnswered(now, "", false)
+		}
+		return fetchErr
+	}
+	if awaited { // so that the predecessor knows of its successor, and forwards to it what it still receives
+		m.send(now.Time, from, Packet{})
+	}
+	s, err := DecodeSnapshot(encoded, m.settings.Label)
+	if err != nil {
+		m.figures.Malformed++
+		return err
+	}
+	m.mergeMembers(now, s.From, s.Members)
+	m.mergeItems(now, s.Items, s.From.Name)
+	m.flushMembership(now, membership.Member{})
+	m.snapshotAnswered(now, from, s.Synced)
+	return nil
+}
+
+// snapshotAnswered enters the next phase once it may. from is the address that has answered, or "", and synced is
+// whether the member there is synced.
+func (m *Machine) snapshotAnswered(now replication.Now, from string, synced bool) {
+	if m.phase != CatchingUp && m.phase != Isolated {
+		return
+	}
+	if from != "" {
+		m.unsynced[from] = !synced
+	}
+	m.syncedAnswer = m.syncedAnswer || synced
+	if len(m.predecessors) > 0 {
+		return
+	}
+	switch {
+	case m.syncedAnswer:
+		m.enterPhase(now.Time, Synced)
+	case m.phase == CatchingUp && m.allSeedsUnsynced():
+		m.enterPhase(now.Time, Bootstrapped)
+	case m.phase == Isolated && m.allPresentUnsynced():
+		m.enterPhase(now.Time, Synced) // no member that is present holds more
+	}
+}
+
+// allSeedsUnsynced reports whether all seeds have answered, none of them synced. One that has not answered may hold all
+// that there is.
+func (m *Machine) allSeedsUnsynced() bool {
+	return !slices.ContainsFunc(m.settings.Membership.Peers, func(address string) bool {
+		return address != m.settings.Membership.Address && !m.unsynced[address]
+	})
+}
+
+// allPresentUnsynced reports whether all present members, one other at least, have answered, none of them synced.
+func (m *Machine) allPresentUnsynced() bool {
+	present := 0
+	for _, member := range m.Members.Members() {
+		if !member.Present() {
+			continue
+		}
+		if !m.unsynced[member.Address] {
+			return false
+		}
+		present++
+	}
+	return present > 0
+}
--- a/internal/lab/fleet/mutants/mutants_test.go
+++ b/internal/lab/fleet/mutants/mutants_test.go
@@ -55,15 +55,16 @@
 		"rows written by their owners alone", ""},
 	{"digest that ignores a kind", "replication/digest.go",
 		"		add(Key{KindAdmin, server, \"\"}, parts...)\n", "		_, _ = server, parts\n", "nothing acknowledged forgotten", ""},
-	{"catch-up skipped", "gossip/gossip.go",
-		"	if len(set.Membership.Peers) == 0 && len(m.predecessors) == 0 {\n		m.enterPhase(now.Time, Bootstrapped)",
-		"	if len(set.Membership.Peers) >= 0 {\n		m.enterPhase(now.Time, Synced)",
+	{"catch-up skipped", "gossip/machine.go",
+		"	if len(settings.Membership.Peers) == 0 && len(m.predecessors) == 0 {\n" +
+			"		m.enterPhase(now.Time, Bootstrapped)",
+		"	if len(settings.Membership.Peers) >= 0 {\n		m.enterPhase(now.Time, Synced)",
 		"ready only with what the fleet holds", ""},
-	{"the process that is replaced not asked", "gossip/gossip.go",
-		"predecessors: slices.Clone(set.Predecessors),", "predecessors: nil,",
+	{"the process that is replaced not asked", "gossip/machine.go",
+		"slices.Clone(settings.Predecessors),", "slices.Clone(settings.Predecessors[:0]),",
 		"nothing acknowledged forgotten", "sim TestUpgrades"},
-	{"nothing asked for again", "gossip/gossip.go",
-		"	m.figures.Wants++\n	m.sendPacket(now.Time, address, Packet{WantMissing: &digest}, false)\n", "	m.figures.Wants++\n",
+	{"nothing asked for again", "gossip/antientropy.go",
+		"	m.figures.Wants++\n	m.trySend(now.Time, address, Packet{WantMissing: &digest})\n", "	m.figures.Wants++\n",
 		"copies equal", ""},
 }
 
