--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -50,7 +50,7 @@
 
 	// Of the loop.
 	machine  *gossip.Machine
-	waiting  map[replication.Key][]chan gossip.Held
+	waiting  map[replication.Key][]chan gossip.Confirmation
 	out      []string
 	tell     bool // Out is to be called though out has not changed
 	recorder *failuredetector.Recorder
@@ -94,12 +94,12 @@
 
 // Start begins a sidecar's part. before are the addresses of its other processes, which this one replaces.
 func Start(c *Config, name string, before []string, log *slog.Logger, told Told) (*Fleet, error) {
-	l, err := transport.Listen(c.Address, gossip.MostSnapshot)
+	l, err := transport.Listen(c.Address, gossip.MaxSnapshotBytes)
 	if err != nil {
 		return nil, err
 	}
 	f := &Fleet{log: log.With("part", "fleet"), transport: l, origin: time.Now(), clock: c.clock, told: told, boots: map[string]int64{}, events: make(chan func(replication.Now), mostQueued),
-		ready: make(chan struct{}), waiting: map[replication.Key][]chan gossip.Held{}}
+		ready: make(chan struct{}), waiting: map[replication.Key][]chan gossip.Confirmation{}}
 	f.ctx, f.stop = context.WithCancel(context.Background())
 	f.address = c.told(l.Address())
 	var warm []replication.Item
@@ -123,9 +123,9 @@
 	_, _ = rand.Read(random[:]) // never fails
 	now := f.now()
 	f.recorder = failuredetector.New(binary.LittleEndian.Uint64(random[:8]))
-	f.machine = gossip.New(now, gossip.Settings{Label: c.Label, CatchUp: c.CatchUp(), Before: before, Membership: membership.Settings{Name: name,
+	f.machine = gossip.New(now, gossip.Settings{Label: c.Label, CatchUpTimeout: c.CatchUp(), Predecessors: before, Membership: membership.Settings{Name: name,
 		Address: f.address, Peers: peers, Seed: binary.LittleEndian.Uint64(random[:8]),
-		Nonce: binary.LittleEndian.Uint64(random[8:]) | 1, Number: uint64(max(now.Wall, 1))}}, warm)
+		LifeNonce: binary.LittleEndian.Uint64(random[8:]) | 1, LifeNumber: uint64(max(now.Wall, 1))}}, warm)
 	f.log.Info("joining", "label", c.Label, "address", l.Address(), "peers", len(c.Peers))
 	f.over.Add(1)
 	go func() {
@@ -142,7 +142,7 @@
 		raise := f.agent.Raise
 		f.events <- func(replication.Now) { f.raise = raise } // the loop, which has begun, takes it
 	}
-	l.Serve(f, gossip.MostPacket)
+	l.Serve(f, gossip.MaxPacketBytes)
 	return f, nil
 }
 
@@ -161,7 +161,7 @@
 	address := ""
 	if err := f.ask(ctx, func(replication.Now) {
 		for _, m := range f.machine.Members.Members() {
-			if m.Name == name && m.Here() {
+			if m.Name == name && m.Present() {
 				address = m.Address
 			}
 		}
@@ -220,7 +220,7 @@
 	for key, waiting := range f.waiting {
 		for _, c := range waiting {
 			if !bears {
-				c <- gossip.Held{Key: key, Asked: 1} // has room for it
+				c <- gossip.Confirmation{Key: key, Asked: 1} // has room for it
 			}
 			close(c)
 		}
@@ -230,9 +230,9 @@
 
 // act carries out what the machine asks for.
 func (f *Fleet) act() {
-	out := f.machine.Out()
+	out := f.machine.TakeActions()
 	for _, d := range out.Send {
-		if err := f.transport.Send(d.To, d.Text); err != nil {
+		if err := f.transport.Send(d.To, d.Payload); err != nil {
 			f.log.Debug("not sent", "to", d.To, "err", err)
 		}
 	}
@@ -242,7 +242,7 @@
 			defer f.over.Done()
 			text, err := f.transport.Fetch(f.ctx, from)
 			f.do(f.ctx, func(now replication.Now) {
-				if err := f.machine.Fetched(now, from, text, err); err != nil {
+				if err := f.machine.ReceiveSnapshot(now, from, text, err); err != nil {
 					f.log.Debug("no snapshot", "from", from, "err", err)
 				}
 			})
@@ -254,14 +254,14 @@
 	if self, bears := f.machine.Members.Self(); bears && f.raise != nil {
 		f.raise(self.Life.Number)
 	}
-	for _, p := range out.Phase {
-		f.log.Info("caught up", "phase", p.String(), "members", f.machine.Members.Here())
-		if p != gossip.Catching && !f.done {
+	for _, p := range out.Phases {
+		f.log.Info("caught up", "phase", p.String(), "members", f.machine.Members.NumPresent())
+		if p != gossip.CatchingUp && !f.done {
 			f.done = true
 			close(f.ready)
 		}
 	}
-	for _, h := range out.Held {
+	for _, h := range out.Confirmations {
 		for _, c := range f.waiting[h.Key] {
 			c <- h // has room for it
 		}
@@ -277,14 +277,14 @@
 // hear takes in what the machine has heard of servers.
 func (f *Fleet) hear(out gossip.Actions) {
 	now := f.now()
-	for _, server := range out.Speak {
+	for _, server := range out.ReportServers {
 		f.recorder.RequestReport(now.Time, server)
 	}
-	if len(out.Speak) > 0 {
+	if len(out.ReportServers) > 0 {
 		f.write(now)
 		f.act()
 	}
-	if slices.ContainsFunc(out.News, func(k replication.Key) bool { return k.Kind == replication.KindRow }) {
+	if slices.ContainsFunc(out.Updated, func(k replication.Key) bool { return k.Kind == replication.KindRow }) {
 		f.weigh(now)
 	}
 }
@@ -294,13 +294,13 @@
 	if _, bears := f.machine.Members.Self(); !bears {
 		return
 	}
-	for _, e := range f.recorder.DueRows(now.Time, f.machine.Members.Here()) {
+	for _, e := range f.recorder.DueRows(now.Time, f.machine.Members.NumPresent()) {
 		key, err := f.machine.Store.WriteRow(now, e.Server, f.boots[e.Server], e.Evidence)
 		if err != nil {
 			f.log.Debug("not written", "server", e.Server, "err", err)
 			continue
 		}
-		f.machine.Spoke(now, key)
+		f.machine.BroadcastUrgent(now, key)
 	}
 }
 
@@ -309,7 +309,7 @@
 func (f *Fleet) weigh(now replication.Now) {
 	var doubts []Doubt
 	since, stands := map[string]time.Duration{}, map[string]time.Duration{}
-	for _, d := range f.machine.Doubts(now, len(f.list)) {
+	for _, d := range f.machine.Suspicions(now, len(f.list)) {
 		if boot, listed := f.boots[d.Server]; listed && boot == d.Boot {
 			doubts = append(doubts, Doubt{d.Server, now.Time - d.Newest})
 			since[d.Server] = d.Newest
@@ -332,7 +332,7 @@
 	select {
 	case f.events <- func(now replication.Now) {
 		if note, due := f.recorder.Observe(now.Time, server, e); due {
-			f.machine.Note(now.Time, note)
+			f.machine.SendNote(now.Time, note)
 		}
 		if e == failuredetector.Silent || e == failuredetector.Refused {
 			f.write(now)
@@ -344,11 +344,11 @@
 
 // leaveWarm has what the staff has said be written down, where it has changed and a folder is named.
 func (f *Fleet) leaveWarm(now replication.Now) {
-	sum := f.machine.Store.Digest().PerKind()[replication.KindAdmin] ^ f.machine.Members.Sum()
+	sum := f.machine.Store.Digest().PerKind()[replication.KindAdmin] ^ f.machine.Members.Digest()
 	if f.states == nil || sum == f.kept || f.keptAt > 0 && now.Time-f.keptAt < warmEvery {
 		return
 	}
-	text, err := f.machine.Warm(now)
+	text, err := f.machine.EncodeWarmStart(now)
 	if err != nil {
 		f.log.Warn("nothing is left for the next life", "err", err)
 		return
@@ -369,12 +369,12 @@
 		ids = append(ids, s.ID)
 		if s.Boot > 0 {
 			if key, changed := f.machine.Store.RecordStart(now, s.ID, s.Boot); changed {
-				f.machine.Tell(key)
+				f.machine.Broadcast(key)
 			}
 		}
 	}
 	for _, key := range f.machine.Store.MarkListed(now, ids) {
-		f.machine.Tell(key)
+		f.machine.Broadcast(key)
 	}
 }
 
@@ -383,7 +383,7 @@
 	if c.Member.State == membership.Suspect {
 		level = slog.LevelDebug
 	}
-	if c.Own {
+	if c.Superseded {
 		f.log.Warn("another process bears this sidecar's name; this one is silent from now on", "at", c.Member.Address, "life", c.Member.Life)
 		return
 	}
@@ -435,7 +435,7 @@
 
 // Snapshot implements transport.Handler.
 func (f *Fleet) Snapshot(ctx context.Context) (text []byte, err error) {
-	failed := f.ask(ctx, func(now replication.Now) { text, err = f.machine.Serve(now) })
+	failed := f.ask(ctx, func(now replication.Now) { text, err = f.machine.EncodeSnapshot(now) })
 	return text, errors.Join(failed, err)
 }
 
@@ -449,7 +449,7 @@
 // TakeOut takes a call of the staff into the fleet's state. Where confirm says so it waits for others to hold it, and returns how
 // many do by then; asked is 0 where there is nobody else.
 func (f *Fleet) TakeOut(ctx context.Context, server string, out, confirm bool) (held, asked int, err error) {
-	answer := make(chan gossip.Held, 1)
+	answer := make(chan gossip.Confirmation, 1)
 	failed := f.ask(ctx, func(now replication.Now) {
 		if _, bears := f.machine.Members.Self(); !bears {
 			err = ErrSilent
@@ -462,7 +462,7 @@
 		}
 		call, _ := f.machine.Store.AdminState(server)
 		f.log.Info("by hand", "server", server, "out", out, "call", strings.Join(calls(call), ","), "replaces", strings.Join(calls(former), ","))
-		f.machine.Tell(key)
+		f.machine.Broadcast(key)
 		if f.tell = true; !confirm {
 			return
 		}
@@ -477,7 +477,7 @@
 		if !ok {
 			return 0, 0, ErrEnded
 		}
-		return h.By, h.Asked, nil
+		return h.Holders, h.Asked, nil
 	case <-ctx.Done():
 		return 0, 0, fmt.Errorf("fleet: %w", context.Cause(ctx))
 	}
@@ -526,7 +526,7 @@
 func (f *Fleet) Ready(ctx context.Context) (ready bool, phase string) {
 	if err := f.ask(ctx, func(replication.Now) {
 		p, _ := f.machine.Phase()
-		ready, phase = p != gossip.Catching, p.String()
+		ready, phase = p != gossip.CatchingUp, p.String()
 	}); err != nil {
 		return false, err.Error()
 	}
--- a/internal/lab/fleet/mutants/mutants_test.go
+++ b/internal/lab/fleet/mutants/mutants_test.go
@@ -28,7 +28,9 @@
 var mutants = []mutant{
 	{name: "the fleet's word ignored", file: "../sidecar/fleet.go", from: "if now[id] = true; !here[id] {", to: "if now[id] = true; false {",
 		rule: "nothing new to a server out by hand", play: "procs TestDrawnPlans"},
-	{"evidence kept to oneself", "fleet.go", "range f.book.Due(now.Time, f.machine.Members.Here()) {", "range f.book.Due(now.Time, f.machine.Members.Here())[:0] {",
+	{"evidence kept to oneself", "fleet.go",
+		"range f.recorder.DueRows(now.Time, f.machine.Members.NumPresent()) {",
+		"range f.recorder.DueRows(now.Time, f.machine.Members.NumPresent())[:0] {",
 		"silent servers known to all", "procs TestServersFallSilent"},
 	{"words that stand for good", "failuredetector/recorder.go",
 		"s.row.Bad = uint32((now - bad) / time.Millisecond)",
@@ -53,13 +55,17 @@
 		"rows written by their owners alone", ""},
 	{"digest that ignores a kind", "replication/digest.go",
 		"		add(Key{KindAdmin, server, \"\"}, parts...)\n", "		_, _ = server, parts\n", "nothing acknowledged forgotten", ""},
-	{"catch-up skipped", "gossip/gossip.go",
-		"	if len(set.Membership.Peers) == 0 && len(m.before) == 0 {\n		m.enter(now.Time, Fresh)", "	if len(set.Membership.Peers) >= 0 {\n		m.enter(now.Time, Whole)",
+	{"catch-up skipped", "gossip/machine.go",
+		"	if len(settings.Membership.Peers) == 0 && len(m.predecessors) == 0 {\n" +
+			"		m.enterPhase(now.Time, Bootstrapped)",
+		"	if len(settings.Membership.Peers) >= 0 {\n		m.enterPhase(now.Time, Synced)",
 		"ready only with what the fleet holds", ""},
-	{"the process that is replaced not asked", "gossip/gossip.go", "before: slices.Clone(set.Before),", "before: nil,",
+	{"the process that is replaced not asked", "gossip/machine.go",
+		"slices.Clone(settings.Predecessors),", "slices.Clone(settings.Predecessors[:0]),",
 		"nothing acknowledged forgotten", "sim TestUpgrades"},
-	{"nothing asked for again", "gossip/gossip.go",
-		"	m.figures.Wants++\n	m.post(now.Time, address, Packet{Want: &digest}, false)\n", "	m.figures.Wants++\n", "copies equal", ""},
+	{"nothing asked for again", "gossip/antientropy.go",
+		"	m.figures.Wants++\n	m.trySend(now.Time, address, Packet{WantMissing: &digest})\n", "	m.figures.Wants++\n",
+		"copies equal", ""},
 }
 
 // TestMain runs these tests, which build and play programs, in a slot for packages that only compute.
