--- a/balance/admission.go
+++ b/balance/admission.go
@@ -82,7 +82,7 @@
 		e.expectedSeconds = expected
 		fits := expected <= endpointLimit && e.waitingSeconds(now) <= limit*inFlight
 		c.full, c.free = c.full || !fits, c.free || fits
-		e.eligible = e.classes[q.Class].Open(now) && b.mayAttemptAt(q, e, now)
+		e.eligible = e.classes[q.Class].Admits(now) && b.mayAttemptAt(q, e, now)
 		if e.eligible {
 			c.late = min(c.late, expected-min(endpointLimit, own))
 			e.eligible = fits && expected <= own && e.waitingSeconds(now) <= own*inFlight
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -7,8 +7,9 @@
 	"time"
 
 	"milletramp.example/milletramp/internal/loadlevel"
+	"milletramp.example/milletramp/internal/lossdetect"
 	"milletramp.example/milletramp/internal/quota"
-	"milletramp.example/milletramp/internal/repeats"
+	"milletramp.example/milletramp/internal/retrybudget"
 )
 
 // This file holds the Balancer: its state, construction and housekeeping.
@@ -46,15 +47,15 @@
 	loadLevel         loadlevel.Meter // of answers just now, against those of the seconds before
 	zoneTimes         [2]group        // what answers took in the own zone and in the others
 	requests          map[RequestID]*request
-	tenants           []quota.Meter  // of this sidecar's parts of their allowances
-	meanTime          []float64      // mean answer time in seconds, by class
-	timeDeviation     []float64      // mean distance of answer times from it, by class
-	meanTimeOfAll     float64        // mean answer time in seconds, of all classes
-	endedAttempts     float64        // decaying count of attempts that ended
-	failedAttempts    float64        // and of those that failed
-	answerTimes       *repeats.Shape // distribution of answer times
-	fleetLosses       repeats.Record // of attempts at all endpoints
-	retryBudget       repeats.Budget
+	tenants           []quota.Meter     // of this sidecar's parts of their allowances
+	meanTime          []float64         // mean answer time in seconds, by class
+	timeDeviation     []float64         // mean distance of answer times from it, by class
+	meanTimeOfAll     float64           // mean answer time in seconds, of all classes
+	endedAttempts     float64           // decaying count of attempts that ended
+	failedAttempts    float64           // and of those that failed
+	answerTimes       *lossdetect.Shape // distribution of answer times
+	fleetLosses       lossdetect.Record // of attempts at all endpoints
+	retryBudget       retrybudget.Budget
 	objective         float64       // the shortest latency objective, in seconds
 	removedClasses    []bool        // by class: it is not in the settings any more
 	zoneWeight        [2]float64    // of the own zone, which is 1, and of the others
@@ -90,8 +91,8 @@
 		requests:    map[RequestID]*request{},
 		tenants:     make([]quota.Meter, len(set.Tenants)),
 		zoneWeight:  [2]float64{1, minZoneWeight},
-		answerTimes: repeats.NewShape(),
-		retryBudget: repeats.NewBudget(len(set.Classes), retryBudgetRatio, retryBudgetMax),
+		answerTimes: lossdetect.NewShape(),
+		retryBudget: retrybudget.New(len(set.Classes), retryBudgetRatio, retryBudgetMax),
 	}
 	b.applyClasses()
 	b.meanTimeOfAll = b.objective
@@ -133,8 +134,8 @@
 	b.arrivals *= keep
 	b.endedAttempts *= keep
 	b.failedAttempts *= keep
-	b.fleetLosses.Fade(keep)
-	b.answerTimes.Fade(math.Pow(keep, memory.Seconds()/shapeMemory.Seconds()))
+	b.fleetLosses.Decay(keep)
+	b.answerTimes.Decay(math.Pow(keep, memory.Seconds()/shapeMemory.Seconds()))
 	for _, g := range b.groups {
 		g.decay(keep)
 		g.waitingSeconds = 0
@@ -187,9 +188,9 @@
 	o.answerInFlight *= keep
 	o.endedAttempts *= keep
 	o.failedAttempts *= keep
-	o.losses.Fade(keep)
-	o.slowdown.Fade(keep)
+	o.losses.Decay(keep)
+	o.slowdown.Decay(keep)
 	for i := range o.classes {
-		o.classes[i].Loss.Fade(keep)
+		o.classes[i].Loss.Decay(keep)
 	}
 }
--- a/balance/configure.go
+++ b/balance/configure.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"slices"
 
+	"milletramp.example/milletramp/internal/lossdetect"
 	"milletramp.example/milletramp/internal/quota"
-	"milletramp.example/milletramp/internal/repeats"
 )
 
 // This file holds changes of the settings.
@@ -32,7 +32,7 @@
 	}
 	b.retryBudget.Grow(len(b.settings.Classes))
 	for _, e := range b.known {
-		e.classes = append(e.classes, make([]repeats.Access, len(b.settings.Classes)-len(e.classes))...)
+		e.classes = append(e.classes, make([]lossdetect.Access, len(b.settings.Classes)-len(e.classes))...)
 	}
 }
 
--- a/balance/hedging.go
+++ b/balance/hedging.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"milletramp.example/milletramp/internal/repeats"
+	"milletramp.example/milletramp/internal/lossdetect"
 )
 
 // This file holds attempts that take too long, and hedged requests.
@@ -109,7 +109,7 @@
 	if a.endpoint.lastResponse < a.sent {
 		share = max(share, usualLoss)
 	}
-	return a.expectedNow * b.answerTimes.Beyond(repeats.Until(share, hedgeProbability))
+	return a.expectedNow * b.answerTimes.Beyond(lossdetect.Until(share, hedgeProbability))
 }
 
 // lateThreshold is the time in seconds after which an answer of the class is late.
--- a/balance/losses.go
+++ b/balance/losses.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"milletramp.example/milletramp/internal/repeats"
+	"milletramp.example/milletramp/internal/lossdetect"
 )
 
 // This file holds which attempts are taken to be lost, with the estimates of package repeats.
@@ -47,7 +47,7 @@
 	switch {
 	case e == nil || class < 0 || class >= len(b.settings.Classes):
 		return 0
-	case now < e.ejectedUntil || e.classes[class].Shut():
+	case now < e.ejectedUntil || e.classes[class].Ejected():
 		return 1
 	}
 	return b.classLossShare(e, class)
@@ -62,7 +62,13 @@
 // long before a client gives up.
 func (b *Balancer) countLikelyLoss(q *request, a *attempt, now Time) {
 	survival := b.answerTimes.Survival((now - a.sent).Seconds() / a.expectedNow)
-	b.recordUnanswered(q.Class, a, survival, repeats.Lost(b.classLossShare(a.endpoint, q.Class), survival), now)
+	b.recordUnanswered(
+		q.Class,
+		a,
+		survival,
+		lossdetect.Lost(b.classLossShare(a.endpoint, q.Class), survival),
+		now,
+	)
 }
 
 // recordEnd records what the end of an attempt tells of losses.
@@ -84,7 +90,7 @@
 			share = max(share, minTimeoutLoss)
 		}
 		survival := b.answerTimes.Survival(out)
-		lost := repeats.Lost(share, survival)
+		lost := lossdetect.Lost(share, survival)
 		if share < learnMaxLoss {
 			b.answerTimes.CalledOff(out, 1-lost)
 		}
@@ -143,7 +149,7 @@
 // recordLoss counts an attempt as lost by a probability, in place of the one that it counted with before.
 func (b *Balancer) recordLoss(class int, a *attempt, lost float64) {
 	for _, r := range []struct {
-		record *repeats.Record
+		record *lossdetect.Record
 		keep   float64
 	}{
 		{&a.endpoint.classes[class].Loss, classKeep},
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -5,7 +5,7 @@
 	"math"
 	"time"
 
-	"milletramp.example/milletramp/internal/repeats"
+	"milletramp.example/milletramp/internal/lossdetect"
 )
 
 // This file holds outlier detection: endpoints that fail, and their ejection.
@@ -21,24 +21,24 @@
 
 // observations is what the sidecar has observed of an endpoint's process.
 type observations struct {
-	answerSeconds  float64          // decaying sum of the seconds that answers took
-	answerInFlight float64          // and of the requests that were in flight then
-	lastSample     Time             // when an attempt last showed how fast it is
-	endedAttempts  float64          // decaying count of attempts that ended
-	failedAttempts float64          // and of those that failed
-	failureAlarm   repeats.Alarm    // rings if it fails much more than the others
-	lastFailure    Time             // when a failure last counted
-	ejectedUntil   Time             // 0: never ejected
-	losses         repeats.Record   // of attempts while it answered others
-	silenceAlarm   repeats.Alarm    // rings if it loses everything
-	lastSilence    Time             // when a silence last counted
-	slowdown       repeats.Slowdown // of its latest answers, against what was expected of them
-	classes        []repeats.Access // by class
+	answerSeconds  float64             // decaying sum of the seconds that answers took
+	answerInFlight float64             // and of the requests that were in flight then
+	lastSample     Time                // when an attempt last showed how fast it is
+	endedAttempts  float64             // decaying count of attempts that ended
+	failedAttempts float64             // and of those that failed
+	failureAlarm   lossdetect.Alarm    // rings if it fails much more than the others
+	lastFailure    Time                // when a failure last counted
+	ejectedUntil   Time                // 0: never ejected
+	losses         lossdetect.Record   // of attempts while it answered others
+	silenceAlarm   lossdetect.Alarm    // rings if it loses everything
+	lastSilence    Time                // when a silence last counted
+	slowdown       lossdetect.Slowdown // of its latest answers, against what was expected of them
+	classes        []lossdetect.Access // by class
 }
 
 // newObservations returns those of a process of which nothing is known.
 func (b *Balancer) newObservations(now Time) observations {
-	return observations{lastSample: now, classes: make([]repeats.Access, len(b.settings.Classes))}
+	return observations{lastSample: now, classes: make([]lossdetect.Access, len(b.settings.Classes))}
 }
 
 // recordOutcome records what the end of an attempt tells of its endpoint. Where some connections are dead
@@ -133,8 +133,8 @@
 // eject keeps all requests from an endpoint for ejectionTime. The next failure after that ejects it again.
 func (b *Balancer) eject(e *endpoint, now Time) {
 	e.ejectedUntil = now + ejectionTime
-	e.failureAlarm.Again()
-	e.silenceAlarm.Again()
+	e.failureAlarm.Rearm()
+	e.silenceAlarm.Rearm()
 	b.actions.Log("ejected " + e.ID)
 	b.takeSubsets(now)
 }
@@ -142,7 +142,7 @@
 // ejectForClass keeps a class from an endpoint until a time, after which one request tries it. It is logged
 // once until an answer readmits the class.
 func (b *Balancer) ejectForClass(e *endpoint, class int, until Time) {
-	if e.classes[class].Close(until) {
+	if e.classes[class].Eject(until) {
 		b.actions.Log("shut " + e.ID + " to " + b.settings.Classes[class].Name)
 	}
 }
--- a/internal/repeats/repeats.go
+++ b/internal/lossdetect/lossdetect.go
@@ -1,5 +1,4 @@
-// Package repeats tells attempts that are lost from those that are just late, and keeps the budget from which
-// further attempts are paid.
+// Package lossdetect tells attempts that are lost from those that are just late.
 //
 // It is pure: no clock, no randomness, no I/O, no allocation after the start, and each event costs a time that does
 // not grow with what came before. Times are given as multiples of the time that the attempt was expected to take, so
@@ -12,20 +11,20 @@
 // (the redistribution to the right of Efron 1967): otherwise calling off early would teach that answers come early.
 // Danger: where many are called off at one time, nothing tells losses from answers that take longer than that, and both
 // parts drift. So the shape is to be learnt only where few are lost; it is the same elsewhere.
-package repeats
+package lossdetect
 
 import "math"
 
 const (
-	bins       = 40   // of the shape
-	least      = 0.05 // multiple of the expected time at which the first bin ends
-	octave     = 2    // log of the bins of an octave, which are of equal width
-	most       = 38.4 // multiple from which all are in the last bin: where the one before it ends
-	shapeLeast = 500  // answers that a shape keeps
-	usualLeast = 0.05 // usual shares that are told from it: less would ring at the second failure in a row,
-	usualMost  = 0.9  // and of the alarming share, more never
-	alarmAt    = 7.0  // log of the odds that ring: a thousand to one
-	weight     = 8.0  // attempts by which a record outweighs what it is compared with
+	bins             = 40   // of the shape
+	firstBinEnd      = 0.05 // multiple of the expected time at which the first bin ends
+	binsPerOctaveLog = 2    // log of the bins of an octave, which are of equal width
+	lastBinStart     = 38.4 // multiple from which all are in the last bin: where the one before it ends
+	minShapeAnswers  = 500  // answers that a shape keeps
+	minUsual         = 0.05 // usual shares that are told from it: less would ring at the second failure in a row,
+	maxUsualShare    = 0.9  // and of the alarming share, more never
+	alarmThreshold   = 7.0  // log of the odds that ring: a thousand to one
+	recordWeight     = 8.0  // attempts by which a record outweighs what it is compared with
 )
 
 // Shape is how long answers take, as multiples of the time expected, from a fading record of them. What it tells is of
@@ -42,48 +41,48 @@
 	s := &Shape{}
 	below := 0.0
 	for i := range s.mass {
-		up := 1 - math.Exp(-ends[i])
-		s.mass[i] = weight * (up - below)
+		up := 1 - math.Exp(-binEnds[i])
+		s.mass[i] = recordWeight * (up - below)
 		s.total += s.mass[i]
 		below = up
 	}
-	s.sum()
+	s.sumTails()
 	return s
 }
 
-func (s *Shape) sum() {
+func (s *Shape) sumTails() {
 	for i := bins - 1; i >= 0; i-- {
 		s.longer[i] = s.longer[i+1] + s.mass[i]
 	}
 }
 
-// ends are the multiples at which the bins end.
-var ends = func() (at [bins]float64) {
+// binEnds are the multiples at which the bins end.
+var binEnds = func() (at [bins]float64) {
 	for i := range at {
-		at[i] = least * math.Float64frombits(uint64(i+1023<<octave)<<(52-octave))
+		at[i] = firstBinEnd * math.Float64frombits(uint64(i+1023<<binsPerOctaveLog)<<(52-binsPerOctaveLog))
 	}
 	return at
 }()
 
-func bin(multiple float64) int {
+func binOf(multiple float64) int {
 	switch {
-	case !(multiple > least): // also what is no number
+	case !(multiple > firstBinEnd): // also what is no number
 		return 0
-	case multiple >= most:
+	case multiple >= lastBinStart:
 		return bins - 1
 	}
-	return int(math.Float64bits(multiple/least)>>(52-octave)) - 1023<<octave + 1 // the exponent, and how far in it
+	return int(math.Float64bits(multiple/firstBinEnd)>>(52-binsPerOctaveLog)) - 1023<<binsPerOctaveLog + 1 // the exponent, and how far in it
 }
 
 // Answered takes in an answer.
 func (s *Shape) Answered(multiple float64) {
-	s.mass[bin(multiple)]++
+	s.mass[binOf(multiple)]++
 	s.total++
 }
 
 // CalledOff takes in an attempt that had no answer by then and would have had one with the given probability.
 func (s *Shape) CalledOff(multiple, answered float64) {
-	at, tail := bin(multiple), 0.0
+	at, tail := binOf(multiple), 0.0
 	for _, m := range s.mass[at:] {
 		tail += m
 	}
@@ -96,24 +95,24 @@
 	}
 }
 
-// Fade keeps a share of the record, but for a part that stays until answers replace it.
-func (s *Shape) Fade(keep float64) {
-	if keep = max(keep, min(shapeLeast/s.total, 1)); keep < 1 {
+// Decay keeps a share of the record, but for a part that stays until answers replace it.
+func (s *Shape) Decay(keep float64) {
+	if keep = max(keep, min(minShapeAnswers/s.total, 1)); keep < 1 {
 		s.total = 0
 		for i := range s.mass {
 			s.mass[i] *= keep
 			s.total += s.mass[i]
 		}
 	}
-	s.sum()
+	s.sumTails()
 }
 
 // Survival is the share of answers that take longer. It is never 0: what has not been seen may still come.
 func (s *Shape) Survival(multiple float64) float64 {
-	at := bin(multiple)
+	at := binOf(multiple)
 	longer := s.longer[at+1]
 	if at < bins-1 { // evenly within the bin
-		from, to := width(at)
+		from, to := binRange(at)
 		longer += (s.longer[at] - longer) * min(max((to-multiple)/(to-from), 0), 1)
 	}
 	return (longer + 0.25) / (s.longer[0] + 0.5)
@@ -135,18 +134,18 @@
 		}
 	}
 	if in == 0 {
-		return least
+		return firstBinEnd
 	}
-	from, to := width(in)
+	from, to := binRange(in)
 	return to - (to-from)*(allowed-s.longer[in+1])/(s.longer[in]-s.longer[in+1])
 }
 
-// width is where a bin begins and ends.
-func width(bin int) (from, to float64) {
+// binRange is where a bin begins and ends.
+func binRange(bin int) (from, to float64) {
 	if bin > 0 {
-		from = ends[bin-1]
+		from = binEnds[bin-1]
 	}
-	return from, ends[bin]
+	return from, binEnds[bin]
 }
 
 // Lost is the probability that an attempt will never be answered, given the share of attempts that are not and the
@@ -171,11 +170,13 @@
 // Correct has an attempt that was counted as lost with one probability count with another.
 func (r *Record) Correct(from, to float64) { r.lost = min(max(r.lost+to-from, 0), r.ended) }
 
-// Fade keeps a share of the record.
-func (r *Record) Fade(keep float64) { r.ended, r.lost = r.ended*keep, r.lost*keep }
+// Decay keeps a share of the record.
+func (r *Record) Decay(keep float64) { r.ended, r.lost = r.ended*keep, r.lost*keep }
 
 // Share is the share of attempts lost, where usual is what is expected of one without a record.
-func (r *Record) Share(usual float64) float64 { return (r.lost + weight*usual) / (r.ended + weight) }
+func (r *Record) Share(usual float64) float64 {
+	return (r.lost + recordWeight*usual) / (r.ended + recordWeight)
+}
 
 // Alarm is the cumulative sum test of Page (1954) for an endpoint that loses or fails so large a share of what it gets
 // that it is to be left alone, rather than its usual share: the sum of the log likelihood ratios, held at 0 from below. It
@@ -185,7 +186,7 @@
 // Good takes in an answer, where one share is usual and another calls for the alarm.
 func (a *Alarm) Good(usual, alarming float64) {
 	if *a > 0 { // it can but fall
-		*a = max(*a+Alarm(math.Log((1-alarming)/(1-clamp(usual, alarming)))), 0)
+		*a = max(*a+Alarm(math.Log((1-alarming)/(1-clampUsual(usual, alarming)))), 0)
 	}
 }
 
@@ -193,66 +194,18 @@
 // answers takes longer. It returns the weight of that evidence; the one returned for the same attempt before, or 0,
 // is given to replace it.
 func (a *Alarm) Bad(survival, usual, alarming, before float64) float64 {
-	usual = clamp(usual, alarming)
+	usual = clampUsual(usual, alarming)
 	weighs := math.Log((alarming + (1-alarming)*survival) / (usual + (1-usual)*survival))
 	*a = max(*a+Alarm(weighs-before), 0)
 	return weighs
 }
 
-func clamp(usual, alarming float64) float64 { return min(max(usual, usualLeast), usualMost*alarming) }
-
-// Again has the alarm ring at the next bad sign: one that rang before has to be disproved.
-func (a *Alarm) Again() { *a = alarmAt - 1 }
-
-// Rings tells whether the evidence suffices.
-func (a Alarm) Rings() bool { return a >= alarmAt }
-
-// Budget pays for further attempts out of successes, as in the retry budgets of Finagle: a share of each success is put
-// by, up to a limit, so that further attempts dry up with the successes. There is one for each class and one for the
-// whole, and an attempt is paid for by both: no class lives on what the others earn, and all together spend no more
-// than one would.
-type Budget struct {
-	whole   float64
-	classes []float64
-	rate    float64
-	most    float64
+func clampUsual(usual, alarming float64) float64 {
+	return min(max(usual, minUsual), maxUsualShare*alarming)
 }
 
-// NewBudget returns a full budget: each success earns rate, and at most so many attempts are put by.
-func NewBudget(classes int, rate, most float64) Budget {
-	b := Budget{whole: most, classes: make([]float64, classes), rate: rate, most: most}
-	for i := range b.classes {
-		b.classes[i] = most
-	}
-	return b
-}
+// Rearm has the alarm ring at the next bad sign: one that rang before has to be disproved.
+func (a *Alarm) Rearm() { *a = alarmThreshold - 1 }
 
-// Grow adds classes until there are so many.
-func (b *Budget) Grow(classes int) {
-	for len(b.classes) < classes {
-		b.classes = append(b.classes, b.most)
-	}
-}
-
-// Earn takes in a success.
-func (b *Budget) Earn(class int) {
-	b.whole = min(b.whole+b.rate, b.most)
-	b.classes[class] = min(b.classes[class]+b.rate, b.most)
-}
-
-// Spend pays for a further attempt, or returns false and takes nothing if there is too little.
-func (b *Budget) Spend(class int) bool {
-	if b.whole < 1 || b.classes[class] < 1 {
-		return false
-	}
-	b.whole--
-	b.classes[class]--
-	return true
-}
-
-// Charge takes what a client's own retry costs, as far as it is there: that one is served in any case, and leaves less
-// for others.
-func (b *Budget) Charge(class int) {
-	b.whole = max(b.whole-1, 0)
-	b.classes[class] = max(b.classes[class]-1, 0)
-}
+// Rings tells whether the evidence suffices.
+func (a Alarm) Rings() bool { return a >= alarmThreshold }
--- a/internal/repeats/repeats_test.go
+++ b/internal/lossdetect/lossdetect_test.go
@@ -1,4 +1,4 @@
-package repeats
+package lossdetect
 
 import (
 	"math"
@@ -19,7 +19,7 @@
 		const n = 20_000
 		for i := range n {
 			p := r.Share(0.001)
-			if s.Fade(0.9995); i >= n/2 {
+			if s.Decay(0.9995); i >= n/2 {
 				sum += p
 			}
 			end := s.Beyond(Until(p, 0.5))
@@ -58,12 +58,12 @@
 			case 0:
 				s.CalledOff(at, rapid.Float64Range(0, 1).Draw(t, "answered"))
 			case 1:
-				s.Fade(0.9)
+				s.Decay(0.9)
 			default:
 				s.Answered(at)
 			}
 		}
-		s.Fade(1)
+		s.Decay(1)
 		last := 1.0
 		for x := 0.01; x < 100; x *= 1.1 {
 			v := s.Survival(x)
@@ -71,7 +71,7 @@
 				t.Fatalf("survival %v at %v after %v before it", v, x, last)
 			}
 			last = v
-			if at := s.Beyond(v); x > least && x < most/2 && v < s.Survival(least) && math.Abs(s.Survival(at)-v) > 1e-6 {
+			if at := s.Beyond(v); x > firstBinEnd && x < lastBinStart/2 && v < s.Survival(firstBinEnd) && math.Abs(s.Survival(at)-v) > 1e-6 {
 				t.Fatalf("survival %v at %v, but %v where Beyond puts it, at %v", v, x, s.Survival(at), at)
 			}
 		}
@@ -104,7 +104,7 @@
 			case 1:
 				r.Correct(p, probability.Draw(t, "to"))
 			case 2:
-				r.Fade(p)
+				r.Decay(p)
 			}
 			if s := r.Share(p0); s < 0 || s > 1 {
 				t.Fatalf("share %v of %+v", s, r)
@@ -128,76 +128,30 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var s Slowdown
 		for _, m := range rapid.SliceOfN(rapid.Float64Range(0, 1000), 0, 50).Draw(t, "answers") {
-			if s.Answered(m); s.Factor() < 1 || s.Factor() > slowdownMost {
+			if s.Answered(m); s.Factor() < 1 || s.Factor() > maxSlowdown {
 				t.Fatalf("factor %v", s.Factor())
 			}
 		}
-		s.Fade(0)
+		s.Decay(0)
 		for range 30 {
 			s.Answered(1)
 		}
 		if s.Answered(1000); s.Factor() < 1 || s.Factor() > 1.6 {
 			t.Fatalf("factor %v after one outlier", s.Factor())
 		}
-		slower := rapid.Float64Range(1, slowdownMost).Draw(t, "slower")
+		slower := rapid.Float64Range(1, maxSlowdown).Draw(t, "slower")
 		for range 4 {
 			s.Answered(slower)
 		}
 		if got := s.Factor(); got < 1+(slower-1)/2 {
 			t.Fatalf("factor %v after four answers slower by %v", got, slower)
 		}
-		if s.Fade(0); s.Factor() != 1 {
+		if s.Decay(0); s.Factor() != 1 {
 			t.Fatalf("factor %v once it is forgotten", s.Factor())
 		}
 	})
 }
 
-// TestBudget has no order of successes, further attempts and clients' retries spend more than was put by at the start and
-// earned, in a class or in all.
-func TestBudget(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		b := NewBudget(2, 0.2, 20)
-		var earned, spent [3]float64 // by class, and the whole
-		for _, event := range rapid.SliceOfN(rapid.IntRange(0, 5), 0, 500).Draw(t, "events") {
-			class := event % 2
-			switch event / 2 {
-			case 0:
-				b.Earn(class)
-				earned[class], earned[2] = earned[class]+0.2, earned[2]+0.2
-			case 1:
-				if b.Spend(class) {
-					spent[class], spent[2] = spent[class]+1, spent[2]+1
-				}
-			case 2:
-				b.Charge(class)
-			}
-			for i := range spent {
-				if spent[i] > 20+earned[i]+1e-6 {
-					t.Fatalf("%v spent after %v were earned", spent, earned)
-				}
-			}
-		}
-		for range 200 {
-			b.Earn(0)
-		}
-		b.Charge(0)
-		for range 19 {
-			if !b.Spend(0) {
-				t.Fatal("what was put by can't be spent")
-			}
-		}
-		if b.Spend(0) || b.Spend(1) {
-			t.Fatal("more was put by than the most, or a client's retry took nothing")
-		}
-		for range 200 {
-			b.Earn(1)
-		}
-		if b.Spend(0) || !b.Spend(1) {
-			t.Fatal("a class lives on what another earned")
-		}
-	})
-}
-
 func BenchmarkLost(b *testing.B) {
 	s := NewShape()
 	var r Record
--- a/internal/repeats/slowdown.go
+++ b/internal/lossdetect/slowdown.go
@@ -1,9 +1,9 @@
-package repeats
+package lossdetect
 
 const (
 	slowdownKeep  = 0.75 // share of the record that an answer leaves: some four of the last ones count
 	slowdownPrior = 2.0  // answers in the expected time by which a small record is outweighed
-	slowdownMost  = 4.0  // multiple at which an answer counts at most: a single outlier proves little
+	maxSlowdown   = 4.0  // multiple at which an answer counts at most: a single outlier proves little
 )
 
 // Slowdown is by which factor an endpoint answers later just now than was expected when the requests were sent, from
@@ -15,11 +15,11 @@
 // Answered takes in an answer by its time as a multiple of the time that was expected at the sending.
 func (s *Slowdown) Answered(multiple float64) {
 	s.answers = s.answers*slowdownKeep + 1
-	s.multiples = s.multiples*slowdownKeep + min(multiple, slowdownMost)
+	s.multiples = s.multiples*slowdownKeep + min(multiple, maxSlowdown)
 }
 
-// Fade keeps a share of the record.
-func (s *Slowdown) Fade(keep float64) { s.answers, s.multiples = s.answers*keep, s.multiples*keep }
+// Decay keeps a share of the record.
+func (s *Slowdown) Decay(keep float64) { s.answers, s.multiples = s.answers*keep, s.multiples*keep }
 
 // Factor is the factor, from 1 to the multiple at which an answer counts at most.
 func (s *Slowdown) Factor() float64 {
