--- a/internal/lossdetect/lossdetect.go
+++ b/internal/lossdetect/lossdetect.go
@@ -9,7 +9,7 @@
 // t is then lost with the probability p / (p + (1-p) S(t)). An attempt that was called off before its end was known
 // counts for both parts by that probability, and what is left of it goes to the later times that the answered ones had
 // (the redistribution to the right of Efron 1967): otherwise calling off early would teach that answers come early.
-// Danger: where many are called off at one time, nothing tells losses from answers that take longer than that, and both
+// Where many are called off at one time, nothing tells losses from answers that take longer than that, and both
 // parts drift. So the shape is to be learnt only where few are lost; it is the same elsewhere.
 package lossdetect
 
@@ -27,8 +27,8 @@
 	recordWeight     = 8.0  // attempts by which a record outweighs what it is compared with
 )
 
-// Shape is how long answers take, as multiples of the time expected, from a fading record of them. What it tells is of
-// the last Fade: sums that all questions share are taken there.
+// Shape is how long answers take, as multiples of the time expected, from a decaying record of them. What it tells is
+// of the last Fade: sums that all questions share are taken there.
 type Shape struct {
 	mass   [bins]float64
 	total  float64
@@ -71,16 +71,17 @@
 	case multiple >= lastBinStart:
 		return bins - 1
 	}
-	return int(math.Float64bits(multiple/firstBinEnd)>>(52-binsPerOctaveLog)) - 1023<<binsPerOctaveLog + 1 // the exponent, and how far in it
+	// the exponent, and how far in it
+	return int(math.Float64bits(multiple/firstBinEnd)>>(52-binsPerOctaveLog)) - 1023<<binsPerOctaveLog + 1
 }
 
-// Answered takes in an answer.
+// Answered records an answer.
 func (s *Shape) Answered(multiple float64) {
 	s.mass[binOf(multiple)]++
 	s.total++
 }
 
-// CalledOff takes in an attempt that had no answer by then and would have had one with the given probability.
+// CalledOff records an attempt that had no answer by then and would have had one with the given probability.
 func (s *Shape) CalledOff(multiple, answered float64) {
 	at, tail := binOf(multiple), 0.0
 	for _, m := range s.mass[at:] {
@@ -159,9 +160,9 @@
 	return share * (1 - lost) / max((1-share)*lost, math.SmallestNonzeroFloat64)
 }
 
-// Record is a fading count of attempts and of those lost among them. The counts are not whole: an attempt whose end is
-// not known counts as lost by its probability. It fades with time and with what comes in: what is lost now must not
-// take long to outweigh what was answered before.
+// Record is a decaying count of attempts and of those lost among them. The counts are not whole: an attempt whose end
+// is not known counts as lost by its probability. It fades with time and with what comes in: what is lost now must
+// not take long to outweigh what was answered before.
 type Record struct{ ended, lost float64 }
 
 // Add counts an attempt that is lost with the given probability, and keeps that share of the record before it.
@@ -178,19 +179,19 @@
 	return (r.lost + recordWeight*usual) / (r.ended + recordWeight)
 }
 
-// Alarm is the cumulative sum test of Page (1954) for an endpoint that loses or fails so large a share of what it gets
-// that it is to be left alone, rather than its usual share: the sum of the log likelihood ratios, held at 0 from below. It
-// asks for the more evidence the more is usual.
+// Alarm is the cumulative sum test of Page (1954) for an endpoint that loses or fails so large a share of what it
+// gets that it is to be left alone, rather than its usual share: the sum of the log likelihood ratios, held at 0 from
+// below. It asks for the more evidence the more is usual.
 type Alarm float64
 
-// Good takes in an answer, where one share is usual and another calls for the alarm.
+// Good records an answer, where one share is usual and another calls for the alarm.
 func (a *Alarm) Good(usual, alarming float64) {
 	if *a > 0 { // it can but fall
 		*a = max(*a+Alarm(math.Log((1-alarming)/(1-clampUsual(usual, alarming)))), 0)
 	}
 }
 
-// Bad takes in a failure, or, with a survival above 0, that an attempt has been out for so long that such a share of
+// Bad records a failure, or, with a survival above 0, that an attempt has been out for so long that such a share of
 // answers takes longer. It returns the weight of that evidence; the one returned for the same attempt before, or 0,
 // is given to replace it.
 func (a *Alarm) Bad(survival, usual, alarming, before float64) float64 {
@@ -207,5 +208,5 @@
 // Rearm has the alarm ring at the next bad sign: one that rang before has to be disproved.
 func (a *Alarm) Rearm() { *a = alarmThreshold - 1 }
 
-// Rings tells whether the evidence suffices.
+// Rings reports whether the evidence suffices.
 func (a Alarm) Rings() bool { return a >= alarmThreshold }
--- a/internal/lossdetect/lossdetect_test.go
+++ b/internal/lossdetect/lossdetect_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestLostAmongLate plays attempts of which a share is lost, and calls each off once it is more likely lost than not. The
-// share found must be the true one, and the shape that of all answers, although none after that is ever seen.
+// TestLostAmongLate plays attempts of which a share is lost, and calls each off once it is more likely lost than not.
+// The share found must be the true one, and the shape that of all answers, although none after that is ever seen.
 func TestLostAmongLate(t *testing.T) {
 	for _, share := range []float64{0, 0.02, 0.1, 0.25, 0.5} {
 		rng := rand.New(rand.NewPCG(1, 2))
@@ -71,7 +71,8 @@
 				t.Fatalf("survival %v at %v after %v before it", v, x, last)
 			}
 			last = v
-			if at := s.Beyond(v); x > firstBinEnd && x < lastBinStart/2 && v < s.Survival(firstBinEnd) && math.Abs(s.Survival(at)-v) > 1e-6 {
+			if at := s.Beyond(v); x > firstBinEnd && x < lastBinStart/2 && v < s.Survival(firstBinEnd) &&
+				math.Abs(s.Survival(at)-v) > 1e-6 {
 				t.Fatalf("survival %v at %v, but %v where Beyond puts it, at %v", v, x, s.Survival(at), at)
 			}
 		}
@@ -86,7 +87,8 @@
 		if got := Lost(share, Until(share, lost)); math.Abs(got-lost) > 1e-6 {
 			t.Fatalf("lost with %v where Until says %v", got, lost)
 		}
-		if v := rapid.Float64Range(0, 1).Draw(t, "survival"); Lost(share, v) < Lost(share, 1)-1e-9 || Lost(share, 1) < share-1e-9 {
+		if v := rapid.Float64Range(0, 1).Draw(t, "survival"); Lost(share, v) < Lost(share, 1)-1e-9 ||
+			Lost(share, 1) < share-1e-9 {
 			t.Fatal("an attempt that has been out is less likely lost than one just sent")
 		}
 	})
--- a/internal/lossdetect/slowdown.go
+++ b/internal/lossdetect/slowdown.go
@@ -7,12 +7,12 @@
 )
 
 // Slowdown is by which factor an endpoint answers later just now than was expected when the requests were sent, from
-// a fading record of its answers. The expectation follows answers over seconds; this follows the last few of them. An
+// a decaying record of its answers. The expectation follows answers over seconds; this follows the last few of them. An
 // endpoint that loses requests answers the others as expected, so the factor tells late attempts from lost ones.
 // The zero value is a factor of 1.
 type Slowdown struct{ answers, multiples float64 }
 
-// Answered takes in an answer by its time as a multiple of the time that was expected at the sending.
+// Answered records an answer by its time as a multiple of the time that was expected at the sending.
 func (s *Slowdown) Answered(multiple float64) {
 	s.answers = s.answers*slowdownKeep + 1
 	s.multiples = s.multiples*slowdownKeep + min(multiple, maxSlowdown)
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestBudget has no order of successes, further attempts and clients' retries spend more than was put by at the start and
-// earned, in a class or in all.
+// TestBudget has no order of successes, further attempts and clients' retries spend more than was put by at the start
+// and earned, in a class or in all.
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(2, 0.2, 20)
