--- a/balance/requests.go
+++ b/balance/requests.go
@@ -185,7 +185,7 @@
 	}
 }
 
-// ClientGone ends a request whose client has left: nothing more is owed or sent.
+// ClientGone ends a request whose client has left: nothing more is due or sent.
 func (b *Balancer) ClientGone(now Time, id RequestID) {
 	if q := b.requests[id]; q != nil && !q.ended {
 		b.end(q)
--- a/deploy/names_test.go
+++ b/deploy/names_test.go
@@ -180,3 +180,63 @@
 		t.Errorf("only %d files were looked at", looked)
 	}
 }
+
+// finished are the packages that were worked through for readers (docs/ROADMAP.md), and houseTerms the words of the
+// former house style that no comment or name in them has.
+var (
+	finished = []string{
+		"balance", "internal/loadlevel", "internal/lossdetect", "internal/quota", "internal/retrybudget",
+		"internal/fleet/failuredetector", "internal/fleet/gossip", "internal/fleet/membership",
+		"internal/fleet/replication", "internal/fleet/transport",
+	}
+	houseTerms = regexp.MustCompile(`(?i)\b(danger|staff|told|heard|deciders?|court|owed|doubts?|mayGo|coldRoom|drawTurns)\b`)
+)
+
+// houseTermsIn returns the withdrawn words in the comments and names of a Go file. Texts stay: some are on the wire.
+func houseTermsIn(t *testing.T, file string) (found []string) {
+	t.Helper()
+	parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.ParseComments)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, group := range parsed.Comments {
+		found = append(found, houseTerms.FindAllString(group.Text(), -1)...)
+	}
+	ast.Inspect(parsed, func(n ast.Node) bool {
+		if name, ok := n.(*ast.Ident); ok {
+			found = append(found, houseTerms.FindAllString(name.Name, -1)...)
+		}
+		return true
+	})
+	return found
+}
+
+// TestFinishedModules: the packages that were worked through stay free of the former house style.
+func TestFinishedModules(t *testing.T) {
+	for _, folder := range finished {
+		files, err := filepath.Glob(filepath.Join(root, folder, "*.go"))
+		if err != nil || len(files) == 0 {
+			t.Fatalf("%s: files %q, error %v", folder, files, err)
+		}
+		for _, file := range files {
+			if strings.HasSuffix(file, "_test.go") {
+				continue
+			}
+			if found := houseTermsIn(t, file); len(found) > 0 {
+				t.Errorf("%s has %q, which are withdrawn", file, found)
+			}
+		}
+	}
+}
+
+// TestHouseTermsAreFound: the check itself finds a withdrawn word in a comment and as a name, and not in a text.
+func TestHouseTermsAreFound(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "x.go")
+	text := "package x\n\n// Danger: it was told.\nvar heard = \"staff\"\n"
+	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if found := strings.Join(houseTermsIn(t, file), " "); found != "Danger told heard" {
+		t.Errorf("found %q", found)
+	}
+}
--- a/internal/fleet/replication/store.go
+++ b/internal/fleet/replication/store.go
@@ -26,10 +26,10 @@
 const (
 	maxKeyBytes    = 64   // of a server's id or a sidecar's name
 	maxAdminStates = 1024 // servers of which operators have said anything
-	maxLives       = 256  // lives of sidecars whose calls on one server are told apart
+	maxLives       = 256  // lives of sidecars whose calls on one server are distinguished
 	maxObservers   = 16   // sidecars whose evidence on one server is held
 	maxSuspects    = 512  // servers on which evidence is held
-	maxOwners      = 4096 // sidecars whose lives are told apart
+	maxOwners      = 4096 // sidecars whose lives are distinguished
 	maxStarts      = 2048 // servers whose start is held
 	maxTests       = 512  // servers that are tested
 )
--- a/internal/fleet/replication/suspicion.go
+++ b/internal/fleet/replication/suspicion.go
@@ -33,7 +33,7 @@
 }
 
 // lastGood returns when the row's owner last had a good answer, and whether the row says so.
-func (r Row) lastGood() (at Time, told bool) {
+func (r Row) lastGood() (at Time, known bool) {
 	return r.writtenAt - Time(r.Evidence.Good)*time.Millisecond, r.Evidence.Good > 0
 }
 
--- a/internal/fleet/transport/transport.go
+++ b/internal/fleet/transport/transport.go
@@ -1,5 +1,5 @@
-// Package transport holds the only sockets between sidecars: one for datagrams and a listener for snapshots and calls, at
-// one address. It decides nothing. What comes is bounded in size, number and time before it is handed on.
+// Package transport holds the only sockets between sidecars: one for datagrams and a listener for snapshots and
+// calls, at one address. It decides nothing. What comes is bounded in size, number and time before it is handed on.
 package transport
 
 import (
--- a/internal/loadlevel/loadlevel.go
+++ b/internal/loadlevel/loadlevel.go
@@ -10,7 +10,7 @@
 package loadlevel
 
 // priorAnswers is the count of answers at the former times that is added to those at the present ones, so that few
-// answers do not make a level; it is also the least that former times are told by.
+// answers do not make a level; it is also the least that former times are derived from.
 const priorAnswers = 2
 
 // leastSeconds keeps a ratio of times finite where former answers took no time at all.
@@ -63,5 +63,5 @@
 }
 
 // Level returns the multiple, 1 or more. Answers that come sooner than before show in the answer times themselves, and
-// waiting for that does no harm, so a level under 1 is not told.
+// waiting for that does no harm, so a level under 1 is not reported.
 func (m *Meter) Level() float64 { return 1 + m.excess }
--- a/internal/lossdetect/lossdetect.go
+++ b/internal/lossdetect/lossdetect.go
@@ -21,7 +21,7 @@
 	binsPerOctaveLog = 2    // log of the bins of an octave, which are of equal width
 	lastBinStart     = 38.4 // multiple from which all are in the last bin: where the one before it ends
 	minShapeAnswers  = 500  // answers that a shape keeps
-	minUsual         = 0.05 // usual shares that are told from it: less would ring at the second failure in a row,
+	minUsual         = 0.05 // usual shares that are distinguished from it: less would ring at the second failure in a row,
 	maxUsualShare    = 0.9  // and of the alarming share, more never
 	alarmThreshold   = 7.0  // log of the odds that ring: a thousand to one
 	recordWeight     = 8.0  // attempts by which a record outweighs what it is compared with
