--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -6,6 +6,7 @@
 	"log/slog"
 	"math"
 	"net"
+	"net/http"
 	"os"
 	"runtime"
 	"runtime/debug"
@@ -37,7 +38,8 @@
 		idle: idleWithin + 200*time.Millisecond, deadline: killDeadline}, hooks{started: func(*ops) {}})
 }
 
-// run is Run with the times and hooks of a test.
+// run is Run with the times and hooks of a test. It starts and ends all goroutines of the process; what is deferred here
+// ends in reverse: the server, the part in the fleet, the console, the entry for other processes, and last the loops.
 func run(stop context.Context, reload <-chan os.Signal, c *Config, log *slog.Logger, join Join, times drainTimes,
 	with hooks) error {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Cores))))
@@ -50,151 +52,215 @@
 		return err
 	}
 	h.upstream.pool.dial = with.dial
-	var loop sync.WaitGroup
-	loop.Add(2)
-	go func() {
-		defer loop.Done()
-		h.run(ctx)
-	}()
-	go func() { // also while draining
-		defer loop.Done()
-		for inUse := c; ; {
-			select {
-			case <-reload:
-				inUse = h.reload(ctx, inUse)
-			case <-ctx.Done():
-				return
-			}
-		}
-	}()
-	defer loop.Wait()
+	p := &process{config: c, log: log, times: times, hooks: with, host: h}
+	p.startLoops(ctx, reload)
+	defer p.loops.Wait()
 	defer cancel()
 
 	// Other processes may call the console as soon as they see this one, so it listens first.
-	var calls net.Listener
-	if c.Console != "" {
-		calls, err = with.listening(stop, func() (*net.TCPListener, error) { return listenPlainly(c.Console) })
-		if err != nil {
-			return endedBefore(stop, fmt.Errorf("console: %w", err))
-		}
+	calls, err := p.listenForCalls(stop)
+	if err != nil {
+		return endedBefore(stop, err)
+	}
+	if calls != nil {
 		defer calls.Close()
 	}
-	staff := &ops{host: h, figures: h.figures, family: joinFamily(c, log)}
-	defer func() { _ = staff.family.member.Leave() }() // what is left binds nobody
+	p.ops = &ops{host: h, figures: h.figures, family: joinFamily(c, log)}
+	defer func() { _ = p.ops.family.member.Leave() }() // what is left binds nobody
 	if calls != nil {
-		defer startConsole(calls, staff, log)()
+		defer startConsole(calls, p.ops, log)()
 	}
-	beside := len(staff.family.member.Others()) > 0
-	if err := staff.join(ctx); err != nil {
+	hasPredecessor := len(p.ops.family.member.Others()) > 0
+	if err := p.ops.join(ctx); err != nil {
 		return err
 	}
-	leave, err := staff.joinFleet(stop, c, log, join)
+	leave, err := p.ops.joinFleet(stop, c, log, join)
 	if err != nil {
 		return err
 	}
 	defer leave()
-	if beside { // the list that the platform wrote down is older than what the other process goes by
-		select {
-		case <-h.heard:
-		case <-time.After(times.listen):
-		case <-stop.Done():
-			return nil
-		}
-		// A process that listens and has no servers refuses what the other one would serve.
-		select {
-		case <-h.ready:
-		case <-stop.Done():
-			return nil
-		}
+	if hasPredecessor && !p.awaitServers(stop) {
+		return nil
 	}
-	inner, err := with.listening(stop, func() (*net.TCPListener, error) { return listenShared(c.Listen, log) })
+	inner, err := p.hooks.listening(stop, func() (*net.TCPListener, error) { return listenShared(c.Listen, log) })
 	if err != nil {
 		return endedBefore(stop, err)
 	}
 	defer inner.Close()
-	l := &drainListener{TCPListener: inner, accept: with.accept, quiet: times.quiet}
-	if err := l.takeTurns(); err != nil {
-		log.Debug("the kernel chooses among the processes of this address", "err", err)
+	p.startServing(ctx, inner, hasPredecessor)
+	if err := p.awaitStop(stop); err != nil {
+		return err
 	}
-	s := newServer(c, h, l)
-	s.gate = staff.gate
-	loop.Add(1)
-	go func() {
-		defer loop.Done()
-		staff.family.follow(ctx, func(shares int) {
-			log.Info("processes of this sidecar", "count", shares)
-			s.share(shares)
+	return p.drain()
+}
+
+// process is a running sidecar. Only run and what it calls use it.
+type process struct {
+	config *Config
+	log    *slog.Logger
+	times  drainTimes
+	hooks  hooks
+	host   *host
+	loops  sync.WaitGroup // end with the context of run
+
+	ops      *ops
+	listener *drainListener
+	server   *server
+	web      *http.Server
+	served   chan error // gets what ended web.Serve, once
+}
+
+// startLoops starts the host's loop and the one that reloads the configuration, also while draining.
+func (p *process) startLoops(ctx context.Context, reload <-chan os.Signal) {
+	p.loops.Add(2)
+	go func() { // ends with ctx
+		defer p.loops.Done()
+		p.host.run(ctx)
+	}()
+	go func() { // ends with ctx
+		defer p.loops.Done()
+		for inUse := p.config; ; {
+			select {
+			case <-reload:
+				inUse = p.host.reload(ctx, inUse)
+			case <-ctx.Done():
+				return
+			}
+		}
+	}()
+}
+
+// listenForCalls opens the console's listener, nil where the configuration names no console.
+func (p *process) listenForCalls(stop context.Context) (net.Listener, error) {
+	if p.config.Console == "" {
+		return nil, nil
+	}
+	calls, err := p.hooks.listening(stop, func() (*net.TCPListener, error) { return listenPlainly(p.config.Console) })
+	if err != nil {
+		return nil, fmt.Errorf("console: %w", err)
+	}
+	return calls, nil
+}
+
+// awaitServers waits until servers are known, beside another process: the list that the platform wrote down is older
+// than what the other process goes by, and a process that listens and has no servers rejects what the other one would
+// serve. It returns false where the process was told to stop meanwhile.
+func (p *process) awaitServers(stop context.Context) bool {
+	select {
+	case <-p.host.heard:
+	case <-time.After(p.times.listen):
+	case <-stop.Done():
+		return false
+	}
+	select {
+	case <-p.host.ready:
+		return true
+	case <-stop.Done():
+		return false
+	}
+}
+
+// startServing serves the clients that connect to inner.
+func (p *process) startServing(ctx context.Context, inner *net.TCPListener, hasPredecessor bool) {
+	p.listener = &drainListener{TCPListener: inner, accept: p.hooks.accept, quiet: p.times.quiet}
+	if err := p.listener.takeTurns(); err != nil {
+		p.log.Debug("the kernel chooses among the processes of this address", "err", err)
+	}
+	p.server = newServer(p.config, p.host, p.listener)
+	p.server.gate = p.ops.gate
+	p.loops.Add(1)
+	go func() { // ends with ctx
+		defer p.loops.Done()
+		p.ops.family.follow(ctx, func(shares int) {
+			p.log.Info("processes of this sidecar", "count", shares)
+			p.server.share(shares)
 		})
 	}()
-	if beside {
-		staff.family.shares.Store(2)
-		s.share(2)
-	}
-	web := s.httpServer(log)
-	ended := make(chan error, 1)
-	go func() { ended <- web.Serve(s.conns) }()
-	staff.server.Store(s)
-	with.started(staff)
-	log.Info("serving", "name", c.Name, "address", inner.Addr().String())
-	for waiting := h.ready; ; {
+	if hasPredecessor {
+		p.ops.family.shares.Store(2)
+		p.server.share(2)
+	}
+	p.web = p.server.httpServer(p.log)
+	p.served = make(chan error, 1)
+	go func() { p.served <- p.web.Serve(p.server.conns) }() // ends when drain closes the listener
+	p.ops.server.Store(p.server)
+	p.hooks.started(p.ops)
+	p.log.Info("serving", "name", p.config.Name, "address", inner.Addr().String())
+}
+
+// awaitStop tells other processes that this one is ready, once it is, and waits until it is told to stop. It returns an
+// error where serving ends before.
+func (p *process) awaitStop(stop context.Context) error {
+	for ready := p.host.ready; ; {
 		select {
-		case err := <-ended:
+		case err := <-p.served:
 			return fmt.Errorf("serve: %w", err)
-		case <-waiting:
-			if err := staff.family.member.Update(func(s *handover.State) { s.Phase = handover.Ready }); err != nil {
-				log.Warn("the next process cannot take over from this one", "err", err)
-			}
-			staff.told.Store(true)
-			waiting = nil
-			continue
+		case <-ready:
+			p.setPhase(handover.Ready, "the next process cannot take over from this one")
+			p.ops.told.Store(true)
+			ready = nil
 		case <-stop.Done():
+			return nil
 		}
-		break
 	}
-	// Connections that are waiting when the listener closes are reset, and what they sent is lost. So this
-	// goes on accepting and serving first, and only asks clients to close.
-	s.drain(times.deadline) // first: the time until the kill runs
-	succeeded := staff.family.successor()
-	log.Info("draining", "succeeded", succeeded)
-	if err := staff.family.member.Update(func(s *handover.State) { s.Phase = handover.Draining }); err != nil {
-		log.Warn("the next process does not know that this one drains", "err", err)
+}
+
+// setPhase tells other processes how far this one is. warning says what follows if that fails.
+func (p *process) setPhase(phase handover.Phase, warning string) {
+	if err := p.ops.family.member.Update(func(s *handover.State) { s.Phase = phase }); err != nil {
+		p.log.Warn(warning, "err", err)
 	}
+}
+
+// drain ends serving once all that was read has its answer. Connections that are waiting when the listener closes are
+// reset, and what they sent is lost. So this goes on accepting and serving first, and only asks clients to close.
+func (p *process) drain() error {
+	p.server.drain(p.times.deadline) // first: the time until the kill runs
+	succeeded := p.ops.family.successor()
+	p.log.Info("draining", "succeeded", succeeded)
+	p.setPhase(handover.Draining, "the next process does not know that this one drains")
+	accept, closeIdle := p.times.accept, p.times.closeIdle
 	if succeeded {
-		times.accept, times.closeIdle = 0, times.idle // the next process takes what comes
-		if err := l.turnAway(); err != nil {
-			log.Warn("connections that come just now may be reset", "err", err)
+		accept, closeIdle = 0, p.times.idle // the next process takes what comes
+		if err := p.listener.turnAway(); err != nil {
+			p.log.Warn("connections that come just now may be reset", "err", err)
 		}
 	}
-	closeIdle := time.Now().Add(times.closeIdle)
-	idle := time.AfterFunc(times.closeIdle, func() { s.conns.retireIdle(times.unused) })
+	idleFrom := time.Now().Add(closeIdle)
+	idle := time.AfterFunc(closeIdle, func() { p.server.conns.retireIdle(p.times.unused) })
 	defer idle.Stop()
-	if err := l.drain(times.accept); err != nil {
+	if err := p.listener.drain(accept); err != nil {
 		return fmt.Errorf("drain: %w", err)
 	}
-	<-ended
-	// http.Server.Shutdown reads what still comes on connections and drops it, and closes others under a request
-	// that was just read. So connections end one by one, each when it has answered, or has nothing to answer.
-	for s.conns.held() > 0 {
-		switch {
-		case s.ending.Err() != nil:
-			s.conns.retireAll()
-		case time.Now().After(closeIdle):
-			s.conns.retireIdle(times.unused)
-		}
-		time.Sleep(times.quiet)
-	}
-	if err := web.Close(); err != nil { // which holds nothing any more
+	<-p.served
+	p.awaitConnections(idleFrom)
+	if err := p.web.Close(); err != nil { // which holds nothing any more
 		return fmt.Errorf("close: %w", err)
 	}
-	// The console closes next, and whoever passes a call of the staff on to this process would be turned away. It has
+	// The console closes next, and whoever passes an operator's call on to this process would be turned away. It has
 	// nothing in hand that a call could still concern.
-	if err := staff.family.member.Leave(); err != nil {
-		log.Warn("the next process takes this one for a living one until it has ended", "err", err)
+	if err := p.ops.family.member.Leave(); err != nil {
+		p.log.Warn("the next process takes this one for a living one until it has ended", "err", err)
 	}
-	log.Info("drained")
+	p.log.Info("drained")
 	return nil
 }
 
+// awaitConnections waits until no client's connection is open; idle ones are ended from idleFrom on. http.Server.Shutdown
+// reads what still comes on connections and drops it, and closes others under a request that was just read. So
+// connections end one by one, each when it has answered, or has nothing to answer.
+func (p *process) awaitConnections(idleFrom time.Time) {
+	for p.server.conns.held() > 0 {
+		switch {
+		case p.server.ending.Err() != nil:
+			p.server.conns.retireAll()
+		case time.Now().After(idleFrom):
+			p.server.conns.retireIdle(p.times.unused)
+		}
+		time.Sleep(p.times.quiet)
+	}
+}
+
 // endedBefore returns err, with which the start failed, or nil where the process was told to stop meanwhile.
 func endedBefore(stop context.Context, err error) error {
 	if stop.Err() != nil {
