--- a/internal/sidecar/chunks.go
+++ b/internal/sidecar/chunks.go
@@ -8,6 +8,7 @@
 const (
 	mostChunkLine = 1 << 10 // bytes of a chunk's line, extensions included
 	mostTrailer   = 8 << 10 // bytes of all trailers
+	maxSizeDigits = 15      // of a chunk's size: one that overflows is another size
 )
 
 // errChunk says that chunks are not framed as they must be.
@@ -62,76 +63,95 @@
 
 // step takes in a byte that is not data.
 func (c *chunks) step(b byte) error {
-	bad := func(what string) error { return fmt.Errorf("%w: %q %s", errChunk, b, what) }
 	c.line++
 	switch c.state {
 	case chunkSize:
-		digit, ok := hexDigit(b)
-		switch {
-		case ok && c.digits < 15: // A size that overflows is another size.
-			c.left, c.digits = c.left<<4|uint64(digit), c.digits+1
-		case ok:
-			return bad("makes a size too long")
-		case c.digits == 0:
-			return bad("is no size")
-		case b == ';' || b == ' ' || b == '\t':
-			c.state = chunkExt
-		case b == '\r':
-			c.state = chunkLine
-		default:
-			return bad("in a size")
-		}
+		return c.stepSize(b)
 	case chunkExt:
-		switch {
-		case b == '\r':
-			c.state = chunkLine
-		case b == '\n' || c.line > mostChunkLine:
-			return bad("in an extension")
-		}
+		return c.stepText(b, chunkLine, mostChunkLine, "in an extension")
 	case chunkLine:
-		if b != '\n' {
-			return bad("behind a size")
-		}
-		if c.state = chunkData; c.left == 0 {
-			c.state = trailerStart
-		}
-		c.digits, c.line = 0, 0
+		return c.stepSizeEnd(b)
 	case chunkCR:
-		if b != '\r' {
-			return bad("behind a chunk")
-		}
-		c.state = chunkLF
+		return c.expect(b, '\r', chunkLF, "behind a chunk")
 	case chunkLF:
-		if b != '\n' {
-			return bad("behind a chunk")
-		}
-		c.state, c.line = chunkSize, 0
+		c.line = 0
+		return c.expect(b, '\n', chunkSize, "behind a chunk")
 	case trailerStart:
-		switch b {
-		case '\r':
-			c.state = finalLF
-		case ' ', '\t', '\n':
-			return bad("starts a trailer")
-		default:
-			c.state = trailerText
-		}
+		return c.stepTrailerStart(b)
 	case trailerText:
-		switch {
-		case b == '\r':
-			c.state = trailerLF
-		case b == '\n' || c.line > mostTrailer:
-			return bad("in a trailer")
-		}
+		return c.stepText(b, trailerLF, mostTrailer, "in a trailer")
 	case trailerLF:
-		if b != '\n' {
-			return bad("behind a trailer")
-		}
-		c.state = trailerStart
+		return c.expect(b, '\n', trailerStart, "behind a trailer")
 	case finalLF:
-		if b != '\n' {
-			return bad("behind the trailers")
-		}
-		c.state = chunksDone
+		return c.expect(b, '\n', chunksDone, "behind the trailers")
+	}
+	return nil
+}
+
+// badByte says what is wrong with a byte.
+func badByte(b byte, what string) error { return fmt.Errorf("%w: %q %s", errChunk, b, what) }
+
+// expect takes in a byte that has to be the wanted one, and goes on to the next state.
+func (c *chunks) expect(b, want byte, next chunkState, where string) error {
+	if b != want {
+		return badByte(b, where)
+	}
+	c.state = next
+	return nil
+}
+
+// stepSize takes in a byte of a chunk's size, or the one that ends it.
+func (c *chunks) stepSize(b byte) error {
+	digit, ok := hexDigit(b)
+	switch {
+	case ok && c.digits < maxSizeDigits:
+		c.left, c.digits = c.left<<4|uint64(digit), c.digits+1
+	case ok:
+		return badByte(b, "makes a size too long")
+	case c.digits == 0:
+		return badByte(b, "is no size")
+	case b == ';' || b == ' ' || b == '\t':
+		c.state = chunkExt
+	case b == '\r':
+		c.state = chunkLine
+	default:
+		return badByte(b, "in a size")
+	}
+	return nil
+}
+
+// stepSizeEnd takes in the line feed behind a size. The chunk of size 0 is the last one.
+func (c *chunks) stepSizeEnd(b byte) error {
+	if err := c.expect(b, '\n', chunkData, "behind a size"); err != nil {
+		return err
+	}
+	if c.left == 0 {
+		c.state = trailerStart
+	}
+	c.digits, c.line = 0, 0
+	return nil
+}
+
+// stepText takes in a byte of an extension or a trailer, up to the carriage return that ends it.
+func (c *chunks) stepText(b byte, next chunkState, most int, where string) error {
+	switch {
+	case b == '\r':
+		c.state = next
+	case b == '\n' || c.line > most:
+		return badByte(b, where)
+	}
+	return nil
+}
+
+// stepTrailerStart takes in the first byte of a trailer's line, or of the empty line that ends them.
+func (c *chunks) stepTrailerStart(b byte) error {
+	switch b {
+	case '\r':
+		c.state = finalLF
+	case ' ', '\t', '\n':
+		return badByte(b, "starts a trailer")
+	default:
+		c.state = trailerText
 	}
 	return nil
 }
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -169,26 +169,10 @@
 	if s.gate != nil && !s.enter(r.Context(), waits(r)) {
 		return s.unserved(w, r)
 	}
-	c, wait, f := s.parse(r)
+	c, f := s.receive(w, r, came)
 	if f != nil {
 		return f
 	}
-	if r.ContentLength != 0 {
-		body, release, f := s.body(w, r, came)
-		if f != nil {
-			if f.status == http.StatusServiceUnavailable {
-				c.counts.Dropped.Add(1)
-			}
-			return f
-		}
-		c.body, c.release, came = body, release, time.Now() // the client's time begins with its last byte
-	}
-	c.deadline = came.Add(wait - answerMargin)
-	if s.draining.Load() {
-		if ends := processStart.Add(time.Duration(s.ends.Load())); ends.Before(c.deadline) {
-			c.deadline = ends
-		}
-	}
 	// The time for the request is over; a later end of the connection means that the client is gone.
 	conn := http.NewResponseController(w)
 	if err := conn.SetReadDeadline(time.Time{}); err != nil {
@@ -230,6 +214,36 @@
 		// only its sending reads as served.
 		panic(http.ErrAbortHandler)
 	}
+	return s.respond(w, r, conn, a, c)
+}
+
+// receive reads a request whole, and sets when its final answer is due.
+func (s *server) receive(w http.ResponseWriter, r *http.Request, came time.Time) (*call, *fault) {
+	c, wait, f := s.parse(r)
+	if f != nil {
+		return nil, f
+	}
+	if r.ContentLength != 0 {
+		body, release, f := s.body(w, r, came)
+		if f != nil {
+			if f.status == http.StatusServiceUnavailable {
+				c.counts.Dropped.Add(1)
+			}
+			return nil, f
+		}
+		c.body, c.release, came = body, release, time.Now() // the client's time begins with its last byte
+	}
+	c.deadline = came.Add(wait - answerMargin)
+	if s.draining.Load() {
+		if ends := processStart.Add(time.Duration(s.ends.Load())); ends.Before(c.deadline) {
+			c.deadline = ends
+		}
+	}
+	return c, nil
+}
+
+// respond writes a request's final answer and counts it.
+func (s *server) respond(w http.ResponseWriter, r *http.Request, conn *http.ResponseController, a answer, c *call) *fault {
 	if s.draining.Load() { // also where it was told so since the request came
 		w.Header().Set("Connection", "close")
 	}
