--- a/internal/lossdetect/lossdetect.go
+++ b/internal/lossdetect/lossdetect.go
@@ -15,20 +15,29 @@
 
 import "math"
 
+// The bins of a Shape.
 const (
-	bins             = 40   // of the shape
-	firstBinEnd      = 0.05 // multiple of the expected time at which the first bin ends
-	binsPerOctaveLog = 2    // log of the bins of an octave, which are of equal width
+	bins             = 40
+	firstBinEnd      = 0.05 // multiple of the expected time
+	binsPerOctaveLog = 2    // binary logarithm of the bins of an octave, which are of equal width
 	lastBinStart     = 38.4 // multiple from which all are in the last bin: where the one before it ends
-	minShapeAnswers  = 500  // answers that a shape keeps
-	minUsual         = 0.05 // usual shares that are distinguished from it: less would ring at the second failure in a row,
-	maxUsualShare    = 0.9  // and of the alarming share, more never
-	alarmThreshold   = 7.0  // log of the odds that ring: a thousand to one
-	recordWeight     = 8.0  // attempts by which a record outweighs what it is compared with
+	minShapeAnswers  = 500  // that a shape keeps until others replace them
+)
+
+// The tests of Alarm and Record.
+const (
+	// minUsual is the least usual share that an alarm is tested against: with less it would ring at the second failure
+	// in a row. maxUsualShare is the largest, as a part of the alarming share: with more it would never ring.
+	minUsual      = 0.05
+	maxUsualShare = 0.9
+	// alarmThreshold is the logarithm of the odds at which an alarm rings: about a thousand to one.
+	alarmThreshold = 7.0
+	// recordWeight is the number of attempts by which a record outweighs what it is compared with.
+	recordWeight = 8.0
 )
 
 // Shape is how long answers take, as multiples of the time expected, from a decaying record of them. What it tells is
-// of the last Fade: sums that all questions share are taken there.
+// of the last Decay: sums that all questions share are taken there.
 type Shape struct {
 	mass   [bins]float64
 	total  float64
@@ -50,6 +59,7 @@
 	return s
 }
 
+// sumTails computes the mass of the tails that questions share.
 func (s *Shape) sumTails() {
 	for i := bins - 1; i >= 0; i-- {
 		s.longer[i] = s.longer[i+1] + s.mass[i]
