--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -46,7 +46,7 @@
 
 // Terms are those of the promises.
 func (p *PolicyConfig) Terms() policy.Terms {
-	t := policy.UsualTerms
+	t := policy.DefaultTerms
 	if p.PromiseMS > 0 {
 		t.Length = time.Duration(p.PromiseMS) * time.Millisecond
 		t.Short = min(t.Short, t.Length/4)
--- a/internal/fleet/consensus/bootstrap_test.go
+++ b/internal/fleet/consensus/bootstrap_test.go
@@ -360,7 +360,7 @@
 	if err := m.Step(text); !errors.Is(err, ErrForgot) || !errors.Is(m.Step(nil), ErrForgot) {
 		t.Errorf("error %v from one that another has heard of in a later life", err)
 	}
-	if _, err := New(0, Settings{Self: Self{1, 0}, Bootstrap: bootstrap, Terms: policy.UsualTerms}, slog.New(slog.DiscardHandler)); err == nil {
+	if _, err := New(0, Settings{Self: Self{1, 0}, Bootstrap: bootstrap, Terms: policy.DefaultTerms}, slog.New(slog.DiscardHandler)); err == nil {
 		t.Error("a decider without a life begins")
 	}
 }
--- a/internal/fleet/consensus/consensus.go
+++ b/internal/fleet/consensus/consensus.go
@@ -68,7 +68,7 @@
 // Answer is for one that asked.
 type Answer struct {
 	Token uint64 // that Ask was called with
-	Grant policy.Grant
+	Grant policy.LeaseResponse
 	Err   error // ErrNoLeader: ask another one, or again
 }
 
@@ -84,7 +84,7 @@
 // read is a question that waits for a majority's word.
 type read struct {
 	token    uint64
-	question policy.Question
+	question policy.LeaseRequest
 	at       Time
 }
 
@@ -113,14 +113,14 @@
 	former  map[string]uint64 // and those before, while one takes the place of another
 	changed bool              // who they are, since the last snapshot
 	leader  uint64
-	term    uint64          // of the grants
-	grants  *policy.Grants  // nil: this one does not lead
-	ready   *raft.Ready     // handed out and not saved
-	handed  bool            // a batch is out
-	reads   []read          // for the next round
-	round   *round          // nil: none is under way
-	counted uint64          // rounds
-	sent    map[uint64]Time // snapshots, by decider
+	term    uint64             // of the grants
+	grants  *policy.LeaseTable // nil: this one does not lead
+	ready   *raft.Ready        // handed out and not saved
+	handed  bool               // a batch is out
+	reads   []read             // for the next round
+	round   *round             // nil: none is under way
+	counted uint64             // rounds
+	sent    map[uint64]Time    // snapshots, by decider
 	out     Actions
 }
 
@@ -327,7 +327,7 @@
 	m.reads = slices.DeleteFunc(m.reads, func(r read) bool {
 		late := now-r.at >= readFor
 		if late {
-			m.answer(r, policy.Grant{}, ErrNoLeader)
+			m.answer(r, policy.LeaseResponse{}, ErrNoLeader)
 		}
 		return late
 	})
@@ -370,7 +370,7 @@
 }
 
 // Propose asks for a change. What becomes of it stands in the ledger under its id; ErrNoLeader says that it goes nowhere from here.
-func (m *Machine) Propose(p policy.Propose) error {
+func (m *Machine) Propose(p policy.Proposal) error {
 	if m.grants == nil {
 		return ErrNoLeader
 	}
@@ -386,10 +386,10 @@
 
 // Ask takes in a sidecar's question. The answer follows under its token, once a majority has said that this decider led when
 // the question came.
-func (m *Machine) Ask(now Time, token uint64, q policy.Question) {
+func (m *Machine) Ask(now Time, token uint64, q policy.LeaseRequest) {
 	r := read{token, q, now}
 	if m.grants == nil || len(m.reads) >= mostReads {
-		m.answer(r, policy.Grant{}, ErrNoLeader)
+		m.answer(r, policy.LeaseResponse{}, ErrNoLeader)
 		return
 	}
 	m.reads = append(m.reads, r)
@@ -406,7 +406,7 @@
 	m.raw.ReadIndex(binary.BigEndian.AppendUint64(nil, m.counted))
 }
 
-func (m *Machine) answer(r read, g policy.Grant, err error) {
+func (m *Machine) answer(r read, g policy.LeaseResponse, err error) {
 	m.out.Answers = append(m.out.Answers, Answer{r.token, g, err})
 }
 
@@ -520,7 +520,7 @@
 			m.reads = append(m.round.reads, m.reads...)
 		}
 		for _, r := range m.reads {
-			m.answer(r, policy.Grant{}, ErrNoLeader)
+			m.answer(r, policy.LeaseResponse{}, ErrNoLeader)
 		}
 		m.reads, m.round = nil, nil
 		return
@@ -529,7 +529,7 @@
 		return
 	}
 	if term, err := m.storage.Term(m.applied); err == nil && term == s.Term {
-		m.grants, m.term = policy.NewGrants(now, s.Term, m.set.Terms), s.Term
+		m.grants, m.term = policy.NewLeaseTable(now, s.Term, m.set.Terms), s.Term
 	}
 }
 
@@ -539,7 +539,7 @@
 		return
 	}
 	for _, r := range m.round.reads {
-		g, write := m.grants.Ask(now, m.ledger, r.question)
+		g, write := m.grants.Renew(now, m.ledger, r.question)
 		m.write(write)
 		m.answer(r, g, nil)
 	}
--- a/internal/fleet/consensus/consensus_test.go
+++ b/internal/fleet/consensus/consensus_test.go
@@ -86,12 +86,12 @@
 
 func (h *holder) start() {
 	h.life++
-	h.Holder = policy.NewHolder(h.name, h.life, policy.UsualTerms)
+	h.Holder = policy.NewHolder(h.name, h.life, policy.DefaultTerms)
 }
 
 func (d *decider) start() {
 	d.life++
-	m, err := New(d.f.now, Settings{Self: Self{d.id, uint64(d.life)}, Bootstrap: bootstrap, Heard: d.heard, Terms: policy.UsualTerms, Kept: d.kept}, slog.New(slog.DiscardHandler))
+	m, err := New(d.f.now, Settings{Self: Self{d.id, uint64(d.life)}, Bootstrap: bootstrap, Heard: d.heard, Terms: policy.DefaultTerms, Kept: d.kept}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		d.f.t.Fatal(err)
 	}
@@ -195,7 +195,7 @@
 	if h.cut > f.now {
 		return
 	}
-	q, sent, life := h.Ask(), f.now, h.life
+	q, sent, life := h.Request(), f.now, h.life
 	to := f.deciders[f.rng.IntN(len(f.deciders))]
 	for _, d := range f.deciders { // as a sidecar that remembers who led
 		if d.machine != nil && d.machine.Leader() != 0 && f.rng.IntN(4) > 0 {
@@ -216,7 +216,7 @@
 		f.after(h.still-f.now, func() { f.told(h, life, sent, a) })
 		return
 	}
-	if number := h.Told(f.now, sent, a.Grant); number > 0 {
+	if number := h.Update(f.now, sent, a.Grant); number > 0 {
 		f.after(5*time.Millisecond, func() {
 			if h.life == life {
 				h.Checked(number, "")
@@ -243,7 +243,7 @@
 		if h.still > f.now {
 			continue
 		}
-		if f.now-h.asked >= policy.UsualTerms.Short/3 {
+		if f.now-h.asked >= policy.DefaultTerms.Short/3 {
 			f.ask(h)
 		}
 		if number, _, ok := h.Serves(f.now); ok {
@@ -292,7 +292,7 @@
 	f.tokens++
 	id = fmt.Sprint("p", f.tokens)
 	d.run(func(m *Machine) {
-		if err := m.Propose(policy.Propose{ID: id, Author: "a", Follows: m.Ledger().InForce().Number, Text: []byte(text)}); err != nil {
+		if err := m.Propose(policy.Proposal{ID: id, Author: "a", Follows: m.Ledger().InForce().Number, Text: []byte(text)}); err != nil {
 			id = ""
 		}
 	})
@@ -417,7 +417,7 @@
 		f.step()
 	}
 	if got := serving(); got != 0 {
-		t.Errorf("%d of 3 serve 5 s after the majority was lost: the promise is %v", got, policy.UsualTerms.Length)
+		t.Errorf("%d of 3 serve 5 s after the majority was lost: the promise is %v", got, policy.DefaultTerms.Length)
 	}
 	for _, d := range f.deciders {
 		if d.machine == nil {
@@ -473,10 +473,10 @@
 			t.Errorf("%d bytes are taken", len(text))
 		}
 	}
-	if _, err := New(0, Settings{Self: Self{9, 1}, Bootstrap: bootstrap, Terms: policy.UsualTerms}, slog.New(slog.DiscardHandler)); err == nil {
+	if _, err := New(0, Settings{Self: Self{9, 1}, Bootstrap: bootstrap, Terms: policy.DefaultTerms}, slog.New(slog.DiscardHandler)); err == nil {
 		t.Error("one that is no member begins")
 	}
-	if err := m.Propose(policy.Propose{ID: "x"}); !errors.Is(err, ErrNoLeader) {
+	if err := m.Propose(policy.Proposal{ID: "x"}); !errors.Is(err, ErrNoLeader) {
 		t.Errorf("error %v from one that does not lead", err)
 	}
 }
--- a/internal/fleet/policy/ledger.go
+++ b/internal/fleet/policy/ledger.go
@@ -15,12 +15,12 @@
 
 // The bounds of what a Ledger holds.
 const (
-	MostText     = 1 << 20 // bytes of a document
-	mostID       = 64      // bytes of a proposal's id, and of its author's name
-	mostReason   = 1024    // bytes of why it was refused
-	keptOutcomes = 1024    // answers that can be asked for again
-	keptPolicies = 16      // earlier documents that can be gone back to
-	keptBytes    = 2 << 20 // of these together, so that all that a ledger holds goes into one message
+	MaxDocumentBytes   = 1 << 20 // bytes of a document
+	maxIDBytes         = 64      // bytes of a proposal's id, and of its author's name
+	maxReasonBytes     = 1024    // bytes of why it was refused
+	maxOutcomes        = 1024    // answers that can be asked for again
+	maxFormerDocuments = 16      // earlier documents that can be gone back to
+	maxFormerBytes     = 2 << 20 // of these together, so that all that a ledger holds goes into one message
 )
 
 // Digest tells documents apart.
@@ -43,23 +43,23 @@
 
 // Entry is one of the log's: exactly one of its fields is set.
 type Entry struct {
-	Propose *Propose `cbor:"1,keyasint,omitempty"`
-	Refuse  *Refuse  `cbor:"2,keyasint,omitempty"`
-	Commit  uint64   `cbor:"3,keyasint,omitempty"` // the number: it will be in force, whatever fails
-	Switch  uint64   `cbor:"4,keyasint,omitempty"` // from here on the former one is granted to nobody anew
-	InForce uint64   `cbor:"5,keyasint,omitempty"` // the former one is served by nobody any more
+	Propose *Proposal `cbor:"1,keyasint,omitempty"`
+	Refuse  *Refusal  `cbor:"2,keyasint,omitempty"`
+	Commit  uint64    `cbor:"3,keyasint,omitempty"` // the number: it will be in force, whatever fails
+	Switch  uint64    `cbor:"4,keyasint,omitempty"` // from here on the former one is granted to nobody anew
+	InForce uint64    `cbor:"5,keyasint,omitempty"` // the former one is served by nobody any more
 }
 
-// Propose asks for a change.
-type Propose struct {
+// Proposal asks for a change.
+type Proposal struct {
 	ID      string `cbor:"1,keyasint"` // by which its author asks for the answer
 	Author  string `cbor:"2,keyasint"`
 	Follows uint64 `cbor:"3,keyasint"` // the number that is to be in force until then
 	Text    []byte `cbor:"4,keyasint"`
 }
 
-// Refuse ends a change that is not committed.
-type Refuse struct {
+// Refusal ends a change that is not committed.
+type Refusal struct {
 	Number uint64 `cbor:"1,keyasint"`
 	Reason string `cbor:"2,keyasint"`
 }
@@ -99,19 +99,19 @@
 
 // Ledger is what the log comes to. Entries that cannot be change nothing, so that any leader may write what it thinks is due.
 type Ledger struct {
-	now      Document
-	last     uint64 // number given
-	pending  *Pending
-	applied  uint64    // entries
-	outcomes []Outcome // in the order of their proposals
-	former   []Document
+	inForce    Document
+	lastNumber uint64 // number given
+	pending    *Pending
+	applied    uint64    // entries
+	outcomes   []Outcome // in the order of their proposals
+	former     []Document
 }
 
 // NewLedger returns a ledger with a first policy in force, the same everywhere: number 1.
-func NewLedger(text []byte) *Ledger { return &Ledger{now: NewDocument(1, text), last: 1} }
+func NewLedger(text []byte) *Ledger { return &Ledger{inForce: NewDocument(1, text), lastNumber: 1} }
 
 // InForce is the policy in force. While a change is Switching that is the former one.
-func (l *Ledger) InForce() Document { return l.now }
+func (l *Ledger) InForce() Document { return l.inForce }
 
 // Pending is the change under way, nil where there is none.
 func (l *Ledger) Pending() *Pending { return l.pending }
@@ -128,8 +128,8 @@
 // Document returns a document that a sidecar may be granted, or is to check.
 func (l *Ledger) Document(number uint64) (Document, bool) {
 	switch {
-	case number == l.now.Number:
-		return l.now, true
+	case number == l.inForce.Number:
+		return l.inForce, true
 	case l.pending != nil && number == l.pending.Number:
 		return l.pending.Document, true
 	}
@@ -165,20 +165,20 @@
 		l.propose(*e.Propose)
 	case p == nil:
 	case e.Refuse != nil && e.Refuse.Number == p.Number && p.State == Proposed:
-		p.State, p.Reason = Refused, e.Refuse.Reason[:min(len(e.Refuse.Reason), mostReason)]
-		l.end()
+		p.State, p.Reason = Refused, e.Refuse.Reason[:min(len(e.Refuse.Reason), maxReasonBytes)]
+		l.endPending()
 	case e.Commit == p.Number && p.State == Proposed:
 		p.State = Committed
 	case e.Switch == p.Number && p.State == Committed:
 		p.State = Switching
 	case e.InForce == p.Number && p.State == Switching:
-		l.former = append(l.former, l.now)
-		for bytes := l.formerBytes(); len(l.former) > keptPolicies || bytes > keptBytes; {
+		l.former = append(l.former, l.inForce)
+		for bytes := l.formerBytes(); len(l.former) > maxFormerDocuments || bytes > maxFormerBytes; {
 			bytes -= len(l.former[0].Text)
 			l.former = l.former[1:]
 		}
-		l.now, p.State = p.Document, InForce
-		l.end()
+		l.inForce, p.State = p.Document, InForce
+		l.endPending()
 	}
 }
 
@@ -189,80 +189,80 @@
 	return n
 }
 
-func (l *Ledger) propose(p Propose) {
+func (l *Ledger) propose(p Proposal) {
 	if l.Outcome(p.ID).State != Unknown {
 		return // its author asks again
 	}
 	o := Outcome{ID: p.ID, Author: p.Author, State: Refused}
 	switch {
-	case p.ID == "" || len(p.ID) > mostID || len(p.Author) > mostID:
+	case p.ID == "" || len(p.ID) > maxIDBytes || len(p.Author) > maxIDBytes:
 		return // nobody could ask for the answer
 	case l.pending != nil:
 		o.Reason = fmt.Sprintf("change %q by %q is under way", l.pending.ID, l.pending.Author)
-	case p.Follows != l.now.Number:
-		o.Reason = fmt.Sprintf("it is to follow policy %d, and %d is in force", p.Follows, l.now.Number)
-	case len(p.Text) == 0 || len(p.Text) > MostText:
-		o.Reason = fmt.Sprintf("a document of %d bytes, 1 to %d are allowed", len(p.Text), MostText)
+	case p.Follows != l.inForce.Number:
+		o.Reason = fmt.Sprintf("it is to follow policy %d, and %d is in force", p.Follows, l.inForce.Number)
+	case len(p.Text) == 0 || len(p.Text) > MaxDocumentBytes:
+		o.Reason = fmt.Sprintf("a document of %d bytes, 1 to %d are allowed", len(p.Text), MaxDocumentBytes)
 	default:
-		l.last++
-		o.State, o.Number = Proposed, l.last
-		l.pending = &Pending{o, NewDocument(l.last, p.Text)}
+		l.lastNumber++
+		o.State, o.Number = Proposed, l.lastNumber
+		l.pending = &Pending{o, NewDocument(l.lastNumber, p.Text)}
 		return
 	}
 	l.outcomes = append(l.outcomes, o)
-	l.forget()
+	l.trimOutcomes()
 }
 
-func (l *Ledger) end() {
+func (l *Ledger) endPending() {
 	l.outcomes = append(l.outcomes, l.pending.Outcome)
 	l.pending = nil
-	l.forget()
+	l.trimOutcomes()
 }
 
-func (l *Ledger) forget() { l.outcomes = l.outcomes[max(0, len(l.outcomes)-keptOutcomes):] }
+func (l *Ledger) trimOutcomes() { l.outcomes = l.outcomes[max(0, len(l.outcomes)-maxOutcomes):] }
 
-// kept is a ledger as it is kept and passed on.
-type kept struct {
-	Now      keptDocument   `cbor:"1,keyasint"`
-	Last     uint64         `cbor:"2,keyasint"`
-	Applied  uint64         `cbor:"3,keyasint"`
-	Pending  *keptPending   `cbor:"4,keyasint,omitempty"`
-	Outcomes []Outcome      `cbor:"5,keyasint"`
-	Former   []keptDocument `cbor:"6,keyasint"`
+// snapshot is a ledger as it is kept and passed on.
+type snapshot struct {
+	InForce  snapshotDocument   `cbor:"1,keyasint"`
+	Last     uint64             `cbor:"2,keyasint"`
+	Applied  uint64             `cbor:"3,keyasint"`
+	Pending  *snapshotPending   `cbor:"4,keyasint,omitempty"`
+	Outcomes []Outcome          `cbor:"5,keyasint"`
+	Former   []snapshotDocument `cbor:"6,keyasint"`
 }
 
-type keptDocument struct {
+type snapshotDocument struct {
 	Number uint64 `cbor:"1,keyasint"`
 	Text   []byte `cbor:"2,keyasint"`
 }
 
-type keptPending struct {
+type snapshotPending struct {
 	Outcome Outcome `cbor:"1,keyasint"`
 	Text    []byte  `cbor:"2,keyasint"`
 }
 
 // Encode writes all that the ledger holds.
 func (l *Ledger) Encode() ([]byte, error) {
-	k := kept{Now: keptDocument{l.now.Number, l.now.Text}, Last: l.last, Applied: l.applied, Outcomes: l.outcomes}
+	k := snapshot{InForce: snapshotDocument{l.inForce.Number, l.inForce.Text}, Last: l.lastNumber, Applied: l.applied, Outcomes: l.outcomes}
 	if l.pending != nil {
-		k.Pending = &keptPending{l.pending.Outcome, l.pending.Document.Text}
+		k.Pending = &snapshotPending{l.pending.Outcome, l.pending.Document.Text}
 	}
 	for _, d := range l.former {
-		k.Former = append(k.Former, keptDocument{d.Number, d.Text})
+		k.Former = append(k.Former, snapshotDocument{d.Number, d.Text})
 	}
 	return cbor.Marshal(k)
 }
 
 // DecodeLedger reads what Encode wrote.
 func DecodeLedger(text []byte) (*Ledger, error) {
-	var k kept
+	var k snapshot
 	if err := cbor.Unmarshal(text, &k); err != nil {
 		return nil, fmt.Errorf("a ledger of %d bytes: %w", len(text), err)
 	}
-	if k.Now.Number == 0 || k.Last < k.Now.Number {
-		return nil, fmt.Errorf("a ledger with policy %d in force and %d the last", k.Now.Number, k.Last)
+	if k.InForce.Number == 0 || k.Last < k.InForce.Number {
+		return nil, fmt.Errorf("a ledger with policy %d in force and %d the last", k.InForce.Number, k.Last)
 	}
-	l := &Ledger{now: NewDocument(k.Now.Number, k.Now.Text), last: k.Last, applied: k.Applied, outcomes: k.Outcomes}
+	l := &Ledger{inForce: NewDocument(k.InForce.Number, k.InForce.Text), lastNumber: k.Last, applied: k.Applied, outcomes: k.Outcomes}
 	if k.Pending != nil {
 		l.pending = &Pending{k.Pending.Outcome, NewDocument(k.Pending.Outcome.Number, k.Pending.Text)}
 	}
--- a/internal/fleet/policy/ledger_test.go
+++ b/internal/fleet/policy/ledger_test.go
@@ -11,9 +11,9 @@
 // TestLedger says what each entry does in each state, and what it does not.
 func TestLedger(t *testing.T) {
 	propose := func(id string, follows uint64, text string) Entry {
-		return Entry{Propose: &Propose{ID: id, Author: "someone", Follows: follows, Text: []byte(text)}}
+		return Entry{Propose: &Proposal{ID: id, Author: "someone", Follows: follows, Text: []byte(text)}}
 	}
-	refuse := func(n uint64) Entry { return Entry{Refuse: &Refuse{n, "n1: no"}} }
+	refuse := func(n uint64) Entry { return Entry{Refuse: &Refusal{n, "n1: no"}} }
 	for _, tt := range []struct {
 		name    string
 		log     []Entry
@@ -45,10 +45,10 @@
 		}
 	}
 	l := NewLedger([]byte("first"))
-	for i := range 3 * keptOutcomes {
+	for i := range 3 * maxOutcomes {
 		l.Apply(propose(fmt.Sprint(i), 99, "x"))
 	}
-	if len(l.outcomes) != keptOutcomes || l.Outcome("0").State != Unknown {
+	if len(l.outcomes) != maxOutcomes || l.Outcome("0").State != Unknown {
 		t.Errorf("%d answers are kept", len(l.outcomes))
 	}
 	l.Apply(propose("a", 1, "x"))
@@ -60,25 +60,25 @@
 	}
 }
 
-// TestHolderTakesTheLatest: answers in any order leave the holder where the one of the highest stamp alone would.
-func TestHolderTakesTheLatest(t *testing.T) {
+// TestHolderTakesLatestResponse: answers in any order leave the holder where the one of the highest stamp alone would.
+func TestHolderTakesLatestResponse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var grants []Grant
+		var grants []LeaseResponse
 		for i := range rapid.IntRange(1, 8).Draw(t, "answers") {
-			grants = append(grants, Grant{Stamp: Stamp{uint64(i/3 + 1), uint64(i + 1)}, Number: uint64(rapid.IntRange(0, 3).Draw(t, "number")),
-				For: time.Duration(rapid.IntRange(0, 3000).Draw(t, "for")) * time.Millisecond})
+			grants = append(grants, LeaseResponse{Stamp: Stamp{uint64(i/3 + 1), uint64(i + 1)}, Number: uint64(rapid.IntRange(0, 3).Draw(t, "number")),
+				Duration: time.Duration(rapid.IntRange(0, 3000).Draw(t, "for")) * time.Millisecond})
 		}
 		make := func() *Holder {
-			h := NewHolder("n", 1, UsualTerms)
+			h := NewHolder("n", 1, DefaultTerms)
 			for n := range uint64(4) {
-				h.have[n] = true
+				h.runnable[n] = true
 			}
 			return h
 		}
 		one, all := make(), make()
-		one.Told(time.Hour, time.Hour, grants[len(grants)-1])
+		one.Update(time.Hour, time.Hour, grants[len(grants)-1])
 		for _, g := range rapid.Permutation(grants).Draw(t, "order") {
-			all.Told(time.Hour, time.Hour, g)
+			all.Update(time.Hour, time.Hour, g)
 		}
 		for _, at := range []Time{0, time.Second, 2 * time.Second, 4 * time.Second} {
 			n1, _, ok1 := one.Serves(time.Hour + at)
@@ -90,28 +90,28 @@
 	})
 }
 
-// TestHolderWaits: a request asks again while the answer that prolongs a promise is late, for as long as a short promise lasts, and
+// TestHolderWaitsForLateRenewal: a request asks again while the answer that prolongs a promise is late, for as long as a short promise lasts, and
 // not at all where nothing was promised. It is taken under none meanwhile.
-func TestHolderWaits(t *testing.T) {
+func TestHolderWaitsForLateRenewal(t *testing.T) {
 	const at, short = Time(time.Hour), 300 * time.Millisecond
 	terms := Terms{Length: 3 * time.Second, Short: short}
 	for _, tt := range []struct {
 		name  string
-		grant Grant
+		grant LeaseResponse
 		ends  time.Duration // of the last promise in it
 		waits bool
 	}{
-		{"a promise", Grant{Number: 1, For: time.Second}, time.Second, true},
-		{"a promise for the next one", Grant{Number: 1, For: short, Next: 2, In: short, After: time.Second}, short + time.Second, true},
-		{"nothing", Grant{}, 0, false},
+		{"a promise", LeaseResponse{Number: 1, Duration: time.Second}, time.Second, true},
+		{"a promise for the next one", LeaseResponse{Number: 1, Duration: short, Next: 2, NextIn: short, NextDuration: time.Second}, short + time.Second, true},
+		{"nothing", LeaseResponse{}, 0, false},
 	} {
 		h := NewHolder("n", 1, terms)
-		h.have[1], h.have[2] = true, true
+		h.runnable[1], h.runnable[2] = true, true
 		if _, wait, ok := h.Serves(at); ok || wait != 0 {
 			t.Errorf("before any answer: %v, %v", wait, ok)
 		}
 		tt.grant.Stamp = Stamp{1, 1}
-		h.Told(at, at, tt.grant)
+		h.Update(at, at, tt.grant)
 		for _, look := range []struct {
 			after time.Duration
 			waits bool
@@ -123,9 +123,9 @@
 	}
 }
 
-// TestTerms turns down what no change could keep to.
-func TestTerms(t *testing.T) {
-	if err := UsualTerms.Check(); err != nil {
+// TestTermsCheck turns down what no change could keep to.
+func TestTermsCheck(t *testing.T) {
+	if err := DefaultTerms.Check(); err != nil {
 		t.Error(err)
 	}
 	for _, bad := range []Terms{{}, {Length: time.Second, Short: time.Second}, {Length: time.Second, Short: time.Millisecond},
@@ -136,25 +136,25 @@
 	}
 }
 
-// TestLivesUnderClockSteps has a sidecar start again while the clock of day has stepped, and ask at once: the leader
+// TestIncarnationsUnderClockSteps has a sidecar start again while the clock of day has stepped, and ask at once: the leader
 // still holds what it promised to the former process. It answers under the life that the fleet comes to, and not under
 // one that may be a former one's.
-func TestLivesUnderClockSteps(t *testing.T) {
+func TestIncarnationsUnderClockSteps(t *testing.T) {
 	const began = 10_000_000 // of the former life, in milliseconds
 	for _, step := range []time.Duration{-time.Hour, -3 * time.Second, 3 * time.Second, time.Hour} {
-		ledger, grants := NewLedger([]byte("first")), NewGrants(time.Hour, 1, UsualTerms)
+		ledger, grants := NewLedger([]byte("first")), NewLeaseTable(time.Hour, 1, DefaultTerms)
 		promised := func(h *Holder) bool {
-			grant, _ := grants.Ask(2*time.Hour, ledger, h.Ask())
-			return grant.Number == 1 && grant.For > 0
+			grant, _ := grants.Renew(2*time.Hour, ledger, h.Request())
+			return grant.Number == 1 && grant.Duration > 0
 		}
-		if !promised(NewHolder("n0", began, UsualTerms)) {
+		if !promised(NewHolder("n0", began, DefaultTerms)) {
 			t.Fatal("the former process gets no promise")
 		}
-		h := NewHolder("n0", uint64(began+(time.Second+step).Milliseconds()), UsualTerms)
+		h := NewHolder("n0", uint64(began+(time.Second+step).Milliseconds()), DefaultTerms)
 		if got := promised(h); got != (step > 0) {
 			t.Errorf("step %v: promised %v under the life that it begins with", step, got)
 		}
-		h.Raise(began + 1)
+		h.RaiseIncarnation(began + 1)
 		if !promised(h) {
 			t.Errorf("step %v: nothing is promised under the life that the fleet has come to", step)
 		}
--- a/internal/fleet/policy/world_test.go
+++ b/internal/fleet/policy/simulation_test.go
@@ -11,28 +11,28 @@
 	"pgregory.net/rapid"
 )
 
-// world steps leaders and sidecars in simulated time. Consensus is a list that only the leader of the latest term can add to;
+// simulation steps leaders and sidecars in simulated time. Consensus is a list that only the leader of the latest term can add to;
 // clocks run apart, messages get lost and come late and in any order, leaders change, stand still and answer long after they
 // were confirmed, sidecars stand still, die and come back.
-type world struct {
-	rng      *rand.Rand
-	terms    Terms
-	now      time.Duration // real
-	term     uint64
-	log      []Entry
-	last     *Ledger
-	applied  int
-	leaders  []*leader
-	sidecars []*sidecar
-	queue    []event
-	faults   bool
-	broken   []string
-	switched []time.Duration // when each number was first served, by number
-	states   map[string]State
-	served   int // looks at which a sidecar served
-	looked   int // and all looks at sidecars that live
-	longest  time.Duration
-	gap      map[int]time.Duration
+type simulation struct {
+	rng           *rand.Rand
+	terms         Terms
+	now           time.Duration // real
+	term          uint64
+	log           []Entry
+	cachedLedger  *Ledger
+	applied       int
+	leaders       []*leader
+	sidecars      []*sidecar
+	queue         []event
+	faulty        bool
+	violations    []string
+	firstServed   []time.Duration // when each number was first served, by number
+	states        map[string]State
+	servingChecks int // looks at which a sidecar served
+	checks        int // and all looks at sidecars that live
+	longestGap    time.Duration
+	lastServing   map[int]time.Duration
 }
 
 type event struct {
@@ -50,80 +50,80 @@
 
 type leader struct {
 	clock
-	term   uint64
-	grants *Grants
-	still  time.Duration // until then it stands still
+	term        uint64
+	table       *LeaseTable
+	pausedUntil time.Duration // until then it stands still
 }
 
 type sidecar struct {
 	clock
-	index  int
-	life   uint64
-	holder *Holder
-	down   bool
-	still  time.Duration
-	cut    time.Duration
-	asked  time.Duration
-	faulty map[uint64]bool // numbers that it says no to
+	index       int
+	incarnation uint64
+	holder      *Holder
+	down        bool
+	pausedUntil time.Duration
+	cutUntil    time.Duration
+	lastRequest time.Duration
+	rejects     map[uint64]bool // numbers that it says no to
 }
 
-const step = 5 * time.Millisecond
+const stepLength = 5 * time.Millisecond
 
-func newWorld(seed uint64, n int, faults bool) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 0x9011c)), terms: UsualTerms, faults: faults, states: map[string]State{},
-		switched: make([]time.Duration, 64), gap: map[int]time.Duration{}}
+func newSimulation(seed uint64, n int, faults bool) *simulation {
+	w := &simulation{rng: rand.New(rand.NewPCG(seed, 0x9011c)), terms: DefaultTerms, faulty: faults, states: map[string]State{},
+		firstServed: make([]time.Duration, 64), lastServing: map[int]time.Duration{}}
 	for i := range n {
-		s := &sidecar{clock: w.clock(), index: i, faulty: map[uint64]bool{}}
+		s := &sidecar{clock: w.clock(), index: i, rejects: map[uint64]bool{}}
 		w.sidecars = append(w.sidecars, s)
-		w.live(s)
+		w.startProcess(s)
 	}
 	w.elect()
 	return w
 }
 
-func (w *world) clock() clock {
+func (w *simulation) clock() clock {
 	return clock{1 + w.terms.Drift*w.rng.Float64(), time.Hour + time.Duration(w.rng.Int64N(int64(time.Hour)))}
 }
 
-func (w *world) live(s *sidecar) {
-	s.life++
+func (w *simulation) startProcess(s *sidecar) {
+	s.incarnation++
 	s.down = false
-	s.holder = NewHolder(fmt.Sprint("n", s.index), s.life, w.terms)
+	s.holder = NewHolder(fmt.Sprint("n", s.index), s.incarnation, w.terms)
 }
 
-func (w *world) elect() {
+func (w *simulation) elect() {
 	w.term++
 	l := &leader{clock: w.clock(), term: w.term}
-	l.grants = NewGrants(l.read(w.now), w.term, w.terms)
+	l.table = NewLeaseTable(l.read(w.now), w.term, w.terms)
 	w.leaders = append(w.leaders, l)
 	if len(w.leaders) > 3 {
 		w.leaders = w.leaders[1:]
 	}
 }
 
-func (w *world) leader() *leader { return w.leaders[len(w.leaders)-1] }
+func (w *simulation) leader() *leader { return w.leaders[len(w.leaders)-1] }
 
 // ledger is what the log comes to now; what comes to the log later does not change it.
-func (w *world) ledger() *Ledger {
-	if w.last == nil || w.applied < len(w.log) {
+func (w *simulation) ledger() *Ledger {
+	if w.cachedLedger == nil || w.applied < len(w.log) {
 		l := NewLedger([]byte("first"))
 		for _, e := range w.log {
 			l.Apply(e)
 		}
-		w.last, w.applied = l, len(w.log)
+		w.cachedLedger, w.applied = l, len(w.log)
 	}
-	return w.last
+	return w.cachedLedger
 }
 
-func (w *world) after(d time.Duration, do func()) {
+func (w *simulation) after(d time.Duration, do func()) {
 	at := w.now + d
 	i, _ := slices.BinarySearchFunc(w.queue, at+1, func(e event, at time.Duration) int { return cmp.Compare(e.at, at) })
 	w.queue = slices.Insert(w.queue, i, event{at, do})
 }
 
-// way draws how long a message takes; false: it gets lost.
-func (w *world) way() (time.Duration, bool) {
-	if !w.faults {
+// networkDelay draws how long a message takes; false: it gets lost.
+func (w *simulation) networkDelay() (time.Duration, bool) {
+	if !w.faulty {
 		return time.Duration(w.rng.Int64N(int64(5 * time.Millisecond))), true
 	}
 	d := time.Duration(w.rng.Int64N(int64(40 * time.Millisecond)))
@@ -133,8 +133,8 @@
 	return d, w.rng.IntN(5) > 0
 }
 
-// write has a leader add to the log, if it still leads when that arrives.
-func (w *world) write(l *leader, entries []Entry) {
+// appendEntries has a leader add to the log, if it still leads when that arrives.
+func (w *simulation) appendEntries(l *leader, entries []Entry) {
 	for _, e := range entries {
 		w.after(time.Duration(w.rng.Int64N(int64(20*time.Millisecond))), func() {
 			if l.term == w.term {
@@ -144,19 +144,19 @@
 	}
 }
 
-func (w *world) ask(s *sidecar) {
-	s.asked = w.now
-	q, sent, life := s.holder.Ask(), s.read(w.now), s.life
-	there, ok := w.way()
-	if !ok || s.cut > w.now {
+func (w *simulation) request(s *sidecar) {
+	s.lastRequest = w.now
+	q, sent, life := s.holder.Request(), s.read(w.now), s.incarnation
+	there, ok := w.networkDelay()
+	if !ok || s.cutUntil > w.now {
 		return
 	}
 	w.after(there, func() {
 		l := w.leaders[w.rng.IntN(len(w.leaders))] // it may ask one that was deposed
-		if !w.faults {
+		if !w.faulty {
 			l = w.leader()
 		}
-		if l.still > w.now {
+		if l.pausedUntil > w.now {
 			return
 		}
 		w.after(time.Duration(w.rng.Int64N(int64(10*time.Millisecond))), func() {
@@ -164,7 +164,7 @@
 				return // a majority says that it does not lead any more
 			}
 			wait := time.Duration(0)
-			if w.faults && w.rng.IntN(20) == 0 { // it stands still between that and its answer
+			if w.faulty && w.rng.IntN(20) == 0 { // it stands still between that and its answer
 				wait = time.Duration(w.rng.Int64N(int64(5 * time.Second)))
 			}
 			ledger := w.ledger()
@@ -172,88 +172,88 @@
 				if l.term == w.term {
 					ledger = w.ledger()
 				}
-				a, write := l.grants.Ask(l.read(w.now), ledger, q)
-				w.write(l, write)
-				back, ok := w.way()
-				if !ok || s.cut > w.now {
+				a, write := l.table.Renew(l.read(w.now), ledger, q)
+				w.appendEntries(l, write)
+				back, ok := w.networkDelay()
+				if !ok || s.cutUntil > w.now {
 					return
 				}
-				w.after(back, func() { w.told(s, life, sent, a) })
+				w.after(back, func() { w.deliver(s, life, sent, a) })
 			})
 		})
 	})
 }
 
-func (w *world) told(s *sidecar, life uint64, sent Time, a Grant) {
-	if s.life != life || s.down {
+func (w *simulation) deliver(s *sidecar, life uint64, sent Time, a LeaseResponse) {
+	if s.incarnation != life || s.down {
 		return
 	}
-	if s.still > w.now { // it waits in its queue
-		w.after(s.still-w.now, func() { w.told(s, life, sent, a) })
+	if s.pausedUntil > w.now { // it waits in its queue
+		w.after(s.pausedUntil-w.now, func() { w.deliver(s, life, sent, a) })
 		return
 	}
-	number := s.holder.Told(s.read(w.now), sent, a)
+	number := s.holder.Update(s.read(w.now), sent, a)
 	if number == 0 {
 		return
 	}
 	w.after(time.Duration(w.rng.Int64N(int64(20*time.Millisecond))), func() {
-		if s.life != life || s.down {
+		if s.incarnation != life || s.down {
 			return
 		}
 		fault := ""
-		if s.faulty[number] {
+		if s.rejects[number] {
 			fault = "it has a class without a name"
 		}
 		s.holder.Checked(number, fault)
-		w.ask(s)
+		w.request(s)
 	})
 }
 
 // step moves on by a step and looks at all.
-func (w *world) step() {
-	w.now += step
+func (w *simulation) step() {
+	w.now += stepLength
 	for len(w.queue) > 0 && w.queue[0].at <= w.now {
 		e := w.queue[0]
 		w.queue = w.queue[1:]
 		e.do()
 	}
 	for _, l := range w.leaders {
-		if l.still <= w.now {
-			w.write(l, l.grants.Tick(l.read(w.now), w.ledger()))
+		if l.pausedUntil <= w.now {
+			w.appendEntries(l, l.table.Tick(l.read(w.now), w.ledger()))
 		}
 	}
 	for _, s := range w.sidecars {
-		if every := w.terms.Short / 3; !s.down && s.still <= w.now && w.now-s.asked >= every {
-			w.ask(s)
+		if every := w.terms.Short / 3; !s.down && s.pausedUntil <= w.now && w.now-s.lastRequest >= every {
+			w.request(s)
 		}
 	}
-	w.look()
+	w.checkInvariants()
 }
 
-func (w *world) look() {
+func (w *simulation) checkInvariants() {
 	serving := map[uint64][]int{}
 	for _, s := range w.sidecars {
-		if s.down || s.still > w.now {
+		if s.down || s.pausedUntil > w.now {
 			continue
 		}
-		w.looked++
+		w.checks++
 		if number, _, ok := s.holder.Serves(s.read(w.now)); ok {
-			w.served++
+			w.servingChecks++
 			serving[number] = append(serving[number], s.index)
-			w.gap[s.index] = w.now
+			w.lastServing[s.index] = w.now
 		}
-		w.longest = max(w.longest, w.now-w.gap[s.index])
+		w.longestGap = max(w.longestGap, w.now-w.lastServing[s.index])
 	}
 	if len(serving) > 1 {
-		w.broken = append(w.broken, fmt.Sprintf("%v: served %v", w.now, serving))
+		w.violations = append(w.violations, fmt.Sprintf("%v: served %v", w.now, serving))
 	}
 	for number := range serving {
-		if w.switched[number] == 0 {
-			w.switched[number] = w.now
+		if w.firstServed[number] == 0 {
+			w.firstServed[number] = w.now
 		}
-		for _, later := range w.switched[number+1:] {
+		for _, later := range w.firstServed[number+1:] {
 			if later > 0 {
-				w.broken = append(w.broken, fmt.Sprintf("%v: policy %d is served after a later one", w.now, number))
+				w.violations = append(w.violations, fmt.Sprintf("%v: policy %d is served after a later one", w.now, number))
 			}
 		}
 	}
@@ -261,43 +261,43 @@
 	for _, o := range ledger.Outcomes() {
 		was := w.states[o.ID]
 		if was == Refused && o.State != Refused || was == InForce && o.State != InForce || was >= Committed && was < InForce && (o.State == Refused || o.State < was) {
-			w.broken = append(w.broken, fmt.Sprintf("%v: change %s was %v and is %v", w.now, o.ID, was, o.State))
+			w.violations = append(w.violations, fmt.Sprintf("%v: change %s was %v and is %v", w.now, o.ID, was, o.State))
 		}
 		w.states[o.ID] = o.State
 	}
 }
 
-// fault draws one.
-func (w *world) fault() {
+// injectFault draws one.
+func (w *simulation) injectFault() {
 	s := w.sidecars[w.rng.IntN(len(w.sidecars))]
 	until := w.now + time.Duration(w.rng.Int64N(int64(6*time.Second)))
 	switch w.rng.IntN(6) {
 	case 0:
 		w.elect()
 	case 1:
-		w.leader().still = until
+		w.leader().pausedUntil = until
 	case 2:
-		s.still = until
+		s.pausedUntil = until
 	case 3:
-		s.cut = until
+		s.cutUntil = until
 	case 4:
 		s.down = true
 		w.after(until-w.now, func() {
 			if s.down {
-				w.live(s)
+				w.startProcess(s)
 			}
 		})
 	case 5:
 		for _, o := range w.sidecars[:len(w.sidecars)/2] {
-			o.cut = until
+			o.cutUntil = until
 		}
 	}
 }
 
-func (w *world) propose(text string) string {
+func (w *simulation) propose(text string) string {
 	l := w.ledger()
 	id := fmt.Sprintf("p%d", len(w.log))
-	w.log = append(w.log, Entry{Propose: &Propose{ID: id, Author: "a", Follows: l.InForce().Number, Text: []byte(text)}})
+	w.log = append(w.log, Entry{Propose: &Proposal{ID: id, Author: "a", Follows: l.InForce().Number, Text: []byte(text)}})
 	return id
 }
 
@@ -306,30 +306,30 @@
 // is under way ends and a further change comes into force.
 func TestOnePolicyAtATime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 6).Draw(t, "sidecars"), true)
+		w := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 6).Draw(t, "sidecars"), true)
 		for i := range 3000 {
 			if w.rng.IntN(150) == 0 {
-				w.fault()
+				w.injectFault()
 			}
 			if w.rng.IntN(250) == 0 {
 				w.propose(fmt.Sprint("text ", i))
 				if w.rng.IntN(4) == 0 {
 					s := w.sidecars[w.rng.IntN(len(w.sidecars))]
-					s.faulty[w.ledger().last] = true
+					s.rejects[w.ledger().lastNumber] = true
 				}
 			}
-			if w.step(); len(w.broken) > 0 {
-				t.Fatal(w.broken[0])
+			if w.step(); len(w.violations) > 0 {
+				t.Fatal(w.violations[0])
 			}
 		}
-		w.faults = false
+		w.faulty = false
 		for _, s := range w.sidecars {
-			if s.cut, s.still = 0, 0; s.down {
-				w.live(s)
+			if s.cutUntil, s.pausedUntil = 0, 0; s.down {
+				w.startProcess(s)
 			}
 		}
-		w.leader().still = 0
-		settle := int(2*w.terms.longer(w.terms.Length)/step) + 1000
+		w.leader().pausedUntil = 0
+		settle := int(2*w.terms.upperBound(w.terms.Length)/stepLength) + 1000
 		for range settle {
 			w.step()
 		}
@@ -337,8 +337,8 @@
 		for range settle {
 			w.step()
 		}
-		if len(w.broken) > 0 {
-			t.Fatal(w.broken[0])
+		if len(w.violations) > 0 {
+			t.Fatal(w.violations[0])
 		}
 		last := w.ledger()
 		if o := last.Outcome(id); o.State != InForce || string(last.InForce().Text) != "the last" {
@@ -352,15 +352,15 @@
 	})
 }
 
-// TestAllWell: with nothing amiss a change is in force everywhere in less than a second, and no sidecar is without a policy
+// TestChangeWithoutFaults: with nothing amiss a change is in force everywhere in less than a second, and no sidecar is without a policy
 // for longer than some messages take.
-func TestAllWell(t *testing.T) {
+func TestChangeWithoutFaults(t *testing.T) {
 	for _, n := range []int{1, 10, 100} {
-		w := newWorld(1, n, false)
+		w := newSimulation(1, n, false)
 		for range 1000 {
 			w.step()
 		}
-		w.served, w.looked, w.longest = 0, 0, 0
+		w.servingChecks, w.checks, w.longestGap = 0, 0, 0
 		id, began := w.propose("second"), w.now
 		for w.ledger().Outcome(id).State != InForce && w.now-began < time.Minute {
 			w.step()
@@ -369,21 +369,21 @@
 		for range 200 {
 			w.step()
 		}
-		t.Logf("%d sidecars: in force after %v, longest without a policy %v", n, took, w.longest)
-		if took > time.Second || w.longest > 50*time.Millisecond || len(w.broken) > 0 {
-			t.Errorf("%d sidecars: in force after %v, longest without a policy %v, %v", n, took, w.longest, w.broken)
+		t.Logf("%d sidecars: in force after %v, longest without a policy %v", n, took, w.longestGap)
+		if took > time.Second || w.longestGap > 50*time.Millisecond || len(w.violations) > 0 {
+			t.Errorf("%d sidecars: in force after %v, longest without a policy %v, %v", n, took, w.longestGap, w.violations)
 		}
 	}
 }
 
-// TestSilentOneIsWaitedFor: one that is cut off delays the change by its promise, and serves no longer.
-func TestSilentOneIsWaitedFor(t *testing.T) {
-	w := newWorld(2, 5, false)
+// TestChangeWaitsForUnresponsiveHolder: one that is cut off delays the change by its promise, and serves no longer.
+func TestChangeWaitsForUnresponsiveHolder(t *testing.T) {
+	w := newSimulation(2, 5, false)
 	for range 1000 {
 		w.step()
 	}
 	s := w.sidecars[3]
-	s.cut = w.now + time.Hour
+	s.cutUntil = w.now + time.Hour
 	id, began := w.propose("second"), w.now
 	stopped := time.Duration(0)
 	for w.ledger().Outcome(id).State != InForce && w.now-began < time.Minute {
@@ -393,10 +393,10 @@
 			}
 		}
 	}
-	if took := w.now - began; took < w.terms.Length-w.terms.Short || took > w.terms.Length+2*time.Second || stopped == 0 || len(w.broken) > 0 {
-		t.Errorf("in force after %v, the silent one stopped after %v, %v", took, stopped-began, w.broken)
+	if took := w.now - began; took < w.terms.Length-w.terms.Short || took > w.terms.Length+2*time.Second || stopped == 0 || len(w.violations) > 0 {
+		t.Errorf("in force after %v, the silent one stopped after %v, %v", took, stopped-began, w.violations)
 	}
-	s.cut = 0
+	s.cutUntil = 0
 	for range 200 {
 		w.step()
 	}
@@ -405,19 +405,19 @@
 	}
 }
 
-// TestOneNoIsEnough: a reasoned no refuses the change for all, and its reason names who said it.
-func TestOneNoIsEnough(t *testing.T) {
-	w := newWorld(3, 5, false)
+// TestOneRejectionRefusesChange: a reasoned no refuses the change for all, and its reason names who said it.
+func TestOneRejectionRefusesChange(t *testing.T) {
+	w := newSimulation(3, 5, false)
 	for range 1000 {
 		w.step()
 	}
-	w.sidecars[2].faulty[2] = true
+	w.sidecars[2].rejects[2] = true
 	id := w.propose("second")
 	for range 1000 {
 		w.step()
 	}
-	if o := w.ledger().Outcome(id); o.State != Refused || o.Reason != "n2: it has a class without a name" || len(w.broken) > 0 {
-		t.Errorf("%v, %q, %v", o.State, o.Reason, w.broken)
+	if o := w.ledger().Outcome(id); o.State != Refused || o.Reason != "n2: it has a class without a name" || len(w.violations) > 0 {
+		t.Errorf("%v, %q, %v", o.State, o.Reason, w.violations)
 	}
 	if w.ledger().InForce().Number != 1 {
 		t.Errorf("policy %d is in force", w.ledger().InForce().Number)
--- a/internal/fleet/policyagent/agent.go
+++ b/internal/fleet/policyagent/agent.go
@@ -94,8 +94,8 @@
 	switch {
 	case decides && set.Folder == "":
 		return nil, fmt.Errorf("policy: %s is a decider and has no folder", set.Name)
-	case len(set.First) == 0 || len(set.First) > policy.MostText:
-		return nil, fmt.Errorf("policy: a first policy of %d bytes, 1 to %d are allowed", len(set.First), policy.MostText)
+	case len(set.First) == 0 || len(set.First) > policy.MaxDocumentBytes:
+		return nil, fmt.Errorf("policy: a first policy of %d bytes, 1 to %d are allowed", len(set.First), policy.MaxDocumentBytes)
 	}
 	if fault := set.Check(1, set.First); fault != "" {
 		return nil, fmt.Errorf("policy: the first one: %s", fault)
@@ -131,7 +131,7 @@
 func (c *Agent) Raise(life uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.holder.Raise(life)
+	c.holder.RaiseIncarnation(life)
 }
 
 // Serves tells under which policy a request may be taken now; wait is how long it would have to wait for the next one, where that is
@@ -152,13 +152,13 @@
 
 // message is a call between sidecars: exactly one of its fields is set.
 type message struct {
-	Node    []byte           `cbor:"1,keyasint,omitempty"` // of a decider for another one
-	Ask     *policy.Question `cbor:"2,keyasint,omitempty"`
-	Get     uint64           `cbor:"3,keyasint,omitempty"` // a document
-	Propose *policy.Propose  `cbor:"4,keyasint,omitempty"`
-	Outcome string           `cbor:"5,keyasint,omitempty"` // of a proposal
-	State   bool             `cbor:"6,keyasint,omitempty"`
-	Replace *replace         `cbor:"7,keyasint,omitempty"`
+	Node    []byte               `cbor:"1,keyasint,omitempty"` // of a decider for another one
+	Ask     *policy.LeaseRequest `cbor:"2,keyasint,omitempty"`
+	Get     uint64               `cbor:"3,keyasint,omitempty"` // a document
+	Propose *policy.Proposal     `cbor:"4,keyasint,omitempty"`
+	Outcome string               `cbor:"5,keyasint,omitempty"` // of a proposal
+	State   bool                 `cbor:"6,keyasint,omitempty"`
+	Replace *replace             `cbor:"7,keyasint,omitempty"`
 }
 
 // replace has one that waits for a place take that of a decider.
@@ -169,13 +169,13 @@
 
 // reply is the answer to one.
 type reply struct {
-	Fault    string          `cbor:"1,keyasint,omitempty"`
-	Leader   string          `cbor:"2,keyasint,omitempty"` // who may know more
-	Grant    *policy.Grant   `cbor:"3,keyasint,omitempty"`
-	Document *document       `cbor:"4,keyasint,omitempty"`
-	Outcome  *policy.Outcome `cbor:"5,keyasint,omitempty"`
-	State    *State          `cbor:"6,keyasint,omitempty"`
-	Deciders []string        `cbor:"7,keyasint,omitempty"` // of now, by one that leads
+	Fault    string                `cbor:"1,keyasint,omitempty"`
+	Leader   string                `cbor:"2,keyasint,omitempty"` // who may know more
+	Grant    *policy.LeaseResponse `cbor:"3,keyasint,omitempty"`
+	Document *document             `cbor:"4,keyasint,omitempty"`
+	Outcome  *policy.Outcome       `cbor:"5,keyasint,omitempty"`
+	State    *State                `cbor:"6,keyasint,omitempty"`
+	Deciders []string              `cbor:"7,keyasint,omitempty"` // of now, by one that leads
 }
 
 type document struct {
@@ -503,7 +503,7 @@
 	ctx, cancel := context.WithTimeout(c.ctx, askWithin)
 	defer cancel()
 	c.mu.Lock()
-	q := c.holder.Ask()
+	q := c.holder.Request()
 	c.mu.Unlock()
 	sent := c.now()
 	r, err := c.call(ctx, whom, message{Ask: &q})
@@ -518,12 +518,12 @@
 	c.lead(whom)
 	c.decide(r.Deciders)
 	c.mu.Lock()
-	number := c.holder.Told(c.now(), sent, *r.Grant)
+	number := c.holder.Update(c.now(), sent, *r.Grant)
 	c.mu.Unlock()
 	if number == 0 {
 		// A third of the promise, so that two questions may get lost. While a change is under way each step of it waits for the
 		// next question of the last sidecar.
-		pause = max(min(r.Grant.For, c.set.Terms.Length)/3, leastPause)
+		pause = max(min(r.Grant.Duration, c.set.Terms.Length)/3, leastPause)
 		if c.now() < c.hurry {
 			pause = max(min(pause, c.set.Terms.Short/3), leastPause)
 		}
@@ -558,7 +558,7 @@
 
 // Propose asks for a change and waits until it has ended, or ctx has: then what is returned says how far it has come, and may be
 // asked for again by its id.
-func (c *Agent) Propose(ctx context.Context, p policy.Propose) policy.Outcome {
+func (c *Agent) Propose(ctx context.Context, p policy.Proposal) policy.Outcome {
 	if len(p.Author) > largestName {
 		p.Author = p.Author[:largestName]
 	}
--- a/internal/fleet/policyagent/agent_test.go
+++ b/internal/fleet/policyagent/agent_test.go
@@ -201,7 +201,7 @@
 func (h *house) propose(at, id string, follows uint64, text string) policy.Outcome {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	return h.room(at).Propose(ctx, policy.Propose{ID: id, Author: "x", Follows: follows, Text: []byte(text)})
+	return h.room(at).Propose(ctx, policy.Proposal{ID: id, Author: "x", Follows: follows, Text: []byte(text)})
 }
 
 var six = []string{"n0", "n1", "n2", "n3", "n4", "n5"}
@@ -280,7 +280,7 @@
 	h.until("promises end", func() bool { _, _, ok := h.room("n4").Serves(); return !ok })
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	if o := h.room("n4").Propose(ctx, policy.Propose{ID: "c2", Follows: 2, Text: []byte("third")}); o.State == policy.InForce || o.State == policy.Refused {
+	if o := h.room("n4").Propose(ctx, policy.Proposal{ID: "c2", Follows: 2, Text: []byte("third")}); o.State == policy.InForce || o.State == policy.Refused {
 		t.Errorf("with two lost: %+v", o)
 	}
 	h.start("n0", false)
@@ -335,7 +335,7 @@
 			t.Fatalf("size %q", text)
 		}
 		h := newHouse(t, 0)
-		h.terms = policy.UsualTerms
+		h.terms = policy.DefaultTerms
 		var all []string
 		for i := range n {
 			all = append(all, fmt.Sprint("n", i))
@@ -382,7 +382,7 @@
 	for _, life := range []uint64{7, 5} {
 		c.Raise(life)
 		c.mu.Lock()
-		if got := c.holder.Ask().Life; got != 7 {
+		if got := c.holder.Request().Incarnation; got != 7 {
 			t.Errorf("it asks under life %d, want 7", got)
 		}
 		c.mu.Unlock()
--- a/internal/fleet/raftnode/node.go
+++ b/internal/fleet/raftnode/node.go
@@ -286,7 +286,7 @@
 }
 
 // Ask takes in a sidecar's question. The answer follows under its token.
-func (s *Node) Ask(now Time, token uint64, q policy.Question) {
+func (s *Node) Ask(now Time, token uint64, q policy.LeaseRequest) {
 	if s.machine == nil || s.broken != nil {
 		s.out.Answers = append(s.out.Answers, consensus.Answer{Token: token, Err: consensus.ErrNoLeader})
 		return
@@ -296,7 +296,7 @@
 }
 
 // Propose asks for a change. What becomes of it stands in the ledger under its id.
-func (s *Node) Propose(now Time, p policy.Propose) error {
+func (s *Node) Propose(now Time, p policy.Proposal) error {
 	if s.machine == nil || s.broken != nil {
 		return consensus.ErrNoLeader
 	}
--- a/internal/fleet/raftnode/node_test.go
+++ b/internal/fleet/raftnode/node_test.go
@@ -135,7 +135,7 @@
 		w.t.Fatal(err)
 	}
 	p.log = log
-	if p.node, err = New(w.now, Settings{p.name, p.named, []byte("first"), policy.UsualTerms}, killing{log, p}, slog.New(slog.DiscardHandler)); err != nil {
+	if p.node, err = New(w.now, Settings{p.name, p.named, []byte("first"), policy.DefaultTerms}, killing{log, p}, slog.New(slog.DiscardHandler)); err != nil {
 		w.t.Fatal(err)
 	}
 }
@@ -224,7 +224,7 @@
 	w.id++
 	candidate := fmt.Sprint("p", w.id)
 	w.run(p, func(s *Node) {
-		if s.Propose(w.now, policy.Propose{ID: candidate, Author: "x", Follows: s.Ledger().InForce().Number, Text: []byte(candidate)}) == nil {
+		if s.Propose(w.now, policy.Proposal{ID: candidate, Author: "x", Follows: s.Ledger().InForce().Number, Text: []byte(candidate)}) == nil {
 			id = candidate
 		}
 	})
@@ -330,7 +330,7 @@
 	if a.Err() != nil || a.Ledger().Outcome(second).State != policy.InForce {
 		t.Errorf("the one that remembers: %v, %v", a.Err(), a.Ledger().Outcome(second))
 	}
-	a.Ask(w.now, 7, policy.Question{Sidecar: "n1", Life: 1})
+	a.Ask(w.now, 7, policy.LeaseRequest{Sidecar: "n1", Incarnation: 1})
 	w.steps(100)
 	if got, ok := w.answers[7]; ok && got.Err == nil {
 		t.Errorf("one of three promises: %+v", got.Grant)
--- a/internal/lab/fleet/mutants/mutants_test.go
+++ b/internal/lab/fleet/mutants/mutants_test.go
@@ -122,16 +122,16 @@
 	}
 }
 
-// policyMutants break the promises on a change of policy, each found by a test of its package, or of the one that is named before it.
+// policyMutants break the guarantees on a change of policy, each found by a test of its package, or of the one that is named before it.
 var policyMutants = []struct{ name, file, from, to, found string }{
-	{"switch before the promises end", "policy/grants.go", "g.number, g.until = p.Number, max(last, now+1)", "g.number, g.until = p.Number, now+1", "TestOnePolicyAtATime"},
-	{"a leader that waits for no forerunner's promises", "policy/grants.go", "quiet: now + t.longer(t.Length)", "quiet: now", "TestOnePolicyAtATime"},
-	{"what lay about is answered", "policy/grants.go", "if l.applied < g.seen {", "if false {", "TestOnePolicyAtATime"},
-	{"yes without a whole check", "policy/grants.go", "if s.checked < p.Number {\n\t\t\t\treturn nil", "if s.checked > p.Number {\n\t\t\t\treturn nil", "TestOneNoIsEnough"},
-	{"a promise counted from its answer", "policy/holder.go", "h.number, h.until, h.next, h.end = g.Number, sent+", "h.number, h.until, h.next, h.end = g.Number, now+", "TestOnePolicyAtATime"},
-	{"begun as soon as it is heard of", "policy/holder.go", "g.Next, now+h.terms.longer(g.In)", "g.Next, now", "TestOnePolicyAtATime"},
-	{"answers taken as they come", "policy/holder.go", "if g.Stamp.Compare(h.heard) <= 0 {", "if false {", "TestHolderTakesTheLatest"},
-	{"a promise without an end", "policy/holder.go", "h.number > 0 && now < h.until && h.have", "h.number > 0 && h.have", "TestOnePolicyAtATime"},
+	{"switch before the leases end", "policy/lease_table.go", "g.switchNumber, g.switchAt = p.Number, max(last, now+1)", "g.switchNumber, g.switchAt = p.Number, now+1", "TestOnePolicyAtATime"},
+	{"a leader that does not wait for earlier leaders' leases", "policy/lease_table.go", "earlierLeasesEnd: now + t.upperBound(t.Length)", "earlierLeasesEnd: now", "TestOnePolicyAtATime"},
+	{"a request confirmed against an older log is answered", "policy/lease_table.go", "if l.applied < g.minApplied {", "if false {", "TestOnePolicyAtATime"},
+	{"commit without a complete check", "policy/lease_table.go", "if s.checked < p.Number {\n\t\t\t\treturn nil", "if s.checked > p.Number {\n\t\t\t\treturn nil", "TestOneRejectionRefusesChange"},
+	{"a lease counted from its response", "policy/holder.go", "h.number, h.expiry, h.next, h.nextExpiry = g.Number, sent+", "h.number, h.expiry, h.next, h.nextExpiry = g.Number, now+", "TestOnePolicyAtATime"},
+	{"the next policy begun as soon as it is known", "policy/holder.go", "g.Next, now+h.terms.upperBound(g.NextIn)", "g.Next, now", "TestOnePolicyAtATime"},
+	{"responses taken out of order", "policy/holder.go", "if g.Stamp.Compare(h.latest) <= 0 {", "if false {", "TestHolderTakesLatestResponse"},
+	{"a lease without an expiry", "policy/holder.go", "h.number > 0 && now < h.expiry && h.runnable", "h.number > 0 && h.runnable", "TestOnePolicyAtATime"},
 	{"a group bootstrapped by a majority", "consensus/bootstrap.go", "if len(bootstrap.Deciders) == len(f.want.Deciders) &&", "if len(bootstrap.Deciders) > len(f.want.Deciders)/2 &&", "TestBootstrappedOnce"},
 	{"an older folder believed", "consensus/bootstrap.go", "case e.Life < known:", "case false:", "TestGuard"},
 	{"an older folder that believes itself", "consensus/bootstrap.go", "case e.Lives[g.self.ID] > g.self.Life:", "case false:", "TestGuard"},
@@ -147,7 +147,7 @@
 	{"refused after it was committed", "policy/ledger.go", "e.Refuse.Number == p.Number && p.State == Proposed", "e.Refuse.Number == p.Number", "TestLedger"},
 }
 
-// TestPolicyMutantsAreFound has the tests of the policy's promises find each.
+// TestPolicyMutantsAreFound has the tests of the policy's guarantees find each.
 func TestPolicyMutantsAreFound(t *testing.T) {
 	for _, m := range policyMutants {
 		t.Run(m.name, func(t *testing.T) {
--- a/internal/member/policy.go
+++ b/internal/member/policy.go
@@ -15,7 +15,7 @@
 
 const (
 	answerWithin = 700 * time.Millisecond // the staff is owed an answer in 1 s
-	mostCall     = 2*policy.MostText + 4096
+	mostCall     = 2*policy.MaxDocumentBytes + 4096
 )
 
 // calls implements sidecar.Policy: it answers the staff's calls on the policy.
@@ -108,13 +108,13 @@
 	case err != nil:
 		http.Error(w, "proposal: "+err.Error(), http.StatusBadRequest)
 		return
-	case c.ID == "" || len(c.ID) > 64 || c.Follows == 0 || len(c.Text) == 0 || len(c.Text) > policy.MostText:
-		http.Error(w, fmt.Sprintf("proposal: an id of 1 to 64 bytes, the number that it follows, and a text of 1 to %d bytes are needed", policy.MostText), http.StatusBadRequest)
+	case c.ID == "" || len(c.ID) > 64 || c.Follows == 0 || len(c.Text) == 0 || len(c.Text) > policy.MaxDocumentBytes:
+		http.Error(w, fmt.Sprintf("proposal: an id of 1 to 64 bytes, the number that it follows, and a text of 1 to %d bytes are needed", policy.MaxDocumentBytes), http.StatusBadRequest)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
 	defer cancel()
-	write(w, outcomeOf(p.Propose(ctx, policy.Propose{ID: c.ID, Author: c.Author, Follows: c.Follows, Text: c.Text})))
+	write(w, outcomeOf(p.Propose(ctx, policy.Proposal{ID: c.ID, Author: c.Author, Follows: c.Follows, Text: c.Text})))
 }
 
 // Replacement asks for one that waits for a place to take that of a decider.
