--- a/cmd/milletramp/policy.go
+++ b/cmd/milletramp/policy.go
@@ -130,8 +130,8 @@
 		return 0, err
 	}
 	number := uint64(0)
-	for _, d := range s.Deciders {
-		number = max(number, d.Number)
+	for _, d := range s.Voters {
+		number = max(number, d.InForce)
 	}
 	if number == 0 {
 		return 0, fmt.Errorf("%s: no decider answers", a.Console)
@@ -144,7 +144,7 @@
 func (a asking) await(ctx context.Context, o member.Outcome, again *member.Proposal) error {
 	for said := ""; o.State != inForce && o.State != isRefused; {
 		if s, err := a.status(ctx); err == nil {
-			for _, d := range s.Deciders {
+			for _, d := range s.Voters {
 				line := fmt.Sprintf("%s, waits for %s, %.1f s at most", o.State, strings.Join(d.Waiting, ", "), d.Seconds)
 				if d.Pending != nil && d.Pending.ID == o.ID && len(d.Waiting) > 0 && line != said {
 					fmt.Fprintln(os.Stderr, line)
@@ -265,12 +265,12 @@
 	switch {
 	case s.Serves == 0:
 		serves = "takes no requests: nobody has promised it a policy"
-	case s.Waived:
+	case s.WithoutLease:
 		serves += " WITHOUT A PROMISE: others may serve under another one"
 	}
 	fmt.Fprintln(&b, serves)
-	for _, d := range s.Deciders {
-		fmt.Fprintf(&b, "decider %s: policy %d (%s) in force, leader %s", d.Decider, d.Number, d.Digest, cmp.Or(d.Leader, "unknown"))
+	for _, d := range s.Voters {
+		fmt.Fprintf(&b, "decider %s: policy %d (%s) in force, leader %s", d.Voter, d.InForce, d.Digest, cmp.Or(d.Leader, "unknown"))
 		if d.Pending != nil {
 			fmt.Fprintf(&b, "; change %s to policy %d by %s: %s", d.Pending.ID, d.Pending.Number, d.Pending.Author, d.Pending.State)
 		}
@@ -280,7 +280,7 @@
 		if !d.Settled && d.Bootstrapped {
 			fmt.Fprint(&b, "; one decider is taking the place of another")
 		}
-		if d.LeftOut {
+		if d.NotAdmitted {
 			fmt.Fprint(&b, "; waits for a place: `milletramp policy replace`")
 		}
 		if len(d.Candidates) > 0 {
@@ -291,11 +291,11 @@
 		}
 		fmt.Fprintln(&b)
 	}
-	for _, name := range s.Silent {
+	for _, name := range s.Unresponsive {
 		fmt.Fprintf(&b, "decider %s: no answer\n", name)
 	}
 	err = c.print(s, strings.TrimSuffix(b.String(), "\n"))
-	if s.Serves == 0 || s.Waived {
+	if s.Serves == 0 || s.WithoutLease {
 		err = errors.Join(err, errors.New(serves))
 	}
 	return err
@@ -316,9 +316,9 @@
 	}
 	for {
 		if s, err := c.status(ctx); err == nil {
-			for _, d := range s.Deciders {
-				if d.Decider == c.In && d.Settled && slices.Contains(d.Deciders, c.In) && (c.In == c.Out || !slices.Contains(d.Deciders, c.Out)) {
-					return c.print(d.Deciders, fmt.Sprintf("%s decides: %s", c.In, strings.Join(d.Deciders, ", ")))
+			for _, d := range s.Voters {
+				if d.Voter == c.In && d.Settled && slices.Contains(d.Voters, c.In) && (c.In == c.Out || !slices.Contains(d.Voters, c.Out)) {
+					return c.print(d.Voters, fmt.Sprintf("%s decides: %s", c.In, strings.Join(d.Voters, ", ")))
 				}
 			}
 		}
@@ -342,10 +342,10 @@
 	if err != nil {
 		return err
 	}
-	if len(s.Deciders) == 0 {
+	if len(s.Voters) == 0 {
 		return fmt.Errorf("%s: no decider answers", c.Console)
 	}
-	d := slices.MaxFunc(s.Deciders, func(a, b policyagent.State) int { return cmp.Compare(len(a.Outcomes), len(b.Outcomes)) })
+	d := slices.MaxFunc(s.Voters, func(a, b policyagent.VoterState) int { return cmp.Compare(len(a.Outcomes), len(b.Outcomes)) })
 	var b strings.Builder
 	table := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "number\tid\tauthor\tstate\treason")
--- a/deploy/policy_test.go
+++ b/deploy/policy_test.go
@@ -320,8 +320,8 @@
 		at.await(func() bool {
 			_, text := at.ask("GET", "/ops/policy/status", "")
 			var s policyagent.Status
-			return json.Unmarshal([]byte(text), &s) == nil && slices.ContainsFunc(s.Deciders, func(d policyagent.State) bool {
-				return d.Leader == d.Decider && slices.Contains(d.Candidates, name)
+			return json.Unmarshal([]byte(text), &s) == nil && slices.ContainsFunc(s.Voters, func(d policyagent.VoterState) bool {
+				return d.Leader == d.Voter && slices.Contains(d.Candidates, name)
 			})
 		})
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -138,7 +138,7 @@
 			return nil, errors.Join(err, l.Close())
 		}
 		l.SetCallHandler(f.agent)
-		raise := f.agent.Raise
+		raise := f.agent.RaiseIncarnation
 		f.events <- func(replication.Now) { f.raise = raise } // the loop, which has begun, takes it
 	}
 	l.Serve(f, gossip.MostPacket)
@@ -148,7 +148,7 @@
 // agentSettings is what this sidecar's part in the policy is told.
 func (c *Config) agentSettings(name string, life uint64, check func(uint64, []byte) string) policyagent.Settings {
 	p := c.Policy
-	return policyagent.Settings{Name: name, Life: life, Deciders: p.Deciders, First: p.text, Terms: p.Terms(), ServeOn: p.ServeOn, Check: check,
+	return policyagent.Settings{Name: name, Incarnation: life, Voters: p.Deciders, InitialPolicy: p.text, Terms: p.Terms(), ServeWithoutLease: p.ServeOn, Check: check,
 		Folder: filepath.Join(p.Folder, fmt.Sprintf("council-%016x", xxhash.Sum64String(name)))}
 }
 
--- a/internal/fleet/policyagent/agent.go
+++ b/internal/fleet/policyagent/agent.go
@@ -22,16 +22,16 @@
 )
 
 const (
-	askWithin    = time.Second            // a decider answers
-	leastPause   = 50 * time.Millisecond  // between two questions
-	lookEvery    = 100 * time.Millisecond // at what has become of a proposal
-	mostQueued   = 64                     // messages for one decider
-	mostEvents   = 1024                   // for the Raft node
-	nodeWithin   = 3 * time.Second        // a message between deciders takes at most
-	openEvery    = 200 * time.Millisecond // that a folder is tried which another process has
-	monotonic    = time.Hour              // readings begin at, so that none is 0
-	largestName  = 64
-	mostDeciders = 9
+	callTimeout         = time.Second            // a decider answers
+	minRenewPause       = 50 * time.Millisecond  // between two questions
+	pollInterval        = 100 * time.Millisecond // at what has become of a proposal
+	maxQueuedMessages   = 64                     // messages for one decider
+	maxQueuedEvents     = 1024                   // for the Raft node
+	voterCallTimeout    = 3 * time.Second        // a message between deciders takes at most
+	folderRetryInterval = 200 * time.Millisecond // that a folder is tried which another process has
+	clockBase           = time.Hour              // readings begin at, so that none is 0
+	maxNameBytes        = 64
+	maxVoters           = 9
 )
 
 // Peers is the way to other sidecars, by their names.
@@ -42,14 +42,14 @@
 
 // Settings say what a Agent is to do.
 type Settings struct {
-	Name     string
-	Life     uint64 // of this process; see Raise
-	Deciders []string
-	First    []byte // the policy in force before any change
-	Folder   string // of this decider; "": this sidecar is none
-	Terms    policy.Terms
-	// ServeOn has a sidecar without a promise go on under what it served last. Then two policies may be served at once.
-	ServeOn bool
+	Name          string
+	Incarnation   uint64 // of this process; see Raise
+	Voters        []string
+	InitialPolicy []byte // the policy in force before any change
+	Folder        string // of this decider; "": this sidecar is none
+	Terms         policy.Terms
+	// ServeWithoutLease has a sidecar without a promise go on under what it served last. Then two policies may be served at once.
+	ServeWithoutLease bool
 	// Check reads a document whole, with the code that would run it, and says what is wrong with it, "" nothing. Once it has
 	// said nothing the sidecar can run that number.
 	Check func(number uint64, text []byte) (fault string)
@@ -57,32 +57,32 @@
 
 // Agent is a sidecar's part.
 type Agent struct {
-	set     Settings
-	peers   Peers
-	log     *slog.Logger
-	origin  time.Time
-	decides bool // it is a decider by its file
-	ctx     context.Context
-	stop    context.CancelFunc
-	over    sync.WaitGroup
-
-	mu     sync.Mutex // guards the holder and what follows
-	holder *policy.Holder
-	names  []string // whom to ask: the deciders, and behind them those of the file
-	count  int      // deciders among them: those of the file, or by the last that led and answered
-	last   uint64   // served last
-	waived bool     // it serves without a promise
-	leader string   // who answered last
-
-	hurry time.Duration // of the asking goroutine: until then a change may be under way
+	settings   Settings
+	peers      Peers
+	log        *slog.Logger
+	started    time.Time
+	isVoter    bool // it is a decider by its file
+	ctx        context.Context
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
+
+	mu           sync.Mutex // guards the holder and what follows
+	holder       *policy.Holder
+	candidates   []string // whom to ask: the deciders, and behind them those of the file
+	voterCount   int      // deciders among them: those of the file, or by the last that led and answered
+	lastServed   uint64   // served last
+	withoutLease bool     // it serves without a promise
+	leader       string   // who answered last
+
+	renewOftenUntil time.Duration // of the asking goroutine: until then a change may be under way
 
 	// Of the Raft node's goroutine.
-	node    *raftnode.Node // nil: none, or its folder is not open yet
-	folder  *disk.Log
-	waiting map[uint64]chan consensus.Answer
-	tokens  uint64
-	events  chan func(now raftnode.Time)
-	queues  map[string]chan []byte
+	node          *raftnode.Node // nil: none, or its folder is not open yet
+	folder        *disk.Log
+	pendingLeases map[uint64]chan consensus.Answer
+	lastToken     uint64
+	events        chan func(now raftnode.Time)
+	queues        map[string]chan []byte
 }
 
 // Start begins a sidecar's part.
@@ -90,92 +90,92 @@
 	if err := set.Terms.Check(); err != nil {
 		return nil, fmt.Errorf("policy: %w", err)
 	}
-	decides := slices.Contains(set.Deciders, set.Name)
+	decides := slices.Contains(set.Voters, set.Name)
 	switch {
 	case decides && set.Folder == "":
 		return nil, fmt.Errorf("policy: %s is a decider and has no folder", set.Name)
-	case len(set.First) == 0 || len(set.First) > policy.MaxDocumentBytes:
-		return nil, fmt.Errorf("policy: a first policy of %d bytes, 1 to %d are allowed", len(set.First), policy.MaxDocumentBytes)
+	case len(set.InitialPolicy) == 0 || len(set.InitialPolicy) > policy.MaxDocumentBytes:
+		return nil, fmt.Errorf("policy: a first policy of %d bytes, 1 to %d are allowed", len(set.InitialPolicy), policy.MaxDocumentBytes)
 	}
-	if fault := set.Check(1, set.First); fault != "" {
+	if fault := set.Check(1, set.InitialPolicy); fault != "" {
 		return nil, fmt.Errorf("policy: the first one: %s", fault)
 	}
-	c := &Agent{set: set, peers: peers, decides: decides, names: set.Deciders, count: len(set.Deciders), log: log.With("part", "policy"), origin: time.Now(), waiting: map[uint64]chan consensus.Answer{},
-		holder: policy.NewHolder(set.Name, set.Life, set.Terms), events: make(chan func(raftnode.Time), mostEvents), queues: map[string]chan []byte{}}
-	c.ctx, c.stop = context.WithCancel(context.Background())
+	a := &Agent{settings: set, peers: peers, isVoter: decides, candidates: set.Voters, voterCount: len(set.Voters), log: log.With("part", "policy"), started: time.Now(), pendingLeases: map[uint64]chan consensus.Answer{},
+		holder: policy.NewHolder(set.Name, set.Incarnation, set.Terms), events: make(chan func(raftnode.Time), maxQueuedEvents), queues: map[string]chan []byte{}}
+	a.ctx, a.stop = context.WithCancel(context.Background())
 	if decides {
-		c.over.Add(1)
+		a.goroutines.Add(1)
 		go func() {
-			defer c.over.Done()
-			c.sit()
+			defer a.goroutines.Done()
+			a.runNode()
 		}()
 	}
-	c.over.Add(1)
+	a.goroutines.Add(1)
 	go func() {
-		defer c.over.Done()
-		c.ask()
+		defer a.goroutines.Done()
+		a.renewLoop()
 	}()
-	return c, nil
+	return a, nil
 }
 
 // Close ends the part and waits for all that was begun.
-func (c *Agent) Close() {
-	c.stop()
-	c.over.Wait()
+func (a *Agent) Close() {
+	a.stop()
+	a.goroutines.Wait()
 }
 
 // now reads the monotonic clock. Danger: a clock of day that is set would end promises late.
-func (c *Agent) now() time.Duration { return monotonic + time.Since(c.origin) }
+func (a *Agent) now() time.Duration { return clockBase + time.Since(a.started) }
 
-// Raise takes in the life of this process that the fleet has come to: higher than any before it under the name.
-func (c *Agent) Raise(life uint64) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.holder.RaiseIncarnation(life)
+// RaiseIncarnation takes in the life of this process that the fleet has come to: higher than any before it under the name.
+func (a *Agent) RaiseIncarnation(life uint64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.holder.RaiseIncarnation(life)
 }
 
 // Serves tells under which policy a request may be taken now; wait is how long it would have to wait for the next one, where that is
 // known. Danger: it is to be called for each request, after whatever may have stopped the process: it reads the clock itself.
-func (c *Agent) Serves() (number uint64, wait time.Duration, ok bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	number, wait, ok = c.holder.Serves(c.now())
+func (a *Agent) Serves() (number uint64, wait time.Duration, ok bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	number, wait, ok = a.holder.Serves(a.now())
 	switch {
 	case ok:
-		c.last, c.waived = number, false
-	case c.set.ServeOn && c.last > 0 && wait == 0:
-		c.waived = true
-		return c.last, 0, true
+		a.lastServed, a.withoutLease = number, false
+	case a.settings.ServeWithoutLease && a.lastServed > 0 && wait == 0:
+		a.withoutLease = true
+		return a.lastServed, 0, true
 	}
 	return number, wait, ok
 }
 
-// message is a call between sidecars: exactly one of its fields is set.
-type message struct {
-	Node    []byte               `cbor:"1,keyasint,omitempty"` // of a decider for another one
-	Ask     *policy.LeaseRequest `cbor:"2,keyasint,omitempty"`
-	Get     uint64               `cbor:"3,keyasint,omitempty"` // a document
-	Propose *policy.Proposal     `cbor:"4,keyasint,omitempty"`
-	Outcome string               `cbor:"5,keyasint,omitempty"` // of a proposal
-	State   bool                 `cbor:"6,keyasint,omitempty"`
-	Replace *replace             `cbor:"7,keyasint,omitempty"`
+// request is a call between sidecars: exactly one of its fields is set.
+type request struct {
+	Raft     []byte               `cbor:"1,keyasint,omitempty"` // of a decider for another one
+	Lease    *policy.LeaseRequest `cbor:"2,keyasint,omitempty"`
+	Document uint64               `cbor:"3,keyasint,omitempty"` // a document
+	Propose  *policy.Proposal     `cbor:"4,keyasint,omitempty"`
+	Outcome  string               `cbor:"5,keyasint,omitempty"` // of a proposal
+	State    bool                 `cbor:"6,keyasint,omitempty"`
+	Replace  *replacement         `cbor:"7,keyasint,omitempty"`
 }
 
-// replace has one that waits for a place take that of a decider.
-type replace struct {
+// replacement has one that waits for a place take that of a decider.
+type replacement struct {
 	Out string `cbor:"1,keyasint"`
 	In  string `cbor:"2,keyasint"`
 }
 
-// reply is the answer to one.
-type reply struct {
+// response is the answer to one.
+type response struct {
 	Fault    string                `cbor:"1,keyasint,omitempty"`
 	Leader   string                `cbor:"2,keyasint,omitempty"` // who may know more
-	Grant    *policy.LeaseResponse `cbor:"3,keyasint,omitempty"`
+	Lease    *policy.LeaseResponse `cbor:"3,keyasint,omitempty"`
 	Document *document             `cbor:"4,keyasint,omitempty"`
 	Outcome  *policy.Outcome       `cbor:"5,keyasint,omitempty"`
-	State    *State                `cbor:"6,keyasint,omitempty"`
-	Deciders []string              `cbor:"7,keyasint,omitempty"` // of now, by one that leads
+	State    *VoterState           `cbor:"6,keyasint,omitempty"`
+	Voters   []string              `cbor:"7,keyasint,omitempty"` // of now, by one that leads
 }
 
 type document struct {
@@ -183,84 +183,84 @@
 	Text   []byte `cbor:"2,keyasint"`
 }
 
-// State is what a decider holds.
-type State struct {
-	Decider      string           `cbor:"1,keyasint" json:"decider"`
+// VoterState is what a decider holds.
+type VoterState struct {
+	Voter        string           `cbor:"1,keyasint" json:"decider"`
 	Leader       string           `cbor:"2,keyasint" json:"leader"`
 	Broken       string           `cbor:"3,keyasint" json:"takes_part_no_more,omitempty"`
 	Bootstrapped bool             `cbor:"4,keyasint" json:"founded"`
-	Number       uint64           `cbor:"5,keyasint" json:"in_force"`
+	InForce      uint64           `cbor:"5,keyasint" json:"in_force"`
 	Digest       string           `cbor:"6,keyasint" json:"digest"`
 	Pending      *policy.Outcome  `cbor:"7,keyasint" json:"under_way,omitempty"`
 	Outcomes     []policy.Outcome `cbor:"8,keyasint" json:"changes"`
 	// Waiting are the sidecars that the change under way waits for, on the one that leads, and Seconds how long at most.
 	Waiting []string `cbor:"9,keyasint,omitempty" json:"waits_for,omitempty"`
 	Seconds float64  `cbor:"10,keyasint,omitempty" json:"waits_s,omitempty"`
-	// Deciders are those of now, and Settled is false while one takes the place of another. Candidates wait for a place.
-	Deciders   []string `cbor:"11,keyasint" json:"deciders"`
-	Settled    bool     `cbor:"12,keyasint" json:"settled"`
-	Candidates []string `cbor:"13,keyasint,omitempty" json:"candidates,omitempty"`
-	LeftOut    bool     `cbor:"14,keyasint,omitempty" json:"waits_for_a_place,omitempty"`
+	// Voters are those of now, and Settled is false while one takes the place of another. Candidates wait for a place.
+	Voters      []string `cbor:"11,keyasint" json:"deciders"`
+	Settled     bool     `cbor:"12,keyasint" json:"settled"`
+	Candidates  []string `cbor:"13,keyasint,omitempty" json:"candidates,omitempty"`
+	NotAdmitted bool     `cbor:"14,keyasint,omitempty" json:"waits_for_a_place,omitempty"`
 }
 
 var errBusy = errors.New("policy: this decider is busy")
 
 // Call implements transport.Called.
-func (c *Agent) Call(ctx context.Context, text []byte) ([]byte, error) {
-	var m message
+func (a *Agent) Call(ctx context.Context, text []byte) ([]byte, error) {
+	var m request
 	if err := cbor.Unmarshal(text, &m); err != nil {
 		return nil, fmt.Errorf("policy: a call that cannot be read: %w", err)
 	}
-	return cbor.Marshal(c.answer(ctx, m))
+	return cbor.Marshal(a.answer(ctx, m))
 }
 
-func (c *Agent) answer(ctx context.Context, m message) (r reply) {
-	if !c.decides {
-		return reply{Fault: c.set.Name + " is no decider"}
+func (a *Agent) answer(ctx context.Context, m request) (r response) {
+	if !a.isVoter {
+		return response{Fault: a.settings.Name + " is no decider"}
 	}
-	ctx, cancel := context.WithTimeout(ctx, askWithin)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	done := make(chan struct{})
 	var asked chan consensus.Answer
-	got := &reply{} // the Raft node's goroutine may come to it after this call has given up
+	got := &response{} // the Raft node's goroutine may come to it after this call has given up
 	do := func(now raftnode.Time) {
 		defer close(done)
-		if c.node == nil {
-			got.Fault = c.set.Name + " has not opened its folder yet"
+		if a.node == nil {
+			got.Fault = a.settings.Name + " has not opened its folder yet"
 			return
 		}
-		got.Leader = c.node.Leader()
-		l := c.node.Ledger()
+		got.Leader = a.node.Leader()
+		l := a.node.Ledger()
 		switch {
-		case m.Node != nil:
-			if err := c.node.Receive(now, m.Node); err != nil {
+		case m.Raft != nil:
+			if err := a.node.Receive(now, m.Raft); err != nil {
 				got.Fault = err.Error()
 			}
-		case m.Ask != nil:
-			c.tokens++
+		case m.Lease != nil:
+			a.lastToken++
 			asked = make(chan consensus.Answer, 1)
-			c.waiting[c.tokens] = asked
-			c.node.Ask(now, c.tokens, *m.Ask)
-			got.Deciders, _ = c.node.Deciders()
+			a.pendingLeases[a.lastToken] = asked
+			a.node.Ask(now, a.lastToken, *m.Lease)
+			got.Voters, _ = a.node.Deciders()
 		case m.Propose != nil:
-			if err := c.node.Propose(now, *m.Propose); err != nil {
+			if err := a.node.Propose(now, *m.Propose); err != nil {
 				got.Fault = err.Error()
 			}
 		case m.Replace != nil:
-			if err := c.node.Replace(now, m.Replace.Out, m.Replace.In); err != nil {
+			if err := a.node.Replace(now, m.Replace.Out, m.Replace.In); err != nil {
 				got.Fault = err.Error()
 			}
 		case m.State:
-			got.State = c.state(now, l)
+			got.State = a.voterState(now, l)
 		case l == nil:
 			got.Fault = "no consensus group yet"
-		case m.Get > 0:
-			d, known := l.Document(m.Get)
+		case m.Document > 0:
+			d, known := l.Document(m.Document)
 			if !known {
-				d, known = l.Former(m.Get)
+				d, known = l.Former(m.Document)
 			}
 			if !known {
-				got.Fault = fmt.Sprintf("no document %d", m.Get)
+				got.Fault = fmt.Sprintf("no document %d", m.Document)
 				return
 			}
 			got.Document = &document{d.Number, d.Text}
@@ -270,44 +270,44 @@
 		}
 	}
 	select {
-	case c.events <- do:
+	case a.events <- do:
 	default:
-		return reply{Fault: errBusy.Error()}
+		return response{Fault: errBusy.Error()}
 	}
 	select {
 	case <-done:
 	case <-ctx.Done():
-		return reply{Fault: errBusy.Error()}
+		return response{Fault: errBusy.Error()}
 	}
 	if r = *got; asked == nil {
 		return r
 	}
 	select {
-	case a := <-asked:
-		if a.Err != nil {
-			r.Fault = a.Err.Error()
+	case answer := <-asked:
+		if answer.Err != nil {
+			r.Fault = answer.Err.Error()
 			return r
 		}
-		r.Grant = &a.Grant
+		r.Lease = &answer.Grant
 	case <-ctx.Done():
 		r.Fault = errBusy.Error()
 	}
 	return r
 }
 
-func (c *Agent) state(now raftnode.Time, l *policy.Ledger) *State {
-	s := &State{Decider: c.set.Name, Leader: c.node.Leader(), Bootstrapped: l != nil, Candidates: c.node.Waits(now), LeftOut: c.node.LeftOut()}
-	s.Deciders, s.Settled = c.node.Deciders()
-	if err := c.node.Err(); err != nil {
+func (a *Agent) voterState(now raftnode.Time, l *policy.Ledger) *VoterState {
+	s := &VoterState{Voter: a.settings.Name, Leader: a.node.Leader(), Bootstrapped: l != nil, Candidates: a.node.Waits(now), NotAdmitted: a.node.LeftOut()}
+	s.Voters, s.Settled = a.node.Deciders()
+	if err := a.node.Err(); err != nil {
 		s.Broken = err.Error()
 	}
 	if l == nil {
 		return s
 	}
 	d := l.InForce()
-	s.Number, s.Digest, s.Outcomes = d.Number, d.Digest.String(), l.Outcomes()
+	s.InForce, s.Digest, s.Outcomes = d.Number, d.Digest.String(), l.Outcomes()
 	var most time.Duration
-	s.Waiting, most = c.node.Waiting(now)
+	s.Waiting, most = a.node.Waiting(now)
 	s.Seconds = most.Round(time.Millisecond).Seconds()
 	if p := l.Pending(); p != nil {
 		s.Pending = &p.Outcome
@@ -315,110 +315,110 @@
 	return s
 }
 
-// sit is the Raft node's goroutine.
-func (c *Agent) sit() {
-	c.open()
-	if c.node == nil {
+// runNode is the Raft node's goroutine.
+func (a *Agent) runNode() {
+	a.openNode()
+	if a.node == nil {
 		return
 	}
-	defer c.folder.Close()
+	defer a.folder.Close()
 	tick := time.NewTicker(consensus.TickEvery)
 	defer tick.Stop()
 	for {
 		select {
-		case <-c.ctx.Done():
+		case <-a.ctx.Done():
 			return
-		case do := <-c.events:
-			do(c.now())
+		case do := <-a.events:
+			do(a.now())
 		case <-tick.C:
-			c.node.Tick(c.now())
+			a.node.Tick(a.now())
 		}
-		out := c.node.Out()
+		out := a.node.Out()
 		for _, m := range out.Send {
 			select {
-			case c.queue(m.To) <- m.Text:
+			case a.queueTo(m.To) <- m.Text:
 			default: // as lost on the way
 			}
 		}
-		for _, a := range out.Answers {
-			if asked := c.waiting[a.Token]; asked != nil {
-				delete(c.waiting, a.Token)
-				asked <- a // has room for it
+		for _, answer := range out.Answers {
+			if asked := a.pendingLeases[answer.Token]; asked != nil {
+				delete(a.pendingLeases, answer.Token)
+				asked <- answer // has room for it
 			}
 		}
-		if c.node.Err() != nil {
-			for token, asked := range c.waiting {
-				delete(c.waiting, token)
+		if a.node.Err() != nil {
+			for token, asked := range a.pendingLeases {
+				delete(a.pendingLeases, token)
 				asked <- consensus.Answer{Token: token, Err: consensus.ErrNoLeader}
 			}
 		}
 	}
 }
 
-// mostQueues is to how many deciders, present and former ones, messages go.
-const mostQueues = 64
+// maxQueues is to how many deciders, present and former ones, messages go.
+const maxQueues = 64
 
-// queue is the way to another decider. It is made when it is first used: one that takes the place of another is in no file.
-func (c *Agent) queue(name string) chan<- []byte {
-	queue := c.queues[name]
-	if queue == nil && len(c.queues) < mostQueues {
-		queue = make(chan []byte, mostQueued)
-		c.queues[name] = queue
-		c.over.Add(1)
+// queueTo is the way to another decider. It is made when it is first used: one that takes the place of another is in no file.
+func (a *Agent) queueTo(name string) chan<- []byte {
+	queue := a.queues[name]
+	if queue == nil && len(a.queues) < maxQueues {
+		queue = make(chan []byte, maxQueuedMessages)
+		a.queues[name] = queue
+		a.goroutines.Add(1)
 		go func() {
-			defer c.over.Done()
-			c.carry(name, queue)
+			defer a.goroutines.Done()
+			a.sendQueued(name, queue)
 		}()
 	}
 	return queue
 }
 
-// open opens the folder, once no other process has it, and takes the Raft node. Whatever else is wrong with it, this sidecar decides
+// openNode opens the folder, once no other process has it, and takes the Raft node. Whatever else is wrong with it, this sidecar decides
 // nothing, and serves as any other.
-func (c *Agent) open() {
+func (a *Agent) openNode() {
 	for said := false; ; {
-		folder, dropped, err := disk.Open(c.set.Folder, rand.Uint64()|1)
+		folder, dropped, err := disk.Open(a.settings.Folder, rand.Uint64()|1)
 		if err == nil {
 			if dropped > 0 {
-				c.log.Warn("a torn record was dropped", "folder", c.set.Folder, "bytes", dropped)
+				a.log.Warn("a torn record was dropped", "folder", a.settings.Folder, "bytes", dropped)
 			}
-			s, failed := raftnode.New(c.now(), raftnode.Settings{Name: c.set.Name, Named: c.set.Deciders, First: c.set.First, Terms: c.set.Terms}, folder, c.log)
+			s, failed := raftnode.New(a.now(), raftnode.Settings{Name: a.settings.Name, Named: a.settings.Voters, First: a.settings.InitialPolicy, Terms: a.settings.Terms}, folder, a.log)
 			if failed != nil {
-				c.log.Error("this decider takes no part", "err", failed)
+				a.log.Error("this decider takes no part", "err", failed)
 				_ = folder.Close() // nothing was written
 				return
 			}
-			c.node, c.folder = s, folder
+			a.node, a.folder = s, folder
 			return
 		}
 		if !errors.Is(err, disk.ErrHeld) {
-			c.log.Error("this decider takes no part", "err", err)
+			a.log.Error("this decider takes no part", "err", err)
 			return
 		}
 		if !said {
-			c.log.Info("waiting for the folder", "err", err)
+			a.log.Info("waiting for the folder", "err", err)
 			said = true
 		}
 		select {
-		case <-time.After(openEvery): // the former process of an upgrade has it
-		case <-c.ctx.Done():
+		case <-time.After(folderRetryInterval): // the former process of an upgrade has it
+		case <-a.ctx.Done():
 			return
 		}
 	}
 }
 
-// carry sends what is for one decider, one message at a time.
-func (c *Agent) carry(to string, queue <-chan []byte) {
+// sendQueued sends what is for one decider, one message at a time.
+func (a *Agent) sendQueued(to string, queue <-chan []byte) {
 	for {
 		select {
-		case <-c.ctx.Done():
+		case <-a.ctx.Done():
 			return
 		case text := <-queue:
-			ctx, cancel := context.WithTimeout(c.ctx, nodeWithin)
-			if r, err := c.call(ctx, to, message{Node: text}); err != nil {
-				c.log.Debug("not sent", "to", to, "err", err)
+			ctx, cancel := context.WithTimeout(a.ctx, voterCallTimeout)
+			if r, err := a.call(ctx, to, request{Raft: text}); err != nil {
+				a.log.Debug("not sent", "to", to, "err", err)
 			} else if r.Fault != "" {
-				c.log.Debug("not taken", "by", to, "why", r.Fault)
+				a.log.Debug("not taken", "by", to, "why", r.Fault)
 			}
 			cancel()
 		}
@@ -426,15 +426,15 @@
 }
 
 // call calls a decider, which may be this sidecar itself.
-func (c *Agent) call(ctx context.Context, to string, m message) (r reply, err error) {
-	if to == c.set.Name {
-		return c.answer(ctx, m), nil
+func (a *Agent) call(ctx context.Context, to string, m request) (r response, err error) {
+	if to == a.settings.Name {
+		return a.answer(ctx, m), nil
 	}
 	text, err := cbor.Marshal(m)
 	if err != nil {
 		return r, err
 	}
-	if text, err = c.peers.Call(ctx, to, text); err != nil {
+	if text, err = a.peers.Call(ctx, to, text); err != nil {
 		return r, err
 	}
 	if err := cbor.Unmarshal(text, &r); err != nil {
@@ -443,137 +443,137 @@
 	return r, nil
 }
 
-// ask keeps up the promise under which this sidecar serves.
-func (c *Agent) ask() {
+// renewLoop keeps up the promise under which this sidecar serves.
+func (a *Agent) renewLoop() {
 	for i := 0; ; i++ {
-		pause := c.asked(c.whom(i))
+		pause := a.renew(a.target(i))
 		select {
 		case <-time.After(pause):
-		case <-c.ctx.Done():
+		case <-a.ctx.Done():
 			return
 		}
 	}
 }
 
-// whom is the decider to ask: who led last, or another one each time.
-func (c *Agent) whom(i int) string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.leader != "" {
-		return c.leader
+// target is the decider to ask: who led last, or another one each time.
+func (a *Agent) target(i int) string {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.leader != "" {
+		return a.leader
 	}
-	return c.names[i%len(c.names)]
+	return a.candidates[i%len(a.candidates)]
 }
 
-// known are the deciders as far as this sidecar knows.
-func (c *Agent) known() []string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.names[:c.count]
+// voters are the deciders as far as this sidecar knows.
+func (a *Agent) voters() []string {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.candidates[:a.voterCount]
 }
 
-// decide takes in who decides, by the word of one that a majority follows. Those of the own file stay behind them: where all of these are
+// setVoters takes in who decides, by the word of one that a majority follows. Those of the own file stay behind them: where all of these are
 // gone, one of those may know better.
-func (c *Agent) decide(names []string) {
-	if len(names) == 0 || len(names) > mostDeciders {
+func (a *Agent) setVoters(names []string) {
+	if len(names) == 0 || len(names) > maxVoters {
 		return
 	}
 	all := slices.Clone(names)
-	for _, name := range c.set.Deciders {
+	for _, name := range a.settings.Voters {
 		if !slices.Contains(all, name) {
 			all = append(all, name)
 		}
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.names, c.count = all, len(names)
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.candidates, a.voterCount = all, len(names)
 }
 
-// lead notes who leads, as far as is known; "": nobody is known to.
-func (c *Agent) lead(name string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.leader = ""; len(name) <= largestName { // who is none answers so
-		c.leader = name
+// setLeader notes who leads, as far as is known; "": nobody is known to.
+func (a *Agent) setLeader(name string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.leader = ""; len(name) <= maxNameBytes { // who is none answers so
+		a.leader = name
 	}
 }
 
-// asked asks a decider once, and returns after what time to ask again.
-func (c *Agent) asked(whom string) (pause time.Duration) {
-	ctx, cancel := context.WithTimeout(c.ctx, askWithin)
+// renew asks a decider once, and returns after what time to ask again.
+func (a *Agent) renew(whom string) (pause time.Duration) {
+	ctx, cancel := context.WithTimeout(a.ctx, callTimeout)
 	defer cancel()
-	c.mu.Lock()
-	q := c.holder.Request()
-	c.mu.Unlock()
-	sent := c.now()
-	r, err := c.call(ctx, whom, message{Ask: &q})
-	if err != nil || r.Grant == nil {
+	a.mu.Lock()
+	q := a.holder.Request()
+	a.mu.Unlock()
+	sent := a.now()
+	r, err := a.call(ctx, whom, request{Lease: &q})
+	if err != nil || r.Lease == nil {
 		hint := ""
 		if err == nil && r.Leader != whom {
 			hint = r.Leader
 		}
-		c.lead(hint)
-		return leastPause
-	}
-	c.lead(whom)
-	c.decide(r.Deciders)
-	c.mu.Lock()
-	number := c.holder.Update(c.now(), sent, *r.Grant)
-	c.mu.Unlock()
+		a.setLeader(hint)
+		return minRenewPause
+	}
+	a.setLeader(whom)
+	a.setVoters(r.Voters)
+	a.mu.Lock()
+	number := a.holder.Update(a.now(), sent, *r.Lease)
+	a.mu.Unlock()
 	if number == 0 {
 		// A third of the promise, so that two questions may get lost. While a change is under way each step of it waits for the
 		// next question of the last sidecar.
-		pause = max(min(r.Grant.Duration, c.set.Terms.Length)/3, leastPause)
-		if c.now() < c.hurry {
-			pause = max(min(pause, c.set.Terms.Short/3), leastPause)
+		pause = max(min(r.Lease.Duration, a.settings.Terms.Length)/3, minRenewPause)
+		if a.now() < a.renewOftenUntil {
+			pause = max(min(pause, a.settings.Terms.Short/3), minRenewPause)
 		}
 		return pause
 	}
-	c.hurry = c.now() + c.set.Terms.Length
-	fault := c.check(whom, number)
-	if fault == errUngot {
-		return leastPause
+	a.renewOftenUntil = a.now() + a.settings.Terms.Length
+	fault := a.checkDocument(whom, number)
+	if fault == documentUnavailable {
+		return minRenewPause
 	}
-	c.mu.Lock()
-	c.holder.Checked(number, fault)
-	c.mu.Unlock()
+	a.mu.Lock()
+	a.holder.Checked(number, fault)
+	a.mu.Unlock()
 	return 0
 }
 
-const errUngot = "\x00"
+const documentUnavailable = "\x00"
 
-// check gets a document and has it checked.
-func (c *Agent) check(whom string, number uint64) (fault string) {
-	ctx, cancel := context.WithTimeout(c.ctx, nodeWithin)
+// checkDocument gets a document and has it checked.
+func (a *Agent) checkDocument(whom string, number uint64) (fault string) {
+	ctx, cancel := context.WithTimeout(a.ctx, voterCallTimeout)
 	defer cancel()
-	r, err := c.call(ctx, whom, message{Get: number})
+	r, err := a.call(ctx, whom, request{Document: number})
 	if err != nil || r.Document == nil || r.Document.Number != number {
-		return errUngot
+		return documentUnavailable
 	}
-	if fault = c.set.Check(number, r.Document.Text); fault != "" {
-		c.log.Warn("this sidecar cannot run a policy", "number", number, "why", fault)
+	if fault = a.settings.Check(number, r.Document.Text); fault != "" {
+		a.log.Warn("this sidecar cannot run a policy", "number", number, "why", fault)
 	}
 	return fault
 }
 
 // Propose asks for a change and waits until it has ended, or ctx has: then what is returned says how far it has come, and may be
 // asked for again by its id.
-func (c *Agent) Propose(ctx context.Context, p policy.Proposal) policy.Outcome {
-	if len(p.Author) > largestName {
-		p.Author = p.Author[:largestName]
+func (a *Agent) Propose(ctx context.Context, p policy.Proposal) policy.Outcome {
+	if len(p.Author) > maxNameBytes {
+		p.Author = p.Author[:maxNameBytes]
 	}
 	o := policy.Outcome{ID: p.ID, Author: p.Author}
 	for i, sent := 0, false; ; i++ {
-		whom := c.whom(i)
-		once, cancel := context.WithTimeout(ctx, askWithin)
+		whom := a.target(i)
+		once, cancel := context.WithTimeout(ctx, callTimeout)
 		if !sent {
-			r, err := c.call(once, whom, message{Propose: &p})
+			r, err := a.call(once, whom, request{Propose: &p})
 			sent = err == nil && r.Fault == ""
 			if err == nil && r.Fault != "" && r.Leader != whom {
-				c.lead(r.Leader)
+				a.setLeader(r.Leader)
 			}
 		}
-		if r, err := c.call(once, whom, message{Outcome: p.ID}); err == nil && r.Outcome != nil && r.Outcome.State >= o.State {
+		if r, err := a.call(once, whom, request{Outcome: p.ID}); err == nil && r.Outcome != nil && r.Outcome.State >= o.State {
 			o = *r.Outcome
 		}
 		cancel()
@@ -583,7 +583,7 @@
 		// Danger: one that got lost with its leader is asked for again; it is the same by its id.
 		sent = sent && (o.State != policy.Unknown || i%10 != 9)
 		select {
-		case <-time.After(lookEvery):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
 			return o
 		}
@@ -591,10 +591,10 @@
 }
 
 // Outcome is what has become of a proposal, as far as any decider that answers knows.
-func (c *Agent) Outcome(ctx context.Context, id string) (o policy.Outcome) {
+func (a *Agent) Outcome(ctx context.Context, id string) (o policy.Outcome) {
 	o.ID = id
-	for _, whom := range c.known() {
-		if r, err := c.call(ctx, whom, message{Outcome: id}); err == nil && r.Outcome != nil && r.Outcome.State > o.State {
+	for _, whom := range a.voters() {
+		if r, err := a.call(ctx, whom, request{Outcome: id}); err == nil && r.Outcome != nil && r.Outcome.State > o.State {
 			o = *r.Outcome
 		}
 	}
@@ -602,19 +602,19 @@
 }
 
 // Document gets a document from any decider that has it; 0: the one in force.
-func (c *Agent) Document(ctx context.Context, number uint64) (policy.Document, error) {
+func (a *Agent) Document(ctx context.Context, number uint64) (policy.Document, error) {
 	var faults []error
-	for _, whom := range c.known() {
+	for _, whom := range a.voters() {
 		n := number
 		if n == 0 {
-			r, err := c.call(ctx, whom, message{State: true})
+			r, err := a.call(ctx, whom, request{State: true})
 			if err != nil || r.State == nil || !r.State.Bootstrapped {
 				faults = append(faults, fmt.Errorf("%s: %s %w", whom, r.Fault, err))
 				continue
 			}
-			n = r.State.Number
+			n = r.State.InForce
 		}
-		r, err := c.call(ctx, whom, message{Get: n})
+		r, err := a.call(ctx, whom, request{Document: n})
 		if err == nil && r.Document != nil {
 			return policy.NewDocument(r.Document.Number, r.Document.Text), nil
 		}
@@ -625,11 +625,11 @@
 
 // Replace has one that waits for a place take that of a decider: of the same name, where it has lost its folder. It returns once the leader
 // has begun; Status shows when it is through.
-func (c *Agent) Replace(ctx context.Context, out, in string) error {
+func (a *Agent) Replace(ctx context.Context, out, in string) error {
 	for i := 0; ; i++ {
-		whom := c.whom(i)
-		once, cancel := context.WithTimeout(ctx, askWithin)
-		r, err := c.call(once, whom, message{Replace: &replace{out, in}})
+		whom := a.target(i)
+		once, cancel := context.WithTimeout(ctx, callTimeout)
+		r, err := a.call(once, whom, request{Replace: &replacement{out, in}})
 		cancel()
 		if err == nil && r.Fault == "" {
 			return nil
@@ -638,10 +638,10 @@
 			if err = errors.New(r.Fault); r.Leader == whom { // it leads, and says no
 				return err
 			}
-			c.lead(r.Leader)
+			a.setLeader(r.Leader)
 		}
 		select {
-		case <-time.After(lookEvery):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
 			return fmt.Errorf("policy: %s: %w", whom, err)
 		}
@@ -650,27 +650,27 @@
 
 // Status is what this sidecar and the deciders hold.
 type Status struct {
-	Serves   uint64   `json:"serves_under"` // 0: takes no requests now
-	Waived   bool     `json:"without_a_promise"`
-	Asks     string   `json:"asks"` // the decider that answered last
-	Deciders []State  `json:"deciders"`
-	Silent   []string `json:"silent_deciders"`
+	Serves       uint64       `json:"serves_under"` // 0: takes no requests now
+	WithoutLease bool         `json:"without_a_promise"`
+	LastVoter    string       `json:"asks"` // the decider that answered last
+	Voters       []VoterState `json:"deciders"`
+	Unresponsive []string     `json:"silent_deciders"`
 }
 
 // Status asks all deciders.
-func (c *Agent) Status(ctx context.Context) (s Status) {
-	number, _, ok := c.Serves()
-	c.mu.Lock()
-	s.Asks, s.Waived = c.leader, c.waived
-	c.mu.Unlock()
+func (a *Agent) Status(ctx context.Context) (s Status) {
+	number, _, ok := a.Serves()
+	a.mu.Lock()
+	s.LastVoter, s.WithoutLease = a.leader, a.withoutLease
+	a.mu.Unlock()
 	if ok {
 		s.Serves = number
 	}
-	for _, whom := range c.known() {
-		if r, err := c.call(ctx, whom, message{State: true}); err == nil && r.State != nil {
-			s.Deciders = append(s.Deciders, *r.State)
+	for _, whom := range a.voters() {
+		if r, err := a.call(ctx, whom, request{State: true}); err == nil && r.State != nil {
+			s.Voters = append(s.Voters, *r.State)
 		} else {
-			s.Silent = append(s.Silent, whom)
+			s.Unresponsive = append(s.Unresponsive, whom)
 		}
 	}
 	return s
--- a/internal/fleet/policyagent/agent_test.go
+++ b/internal/fleet/policyagent/agent_test.go
@@ -22,332 +22,332 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 var (
-	deciders = []string{"n0", "n1", "n2"}
-	short    = policy.Terms{Length: 900 * time.Millisecond, Short: 150 * time.Millisecond, Drift: 0.01}
+	voters     = []string{"n0", "n1", "n2"}
+	shortTerms = policy.Terms{Length: 900 * time.Millisecond, Short: 150 * time.Millisecond, Drift: 0.01}
 )
 
-// house is sidecars that call each other directly, unless a pair is cut or the call gets lost.
-type house struct {
+// cluster is sidecars that call each other directly, unless a pair is cut or the call gets lost.
+type cluster struct {
 	t     *testing.T
 	dir   string
 	terms policy.Terms
 
-	mu    sync.Mutex
-	rooms map[string]*Agent
-	lives map[string]uint64
-	cut   map[string]bool // cut off from all others
-	loss  float64
-	fault map[string]string // what a sidecar says of documents that begin with "bad"
-	begun time.Time
-	old   map[uint64]time.Duration // when a look that showed a policy began last
-	first map[uint64]time.Duration // when one that showed it ended first
-	stop  chan struct{}
-	over  sync.WaitGroup
+	mu           sync.Mutex
+	agents       map[string]*Agent
+	incarnations map[string]uint64
+	partitioned  map[string]bool // cut off from all others
+	lossRate     float64
+	faults       map[string]string // what a sidecar says of documents that begin with "bad"
+	begun        time.Time
+	lastServed   map[uint64]time.Duration // when a look that showed a policy began last
+	firstServed  map[uint64]time.Duration // when one that showed it ended first
+	stop         chan struct{}
+	observers    sync.WaitGroup
 }
 
-// door is a sidecar's way to the others.
-type door struct {
-	h    *house
-	name string
+// peer is a sidecar's way to the others.
+type peer struct {
+	cluster *cluster
+	name    string
 }
 
-var errCut = errors.New("cut off")
+var errPartitioned = errors.New("cut off")
 
-func (d door) Call(ctx context.Context, name string, text []byte) ([]byte, error) {
-	d.h.mu.Lock()
-	to, cut, lost := d.h.rooms[name], d.h.cut[name] || d.h.cut[d.name], rand.Float64() < d.h.loss
-	d.h.mu.Unlock()
+func (d peer) Call(ctx context.Context, name string, text []byte) ([]byte, error) {
+	d.cluster.mu.Lock()
+	to, cut, lost := d.cluster.agents[name], d.cluster.partitioned[name] || d.cluster.partitioned[d.name], rand.Float64() < d.cluster.lossRate
+	d.cluster.mu.Unlock()
 	if to == nil || cut || lost {
 		select {
 		case <-ctx.Done():
 		case <-time.After(20 * time.Millisecond):
 		}
-		return nil, errCut
+		return nil, errPartitioned
 	}
 	return to.Call(ctx, text)
 }
 
-func newHouse(t *testing.T, sidecars int) *house {
-	h := &house{t: t, dir: t.TempDir(), terms: short, rooms: map[string]*Agent{}, lives: map[string]uint64{}, cut: map[string]bool{}, fault: map[string]string{},
-		begun: time.Now(), old: map[uint64]time.Duration{}, first: map[uint64]time.Duration{}, stop: make(chan struct{})}
+func newCluster(t *testing.T, sidecars int) *cluster {
+	c := &cluster{t: t, dir: t.TempDir(), terms: shortTerms, agents: map[string]*Agent{}, incarnations: map[string]uint64{}, partitioned: map[string]bool{}, faults: map[string]string{},
+		begun: time.Now(), lastServed: map[uint64]time.Duration{}, firstServed: map[uint64]time.Duration{}, stop: make(chan struct{})}
 	for i := range sidecars {
-		h.start(fmt.Sprint("n", i), false)
+		c.start(fmt.Sprint("n", i), false)
 	}
 	t.Cleanup(func() {
-		close(h.stop)
-		h.over.Wait()
-		for name := range h.lives {
-			h.end(name)
+		close(c.stop)
+		c.observers.Wait()
+		for name := range c.incarnations {
+			c.kill(name)
 		}
 	})
-	return h
+	return c
 }
 
-func (h *house) start(name string, serveOn bool) {
-	h.t.Helper()
-	h.mu.Lock()
-	h.lives[name]++
-	life := h.lives[name]
-	h.mu.Unlock()
-	set := Settings{Name: name, Life: life, Deciders: deciders, First: []byte("first"), Folder: filepath.Join(h.dir, name), Terms: h.terms, ServeOn: serveOn,
+func (c *cluster) start(name string, serveOn bool) {
+	c.t.Helper()
+	c.mu.Lock()
+	c.incarnations[name]++
+	life := c.incarnations[name]
+	c.mu.Unlock()
+	set := Settings{Name: name, Incarnation: life, Voters: voters, InitialPolicy: []byte("first"), Folder: filepath.Join(c.dir, name), Terms: c.terms, ServeWithoutLease: serveOn,
 		Check: func(_ uint64, text []byte) string {
-			if h.mu.Lock(); strings.HasPrefix(string(text), "bad") {
-				defer h.mu.Unlock()
-				return h.fault[name]
+			if c.mu.Lock(); strings.HasPrefix(string(text), "bad") {
+				defer c.mu.Unlock()
+				return c.faults[name]
 			}
-			h.mu.Unlock()
+			c.mu.Unlock()
 			return ""
 		}}
-	c, err := Start(set, door{h, name}, slog.New(slog.DiscardHandler))
+	agent, err := Start(set, peer{c, name}, slog.New(slog.DiscardHandler))
 	if err != nil {
-		h.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.rooms[name] = c
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.agents[name] = agent
 	if serveOn {
 		return // what it serves without a promise is not held against the others
 	}
-	h.over.Add(1)
+	c.observers.Add(1)
 	go func() {
-		defer h.over.Done()
-		h.look(c)
+		defer c.observers.Done()
+		c.observe(agent)
 	}()
 }
 
-// look notes under what a sidecar serves, as a request would find it.
-func (h *house) look(c *Agent) {
+// observe notes under what a sidecar serves, as a request would find it.
+func (c *cluster) observe(agent *Agent) {
 	for {
 		select {
-		case <-h.stop:
+		case <-c.stop:
 			return
-		case <-c.ctx.Done():
+		case <-agent.ctx.Done():
 			return
 		case <-time.After(time.Millisecond):
 		}
-		before := time.Since(h.begun)
-		number, _, ok := c.Serves()
-		after := time.Since(h.begun)
+		before := time.Since(c.begun)
+		number, _, ok := agent.Serves()
+		after := time.Since(c.begun)
 		if !ok {
 			continue
 		}
-		h.mu.Lock()
-		h.old[number] = max(h.old[number], before)
-		if at, seen := h.first[number]; !seen || after < at {
-			h.first[number] = after
+		c.mu.Lock()
+		c.lastServed[number] = max(c.lastServed[number], before)
+		if at, seen := c.firstServed[number]; !seen || after < at {
+			c.firstServed[number] = after
 		}
-		h.mu.Unlock()
+		c.mu.Unlock()
 	}
 }
 
-func (h *house) end(name string) {
-	h.mu.Lock()
-	c := h.rooms[name]
-	delete(h.rooms, name)
-	h.mu.Unlock()
-	if c != nil {
-		c.Close()
+func (c *cluster) kill(name string) {
+	c.mu.Lock()
+	agent := c.agents[name]
+	delete(c.agents, name)
+	c.mu.Unlock()
+	if agent != nil {
+		agent.Close()
 	}
 }
 
-func (h *house) room(name string) *Agent {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.rooms[name]
+func (c *cluster) agent(name string) *Agent {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.agents[name]
 }
 
-func (h *house) set(do func()) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (c *cluster) locked(do func()) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	do()
 }
 
-// apart fails where two policies were served at once.
-func (h *house) apart() {
-	h.t.Helper()
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for number, last := range h.old {
-		for next, at := range h.first {
+// checkNoOverlap fails where two policies were served at once.
+func (c *cluster) checkNoOverlap() {
+	c.t.Helper()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for number, last := range c.lastServed {
+		for next, at := range c.firstServed {
 			if next > number && at < last {
-				h.t.Errorf("policy %d was served until %v, and %d from %v on", number, last, next, at)
+				c.t.Errorf("policy %d was served until %v, and %d from %v on", number, last, next, at)
 			}
 		}
 	}
 }
 
-func (h *house) until(what string, holds func() bool) {
-	h.t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(5 * time.Millisecond) {
+func (c *cluster) waitUntil(what string, holds func() bool) {
+	c.t.Helper()
+	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			h.t.Fatalf("never: %s", what)
+			c.t.Fatalf("never: %s", what)
 		}
 	}
 }
 
-// all tells whether these serve under a policy.
-func (h *house) all(number uint64, names ...string) bool {
+// allServe tells whether these serve under a policy.
+func (c *cluster) allServe(number uint64, names ...string) bool {
 	for _, name := range names {
-		if n, _, ok := h.room(name).Serves(); !ok || n != number {
+		if n, _, ok := c.agent(name).Serves(); !ok || n != number {
 			return false
 		}
 	}
 	return true
 }
 
-func (h *house) propose(at, id string, follows uint64, text string) policy.Outcome {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (c *cluster) propose(at, id string, follows uint64, text string) policy.Outcome {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	return h.room(at).Propose(ctx, policy.Proposal{ID: id, Author: "x", Follows: follows, Text: []byte(text)})
+	return c.agent(at).Propose(ctx, policy.Proposal{ID: id, Author: "x", Follows: follows, Text: []byte(text)})
 }
 
-var six = []string{"n0", "n1", "n2", "n3", "n4", "n5"}
+var sixNames = []string{"n0", "n1", "n2", "n3", "n4", "n5"}
 
-// TestChange: all well, a change proposed anywhere is in force everywhere, the next author who follows the former policy is told
+// TestChangeReachesAll: all well, a change proposed anywhere is in force everywhere, the next author who follows the former policy is told
 // so, one reasoned no refuses a change for all, and a document can be had again.
-func TestChange(t *testing.T) {
-	h := newHouse(t, 6)
-	h.until("all serve", func() bool { return h.all(1, six...) })
-	if o := h.propose("n4", "c1", 1, "second"); o.State != policy.InForce || o.Number != 2 {
+func TestChangeReachesAll(t *testing.T) {
+	c := newCluster(t, 6)
+	c.waitUntil("all serve", func() bool { return c.allServe(1, sixNames...) })
+	if o := c.propose("n4", "c1", 1, "second"); o.State != policy.InForce || o.Number != 2 {
 		t.Fatalf("%+v", o)
 	}
-	h.until("all serve under it", func() bool { return h.all(2, six...) })
-	if o := h.propose("n5", "c2", 1, "other"); o.State != policy.Refused || !strings.Contains(o.Reason, "2 is in force") {
+	c.waitUntil("all serve under it", func() bool { return c.allServe(2, sixNames...) })
+	if o := c.propose("n5", "c2", 1, "other"); o.State != policy.Refused || !strings.Contains(o.Reason, "2 is in force") {
 		t.Errorf("%+v of one that follows the former policy", o)
 	}
-	h.set(func() { h.fault["n3"] = "class x has no effect" })
-	if o := h.propose("n0", "c3", 2, "bad"); o.State != policy.Refused || !strings.Contains(o.Reason, "n3: class x has no effect") {
+	c.locked(func() { c.faults["n3"] = "class x has no effect" })
+	if o := c.propose("n0", "c3", 2, "bad"); o.State != policy.Refused || !strings.Contains(o.Reason, "n3: class x has no effect") {
 		t.Errorf("%+v, one says no", o)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	if o := h.room("n5").Outcome(ctx, "c1"); o.State != policy.InForce {
+	if o := c.agent("n5").Outcome(ctx, "c1"); o.State != policy.InForce {
 		t.Errorf("asked again: %+v", o)
 	}
 	for number, want := range map[uint64]string{0: "second", 1: "first", 2: "second"} {
-		if d, err := h.room("n4").Document(ctx, number); err != nil || string(d.Text) != want {
+		if d, err := c.agent("n4").Document(ctx, number); err != nil || string(d.Text) != want {
 			t.Errorf("document %d: %q, error %v", number, d.Text, err)
 		}
 	}
-	s := h.room("n3").Status(ctx)
-	if s.Serves != 2 || len(s.Deciders) != 3 || len(s.Silent) != 0 || s.Waived {
+	s := c.agent("n3").Status(ctx)
+	if s.Serves != 2 || len(s.Voters) != 3 || len(s.Unresponsive) != 0 || s.WithoutLease {
 		t.Errorf("%+v", s)
 	}
-	h.apart()
+	c.checkNoOverlap()
 }
 
-// TestCutOff: a sidecar that is cut off during a change stops by itself before the others begin with the new policy, and serves
+// TestPartitionedSidecar: a sidecar that is cut off during a change stops by itself before the others begin with the new policy, and serves
 // again once it has learnt it. One that was told to serve on goes on, and says so.
-func TestCutOff(t *testing.T) {
-	h := newHouse(t, 5)
-	h.start("n5", true)
-	h.until("all serve", func() bool { return h.all(1, six...) })
-	h.set(func() { h.cut["n4"], h.cut["n5"] = true, true })
-	if o := h.propose("n3", "c1", 1, "second"); o.State != policy.InForce {
+func TestPartitionedSidecar(t *testing.T) {
+	c := newCluster(t, 5)
+	c.start("n5", true)
+	c.waitUntil("all serve", func() bool { return c.allServe(1, sixNames...) })
+	c.locked(func() { c.partitioned["n4"], c.partitioned["n5"] = true, true })
+	if o := c.propose("n3", "c1", 1, "second"); o.State != policy.InForce {
 		t.Fatalf("%+v", o)
 	}
-	h.until("the others serve under it", func() bool { return h.all(2, six[:4]...) })
-	if _, _, ok := h.room("n4").Serves(); ok {
+	c.waitUntil("the others serve under it", func() bool { return c.allServe(2, sixNames[:4]...) })
+	if _, _, ok := c.agent("n4").Serves(); ok {
 		t.Error("one that is cut off serves on")
 	}
-	if n, _, ok := h.room("n5").Serves(); !ok || n != 1 {
+	if n, _, ok := c.agent("n5").Serves(); !ok || n != 1 {
 		t.Errorf("one that is to serve on: %d, %v", n, ok)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	if s := h.room("n5").Status(ctx); !s.Waived || len(s.Silent) != 3 {
+	if s := c.agent("n5").Status(ctx); !s.WithoutLease || len(s.Unresponsive) != 3 {
 		t.Errorf("%+v", s)
 	}
-	h.set(func() { clear(h.cut) })
-	h.until("all serve under it", func() bool { return h.all(2, six...) })
-	h.apart()
+	c.locked(func() { clear(c.partitioned) })
+	c.waitUntil("all serve under it", func() bool { return c.allServe(2, sixNames...) })
+	c.checkNoOverlap()
 }
 
-// TestDecidersLost: with one of three deciders lost changes go on; with two, serving ends when the promise does, and goes on when
+// TestVotersLost: with one of three deciders lost changes go on; with two, serving ends when the promise does, and goes on when
 // they come back with their folders. What was in force is.
-func TestDecidersLost(t *testing.T) {
-	h := newHouse(t, 5)
-	five := six[:5]
-	h.until("all serve", func() bool { return h.all(1, five...) })
-	h.end("n0")
-	if o := h.propose("n4", "c1", 1, "second"); o.State != policy.InForce {
+func TestVotersLost(t *testing.T) {
+	c := newCluster(t, 5)
+	five := sixNames[:5]
+	c.waitUntil("all serve", func() bool { return c.allServe(1, five...) })
+	c.kill("n0")
+	if o := c.propose("n4", "c1", 1, "second"); o.State != policy.InForce {
 		t.Fatalf("with one lost: %+v", o)
 	}
-	h.end("n1")
-	h.until("promises end", func() bool { _, _, ok := h.room("n4").Serves(); return !ok })
+	c.kill("n1")
+	c.waitUntil("promises end", func() bool { _, _, ok := c.agent("n4").Serves(); return !ok })
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	if o := h.room("n4").Propose(ctx, policy.Proposal{ID: "c2", Follows: 2, Text: []byte("third")}); o.State == policy.InForce || o.State == policy.Refused {
+	if o := c.agent("n4").Propose(ctx, policy.Proposal{ID: "c2", Follows: 2, Text: []byte("third")}); o.State == policy.InForce || o.State == policy.Refused {
 		t.Errorf("with two lost: %+v", o)
 	}
-	h.start("n0", false)
-	h.start("n1", false)
-	h.until("all serve", func() bool { return h.all(2, five...) || h.all(3, five...) })
-	h.apart()
+	c.start("n0", false)
+	c.start("n1", false)
+	c.waitUntil("all serve", func() bool { return c.allServe(2, five...) || c.allServe(3, five...) })
+	c.checkNoOverlap()
 }
 
-// TestUnderFaults proposes one change after another while messages get lost and sidecars, deciders too, are cut off and started anew.
-func TestUnderFaults(t *testing.T) {
-	h := newHouse(t, 6)
-	h.until("all serve", func() bool { return h.all(1, six...) })
-	h.set(func() { h.loss = 0.15 })
+// TestChangesUnderFaults proposes one change after another while messages get lost and sidecars, deciders too, are cut off and started anew.
+func TestChangesUnderFaults(t *testing.T) {
+	c := newCluster(t, 6)
+	c.waitUntil("all serve", func() bool { return c.allServe(1, sixNames...) })
+	c.locked(func() { c.lossRate = 0.15 })
 	rng := rand.New(rand.NewPCG(1, 2))
 	now := uint64(1)
 	for i := range 6 {
-		who := six[rng.IntN(len(six))]
+		who := sixNames[rng.IntN(len(sixNames))]
 		switch rng.IntN(3) {
 		case 0:
-			h.set(func() { h.cut[who] = true })
+			c.locked(func() { c.partitioned[who] = true })
 		case 1:
-			h.end(who)
-			h.start(who, false)
+			c.kill(who)
+			c.start(who, false)
 		}
-		at := six[rng.IntN(len(six))]
+		at := sixNames[rng.IntN(len(sixNames))]
 		if at == who {
-			at = six[(rng.IntN(len(six)-1)+1+int(who[1]-'0'))%len(six)]
+			at = sixNames[(rng.IntN(len(sixNames)-1)+1+int(who[1]-'0'))%len(sixNames)]
 		}
-		if o := h.propose(at, fmt.Sprint("c", i), now, fmt.Sprint("text ", i)); o.State != policy.InForce {
+		if o := c.propose(at, fmt.Sprint("c", i), now, fmt.Sprint("text ", i)); o.State != policy.InForce {
 			t.Errorf("change %d, proposed at %s with faults at %s: %+v", i, at, who, o)
 		} else {
 			now = o.Number
 		}
-		h.set(func() { clear(h.cut) })
+		c.locked(func() { clear(c.partitioned) })
 	}
-	h.set(func() { h.loss = 0 })
-	h.until("all serve under the last", func() bool { return h.all(now, six...) })
-	h.apart()
+	c.locked(func() { c.lossRate = 0 })
+	c.waitUntil("all serve under the last", func() bool { return c.allServe(now, sixNames...) })
+	c.checkNoOverlap()
 }
 
-var sizes = flag.String("policyagent.sizes", "", "numbers of sidecars, by commas, that TestFigures times changes at")
+var sizesFlag = flag.String("policyagent.sizes", "", "numbers of sidecars, by commas, that TestChangeDurations times changes at")
 
-// TestFigures prints how long changes take, from proposing to in force, with the usual promise: all well, with one of ten sidecars
+// TestChangeDurations prints how long changes take, from proposing to in force, with the usual promise: all well, with one of ten sidecars
 // silent, and with a fifth of all calls lost.
-func TestFigures(t *testing.T) {
-	if *sizes == "" {
+func TestChangeDurations(t *testing.T) {
+	if *sizesFlag == "" {
 		t.Skip("no sizes are named by -policyagent.sizes")
 	}
-	for _, text := range strings.Split(*sizes, ",") {
+	for _, text := range strings.Split(*sizesFlag, ",") {
 		n, err := strconv.Atoi(text)
 		if err != nil || n < 10 {
 			t.Fatalf("size %q", text)
 		}
-		h := newHouse(t, 0)
-		h.terms = policy.DefaultTerms
+		c := newCluster(t, 0)
+		c.terms = policy.DefaultTerms
 		var all []string
 		for i := range n {
 			all = append(all, fmt.Sprint("n", i))
-			h.start(all[i], false)
+			c.start(all[i], false)
 		}
-		h.until("all serve", func() bool { return h.all(1, all...) })
+		c.waitUntil("all serve", func() bool { return c.allServe(1, all...) })
 		now := uint64(1)
 		change := func(what string, by string) {
 			var took []time.Duration
 			for i := range 5 {
 				begun := time.Now()
-				o := h.propose(by, fmt.Sprint(what, i), now, fmt.Sprint(what, " text ", i))
+				o := c.propose(by, fmt.Sprint(what, i), now, fmt.Sprint(what, " text ", i))
 				took = append(took, time.Since(begun).Round(10*time.Millisecond))
 				if o.State != policy.InForce {
 					t.Fatalf("%d sidecars, %s: %+v", n, what, o)
@@ -358,33 +358,33 @@
 			t.Logf("%d sidecars, %s: %v to %v, median %v", n, what, took[0], took[len(took)-1], took[len(took)/2])
 		}
 		change("all well", "n3")
-		h.set(func() { h.loss = 0.2 })
+		c.locked(func() { c.lossRate = 0.2 })
 		change("a fifth of the calls lost", "n4")
-		h.set(func() {
-			h.loss = 0
+		c.locked(func() {
+			c.lossRate = 0
 			for i := 3; i < n; i += 10 {
-				h.cut[all[i]] = true
+				c.partitioned[all[i]] = true
 			}
 		})
 		change("one of ten silent", "n4") // the first of them finds promises that are waited for
-		h.apart()
+		c.checkNoOverlap()
 		for _, name := range all {
-			h.end(name)
+			c.kill(name)
 		}
 	}
 }
 
-// TestRaisedLife has the fleet come to a higher life of a sidecar, and then be told of a lower one: it asks under the
+// TestRaisedIncarnation has the fleet come to a higher life of a sidecar, and then be told of a lower one: it asks under the
 // highest.
-func TestRaisedLife(t *testing.T) {
-	h := newHouse(t, 1)
-	c := h.room("n0")
+func TestRaisedIncarnation(t *testing.T) {
+	c := newCluster(t, 1)
+	agent := c.agent("n0")
 	for _, life := range []uint64{7, 5} {
-		c.Raise(life)
-		c.mu.Lock()
-		if got := c.holder.Request().Incarnation; got != 7 {
+		agent.RaiseIncarnation(life)
+		agent.mu.Lock()
+		if got := agent.holder.Request().Incarnation; got != 7 {
 			t.Errorf("it asks under life %d, want 7", got)
 		}
-		c.mu.Unlock()
+		agent.mu.Unlock()
 	}
 }
