--- a/internal/fleet/policy/holder.go
+++ b/internal/fleet/policy/holder.go
@@ -2,76 +2,96 @@
 
 import "time"
 
-// Holder is a sidecar's side of the promises: under which policy it may take a request now, if under any.
+// renewalPollInterval is how soon a request that waits for a late renewal looks again.
+const renewalPollInterval = 5 * time.Millisecond
+
+// Holder is a sidecar's side of the leases: under which policy, if any, it may take a request now. It isn't safe for
+// concurrent use.
 type Holder struct {
 	name        string
 	incarnation uint64
 	terms       Terms
-	latest      Stamp
-	checked     uint64
-	fault       string
+	latest      Stamp           // of the latest response applied
+	checked     uint64          // document checked last
+	fault       string          // why that one cannot run; "": it can
 	runnable    map[uint64]bool // documents that it can run
-	number      uint64
+	number      uint64          // policy leased; 0: none
 	expiry      Time
-	next        uint64
+	next        uint64 // policy leased after that; 0: none
 	nextStart   Time
-	nextExpiry  Time // of next
+	nextExpiry  Time
 }
 
-// NewHolder returns the side of a process that has nothing yet, and so serves nothing.
-func NewHolder(name string, life uint64, t Terms) *Holder {
-	return &Holder{name: name, incarnation: life, terms: t, runnable: map[uint64]bool{}}
+// NewHolder returns the side of a process that has no lease and no document yet, and so serves nothing.
+func NewHolder(name string, incarnation uint64, terms Terms) *Holder {
+	return &Holder{name: name, incarnation: incarnation, terms: terms, runnable: map[uint64]bool{}}
 }
 
-// RaiseIncarnation says that the fleet has come to a higher life of this process: what is asked under a lower one than a former
-// process had is not answered. What was promised under the lower one goes on counting.
-func (h *Holder) RaiseIncarnation(life uint64) { h.incarnation = max(h.incarnation, life) }
+// RaiseIncarnation takes the incarnation that the fleet has given to this process, if that is higher than its own. A
+// request under a lower one than a former process had is not answered. Leases under the lower one stay valid.
+func (h *Holder) RaiseIncarnation(incarnation uint64) {
+	h.incarnation = max(h.incarnation, incarnation)
+}
 
-// Request returns the question to be sent now. The host notes the time: the promise counts from it.
+// Request returns what is to be sent to the leader now. The host notes the time of sending for Update.
 func (h *Holder) Request() LeaseRequest {
-	return LeaseRequest{Sidecar: h.name, Incarnation: h.incarnation, Latest: h.latest, Checked: h.checked, Fault: h.fault}
+	return LeaseRequest{
+		Sidecar:     h.name,
+		Incarnation: h.incarnation,
+		Latest:      h.latest,
+		Checked:     h.checked,
+		Fault:       h.fault,
+	}
 }
 
-// Checked takes in that a document was read whole with the code that runs it; fault says what is wrong with it, "" nothing.
+// Checked records that a document was checked completely by the code that runs it. fault says why it cannot run here,
+// "" that it can.
 func (h *Holder) Checked(number uint64, fault string) {
 	h.checked, h.fault = number, fault
 	if fault == "" {
 		h.runnable[number] = true
 	}
-	for n := range h.runnable { // what is neither served nor to come is of no use
+	for n := range h.runnable {
 		if n != h.number && n != h.next && n != h.checked {
 			delete(h.runnable, n)
 		}
 	}
 }
 
-// Update takes in an answer to the question that was sent at a time. It returns a document that is to be got and checked, 0
-// where there is none. Danger: answers come late and in any order; a later one, which may promise less, has come already.
-func (h *Holder) Update(now, sent Time, g LeaseResponse) (check uint64) {
-	if g.Stamp.Compare(h.latest) <= 0 {
+// Update applies the response to a request that was sent at a time, and returns the number of a document that is to be
+// fetched and checked, 0 for none. Responses may come late and in any order; one that is older than the latest applied
+// changes nothing, as a later one may have leased less.
+func (h *Holder) Update(now, sent Time, response LeaseResponse) (check uint64) {
+	if response.Stamp.Compare(h.latest) <= 0 {
 		return 0
 	}
-	h.latest = g.Stamp
-	h.number, h.expiry, h.next, h.nextExpiry = g.Number, sent+h.terms.lowerBound(g.Duration), 0, 0
-	if g.Next > 0 {
-		// It ends the one at the earliest and begins the other at the latest that the switch can be.
-		h.expiry = min(h.expiry, sent+h.terms.lowerBound(g.NextIn))
-		h.next, h.nextStart, h.nextExpiry = g.Next, now+h.terms.upperBound(g.NextIn), sent+h.terms.lowerBound(g.NextIn+g.NextDuration)
+	h.latest = response.Stamp
+	h.number, h.expiry = response.Number, sent+h.terms.lowerBound(response.Duration)
+	h.next, h.nextStart, h.nextExpiry = 0, 0, 0
+	if response.Next > 0 {
+		// The switch comes at one time by the leader's clock. By this clock the lease on the former policy ends at the
+		// earliest, and the next one begins at the latest, that this can be.
+		h.expiry = min(h.expiry, sent+h.terms.lowerBound(response.NextIn))
+		h.next, h.nextStart = response.Next, now+h.terms.upperBound(response.NextIn)
+		h.nextExpiry = sent + h.terms.lowerBound(response.NextIn+response.NextDuration)
 	}
 	switch {
-	case g.Number > 0 && !h.runnable[g.Number]:
-		return g.Number
-	case g.Next > 0 && !h.runnable[g.Next]:
-		return g.Next
-	case g.Check > h.checked:
-		return g.Check
+	case response.Number > 0 && !h.runnable[response.Number]:
+		return response.Number
+	case response.Next > 0 && !h.runnable[response.Next]:
+		return response.Next
+	case response.Check > h.checked:
+		return response.Check
 	}
 	return 0
 }
 
-// Serves tells under which policy a request may be taken now. Danger: the time must be read before each request, behind
-// whatever may have stopped the process. wait is after what time a request is to ask again, where that is worth its while: the next
-// policy is about to begin, or a promise has run out just now, and the answer that prolongs it is late.
+// Serves returns the number of the policy under which a request may be taken now, if ok. Otherwise wait is after what
+// time the request should ask again, 0 if it should not wait: either the lease on the next policy is about to begin, or
+// a lease has just expired and its renewal is late.
+//
+// The host must read the clock anew for each request, after anything that may have stopped the process, as a lease may
+// have expired meanwhile.
 func (h *Holder) Serves(now Time) (number uint64, wait time.Duration, ok bool) {
 	switch {
 	case h.number > 0 && now < h.expiry && h.runnable[h.number]:
@@ -85,6 +105,3 @@
 	}
 	return 0, 0, false
 }
-
-// renewalPollInterval is how soon a request that waits for a late answer asks again.
-const renewalPollInterval = 5 * time.Millisecond
--- a/internal/fleet/policy/lease_table.go
+++ b/internal/fleet/policy/lease_table.go
@@ -1,85 +1,16 @@
 package policy
 
 import (
-	"cmp"
-	"fmt"
 	"maps"
 	"slices"
 	"time"
 )
 
-// Time is a reading of the host's monotonic clock.
-type Time = time.Duration
-
-// Terms are what the operator chose, the same on all sidecars.
-type Terms struct {
-	// Length of a promise: for so long one that is cut off serves on, and for so long at most a change waits for it.
-	Length time.Duration
-	// Short is the length while a change is about to switch.
-	Short time.Duration
-	// Drift is by what share the clocks of two sidecars may run apart.
-	Drift float64
-}
-
-// DefaultTerms are those where the operator's file says nothing.
-var DefaultTerms = Terms{Length: 3 * time.Second, Short: 300 * time.Millisecond, Drift: 0.01}
-
-// Check says what is wrong with the terms.
-func (t Terms) Check() error {
-	switch {
-	case t.Short < 50*time.Millisecond || t.Length < 2*t.Short:
-		return fmt.Errorf("a promise of %v, of %v while a change switches: 50ms, and twice that, are the least", t.Length, t.Short)
-	case t.Drift < 0 || t.Drift > 0.1:
-		return fmt.Errorf("clocks that run apart by %v: 0 to 0.1 are allowed", t.Drift)
-	}
-	return nil
-}
-
-// upperBound is a time as it may be by another's clock, and shorter the same the other way.
-func (t Terms) upperBound(d time.Duration) time.Duration {
-	return time.Duration(float64(d)*(1+t.Drift)) + 1
-}
-
-func (t Terms) lowerBound(d time.Duration) time.Duration {
-	return max(time.Duration(float64(d)/(1+t.Drift))-1, 0)
-}
-
-// Stamp orders the answers of leaders: those of a later term are later.
-type Stamp struct {
-	Term  uint64 `cbor:"1,keyasint"`
-	Count uint64 `cbor:"2,keyasint"`
-}
-
-// Compare orders stamps.
-func (s Stamp) Compare(o Stamp) int {
-	return cmp.Or(cmp.Compare(s.Term, o.Term), cmp.Compare(s.Count, o.Count))
-}
-
-// LeaseRequest is what a sidecar asks the leader.
-type LeaseRequest struct {
-	Sidecar     string `cbor:"1,keyasint"`
-	Incarnation uint64 `cbor:"2,keyasint"` // of its process: what was promised to a former one is nothing to it
-	Latest      Stamp  `cbor:"3,keyasint"` // the last answer that it has taken in
-	Checked     uint64 `cbor:"4,keyasint"` // the last document that it has, and has checked whole
-	Fault       string `cbor:"5,keyasint"` // what is wrong with that one; "": nothing
-}
-
-// LeaseResponse is the leader's answer. The times are lengths, to be counted from the question or from the answer.
-type LeaseResponse struct {
-	Stamp        Stamp         `cbor:"1,keyasint"`
-	Number       uint64        `cbor:"2,keyasint"` // to serve under; 0: nothing is promised
-	Duration     time.Duration `cbor:"3,keyasint"`
-	Next         uint64        `cbor:"4,keyasint"` // to serve under after that; 0: that is not known
-	NextIn       time.Duration `cbor:"5,keyasint"` // Next's begin
-	NextDuration time.Duration `cbor:"6,keyasint"` // and its length
-	Check        uint64        `cbor:"7,keyasint"` // a document to be got and checked; 0: none
-}
-
-// grantedLease is a promise that a sidecar may hold.
+// grantedLease is a lease that a sidecar may hold. Its response may have been lost.
 type grantedLease struct {
 	incarnation uint64
 	stamp       Stamp
-	expiry      Time // at the latest, by the leader's clock
+	expiry      Time // latest, by the leader's clock
 }
 
 // leaseHolder is what the leader knows of a sidecar.
@@ -89,169 +20,223 @@
 	checked     uint64
 }
 
-// LeaseTable is the leader's side of the promises. It begins with its term and ends with it.
-type LeaseTable struct {
-	terms            Terms
-	stamp            Stamp
-	earlierLeasesEnd Time // until then promises of its forerunners may last
-	holders          map[string]*leaseHolder
-	lastWritten      Entry // the last one that it has asked for, and when
-	lastWrittenAt    Time
-	switchNumber     uint64
-	minApplied       uint64 // entries of the log that it has gone by
-	switchAt         Time   // the switch: no promise under the former policy lasts longer; 0: not fixed
+// expire drops the leases that are over.
+func (h *leaseHolder) expire(now Time) {
+	h.leases = slices.DeleteFunc(h.leases, func(lease grantedLease) bool { return lease.expiry <= now })
 }
 
-// NewLeaseTable returns the leader's side for a term that begins now.
-func NewLeaseTable(now Time, term uint64, t Terms) *LeaseTable {
-	return &LeaseTable{terms: t, stamp: Stamp{Term: term}, earlierLeasesEnd: now + t.upperBound(t.Length), holders: map[string]*leaseHolder{}}
+// supersede drops the leases that a later response, which the same process has applied, took the place of.
+func (h *leaseHolder) supersede(incarnation uint64, latest Stamp) {
+	h.leases = slices.DeleteFunc(h.leases, func(lease grantedLease) bool {
+		return lease.incarnation == incarnation && lease.stamp.Compare(latest) < 0
+	})
 }
 
-// Renew answers a sidecar. write is what is to go into the log. Danger: the host must know by a majority, asked after the question
-// came, that no other term has begun, and l must be what the log comes to at that point at least (Raft's read index);
-// what a deposed leader promised later would be known to nobody.
-func (g *LeaseTable) Renew(now Time, l *Ledger, q LeaseRequest) (a LeaseResponse, write []Entry) {
-	// Danger: a question that was confirmed and then lay about, with what the log came to by then, would be answered by what
-	// this leader has long gone beyond.
-	if l.applied < g.minApplied {
+// LeaseTable is the leader's side of the leases. It is made when the leader's Raft term begins and dropped when that
+// ends; it knows of the leases of earlier leaders only by when the last of them is over. It isn't safe for concurrent
+// use.
+type LeaseTable struct {
+	terms            Terms
+	stamp            Stamp // of the last response
+	earlierLeasesEnd Time  // until then leases of earlier leaders may last
+	holders          map[string]*leaseHolder
+	lastWritten      Entry // returned last, to be written
+	lastWrittenAt    Time
+	minApplied       uint64 // entries in the latest ledger that was used
+	switchNumber     uint64 // policy whose switch is fixed
+	switchAt         Time   // no lease on its predecessor lasts longer
+}
+
+// NewLeaseTable returns the leader's side for a Raft term that begins now.
+func NewLeaseTable(now Time, term uint64, terms Terms) *LeaseTable {
+	return &LeaseTable{
+		terms:            terms,
+		stamp:            Stamp{Term: term},
+		earlierLeasesEnd: now + terms.upperBound(terms.Length),
+		holders:          map[string]*leaseHolder{},
+	}
+}
+
+// Renew answers a sidecar. The entries are to be written to the log. An empty response grants nothing.
+//
+// Before each call the host must have confirmed with a majority, asked after the request came, that no later Raft term
+// has begun, and l must hold at least the entries committed by then (Raft's ReadIndex). Otherwise a leader that was
+// deposed could give a lease after its successor has begun to count the earlier ones.
+func (t *LeaseTable) Renew(now Time, l *Ledger, request LeaseRequest) (response LeaseResponse, write []Entry) {
+	// A request may be answered long after it was confirmed, with the ledger of that time. By it the sidecar would get a
+	// lease that this leader no longer counts with.
+	if l.applied < t.minApplied {
 		return LeaseResponse{}, nil
 	}
-	g.minApplied = l.applied
-	s := g.holders[q.Sidecar]
-	if s == nil {
-		s = &leaseHolder{}
-		g.holders[q.Sidecar] = s
+	t.minApplied = l.applied
+	holder := t.updateHolder(now, request)
+	if holder == nil {
+		return LeaseResponse{}, nil
 	}
-	if q.Incarnation < s.incarnation {
-		return LeaseResponse{}, nil // a former process
+	t.stamp.Count++
+	response = LeaseResponse{Stamp: t.stamp}
+	if pending := l.Pending(); pending != nil {
+		if request.Checked != pending.Number {
+			response.Check = pending.Number
+		} else if request.Fault != "" && pending.State == Proposed {
+			write = append(write, Entry{Refuse: &Refusal{pending.Number, request.Sidecar + ": " + request.Fault}})
+		}
 	}
-	if q.Incarnation > s.incarnation { // Danger: the former one may live on for a while: what it was promised goes on counting
-		s.incarnation, s.checked = q.Incarnation, 0
+	// A sidecar that cannot run the policy in force serves nothing. With a lease, all changes would wait until it had
+	// checked them, also the one that lets it serve again.
+	if request.Fault != "" && request.Checked == l.InForce().Number {
+		return response, write
 	}
-	s.leases = slices.DeleteFunc(s.leases, func(p grantedLease) bool {
-		return p.incarnation == q.Incarnation && p.stamp.Compare(q.Latest) < 0 || p.expiry <= now
-	})
-	s.checked = max(s.checked, q.Checked)
-	g.stamp.Count++
-	a = LeaseResponse{Stamp: g.stamp}
-	p := l.Pending()
-	if p != nil && q.Checked == p.Number && q.Fault != "" && p.State == Proposed {
-		write = append(write, Entry{Refuse: &Refusal{p.Number, q.Sidecar + ": " + q.Fault}})
-	}
-	if p != nil && q.Checked != p.Number {
-		a.Check = p.Number
+	t.grant(&response, now, l)
+	if response.Duration <= 0 && response.Next == 0 {
+		response.Number = 0
+		return response, write
 	}
-	// Danger: one whose build cannot run what is in force serves nothing; were it promised anything, all changes would
-	// wait for its word, the one that lets it serve again among them.
-	if q.Fault != "" && q.Checked == l.InForce().Number {
-		return a, write
+	longest := response.Duration
+	if response.Next > 0 {
+		longest = response.NextIn + response.NextDuration
 	}
-	switch {
-	case p == nil || p.State == Proposed:
-		a.Number, a.Duration = l.InForce().Number, g.terms.Length
-	case p.State == Committed && g.switchTime(p) == 0:
-		a.Number, a.Duration = l.InForce().Number, g.terms.Short
-	case p.State == Committed: // the switch is on its way into the log
-		a.Number, a.Duration = l.InForce().Number, max(g.switchAt-now, 0)
-	case g.switchTime(p) == 0: // its forerunner has promised the next one, from a time that nobody knows
-		if now >= g.earlierLeasesEnd {
-			g.switchNumber, g.switchAt = p.Number, now
-		}
+	expiry := now + t.terms.upperBound(longest)
+	holder.leases = append(holder.leases, grantedLease{request.Incarnation, response.Stamp, expiry})
+	return response, write
+}
+
+// updateHolder applies what a request says of its sidecar, and returns it, or nil if a later process has its name.
+func (t *LeaseTable) updateHolder(now Time, request LeaseRequest) *leaseHolder {
+	holder := t.holders[request.Sidecar]
+	if holder == nil {
+		holder = &leaseHolder{}
+		t.holders[request.Sidecar] = holder
 	}
-	if p != nil && p.State == Switching && g.switchTime(p) > 0 {
-		a.Number, a.Duration = l.InForce().Number, max(g.switchAt-now, 0)
-		a.Next, a.NextIn = p.Number, max(g.switchAt-now, 0)
-		a.NextDuration = g.terms.Length - a.NextIn // Danger: no promise may outlast what the next leader waits for
+	if request.Incarnation < holder.incarnation {
+		return nil
 	}
-	if a.Duration <= 0 && a.Next == 0 {
-		a.Number = 0
-		return a, write
+	if request.Incarnation > holder.incarnation {
+		// The leases of the former process stay: it may still be serving.
+		holder.incarnation, holder.checked = request.Incarnation, 0
 	}
-	end := now + g.terms.upperBound(a.Duration)
-	if a.Next > 0 {
-		end = now + g.terms.upperBound(a.NextIn+a.NextDuration)
+	holder.supersede(request.Incarnation, request.Latest)
+	holder.expire(now)
+	holder.checked = max(holder.checked, request.Checked)
+	return holder
+}
+
+// grant sets which policies a response leases, and for how long, as the state of the pending change allows.
+func (t *LeaseTable) grant(response *LeaseResponse, now Time, l *Ledger) {
+	pending, inForce := l.Pending(), l.InForce().Number
+	switch {
+	case pending == nil || pending.State == Proposed:
+		response.Number, response.Duration = inForce, t.terms.Length
+	case pending.State == Committed && t.switchTime(pending) == 0:
+		response.Number, response.Duration = inForce, t.terms.Short
+	case pending.State == Committed: // the entry that switches is being written
+		response.Number, response.Duration = inForce, max(t.switchAt-now, 0)
+	default:
+		t.grantSwitching(response, now, inForce, pending)
+	}
+}
+
+// grantSwitching leases the policy in force until the switch, and the pending one from then on.
+func (t *LeaseTable) grantSwitching(response *LeaseResponse, now Time, inForce uint64, pending *Pending) {
+	if t.switchTime(pending) == 0 {
+		// An earlier leader has leased the pending policy from a time that this one does not know.
+		if now < t.earlierLeasesEnd {
+			return
+		}
+		t.switchNumber, t.switchAt = pending.Number, now
 	}
-	s.leases = append(s.leases, grantedLease{q.Incarnation, a.Stamp, end})
-	return a, write
+	left := max(t.switchAt-now, 0)
+	response.Number, response.Duration = inForce, left
+	response.Next, response.NextIn = pending.Number, left
+	response.NextDuration = t.terms.Length - left // the next leader waits for Length, so no lease may last longer
 }
 
 // switchTime is when a change switches, as this leader has fixed it; 0: it has not.
-func (g *LeaseTable) switchTime(p *Pending) Time {
-	if g.switchNumber == p.Number {
-		return g.switchAt
+func (t *LeaseTable) switchTime(pending *Pending) Time {
+	if t.switchNumber == pending.Number {
+		return t.switchAt
 	}
 	return 0
 }
 
-// Tick returns what is to go into the log now.
-func (g *LeaseTable) Tick(now Time, l *Ledger) (write []Entry) {
-	g.minApplied = max(g.minApplied, l.applied)
-	for name, s := range g.holders {
-		s.leases = slices.DeleteFunc(s.leases, func(p grantedLease) bool { return p.expiry <= now })
-		if len(s.leases) == 0 {
-			delete(g.holders, name)
+// Tick returns the entries that are to be written to the log now. The host calls it many times while a lease lasts.
+func (t *LeaseTable) Tick(now Time, l *Ledger) (write []Entry) {
+	t.minApplied = max(t.minApplied, l.applied)
+	for name, holder := range t.holders {
+		holder.expire(now)
+		if len(holder.leases) == 0 {
+			delete(t.holders, name)
 		}
 	}
 	p := l.Pending()
-	if p == nil || now < g.earlierLeasesEnd { // until then it does not know who holds what
+	if p == nil || now < t.earlierLeasesEnd { // until then other sidecars may hold leases
 		return nil
 	}
 	switch p.State {
 	case Proposed:
-		for _, s := range g.holders {
-			if s.checked < p.Number {
-				return nil
-			}
+		if t.allChecked(p.Number) {
+			return t.writeOnce(now, Entry{Commit: p.Number})
 		}
-		return g.writeOnce(now, Entry{Commit: p.Number})
 	case Committed:
-		if g.switchTime(p) == 0 {
-			if last := g.lastExpiry(); last <= now+g.terms.upperBound(g.terms.Short) {
-				g.switchNumber, g.switchAt = p.Number, max(last, now+1)
+		if t.switchTime(p) == 0 {
+			if last := t.lastExpiry(); last <= now+t.terms.upperBound(t.terms.Short) {
+				t.switchNumber, t.switchAt = p.Number, max(last, now+1)
 			}
 		}
-		if g.switchTime(p) > 0 {
-			return g.writeOnce(now, Entry{Switch: p.Number})
+		if t.switchTime(p) > 0 {
+			return t.writeOnce(now, Entry{Switch: p.Number})
 		}
 	case Switching:
-		if g.switchTime(p) == 0 {
-			g.switchNumber, g.switchAt = p.Number, now
+		if t.switchTime(p) == 0 {
+			t.switchNumber, t.switchAt = p.Number, now
 		}
-		if now >= g.switchAt {
-			return g.writeOnce(now, Entry{InForce: p.Number})
+		if now >= t.switchAt {
+			return t.writeOnce(now, Entry{InForce: p.Number})
 		}
 	}
 	return nil
 }
 
-// lastExpiry is when the last promise is over.
-func (g *LeaseTable) lastExpiry() (end Time) {
-	for _, s := range g.holders {
-		for _, p := range s.leases {
-			end = max(end, p.expiry)
+// allChecked says whether every sidecar that holds a lease has checked a document completely.
+func (t *LeaseTable) allChecked(number uint64) bool {
+	for _, holder := range t.holders {
+		if holder.checked < number {
+			return false
 		}
 	}
-	return end
+	return true
 }
 
-// writeOnce returns an entry, and again only after some time: it may have got lost.
-func (g *LeaseTable) writeOnce(now Time, e Entry) []Entry {
-	if g.lastWritten == e && now-g.lastWrittenAt < g.terms.Short {
+// lastExpiry is when the last lease is over; 0: there is none.
+func (t *LeaseTable) lastExpiry() (last Time) {
+	for _, holder := range t.holders {
+		for _, lease := range holder.leases {
+			last = max(last, lease.expiry)
+		}
+	}
+	return last
+}
+
+// writeOnce returns an entry, and the same one again only after some time, as it may have been lost.
+func (t *LeaseTable) writeOnce(now Time, entry Entry) []Entry {
+	if t.lastWritten == entry && now-t.lastWrittenAt < t.terms.Short {
 		return nil
 	}
-	g.lastWritten, g.lastWrittenAt = e, now
-	return []Entry{e}
+	t.lastWritten, t.lastWrittenAt = entry, now
+	return []Entry{entry}
 }
 
-// Waiting lists the sidecars whose promises a change waits for, and how long at most.
-func (g *LeaseTable) Waiting(now Time, p Pending) (names []string, most time.Duration) {
-	for _, name := range slices.Sorted(maps.Keys(g.holders)) {
-		if s := g.holders[name]; s.checked < p.Number {
-			names = append(names, name)
-			for _, h := range s.leases {
-				most = max(most, h.expiry-now)
-			}
+// Waiting lists the sidecars that have not checked a pending change yet, and for how long it waits for them at most.
+func (t *LeaseTable) Waiting(now Time, pending Pending) (names []string, longest time.Duration) {
+	for _, name := range slices.Sorted(maps.Keys(t.holders)) {
+		holder := t.holders[name]
+		if holder.checked >= pending.Number {
+			continue
+		}
+		names = append(names, name)
+		for _, lease := range holder.leases {
+			longest = max(longest, lease.expiry-now)
 		}
 	}
-	return names, max(most, g.earlierLeasesEnd-now)
+	return names, max(longest, t.earlierLeasesEnd-now)
 }
--- a/internal/fleet/policy/ledger.go
+++ b/internal/fleet/policy/ledger.go
@@ -1,7 +1,14 @@
-// Package policy decides which policy of the fleet is in force, and who may serve under it. Its machines are stepped like
-// package balance: what is decided (Ledger) follows a log that the host keeps by consensus; who may serve when (Grants on
-// the leading decider, Holder on each sidecar) follows questions, answers and monotonic time. None has a clock, socket
-// or goroutine. The design and what it promises stand in docs/design/policy.md.
+// Package policy decides which policy of the fleet is in force, and which sidecars may serve under it.
+//
+// Ledger is the state that a replicated log comes to: the policy in force, the change that is under way, and the
+// outcomes of earlier ones. LeaseTable, on the leader of the voters, and Holder, on each sidecar, keep leases (Gray and
+// Cheriton, "Leases: an efficient fault-tolerant mechanism for distributed file cache consistency", SOSP 1989): a
+// sidecar takes requests only under a policy that it holds a lease on, and a change comes into force when no lease on
+// the former policy can be valid any more. So no two sidecars serve under different policies at one time.
+//
+// All three are stepped by their host, which passes messages, log entries and readings of a monotonic clock. None has a
+// clock, a socket or a goroutine, and none may be used by two goroutines at once. Clocks of different hosts are never
+// compared; they need to run at the same rate within Terms.Drift. docs/design/policy.md has the design.
 package policy
 
 import (
@@ -9,86 +16,85 @@
 	"encoding/hex"
 	"fmt"
 	"slices"
-
-	"github.com/fxamacker/cbor/v2"
 )
 
-// The bounds of what a Ledger holds.
+// Limits of what a Ledger holds.
 const (
-	MaxDocumentBytes   = 1 << 20 // bytes of a document
-	maxIDBytes         = 64      // bytes of a proposal's id, and of its author's name
-	maxReasonBytes     = 1024    // bytes of why it was refused
-	maxOutcomes        = 1024    // answers that can be asked for again
-	maxFormerDocuments = 16      // earlier documents that can be gone back to
-	maxFormerBytes     = 2 << 20 // of these together, so that all that a ledger holds goes into one message
+	MaxDocumentBytes   = 1 << 20 // of a document
+	maxIDBytes         = 64      // of a proposal's id, and of its author's name
+	maxReasonBytes     = 1024    // of why a proposal was refused
+	maxOutcomes        = 1024    // of ended changes
+	maxFormerDocuments = 16      // that can be proposed again
+	maxFormerBytes     = 2 << 20 // of these together, so that a snapshot fits into one message
 )
 
-// Digest tells documents apart.
+// Digest identifies a document by its text.
 type Digest [sha256.Size]byte
 
-// String implements fmt.Stringer.
+// String returns the first 8 bytes in hex.
 func (d Digest) String() string { return hex.EncodeToString(d[:8]) }
 
-// Document is a policy. It never changes: another text is another number.
+// Document is a policy. Its text must not be changed; another text gets another number.
 type Document struct {
 	Number uint64
 	Digest Digest
 	Text   []byte
 }
 
-// NewDocument returns a document with its digest.
+// NewDocument returns a document with its digest. It keeps text.
 func NewDocument(number uint64, text []byte) Document {
 	return Document{number, sha256.Sum256(text), text}
 }
 
-// Entry is one of the log's: exactly one of its fields is set.
+// Entry is an entry of the log: exactly one of its fields is set. Commit, Switch and InForce hold the number of the
+// pending change. An entry that does not fit its state changes nothing.
 type Entry struct {
 	Propose *Proposal `cbor:"1,keyasint,omitempty"`
 	Refuse  *Refusal  `cbor:"2,keyasint,omitempty"`
-	Commit  uint64    `cbor:"3,keyasint,omitempty"` // the number: it will be in force, whatever fails
-	Switch  uint64    `cbor:"4,keyasint,omitempty"` // from here on the former one is granted to nobody anew
-	InForce uint64    `cbor:"5,keyasint,omitempty"` // the former one is served by nobody any more
+	Commit  uint64    `cbor:"3,keyasint,omitempty"` // it will come into force, whatever fails
+	Switch  uint64    `cbor:"4,keyasint,omitempty"` // no new lease on its predecessor outlasts the switch
+	InForce uint64    `cbor:"5,keyasint,omitempty"` // no lease on its predecessor is valid
 }
 
-// Proposal asks for a change.
+// Proposal asks for a change of policy.
 type Proposal struct {
-	ID      string `cbor:"1,keyasint"` // by which its author asks for the answer
+	ID      string `cbor:"1,keyasint"` // chosen by the author, who asks for the outcome by it
 	Author  string `cbor:"2,keyasint"`
-	Follows uint64 `cbor:"3,keyasint"` // the number that is to be in force until then
+	Follows uint64 `cbor:"3,keyasint"` // number of the policy that must be in force
 	Text    []byte `cbor:"4,keyasint"`
 }
 
-// Refusal ends a change that is not committed.
+// Refusal ends a change that is not committed yet.
 type Refusal struct {
 	Number uint64 `cbor:"1,keyasint"`
 	Reason string `cbor:"2,keyasint"`
 }
 
-// State is how far a change has come.
+// State is how far a change has come. Its numbers are stored and sent.
 type State uint8
 
 // The states of a change.
 const (
-	Unknown   State = iota // no such id, or so long ago that it is forgotten
-	Proposed               // it is being checked
-	Committed              // it will be in force
-	Switching              // as soon as the last promise under the former one is over
+	Unknown   State = iota // no such id, or dropped after maxOutcomes later ones
+	Proposed               // the sidecars are checking it
+	Committed              // it will come into force
+	Switching              // in force once the last lease on its predecessor is over
 	InForce
-	Refused // nowhere in force, nor will it be
+	Refused // final: it never was in force
 )
 
 var stateNames = [...]string{"unknown", "proposed", "committed", "switching", "in force", "refused"}
 
-// String implements fmt.Stringer.
+// String returns the state's name.
 func (s State) String() string { return stateNames[s] }
 
-// Outcome is the answer to a proposal.
+// Outcome is what has become of a proposal. It is encoded by the names of its fields.
 type Outcome struct {
 	ID     string
 	Author string
-	Number uint64 // 0: it was refused before it had one
+	Number uint64 // 0: it was refused before it was given one
 	State  State
-	Reason string // Refused
+	Reason string // why it was refused
 }
 
 // Pending is the change that is under way.
@@ -97,26 +103,27 @@
 	Document Document
 }
 
-// Ledger is what the log comes to. Entries that cannot be change nothing, so that any leader may write what it thinks is due.
+// Ledger is the state machine of the log. Replicas that have applied the same entries hold the same ledger, so Apply
+// must not change in a way that an older build would not follow.
 type Ledger struct {
 	inForce    Document
-	lastNumber uint64 // number given
+	lastNumber uint64 // given to a proposal
 	pending    *Pending
 	applied    uint64    // entries
-	outcomes   []Outcome // in the order of their proposals
+	outcomes   []Outcome // of changes that have ended, the earliest first
 	former     []Document
 }
 
-// NewLedger returns a ledger with a first policy in force, the same everywhere: number 1.
+// NewLedger returns the ledger of an empty log. The text, which must be the same on all replicas, is policy 1, in force.
 func NewLedger(text []byte) *Ledger { return &Ledger{inForce: NewDocument(1, text), lastNumber: 1} }
 
-// InForce is the policy in force. While a change is Switching that is the former one.
+// InForce returns the policy in force; while a change is Switching that is still its predecessor.
 func (l *Ledger) InForce() Document { return l.inForce }
 
-// Pending is the change under way, nil where there is none.
+// Pending returns the change that is under way, nil where there is none. It is valid until the next Apply.
 func (l *Ledger) Pending() *Pending { return l.pending }
 
-// Former returns an earlier policy, to be proposed again.
+// Former returns a policy that was in force earlier, if it is still stored.
 func (l *Ledger) Former(number uint64) (Document, bool) {
 	i := slices.IndexFunc(l.former, func(d Document) bool { return d.Number == number })
 	if i < 0 {
@@ -125,7 +132,7 @@
 	return l.former[i], true
 }
 
-// Document returns a document that a sidecar may be granted, or is to check.
+// Document returns a document that a sidecar may hold a lease on or is to check: in force, or pending.
 func (l *Ledger) Document(number uint64) (Document, bool) {
 	switch {
 	case number == l.inForce.Number:
@@ -136,7 +143,7 @@
 	return Document{}, false
 }
 
-// Outcome answers an author. It is never contradicted: once Committed it goes on to InForce, once Refused it stays so.
+// Outcome returns what has become of a proposal. Once Committed it goes on to InForce; Refused and InForce are final.
 func (l *Ledger) Outcome(id string) Outcome {
 	if l.pending != nil && l.pending.ID == id {
 		return l.pending.Outcome
@@ -147,7 +154,7 @@
 	return Outcome{ID: id}
 }
 
-// Outcomes lists the changes, the oldest first.
+// Outcomes lists the changes, the earliest first; the pending one is the last.
 func (l *Ledger) Outcomes() []Outcome {
 	all := slices.Clone(l.outcomes)
 	if l.pending != nil {
@@ -156,7 +163,7 @@
 	return all
 }
 
-// Apply takes in the next entry of the log.
+// Apply applies the next entry of the log.
 func (l *Ledger) Apply(e Entry) {
 	l.applied++
 	p := l.pending
@@ -172,31 +179,34 @@
 	case e.Switch == p.Number && p.State == Committed:
 		p.State = Switching
 	case e.InForce == p.Number && p.State == Switching:
-		l.former = append(l.former, l.inForce)
-		for bytes := l.formerBytes(); len(l.former) > maxFormerDocuments || bytes > maxFormerBytes; {
-			bytes -= len(l.former[0].Text)
-			l.former = l.former[1:]
-		}
+		l.storeFormer(l.inForce)
 		l.inForce, p.State = p.Document, InForce
 		l.endPending()
 	}
 }
 
-func (l *Ledger) formerBytes() (n int) {
-	for _, d := range l.former {
-		n += len(d.Text)
+// storeFormer adds a policy that is replaced, and drops the earliest ones over the limits.
+func (l *Ledger) storeFormer(d Document) {
+	l.former = append(l.former, d)
+	bytes := 0
+	for _, former := range l.former {
+		bytes += len(former.Text)
+	}
+	for len(l.former) > maxFormerDocuments || bytes > maxFormerBytes {
+		bytes -= len(l.former[0].Text)
+		l.former = l.former[1:]
 	}
-	return n
 }
 
+// propose makes a proposal the pending change, or refuses it.
 func (l *Ledger) propose(p Proposal) {
 	if l.Outcome(p.ID).State != Unknown {
-		return // its author asks again
+		return // a repeat: the id is the idempotency key
 	}
 	o := Outcome{ID: p.ID, Author: p.Author, State: Refused}
 	switch {
 	case p.ID == "" || len(p.ID) > maxIDBytes || len(p.Author) > maxIDBytes:
-		return // nobody could ask for the answer
+		return // nobody could ask for its outcome
 	case l.pending != nil:
 		o.Reason = fmt.Sprintf("change %q by %q is under way", l.pending.ID, l.pending.Author)
 	case p.Follows != l.inForce.Number:
@@ -213,6 +223,7 @@
 	l.trimOutcomes()
 }
 
+// endPending records the outcome of the pending change.
 func (l *Ledger) endPending() {
 	l.outcomes = append(l.outcomes, l.pending.Outcome)
 	l.pending = nil
@@ -220,54 +231,3 @@
 }
 
 func (l *Ledger) trimOutcomes() { l.outcomes = l.outcomes[max(0, len(l.outcomes)-maxOutcomes):] }
-
-// snapshot is a ledger as it is kept and passed on.
-type snapshot struct {
-	InForce  snapshotDocument   `cbor:"1,keyasint"`
-	Last     uint64             `cbor:"2,keyasint"`
-	Applied  uint64             `cbor:"3,keyasint"`
-	Pending  *snapshotPending   `cbor:"4,keyasint,omitempty"`
-	Outcomes []Outcome          `cbor:"5,keyasint"`
-	Former   []snapshotDocument `cbor:"6,keyasint"`
-}
-
-type snapshotDocument struct {
-	Number uint64 `cbor:"1,keyasint"`
-	Text   []byte `cbor:"2,keyasint"`
-}
-
-type snapshotPending struct {
-	Outcome Outcome `cbor:"1,keyasint"`
-	Text    []byte  `cbor:"2,keyasint"`
-}
-
-// Encode writes all that the ledger holds.
-func (l *Ledger) Encode() ([]byte, error) {
-	k := snapshot{InForce: snapshotDocument{l.inForce.Number, l.inForce.Text}, Last: l.lastNumber, Applied: l.applied, Outcomes: l.outcomes}
-	if l.pending != nil {
-		k.Pending = &snapshotPending{l.pending.Outcome, l.pending.Document.Text}
-	}
-	for _, d := range l.former {
-		k.Former = append(k.Former, snapshotDocument{d.Number, d.Text})
-	}
-	return cbor.Marshal(k)
-}
-
-// DecodeLedger reads what Encode wrote.
-func DecodeLedger(text []byte) (*Ledger, error) {
-	var k snapshot
-	if err := cbor.Unmarshal(text, &k); err != nil {
-		return nil, fmt.Errorf("a ledger of %d bytes: %w", len(text), err)
-	}
-	if k.InForce.Number == 0 || k.Last < k.InForce.Number {
-		return nil, fmt.Errorf("a ledger with policy %d in force and %d the last", k.InForce.Number, k.Last)
-	}
-	l := &Ledger{inForce: NewDocument(k.InForce.Number, k.InForce.Text), lastNumber: k.Last, applied: k.Applied, outcomes: k.Outcomes}
-	if k.Pending != nil {
-		l.pending = &Pending{k.Pending.Outcome, NewDocument(k.Pending.Outcome.Number, k.Pending.Text)}
-	}
-	for _, d := range k.Former {
-		l.former = append(l.former, NewDocument(d.Number, d.Text))
-	}
-	return l, nil
-}
--- a/internal/lab/fleet/mutants/mutants_test.go
+++ b/internal/lab/fleet/mutants/mutants_test.go
@@ -124,13 +124,13 @@
 
 // policyMutants break the guarantees on a change of policy, each found by a test of its package, or of the one that is named before it.
 var policyMutants = []struct{ name, file, from, to, found string }{
-	{"switch before the leases end", "policy/lease_table.go", "g.switchNumber, g.switchAt = p.Number, max(last, now+1)", "g.switchNumber, g.switchAt = p.Number, now+1", "TestOnePolicyAtATime"},
-	{"a leader that does not wait for earlier leaders' leases", "policy/lease_table.go", "earlierLeasesEnd: now + t.upperBound(t.Length)", "earlierLeasesEnd: now", "TestOnePolicyAtATime"},
-	{"a request confirmed against an older log is answered", "policy/lease_table.go", "if l.applied < g.minApplied {", "if false {", "TestOnePolicyAtATime"},
-	{"commit without a complete check", "policy/lease_table.go", "if s.checked < p.Number {\n\t\t\t\treturn nil", "if s.checked > p.Number {\n\t\t\t\treturn nil", "TestOneRejectionRefusesChange"},
-	{"a lease counted from its response", "policy/holder.go", "h.number, h.expiry, h.next, h.nextExpiry = g.Number, sent+", "h.number, h.expiry, h.next, h.nextExpiry = g.Number, now+", "TestOnePolicyAtATime"},
-	{"the next policy begun as soon as it is known", "policy/holder.go", "g.Next, now+h.terms.upperBound(g.NextIn)", "g.Next, now", "TestOnePolicyAtATime"},
-	{"responses taken out of order", "policy/holder.go", "if g.Stamp.Compare(h.latest) <= 0 {", "if false {", "TestHolderTakesLatestResponse"},
+	{"switch before the leases end", "policy/lease_table.go", "t.switchNumber, t.switchAt = p.Number, max(last, now+1)", "t.switchNumber, t.switchAt = p.Number, now+1", "TestOnePolicyAtATime"},
+	{"a leader that does not wait for earlier leaders' leases", "policy/lease_table.go", "earlierLeasesEnd: now + terms.upperBound(terms.Length)", "earlierLeasesEnd: now", "TestOnePolicyAtATime"},
+	{"a request confirmed against an older log is answered", "policy/lease_table.go", "if l.applied < t.minApplied {", "if false {", "TestOnePolicyAtATime"},
+	{"commit without a complete check", "policy/lease_table.go", "if holder.checked < number {", "if holder.checked > number {", "TestOneRejectionRefusesChange"},
+	{"a lease counted from its response", "policy/holder.go", "h.number, h.expiry = response.Number, sent+", "h.number, h.expiry = response.Number, now+", "TestOnePolicyAtATime"},
+	{"the next policy begun as soon as it is known", "policy/holder.go", "response.Next, now+h.terms.upperBound(response.NextIn)", "response.Next, now", "TestOnePolicyAtATime"},
+	{"responses taken out of order", "policy/holder.go", "if response.Stamp.Compare(h.latest) <= 0 {", "if false {", "TestHolderTakesLatestResponse"},
 	{"a lease without an expiry", "policy/holder.go", "h.number > 0 && now < h.expiry && h.runnable", "h.number > 0 && h.runnable", "TestOnePolicyAtATime"},
 	{"a group bootstrapped by a majority", "consensus/bootstrap.go", "if len(bootstrap.Deciders) == len(f.want.Deciders) &&", "if len(bootstrap.Deciders) > len(f.want.Deciders)/2 &&", "TestBootstrappedOnce"},
 	{"an older folder believed", "consensus/bootstrap.go", "case e.Life < known:", "case false:", "TestGuard"},
