--- a/internal/fleet/policy/lease.go
+++ b/internal/fleet/policy/lease.go
@@ -22,8 +22,8 @@
 
 // Terms are what the operator chose for all leases. They must be the same on all sidecars.
 type Terms struct {
-	// Length is how long a lease lasts. A sidecar that is cut off serves on for this long at most, and a change of policy
-	// waits for it as long.
+	// Length is how long a lease lasts. A sidecar that is cut off serves on for this long at most, and a change of
+	// policy waits for it as long.
 	Length time.Duration
 	// Short is the length of leases that are given while a change waits to switch, so that the switch comes soon.
 	Short time.Duration
--- a/internal/fleet/policy/lease_table.go
+++ b/internal/fleet/policy/lease_table.go
@@ -63,8 +63,8 @@
 // has begun, and l must hold at least the entries committed by then (Raft's ReadIndex). Otherwise a leader that was
 // deposed could give a lease after its successor has begun to count the earlier ones.
 func (t *LeaseTable) Renew(now Time, l *Ledger, request LeaseRequest) (response LeaseResponse, write []Entry) {
-	// A request may be answered long after it was confirmed, with the ledger of that time. By it the sidecar would get a
-	// lease that this leader no longer counts with.
+	// A request may be answered long after it was confirmed, with the ledger of that time. By it the sidecar would get
+	// a lease that this leader no longer counts with.
 	if l.applied < t.minApplied {
 		return LeaseResponse{}, nil
 	}
--- /dev/null
+++ b/internal/fleet/policy/lease_test.go
@@ -0,0 +1,133 @@
+package policy
+
+import (
+	"errors"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// TestTermsCheck turns down terms that no change could keep to.
+func TestTermsCheck(t *testing.T) {
+	if err := DefaultTerms.Check(); err != nil {
+		t.Error(err)
+	}
+	for _, tt := range []struct {
+		name string
+		bad  Terms
+	}{
+		{"none", Terms{}},
+		{"no shorter while a change switches", Terms{Length: time.Second, Short: time.Second}},
+		{"too short while a change switches", Terms{Length: time.Second, Short: time.Millisecond}},
+		{"clocks too far apart", Terms{Length: time.Second, Short: 100 * time.Millisecond, Drift: 0.5}},
+		{"a negative drift", Terms{Length: time.Second, Short: 100 * time.Millisecond, Drift: -1}},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			if err := tt.bad.Check(); !errors.Is(err, ErrTerms) {
+				t.Errorf("%+v: error %v, want one that wraps %v", tt.bad, err, ErrTerms)
+			}
+		})
+	}
+}
+
+// TestHolderTakesLatestResponse: responses in any order leave the holder where the latest alone would.
+func TestHolderTakesLatestResponse(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		var responses []LeaseResponse
+		for i := range rapid.IntRange(1, 8).Draw(t, "responses") {
+			responses = append(responses, LeaseResponse{
+				Stamp:    Stamp{uint64(i/3 + 1), uint64(i + 1)},
+				Number:   uint64(rapid.IntRange(0, 3).Draw(t, "number")),
+				Duration: time.Duration(rapid.IntRange(0, 3000).Draw(t, "duration")) * time.Millisecond,
+			})
+		}
+		newHolder := func() *Holder {
+			h := NewHolder("n", 1, DefaultTerms)
+			for n := range uint64(4) {
+				h.runnable[n] = true
+			}
+			return h
+		}
+		one, all := newHolder(), newHolder()
+		one.Update(time.Hour, time.Hour, responses[len(responses)-1])
+		for _, response := range rapid.Permutation(responses).Draw(t, "order") {
+			all.Update(time.Hour, time.Hour, response)
+		}
+		for _, at := range []Time{0, time.Second, 2 * time.Second, 4 * time.Second} {
+			n1, _, ok1 := one.Serves(time.Hour + at)
+			n2, _, ok2 := all.Serves(time.Hour + at)
+			if n1 != n2 || ok1 != ok2 {
+				t.Errorf("after %v: %d, %v and %d, %v", at, n1, ok1, n2, ok2)
+			}
+		}
+	})
+}
+
+// TestHolderWaitsForLateRenewal: while a renewal is late a request waits, for as long as a short lease lasts, and not
+// at all where there was no lease. It isn't taken under any policy meanwhile.
+func TestHolderWaitsForLateRenewal(t *testing.T) {
+	const at, short = Time(time.Hour), 300 * time.Millisecond
+	terms := Terms{Length: 3 * time.Second, Short: short}
+	for _, tt := range []struct {
+		name     string
+		response LeaseResponse
+		expiry   time.Duration // of the last lease in it
+		waits    bool
+	}{
+		{"a lease", LeaseResponse{Number: 1, Duration: time.Second}, time.Second, true},
+		{"a lease on the next policy",
+			LeaseResponse{Number: 1, Duration: short, Next: 2, NextIn: short, NextDuration: time.Second},
+			short + time.Second, true},
+		{"no lease", LeaseResponse{}, 0, false},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			h := NewHolder("n", 1, terms)
+			h.runnable[1], h.runnable[2] = true, true
+			if _, wait, ok := h.Serves(at); ok || wait != 0 {
+				t.Errorf("before any response: %v, %v", wait, ok)
+			}
+			tt.response.Stamp = Stamp{1, 1}
+			h.Update(at, at, tt.response)
+			for _, look := range []struct {
+				after time.Duration
+				waits bool
+			}{
+				{tt.expiry + time.Millisecond, tt.waits},
+				{tt.expiry + short - time.Millisecond, tt.waits},
+				{tt.expiry + short + time.Millisecond, false},
+			} {
+				if _, wait, ok := h.Serves(at + look.after); ok || (wait > 0) != look.waits {
+					t.Errorf("%v later: waits %v, serves %v; want to wait: %v", look.after, wait, ok, look.waits)
+				}
+			}
+		})
+	}
+}
+
+// TestIncarnationsUnderClockSteps has a sidecar start again after the clock of day has stepped, and request a lease
+// at once, while the leader still counts that of the former process. It gets one under the incarnation that the fleet
+// gives it, and not under one that may be lower than the former process's.
+func TestIncarnationsUnderClockSteps(t *testing.T) {
+	const former = 10_000_000 // the former process's incarnation, in milliseconds of the clock of day
+	for _, step := range []time.Duration{-time.Hour, -3 * time.Second, 3 * time.Second, time.Hour} {
+		t.Run(step.String(), func(t *testing.T) {
+			ledger, table := NewLedger([]byte("first")), NewLeaseTable(time.Hour, 1, DefaultTerms)
+			leased := func(h *Holder) bool {
+				response, _ := table.Renew(2*time.Hour, ledger, h.Request())
+				return response.Number == 1 && response.Duration > 0
+			}
+			if !leased(NewHolder("n0", former, DefaultTerms)) {
+				t.Fatal("the former process gets no lease")
+			}
+			h := NewHolder("n0", uint64(former+(time.Second+step).Milliseconds()), DefaultTerms)
+			if got := leased(h); got != (step > 0) {
+				t.Errorf("leased: %v under the incarnation that it begins with", got)
+			}
+			h.RaiseIncarnation(former + 1)
+			if !leased(h) {
+				t.Error("no lease under the incarnation that the fleet gives it")
+			}
+		})
+	}
+}
--- a/internal/fleet/policy/ledger.go
+++ b/internal/fleet/policy/ledger.go
@@ -114,7 +114,8 @@
 	former     []Document
 }
 
-// NewLedger returns the ledger of an empty log. The text, which must be the same on all replicas, is policy 1, in force.
+// NewLedger returns the ledger of an empty log. The text, which must be the same on all replicas, is policy 1, in
+// force.
 func NewLedger(text []byte) *Ledger { return &Ledger{inForce: NewDocument(1, text), lastNumber: 1} }
 
 // InForce returns the policy in force; while a change is Switching that is still its predecessor.
--- /dev/null
+++ b/internal/fleet/policy/model_test.go
@@ -0,0 +1,330 @@
+package policy
+
+import (
+	"encoding/binary"
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// model is a state of a small fleet, from which all orders of what may happen next are tried. Time goes in ticks; a
+// sidecar has one message under way at a time.
+type model struct {
+	now          int // tick
+	entries      int
+	ledger       *Ledger
+	table        *LeaseTable
+	term         uint64
+	holders      []*Holder
+	incarnations []uint64
+	messages     []message // by sidecar
+	lastRequests []int     // tick of its last request: one a tick
+	changes      int       // that may still be proposed
+	crashes      int       // left, of sidecars and of leaders
+	losses       int       // left
+	highest      uint64    // number served so far
+}
+
+type messageKind int
+
+const (
+	noMessage messageKind = iota
+	requestMessage
+	responseMessage
+)
+
+type message struct {
+	kind     messageKind
+	sent     int // tick of the request
+	request  LeaseRequest
+	response LeaseResponse
+}
+
+// modelTerms are leases of two ticks, and of one while a change switches.
+var modelTerms = Terms{Length: 2 * time.Second, Short: time.Second}
+
+func tickTime(n int) Time { return time.Hour + Time(n)*time.Second }
+
+func newModel(sidecars int) *model {
+	m := &model{
+		ledger:       NewLedger([]byte("first")),
+		term:         1,
+		messages:     make([]message, sidecars),
+		incarnations: make([]uint64, sidecars),
+		lastRequests: slices.Repeat([]int{-1}, sidecars),
+		holders:      make([]*Holder, sidecars),
+	}
+	// The leader's term began so long ago that no earlier lease is left.
+	m.table = NewLeaseTable(tickTime(0)-modelTerms.Length-time.Second, 1, modelTerms)
+	for i := range sidecars {
+		m.startProcess(i)
+	}
+	return m
+}
+
+func (m *model) startProcess(i int) {
+	m.incarnations[i]++
+	m.holders[i] = NewHolder(fmt.Sprint("n", i), m.incarnations[i], modelTerms)
+}
+
+// clone returns a state of its own, except for what it holds by pointers, which is copied before it is changed.
+func (m *model) clone() *model {
+	c := *m
+	c.holders = slices.Clone(m.holders)
+	c.incarnations = slices.Clone(m.incarnations)
+	c.messages = slices.Clone(m.messages)
+	c.lastRequests = slices.Clone(m.lastRequests)
+	return &c
+}
+
+// mutableTable replaces the leader's side by a copy, and returns that.
+func (m *model) mutableTable() *LeaseTable {
+	table := *m.table
+	table.holders = make(map[string]*leaseHolder, len(m.table.holders))
+	for name, h := range m.table.holders {
+		table.holders[name] = &leaseHolder{h.incarnation, slices.Clone(h.leases), h.checked}
+	}
+	m.table = &table
+	return &table
+}
+
+// mutableHolder replaces a sidecar's side by a copy, and returns that.
+func (m *model) mutableHolder(i int) *Holder {
+	h := *m.holders[i]
+	h.runnable = maps.Clone(h.runnable)
+	m.holders[i] = &h
+	return &h
+}
+
+func appendNumbers(text []byte, numbers ...uint64) []byte {
+	for _, n := range numbers {
+		text = binary.AppendUvarint(text, n)
+	}
+	return text
+}
+
+// timeLeft is how far a time lies ahead; 0: it does not.
+func (m *model) timeLeft(at Time) uint64 { return uint64(max(at-tickTime(m.now), 0)) }
+
+// key identifies the state: states of one key have the same futures. Sidecars differ by name alone, so their order does
+// not matter; of stamps and incarnations only the order within one sidecar does, and of what is over nothing.
+func (m *model) key() uint64 {
+	sidecars := make([]string, len(m.holders))
+	for i := range m.holders {
+		text := m.sidecarKey(i)
+		sidecars[i] = string(appendNumbers(nil, uint64(len(text)))) + string(text)
+	}
+	slices.Sort(sidecars)
+	whole := appendNumbers(nil, uint64(m.now), uint64(m.changes), uint64(m.crashes), uint64(m.losses), m.highest,
+		m.ledger.inForce.Number, m.ledger.lastNumber, m.timeLeft(m.table.earlierLeasesEnd))
+	if p := m.ledger.pending; p != nil {
+		switchAt := m.table.switchTime(p)
+		whole = appendNumbers(whole, p.Number, uint64(p.State), m.timeLeft(switchAt), min(uint64(switchAt), 1))
+	}
+	for _, text := range sidecars {
+		whole = append(whole, text...)
+	}
+	return xxhash.Sum64(whole)
+}
+
+// sidecarKey is what a sidecar, its message and what the leader knows of it come to.
+func (m *model) sidecarKey(i int) []byte {
+	holder, message := m.holders[i], m.messages[i]
+	known := m.table.holders[holder.name]
+	leases := m.validLeases(known)
+	rank := stampRanks(holder, message, leases)
+	requested := uint64(0)
+	if m.lastRequests[i] == m.now {
+		requested = 1
+	}
+	text := appendNumbers(nil, rank(holder.latest), holder.checked, runnableBits(holder), holder.number,
+		m.timeLeft(holder.expiry), requested, uint64(message.kind))
+	if m.timeLeft(holder.nextExpiry) > 0 && holder.next > 0 {
+		text = appendNumbers(text, holder.next, m.timeLeft(holder.nextStart), m.timeLeft(holder.nextExpiry))
+	} else {
+		text = appendNumbers(text, holder.next, 0, 0)
+	}
+	switch message.kind {
+	case requestMessage:
+		r := message.request
+		text = appendNumbers(text, rank(r.Latest), r.Checked, holder.incarnation-r.Incarnation,
+			uint64(m.now-message.sent))
+	case responseMessage:
+		r := message.response
+		text = appendNumbers(text, rank(r.Stamp), r.Number, uint64(r.Duration), r.Next, uint64(r.NextIn),
+			uint64(r.NextDuration), r.Check, uint64(m.now-message.sent))
+	}
+	if known != nil {
+		text = appendNumbers(text, 1+holder.incarnation-known.incarnation, known.checked)
+		for _, lease := range leases {
+			text = appendNumbers(text, holder.incarnation-lease.incarnation, rank(lease.stamp),
+				m.timeLeft(lease.expiry))
+		}
+	}
+	return text
+}
+
+func (m *model) validLeases(known *leaseHolder) (valid []grantedLease) {
+	if known == nil {
+		return nil
+	}
+	for _, lease := range known.leases {
+		if lease.expiry > tickTime(m.now) {
+			valid = append(valid, lease)
+		}
+	}
+	return valid
+}
+
+// stampRanks returns the rank of a stamp among all that concern a sidecar.
+func stampRanks(holder *Holder, message message, leases []grantedLease) func(Stamp) uint64 {
+	stamps := []Stamp{holder.latest}
+	switch message.kind {
+	case requestMessage:
+		stamps = append(stamps, message.request.Latest)
+	case responseMessage:
+		stamps = append(stamps, message.response.Stamp)
+	}
+	for _, lease := range leases {
+		stamps = append(stamps, lease.stamp)
+	}
+	slices.SortFunc(stamps, Stamp.Compare)
+	stamps = slices.Compact(stamps)
+	return func(s Stamp) uint64 { return uint64(slices.Index(stamps, s)) }
+}
+
+func runnableBits(holder *Holder) (bits uint64) {
+	for n := range holder.runnable {
+		bits |= 1 << n
+	}
+	return bits
+}
+
+func (m *model) apply(entries []Entry) {
+	if len(entries) == 0 {
+		return
+	}
+	l := *m.ledger
+	if l.pending != nil {
+		p := *l.pending
+		l.pending = &p
+	}
+	l.outcomes, l.former = slices.Clone(l.outcomes), slices.Clone(l.former)
+	m.ledger = &l
+	for _, e := range entries {
+		m.entries++
+		l.Apply(e)
+	}
+}
+
+// successors returns all states that may follow before or at the last tick.
+func (m *model) successors(lastTick int) (all []*model) {
+	try := func(possible bool, event func(c *model)) {
+		if possible {
+			c := m.clone()
+			event(c)
+			all = append(all, c)
+		}
+	}
+	try(m.now < lastTick, func(c *model) { c.now++ })
+	// The leader calls Tick many times while a lease lasts. Were it once a tick, the three steps of a change would take
+	// three ticks, and leases of two would be over whatever the leader did.
+	try(m.ledger.Pending() != nil, func(c *model) { c.apply(c.mutableTable().Tick(tickTime(c.now), c.ledger)) })
+	for i, message := range m.messages {
+		switch message.kind {
+		case noMessage:
+			try(m.lastRequests[i] < m.now, func(c *model) { c.send(i) })
+		case requestMessage:
+			try(true, func(c *model) { c.respond(i) })
+		case responseMessage:
+			try(true, func(c *model) { c.receive(i) })
+		}
+		try(message.kind != noMessage && m.losses > 0, func(c *model) { c.lose(i) })
+		try(m.crashes > 0, func(c *model) { c.crash(i) })
+	}
+	try(m.crashes > 0, (*model).changeLeader)
+	try(m.changes > 0, (*model).propose)
+	return all
+}
+
+// send has a sidecar send its request.
+func (m *model) send(i int) {
+	m.messages[i] = message{kind: requestMessage, sent: m.now, request: m.holders[i].Request()}
+	m.lastRequests[i] = m.now
+}
+
+// respond has the leader answer a sidecar's request.
+func (m *model) respond(i int) {
+	response, write := m.mutableTable().Renew(tickTime(m.now), m.ledger, m.messages[i].request)
+	m.apply(write)
+	m.messages[i] = message{kind: responseMessage, sent: m.messages[i].sent, response: response}
+}
+
+// receive has a sidecar apply its response, and check a document at once.
+func (m *model) receive(i int) {
+	arrived := m.messages[i]
+	m.messages[i] = message{}
+	h := m.mutableHolder(i)
+	if number := h.Update(tickTime(m.now), tickTime(arrived.sent), arrived.response); number > 0 {
+		h.Checked(number, "")
+	}
+}
+
+// lose drops a sidecar's message.
+func (m *model) lose(i int) {
+	m.losses--
+	m.messages[i] = message{}
+}
+
+// crash has a new process take a sidecar's place.
+func (m *model) crash(i int) {
+	m.crashes--
+	m.messages[i] = message{}
+	m.startProcess(i)
+}
+
+// changeLeader begins another term. Requests that the former leader has not answered are lost.
+func (m *model) changeLeader() {
+	m.crashes--
+	m.term++
+	m.table = NewLeaseTable(tickTime(m.now), m.term, modelTerms)
+	for i := range m.messages {
+		if m.messages[i].kind == requestMessage {
+			m.messages[i] = message{}
+		}
+	}
+}
+
+// propose writes a proposal on top of the policy in force.
+func (m *model) propose() {
+	m.changes--
+	m.apply([]Entry{{Propose: &Proposal{
+		ID:      fmt.Sprint("p", m.changes),
+		Author:  "a",
+		Follows: m.ledger.InForce().Number,
+		Text:    []byte{byte('a' + m.changes)},
+	}}})
+}
+
+// violation says which guarantee the state breaks, "" for none.
+func (m *model) violation() string {
+	serving := map[uint64]bool{}
+	for _, h := range m.holders {
+		if number, _, ok := h.Serves(tickTime(m.now)); ok {
+			serving[number] = true
+		}
+	}
+	for number := range serving {
+		if number < m.highest {
+			return fmt.Sprintf("policy %d is served after %d", number, m.highest)
+		}
+		m.highest = max(m.highest, number)
+	}
+	if len(serving) > 1 {
+		return fmt.Sprintf("%v are served at once", slices.Sorted(maps.Keys(serving)))
+	}
+	return ""
+}
--- a/internal/fleet/policy/snapshot.go
+++ b/internal/fleet/policy/snapshot.go
@@ -54,7 +54,8 @@
 		return nil, fmt.Errorf("%w: %d bytes: %w", ErrSnapshot, len(text), err)
 	}
 	if s.InForce.Number == 0 || s.Last < s.InForce.Number {
-		return nil, fmt.Errorf("%w: policy %d is in force, and %d is the last number", ErrSnapshot, s.InForce.Number, s.Last)
+		return nil, fmt.Errorf("%w: policy %d is in force, and %d is the last number",
+			ErrSnapshot, s.InForce.Number, s.Last)
 	}
 	l := &Ledger{
 		inForce:    NewDocument(s.InForce.Number, s.InForce.Text),
