--- a/internal/fleet/policy/lease.go
+++ b/internal/fleet/policy/lease.go
@@ -38,7 +38,7 @@
 func (t Terms) Check() error {
 	switch {
 	case t.Short < minShortLease || t.Length < 2*t.Short:
-		return fmt.Errorf("%w: a lease of %v, and of %v while a change switches: at least %v, and twice that, are needed",
+		return fmt.Errorf("%w: a lease of %v, of %v while a change switches: at least %v, and twice that, are needed",
 			ErrTerms, t.Length, t.Short, minShortLease)
 	case t.Drift < 0 || t.Drift > maxDrift:
 		return fmt.Errorf("%w: clocks that run apart by %v: 0 to %v are allowed", ErrTerms, t.Drift, maxDrift)
--- /dev/null
+++ b/internal/fleet/policyagent/durations_test.go
@@ -0,0 +1,65 @@
+package policyagent
+
+import (
+	"flag"
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"milletramp.example/milletramp/internal/fleet/policy"
+)
+
+var sizesFlag = flag.String("policyagent.sizes", "",
+	"numbers of sidecars, by commas, that TestChangeDurations times changes at")
+
+// TestChangeDurations prints how long changes take, from proposing to in force, with the usual lease: without faults,
+// with one of ten sidecars partitioned, and with a fifth of all calls lost.
+func TestChangeDurations(t *testing.T) {
+	if *sizesFlag == "" {
+		t.Skip("no sizes are named by -policyagent.sizes")
+	}
+	for _, text := range strings.Split(*sizesFlag, ",") {
+		n, err := strconv.Atoi(text)
+		if err != nil || n < 10 {
+			t.Fatalf("size %q", text)
+		}
+		t.Run(text, func(t *testing.T) { timeChanges(t, n) })
+	}
+}
+
+func timeChanges(t *testing.T, sidecars int) {
+	c := newCluster(t, 0)
+	c.terms = policy.DefaultTerms
+	var all []string
+	for i := range sidecars {
+		all = append(all, fmt.Sprint("n", i))
+		c.start(all[i], false)
+	}
+	c.waitAllServe(1, all...)
+	inForce := uint64(1)
+	change := func(what, at string) {
+		t.Helper()
+		var took []time.Duration
+		for i := range 5 {
+			begun := time.Now()
+			inForce = c.proposeInForce(at, fmt.Sprint(what, i), inForce, fmt.Sprint(what, " text ", i))
+			took = append(took, time.Since(begun).Round(10*time.Millisecond))
+		}
+		slices.Sort(took)
+		t.Logf("%d sidecars, %s: %v to %v, median %v", sidecars, what, took[0], took[len(took)-1], took[len(took)/2])
+	}
+	change("all well", "n3")
+	c.locked(func() { c.lossRate = 0.2 })
+	change("a fifth of the calls lost", "n4")
+	c.locked(func() {
+		c.lossRate = 0
+		for i := 3; i < sidecars; i += 10 {
+			c.partitioned[all[i]] = true
+		}
+	})
+	change("one of ten silent", "n4") // the first of them waits for leases to expire
+	c.checkNoOverlap()
+}
--- /dev/null
+++ b/internal/fleet/policyagent/messages.go
@@ -0,0 +1,110 @@
+package policyagent
+
+import (
+	"context"
+	"fmt"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"milletramp.example/milletramp/internal/fleet/policy"
+)
+
+// request is a call to a voter: exactly one of its fields is set.
+type request struct {
+	Raft     []byte               `cbor:"1,keyasint,omitempty"` // from another voter
+	Lease    *policy.LeaseRequest `cbor:"2,keyasint,omitempty"`
+	Document uint64               `cbor:"3,keyasint,omitempty"` // by number
+	Propose  *policy.Proposal     `cbor:"4,keyasint,omitempty"`
+	Outcome  string               `cbor:"5,keyasint,omitempty"` // of a proposal, by id
+	State    bool                 `cbor:"6,keyasint,omitempty"`
+	Replace  *replacement         `cbor:"7,keyasint,omitempty"`
+}
+
+// replacement has a candidate take a voter's place.
+type replacement struct {
+	Out string `cbor:"1,keyasint"`
+	In  string `cbor:"2,keyasint"`
+}
+
+// response is a voter's answer to a request.
+type response struct {
+	Fault    string                `cbor:"1,keyasint,omitempty"` // why the request was not carried out
+	Leader   string                `cbor:"2,keyasint,omitempty"` // as far as the voter knows
+	Lease    *policy.LeaseResponse `cbor:"3,keyasint,omitempty"`
+	Document *document             `cbor:"4,keyasint,omitempty"`
+	Outcome  *policy.Outcome       `cbor:"5,keyasint,omitempty"`
+	State    *VoterState           `cbor:"6,keyasint,omitempty"`
+	Voters   []string              `cbor:"7,keyasint,omitempty"` // present ones, with a lease
+}
+
+type document struct {
+	Number uint64 `cbor:"1,keyasint"`
+	Text   []byte `cbor:"2,keyasint"`
+}
+
+// VoterState is what a voter holds.
+type VoterState struct {
+	Voter        string           `cbor:"1,keyasint" json:"decider"`
+	Leader       string           `cbor:"2,keyasint" json:"leader"`
+	Broken       string           `cbor:"3,keyasint" json:"takes_part_no_more,omitempty"` // why
+	Bootstrapped bool             `cbor:"4,keyasint" json:"founded"`
+	InForce      uint64           `cbor:"5,keyasint" json:"in_force"` // policy's number
+	Digest       string           `cbor:"6,keyasint" json:"digest"`   // of the policy in force
+	Pending      *policy.Outcome  `cbor:"7,keyasint" json:"under_way,omitempty"`
+	Outcomes     []policy.Outcome `cbor:"8,keyasint" json:"changes"`
+	// Waiting are, on the leader, the sidecars that the pending change waits for, and Seconds how long at most.
+	Waiting []string `cbor:"9,keyasint,omitempty" json:"waits_for,omitempty"`
+	Seconds float64  `cbor:"10,keyasint,omitempty" json:"waits_s,omitempty"`
+	// Voters are the present ones. Settled is false while one takes the place of another. Candidates may take one.
+	Voters      []string `cbor:"11,keyasint" json:"deciders"`
+	Settled     bool     `cbor:"12,keyasint" json:"settled"`
+	Candidates  []string `cbor:"13,keyasint,omitempty" json:"candidates,omitempty"`
+	NotAdmitted bool     `cbor:"14,keyasint,omitempty" json:"waits_for_a_place,omitempty"`
+}
+
+// FaultError says that a voter did not carry out a request.
+type FaultError struct {
+	Voter string
+	Fault string // the voter's reason
+}
+
+// Error returns the voter's reason.
+func (e *FaultError) Error() string { return e.Fault }
+
+// Call answers a call from another sidecar, as transport.Called asks for. It is called by any goroutine, and returns
+// within callTimeout. A request that is not carried out is answered by a fault; an error is a request that cannot be
+// read.
+func (a *Agent) Call(ctx context.Context, text []byte) ([]byte, error) {
+	var req request
+	if err := cbor.Unmarshal(text, &req); err != nil {
+		return nil, fmt.Errorf("policy: a call that cannot be read: %w", err)
+	}
+	return cbor.Marshal(a.answer(ctx, req))
+}
+
+// call calls a voter, which may be this sidecar itself.
+func (a *Agent) call(ctx context.Context, voter string, req request) (resp response, err error) {
+	if voter == a.settings.Name {
+		return a.answer(ctx, req), nil
+	}
+	text, err := cbor.Marshal(req)
+	if err != nil {
+		return resp, err
+	}
+	if text, err = a.peers.Call(ctx, voter, text); err != nil {
+		return resp, err
+	}
+	if err := cbor.Unmarshal(text, &resp); err != nil {
+		return resp, fmt.Errorf("policy: an answer of %s that cannot be read: %w", voter, err)
+	}
+	return resp, nil
+}
+
+// do calls a voter, and makes a fault in its response a FaultError. The response is valid beside that.
+func (a *Agent) do(ctx context.Context, voter string, req request) (response, error) {
+	resp, err := a.call(ctx, voter, req)
+	if err == nil && resp.Fault != "" {
+		err = &FaultError{voter, resp.Fault}
+	}
+	return resp, err
+}
--- /dev/null
+++ b/internal/fleet/policyagent/operations.go
@@ -0,0 +1,157 @@
+package policyagent
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"milletramp.example/milletramp/internal/fleet/policy"
+)
+
+const (
+	pollInterval   = 100 * time.Millisecond // between two calls for an outcome, or two attempts
+	resendProposal = 10                     // attempts after which a proposal that no voter knows is sent again
+)
+
+// Propose proposes a change and waits until it is in force or refused, or until ctx ends. The outcome then says how far
+// it has come; it can be had later by its id, and the same proposal can be made again.
+func (a *Agent) Propose(ctx context.Context, p policy.Proposal) policy.Outcome {
+	p.Author = p.Author[:min(len(p.Author), maxNameBytes)]
+	outcome := policy.Outcome{ID: p.ID, Author: p.Author}
+	sent := false
+	for attempt := 0; ; attempt++ {
+		voter := a.target(attempt)
+		once, cancel := context.WithTimeout(ctx, callTimeout)
+		if !sent {
+			sent = a.sendProposal(once, voter, p)
+		}
+		if o, ok := a.outcomeBy(once, voter, p.ID); ok && o.State >= outcome.State {
+			outcome = o
+		}
+		cancel()
+		if outcome.State == policy.InForce || outcome.State == policy.Refused {
+			return outcome
+		}
+		// It may have been lost with its leader. Its id is the idempotency key.
+		if outcome.State == policy.Unknown && attempt%resendProposal == resendProposal-1 {
+			sent = false
+		}
+		if !sleep(ctx, pollInterval) {
+			return outcome
+		}
+	}
+}
+
+// sendProposal says whether a voter, which leads, has taken a proposal.
+func (a *Agent) sendProposal(ctx context.Context, voter string, p policy.Proposal) bool {
+	resp, err := a.do(ctx, voter, request{Propose: &p})
+	if fault := (*FaultError)(nil); errors.As(err, &fault) && resp.Leader != voter {
+		a.setLeader(resp.Leader)
+	}
+	return err == nil
+}
+
+func (a *Agent) outcomeBy(ctx context.Context, voter, id string) (policy.Outcome, bool) {
+	resp, err := a.call(ctx, voter, request{Outcome: id})
+	if err != nil || resp.Outcome == nil {
+		return policy.Outcome{}, false
+	}
+	return *resp.Outcome, true
+}
+
+// Outcome returns what has become of a proposal, as far as any voter that answers knows.
+func (a *Agent) Outcome(ctx context.Context, id string) policy.Outcome {
+	outcome := policy.Outcome{ID: id}
+	for _, voter := range a.voters() {
+		if o, ok := a.outcomeBy(ctx, voter, id); ok && o.State > outcome.State {
+			outcome = o
+		}
+	}
+	return outcome
+}
+
+// Document fetches a document from any voter that has it; number 0 is the one in force. Its error joins those of all
+// voters.
+func (a *Agent) Document(ctx context.Context, number uint64) (policy.Document, error) {
+	var failed []error
+	for _, voter := range a.voters() {
+		d, err := a.documentBy(ctx, voter, number)
+		if err == nil {
+			return policy.NewDocument(d.Number, d.Text), nil
+		}
+		failed = append(failed, fmt.Errorf("%s: %w", voter, err))
+	}
+	return policy.Document{}, errors.Join(failed...)
+}
+
+func (a *Agent) documentBy(ctx context.Context, voter string, number uint64) (*document, error) {
+	if number == 0 {
+		resp, err := a.do(ctx, voter, request{State: true})
+		if err != nil {
+			return nil, err
+		}
+		if resp.State == nil || !resp.State.Bootstrapped {
+			return nil, errNoDocument
+		}
+		number = resp.State.InForce
+	}
+	resp, err := a.do(ctx, voter, request{Document: number})
+	if err == nil && resp.Document == nil {
+		err = errNoDocument
+	}
+	return resp.Document, err
+}
+
+// Replace has a candidate take a voter's place: the name may be the same, where that voter has lost its folder. It
+// returns nil once the leader has begun; Status shows when it is done. A FaultError is the leader's refusal. Where no
+// leader answers it tries until ctx ends, and returns the last error.
+func (a *Agent) Replace(ctx context.Context, out, in string) error {
+	for attempt := 0; ; attempt++ {
+		voter := a.target(attempt)
+		once, cancel := context.WithTimeout(ctx, callTimeout)
+		resp, err := a.do(once, voter, request{Replace: &replacement{out, in}})
+		cancel()
+		if err == nil {
+			return nil
+		}
+		if fault := (*FaultError)(nil); errors.As(err, &fault) {
+			if resp.Leader == voter {
+				return err
+			}
+			a.setLeader(resp.Leader)
+		}
+		if !sleep(ctx, pollInterval) {
+			return fmt.Errorf("policy: %s: %w", voter, err)
+		}
+	}
+}
+
+// Status is what this sidecar and the voters hold.
+type Status struct {
+	Serves       uint64       `json:"serves_under"` // policy's number; 0: it takes no requests now
+	WithoutLease bool         `json:"without_a_promise"`
+	LastVoter    string       `json:"asks"` // that answered last
+	Voters       []VoterState `json:"deciders"`
+	Unresponsive []string     `json:"silent_deciders"`
+}
+
+// Status calls all voters, one after the other.
+func (a *Agent) Status(ctx context.Context) (s Status) {
+	number, _, ok := a.Serves()
+	a.mu.Lock()
+	s.LastVoter, s.WithoutLease = a.leader, a.withoutLease
+	a.mu.Unlock()
+	if ok {
+		s.Serves = number
+	}
+	for _, voter := range a.voters() {
+		resp, err := a.call(ctx, voter, request{State: true})
+		if err == nil && resp.State != nil {
+			s.Voters = append(s.Voters, *resp.State)
+		} else {
+			s.Unresponsive = append(s.Unresponsive, voter)
+		}
+	}
+	return s
+}
--- /dev/null
+++ b/internal/fleet/policyagent/voter.go
@@ -0,0 +1,263 @@
+package policyagent
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"milletramp.example/milletramp/internal/fleet/consensus"
+	"milletramp.example/milletramp/internal/fleet/disk"
+	"milletramp.example/milletramp/internal/fleet/policy"
+	"milletramp.example/milletramp/internal/fleet/raftnode"
+)
+
+const (
+	maxQueuedEvents     = 1024                   // for the Raft node
+	maxQueuedMessages   = 64                     // for one voter
+	maxQueues           = 64                     // voters, present and former ones, that messages are sent to
+	folderRetryInterval = 200 * time.Millisecond // while another process has the folder open
+)
+
+// faultBusy is sent for a request that the Raft node could not take, or not answer in time.
+const faultBusy = "policy: this decider is busy"
+
+// nodeCall is a request on its way through the Raft node's goroutine. The response, and the channel of a lease, may be
+// read once done is closed; the caller may have given up by then.
+type nodeCall struct {
+	request  request
+	response response
+	lease    chan consensus.Answer // nil: no lease was requested
+	done     chan struct{}
+}
+
+// answer has the Raft node's goroutine carry out a request, and waits for its response.
+func (a *Agent) answer(ctx context.Context, req request) response {
+	if !a.isVoter {
+		return response{Fault: a.settings.Name + " is no decider"}
+	}
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	call := &nodeCall{request: req, done: make(chan struct{})}
+	select {
+	case a.events <- func(now raftnode.Time) { defer close(call.done); a.carryOut(now, call) }:
+	default:
+		return response{Fault: faultBusy}
+	}
+	select {
+	case <-call.done:
+	case <-ctx.Done():
+		return response{Fault: faultBusy}
+	}
+	if call.lease == nil {
+		return call.response
+	}
+	return awaitLease(ctx, call)
+}
+
+// awaitLease waits until the leader has confirmed that it leads, and returns the response with the lease.
+func awaitLease(ctx context.Context, call *nodeCall) response {
+	resp := call.response
+	select {
+	case answer := <-call.lease:
+		if answer.Err != nil {
+			resp.Fault = answer.Err.Error()
+		} else {
+			resp.Lease = &answer.Grant
+		}
+	case <-ctx.Done():
+		resp.Fault = faultBusy
+	}
+	return resp
+}
+
+// carryOut does what a request asks for. It runs on the Raft node's goroutine.
+func (a *Agent) carryOut(now raftnode.Time, call *nodeCall) {
+	req, resp := call.request, &call.response
+	resp.Leader = a.node.Leader()
+	var err error
+	switch {
+	case req.Raft != nil:
+		err = a.node.Receive(now, req.Raft)
+	case req.Lease != nil:
+		a.lastToken++
+		call.lease = make(chan consensus.Answer, 1)
+		a.pendingLeases[a.lastToken] = call.lease
+		a.node.Ask(now, a.lastToken, *req.Lease)
+		resp.Voters, _ = a.node.Deciders()
+	case req.Propose != nil:
+		err = a.node.Propose(now, *req.Propose)
+	case req.Replace != nil:
+		err = a.node.Replace(now, req.Replace.Out, req.Replace.In)
+	case req.State:
+		resp.State = a.voterState(now)
+	default:
+		lookUp(a.node.Ledger(), req, resp)
+	}
+	if err != nil {
+		resp.Fault = err.Error()
+	}
+}
+
+// lookUp answers a request for what a ledger holds.
+func lookUp(l *policy.Ledger, req request, resp *response) {
+	switch {
+	case l == nil:
+		resp.Fault = "no consensus group yet"
+	case req.Document > 0:
+		d, known := l.Document(req.Document)
+		if !known {
+			d, known = l.Former(req.Document)
+		}
+		if !known {
+			resp.Fault = fmt.Sprintf("no document %d", req.Document)
+			return
+		}
+		resp.Document = &document{d.Number, d.Text}
+	case req.Outcome != "":
+		outcome := l.Outcome(req.Outcome)
+		resp.Outcome = &outcome
+	}
+}
+
+func (a *Agent) voterState(now raftnode.Time) *VoterState {
+	l := a.node.Ledger()
+	s := &VoterState{
+		Voter:        a.settings.Name,
+		Leader:       a.node.Leader(),
+		Bootstrapped: l != nil,
+		Candidates:   a.node.Waits(now),
+		NotAdmitted:  a.node.LeftOut(),
+	}
+	s.Voters, s.Settled = a.node.Deciders()
+	if err := a.node.Err(); err != nil {
+		s.Broken = err.Error()
+	}
+	if l == nil {
+		return s
+	}
+	d := l.InForce()
+	s.InForce, s.Digest, s.Outcomes = d.Number, d.Digest.String(), l.Outcomes()
+	var longest time.Duration
+	s.Waiting, longest = a.node.Waiting(now)
+	s.Seconds = longest.Round(time.Millisecond).Seconds()
+	if p := l.Pending(); p != nil {
+		s.Pending = &p.Outcome
+	}
+	return s
+}
+
+// runNode is the Raft node's goroutine.
+func (a *Agent) runNode() {
+	folder := a.openFolder()
+	if folder == nil {
+		return
+	}
+	node, err := raftnode.New(a.now(), raftnode.Settings{
+		Name:  a.settings.Name,
+		Named: a.settings.Voters,
+		First: a.settings.InitialPolicy,
+		Terms: a.settings.Terms,
+	}, folder, a.log)
+	if err != nil {
+		a.log.Error("this voter takes no part", "err", err)
+		_ = folder.Close() // nothing was written
+		return
+	}
+	a.node = node
+	defer folder.Close()
+	tick := time.NewTicker(consensus.TickEvery)
+	defer tick.Stop()
+	for {
+		select {
+		case <-a.ctx.Done():
+			return
+		case do := <-a.events:
+			do(a.now())
+		case <-tick.C:
+			a.node.Tick(a.now())
+		}
+		a.sendOut()
+		if a.node.Err() != nil {
+			a.failPendingLeases()
+		}
+	}
+}
+
+// sendOut passes on what the Raft node has to send. A message for a voter whose queue is full is lost, as it may be on
+// the network; Raft sends again.
+func (a *Agent) sendOut() {
+	out := a.node.Out()
+	for _, message := range out.Send {
+		select {
+		case a.queueTo(message.To) <- message.Text:
+		default:
+		}
+	}
+	for _, answer := range out.Answers {
+		if lease := a.pendingLeases[answer.Token]; lease != nil {
+			delete(a.pendingLeases, answer.Token)
+			lease <- answer // doesn't block: it is buffered, and each token is answered once
+		}
+	}
+}
+
+// failPendingLeases answers all requests for a lease, as the Raft node no longer will.
+func (a *Agent) failPendingLeases() {
+	for token, lease := range a.pendingLeases {
+		delete(a.pendingLeases, token)
+		lease <- consensus.Answer{Token: token, Err: consensus.ErrNoLeader}
+	}
+}
+
+// queueTo returns the queue of messages to a voter, nil if there are too many. It is made with its goroutine when it is
+// first used, as a voter that takes the place of another is not in the operator's file.
+func (a *Agent) queueTo(voter string) chan<- []byte {
+	queue := a.queues[voter]
+	if queue == nil && len(a.queues) < maxQueues {
+		queue = make(chan []byte, maxQueuedMessages)
+		a.queues[voter] = queue
+		a.spawn(func() { a.sendQueued(voter, queue) })
+	}
+	return queue
+}
+
+// sendQueued sends what is queued for one voter, one message at a time.
+func (a *Agent) sendQueued(voter string, queue <-chan []byte) {
+	for {
+		select {
+		case <-a.ctx.Done():
+			return
+		case text := <-queue:
+			ctx, cancel := context.WithTimeout(a.ctx, voterCallTimeout)
+			if _, err := a.do(ctx, voter, request{Raft: text}); err != nil {
+				a.log.Debug("message to a voter failed", "voter", voter, "err", err)
+			}
+			cancel()
+		}
+	}
+}
+
+// openFolder opens the voter's folder once no other process has it open: during an upgrade, the former process has. It
+// returns nil if the agent is closed, or if anything else is wrong; this sidecar then serves, but does not vote.
+func (a *Agent) openFolder() *disk.Log {
+	for attempt := 0; ; attempt++ {
+		folder, dropped, err := disk.Open(a.settings.Folder, rand.Uint64()|1)
+		switch {
+		case err == nil:
+			if dropped > 0 {
+				a.log.Warn("a torn record was dropped", "folder", a.settings.Folder, "bytes", dropped)
+			}
+			return folder
+		case !errors.Is(err, disk.ErrHeld):
+			a.log.Error("this voter takes no part", "err", err)
+			return nil
+		case attempt == 0:
+			a.log.Info("waiting for the folder", "err", err)
+		}
+		if !sleep(a.ctx, folderRetryInterval) {
+			return nil
+		}
+	}
+}
