--- a/internal/fleet/raftnode/node_test.go
+++ b/internal/fleet/raftnode/node_test.go
@@ -158,7 +158,7 @@
 		w.t.Fatal(err)
 	}
 	p.log = log
-	if p.node, err = New(w.now, Settings{p.name, p.named, []byte("first"), policy.UsualTerms}, killing{log, p, w},
+	if p.node, err = New(w.now, Settings{p.name, p.named, []byte("first"), policy.DefaultTerms}, killing{log, p, w},
 		slog.New(slog.NewTextHandler(p.said, nil))); err != nil {
 		w.t.Fatal(err)
 	}
@@ -252,7 +252,7 @@
 	w.id++
 	candidate := fmt.Sprint("p", w.id)
 	w.run(p, func(s *Node) {
-		if s.Propose(w.now, policy.Propose{ID: candidate, Author: "x", Follows: s.Ledger().InForce().Number, Text: []byte(candidate)}) == nil {
+		if s.Propose(w.now, policy.Proposal{ID: candidate, Author: "x", Follows: s.Ledger().InForce().Number, Text: []byte(candidate)}) == nil {
 			id = candidate
 		}
 	})
@@ -360,7 +360,7 @@
 			p.full = w.now + time.Minute
 			if tt.leads {
 				w.run(p, func(s *Node) {
-					_ = s.Propose(w.now, policy.Propose{ID: "x", Author: "x", Follows: 1, Text: []byte("x")})
+					_ = s.Propose(w.now, policy.Proposal{ID: "x", Author: "x", Follows: 1, Text: []byte("x")})
 				})
 			}
 			w.steps(200)
@@ -369,7 +369,7 @@
 			if inForce := w.ended[id].State == policy.InForce; inForce == tt.without {
 				t.Errorf("change %q in force: %v", id, inForce)
 			}
-			w.run(p, func(s *Node) { s.Ask(w.now, 7, policy.Question{Sidecar: "n1", Life: 1}) })
+			w.run(p, func(s *Node) { s.Ask(w.now, 7, policy.LeaseRequest{Sidecar: "n1", Incarnation: 1}) })
 			if got := w.answers[7]; !errors.Is(got.Err, consensus.ErrNoLeader) ||
 				!errors.Is(p.node.Err(), syscall.ENOSPC) || p.node.Leader() != "" {
 				t.Errorf("it answers %+v, error %v, leader %q", got, p.node.Err(), p.node.Leader())
@@ -427,7 +427,7 @@
 	if a.Err() != nil || a.Ledger().Outcome(second).State != policy.InForce {
 		t.Errorf("the one that remembers: %v, %v", a.Err(), a.Ledger().Outcome(second))
 	}
-	a.Ask(w.now, 7, policy.Question{Sidecar: "n1", Life: 1})
+	a.Ask(w.now, 7, policy.LeaseRequest{Sidecar: "n1", Incarnation: 1})
 	w.steps(100)
 	if got, ok := w.answers[7]; ok && got.Err == nil {
 		t.Errorf("one of three promises: %+v", got.Grant)
