--- a/internal/lab/fleet/mutants/mutants_test.go
+++ b/internal/lab/fleet/mutants/mutants_test.go
@@ -143,7 +143,7 @@
 	{"an older folder that believes itself", "consensus/bootstrap.go", "case e.Lives[g.self.ID] > g.self.Life:", "case false:", "TestGuard"},
 	{"a cut folder that votes", "consensus/consensus.go", "msg.Commit > last && m.ready == nil {", "false && msg.Commit > last && m.ready == nil {", "TestCutFolder"},
 	{"a spoilt record passed over", "disk/disk.go", "if len(text) == size || len", "if true || len", "TestSpoiltAnywhere"},
-	{"kept on after a failed write", "disk/disk.go", "l.broken = fmt.Errorf(\"consensus folder %s, nothing", "_ = fmt.Errorf(\"consensus folder %s, nothing", "TestFullDisk"},
+	{"kept on after a failed write", "disk/disk.go", "l.failed = true\n\t\treturn fmt.Errorf(\"consensus folder: %w\", err)\n\t}\n\tl.size", "return fmt.Errorf(\"consensus folder: %w\", err)\n\t}\n\tl.size", "TestFullDisk"},
 	{"a request held against nothing when it is taken", "../sidecar/policy.go", "return ok && now == number && g.host.terms.Load().policy == number", "return ok || now+number > 0", "TestGate"},
 	{"a file taken beside the policy", "../sidecar/reload.go", "if how := h.gate.differs(c); how != \"\" {", "if how := \"\"; how != \"\" {", "TestGateAndFile"},
 	{"a place taken with nothing to begin from", "consensus/consensus.go", "m.changed = true // Danger", "m.changed = false // Danger", "raftnode TestReplaced"},
