--- a/internal/fleet/consensus/consensus_test.go
+++ b/internal/fleet/consensus/consensus_test.go
@@ -182,11 +182,11 @@
 	}
 	if b.Snapshot != nil {
 		d.persisted.Snapshot = *b.Snapshot
-		d.persisted.Entries = slices.DeleteFunc(slices.Clone(d.persisted.Entries), func(e raftpb.Entry) bool { return index(e) <= snapshotIndex(*b.Snapshot) })
+		d.persisted.Entries = slices.DeleteFunc(slices.Clone(d.persisted.Entries), func(e raftpb.Entry) bool { return e.Index <= b.Snapshot.Metadata.Index })
 	}
 	if len(b.Entries) > 0 {
-		from := index(b.Entries[0])
-		d.persisted.Entries = append(slices.DeleteFunc(slices.Clone(d.persisted.Entries), func(e raftpb.Entry) bool { return index(e) >= from }), b.Entries...)
+		from := b.Entries[0].Index
+		d.persisted.Entries = append(slices.DeleteFunc(slices.Clone(d.persisted.Entries), func(e raftpb.Entry) bool { return e.Index >= from }), b.Entries...)
 	}
 }
 
@@ -449,8 +449,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if snapshotIndex(d.persisted.Snapshot) == 0 || len(d.persisted.Entries) > 2*snapshotThreshold {
-		t.Errorf("snapshot at %d, %d entries behind it", snapshotIndex(d.persisted.Snapshot), len(d.persisted.Entries))
+	if d.persisted.Snapshot.Metadata.Index == 0 || len(d.persisted.Entries) > 2*snapshotThreshold {
+		t.Errorf("snapshot at %d, %d entries behind it", d.persisted.Snapshot.Metadata.Index, len(d.persisted.Entries))
 	}
 	d.start()
 	for range 200 {
--- /dev/null
+++ b/internal/fleet/consensus/read.go
@@ -0,0 +1,118 @@
+package consensus
+
+import (
+	"encoding/binary"
+	"slices"
+	"time"
+
+	"go.etcd.io/raft/v3"
+
+	"milletramp.example/milletramp/internal/fleet/policy"
+)
+
+const (
+	maxQueuedReads   = 4096
+	readTimeout      = 2 * time.Second  // until a queued read is answered with ErrNoLeader
+	readRoundTimeout = 3 * TickInterval // until an unconfirmed round is begun anew
+)
+
+// pendingRead is a question that waits until a majority has confirmed that this voter leads.
+type pendingRead struct {
+	token      uint64
+	question   policy.Question
+	receivedAt Time
+}
+
+// readRound has a majority confirm at once all reads queued by its start (ReadIndex; Ongaro's dissertation, section
+// 6.4). A round for each read would be a message to each voter for each question, and a fleet of 300 sidecars asks
+// thousands a second while a change is under way.
+type readRound struct {
+	id        uint64
+	reads     []pendingRead
+	startedAt Time
+	readIndex uint64 // to be applied before the reads are answered; 0: not confirmed yet
+}
+
+// Ask takes in a sidecar's question for a lease. Its answer follows in Out under the token, once a majority has
+// confirmed that this voter was the leader when the question came.
+func (m *Machine) Ask(now Time, token uint64, q policy.Question) {
+	r := pendingRead{token, q, now}
+	if m.leases == nil || len(m.queuedReads) >= maxQueuedReads {
+		m.answerRead(r, policy.Grant{}, ErrNoLeader)
+		return
+	}
+	m.queuedReads = append(m.queuedReads, r)
+	m.startReadRound(now)
+}
+
+// startReadRound begins a round for the queued reads, unless one is under way.
+func (m *Machine) startReadRound(now Time) {
+	if m.leases == nil || m.currentRound != nil || len(m.queuedReads) == 0 {
+		return
+	}
+	m.lastRoundID++
+	m.currentRound = &readRound{id: m.lastRoundID, reads: m.queuedReads, startedAt: now}
+	m.queuedReads = nil
+	m.rawNode.ReadIndex(binary.BigEndian.AppendUint64(nil, m.lastRoundID))
+}
+
+// confirmReadRound takes in which rounds a majority has confirmed.
+func (m *Machine) confirmReadRound(states []raft.ReadState) {
+	for _, s := range states {
+		if m.currentRound != nil && m.currentRound.id == binary.BigEndian.Uint64(s.RequestCtx) {
+			m.currentRound.readIndex = s.Index
+		}
+	}
+}
+
+// answerConfirmedReads answers the current round's reads, where it is confirmed and the log applied so far.
+func (m *Machine) answerConfirmedReads(now Time) {
+	round := m.currentRound
+	if m.leases == nil || round == nil || round.readIndex == 0 || m.appliedIndex < round.readIndex {
+		return
+	}
+	for _, r := range round.reads {
+		grant, entries := m.leases.Ask(now, m.ledger, r.question)
+		m.proposeEntries(entries)
+		m.answerRead(r, grant, nil)
+	}
+	m.currentRound = nil
+	m.startReadRound(now)
+}
+
+// expireReads has the reads of a round whose messages may be lost wait for another round, and answers those that have
+// waited too long.
+func (m *Machine) expireReads(now Time) {
+	if r := m.currentRound; r != nil && r.readIndex == 0 && now-r.startedAt >= readRoundTimeout {
+		m.requeueReads()
+	}
+	m.queuedReads = slices.DeleteFunc(m.queuedReads, func(r pendingRead) bool {
+		expired := now-r.receivedAt >= readTimeout
+		if expired {
+			m.answerRead(r, policy.Grant{}, ErrNoLeader)
+		}
+		return expired
+	})
+}
+
+// failReads answers all reads with ErrNoLeader.
+func (m *Machine) failReads() {
+	m.requeueReads()
+	for _, r := range m.queuedReads {
+		m.answerRead(r, policy.Grant{}, ErrNoLeader)
+	}
+	m.queuedReads = nil
+}
+
+// requeueReads ends the current round, and puts its reads before those that are queued.
+func (m *Machine) requeueReads() {
+	if m.currentRound == nil {
+		return
+	}
+	m.queuedReads = append(m.currentRound.reads, m.queuedReads...)
+	m.currentRound = nil
+}
+
+func (m *Machine) answerRead(r pendingRead, grant policy.Grant, err error) {
+	m.actions.Answers = append(m.actions.Answers, Answer{r.token, grant, err})
+}
--- /dev/null
+++ b/internal/fleet/consensus/start.go
@@ -0,0 +1,121 @@
+package consensus
+
+import (
+	"fmt"
+	"log/slog"
+	"maps"
+	"slices"
+
+	"github.com/fxamacker/cbor/v2"
+	"go.etcd.io/raft/v3"
+	"go.etcd.io/raft/v3/raftpb"
+
+	"milletramp.example/milletramp/internal/fleet/policy"
+)
+
+// initialIndex and initialTerm are those of the snapshot that all voters of a group begin with.
+const (
+	initialIndex = 1
+	initialTerm  = 1
+)
+
+// New returns a machine that goes on from the persisted state or, without one, begins with the initial policy in force.
+// It fails where the identity is none of the bootstrapped voters', and where the persisted state is not consistent.
+func New(now Time, settings Settings, log *slog.Logger) (*Machine, error) {
+	identity := settings.Identity
+	members := settings.Bootstrap.voterIDs()
+	if !slices.Contains(members, identity.ID) || identity.Incarnation == 0 {
+		return nil, fmt.Errorf("consensus: voter %x in its incarnation %d is none of %v",
+			identity.ID, identity.Incarnation, settings.Bootstrap)
+	}
+	if err := settings.Terms.Check(); err != nil {
+		return nil, fmt.Errorf("consensus: %w", err)
+	}
+	m := &Machine{
+		settings: settings,
+		verifier: envelopeVerifier{
+			groupID:      settings.Bootstrap.GroupID(),
+			identity:     identity,
+			members:      members,
+			incarnations: map[uint64]uint64{},
+		},
+		newIncarnations: map[uint64]uint64{},
+		storage:         raft.NewMemoryStorage(),
+		snapshotsSent:   map[uint64]Time{},
+		ledger:          policy.NewLedger(settings.Bootstrap.InitialPolicy),
+		voters:          maps.Clone(settings.Bootstrap.KnownVoters()),
+	}
+	maps.Copy(m.verifier.incarnations, settings.Incarnations)
+	if err := m.loadStorage(); err != nil {
+		return nil, err
+	}
+	var err error
+	if m.rawNode, err = raft.NewRawNode(m.raftConfig(log)); err != nil {
+		return nil, fmt.Errorf("consensus: %w", err)
+	}
+	return m, nil
+}
+
+// loadStorage fills Raft's storage with the persisted state. A voter that replaces another begins with an empty one: it
+// waits for the leader's snapshot, and is no candidate before.
+func (m *Machine) loadStorage() error {
+	persisted := m.settings.Persisted
+	joins := m.settings.Bootstrap.VotersAtJoin != nil
+	if raft.IsEmptySnap(persisted.Snapshot) && !joins {
+		var err error
+		if persisted.Snapshot, err = m.initialSnapshot(); err != nil {
+			return err
+		}
+	}
+	if raft.IsEmptyHardState(persisted.HardState) && !joins {
+		// The first election is for a term of its own, behind that of the initial snapshot.
+		persisted.HardState = raftpb.HardState{Term: initialTerm, Commit: initialIndex}
+	}
+	if !raft.IsEmptySnap(persisted.Snapshot) {
+		if err := m.installSnapshot(persisted.Snapshot); err != nil {
+			return err
+		}
+	}
+	if err := m.storage.Append(persisted.Entries); err != nil {
+		return fmt.Errorf("consensus: entries: %w", err)
+	}
+	if err := m.storage.SetHardState(persisted.HardState); err != nil {
+		return fmt.Errorf("consensus: hard state: %w", err)
+	}
+	return nil
+}
+
+// initialSnapshot is what the log of a new group begins with: the same on all of its voters, so that they are one group
+// without an election on who they are.
+func (m *Machine) initialSnapshot() (raftpb.Snapshot, error) {
+	data, err := cbor.Marshal(snapshotData{InitialPolicy: m.settings.Bootstrap.InitialPolicy, Voters: m.voters})
+	if err != nil {
+		return raftpb.Snapshot{}, fmt.Errorf("consensus: initial policy: %w", err)
+	}
+	return raftpb.Snapshot{Data: data, Metadata: raftpb.SnapshotMetadata{
+		Index:     initialIndex,
+		Term:      initialTerm,
+		ConfState: raftpb.ConfState{Voters: m.verifier.members},
+	}}, nil
+}
+
+// raftConfig configures Raft. PreVote keeps a voter that was cut off from disturbing the leader, and CheckQuorum has a
+// leader that was cut off step down (Ongaro's dissertation, sections 9.6 and 6.2). Proposals are not forwarded: their
+// senders go to the leader by themselves.
+func (m *Machine) raftConfig(log *slog.Logger) *raft.Config {
+	return &raft.Config{
+		ID:                        m.settings.Identity.ID,
+		ElectionTick:              electionTicks,
+		HeartbeatTick:             heartbeatTicks,
+		Storage:                   m.storage,
+		Applied:                   m.appliedIndex,
+		MaxSizePerMsg:             maxAppendBytes,
+		MaxInflightMsgs:           maxInflightMessages,
+		MaxUncommittedEntriesSize: maxUncommittedBytes,
+		CheckQuorum:               true,
+		PreVote:                   true,
+		DisableProposalForwarding: true,
+		StepDownOnRemoval:         true,
+		Logger:                    raftLogger{log},
+	}
+}
