--- a/internal/fleet/raftnode/node.go
+++ b/internal/fleet/raftnode/node.go
@@ -1,6 +1,9 @@
-// Package raftnode is a decider's place in the consensus group: it finds or bootstraps the consensus group (consensus.Bootstrapper), runs its part of it
-// (consensus.Machine), and has its folder (package disk) keep whatever must outlast this life before anything that rests on it is told. It
-// is stepped by one goroutine; what it waits for is the folder alone.
+// Package raftnode runs one voter of the policy's consensus group: it finds or forms the group
+// (consensus.Bootstrapper), runs its part in it (consensus.Machine), and has everything that must survive a crash
+// persisted (package disk) before anything that rests on it is sent.
+//
+// A Node is a stepped state machine as these two are, without clock, socket or goroutine. It is not safe for concurrent
+// use: one goroutine calls it, and blocks while Storage writes.
 package raftnode
 
 import (
@@ -22,14 +25,11 @@
 // Time is a reading of the host's monotonic clock.
 type Time = time.Duration
 
-const (
-	helloInterval   = 10 * consensus.TickInterval
-	standbyLifetime = 4 * helloInterval // one that waits for a place is heard of within this
-	maxMessageBytes = 8 << 20           // bytes of a message: entries and a snapshot
-	maxNameBytes    = 64                // bytes of a decider's
-)
+// maxMessageBytes bounds an encoded message: entries and a snapshot.
+const maxMessageBytes = 8 << 20
 
-// Storage keeps what outlasts a life. *disk.Log is one.
+// Storage keeps what must survive the process. *disk.Log is one. Its writes return once the data is durable; after an
+// error the node stops.
 type Storage interface {
 	Memory() disk.Memory
 	Found(consensus.Bootstrap) error
@@ -40,320 +40,269 @@
 // Settings are from the operator's file.
 type Settings struct {
 	Name          string
-	Voters        []string // all deciders, this one among them
+	Voters        []string // names of all voters, this one among them
 	InitialPolicy []byte   // the policy in force before any change
 	Terms         policy.Terms
 }
 
-// packet is what Raft nodes send each other: exactly one of its fields is set.
+// packet is what nodes send each other: exactly one of its fields is set.
 type packet struct {
 	Hello    *consensus.Hello `cbor:"1,keyasint,omitempty"`
 	Envelope []byte           `cbor:"2,keyasint,omitempty"`
 }
 
-// Message is for another decider.
+// Message is for another node.
 type Message struct {
-	To      string
-	Payload []byte
+	To      string // its name
+	Payload []byte // an encoded packet
 }
 
-// Actions are what is to be done after an event.
+// Actions are what the host is to do after an event.
 type Actions struct {
 	Send    []Message
 	Answers []consensus.Answer
 }
 
-// Node is one decider's.
+// Node is one voter of the group, or a standby: a sidecar that is in no group yet and may replace a voter.
 type Node struct {
 	settings     Settings
 	storage      Storage
 	log          *slog.Logger
 	bootstrapper *consensus.Bootstrapper
-	machine      *consensus.Machine // nil: no consensus group yet
+	machine      *consensus.Machine // nil: this node is in no group
 	voterNames   map[uint64]string
+	fatalErr     error // not nil: this node has stopped
+
 	nextHello    Time
-	notInGroup   bool     // there is a consensus group, without this decider
-	helloTargets []string // to whom hello is said: those of the file, and those that a consensus group told of
-	standbys     map[string]standby
-	fatalErr     error
-	actions      Actions
-}
+	helloTargets []string           // the configured voters and, of a group without this node, the present ones
+	notInGroup   bool               // a voter of a group has said that this node is not in it
+	standbys     map[string]standby // by name
 
-// standby is one that is of no consensus group and says hello, as it might take the place of a decider that is gone.
-type standby struct {
-	id        uint64
-	lastHello Time
+	actions Actions
 }
 
-// New returns the Raft node of a life that begins now.
-func New(now Time, set Settings, folder Storage, log *slog.Logger) (*Node, error) {
-	m := folder.Memory()
-	f, err := consensus.NewBootstrapper(set.Name, m.Self, set.Voters, set.InitialPolicy, m.Bootstrap)
+// New returns the node of a process that starts now. It fails where the settings are wrong, where the folder is another
+// voter's, and where the persisted state is not consistent.
+func New(now Time, settings Settings, storage Storage, log *slog.Logger) (*Node, error) {
+	memory := storage.Memory()
+	bootstrapper, err := consensus.NewBootstrapper(
+		settings.Name, memory.Self, settings.Voters, settings.InitialPolicy, memory.Bootstrap)
 	if err != nil {
 		return nil, err
 	}
-	s := &Node{settings: set, storage: folder, log: log, bootstrapper: f, voterNames: map[uint64]string{}, standbys: map[string]standby{}, helloTargets: set.Voters}
-	if m.Bootstrap != nil {
-		return s, s.startMachine(now, m)
+	n := &Node{
+		settings:     settings,
+		storage:      storage,
+		log:          log,
+		bootstrapper: bootstrapper,
+		voterNames:   map[uint64]string{},
+		helloTargets: settings.Voters,
+		standbys:     map[string]standby{},
 	}
-	return s, nil
-}
-
-// startMachine takes part in the consensus group that the folder names.
-func (s *Node) startMachine(now Time, m disk.Memory) (err error) {
-	s.machine, err = consensus.New(now, consensus.Settings{Identity: m.Self, Bootstrap: *m.Bootstrap, Incarnations: m.Heard, Terms: s.settings.Terms, Persisted: m.Kept}, s.log)
-	if err == nil {
-		s.voterNames = s.machine.VoterNames()
+	if memory.Bootstrap != nil {
+		return n, n.startMachine(now, memory)
 	}
-	return err
+	return n, nil
 }
 
-// Voters are the names of those who decide now, as far as is known here, in order; settled is false while one takes the place of another.
-func (s *Node) Voters() (names []string, settled bool) {
-	if s.machine == nil {
-		return nil, false
+// startMachine takes part in the group that the folder is of.
+func (n *Node) startMachine(now Time, memory disk.Memory) error {
+	machine, err := consensus.New(now, consensus.Settings{
+		Identity:     memory.Self,
+		Bootstrap:    *memory.Bootstrap,
+		Incarnations: memory.Heard,
+		Terms:        n.settings.Terms,
+		Persisted:    memory.Kept,
+	}, n.log)
+	if err != nil {
+		return err
 	}
-	deciders, settled := s.machine.Voters()
-	return slices.Sorted(maps.Keys(deciders)), settled
+	n.machine = machine
+	n.voterNames = machine.VoterNames()
+	return nil
 }
 
-// Standbys are the names of those who wait for a place, in order.
-func (s *Node) Standbys(now Time) (names []string) {
-	for name, w := range s.standbys {
-		if now-w.lastHello < standbyLifetime {
-			names = append(names, name)
-		}
+// running tells whether this node takes part in a group.
+func (n *Node) running() bool { return n.machine != nil && n.fatalErr == nil }
+
+// Voters are the names of the present voters in order, as far as is known here; settled is false while one replaces
+// another. There are none, where this node is in no group.
+func (n *Node) Voters() (names []string, settled bool) {
+	if n.machine == nil {
+		return nil, false
 	}
-	slices.Sort(names)
-	return names
+	voters, settled := n.machine.Voters()
+	return slices.Sorted(maps.Keys(voters)), settled
 }
 
-// Replace has one that waits for a place take that of a decider. Which folder it has is what it said itself.
-func (s *Node) Replace(now Time, out, in string) error {
-	if s.machine == nil || s.fatalErr != nil {
+// Replace has a standby that this node knows of replace a voter. It returns once the change is proposed;
+// consensus.ErrNoLeader says that this node does not lead.
+func (n *Node) Replace(now Time, outgoing, incoming string) error {
+	if !n.running() {
 		return consensus.ErrNoLeader
 	}
-	w, known := s.standbys[in]
-	if !known || now-w.lastHello >= standbyLifetime {
-		return fmt.Errorf("raftnode: %.80q does not wait for a place here: start it as a decider, with an empty folder", in)
+	s, known := n.standbys[incoming]
+	if !known || s.expired(now) {
+		return fmt.Errorf("raftnode: %.80q is no standby here: start it as a voter, with an empty folder", incoming)
 	}
-	err := s.machine.Replace(out, in, w.id)
-	s.flush(now)
+	err := n.machine.Replace(outgoing, incoming, s.id)
+	n.flush(now)
 	return err
 }
 
-// Err says why this decider takes part no more; nil: it does. Another life may, where its folder is whole.
-func (s *Node) Err() error { return s.fatalErr }
+// Err says why this node has stopped: an error of Storage, consensus.ErrReplaced or consensus.ErrLostState. It is nil
+// while the node runs. Another process may go on with the same folder, where that is whole.
+func (n *Node) Err() error { return n.fatalErr }
 
-// IsStandby tells whether there is a consensus group that this decider waits for a place in.
-func (s *Node) IsStandby() bool { return s.notInGroup && s.machine == nil }
-
-// Ledger is what the log comes to here, which may be old; nil: there is no consensus group yet.
-func (s *Node) Ledger() *policy.Ledger {
-	if s.machine == nil {
+// Ledger is what the log comes to here, which may be old; nil: this node is in no group.
+func (n *Node) Ledger() *policy.Ledger {
+	if n.machine == nil {
 		return nil
 	}
-	return s.machine.Ledger()
+	return n.machine.Ledger()
 }
 
-// Leader is the decider that leads as far as is known here; "": nobody is known to.
-func (s *Node) Leader() string {
-	if s.machine == nil || s.fatalErr != nil {
+// Leader is the name of the leader as far as is known here; "": none is known.
+func (n *Node) Leader() string {
+	if !n.running() {
 		return ""
 	}
-	return s.voterNames[s.machine.Leader()]
+	return n.voterNames[n.machine.Leader()]
 }
 
-// Waiting lists the sidecars that the change under way waits for, and how long at most, on the one that leads.
-func (s *Node) Waiting(now Time) (names []string, most time.Duration) {
-	if s.machine == nil || s.fatalErr != nil {
+// Waiting lists the sidecars whose leases the pending change waits for, and for how long at most. It is empty on a node
+// that does not lead.
+func (n *Node) Waiting(now Time) (names []string, most time.Duration) {
+	if !n.running() {
 		return nil, 0
 	}
-	return s.machine.Waiting(now)
+	return n.machine.Waiting(now)
 }
 
-// Out takes what is to be done.
-func (s *Node) Out() Actions {
-	out := s.actions
-	s.actions = Actions{}
+// Out returns what is to be sent and answered, and forgets it.
+func (n *Node) Out() Actions {
+	out := n.actions
+	n.actions = Actions{}
 	return out
 }
 
-// Tick has the Raft node do what is due. It is to be called each consensus.TickEvery.
-func (s *Node) Tick(now Time) {
+// Tick does what is due. It is to be called every consensus.TickInterval.
+func (n *Node) Tick(now Time) {
 	switch {
-	case s.fatalErr != nil:
-	case s.machine == nil && now >= s.nextHello:
-		s.nextHello = now + helloInterval
-		h := s.bootstrapper.Hello()
-		for _, name := range s.helloTargets {
-			if name != s.settings.Name {
-				s.send(name, packet{Hello: &h})
-			}
-		}
-	case s.machine != nil:
-		s.machine.Tick(now)
-		s.flush(now)
+	case n.fatalErr != nil:
+	case n.machine != nil:
+		n.machine.Tick(now)
+		n.flush(now)
+	case now >= n.nextHello:
+		n.nextHello = now + helloInterval
+		n.sendHellos()
 	}
 }
 
-// Receive takes in a message of another decider. Its error says what is wrong with that message, not with this decider.
-func (s *Node) Receive(now Time, text []byte) error {
-	if s.fatalErr != nil {
+// Receive takes in a message of another node. Its error says what is wrong with that message; Err says whether this
+// node has stopped.
+func (n *Node) Receive(now Time, payload []byte) error {
+	if n.fatalErr != nil {
 		return nil
 	}
-	if len(text) > maxMessageBytes {
-		return fmt.Errorf("raftnode: a message of %d bytes, %d are allowed", len(text), maxMessageBytes)
+	if len(payload) > maxMessageBytes {
+		return fmt.Errorf("raftnode: a message of %d bytes, %d are allowed", len(payload), maxMessageBytes)
 	}
 	var p packet
-	if err := cbor.Unmarshal(text, &p); err != nil {
-		return fmt.Errorf("raftnode: a message that cannot be read: %w", err)
+	if err := cbor.Unmarshal(payload, &p); err != nil {
+		return fmt.Errorf("raftnode: malformed message: %w", err)
 	}
 	switch {
 	case p.Hello != nil:
-		return s.receiveHello(now, *p.Hello)
-	case s.machine == nil:
-		return nil // of a consensus group that this decider has yet to hear of
+		return n.receiveHello(now, *p.Hello)
+	case n.machine == nil:
+		return nil // of a group that this node has yet to learn of
 	}
-	err := s.machine.Step(p.Envelope)
+	err := n.machine.Step(p.Envelope)
 	if errors.Is(err, consensus.ErrLostState) {
-		s.fail(err)
+		n.stop(err)
 		return nil
 	}
-	s.flush(now)
+	n.flush(now)
 	return err
 }
 
-// receiveHello takes in a hello, and answers one that is of no consensus group yet.
-func (s *Node) receiveHello(now Time, h consensus.Hello) error {
-	if s.machine != nil {
-		return s.answerHello(now, h)
-	}
-	err := s.bootstrapper.Receive(now, h)
-	if errors.Is(err, consensus.ErrNotInGroup) {
-		// Danger: who leads may be in no file of this one's, as it is that one's place that it is to take.
-		s.helloTargets = s.settings.Voters
-		for _, name := range slices.Sorted(maps.Keys(h.Voters)) {
-			if !slices.Contains(s.helloTargets, name) && len(s.helloTargets) < maxStandbys {
-				s.helloTargets = append(slices.Clip(s.helloTargets), name)
-			}
-		}
-		if !s.notInGroup {
-			s.notInGroup = true
-			s.log.Warn("this decider waits for a place", "why", err)
-		}
-		return nil
-	}
-	if f := s.bootstrapper.Bootstrap(); f != nil && s.machine == nil {
-		// Danger: what the others are told of a consensus group they count on.
-		if err := s.storage.Found(*f); err != nil {
-			s.fail(err)
-			return nil
-		}
-		s.log.Info("of a consensus group", "group", f.String())
-		if err := s.startMachine(now, s.storage.Memory()); err != nil {
-			s.fail(err)
-			return nil
-		}
-		s.flush(now)
-		if h.Bootstrap == nil {
-			return s.answerHello(now, h)
-		}
-	}
-	return err
-}
-
-// maxStandbys is how many may wait for a place at a time.
-const maxStandbys = 16
-
-// answerHello answers one that is of no consensus group with what this one is, and notes that it is there.
-func (s *Node) answerHello(now Time, h consensus.Hello) error {
-	if h.Bootstrap != nil || h.ID == 0 || h.Name == "" || len(h.Name) > maxNameBytes {
-		return nil
-	}
-	deciders, _ := s.machine.Voters()
-	if deciders[h.Name] != h.ID {
-		maps.DeleteFunc(s.standbys, func(_ string, w standby) bool { return now-w.lastHello >= standbyLifetime })
-		if _, known := s.standbys[h.Name]; !known && len(s.standbys) >= maxStandbys {
-			return fmt.Errorf("raftnode: %d wait for a place already", maxStandbys)
-		}
-		s.standbys[h.Name] = standby{h.ID, now}
-	}
-	mine := s.bootstrapper.Hello()
-	mine.Voters = deciders
-	s.send(h.Name, packet{Hello: &mine})
-	return nil
-}
-
-// Ask takes in a sidecar's question. The answer follows under its token.
-func (s *Node) Ask(now Time, token uint64, q policy.Question) {
-	if s.machine == nil || s.fatalErr != nil {
-		s.actions.Answers = append(s.actions.Answers, consensus.Answer{Token: token, Err: consensus.ErrNoLeader})
+// Ask takes in a sidecar's question for a lease. Its answer follows in Out under the token; its error is
+// consensus.ErrNoLeader where this node does not lead.
+func (n *Node) Ask(now Time, token uint64, q policy.Question) {
+	if !n.running() {
+		n.actions.Answers = append(n.actions.Answers, consensus.Answer{Token: token, Err: consensus.ErrNoLeader})
 		return
 	}
-	s.machine.Ask(now, token, q)
-	s.flush(now)
+	n.machine.Ask(now, token, q)
+	n.flush(now)
 }
 
-// Propose asks for a change. What becomes of it stands in the ledger under its id.
-func (s *Node) Propose(now Time, p policy.Propose) error {
-	if s.machine == nil || s.fatalErr != nil {
+// Propose proposes a change of policy. Its outcome is in the ledger under its ID; consensus.ErrNoLeader says that it
+// was not accepted and must go to the leader.
+func (n *Node) Propose(now Time, p policy.Propose) error {
+	if !n.running() {
 		return consensus.ErrNoLeader
 	}
-	err := s.machine.Propose(p)
-	s.flush(now)
+	err := n.machine.Propose(p)
+	n.flush(now)
 	return err
 }
 
-// flush keeps what is to be kept, and then tells what rests on it.
-func (s *Node) flush(now Time) {
-	for s.fatalErr == nil {
-		b, due := s.machine.Batch()
+// flush persists what is to be persisted, and then sends what rests on it.
+func (n *Node) flush(now Time) {
+	for n.fatalErr == nil {
+		b, due := n.machine.Batch()
 		if !due {
 			break
 		}
-		if err := s.storage.Keep(b); err != nil {
-			s.fail(err)
-			return
-		}
-		if err := s.machine.Advance(now); err != nil {
-			s.fail(err)
-			return
-		}
-		s.voterNames = s.machine.VoterNames()
-		if err := s.machine.Err(); err != nil {
-			s.fail(err)
-			return
-		}
-		snapshot, err := s.machine.Compact()
-		if err == nil && snapshot != nil {
-			err = s.storage.Compact(*snapshot)
-		}
-		if err != nil {
-			s.fail(err)
+		if err := n.persist(now, b); err != nil {
+			n.stop(err)
 			return
 		}
 	}
-	out := s.machine.Out()
+	out := n.machine.Out()
 	for _, m := range out.Send {
-		if to := s.voterNames[m.To]; to != "" { // else it was replaced meanwhile
-			s.send(to, packet{Envelope: m.Payload})
+		if to := n.voterNames[m.To]; to != "" { // else it was replaced meanwhile
+			n.send(to, packet{Envelope: m.Payload})
 		}
 	}
-	s.actions.Answers = append(s.actions.Answers, out.Answers...)
+	n.actions.Answers = append(n.actions.Answers, out.Answers...)
+}
+
+// persist stores a batch, advances the machine, and compacts the log where that is due.
+func (n *Node) persist(now Time, b consensus.Batch) error {
+	if err := n.storage.Keep(b); err != nil {
+		return err
+	}
+	if err := n.machine.Advance(now); err != nil {
+		return err
+	}
+	n.voterNames = n.machine.VoterNames()
+	if err := n.machine.Err(); err != nil {
+		return err
+	}
+	snapshot, err := n.machine.Compact()
+	if err != nil || snapshot == nil {
+		return err
+	}
+	return n.storage.Compact(*snapshot)
 }
 
-func (s *Node) send(to string, p packet) {
-	text, err := cbor.Marshal(p)
-	if err != nil || len(text) > maxMessageBytes {
-		s.log.Error("raftnode: a message that cannot be sent", "to", to, "bytes", len(text), "err", err)
+// send queues a packet for another node.
+func (n *Node) send(to string, p packet) {
+	payload, err := cbor.Marshal(p)
+	if err != nil || len(payload) > maxMessageBytes {
+		n.log.Error("raftnode: message not sent", "to", to, "bytes", len(payload), "err", err)
 		return
 	}
-	s.actions.Send = append(s.actions.Send, Message{to, text})
+	n.actions.Send = append(n.actions.Send, Message{to, payload})
 }
 
-// fail has this decider take part no more. What was not told yet is told to nobody.
-func (s *Node) fail(err error) {
-	s.fatalErr, s.actions = err, Actions{}
-	s.log.Error("this decider takes part no more", "err", err)
+// stop has this node take part no more. What is not sent yet is dropped, as it may rest on state that was not
+// persisted.
+func (n *Node) stop(err error) {
+	n.fatalErr = err
+	n.actions = Actions{}
+	n.log.Error("raftnode: voter stopped", "err", err)
 }
--- a/internal/lab/fleet/mutants/mutants_test.go
+++ b/internal/lab/fleet/mutants/mutants_test.go
@@ -142,7 +142,7 @@
 	{"a file taken beside the policy", "../sidecar/reload.go", "if how := h.gate.differs(c); how != \"\" {", "if how := \"\"; how != \"\" {", "TestGateAndFile"},
 	{"a place taken with nothing to begin from", "consensus/voters.go", "m.snapshotDue = true // a new", "m.snapshotDue = false // a new", "raftnode TestReplaceVoter"},
 	{"who was replaced goes on", "consensus/advance.go", "m.stop(ErrReplaced)", "_ = ErrReplaced", "raftnode TestReplaceVoter"},
-	{"a place given to who was never heard of", "raftnode/node.go", "if !known || now-w.lastHello >= standbyLifetime {", "if w.id |= 1; !known && false {", "raftnode TestReplaceVoter"},
+	{"a place given to who was never heard of", "raftnode/node.go", "if !known || s.expired(now) {", "if s.id |= 1; !known && false {", "raftnode TestReplaceVoter"},
 	{"a decider without memory that votes", "consensus/bootstrap.go", "case h.Voters[b.name] == b.identity.ID:", "case true:", "TestBootstrappedOnce"},
 	{"refused after it was committed", "policy/ledger.go", "e.Refuse.Number == p.Number && p.State == Proposed", "e.Refuse.Number == p.Number", "TestLedger"},
 }
