--- a/internal/fleet/consensus/bootstrap_test.go
+++ b/internal/fleet/consensus/bootstrap_test.go
@@ -2,20 +2,15 @@
 
 import (
 	"errors"
-	"fmt"
-	"log/slog"
 	"maps"
 	"slices"
 	"testing"
 	"time"
 
-	"github.com/fxamacker/cbor/v2"
 	"pgregory.net/rapid"
-
-	"milletramp.example/milletramp/internal/fleet/policy"
 )
 
-// founderWorld is named deciders that say hello to each other, lose their folders and come back.
+// bootstrapCluster is configured voters that send each other hellos, lose their folders and return.
 type bootstrapCluster struct {
 	t          *rapid.T
 	now        time.Duration
@@ -24,7 +19,7 @@
 	folders    map[string]folder
 	lastID     uint64
 	delayed    []func()
-	groups     map[uint64]map[string]uint64 // by consensus group: who has held it, and with which folder
+	groups     map[uint64]map[string]uint64 // by group: who has been in it, and with which folder's ID
 	folderLost bool                         // some folder was lost
 }
 
@@ -33,334 +28,280 @@
 	bootstrap *Bootstrap
 }
 
-func (w *bootstrapCluster) start(name string) {
-	f := w.folders[name]
+// isOf tells whether the folder is of a group.
+func (f folder) isOf(group uint64) bool { return f.bootstrap != nil && f.bootstrap.GroupID() == group }
+
+func (c *bootstrapCluster) start(name string) {
+	f := c.folders[name]
 	if f.identity.ID == 0 {
-		w.lastID++
-		f.identity.ID = w.lastID
+		c.lastID++
+		f.identity.ID = c.lastID
 	}
 	f.identity.Incarnation++
-	w.folders[name] = f
-	m, err := NewBootstrapper(name, f.identity, w.names, initialPolicy, f.bootstrap)
+	c.folders[name] = f
+	m, err := NewBootstrapper(name, f.identity, c.names, initialPolicy, f.bootstrap)
 	if err != nil {
-		w.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	w.machines[name] = m
+	c.machines[name] = m
 }
 
-// receive has a machine take in a hello, and what is to be kept be kept.
-func (w *bootstrapCluster) receive(name string, h Hello) {
-	m := w.machines[name]
+// receive has a voter take in a hello, and persists its group.
+func (c *bootstrapCluster) receive(name string, h Hello) {
+	m := c.machines[name]
 	if m == nil {
 		return
 	}
-	if err := m.Receive(w.now, h); err != nil && !errors.Is(err, ErrNotInGroup) {
-		w.t.Fatal(err)
+	if err := m.Receive(c.now, h); err != nil && !errors.Is(err, ErrNotInGroup) {
+		c.t.Fatal(err)
 	}
-	f := w.folders[name]
-	if f.bootstrap != nil && m.Bootstrap().GroupID() != f.bootstrap.GroupID() {
-		w.t.Fatalf("%s was of %v and is of %v", name, f.bootstrap, m.Bootstrap())
+	f := c.folders[name]
+	if f.bootstrap != nil && !f.isOf(m.Bootstrap().GroupID()) {
+		c.t.Fatalf("%s was of %v and is of %v", name, f.bootstrap, m.Bootstrap())
 	}
 	if m.Bootstrap() == nil {
 		return
 	}
 	f.bootstrap = m.Bootstrap()
-	w.folders[name] = f
-	if w.groups[f.bootstrap.GroupID()] == nil {
-		w.groups[f.bootstrap.GroupID()] = map[string]uint64{}
+	c.folders[name] = f
+	group := f.bootstrap.GroupID()
+	if c.groups[group] == nil {
+		c.groups[group] = map[string]uint64{}
 	}
-	w.groups[f.bootstrap.GroupID()][name] = f.identity.ID
+	c.groups[group][name] = f.identity.ID
 	if f.bootstrap.Voters[name] != f.identity.ID {
-		w.t.Fatalf("%s with folder %x is of %v", name, f.identity.ID, f.bootstrap)
+		c.t.Fatalf("%s with folder %x is of %v", name, f.identity.ID, f.bootstrap)
 	}
 }
 
-// TestBootstrappedOnce: whatever gets lost of hellos and folders, no two consensus groups ever have a majority of their own; one whose
-// folder is lost is of no consensus group that it was of before; and where none is lost, all are of one.
-func TestBootstrappedOnce(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		w := &bootstrapCluster{t: t, now: time.Hour, names: []string{"a", "b", "c"}, machines: map[string]*Bootstrapper{}, folders: map[string]folder{},
-			groups: map[uint64]map[string]uint64{}}
-		if rapid.Bool().Draw(t, "five") {
-			w.names = append(w.names, "d", "e")
+// step does one drawn thing.
+func (c *bootstrapCluster) step() {
+	c.now += time.Duration(rapid.IntRange(0, 400).Draw(c.t, "ms")) * time.Millisecond
+	name := rapid.SampledFrom(c.names).Draw(c.t, "who")
+	switch rapid.IntRange(0, 9).Draw(c.t, "what") {
+	case 0:
+		if c.machines[name] == nil {
+			c.start(name)
 		}
-		for range rapid.IntRange(1, 150).Draw(t, "steps") {
-			w.now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond
-			name := rapid.SampledFrom(w.names).Draw(t, "who")
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
-			case 0:
-				if w.machines[name] == nil {
-					w.start(name)
-				}
-			case 1:
-				w.machines[name] = nil
-			case 2:
-				// A majority that loses its folders at once is what the operators have to see to: of these nobody knows.
-				lives := 0
-				for _, f := range w.folders {
-					if f.bootstrap != nil {
-						lives++
-					}
-				}
-				if rapid.IntRange(0, 3).Draw(t, "lost") == 0 && w.folders[name].identity.ID > 0 && (lives == 0 || lives > 1) {
-					w.machines[name], w.folderLost = nil, true
-					delete(w.folders, name)
-				}
-			case 3, 4:
-				if len(w.delayed) > 0 {
-					i := rapid.IntRange(0, len(w.delayed)-1).Draw(t, "which")
-					do := w.delayed[i]
-					w.delayed = slices.Delete(w.delayed, i, i+1)
-					do()
-				}
-			default:
-				if m := w.machines[name]; m != nil {
-					h := m.Hello()
-					for _, to := range w.names {
-						if to != name && rapid.IntRange(0, 3).Draw(t, "arrives") > 0 {
-							w.receive(to, h)
-						} else if to != name && len(w.delayed) < 20 {
-							w.delayed = append(w.delayed, func() { w.receive(to, h) }) // late
-						}
-					}
-				}
+	case 1:
+		c.machines[name] = nil
+	case 2:
+		c.loseFolder(name)
+	case 3, 4:
+		c.deliverDelayed()
+	default:
+		c.sendHellos(name)
+	}
+}
+
+// loseFolder has a drawn part of the folders be lost, but never the last one of a group: no voter can know of that, and
+// the operators have to see to it.
+func (c *bootstrapCluster) loseFolder(name string) {
+	inGroup := 0
+	for _, f := range c.folders {
+		if f.bootstrap != nil {
+			inGroup++
+		}
+	}
+	if rapid.IntRange(0, 3).Draw(c.t, "lost") == 0 && c.folders[name].identity.ID > 0 && inGroup != 1 {
+		c.machines[name], c.folderLost = nil, true
+		delete(c.folders, name)
+	}
+}
+
+// deliverDelayed delivers one of the hellos that were held back.
+func (c *bootstrapCluster) deliverDelayed() {
+	if len(c.delayed) == 0 {
+		return
+	}
+	i := rapid.IntRange(0, len(c.delayed)-1).Draw(c.t, "which")
+	deliver := c.delayed[i]
+	c.delayed = slices.Delete(c.delayed, i, i+1)
+	deliver()
+}
+
+// sendHellos sends a voter's hello to all others; some are late, and some of these are lost.
+func (c *bootstrapCluster) sendHellos(name string) {
+	m := c.machines[name]
+	if m == nil {
+		return
+	}
+	h := m.Hello()
+	for _, to := range c.names {
+		switch {
+		case to == name:
+		case rapid.IntRange(0, 3).Draw(c.t, "arrives") > 0:
+			c.receive(to, h)
+		case len(c.delayed) < 20:
+			c.delayed = append(c.delayed, func() { c.receive(to, h) })
+		}
+	}
+}
+
+// groupsWithMajority lists the groups that have a majority of their own. A voter is in one group only, so that two with
+// a majority need two folders of one name that both were of one.
+func (c *bootstrapCluster) groupsWithMajority() (groups []uint64) {
+	for group, voters := range c.groups {
+		n := 0
+		for name, id := range voters {
+			if f := c.folders[name]; f.identity.ID == id && f.isOf(group) {
+				n++
 			}
 		}
-		// A decider is of one consensus group only, so two with a majority need two folders of one name that both were of one.
-		var able []uint64
-		for consensus, of := range w.groups {
-			n := 0
-			for name, id := range of {
-				if f := w.folders[name]; f.identity.ID == id && f.bootstrap != nil && f.bootstrap.GroupID() == consensus {
-					n++
+		if n > len(c.names)/2 {
+			groups = append(groups, group)
+		}
+	}
+	return groups
+}
+
+// exchangeHellos starts all voters, and has each receive the hellos of all others twice.
+func (c *bootstrapCluster) exchangeHellos() {
+	for _, name := range c.names {
+		if c.machines[name] == nil {
+			c.start(name)
+		}
+	}
+	for range 2 {
+		for _, name := range c.names {
+			for _, to := range c.names {
+				if to != name {
+					c.receive(to, c.machines[name].Hello())
 				}
 			}
-			if n > len(w.names)/2 {
-				able = append(able, consensus)
-			}
 		}
-		if len(able) > 1 {
-			t.Fatalf("groups %x each have a majority", able)
+	}
+}
+
+// TestBootstrappedOnce: whatever is lost of hellos and folders, no two groups ever have a majority of their own; a
+// voter whose folder is lost is in no group that it was in before; and where none is lost, all are in one.
+func TestBootstrappedOnce(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		c := &bootstrapCluster{
+			t:        t,
+			now:      time.Hour,
+			names:    []string{"a", "b", "c"},
+			machines: map[string]*Bootstrapper{},
+			folders:  map[string]folder{},
+			groups:   map[uint64]map[string]uint64{},
+		}
+		if rapid.Bool().Draw(t, "five") {
+			c.names = append(c.names, "d", "e")
 		}
-		if w.folderLost {
-			return
+		for range rapid.IntRange(1, 150).Draw(t, "steps") {
+			c.step()
 		}
-		for _, name := range w.names {
-			if w.machines[name] == nil {
-				w.start(name)
-			}
+		if groups := c.groupsWithMajority(); len(groups) > 1 {
+			t.Fatalf("groups %x each have a majority", groups)
 		}
-		for range 2 {
-			for _, name := range w.names {
-				for _, to := range w.names {
-					if to != name {
-						w.receive(to, w.machines[name].Hello())
-					}
-				}
-			}
+		if c.folderLost {
+			return
 		}
-		if len(w.groups) != 1 {
-			t.Fatalf("no folder was lost, all have heard each other, and there are groups %v", slices.Collect(maps.Keys(w.groups)))
+		c.exchangeHellos()
+		if len(c.groups) != 1 {
+			t.Fatalf("no folder was lost, all hellos were received, and there are groups %v",
+				slices.Collect(maps.Keys(c.groups)))
 		}
 	})
 }
 
-// TestBootstrapper: what it takes to bootstrap a consensus group, and who is turned away.
-func TestBootstrapper(t *testing.T) {
-	names := []string{"a", "b", "c"}
-	machine := func(name string, id uint64, first string, known *Bootstrap) *Bootstrapper {
-		t.Helper()
-		f, err := NewBootstrapper(name, Identity{id, 1}, names, []byte(first), known)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return f
+var testVoters = []string{"a", "b", "c"}
+
+func newTestBootstrapper(t *testing.T, name string, id uint64, policy string, known *Bootstrap) *Bootstrapper {
+	t.Helper()
+	b, err := NewBootstrapper(name, Identity{id, 1}, testVoters, []byte(policy), known)
+	if err != nil {
+		t.Fatal(err)
 	}
-	a, b, c := machine("a", 1, "x", nil), machine("b", 2, "x", nil), machine("c", 3, "x", nil)
-	hear := func(f *Bootstrapper, now time.Duration, h Hello, want error) {
-		t.Helper()
-		if err := f.Receive(now, h); !errors.Is(err, want) {
-			t.Errorf("error %v, want %v", err, want)
-		}
+	return b
+}
+
+// receiveHello has a bootstrapper take in a hello, and checks the error.
+func receiveHello(t *testing.T, b *Bootstrapper, now time.Duration, h Hello, want error) {
+	t.Helper()
+	if err := b.Receive(now, h); !errors.Is(err, want) {
+		t.Errorf("error %v, want %v", err, want)
 	}
-	hear(a, 1, b.Hello(), nil)
+}
+
+// TestBootstrapper: what it takes to form a group, and what becomes of a voter that has lost its folder.
+func TestBootstrapper(t *testing.T) {
+	a := newTestBootstrapper(t, "a", 1, "x", nil)
+	b := newTestBootstrapper(t, "b", 2, "x", nil)
+	c := newTestBootstrapper(t, "c", 3, "x", nil)
+	receiveHello(t, a, 1, b.Hello(), nil)
 	if a.Bootstrap() != nil {
-		t.Error("two of three bootstrap a group")
+		t.Error("two of three form a group")
 	}
-	hear(a, 1+helloLifetime, c.Hello(), nil)
+	receiveHello(t, a, 1+helloLifetime, c.Hello(), nil)
 	if a.Bootstrap() != nil {
 		t.Error("a hello that is too old counts")
 	}
-	hear(a, 1+helloLifetime, machine("b", 2, "y", nil).Hello(), ErrConfigMismatch)
-	hear(a, 1+helloLifetime, b.Hello(), nil)
+	otherPolicy := newTestBootstrapper(t, "b", 2, "y", nil)
+	receiveHello(t, a, 1+helloLifetime, otherPolicy.Hello(), ErrConfigMismatch)
+	receiveHello(t, a, 1+helloLifetime, b.Hello(), nil)
 	if a.Bootstrap() == nil || a.Bootstrap().Voters["c"] != 3 {
 		t.Fatalf("%v, all three are there", a.Bootstrap())
 	}
-	hear(b, 1, a.Hello(), nil)
+	receiveHello(t, b, 1, a.Hello(), nil)
 	if b.Bootstrap() == nil || b.Bootstrap().GroupID() != a.Bootstrap().GroupID() {
 		t.Errorf("%v, it is named in %v", b.Bootstrap(), a.Bootstrap())
 	}
-	// c comes back without its folder: both know it with another one.
-	lost := machine("c", 9, "x", nil)
-	hear(lost, 1, a.Hello(), ErrNotInGroup)
-	hear(lost, 1, b.Hello(), ErrNotInGroup)
+	// c returns without its folder: both know it with another one.
+	lost := newTestBootstrapper(t, "c", 9, "x", nil)
+	receiveHello(t, lost, 1, a.Hello(), ErrNotInGroup)
+	receiveHello(t, lost, 1, b.Hello(), ErrNotInGroup)
 	if lost.Bootstrap() != nil {
 		t.Errorf("%v without its folder", lost.Bootstrap())
 	}
-	if _, err := NewBootstrapper("c", Identity{9, 1}, names, nil, a.Bootstrap()); err == nil {
-		t.Error("another decider's folder is taken")
+	if _, err := NewBootstrapper("c", Identity{9, 1}, testVoters, nil, a.Bootstrap()); err == nil {
+		t.Error("another voter's folder is accepted")
 	}
-	// It is given its place again, and comes back with what it has kept of that.
-	given := a.Hello()
-	given.Voters = map[string]uint64{"a": 1, "b": 2, "c": 9}
-	hear(lost, 2, given, nil)
-	if f := lost.Bootstrap(); f == nil || f.GroupID() != a.Bootstrap().GroupID() || f.KnownVoters()["c"] != 9 {
-		t.Fatalf("%v, it was given its place", f)
+	// It replaces its former self, and returns with what it has persisted of that.
+	replaced := a.Hello()
+	replaced.Voters = map[string]uint64{"a": 1, "b": 2, "c": 9}
+	receiveHello(t, lost, 2, replaced, nil)
+	got := lost.Bootstrap()
+	if got == nil || got.GroupID() != a.Bootstrap().GroupID() || got.KnownVoters()["c"] != 9 {
+		t.Fatalf("%v, it has replaced its former self", got)
 	}
-	if again, err := NewBootstrapper("c", Identity{9, 2}, names, nil, lost.Bootstrap()); err != nil || again.Bootstrap() == nil {
+	again, err := NewBootstrapper("c", Identity{9, 2}, testVoters, nil, got)
+	if err != nil || again.Bootstrap() == nil {
 		t.Errorf("%v, error %v", again, err)
 	}
-	for _, wrong := range [][]string{nil, {"a", "b"}, {"a", "b", "b"}, {"b", "c", "d"}, {"a", "b", "c", "d"}} {
-		if _, err := NewBootstrapper("a", Identity{1, 1}, wrong, nil, nil); err == nil {
-			t.Errorf("deciders %v are taken", wrong)
-		}
-	}
-	for _, h := range []Hello{{}, {Name: "z", ID: 4}, {Name: "a", ID: 1}, {Name: "b"}} {
-		if err := machine("a", 1, "x", nil).Receive(1, h); err == nil {
-			t.Errorf("%+v is taken", h)
-		}
-	}
-}
-
-// TestOlderFolderCopy: a decider that comes back with a copy of its folder from before its last life is not heard, whatever it says; the
-// others go on.
-func TestOlderFolderCopy(t *testing.T) {
-	f := newCluster(t, 5, 3, 2)
-	for range 600 {
-		f.step()
-	}
-	d := f.voters[0]
-	older := d.persisted
-	older.Entries = slices.Clone(older.Entries)
-	for range 2 { // two more lives, in which it promises more
-		d.start()
-		for range 300 {
-			f.step()
-		}
-		if f.propose(fmt.Sprint("text ", d.incarnation)) == "" {
-			t.Fatal("nobody leads")
-		}
-		for range 200 {
-			f.step()
-		}
-	}
-	d.persisted, d.incarnation = older, 1
-	d.incarnations, d.lostState = map[uint64]uint64{}, true
-	d.start()
-	turned := 0
-	for _, o := range f.voters[1:] {
-		text, err := d.machine.seal(nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if _, _, err := o.machine.verifier.open(text); errors.Is(err, errStaleIncarnation) {
-			turned++
-		}
-	}
-	if turned != 2 {
-		t.Errorf("%d of 2 turn it away", turned)
-	}
-	for range 200 {
-		f.step()
-	}
-	if !errors.Is(d.machine.fatalErr, ErrLostState) {
-		t.Errorf("it takes part: %v", d.machine.fatalErr)
-	}
-	d.machine = nil
-	for range 600 {
-		f.step()
-	}
-	id := f.propose("without it")
-	for range 300 {
-		f.step()
-	}
-	if l := f.leader(); l == nil || l.machine.Ledger().Outcome(id).State != policy.InForce || f.violation != "" {
-		t.Errorf("the others do not go on: %s", f.violation)
-	}
-}
-
-// TestTruncatedFolder: a decider that has lost entries of its present life finds that out from what the leader says is committed, and
-// takes part no more; the others go on.
-func TestTruncatedFolder(t *testing.T) {
-	f := newCluster(t, 6, 3, 2)
-	for range 600 {
-		f.step()
-	}
-	for i := range 3 {
-		f.propose(fmt.Sprint("text ", i))
-		for range 200 {
-			f.step()
-		}
-	}
-	var d *voter
-	for _, o := range f.voters {
-		if o != f.leader() {
-			d = o
-		}
-	}
-	d.persisted.Entries = d.persisted.Entries[:len(d.persisted.Entries)-3]
-	d.persisted.HardState.Commit = 1
-	d.lostState = true
-	d.start()
-	for range 300 {
-		f.step()
-	}
-	if !errors.Is(d.machine.fatalErr, ErrLostState) {
-		t.Errorf("it takes part: %v", d.machine.fatalErr)
-	}
-	id := f.propose("without it")
-	for range 300 {
-		f.step()
-	}
-	if l := f.leader(); l == nil || l.machine.Ledger().Outcome(id).State != policy.InForce || f.violation != "" {
-		t.Errorf("the others do not go on: %s", f.violation)
-	}
 }
 
-// TestEnvelopeVerifier: envelopes of strangers, of another consensus group and of former lives are turned away, and a further life is told once.
-func TestEnvelopeVerifier(t *testing.T) {
-	f := newCluster(t, 7, 3, 1)
-	m := f.voters[0].machine
-	send := func(consensus, from, life uint64) (bool, error) {
-		text, err := cbor.Marshal(Envelope{GroupID: consensus, From: from, Incarnation: life})
-		if err != nil {
-			t.Fatal(err)
-		}
-		_, news, err := m.verifier.open(text)
-		return len(news) > 0, err
-	}
-	c := testBootstrap.GroupID()
-	m.verifier.incarnations = map[uint64]uint64{}
+// TestBootstrapperRejects: configurations and hellos that are refused.
+func TestBootstrapperRejects(t *testing.T) {
 	for _, tt := range []struct {
-		consensus, from, life uint64
-		news                  bool
-		err                   error
+		name   string
+		voters []string
 	}{
-		{c, 2, 5, true, nil}, {c, 2, 5, false, nil}, {c, 2, 4, false, errStaleIncarnation}, {c, 2, 7, true, nil}, {c, 3, 1, true, nil},
-		{c + 1, 2, 9, false, errUnknownSender}, {c, 4, 1, false, errUnknownSender}, {c, 3, 0, false, errUnknownSender},
+		{"no voters", nil},
+		{"two voters", []string{"a", "b"}},
+		{"a voter twice", []string{"a", "b", "b"}},
+		{"other voters", []string{"b", "c", "d"}},
+		{"four voters", []string{"a", "b", "c", "d"}},
 	} {
-		if news, err := send(tt.consensus, tt.from, tt.life); news != tt.news || !errors.Is(err, tt.err) {
-			t.Errorf("%+v: news %v, error %v", tt, news, err)
-		}
-	}
-	text, err := cbor.Marshal(Envelope{GroupID: c, From: 2, Incarnation: 9, Incarnations: map[uint64]uint64{1: 3, 3: 6}})
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := m.Step(text); !errors.Is(err, ErrLostState) || !errors.Is(m.Step(nil), ErrLostState) {
-		t.Errorf("error %v from one that another has heard of in a later life", err)
+		t.Run(tt.name, func(t *testing.T) {
+			if _, err := NewBootstrapper("a", Identity{1, 1}, tt.voters, nil, nil); err == nil {
+				t.Errorf("voters %v are accepted", tt.voters)
+			}
+		})
 	}
-	if _, err := New(0, Settings{Identity: Identity{1, 0}, Bootstrap: testBootstrap, Terms: policy.UsualTerms}, slog.New(slog.DiscardHandler)); err == nil {
-		t.Error("a decider without a life begins")
+	for _, tt := range []struct {
+		name  string
+		hello Hello
+	}{
+		{"empty hello", Hello{}},
+		{"hello of no voter", Hello{Name: "z", ID: 4}},
+		{"own hello", Hello{Name: "a", ID: 1}},
+		{"hello without an ID", Hello{Name: "b"}},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			if err := newTestBootstrapper(t, "a", 1, "x", nil).Receive(1, tt.hello); err == nil {
+				t.Errorf("%+v is accepted", tt.hello)
+			}
+		})
 	}
 }
--- /dev/null
+++ b/internal/fleet/consensus/sidecar_test.go
@@ -0,0 +1,96 @@
+package consensus
+
+import (
+	"fmt"
+	"time"
+
+	"milletramp.example/milletramp/internal/fleet/policy"
+)
+
+// sidecar holds a lease, and asks drawn voters to renew it.
+type sidecar struct {
+	*policy.Holder
+	name             string
+	incarnation      uint64
+	pausedUntil      time.Duration
+	partitionedUntil time.Duration
+	askedAt          time.Duration
+}
+
+func (s *sidecar) start() {
+	s.incarnation++
+	s.Holder = policy.NewHolder(s.name, s.incarnation, policy.UsualTerms)
+}
+
+func (c *cluster) ask(s *sidecar) {
+	s.askedAt = c.now
+	if s.partitionedUntil > c.now {
+		return
+	}
+	q, sent, incarnation := s.Ask(), c.now, s.incarnation
+	to := c.voters[c.random.IntN(len(c.voters))]
+	for _, v := range c.voters { // as a sidecar that remembers the leader
+		if v.machine != nil && v.machine.Leader() != 0 && c.random.IntN(4) > 0 {
+			to = c.voters[v.machine.Leader()-1]
+		}
+	}
+	c.tokens++
+	token := c.tokens
+	c.callbacks[token] = func(a Answer) { c.receiveAnswer(s, incarnation, sent, a) }
+	c.send(func() { to.run(func(m *Machine) { m.Ask(c.now, token, q) }) })
+}
+
+func (c *cluster) receiveAnswer(s *sidecar, incarnation uint64, sent time.Duration, a Answer) {
+	switch {
+	case a.Err != nil || s.incarnation != incarnation || s.partitionedUntil > c.now:
+		return
+	case s.pausedUntil > c.now:
+		c.after(s.pausedUntil-c.now, func() { c.receiveAnswer(s, incarnation, sent, a) })
+		return
+	}
+	if number := s.Told(c.now, sent, a.Grant); number > 0 {
+		c.after(5*time.Millisecond, func() {
+			if s.incarnation == incarnation {
+				s.Checked(number, "")
+				c.ask(s)
+			}
+		})
+	}
+}
+
+// stepSidecars has sidecars renew their leases, and checks that they serve under one policy, and never under an earlier
+// one than before.
+func (c *cluster) stepSidecars() {
+	serving := map[uint64]bool{}
+	for _, s := range c.sidecars {
+		if s.pausedUntil > c.now {
+			continue
+		}
+		if c.now-s.askedAt >= policy.UsualTerms.Short/3 {
+			c.ask(s)
+		}
+		if number, _, ok := s.Serves(c.now); ok {
+			serving[number] = true
+			if number < c.highestServed {
+				c.violation = fmt.Sprintf("%v: %s serves under %d after %d was served",
+					c.now, s.name, number, c.highestServed)
+			}
+		}
+	}
+	for number := range serving {
+		c.highestServed = max(c.highestServed, number)
+	}
+	if len(serving) > 1 {
+		c.violation = fmt.Sprintf("%v: %v are served at once", c.now, serving)
+	}
+}
+
+// serving counts the sidecars that serve.
+func (c *cluster) serving() (n int) {
+	for _, s := range c.sidecars {
+		if _, _, ok := s.Serves(c.now); ok {
+			n++
+		}
+	}
+	return n
+}
