--- /dev/null
+++ b/internal/fleet/raftnode/cluster_test.go
@@ -0,0 +1,317 @@
+package raftnode
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+	"time"
+
+	"go.etcd.io/raft/v3/raftpb"
+
+	"milletramp.example/milletramp/internal/fleet/consensus"
+	"milletramp.example/milletramp/internal/fleet/disk"
+	"milletramp.example/milletramp/internal/fleet/policy"
+)
+
+var voterNames = []string{"a", "b", "c"}
+
+// cluster is three voters with folders on disk. Messages are lost and late; voters crash at any moment, also in the
+// midst of a write, pause, and lose their folders.
+type cluster struct {
+	t        *testing.T
+	random   *rand.Rand
+	dir      string
+	now      time.Duration
+	loss     float64
+	members  map[string]*member
+	order    []string // of the members' names
+	delayed  []func()
+	answers  map[uint64]consensus.Answer // by token
+	outcomes map[string]policy.Outcome   // as first seen: refused or in force
+	lastID   uint64
+}
+
+type member struct {
+	name        string
+	configured  []string // voters, by its settings
+	node        *Node    // nil: down
+	log         *disk.Log
+	pausedUntil time.Duration
+	killAtWrite int // of the writes to come, the one that kills it; 0: none does
+}
+
+// crashingStorage is a folder of a process that is killed behind one of its writes, before it can send anything.
+type crashingStorage struct {
+	*disk.Log
+	member *member
+}
+
+var errKilled = errors.New("killed")
+
+func (s crashingStorage) afterWrite(err error) error {
+	if s.member.killAtWrite--; s.member.killAtWrite == 0 {
+		return errKilled
+	}
+	return err
+}
+
+func (s crashingStorage) Found(b consensus.Bootstrap) error { return s.afterWrite(s.Log.Found(b)) }
+func (s crashingStorage) Keep(b consensus.Batch) error      { return s.afterWrite(s.Log.Keep(b)) }
+func (s crashingStorage) Compact(image raftpb.Snapshot) error {
+	return s.afterWrite(s.Log.Compact(image))
+}
+
+// newCluster returns a cluster whose voters are all down. It is closed when the test ends.
+func newCluster(t *testing.T, seed uint64) *cluster {
+	c := &cluster{
+		t:        t,
+		random:   rand.New(rand.NewPCG(seed, 0x7ab1e)),
+		dir:      t.TempDir(),
+		now:      time.Hour,
+		members:  map[string]*member{},
+		answers:  map[uint64]consensus.Answer{},
+		outcomes: map[string]policy.Outcome{},
+	}
+	for _, name := range voterNames {
+		c.add(name, voterNames)
+	}
+	t.Cleanup(func() {
+		for _, name := range c.order {
+			c.kill(c.members[name])
+		}
+	})
+	return c
+}
+
+// newRunningCluster returns a cluster whose voters have formed a group.
+func newRunningCluster(t *testing.T, seed uint64) *cluster {
+	c := newCluster(t, seed)
+	c.startAll()
+	c.steps(100)
+	return c
+}
+
+func (c *cluster) folder(name string) string { return filepath.Join(c.dir, name) }
+
+// add adds a member that is down.
+func (c *cluster) add(name string, configured []string) *member {
+	c.members[name] = &member{name: name, configured: configured}
+	c.order = append(c.order, name)
+	return c.members[name]
+}
+
+// drawn returns one of the first voters.
+func (c *cluster) drawn() *member { return c.members[voterNames[c.random.IntN(len(voterNames))]] }
+
+// loseFolder has a member return without its folder.
+func (c *cluster) loseFolder(name string) {
+	c.kill(c.members[name])
+	if err := os.RemoveAll(c.folder(name)); err != nil {
+		c.t.Fatal(err)
+	}
+	c.start(c.members[name])
+}
+
+// leader is the member that leads and answers; nil: none does.
+func (c *cluster) leader() *member {
+	for _, name := range c.order {
+		if m := c.members[name]; m.node != nil && m.pausedUntil <= c.now && m.node.Leader() == m.name {
+			return m
+		}
+	}
+	return nil
+}
+
+// replace has the leader replace a voter, and tells whether that has begun.
+func (c *cluster) replace(outgoing, incoming string) (begun bool) {
+	if m := c.leader(); m != nil {
+		c.run(m, func(n *Node) { begun = n.Replace(c.now, outgoing, incoming) == nil })
+	}
+	return begun
+}
+
+// settled tells whether the leader knows of no replacement under way, and each voter has the folder that it counts on.
+func (c *cluster) settled() bool {
+	m := c.leader()
+	if m == nil {
+		return false
+	}
+	voters, settled := m.node.machine.Voters()
+	for name, id := range voters {
+		o := c.members[name]
+		if o.node == nil || o.log.Memory().Self.ID != id || o.node.machine == nil {
+			return false
+		}
+	}
+	return settled
+}
+
+// start starts a member, unless it is up.
+func (c *cluster) start(m *member) {
+	if m.node != nil {
+		return
+	}
+	log, _, err := disk.Open(c.folder(m.name), c.random.Uint64()|1)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	m.log = log
+	settings := Settings{
+		Name:          m.name,
+		Voters:        m.configured,
+		InitialPolicy: []byte("first"),
+		Terms:         policy.UsualTerms,
+	}
+	m.node, err = New(c.now, settings, crashingStorage{log, m}, slog.New(slog.DiscardHandler))
+	if err != nil {
+		c.t.Fatal(err)
+	}
+}
+
+func (c *cluster) startAll() {
+	for _, name := range c.order {
+		c.start(c.members[name])
+	}
+}
+
+func (c *cluster) kill(m *member) {
+	if m.node == nil {
+		return
+	}
+	if err := m.log.Close(); err != nil {
+		c.t.Fatal(err)
+	}
+	m.node, m.killAtWrite = nil, 0
+}
+
+// endFaults ends all faults, and starts who is down.
+func (c *cluster) endFaults() {
+	c.loss = 0
+	for _, m := range c.members {
+		m.pausedUntil, m.killAtWrite = 0, 0
+	}
+	c.startAll()
+}
+
+// run has a member take in an event, unless it is paused, and does what follows from that.
+func (c *cluster) run(m *member, do func(*Node)) {
+	if m.node == nil || m.pausedUntil > c.now {
+		return
+	}
+	do(m.node)
+	out := m.node.Out()
+	if errors.Is(m.node.Err(), errKilled) {
+		c.kill(m)
+		return
+	}
+	for _, msg := range out.Send {
+		c.send(msg)
+	}
+	for _, a := range out.Answers {
+		c.answers[a.Token] = a
+	}
+}
+
+// send delivers a message, unless it is lost or late.
+func (c *cluster) send(msg Message) {
+	deliver := func() {
+		c.run(c.members[msg.To], func(n *Node) {
+			// What former incarnations and other groups have sent is still under way, and refused.
+			_ = n.Receive(c.now, msg.Payload)
+		})
+	}
+	switch {
+	case c.random.Float64() < c.loss:
+	case c.loss > 0 && c.random.IntN(8) == 0:
+		c.delayed = append(c.delayed, deliver)
+	default:
+		deliver()
+	}
+}
+
+// step is a tick of all members. It fails the test where a final outcome contradicts another.
+func (c *cluster) step() {
+	c.now += consensus.TickInterval
+	for _, name := range c.order {
+		c.run(c.members[name], func(n *Node) { n.Tick(c.now) })
+	}
+	if len(c.delayed) > 0 && c.random.IntN(3) == 0 {
+		i := c.random.IntN(len(c.delayed))
+		deliver := c.delayed[i]
+		c.delayed = slices.Delete(c.delayed, i, i+1)
+		deliver()
+	}
+	for _, m := range c.members {
+		if m.node != nil && m.node.Ledger() != nil {
+			c.checkOutcomes(m)
+		}
+	}
+}
+
+func (c *cluster) checkOutcomes(m *member) {
+	c.t.Helper()
+	for _, o := range m.node.Ledger().Outcomes() {
+		if o.State != policy.InForce && o.State != policy.Refused {
+			continue
+		}
+		if was, seen := c.outcomes[o.ID]; seen && was != o {
+			c.t.Fatalf("change %s: %+v, and at %s %+v", o.ID, was, m.name, o)
+		}
+		c.outcomes[o.ID] = o
+	}
+}
+
+func (c *cluster) steps(n int) {
+	for range n {
+		c.step()
+	}
+}
+
+// propose proposes a change at the leader, and returns its ID; "": there is no leader.
+func (c *cluster) propose() (id string) {
+	m := c.leader()
+	if m == nil {
+		return ""
+	}
+	c.lastID++
+	candidate := fmt.Sprint("p", c.lastID)
+	c.run(m, func(n *Node) {
+		follows := n.Ledger().InForce().Number
+		p := policy.Propose{ID: candidate, Author: "x", Follows: follows, Text: []byte(candidate)}
+		if n.Propose(c.now, p) == nil {
+			id = candidate
+		}
+	})
+	return id
+}
+
+// requireChange has a change come into force, and fails the test where it does not.
+func (c *cluster) requireChange(when string) {
+	c.t.Helper()
+	id := c.propose()
+	c.steps(200)
+	if id == "" || c.outcomes[id].State != policy.InForce {
+		c.t.Fatalf("%s: change %q: %+v", when, id, c.outcomes[id])
+	}
+}
+
+// requireInForceEverywhere has a change come into force, and fails the test where a member is not up or does not have
+// it in force.
+func (c *cluster) requireInForceEverywhere() {
+	c.t.Helper()
+	id := c.propose()
+	c.steps(200)
+	for _, m := range c.members {
+		if m.node.Err() != nil || m.node.Ledger() == nil {
+			c.t.Fatalf("%s: %v, ledger %v", m.name, m.node.Err(), m.node.Ledger())
+		}
+		if o := m.node.Ledger().Outcome(id); id == "" || o.State != policy.InForce {
+			c.t.Errorf("%s: the last change %q is %v (%s)", m.name, id, o.State, o.Reason)
+		}
+	}
+}
