--- a/internal/fleet/consensus/bootstrap.go
+++ b/internal/fleet/consensus/bootstrap.go
@@ -88,7 +88,7 @@
 )
 
 // Bootstrapper decides when a group is formed: once all configured voters are there, and none of them is in one. A
-// majority would not do: one that has lost its folders would form a second group besides the first.
+// majority would not do: one that has lost its folders would form a second group next to the first.
 type Bootstrapper struct {
 	name       string
 	identity   Identity
