--- a/internal/fleet/disk/fault_test.go
+++ b/internal/fleet/disk/fault_test.go
@@ -171,10 +171,10 @@
 				switch rapid.IntRange(0, 3).Draw(t, "what") {
 				case 0:
 					term++
-					b.State = &raftpb.HardState{Term: term, Vote: 1}
+					b.HardState = &raftpb.HardState{Term: term, Vote: 1}
 				case 1, 2:
 					from := rapid.Uint64Range(first, end).Draw(t, "from")
-					b.Entries, b.Heard = entries(from, from+rapid.Uint64Range(0, 5).Draw(t, "more"), term), map[uint64]uint64{2: term}
+					b.Entries, b.Incarnations = entries(from, from+rapid.Uint64Range(0, 5).Draw(t, "more"), term), map[uint64]uint64{2: term}
 				case 3:
 					at := rapid.Uint64Range(first, end).Draw(t, "at")
 					b.Snapshot = &raftpb.Snapshot{Data: []byte("all"), Metadata: raftpb.SnapshotMetadata{Index: at, Term: term}}
--- a/internal/fleet/disk/fixture_test.go
+++ b/internal/fleet/disk/fixture_test.go
@@ -21,10 +21,10 @@
 		t.Fatal(err)
 	}
 	defer done(t, l)
-	want := Memory{Self: consensus.Self{ID: 1, Life: 2}, Heard: map[uint64]uint64{2: 4, 3: 2}, Bootstrap: &bootstrap,
-		Kept: consensus.Kept{State: raftpb.HardState{Term: 5, Commit: 12}, Entries: entries(6, 12, 2),
+	want := Memory{Self: consensus.Identity{ID: 1, Incarnation: 2}, Heard: map[uint64]uint64{2: 4, 3: 2}, Bootstrap: &bootstrap,
+		Kept: consensus.PersistentState{HardState: raftpb.HardState{Term: 5, Commit: 12}, Entries: entries(6, 12, 2),
 			Snapshot: raftpb.Snapshot{Data: []byte("all"), Metadata: raftpb.SnapshotMetadata{Index: 5, Term: 1}}}}
-	if got := l.Memory(); !same(got, want) || got.Self.Life != 2 || dropped != 0 {
+	if got := l.Memory(); !same(got, want) || got.Self.Incarnation != 2 || dropped != 0 {
 		t.Errorf("read as %+v, want %+v, %d bytes dropped", got, want, dropped)
 	}
 }
--- a/internal/fleet/policyagent/voter.go
+++ b/internal/fleet/policyagent/voter.go
@@ -87,7 +87,7 @@
 		call.lease = make(chan consensus.Answer, 1)
 		a.pendingLeases[a.lastToken] = call.lease
 		a.node.Ask(now, a.lastToken, *req.Lease)
-		resp.Voters, _ = a.node.Deciders()
+		resp.Voters, _ = a.node.Voters()
 	case req.Propose != nil:
 		err = a.node.Propose(now, *req.Propose)
 	case req.Replace != nil:
@@ -129,10 +129,10 @@
 		Voter:        a.settings.Name,
 		Leader:       a.node.Leader(),
 		Bootstrapped: l != nil,
-		Candidates:   a.node.Waits(now),
-		NotAdmitted:  a.node.LeftOut(),
+		Candidates:   a.node.Standbys(now),
+		NotAdmitted:  a.node.IsStandby(),
 	}
-	s.Voters, s.Settled = a.node.Deciders()
+	s.Voters, s.Settled = a.node.Voters()
 	if err := a.node.Err(); err != nil {
 		s.Broken = err.Error()
 	}
@@ -157,10 +157,10 @@
 		return
 	}
 	node, err := raftnode.New(a.now(), raftnode.Settings{
-		Name:  a.settings.Name,
-		Named: a.settings.Voters,
-		First: a.settings.InitialPolicy,
-		Terms: a.settings.Terms,
+		Name:          a.settings.Name,
+		Voters:        a.settings.Voters,
+		InitialPolicy: a.settings.InitialPolicy,
+		Terms:         a.settings.Terms,
 	}, folder, a.log)
 	if err != nil {
 		a.log.Error("this voter takes no part", "err", err)
@@ -169,7 +169,7 @@
 	}
 	a.node = node
 	defer folder.Close()
-	tick := time.NewTicker(consensus.TickEvery)
+	tick := time.NewTicker(consensus.TickInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -193,7 +193,7 @@
 	out := a.node.Out()
 	for _, message := range out.Send {
 		select {
-		case a.queueTo(message.To) <- message.Text:
+		case a.queueTo(message.To) <- message.Payload:
 		default:
 		}
 	}
