--- a/internal/fleet/disk/disk.go
+++ b/internal/fleet/disk/disk.go
@@ -48,7 +48,7 @@
 // record is what a file is made of. The first of a file has all that held before it.
 type record struct {
 	Format    int                  `cbor:"1,keyasint,omitempty"` // of the first
-	Self      *consensus.Self      `cbor:"2,keyasint,omitempty"`
+	Self      *consensus.Identity  `cbor:"2,keyasint,omitempty"`
 	Bootstrap *consensus.Bootstrap `cbor:"3,keyasint,omitempty"`
 	Heard     map[uint64]uint64    `cbor:"4,keyasint,omitempty"` // lives of others, by decider
 	State     []byte               `cbor:"5,keyasint,omitempty"`
@@ -58,10 +58,10 @@
 
 // Memory is what a folder holds.
 type Memory struct {
-	Self      consensus.Self
+	Self      consensus.Identity
 	Bootstrap *consensus.Bootstrap // nil: it is of no consensus group yet
 	Heard     map[uint64]uint64
-	Kept      consensus.Kept
+	Kept      consensus.PersistentState
 }
 
 // errClosed says that the folder was let go of.
@@ -119,7 +119,7 @@
 	if l.memory.Self.ID == 0 {
 		l.memory.Self.ID = fresh
 	}
-	l.memory.Self.Life++
+	l.memory.Self.Incarnation++
 	// Danger: what was torn is never appended to; the file is written anew, with the new life in it.
 	if err := l.rewrite(l.memory); err != nil {
 		return nil, 0, err
@@ -246,8 +246,8 @@
 		m.Heard[id] = max(m.Heard[id], life)
 	}
 	if r.State != nil {
-		m.Kept.State = raftpb.HardState{}
-		if err := m.Kept.State.Unmarshal(r.State); err != nil {
+		m.Kept.HardState = raftpb.HardState{}
+		if err := m.Kept.HardState.Unmarshal(r.State); err != nil {
 			return err
 		}
 	}
@@ -309,9 +309,9 @@
 func (l *Log) Compact(s raftpb.Snapshot) error { return l.Keep(consensus.Batch{Snapshot: &s}) }
 
 func recordOf(b consensus.Batch) (r record, err error) {
-	r.Heard = b.Heard
-	if b.State != nil {
-		if r.State, err = b.State.Marshal(); err != nil {
+	r.Heard = b.Incarnations
+	if b.HardState != nil {
+		if r.State, err = b.HardState.Marshal(); err != nil {
 			return r, fmt.Errorf("consensus folder: state: %w", err)
 		}
 	}
@@ -381,7 +381,7 @@
 // was; but once the further one may have its name it is what a later life reads, so that nothing may be appended to the
 // former one any more.
 func (l *Log) rewrite(m Memory) error {
-	r, err := recordOf(consensus.Batch{State: &m.Kept.State, Snapshot: &m.Kept.Snapshot, Entries: m.Kept.Entries})
+	r, err := recordOf(consensus.Batch{HardState: &m.Kept.HardState, Snapshot: &m.Kept.Snapshot, Entries: m.Kept.Entries})
 	if err != nil {
 		return err
 	}
--- a/internal/fleet/raftnode/node.go
+++ b/internal/fleet/raftnode/node.go
@@ -1,10 +1,12 @@
-// Package raftnode is a decider's place in the consensus group: it finds or bootstraps the consensus group (consensus.Bootstrapper), runs its part of it
-// (consensus.Machine), and has its folder (package disk) keep whatever must outlast this life before anything that rests on it is told. It
-// is stepped by one goroutine; what it waits for is the folder alone.
+// Package raftnode runs one voter of the policy's consensus group: it finds or forms the group
+// (consensus.Bootstrapper), runs its part in it (consensus.Machine), and has everything that must survive a crash
+// persisted (package disk) before anything that rests on it is sent.
 //
-// While the folder fails, the node is suspended: it neither votes, acknowledges nor answers, and drops what comes, as a
-// process that stands still would. What the folder did not keep is written again, with a backoff, and then the node
-// goes on.
+// While a write of Storage fails, the node is suspended: it neither votes, acknowledges nor answers, and drops the
+// messages that arrive, as a paused process would. It retries the write with a backoff, and goes on once that succeeds.
+//
+// A Node is a stepped state machine as these two are, without clock, socket or goroutine. It is not safe for concurrent
+// use: one goroutine calls it, and blocks while Storage writes.
 package raftnode
 
 import (
@@ -26,19 +28,12 @@
 // Time is a reading of the host's monotonic clock.
 type Time = time.Duration
 
-const (
-	helloEvery = 10 * consensus.TickEvery
-	waitsFor   = 4 * helloEvery // one that waits for a place is heard of within this
-	mostText   = 8 << 20        // bytes of a message: entries and a snapshot
-	mostName   = 64             // bytes of a decider's
-
-	leastBackoff = 2 * consensus.TickEvery // until a write that failed is tried again; it doubles
-	mostBackoff  = 5 * time.Second
-)
+// maxMessageBytes bounds an encoded message: entries and a snapshot.
+const maxMessageBytes = 8 << 20
 
-// Folder keeps what outlasts a life. *disk.Log is one. After an error the same is to be kept again, until that
-// succeeds.
-type Folder interface {
+// Storage keeps what must survive the process. *disk.Log is one. Its writes return once the data is durable; after an
+// error the node repeats the same write until it succeeds.
+type Storage interface {
 	Memory() disk.Memory
 	Found(consensus.Bootstrap) error
 	Keep(consensus.Batch) error
@@ -47,375 +42,281 @@
 
 // Settings are from the operator's file.
 type Settings struct {
-	Name  string
-	Named []string // all deciders, this one among them
-	First []byte   // the policy in force before any change
-	Terms policy.Terms
+	Name          string
+	Voters        []string // names of all voters, this one among them
+	InitialPolicy []byte   // the policy in force before any change
+	Terms         policy.Terms
 }
 
-// packet is what Raft nodes send each other: exactly one of its fields is set.
+// packet is what nodes send each other: exactly one of its fields is set.
 type packet struct {
-	Hello  *consensus.Hello `cbor:"1,keyasint,omitempty"`
-	Sealed []byte           `cbor:"2,keyasint,omitempty"`
+	Hello    *consensus.Hello `cbor:"1,keyasint,omitempty"`
+	Envelope []byte           `cbor:"2,keyasint,omitempty"`
 }
 
-// Message is for another decider.
+// Message is for another node.
 type Message struct {
-	To   string
-	Text []byte
+	To      string // its name
+	Payload []byte // an encoded packet
 }
 
-// Actions are what is to be done after an event.
+// Actions are what the host is to do after an event.
 type Actions struct {
 	Send    []Message
 	Answers []consensus.Answer
 }
 
-// Node is one decider's.
+// Node is one voter of the group, or a standby: a sidecar that is in no group yet and may replace a voter.
 type Node struct {
-	set          Settings
-	folder       Folder
+	settings     Settings
+	storage      Storage
 	log          *slog.Logger
 	bootstrapper *consensus.Bootstrapper
-	machine      *consensus.Machine // nil: no consensus group yet
-	names        map[uint64]string
-	hello        Time
-	leftOut      bool     // there is a consensus group, without this decider
-	others       []string // to whom hello is said: those of the file, and those that a consensus group told of
-	waits        map[string]waiting
-	broken       error
-	unkept       *unkept // nil: all is kept
-	out          Actions
-}
+	machine      *consensus.Machine // nil: this node is in no group
+	voterNames   map[uint64]string
+	fatalErr     error        // not nil: this node has stopped
+	failedWrite  *failedWrite // not nil: this node is suspended
 
-// unkept is a write that has failed and is tried again.
-type unkept struct {
-	write func() error
-	kept  func(now Time) // what rests on it
-	err   error          // of the last try
-	wait  time.Duration
-	at    Time // of the next try
-}
+	nextHello    Time
+	helloTargets []string           // the configured voters and, of a group without this node, the present ones
+	notInGroup   bool               // a voter of a group has said that this node is not in it
+	standbys     map[string]standby // by name
 
-// waiting is one that is of no consensus group and says hello, as it might take the place of a decider that is gone.
-type waiting struct {
-	id uint64
-	at Time
+	actions Actions
 }
 
-// New returns the Raft node of a life that begins now.
-func New(now Time, set Settings, folder Folder, log *slog.Logger) (*Node, error) {
-	m := folder.Memory()
-	f, err := consensus.NewBootstrapper(set.Name, m.Self, set.Named, set.First, m.Bootstrap)
+// New returns the node of a process that starts now. It fails where the settings are wrong, where the folder is another
+// voter's, and where the persisted state is not consistent.
+func New(now Time, settings Settings, storage Storage, log *slog.Logger) (*Node, error) {
+	memory := storage.Memory()
+	bootstrapper, err := consensus.NewBootstrapper(
+		settings.Name, memory.Self, settings.Voters, settings.InitialPolicy, memory.Bootstrap)
 	if err != nil {
 		return nil, err
 	}
-	s := &Node{set: set, folder: folder, log: log, bootstrapper: f, names: map[uint64]string{}, waits: map[string]waiting{}, others: set.Named}
-	if m.Bootstrap != nil {
-		return s, s.sit(now, m)
+	n := &Node{
+		settings:     settings,
+		storage:      storage,
+		log:          log,
+		bootstrapper: bootstrapper,
+		voterNames:   map[uint64]string{},
+		helloTargets: settings.Voters,
+		standbys:     map[string]standby{},
 	}
-	return s, nil
-}
-
-// sit takes part in the consensus group that the folder names.
-func (s *Node) sit(now Time, m disk.Memory) (err error) {
-	s.machine, err = consensus.New(now, consensus.Settings{Self: m.Self, Bootstrap: *m.Bootstrap, Heard: m.Heard, Terms: s.set.Terms, Kept: m.Kept}, s.log)
-	if err == nil {
-		s.names = s.machine.Named()
+	if memory.Bootstrap != nil {
+		return n, n.startMachine(now, memory)
 	}
-	return err
+	return n, nil
 }
 
-// Deciders are the names of those who decide now, as far as is known here, in order; settled is false while one takes the place of another.
-func (s *Node) Deciders() (names []string, settled bool) {
-	if s.machine == nil {
-		return nil, false
+// startMachine takes part in the group that the folder is of.
+func (n *Node) startMachine(now Time, memory disk.Memory) error {
+	machine, err := consensus.New(now, consensus.Settings{
+		Identity:     memory.Self,
+		Bootstrap:    *memory.Bootstrap,
+		Incarnations: memory.Heard,
+		Terms:        n.settings.Terms,
+		Persisted:    memory.Kept,
+	}, n.log)
+	if err != nil {
+		return err
 	}
-	deciders, settled := s.machine.Deciders()
-	return slices.Sorted(maps.Keys(deciders)), settled
+	n.machine = machine
+	n.voterNames = machine.VoterNames()
+	return nil
 }
 
-// Waits are the names of those who wait for a place, in order.
-func (s *Node) Waits(now Time) (names []string) {
-	for name, w := range s.waits {
-		if now-w.at < waitsFor {
-			names = append(names, name)
-		}
+// running tells whether this node takes part in a group, and is not suspended.
+func (n *Node) running() bool { return n.machine != nil && n.Err() == nil }
+
+// Voters are the names of the present voters in order, as far as is known here; settled is false while one replaces
+// another. There are none, where this node is in no group.
+func (n *Node) Voters() (names []string, settled bool) {
+	if n.machine == nil {
+		return nil, false
 	}
-	slices.Sort(names)
-	return names
+	voters, settled := n.machine.Voters()
+	return slices.Sorted(maps.Keys(voters)), settled
 }
 
-// Replace has one that waits for a place take that of a decider. Which folder it has is what it said itself.
-func (s *Node) Replace(now Time, out, in string) error {
-	if s.machine == nil || s.Err() != nil {
+// Replace has a standby that this node knows of replace a voter. It returns once the change is proposed;
+// consensus.ErrNoLeader says that this node does not lead.
+func (n *Node) Replace(now Time, outgoing, incoming string) error {
+	if !n.running() {
 		return consensus.ErrNoLeader
 	}
-	w, known := s.waits[in]
-	if !known || now-w.at >= waitsFor {
-		return fmt.Errorf("raftnode: %.80q does not wait for a place here: start it as a decider, with an empty folder", in)
+	s, known := n.standbys[incoming]
+	if !known || s.expired(now) {
+		return fmt.Errorf("raftnode: %.80q is no standby here: start it as a voter, with an empty folder", incoming)
 	}
-	err := s.machine.Replace(out, in, w.id)
-	s.settle(now)
+	err := n.machine.Replace(outgoing, incoming, s.id)
+	n.flush(now)
 	return err
 }
 
-// Err says why this decider takes no part; nil: it does. Where its folder fails it takes part again once that keeps
-// what it must; otherwise another life may, where its folder is whole.
-func (s *Node) Err() error {
-	if s.broken == nil && s.unkept != nil {
-		return s.unkept.err
+// Err says why this node takes no part; it is nil while the node runs. With an error of Storage the node is suspended
+// until the write succeeds. With any other, as consensus.ErrReplaced or consensus.ErrLostState, it has stopped; another
+// process may go on with the same folder, where that is whole.
+func (n *Node) Err() error {
+	if n.fatalErr == nil && n.failedWrite != nil {
+		return n.failedWrite.err
 	}
-	return s.broken
+	return n.fatalErr
 }
 
-// LeftOut tells whether there is a consensus group that this decider waits for a place in.
-func (s *Node) LeftOut() bool { return s.leftOut && s.machine == nil }
-
-// Ledger is what the log comes to here, which may be old; nil: there is no consensus group yet.
-func (s *Node) Ledger() *policy.Ledger {
-	if s.machine == nil {
+// Ledger is what the log comes to here, which may be old; nil: this node is in no group.
+func (n *Node) Ledger() *policy.Ledger {
+	if n.machine == nil {
 		return nil
 	}
-	return s.machine.Ledger()
+	return n.machine.Ledger()
 }
 
-// Leader is the decider that leads as far as is known here; "": nobody is known to.
-func (s *Node) Leader() string {
-	if s.machine == nil || s.Err() != nil {
+// Leader is the name of the leader as far as is known here; "": none is known.
+func (n *Node) Leader() string {
+	if !n.running() {
 		return ""
 	}
-	return s.names[s.machine.Leader()]
+	return n.voterNames[n.machine.Leader()]
 }
 
-// Waiting lists the sidecars that the change under way waits for, and how long at most, on the one that leads.
-func (s *Node) Waiting(now Time) (names []string, most time.Duration) {
-	if s.machine == nil || s.Err() != nil {
+// Waiting lists the sidecars whose leases the pending change waits for, and for how long at most. It is empty on a node
+// that does not lead.
+func (n *Node) Waiting(now Time) (names []string, most time.Duration) {
+	if !n.running() {
 		return nil, 0
 	}
-	return s.machine.Waiting(now)
+	return n.machine.Waiting(now)
 }
 
-// Out takes what is to be done.
-func (s *Node) Out() Actions {
-	out := s.out
-	s.out = Actions{}
+// Out returns what is to be sent and answered, and forgets it.
+func (n *Node) Out() Actions {
+	out := n.actions
+	n.actions = Actions{}
 	return out
 }
 
-// Tick has the Raft node do what is due. It is to be called each consensus.TickEvery.
-func (s *Node) Tick(now Time) {
+// Tick does what is due. It is to be called every consensus.TickInterval.
+func (n *Node) Tick(now Time) {
 	switch {
-	case s.broken != nil:
-	case s.unkept != nil:
-		s.keepAgain(now)
-	case s.machine == nil && now >= s.hello:
-		s.hello = now + helloEvery
-		h := s.bootstrapper.Hello()
-		for _, name := range s.others {
-			if name != s.set.Name {
-				s.send(name, packet{Hello: &h})
-			}
-		}
-	case s.machine != nil:
-		s.machine.Tick(now)
-		s.settle(now)
+	case n.fatalErr != nil:
+	case n.failedWrite != nil:
+		n.retryWrite(now)
+	case n.machine != nil:
+		n.machine.Tick(now)
+		n.flush(now)
+	case now >= n.nextHello:
+		n.nextHello = now + helloInterval
+		n.sendHellos()
 	}
 }
 
-// Receive takes in a message of another decider. Its error says what is wrong with that message, not with this decider.
-func (s *Node) Receive(now Time, text []byte) error {
-	if s.Err() != nil {
+// Receive takes in a message of another node. Its error says what is wrong with that message; Err says whether this
+// node takes part.
+func (n *Node) Receive(now Time, payload []byte) error {
+	if n.Err() != nil {
 		return nil
 	}
-	if len(text) > mostText {
-		return fmt.Errorf("raftnode: a message of %d bytes, %d are allowed", len(text), mostText)
+	if len(payload) > maxMessageBytes {
+		return fmt.Errorf("raftnode: a message of %d bytes, %d are allowed", len(payload), maxMessageBytes)
 	}
 	var p packet
-	if err := cbor.Unmarshal(text, &p); err != nil {
-		return fmt.Errorf("raftnode: a message that cannot be read: %w", err)
+	if err := cbor.Unmarshal(payload, &p); err != nil {
+		return fmt.Errorf("raftnode: malformed message: %w", err)
 	}
 	switch {
 	case p.Hello != nil:
-		return s.meet(now, *p.Hello)
-	case s.machine == nil:
-		return nil // of a consensus group that this decider has yet to hear of
-	}
-	err := s.machine.Step(p.Sealed)
-	if errors.Is(err, consensus.ErrForgot) {
-		s.fail(err)
-		return nil
-	}
-	s.settle(now)
-	return err
-}
-
-// meet takes in a hello, and answers one that is of no consensus group yet.
-func (s *Node) meet(now Time, h consensus.Hello) error {
-	if s.machine != nil {
-		return s.greet(now, h)
-	}
-	err := s.bootstrapper.Heard(now, h)
-	if errors.Is(err, consensus.ErrLeftOut) {
-		// Danger: who leads may be in no file of this one's, as it is that one's place that it is to take.
-		s.others = s.set.Named
-		for _, name := range slices.Sorted(maps.Keys(h.Deciders)) {
-			if !slices.Contains(s.others, name) && len(s.others) < mostWaits {
-				s.others = append(slices.Clip(s.others), name)
-			}
-		}
-		if !s.leftOut {
-			s.leftOut = true
-			s.log.Warn("this decider waits for a place", "why", err)
-		}
-		return nil
+		return n.receiveHello(now, *p.Hello)
+	case n.machine == nil:
+		return nil // of a group that this node has yet to learn of
 	}
-	if f := s.bootstrapper.Bootstrap(); f != nil && s.machine == nil {
-		// The others count on what they are told of a consensus group, so it is kept first.
-		s.keep(now, func() error { return s.folder.Found(*f) }, s.bootstrapped)
-		if s.Err() == nil && h.Bootstrap == nil {
-			return s.greet(now, h)
-		}
+	err := n.machine.Step(p.Envelope)
+	if errors.Is(err, consensus.ErrLostState) {
+		n.stop(err)
 		return nil
 	}
+	n.flush(now)
 	return err
 }
 
-// bootstrapped has this decider take part in the consensus group that its folder has just been told of.
-func (s *Node) bootstrapped(now Time) {
-	m := s.folder.Memory()
-	s.log.Info("of a consensus group", "group", m.Bootstrap.String())
-	if err := s.sit(now, m); err != nil {
-		s.fail(err)
+// Ask takes in a sidecar's question for a lease. Its answer follows in Out under the token; its error is
+// consensus.ErrNoLeader where this node does not lead.
+func (n *Node) Ask(now Time, token uint64, q policy.LeaseRequest) {
+	if !n.running() {
+		n.actions.Answers = append(n.actions.Answers, consensus.Answer{Token: token, Err: consensus.ErrNoLeader})
 		return
 	}
-	s.settle(now)
+	n.machine.Ask(now, token, q)
+	n.flush(now)
 }
 
-// mostWaits is how many may wait for a place at a time.
-const mostWaits = 16
-
-// greet answers one that is of no consensus group with what this one is, and notes that it is there.
-func (s *Node) greet(now Time, h consensus.Hello) error {
-	if h.Bootstrap != nil || h.ID == 0 || h.Name == "" || len(h.Name) > mostName {
-		return nil
-	}
-	deciders, _ := s.machine.Deciders()
-	if deciders[h.Name] != h.ID {
-		maps.DeleteFunc(s.waits, func(_ string, w waiting) bool { return now-w.at >= waitsFor })
-		if _, known := s.waits[h.Name]; !known && len(s.waits) >= mostWaits {
-			return fmt.Errorf("raftnode: %d wait for a place already", mostWaits)
-		}
-		s.waits[h.Name] = waiting{h.ID, now}
-	}
-	mine := s.bootstrapper.Hello()
-	mine.Deciders = deciders
-	s.send(h.Name, packet{Hello: &mine})
-	return nil
-}
-
-// Ask takes in a sidecar's question. The answer follows under its token.
-func (s *Node) Ask(now Time, token uint64, q policy.Question) {
-	if s.machine == nil || s.Err() != nil {
-		s.out.Answers = append(s.out.Answers, consensus.Answer{Token: token, Err: consensus.ErrNoLeader})
-		return
-	}
-	s.machine.Ask(now, token, q)
-	s.settle(now)
-}
-
-// Propose asks for a change. What becomes of it stands in the ledger under its id.
-func (s *Node) Propose(now Time, p policy.Propose) error {
-	if s.machine == nil || s.Err() != nil {
+// Propose proposes a change of policy. Its outcome is in the ledger under its ID; consensus.ErrNoLeader says that it
+// was not accepted and must go to the leader.
+func (n *Node) Propose(now Time, p policy.Proposal) error {
+	if !n.running() {
 		return consensus.ErrNoLeader
 	}
-	err := s.machine.Propose(p)
-	s.settle(now)
+	err := n.machine.Propose(p)
+	n.flush(now)
 	return err
 }
 
-// settle keeps what is to be kept, and then tells what rests on it.
-func (s *Node) settle(now Time) {
-	for s.Err() == nil {
-		b, due := s.machine.Batch()
+// flush persists what is to be persisted, and then sends what rests on it.
+func (n *Node) flush(now Time) {
+	for n.Err() == nil {
+		b, due := n.machine.Batch()
 		if !due {
 			break
 		}
-		s.keep(now, func() error { return s.folder.Keep(b) }, s.saved)
+		n.write(now, func() error { return n.storage.Keep(b) }, n.batchPersisted)
 	}
-	if s.broken != nil {
+	if n.fatalErr != nil {
 		return
 	}
-	out := s.machine.Out() // of what is kept alone, also where a later batch is not
+	out := n.machine.Out() // rests on persisted batches alone, also where the write of a later one has failed
 	for _, m := range out.Send {
-		if to := s.names[m.To]; to != "" { // else it was replaced meanwhile
-			s.send(to, packet{Sealed: m.Text})
+		if to := n.voterNames[m.To]; to != "" { // else it was replaced meanwhile
+			n.send(to, packet{Envelope: m.Payload})
 		}
 	}
-	s.out.Answers = append(s.out.Answers, out.Answers...)
+	n.actions.Answers = append(n.actions.Answers, out.Answers...)
 }
 
-// saved takes in that the batch that was due is kept.
-func (s *Node) saved(now Time) {
-	if err := s.machine.Saved(now); err != nil {
-		s.fail(err)
+// batchPersisted advances the machine, and compacts the log where that is due.
+func (n *Node) batchPersisted(now Time) {
+	if err := n.machine.Advance(now); err != nil {
+		n.stop(err)
 		return
 	}
-	s.names = s.machine.Named()
-	if err := s.machine.Err(); err != nil {
-		s.fail(err)
+	n.voterNames = n.machine.VoterNames()
+	if err := n.machine.Err(); err != nil {
+		n.stop(err)
 		return
 	}
-	snapshot, err := s.machine.Compact()
+	snapshot, err := n.machine.Compact()
 	if err != nil {
-		s.fail(err)
+		n.stop(err)
 		return
 	}
 	if snapshot != nil {
-		s.keep(now, func() error { return s.folder.Compact(*snapshot) }, func(Time) {})
-	}
-}
-
-// keep writes something down, and has follow what rests on it. Where the write fails the node is suspended until it
-// succeeds.
-func (s *Node) keep(now Time, write func() error, kept func(now Time)) {
-	if err := write(); err != nil {
-		s.unkept = &unkept{write: write, kept: kept, err: err, wait: leastBackoff, at: now + leastBackoff}
-		s.log.Error("this decider takes no part until its folder keeps again", "err", err)
-		return
-	}
-	kept(now)
-}
-
-// keepAgain tries a write that has failed again, when that is due.
-func (s *Node) keepAgain(now Time) {
-	u := s.unkept
-	if now < u.at {
-		return
-	}
-	if err := u.write(); err != nil {
-		u.wait = min(2*u.wait, mostBackoff)
-		u.err, u.at = err, now+u.wait
-		return
-	}
-	s.unkept = nil
-	s.log.Info("the folder keeps again, and this decider takes part")
-	if u.kept(now); s.machine != nil && s.broken == nil {
-		s.settle(now)
+		n.write(now, func() error { return n.storage.Compact(*snapshot) }, func(Time) {})
 	}
 }
 
-func (s *Node) send(to string, p packet) {
-	text, err := cbor.Marshal(p)
-	if err != nil || len(text) > mostText {
-		s.log.Error("raftnode: a message that cannot be sent", "to", to, "bytes", len(text), "err", err)
+// send queues a packet for another node.
+func (n *Node) send(to string, p packet) {
+	payload, err := cbor.Marshal(p)
+	if err != nil || len(payload) > maxMessageBytes {
+		n.log.Error("raftnode: message not sent", "to", to, "bytes", len(payload), "err", err)
 		return
 	}
-	s.out.Send = append(s.out.Send, Message{to, text})
+	n.actions.Send = append(n.actions.Send, Message{to, payload})
 }
 
-// fail has this decider take part no more. What was not told yet is told to nobody.
-func (s *Node) fail(err error) {
-	s.broken, s.out = err, Actions{}
-	s.log.Error("this decider takes part no more", "err", err)
+// stop has this node take part no more. What is not sent yet is dropped, as it may rest on state that was not
+// persisted.
+func (n *Node) stop(err error) {
+	n.fatalErr = err
+	n.actions = Actions{}
+	n.log.Error("raftnode: voter stopped", "err", err)
 }
--- a/internal/lab/fleet/mutants/mutants_test.go
+++ b/internal/lab/fleet/mutants/mutants_test.go
@@ -128,32 +128,32 @@
 	}
 }
 
-// policyMutants break the promises on a change of policy, each found by a test of its package, or of the one that is named before it.
+// policyMutants break the guarantees on a change of policy, each found by a test of its package, or of the one that is named before it.
 var policyMutants = []struct{ name, file, from, to, found string }{
-	{"switch before the promises end", "policy/grants.go", "g.number, g.until = p.Number, max(last, now+1)", "g.number, g.until = p.Number, now+1", "TestOnePolicyAtATime"},
-	{"a leader that waits for no forerunner's promises", "policy/grants.go", "quiet: now + t.longer(t.Length)", "quiet: now", "TestOnePolicyAtATime"},
-	{"what lay about is answered", "policy/grants.go", "if l.applied < g.seen {", "if false {", "TestOnePolicyAtATime"},
-	{"yes without a whole check", "policy/grants.go", "if s.checked < p.Number {\n\t\t\t\treturn nil", "if s.checked > p.Number {\n\t\t\t\treturn nil", "TestOneNoIsEnough"},
-	{"a promise counted from its answer", "policy/holder.go", "h.number, h.until, h.next, h.end = g.Number, sent+", "h.number, h.until, h.next, h.end = g.Number, now+", "TestOnePolicyAtATime"},
-	{"begun as soon as it is heard of", "policy/holder.go", "g.Next, now+h.terms.longer(g.In)", "g.Next, now", "TestOnePolicyAtATime"},
-	{"answers taken as they come", "policy/holder.go", "if g.Stamp.Compare(h.heard) <= 0 {", "if false {", "TestHolderTakesTheLatest"},
-	{"a promise without an end", "policy/holder.go", "h.number > 0 && now < h.until && h.have", "h.number > 0 && h.have", "TestOnePolicyAtATime"},
-	{"a group bootstrapped by a majority", "consensus/bootstrap.go", "if len(bootstrap.Deciders) == len(f.want.Deciders) &&", "if len(bootstrap.Deciders) > len(f.want.Deciders)/2 &&", "TestBootstrappedOnce"},
-	{"an older folder believed", "consensus/bootstrap.go", "case e.Life < known:", "case false:", "TestGuard"},
-	{"an older folder that believes itself", "consensus/bootstrap.go", "case e.Lives[g.self.ID] > g.self.Life:", "case false:", "TestGuard"},
-	{"a cut folder that votes", "consensus/consensus.go", "msg.Commit > last && m.ready == nil {", "false && msg.Commit > last && m.ready == nil {", "TestCutFolder"},
+	{"switch before the leases end", "policy/lease_table.go", "t.switchNumber, t.switchAt = p.Number, max(last, now+1)", "t.switchNumber, t.switchAt = p.Number, now+1", "TestOnePolicyAtATime"},
+	{"a leader that does not wait for earlier leaders' leases", "policy/lease_table.go", "earlierLeasesEnd: now + terms.upperBound(terms.Length)", "earlierLeasesEnd: now", "TestOnePolicyAtATime"},
+	{"a request confirmed against an older log is answered", "policy/lease_table.go", "if l.applied < t.minApplied {", "if false {", "TestOnePolicyAtATime"},
+	{"commit without a complete check", "policy/lease_table.go", "if holder.checked < number {", "if holder.checked > number {", "TestOneRejectionRefusesChange"},
+	{"a lease counted from its response", "policy/holder.go", "h.number, h.expiry = response.Number, sent+", "h.number, h.expiry = response.Number, now+", "TestOnePolicyAtATime"},
+	{"the next policy begun as soon as it is known", "policy/holder.go", "response.Next, now+h.terms.upperBound(response.NextIn)", "response.Next, now", "TestOnePolicyAtATime"},
+	{"responses taken out of order", "policy/holder.go", "if response.Stamp.Compare(h.latest) <= 0 {", "if false {", "TestHolderTakesLatestResponse"},
+	{"a lease without an expiry", "policy/holder.go", "h.number > 0 && now < h.expiry && h.runnable", "h.number > 0 && h.runnable", "TestOnePolicyAtATime"},
+	{"a group bootstrapped by a majority", "consensus/bootstrap.go", "complete := len(group.Voters) == len(b.configured.Voters)", "complete := len(group.Voters) > len(b.configured.Voters)/2", "TestBootstrappedOnce"},
+	{"an older folder believed", "consensus/envelope.go", "case e.Incarnation < known:", "case false:", "TestEnvelopeVerifier"},
+	{"an older folder that believes itself", "consensus/envelope.go", "case e.Incarnations[v.identity.ID] > v.identity.Incarnation:", "case false:", "TestEnvelopeVerifier"},
+	{"a cut folder that votes", "consensus/consensus.go", "msg.Commit > last && m.readyInFlight == nil {", "false && msg.Commit > last && m.readyInFlight == nil {", "TestTruncatedFolder"},
 	{"a spoilt record passed over", "disk/disk.go", "if len(text) == size || len", "if true || len", "TestSpoiltAnywhere"},
-	{"kept on after a failed write", "disk/disk.go", "l.broken = fmt.Errorf(\"consensus folder %s, nothing", "_ = fmt.Errorf(\"consensus folder %s, nothing", "TestFullDisk"},
+	{"kept on after a failed write", "disk/disk.go", "l.failed = true\n\t\treturn fmt.Errorf(\"consensus folder: %w\", err)\n\t}\n\tl.size", "return fmt.Errorf(\"consensus folder: %w\", err)\n\t}\n\tl.size", "TestFullDisk"},
 	{"a request held against nothing when it is taken", "../sidecar/policy.go", "return ok && now == number && g.host.terms.Load().policy == number", "return ok || now+number > 0", "TestGate"},
 	{"a file taken beside the policy", "../sidecar/reload.go", "if how := h.gate.differs(c); how != \"\" {", "if how := \"\"; how != \"\" {", "TestGateAndFile"},
-	{"a place taken with nothing to begin from", "consensus/consensus.go", "m.changed = true // Danger", "m.changed = false // Danger", "raftnode TestReplaced"},
-	{"who was replaced goes on", "consensus/consensus.go", "m.broken, m.grants = ErrReplaced, nil", "_ = ErrReplaced", "raftnode TestReplaced"},
-	{"a place given to who was never heard of", "raftnode/node.go", "if !known || now-w.at >= waitsFor {", "if w.id |= 1; !known && false {", "raftnode TestReplaced"},
-	{"a decider without memory that votes", "consensus/bootstrap.go", "case h.Deciders[f.name] == f.self.ID:", "case true:", "TestBootstrappedOnce"},
+	{"a place taken with nothing to begin from", "consensus/voters.go", "m.snapshotDue = true // a new", "m.snapshotDue = false // a new", "raftnode TestReplaceVoter"},
+	{"who was replaced goes on", "consensus/advance.go", "m.stop(ErrReplaced)", "_ = ErrReplaced", "raftnode TestReplaceVoter"},
+	{"a place given to who was never heard of", "raftnode/node.go", "if !known || s.expired(now) {", "if s.id |= 1; !known && false {", "raftnode TestReplaceVoter"},
+	{"a decider without memory that votes", "consensus/bootstrap.go", "case h.Voters[b.name] == b.identity.ID:", "case true:", "TestBootstrappedOnce"},
 	{"refused after it was committed", "policy/ledger.go", "e.Refuse.Number == p.Number && p.State == Proposed", "e.Refuse.Number == p.Number", "TestLedger"},
 }
 
-// TestPolicyMutantsAreFound has the tests of the policy's promises find each.
+// TestPolicyMutantsAreFound has the tests of the policy's guarantees find each.
 func TestPolicyMutantsAreFound(t *testing.T) {
 	for _, m := range policyMutants {
 		t.Run(m.name, func(t *testing.T) {
