--- a/internal/fleet/consensus/consensus.go
+++ b/internal/fleet/consensus/consensus.go
@@ -32,7 +32,7 @@
 	// TickInterval is how often Tick is to be called.
 	TickInterval = 50 * time.Millisecond
 
-	electionTicks       = 10 // a leader that is not heard from is replaced after this many ticks to twice as many
+	electionTicks       = 10 // a leader that is not received from is replaced after this many ticks to twice as many
 	heartbeatTicks      = 1
 	maxAppendBytes      = 2 << 20 // of entries in a message: two policy documents
 	maxInflightMessages = 64      // append messages to one voter that are not acknowledged yet
