--- a/internal/sidecar/beyond_test.go
+++ b/internal/sidecar/beyond_test.go
@@ -4,14 +4,134 @@
 
 import (
 	"context"
+	"fmt"
 	"net"
+	"net/http"
 	"sync/atomic"
 	"syscall"
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"milletramp.example/milletramp/balance"
 )
 
+const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+
+// always has each attempt get the same answer.
+func always(text string) func(int) string { return func(int) string { return text } }
+
+// TestFaultAfterTenQuietMinutes has one of two servers fall silent after ten minutes without trouble, in which
+// discovery is down as well: requests that may be repeated are served by the other one in time.
+func TestFaultAfterTenQuietMinutes(t *testing.T) {
+	inBubble(t, testSettings, func(b *bubble) {
+		b.answers = always(okAnswer)
+		var silent atomic.Bool
+		b.drops = func(server string, _ time.Duration) bool { return silent.Load() && server == "127.0.0.1:1" }
+		for range 600 {
+			if a := <-b.ask("read", 3*time.Second, nil); a.kind != served {
+				b.t.Errorf("answer %+v on a quiet day", a)
+			}
+			<-b.came
+			time.Sleep(time.Second)
+		}
+		silent.Store(true)
+		for n := range 30 {
+			began := time.Now()
+			if a := <-b.ask("read", 3*time.Second, nil); a.kind != served {
+				b.t.Errorf("answer %+v to request %d behind the fault, after %v", a, n, time.Since(began))
+			}
+			time.Sleep(time.Second)
+		}
+	})
+}
+
+// TestServersForgetIdleConnections has servers drop, without a word or a reset, what comes on connections that were
+// idle for 2 s. Each request has its answer in its time, and one that is unsafe to repeat is sent once.
+func TestServersForgetIdleConnections(t *testing.T) {
+	const requests, wait = 20, 10 * time.Second
+	for _, class := range []string{"read", "book", "pay"} {
+		inBubble(t, testSettings, func(b *bubble) {
+			b.answers = always(okAnswer)
+			var forgotten atomic.Int64
+			b.drops = func(_ string, idle time.Duration) bool {
+				if idle >= 2*time.Second {
+					forgotten.Add(1)
+				}
+				return idle >= 2*time.Second
+			}
+			for n := range requests {
+				began := time.Now()
+				a := <-b.ask(class, wait, nil)
+				if took := time.Since(began); took > wait {
+					b.t.Errorf("%s: answer %+v to request %d after %v", class, a, n, took)
+				}
+				if class == "pay" && len(b.came) > 1 {
+					b.t.Errorf("%d attempts of a request that is unsafe to repeat", len(b.came))
+				}
+				for len(b.came) > 0 {
+					<-b.came
+				}
+				time.Sleep(3 * time.Second)
+			}
+			if forgotten.Load() == 0 {
+				b.t.Errorf("%s: no request came on a forgotten connection", class)
+			}
+		})
+	}
+}
+
+// TestVeryShortDeadlines has servers drop all requests of 5 to 20 ms without a word: each has one answer soon after its
+// time, no attempt begins behind it, and requests with more time are served right after.
+func TestVeryShortDeadlines(t *testing.T) {
+	inBubble(t, testSettings, func(b *bubble) {
+		b.answers = always(okAnswer)
+		var drops atomic.Bool
+		drops.Store(true)
+		b.drops = func(string, time.Duration) bool { return drops.Load() }
+		for n := range 300 {
+			wait := time.Duration(5+n%16) * time.Millisecond
+			class := []string{"read", "book", "pay"}[n%3]
+			began := time.Now()
+			a := <-b.ask(class, wait, nil)
+			if took := time.Since(began); took > wait+100*time.Millisecond || a.kind == served {
+				b.t.Errorf("%s of %v: answer %+v after %v", class, wait, a, took)
+			}
+			for time.Sleep(50 * time.Millisecond); len(b.came) > 0; {
+				if late := (<-b.came).at.Sub(began); late > wait {
+					b.t.Errorf("%s of %v: an attempt began after %v", class, wait, late)
+				}
+			}
+		}
+		drops.Store(false)
+		for n := range 10 {
+			if a := <-b.ask("read", time.Second, nil); a.kind != served {
+				b.t.Errorf("answer %+v to request %d behind the short ones", a, n)
+			}
+		}
+	})
+}
+
+// TestDiscoveryOutForMinutes has discovery be down for two minutes, in each phase of the sidecar's calls: the list is
+// there in time once it is back.
+func TestDiscoveryOutForMinutes(t *testing.T) {
+	for phase := time.Duration(0); phase < 3*time.Second; phase += 170 * time.Millisecond {
+		followed(t, func(t *testing.T, a *agent, _ *host, told chan time.Time) {
+			<-told
+			time.Sleep(10 * time.Second)
+			a.hush(true, 0)
+			time.Sleep(2*time.Minute + phase)
+			a.mu.Lock()
+			a.down = false
+			a.mu.Unlock()
+			back := time.Now()
+			if took := (<-told).Sub(back); took > firstListWithin+balance.MaxDiscoveryBackoff {
+				t.Errorf("told %v after an outage of two minutes and %v", took, phase)
+			}
+		})
+	}
+}
+
 // TestSlowOrCrowdedDiscovery has the watch fall silent while discovery answers each call only after a time, or refuses
 // four calls of five: the next list is there at the latest 6 s later.
 func TestSlowOrCrowdedDiscovery(t *testing.T) {
@@ -85,3 +205,83 @@
 		<-told
 	})
 }
+
+// TestFiveConfigurations has five files within a second name five addresses of discovery: the last one counts, its list
+// is obeyed, and requests are served all the time.
+func TestFiveConfigurations(t *testing.T) {
+	one, two := startBackend(t, say(200, "", "one")), startBackend(t, say(200, "", "two"))
+	was := startRegistry(t)
+	p := start(t, configText(was.address, serving(1, one), testSettings))
+	old := within(t, was.watches, "watch")
+	address := was.address
+	var next []*registry
+	for range 5 {
+		d := startRegistry(t)
+		p.moveTo(d.address, address)
+		address, next = d.address, append(next, d)
+		if g := p.ask("read"); g.body != "one" {
+			t.Errorf("answer %+v between two files", g)
+		}
+	}
+	w := within(t, next[4].watches, "watch at the last address")
+	old.lines <- listText(2, false, entry("s-9", one.address, "SERVING", 0))
+	w.lines <- serving(1, two)
+	p.until("two")
+	for _, d := range next[:4] { // a late line of an address between
+		for len(d.watches) > 0 {
+			(<-d.watches).lines <- serving(9, one)
+		}
+	}
+	for range 20 {
+		if g := p.ask("read"); g.body != "two" {
+			t.Errorf("answer %+v, want the last address's server", g)
+		}
+	}
+}
+
+// TestRestartAndDrainTogether has a server begin to drain while one process drains and the next one starts with a list
+// that does not say so: neither sends new requests there once told, and what was in hand has its answer.
+func TestRestartAndDrainTogether(t *testing.T) {
+	gate := make(chan bool)
+	one := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+		if r.Method == http.MethodPost {
+			<-gate
+		}
+		return say(200, "", "one")(c, r, body)
+	})
+	two := startBackend(t, say(200, "", "two"))
+	d := startRegistry(t)
+	text := configText(d.address, serving(1, one), testSettings)
+	p := startDraining(t, text, drainTimes{accept: 100 * time.Millisecond, quiet: time.Millisecond,
+		closeIdle: patience, unused: patience})
+	w := within(t, d.watches, "watch")
+	kept := make([]net.Conn, 8)
+	for i := range kept {
+		kept[i] = p.dial()
+	}
+	held := make(chan gotten, 1)
+	go func() { held <- p.do(p.request(context.Background(), "pay", "50000")) }()
+	within(t, one.came, "request")
+	p.stop()
+	drains := listText(2, false, entry("s-0", one.address, "DRAINING", 0), entry("s-1", two.address, "SERVING", 0))
+	w.lines <- drains
+	p.listed(2)
+	next := start(t, text)
+	within(t, d.watches, "watch of the next process").lines <- drains
+	next.listed(2)
+	before := one.count()
+	for i, c := range kept {
+		fmt.Fprint(c, head("GET", fmt.Sprint("kept-", i), "read"), "\r\n")
+		lastAnswer(t, c, http.StatusOK)
+		if g := next.ask("read"); g.body != "two" {
+			t.Errorf("answer %+v of the next process", g)
+		}
+	}
+	if n := one.count() - before; n != 0 {
+		t.Errorf("%d new requests reached the draining server", n)
+	}
+	close(gate)
+	if g := within(t, held, "answer"); g.body != "one" {
+		t.Errorf("answer %+v to what was in hand", g)
+	}
+}
--- a/internal/sidecar/heldup_test.go
+++ b/internal/sidecar/heldup_test.go
@@ -63,7 +63,9 @@
 	// dials has connections to servers come up; nil: at once. answers tells what the nth attempt gets; "": nothing.
 	dials   func(ctx context.Context, n int) error
 	answers func(n int) string
-	heldUp  time.Duration
+	// drops has a server drop what comes on a connection that was idle for so long, without a word; nil: none does.
+	drops  func(server string, idle time.Duration) bool
+	heldUp time.Duration
 }
 
 // inBubble plays with a host of these settings.
@@ -104,7 +106,7 @@
 			context.AfterFunc(ctx, func() { far.Close() })
 			go func() {
 				in := bufio.NewReader(far)
-				for {
+				for last := time.Now(); ; last = time.Now() {
 					r, err := http.ReadRequest(in)
 					if err != nil {
 						return
@@ -119,6 +121,9 @@
 					arrived++
 					mu.Unlock()
 					b.came <- arrival{time.Now(), address, wait}
+					if b.drops != nil && b.drops(address, time.Since(last)) {
+						continue
+					}
 					if text := b.answers(n); text != "" {
 						fmt.Fprint(far, text)
 					}
