--- a/internal/fleet/raftnode/node.go
+++ b/internal/fleet/raftnode/node.go
@@ -147,7 +147,8 @@
 	}
 	s, known := n.standbys[incoming]
 	if !known || s.expired(now) {
-		return fmt.Errorf("raftnode: %.80q does not wait for a place here: start it as a voter, with an empty folder", incoming)
+		return fmt.Errorf("raftnode: %.80q does not wait for a place here: start it as a voter, with an empty folder",
+			incoming)
 	}
 	err := n.machine.Replace(outgoing, incoming, s.id)
 	n.flush(now)
