--- a/internal/sidecar/answer_test.go
+++ b/internal/sidecar/answer_test.go
@@ -12,13 +12,14 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
 // writeRaw answers with text as it is, and waits for the other side to close.
 func writeRaw(text string) func(net.Conn, *http.Request, []byte) bool {
 	return func(c net.Conn, r *http.Request, body []byte) bool {
 		_, _ = io.WriteString(c, text)
-		return silent(c, r, body)
+		return testserver.NeverRespond(c, r, body)
 	}
 }
 
@@ -50,7 +51,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			closed := make(chan bool, 1)
-			b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+			b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 				writeRaw(tt.text)(c, r, body)
 				closed <- true
 				return false
@@ -60,7 +61,7 @@
 			if r := u.attempt(context.Background(), sending{server: "s-0", message: get(), begins: whole}); r.outcome != balance.Errored || r.body != nil {
 				t.Errorf("outcome %d, body %q, want an error", r.outcome, r.body)
 			}
-			within(t, closed, "end of the connection")
+			testserver.Receive(t, closed, "end of the connection")
 			if u.pool.open != 0 {
 				t.Errorf("%d connections are left", u.pool.open)
 			}
@@ -75,9 +76,9 @@
 		"HTTP/1.1 200 OK\r\nConnection: keep-alive\r\n", "HTTP/1.0 200 OK\r\n"} {
 		for _, body := range []string{"hal", ""} {
 			for reset, want := range map[bool]balance.Outcome{false: balance.Served, true: balance.Reset} {
-				b := startBackend(t, func(c net.Conn, r *http.Request, _ []byte) bool {
+				b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, _ []byte) bool {
 					fmt.Fprint(c, start+"\r\n"+body)
-					return reset && hangUp(c, r, nil)
+					return reset && testserver.ResetConnection(c, r, nil)
 				})
 				u := to(t, b)
 				r := u.attempt(context.Background(), sending{server: "s-0", message: get(), begins: whole})
@@ -98,13 +99,13 @@
 		"HTTP/1.1 500 X\r\n\r\n":                                            balance.Errored,
 		"HTTP/1.1 204 X\r\n\r\n":                                            balance.Errored,
 	} {
-		u := to(t, startBackend(t, writeRaw(head)))
+		u := to(t, testserver.StartBackend(t, writeRaw(head)))
 		u.within.Store(int64(time.Hour))
 		ended := make(chan reply, 1)
 		go func() {
 			ended <- u.attempt(context.Background(), sending{server: "s-0", message: post(""), begins: whole})
 		}()
-		if r := within(t, ended, "outcome"); r.outcome != want {
+		if r := testserver.Receive(t, ended, "outcome"); r.outcome != want {
 			t.Errorf("%q: outcome %d, want %d", head, r.outcome, want)
 		}
 	}
@@ -130,7 +131,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			conns := make(chan net.Conn, 10)
-			b := startBackend(t, func(c net.Conn, r *http.Request, _ []byte) bool {
+			b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, _ []byte) bool {
 				_, _ = io.WriteString(c, tt.ahead+answer(r)+strings.Replace(tt.behind, "copy", answer(r), 1))
 				conns <- c
 				return true
@@ -144,7 +145,7 @@
 				if r.outcome != balance.Served || string(r.body) != m.id {
 					t.Fatalf("outcome %d, body %q for %q", r.outcome, r.body, m.id)
 				}
-				c := within(t, conns, "connection")
+				c := testserver.Receive(t, conns, "connection")
 				if (c == last) != (tt.reused && i > 0) {
 					t.Errorf("request %d: same connection %v, want %v", i, c == last, tt.reused)
 				}
@@ -160,7 +161,7 @@
 // TestChunked: a chunked answer with a trailer is whole, and its connection good.
 func TestChunked(t *testing.T) {
 	conns := make(chan net.Conn, 10)
-	b := startBackend(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
+	b := testserver.StartBackend(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nsl\r\n2\r\not\r\n0\r\nX-T: 1\r\n\r\n")
 		conns <- c
 		return true
@@ -171,7 +172,7 @@
 			t.Fatalf("outcome %d, body %q", r.outcome, r.body)
 		}
 	}
-	if within(t, conns, "connection") != within(t, conns, "connection") {
+	if testserver.Receive(t, conns, "connection") != testserver.Receive(t, conns, "connection") {
 		t.Error("the connection was not reused")
 	}
 }
@@ -180,10 +181,10 @@
 // back to nobody.
 func TestNoOldConnections(t *testing.T) {
 	conns, gate := make(chan net.Conn, 10), make(chan bool, 10)
-	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		conns <- c
 		<-gate
-		return say(200, "", "ok")(c, r, body)
+		return testserver.Respond(200, "", "ok")(c, r, body)
 	})
 	u := to(t, b)
 	ended := make(chan reply, 1)
@@ -192,15 +193,15 @@
 	}
 	gate <- true
 	ask("s-0")
-	within(t, ended, "end")
-	idle := within(t, conns, "connection")
+	testserver.Receive(t, ended, "end")
+	idle := testserver.Receive(t, conns, "connection")
 	go ask("s-0")
-	if within(t, conns, "connection") != idle {
+	if testserver.Receive(t, conns, "connection") != idle {
 		t.Fatal("the idle connection was not used")
 	}
-	u.update(parsed(t, listText(2, true, entry("s-new", b.address, "SERVING", 0))))
+	u.update(parsed(t, testserver.ListText(2, true, testserver.EndpointEntry("s-new", b.Address, "SERVING", 0))))
 	gate <- true
-	if r := within(t, ended, "end"); r.outcome != balance.Served {
+	if r := testserver.Receive(t, ended, "end"); r.outcome != balance.Served {
 		t.Errorf("outcome %d of what was out when its server was removed", r.outcome)
 	}
 	if u.pool.open != 0 {
@@ -208,8 +209,8 @@
 	}
 	gate <- true
 	ask("s-new")
-	within(t, ended, "end")
-	if within(t, conns, "connection") == idle {
+	testserver.Receive(t, ended, "end")
+	if testserver.Receive(t, conns, "connection") == idle {
 		t.Error("a new server got a connection of the old one")
 	}
 }
@@ -217,10 +218,10 @@
 // TestPoolBound: beyond the bound the longest idle connection makes room, and without one nothing is sent.
 func TestPoolBound(t *testing.T) {
 	gate := make(chan bool)
-	quick := startBackend(t, say(200, "", ""))
-	slow := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	quick := testserver.StartBackend(t, testserver.Respond(200, "", ""))
+	slow := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		<-gate
-		return say(200, "", "")(c, r, body)
+		return testserver.Respond(200, "", "")(c, r, body)
 	})
 	u := to(t, quick, slow)
 	u.pool.most = 1
@@ -231,12 +232,12 @@
 	go func() {
 		ended <- u.attempt(context.Background(), sending{server: "s-1", message: get(), begins: whole})
 	}()
-	within(t, slow.came, "request in the idle connection's place")
+	testserver.Receive(t, slow.Requests, "request in the idle connection's place")
 	if r := u.attempt(context.Background(), sending{server: "s-0", message: get(), begins: whole}); r.outcome != balance.NotSent {
 		t.Errorf("outcome %d with no descriptor left", r.outcome)
 	}
 	close(gate)
-	within(t, ended, "end")
+	testserver.Receive(t, ended, "end")
 	if u.pool.open != 1 || u.pool.idle.Len() != 1 {
 		t.Errorf("%d open, %d idle", u.pool.open, u.pool.idle.Len())
 	}
@@ -245,16 +246,16 @@
 // TestIdleExpires: an idle connection is closed well before its server would.
 func TestIdleExpires(t *testing.T) {
 	closed := make(chan bool, 1)
-	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		say(200, "", "")(c, r, body)
-		silent(c, r, body)
+	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+		testserver.Respond(200, "", "")(c, r, body)
+		testserver.NeverRespond(c, r, body)
 		closed <- true
 		return false
 	})
 	u := to(t, b)
 	u.pool.rest.Store(int64(20 * time.Millisecond))
 	u.attempt(context.Background(), sending{server: "s-0", message: get(), begins: whole})
-	within(t, closed, "end of the idle connection")
+	testserver.Receive(t, closed, "end of the idle connection")
 }
 
 // TestAnswersThatStop: an answer of untold length that stops is cut soon after its client's time, so that the client can tell that it is not
@@ -299,7 +300,7 @@
 		}, false, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			p := start(t, configText(startRegistry(t).address, serving(1, startBackend(t, tt.do)), testSettings))
+			p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, testserver.StartBackend(t, tt.do)), testserver.Settings))
 			resp, err := p.client.Do(p.request(context.Background(), "pay", "600"))
 			if err != nil {
 				t.Fatal(err)
--- a/internal/sidecar/attempts_test.go
+++ b/internal/sidecar/attempts_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
 // lateDial is a dial whose connections are up at once, and are given to whoever asked only when the test says so.
@@ -46,33 +47,33 @@
 func TestLateConnections(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
-		event func(*upstream, *backend, *atomic.Bool)
+		event func(*upstream, *testserver.Backend, *atomic.Bool)
 		open  int // connections that are left
 	}{
-		{"the server drains", func(u *upstream, b *backend, _ *atomic.Bool) {
-			u.update(parsed(t, listText(2, false, entry("s-0", b.address, "DRAINING", 0))))
+		{"the server drains", func(u *upstream, b *testserver.Backend, _ *atomic.Bool) {
+			u.update(parsed(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "DRAINING", 0))))
 		}, 1},
-		{"a whole list leaves it out", func(u *upstream, _ *backend, _ *atomic.Bool) {
-			u.update(parsed(t, listText(2, true)))
+		{"a whole list leaves it out", func(u *upstream, _ *testserver.Backend, _ *atomic.Bool) {
+			u.update(parsed(t, testserver.ListText(2, true)))
 		}, 0},
-		{"it is removed", func(u *upstream, b *backend, _ *atomic.Bool) {
-			u.update(parsed(t, listText(2, false, entry("s-0", b.address, "DELETED", 0))))
+		{"it is removed", func(u *upstream, b *testserver.Backend, _ *atomic.Bool) {
+			u.update(parsed(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "DELETED", 0))))
 		}, 0},
-		{"it starts again", func(u *upstream, b *backend, _ *atomic.Bool) {
-			u.update(parsed(t, listText(2, false, entry("s-0", b.address, "SERVING", 1700000000000))))
+		{"it starts again", func(u *upstream, b *testserver.Backend, _ *atomic.Bool) {
+			u.update(parsed(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "SERVING", 1700000000000))))
 		}, 0},
-		{"it moves", func(u *upstream, _ *backend, _ *atomic.Bool) {
-			u.update(parsed(t, listText(2, false, entry("s-0", "127.0.0.1:9", "SERVING", 0))))
+		{"it moves", func(u *upstream, _ *testserver.Backend, _ *atomic.Bool) {
+			u.update(parsed(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", "127.0.0.1:9", "SERVING", 0))))
 		}, 0},
-		{"it is taken out by hand", func(u *upstream, _ *backend, _ *atomic.Bool) { u.bar("s-0", true) }, 0},
-		{"it is taken out and put back", func(u *upstream, _ *backend, _ *atomic.Bool) {
+		{"it is taken out by hand", func(u *upstream, _ *testserver.Backend, _ *atomic.Bool) { u.bar("s-0", true) }, 0},
+		{"it is taken out and put back", func(u *upstream, _ *testserver.Backend, _ *atomic.Bool) {
 			u.bar("s-0", true)
 			u.bar("s-0", false)
 		}, 0},
-		{"nobody waits any more", func(_ *upstream, _ *backend, withdrawn *atomic.Bool) { withdrawn.Store(true) }, 1},
+		{"nobody waits any more", func(_ *upstream, _ *testserver.Backend, withdrawn *atomic.Bool) { withdrawn.Store(true) }, 1},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b := startBackend(t, say(200, "", "ok"))
+			b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 			u, late := to(t, b), newLateDial()
 			u.pool.dial = late.dial
 			var withdrawn atomic.Bool
@@ -80,11 +81,11 @@
 			go func() {
 				ended <- u.attempt(context.Background(), sending{server: "s-0", message: post("k"), withdrawn: withdrawn.Load, begins: whole})
 			}()
-			within(t, late.up, "connection")
+			testserver.Receive(t, late.up, "connection")
 			tt.event(u, b, &withdrawn)
 			late.give <- struct{}{}
-			if r := within(t, ended, "end"); r.outcome != balance.NotSent || b.count() != 0 {
-				t.Errorf("outcome %d, %d requests sent", r.outcome, b.count())
+			if r := testserver.Receive(t, ended, "end"); r.outcome != balance.NotSent || b.RequestCount() != 0 {
+				t.Errorf("outcome %d, %d requests sent", r.outcome, b.RequestCount())
 			}
 			if u.pool.open != tt.open {
 				t.Errorf("%d connections are left, want %d", u.pool.open, tt.open)
@@ -95,7 +96,7 @@
 
 // TestRepeatThatComesUpTooLate: an attempt whose connection is not up by its time is given up, and not sent once it is.
 func TestRepeatThatComesUpTooLate(t *testing.T) {
-	b := startBackend(t, say(200, "", "ok"))
+	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	u, late := to(t, b), newLateDial()
 	u.pool.dial = late.dial
 	s := sending{server: "s-0", message: post("k"), by: time.Now().Add(50 * time.Millisecond), begins: whole}
@@ -107,19 +108,19 @@
 		return net.Dial(network, address)
 	}
 	s.by = time.Now().Add(50 * time.Millisecond)
-	if r := u.attempt(context.Background(), s); r.outcome != balance.NotSent || b.count() != 0 {
-		t.Errorf("outcome %d, %d requests sent behind their time", r.outcome, b.count())
+	if r := u.attempt(context.Background(), s); r.outcome != balance.NotSent || b.RequestCount() != 0 {
+		t.Errorf("outcome %d, %d requests sent behind their time", r.outcome, b.RequestCount())
 	}
 }
 
 // TestRepeatThatIsTakenTooLate: an attempt whose server takes only a part of it by its time is given up, and never gets
 // the rest.
 func TestRepeatThatIsTakenTooLate(t *testing.T) {
-	l := listen(t) // takes no more than the system holds
-	u, m := to(t, &backend{address: l.Addr().String()}), post("k")
+	l := testserver.Listen(t) // takes no more than the system holds
+	u, m := to(t, &testserver.Backend{Address: l.Addr().String()}), post("k")
 	m.body = [][]byte{make([]byte, mostRequest), make([]byte, mostRequest)}
 	s := sending{server: "s-0", message: m, by: time.Now().Add(50 * time.Millisecond), begins: whole}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testserver.Timeout)
 	defer cancel()
 	if r := u.attempt(ctx, s); r.outcome != balance.NotSent || ctx.Err() != nil {
 		t.Errorf("outcome %d, error %v", r.outcome, ctx.Err())
@@ -138,11 +139,11 @@
 // TestSecondAnswer has a server send one more answer as soon as a second request comes on a connection. A connection that has just had
 // an answer gets no request, so that nobody takes the one for the other.
 func TestSecondAnswer(t *testing.T) {
-	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		id := r.Header.Get("X-Request-Id")
-		say(200, "", id)(c, r, body)
+		testserver.Respond(200, "", id)(c, r, body)
 		_, _ = c.Read(make([]byte, 1)) // until more comes
-		say(200, "", id)(c, r, body)
+		testserver.Respond(200, "", id)(c, r, body)
 		return false
 	})
 	u := to(t, b)
@@ -164,11 +165,11 @@
 // before the end that net/http waits for, more of them than it reads ahead, and none of them is sent on.
 func TestQueueOfOneWhoLeft(t *testing.T) {
 	gate := make(chan struct{})
-	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		<-gate
-		return say(200, "", "ok")(c, r, body)
+		return testserver.Respond(200, "", "ok")(c, r, body)
 	})
-	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
+	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
 	c := p.dial()
 	var queue strings.Builder
 	for i := range 100 {
@@ -177,7 +178,7 @@
 	if _, err := c.Write([]byte(queue.String())); err != nil {
 		t.Fatal(err)
 	}
-	within(t, b.came, "first request")
+	testserver.Receive(t, b.Requests, "first request")
 	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
@@ -187,7 +188,7 @@
 			break // all is answered, or the connection ended
 		}
 	}
-	if n := b.count(); n != 0 {
+	if n := b.RequestCount(); n != 0 {
 		t.Errorf("%d more requests were sent on for a client that had left", n)
 	}
 }
@@ -195,29 +196,29 @@
 // TestGoneWhileConnecting has a client leave while the connection for its request comes up, where the settings let no attempt be
 // called off: it is not made, as it has not begun.
 func TestGoneWhileConnecting(t *testing.T) {
-	b := startBackend(t, say(200, "", "ok"))
-	settings := strings.Replace(testSettings, `"cancelling":true`, `"cancelling":false`, 1)
-	p, late := start(t, configText(startRegistry(t).address, serving(1, b), settings)), newLateDial()
+	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+	settings := strings.Replace(testserver.Settings, `"cancelling":true`, `"cancelling":false`, 1)
+	p, late := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), settings)), newLateDial()
 	u := p.staff.host.upstream
 	u.pool.dial = late.dial
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan gotten, 1)
 	go func() { ended <- p.do(p.request(ctx, "pay", "50000")) }()
-	within(t, late.up, "connection")
+	testserver.Receive(t, late.up, "connection")
 	cancel()
-	within(t, ended, "end")
+	testserver.Receive(t, ended, "end")
 	p.forgotten()
 	late.give <- struct{}{}
 	u.pool.dial = nil
-	if g := p.ask("pay"); g.body != "ok" || b.count() != 1 {
-		t.Errorf("answer %+v, %d requests sent, want the one that somebody waits for", g, b.count())
+	if g := p.ask("pay"); g.body != "ok" || b.RequestCount() != 1 {
+		t.Errorf("answer %+v, %d requests sent, want the one that somebody waits for", g, b.RequestCount())
 	}
 }
 
 // forgotten waits until the program serves no request.
 func (p *program) forgotten() {
 	p.t.Helper()
-	for end := time.Now().Add(patience); p.staff.server.Load().ids.inHand.Load() > 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testserver.Timeout); p.staff.server.Load().ids.inHand.Load() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			p.t.Fatal("a request is held for good")
 		}
@@ -227,7 +228,7 @@
 // TestAnswerBesideALeavingClient has a request get its answer between the moment that its client is seen to leave and the moment that the
 // host hears of it: the answer is there for its handler, which would wait for ever without it.
 func TestAnswerBesideALeavingClient(t *testing.T) {
-	c, err := load(t, configText("127.0.0.1:9", serving(1, &backend{address: "127.0.0.1:9"}), testSettings))
+	c, err := load(t, testserver.ConfigText("127.0.0.1:9", testserver.ServingList(1, &testserver.Backend{Address: "127.0.0.1:9"}), testserver.Settings))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/beyond_test.go
+++ b/internal/sidecar/beyond_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
@@ -24,7 +25,7 @@
 // TestFaultAfterTenQuietMinutes has one of two servers fall silent after ten minutes without trouble, in which
 // discovery is down as well: requests that may be repeated are served by the other one in time.
 func TestFaultAfterTenQuietMinutes(t *testing.T) {
-	inBubble(t, testSettings, func(b *bubble) {
+	inBubble(t, testserver.Settings, func(b *bubble) {
 		b.answers = always(okAnswer)
 		var silent atomic.Bool
 		b.drops = func(server string, _ time.Duration) bool { return silent.Load() && server == "127.0.0.1:1" }
@@ -51,7 +52,7 @@
 func TestServersForgetIdleConnections(t *testing.T) {
 	const requests, wait = 20, 10 * time.Second
 	for _, class := range []string{"read", "book", "pay"} {
-		inBubble(t, testSettings, func(b *bubble) {
+		inBubble(t, testserver.Settings, func(b *bubble) {
 			b.answers = always(okAnswer)
 			var forgotten atomic.Int64
 			b.drops = func(_ string, idle time.Duration) bool {
@@ -84,7 +85,7 @@
 // TestVeryShortDeadlines has servers drop all requests of 5 to 20 ms without a word: each has one answer soon after its
 // time, no attempt begins behind it, and requests with more time are served right after.
 func TestVeryShortDeadlines(t *testing.T) {
-	inBubble(t, testSettings, func(b *bubble) {
+	inBubble(t, testserver.Settings, func(b *bubble) {
 		b.answers = always(okAnswer)
 		var drops atomic.Bool
 		drops.Store(true)
@@ -209,27 +210,27 @@
 // TestFiveConfigurations has five files within a second name five addresses of discovery: the last one counts, its list
 // is obeyed, and requests are served all the time.
 func TestFiveConfigurations(t *testing.T) {
-	one, two := startBackend(t, say(200, "", "one")), startBackend(t, say(200, "", "two"))
-	was := startRegistry(t)
-	p := start(t, configText(was.address, serving(1, one), testSettings))
-	old := within(t, was.watches, "watch")
-	address := was.address
-	var next []*registry
+	one, two := testserver.StartBackend(t, testserver.Respond(200, "", "one")), testserver.StartBackend(t, testserver.Respond(200, "", "two"))
+	was := testserver.StartDiscovery(t)
+	p := start(t, testserver.ConfigText(was.Address, testserver.ServingList(1, one), testserver.Settings))
+	old := testserver.Receive(t, was.Watches, "watch")
+	address := was.Address
+	var next []*testserver.Discovery
 	for range 5 {
-		d := startRegistry(t)
-		p.moveTo(d.address, address)
-		address, next = d.address, append(next, d)
+		d := testserver.StartDiscovery(t)
+		p.moveTo(d.Address, address)
+		address, next = d.Address, append(next, d)
 		if g := p.ask("read"); g.body != "one" {
 			t.Errorf("answer %+v between two files", g)
 		}
 	}
-	w := within(t, next[4].watches, "watch at the last address")
-	old.lines <- listText(2, false, entry("s-9", one.address, "SERVING", 0))
-	w.lines <- serving(1, two)
+	w := testserver.Receive(t, next[4].Watches, "watch at the last address")
+	old.Lines <- testserver.ListText(2, false, testserver.EndpointEntry("s-9", one.Address, "SERVING", 0))
+	w.Lines <- testserver.ServingList(1, two)
 	p.until("two")
 	for _, d := range next[:4] { // a late line of an address between
-		for len(d.watches) > 0 {
-			(<-d.watches).lines <- serving(9, one)
+		for len(d.Watches) > 0 {
+			(<-d.Watches).Lines <- testserver.ServingList(9, one)
 		}
 	}
 	for range 20 {
@@ -243,33 +244,33 @@
 // that does not say so: neither sends new requests there once told, and what was in hand has its answer.
 func TestRestartAndDrainTogether(t *testing.T) {
 	gate := make(chan bool)
-	one := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	one := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Method == http.MethodPost {
 			<-gate
 		}
-		return say(200, "", "one")(c, r, body)
+		return testserver.Respond(200, "", "one")(c, r, body)
 	})
-	two := startBackend(t, say(200, "", "two"))
-	d := startRegistry(t)
-	text := configText(d.address, serving(1, one), testSettings)
+	two := testserver.StartBackend(t, testserver.Respond(200, "", "two"))
+	d := testserver.StartDiscovery(t)
+	text := testserver.ConfigText(d.Address, testserver.ServingList(1, one), testserver.Settings)
 	p := startDraining(t, text, drainTimes{accept: 100 * time.Millisecond, quiet: time.Millisecond,
-		closeIdle: patience, unused: patience})
-	w := within(t, d.watches, "watch")
+		closeIdle: testserver.Timeout, unused: testserver.Timeout})
+	w := testserver.Receive(t, d.Watches, "watch")
 	kept := make([]net.Conn, 8)
 	for i := range kept {
 		kept[i] = p.dial()
 	}
 	held := make(chan gotten, 1)
 	go func() { held <- p.do(p.request(context.Background(), "pay", "50000")) }()
-	within(t, one.came, "request")
+	testserver.Receive(t, one.Requests, "request")
 	p.stop()
-	drains := listText(2, false, entry("s-0", one.address, "DRAINING", 0), entry("s-1", two.address, "SERVING", 0))
-	w.lines <- drains
+	drains := testserver.ListText(2, false, testserver.EndpointEntry("s-0", one.Address, "DRAINING", 0), testserver.EndpointEntry("s-1", two.Address, "SERVING", 0))
+	w.Lines <- drains
 	p.listed(2)
 	next := start(t, text)
-	within(t, d.watches, "watch of the next process").lines <- drains
+	testserver.Receive(t, d.Watches, "watch of the next process").Lines <- drains
 	next.listed(2)
-	before := one.count()
+	before := one.RequestCount()
 	for i, c := range kept {
 		fmt.Fprint(c, head("GET", fmt.Sprint("kept-", i), "read"), "\r\n")
 		lastAnswer(t, c, http.StatusOK)
@@ -277,11 +278,11 @@
 			t.Errorf("answer %+v of the next process", g)
 		}
 	}
-	if n := one.count() - before; n != 0 {
+	if n := one.RequestCount() - before; n != 0 {
 		t.Errorf("%d new requests reached the draining server", n)
 	}
 	close(gate)
-	if g := within(t, held, "answer"); g.body != "one" {
+	if g := testserver.Receive(t, held, "answer"); g.body != "one" {
 		t.Errorf("answer %+v to what was in hand", g)
 	}
 }
--- a/internal/sidecar/churn_test.go
+++ b/internal/sidecar/churn_test.go
@@ -8,22 +8,24 @@
 	"runtime"
 	"testing"
 	"time"
+
+	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
 // TestChurn has thousands of requests come, each with a new id on a connection of its own, while servers are replaced
 // all the time, also at addresses of former ones. Danger: on a long day, what is left behind of each adds up.
 func TestChurn(t *testing.T) {
 	before := runtime.NumGoroutine()
-	var backends []*backend
+	var backends []*testserver.Backend
 	for range 4 {
-		b := startBackend(t, say(200, "", "ok"))
+		b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 		go func() { // takes note of nothing
-			for range b.came {
+			for range b.Requests {
 			}
 		}()
 		backends = append(backends, b)
 	}
-	c, err := load(t, configText("127.0.0.1:9", serving(1, backends...), testSettings))
+	c, err := load(t, testserver.ConfigText("127.0.0.1:9", testserver.ServingList(1, backends...), testserver.Settings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +39,7 @@
 		t.Fatal(err)
 	}
 	go h.run(ctx)
-	s := newServer(c, h, listen(t))
+	s := newServer(c, h, testserver.Listen(t))
 	web := s.httpServer(log)
 	go func() { _ = web.Serve(s.conns) }()
 	p := &program{t: t, address: s.conns.Addr().String(), client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
@@ -46,15 +48,15 @@
 	tell := func(l List) {
 		done := make(chan bool)
 		h.post(func() { h.watches.current = w; h.told(w, l); close(done) })
-		within(t, done, "list")
+		testserver.Receive(t, done, "list")
 	}
 	const rounds, each = 300, 10
 	for round := range rounds {
 		var entries []string
 		for i, b := range backends {
-			entries = append(entries, entry(fmt.Sprintf("s-%d-%d", (round+i)/2, i), b.address, "SERVING", int64(round/3)))
+			entries = append(entries, testserver.EndpointEntry(fmt.Sprintf("s-%d-%d", (round+i)/2, i), b.Address, "SERVING", int64(round/3)))
 		}
-		tell(parsed(t, listText(round+2, true, entries...)))
+		tell(parsed(t, testserver.ListText(round+2, true, entries...)))
 		for range each {
 			if g := p.ask([]string{"read", "book", "pay"}[round%3]); g.status != 200 {
 				t.Fatalf("answer %+v in round %d", g, round)
@@ -66,7 +68,7 @@
 		t.Error(err)
 	}
 	left := make(chan string, 1)
-	for end := time.Now().Add(patience); ; {
+	for end := time.Now().Add(testserver.Timeout); ; {
 		h.post(func() {
 			s.conns.mu.Lock()
 			h.upstream.pool.mu.Lock()
@@ -76,7 +78,7 @@
 			h.upstream.pool.mu.Unlock()
 			s.conns.mu.Unlock()
 		})
-		got := within(t, left, "count")
+		got := testserver.Receive(t, left, "count")
 		if got == "calls 0, targets 0, connections to servers 0 open 0 idle, from clients 0 open 0 idle, ids 0" {
 			break
 		}
@@ -87,7 +89,7 @@
 	}
 	cancel()
 	// The backends' accepting and noting, and this test's server, stay.
-	for end := time.Now().Add(patience); runtime.NumGoroutine() > before+2*len(backends)+10; {
+	for end := time.Now().Add(testserver.Timeout); runtime.NumGoroutine() > before+2*len(backends)+10; {
 		if time.Now().After(end) {
 			t.Fatalf("%d goroutines, %d before", runtime.NumGoroutine(), before)
 		}
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"milletramp.example/milletramp/internal/lab/testserver"
 	"milletramp.example/milletramp/internal/stats"
 )
 
@@ -28,7 +29,7 @@
 		p.t.Fatal(err)
 	}
 	p.t.Cleanup(func() { c.Close() })
-	if err := c.SetReadDeadline(time.Now().Add(patience)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(testserver.Timeout)); err != nil {
 		p.t.Fatal(err)
 	}
 	return c
@@ -37,8 +38,8 @@
 // TestRawFaults sends what net/http's client would not. Each gets one error or a close, and what stands behind it is
 // never taken for a request.
 func TestRawFaults(t *testing.T) {
-	b := startBackend(t, say(200, "", "ok"))
-	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
+	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
 	hidden := head("GET", "hidden", "read") + "\r\n"
 	pay := head("POST", "i", "pay")
 	for _, tt := range []struct {
@@ -82,8 +83,8 @@
 	if most := max(headWithin, bodyWithin, headWithin+bodyGrace); most > 2800*time.Millisecond || headWithin < 2200*time.Millisecond {
 		t.Errorf("a head may take %v, a peer without a request is held for %v; 2 s are a client's right, 3 s owed", headWithin, most)
 	}
-	if n := b.count(); n != 0 {
-		t.Errorf("%d requests were passed on, the first %+v", n, <-b.came)
+	if n := b.RequestCount(); n != 0 {
+		t.Errorf("%d requests were passed on, the first %+v", n, <-b.Requests)
 	}
 	if g := p.ask("pay"); g.status != 200 {
 		t.Errorf("answer %+v to a good request", g)
@@ -93,11 +94,11 @@
 // TestIDInHand has a client come with the id of a request that is out, and again once that has its answer.
 func TestIDInHand(t *testing.T) {
 	gate := make(chan bool)
-	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		<-gate
-		return say(200, "", "mine")(c, r, body)
+		return testserver.Respond(200, "", "mine")(c, r, body)
 	})
-	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
+	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
 	ask := func() *http.Request {
 		r := p.request(context.Background(), "pay", "50000")
 		r.Header.Set("X-Request-ID", "same")
@@ -105,18 +106,18 @@
 	}
 	first := make(chan gotten, 1)
 	go func() { first <- p.do(ask()) }()
-	within(t, b.came, "attempt")
+	testserver.Receive(t, b.Requests, "attempt")
 	if g := p.do(ask()); g.status != 409 || !g.closing {
 		t.Errorf("answer %+v to an id in hand", g)
 	}
 	close(gate)
-	if g := within(t, first, "answer"); g.status != 200 || g.body != "mine" {
+	if g := testserver.Receive(t, first, "answer"); g.status != 200 || g.body != "mine" {
 		t.Errorf("the first one got %+v", g)
 	}
 	if g := p.do(ask()); g.status != 409 {
 		t.Errorf("answer %+v to an id just used", g)
 	}
-	if n := b.count(); n != 0 {
+	if n := b.RequestCount(); n != 0 {
 		t.Errorf("%d more attempts", n)
 	}
 }
@@ -147,17 +148,17 @@
 // requests are served, and the longest idle are closed.
 func TestHoardedConnections(t *testing.T) {
 	gate := make(chan bool)
-	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Header.Get("Idempotency-Key") != "" {
 			<-gate
 		}
-		return say(200, "", "ok")(c, r, body)
+		return testserver.Respond(200, "", "ok")(c, r, body)
 	})
-	config := strings.Replace(configText(startRegistry(t).address, serving(1, b), testSettings), `"sockets":1024`, `"sockets":64`, 1)
+	config := strings.Replace(testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings), `"sockets":1024`, `"sockets":64`, 1)
 	p := start(t, config)
 	held := make(chan gotten, 1)
 	go func() { held <- p.do(p.request(context.Background(), "book", "50000")) }()
-	within(t, b.came, "attempt")
+	testserver.Receive(t, b.Requests, "attempt")
 	most := newBudget(&Config{Sockets: 64}).clients
 	first := p.dial()
 	for range 4 * most {
@@ -170,14 +171,14 @@
 		t.Errorf("answer %+v to a new request", g)
 	}
 	close(gate)
-	if g := within(t, held, "answer"); g.status != 200 {
+	if g := testserver.Receive(t, held, "answer"); g.status != 200 {
 		t.Errorf("answer %+v to the request in hand", g)
 	}
 }
 
 // TestClientConns follows the bound itself: a connection with a request is never closed for another.
 func TestClientConns(t *testing.T) {
-	l := newClientConns(listen(t), 2, 2, &stats.Unserved{})
+	l := newClientConns(testserver.Listen(t), 2, 2, &stats.Unserved{})
 	var taken []*clientConn
 	accept := func() *clientConn {
 		c, err := net.Dial("tcp", l.Addr().String())
@@ -231,8 +232,8 @@
 
 // TestKeepAlive sends good requests one after another on one connection.
 func TestKeepAlive(t *testing.T) {
-	b := startBackend(t, say(200, "", "ok"))
-	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
+	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
 	c := p.dial()
 	in := bufio.NewReader(c)
 	for i := range 3 {
@@ -250,8 +251,8 @@
 // TestAskOnceAndStay has clients ask once and keep their connections: before these are all that clients may hold, answers
 // end them, so that requests go on being taken. A connection in use before that is kept alive.
 func TestAskOnceAndStay(t *testing.T) {
-	b := startBackend(t, say(200, "", "ok"))
-	config := strings.Replace(configText(startRegistry(t).address, serving(1, b), testSettings), `"sockets":1024`, `"sockets":64`, 1)
+	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+	config := strings.Replace(testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings), `"sockets":1024`, `"sockets":64`, 1)
 	p := start(t, config)
 	budget := newBudget(&Config{Sockets: 64})
 	kept, ended := 0, 0
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -12,24 +12,26 @@
 	"strings"
 	"testing"
 	"time"
+
+	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
 // TestTimeToldAfterTheWait: the time that an attempt tells its server is what is left once its connection is up.
 func TestTimeToldAfterTheWait(t *testing.T) {
-	b := startBackend(t, say(200, "", "ok"))
+	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	u, late := to(t, b), newLateDial()
 	u.pool.dial = late.dial
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testserver.Timeout)
 	defer cancel()
 	go func() { u.attempt(ctx, sending{server: "s-0", message: get(), begins: whole}) }()
-	within(t, late.up, "connection")
+	testserver.Receive(t, late.up, "connection")
 	const wait = 100 * time.Millisecond
 	time.Sleep(wait) // the connection takes so long
 	late.give <- struct{}{}
-	r := within(t, b.came, "request")
+	r := testserver.Receive(t, b.Requests, "request")
 	told, err := strconv.Atoi(r.Header.Get("X-Timeout-Ms"))
-	if err != nil || time.Duration(told)*time.Millisecond > patience-wait {
-		t.Errorf("the server is told %d ms, error %v, where %v less than %v are left", told, err, wait, patience)
+	if err != nil || time.Duration(told)*time.Millisecond > testserver.Timeout-wait {
+		t.Errorf("the server is told %d ms, error %v, where %v less than %v are left", told, err, wait, testserver.Timeout)
 	}
 }
 
@@ -38,12 +40,12 @@
 func TestResetIsNoEnd(t *testing.T) {
 	for _, reset := range []bool{true, false} {
 		passed := make(chan struct{})
-		b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+		b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhal")
 			<-passed
-			return reset && hangUp(c, r, body)
+			return reset && testserver.ResetConnection(c, r, body)
 		})
-		p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
+		p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
 		resp, err := p.client.Do(p.request(context.Background(), "pay", "50000"))
 		if err != nil {
 			t.Fatal(err)
@@ -59,8 +61,8 @@
 
 // TestStopWhileABodyComes has the process told to stop while a request's body comes: it is served, and its answer ends the connection.
 func TestStopWhileABodyComes(t *testing.T) {
-	b := startBackend(t, say(200, "", "ok"))
-	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
+	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
 	c := p.dial()
 	fmt.Fprintf(c, "%sContent-Length: 8\r\n\r\nhalf", head("POST", "slow", "pay"))
 	p.inUse(1)
@@ -68,7 +70,7 @@
 	p.deaf()
 	fmt.Fprint(c, "rest")
 	lastAnswer(t, c, http.StatusOK)
-	if err := within(t, p.ended, "end"); err != nil {
+	if err := testserver.Receive(t, p.ended, "end"); err != nil {
 		t.Errorf("it ended with %v", err)
 	}
 	p.ended <- nil // for the cleanup
@@ -83,7 +85,7 @@
 		defer conns.mu.Unlock()
 		return conns.used
 	}
-	for end := time.Now().Add(patience); used() < n; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testserver.Timeout); used() < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			p.t.Fatalf("not %d connections in use", n)
 		}
@@ -94,13 +96,13 @@
 // the answer, which is whole.
 func TestStopWhileAnAnswerPasses(t *testing.T) {
 	rest := make(chan struct{})
-	b := startBackend(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
+	b := testserver.StartBackend(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", mostBody+1)
 		<-rest
 		fmt.Fprint(c, strings.Repeat("x", mostBody))
 		return true
 	})
-	text := configText(startRegistry(t).address, serving(1, b), testSettings)
+	text := testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings)
 	p := start(t, text)
 	resp, err := p.client.Do(p.request(context.Background(), "pay", "50000"))
 	if err != nil {
@@ -115,7 +117,7 @@
 	if body, err := io.ReadAll(resp.Body); err != nil || len(body) != mostBody+1 {
 		t.Errorf("%d bytes, error %v", len(body), err)
 	}
-	if err := within(t, p.ended, "end"); err != nil {
+	if err := testserver.Receive(t, p.ended, "end"); err != nil {
 		t.Errorf("it ended with %v", err)
 	}
 	p.ended <- nil // for the cleanup
@@ -130,30 +132,30 @@
 	}{{"pay", http.StatusBadGateway}, {"read", http.StatusOK}, {"book", http.StatusOK}} {
 		t.Run(tt.class, func(t *testing.T) {
 			answered, closing := 0, make(chan struct{}, 1)
-			b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+			b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 				if answered++; answered == 1 {
-					return say(200, "", "first")(c, r, body)
+					return testserver.Respond(200, "", "first")(c, r, body)
 				}
 				closing <- struct{}{}
-				return hangUp(c, r, body)
+				return testserver.ResetConnection(c, r, body)
 			})
-			other := startBackend(t, say(200, "", "other"))
-			d := startRegistry(t)
-			p := start(t, configText(d.address, serving(1, b), testSettings))
+			other := testserver.StartBackend(t, testserver.Respond(200, "", "other"))
+			d := testserver.StartDiscovery(t)
+			p := start(t, testserver.ConfigText(d.Address, testserver.ServingList(1, b), testserver.Settings))
 			p.staff.host.upstream.pool.settles = 0
 			if g := p.ask("read"); g.body != "first" {
 				t.Fatalf("answer %+v", g)
 			}
-			w := within(t, d.watches, "watch")
+			w := testserver.Receive(t, d.Watches, "watch")
 			g := make(chan gotten, 1)
-			w.lines <- listText(2, false, entry("s-1", other.address, "SERVING", 0))
+			w.Lines <- testserver.ListText(2, false, testserver.EndpointEntry("s-1", other.Address, "SERVING", 0))
 			p.listed(2)
-			for b.count() > 0 {
-				<-b.came
+			for b.RequestCount() > 0 {
+				<-b.Requests
 			}
 			for range 2 { // even turns: one of two goes to the server that closes
 				go func() { g <- p.do(p.request(context.Background(), tt.class, "50000")) }()
-				answer := within(t, g, "answer")
+				answer := testserver.Receive(t, g, "answer")
 				if len(closing) == 0 {
 					continue
 				}
@@ -172,7 +174,7 @@
 // listed waits until the program knows n servers.
 func (p *program) listed(n int) {
 	p.t.Helper()
-	for end := time.Now().Add(patience); len(p.staff.host.upstream.list()) != n; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testserver.Timeout); len(p.staff.host.upstream.list()) != n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			p.t.Fatalf("not %d servers listed", n)
 		}
@@ -182,12 +184,12 @@
 // TestReadyWhileDiscoveryIsDown: a process that knows a list is ready at once, though discovery says nothing; it serves by that list,
 // and has nobody wait for a server that is gone.
 func TestReadyWhileDiscoveryIsDown(t *testing.T) {
-	gone := listen(t)
+	gone := testserver.Listen(t)
 	address := gone.Addr().String()
 	gone.Close()
-	b := startBackend(t, say(200, "", "ok"))
-	silent := listen(t) // takes calls, and answers none
-	p := start(t, configText(silent.Addr().String(), serving(1, b, &backend{address: address}), testSettings))
+	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+	silent := testserver.Listen(t) // takes calls, and answers none
+	p := start(t, testserver.ConfigText(silent.Addr().String(), testserver.ServingList(1, b, &testserver.Backend{Address: address}), testserver.Settings))
 	resp, err := p.client.Get("http://" + p.address + "/healthz")
 	if err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatalf("answer %+v, error %v, want ready", resp, err)
@@ -202,11 +204,11 @@
 
 // TestStopBeforeReady has the process told to stop before it knows a server: it ends at once.
 func TestStopBeforeReady(t *testing.T) {
-	p := start(t, configText(listen(t).Addr().String(), "", testSettings))
+	p := start(t, testserver.ConfigText(testserver.Listen(t).Addr().String(), "", testserver.Settings))
 	c := p.dial()
 	p.accepted(1)
 	p.stop()
-	if err := within(t, p.ended, "end"); err != nil {
+	if err := testserver.Receive(t, p.ended, "end"); err != nil {
 		t.Errorf("it ended with %v", err)
 	}
 	p.ended <- nil // for the cleanup
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -22,6 +22,7 @@
 	"pgregory.net/rapid"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
 // TestObjects cuts drawn objects, indented or not, from a stream that comes in drawn pieces: each comes out as it went in.
@@ -100,7 +101,7 @@
 			lists.Scan()
 			got <- lists.Text()
 		}()
-		if object := within(t, got, "object"); object != "{}" {
+		if object := testserver.Receive(t, got, "object"); object != "{}" {
 			t.Errorf("%q of %q", object, text)
 		}
 	}
@@ -198,7 +199,7 @@
 		return
 	}
 	text := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" // and then the list, and a heartbeat at a time
-	line := listText(number, true, entry("s-0", "127.0.0.1:9", "SERVING", 0))
+	line := testserver.ListText(number, true, testserver.EndpointEntry("s-0", "127.0.0.1:9", "SERVING", 0))
 	for a.speaks(epoch) {
 		if _, err := fmt.Fprintf(c, "%s%x\r\n%s\n\r\n", text, len(line)+1, line); err != nil {
 			return
@@ -217,7 +218,7 @@
 func followed(t *testing.T, play func(t *testing.T, a *agent, h *host, told chan time.Time)) {
 	synctest.Test(t, func(t *testing.T) {
 		a := &agent{}
-		c, err := load(t, configText("127.0.0.1:9", serving(1, &backend{address: "127.0.0.1:9"}), testSettings))
+		c, err := load(t, testserver.ConfigText("127.0.0.1:9", testserver.ServingList(1, &testserver.Backend{Address: "127.0.0.1:9"}), testserver.Settings))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -345,10 +346,10 @@
 // TestListForms: a list may come indented, in pieces, without an end of its line, and beside others.
 func TestListForms(t *testing.T) {
 	var indented bytes.Buffer
-	if err := json.Indent(&indented, []byte(serving(2, &backend{address: "127.0.0.1:9"})), "\t", "  "); err != nil {
+	if err := json.Indent(&indented, []byte(testserver.ServingList(2, &testserver.Backend{Address: "127.0.0.1:9"})), "\t", "  "); err != nil {
 		t.Fatal(err)
 	}
-	plain := listText(3, false) + listText(4, false, entry("s-{\"[", "127.0.0.1:9", "DRAINING", 0))
+	plain := testserver.ListText(3, false) + testserver.ListText(4, false, testserver.EndpointEntry("s-{\"[", "127.0.0.1:9", "DRAINING", 0))
 	for _, size := range []int{1, 7, 1 << 20} {
 		synctest.Test(t, func(t *testing.T) {
 			all := "HTTP/1.1 200 OK\r\n\r\n\n" + indented.String() + plain
--- a/internal/sidecar/family_fault_test.go
+++ b/internal/sidecar/family_fault_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"milletramp.example/milletramp/internal/handover"
+	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
 // TestFolderFailsInService has the folder for upgrades be away for a while: the sidecar goes on serving, answers no call
@@ -17,11 +18,11 @@
 // what was called, without a further call.
 func TestFolderFailsInService(t *testing.T) {
 	dir := t.TempDir()
-	one, two := startBackend(t, say(200, "", "one")), startBackend(t, say(200, "", "two"))
-	three := startBackend(t, say(200, "", "three"))
-	d := startRegistry(t)
-	p := start(t, configText(d.address, serving(1, one, two, three), testSettings), "TMPDIR="+dir)
-	within(t, d.watches, "watch")
+	one, two := testserver.StartBackend(t, testserver.Respond(200, "", "one")), testserver.StartBackend(t, testserver.Respond(200, "", "two"))
+	three := testserver.StartBackend(t, testserver.Respond(200, "", "three"))
+	d := testserver.StartDiscovery(t)
+	p := start(t, testserver.ConfigText(d.Address, testserver.ServingList(1, one, two, three), testserver.Settings), "TMPDIR="+dir)
+	testserver.Receive(t, d.Watches, "watch")
 	p.until("three")
 	next, err := handover.Join(dir, handover.State{Name: "n0", Listen: "127.0.0.1:0", Started: time.Now(),
 		Phase: handover.Starting}, slog.New(slog.DiscardHandler))
@@ -51,7 +52,7 @@
 	if err := os.Rename(folders[0]+"-away", folders[0]); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(patience); !slices.Equal(sees(), []string{"s-0", "s-1"}); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testserver.Timeout); !slices.Equal(sees(), []string{"s-0", "s-1"}); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("the next process sees %v", sees())
 		}
--- a/internal/sidecar/family_test.go
+++ b/internal/sidecar/family_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"milletramp.example/milletramp/internal/handover"
+	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
 // TestBesideAnother has a process start beside another of its sidecar with no list of servers: it does not listen before
@@ -19,9 +20,9 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = other.Leave() }()
-	b := startBackend(t, say(200, "", "ok"))
-	d := startRegistry(t)
-	c, err := load(t, configText(d.address, "", testSettings), "TMPDIR="+dir)
+	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+	d := testserver.StartDiscovery(t)
+	c, err := load(t, testserver.ConfigText(d.Address, "", testserver.Settings), "TMPDIR="+dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,14 +32,14 @@
 		ended <- run(stop, nil, c, slog.New(slog.DiscardHandler), nil, drainTimes{quiet: time.Millisecond},
 			hooks{started: func(o *ops) { started <- o }})
 	}()
-	w := within(t, d.watches, "watch")
+	w := testserver.Receive(t, d.Watches, "watch")
 	select {
 	case <-started:
 		t.Error("it listens without a list")
 	case <-time.After(50 * time.Millisecond): // without the wait it listens at once
 	}
-	w.lines <- serving(1, b, b)
-	staff := within(t, started, "listening with a list")
+	w.Lines <- testserver.ServingList(1, b, b)
+	staff := testserver.Receive(t, started, "listening with a list")
 	if staff.family.shares.Load() != 2 {
 		t.Errorf("the sidecar's limits are parted into %d", staff.family.shares.Load())
 	}
@@ -50,7 +51,7 @@
 		t.Errorf("%d servers are listed, %d avoided, want 2 and 1", listed, avoided)
 	}
 	cancel()
-	if err := within(t, ended, "end"); err != nil {
+	if err := testserver.Receive(t, ended, "end"); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/sidecar/gone_test.go
+++ b/internal/sidecar/gone_test.go
@@ -11,6 +11,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
 // earn has requests be served, each on the connection of the one before, which then is closed.
@@ -44,7 +46,7 @@
 		return nil
 	}
 	shut := "HTTP/1.1 503 X\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
-	timed := strings.ReplaceAll(testSettings, `"aim_s":20.0`, `"aim_s":0.4`)
+	timed := strings.ReplaceAll(testserver.Settings, `"aim_s":20.0`, `"aim_s":0.4`)
 	hedged := strings.Replace(timed, `"cancelling":true`, `"cancelling":true,"second_copies":true`, 1)
 	for _, tt := range []struct {
 		name, settings string
@@ -53,19 +55,19 @@
 		answers        func(int) string
 		stays, gone    int // attempts that reach a server
 	}{
-		{"before its turn", testSettings, 0, nil, later(serverError), 2, 0},
-		{"while a connection comes up", testSettings, time.Second / 2, slow, later(serverError), 2, 0},
-		{"no connection", testSettings, time.Second / 2, refused, later(serverError), 1, 0},
-		{"an error", testSettings, time.Second / 2, nil, later(serverError), 2, 1},
-		{"turned away", testSettings, time.Second / 2, nil, later(shut), 2, 1},
-		{"a retry's connection comes up", testSettings, 5 * time.Second / 2, slow, later(serverError), 2, 1},
+		{"before its turn", testserver.Settings, 0, nil, later(serverError), 2, 0},
+		{"while a connection comes up", testserver.Settings, time.Second / 2, slow, later(serverError), 2, 0},
+		{"no connection", testserver.Settings, time.Second / 2, refused, later(serverError), 1, 0},
+		{"an error", testserver.Settings, time.Second / 2, nil, later(serverError), 2, 1},
+		{"turned away", testserver.Settings, time.Second / 2, nil, later(shut), 2, 1},
+		{"a retry's connection comes up", testserver.Settings, 5 * time.Second / 2, slow, later(serverError), 2, 1},
 		{"given up by a timer", timed, time.Millisecond, nil, lost, 2, 1},
 		{"hedged by a timer", hedged, time.Millisecond, nil, lost, 2, 1},
 	} {
 		for _, leaves := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, leaves %v", tt.name, leaves), func(t *testing.T) {
 				inBubble(t, tt.settings, func(b *bubble) {
-					if tt.settings != testSettings {
+					if tt.settings != testserver.Settings {
 						b.earn(1000) // from these it knows when an answer is late
 					}
 					b.dials, b.answers = tt.dials, tt.answers
@@ -88,8 +90,8 @@
 // TestGoneBeforeItsRequestIsWhole has a client leave while its request is read, or waits for a policy with more requests
 // behind it: nothing is sent on.
 func TestGoneBeforeItsRequestIsWhole(t *testing.T) {
-	b, f := startBackend(t, say(200, "", "ok")), &fakePart{}
-	p := startIn(t, configText(startRegistry(t).address, serving(1, b), testSettings), drainTimes{quiet: time.Millisecond}, f.join)
+	b, f := testserver.StartBackend(t, testserver.Respond(200, "", "ok")), &fakePart{}
+	p := startIn(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings), drainTimes{quiet: time.Millisecond}, f.join)
 	f.check(t, 1, f.document(t, ""), "")
 	f.set(1, 0, true)
 	pay := head("POST", "gone", "pay")
@@ -118,7 +120,7 @@
 			}
 		})
 	}
-	if n := b.count(); n != 0 {
+	if n := b.RequestCount(); n != 0 {
 		t.Errorf("%d requests were sent on for clients that had left", n)
 	}
 	if g := p.ask("pay"); g.status != 200 {
--- a/internal/sidecar/heldup_test.go
+++ b/internal/sidecar/heldup_test.go
@@ -19,6 +19,7 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
 // pipeConn is a connection of a bubble whose first write is held up, after whatever its writer has checked.
@@ -77,8 +78,8 @@
 	defer syscall.Close(pair[1])
 	defer syscall.Close(pair[0])
 	synctest.Test(t, func(t *testing.T) {
-		known := serving(1, &backend{address: "127.0.0.1:1"}, &backend{address: "127.0.0.1:2"})
-		c, err := load(t, configText("127.0.0.1:9", known, settings))
+		known := testserver.ServingList(1, &testserver.Backend{Address: "127.0.0.1:1"}, &testserver.Backend{Address: "127.0.0.1:2"})
+		c, err := load(t, testserver.ConfigText("127.0.0.1:9", known, settings))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -164,7 +165,7 @@
 // before it is written: it arrives before the time is over for which repeats of the first attempt are dropped.
 func TestHeldUpBeforeTheWindowEnds(t *testing.T) {
 	const window = 5 * time.Second
-	inBubble(t, strings.Replace(testSettings, `"window_s":60.0`, `"window_s":5.0`, 1), func(b *bubble) {
+	inBubble(t, strings.Replace(testserver.Settings, `"window_s":60.0`, `"window_s":5.0`, 1), func(b *bubble) {
 		b.answers = func(int) string { return serverError }
 		b.dials = func(ctx context.Context, n int) error {
 			if end, bounded := ctx.Deadline(); n > 0 && bounded {
@@ -189,7 +190,7 @@
 func TestHeldUpBeforeTheTimeTold(t *testing.T) {
 	const slack, way = 150 * time.Millisecond, 2 * time.Millisecond
 	for _, wait := range []time.Duration{200 * time.Millisecond, 3 * time.Second} {
-		inBubble(t, testSettings, func(b *bubble) {
+		inBubble(t, testserver.Settings, func(b *bubble) {
 			b.heldUp = balance.SchedulingStall + way
 			began := time.Now()
 			b.ask("pay", wait, nil)
@@ -206,7 +207,7 @@
 func TestHeldUpBeforeADrain(t *testing.T) {
 	const grace = time.Second
 	for _, up := range []time.Duration{0, balance.SchedulingStall - 1, balance.SchedulingStall, grace - 1} {
-		inBubble(t, testSettings, func(b *bubble) {
+		inBubble(t, testserver.Settings, func(b *bubble) {
 			b.heldUp = balance.SchedulingStall
 			var notified time.Time
 			b.dials = func(_ context.Context, n int) error {
@@ -216,8 +217,8 @@
 				notified = time.Now()
 				time.AfterFunc(balance.SchedulingStall, func() {
 					b.host.post(func() {
-						b.host.list(balance.ListChanges, parsed(t, listText(2, false,
-							entry("s-0", "127.0.0.1:1", "DRAINING", 0), entry("s-1", "127.0.0.1:2", "DRAINING", 0))))
+						b.host.list(balance.ListChanges, parsed(t, testserver.ListText(2, false,
+							testserver.EndpointEntry("s-0", "127.0.0.1:1", "DRAINING", 0), testserver.EndpointEntry("s-1", "127.0.0.1:2", "DRAINING", 0))))
 					})
 				})
 				time.Sleep(up)
--- a/internal/sidecar/kill_test.go
+++ b/internal/sidecar/kill_test.go
@@ -13,6 +13,7 @@
 	"testing"
 	"time"
 
+	"milletramp.example/milletramp/internal/lab/testserver"
 	"milletramp.example/milletramp/internal/stats"
 )
 
@@ -37,28 +38,28 @@
 // every connection that stays open: each request that was read has one answer, and the process its end, before it may
 // be killed. Connections that idle are closed by nothing else here.
 func TestKilledUnderHangingServers(t *testing.T) {
-	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Header.Get("Idempotency-Key") != "" { // a long answer, which stops
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", mostBody+1)
 		}
-		return silent(c, r, body)
+		return testserver.NeverRespond(c, r, body)
 	})
 	go func() {
-		for range b.came {
+		for range b.Requests {
 		}
 	}()
 	const deadline = 300 * time.Millisecond
 	short := strings.NewReplacer(`"deadline_s":60.0`, `"deadline_s":0.3`, `"aim_s":20.0`, `"aim_s":0.2`)
-	settings := short.Replace(testSettings)
+	settings := short.Replace(testserver.Settings)
 	for _, gated := range []bool{false, true} {
 		t.Run(fmt.Sprint("waits for a policy ", gated), func(t *testing.T) {
-			times := drainTimes{accept: 100 * time.Millisecond, quiet: time.Millisecond, closeIdle: patience, unused: patience}
+			times := drainTimes{accept: 100 * time.Millisecond, quiet: time.Millisecond, closeIdle: testserver.Timeout, unused: testserver.Timeout}
 			var join Join
 			f := &fakePart{}
 			if gated {
 				join = f.join
 			}
-			p := startIn(t, configText(startRegistry(t).address, serving(1, b), settings), times, join)
+			p := startIn(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), settings), times, join)
 			if gated {
 				f.check(t, 1, f.document(t, ""), "")
 				f.set(1, 20*time.Millisecond, true)
@@ -100,7 +101,7 @@
 			p.stop()
 			p.deaf()
 			fmt.Fprintf(late, "%s\r\n", head("GET", "late", "read"))
-			if err := within(t, p.ended, "end"); err != nil {
+			if err := testserver.Receive(t, p.ended, "end"); err != nil {
 				t.Errorf("it ended with %v", err)
 			}
 			if took, kill := time.Since(stopped), deadline+killAfter; took > kill+held() {
@@ -126,7 +127,7 @@
 // TestEndLeavesTheLastAnswer: a connection that lingers is not closed by the end, which would reset it where bytes are
 // unread, but lingers for less.
 func TestEndLeavesTheLastAnswer(t *testing.T) {
-	l := newClientConns(listen(t), 2, 2, &stats.Unserved{})
+	l := newClientConns(testserver.Listen(t), 2, 2, &stats.Unserved{})
 	out, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/linger_test.go
+++ b/internal/sidecar/linger_test.go
@@ -10,6 +10,7 @@
 	"testing"
 	"time"
 
+	"milletramp.example/milletramp/internal/lab/testserver"
 	"milletramp.example/milletramp/internal/stats"
 )
 
@@ -32,22 +33,22 @@
 // TestLastAnswerBeforeUnreadBytes: bytes that nobody reads do not cost the answer that goes before them, and are no request.
 func TestLastAnswerBeforeUnreadBytes(t *testing.T) {
 	t.Run("too large a body", func(t *testing.T) {
-		b := startBackend(t, say(200, "", "ok"))
-		p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
+		b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+		p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
 		c := p.dial()
 		fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", head("POST", "large", "pay"), 2*mostRequest, strings.Repeat("x", 300<<10))
 		lastAnswer(t, c, http.StatusRequestEntityTooLarge)
-		if n := b.count(); n != 0 {
+		if n := b.RequestCount(); n != 0 {
 			t.Errorf("%d requests were sent on", n)
 		}
 	})
 	t.Run("requests behind the last one of a stop", func(t *testing.T) {
 		gate := make(chan struct{})
-		b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+		b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 			<-gate
-			return say(200, "", "ok")(c, r, body)
+			return testserver.Respond(200, "", "ok")(c, r, body)
 		})
-		p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
+		p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
 		c := p.dial()
 		var queue strings.Builder
 		for i := range 200 { // more than net/http reads ahead
@@ -56,15 +57,15 @@
 		if _, err := c.Write([]byte(queue.String())); err != nil {
 			t.Fatal(err)
 		}
-		within(t, b.came, "first request")
+		testserver.Receive(t, b.Requests, "first request")
 		p.stop()
 		p.deaf()
 		close(gate)
 		lastAnswer(t, c, http.StatusOK)
-		if n := b.count(); n != 0 {
+		if n := b.RequestCount(); n != 0 {
 			t.Errorf("%d requests were sent on behind the last one", n)
 		}
-		if err := within(t, p.ended, "end"); err != nil {
+		if err := testserver.Receive(t, p.ended, "end"); err != nil {
 			t.Errorf("it ended with %v", err)
 		}
 		p.ended <- nil // for the cleanup
@@ -79,7 +80,7 @@
 		reset bool // its client finds it reset
 	}{{"room is left", 2, false}, {"none is left", 1, true}} {
 		t.Run(tt.name, func(t *testing.T) {
-			l := newClientConns(listen(t), tt.most, tt.most, &stats.Unserved{})
+			l := newClientConns(testserver.Listen(t), tt.most, tt.most, &stats.Unserved{})
 			out, err := net.Dial("tcp", l.Addr().String())
 			if err != nil {
 				t.Fatal(err)
@@ -103,7 +104,7 @@
 				t.Errorf("error %v, want a reset: %v", err, tt.reset)
 			}
 			out.Close()
-			if err := within(t, closed, "close"); err != nil {
+			if err := testserver.Receive(t, closed, "close"); err != nil {
 				t.Error(err)
 			}
 		})
--- a/internal/sidecar/policy_test.go
+++ b/internal/sidecar/policy_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
 // fakePart is a part in a fleet that has a policy, and whose word a test gives.
@@ -97,8 +98,8 @@
 // TestGate: requests are taken under the policy in force alone, wait for the next where that is soon, and are refused where there is
 // no promise.
 func TestGate(t *testing.T) {
-	b, f := startBackend(t, say(200, "", "ok")), &fakePart{}
-	p := startIn(t, configText(startRegistry(t).address, serving(1, b), testSettings), drainTimes{quiet: time.Millisecond}, f.join)
+	b, f := testserver.StartBackend(t, testserver.Respond(200, "", "ok")), &fakePart{}
+	p := startIn(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings), drainTimes{quiet: time.Millisecond}, f.join)
 	ask := func(class string, status int, policy string) {
 		t.Helper()
 		resp, err := p.client.Do(p.request(context.Background(), class, "2000"))
@@ -130,13 +131,13 @@
 	f.set(0, 0, false)
 	ask("read", 503, "")
 	f.set(4, 0, true)
-	sent := b.count()
+	sent := b.RequestCount()
 	f.mu.Lock()
 	f.looks, f.after = 0, 1 // in force when the head is read, and over when the request is to be taken
 	f.mu.Unlock()
 	f.check(t, 5, f.document(t, ""), "")
 	ask("read", 200, "5")
-	if n := b.count() - sent; n != 1 {
+	if n := b.RequestCount() - sent; n != 1 {
 		t.Errorf("%d attempts, want one", n)
 	}
 	f.check(t, 6, []byte("{"), "JSON")
@@ -146,8 +147,8 @@
 
 // TestGateWhileABodyComes: a request whose class is gone when its body is there is not taken.
 func TestGateWhileABodyComes(t *testing.T) {
-	b, f := startBackend(t, say(200, "", "ok")), &fakePart{}
-	p := startIn(t, configText(startRegistry(t).address, serving(1, b), testSettings), drainTimes{quiet: time.Millisecond}, f.join)
+	b, f := testserver.StartBackend(t, testserver.Respond(200, "", "ok")), &fakePart{}
+	p := startIn(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings), drainTimes{quiet: time.Millisecond}, f.join)
 	f.check(t, 1, f.document(t, ""), "")
 	f.check(t, 2, f.document(t, "pay"), "")
 	f.set(1, 0, true)
@@ -159,7 +160,7 @@
 	if _, err := io.WriteString(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: q-1\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 5000\r\nContent-Length: 2\r\n\r\na"); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) { // until its head has been read
+	for end := time.Now().Add(testserver.Timeout); ; time.Sleep(time.Millisecond) { // until its head has been read
 		f.mu.Lock()
 		read := f.looks > 0 && p.staff.host.terms.Load().policy == 1
 		f.mu.Unlock()
@@ -178,24 +179,24 @@
 	if _, err := io.ReadFull(c, answer); err != nil || string(answer) != "HTTP/1.1 400" {
 		t.Errorf("%q, error %v", answer, err)
 	}
-	if n := b.count(); n != 0 {
+	if n := b.RequestCount(); n != 0 {
 		t.Errorf("%d attempts of a class that is gone", n)
 	}
 }
 
 // TestGateAndFile: a file whose settings are not the policy's is turned down, and one whose are may move discovery.
 func TestGateAndFile(t *testing.T) {
-	b, f, d := startBackend(t, say(200, "", "ok")), &fakePart{}, startRegistry(t)
-	good := configText(d.address, serving(1, b), testSettings)
+	b, f, d := testserver.StartBackend(t, testserver.Respond(200, "", "ok")), &fakePart{}, testserver.StartDiscovery(t)
+	good := testserver.ConfigText(d.Address, testserver.ServingList(1, b), testserver.Settings)
 	p := startIn(t, good, drainTimes{quiet: time.Millisecond}, f.join)
 	f.check(t, 1, f.document(t, ""), "")
 	f.check(t, 2, f.document(t, "pay"), "")
 	f.set(1, 0, true)
 	p.ask("read")
-	within(t, d.watches, "a watch")
-	next := startRegistry(t)
-	p.hangup(configText(next.address, serving(1, b), testSettings))
-	within(t, next.watches, "a watch at the new address")
+	testserver.Receive(t, d.Watches, "a watch")
+	next := testserver.StartDiscovery(t)
+	p.hangup(testserver.ConfigText(next.Address, testserver.ServingList(1, b), testserver.Settings))
+	testserver.Receive(t, next.Watches, "a watch at the new address")
 	p.figuresAre("loads", "1", "load_errors", "0")
 	f.set(2, 0, true)
 	p.ask("read")
--- a/internal/sidecar/readahead_test.go
+++ b/internal/sidecar/readahead_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"milletramp.example/milletramp/internal/lab/testserver"
 	"milletramp.example/milletramp/internal/stats"
 )
 
@@ -25,21 +26,21 @@
 	} {
 		for later := range 2 {
 			gate := make(chan struct{})
-			b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+			b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 				<-gate
-				return say(200, "", "ok")(c, r, body)
+				return testserver.Respond(200, "", "ok")(c, r, body)
 			})
-			p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
+			p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
 			c := p.dial()
 			fmt.Fprintf(c, "%s\r\n%s", head("GET", "good", "read"), bad[:len(bad)-later])
-			within(t, b.came, "first request")
+			testserver.Receive(t, b.Requests, "first request")
 			fmt.Fprint(c, bad[len(bad)-later:])
 			_ = c.SetReadDeadline(time.Now().Add(100 * time.Millisecond)) // nothing may come, however long this is
 			if n, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Errorf("%s, %d bytes later: %d bytes, error %v while the first request is out", name, later, n, err)
 			}
 			close(gate)
-			_ = c.SetReadDeadline(time.Now().Add(patience))
+			_ = c.SetReadDeadline(time.Now().Add(testserver.Timeout))
 			in := bufio.NewReader(c)
 			resp, err := http.ReadResponse(in, nil)
 			if err != nil || resp.StatusCode != http.StatusOK {
@@ -58,7 +59,7 @@
 // TestBodyTimeBehindARequest lets the time for a body run out once the body has come whole: the request is in hand, and
 // what net/http reads ahead must not fail, but for net/http's own end of it.
 func TestBodyTimeBehindARequest(t *testing.T) {
-	l := newClientConns(listen(t), 2, 2, &stats.Unserved{})
+	l := newClientConns(testserver.Listen(t), 2, 2, &stats.Unserved{})
 	out, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -83,7 +84,7 @@
 		t.Errorf("error %v in a body whose time is over", err)
 	}
 	fmt.Fprint(out, "ip")
-	_ = c.SetReadDeadline(time.Now().Add(patience))
+	_ = c.SetReadDeadline(time.Now().Add(testserver.Timeout))
 	if _, err := read(); err != nil {
 		t.Fatal(err)
 	}
@@ -101,7 +102,7 @@
 // TestHandlerPanics has a fault of the program end the handler: the request gets an error and its connection ends in
 // order, and the next one is served.
 func TestHandlerPanics(t *testing.T) {
-	p := start(t, configText(startRegistry(t).address, serving(1, startBackend(t, say(200, "", "ok"))), testSettings))
+	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, testserver.StartBackend(t, testserver.Respond(200, "", "ok"))), testserver.Settings))
 	s := p.staff.server.Load()
 	ids := s.ids
 	s.ids = nil // which api uses once it has read the request
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -11,6 +11,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
 // moveTo has the program reload a file that names another discovery.
@@ -27,7 +29,7 @@
 // until asks until an answer comes from the server that says so.
 func (p *program) until(want string) {
 	p.t.Helper()
-	for end := time.Now().Add(patience); ; {
+	for end := time.Now().Add(testserver.Timeout); ; {
 		g := p.ask("read")
 		if g.body == want {
 			return
@@ -41,82 +43,82 @@
 // TestReload moves discovery twice, the second time to an address that is not up at first, and once more in a drain.
 func TestReload(t *testing.T) {
 	gate := make(chan bool)
-	one := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	one := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Method == http.MethodPost {
 			<-gate
 		}
-		return say(200, "", "one")(c, r, body)
+		return testserver.Respond(200, "", "one")(c, r, body)
 	})
-	two, three := startBackend(t, say(200, "", "two")), startBackend(t, say(200, "", "three"))
-	a, b := startRegistry(t), startRegistry(t)
-	p := start(t, configText(a.address, serving(41, one), testSettings))
-	first := within(t, a.watches, "watch")
-	p.moveTo(b.address, a.address)
-	second := within(t, b.watches, "watch at the new address")
-	if second.query != "watch=1" {
-		t.Errorf("query %q at the new address, want the whole list", second.query)
-	}
-	first.lines <- listText(42, false, entry("s-0", two.address, "SERVING", 0))
+	two, three := testserver.StartBackend(t, testserver.Respond(200, "", "two")), testserver.StartBackend(t, testserver.Respond(200, "", "three"))
+	a, b := testserver.StartDiscovery(t), testserver.StartDiscovery(t)
+	p := start(t, testserver.ConfigText(a.Address, testserver.ServingList(41, one), testserver.Settings))
+	first := testserver.Receive(t, a.Watches, "watch")
+	p.moveTo(b.Address, a.Address)
+	second := testserver.Receive(t, b.Watches, "watch at the new address")
+	if second.Query != "watch=1" {
+		t.Errorf("query %q at the new address, want the whole list", second.Query)
+	}
+	first.Lines <- testserver.ListText(42, false, testserver.EndpointEntry("s-0", two.Address, "SERVING", 0))
 	p.until("two") // the old address tells until the new one has answered
-	close(first.lines)
-	second.lines <- listText(7, true, entry("s-0", three.address, "SERVING", 0))
+	close(first.Lines)
+	second.Lines <- testserver.ListText(7, true, testserver.EndpointEntry("s-0", three.Address, "SERVING", 0))
 	p.until("three")
 
-	late := listen(t)
+	late := testserver.Listen(t)
 	address := late.Addr().String()
 	late.Close()
-	p.moveTo(address, b.address)
+	p.moveTo(address, b.Address)
 	inner, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := serveRegistry(t, inner)
-	third := within(t, c.watches, "watch at an address that comes up late")
-	third.lines <- listText(1, true, entry("s-0", one.address, "SERVING", 0))
+	c := testserver.ServeDiscovery(t, inner)
+	third := testserver.Receive(t, c.Watches, "watch at an address that comes up late")
+	third.Lines <- testserver.ListText(1, true, testserver.EndpointEntry("s-0", one.Address, "SERVING", 0))
 	p.until("one")
-	if len(a.watches) != 0 || len(b.watches) != 0 {
+	if len(a.Watches) != 0 || len(b.Watches) != 0 {
 		t.Error("a former address was asked again")
 	}
-	close(third.lines)
-	if again := within(t, c.watches, "watch after the end of one"); again.query != "watch=1&from=1" {
-		t.Errorf("query %q after the end of a watch", again.query)
+	close(third.Lines)
+	if again := testserver.Receive(t, c.Watches, "watch after the end of one"); again.Query != "watch=1&from=1" {
+		t.Errorf("query %q after the end of a watch", again.Query)
 	}
 
 	held := make(chan gotten, 1)
 	go func() { held <- p.do(p.request(context.Background(), "book", "50000")) }()
-	for r := within(t, one.came, "request"); r.Method != http.MethodPost; r = within(t, one.came, "request") {
+	for r := testserver.Receive(t, one.Requests, "request"); r.Method != http.MethodPost; r = testserver.Receive(t, one.Requests, "request") {
 	}
 	p.stop()
-	p.moveTo(b.address, address)
-	within(t, b.watches, "watch while draining")
+	p.moveTo(b.Address, address)
+	testserver.Receive(t, b.Watches, "watch while draining")
 	close(gate)
-	if g := within(t, held, "answer"); g.body != "one" {
+	if g := testserver.Receive(t, held, "answer"); g.body != "one" {
 		t.Errorf("answer %+v while draining", g)
 	}
 }
 
 // TestReloadKeepsWhatRuns reloads a file that is no configuration, and one that is the same as before.
 func TestReloadKeepsWhatRuns(t *testing.T) {
-	b := startBackend(t, say(200, "", "ok"))
-	d, other := startRegistry(t), startRegistry(t)
-	text := configText(d.address, serving(1, b), testSettings)
+	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+	d, other := testserver.StartDiscovery(t), testserver.StartDiscovery(t)
+	text := testserver.ConfigText(d.Address, testserver.ServingList(1, b), testserver.Settings)
 	p := start(t, text)
-	w := within(t, d.watches, "watch")
-	for _, bad := range []string{"{", strings.Replace(text, d.address, "nowhere", 1), text} {
+	w := testserver.Receive(t, d.Watches, "watch")
+	for _, bad := range []string{"{", strings.Replace(text, d.Address, "nowhere", 1), text} {
 		write(t, p.file, bad)
 		p.hup <- syscall.SIGHUP
 	}
-	w.lines <- listText(2, false)
-	p.moveTo(other.address, d.address)
-	within(t, other.watches, "watch after a good file")
-	if g := p.ask("pay"); g.body != "ok" || len(d.watches) != 0 {
-		t.Errorf("answer %+v, %d new watches at the old address", g, len(d.watches))
+	w.Lines <- testserver.ListText(2, false)
+	p.moveTo(other.Address, d.Address)
+	testserver.Receive(t, other.Watches, "watch after a good file")
+	if g := p.ask("pay"); g.body != "ok" || len(d.Watches) != 0 {
+		t.Errorf("answer %+v, %d new watches at the old address", g, len(d.Watches))
 	}
 }
 
 // TestDiscoveryPrecedence: the environment goes first at the start, the file at a reload.
 func TestDiscoveryPrecedence(t *testing.T) {
-	c, err := load(t, configText("127.0.0.1:9", "", testSettings), "PROXY_DISCOVERY=127.0.0.1:10")
+	c, err := load(t, testserver.ConfigText("127.0.0.1:9", "", testserver.Settings), "PROXY_DISCOVERY=127.0.0.1:10")
 	if err != nil || c.Discovery != "127.0.0.1:10" {
 		t.Fatalf("discovery %q at the start, error %v", c.Discovery, err)
 	}
@@ -127,7 +129,7 @@
 
 // TestFormerWatch has a former watch say a line and end after the new one has answered: neither is news.
 func TestFormerWatch(t *testing.T) {
-	c, err := load(t, configText("127.0.0.1:9", serving(4, &backend{address: "127.0.0.1:8"}), testSettings))
+	c, err := load(t, testserver.ConfigText("127.0.0.1:9", testserver.ServingList(4, &testserver.Backend{Address: "127.0.0.1:8"}), testserver.Settings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,11 +146,11 @@
 		t.Fatal("the end of the old watch cost the new one")
 	}
 	h.watches.current = old
-	h.told(next, parsed(t, serving(9, &backend{address: "127.0.0.1:7"})))
-	if who := within(t, over, "end of the old watch"); who != "old" {
+	h.told(next, parsed(t, testserver.ServingList(9, &testserver.Backend{Address: "127.0.0.1:7"})))
+	if who := testserver.Receive(t, over, "end of the old watch"); who != "old" {
 		t.Errorf("the %s watch was ended", who)
 	}
-	h.told(old, parsed(t, listText(5, true)))
+	h.told(old, parsed(t, testserver.ListText(5, true)))
 	h.unwatched(old, errors.New("ended"))
 	if h.watches.current != next || h.rev != 9 || len(h.upstream.targets) != 1 {
 		t.Errorf("watches %+v, version %d, %d servers after the old watch's end", h.watches, h.rev, len(h.upstream.targets))
--- a/internal/sidecar/settings_test.go
+++ b/internal/sidecar/settings_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"milletramp.example/milletramp/internal/console"
+	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
 // hangup writes a configuration, has it read, and waits until one more was taken or turned down.
@@ -20,9 +21,9 @@
 	before := f.Loads.Load() + f.LoadErrors.Load()
 	write(p.t, p.file, text)
 	p.hup <- syscall.SIGHUP
-	for end := time.Now().Add(patience); f.Loads.Load()+f.LoadErrors.Load() == before; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testserver.Timeout); f.Loads.Load()+f.LoadErrors.Load() == before; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			p.t.Fatalf("no reload within %v", patience)
+			p.t.Fatalf("no reload within %v", testserver.Timeout)
 		}
 	}
 }
@@ -54,12 +55,12 @@
 // TestBadFilesAreTurnedDown reloads files with one fault each. Each would also move discovery and drop a class: nothing
 // of it may be used.
 func TestBadFilesAreTurnedDown(t *testing.T) {
-	b := startBackend(t, say(200, "", "ok"))
-	d, decoy := startRegistry(t), startRegistry(t)
-	good := configText(d.address, serving(1, b), testSettings)
+	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+	d, decoy := testserver.StartDiscovery(t), testserver.StartDiscovery(t)
+	good := testserver.ConfigText(d.Address, testserver.ServingList(1, b), testserver.Settings)
 	p := start(t, good)
-	within(t, d.watches, "watch")
-	fresh := strings.Replace(strings.Replace(good, d.address, decoy.address, 1), `"name":"pay"`, `"name":"tip"`, 1)
+	testserver.Receive(t, d.Watches, "watch")
+	fresh := strings.Replace(strings.Replace(good, d.Address, decoy.Address, 1), `"name":"pay"`, `"name":"tip"`, 1)
 	for i, tt := range []struct{ name, old, new string }{
 		{"empty", fresh, ""},
 		{"white space", fresh, "\n"},
@@ -104,12 +105,12 @@
 			t.Fatalf("%s: %d files turned down, want %d", tt.name, errors, i+1)
 		}
 	}
-	if g := p.ask("pay"); g.status != 200 || len(decoy.watches) != 0 {
-		t.Errorf("answer %+v, %d watches at the address of a bad file", g, len(decoy.watches))
+	if g := p.ask("pay"); g.status != 200 || len(decoy.Watches) != 0 {
+		t.Errorf("answer %+v, %d watches at the address of a bad file", g, len(decoy.Watches))
 	}
 	p.figuresAre("loads", "0", "load_errors", "33")
 	p.hangup(fresh)
-	within(t, decoy.watches, "watch at the address of the good file")
+	testserver.Receive(t, decoy.Watches, "watch at the address of the good file")
 	p.figuresAre("loads", "1", "load_errors", "33")
 }
 
@@ -118,20 +119,20 @@
 func TestClassesComeAndGo(t *testing.T) {
 	gate := make(chan bool)
 	var pays atomic.Int64
-	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Method == http.MethodPost {
 			pays.Add(1)
 			<-gate
-			return hangUp(c, r, body)
+			return testserver.ResetConnection(c, r, body)
 		}
-		return say(200, "", "ok")(c, r, body)
+		return testserver.Respond(200, "", "ok")(c, r, body)
 	})
-	d := startRegistry(t)
-	old := configText(d.address, serving(1, b, b), testSettings)
+	d := testserver.StartDiscovery(t)
+	old := testserver.ConfigText(d.Address, testserver.ServingList(1, b, b), testserver.Settings)
 	p := start(t, old)
 	held := make(chan gotten, 1)
 	go func() { held <- p.do(p.request(context.Background(), "pay", "50000")) }()
-	within(t, b.came, "request")
+	testserver.Receive(t, b.Requests, "request")
 	p.figuresAre("in_progress", "1", "known_servers", "2")
 
 	dropped := strings.Replace(old, `"name":"pay"`, `"name":"tip"`, 1)
@@ -146,7 +147,7 @@
 		t.Errorf("the class with its new effect got %+v", g)
 	}
 	close(gate)
-	if g := within(t, held, "answer"); g.status != http.StatusBadGateway || pays.Load() != 1 {
+	if g := testserver.Receive(t, held, "answer"); g.status != http.StatusBadGateway || pays.Load() != 1 {
 		t.Errorf("the open request got %+v after %d attempts, want a failure after 1", g, pays.Load())
 	}
 	p.figuresAre("passed.pay", "1", "bad_gateway.pay", "1", "in_progress", "0", "passed.read", "0", "passed.tip", "0",
@@ -166,11 +167,11 @@
 
 // TestTakenOutByCall takes a server out by a call, over a list and a reload, and puts it back.
 func TestTakenOutByCall(t *testing.T) {
-	one, two := startBackend(t, say(200, "", "one")), startBackend(t, say(200, "", "two"))
-	d := startRegistry(t)
-	text := configText(d.address, serving(1, one, two), testSettings)
+	one, two := testserver.StartBackend(t, testserver.Respond(200, "", "one")), testserver.StartBackend(t, testserver.Respond(200, "", "two"))
+	d := testserver.StartDiscovery(t)
+	text := testserver.ConfigText(d.Address, testserver.ServingList(1, one, two), testserver.Settings)
 	p := start(t, text)
-	w := within(t, d.watches, "watch")
+	w := testserver.Receive(t, d.Watches, "watch")
 	p.until("one")
 	call := func(id string, out bool, want error) {
 		t.Helper()
@@ -181,8 +182,8 @@
 	call("s-9", true, console.ErrUnknown)
 	call("s-0", true, nil)
 	p.figuresAre("known_servers", "2", "skipped_servers", "1")
-	w.lines <- listText(2, false, entry("s-0", one.address, "DRAINING", 0))
-	w.lines <- serving(3, one, two)
+	w.Lines <- testserver.ListText(2, false, testserver.EndpointEntry("s-0", one.Address, "DRAINING", 0))
+	w.Lines <- testserver.ServingList(3, one, two)
 	p.hangup(strings.Replace(text, `"try_limit":3`, `"try_limit":2`, 1))
 	for range 50 {
 		if g := p.ask("read"); g.body != "two" {
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -14,11 +14,12 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
 // TestEffects has the first attempt of each class end in each way, and sees whether the class is tried again.
 func TestEffects(t *testing.T) {
-	full := say(503, "X-Not-Processed: 1\r\n", "")
+	full := testserver.Respond(503, "X-Not-Processed: 1\r\n", "")
 	for _, tt := range []struct {
 		name     string
 		class    string
@@ -26,14 +27,14 @@
 		status   int
 		attempts int
 	}{
-		{"safe after an error", "read", say(500, "", ""), 200, 2},
-		{"safe after a reset", "read", hangUp, 200, 2},
+		{"safe after an error", "read", testserver.Respond(500, "", ""), 200, 2},
+		{"safe after a reset", "read", testserver.ResetConnection, 200, 2},
 		{"safe, turned away", "read", full, 200, 2},
-		{"keyed after an error", "book", say(500, "", ""), 200, 2},
-		{"keyed after a reset", "book", hangUp, 200, 2},
+		{"keyed after an error", "book", testserver.Respond(500, "", ""), 200, 2},
+		{"keyed after a reset", "book", testserver.ResetConnection, 200, 2},
 		{"keyed, turned away", "book", full, 200, 2},
-		{"unsafe after an error", "pay", say(500, "", ""), 502, 1},
-		{"unsafe after a reset", "pay", hangUp, 502, 1},
+		{"unsafe after an error", "pay", testserver.Respond(500, "", ""), 502, 1},
+		{"unsafe after a reset", "pay", testserver.ResetConnection, 502, 1},
 		{"unsafe, turned away", "pay", full, 200, 2},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -46,10 +47,10 @@
 				case <-faults:
 					return tt.fault(c, r, body)
 				default:
-					return say(200, "", "done")(c, r, body)
+					return testserver.Respond(200, "", "done")(c, r, body)
 				}
 			}
-			p := start(t, configText(startRegistry(t).address, serving(1, startBackend(t, do), startBackend(t, do)), testSettings))
+			p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, testserver.StartBackend(t, do), testserver.StartBackend(t, do)), testserver.Settings))
 			g := p.ask(tt.class)
 			if g.status != tt.status || len(came) != tt.attempts {
 				t.Fatalf("status %d after %d attempts, want %d after %d", g.status, len(came), tt.status, tt.attempts)
@@ -69,10 +70,10 @@
 
 // TestNoServer has every server refuse connections: nothing ran, so the refusal comes at once, for every class.
 func TestNoServer(t *testing.T) {
-	l := listen(t)
+	l := testserver.Listen(t)
 	l.Close()
-	gone := &backend{address: l.Addr().String()}
-	p := start(t, configText(startRegistry(t).address, serving(1, gone), testSettings))
+	gone := &testserver.Backend{Address: l.Addr().String()}
+	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, gone), testserver.Settings))
 	for _, class := range []string{"read", "book", "pay"} {
 		if g := p.ask(class); g.status != 503 {
 			t.Errorf("%s: status %d, want a refusal", class, g.status)
@@ -81,43 +82,43 @@
 }
 
 func TestDeadline(t *testing.T) {
-	b := startBackend(t, silent)
-	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
+	b := testserver.StartBackend(t, testserver.NeverRespond)
+	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
 	for _, tt := range []struct {
 		class  string
 		status int
 	}{{"pay", 502}, {"read", 503}} {
 		g := p.do(p.request(context.Background(), tt.class, "1500"))
-		within(t, b.came, "attempt")
+		testserver.Receive(t, b.Requests, "attempt")
 		if g.err != nil || g.status != tt.status {
 			t.Errorf("%s: status %d, error %v, want %d", tt.class, g.status, g.err, tt.status)
 		}
 	}
-	if n := b.count(); n != 0 {
+	if n := b.RequestCount(); n != 0 {
 		t.Errorf("%d attempts too many", n)
 	}
 	// What has no time left is not sent at all.
-	if g := p.do(p.request(context.Background(), "pay", "0")); g.status != 503 || b.count() != 0 {
-		t.Errorf("status %d, %d attempts", g.status, b.count())
+	if g := p.do(p.request(context.Background(), "pay", "0")); g.status != 503 || b.RequestCount() != 0 {
+		t.Errorf("status %d, %d attempts", g.status, b.RequestCount())
 	}
 }
 
 func TestClientGone(t *testing.T) {
 	closed := make(chan bool, 1)
-	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		silent(c, r, body)
+	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+		testserver.NeverRespond(c, r, body)
 		closed <- true
 		return false
 	})
-	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
+	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan gotten, 1)
 	go func() { ended <- p.do(p.request(ctx, "read", "50000")) }()
-	within(t, b.came, "attempt")
+	testserver.Receive(t, b.Requests, "attempt")
 	cancel()
-	within(t, ended, "end")
-	within(t, closed, "end of the attempt")
-	if n := b.count(); n != 0 {
+	testserver.Receive(t, ended, "end")
+	testserver.Receive(t, closed, "end of the attempt")
+	if n := b.RequestCount(); n != 0 {
 		t.Errorf("%d attempts for a client that is gone", n)
 	}
 }
@@ -126,15 +127,15 @@
 // that it was served.
 func TestNoAnswerToOneWhoLeft(t *testing.T) {
 	gate := make(chan bool)
-	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		<-gate
-		return say(200, "", "ok")(c, r, body)
+		return testserver.Respond(200, "", "ok")(c, r, body)
 	})
 	defer close(gate)
-	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
+	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
 	c := p.dial()
 	fmt.Fprintf(c, "%s\r\n", head("GET", "leaves", "read"))
-	within(t, b.came, "attempt")
+	testserver.Receive(t, b.Requests, "attempt")
 	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
@@ -145,43 +146,43 @@
 
 // TestWatch follows the list through a drain, a bad line and a break.
 func TestWatch(t *testing.T) {
-	kept, drained := startBackend(t, say(200, "", "kept")), startBackend(t, say(200, "", "drained"))
-	d := startRegistry(t)
-	p := start(t, configText(d.address, serving(41, drained), testSettings))
-	first := within(t, d.watches, "watch")
-	if first.query != "watch=1&from=41" {
-		t.Errorf("query %q", first.query)
+	kept, drained := testserver.StartBackend(t, testserver.Respond(200, "", "kept")), testserver.StartBackend(t, testserver.Respond(200, "", "drained"))
+	d := testserver.StartDiscovery(t)
+	p := start(t, testserver.ConfigText(d.Address, testserver.ServingList(41, drained), testserver.Settings))
+	first := testserver.Receive(t, d.Watches, "watch")
+	if first.Query != "watch=1&from=41" {
+		t.Errorf("query %q", first.Query)
 	}
 	if g := p.ask("pay"); g.body != "drained" {
 		t.Errorf("answer %+v", g)
 	}
-	first.lines <- "" // a heartbeat
-	first.lines <- listText(42, false, entry("s-0", drained.address, "DRAINING", 0), entry("s-1", kept.address, "SERVING", 0))
+	first.Lines <- "" // a heartbeat
+	first.Lines <- testserver.ListText(42, false, testserver.EndpointEntry("s-0", drained.Address, "DRAINING", 0), testserver.EndpointEntry("s-1", kept.Address, "SERVING", 0))
 	p.until("kept")
 	for range 20 {
 		if g := p.ask("pay"); g.body != "kept" {
 			t.Fatalf("a request went to a server that drains: %+v", g)
 		}
 	}
-	first.lines <- `{"rev":43,"targets":[{"uid":"s-1","endpoint":"nowhere","state":"SERVING"}]}`
-	second := within(t, d.watches, "watch after a bad line")
-	if second.query != "watch=1&from=42" {
-		t.Errorf("query %q after a bad line", second.query)
+	first.Lines <- `{"rev":43,"targets":[{"uid":"s-1","endpoint":"nowhere","state":"SERVING"}]}`
+	second := testserver.Receive(t, d.Watches, "watch after a bad line")
+	if second.Query != "watch=1&from=42" {
+		t.Errorf("query %q after a bad line", second.Query)
 	}
 	if g := p.ask("pay"); g.body != "kept" {
 		t.Errorf("a bad line cost the list: %+v", g)
 	}
-	close(second.lines)
-	third := within(t, d.watches, "watch after a break")
+	close(second.Lines)
+	third := testserver.Receive(t, d.Watches, "watch after a break")
 	if g := p.ask("pay"); g.body != "kept" {
 		t.Errorf("a break cost the list: %+v", g)
 	}
-	third.lines <- listText(44, true, entry("s-0", drained.address, "SERVING", 0))
+	third.Lines <- testserver.ListText(44, true, testserver.EndpointEntry("s-0", drained.Address, "SERVING", 0))
 	p.until("drained")
 }
 
 func TestWatchSilence(t *testing.T) {
-	d := newDiscovery(startRegistry(t).address, patience, nil)
+	d := newDiscovery(testserver.StartDiscovery(t).Address, testserver.Timeout, nil)
 	d.silence = 50 * time.Millisecond
 	err := d.watch(context.Background(), -1, func(List) { t.Error("a list") }, func() {})
 	if err == nil || !strings.Contains(err.Error(), "nothing came for 50ms") {
@@ -190,8 +191,8 @@
 }
 
 func TestReady(t *testing.T) {
-	d := startRegistry(t)
-	p := start(t, configText(d.address, "", testSettings))
+	d := testserver.StartDiscovery(t)
+	p := start(t, testserver.ConfigText(d.Address, "", testserver.Settings))
 	health := func() int {
 		resp, err := p.client.Get("http://" + p.address + "/healthz")
 		if err != nil {
@@ -203,12 +204,12 @@
 	if got := health(); got != 503 {
 		t.Errorf("status %d before any server is known", got)
 	}
-	w := within(t, d.watches, "watch")
-	if w.query != "watch=1" {
-		t.Errorf("query %q with no list in hand", w.query)
+	w := testserver.Receive(t, d.Watches, "watch")
+	if w.Query != "watch=1" {
+		t.Errorf("query %q with no list in hand", w.Query)
 	}
-	w.lines <- serving(1, startBackend(t, silent))
-	for end := time.Now().Add(patience); health() != 200; {
+	w.Lines <- testserver.ServingList(1, testserver.StartBackend(t, testserver.NeverRespond))
+	for end := time.Now().Add(testserver.Timeout); health() != 200; {
 		if time.Now().After(end) {
 			t.Fatal("never ready")
 		}
@@ -217,7 +218,7 @@
 
 // TestColdServer has a sidecar start beside a server that started just before it.
 func TestColdServer(t *testing.T) {
-	c, err := load(t, configText("127.0.0.1:9", "", testSettings))
+	c, err := load(t, testserver.ConfigText("127.0.0.1:9", "", testserver.Settings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -233,15 +234,15 @@
 			t.Fatal(err)
 		}
 		started := h.starts.of(c.Known.Targets[0])
-		if age := h.clock() - started; tt.cold && (started <= 0 || age < 3*time.Second || age > 3*time.Second+patience) || !tt.cold && started > 0 {
+		if age := h.clock() - started; tt.cold && (started <= 0 || age < 3*time.Second || age > 3*time.Second+testserver.Timeout) || !tt.cold && started > 0 {
 			t.Errorf("boot %v: started %v, age %v", tt.boot, started, age)
 		}
 	}
 }
 
 func TestBadInput(t *testing.T) {
-	b := startBackend(t, say(200, "", "ok"))
-	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
+	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
 	ask := func(class string, change func(*http.Request)) *http.Request {
 		r := p.request(context.Background(), class, "50000")
 		change(r)
@@ -288,11 +289,11 @@
 		{"no tenant", without("pay", "X-Tenant-Id"), 200},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			came := b.count()
+			came := b.RequestCount()
 			if g := p.do(tt.r); g.err != nil || g.status != tt.status {
 				t.Errorf("status %d, error %v, want %d", g.status, g.err, tt.status)
 			}
-			if sent := b.count() > came; sent != (tt.status == 200) {
+			if sent := b.RequestCount() > came; sent != (tt.status == 200) {
 				t.Errorf("sent to a server: %v", sent)
 			}
 			if g := p.ask("pay"); g.status != 200 {
@@ -303,34 +304,34 @@
 }
 
 func TestMostHeld(t *testing.T) {
-	b := startBackend(t, silent)
-	settings := strings.Replace(testSettings, `"most_held":20000`, `"most_held":1`, 1)
-	p := start(t, configText(startRegistry(t).address, serving(1, b), settings))
+	b := testserver.StartBackend(t, testserver.NeverRespond)
+	settings := strings.Replace(testserver.Settings, `"most_held":20000`, `"most_held":1`, 1)
+	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), settings))
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan gotten, 1)
 	go func() { ended <- p.do(p.request(ctx, "pay", "50000")) }()
-	within(t, b.came, "attempt")
-	if g := p.ask("pay"); g.status != 503 || b.count() != 0 {
-		t.Errorf("status %d, %d attempts", g.status, b.count())
+	testserver.Receive(t, b.Requests, "attempt")
+	if g := p.ask("pay"); g.status != 503 || b.RequestCount() != 0 {
+		t.Errorf("status %d, %d attempts", g.status, b.RequestCount())
 	}
 	cancel()
-	within(t, ended, "end")
+	testserver.Receive(t, ended, "end")
 }
 
 // TestDrain has SIGTERM come while one request is out, and others go on coming on new connections and old ones.
 func TestDrain(t *testing.T) {
 	gate := make(chan bool)
-	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Header.Get("Idempotency-Key") != "" {
 			<-gate
 		}
-		return say(200, "", "ok")(c, r, body)
+		return testserver.Respond(200, "", "ok")(c, r, body)
 	})
-	p := startDraining(t, configText(startRegistry(t).address, serving(1, b), testSettings),
+	p := startDraining(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings),
 		drainTimes{accept: 4 * time.Second, quiet: 10 * time.Millisecond, closeIdle: 2 * time.Second})
 	slow := make(chan gotten, 1)
 	go func() { slow <- p.do(p.request(context.Background(), "book", "50000")) }()
-	within(t, b.came, "attempt")
+	testserver.Receive(t, b.Requests, "attempt")
 	p.stop()
 	for closing := false; !closing; {
 		g := p.ask("pay")
@@ -352,7 +353,7 @@
 	if err != nil || resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("answer %+v, error %v on a new connection", resp, err)
 	}
-	for end := time.Now().Add(patience); ; {
+	for end := time.Now().Add(testserver.Timeout); ; {
 		c, err := net.Dial("tcp", p.address)
 		if err != nil {
 			break
@@ -368,17 +369,17 @@
 	default:
 	}
 	close(gate)
-	if g := within(t, slow, "answer"); g.status != 200 || g.body != "ok" {
+	if g := testserver.Receive(t, slow, "answer"); g.status != 200 || g.body != "ok" {
 		t.Errorf("answer %+v to what was taken", g)
 	}
-	if err := within(t, p.ended, "end"); err != nil {
+	if err := testserver.Receive(t, p.ended, "end"); err != nil {
 		t.Errorf("it ended with %v", err)
 	}
 }
 
 // TestBacklog has connections wait unaccepted when the accepting ends: none may be reset.
 func TestBacklog(t *testing.T) {
-	inner := listen(t).(*net.TCPListener)
+	inner := testserver.Listen(t).(*net.TCPListener)
 	l := &drainListener{TCPListener: inner, quiet: time.Second}
 	const n = 3
 	for range n {
@@ -404,8 +405,8 @@
 }
 
 func TestAddressInUse(t *testing.T) {
-	l := listen(t)
-	c, err := load(t, configText("127.0.0.1:9", "", testSettings), "PROXY_LISTEN="+l.Addr().String())
+	l := testserver.Listen(t)
+	c, err := load(t, testserver.ConfigText("127.0.0.1:9", "", testserver.Settings), "PROXY_LISTEN="+l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -415,7 +416,7 @@
 }
 
 func TestConfig(t *testing.T) {
-	good := configText("127.0.0.1:9", `{"rev":4,"all":true,"targets":[`+entry("s-0", "127.0.0.1:8", "SERVING", 5)+`]}`, testSettings)
+	good := testserver.ConfigText("127.0.0.1:9", `{"rev":4,"all":true,"targets":[`+testserver.EndpointEntry("s-0", "127.0.0.1:8", "SERVING", 5)+`]}`, testserver.Settings)
 	c, err := load(t, good, "PROXY_NAME=n7")
 	if err != nil {
 		t.Fatal(err)
@@ -477,8 +478,8 @@
 
 // TestEndlessBody has a client send half a body and no more: its connection ends with its time, and others are served.
 func TestEndlessBody(t *testing.T) {
-	b := startBackend(t, say(200, "", "ok"))
-	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
+	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
 	c, err := net.Dial("tcp", p.address)
 	if err != nil {
 		t.Fatal(err)
@@ -486,13 +487,13 @@
 	defer c.Close()
 	fmt.Fprint(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 300\r\n"+
 		"Content-Length: 10\r\n\r\nhalf")
-	if err := c.SetReadDeadline(time.Now().Add(patience)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(testserver.Timeout)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := io.ReadAll(c); err != nil {
 		t.Errorf("the connection did not end: %v", err)
 	}
-	if n := b.count(); n != 0 {
+	if n := b.RequestCount(); n != 0 {
 		t.Errorf("%d attempts for half a request", n)
 	}
 	// A connection whose body's time is over still serves what takes longer.
--- a/internal/sidecar/starts_test.go
+++ b/internal/sidecar/starts_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
 // clockSteps are the steps of a clock of day that these tests try.
@@ -21,7 +22,7 @@
 // hearing runs play in a bubble with a host that is told what play says, as by its watch.
 func hearing(t *testing.T, play func(t *testing.T, h *host, says func(all bool, targets ...Target))) {
 	synctest.Test(t, func(t *testing.T) {
-		c, err := load(t, configText("127.0.0.1:9", "", testSettings))
+		c, err := load(t, testserver.ConfigText("127.0.0.1:9", "", testserver.Settings))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -160,7 +161,7 @@
 // TestHeartbeats counts what is a heartbeat: white space alone, outside a list and behind one or a version to begin
 // with.
 func TestHeartbeats(t *testing.T) {
-	first, half, rest := listText(2, true), `{"rev":3,"targets":`, "[]}\n"
+	first, half, rest := testserver.ListText(2, true), `{"rev":3,"targets":`, "[]}\n"
 	for _, tt := range []struct {
 		name   string
 		from   int64
--- a/internal/sidecar/stop_test.go
+++ b/internal/sidecar/stop_test.go
@@ -18,6 +18,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"milletramp.example/milletramp/internal/lab/testserver"
 	"milletramp.example/milletramp/internal/stats"
 )
 
@@ -27,17 +28,17 @@
 // stop and is waiting for another answer: that request is answered too.
 func TestStopTakesWhatComes(t *testing.T) {
 	gate := make(chan bool)
-	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Header.Get("Idempotency-Key") != "" {
 			<-gate
 		}
-		return say(200, "", "ok")(c, r, body)
+		return testserver.Respond(200, "", "ok")(c, r, body)
 	})
-	p := startDraining(t, configText(startRegistry(t).address, serving(1, b), testSettings),
-		drainTimes{quiet: time.Millisecond, unused: patience})
+	p := startDraining(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings),
+		drainTimes{quiet: time.Millisecond, unused: testserver.Timeout})
 	held := make(chan gotten, 1)
 	go func() { held <- p.do(p.request(context.Background(), "book", "50000")) }()
-	within(t, b.came, "attempt")
+	testserver.Receive(t, b.Requests, "attempt")
 	late := p.dial()
 	p.accepted(2)
 	p.stop()
@@ -48,22 +49,22 @@
 		t.Errorf("answer %+v, error %v to a request that came after the word to stop", resp, err)
 	}
 	close(gate)
-	if g := within(t, held, "answer"); g.status != 200 {
+	if g := testserver.Receive(t, held, "answer"); g.status != 200 {
 		t.Errorf("answer %+v to what was taken", g)
 	}
-	if err := within(t, p.ended, "end"); err != nil {
+	if err := testserver.Receive(t, p.ended, "end"); err != nil {
 		t.Errorf("it ended with %v", err)
 	}
 }
 
 // TestStopEndsUnused has a connection never bring a request: it holds the end up for its time and no longer.
 func TestStopEndsUnused(t *testing.T) {
-	p := startDraining(t, configText(startRegistry(t).address, serving(1, startBackend(t, say(200, "", "ok"))), testSettings),
+	p := startDraining(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, testserver.StartBackend(t, testserver.Respond(200, "", "ok"))), testserver.Settings),
 		drainTimes{quiet: time.Millisecond, unused: 10 * time.Millisecond})
 	c := p.dial()
 	p.accepted(1)
 	p.stop()
-	if err := within(t, p.ended, "end"); err != nil {
+	if err := testserver.Receive(t, p.ended, "end"); err != nil {
 		t.Errorf("it ended with %v", err)
 	}
 	if n, err := c.Read(make([]byte, 1)); n != 0 || err != io.EOF {
@@ -77,7 +78,7 @@
 // accepted waits until the program holds n connections.
 func (p *program) accepted(n int) {
 	p.t.Helper()
-	for end := time.Now().Add(patience); p.staff.server.Load().conns.held() < n; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testserver.Timeout); p.staff.server.Load().conns.held() < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			p.t.Fatalf("not %d connections accepted", n)
 		}
@@ -87,7 +88,7 @@
 // deaf waits until the program listens no more.
 func (p *program) deaf() {
 	p.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testserver.Timeout); ; time.Sleep(time.Millisecond) {
 		c, err := net.Dial("tcp", p.address)
 		if err != nil {
 			return
@@ -120,12 +121,12 @@
 // TestStopUnderLoad stops the process again and again while clients ask on connections that they keep. A request that was
 // read has its answer; one that was not finds its connection reset.
 func TestStopUnderLoad(t *testing.T) {
-	b := startBackend(t, say(200, "", "ok"))
+	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	go func() {
-		for range b.came {
+		for range b.Requests {
 		}
 	}()
-	config := configText(startRegistry(t).address, serving(1, b), testSettings)
+	config := testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings)
 	var asked, unread atomic.Int64
 	for round := range *stopRounds {
 		random := rand.New(rand.NewPCG(uint64(round), 1))
@@ -156,7 +157,7 @@
 			time.Sleep(100 * time.Microsecond)
 		}
 		p.stop()
-		if err := within(t, p.ended, "end"); err != nil {
+		if err := testserver.Receive(t, p.ended, "end"); err != nil {
 			t.Errorf("round %d: it ended with %v", round, err)
 		}
 		p.ended <- nil // for the cleanup
@@ -168,7 +169,7 @@
 // askOn asks one request after another on a connection until an answer ends it, and tells whether it ended under one.
 func askOn(t *testing.T, c net.Conn, id string, pause time.Duration, asked *atomic.Int64) (dropped bool) {
 	in := bufio.NewReader(c)
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testserver.Timeout))
 	for n := 0; ; n++ {
 		time.Sleep(pause)
 		if _, err := fmt.Fprintf(c, "%s\r\n", head("GET", fmt.Sprint(id, "-", n), "read")); err != nil {
@@ -178,7 +179,7 @@
 		if err != nil {
 			var timeout net.Error
 			if errors.As(err, &timeout) && timeout.Timeout() {
-				t.Errorf("%s: no answer within %v", id, patience)
+				t.Errorf("%s: no answer within %v", id, testserver.Timeout)
 			}
 			return true
 		}
@@ -222,7 +223,7 @@
 		}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			l := newClientConns(listen(t), 2, 2, &stats.Unserved{})
+			l := newClientConns(testserver.Listen(t), 2, 2, &stats.Unserved{})
 			out, err := net.Dial("tcp", l.Addr().String())
 			if err != nil {
 				t.Fatal(err)
@@ -272,7 +273,7 @@
 // TestRetiredBesideARequest retires a connection, and lets its idle time run out, where a request waits unread.
 func TestRetiredBesideARequest(t *testing.T) {
 	for _, retired := range []bool{true, false} {
-		l := newClientConns(listen(t), 2, 2, &stats.Unserved{})
+		l := newClientConns(testserver.Listen(t), 2, 2, &stats.Unserved{})
 		out, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -286,7 +287,7 @@
 		l.state(c, http.StateActive)
 		l.state(c, http.StateIdle)
 		fmt.Fprint(out, "GET /api HTTP/1.1\r\n\r\n")
-		for end := time.Now().Add(patience); !c.waiting(); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testserver.Timeout); !c.waiting(); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal("nothing came")
 			}
@@ -311,8 +312,8 @@
 // are out at a server that hangs: the platform kills it by the new ones, and before that each has its answer. One that may be repeated
 // is refused, one that is unsafe to repeat and may have run is not.
 func TestStopUnderNewSettings(t *testing.T) {
-	b := startBackend(t, silent)
-	text := configText(startRegistry(t).address, serving(1, b), testSettings)
+	b := testserver.StartBackend(t, testserver.NeverRespond)
+	text := testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings)
 	p := start(t, text)
 	held := map[string]chan *http.Response{"pay": nil, "read": nil, "book": nil}
 	for class := range held {
@@ -325,7 +326,7 @@
 			}
 			answered <- resp
 		}()
-		within(t, b.came, "attempt")
+		testserver.Receive(t, b.Requests, "attempt")
 	}
 	p.hangup(strings.ReplaceAll(strings.ReplaceAll(text, `"deadline_s":60.0`, `"deadline_s":0.3`), `"aim_s":20.0`, `"aim_s":0.2`))
 	p.figuresAre("loads", "1", "load_errors", "0")
@@ -334,7 +335,7 @@
 	}
 	p.stop()
 	for class, want := range map[string]string{"pay": "502 ", "read": "503 0.200", "book": "503 0.200"} {
-		resp := within(t, held[class], "answer")
+		resp := testserver.Receive(t, held[class], "answer")
 		if resp == nil {
 			continue
 		}
@@ -343,7 +344,7 @@
 			t.Errorf("%s: status and Retry-After %q at the kill, want %q", class, got, want)
 		}
 	}
-	if err := within(t, p.ended, "end"); err != nil {
+	if err := testserver.Receive(t, p.ended, "end"); err != nil {
 		t.Errorf("it ended with %v", err)
 	}
 	p.ended <- nil // for the cleanup
--- a/internal/sidecar/swallow_test.go
+++ b/internal/sidecar/swallow_test.go
@@ -8,33 +8,35 @@
 	"strings"
 	"sync"
 	"testing"
+
+	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
 // TestSwallowedRequests has some requests at every server swallowed while it answers all others at once: their time-outs
 // must not make the servers look slow, and so turn away what they would serve.
 func TestSwallowedRequests(t *testing.T) {
 	const each = 3
-	var backends []*backend
+	var backends []*testserver.Backend
 	came := make(chan bool, 100)
 	for range 4 {
-		backends = append(backends, startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+		backends = append(backends, testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 			if r.Header.Get("Idempotency-Key") != "" {
 				came <- true
-				return silent(c, r, body)
+				return testserver.NeverRespond(c, r, body)
 			}
-			return say(200, "", "ok")(c, r, body)
+			return testserver.Respond(200, "", "ok")(c, r, body)
 		}))
 	}
 	// What is swallowed is out for four aims.
-	settings := strings.ReplaceAll(testSettings, `"aim_s":20.0`, `"aim_s":1.0`)
-	p := start(t, configText(startRegistry(t).address, serving(1, backends...), settings))
+	settings := strings.ReplaceAll(testserver.Settings, `"aim_s":20.0`, `"aim_s":1.0`)
+	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, backends...), settings))
 	ended := make(chan gotten, each*len(backends))
 	for range cap(ended) {
 		r := p.request(context.Background(), "book", "4000")
 		go func() { ended <- p.do(r) }()
 	}
 	for range cap(ended) {
-		within(t, came, "attempt that is swallowed")
+		testserver.Receive(t, came, "attempt that is swallowed")
 	}
 	answered := func(when string) {
 		for range each * len(backends) {
@@ -45,7 +47,7 @@
 	}
 	answered("while others are out")
 	for range cap(ended) {
-		if g := within(t, ended, "answer"); g.status == http.StatusOK {
+		if g := testserver.Receive(t, ended, "answer"); g.status == http.StatusOK {
 			t.Errorf("answer %+v to what was swallowed", g)
 		}
 	}
@@ -56,12 +58,12 @@
 // at other servers, long before their clients would give up. No payment comes to a server twice.
 func TestSwallowedIsMadeAnew(t *testing.T) {
 	const payments = 12
-	var backends []*backend
+	var backends []*testserver.Backend
 	var mu sync.Mutex
 	lost := map[string]int{} // arrivals of what is swallowed the first time
 	came := make(chan bool, 100)
 	for range 4 {
-		backends = append(backends, startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+		backends = append(backends, testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 			id := r.Header.Get("X-Request-ID")
 			mu.Lock()
 			if strings.HasPrefix(id, "lost-") {
@@ -71,13 +73,13 @@
 			mu.Unlock()
 			if first {
 				came <- true
-				return silent(c, r, body)
+				return testserver.NeverRespond(c, r, body)
 			}
-			return say(200, "", "ok")(c, r, body)
+			return testserver.Respond(200, "", "ok")(c, r, body)
 		}))
 	}
-	settings := strings.ReplaceAll(testSettings, `"aim_s":20.0`, `"aim_s":1.0`)
-	p := start(t, configText(startRegistry(t).address, serving(1, backends...), settings))
+	settings := strings.ReplaceAll(testserver.Settings, `"aim_s":20.0`, `"aim_s":1.0`)
+	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, backends...), settings))
 	ask := func(n int) {
 		for range n {
 			if g := p.ask("read"); g.status != http.StatusOK {
@@ -89,7 +91,7 @@
 		r := p.request(context.Background(), class, timeout)
 		r.Header.Set("X-Request-ID", id)
 		go func() { ended <- p.do(r) }()
-		within(t, came, "attempt that is swallowed")
+		testserver.Receive(t, came, "attempt that is swallowed")
 	}
 	ask(40) // and so it is known how long answers take
 	ended := make(chan gotten, payments)
@@ -98,7 +100,7 @@
 	}
 	ask(24)
 	for range payments {
-		within(t, ended, "end of a payment")
+		testserver.Receive(t, ended, "end of a payment")
 	}
 	again := make(chan gotten, len(backends))
 	for i := range backends { // one at each, so that each gets others too
@@ -106,7 +108,7 @@
 	}
 	ask(24)
 	for range backends {
-		if g := within(t, again, "answer to what was swallowed"); g.status != http.StatusOK {
+		if g := testserver.Receive(t, again, "answer to what was swallowed"); g.status != http.StatusOK {
 			t.Errorf("answer %+v to what was swallowed at first", g)
 		}
 	}
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -21,6 +21,7 @@
 	"pgregory.net/rapid"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
 // failure is a system call that fails, or is short.
@@ -136,11 +137,11 @@
 func TestAcceptFails(t *testing.T) {
 	for _, errno := range acceptErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
-			f, d, b := &failures{}, startRegistry(t), startBackend(t, say(200, "", "ok"))
+			f, d, b := &failures{}, testserver.StartDiscovery(t), testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 			once := failure{errno: errno}
 			f.set("accept", once, once)
-			p := startWith(t, configText(d.address, serving(1, b), testSettings),
-				drainTimes{quiet: time.Millisecond, unused: patience}, nil, f.hooks())
+			p := startWith(t, testserver.ConfigText(d.Address, testserver.ServingList(1, b), testserver.Settings),
+				drainTimes{quiet: time.Millisecond, unused: testserver.Timeout}, nil, f.hooks())
 			if g := p.ask("read"); g.status != 200 {
 				t.Errorf("answer %+v in service", g)
 			}
@@ -152,18 +153,18 @@
 				go func() { answers <- oneAnswer(c, fmt.Sprint("waits-", i), "read") }()
 			}
 			p.stop()
-			for end := time.Now().Add(patience); !p.staff.server.Load().draining.Load(); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(testserver.Timeout); !p.staff.server.Load().draining.Load(); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal("it does not drain")
 				}
 			}
 			f.set("accept", once, once)
 			for range 2 {
-				if err := within(t, answers, "answer"); err != nil {
+				if err := testserver.Receive(t, answers, "answer"); err != nil {
 					t.Errorf("while draining: %v", err)
 				}
 			}
-			if err := within(t, p.ended, "end"); err != nil {
+			if err := testserver.Receive(t, p.ended, "end"); err != nil {
 				t.Errorf("it ended with %v", err)
 			}
 		})
@@ -172,7 +173,7 @@
 
 // TestDrainEnds has accepting fail for good while a connection waits: the end comes after some rounds.
 func TestDrainEnds(t *testing.T) {
-	inner, calls := listen(t).(*net.TCPListener), 0
+	inner, calls := testserver.Listen(t).(*net.TCPListener), 0
 	c, err := net.Dial("tcp", inner.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -209,8 +210,8 @@
 	} {
 		for _, at := range []string{"console", "clients"} {
 			t.Run(at+", "+tt.name, func(t *testing.T) {
-				f, d, b := &failures{}, startRegistry(t), startBackend(t, say(200, "", "ok"))
-				text := configText(d.address, serving(1, b), testSettings)
+				f, d, b := &failures{}, testserver.StartDiscovery(t), testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+				text := testserver.ConfigText(d.Address, testserver.ServingList(1, b), testserver.Settings)
 				if at == "console" {
 					text = strings.Replace(text, `"new":1`, `"new":1,"console":"127.0.0.1:0"`, 1)
 				}
@@ -279,7 +280,7 @@
 	tests = append(tests, of("server read", balance.Reset, false, unix.ECONNRESET, unix.ETIMEDOUT)...)
 	for _, tt := range tests {
 		t.Run(tt.call+", "+tt.errno.Error(), func(t *testing.T) {
-			f, b := &failures{}, startBackend(t, say(200, "", "ok"))
+			f, b := &failures{}, testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 			u := to(t, b)
 			u.pool.dial = f.dial
 			ask := func() balance.Outcome {
@@ -297,7 +298,7 @@
 				u.pool.empty(u.targets["s-0"], false)
 			}
 			f.set(tt.call, slices.Repeat([]failure{once}, 10)...)
-			u.pool.settles = patience // the idle connection is not taken for the attempt
+			u.pool.settles = testserver.Timeout // the idle connection is not taken for the attempt
 			u.pool.put(idle, true)
 			if got := ask(); got != tt.want {
 				t.Errorf("outcome %d, want %d", got, tt.want)
@@ -319,15 +320,15 @@
 // TestNobodyIsEjected has no connection come up for a lack of descriptors, many times: no server is ejected for that, and
 // all are used once it has passed.
 func TestNobodyIsEjected(t *testing.T) {
-	var backends []*backend
+	var backends []*testserver.Backend
 	for range 4 {
-		backends = append(backends, startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-			say(200, "Connection: close\r\n", "ok")(c, r, body)
+		backends = append(backends, testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+			testserver.Respond(200, "Connection: close\r\n", "ok")(c, r, body)
 			return false // each request needs a connection of its own
 		}))
 	}
 	f := &failures{}
-	p := startWith(t, configText(startRegistry(t).address, serving(1, backends...), testSettings),
+	p := startWith(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, backends...), testserver.Settings),
 		drainTimes{quiet: time.Millisecond}, nil, f.hooks())
 	ask := func(want int) {
 		t.Helper()
@@ -396,20 +397,20 @@
 // was read gets one final answer, none that may run once only runs twice, nobody is ejected, and the process ends when
 // it is told to and not before.
 func TestFailuresBreakNoRule(t *testing.T) {
-	d := startRegistry(t)
+	d := testserver.StartDiscovery(t)
 	var mu sync.Mutex
 	ran := map[string]int{}
-	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		mu.Lock()
 		ran[r.Header.Get("X-Request-ID")]++
 		mu.Unlock()
-		return say(200, "", strings.Repeat("ok", 100))(c, r, body)
+		return testserver.Respond(200, "", strings.Repeat("ok", 100))(c, r, body)
 	})
 	go func() {
-		for range b.came {
+		for range b.Requests {
 		}
 	}()
-	config, asked := configText(d.address, serving(1, b, b), testSettings), 0
+	config, asked := testserver.ConfigText(d.Address, testserver.ServingList(1, b, b), testserver.Settings), 0
 	rapid.Check(t, func(rt *rapid.T) {
 		f := &failures{}
 		draw := func() { // at listeners and clients fewer in a row than it tries again
@@ -421,7 +422,7 @@
 			f.set("client write", drawFailures(rt, "client write", 6, streamErrnos)...)
 		}
 		f.set("listen", drawFailures(rt, "listen", 5, []syscall.Errno{unix.EMFILE, unix.ENOBUFS, unix.ENOMEM})...)
-		p := startWith(t, config, drainTimes{quiet: time.Millisecond, unused: patience}, nil, f.hooks())
+		p := startWith(t, config, drainTimes{quiet: time.Millisecond, unused: testserver.Timeout}, nil, f.hooks())
 		ask := func(classes []string, between func()) {
 			var clients sync.WaitGroup
 			var conns []net.Conn
@@ -453,7 +454,7 @@
 		draining := classes.Draw(rt, "draining")
 		draw()
 		ask(draining, p.stop)
-		if err := within(t, p.ended, "end"); err != nil {
+		if err := testserver.Receive(t, p.ended, "end"); err != nil {
 			rt.Errorf("it ended with %v", err)
 		}
 		if n := p.ejected.Load(); n > 0 {
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -11,6 +11,7 @@
 	"testing"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/lab/testserver"
 	"milletramp.example/milletramp/internal/wire"
 )
 
@@ -24,11 +25,11 @@
 }
 
 // to is an upstream that knows the backends.
-func to(t *testing.T, backends ...*backend) *upstream {
+func to(t *testing.T, backends ...*testserver.Backend) *upstream {
 	u := newUpstream(&Config{Sockets: defaultSockets, MemoryMB: defaultMemoryMB,
-		Limits: wire.Limits{ConnectTimeout: patience, IdleClose: patience}}, &atomic.Int64{})
+		Limits: wire.Limits{ConnectTimeout: testserver.Timeout, IdleClose: testserver.Timeout}}, &atomic.Int64{})
 	u.pool.settles = 0
-	u.update(parsed(t, serving(1, backends...)))
+	u.update(parsed(t, testserver.ServingList(1, backends...)))
 	t.Cleanup(func() { u.update(List{All: true}) })
 	return u
 }
@@ -48,19 +49,19 @@
 		do   func(net.Conn, *http.Request, []byte) bool
 		want balance.Outcome
 	}{
-		{"served", say(200, "", "slot"), balance.Served},
-		{"empty", say(200, "", ""), balance.Served},
-		{"error", say(500, "", "oh"), balance.Errored},
-		{"full", say(503, "X-Not-Processed: 1\r\n", "no"), balance.Saturated},
-		{"late", say(504, "X-Not-Processed: 1\r\n", ""), balance.Saturated},
-		{"unavailable, may have run", say(503, "", ""), balance.Errored},
-		{"error that claims not to have run", say(500, "X-Not-Processed: 1\r\n", ""), balance.Errored},
-		{"large", say(200, "", strings.Repeat("x", 32<<20)), balance.Served},
+		{"served", testserver.Respond(200, "", "slot"), balance.Served},
+		{"empty", testserver.Respond(200, "", ""), balance.Served},
+		{"error", testserver.Respond(500, "", "oh"), balance.Errored},
+		{"full", testserver.Respond(503, "X-Not-Processed: 1\r\n", "no"), balance.Saturated},
+		{"late", testserver.Respond(504, "X-Not-Processed: 1\r\n", ""), balance.Saturated},
+		{"unavailable, may have run", testserver.Respond(503, "", ""), balance.Errored},
+		{"error that claims not to have run", testserver.Respond(500, "X-Not-Processed: 1\r\n", ""), balance.Errored},
+		{"large", testserver.Respond(200, "", strings.Repeat("x", 32<<20)), balance.Served},
 		{"too long", func(c net.Conn, _ *http.Request, _ []byte) bool {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", mostAnswer+1)
 			return false
 		}, balance.Errored},
-		{"reset", hangUp, balance.Reset},
+		{"reset", testserver.ResetConnection, balance.Reset},
 		{"end", func(net.Conn, *http.Request, []byte) bool { return false }, balance.Reset},
 		{"no HTTP", func(c net.Conn, _ *http.Request, _ []byte) bool { fmt.Fprint(c, "what\r\n\r\n"); return false }, balance.Errored},
 		{"half a body", func(c net.Conn, _ *http.Request, _ []byte) bool {
@@ -75,7 +76,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			for _, m := range []*message{get(), post(""), post("k")} {
-				b := startBackend(t, tt.do)
+				b := testserver.StartBackend(t, tt.do)
 				r := to(t, b).attempt(context.Background(), sending{server: "s-0", message: m, begins: taken})
 				if r.outcome != tt.want {
 					t.Errorf("%s with key %q: outcome %d, want %d", m.method, m.key, r.outcome, tt.want)
@@ -83,7 +84,7 @@
 				if tt.name == "served" && string(r.body) != "slot" {
 					t.Errorf("body %q", r.body)
 				}
-				if n := b.count(); n != 1 {
+				if n := b.RequestCount(); n != 1 {
 					t.Errorf("%s with key %q came %d times", m.method, m.key, n)
 				}
 			}
@@ -92,12 +93,12 @@
 }
 
 func TestNeverRan(t *testing.T) {
-	b := startBackend(t, silent)
+	b := testserver.StartBackend(t, testserver.NeverRespond)
 	u := to(t, b)
-	gone := listen(t)
-	closed := entry("s-1", gone.Addr().String(), "SERVING", 0)
+	gone := testserver.Listen(t)
+	closed := testserver.EndpointEntry("s-1", gone.Addr().String(), "SERVING", 0)
 	gone.Close()
-	u.update(parsed(t, listText(2, false, closed)))
+	u.update(parsed(t, testserver.ListText(2, false, closed)))
 	over, cancel := context.WithCancel(context.Background())
 	cancel()
 	for _, tt := range []struct {
@@ -113,7 +114,7 @@
 			t.Errorf("%s: outcome %d, want %d", tt.name, r.outcome, tt.want)
 		}
 	}
-	if n := b.count(); n != 0 {
+	if n := b.RequestCount(); n != 0 {
 		t.Errorf("%d requests came", n)
 	}
 }
@@ -142,23 +143,23 @@
 }
 
 func TestSilence(t *testing.T) {
-	b := startBackend(t, silent)
+	b := testserver.StartBackend(t, testserver.NeverRespond)
 	u := to(t, b)
 	late := newEndable()
 	ended := make(chan reply, 1)
 	go func() { ended <- u.attempt(late, sending{server: "s-0", message: post(""), begins: whole}) }()
-	within(t, b.came, "request")
+	testserver.Receive(t, b.Requests, "request")
 	late.end()
-	if r := within(t, ended, "end"); r.outcome != balance.TimedOut {
+	if r := testserver.Receive(t, ended, "end"); r.outcome != balance.TimedOut {
 		t.Errorf("outcome %d, want a time-out", r.outcome)
 	}
-	b = startBackend(t, silent)
+	b = testserver.StartBackend(t, testserver.NeverRespond)
 	u = to(t, b)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { ended <- u.attempt(ctx, sending{server: "s-0", message: post(""), begins: whole}) }()
-	within(t, b.came, "request")
+	testserver.Receive(t, b.Requests, "request")
 	cancel()
-	if r := within(t, ended, "end"); r.outcome != balance.Cancelled {
+	if r := testserver.Receive(t, ended, "end"); r.outcome != balance.Cancelled {
 		t.Errorf("outcome %d, want cancelled", r.outcome)
 	}
 }
@@ -168,12 +169,12 @@
 func TestStaleConnection(t *testing.T) {
 	for _, m := range []*message{get(), post(""), post("k")} {
 		first := true
-		b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+		b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 			if first {
 				first = false
-				return say(200, "", "ok")(c, r, body)
+				return testserver.Respond(200, "", "ok")(c, r, body)
 			}
-			return hangUp(c, r, body)
+			return testserver.ResetConnection(c, r, body)
 		})
 		u := to(t, b)
 		if r := u.attempt(context.Background(), sending{server: "s-0", message: m, begins: taken}); r.outcome != balance.Served {
@@ -182,7 +183,7 @@
 		if r := u.attempt(context.Background(), sending{server: "s-0", message: m, begins: taken}); r.outcome != balance.Reset {
 			t.Errorf("%s with key %q: outcome %d, want a reset", m.method, m.key, r.outcome)
 		}
-		if n := b.count(); n != 2 {
+		if n := b.RequestCount(); n != 2 {
 			t.Errorf("%s with key %q: %d requests for two attempts", m.method, m.key, n)
 		}
 	}
@@ -190,23 +191,23 @@
 
 func TestForwardsUnchanged(t *testing.T) {
 	bodies := make(chan string, 1)
-	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		bodies <- string(body)
-		return say(200, "", "")(c, r, body)
+		return testserver.Respond(200, "", "")(c, r, body)
 	})
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testserver.Timeout)
 	defer cancel()
 	to(t, b).attempt(ctx, sending{server: "s-0", message: post("k-7"), begins: whole})
-	r := within(t, b.came, "request")
+	r := testserver.Receive(t, b.Requests, "request")
 	if r.Method != "POST" || r.RequestURI != "/api?k=a%20b" || r.Header.Get("X-Request-ID") != "id-1" ||
 		r.Header.Get("Idempotency-Key") != "k-7" || r.Header.Get("Accept-Encoding") != "" || r.ContentLength != 4 {
 		t.Errorf("got %+v", r)
 	}
-	if body := within(t, bodies, "body"); body != "skip" {
+	if body := testserver.Receive(t, bodies, "body"); body != "skip" {
 		t.Errorf("body %q", body)
 	}
 	var ms int64
-	if _, err := fmt.Sscan(r.Header.Get("X-Timeout-Ms"), &ms); err != nil || ms < 1 || ms > patience.Milliseconds() {
+	if _, err := fmt.Sscan(r.Header.Get("X-Timeout-Ms"), &ms); err != nil || ms < 1 || ms > testserver.Timeout.Milliseconds() {
 		t.Errorf("X-Timeout-Ms %q: %v", r.Header.Get("X-Timeout-Ms"), err)
 	}
 }
@@ -214,35 +215,35 @@
 // TestChangedEndpoint has a server restart: its old connections must not get the next request.
 func TestChangedEndpoint(t *testing.T) {
 	conns := make(chan net.Conn, 10)
-	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		conns <- c
-		return say(200, "", "")(c, r, body)
+		return testserver.Respond(200, "", "")(c, r, body)
 	})
 	u := to(t, b)
 	ask := func() net.Conn {
 		if r := u.attempt(context.Background(), sending{server: "s-0", message: get(), begins: whole}); r.outcome != balance.Served {
 			t.Fatalf("outcome %d", r.outcome)
 		}
-		return within(t, conns, "connection")
+		return testserver.Receive(t, conns, "connection")
 	}
 	first := ask()
-	u.update(parsed(t, listText(2, false, entry("s-0", b.address, "DRAINING", 0))))
+	u.update(parsed(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "DRAINING", 0))))
 	if r := u.attempt(context.Background(), sending{server: "s-0", message: get(), begins: whole}); r.outcome != balance.NotSent {
 		t.Errorf("outcome %d at a server that drains", r.outcome)
 	}
-	u.update(parsed(t, listText(2, false, entry("s-0", b.address, "SERVING", 0))))
+	u.update(parsed(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "SERVING", 0))))
 	if ask() != first {
 		t.Error("a change of state cost the connection")
 	}
-	u.update(parsed(t, listText(3, false, entry("s-0", b.address, "SERVING", 1700000000000))))
+	u.update(parsed(t, testserver.ListText(3, false, testserver.EndpointEntry("s-0", b.Address, "SERVING", 1700000000000))))
 	if ask() == first {
 		t.Error("a request went to the former process's connection")
 	}
-	u.update(parsed(t, listText(4, false, entry("s-0", b.address, "DELETED", 0))))
+	u.update(parsed(t, testserver.ListText(4, false, testserver.EndpointEntry("s-0", b.Address, "DELETED", 0))))
 	if r := u.attempt(context.Background(), sending{server: "s-0", message: get(), begins: whole}); r.outcome != balance.NotSent {
 		t.Errorf("outcome %d at a removed server", r.outcome)
 	}
-	u.update(parsed(t, listText(5, false, entry("s-0", b.address, "SERVING", 0))))
+	u.update(parsed(t, testserver.ListText(5, false, testserver.EndpointEntry("s-0", b.Address, "SERVING", 0))))
 	ask()
 }
 
@@ -251,15 +252,15 @@
 	for _, timeout := range []bool{true, false} {
 		conns := make(chan net.Conn, 10)
 		verdict := make(chan string, 10)
-		b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+		b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 			conns <- c
 			switch <-verdict {
 			case "silent":
-				return silent(c, r, body)
+				return testserver.NeverRespond(c, r, body)
 			case "reset":
-				return hangUp(c, r, body)
+				return testserver.ResetConnection(c, r, body)
 			}
-			return say(200, "", "")(c, r, body)
+			return testserver.Respond(200, "", "")(c, r, body)
 		})
 		u := to(t, b)
 		ended := make(chan reply, 2)
@@ -268,14 +269,14 @@
 				ended <- u.attempt(context.Background(), sending{server: "s-0", message: get(), begins: whole})
 			}()
 		}
-		old := map[net.Conn]bool{within(t, conns, "connection"): true, within(t, conns, "connection"): true}
+		old := map[net.Conn]bool{testserver.Receive(t, conns, "connection"): true, testserver.Receive(t, conns, "connection"): true}
 		for range 2 {
 			verdict <- "ok"
-			within(t, ended, "end")
+			testserver.Receive(t, ended, "end")
 		}
 		ctx, want := newEndable(), balance.Reset
 		go func() { ended <- u.attempt(ctx, sending{server: "s-0", message: get(), begins: whole}) }()
-		if c := within(t, conns, "connection"); !old[c] {
+		if c := testserver.Receive(t, conns, "connection"); !old[c] {
 			t.Fatal("the request did not reuse a connection")
 		}
 		if timeout {
@@ -285,16 +286,16 @@
 		} else {
 			verdict <- "reset"
 		}
-		if r := within(t, ended, "end"); r.outcome != want {
+		if r := testserver.Receive(t, ended, "end"); r.outcome != want {
 			t.Errorf("outcome %d, want %d", r.outcome, want)
 		}
 		go func() {
 			ended <- u.attempt(context.Background(), sending{server: "s-0", message: get(), begins: whole})
 		}()
-		if c := within(t, conns, "connection"); old[c] {
+		if c := testserver.Receive(t, conns, "connection"); old[c] {
 			t.Error("a request went to an idle connection of a server that failed")
 		}
 		verdict <- "ok"
-		within(t, ended, "end")
+		testserver.Receive(t, ended, "end")
 	}
 }
