--- a/cmd/milletramp/main.go
+++ b/cmd/milletramp/main.go
@@ -49,7 +49,7 @@
 func (sidecarCommand) Run(ctx context.Context) error {
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	config, err := sidecar.LoadConfig(os.Getenv)
+	config, err := sidecar.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
--- a/cmd/milletramp/policy.go
+++ b/cmd/milletramp/policy.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	config, err := sidecar.LoadConfig(func(key string) string {
+	config, err := sidecar.Load(func(key string) string {
 		if key == "PROXY_CONFIG" {
 			return c.Config
 		}
--- a/internal/sidecar/answer.go
+++ b/internal/sidecar/answer.go
@@ -17,59 +17,59 @@
 )
 
 const (
-	mostAnswer  = 64 << 20 // bytes that an answer may say it has; 32 MB are agreed on
-	mostInterim = 8        // 1xx answers ahead of one
-	// holdUntold is how long an answer whose length is not told is held from its first byte on. Passed on sooner, one
+	maxResponseBody     = 64 << 20 // bytes that an answer may say it has; 32 MB are agreed on
+	maxInterimResponses = 8        // 1xx answers ahead of one
+	// unknownLengthHold is how long an answer whose length is not told is held from its first byte on. Passed on sooner, one
 	// that stops is not made good by a repeat; later, a long one is late.
-	holdUntold = 150 * time.Millisecond
+	unknownLengthHold = 150 * time.Millisecond
 )
 
-// errSpoilt says that a server's answer cannot be read. Its request has run.
-var errSpoilt = errors.New("spoilt answer")
+// errMalformedResponse says that a server's answer cannot be read. Its request has run.
+var errMalformedResponse = errors.New("spoilt answer")
 
-func spoilt(format string, args ...any) error {
-	return fmt.Errorf("%w: %s", errSpoilt, fmt.Sprintf(format, args...))
+func malformed(format string, args ...any) error {
+	return fmt.Errorf("%w: %s", errMalformedResponse, fmt.Sprintf(format, args...))
 }
 
-// answer reads the answer to the request just written. clean says that nothing was left behind it, so that the
+// readResponse reads the answer to the request just written. clean says that nothing was left behind it, so that the
 // connection can have another request. It reads strictly: http.ReadResponse lets a length pass that is given twice or
 // beside chunks, and does not tell a body that has no length from one that was cut off.
-func (c *serverConn) answer() (r reply, clean bool, err error) {
-	c.limit.N = mostHeader // or a head that never ends would be read on
-	status, header, err := c.head()
+func (c *serverConn) readResponse() (r Response, clean bool, err error) {
+	c.limitedReader.N = maxHeaderBytes // or a head that never ends would be read on
+	status, header, err := c.readHead()
 	for n := 0; err == nil && status/100 == 1; n++ {
-		if status == http.StatusSwitchingProtocols || n == mostInterim {
-			return reply{}, false, spoilt("status %d, the %dth ahead of an answer", status, n+1)
+		if status == http.StatusSwitchingProtocols || n == maxInterimResponses {
+			return Response{}, false, malformed("status %d, the %dth ahead of an answer", status, n+1)
 		}
-		status, header, err = c.head()
+		status, header, err = c.readHead()
 	}
 	if err != nil {
-		return reply{}, false, err
+		return Response{}, false, err
 	}
-	r.outcome = outcomeOf(status, header.Get("X-Not-Processed") == "1")
-	if r.outcome != balance.Served && endsWithConnection(header) {
+	r.Outcome = outcomeOf(status, header.Get("X-Not-Processed") == "1")
+	if r.Outcome != balance.Served && isCloseDelimited(header) {
 		return r, false, nil // its body is not needed and may never end
 	}
-	body, rest, err := c.body(header)
+	body, rest, err := c.readFramedBody(header)
 	switch {
 	case err == nil:
-	case r.outcome == balance.Served:
-		return reply{}, false, err
+	case r.Outcome == balance.Served:
+		return Response{}, false, err
 	default: // other answers have said all in their head
 		return r, false, nil
 	}
-	if r.outcome != balance.Served {
+	if r.Outcome != balance.Served {
 		if rest != nil {
 			return r, false, nil
 		}
 	} else {
-		r.body, r.rest, r.ctype = body, rest, header.Get("Content-Type")
+		r.Body, r.Remainder, r.ContentType = body, rest, header.Get("Content-Type")
 	}
 	if rest != nil {
-		rest.closes = strings.EqualFold(header.Get("Connection"), "close")
+		rest.connectionCloses = strings.EqualFold(header.Get("Connection"), "close")
 		return r, false, nil
 	}
-	return r, c.quiet() && !strings.EqualFold(header.Get("Connection"), "close"), nil
+	return r, c.isReusable() && !strings.EqualFold(header.Get("Connection"), "close"), nil
 }
 
 func outcomeOf(status int, notProcessed bool) balance.Outcome {
@@ -82,95 +82,95 @@
 	return balance.Errored
 }
 
-// head reads one head.
-func (c *serverConn) head() (status int, header http.Header, err error) {
-	line, err := c.text.ReadLine()
+// readHead reads one head.
+func (c *serverConn) readHead() (status int, header http.Header, err error) {
+	line, err := c.textReader.ReadLine()
 	if err != nil {
-		return 0, nil, c.fault(err)
+		return 0, nil, c.classifyReadError(err)
 	}
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
 	status, err = strconv.Atoi(code)
 	if err != nil || len(code) != 3 || status < 100 || version != "HTTP/1.1" && version != "HTTP/1.0" {
-		return 0, nil, spoilt("status line %.40q", line)
+		return 0, nil, malformed("status line %.40q", line)
 	}
-	fields, err := c.text.ReadMIMEHeader()
+	fields, err := c.textReader.ReadMIMEHeader()
 	if err != nil {
-		return 0, nil, c.fault(err)
+		return 0, nil, c.classifyReadError(err)
 	}
 	return status, http.Header(fields), nil
 }
 
-// body reads the body behind a head: all of it, or where it is long or pauses with its length untold, what has come and
+// readFramedBody reads the body behind a head: all of it, or where it is long or pauses with its length untold, what has come and
 // the rest as a stream.
-func (c *serverConn) body(header http.Header) (whole []byte, rest *stream, err error) {
-	b := &serverBody{c: c, length: -1}
+func (c *serverConn) readFramedBody(header http.Header) (whole []byte, rest *Stream, err error) {
+	b := &serverBody{conn: c, length: -1}
 	lengths, codings := header["Content-Length"], header["Transfer-Encoding"]
-	c.limit.N = math.MaxInt64 // pieces of bodies are bounded, not bodies
+	c.limitedReader.N = math.MaxInt64 // pieces of bodies are bounded, not bodies
 	switch {
 	case len(codings) == 0 && len(lengths) == 1:
 		n, err := strconv.ParseUint(lengths[0], 10, 63)
-		if err != nil || n > mostAnswer {
-			return nil, nil, spoilt("length %.40q", lengths[0])
+		if err != nil || n > maxResponseBody {
+			return nil, nil, malformed("length %.40q", lengths[0])
 		}
-		b.length, b.left = int64(n), int64(n)
+		b.length, b.remaining = int64(n), int64(n)
 	case len(lengths) == 0 && len(codings) == 1 && strings.EqualFold(codings[0], "chunked"):
-		b.chunks = &chunks{}
-	case endsWithConnection(header):
+		b.decoder = &ChunkedDecoder{}
+	case isCloseDelimited(header):
 		// Whole once the server has closed the connection in order, whether or not it announced that. A reset or a
 		// silence is no end.
 	default:
-		return nil, nil, spoilt("lengths %q, codings %q", lengths, codings)
+		return nil, nil, malformed("lengths %q, codings %q", lengths, codings)
 	}
-	return c.gather(b)
+	return c.readBody(b)
 }
 
-// endsWithConnection reports whether a response declares no length, so that the close of its connection ends its body
+// isCloseDelimited reports whether a response declares no length, so that the close of its connection ends its body
 // (RFC 9112, section 6.3).
-func endsWithConnection(header http.Header) bool {
+func isCloseDelimited(header http.Header) bool {
 	return len(header["Content-Length"]) == 0 && len(header["Transfer-Encoding"]) == 0
 }
 
-// gather reads a body until it is whole or is to be passed on.
-func (c *serverConn) gather(b *serverBody) (whole []byte, rest *stream, err error) {
-	long, usual, first := b.length > mostBody, c.pause, time.Time{}
+// readBody reads a body until it is whole or is to be passed on.
+func (c *serverConn) readBody(b *serverBody) (whole []byte, rest *Stream, err error) {
+	long, usual, first := b.length > MaxBufferedBody, c.allowedPause, time.Time{}
 	if b.length >= 0 && !long {
 		whole = make([]byte, 0, b.length)
 	}
-	for !b.over() {
-		if long && len(whole) > 0 || len(whole) >= mostBody {
-			return whole, &stream{body: b, passed: make(chan bool, 1)}, nil
+	for !b.isComplete() {
+		if long && len(whole) > 0 || len(whole) >= MaxBufferedBody {
+			return whole, &Stream{body: b, reusable: make(chan bool, 1)}, nil
 		}
 		untold := b.length < 0 && len(whole) > 0
-		if c.pause = usual; untold {
-			c.pause = min(usual, max(time.Until(first.Add(holdUntold)), time.Nanosecond))
+		if c.allowedPause = usual; untold {
+			c.allowedPause = min(usual, max(time.Until(first.Add(unknownLengthHold)), time.Nanosecond))
 		}
 		if len(whole) == cap(whole) {
 			whole = slices.Grow(whole, 4<<10)
 		}
-		n, err := b.Read(whole[len(whole):min(cap(whole), mostBody)])
+		n, err := b.Read(whole[len(whole):min(cap(whole), MaxBufferedBody)])
 		if whole = whole[:len(whole)+n]; !untold {
 			first = time.Now()
 		}
 		switch {
 		case err == nil || err == io.EOF:
 		case untold && errors.Is(err, os.ErrDeadlineExceeded):
-			return whole, &stream{body: b, passed: make(chan bool, 1)}, nil
+			return whole, &Stream{body: b, reusable: make(chan bool, 1)}, nil
 		default:
-			return nil, nil, c.fault(err)
+			return nil, nil, c.classifyReadError(err)
 		}
 	}
 	return whole, nil, nil
 }
 
-// fault tells an answer that is spoilt from a connection that broke.
-func (c *serverConn) fault(err error) error {
+// classifyReadError tells an answer that is spoilt from a connection that broke.
+func (c *serverConn) classifyReadError(err error) error {
 	var broken net.Error
 	switch {
 	case errors.As(err, &broken):
 		return err
-	case (errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)) && c.limit.N > 0:
+	case (errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)) && c.limitedReader.N > 0:
 		return err
 	}
-	return spoilt("%v", err)
+	return malformed("%v", err)
 }
--- a/internal/sidecar/answer_test.go
+++ b/internal/sidecar/answer_test.go
@@ -32,8 +32,8 @@
 		{"no status", "HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\nslot"},
 		{"negative status", "HTTP/1.1 -20 OK\r\nContent-Length: 4\r\n\r\nslot"},
 		{"no colon", "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4\r\n\r\nslot"},
-		{"no end of the head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: ppppppppppppp\r\n", 2*mostHeader/20)},
-		{"line without end", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*mostHeader)},
+		{"no end of the head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: ppppppppppppp\r\n", 2*maxHeaderBytes/20)},
+		{"line without end", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHeaderBytes)},
 		{"head that stops", "HTTP/1.1 200 OK\r\nContent-Le"},
 		{"101", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"},
 		{"1xx for ever", strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 50) + "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nslot"},
@@ -57,13 +57,13 @@
 				return false
 			})
 			u := to(t, b)
-			u.within.Store(int64(100 * time.Millisecond))
-			if r := u.attempt(context.Background(), sending{server: "s-0", message: get(), begins: whole}); r.outcome != balance.Errored || r.body != nil {
-				t.Errorf("outcome %d, body %q, want an error", r.outcome, r.body)
+			u.responseTimeoutNanos.Store(int64(100 * time.Millisecond))
+			if r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole}); r.Outcome != balance.Errored || r.Body != nil {
+				t.Errorf("outcome %d, body %q, want an error", r.Outcome, r.Body)
 			}
 			testserver.Receive(t, closed, "end of the connection")
-			if u.pool.open != 0 {
-				t.Errorf("%d connections are left", u.pool.open)
+			if u.pool.openConns != 0 {
+				t.Errorf("%d connections are left", u.pool.openConns)
 			}
 		})
 	}
@@ -81,10 +81,10 @@
 					return reset && testserver.ResetConnection(c, r, nil)
 				})
 				u := to(t, b)
-				r := u.attempt(context.Background(), sending{server: "s-0", message: get(), begins: whole})
-				if r.outcome != want || !reset && string(r.body) != body || u.pool.open != 0 {
+				r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole})
+				if r.Outcome != want || !reset && string(r.Body) != body || u.pool.openConns != 0 {
 					t.Errorf("%q, body %q, reset %v: outcome %d, body %q, %d connections left, want outcome %d",
-						start, body, reset, r.outcome, r.body, u.pool.open, want)
+						start, body, reset, r.Outcome, r.Body, u.pool.openConns, want)
 				}
 			}
 		}
@@ -100,13 +100,13 @@
 		"HTTP/1.1 204 X\r\n\r\n":                                            balance.Errored,
 	} {
 		u := to(t, testserver.StartBackend(t, writeRaw(head)))
-		u.within.Store(int64(time.Hour))
-		ended := make(chan reply, 1)
+		u.responseTimeoutNanos.Store(int64(time.Hour))
+		ended := make(chan Response, 1)
 		go func() {
-			ended <- u.attempt(context.Background(), sending{server: "s-0", message: post(""), begins: whole})
+			ended <- u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: post(""), StartStreaming: whole})
 		}()
-		if r := testserver.Receive(t, ended, "outcome"); r.outcome != want {
-			t.Errorf("%q: outcome %d, want %d", head, r.outcome, want)
+		if r := testserver.Receive(t, ended, "outcome"); r.Outcome != want {
+			t.Errorf("%q: outcome %d, want %d", head, r.Outcome, want)
 		}
 	}
 }
@@ -140,10 +140,10 @@
 			var last net.Conn
 			for i := range 3 {
 				m := get()
-				m.id = fmt.Sprint("id-", i)
-				r := u.attempt(context.Background(), sending{server: "s-0", message: m, begins: whole})
-				if r.outcome != balance.Served || string(r.body) != m.id {
-					t.Fatalf("outcome %d, body %q for %q", r.outcome, r.body, m.id)
+				m.ID = fmt.Sprint("id-", i)
+				r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: m, StartStreaming: whole})
+				if r.Outcome != balance.Served || string(r.Body) != m.ID {
+					t.Fatalf("outcome %d, body %q for %q", r.Outcome, r.Body, m.ID)
 				}
 				c := testserver.Receive(t, conns, "connection")
 				if (c == last) != (tt.reused && i > 0) {
@@ -168,8 +168,8 @@
 	})
 	u := to(t, b)
 	for range 2 {
-		if r := u.attempt(context.Background(), sending{server: "s-0", message: get(), begins: whole}); r.outcome != balance.Served || string(r.body) != "slot" {
-			t.Fatalf("outcome %d, body %q", r.outcome, r.body)
+		if r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole}); r.Outcome != balance.Served || string(r.Body) != "slot" {
+			t.Fatalf("outcome %d, body %q", r.Outcome, r.Body)
 		}
 	}
 	if testserver.Receive(t, conns, "connection") != testserver.Receive(t, conns, "connection") {
@@ -187,9 +187,9 @@
 		return testserver.Respond(200, "", "ok")(c, r, body)
 	})
 	u := to(t, b)
-	ended := make(chan reply, 1)
+	ended := make(chan Response, 1)
 	ask := func(id string) {
-		ended <- u.attempt(context.Background(), sending{server: id, message: get(), begins: whole})
+		ended <- u.Attempt(context.Background(), AttemptRequest{ServerID: id, Message: get(), StartStreaming: whole})
 	}
 	gate <- true
 	ask("s-0")
@@ -199,13 +199,13 @@
 	if testserver.Receive(t, conns, "connection") != idle {
 		t.Fatal("the idle connection was not used")
 	}
-	u.update(parsed(t, testserver.ListText(2, true, testserver.EndpointEntry("s-new", b.Address, "SERVING", 0))))
+	u.Update(parsed(t, testserver.ListText(2, true, testserver.EndpointEntry("s-new", b.Address, "SERVING", 0))))
 	gate <- true
-	if r := testserver.Receive(t, ended, "end"); r.outcome != balance.Served {
-		t.Errorf("outcome %d of what was out when its server was removed", r.outcome)
+	if r := testserver.Receive(t, ended, "end"); r.Outcome != balance.Served {
+		t.Errorf("outcome %d of what was out when its server was removed", r.Outcome)
 	}
-	if u.pool.open != 0 {
-		t.Errorf("%d connections to a removed server are left", u.pool.open)
+	if u.pool.openConns != 0 {
+		t.Errorf("%d connections to a removed server are left", u.pool.openConns)
 	}
 	gate <- true
 	ask("s-new")
@@ -224,22 +224,22 @@
 		return testserver.Respond(200, "", "")(c, r, body)
 	})
 	u := to(t, quick, slow)
-	u.pool.most = 1
-	if r := u.attempt(context.Background(), sending{server: "s-0", message: get(), begins: whole}); r.outcome != balance.Served {
-		t.Fatalf("outcome %d", r.outcome)
+	u.pool.maxConns = 1
+	if r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole}); r.Outcome != balance.Served {
+		t.Fatalf("outcome %d", r.Outcome)
 	}
-	ended := make(chan reply, 1)
+	ended := make(chan Response, 1)
 	go func() {
-		ended <- u.attempt(context.Background(), sending{server: "s-1", message: get(), begins: whole})
+		ended <- u.Attempt(context.Background(), AttemptRequest{ServerID: "s-1", Message: get(), StartStreaming: whole})
 	}()
 	testserver.Receive(t, slow.Requests, "request in the idle connection's place")
-	if r := u.attempt(context.Background(), sending{server: "s-0", message: get(), begins: whole}); r.outcome != balance.NotSent {
-		t.Errorf("outcome %d with no descriptor left", r.outcome)
+	if r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole}); r.Outcome != balance.NotSent {
+		t.Errorf("outcome %d with no descriptor left", r.Outcome)
 	}
 	close(gate)
 	testserver.Receive(t, ended, "end")
-	if u.pool.open != 1 || u.pool.idle.Len() != 1 {
-		t.Errorf("%d open, %d idle", u.pool.open, u.pool.idle.Len())
+	if u.pool.openConns != 1 || u.pool.idleConns.Len() != 1 {
+		t.Errorf("%d open, %d idle", u.pool.openConns, u.pool.idleConns.Len())
 	}
 }
 
@@ -253,8 +253,8 @@
 		return false
 	})
 	u := to(t, b)
-	u.pool.rest.Store(int64(20 * time.Millisecond))
-	u.attempt(context.Background(), sending{server: "s-0", message: get(), begins: whole})
+	u.pool.idleTimeoutNanos.Store(int64(20 * time.Millisecond))
+	u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole})
 	testserver.Receive(t, closed, "end of the idle connection")
 }
 
@@ -293,9 +293,9 @@
 			return true
 		}, false, false},
 		{"a long one pauses", func(c net.Conn, _ *http.Request, _ []byte) bool {
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", mostBody+1)
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", MaxBufferedBody+1)
 			<-rest
-			fmt.Fprint(c, strings.Repeat("x", mostBody))
+			fmt.Fprint(c, strings.Repeat("x", MaxBufferedBody))
 			return true
 		}, false, true},
 	} {
@@ -311,10 +311,10 @@
 			began := time.Now()
 			body, err := io.ReadAll(resp.Body)
 			resp.Body.Close()
-			if took := time.Since(began); tt.cut && took > stall-time.Second {
+			if took := time.Since(began); tt.cut && took > maxStreamPause-time.Second {
 				t.Errorf("cut after %v", took)
 			}
-			if tt.cut != errors.Is(err, io.ErrUnexpectedEOF) || tt.long && len(body) != mostBody+1 {
+			if tt.cut != errors.Is(err, io.ErrUnexpectedEOF) || tt.long && len(body) != MaxBufferedBody+1 {
 				t.Errorf("%d bytes, error %v, want a cut: %v", len(body), err, tt.cut)
 			}
 		})
--- a/internal/sidecar/attempts_test.go
+++ b/internal/sidecar/attempts_test.go
@@ -47,48 +47,48 @@
 func TestLateConnections(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
-		event func(*upstream, *testserver.Backend, *atomic.Bool)
+		event func(*Upstream, *testserver.Backend, *atomic.Bool)
 		open  int // connections that are left
 	}{
-		{"the server drains", func(u *upstream, b *testserver.Backend, _ *atomic.Bool) {
-			u.update(parsed(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "DRAINING", 0))))
+		{"the server drains", func(u *Upstream, b *testserver.Backend, _ *atomic.Bool) {
+			u.Update(parsed(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "DRAINING", 0))))
 		}, 1},
-		{"a whole list leaves it out", func(u *upstream, _ *testserver.Backend, _ *atomic.Bool) {
-			u.update(parsed(t, testserver.ListText(2, true)))
+		{"a whole list leaves it out", func(u *Upstream, _ *testserver.Backend, _ *atomic.Bool) {
+			u.Update(parsed(t, testserver.ListText(2, true)))
 		}, 0},
-		{"it is removed", func(u *upstream, b *testserver.Backend, _ *atomic.Bool) {
-			u.update(parsed(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "DELETED", 0))))
+		{"it is removed", func(u *Upstream, b *testserver.Backend, _ *atomic.Bool) {
+			u.Update(parsed(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "DELETED", 0))))
 		}, 0},
-		{"it starts again", func(u *upstream, b *testserver.Backend, _ *atomic.Bool) {
-			u.update(parsed(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "SERVING", 1700000000000))))
+		{"it starts again", func(u *Upstream, b *testserver.Backend, _ *atomic.Bool) {
+			u.Update(parsed(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "SERVING", 1700000000000))))
 		}, 0},
-		{"it moves", func(u *upstream, _ *testserver.Backend, _ *atomic.Bool) {
-			u.update(parsed(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", "127.0.0.1:9", "SERVING", 0))))
+		{"it moves", func(u *Upstream, _ *testserver.Backend, _ *atomic.Bool) {
+			u.Update(parsed(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", "127.0.0.1:9", "SERVING", 0))))
 		}, 0},
-		{"it is taken out by hand", func(u *upstream, _ *testserver.Backend, _ *atomic.Bool) { u.bar("s-0", true) }, 0},
-		{"it is taken out and put back", func(u *upstream, _ *testserver.Backend, _ *atomic.Bool) {
-			u.bar("s-0", true)
-			u.bar("s-0", false)
+		{"it is taken out by hand", func(u *Upstream, _ *testserver.Backend, _ *atomic.Bool) { u.SetAdminDown("s-0", true) }, 0},
+		{"it is taken out and put back", func(u *Upstream, _ *testserver.Backend, _ *atomic.Bool) {
+			u.SetAdminDown("s-0", true)
+			u.SetAdminDown("s-0", false)
 		}, 0},
-		{"nobody waits any more", func(_ *upstream, _ *testserver.Backend, withdrawn *atomic.Bool) { withdrawn.Store(true) }, 1},
+		{"nobody waits any more", func(_ *Upstream, _ *testserver.Backend, withdrawn *atomic.Bool) { withdrawn.Store(true) }, 1},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 			u, late := to(t, b), newLateDial()
 			u.pool.dial = late.dial
 			var withdrawn atomic.Bool
-			ended := make(chan reply, 1)
+			ended := make(chan Response, 1)
 			go func() {
-				ended <- u.attempt(context.Background(), sending{server: "s-0", message: post("k"), withdrawn: withdrawn.Load, begins: whole})
+				ended <- u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: post("k"), IsCancelled: withdrawn.Load, StartStreaming: whole})
 			}()
 			testserver.Receive(t, late.up, "connection")
 			tt.event(u, b, &withdrawn)
 			late.give <- struct{}{}
-			if r := testserver.Receive(t, ended, "end"); r.outcome != balance.NotSent || b.RequestCount() != 0 {
-				t.Errorf("outcome %d, %d requests sent", r.outcome, b.RequestCount())
+			if r := testserver.Receive(t, ended, "end"); r.Outcome != balance.NotSent || b.RequestCount() != 0 {
+				t.Errorf("outcome %d, %d requests sent", r.Outcome, b.RequestCount())
 			}
-			if u.pool.open != tt.open {
-				t.Errorf("%d connections are left, want %d", u.pool.open, tt.open)
+			if u.pool.openConns != tt.open {
+				t.Errorf("%d connections are left, want %d", u.pool.openConns, tt.open)
 			}
 		})
 	}
@@ -99,17 +99,17 @@
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	u, late := to(t, b), newLateDial()
 	u.pool.dial = late.dial
-	s := sending{server: "s-0", message: post("k"), by: time.Now().Add(50 * time.Millisecond), begins: whole}
-	if r := u.attempt(context.Background(), s); r.outcome != balance.NotSent {
-		t.Errorf("outcome %d where no connection came up in time", r.outcome)
+	s := AttemptRequest{ServerID: "s-0", Message: post("k"), SendDeadline: time.Now().Add(50 * time.Millisecond), StartStreaming: whole}
+	if r := u.Attempt(context.Background(), s); r.Outcome != balance.NotSent {
+		t.Errorf("outcome %d where no connection came up in time", r.Outcome)
 	}
 	u.pool.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		<-ctx.Done() // and then it is there after all
 		return net.Dial(network, address)
 	}
-	s.by = time.Now().Add(50 * time.Millisecond)
-	if r := u.attempt(context.Background(), s); r.outcome != balance.NotSent || b.RequestCount() != 0 {
-		t.Errorf("outcome %d, %d requests sent behind their time", r.outcome, b.RequestCount())
+	s.SendDeadline = time.Now().Add(50 * time.Millisecond)
+	if r := u.Attempt(context.Background(), s); r.Outcome != balance.NotSent || b.RequestCount() != 0 {
+		t.Errorf("outcome %d, %d requests sent behind their time", r.Outcome, b.RequestCount())
 	}
 }
 
@@ -118,21 +118,21 @@
 func TestRepeatThatIsTakenTooLate(t *testing.T) {
 	l := testserver.Listen(t) // takes no more than the system holds
 	u, m := to(t, &testserver.Backend{Address: l.Addr().String()}), post("k")
-	m.body = [][]byte{make([]byte, mostRequest), make([]byte, mostRequest)}
-	s := sending{server: "s-0", message: m, by: time.Now().Add(50 * time.Millisecond), begins: whole}
+	m.Body = [][]byte{make([]byte, maxRequestBody), make([]byte, maxRequestBody)}
+	s := AttemptRequest{ServerID: "s-0", Message: m, SendDeadline: time.Now().Add(50 * time.Millisecond), StartStreaming: whole}
 	ctx, cancel := context.WithTimeout(context.Background(), testserver.Timeout)
 	defer cancel()
-	if r := u.attempt(ctx, s); r.outcome != balance.NotSent || ctx.Err() != nil {
-		t.Errorf("outcome %d, error %v", r.outcome, ctx.Err())
+	if r := u.Attempt(ctx, s); r.Outcome != balance.NotSent || ctx.Err() != nil {
+		t.Errorf("outcome %d, error %v", r.Outcome, ctx.Err())
 	}
-	u.update(List{All: true}) // ends a connection that is kept, as nothing was written on it in time
+	u.Update(List{Complete: true}) // ends a connection that is kept, as nothing was written on it in time
 	c, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if n, _ := io.Copy(io.Discard, c); n >= int64(m.length()) {
-		t.Errorf("the server gets %d bytes, with all %d of the body", n, m.length())
+	if n, _ := io.Copy(io.Discard, c); n >= int64(m.bodyLength()) {
+		t.Errorf("the server gets %d bytes, with all %d of the body", n, m.bodyLength())
 	}
 }
 
@@ -147,17 +147,17 @@
 		return false
 	})
 	u := to(t, b)
-	u.pool.settles = time.Hour
+	u.pool.reuseDelay = time.Hour
 	for i := range 3 {
 		m := get()
-		m.id = fmt.Sprint("id-", i)
-		r := u.attempt(context.Background(), sending{server: "s-0", message: m, begins: whole})
-		if r.outcome != balance.Served || string(r.body) != m.id {
-			t.Errorf("outcome %d, body %q to %s", r.outcome, r.body, m.id)
+		m.ID = fmt.Sprint("id-", i)
+		r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: m, StartStreaming: whole})
+		if r.Outcome != balance.Served || string(r.Body) != m.ID {
+			t.Errorf("outcome %d, body %q to %s", r.Outcome, r.Body, m.ID)
 		}
 	}
-	if u.pool.open != 3 {
-		t.Errorf("%d connections, want one for each request", u.pool.open)
+	if u.pool.openConns != 3 {
+		t.Errorf("%d connections, want one for each request", u.pool.openConns)
 	}
 }
 
--- a/internal/sidecar/beyond_test.go
+++ b/internal/sidecar/beyond_test.go
@@ -126,7 +126,7 @@
 			a.down = false
 			a.mu.Unlock()
 			back := time.Now()
-			if took := (<-told).Sub(back); took > firstListWithin+balance.MaxDiscoveryBackoff {
+			if took := (<-told).Sub(back); took > FirstListTimeout+balance.MaxDiscoveryBackoff {
 				t.Errorf("told %v after an outage of two minutes and %v", took, phase)
 			}
 		})
@@ -159,7 +159,7 @@
 			silent := time.Now()
 			select {
 			case at := <-told:
-				if took := at.Sub(silent); took > toldWithin {
+				if took := at.Sub(silent); took > maxStaleness {
 					t.Errorf("%s: told after %v", tt.name, took)
 				}
 			case <-time.After(time.Minute):
@@ -184,7 +184,7 @@
 func TestLateListOfAFormerAddress(t *testing.T) {
 	followed(t, func(t *testing.T, a *agent, h *host, told chan time.Time) {
 		<-told
-		var late *watch
+		var late *subscription
 		h.post(func() { a.after = 2 * time.Second })
 		time.Sleep(20 * time.Second)
 		a.hush(false, 0)
@@ -198,7 +198,7 @@
 			end := late.cancel
 			late.cancel = func() { ended = true; end() }
 			h.moveTo("127.0.0.1:8")
-			h.told(late, List{Rev: 99})
+			h.told(late, List{Revision: 99})
 			if !ended || h.rev == 99 || h.watches.slow != nil {
 				t.Errorf("ended %v, version %d, late call %v after the move", ended, h.rev, h.watches.slow)
 			}
--- a/internal/sidecar/budget.go
+++ b/internal/sidecar/budget.go
@@ -49,7 +49,7 @@
 		r.free = r.free[:last]
 		return piece[:0]
 	}
-	return make([]byte, 0, mostBody)
+	return make([]byte, 0, MaxBufferedBody)
 }
 
 // give gives back n pieces, and those of them that were used. Nobody may use them any more.
--- a/internal/sidecar/chunks.go
+++ b/internal/sidecar/chunks.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	mostChunkLine = 1 << 10 // bytes of a chunk's line, extensions included
-	mostTrailer   = 8 << 10 // bytes of all trailers
-	maxSizeDigits = 15      // of a chunk's size: one that overflows is another size
+	maxLineBytes    = 1 << 10 // bytes of a chunk's line, extensions included
+	maxTrailerBytes = 8 << 10 // bytes of all trailers
+	maxSizeDigits   = 15      // of a chunk's size: one that overflows is another size
 )
 
-// errChunk says that chunks are not framed as they must be.
-var errChunk = errors.New("bad chunk")
+// ErrMalformedChunk says that chunks are not framed as they must be.
+var ErrMalformedChunk = errors.New("bad chunk")
 
 // chunkState is what comes next.
 type chunkState int
 
 const (
-	chunkSize chunkState = iota // a digit of a size
-	chunkExt                    // what follows a size, to the end of its line
-	chunkLine                   // the line feed that ends a size's line
+	chunkSize      chunkState = iota // a digit of a size
+	chunkExtension                   // what follows a size, to the end of its line
+	chunkSizeLF                      // the line feed that ends a size's line
 	chunkData
-	chunkCR // behind data
-	chunkLF
+	chunkDataCR // behind data
+	chunkDataLF
 	trailerStart // of a line
 	trailerText
 	trailerLF // behind a trailer
@@ -31,27 +31,27 @@
 	chunksDone
 )
 
-// chunks decodes a chunked body from pieces of any size. The zero value is at a body's start.
-type chunks struct {
-	state  chunkState
-	digits int
-	left   uint64 // of the chunk's data
-	line   int    // bytes of the line, or of all trailers
+// ChunkedDecoder decodes a chunked body from pieces of any size. The zero value is at a body's start.
+type ChunkedDecoder struct {
+	state      chunkState
+	sizeDigits int
+	remaining  uint64 // of the chunk's data
+	lineBytes  int    // bytes of the line, or of all trailers
 }
 
-// next takes in what has come and returns data of the body, how many bytes were used, those of the data included, and
+// Next takes in what has come and returns data of the body, how many bytes were used, those of the data included, and
 // whether the body is over. It stops behind each run of data.
-func (c *chunks) next(in []byte) (data []byte, used int, done bool, err error) {
+func (c *ChunkedDecoder) Next(in []byte) (data []byte, used int, done bool, err error) {
 	for used < len(in) {
 		if c.state == chunkData {
-			n := int(min(c.left, uint64(len(in)-used)))
+			n := int(min(c.remaining, uint64(len(in)-used)))
 			data = in[used : used+n]
-			if c.left -= uint64(n); c.left == 0 {
-				c.state = chunkCR
+			if c.remaining -= uint64(n); c.remaining == 0 {
+				c.state = chunkDataCR
 			}
 			return data, used + n, false, nil
 		}
-		if err := c.step(in[used]); err != nil {
+		if err := c.consume(in[used]); err != nil {
 			return nil, used, false, err
 		}
 		if used++; c.state == chunksDone {
@@ -61,25 +61,25 @@
 	return nil, used, c.state == chunksDone, nil
 }
 
-// step takes in a byte that is not data.
-func (c *chunks) step(b byte) error {
-	c.line++
+// consume takes in a byte that is not data.
+func (c *ChunkedDecoder) consume(b byte) error {
+	c.lineBytes++
 	switch c.state {
 	case chunkSize:
-		return c.stepSize(b)
-	case chunkExt:
-		return c.stepText(b, chunkLine, mostChunkLine, "in an extension")
-	case chunkLine:
-		return c.stepSizeEnd(b)
-	case chunkCR:
-		return c.expect(b, '\r', chunkLF, "behind a chunk")
-	case chunkLF:
-		c.line = 0
+		return c.consumeSize(b)
+	case chunkExtension:
+		return c.consumeText(b, chunkSizeLF, maxLineBytes, "in an extension")
+	case chunkSizeLF:
+		return c.consumeSizeEnd(b)
+	case chunkDataCR:
+		return c.expect(b, '\r', chunkDataLF, "behind a chunk")
+	case chunkDataLF:
+		c.lineBytes = 0
 		return c.expect(b, '\n', chunkSize, "behind a chunk")
 	case trailerStart:
-		return c.stepTrailerStart(b)
+		return c.consumeTrailerStart(b)
 	case trailerText:
-		return c.stepText(b, trailerLF, mostTrailer, "in a trailer")
+		return c.consumeText(b, trailerLF, maxTrailerBytes, "in a trailer")
 	case trailerLF:
 		return c.expect(b, '\n', trailerStart, "behind a trailer")
 	case finalLF:
@@ -88,68 +88,70 @@
 	return nil
 }
 
-// badByte says what is wrong with a byte.
-func badByte(b byte, what string) error { return fmt.Errorf("%w: %q %s", errChunk, b, what) }
+// unexpectedByte says what is wrong with a byte.
+func unexpectedByte(b byte, what string) error {
+	return fmt.Errorf("%w: %q %s", ErrMalformedChunk, b, what)
+}
 
 // expect takes in a byte that has to be the wanted one, and goes on to the next state.
-func (c *chunks) expect(b, want byte, next chunkState, where string) error {
+func (c *ChunkedDecoder) expect(b, want byte, next chunkState, where string) error {
 	if b != want {
-		return badByte(b, where)
+		return unexpectedByte(b, where)
 	}
 	c.state = next
 	return nil
 }
 
-// stepSize takes in a byte of a chunk's size, or the one that ends it.
-func (c *chunks) stepSize(b byte) error {
+// consumeSize takes in a byte of a chunk's size, or the one that ends it.
+func (c *ChunkedDecoder) consumeSize(b byte) error {
 	digit, ok := hexDigit(b)
 	switch {
-	case ok && c.digits < maxSizeDigits:
-		c.left, c.digits = c.left<<4|uint64(digit), c.digits+1
+	case ok && c.sizeDigits < maxSizeDigits:
+		c.remaining, c.sizeDigits = c.remaining<<4|uint64(digit), c.sizeDigits+1
 	case ok:
-		return badByte(b, "makes a size too long")
-	case c.digits == 0:
-		return badByte(b, "is no size")
+		return unexpectedByte(b, "makes a size too long")
+	case c.sizeDigits == 0:
+		return unexpectedByte(b, "is no size")
 	case b == ';' || b == ' ' || b == '\t':
-		c.state = chunkExt
+		c.state = chunkExtension
 	case b == '\r':
-		c.state = chunkLine
+		c.state = chunkSizeLF
 	default:
-		return badByte(b, "in a size")
+		return unexpectedByte(b, "in a size")
 	}
 	return nil
 }
 
-// stepSizeEnd takes in the line feed behind a size. The chunk of size 0 is the last one.
-func (c *chunks) stepSizeEnd(b byte) error {
+// consumeSizeEnd takes in the line feed behind a size. The chunk of size 0 is the last one.
+func (c *ChunkedDecoder) consumeSizeEnd(b byte) error {
 	if err := c.expect(b, '\n', chunkData, "behind a size"); err != nil {
 		return err
 	}
-	if c.left == 0 {
+	if c.remaining == 0 {
 		c.state = trailerStart
 	}
-	c.digits, c.line = 0, 0
+	c.sizeDigits, c.lineBytes = 0, 0
 	return nil
 }
 
-// stepText takes in a byte of an extension or a trailer, up to the carriage return that ends it.
-func (c *chunks) stepText(b byte, next chunkState, most int, where string) error {
+// consumeText takes in a byte of an extension or a trailer, up to the carriage return that ends it.
+func (c *ChunkedDecoder) consumeText(b byte, next chunkState, most int, where string) error {
 	switch {
 	case b == '\r':
 		c.state = next
-	case b == '\n' || c.line > most:
-		return badByte(b, where)
+	case b == '\n' || c.lineBytes > most:
+		return unexpectedByte(b, where)
 	}
 	return nil
 }
 
-// stepTrailerStart takes in the first byte of a trailer's line, or of the empty line that ends them.
-func (c *chunks) stepTrailerStart(b byte) error {
+// consumeTrailerStart takes in the first byte of a trailer's line, or of the empty line that ends them.
+func (c *ChunkedDecoder) consumeTrailerStart(b byte) error {
 	switch b {
 	case '\r':
 		c.state = finalLF
 	case ' ', '\t', '\n':
-		return badByte(b, "starts a trailer")
+		return unexpectedByte(b, "starts a trailer")
 	default:
 		c.state = trailerText
 	}
--- a/internal/sidecar/churn_test.go
+++ b/internal/sidecar/churn_test.go
@@ -39,12 +39,12 @@
 		t.Fatal(err)
 	}
 	go h.run(ctx)
-	s := newServer(c, h, testserver.Listen(t))
+	s := NewHandler(c, h, testserver.Listen(t))
 	web := s.httpServer(log)
 	go func() { _ = web.Serve(s.conns) }()
 	p := &program{t: t, address: s.conns.Addr().String(), client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 
-	w := &watch{func() {}}
+	w := &subscription{func() {}}
 	tell := func(l List) {
 		done := make(chan bool)
 		h.post(func() { h.watches.current = w; h.told(w, l); close(done) })
@@ -63,7 +63,7 @@
 			}
 		}
 	}
-	tell(List{Rev: rounds + 2, All: true})
+	tell(List{Revision: rounds + 2, Complete: true})
 	if err := web.Close(); err != nil {
 		t.Error(err)
 	}
@@ -73,7 +73,7 @@
 			s.conns.mu.Lock()
 			h.upstream.pool.mu.Lock()
 			left <- fmt.Sprintf("calls %d, targets %d, connections to servers %d open %d idle, from clients %d open %d idle, ids %d",
-				len(h.calls), len(h.upstream.targets), h.upstream.pool.open, h.upstream.pool.idle.Len(), s.conns.open,
+				len(h.calls), len(h.upstream.servers), h.upstream.pool.openConns, h.upstream.pool.idleConns.Len(), s.conns.open,
 				s.conns.idle.Len(), len(s.ids.held))
 			h.upstream.pool.mu.Unlock()
 			s.conns.mu.Unlock()
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -41,7 +41,7 @@
 	defaultCores          = 1
 	defaultMemoryMB       = 192
 	defaultSockets        = 1024
-	leastSockets          = 64
+	minSockets            = 64
 	defaultConnectTimeout = 250 * time.Millisecond
 	defaultIdleClose      = 15 * time.Second
 )
@@ -62,19 +62,19 @@
 	Settings json.RawMessage
 }
 
-// LoadConfig reads the configuration from the file that PROXY_CONFIG names. PROXY_NAME, PROXY_LISTEN,
+// Load reads the configuration from the file that PROXY_CONFIG names. PROXY_NAME, PROXY_LISTEN,
 // PROXY_DISCOVERY and PROXY_CONSOLE go before what the file says.
-func LoadConfig(getenv func(string) string) (*Config, error) {
+func Load(getenv func(string) string) (*Config, error) {
 	return readConfig(getenv, func(file string) string { return cmp.Or(getenv("PROXY_DISCOVERY"), file) })
 }
 
-// reload reads the configuration again. The file is newer than the environment now: its discovery goes first.
-func (c *Config) reload() (*Config, error) {
+// Reload reads the configuration again. The file is newer than the environment now: its discovery goes first.
+func (c *Config) Reload() (*Config, error) {
 	fresh, err := readConfig(c.Getenv, func(file string) string { return cmp.Or(file, c.Getenv("PROXY_DISCOVERY")) })
 	if err != nil {
 		return nil, err
 	}
-	if missing := lacks("", c.tree, fresh.tree); missing != "" {
+	if missing := missingKey("", c.tree, fresh.tree); missing != "" {
 		return nil, fmt.Errorf("%s: %s: missing", c.Getenv("PROXY_CONFIG"), missing)
 	}
 	return fresh, nil
@@ -86,7 +86,7 @@
 	if path == "" {
 		return nil, errors.New("PROXY_CONFIG is not set")
 	}
-	text, err := readFile(path, os.ReadFile)
+	text, err := readWithRetry(path, os.ReadFile)
 	if err != nil {
 		return nil, fmt.Errorf("PROXY_CONFIG: %w", err)
 	}
@@ -105,13 +105,13 @@
 	return c, nil
 }
 
-// readWithin bounds how long reading the configuration is tried where this machine is short of something. A new one has
+// readTimeout bounds how long reading the configuration is tried where this machine is short of something. A new one has
 // to be in use 4 s after the signal.
-const readWithin = 3 * time.Second
+const readTimeout = 3 * time.Second
 
-// readFile reads a file by read. The signal to reload comes once, so that a shortage of descriptors must not undo it.
-func readFile(path string, read func(string) ([]byte, error)) ([]byte, error) {
-	within, cancel := context.WithTimeout(context.Background(), readWithin)
+// readWithRetry reads a file by read. The signal to reload comes once, so that a shortage of descriptors must not undo it.
+func readWithRetry(path string, read func(string) ([]byte, error)) ([]byte, error) {
+	within, cancel := context.WithTimeout(context.Background(), readTimeout)
 	defer cancel()
 	return netretry.Open(within, func() ([]byte, error) { return read(path) })
 }
@@ -168,8 +168,8 @@
 		}
 	}
 	if v := file.Limits.Sockets; v != nil {
-		if c.Sockets = *v; c.Sockets < leastSockets {
-			return nil, fmt.Errorf("limits.sockets: %d is under %d", c.Sockets, leastSockets)
+		if c.Sockets = *v; c.Sockets < minSockets {
+			return nil, fmt.Errorf("limits.sockets: %d is under %d", c.Sockets, minSockets)
 		}
 	}
 	if len(file.Settings) == 0 {
@@ -181,7 +181,7 @@
 	c.Limits.ConnectTimeout = cmp.Or(c.Limits.ConnectTimeout, defaultConnectTimeout)
 	c.Limits.IdleClose = cmp.Or(c.Limits.IdleClose, defaultIdleClose)
 	if file.Known != nil {
-		if c.Known, err = parseList(*file.Known); err != nil {
+		if c.Known, err = ParseList(*file.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -23,7 +23,7 @@
 	u.pool.dial = late.dial
 	ctx, cancel := context.WithTimeout(context.Background(), testserver.Timeout)
 	defer cancel()
-	go func() { u.attempt(ctx, sending{server: "s-0", message: get(), begins: whole}) }()
+	go func() { u.Attempt(ctx, AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole}) }()
 	testserver.Receive(t, late.up, "connection")
 	const wait = 100 * time.Millisecond
 	time.Sleep(wait) // the connection takes so long
@@ -97,9 +97,9 @@
 func TestStopWhileAnAnswerPasses(t *testing.T) {
 	rest := make(chan struct{})
 	b := testserver.StartBackend(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", mostBody+1)
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", MaxBufferedBody+1)
 		<-rest
-		fmt.Fprint(c, strings.Repeat("x", mostBody))
+		fmt.Fprint(c, strings.Repeat("x", MaxBufferedBody))
 		return true
 	})
 	text := testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings)
@@ -114,7 +114,7 @@
 	p.hangup(text)
 	p.hangup("no configuration")
 	close(rest)
-	if body, err := io.ReadAll(resp.Body); err != nil || len(body) != mostBody+1 {
+	if body, err := io.ReadAll(resp.Body); err != nil || len(body) != MaxBufferedBody+1 {
 		t.Errorf("%d bytes, error %v", len(body), err)
 	}
 	if err := testserver.Receive(t, p.ended, "end"); err != nil {
@@ -142,7 +142,7 @@
 			other := testserver.StartBackend(t, testserver.Respond(200, "", "other"))
 			d := testserver.StartDiscovery(t)
 			p := start(t, testserver.ConfigText(d.Address, testserver.ServingList(1, b), testserver.Settings))
-			p.staff.host.upstream.pool.settles = 0
+			p.staff.host.upstream.pool.reuseDelay = 0
 			if g := p.ask("read"); g.body != "first" {
 				t.Fatalf("answer %+v", g)
 			}
@@ -174,7 +174,7 @@
 // listed waits until the program knows n servers.
 func (p *program) listed(n int) {
 	p.t.Helper()
-	for end := time.Now().Add(testserver.Timeout); len(p.staff.host.upstream.list()) != n; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testserver.Timeout); len(p.staff.host.upstream.Endpoints()) != n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			p.t.Fatalf("not %d servers listed", n)
 		}
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -20,49 +20,49 @@
 // The times of the client of discovery. What discovery tells counts as told toldWithin after it had it and could be reached, whatever
 // calls failed before, so the longest way to a list has to stay under that: see longestUntold.
 const (
-	// watchSilence is how long a watch may be silent: discovery writes at least an empty line every 2 s. A machine that is cut off
+	// watchSilenceTimeout is how long a watch may be silent: discovery writes at least an empty line every 2 s. A machine that is cut off
 	// says nothing, and without this bound the list in hand would be believed for good.
-	watchSilence = 3 * time.Second
-	// firstListWithin is how long the first list may take of a watch that asks for the whole list. That list is answered at once.
-	firstListWithin = 1200 * time.Millisecond
-	// slowListWithin is how long a call goes on for its first list next to others, where discovery is slow.
-	slowListWithin = 5 * time.Second
-	// objectWithin is how long one list may take to come, in pieces, before its bytes no longer count as progress.
-	objectWithin = 2 * time.Second
-	// leastConnect is the least time that a connection to discovery gets to come up.
-	leastConnect = 500 * time.Millisecond
-	mostObject   = 4 << 20 // bytes of one list
-	toldWithin   = 6 * time.Second
+	watchSilenceTimeout = 3 * time.Second
+	// FirstListTimeout is how long the first list may take of a watch that asks for the whole list. That list is answered at once.
+	FirstListTimeout = 1200 * time.Millisecond
+	// slowListTimeout is how long a call goes on for its first list next to others, where discovery is slow.
+	slowListTimeout = 5 * time.Second
+	// listTimeout is how long one list may take to come, in pieces, before its bytes no longer count as progress.
+	listTimeout = 2 * time.Second
+	// minConnectTimeout is the least time that a connection to discovery gets to come up.
+	minConnectTimeout = 500 * time.Millisecond
+	maxListBytes      = 4 << 20 // bytes of one list
+	maxStaleness      = 6 * time.Second
 )
 
-// longestUntold is the longest time from a watch's last byte to a new list, with one more call that fails though discovery could be
+// MaxUpdateDelay is the longest time from a watch's last byte to a new list, with one more call that fails though discovery could be
 // reached: the silence is noticed, the call waits its turn, fails, waits again, and the next one is answered.
-const longestUntold = watchSilence + balance.FirstDiscoveryBackoff + firstListWithin + 2*balance.FirstDiscoveryBackoff
+const MaxUpdateDelay = watchSilenceTimeout + balance.FirstDiscoveryBackoff + FirstListTimeout + 2*balance.FirstDiscoveryBackoff
 
 // errSilent says that a watch was given up as nothing came.
 var errSilent = errors.New("discovery is silent")
 
-// Target is one server of discovery's list.
-type Target struct {
-	ID      string
-	Address string
-	Zone    string
-	Kind    string
-	Cell    int
-	State   balance.State
-	Size    float64
-	Boot    time.Time // when it last started; zero: long ago
+// Endpoint is one server of discovery's list.
+type Endpoint struct {
+	ID        string
+	Address   string
+	Zone      string
+	Kind      string
+	PodGroup  int
+	State     balance.State
+	Weight    float64
+	StartedAt time.Time // when it last started; zero: long ago
 }
 
 // List is what discovery says at once: all servers, or those that changed.
 type List struct {
-	Rev     int64
-	All     bool
-	Targets []Target
+	Revision  int64
+	Complete  bool
+	Endpoints []Endpoint
 }
 
-// parseList reads discovery's JSON strictly: a list that is wrong in one entry is wrong.
-func parseList(text []byte) (List, error) {
+// ParseList reads discovery's JSON strictly: a list that is wrong in one entry is wrong.
+func ParseList(text []byte) (List, error) {
 	var l struct {
 		Rev     *int64
 		All     bool
@@ -83,9 +83,9 @@
 	if l.Rev == nil {
 		return List{}, errors.New("list has no rev")
 	}
-	list := List{Rev: *l.Rev, All: l.All}
+	list := List{Revision: *l.Rev, Complete: l.All}
 	for i, e := range l.Targets {
-		t := Target{ID: e.UID, Address: e.Endpoint, Zone: e.AZ, Kind: e.Model, Cell: e.PodGroup, Size: 1}
+		t := Endpoint{ID: e.UID, Address: e.Endpoint, Zone: e.AZ, Kind: e.Model, PodGroup: e.PodGroup, Weight: 1}
 		switch e.State {
 		case "SERVING":
 			t.State = balance.Ready
@@ -103,89 +103,89 @@
 			return List{}, fmt.Errorf("target %d, %q: endpoint: %w", i, e.UID, err)
 		}
 		if e.Capacity != nil {
-			if t.Size = *e.Capacity; t.Size < 0 {
-				return List{}, fmt.Errorf("target %d, %q: capacity_hint %v is negative", i, e.UID, t.Size)
+			if t.Weight = *e.Capacity; t.Weight < 0 {
+				return List{}, fmt.Errorf("target %d, %q: capacity_hint %v is negative", i, e.UID, t.Weight)
 			}
 		}
 		if e.BootMS > 0 {
-			t.Boot = wallclock.FromMilliseconds(e.BootMS)
+			t.StartedAt = wallclock.FromMilliseconds(e.BootMS)
 		}
-		list.Targets = append(list.Targets, t)
+		list.Endpoints = append(list.Endpoints, t)
 	}
 	return list, nil
 }
 
-// discovery is the client of the list of servers.
-type discovery struct {
-	address   string
-	client    *http.Transport
-	silence   time.Duration
-	firstList time.Duration
-	object    time.Duration
-	slow      func() // called where the first list is late, and the call then goes on for a while; nil: it ends
+// DiscoveryClient is the client of the list of servers.
+type DiscoveryClient struct {
+	address          string
+	transport        *http.Transport
+	silenceTimeout   time.Duration
+	firstListTimeout time.Duration
+	listTimeout      time.Duration
+	onSlow           func() // called where the first list is late, and the call then goes on for a while; nil: it ends
 }
 
-// dialFunc opens a connection.
-type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
+// DialFunc opens a connection.
+type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// newDiscovery returns a client of the discovery at address. dial nil: over TCP, with at least connect for a connection to come up.
-func newDiscovery(address string, connect time.Duration, dial dialFunc) *discovery {
+// NewDiscoveryClient returns a client of the discovery at address. dial nil: over TCP, with at least connect for a connection to come up.
+func NewDiscoveryClient(address string, connect time.Duration, dial DialFunc) *DiscoveryClient {
 	if dial == nil {
-		dial = (&net.Dialer{Timeout: max(connect, leastConnect)}).DialContext
+		dial = (&net.Dialer{Timeout: max(connect, minConnectTimeout)}).DialContext
 	}
-	return &discovery{address: address, silence: watchSilence, firstList: firstListWithin, object: objectWithin, client: &http.Transport{
+	return &DiscoveryClient{address: address, silenceTimeout: watchSilenceTimeout, firstListTimeout: FirstListTimeout, listTimeout: listTimeout, transport: &http.Transport{
 		DialContext:        dial,
 		DisableCompression: true,
 		DisableKeepAlives:  true, // a watch lasts as long as its connection
 	}}
 }
 
-// watch asks for the changes after version from (below 0: for the whole list) and hands each list to told, until the
+// Watch asks for the changes after version from (below 0: for the whole list) and hands each list to told, until the
 // watch ends. Where discovery says that nothing has changed since the last list, or since version from, it calls
 // unchanged. It always returns an error, which says why.
-func (d *discovery) watch(ctx context.Context, from int64, told func(List), unchanged func()) error {
+func (d *DiscoveryClient) Watch(ctx context.Context, from int64, told func(List), unchanged func()) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	patience := d.silence
+	patience := d.silenceTimeout
 	if from < 0 {
-		patience = min(d.firstList, d.silence)
+		patience = min(d.firstListTimeout, d.silenceTimeout)
 	}
 	var late *time.Timer
-	if from < 0 && d.slow != nil {
-		late = time.AfterFunc(patience, d.slow)
+	if from < 0 && d.onSlow != nil {
+		late = time.AfterFunc(patience, d.onSlow)
 		defer late.Stop()
-		patience = slowListWithin
+		patience = slowListTimeout
 	}
 	silent := time.AfterFunc(patience, func() { cancel(fmt.Errorf("%w: nothing came for %v", errSilent, patience)) })
 	defer silent.Stop()
-	body, err := d.open(ctx, from)
+	body, err := d.openWatch(ctx, from)
 	if err != nil {
 		return fmt.Errorf("watch: %w", errors.Join(err, context.Cause(ctx)))
 	}
 	defer body.Close()
 
-	lists := &objects{}
+	lists := &jsonSplitter{}
 	came := func(text []byte) {
-		if from >= 0 && !lists.begun() && len(bytes.TrimSpace(text)) == 0 {
+		if from >= 0 && !lists.inObject() && len(bytes.TrimSpace(text)) == 0 {
 			unchanged()
 		}
-		if from >= 0 && lists.age() < d.object {
-			silent.Reset(d.silence)
+		if from >= 0 && lists.objectAge() < d.listTimeout {
+			silent.Reset(d.silenceTimeout)
 		}
 	}
-	in := bufio.NewScanner(&progress{body, came})
-	in.Buffer(nil, mostObject)
+	in := bufio.NewScanner(&progressReader{body, came})
+	in.Buffer(nil, maxListBytes)
 	in.Split(lists.split)
 	for in.Scan() {
-		list, err := parseList(in.Bytes())
+		list, err := ParseList(in.Bytes())
 		if err != nil {
 			return fmt.Errorf("watch: %w", err)
 		}
-		patience, from = d.silence, list.Rev
+		patience, from = d.silenceTimeout, list.Revision
 		if late != nil {
 			late.Stop()
 		}
-		silent.Reset(d.silence)
+		silent.Reset(d.silenceTimeout)
 		told(list)
 	}
 	if err := in.Err(); err != nil {
@@ -194,8 +194,8 @@
 	return errors.New("watch: ended")
 }
 
-// open calls discovery and returns the body of its answer.
-func (d *discovery) open(ctx context.Context, from int64) (io.ReadCloser, error) {
+// openWatch calls discovery and returns the body of its answer.
+func (d *DiscoveryClient) openWatch(ctx context.Context, from int64) (io.ReadCloser, error) {
 	url := "http://" + d.address + "/v1/servers?watch=1"
 	if from >= 0 {
 		url += "&from=" + strconv.FormatInt(from, 10)
@@ -204,7 +204,7 @@
 	if err != nil {
 		return nil, err
 	}
-	resp, err := d.client.RoundTrip(req)
+	resp, err := d.transport.RoundTrip(req)
 	if err != nil {
 		return nil, err
 	}
@@ -215,17 +215,17 @@
 	return resp.Body, nil
 }
 
-// progress calls came each time that something was read, with what it was.
-type progress struct {
+// progressReader calls came each time that something was read, with what it was.
+type progressReader struct {
 	io.Reader
-	came func(text []byte)
+	onRead func(text []byte)
 }
 
 // Read implements io.Reader.
-func (p *progress) Read(b []byte) (int, error) {
+func (p *progressReader) Read(b []byte) (int, error) {
 	n, err := p.Reader.Read(b)
 	if n > 0 {
-		p.came(b[:n])
+		p.onRead(b[:n])
 	}
 	return n, err
 }
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -46,7 +46,7 @@
 		}
 		piece := rapid.IntRange(1, 40).Draw(t, "piece")
 		in := bufio.NewScanner(&inPieces{&stream, piece})
-		in.Split((&objects{}).split)
+		in.Split((&jsonSplitter{}).split)
 		var got []string
 		for in.Scan() {
 			got = append(got, in.Text())
@@ -70,7 +70,7 @@
 func TestNoObjects(t *testing.T) {
 	for _, text := range []string{"[]", "1", "x", "{", `{"a":"}`, `{} {"a":[1,2}`} {
 		in := bufio.NewScanner(strings.NewReader(text))
-		in.Split((&objects{}).split)
+		in.Split((&jsonSplitter{}).split)
 		for in.Scan() {
 		}
 		if in.Err() == nil {
@@ -79,7 +79,7 @@
 	}
 	endless := bufio.NewScanner(io.MultiReader(strings.NewReader(`{"a":"`), neverEnding{}))
 	endless.Buffer(nil, 1<<16)
-	endless.Split((&objects{}).split)
+	endless.Split((&jsonSplitter{}).split)
 	if endless.Scan() || !errors.Is(endless.Err(), bufio.ErrTooLong) {
 		t.Errorf("an object without an end: %v", endless.Err())
 	}
@@ -90,7 +90,7 @@
 	out, in := io.Pipe()
 	defer in.Close()
 	lists := bufio.NewScanner(out)
-	lists.Split((&objects{}).split)
+	lists.Split((&jsonSplitter{}).split)
 	for _, text := range []string{"{}", "\n{}", "\n", " \n{}", "{}"} {
 		go func() { _, _ = io.WriteString(in, text) }() // the reader has it or the test fails below
 		if text == "\n" {
@@ -240,8 +240,8 @@
 // TestToldInTime has the watch fall silent in each phase of its heartbeat, with none or one more call that gets no answer, and has
 // discovery be down for any time: the next list is there less than 6 s after the silence began, or discovery was back.
 func TestToldInTime(t *testing.T) {
-	if longestUntold >= toldWithin {
-		t.Errorf("a list may take %v, want less than %v", longestUntold, toldWithin)
+	if MaxUpdateDelay >= maxStaleness {
+		t.Errorf("a list may take %v, want less than %v", MaxUpdateDelay, maxStaleness)
 	}
 	for inVain := range 2 {
 		for phase := time.Millisecond; phase < 2*time.Second; phase += 130 * time.Millisecond {
@@ -250,13 +250,13 @@
 				time.Sleep(20*time.Second + phase)
 				a.hush(false, inVain)
 				silent := time.Now()
-				if took := (<-told).Sub(silent); took > longestUntold {
+				if took := (<-told).Sub(silent); took > MaxUpdateDelay {
 					t.Errorf("told %v after the watch fell silent at %v of a heartbeat, %d calls in vain", took, phase, inVain)
 				}
 			})
 		}
 	}
-	const longest = firstListWithin + balance.MaxDiscoveryBackoff // a call begun just before the return, and the wait behind it
+	const longest = FirstListTimeout + balance.MaxDiscoveryBackoff // a call begun just before the return, and the wait behind it
 	for outage := 100 * time.Millisecond; outage < 30*time.Second; outage += 370 * time.Millisecond {
 		followed(t, func(t *testing.T, a *agent, _ *host, told chan time.Time) {
 			<-told
@@ -268,7 +268,7 @@
 			a.down = false
 			a.mu.Unlock()
 			back := time.Now()
-			if at := <-told; at.Sub(back) > longest && at.Sub(silent) > longestUntold {
+			if at := <-told; at.Sub(back) > longest && at.Sub(silent) > MaxUpdateDelay {
 				t.Errorf("told %v after an outage of %v", at.Sub(back), outage)
 			}
 		})
@@ -314,7 +314,7 @@
 }
 
 // spoken is a connection on which discovery says these pieces, one every pause, and then nothing more.
-func spoken(pause time.Duration, pieces ...string) dialFunc {
+func spoken(pause time.Duration, pieces ...string) DialFunc {
 	return func(context.Context, string, string) (net.Conn, error) {
 		near, far := net.Pipe()
 		go func() {
@@ -358,9 +358,9 @@
 				n := min(size, len(all))
 				pieces, all = append(pieces, all[:n]), all[n:]
 			}
-			d := newDiscovery("127.0.0.1:9", 0, spoken(time.Millisecond, pieces...))
+			d := NewDiscoveryClient("127.0.0.1:9", 0, spoken(time.Millisecond, pieces...))
 			var revs []int64
-			err := d.watch(context.Background(), 1, func(l List) { revs = append(revs, l.Rev) }, func() {})
+			err := d.Watch(context.Background(), 1, func(l List) { revs = append(revs, l.Revision) }, func() {})
 			if fmt.Sprint(revs) != "[2 3 4]" || !errors.Is(err, errSilent) {
 				t.Errorf("pieces of %d bytes: lists %v, error %v", size, revs, err)
 			}
@@ -374,17 +374,17 @@
 	for range 100 {
 		trickle = append(trickle, " ")
 	}
-	flood := []string{"HTTP/1.1 200 OK\r\n\r\n", `{"rev":1,"targets":[`, strings.Repeat(" ", mostObject)}
+	flood := []string{"HTTP/1.1 200 OK\r\n\r\n", `{"rev":1,"targets":[`, strings.Repeat(" ", maxListBytes)}
 	for _, tt := range []struct {
 		name   string
 		pieces []string
 		want   error
 	}{{"a trickle", trickle, errSilent}, {"a flood", flood, bufio.ErrTooLong}} {
 		synctest.Test(t, func(t *testing.T) {
-			d := newDiscovery("127.0.0.1:9", 0, spoken(time.Second, tt.pieces...))
+			d := NewDiscoveryClient("127.0.0.1:9", 0, spoken(time.Second, tt.pieces...))
 			began := time.Now()
-			err := d.watch(context.Background(), 1, func(l List) { t.Errorf("%s: list %+v", tt.name, l) }, func() {})
-			if took := time.Since(began); !errors.Is(err, tt.want) || took > 2*time.Second+objectWithin+watchSilence {
+			err := d.Watch(context.Background(), 1, func(l List) { t.Errorf("%s: list %+v", tt.name, l) }, func() {})
+			if took := time.Since(began); !errors.Is(err, tt.want) || took > 2*time.Second+listTimeout+watchSilenceTimeout {
 				t.Errorf("%s: error %v after %v, want %v", tt.name, err, took, tt.want)
 			}
 		})
--- a/internal/sidecar/family.go
+++ b/internal/sidecar/family.go
@@ -90,14 +90,14 @@
 }
 
 // share has this process hold a part of what the sidecar may. Two processes count as one.
-func (s *server) share(shares int) {
+func (s *Handler) share(shares int) {
 	b := newBudget(s.config)
 	if s.config.Limits.MostHeld > 0 {
 		b.requests = min(b.requests, s.config.Limits.MostHeld)
 	}
 	s.ids.setMost(b.requests / shares)
 	s.conns.setMost(b.clients/shares, max(b.usual/shares, 1))
-	s.host.upstream.pool.setMost(b.upstream / shares)
+	s.host.upstream.pool.setMaxConns(b.upstream / shares)
 	debug.SetMemoryLimit(int64(float64(s.config.MemoryMB<<20) * memoryShare / float64(shares)))
 }
 
@@ -121,7 +121,7 @@
 		var list []string
 		for id := range ids {
 			list = append(list, id)
-			o.host.upstream.bar(id, true)
+			o.host.upstream.SetAdminDown(id, true)
 		}
 		o.host.balancer.AdoptAdminDown(o.host.now, list)
 	})
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -155,7 +155,7 @@
 		for _, id := range out {
 			if now[id] = true; !here[id] {
 				news = append(news, id)
-				o.host.upstream.bar(id, true)
+				o.host.upstream.SetAdminDown(id, true)
 			}
 		}
 		if len(news) > 0 {
@@ -281,8 +281,8 @@
 		return
 	}
 	var servers []Server
-	for _, t := range h.upstream.list() {
-		servers = append(servers, Server{t.ID, t.Boot})
+	for _, t := range h.upstream.Endpoints() {
+		servers = append(servers, Server{t.ID, t.StartedAt})
 	}
 	h.listed(servers)
 }
--- a/internal/sidecar/framing.go
+++ b/internal/sidecar/framing.go
@@ -11,7 +11,7 @@
 var errFraming = errors.New("bad framing")
 
 // mostHead is well beyond what net/http takes, so that it has its say first.
-const mostHead = 4 * mostHeader
+const mostHead = 4 * maxHeaderBytes
 
 // framing follows the bytes that a client sends and finds what net/http would mend: a length beside chunks, a length
 // given twice, and folded lines. Whoever else read such a message would see another one. The zero value is at a
@@ -25,7 +25,7 @@
 	length []byte // as given; nil: not
 	coded  bool   // a transfer coding is given
 	left   int64  // of a body with a length
-	chunks *chunks
+	chunks *ChunkedDecoder
 }
 
 // partial tells whether a part of a head has come.
@@ -38,7 +38,7 @@
 		switch {
 		case f.inBody && f.chunks != nil:
 			var done bool
-			if _, used, done, err = f.chunks.next(in[at:]); done {
+			if _, used, done, err = f.chunks.Next(in[at:]); done {
 				f.inBody, f.chunks = false, nil
 			}
 		case f.inBody:
@@ -125,7 +125,7 @@
 	case coded && length != nil:
 		return fmt.Errorf("%w: a length beside chunks", errFraming)
 	case coded:
-		f.inBody, f.chunks = true, &chunks{}
+		f.inBody, f.chunks = true, &ChunkedDecoder{}
 	case length != nil:
 		n, err := strconv.ParseUint(string(length), 10, 63)
 		if err != nil {
--- a/internal/sidecar/framing_test.go
+++ b/internal/sidecar/framing_test.go
@@ -13,9 +13,9 @@
 
 // unchunk decodes text that comes in pieces of a size.
 func unchunk(text []byte, piece int) (body []byte, rest int, done bool, err error) {
-	var c chunks
+	var c ChunkedDecoder
 	for at := 0; at < len(text); {
-		data, used, done, err := c.next(text[at:min(at+piece, len(text))])
+		data, used, done, err := c.Next(text[at:min(at+piece, len(text))])
 		if err != nil {
 			return nil, 0, false, err
 		}
@@ -46,8 +46,8 @@
 		{"a bare line feed", "2\nab\r\n", "", false, true},
 		{"data too long", "2\r\nabc\r\n", "", false, true},
 		{"a folded trailer", "0\r\nX: 1\r\n 2\r\n\r\n", "", false, true},
-		{"an endless extension", "2;" + strings.Repeat("x", 2*mostChunkLine), "", false, true},
-		{"endless trailers", "0\r\n" + strings.Repeat("X: 1\r\n", mostTrailer), "", false, true},
+		{"an endless extension", "2;" + strings.Repeat("x", 2*maxLineBytes), "", false, true},
+		{"endless trailers", "0\r\n" + strings.Repeat("X: 1\r\n", maxTrailerBytes), "", false, true},
 	} {
 		for _, piece := range []int{1, 2, 3, 1 << 20} {
 			body, rest, done, err := unchunk([]byte(tt.text), piece)
@@ -133,7 +133,7 @@
 				n, err = f.feed([]byte(text[at:min(at+piece, len(text))]))
 				good += n
 			}
-			if (err != nil) != tt.bad || tt.bad && !errors.Is(err, errFraming) && !errors.Is(err, errChunk) {
+			if (err != nil) != tt.bad || tt.bad && !errors.Is(err, errFraming) && !errors.Is(err, ErrMalformedChunk) {
 				t.Errorf("%s in pieces of %d: error %v, bad %v", tt.name, piece, err, tt.bad)
 			}
 			if want := len(text); !tt.bad && good != want || good < len(getHead) {
--- a/internal/sidecar/heldup_test.go
+++ b/internal/sidecar/heldup_test.go
@@ -149,7 +149,7 @@
 	case "book":
 		key = "k-1"
 	}
-	c := &call{message: message{method: method, uri: &url.URL{Path: "/api"}, id: "id-1", key: key}, tenant: -1,
+	c := &call{Message: Message{Method: method, URL: &url.URL{Path: "/api"}, ID: "id-1", IdempotencyKey: key}, tenant: -1,
 		term: b.host.terms.Load().classes[class], deadline: time.Now().Add(wait - answerMargin), left: left}
 	answered := make(chan answer, 1)
 	go func() {
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -30,7 +30,7 @@
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
 	write(t, file, text)
-	return LoadConfig(func(key string) string {
+	return Load(func(key string) string {
 		if key == "PROXY_CONFIG" {
 			return file
 		}
@@ -175,13 +175,13 @@
 }
 
 // whole is for attempts whose answers are not long.
-func whole(reply) bool { return false }
+func whole(Response) bool { return false }
 
 // taken takes a long answer, as a client does that is quick enough.
-func taken(r reply) bool {
+func taken(r Response) bool {
 	go func() {
-		_, err := io.Copy(io.Discard, r.rest.body)
-		r.rest.end(err == nil)
+		_, err := io.Copy(io.Discard, r.Remainder.body)
+		r.Remainder.Finish(err == nil)
 	}()
 	return true
 }
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -35,13 +35,13 @@
 	kind  answerKind
 	body  []byte        // served: all of it, or what has come
 	ctype string        // served
-	rest  *stream       // served: what is still to come; nil: nothing
+	rest  *Stream       // served: what is still to come; nil: nothing
 	after time.Duration // refused: when to come back; 0: not said
 }
 
 // call is a client's request while the host has it. The loop alone touches what follows answered.
 type call struct {
-	message
+	Message
 	*term
 	policy   uint64 // that it was read under; 0: there is none
 	tenant   int
@@ -65,12 +65,12 @@
 type host struct {
 	log      *slog.Logger
 	origin   time.Time
-	upstream *upstream
+	upstream *Upstream
 	figures  *stats.Figures
 	terms    atomic.Pointer[terms]
 	connect  time.Duration // for a connection to come up
 	// dialDiscovery opens connections to discovery; nil: over TCP.
-	dialDiscovery dialFunc
+	dialDiscovery DialFunc
 	ready         chan struct{} // closed once servers are known
 	heard         chan struct{} // closed once discovery has told
 
@@ -87,8 +87,8 @@
 	rev      int64 // of the list in hand; -1: none
 	isReady  bool
 	hasHeard bool
-	watches  watches
-	starts   *startTimes
+	watches  Subscriptions
+	starts   *StartTimes
 	ends     time.Time      // what is open then is given up, as the process may be killed; zero: it goes on
 	gate     *gate          // nil: the settings are those of the own file
 	listed   func([]Server) // is told each list; nil: nobody is
@@ -101,13 +101,13 @@
 }
 
 // newHost returns a host whose attempts and watches end with ctx. dial opens connections to discovery; nil: over TCP.
-func newHost(ctx context.Context, c *Config, log *slog.Logger, dial dialFunc) (*host, error) {
+func newHost(ctx context.Context, c *Config, log *slog.Logger, dial DialFunc) (*host, error) {
 	h := &host{log: log, origin: time.Now().Add(-originAge), ready: make(chan struct{}), heard: make(chan struct{}), wake: make(chan struct{}, 1),
 		figures: &stats.Figures{}, connect: c.Limits.ConnectTimeout, dialDiscovery: dial,
-		calls: map[balance.RequestID]*call{}, rev: -1, ctx: ctx, watches: watches{address: c.Discovery}}
-	h.upstream = newUpstream(c, &h.figures.Tries)
+		calls: map[balance.RequestID]*call{}, rev: -1, ctx: ctx, watches: Subscriptions{address: c.Discovery}}
+	h.upstream = NewUpstream(c, &h.figures.Tries)
 	h.now = h.clock()
-	h.starts = newStartTimes(h.clock)
+	h.starts = NewStartTimes(h.clock)
 	var err error
 	if h.balancer, err = balance.New(c.Settings, h); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -117,8 +117,8 @@
 		places[i] = i
 	}
 	h.terms.Store(newTerms(c.Settings, c.Names, places, h.figures))
-	if len(c.Known.Targets) > 0 {
-		h.rev = c.Known.Rev
+	if len(c.Known.Endpoints) > 0 {
+		h.rev = c.Known.Revision
 	}
 	h.list(balance.ListRemembered, c.Known)
 	if !c.Settings.PollDiscovery {
@@ -240,7 +240,7 @@
 			select {
 			case a := <-c.answered: // nobody takes it any more
 				if a.rest != nil {
-					a.rest.end(false)
+					a.rest.Finish(false)
 				}
 			default:
 			}
@@ -272,7 +272,7 @@
 func (c *call) released() {
 	if c.release != nil {
 		c.release()
-		c.release, c.body = nil, nil
+		c.release, c.Body = nil, nil
 	}
 }
 
@@ -296,14 +296,14 @@
 	c.out++
 	go func() {
 		begun := false
-		s := sending{server: endpoint, message: &c.message, withdrawn: func() bool { return h.withdrawn(c) }, begins: func(r reply) bool {
+		s := AttemptRequest{ServerID: endpoint, Message: &c.Message, IsCancelled: func() bool { return h.withdrawn(c) }, StartStreaming: func(r Response) bool {
 			begun = h.begins(c, n, endpoint, sent, r)
 			return begun
 		}}
 		if within > 0 {
-			s.by = h.origin.Add(sent + within)
+			s.SendDeadline = h.origin.Add(sent + within)
 		}
-		r := h.upstream.attempt(ctx, s)
+		r := h.upstream.Attempt(ctx, s)
 		cancel()
 		if !begun {
 			h.post(func() { h.result(c, n, endpoint, sent, r) })
@@ -313,7 +313,7 @@
 
 // begins takes in that a long answer has come in part, and tells whether it is to be passed on. From then on the request
 // has its answer, and the attempt has ended for the Balancer. Of two answers a client would get parts of both.
-func (h *host) begins(c *call, n int, endpoint string, sent balance.Time, r reply) (wins bool) {
+func (h *host) begins(c *call, n int, endpoint string, sent balance.Time, r Response) (wins bool) {
 	decided := make(chan bool, 1)
 	h.post(func() {
 		if c.over.Load() {
@@ -332,16 +332,16 @@
 }
 
 // result takes in how an attempt ended.
-func (h *host) result(c *call, n int, endpoint string, sent balance.Time, r reply) {
-	wins := r.outcome == balance.Served && !c.over.Load()
+func (h *host) result(c *call, n int, endpoint string, sent balance.Time, r Response) {
+	wins := r.Outcome == balance.Served && !c.over.Load()
 	if wins {
 		c.over.Store(true)
 	}
 	c.out--
-	h.balancer.Result(h.now, balance.Result{ID: c.number, Attempt: n, Endpoint: endpoint, Outcome: r.outcome,
+	h.balancer.Result(h.now, balance.Result{ID: c.number, Attempt: n, Endpoint: endpoint, Outcome: r.Outcome,
 		Took: h.now - sent, Finished: c.over.Load()})
 	if wins { // A second copy that is not called off before would be sent after the final answer.
-		c.answered <- answer{kind: served, body: r.body, ctype: r.ctype, rest: r.rest}
+		c.answered <- answer{kind: served, body: r.Body, ctype: r.ContentType, rest: r.Remainder}
 	}
 	h.forget(c)
 }
@@ -378,14 +378,14 @@
 
 // list hands a list to the connections and to the Balancer, in this order: what it sends next must find its address.
 func (h *host) list(kind balance.ListKind, l List) {
-	l.All = l.All || kind == balance.ListRemembered
-	h.upstream.update(l)
-	entries := make([]balance.Endpoint, 0, len(l.Targets))
-	for _, t := range l.Targets {
-		entries = append(entries, balance.Endpoint{ID: t.ID, Zone: t.Zone, Kind: t.Kind, PodGroup: t.Cell, State: t.State,
-			Weight: t.Size, Started: h.starts.of(t)})
+	l.Complete = l.Complete || kind == balance.ListRemembered
+	h.upstream.Update(l)
+	entries := make([]balance.Endpoint, 0, len(l.Endpoints))
+	for _, t := range l.Endpoints {
+		entries = append(entries, balance.Endpoint{ID: t.ID, Zone: t.Zone, Kind: t.Kind, PodGroup: t.PodGroup, State: t.State,
+			Weight: t.Weight, Started: h.starts.StartOf(t)})
 	}
-	h.starts.update(h.now, kind, l)
+	h.starts.Update(h.now, kind, l)
 	h.balancer.Endpoints(h.now, kind, entries)
 	h.tellList()
 	if !h.hasHeard && kind != balance.ListRemembered {
--- a/internal/sidecar/kill_test.go
+++ b/internal/sidecar/kill_test.go
@@ -40,7 +40,7 @@
 func TestKilledUnderHangingServers(t *testing.T) {
 	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Header.Get("Idempotency-Key") != "" { // a long answer, which stops
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", mostBody+1)
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", MaxBufferedBody+1)
 		}
 		return testserver.NeverRespond(c, r, body)
 	})
--- a/internal/sidecar/linger_test.go
+++ b/internal/sidecar/linger_test.go
@@ -36,7 +36,7 @@
 		b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 		p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
 		c := p.dial()
-		fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", head("POST", "large", "pay"), 2*mostRequest, strings.Repeat("x", 300<<10))
+		fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", head("POST", "large", "pay"), 2*maxRequestBody, strings.Repeat("x", 300<<10))
 		lastAnswer(t, c, http.StatusRequestEntityTooLarge)
 		if n := b.RequestCount(); n != 0 {
 			t.Errorf("%d requests were sent on", n)
--- a/internal/sidecar/listen.go
+++ b/internal/sidecar/listen.go
@@ -24,7 +24,7 @@
 	started func(*ops) // gets what the console asks, once the process listens
 	listen  func(open openFunc) (*net.TCPListener, error)
 	accept  func(*net.TCPListener) (net.Conn, error)
-	dial    dialFunc // to servers
+	dial    DialFunc // to servers
 }
 
 // openFunc opens a listener.
--- a/internal/sidecar/main.go
+++ b/internal/sidecar/main.go
@@ -18,7 +18,7 @@
 	signal.Notify(reload, syscall.SIGHUP)
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
-	config, err := LoadConfig(os.Getenv)
+	config, err := Load(os.Getenv)
 	if err == nil {
 		err = Run(stop, reload, config, slog.New(slog.NewTextHandler(os.Stderr, nil)), join)
 	}
--- a/internal/sidecar/objects.go
+++ b/internal/sidecar/objects.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// errNoObject says that a stream of JSON objects holds something else.
-var errNoObject = errors.New("no JSON object")
+// errNotObject says that a stream of JSON objects holds something else.
+var errNotObject = errors.New("no JSON object")
 
-// objects parts a stream into JSON objects, in whatever lines and pieces they come. It finds where each one ends and leaves it to the
+// jsonSplitter parts a stream into JSON objects, in whatever lines and pieces they come. It finds where each one ends and leaves it to the
 // parser whether it is well formed. The zero value is at a stream's start. A bufio.Scanner bounds the size of one.
-type objects struct {
-	scanned int // bytes of the object that have been looked at; 0: none has begun
-	depth   int // of brackets that are open
-	quoted  bool
-	escaped bool // the next byte of a string has no meaning of its own
-	began   time.Time
+type jsonSplitter struct {
+	scanned   int // bytes of the object that have been looked at; 0: none has begun
+	depth     int // of brackets that are open
+	inString  bool
+	escaped   bool // the next byte of a string has no meaning of its own
+	startedAt time.Time
 }
 
-// begun tells whether an object is on its way.
-func (o *objects) begun() bool { return o.scanned > 0 }
+// inObject tells whether an object is on its way.
+func (o *jsonSplitter) inObject() bool { return o.scanned > 0 }
 
-// age is for how long an object has been coming; 0: none has begun.
-func (o *objects) age() time.Duration {
+// objectAge is for how long an object has been coming; 0: none has begun.
+func (o *jsonSplitter) objectAge() time.Duration {
 	if o.scanned == 0 {
 		return 0
 	}
-	return time.Since(o.began)
+	return time.Since(o.startedAt)
 }
 
 // split implements bufio.SplitFunc. An object is returned as soon as its last byte is there. White space between objects is passed over.
-func (o *objects) split(data []byte, atEOF bool) (advance int, token []byte, err error) {
+func (o *jsonSplitter) split(data []byte, atEOF bool) (advance int, token []byte, err error) {
 	if o.scanned == 0 {
 		for advance < len(data) && isSpace(data[advance]) {
 			advance++
@@ -40,35 +40,35 @@
 			return advance, nil, nil
 		}
 		if first := data[advance]; first != '{' {
-			return 0, nil, fmt.Errorf("%w: it begins with %q", errNoObject, first)
+			return 0, nil, fmt.Errorf("%w: it begins with %q", errNotObject, first)
 		}
-		o.began = time.Now()
+		o.startedAt = time.Now()
 	}
 	object := data[advance:]
 	for _, b := range object[o.scanned:] {
 		o.scanned++
-		if o.step(b); o.depth == 0 {
+		if o.consume(b); o.depth == 0 {
 			end := o.scanned
-			*o = objects{}
+			*o = jsonSplitter{}
 			return advance + end, object[:end], nil
 		}
 	}
 	if atEOF {
-		return 0, nil, fmt.Errorf("%w: it ends midway", errNoObject)
+		return 0, nil, fmt.Errorf("%w: it ends midway", errNotObject)
 	}
 	return advance, nil, nil
 }
 
-// step takes in a byte of an object.
-func (o *objects) step(b byte) {
+// consume takes in a byte of an object.
+func (o *jsonSplitter) consume(b byte) {
 	switch {
 	case o.escaped:
 		o.escaped = false
-	case o.quoted:
+	case o.inString:
 		o.escaped = b == '\\'
-		o.quoted = b != '"'
+		o.inString = b != '"'
 	case b == '"':
-		o.quoted = true
+		o.inString = true
 	case b == '{' || b == '[':
 		o.depth++
 	case b == '}' || b == ']':
--- a/internal/sidecar/ops.go
+++ b/internal/sidecar/ops.go
@@ -15,11 +15,11 @@
 	host    *host
 	figures *stats.Figures
 	family  *family
-	server  atomic.Pointer[server] // nil: does not listen yet
-	told    atomic.Bool            // other processes can see that this one is ready
-	part    atomic.Pointer[Part]   // in the fleet; nil: there is none
-	gate    *gate                  // set before it listens; nil: the fleet has no policy, or there is none
-	obeyed  chan struct{}          // has one if what is out by hand has changed by word of the fleet
+	server  atomic.Pointer[Handler] // nil: does not listen yet
+	told    atomic.Bool             // other processes can see that this one is ready
+	part    atomic.Pointer[Part]    // in the fleet; nil: there is none
+	gate    *gate                   // set before it listens; nil: the fleet has no policy, or there is none
+	obeyed  chan struct{}           // has one if what is out by hand has changed by word of the fleet
 
 	publishing sync.Mutex // held by publish
 
@@ -111,7 +111,7 @@
 // takeOut takes a server out by hand, or puts it back, and tells whether it is known.
 func (h *host) takeOut(id string, out bool) (known bool) {
 	if known = h.balancer.SetAdminDown(h.now, id, out); known {
-		h.upstream.bar(id, out)
+		h.upstream.SetAdminDown(id, out)
 	}
 	return known
 }
--- a/internal/sidecar/policy.go
+++ b/internal/sidecar/policy.go
@@ -150,7 +150,7 @@
 	t := newTerms(p.settings, p.names, places, g.host.figures)
 	t.policy = number
 	g.host.terms.Store(t)
-	g.host.upstream.configure(p.limits)
+	g.host.upstream.Configure(p.limits)
 	g.host.log.Info("goes by a policy", "number", number)
 	return nil
 }
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -19,111 +19,113 @@
 	"milletramp.example/milletramp/internal/netretry"
 )
 
-// errNoSocket says that the descriptors do not allow one more connection.
-var errNoSocket = errors.New("no descriptor left for a connection")
+// errConnLimit says that the descriptors do not allow one more connection.
+var errConnLimit = errors.New("no descriptor left for a connection")
 
-// errNotDue says that an attempt was not made as something came before it, while its connection came up. The other errors say what.
-var errNotDue = errors.New("not sent")
+// errNotSendable says that an attempt was not made as something came before it, while its connection came up. The other errors say what.
+var errNotSendable = errors.New("not sent")
 
 var (
-	errGone      = fmt.Errorf("%w: the server was taken out, removed or restarted", errNotDue)
-	errDraining  = fmt.Errorf("%w: the server drains", errNotDue)
-	errTooLate   = fmt.Errorf("%w: the time for it is over", errNotDue)
-	errWithdrawn = fmt.Errorf("%w: nobody waits for it", errNotDue)
+	errServerRemoved    = fmt.Errorf("%w: the server was taken out, removed or restarted", errNotSendable)
+	errServerDraining   = fmt.Errorf("%w: the server drains", errNotSendable)
+	errSendDeadline     = fmt.Errorf("%w: the time for it is over", errNotSendable)
+	errRequestCancelled = fmt.Errorf("%w: nobody waits for it", errNotSendable)
 )
 
 // pool holds the connections to the servers, one request at a time on each. http.Transport is not used: it may put a
 // connection back with bytes behind the answer, and take them for the answer to the next request.
 type pool struct {
-	dial    dialFunc      // nil: over TCP
-	settles time.Duration // that a connection rests after an answer, before it has another request
+	dial       DialFunc      // nil: over TCP
+	reuseDelay time.Duration // that a connection rests after an answer, before it has another request
 
-	connectWithin atomic.Int64 // nanoseconds that a connection may take to come up
-	rest          atomic.Int64 // and that an idle one is kept
+	connectTimeoutNanos atomic.Int64 // nanoseconds that a connection may take to come up
+	idleTimeoutNanos    atomic.Int64 // and that an idle one is kept
 
-	mu    sync.Mutex
-	most  int // connections open at once, over all servers
-	open  int
-	idle  *list.List // of *serverConn, over all servers, the longest idle first
-	sweep *time.Timer
+	mu          sync.Mutex
+	maxConns    int // connections open at once, over all servers
+	openConns   int
+	idleConns   *list.List // of *serverConn, over all servers, the longest idle first
+	expiryTimer *time.Timer
 }
 
-// target is a server as last listed.
-type target struct {
-	address string
-	boot    time.Time
+// server is a server as last listed.
+type server struct {
+	address   string
+	startedAt time.Time
 	// answered is when it last did, an uptime.
-	answered atomic.Int64
-	draining atomic.Bool   // it finishes what it has
-	gone     bool          // removed, moved or restarted: the pool's lock guards it and idle
-	idle     []*serverConn // the longest idle first
+	lastResponse atomic.Int64
+	draining     atomic.Bool   // it finishes what it has
+	removed      bool          // removed, moved or restarted: the pool's lock guards it and idle
+	idle         []*serverConn // the longest idle first
 }
 
 // serverConn is a connection to a server.
 type serverConn struct {
 	net.Conn
-	raw   syscall.RawConn
-	of    *target
-	in    *bufio.Reader
-	text  *textproto.Reader // of in
-	limit *io.LimitedReader // under in
-	pool  *pool
-	pause time.Duration // that the server may make before its next bytes; 0: any. Of the one who reads.
-	since time.Time     // idle since
+	rawConn       syscall.RawConn
+	server        *server
+	reader        *bufio.Reader
+	textReader    *textproto.Reader // of in
+	limitedReader *io.LimitedReader // under in
+	pool          *pool
+	allowedPause  time.Duration // that the server may make before its next bytes; 0: any. Of the one who reads.
+	idleSince     time.Time     // idle since
 
-	mu      sync.Mutex
-	givenUp bool          // nothing is waited for any more
-	hurried bool          // the server may pause for lastPause at most
-	place   *list.Element // in the pool's list; nil: it has a request
+	mu             sync.Mutex
+	aborted        bool          // nothing is waited for any more
+	pauseShortened bool          // the server may pause for lastPause at most
+	idleElement    *list.Element // in the pool's list; nil: it has a request
 }
 
-// settleTime is how long a connection rests after an answer. A server that is at fault may send a second answer some milliseconds after
+// defaultReuseDelay is how long a connection rests after an answer. A server that is at fault may send a second answer some milliseconds after
 // the first, and that would be taken for the answer to the next request.
-const settleTime = 20 * time.Millisecond
+const defaultReuseDelay = 20 * time.Millisecond
 
-func newPool(most int) *pool { return &pool{most: most, idle: list.New(), settles: settleTime} }
+func newPool(most int) *pool {
+	return &pool{maxConns: most, idleConns: list.New(), reuseDelay: defaultReuseDelay}
+}
 
-// kept is how long an idle connection is kept.
-func (p *pool) kept() time.Duration { return time.Duration(p.rest.Load()) }
+// idleTimeout is how long an idle connection is kept.
+func (p *pool) idleTimeout() time.Duration { return time.Duration(p.idleTimeoutNanos.Load()) }
 
-// take returns a connection to a server, an idle one if there is a good one. Of these it takes the longest idle: what
+// acquire returns a connection to a server, an idle one if there is a good one. Of these it takes the longest idle: what
 // a server still has to say on it has had the most time to come.
-func (p *pool) take(ctx context.Context, to *target) (*serverConn, error) {
+func (p *pool) acquire(ctx context.Context, to *server) (*serverConn, error) {
 	p.mu.Lock()
-	for len(to.idle) > 0 && time.Since(to.idle[0].since) >= p.settles {
+	for len(to.idle) > 0 && time.Since(to.idle[0].idleSince) >= p.reuseDelay {
 		c := to.idle[0]
-		p.unlist(c)
-		if time.Since(c.since) < p.kept() && c.quiet() {
+		p.removeIdle(c)
+		if time.Since(c.idleSince) < p.idleTimeout() && c.isReusable() {
 			p.mu.Unlock()
 			return c, nil
 		}
-		p.end(c)
+		p.closeLocked(c)
 	}
-	if front := p.idle.Front(); p.open >= p.most && front != nil {
+	if front := p.idleConns.Front(); p.openConns >= p.maxConns && front != nil {
 		c := front.Value.(*serverConn)
-		p.unlist(c)
-		p.end(c)
+		p.removeIdle(c)
+		p.closeLocked(c)
 	}
-	if p.open >= p.most {
+	if p.openConns >= p.maxConns {
 		p.mu.Unlock()
-		return nil, errNoSocket
+		return nil, errConnLimit
 	}
-	p.open++
+	p.openConns++
 	p.mu.Unlock()
-	c, err := p.connect(ctx, to)
+	c, err := p.dialServer(ctx, to)
 	if err != nil {
 		p.mu.Lock()
-		p.open--
+		p.openConns--
 		p.mu.Unlock()
 	}
 	return c, err
 }
 
-// connect opens a connection to a server.
-func (p *pool) connect(ctx context.Context, to *target) (*serverConn, error) {
+// dialServer opens a connection to a server.
+func (p *pool) dialServer(ctx context.Context, to *server) (*serverConn, error) {
 	dial := p.dial
 	if dial == nil {
-		dial = (&net.Dialer{Timeout: time.Duration(p.connectWithin.Load()), KeepAlive: -1}).DialContext
+		dial = (&net.Dialer{Timeout: time.Duration(p.connectTimeoutNanos.Load()), KeepAlive: -1}).DialContext
 	}
 	inner, err := netretry.Dial(ctx, func() (net.Conn, error) { return dial(ctx, "tcp", to.address) })
 	if err != nil {
@@ -134,17 +136,17 @@
 		_ = inner.Close()
 		return nil, fmt.Errorf("connection: %w", err)
 	}
-	c := &serverConn{Conn: inner, raw: raw, of: to, pool: p}
-	c.limit = &io.LimitedReader{R: c}
-	c.in = bufio.NewReader(c.limit)
-	c.text = textproto.NewReader(c.in)
+	c := &serverConn{Conn: inner, rawConn: raw, server: to, pool: p}
+	c.limitedReader = &io.LimitedReader{R: c}
+	c.reader = bufio.NewReader(c.limitedReader)
+	c.textReader = textproto.NewReader(c.reader)
 	return c, nil
 }
 
 // Read implements net.Conn. Each read has the pause for itself: an answer may take its time as long as it comes.
 func (c *serverConn) Read(p []byte) (int, error) {
-	if c.pause > 0 {
-		if err := c.setPause(); err != nil {
+	if c.allowedPause > 0 {
+		if err := c.extendReadDeadline(); err != nil {
 			return 0, err
 		}
 	}
@@ -154,25 +156,25 @@
 // Write implements net.Conn.
 func (c *serverConn) Write(p []byte) (int, error) { return netretry.Write(c.Conn, p) }
 
-func (c *serverConn) setPause() error {
+func (c *serverConn) extendReadDeadline() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.givenUp { // The deadline that ends the read would be overwritten.
+	if c.aborted { // The deadline that ends the read would be overwritten.
 		return nil
 	}
-	pause := c.pause
-	if c.hurried {
-		pause = min(pause, lastPause)
+	pause := c.allowedPause
+	if c.pauseShortened {
+		pause = min(pause, finalPause)
 	}
 	return c.SetReadDeadline(time.Now().Add(pause))
 }
 
-// hurry has the server pause for lastPause at most from now on.
-func (c *serverConn) hurry() {
+// shortenPause has the server pause for lastPause at most from now on.
+func (c *serverConn) shortenPause() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.hurried = true; !c.givenUp {
-		_ = c.SetReadDeadline(time.Now().Add(lastPause)) // it fails where the connection is closed
+	if c.pauseShortened = true; !c.aborted {
+		_ = c.SetReadDeadline(time.Now().Add(finalPause)) // it fails where the connection is closed
 	}
 }
 
@@ -181,111 +183,111 @@
 func (c *serverConn) setWriteDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.givenUp {
+	if c.aborted {
 		return nil
 	}
 	return c.SetWriteDeadline(t)
 }
 
-// giveUp ends what is read and written, now and later.
-func (c *serverConn) giveUp() {
+// abort ends what is read and written, now and later.
+func (c *serverConn) abort() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.givenUp = true
+	c.aborted = true
 	_ = c.SetDeadline(past) // it fails where the connection is closed
 }
 
-// setMost changes how many connections may be open. Idle ones beyond that are closed at once, others as they end.
-func (p *pool) setMost(most int) {
+// setMaxConns changes how many connections may be open. Idle ones beyond that are closed at once, others as they end.
+func (p *pool) setMaxConns(most int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.most = most
-	for front := p.idle.Front(); p.open > p.most && front != nil; front = p.idle.Front() {
+	p.maxConns = most
+	for front := p.idleConns.Front(); p.openConns > p.maxConns && front != nil; front = p.idleConns.Front() {
 		c := front.Value.(*serverConn)
-		p.unlist(c)
-		p.end(c)
+		p.removeIdle(c)
+		p.closeLocked(c)
 	}
 }
 
-// put takes a connection back once its request is over. clean says that the whole answer was read, and nothing else.
-func (p *pool) put(c *serverConn, clean bool) {
+// release takes a connection back once its request is over. clean says that the whole answer was read, and nothing else.
+func (p *pool) release(c *serverConn, clean bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	// A connection to a former process or address swallows the next request.
-	if !clean || c.of.gone || p.open > p.most {
-		p.end(c)
+	if !clean || c.server.removed || p.openConns > p.maxConns {
+		p.closeLocked(c)
 		return
 	}
-	c.since = time.Now()
-	c.of.idle = append(c.of.idle, c)
-	c.place = p.idle.PushBack(c)
-	if p.sweep == nil {
-		p.sweep = time.AfterFunc(p.kept(), p.expire)
+	c.idleSince = time.Now()
+	c.server.idle = append(c.server.idle, c)
+	c.idleElement = p.idleConns.PushBack(c)
+	if p.expiryTimer == nil {
+		p.expiryTimer = time.AfterFunc(p.idleTimeout(), p.closeExpired)
 	}
 }
 
-// expire closes what has idled for too long. A server closes a connection that has idled too long, and what
+// closeExpired closes what has idled for too long. A server closes a connection that has idled too long, and what
 // crosses that close is a reset that may have run.
-func (p *pool) expire() {
+func (p *pool) closeExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for front := p.idle.Front(); front != nil; front = p.idle.Front() {
+	for front := p.idleConns.Front(); front != nil; front = p.idleConns.Front() {
 		c := front.Value.(*serverConn)
-		if left := p.kept() - time.Since(c.since); left > 0 {
-			p.sweep = time.AfterFunc(left, p.expire)
+		if left := p.idleTimeout() - time.Since(c.idleSince); left > 0 {
+			p.expiryTimer = time.AfterFunc(left, p.closeExpired)
 			return
 		}
-		p.unlist(c)
-		p.end(c)
+		p.removeIdle(c)
+		p.closeLocked(c)
 	}
-	p.sweep = nil
+	p.expiryTimer = nil
 }
 
-// empty closes a server's idle connections. gone says that none may be put back either.
-func (p *pool) empty(t *target, gone bool) {
+// closeIdle closes a server's idle connections. gone says that none may be put back either.
+func (p *pool) closeIdle(t *server, gone bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	t.gone = t.gone || gone
+	t.removed = t.removed || gone
 	for len(t.idle) > 0 {
 		c := t.idle[0]
-		p.unlist(c)
-		p.end(c)
+		p.removeIdle(c)
+		p.closeLocked(c)
 	}
 }
 
-// left tells whether a server was removed, moved, restarted or taken out since it was asked for.
-func (p *pool) left(t *target) bool {
+// isRemoved tells whether a server was removed, moved, restarted or taken out since it was asked for.
+func (p *pool) isRemoved(t *server) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return t.gone
+	return t.removed
 }
 
-// unlist takes a connection from the idle ones. The lock is held.
-func (p *pool) unlist(c *serverConn) {
-	p.idle.Remove(c.place)
-	c.place = nil
-	for i, other := range c.of.idle {
+// removeIdle takes a connection from the idle ones. The lock is held.
+func (p *pool) removeIdle(c *serverConn) {
+	p.idleConns.Remove(c.idleElement)
+	c.idleElement = nil
+	for i, other := range c.server.idle {
 		if other == c {
-			c.of.idle = append(c.of.idle[:i], c.of.idle[i+1:]...)
+			c.server.idle = append(c.server.idle[:i], c.server.idle[i+1:]...)
 			return
 		}
 	}
 }
 
-// end closes a connection that is not listed as idle. The lock is held.
-func (p *pool) end(c *serverConn) {
-	p.open--
+// closeLocked closes a connection that is not listed as idle. The lock is held.
+func (p *pool) closeLocked(c *serverConn) {
+	p.openConns--
 	_ = c.Conn.Close() // nothing is owed on it
 }
 
-// quiet tells whether the connection is open and has nothing to read. What a server said unasked would be
+// isReusable tells whether the connection is open and has nothing to read. What a server said unasked would be
 // taken for the answer to the next request.
-func (c *serverConn) quiet() bool {
-	if c.in.Buffered() > 0 {
+func (c *serverConn) isReusable() bool {
+	if c.reader.Buffered() > 0 {
 		return false
 	}
 	silent := false
-	err := c.raw.Read(func(fd uintptr) bool {
+	err := c.rawConn.Read(func(fd uintptr) bool {
 		_, err := peek(int(fd), unix.Recvfrom)
 		silent = errors.Is(err, syscall.EAGAIN)
 		return true
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -11,27 +11,27 @@
 
 // The wait before a new address of discovery is asked again doubles from the first to the longest.
 const (
-	firstReask   = 200 * time.Millisecond
-	longestReask = 400 * time.Millisecond
+	minAddressBackoff = 200 * time.Millisecond
+	maxAddressBackoff = 400 * time.Millisecond
 )
 
-// watches are those that the host holds open. The loop alone touches them.
-type watches struct {
-	address string // of discovery, as last told
-	current *watch // tells the news; nil: none does
-	next    *watch // at a new address, until it has answered; nil: none
-	slow    *watch // still owed its first list while another call was made; nil: none. It is always at address.
-	reasked int    // times that the new address was asked in vain
-	silent  bool   // the last watch said nothing: the next one asks for the whole list, which is answered at once
+// Subscriptions are those that the host holds open. The loop alone touches them.
+type Subscriptions struct {
+	address        string        // of discovery, as last told
+	current        *subscription // tells the news; nil: none does
+	next           *subscription // at a new address, until it has answered; nil: none
+	slow           *subscription // still owed its first list while another call was made; nil: none. It is always at address.
+	addressRetries int           // times that the new address was asked in vain
+	wasSilent      bool          // the last watch said nothing: the next one asks for the whole list, which is answered at once
 }
 
-// watch is one call of discovery.
-type watch struct{ cancel context.CancelFunc }
+// subscription is one call of discovery.
+type subscription struct{ cancel context.CancelFunc }
 
 // reload reads the configuration again, takes its settings and moves to the discovery that it names. It returns the
 // configuration that is in use then: a file with any fault is turned down whole.
 func (h *host) reload(ctx context.Context, c *Config) *Config {
-	fresh, err := c.reload()
+	fresh, err := c.Reload()
 	if err == nil {
 		if asked := h.ask(ctx, func() { err = h.reconfigure(fresh) }); asked != nil {
 			return c // the end
@@ -66,7 +66,7 @@
 		return err
 	}
 	h.terms.Store(newTerms(c.Settings, c.Names, places, h.figures))
-	h.upstream.configure(c.Limits)
+	h.upstream.Configure(c.Limits)
 	h.moveTo(c.Discovery)
 	return nil
 }
@@ -78,8 +78,8 @@
 	if address == w.address {
 		return
 	}
-	w.address, w.reasked = address, 0
-	for _, former := range []*watch{w.next, w.slow} {
+	w.address, w.addressRetries = address, 0
+	for _, former := range []*subscription{w.next, w.slow} {
 		if former != nil {
 			former.cancel()
 		}
@@ -92,7 +92,7 @@
 func (h *host) Subscribe() {
 	if w := &h.watches; w.current == nil && w.next == nil {
 		from := h.rev
-		if w.silent {
+		if w.wasSilent {
 			from = -1
 		}
 		w.current = h.open(from)
@@ -100,15 +100,15 @@
 }
 
 // open opens a watch on what came after version from.
-func (h *host) open(from int64) *watch {
+func (h *host) open(from int64) *subscription {
 	ctx, cancel := context.WithCancel(h.ctx)
-	w := &watch{cancel}
-	d := newDiscovery(h.watches.address, h.connect, h.dialDiscovery)
-	d.slow = func() { h.post(func() { h.slow(w) }) }
+	w := &subscription{cancel}
+	d := NewDiscoveryClient(h.watches.address, h.connect, h.dialDiscovery)
+	d.onSlow = func() { h.post(func() { h.slow(w) }) }
 	go func() {
 		defer cancel()
 		told := func(l List) { h.post(func() { h.told(w, l) }) }
-		err := d.watch(ctx, from, told, func() { h.post(func() { h.unchanged(w) }) })
+		err := d.Watch(ctx, from, told, func() { h.post(func() { h.unchanged(w) }) })
 		if h.ctx.Err() == nil {
 			h.post(func() {
 				if h.watches.slow == w {
@@ -122,11 +122,11 @@
 }
 
 // told takes in what a watch says.
-func (h *host) told(from *watch, l List) {
+func (h *host) told(from *subscription, l List) {
 	w := &h.watches
 	switch {
 	case from == w.next || from == w.slow || from == w.current && w.next == nil:
-		for _, other := range []*watch{w.current, w.next, w.slow} {
+		for _, other := range []*subscription{w.current, w.next, w.slow} {
 			if other != nil && other != from {
 				other.cancel()
 			}
@@ -137,24 +137,24 @@
 		return // A late line of a former address would undo what the new one has told.
 	}
 	kind := balance.ListChanges
-	if l.All {
+	if l.Complete {
 		kind = balance.ListFull
 	}
-	w.silent = false
-	h.rev = l.Rev
+	w.wasSilent = false
+	h.rev = l.Revision
 	h.list(kind, l)
 }
 
 // unchanged takes in that a watch has nothing to tell beyond what it has told.
-func (h *host) unchanged(from *watch) {
+func (h *host) unchanged(from *subscription) {
 	if from == h.watches.current {
-		h.starts.confirm(h.now)
+		h.starts.Confirm(h.now)
 	}
 }
 
 // slow takes in that a watch is late with its first list. Discovery may be slow: if each call were given up by then,
 // none would ever be answered. One late call goes on for a while next to those made anew; any others end.
-func (h *host) slow(late *watch) {
+func (h *host) slow(late *subscription) {
 	w := &h.watches
 	if late != w.current && late != w.next {
 		return
@@ -168,13 +168,13 @@
 }
 
 // unwatched takes in that a watch has ended, or that others are to be made in its place.
-func (h *host) unwatched(ended *watch, err error) {
+func (h *host) unwatched(ended *subscription, err error) {
 	w := &h.watches
 	switch ended {
 	case w.next: // The new address is not up yet. Asked without a pause it would never come up.
 		h.log.Info("discovery", "err", err)
-		pause := min(firstReask<<min(w.reasked, 8), longestReask)
-		w.reasked++
+		pause := min(minAddressBackoff<<min(w.addressRetries, 8), maxAddressBackoff)
+		w.addressRetries++
 		time.AfterFunc(pause, func() {
 			h.post(func() {
 				if w.next == ended {
@@ -184,7 +184,7 @@
 		})
 	case w.current:
 		h.log.Info("discovery", "err", err)
-		w.current, w.silent = nil, w.silent || errors.Is(err, errSilent)
+		w.current, w.wasSilent = nil, w.wasSilent || errors.Is(err, errSilent)
 		if w.next == nil { // else the new address is about to tell
 			h.balancer.Endpoints(h.now, balance.ListRefused, nil)
 		}
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -122,7 +122,7 @@
 	if err != nil || c.Discovery != "127.0.0.1:10" {
 		t.Fatalf("discovery %q at the start, error %v", c.Discovery, err)
 	}
-	if c, err = c.reload(); err != nil || c.Discovery != "127.0.0.1:9" {
+	if c, err = c.Reload(); err != nil || c.Discovery != "127.0.0.1:9" {
 		t.Errorf("discovery %q after a reload, error %v", c.Discovery, err)
 	}
 }
@@ -139,7 +139,7 @@
 		t.Fatal(err)
 	}
 	over := make(chan string, 2)
-	old, next := &watch{func() { over <- "old" }}, &watch{func() { over <- "next" }}
+	old, next := &subscription{func() { over <- "old" }}, &subscription{func() { over <- "next" }}
 	h.watches.current, h.watches.next = old, next
 	h.unwatched(old, errors.New("ended"))
 	if h.watches.next != next {
@@ -152,7 +152,7 @@
 	}
 	h.told(old, parsed(t, testserver.ListText(5, true)))
 	h.unwatched(old, errors.New("ended"))
-	if h.watches.current != next || h.rev != 9 || len(h.upstream.targets) != 1 {
-		t.Errorf("watches %+v, version %d, %d servers after the old watch's end", h.watches, h.rev, len(h.upstream.targets))
+	if h.watches.current != next || h.rev != 9 || len(h.upstream.servers) != 1 {
+		t.Errorf("watches %+v, version %d, %d servers after the old watch's end", h.watches, h.rev, len(h.upstream.servers))
 	}
 }
--- a/internal/sidecar/response.go
+++ b/internal/sidecar/response.go
@@ -28,7 +28,7 @@
 
 // answerPanic is deferred by the handler. Where a fault of the program ends the handler before an answer has begun, the
 // request gets an error; net/http would close its connection without one. An abort on purpose goes on.
-func (s *server) answerPanic(w *response, conn *clientConn) {
+func (s *Handler) answerPanic(w *response, conn *clientConn) {
 	cause := recover()
 	switch {
 	case cause == nil:
--- a/internal/sidecar/reuse_test.go
+++ b/internal/sidecar/reuse_test.go
@@ -20,22 +20,22 @@
 func TestConnectionRestsBeforeReuse(t *testing.T) {
 	for end := time.Now().Add(testserver.Timeout); time.Now().Before(end); {
 		b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
-		u := newUpstream(&Config{Sockets: defaultSockets, MemoryMB: defaultMemoryMB,
+		u := NewUpstream(&Config{Sockets: defaultSockets, MemoryMB: defaultMemoryMB,
 			Limits: wire.Limits{ConnectTimeout: testserver.Timeout, IdleClose: testserver.Timeout}}, &atomic.Int64{})
-		u.update(parsed(t, testserver.ServingList(1, b)))
-		t.Cleanup(func() { u.update(List{All: true}) })
+		u.Update(parsed(t, testserver.ServingList(1, b)))
+		t.Cleanup(func() { u.Update(List{Complete: true}) })
 		began := time.Now()
 		for range 2 {
-			r := u.attempt(context.Background(), sending{server: "s-0", message: get(), begins: whole})
-			if r.outcome != balance.Served {
-				t.Fatalf("outcome %d", r.outcome)
+			r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole})
+			if r.Outcome != balance.Served {
+				t.Fatalf("outcome %d", r.Outcome)
 			}
 		}
 		if time.Since(began) >= 20*time.Millisecond {
 			continue
 		}
-		if u.pool.open != 2 {
-			t.Errorf("%d connections for two requests within 20 ms, want 2", u.pool.open)
+		if u.pool.openConns != 2 {
+			t.Errorf("%d connections for two requests within 20 ms, want 2", u.pool.openConns)
 		}
 		return
 	}
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -105,7 +105,7 @@
 
 	ops      *ops
 	listener *drainListener
-	server   *server
+	server   *Handler
 	web      *http.Server
 	served   chan error // gets what ended web.Serve, once
 }
@@ -166,7 +166,7 @@
 	if err := p.listener.takeTurns(); err != nil {
 		p.log.Debug("the kernel chooses among the processes of this address", "err", err)
 	}
-	p.server = newServer(p.config, p.host, p.listener)
+	p.server = NewHandler(p.config, p.host, p.listener)
 	p.server.gate = p.ops.gate
 	p.loops.Add(1)
 	go func() { // ends with ctx
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -32,8 +32,8 @@
 	idleWithin = 2 * time.Second
 )
 
-// server answers the application.
-type server struct {
+// Handler answers the application.
+type Handler struct {
 	host     *host
 	config   *Config
 	ids      *ids
@@ -47,16 +47,16 @@
 	end    context.CancelFunc
 }
 
-// newServer returns a server for the connections that l accepts.
-func newServer(c *Config, h *host, l net.Listener) *server {
+// NewHandler returns a server for the connections that l accepts.
+func NewHandler(c *Config, h *host, l net.Listener) *Handler {
 	b := newBudget(c)
 	if c.Limits.MostHeld > 0 {
 		b.requests = min(b.requests, c.Limits.MostHeld)
 	}
 	conns := newClientConns(netretry.NewListener(l, h.log), b.clients, b.usual, &h.figures.Unserved)
 	ending, end := context.WithCancel(context.Background())
-	return &server{host: h, config: c, ids: newIDs(b.requests), conns: conns,
-		room: &room{most: c.MemoryMB << 20 / bodyShare / mostBody}, ending: ending, end: end}
+	return &Handler{host: h, config: c, ids: newIDs(b.requests), conns: conns,
+		room: &room{most: c.MemoryMB << 20 / bodyShare / MaxBufferedBody}, ending: ending, end: end}
 }
 
 // The least time from the word to stop to the kill, on top of the longest deadline, which counts for no more than most.
@@ -68,7 +68,7 @@
 )
 
 // drain has answers end their connections from now on, and requests be answered before this process may be killed.
-func (s *server) drain(mostDeadline time.Duration) {
+func (s *Handler) drain(mostDeadline time.Duration) {
 	ends := time.Now().Add(min(s.longestDeadline(), mostDeadline) + killAfter - killMargin)
 	s.ends.Store(int64(uptime(ends)))
 	s.draining.Store(true)
@@ -80,7 +80,7 @@
 }
 
 // enter waits for a policy, for as long as an answer can still be given.
-func (s *server) enter(ctx context.Context, within time.Duration) bool {
+func (s *Handler) enter(ctx context.Context, within time.Duration) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(s.ending, cancel)()
@@ -88,7 +88,7 @@
 }
 
 // stopReading ends what is read on a connection once the process ends. Nothing is ended any more after done.
-func (s *server) stopReading(conn *http.ResponseController) (done func()) {
+func (s *Handler) stopReading(conn *http.ResponseController) (done func()) {
 	ended := make(chan struct{})
 	stop := context.AfterFunc(s.ending, func() {
 		_ = conn.SetReadDeadline(past) // it fails where the connection is closed
@@ -102,7 +102,7 @@
 }
 
 // longestDeadline is that of the settings in force now: the platform goes by its newest file.
-func (s *server) longestDeadline() (longest time.Duration) {
+func (s *Handler) longestDeadline() (longest time.Duration) {
 	for _, c := range s.host.terms.Load().classes {
 		longest = max(longest, c.Deadline)
 	}
@@ -113,14 +113,14 @@
 type connKey struct{}
 
 // httpServer returns the HTTP server that serves s.
-func (s *server) httpServer(log *slog.Logger) *http.Server {
-	return &http.Server{Handler: s, ReadHeaderTimeout: headWithin, IdleTimeout: idleWithin, MaxHeaderBytes: mostHeader,
+func (s *Handler) httpServer(log *slog.Logger) *http.Server {
+	return &http.Server{Handler: s, ReadHeaderTimeout: headWithin, IdleTimeout: idleWithin, MaxHeaderBytes: maxHeaderBytes,
 		ConnState: s.conns.state, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }}
 }
 
 // ServeHTTP implements http.Handler.
-func (s *server) ServeHTTP(to http.ResponseWriter, r *http.Request) {
+func (s *Handler) ServeHTTP(to http.ResponseWriter, r *http.Request) {
 	came, w := time.Now(), &response{ResponseWriter: to}
 	// What HTTP/1.0 says of a body's length is not to be relied on, and so what follows it is not either.
 	conn, _ := r.Context().Value(connKey{}).(*clientConn) // nil: not from httpServer
@@ -136,9 +136,9 @@
 	}
 }
 
-func (s *server) route(w http.ResponseWriter, r *http.Request, came time.Time) *fault {
+func (s *Handler) route(w http.ResponseWriter, r *http.Request, came time.Time) *fault {
 	switch {
-	case r.ContentLength > mostRequest:
+	case r.ContentLength > maxRequestBody:
 		return &fault{http.StatusRequestEntityTooLarge, "body too large", ""}
 	case r.URL.Path == "/healthz":
 		return s.health(w, r)
@@ -149,7 +149,7 @@
 }
 
 // health answers 200 once servers are known and as long as new connections are welcome.
-func (s *server) health(w http.ResponseWriter, r *http.Request) *fault {
+func (s *Handler) health(w http.ResponseWriter, r *http.Request) *fault {
 	if r.Method != http.MethodGet && r.Method != http.MethodHead {
 		return &fault{http.StatusMethodNotAllowed, "method not allowed", "GET, HEAD"}
 	}
@@ -165,7 +165,7 @@
 }
 
 // api serves a request, or says why it cannot be taken.
-func (s *server) api(w http.ResponseWriter, r *http.Request, came time.Time) *fault {
+func (s *Handler) api(w http.ResponseWriter, r *http.Request, came time.Time) *fault {
 	if s.gate != nil && !s.enter(r.Context(), waits(r)) {
 		return s.unserved(w, r)
 	}
@@ -179,7 +179,7 @@
 		c.released()
 		return &fault{http.StatusInternalServerError, "no deadline", ""}
 	}
-	switch known, full := s.ids.take(c.id); {
+	switch known, full := s.ids.take(c.ID); {
 	case known:
 		c.released()
 		return &fault{http.StatusConflict, "X-Request-ID is in use", ""}
@@ -189,7 +189,7 @@
 		c.counts.Dropped.Add(1)
 		return nil
 	}
-	defer s.ids.end(c.id)
+	defer s.ids.end(c.ID)
 	c.left = leaving(r)
 	a, ok := s.host.serve(r.Context(), c)
 	for ok && a.kind == stale { // the policy has changed since the head was read
@@ -202,7 +202,7 @@
 			c.released()
 			return f
 		}
-		again.body, again.release, again.deadline, again.left = c.body, c.release, c.deadline, c.left
+		again.Body, again.release, again.deadline, again.left = c.Body, c.release, c.deadline, c.left
 		c = again
 		a, ok = s.host.serve(r.Context(), c)
 	}
@@ -218,7 +218,7 @@
 }
 
 // receive reads a request whole, and sets when its final answer is due.
-func (s *server) receive(w http.ResponseWriter, r *http.Request, came time.Time) (*call, *fault) {
+func (s *Handler) receive(w http.ResponseWriter, r *http.Request, came time.Time) (*call, *fault) {
 	c, wait, f := s.parse(r)
 	if f != nil {
 		return nil, f
@@ -231,7 +231,7 @@
 			}
 			return nil, f
 		}
-		c.body, c.release, came = body, release, time.Now() // the client's time begins with its last byte
+		c.Body, c.release, came = body, release, time.Now() // the client's time begins with its last byte
 	}
 	c.deadline = came.Add(wait - answerMargin)
 	if s.draining.Load() {
@@ -243,14 +243,14 @@
 }
 
 // respond writes a request's final answer and counts it.
-func (s *server) respond(w http.ResponseWriter, r *http.Request, conn *http.ResponseController, a answer, c *call) *fault {
+func (s *Handler) respond(w http.ResponseWriter, r *http.Request, conn *http.ResponseController, a answer, c *call) *fault {
 	if s.draining.Load() { // also where it was told so since the request came
 		w.Header().Set("Connection", "close")
 	}
 	// A client that reads no answers would hold its handler for good.
 	_ = conn.SetWriteDeadline(time.Now().Add(writeWithin))
 	if a.rest != nil {
-		return s.pass(w, r, conn, a, c)
+		return s.stream(w, r, conn, a, c)
 	}
 	a.write(w)
 	switch a.kind {
@@ -272,7 +272,7 @@
 }
 
 // unserved refuses a request that no policy lets this sidecar take now.
-func (s *server) unserved(w http.ResponseWriter, r *http.Request) *fault {
+func (s *Handler) unserved(w http.ResponseWriter, r *http.Request) *fault {
 	if c, _, f := s.parse(r); f == nil {
 		c.counts.Dropped.Add(1)
 	}
@@ -281,7 +281,7 @@
 }
 
 // body reads a request's body, in pieces of mostBody bytes at most. release gives back the room that it took.
-func (s *server) body(w http.ResponseWriter, r *http.Request, came time.Time) (body [][]byte, release func(), f *fault) {
+func (s *Handler) body(w http.ResponseWriter, r *http.Request, came time.Time) (body [][]byte, release func(), f *fault) {
 	conn, start := http.NewResponseController(w), came.Add(bodyGrace)
 	if c, ok := r.Context().Value(connKey{}).(*clientConn); ok && c.came.Add(bodyWithin).After(start) {
 		start = c.came.Add(bodyWithin)
@@ -289,7 +289,7 @@
 	defer s.stopReading(conn)()
 	size := 4 << 10
 	if r.ContentLength > 0 {
-		size = int(min(r.ContentLength+1, mostBody)) // and a byte for the end
+		size = int(min(r.ContentLength+1, MaxBufferedBody)) // and a byte for the end
 	}
 	body = [][]byte{make([]byte, 0, size)}
 	taken, all := 0, 0
@@ -302,15 +302,15 @@
 		piece := body[len(body)-1]
 		switch {
 		case len(piece) < cap(piece):
-		case len(piece) < mostBody:
-			piece = append(make([]byte, 0, min(4*cap(piece), mostBody)), piece...)
-		case all > mostRequest:
+		case len(piece) < MaxBufferedBody:
+			piece = append(make([]byte, 0, min(4*cap(piece), MaxBufferedBody)), piece...)
+		case all > maxRequestBody:
 			return bad(http.StatusRequestEntityTooLarge, "body too large")
 		default:
 			if taken == len(body)-1 {
 				// Many large bodies at once would take all memory. Where each takes its room bit by bit,
 				// all get a part and none gets through. One that says its length takes it at once.
-				more := max(1, (int(r.ContentLength)-all)/mostBody+1)
+				more := max(1, (int(r.ContentLength)-all)/MaxBufferedBody+1)
 				if !s.room.take(more) {
 					return bad(http.StatusServiceUnavailable, "refused: too many large bodies at once")
 				}
@@ -358,7 +358,7 @@
 }
 
 // parse reads a request's headers, and how long the client waits.
-func (s *server) parse(r *http.Request) (*call, time.Duration, *fault) {
+func (s *Handler) parse(r *http.Request) (*call, time.Duration, *fault) {
 	bad := func(text string) (*call, time.Duration, *fault) {
 		return nil, 0, &fault{http.StatusBadRequest, text, ""}
 	}
@@ -375,9 +375,9 @@
 			return bad(name + " is given more than once")
 		}
 	}
-	c := &call{message: message{method: r.Method, uri: r.URL, id: r.Header.Get("X-Request-ID"),
-		key: r.Header.Get("Idempotency-Key"), ctype: r.Header.Get("Content-Type")}}
-	if c.id == "" {
+	c := &call{Message: Message{Method: r.Method, URL: r.URL, ID: r.Header.Get("X-Request-ID"),
+		IdempotencyKey: r.Header.Get("Idempotency-Key"), ContentType: r.Header.Get("Content-Type")}}
+	if c.ID == "" {
 		return bad("X-Request-ID is missing")
 	}
 	now := s.host.terms.Load()
@@ -393,7 +393,7 @@
 	if r.Method != method {
 		return nil, 0, &fault{http.StatusMethodNotAllowed, "another method goes with the class", method}
 	}
-	if (c.key != "") != (effect == balance.Deduplicated) {
+	if (c.IdempotencyKey != "") != (effect == balance.Deduplicated) {
 		return bad("Idempotency-Key goes with the classes that carry one")
 	}
 	if r.Method == http.MethodGet && r.ContentLength != 0 {
--- a/internal/sidecar/settings_test.go
+++ b/internal/sidecar/settings_test.go
@@ -228,7 +228,7 @@
 		{"a key of an entry", object("a", 1.0, "o", object("x", 1.0), "l", []any{object("n", "z", "w", 1.0), object("n", "z")},
 			"plain", []any{}), "l.1.w"},
 	} {
-		if got := lacks("", inUse, tt.fresh); got != tt.want {
+		if got := missingKey("", inUse, tt.fresh); got != tt.want {
 			t.Errorf("%s: %q is missing, want %q", tt.name, got, tt.want)
 		}
 	}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -182,9 +182,9 @@
 }
 
 func TestWatchSilence(t *testing.T) {
-	d := newDiscovery(testserver.StartDiscovery(t).Address, testserver.Timeout, nil)
-	d.silence = 50 * time.Millisecond
-	err := d.watch(context.Background(), -1, func(List) { t.Error("a list") }, func() {})
+	d := NewDiscoveryClient(testserver.StartDiscovery(t).Address, testserver.Timeout, nil)
+	d.silenceTimeout = 50 * time.Millisecond
+	err := d.Watch(context.Background(), -1, func(List) { t.Error("a list") }, func() {})
 	if err == nil || !strings.Contains(err.Error(), "nothing came for 50ms") {
 		t.Errorf("error %v", err)
 	}
@@ -228,12 +228,12 @@
 		boot time.Time
 		cold bool
 	}{{booted, true}, {time.Time{}, false}, {booted.Add(-2 * originAge), false}} {
-		c.Known = List{Rev: 1, All: true, Targets: []Target{{ID: "s-0", Address: "127.0.0.1:9", Zone: "a", Kind: "m", Size: 1, Boot: tt.boot}}}
+		c.Known = List{Revision: 1, Complete: true, Endpoints: []Endpoint{{ID: "s-0", Address: "127.0.0.1:9", Zone: "a", Kind: "m", Weight: 1, StartedAt: tt.boot}}}
 		h, err := newHost(context.Background(), c, slog.New(slog.DiscardHandler), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		started := h.starts.of(c.Known.Targets[0])
+		started := h.starts.StartOf(c.Known.Endpoints[0])
 		if age := h.clock() - started; tt.cold && (started <= 0 || age < 3*time.Second || age > 3*time.Second+testserver.Timeout) || !tt.cold && started > 0 {
 			t.Errorf("boot %v: started %v, age %v", tt.boot, started, age)
 		}
@@ -282,9 +282,9 @@
 		{"method", method("read", "DELETE"), 405},
 		{"path", ask("read", func(r *http.Request) { r.URL.Path = "/apis" }), 404},
 		{"health method", ask("read", func(r *http.Request) { r.URL.Path, r.Method = "/healthz", "PUT" }), 405},
-		{"long body", sized(mostRequest + 1), 413},
-		{"longest body held in any case", sized(mostBody), 200},
-		{"longer body", sized(10 * mostBody), 200},
+		{"long body", sized(maxRequestBody + 1), 413},
+		{"longest body held in any case", sized(MaxBufferedBody), 200},
+		{"longer body", sized(10 * MaxBufferedBody), 200},
 		{"unknown tenant", with("read", "X-Tenant-Id", "nobody"), 200},
 		{"no tenant", without("pay", "X-Tenant-Id"), 200},
 	} {
@@ -427,7 +427,7 @@
 		c.Limits.ConnectTimeout != 5*time.Second || c.Limits.MostHeld != 20000 || c.Sockets != 1024 {
 		t.Errorf("configuration %+v", c)
 	}
-	if k := c.Known; k.Rev != 4 || len(k.Targets) != 1 || !k.Targets[0].Boot.Equal(time.UnixMilli(5)) {
+	if k := c.Known; k.Revision != 4 || len(k.Endpoints) != 1 || !k.Endpoints[0].StartedAt.Equal(time.UnixMilli(5)) {
 		t.Errorf("known %+v", k)
 	}
 	for _, tt := range []struct{ old, new, want string }{
@@ -453,7 +453,7 @@
 			t.Errorf("%s: error %v, want one with %q", tt.new, err, tt.want)
 		}
 	}
-	if _, err := LoadConfig(func(string) string { return "" }); err == nil {
+	if _, err := Load(func(string) string { return "" }); err == nil {
 		t.Error("no error without a configuration")
 	}
 }
--- a/internal/sidecar/starts_test.go
+++ b/internal/sidecar/starts_test.go
@@ -20,7 +20,7 @@
 var clockSteps = []time.Duration{-time.Hour, -3 * time.Second, 3 * time.Second, time.Hour}
 
 // hearing runs play in a bubble with a host that is told what play says, as by its watch.
-func hearing(t *testing.T, play func(t *testing.T, h *host, says func(all bool, targets ...Target))) {
+func hearing(t *testing.T, play func(t *testing.T, h *host, says func(all bool, targets ...Endpoint))) {
 	synctest.Test(t, func(t *testing.T) {
 		c, err := load(t, testserver.ConfigText("127.0.0.1:9", "", testserver.Settings))
 		if err != nil {
@@ -31,17 +31,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		h.watches.current = &watch{func() {}}
-		play(t, h, func(all bool, targets ...Target) {
+		h.watches.current = &subscription{func() {}}
+		play(t, h, func(all bool, targets ...Endpoint) {
 			h.now = h.clock()
-			h.told(h.watches.current, List{Rev: 1, All: all, Targets: targets})
+			h.told(h.watches.current, List{Revision: 1, Complete: all, Endpoints: targets})
 		})
 	})
 }
 
 // claimed is a server that discovery claims to have started at a time; zero: long ago.
-func claimed(id string, boot time.Time) Target {
-	return Target{ID: id, Address: "127.0.0.1:9", Zone: "a", Kind: "m", Size: 1, Boot: boot}
+func claimed(id string, boot time.Time) Endpoint {
+	return Endpoint{ID: id, Address: "127.0.0.1:9", Zone: "a", Kind: "m", Weight: 1, StartedAt: boot}
 }
 
 // TestStartsUnderClockSteps has the clocks of day step and then a server start, half a second before it is listed.
@@ -62,10 +62,10 @@
 			{"discovery's clock, behind a heartbeat", 0, step, true, max(0, min(100*time.Millisecond, age-step))},
 		} {
 			t.Run(fmt.Sprintf("%s by %v", tt.name, step), func(t *testing.T) {
-				hearing(t, func(t *testing.T, h *host, says func(bool, ...Target)) {
+				hearing(t, func(t *testing.T, h *host, says func(bool, ...Endpoint)) {
 					old := claimed("s-0", time.Now().Add(-5*time.Second).Round(0))
 					says(true, old, claimed("s-1", time.Time{}))
-					if got := h.clock() - h.starts.of(old); got != 5*time.Second {
+					if got := h.clock() - h.starts.StartOf(old); got != 5*time.Second {
 						t.Fatalf("in the first list a server is %v old, want 5s", got)
 					}
 					time.Sleep(pause - 100*time.Millisecond)
@@ -74,19 +74,19 @@
 						h.unchanged(h.watches.current)
 					}
 					time.Sleep(100 * time.Millisecond)
-					h.starts.wall = func() time.Time { return time.Now().Add(tt.here).Round(0) }
+					h.starts.wallClock = func() time.Time { return time.Now().Add(tt.here).Round(0) }
 					fresh := claimed("s-2", time.Now().Add(tt.abroad-age).Round(0))
 					says(false, fresh)
-					if got := h.clock() - h.starts.of(fresh); got != tt.want {
+					if got := h.clock() - h.starts.StartOf(fresh); got != tt.want {
 						t.Errorf("it is %v old, want %v", got, tt.want)
 					}
-					again := claimed("s-0", fresh.Boot)
+					again := claimed("s-0", fresh.StartedAt)
 					says(false, again)
-					if got := h.clock() - h.starts.of(again); got != 0 {
+					if got := h.clock() - h.starts.StartOf(again); got != 0 {
 						t.Errorf("one that has started since the list before, at the same time, is %v old", got)
 					}
 					says(true, fresh, old)
-					if h.starts.of(claimed("s-1", time.Time{})) != 0 || h.clock()-h.starts.of(fresh) != tt.want {
+					if h.starts.StartOf(claimed("s-1", time.Time{})) != 0 || h.clock()-h.starts.StartOf(fresh) != tt.want {
 						t.Error("a list that tells nothing new changes a start")
 					}
 				})
@@ -98,25 +98,25 @@
 // TestStartsThatAreKnown has a server be on no list for a while and come back with the start that it had: it is as warm
 // as it was. One that a new discovery lists and the former did not is at most as old as the former one's last list.
 func TestStartsThatAreKnown(t *testing.T) {
-	hearing(t, func(t *testing.T, h *host, says func(bool, ...Target)) {
+	hearing(t, func(t *testing.T, h *host, says func(bool, ...Endpoint)) {
 		warm, other := claimed("s-0", time.Now().Add(-time.Minute).Round(0)), claimed("s-1", time.Time{})
 		says(true, warm, other)
-		was := h.starts.of(warm)
+		was := h.starts.StartOf(warm)
 		says(true, other)
 		time.Sleep(2 * time.Second)
 		says(true, other, warm)
-		if got := h.starts.of(warm); got != was {
+		if got := h.starts.StartOf(warm); got != was {
 			t.Errorf("back on the list it started %v later", got-was)
 		}
 		time.Sleep(3 * time.Second)
 		h.unwatched(h.watches.current, errors.New("ended"))
-		next := &watch{func() {}}
+		next := &subscription{func() {}}
 		h.watches.next = next
 		h.now = h.clock()
 		h.unchanged(next) // which has told nothing yet
 		unheard := claimed("s-2", time.Now().Add(-time.Hour).Round(0))
-		h.told(next, List{Rev: 1, All: true, Targets: []Target{warm, other, unheard}})
-		if got := h.clock() - h.starts.of(unheard); got != 3*time.Second {
+		h.told(next, List{Revision: 1, Complete: true, Endpoints: []Endpoint{warm, other, unheard}})
+		if got := h.clock() - h.starts.StartOf(unheard); got != 3*time.Second {
 			t.Errorf("a server that the former discovery did not list is %v old, want 3s", got)
 		}
 	})
@@ -125,34 +125,34 @@
 // TestStartsAreBounded has many servers pass by: the starts of the last ones are kept, and those of servers that are
 // listed.
 func TestStartsAreBounded(t *testing.T) {
-	s := newStartTimes(func() balance.Time { return originAge })
-	says := func(target Target) {
-		s.of(target)
-		s.update(originAge, balance.ListChanges, List{Targets: []Target{target}})
+	s := NewStartTimes(func() balance.Time { return originAge })
+	says := func(target Endpoint) {
+		s.StartOf(target)
+		s.Update(originAge, balance.ListChanges, List{Endpoints: []Endpoint{target}})
 	}
-	stays, last := claimed("s-0", time.Now()), Target{}
+	stays, last := claimed("s-0", time.Now()), Endpoint{}
 	says(stays)
-	for i := range 2 * mostDelisted {
+	for i := range 2 * maxDelisted {
 		last = claimed(fmt.Sprintf("p-%d", i), time.Now())
 		says(last)
 		gone := last
 		gone.State = balance.Removed
 		says(gone)
 	}
-	if got := len(s.starts); got != mostDelisted+1 || s.starts[stays.ID] == nil || s.starts[last.ID] == nil {
-		t.Errorf("%d starts are kept, want %d", got, mostDelisted+1)
+	if got := len(s.starts); got != maxDelisted+1 || s.starts[stays.ID] == nil || s.starts[last.ID] == nil {
+		t.Errorf("%d starts are kept, want %d", got, maxDelisted+1)
 	}
 }
 
 // TestListOfAnyAge has a process begin with a list that the platform wrote down: what the first list of discovery has
 // beyond that may have started long before.
 func TestListOfAnyAge(t *testing.T) {
-	hearing(t, func(t *testing.T, h *host, says func(bool, ...Target)) {
-		h.list(balance.ListRemembered, List{Targets: []Target{claimed("s-0", time.Time{})}})
+	hearing(t, func(t *testing.T, h *host, says func(bool, ...Endpoint)) {
+		h.list(balance.ListRemembered, List{Endpoints: []Endpoint{claimed("s-0", time.Time{})}})
 		time.Sleep(time.Second)
 		warm := claimed("s-1", time.Now().Add(-time.Hour).Round(0))
 		says(true, claimed("s-0", time.Time{}), warm)
-		if got := h.clock() - h.starts.of(warm); got != time.Hour {
+		if got := h.clock() - h.starts.StartOf(warm); got != time.Hour {
 			t.Errorf("it is %v old, want 1h", got)
 		}
 	})
@@ -176,9 +176,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				pieces := append([]string{"HTTP/1.1 200 OK\r\n\r\n"}, tt.pieces...)
-				d := newDiscovery("127.0.0.1:9", 0, spoken(time.Millisecond, pieces...))
+				d := NewDiscoveryClient("127.0.0.1:9", 0, spoken(time.Millisecond, pieces...))
 				got := 0
-				err := d.watch(context.Background(), tt.from, func(List) {}, func() { got++ })
+				err := d.Watch(context.Background(), tt.from, func(List) {}, func() { got++ })
 				if got != tt.want || !errors.Is(err, errSilent) && !errors.Is(err, io.EOF) {
 					t.Errorf("%d heartbeats, want %d, error %v", got, tt.want, err)
 				}
--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -12,105 +12,105 @@
 )
 
 const (
-	passPiece  = 16 << 10 // bytes of a long answer that are held at once
-	sendBuffer = 64 << 10 // bytes of it that may wait in the client's connection
-	// stall is how long a server may pause in an answer that is being passed on: one that vanishes says nothing.
-	stall = 5 * time.Second
-	// lateGrace is how long after its client's time an answer of usual length may still end. Its client counts it as lost 0.5 s after
+	streamBufferSize = 16 << 10 // bytes of a long answer that are held at once
+	clientSendBuffer = 64 << 10 // bytes of it that may wait in the client's connection
+	// maxStreamPause is how long a server may pause in an answer that is being passed on: one that vanishes says nothing.
+	maxStreamPause = 5 * time.Second
+	// lateResponseGrace is how long after its client's time an answer of usual length may still end. Its client counts it as lost 0.5 s after
 	// that time, and as failed where it was told before that it has no end.
-	lateGrace = 250 * time.Millisecond
-	// lastPause is how long it may pause once this process ends: an answer that hangs is cut off before the kill, and one
+	lateResponseGrace = 250 * time.Millisecond
+	// finalPause is how long it may pause once this process ends: an answer that hangs is cut off before the kill, and one
 	// that comes goes on.
-	lastPause = killMargin / 4
-	// leastStall is how long a server may pause in any case. Whether an answer of untold length is a long one, of which only the first
+	finalPause = killMargin / 4
+	// minStreamPause is how long a server may pause in any case. Whether an answer of untold length is a long one, of which only the first
 	// bytes are timed, is not known while it comes: one that a server is still giving must not be cut off.
-	leastStall = time.Second
+	minStreamPause = time.Second
 )
 
 // serverBody is a body as a server sends it. Read returns what has come, without waiting for more, and io.EOF at the
 // end. After a deadline it can be read on.
 type serverBody struct {
-	c      *serverConn
-	length int64   // -1: not told
-	left   int64   // of a length
-	chunks *chunks // nil: none
-	ended  bool
+	conn      *serverConn
+	length    int64           // -1: not told
+	remaining int64           // of a length
+	decoder   *ChunkedDecoder // nil: none
+	ended     bool
 }
 
-// over tells whether all of it was read.
-func (b *serverBody) over() bool { return b.ended || b.length >= 0 && b.left == 0 }
+// isComplete tells whether all of it was read.
+func (b *serverBody) isComplete() bool { return b.ended || b.length >= 0 && b.remaining == 0 }
 
 // Read implements io.Reader.
 func (b *serverBody) Read(p []byte) (n int, err error) {
 	switch {
-	case b.over():
+	case b.isComplete():
 		return 0, io.EOF
 	case b.length >= 0:
-		n, err = b.c.in.Read(p[:min(int64(len(p)), b.left)])
-		b.left -= int64(n)
-		return n, cut(err)
-	case b.chunks == nil:
-		n, err = b.c.in.Read(p)
+		n, err = b.conn.reader.Read(p[:min(int64(len(p)), b.remaining)])
+		b.remaining -= int64(n)
+		return n, asUnexpectedEOF(err)
+	case b.decoder == nil:
+		n, err = b.conn.reader.Read(p)
 		b.ended = err == io.EOF
 		return n, err
 	}
 	for n == 0 && !b.ended {
-		if _, err := b.c.in.Peek(1); err != nil {
-			return 0, cut(err)
+		if _, err := b.conn.reader.Peek(1); err != nil {
+			return 0, asUnexpectedEOF(err)
 		}
-		in, err := b.c.in.Peek(min(b.c.in.Buffered(), len(p)))
+		in, err := b.conn.reader.Peek(min(b.conn.reader.Buffered(), len(p)))
 		if err != nil {
-			return 0, cut(err)
+			return 0, asUnexpectedEOF(err)
 		}
-		data, used, done, err := b.chunks.next(in)
+		data, used, done, err := b.decoder.Next(in)
 		if err != nil {
-			return 0, spoilt("%v", err)
+			return 0, malformed("%v", err)
 		}
 		n, b.ended = copy(p, data), done
-		if _, err := b.c.in.Discard(used); err != nil {
+		if _, err := b.conn.reader.Discard(used); err != nil {
 			return n, err
 		}
 	}
 	return n, nil
 }
 
-// cut is the error of a body that has no end of its own.
-func cut(err error) error {
+// asUnexpectedEOF is the error of a body that has no end of its own.
+func asUnexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// stream is the rest of an answer that is passed on as it comes.
-type stream struct {
-	body   *serverBody
-	closes bool      // the server closes the connection behind it
-	passed chan bool // gets whether its connection can have another request, once
+// Stream is the rest of an answer that is passed on as it comes.
+type Stream struct {
+	body             *serverBody
+	connectionCloses bool      // the server closes the connection behind it
+	reusable         chan bool // gets whether its connection can have another request, once
 }
 
-// end lets go of the server's connection. whole says that all of the answer was read.
-func (s *stream) end(whole bool) {
-	ends := s.body.length >= 0 || s.body.chunks != nil // without its connection
-	s.passed <- whole && ends && !s.closes && s.body.c.quiet()
+// Finish lets go of the server's connection. whole says that all of the answer was read.
+func (s *Stream) Finish(whole bool) {
+	ends := s.body.length >= 0 || s.body.decoder != nil // without its connection
+	s.reusable <- whole && ends && !s.connectionCloses && s.body.conn.isReusable()
 }
 
-// pieces are buffers of passPiece bytes.
-var pieces = sync.Pool{New: func() any { return new([passPiece]byte) }}
+// streamBuffers are buffers of passPiece bytes.
+var streamBuffers = sync.Pool{New: func() any { return new([streamBufferSize]byte) }}
 
-// pass passes a long answer on. What the server cuts off must not look whole to the client: its connection ends
+// stream passes a long answer on. What the server cuts off must not look whole to the client: its connection ends
 // before the length is met, or before the chunks' end.
-func (s *server) pass(w http.ResponseWriter, r *http.Request, conn *http.ResponseController, a answer, c *call) *fault {
+func (s *Handler) stream(w http.ResponseWriter, r *http.Request, conn *http.ResponseController, a answer, c *call) *fault {
 	whole, ours := false, false
 	// A full send buffer takes more when a third of it is free. A slow client would take a large one's third for
 	// longer than any piece may take.
 	if client, ok := r.Context().Value(connKey{}).(*clientConn); ok {
 		if tcp, ok := client.Conn.(*net.TCPConn); ok {
-			_ = tcp.SetWriteBuffer(sendBuffer) // the system's own is only worse
+			_ = tcp.SetWriteBuffer(clientSendBuffer) // the system's own is only worse
 		}
 	}
-	defer func() { a.rest.end(whole) }()
-	defer context.AfterFunc(s.ending, a.rest.body.c.hurry)()
+	defer func() { a.rest.Finish(whole) }()
+	defer context.AfterFunc(s.ending, a.rest.body.conn.shortenPause)()
 	w.Header()["Content-Type"] = nil
 	if a.ctype != "" {
 		w.Header().Set("Content-Type", a.ctype)
@@ -119,19 +119,19 @@
 		w.Header().Set("Content-Length", strconv.FormatInt(n, 10))
 	}
 	passed := int64(0)
-	buffer := pieces.Get().(*[passPiece]byte)
-	defer pieces.Put(buffer)
+	buffer := streamBuffers.Get().(*[streamBufferSize]byte)
+	defer streamBuffers.Put(buffer)
 	for piece := a.body; ; {
-		if err := send(w, conn, piece); err != nil {
+		if err := writePiece(w, conn, piece); err != nil {
 			ours = true // the client is gone, or takes less than it must
 			break
 		}
 		passed += int64(len(piece))
-		if a.rest.body.over() {
+		if a.rest.body.isComplete() {
 			whole = true
 			break
 		}
-		a.rest.body.c.pause = mayPause(max(passed, a.rest.body.length), c.deadline)
+		a.rest.body.conn.allowedPause = allowedPause(max(passed, a.rest.body.length), c.deadline)
 		n, err := a.rest.body.Read(buffer[:])
 		if piece = buffer[:n]; err != nil && !errors.Is(err, io.EOF) {
 			break
@@ -147,17 +147,17 @@
 	panic(http.ErrAbortHandler)
 }
 
-// mayPause is how long a server may pause in an answer of at least this length, to a client whose time ends at deadline.
-func mayPause(length int64, deadline time.Time) time.Duration {
-	if length > mostBody {
-		return stall
+// allowedPause is how long a server may pause in an answer of at least this length, to a client whose time ends at deadline.
+func allowedPause(length int64, deadline time.Time) time.Duration {
+	if length > MaxBufferedBody {
+		return maxStreamPause
 	}
-	return min(stall, max(time.Until(deadline.Add(lateGrace)), leastStall))
+	return min(maxStreamPause, max(time.Until(deadline.Add(lateResponseGrace)), minStreamPause))
 }
 
-// send sends a piece of an answer. The time it may take is the piece's own.
-func send(w http.ResponseWriter, conn *http.ResponseController, piece []byte) error {
-	if err := conn.SetWriteDeadline(time.Now().Add(stall)); err != nil {
+// writePiece sends a piece of an answer. The time it may take is the piece's own.
+func writePiece(w http.ResponseWriter, conn *http.ResponseController, piece []byte) error {
+	if err := conn.SetWriteDeadline(time.Now().Add(maxStreamPause)); err != nil {
 		return err
 	}
 	if _, err := w.Write(piece); err != nil {
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -251,7 +251,7 @@
 		{unix.EACCES, 1, false, 1},
 	} {
 		calls := 0
-		text, err := readFile("config.json", func(path string) ([]byte, error) {
+		text, err := readWithRetry("config.json", func(path string) ([]byte, error) {
 			if calls++; calls <= tt.fails {
 				return nil, &os.PathError{Op: "open", Path: path, Err: tt.errno}
 			}
@@ -284,9 +284,9 @@
 			u := to(t, b)
 			u.pool.dial = f.dial
 			ask := func() balance.Outcome {
-				return u.attempt(context.Background(), sending{server: "s-0", message: post(""), begins: whole}).outcome
+				return u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: post(""), StartStreaming: whole}).Outcome
 			}
-			idle, err := u.pool.take(context.Background(), u.targets["s-0"])
+			idle, err := u.pool.acquire(context.Background(), u.servers["s-0"])
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -295,15 +295,15 @@
 				if got := ask(); got != balance.Served {
 					t.Errorf("outcome %d after one failure, want that it was tried again", got)
 				}
-				u.pool.empty(u.targets["s-0"], false)
+				u.pool.closeIdle(u.servers["s-0"], false)
 			}
 			f.set(tt.call, slices.Repeat([]failure{once}, 10)...)
-			u.pool.settles = testserver.Timeout // the idle connection is not taken for the attempt
-			u.pool.put(idle, true)
+			u.pool.reuseDelay = testserver.Timeout // the idle connection is not taken for the attempt
+			u.pool.release(idle, true)
 			if got := ask(); got != tt.want {
 				t.Errorf("outcome %d, want %d", got, tt.want)
 			}
-			if kept := len(u.targets["s-0"].idle) == 1; kept != tt.keeps {
+			if kept := len(u.servers["s-0"].idle) == 1; kept != tt.keeps {
 				t.Errorf("the idle connection is kept: %v", kept)
 			}
 		})
--- a/internal/sidecar/terms.go
+++ b/internal/sidecar/terms.go
@@ -38,13 +38,13 @@
 	return t
 }
 
-// mayLack are keys that a file may leave out though the one before had them: news, and what the platform's page lets be
+// optionalKeys are keys that a file may leave out though the one before had them: news, and what the platform's page lets be
 // absent.
-var mayLack = []string{"known", "aim_stretch", "passes_deadline", "warm_keys"}
+var optionalKeys = []string{"known", "aim_stretch", "passes_deadline", "warm_keys"}
 
-// lacks returns the first key, by its path, that a configuration lacks though the one in use has it, or "". A
+// missingKey returns the first key, by its path, that a configuration lacks though the one in use has it, or "". A
 // file that was written in part still parses, and what it lacks would pass for 0 or false.
-func lacks(path string, inUse, fresh any) string {
+func missingKey(path string, inUse, fresh any) string {
 	switch inUse := inUse.(type) {
 	case map[string]any:
 		fresh, ok := fresh.(map[string]any)
@@ -57,14 +57,14 @@
 		}
 		slices.Sort(keys)
 		for _, key := range keys {
-			if slices.Contains(mayLack, key) || inUse[key] == nil {
+			if slices.Contains(optionalKeys, key) || inUse[key] == nil {
 				continue
 			}
 			at := strings.TrimPrefix(path+"."+key, ".")
 			if fresh[key] == nil {
 				return at
 			}
-			if missing := lacks(at, inUse[key], fresh[key]); missing != "" {
+			if missing := missingKey(at, inUse[key], fresh[key]); missing != "" {
 				return missing
 			}
 		}
@@ -76,7 +76,7 @@
 		// The entries of a list come and go. What all of them have, each new one has.
 		common := commonKeys(inUse)
 		for i, entry := range fresh {
-			if missing := lacks(fmt.Sprintf("%s.%d", path, i), common, entry); len(common) > 0 && missing != "" {
+			if missing := missingKey(fmt.Sprintf("%s.%d", path, i), common, entry); len(common) > 0 && missing != "" {
 				return missing
 			}
 		}
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -17,7 +17,7 @@
 
 func parsed(t *testing.T, text string) List {
 	t.Helper()
-	l, err := parseList([]byte(text))
+	l, err := ParseList([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,22 +25,22 @@
 }
 
 // to is an upstream that knows the backends.
-func to(t *testing.T, backends ...*testserver.Backend) *upstream {
-	u := newUpstream(&Config{Sockets: defaultSockets, MemoryMB: defaultMemoryMB,
+func to(t *testing.T, backends ...*testserver.Backend) *Upstream {
+	u := NewUpstream(&Config{Sockets: defaultSockets, MemoryMB: defaultMemoryMB,
 		Limits: wire.Limits{ConnectTimeout: testserver.Timeout, IdleClose: testserver.Timeout}}, &atomic.Int64{})
-	u.pool.settles = 0
-	u.update(parsed(t, testserver.ServingList(1, backends...)))
-	t.Cleanup(func() { u.update(List{All: true}) })
+	u.pool.reuseDelay = 0
+	u.Update(parsed(t, testserver.ServingList(1, backends...)))
+	t.Cleanup(func() { u.Update(List{Complete: true}) })
 	return u
 }
 
-func post(key string) *message {
-	return &message{method: http.MethodPost, uri: &url.URL{Path: "/api", RawQuery: "k=a%20b"}, id: "id-1", key: key,
-		body: [][]byte{[]byte("skip")}}
+func post(key string) *Message {
+	return &Message{Method: http.MethodPost, URL: &url.URL{Path: "/api", RawQuery: "k=a%20b"}, ID: "id-1", IdempotencyKey: key,
+		Body: [][]byte{[]byte("skip")}}
 }
 
-func get() *message {
-	return &message{method: http.MethodGet, uri: &url.URL{Path: "/api"}, id: "id-1"}
+func get() *Message {
+	return &Message{Method: http.MethodGet, URL: &url.URL{Path: "/api"}, ID: "id-1"}
 }
 
 func TestOutcomes(t *testing.T) {
@@ -58,7 +58,7 @@
 		{"error that claims not to have run", testserver.Respond(500, "X-Not-Processed: 1\r\n", ""), balance.Errored},
 		{"large", testserver.Respond(200, "", strings.Repeat("x", 32<<20)), balance.Served},
 		{"too long", func(c net.Conn, _ *http.Request, _ []byte) bool {
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", mostAnswer+1)
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", maxResponseBody+1)
 			return false
 		}, balance.Errored},
 		{"reset", testserver.ResetConnection, balance.Reset},
@@ -75,17 +75,17 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			for _, m := range []*message{get(), post(""), post("k")} {
+			for _, m := range []*Message{get(), post(""), post("k")} {
 				b := testserver.StartBackend(t, tt.do)
-				r := to(t, b).attempt(context.Background(), sending{server: "s-0", message: m, begins: taken})
-				if r.outcome != tt.want {
-					t.Errorf("%s with key %q: outcome %d, want %d", m.method, m.key, r.outcome, tt.want)
+				r := to(t, b).Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: m, StartStreaming: taken})
+				if r.Outcome != tt.want {
+					t.Errorf("%s with key %q: outcome %d, want %d", m.Method, m.IdempotencyKey, r.Outcome, tt.want)
 				}
-				if tt.name == "served" && string(r.body) != "slot" {
-					t.Errorf("body %q", r.body)
+				if tt.name == "served" && string(r.Body) != "slot" {
+					t.Errorf("body %q", r.Body)
 				}
 				if n := b.RequestCount(); n != 1 {
-					t.Errorf("%s with key %q came %d times", m.method, m.key, n)
+					t.Errorf("%s with key %q came %d times", m.Method, m.IdempotencyKey, n)
 				}
 			}
 		})
@@ -98,7 +98,7 @@
 	gone := testserver.Listen(t)
 	closed := testserver.EndpointEntry("s-1", gone.Addr().String(), "SERVING", 0)
 	gone.Close()
-	u.update(parsed(t, testserver.ListText(2, false, closed)))
+	u.Update(parsed(t, testserver.ListText(2, false, closed)))
 	over, cancel := context.WithCancel(context.Background())
 	cancel()
 	for _, tt := range []struct {
@@ -110,8 +110,8 @@
 		{"unknown server", "s-9", context.Background(), balance.NotSent},
 		{"called off before", "s-0", over, balance.NotSent},
 	} {
-		if r := u.attempt(tt.ctx, sending{server: tt.to, message: post(""), begins: whole}); r.outcome != tt.want {
-			t.Errorf("%s: outcome %d, want %d", tt.name, r.outcome, tt.want)
+		if r := u.Attempt(tt.ctx, AttemptRequest{ServerID: tt.to, Message: post(""), StartStreaming: whole}); r.Outcome != tt.want {
+			t.Errorf("%s: outcome %d, want %d", tt.name, r.Outcome, tt.want)
 		}
 	}
 	if n := b.RequestCount(); n != 0 {
@@ -146,28 +146,32 @@
 	b := testserver.StartBackend(t, testserver.NeverRespond)
 	u := to(t, b)
 	late := newEndable()
-	ended := make(chan reply, 1)
-	go func() { ended <- u.attempt(late, sending{server: "s-0", message: post(""), begins: whole}) }()
+	ended := make(chan Response, 1)
+	go func() {
+		ended <- u.Attempt(late, AttemptRequest{ServerID: "s-0", Message: post(""), StartStreaming: whole})
+	}()
 	testserver.Receive(t, b.Requests, "request")
 	late.end()
-	if r := testserver.Receive(t, ended, "end"); r.outcome != balance.TimedOut {
-		t.Errorf("outcome %d, want a time-out", r.outcome)
+	if r := testserver.Receive(t, ended, "end"); r.Outcome != balance.TimedOut {
+		t.Errorf("outcome %d, want a time-out", r.Outcome)
 	}
 	b = testserver.StartBackend(t, testserver.NeverRespond)
 	u = to(t, b)
 	ctx, cancel := context.WithCancel(context.Background())
-	go func() { ended <- u.attempt(ctx, sending{server: "s-0", message: post(""), begins: whole}) }()
+	go func() {
+		ended <- u.Attempt(ctx, AttemptRequest{ServerID: "s-0", Message: post(""), StartStreaming: whole})
+	}()
 	testserver.Receive(t, b.Requests, "request")
 	cancel()
-	if r := testserver.Receive(t, ended, "end"); r.outcome != balance.Cancelled {
-		t.Errorf("outcome %d, want cancelled", r.outcome)
+	if r := testserver.Receive(t, ended, "end"); r.Outcome != balance.Cancelled {
+		t.Errorf("outcome %d, want cancelled", r.Outcome)
 	}
 }
 
 // TestStaleConnection has a server answer once and then reset the connection on the next request. The transport
 // would send GETs and keyed requests again by itself.
 func TestStaleConnection(t *testing.T) {
-	for _, m := range []*message{get(), post(""), post("k")} {
+	for _, m := range []*Message{get(), post(""), post("k")} {
 		first := true
 		b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 			if first {
@@ -177,14 +181,14 @@
 			return testserver.ResetConnection(c, r, body)
 		})
 		u := to(t, b)
-		if r := u.attempt(context.Background(), sending{server: "s-0", message: m, begins: taken}); r.outcome != balance.Served {
-			t.Fatalf("first outcome %d", r.outcome)
+		if r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: m, StartStreaming: taken}); r.Outcome != balance.Served {
+			t.Fatalf("first outcome %d", r.Outcome)
 		}
-		if r := u.attempt(context.Background(), sending{server: "s-0", message: m, begins: taken}); r.outcome != balance.Reset {
-			t.Errorf("%s with key %q: outcome %d, want a reset", m.method, m.key, r.outcome)
+		if r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: m, StartStreaming: taken}); r.Outcome != balance.Reset {
+			t.Errorf("%s with key %q: outcome %d, want a reset", m.Method, m.IdempotencyKey, r.Outcome)
 		}
 		if n := b.RequestCount(); n != 2 {
-			t.Errorf("%s with key %q: %d requests for two attempts", m.method, m.key, n)
+			t.Errorf("%s with key %q: %d requests for two attempts", m.Method, m.IdempotencyKey, n)
 		}
 	}
 }
@@ -197,7 +201,7 @@
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), testserver.Timeout)
 	defer cancel()
-	to(t, b).attempt(ctx, sending{server: "s-0", message: post("k-7"), begins: whole})
+	to(t, b).Attempt(ctx, AttemptRequest{ServerID: "s-0", Message: post("k-7"), StartStreaming: whole})
 	r := testserver.Receive(t, b.Requests, "request")
 	if r.Method != "POST" || r.RequestURI != "/api?k=a%20b" || r.Header.Get("X-Request-ID") != "id-1" ||
 		r.Header.Get("Idempotency-Key") != "k-7" || r.Header.Get("Accept-Encoding") != "" || r.ContentLength != 4 {
@@ -221,29 +225,29 @@
 	})
 	u := to(t, b)
 	ask := func() net.Conn {
-		if r := u.attempt(context.Background(), sending{server: "s-0", message: get(), begins: whole}); r.outcome != balance.Served {
-			t.Fatalf("outcome %d", r.outcome)
+		if r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole}); r.Outcome != balance.Served {
+			t.Fatalf("outcome %d", r.Outcome)
 		}
 		return testserver.Receive(t, conns, "connection")
 	}
 	first := ask()
-	u.update(parsed(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "DRAINING", 0))))
-	if r := u.attempt(context.Background(), sending{server: "s-0", message: get(), begins: whole}); r.outcome != balance.NotSent {
-		t.Errorf("outcome %d at a server that drains", r.outcome)
+	u.Update(parsed(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "DRAINING", 0))))
+	if r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole}); r.Outcome != balance.NotSent {
+		t.Errorf("outcome %d at a server that drains", r.Outcome)
 	}
-	u.update(parsed(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "SERVING", 0))))
+	u.Update(parsed(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "SERVING", 0))))
 	if ask() != first {
 		t.Error("a change of state cost the connection")
 	}
-	u.update(parsed(t, testserver.ListText(3, false, testserver.EndpointEntry("s-0", b.Address, "SERVING", 1700000000000))))
+	u.Update(parsed(t, testserver.ListText(3, false, testserver.EndpointEntry("s-0", b.Address, "SERVING", 1700000000000))))
 	if ask() == first {
 		t.Error("a request went to the former process's connection")
 	}
-	u.update(parsed(t, testserver.ListText(4, false, testserver.EndpointEntry("s-0", b.Address, "DELETED", 0))))
-	if r := u.attempt(context.Background(), sending{server: "s-0", message: get(), begins: whole}); r.outcome != balance.NotSent {
-		t.Errorf("outcome %d at a removed server", r.outcome)
+	u.Update(parsed(t, testserver.ListText(4, false, testserver.EndpointEntry("s-0", b.Address, "DELETED", 0))))
+	if r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole}); r.Outcome != balance.NotSent {
+		t.Errorf("outcome %d at a removed server", r.Outcome)
 	}
-	u.update(parsed(t, testserver.ListText(5, false, testserver.EndpointEntry("s-0", b.Address, "SERVING", 0))))
+	u.Update(parsed(t, testserver.ListText(5, false, testserver.EndpointEntry("s-0", b.Address, "SERVING", 0))))
 	ask()
 }
 
@@ -263,10 +267,10 @@
 			return testserver.Respond(200, "", "")(c, r, body)
 		})
 		u := to(t, b)
-		ended := make(chan reply, 2)
+		ended := make(chan Response, 2)
 		for range 2 {
 			go func() {
-				ended <- u.attempt(context.Background(), sending{server: "s-0", message: get(), begins: whole})
+				ended <- u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole})
 			}()
 		}
 		old := map[net.Conn]bool{testserver.Receive(t, conns, "connection"): true, testserver.Receive(t, conns, "connection"): true}
@@ -275,7 +279,9 @@
 			testserver.Receive(t, ended, "end")
 		}
 		ctx, want := newEndable(), balance.Reset
-		go func() { ended <- u.attempt(ctx, sending{server: "s-0", message: get(), begins: whole}) }()
+		go func() {
+			ended <- u.Attempt(ctx, AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole})
+		}()
 		if c := testserver.Receive(t, conns, "connection"); !old[c] {
 			t.Fatal("the request did not reuse a connection")
 		}
@@ -286,11 +292,11 @@
 		} else {
 			verdict <- "reset"
 		}
-		if r := testserver.Receive(t, ended, "end"); r.outcome != want {
-			t.Errorf("outcome %d, want %d", r.outcome, want)
+		if r := testserver.Receive(t, ended, "end"); r.Outcome != want {
+			t.Errorf("outcome %d, want %d", r.Outcome, want)
 		}
 		go func() {
-			ended <- u.attempt(context.Background(), sending{server: "s-0", message: get(), begins: whole})
+			ended <- u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole})
 		}()
 		if c := testserver.Receive(t, conns, "connection"); old[c] {
 			t.Error("a request went to an idle connection of a server that failed")
