--- /dev/null
+++ b/internal/netretry/socket_test.go
@@ -0,0 +1,33 @@
+package netretry
+
+import (
+	"testing"
+
+	"golang.org/x/sys/unix"
+)
+
+// TestSocketLooksGoOnAfterSignals has signals interrupt the calls that look at a socket.
+func TestSocketLooksGoOnAfterSignals(t *testing.T) {
+	interrupted := 0
+	interrupts := func() error {
+		if interrupted++; interrupted%3 != 0 {
+			return unix.EINTR
+		}
+		return nil
+	}
+	n, err := peek(0, func(int, []byte, int) (int, unix.Sockaddr, error) { return 1, nil, interrupts() })
+	if n != 1 || err != nil {
+		t.Errorf("peek: %d, error %v", n, err)
+	}
+	state, err := poll(0, unix.POLLRDHUP, func(fds []unix.PollFd, _ int) (int, error) {
+		fds[0].Revents = 0
+		if err := interrupts(); err != nil {
+			return -1, err
+		}
+		fds[0].Revents = unix.POLLRDHUP
+		return 1, nil
+	})
+	if state != unix.POLLRDHUP || err != nil || interrupted != 6 {
+		t.Errorf("poll: %d, error %v after %d calls", state, err, interrupted)
+	}
+}
--- a/internal/sidecar/conns.go
+++ b/internal/sidecar/conns.go
@@ -286,36 +286,10 @@
 		return false
 	}
 	n := 0
-	failed := raw.Control(func(fd uintptr) { n, err = peek(int(fd), unix.Recvfrom) })
+	failed := raw.Control(func(fd uintptr) { n, err = netretry.Peek(int(fd)) })
 	return failed == nil && err == nil && n > 0
 }
 
-// recvfrom is unix.Recvfrom, or fails as a test says.
-type recvfrom func(fd int, p []byte, flags int) (int, unix.Sockaddr, error)
-
-// peek tells how many bytes wait at a socket, of which it looks for one. It neither waits nor takes them.
-func peek(fd int, receive recvfrom) (n int, err error) {
-	var first [1]byte
-	err = netretry.Uninterrupted(func() error {
-		n, _, err = receive(fd, first[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		return err
-	})
-	return n, err
-}
-
-// polling is unix.Poll, or fails as a test says.
-type polling func(fds []unix.PollFd, timeout int) (int, error)
-
-// polled tells which of the events a file has now, or POLLHUP and POLLERR.
-func polled(fd int, events int16, poll polling) (int16, error) {
-	state := []unix.PollFd{{Fd: int32(fd), Events: events}}
-	err := netretry.Uninterrupted(func() error {
-		_, err := poll(state, 0)
-		return err
-	})
-	return state[0].Revents, err
-}
-
 // hungUp tells whether the client has ended its sending, also where bytes that came before that are not read yet.
 func (c *clientConn) hungUp() bool {
 	inner, ok := c.Conn.(syscall.Conn)
@@ -327,7 +301,7 @@
 		return false
 	}
 	var state int16
-	failed := raw.Control(func(fd uintptr) { state, err = polled(int(fd), unix.POLLRDHUP, unix.Poll) })
+	failed := raw.Control(func(fd uintptr) { state, err = netretry.Poll(int(fd), unix.POLLRDHUP) })
 	return failed == nil && err == nil && state&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
--- a/internal/sidecar/listen.go
+++ b/internal/sidecar/listen.go
@@ -125,7 +125,7 @@
 		return false
 	}
 	var state int16
-	failed := raw.Control(func(fd uintptr) { state, err = polled(int(fd), unix.POLLIN, unix.Poll) })
+	failed := raw.Control(func(fd uintptr) { state, err = netretry.Poll(int(fd), unix.POLLIN) })
 	return failed == nil && err == nil && state != 0
 }
 
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -14,8 +14,6 @@
 	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"milletramp.example/milletramp/internal/netretry"
 )
 
@@ -288,7 +286,7 @@
 	}
 	silent := false
 	err := c.rawConn.Read(func(fd uintptr) bool {
-		_, err := peek(int(fd), unix.Recvfrom)
+		_, err := netretry.Peek(int(fd))
 		silent = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
