--- a/internal/sidecar/answer.go
+++ b/internal/sidecar/answer.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/chunked"
 )
 
 const (
@@ -115,7 +116,7 @@
 		}
 		b.length, b.remaining = int64(n), int64(n)
 	case len(lengths) == 0 && len(codings) == 1 && strings.EqualFold(codings[0], "chunked"):
-		b.decoder = &ChunkedDecoder{}
+		b.decoder = &chunked.Decoder{}
 	case isCloseDelimited(header):
 		// Whole once the server has closed the connection in order, whether or not it announced that. A reset or a
 		// silence is no end.
--- a/internal/sidecar/framing.go
+++ b/internal/sidecar/framing.go
@@ -5,6 +5,8 @@
 	"errors"
 	"fmt"
 	"strconv"
+
+	"milletramp.example/milletramp/internal/chunked"
 )
 
 // errFraming says that a client's message can be read in two ways.
@@ -25,7 +27,7 @@
 	length []byte // as given; nil: not
 	coded  bool   // a transfer coding is given
 	left   int64  // of a body with a length
-	chunks *ChunkedDecoder
+	chunks *chunked.Decoder
 }
 
 // partial tells whether a part of a head has come.
@@ -125,7 +127,7 @@
 	case coded && length != nil:
 		return fmt.Errorf("%w: a length beside chunks", errFraming)
 	case coded:
-		f.inBody, f.chunks = true, &ChunkedDecoder{}
+		f.inBody, f.chunks = true, &chunked.Decoder{}
 	case length != nil:
 		n, err := strconv.ParseUint(string(length), 10, 63)
 		if err != nil {
--- a/internal/sidecar/framing_test.go
+++ b/internal/sidecar/framing_test.go
@@ -1,102 +1,13 @@
 package sidecar
 
 import (
-	"bytes"
 	"errors"
-	"io"
-	"net/http/httputil"
 	"strings"
 	"testing"
 
-	"pgregory.net/rapid"
+	"milletramp.example/milletramp/internal/chunked"
 )
 
-// unchunk decodes text that comes in pieces of a size.
-func unchunk(text []byte, piece int) (body []byte, rest int, done bool, err error) {
-	var c ChunkedDecoder
-	for at := 0; at < len(text); {
-		data, used, done, err := c.Next(text[at:min(at+piece, len(text))])
-		if err != nil {
-			return nil, 0, false, err
-		}
-		body = append(body, data...)
-		if at += used; done {
-			return body, len(text) - at, true, nil
-		}
-	}
-	return body, 0, false, nil
-}
-
-// TestChunks holds the decoder to good and bad chunks, whole and byte by byte.
-func TestChunks(t *testing.T) {
-	for _, tt := range []struct {
-		name, text, body string
-		done, bad        bool
-	}{
-		{"empty", "0\r\n\r\n", "", true, false},
-		{"two", "2\r\nab\r\n3\r\ncde\r\n0\r\n\r\n", "abcde", true, false},
-		{"extensions and a trailer", "2;a=\"b\"\r\nab\r\n0 ;x\r\nX-T: 1\r\nX-U: 2\r\n\r\n", "ab", true, false},
-		{"capital digits and zeros", "0A\r\n0123456789\r\n000\r\n\r\n", "0123456789", true, false},
-		{"cut in data", "5\r\nab", "ab", false, false},
-		{"cut before the end", "2\r\nab\r\n0\r\n", "ab", false, false},
-		{"no size", "\r\nab", "", false, true},
-		{"a sign", "+2\r\nab\r\n", "", false, true},
-		{"0x", "0x2\r\nab\r\n", "", false, true},
-		{"a size too long", "1000000000000000\r\n", "", false, true},
-		{"a bare line feed", "2\nab\r\n", "", false, true},
-		{"data too long", "2\r\nabc\r\n", "", false, true},
-		{"a folded trailer", "0\r\nX: 1\r\n 2\r\n\r\n", "", false, true},
-		{"an endless extension", "2;" + strings.Repeat("x", 2*maxLineBytes), "", false, true},
-		{"endless trailers", "0\r\n" + strings.Repeat("X: 1\r\n", maxTrailerBytes), "", false, true},
-	} {
-		for _, piece := range []int{1, 2, 3, 1 << 20} {
-			body, rest, done, err := unchunk([]byte(tt.text), piece)
-			if (err != nil) != tt.bad || done != tt.done || err == nil && string(body) != tt.body || rest != 0 {
-				t.Errorf("%s in pieces of %d: body %q, done %v, %d left, error %v", tt.name, piece, body, done, rest, err)
-			}
-		}
-	}
-}
-
-// TestChunksComeBack encodes bodies as httputil does, in pieces of any size, with a message behind.
-func TestChunksComeBack(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		var text bytes.Buffer
-		var want []byte
-		w := httputil.NewChunkedWriter(&text)
-		for _, p := range rapid.SliceOf(rapid.SliceOfN(rapid.Byte(), 1, 50)).Draw(t, "chunks") {
-			want = append(want, p...)
-			if _, err := w.Write(p); err != nil {
-				t.Fatal(err)
-			}
-		}
-		if err := w.Close(); err != nil {
-			t.Fatal(err)
-		}
-		text.WriteString("\r\nGET /")
-		body, _, done, err := unchunk(text.Bytes(), rapid.IntRange(1, 70).Draw(t, "piece"))
-		if err != nil || !done || !bytes.Equal(body, want) {
-			t.Fatalf("%q came back as %q, done %v, error %v", want, body, done, err)
-		}
-	})
-}
-
-// FuzzChunks holds what the decoder takes to what httputil reads of it: the same body.
-func FuzzChunks(f *testing.F) {
-	f.Add([]byte("2\r\nab\r\n0\r\n\r\n"), uint8(1))
-	f.Add([]byte("2;x\r\nab\r\n0\r\nT: 1\r\n\r\n"), uint8(3))
-	f.Fuzz(func(t *testing.T, text []byte, piece uint8) {
-		body, rest, done, err := unchunk(text, int(piece)+1)
-		if err != nil || !done || rest < 0 {
-			return
-		}
-		other, err := io.ReadAll(httputil.NewChunkedReader(bytes.NewReader(text)))
-		if err == nil && !bytes.Equal(other, body) {
-			t.Errorf("%q is read as %q, by httputil as %q", text, body, other)
-		}
-	})
-}
-
 const getHead = "GET /api HTTP/1.1\r\nHost: x\r\n\r\n"
 
 // TestFraming tells messages that can be read in two ways, in pieces of any size, and how much before them is good.
@@ -133,7 +44,7 @@
 				n, err = f.feed([]byte(text[at:min(at+piece, len(text))]))
 				good += n
 			}
-			if (err != nil) != tt.bad || tt.bad && !errors.Is(err, errFraming) && !errors.Is(err, ErrMalformedChunk) {
+			if (err != nil) != tt.bad || tt.bad && !errors.Is(err, errFraming) && !errors.Is(err, chunked.ErrMalformed) {
 				t.Errorf("%s in pieces of %d: error %v, bad %v", tt.name, piece, err, tt.bad)
 			}
 			if want := len(text); !tt.bad && good != want || good < len(getHead) {
--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -9,6 +9,8 @@
 	"strconv"
 	"sync"
 	"time"
+
+	"milletramp.example/milletramp/internal/chunked"
 )
 
 const (
@@ -31,9 +33,9 @@
 // end. After a deadline it can be read on.
 type serverBody struct {
 	conn      *serverConn
-	length    int64           // -1: not told
-	remaining int64           // of a length
-	decoder   *ChunkedDecoder // nil: none
+	length    int64            // -1: not told
+	remaining int64            // of a length
+	decoder   *chunked.Decoder // nil: none
 	ended     bool
 }
 
