--- a/internal/chunked/decoder.go
+++ b/internal/chunked/decoder.go
@@ -1,5 +1,5 @@
-// Package chunked decodes chunked bodies of HTTP/1.1 (RFC 9112, section 7.1) strictly and incrementally, from pieces of any
-// size. What another parser might read in another way is an error: both client requests and server responses are
+// Package chunked decodes chunked bodies of HTTP/1.1 (RFC 9112, section 7.1) strictly and incrementally, from pieces of
+// any size. What another parser might read in another way is an error: both client requests and server responses are
 // forwarded as this decoder reads them. It starts no goroutine; its one error is ErrMalformed.
 package chunked
 
@@ -94,7 +94,7 @@
 }
 
 // unexpectedByte is the error of a byte that must not stand where it does.
-func unexpectedByte(b byte, what string) error {
+func unexpectedByte(b byte, where string) error {
 	return fmt.Errorf("%w: %q %s", ErrMalformed, b, where)
 }
 
