--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -63,7 +63,7 @@
 		{"body on GET", head("GET", "i", "read") + "Content-Length: 4\r\n\r\nskip" + hidden, 400},
 		{"no HTTP", "hello\r\n\r\n" + hidden, 400},
 		{"no end of the head", pay, 0},
-		{"head too long", pay + "X: " + strings.Repeat("x", 2*maxHeaderBytes), 431},
+		{"head too long", pay + "X: " + strings.Repeat("x", 2*maxRequestHeader), 431},
 		{"half a body", pay + "Content-Length: 400\r\n\r\nhalf", 408},
 		{"nothing", "", 0},
 		{"faults in a row", strings.Repeat(head("GET", "i", "sing")+"\r\n", 20) + hidden, 400},
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -180,7 +180,7 @@
 // taken takes a long answer, as a client does that is quick enough.
 func taken(r Response) bool {
 	go func() {
-		_, err := io.Copy(io.Discard, r.Remainder.body)
+		_, err := io.Copy(io.Discard, r.Remainder)
 		r.Remainder.Finish(err == nil)
 	}()
 	return true
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -105,7 +105,7 @@
 	h := &host{log: log, origin: time.Now().Add(-originAge), ready: make(chan struct{}), heard: make(chan struct{}), wake: make(chan struct{}, 1),
 		figures: &stats.Figures{}, connect: c.Limits.ConnectTimeout, dialDiscovery: dial,
 		calls: map[balance.RequestID]*call{}, rev: -1, ctx: ctx, watches: Subscriptions{address: c.Discovery}}
-	h.upstream = NewUpstream(c, &h.figures.Tries)
+	h.upstream = NewUpstream(c.Limits, newBudget(c).upstream, &h.figures.Tries)
 	h.now = h.clock()
 	h.starts = NewStartTimes(h.clock)
 	var err error
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -17,6 +17,9 @@
 	"milletramp.example/milletramp/internal/netretry"
 )
 
+// pastDeadline is a deadline that is over by any clock. The zero time would be none.
+var pastDeadline = time.Time{}.Add(time.Nanosecond)
+
 // errConnLimit says that the descriptors do not allow one more connection.
 var errConnLimit = errors.New("no descriptor left for a connection")
 
@@ -48,13 +51,12 @@
 
 // server is a server as last listed.
 type server struct {
-	address   string
-	startedAt time.Time
-	// answered is when it last did, an uptime.
-	lastResponse atomic.Int64
-	draining     atomic.Bool   // it finishes what it has
-	removed      bool          // removed, moved or restarted: the pool's lock guards it and idle
-	idle         []*serverConn // the longest idle first
+	address      string
+	startedAt    time.Time
+	lastResponse atomic.Pointer[time.Time] // when a response was last read whole; nil: never
+	draining     atomic.Bool               // it finishes what it has
+	removed      bool                      // removed, moved or restarted: the pool's lock guards it and idle
+	idle         []*serverConn             // the longest idle first
 }
 
 // serverConn is a connection to a server.
@@ -192,7 +194,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.aborted = true
-	_ = c.SetDeadline(past) // it fails where the connection is closed
+	_ = c.SetDeadline(pastDeadline) // it fails where the connection is closed
 }
 
 // setMaxConns changes how many connections may be open. Idle ones beyond that are closed at once, others as they end.
--- a/internal/sidecar/reuse_test.go
+++ b/internal/sidecar/reuse_test.go
@@ -20,8 +20,7 @@
 func TestConnectionRestsBeforeReuse(t *testing.T) {
 	for end := time.Now().Add(testserver.Timeout); time.Now().Before(end); {
 		b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
-		u := NewUpstream(&Config{Sockets: defaultSockets, MemoryMB: defaultMemoryMB,
-			Limits: wire.Limits{ConnectTimeout: testserver.Timeout, IdleClose: testserver.Timeout}}, &atomic.Int64{})
+		u := NewUpstream(wire.Limits{ConnectTimeout: testserver.Timeout, IdleClose: testserver.Timeout}, 1000, &atomic.Int64{})
 		u.Update(parsed(t, testserver.ServingList(1, b)))
 		t.Cleanup(func() { u.Update(List{Complete: true}) })
 		began := time.Now()
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	h.upstream.pool.dial = with.dial
+	h.upstream.SetDial(with.dial)
 	p := &process{config: c, log: log, times: times, hooks: with, host: h}
 	p.startLoops(ctx, reload)
 	defer p.loops.Wait()
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -18,6 +18,7 @@
 )
 
 const (
+	maxRequestBody = 32 << 20 // bytes of a request's body
 	// headWithin is how long a client may take to send a head: 2 s are its right. One that never ends would hold
 	// its connection for good.
 	headWithin = 2300 * time.Millisecond
@@ -39,9 +40,9 @@
 	ids      *ids
 	conns    *clientConns
 	draining atomic.Bool
-	ends     atomic.Int64 // when this process may be killed at the earliest, once it drains; an uptime
-	gate     *gate        // set before it serves; nil: the settings are those of the own file
-	room     *room        // for what of bodies goes beyond the usual
+	ends     atomic.Pointer[time.Time] // when this process may be killed at the earliest, once it drains
+	gate     *gate                     // set before it serves; nil: the settings are those of the own file
+	room     *room                     // for what of bodies goes beyond the usual
 
 	ending context.Context // is done when all has to be answered, shortly before this process may be killed
 	end    context.CancelFunc
@@ -70,7 +71,7 @@
 // drain has answers end their connections from now on, and requests be answered before this process may be killed.
 func (s *Handler) drain(mostDeadline time.Duration) {
 	ends := time.Now().Add(min(s.longestDeadline(), mostDeadline) + killAfter - killMargin)
-	s.ends.Store(int64(uptime(ends)))
+	s.ends.Store(&ends)
 	s.draining.Store(true)
 	s.host.post(func() { s.host.endBy(ends) })
 	time.AfterFunc(time.Until(ends), func() {
@@ -114,7 +115,7 @@
 
 // httpServer returns the HTTP server that serves s.
 func (s *Handler) httpServer(log *slog.Logger) *http.Server {
-	return &http.Server{Handler: s, ReadHeaderTimeout: headWithin, IdleTimeout: idleWithin, MaxHeaderBytes: maxHeaderBytes,
+	return &http.Server{Handler: s, ReadHeaderTimeout: headWithin, IdleTimeout: idleWithin, MaxHeaderBytes: maxRequestHeader,
 		ConnState: s.conns.state, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }}
 }
@@ -235,8 +236,8 @@
 	}
 	c.deadline = came.Add(wait - answerMargin)
 	if s.draining.Load() {
-		if ends := processStart.Add(time.Duration(s.ends.Load())); ends.Before(c.deadline) {
-			c.deadline = ends
+		if ends := s.ends.Load(); ends.Before(c.deadline) {
+			c.deadline = *ends
 		}
 	}
 	return c, nil
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -18,10 +18,9 @@
 
 const (
 	MaxBufferedBody = 64 << 10 // bytes of a request's or an answer's body that are held in any case
-	maxRequestBody  = 32 << 20 // bytes of a request's body
 	// minReadPause is the least time that an answer may pause in its midst, before it is passed on.
 	minReadPause   = 500 * time.Millisecond
-	maxHeaderBytes = 16 << 10 // bytes of a request's or an answer's header
+	maxHeaderBytes = 16 << 10 // bytes of a response's header
 )
 
 // Message is a client's request as servers get it.
@@ -63,13 +62,19 @@
 
 // NewUpstream returns an upstream that counts its tries. How long the network may take to bring a connection up, the
 // rest of an answer that has begun may take too.
-func NewUpstream(c *Config, tries *atomic.Int64) *Upstream {
-	u := &Upstream{pool: newPool(newBudget(c).upstream), attemptsSent: tries, servers: map[string]*server{},
+func NewUpstream(limits wire.Limits, maxConns int, attemptsSent *atomic.Int64) *Upstream {
+	u := &Upstream{pool: newPool(maxConns), attemptsSent: attemptsSent, servers: map[string]*server{},
 		adminDown: map[string]bool{}}
-	u.Configure(c.Limits)
+	u.Configure(limits)
 	return u
 }
 
+// SetDial replaces how connections to servers are opened; nil: over TCP. It is called before the first attempt.
+func (u *Upstream) SetDial(dial DialFunc) { u.pool.dial = dial }
+
+// SetMaxConns changes how many connections to servers may be open.
+func (u *Upstream) SetMaxConns(n int) { u.pool.setMaxConns(n) }
+
 // Configure takes new limits.
 func (u *Upstream) Configure(l wire.Limits) {
 	u.responseTimeoutNanos.Store(int64(l.ConnectTimeout))
@@ -233,7 +238,8 @@
 	if err != nil {
 		return u.classifyFailure(ctx, to, begun, ran, err)
 	}
-	to.lastResponse.Store(int64(uptime(time.Now())))
+	now := time.Now()
+	to.lastResponse.Store(&now)
 	return r
 }
 
@@ -305,7 +311,8 @@
 	// When a machine vanishes, its idle connections stay open and swallow requests that may then never be
 	// repeated. A new connection fails before anything is sent. Where the server has answered since, only this one is
 	// dead, and to close the others would have it work on new ones all the time.
-	if cause == nil || time.Duration(to.lastResponse.Load()) < uptime(begun) {
+	last := to.lastResponse.Load()
+	if cause == nil || last == nil || last.Before(begun) {
 		u.pool.closeIdle(to, false)
 	}
 	switch {
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -26,8 +26,7 @@
 
 // to is an upstream that knows the backends.
 func to(t *testing.T, backends ...*testserver.Backend) *Upstream {
-	u := NewUpstream(&Config{Sockets: defaultSockets, MemoryMB: defaultMemoryMB,
-		Limits: wire.Limits{ConnectTimeout: testserver.Timeout, IdleClose: testserver.Timeout}}, &atomic.Int64{})
+	u := NewUpstream(wire.Limits{ConnectTimeout: testserver.Timeout, IdleClose: testserver.Timeout}, 1000, &atomic.Int64{})
 	u.pool.reuseDelay = 0
 	u.Update(parsed(t, testserver.ServingList(1, backends...)))
 	t.Cleanup(func() { u.Update(List{Complete: true}) })
