--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -116,7 +116,7 @@
 		o.publishEach(ctx, log)
 	}()
 	o.part.Store(&part)
-	o.host.post(func() {
+	o.host.Post(func() {
 		o.host.listed = part.Listed
 		o.host.balancer.SetObserver(part)
 		o.host.tellList()
@@ -127,7 +127,7 @@
 	}
 	return func() {
 		cancel()
-		o.host.post(func() { o.host.balancer.SetObserver(nil); o.host.balancer.SetSuspected(nil) })
+		o.host.Post(func() { o.host.balancer.SetObserver(nil); o.host.balancer.SetSuspected(nil) })
 		if err := part.Close(); err != nil {
 			log.Warn("leaving the fleet", "err", err)
 		}
@@ -146,7 +146,7 @@
 // obey takes in which servers the fleet has out by hand. It does not wait. A peer's word may take out what the own
 // list names, and put back what the fleet has had out; it ends no drain, as that is the list's.
 func (o *ops) obey(out []string) {
-	o.host.post(func() {
+	o.host.Post(func() {
 		now, here := map[string]bool{}, map[string]bool{}
 		for _, id := range o.host.balancer.AdminDown() {
 			here[id] = true
@@ -176,7 +176,7 @@
 
 // doubt takes in which servers the fleet doubts. It does not wait.
 func (o *ops) doubt(doubts []Doubt) {
-	o.host.post(func() {
+	o.host.Post(func() {
 		words := make([]balance.PeerReport, 0, len(doubts))
 		for _, d := range doubts {
 			words = append(words, balance.PeerReport{ID: d.ID, WrittenAt: o.host.now - d.Age})
--- /dev/null
+++ b/internal/sidecar/follow_test.go
@@ -0,0 +1,137 @@
+//go:build go1.25
+
+package sidecar
+
+import (
+	"context"
+	"log/slog"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/lab/testserver"
+)
+
+// followed runs play in a bubble, with an agent, a host that follows it, and the times at which that gets a list.
+func followed(t *testing.T, play func(t *testing.T, a *testserver.Agent, h *host, told chan time.Time)) {
+	synctest.Test(t, func(t *testing.T) {
+		a := &testserver.Agent{}
+		c, err := load(t, testserver.ConfigText("127.0.0.1:9", testserver.ServingList(1, &testserver.Backend{Address: "127.0.0.1:9"}), testserver.Settings))
+		if err != nil {
+			t.Fatal(err)
+		}
+		ctx, cancel := context.WithCancel(context.Background())
+		h, err := newHost(ctx, c, slog.New(slog.DiscardHandler), a.Dial)
+		if err != nil {
+			t.Fatal(err)
+		}
+		told := make(chan time.Time, 1000)
+		h.listed = func([]Server) { told <- time.Now() }
+		var over sync.WaitGroup
+		over.Go(func() { h.run(ctx) })
+		play(t, a, h, told)
+		cancel()
+		over.Wait()
+	})
+}
+
+// TestToldInTime has the watch fall silent in each phase of its heartbeat, with none or one more call that gets no answer, and has
+// discovery be down for any time: the next list is there less than 6 s after the silence began, or discovery was back.
+func TestToldInTime(t *testing.T) {
+	if MaxUpdateDelay >= maxStaleness {
+		t.Errorf("a list may take %v, want less than %v", MaxUpdateDelay, maxStaleness)
+	}
+	for inVain := range 2 {
+		for phase := time.Millisecond; phase < 2*time.Second; phase += 130 * time.Millisecond {
+			followed(t, func(t *testing.T, a *testserver.Agent, _ *host, told chan time.Time) {
+				<-told // the first list
+				time.Sleep(20*time.Second + phase)
+				a.Silence(false, inVain)
+				silent := time.Now()
+				if took := (<-told).Sub(silent); took > MaxUpdateDelay {
+					t.Errorf("told %v after the watch fell silent at %v of a heartbeat, %d calls in vain", took, phase, inVain)
+				}
+			})
+		}
+	}
+	const longest = FirstListTimeout + balance.MaxDiscoveryBackoff // a call begun just before the return, and the wait behind it
+	for outage := 100 * time.Millisecond; outage < 30*time.Second; outage += 370 * time.Millisecond {
+		followed(t, func(t *testing.T, a *testserver.Agent, _ *host, told chan time.Time) {
+			<-told
+			time.Sleep(10*time.Second + time.Millisecond)
+			a.Silence(true, 0)
+			silent := time.Now()
+			time.Sleep(outage)
+			a.SetDown(false)
+			back := time.Now()
+			if at := <-told; at.Sub(back) > longest && at.Sub(silent) > MaxUpdateDelay {
+				t.Errorf("told %v after an outage of %v", at.Sub(back), outage)
+			}
+		})
+	}
+}
+
+// TestToldAtTheReturn has an agent that answers, as soon as it is up again, what was asked while it was down: what it has counts as told
+// then, and a call is open nearly all the time.
+func TestToldAtTheReturn(t *testing.T) {
+	for outage := 3500 * time.Millisecond; outage < 20*time.Second; outage += 110 * time.Millisecond {
+		followed(t, func(t *testing.T, a *testserver.Agent, _ *host, told chan time.Time) {
+			<-told
+			time.Sleep(10*time.Second + time.Millisecond)
+			a.HoldCalls()
+			a.Silence(true, 0)
+			time.Sleep(outage)
+			a.SetDown(false)
+			back := time.Now()
+			if took := (<-told).Sub(back); took > balance.PushedDiscoveryBackoff+20*time.Millisecond {
+				t.Errorf("told %v after an outage of %v", took, outage)
+			}
+		})
+	}
+}
+
+// TestMoveToASilentAddress has a file name another address of discovery, whose first calls get no answer: the list is there less than 4 s
+// after it was read.
+func TestMoveToASilentAddress(t *testing.T) {
+	for inVain := range 3 {
+		followed(t, func(t *testing.T, a *testserver.Agent, h *host, told chan time.Time) {
+			<-told
+			time.Sleep(10 * time.Second)
+			a.Silence(false, inVain) // the former address says nothing more
+			moved := time.Now()
+			h.Post(func() { h.subscriptions.SwitchAddress("127.0.0.1:8") })
+			if took := (<-told).Sub(moved); took >= 4*time.Second {
+				t.Errorf("told %v after the move, %d calls in vain", took, inVain)
+			}
+		})
+	}
+}
+
+// TestListOfAnyAge has a process begin with a list that the platform wrote down: what the first list of discovery has
+// beyond that may have started long before.
+func TestListOfAnyAge(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c, err := load(t, testserver.ConfigText("127.0.0.1:9", "", testserver.Settings))
+		if err != nil {
+			t.Fatal(err)
+		}
+		c.Settings.PollDiscovery = true // and so no watch but that of this test
+		h, err := newHost(context.Background(), c, slog.New(slog.DiscardHandler), nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		endpoint := func(id string, start time.Time) Endpoint {
+			return Endpoint{ID: id, Address: "127.0.0.1:9", Zone: "a", Kind: "m", Weight: 1, StartedAt: start}
+		}
+		h.OnUpdate(balance.ListRemembered, List{Endpoints: []Endpoint{endpoint("s-0", time.Time{})}})
+		time.Sleep(time.Second)
+		warm := endpoint("s-1", time.Now().Add(-time.Hour).Round(0))
+		h.now = h.clock()
+		h.OnUpdate(balance.ListFull, List{Revision: 1, Complete: true, Endpoints: []Endpoint{endpoint("s-0", time.Time{}), warm}})
+		if got := h.clock() - h.starts.StartOf(warm); got != time.Hour {
+			t.Errorf("it is %v old, want 1h", got)
+		}
+	})
+}
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -68,30 +68,26 @@
 	upstream *Upstream
 	figures  *stats.Figures
 	terms    atomic.Pointer[terms]
-	connect  time.Duration // for a connection to come up
-	// dialDiscovery opens connections to discovery; nil: over TCP.
-	dialDiscovery DialFunc
-	ready         chan struct{} // closed once servers are known
-	heard         chan struct{} // closed once discovery has told
+	ready    chan struct{} // closed once servers are known
+	heard    chan struct{} // closed once discovery has told
 
 	mu    sync.Mutex
 	queue []event
 	wake  chan struct{}
 
 	// Of the loop.
-	ctx      context.Context
-	balancer *balance.Balancer
-	now      balance.Time
-	last     balance.RequestID
-	calls    map[balance.RequestID]*call
-	rev      int64 // of the list in hand; -1: none
-	isReady  bool
-	hasHeard bool
-	watches  Subscriptions
-	starts   *StartTimes
-	ends     time.Time      // what is open then is given up, as the process may be killed; zero: it goes on
-	gate     *gate          // nil: the settings are those of the own file
-	listed   func([]Server) // is told each list; nil: nobody is
+	ctx           context.Context
+	balancer      *balance.Balancer
+	now           balance.Time
+	last          balance.RequestID
+	calls         map[balance.RequestID]*call
+	isReady       bool
+	hasHeard      bool
+	subscriptions *Subscriptions
+	starts        *StartTimes
+	ends          time.Time      // what is open then is given up, as the process may be killed; zero: it goes on
+	gate          *gate          // nil: the settings are those of the own file
+	listed        func([]Server) // is told each list; nil: nobody is
 }
 
 // event is what happened at a time.
@@ -103,11 +99,12 @@
 // newHost returns a host whose attempts and watches end with ctx. dial opens connections to discovery; nil: over TCP.
 func newHost(ctx context.Context, c *Config, log *slog.Logger, dial DialFunc) (*host, error) {
 	h := &host{log: log, origin: time.Now().Add(-originAge), ready: make(chan struct{}), heard: make(chan struct{}), wake: make(chan struct{}, 1),
-		figures: &stats.Figures{}, connect: c.Limits.ConnectTimeout, dialDiscovery: dial,
-		calls: map[balance.RequestID]*call{}, rev: -1, ctx: ctx, watches: Subscriptions{address: c.Discovery}}
+		figures: &stats.Figures{}, calls: map[balance.RequestID]*call{}, ctx: ctx}
 	h.upstream = NewUpstream(c.Limits, newBudget(c).upstream, &h.figures.Tries)
 	h.now = h.clock()
 	h.starts = NewStartTimes(h.clock)
+	h.subscriptions = NewSubscriptions(ctx, h, Options{Address: c.Discovery, Revision: knownRevision(c.Known),
+		ConnectTimeout: c.Limits.ConnectTimeout, Dial: dial, Log: log})
 	var err error
 	if h.balancer, err = balance.New(c.Settings, h); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -117,21 +114,29 @@
 		places[i] = i
 	}
 	h.terms.Store(newTerms(c.Settings, c.Names, places, h.figures))
-	if len(c.Known.Endpoints) > 0 {
-		h.rev = c.Known.Revision
-	}
-	h.list(balance.ListRemembered, c.Known)
+	h.OnUpdate(balance.ListRemembered, c.Known)
 	if !c.Settings.PollDiscovery {
 		h.Subscribe() // an agent that pushes tells all who listen
 	}
 	return h, nil
 }
 
+// knownRevision is that of the list that a process begins with; -1: it begins with none.
+func knownRevision(known List) int64 {
+	if len(known.Endpoints) == 0 {
+		return -1
+	}
+	return known.Revision
+}
+
+// Subscribe implements balance.Actions. It opens a watch of discovery if there is none.
+func (h *host) Subscribe() { h.subscriptions.Subscribe() }
+
 // clock reads the Balancer's time.
 func (h *host) clock() balance.Time { return time.Since(h.origin) }
 
-// post has the loop do something. It never waits: what the loop waits for may be posting.
-func (h *host) post(do func()) {
+// Post has the loop do something. It never waits: what the loop waits for may be posting.
+func (h *host) Post(do func()) {
 	h.mu.Lock()
 	h.queue = append(h.queue, event{h.clock(), do}) // timed under the lock: the order is that of the times
 	h.mu.Unlock()
@@ -167,15 +172,15 @@
 // ends first.
 func (h *host) serve(ctx context.Context, c *call) (answer, bool) {
 	c.answered = make(chan answer, 1)
-	h.post(func() { h.begin(c) })
+	h.Post(func() { h.begin(c) })
 	// A request that the Balancer left without an answer would hang until the client gives up.
-	due := time.AfterFunc(time.Until(c.deadline)+answerMargin/2, func() { h.post(func() { h.abandon(c, true) }) })
+	due := time.AfterFunc(time.Until(c.deadline)+answerMargin/2, func() { h.Post(func() { h.abandon(c, true) }) })
 	defer due.Stop()
 	select {
 	case a := <-c.answered:
 		return a, true
 	case <-ctx.Done():
-		h.post(func() { h.abandon(c, false) })
+		h.Post(func() { h.abandon(c, false) })
 		return answer{}, false
 	}
 }
@@ -208,7 +213,7 @@
 	}
 	gone := c.gone()
 	if gone {
-		h.post(func() {
+		h.Post(func() {
 			// The request may have got its answer meanwhile, which its handler is about to take.
 			if !c.over.Load() {
 				h.abandon(c, false)
@@ -229,7 +234,7 @@
 // giveUpInTime has a request given up where the process ends before its deadline.
 func (h *host) giveUpInTime(c *call) {
 	if !h.ends.IsZero() && h.ends.Before(c.deadline) {
-		time.AfterFunc(time.Until(h.ends), func() { h.post(func() { h.abandon(c, true) }) })
+		time.AfterFunc(time.Until(h.ends), func() { h.Post(func() { h.abandon(c, true) }) })
 	}
 }
 
@@ -306,7 +311,7 @@
 		r := h.upstream.Attempt(ctx, s)
 		cancel()
 		if !begun {
-			h.post(func() { h.result(c, n, endpoint, sent, r) })
+			h.Post(func() { h.result(c, n, endpoint, sent, r) })
 		}
 	}()
 }
@@ -315,7 +320,7 @@
 // has its answer, and the attempt has ended for the Balancer. Of two answers a client would get parts of both.
 func (h *host) begins(c *call, n int, endpoint string, sent balance.Time, r Response) (wins bool) {
 	decided := make(chan bool, 1)
-	h.post(func() {
+	h.Post(func() {
 		if c.over.Load() {
 			decided <- false
 			return
@@ -370,14 +375,15 @@
 
 // Timer starts a timer.
 func (h *host) Timer(after time.Duration, token uint64) {
-	time.AfterFunc(after, func() { h.post(func() { h.balancer.Timer(h.now, token) }) })
+	time.AfterFunc(after, func() { h.Post(func() { h.balancer.Timer(h.now, token) }) })
 }
 
 // Log writes a line of the Balancer.
 func (h *host) Log(text string) { h.log.Info(text) }
 
-// list hands a list to the connections and to the Balancer, in this order: what it sends next must find its address.
-func (h *host) list(kind balance.ListKind, l List) {
+// OnUpdate implements discovery.Subscriber. It hands a list to the connections and to the Balancer, in this order: what
+// the Balancer sends next must find its address.
+func (h *host) OnUpdate(kind balance.ListKind, l List) {
 	l.Complete = l.Complete || kind == balance.ListRemembered
 	h.upstream.Update(l)
 	entries := make([]balance.Endpoint, 0, len(l.Endpoints))
@@ -397,3 +403,9 @@
 		close(h.ready)
 	}
 }
+
+// OnUnchanged implements discovery.Subscriber.
+func (h *host) OnUnchanged() { h.starts.Confirm(h.now) }
+
+// OnWatchEnded implements discovery.Subscriber.
+func (h *host) OnWatchEnded() { h.balancer.Endpoints(h.now, balance.ListRefused, nil) }
--- a/internal/sidecar/ops.go
+++ b/internal/sidecar/ops.go
@@ -96,7 +96,7 @@
 // ask has the loop do something and waits until it has, or until ctx ends: then it may still do it.
 func (h *host) ask(ctx context.Context, do func()) error {
 	done := make(chan struct{})
-	h.post(func() {
+	h.Post(func() {
 		do()
 		close(done)
 	})
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -209,6 +209,13 @@
 	}
 }
 
+// connCounts returns how many connections are open, and how many of these are idle.
+func (p *pool) connCounts() (open, idle int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.openConns, p.idleConns.Len()
+}
+
 // release takes a connection back once its request is over. clean says that the whole answer was read, and nothing else.
 func (p *pool) release(c *serverConn, clean bool) {
 	p.mu.Lock()
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -73,7 +73,7 @@
 	ends := time.Now().Add(min(s.longestDeadline(), mostDeadline) + killAfter - killMargin)
 	s.ends.Store(&ends)
 	s.draining.Store(true)
-	s.host.post(func() { s.host.endBy(ends) })
+	s.host.Post(func() { s.host.endBy(ends) })
 	time.AfterFunc(time.Until(ends), func() {
 		s.end()
 		s.conns.retireAll()
--- /dev/null
+++ b/internal/sidecar/stream_test.go
@@ -0,0 +1,78 @@
+package sidecar
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"milletramp.example/milletramp/internal/lab/testserver"
+)
+
+// TestAnswersThatStop: an answer of untold length that stops is cut soon after its client's time, so that the client can tell that it is not
+// whole. One that its server is still giving, bit by bit, and a long one that pauses for as long are passed on to their ends.
+func TestAnswersThatStop(t *testing.T) {
+	const begin = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhal\r\n"
+	stop := make(chan struct{})
+	defer close(stop)
+	rest := make(chan struct{})
+	for _, tt := range []struct {
+		name string
+		do   func(net.Conn, *http.Request, []byte) bool
+		cut  bool
+		long bool
+	}{
+		{"it stops", func(c net.Conn, _ *http.Request, _ []byte) bool {
+			fmt.Fprint(c, begin)
+			<-stop
+			return false
+		}, true, false},
+		{"it stops, with no length and its connection open", func(c net.Conn, _ *http.Request, _ []byte) bool {
+			fmt.Fprint(c, "HTTP/1.1 200 OK\r\n\r\nhal")
+			<-stop
+			return false
+		}, true, false},
+		{"it trickles", func(c net.Conn, _ *http.Request, _ []byte) bool {
+			fmt.Fprint(c, begin)
+			for range 200 { // 2 s, far behind the client's time
+				time.Sleep(10 * time.Millisecond)
+				if _, err := fmt.Fprint(c, "1\r\nx\r\n"); err != nil {
+					return false
+				}
+			}
+			fmt.Fprint(c, "0\r\n\r\n")
+			return true
+		}, false, false},
+		{"a long one pauses", func(c net.Conn, _ *http.Request, _ []byte) bool {
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", MaxBufferedBody+1)
+			<-rest
+			fmt.Fprint(c, strings.Repeat("x", MaxBufferedBody))
+			return true
+		}, false, true},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, testserver.StartBackend(t, tt.do)), testserver.Settings))
+			resp, err := p.client.Do(p.request(context.Background(), "pay", "600"))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if tt.long {
+				time.AfterFunc(2*time.Second, func() { close(rest) }) // the client's time and the grace are over
+			}
+			began := time.Now()
+			body, err := io.ReadAll(resp.Body)
+			resp.Body.Close()
+			if took := time.Since(began); tt.cut && took > maxStreamPause-time.Second {
+				t.Errorf("cut after %v", took)
+			}
+			if tt.cut != errors.Is(err, io.ErrUnexpectedEOF) || tt.long && len(body) != MaxBufferedBody+1 {
+				t.Errorf("%d bytes, error %v, want a cut: %v", len(body), err, tt.cut)
+			}
+		})
+	}
+}
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -72,6 +72,9 @@
 // SetDial replaces how connections to servers are opened; nil: over TCP. It is called before the first attempt.
 func (u *Upstream) SetDial(dial DialFunc) { u.pool.dial = dial }
 
+// ConnCounts returns how many connections to servers are open, and how many of these are idle.
+func (u *Upstream) ConnCounts() (open, idle int) { return u.pool.connCounts() }
+
 // SetMaxConns changes how many connections to servers may be open.
 func (u *Upstream) SetMaxConns(n int) { u.pool.setMaxConns(n) }
 
