--- a/internal/sidecar/discovery.go
+++ b/internal/discovery/client.go
@@ -1,4 +1,4 @@
-package sidecar
+package discovery
 
 import (
 	"bufio"
@@ -32,7 +32,7 @@
 	// minConnectTimeout is the least time that a connection to discovery gets to come up.
 	minConnectTimeout = 500 * time.Millisecond
 	maxListBytes      = 4 << 20 // bytes of one list
-	maxStaleness      = 6 * time.Second
+	MaxStaleness      = 6 * time.Second
 )
 
 // MaxUpdateDelay is the longest time from a watch's last byte to a new list, with one more call that fails though discovery could be
@@ -115,8 +115,8 @@
 	return list, nil
 }
 
-// DiscoveryClient is the client of the list of servers.
-type DiscoveryClient struct {
+// Client is the client of the list of servers.
+type Client struct {
 	address          string
 	transport        *http.Transport
 	silenceTimeout   time.Duration
@@ -128,12 +128,12 @@
 // DialFunc opens a connection.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewDiscoveryClient returns a client of the discovery at address. dial nil: over TCP, with at least connect for a connection to come up.
-func NewDiscoveryClient(address string, connect time.Duration, dial DialFunc) *DiscoveryClient {
+// NewClient returns a client of the discovery at address. dial nil: over TCP, with at least connect for a connection to come up.
+func NewClient(address string, connect time.Duration, dial DialFunc) *Client {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: max(connect, minConnectTimeout)}).DialContext
 	}
-	return &DiscoveryClient{address: address, silenceTimeout: watchSilenceTimeout, firstListTimeout: FirstListTimeout, listTimeout: listTimeout, transport: &http.Transport{
+	return &Client{address: address, silenceTimeout: watchSilenceTimeout, firstListTimeout: FirstListTimeout, listTimeout: listTimeout, transport: &http.Transport{
 		DialContext:        dial,
 		DisableCompression: true,
 		DisableKeepAlives:  true, // a watch lasts as long as its connection
@@ -143,7 +143,7 @@
 // Watch asks for the changes after version from (below 0: for the whole list) and hands each list to told, until the
 // watch ends. Where discovery says that nothing has changed since the last list, or since version from, it calls
 // unchanged. It always returns an error, which says why.
-func (d *DiscoveryClient) Watch(ctx context.Context, from int64, told func(List), unchanged func()) error {
+func (d *Client) Watch(ctx context.Context, from int64, told func(List), unchanged func()) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	patience := d.silenceTimeout
@@ -195,7 +195,7 @@
 }
 
 // openWatch calls discovery and returns the body of its answer.
-func (d *DiscoveryClient) openWatch(ctx context.Context, from int64) (io.ReadCloser, error) {
+func (d *Client) openWatch(ctx context.Context, from int64) (io.ReadCloser, error) {
 	url := "http://" + d.address + "/v1/servers?watch=1"
 	if from >= 0 {
 		url += "&from=" + strconv.FormatInt(from, 10)
--- a/internal/sidecar/discovery_test.go
+++ b/internal/discovery/client_test.go
@@ -1,6 +1,6 @@
 //go:build go1.25
 
-package sidecar
+package discovery
 
 import (
 	"bufio"
@@ -160,7 +160,7 @@
 				n := min(size, len(all))
 				pieces, all = append(pieces, all[:n]), all[n:]
 			}
-			d := NewDiscoveryClient("127.0.0.1:9", 0, spoken(time.Millisecond, pieces...))
+			d := NewClient("127.0.0.1:9", 0, spoken(time.Millisecond, pieces...))
 			var revs []int64
 			err := d.Watch(context.Background(), 1, func(l List) { revs = append(revs, l.Revision) }, func() {})
 			if fmt.Sprint(revs) != "[2 3 4]" || !errors.Is(err, errSilent) {
@@ -183,7 +183,7 @@
 		want   error
 	}{{"a trickle", trickle, errSilent}, {"a flood", flood, bufio.ErrTooLong}} {
 		synctest.Test(t, func(t *testing.T) {
-			d := NewDiscoveryClient("127.0.0.1:9", 0, spoken(time.Second, tt.pieces...))
+			d := NewClient("127.0.0.1:9", 0, spoken(time.Second, tt.pieces...))
 			began := time.Now()
 			err := d.Watch(context.Background(), 1, func(l List) { t.Errorf("%s: list %+v", tt.name, l) }, func() {})
 			if took := time.Since(began); !errors.Is(err, tt.want) || took > 2*time.Second+listTimeout+watchSilenceTimeout {
@@ -192,3 +192,13 @@
 		})
 	}
 }
+
+// TestSilentWatchEnds gives up a watch on which nothing comes.
+func TestSilentWatchEnds(t *testing.T) {
+	d := NewClient(testserver.StartDiscovery(t).Address, testserver.Timeout, nil)
+	d.silenceTimeout = 50 * time.Millisecond
+	err := d.Watch(context.Background(), -1, func(List) { t.Error("a list") }, func() {})
+	if err == nil || !strings.Contains(err.Error(), "nothing came for 50ms") {
+		t.Errorf("error %v", err)
+	}
+}
--- a/internal/sidecar/starts_test.go
+++ b/internal/discovery/start_times_test.go
@@ -1,6 +1,6 @@
 //go:build go1.25
 
-package sidecar
+package discovery
 
 import (
 	"context"
@@ -198,7 +198,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				pieces := append([]string{"HTTP/1.1 200 OK\r\n\r\n"}, tt.pieces...)
-				d := NewDiscoveryClient("127.0.0.1:9", 0, spoken(time.Millisecond, pieces...))
+				d := NewClient("127.0.0.1:9", 0, spoken(time.Millisecond, pieces...))
 				got := 0
 				err := d.Watch(context.Background(), tt.from, func(List) {}, func() { got++ })
 				if got != tt.want || !errors.Is(err, errSilent) && !errors.Is(err, io.EOF) {
--- a/internal/sidecar/subscriptions.go
+++ b/internal/discovery/subscriptions.go
@@ -1,4 +1,4 @@
-package sidecar
+package discovery
 
 import (
 	"context"
@@ -98,7 +98,7 @@
 func (s *Subscriptions) open(from int64) *subscription {
 	ctx, cancel := context.WithCancel(s.ctx)
 	opened := &subscription{cancel}
-	client := NewDiscoveryClient(s.address, s.options.ConnectTimeout, s.options.Dial)
+	client := NewClient(s.address, s.options.ConnectTimeout, s.options.Dial)
 	client.onSlow = func() { s.subscriber.Post(func() { s.onWatchSlow(opened) }) }
 	go func() { // ends with the watch
 		defer cancel()
--- a/internal/sidecar/subscriptions_test.go
+++ b/internal/discovery/subscriptions_test.go
@@ -1,6 +1,6 @@
 //go:build go1.25
 
-package sidecar
+package discovery
 
 import (
 	"context"
--- a/internal/sidecar/beyond_test.go
+++ b/internal/sidecar/beyond_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/discovery"
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
@@ -122,7 +123,7 @@
 			time.Sleep(2*time.Minute + phase)
 			a.SetDown(false)
 			back := time.Now()
-			if took := (<-told).Sub(back); took > FirstListTimeout+balance.MaxDiscoveryBackoff {
+			if took := (<-told).Sub(back); took > discovery.FirstListTimeout+balance.MaxDiscoveryBackoff {
 				t.Errorf("told %v after an outage of two minutes and %v", took, phase)
 			}
 		})
@@ -148,7 +149,7 @@
 			silent := time.Now()
 			select {
 			case at := <-told:
-				if took := at.Sub(silent); took > maxStaleness {
+				if took := at.Sub(silent); took > discovery.MaxStaleness {
 					t.Errorf("%s: told after %v", tt.name, took)
 				}
 			case <-time.After(time.Minute):
--- a/internal/sidecar/churn_test.go
+++ b/internal/sidecar/churn_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/discovery"
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
@@ -45,7 +46,7 @@
 	go func() { _ = web.Serve(s.conns) }()
 	p := &program{t: t, address: s.conns.Addr().String(), client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 
-	tell := func(l List) {
+	tell := func(l discovery.List) {
 		done := make(chan bool)
 		h.Post(func() { h.OnUpdate(balance.ListFull, l); close(done) })
 		testserver.Receive(t, done, "list")
@@ -63,7 +64,7 @@
 			}
 		}
 	}
-	tell(List{Revision: rounds + 2, Complete: true})
+	tell(discovery.List{Revision: rounds + 2, Complete: true})
 	if err := web.Close(); err != nil {
 		t.Error(err)
 	}
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/discovery"
 	"milletramp.example/milletramp/internal/netretry"
 	"milletramp.example/milletramp/internal/wire"
 )
@@ -27,7 +28,7 @@
 	Cores     float64
 	MemoryMB  int
 	Sockets   int
-	Known     List // the servers as this sidecar last had them
+	Known     discovery.List // the servers as this sidecar last had them
 	Settings  balance.Settings
 	Names     *wire.Names
 	Limits    wire.Limits
@@ -181,7 +182,7 @@
 	c.Limits.ConnectTimeout = cmp.Or(c.Limits.ConnectTimeout, defaultConnectTimeout)
 	c.Limits.IdleClose = cmp.Or(c.Limits.IdleClose, defaultIdleClose)
 	if file.Known != nil {
-		if c.Known, err = ParseList(*file.Known); err != nil {
+		if c.Known, err = discovery.ParseList(*file.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
--- a/internal/sidecar/follow_test.go
+++ b/internal/sidecar/follow_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/discovery"
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
@@ -40,8 +41,8 @@
 // TestToldInTime has the watch fall silent in each phase of its heartbeat, with none or one more call that gets no answer, and has
 // discovery be down for any time: the next list is there less than 6 s after the silence began, or discovery was back.
 func TestToldInTime(t *testing.T) {
-	if MaxUpdateDelay >= maxStaleness {
-		t.Errorf("a list may take %v, want less than %v", MaxUpdateDelay, maxStaleness)
+	if discovery.MaxUpdateDelay >= discovery.MaxStaleness {
+		t.Errorf("a list may take %v, want less than %v", discovery.MaxUpdateDelay, discovery.MaxStaleness)
 	}
 	for inVain := range 2 {
 		for phase := time.Millisecond; phase < 2*time.Second; phase += 130 * time.Millisecond {
@@ -50,13 +51,13 @@
 				time.Sleep(20*time.Second + phase)
 				a.Silence(false, inVain)
 				silent := time.Now()
-				if took := (<-told).Sub(silent); took > MaxUpdateDelay {
+				if took := (<-told).Sub(silent); took > discovery.MaxUpdateDelay {
 					t.Errorf("told %v after the watch fell silent at %v of a heartbeat, %d calls in vain", took, phase, inVain)
 				}
 			})
 		}
 	}
-	const longest = FirstListTimeout + balance.MaxDiscoveryBackoff // a call begun just before the return, and the wait behind it
+	const longest = discovery.FirstListTimeout + balance.MaxDiscoveryBackoff // a call begun just before the return, and the wait behind it
 	for outage := 100 * time.Millisecond; outage < 30*time.Second; outage += 370 * time.Millisecond {
 		followed(t, func(t *testing.T, a *testserver.Agent, _ *host, told chan time.Time) {
 			<-told
@@ -66,7 +67,7 @@
 			time.Sleep(outage)
 			a.SetDown(false)
 			back := time.Now()
-			if at := <-told; at.Sub(back) > longest && at.Sub(silent) > MaxUpdateDelay {
+			if at := <-told; at.Sub(back) > longest && at.Sub(silent) > discovery.MaxUpdateDelay {
 				t.Errorf("told %v after an outage of %v", at.Sub(back), outage)
 			}
 		})
@@ -122,14 +123,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		endpoint := func(id string, start time.Time) Endpoint {
-			return Endpoint{ID: id, Address: "127.0.0.1:9", Zone: "a", Kind: "m", Weight: 1, StartedAt: start}
+		endpoint := func(id string, start time.Time) discovery.Endpoint {
+			return discovery.Endpoint{ID: id, Address: "127.0.0.1:9", Zone: "a", Kind: "m", Weight: 1, StartedAt: start}
 		}
-		h.OnUpdate(balance.ListRemembered, List{Endpoints: []Endpoint{endpoint("s-0", time.Time{})}})
+		h.OnUpdate(balance.ListRemembered, discovery.List{Endpoints: []discovery.Endpoint{endpoint("s-0", time.Time{})}})
 		time.Sleep(time.Second)
 		warm := endpoint("s-1", time.Now().Add(-time.Hour).Round(0))
 		h.now = h.clock()
-		h.OnUpdate(balance.ListFull, List{Revision: 1, Complete: true, Endpoints: []Endpoint{endpoint("s-0", time.Time{}), warm}})
+		h.OnUpdate(balance.ListFull, discovery.List{Revision: 1, Complete: true, Endpoints: []discovery.Endpoint{endpoint("s-0", time.Time{}), warm}})
 		if got := h.clock() - h.starts.StartOf(warm); got != time.Hour {
 			t.Errorf("it is %v old, want 1h", got)
 		}
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/discovery"
 	"milletramp.example/milletramp/internal/stats"
 )
 
@@ -83,8 +84,8 @@
 	calls         map[balance.RequestID]*call
 	isReady       bool
 	hasHeard      bool
-	subscriptions *Subscriptions
-	starts        *StartTimes
+	subscriptions *discovery.Subscriptions
+	starts        *discovery.StartTimes
 	ends          time.Time      // what is open then is given up, as the process may be killed; zero: it goes on
 	gate          *gate          // nil: the settings are those of the own file
 	listed        func([]Server) // is told each list; nil: nobody is
@@ -97,13 +98,13 @@
 }
 
 // newHost returns a host whose attempts and watches end with ctx. dial opens connections to discovery; nil: over TCP.
-func newHost(ctx context.Context, c *Config, log *slog.Logger, dial DialFunc) (*host, error) {
+func newHost(ctx context.Context, c *Config, log *slog.Logger, dial discovery.DialFunc) (*host, error) {
 	h := &host{log: log, origin: time.Now().Add(-originAge), ready: make(chan struct{}), heard: make(chan struct{}), wake: make(chan struct{}, 1),
 		figures: &stats.Figures{}, calls: map[balance.RequestID]*call{}, ctx: ctx}
 	h.upstream = NewUpstream(c.Limits, newBudget(c).upstream, &h.figures.Tries)
 	h.now = h.clock()
-	h.starts = NewStartTimes(h.clock)
-	h.subscriptions = NewSubscriptions(ctx, h, Options{Address: c.Discovery, Revision: knownRevision(c.Known),
+	h.starts = discovery.NewStartTimes(h.clock)
+	h.subscriptions = discovery.NewSubscriptions(ctx, h, discovery.Options{Address: c.Discovery, Revision: knownRevision(c.Known),
 		ConnectTimeout: c.Limits.ConnectTimeout, Dial: dial, Log: log})
 	var err error
 	if h.balancer, err = balance.New(c.Settings, h); err != nil {
@@ -122,7 +123,7 @@
 }
 
 // knownRevision is that of the list that a process begins with; -1: it begins with none.
-func knownRevision(known List) int64 {
+func knownRevision(known discovery.List) int64 {
 	if len(known.Endpoints) == 0 {
 		return -1
 	}
@@ -383,7 +384,7 @@
 
 // OnUpdate implements discovery.Subscriber. It hands a list to the connections and to the Balancer, in this order: what
 // the Balancer sends next must find its address.
-func (h *host) OnUpdate(kind balance.ListKind, l List) {
+func (h *host) OnUpdate(kind balance.ListKind, l discovery.List) {
 	l.Complete = l.Complete || kind == balance.ListRemembered
 	h.upstream.Update(l)
 	entries := make([]balance.Endpoint, 0, len(l.Endpoints))
--- a/internal/sidecar/listen.go
+++ b/internal/sidecar/listen.go
@@ -12,6 +12,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"milletramp.example/milletramp/internal/discovery"
 	"milletramp.example/milletramp/internal/netretry"
 )
 
@@ -24,7 +25,7 @@
 	started func(*ops) // gets what the console asks, once the process listens
 	listen  func(open openFunc) (*net.TCPListener, error)
 	accept  func(*net.TCPListener) (net.Conn, error)
-	dial    DialFunc // to servers
+	dial    discovery.DialFunc // to servers
 }
 
 // openFunc opens a listener.
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -14,6 +14,7 @@
 	"syscall"
 	"time"
 
+	"milletramp.example/milletramp/internal/discovery"
 	"milletramp.example/milletramp/internal/netretry"
 )
 
@@ -36,8 +37,8 @@
 // pool holds the connections to the servers, one request at a time on each. http.Transport is not used: it may put a
 // connection back with bytes behind the answer, and take them for the answer to the next request.
 type pool struct {
-	dial       DialFunc      // nil: over TCP
-	reuseDelay time.Duration // that a connection rests after an answer, before it has another request
+	dial       discovery.DialFunc // nil: over TCP
+	reuseDelay time.Duration      // that a connection rests after an answer, before it has another request
 
 	connectTimeoutNanos atomic.Int64 // nanoseconds that a connection may take to come up
 	idleTimeoutNanos    atomic.Int64 // and that an idle one is kept
--- a/internal/sidecar/sending_test.go
+++ b/internal/sidecar/sending_test.go
@@ -16,6 +16,7 @@
 	"golang.org/x/sys/unix"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/discovery"
 	"milletramp.example/milletramp/internal/lab/testserver"
 	"milletramp.example/milletramp/internal/wire"
 )
@@ -103,7 +104,7 @@
 	if r := u.Attempt(ctx, s); r.Outcome != balance.NotSent || ctx.Err() != nil {
 		t.Errorf("outcome %d, error %v", r.Outcome, ctx.Err())
 	}
-	u.Update(List{Complete: true}) // ends a connection that is kept, as nothing was written on it in time
+	u.Update(discovery.List{Complete: true}) // ends a connection that is kept, as nothing was written on it in time
 	c, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -146,7 +147,7 @@
 		b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 		u := NewUpstream(wire.Limits{ConnectTimeout: testserver.Timeout, IdleClose: testserver.Timeout}, 1000, &atomic.Int64{})
 		u.Update(parsed(t, testserver.ServingList(1, b)))
-		t.Cleanup(func() { u.Update(List{Complete: true}) })
+		t.Cleanup(func() { u.Update(discovery.List{Complete: true}) })
 		began := time.Now()
 		for range 2 {
 			r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole})
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/discovery"
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
@@ -181,15 +182,6 @@
 	p.until("drained")
 }
 
-func TestWatchSilence(t *testing.T) {
-	d := NewDiscoveryClient(testserver.StartDiscovery(t).Address, testserver.Timeout, nil)
-	d.silenceTimeout = 50 * time.Millisecond
-	err := d.Watch(context.Background(), -1, func(List) { t.Error("a list") }, func() {})
-	if err == nil || !strings.Contains(err.Error(), "nothing came for 50ms") {
-		t.Errorf("error %v", err)
-	}
-}
-
 func TestReady(t *testing.T) {
 	d := testserver.StartDiscovery(t)
 	p := start(t, testserver.ConfigText(d.Address, "", testserver.Settings))
@@ -228,7 +220,7 @@
 		boot time.Time
 		cold bool
 	}{{booted, true}, {time.Time{}, false}, {booted.Add(-2 * originAge), false}} {
-		c.Known = List{Revision: 1, Complete: true, Endpoints: []Endpoint{{ID: "s-0", Address: "127.0.0.1:9", Zone: "a", Kind: "m", Weight: 1, StartedAt: tt.boot}}}
+		c.Known = discovery.List{Revision: 1, Complete: true, Endpoints: []discovery.Endpoint{{ID: "s-0", Address: "127.0.0.1:9", Zone: "a", Kind: "m", Weight: 1, StartedAt: tt.boot}}}
 		h, err := newHost(context.Background(), c, slog.New(slog.DiscardHandler), nil)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/discovery"
 	"milletramp.example/milletramp/internal/netretry"
 	"milletramp.example/milletramp/internal/wire"
 )
@@ -70,7 +71,7 @@
 }
 
 // SetDial replaces how connections to servers are opened; nil: over TCP. It is called before the first attempt.
-func (u *Upstream) SetDial(dial DialFunc) { u.pool.dial = dial }
+func (u *Upstream) SetDial(dial discovery.DialFunc) { u.pool.dial = dial }
 
 // ConnCounts returns how many connections to servers are open, and how many of these are idle.
 func (u *Upstream) ConnCounts() (open, idle int) { return u.pool.connCounts() }
@@ -102,7 +103,7 @@
 }
 
 // Update takes in a list: where each server listens now.
-func (u *Upstream) Update(list List) {
+func (u *Upstream) Update(list discovery.List) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, e := range list.Endpoints {
@@ -123,7 +124,7 @@
 }
 
 // applyEndpoint takes in one entry of a list. The lock is held.
-func (u *Upstream) applyEndpoint(e Endpoint) {
+func (u *Upstream) applyEndpoint(e discovery.Endpoint) {
 	removed := e.State == balance.Removed
 	old := u.servers[e.ID]
 	if old != nil && (removed || old.address != e.Address || !old.startedAt.Equal(e.StartedAt)) {
@@ -141,11 +142,11 @@
 }
 
 // Endpoints tells which servers there are, and when each last started.
-func (u *Upstream) Endpoints() (servers []Endpoint) {
+func (u *Upstream) Endpoints() (servers []discovery.Endpoint) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for id, t := range u.servers {
-		servers = append(servers, Endpoint{ID: id, StartedAt: t.startedAt})
+		servers = append(servers, discovery.Endpoint{ID: id, StartedAt: t.startedAt})
 	}
 	return servers
 }
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -11,13 +11,14 @@
 	"testing"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/discovery"
 	"milletramp.example/milletramp/internal/lab/testserver"
 	"milletramp.example/milletramp/internal/wire"
 )
 
-func parsed(t *testing.T, text string) List {
+func parsed(t *testing.T, text string) discovery.List {
 	t.Helper()
-	l, err := ParseList([]byte(text))
+	l, err := discovery.ParseList([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,7 +30,7 @@
 	u := NewUpstream(wire.Limits{ConnectTimeout: testserver.Timeout, IdleClose: testserver.Timeout}, 1000, &atomic.Int64{})
 	u.pool.reuseDelay = 0
 	u.Update(parsed(t, testserver.ServingList(1, backends...)))
-	t.Cleanup(func() { u.Update(List{Complete: true}) })
+	t.Cleanup(func() { u.Update(discovery.List{Complete: true}) })
 	return u
 }
 
