--- a/internal/sidecar/budget.go
+++ b/internal/sidecar/budget.go
@@ -4,6 +4,7 @@
 	"sync"
 
 	"milletramp.example/milletramp/internal/console"
+	"milletramp.example/milletramp/internal/upstream"
 )
 
 // budget shares out the descriptors that the process may hold. Without any left, accepting fails for all.
@@ -49,7 +50,7 @@
 		r.free = r.free[:last]
 		return piece[:0]
 	}
-	return make([]byte, 0, MaxBufferedBody)
+	return make([]byte, 0, upstream.MaxBufferedBody)
 }
 
 // give gives back n pieces, and those of them that were used. Nobody may use them any more.
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"milletramp.example/milletramp/internal/lab/testserver"
+	"milletramp.example/milletramp/internal/upstream"
 )
 
 // TestResetIsNoEnd: an answer of untold length whose connection is reset is not whole, also where its first bytes were passed on. One
@@ -77,9 +78,9 @@
 func TestStopWhileAnAnswerPasses(t *testing.T) {
 	rest := make(chan struct{})
 	b := testserver.StartBackend(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", MaxBufferedBody+1)
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", upstream.MaxBufferedBody+1)
 		<-rest
-		fmt.Fprint(c, strings.Repeat("x", MaxBufferedBody))
+		fmt.Fprint(c, strings.Repeat("x", upstream.MaxBufferedBody))
 		return true
 	})
 	text := testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings)
@@ -94,7 +95,7 @@
 	p.hangup(text)
 	p.hangup("no configuration")
 	close(rest)
-	if body, err := io.ReadAll(resp.Body); err != nil || len(body) != MaxBufferedBody+1 {
+	if body, err := io.ReadAll(resp.Body); err != nil || len(body) != upstream.MaxBufferedBody+1 {
 		t.Errorf("%d bytes, error %v", len(body), err)
 	}
 	if err := testserver.Receive(t, p.ended, "end"); err != nil {
--- a/internal/sidecar/gone_test.go
+++ b/internal/sidecar/gone_test.go
@@ -23,7 +23,7 @@
 	}
 	for range requests {
 		<-b.ask("read", time.Second, nil)
-		time.Sleep(defaultReuseDelay)
+		time.Sleep(20 * time.Millisecond) // a connection rests so long before its next request
 	}
 	time.Sleep(10 * time.Second)
 	for len(b.came) > 0 {
--- a/internal/sidecar/heldup_test.go
+++ b/internal/sidecar/heldup_test.go
@@ -20,6 +20,7 @@
 
 	"milletramp.example/milletramp/balance"
 	"milletramp.example/milletramp/internal/lab/testserver"
+	"milletramp.example/milletramp/internal/upstream"
 )
 
 // pipeConn is a connection of a bubble whose first write is held up, after whatever its writer has checked.
@@ -149,7 +150,7 @@
 	case "book":
 		key = "k-1"
 	}
-	c := &call{Message: Message{Method: method, URL: &url.URL{Path: "/api"}, ID: "id-1", IdempotencyKey: key}, tenant: -1,
+	c := &call{Message: upstream.Message{Method: method, URL: &url.URL{Path: "/api"}, ID: "id-1", IdempotencyKey: key}, tenant: -1,
 		term: b.host.terms.Load().classes[class], deadline: time.Now().Add(wait - answerMargin), left: left}
 	answered := make(chan answer, 1)
 	go func() {
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -15,6 +15,7 @@
 	"testing"
 	"time"
 
+	"milletramp.example/milletramp/internal/discovery"
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
@@ -173,3 +174,13 @@
 	}
 	return g
 }
+
+// parsed returns the list that a text in discovery's form holds.
+func parsed(t *testing.T, text string) discovery.List {
+	t.Helper()
+	l, err := discovery.ParseList([]byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return l
+}
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -11,6 +11,7 @@
 	"milletramp.example/milletramp/balance"
 	"milletramp.example/milletramp/internal/discovery"
 	"milletramp.example/milletramp/internal/stats"
+	"milletramp.example/milletramp/internal/upstream"
 )
 
 const (
@@ -34,15 +35,15 @@
 // answer is a request's final answer.
 type answer struct {
 	kind  answerKind
-	body  []byte        // served: all of it, or what has come
-	ctype string        // served
-	rest  *Stream       // served: what is still to come; nil: nothing
-	after time.Duration // refused: when to come back; 0: not said
+	body  []byte           // served: all of it, or what has come
+	ctype string           // served
+	rest  *upstream.Stream // served: what is still to come; nil: nothing
+	after time.Duration    // refused: when to come back; 0: not said
 }
 
 // call is a client's request while the host has it. The loop alone touches what follows answered.
 type call struct {
-	Message
+	upstream.Message
 	*term
 	policy   uint64 // that it was read under; 0: there is none
 	tenant   int
@@ -66,7 +67,7 @@
 type host struct {
 	log      *slog.Logger
 	origin   time.Time
-	upstream *Upstream
+	upstream *upstream.Client
 	figures  *stats.Figures
 	terms    atomic.Pointer[terms]
 	ready    chan struct{} // closed once servers are known
@@ -101,7 +102,7 @@
 func newHost(ctx context.Context, c *Config, log *slog.Logger, dial discovery.DialFunc) (*host, error) {
 	h := &host{log: log, origin: time.Now().Add(-originAge), ready: make(chan struct{}), heard: make(chan struct{}), wake: make(chan struct{}, 1),
 		figures: &stats.Figures{}, calls: map[balance.RequestID]*call{}, ctx: ctx}
-	h.upstream = NewUpstream(c.Limits, newBudget(c).upstream, &h.figures.Tries)
+	h.upstream = upstream.New(c.Limits, newBudget(c).upstream, &h.figures.Tries)
 	h.now = h.clock()
 	h.starts = discovery.NewStartTimes(h.clock)
 	h.subscriptions = discovery.NewSubscriptions(ctx, h, discovery.Options{Address: c.Discovery, Revision: knownRevision(c.Known),
@@ -302,7 +303,7 @@
 	c.out++
 	go func() {
 		begun := false
-		s := AttemptRequest{ServerID: endpoint, Message: &c.Message, IsCancelled: func() bool { return h.withdrawn(c) }, StartStreaming: func(r Response) bool {
+		s := upstream.AttemptRequest{ServerID: endpoint, Message: &c.Message, IsCancelled: func() bool { return h.withdrawn(c) }, StartStreaming: func(r upstream.Response) bool {
 			begun = h.begins(c, n, endpoint, sent, r)
 			return begun
 		}}
@@ -319,7 +320,7 @@
 
 // begins takes in that a long answer has come in part, and tells whether it is to be passed on. From then on the request
 // has its answer, and the attempt has ended for the Balancer. Of two answers a client would get parts of both.
-func (h *host) begins(c *call, n int, endpoint string, sent balance.Time, r Response) (wins bool) {
+func (h *host) begins(c *call, n int, endpoint string, sent balance.Time, r upstream.Response) (wins bool) {
 	decided := make(chan bool, 1)
 	h.Post(func() {
 		if c.over.Load() {
@@ -338,7 +339,7 @@
 }
 
 // result takes in how an attempt ended.
-func (h *host) result(c *call, n int, endpoint string, sent balance.Time, r Response) {
+func (h *host) result(c *call, n int, endpoint string, sent balance.Time, r upstream.Response) {
 	wins := r.Outcome == balance.Served && !c.over.Load()
 	if wins {
 		c.over.Store(true)
--- a/internal/sidecar/kill_test.go
+++ b/internal/sidecar/kill_test.go
@@ -15,6 +15,7 @@
 
 	"milletramp.example/milletramp/internal/lab/testserver"
 	"milletramp.example/milletramp/internal/stats"
+	"milletramp.example/milletramp/internal/upstream"
 )
 
 // heldUp counts by how much the machine holds this test up, until the returned function tells it.
@@ -40,7 +41,7 @@
 func TestKilledUnderHangingServers(t *testing.T) {
 	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Header.Get("Idempotency-Key") != "" { // a long answer, which stops
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", MaxBufferedBody+1)
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", upstream.MaxBufferedBody+1)
 		}
 		return testserver.NeverRespond(c, r, body)
 	})
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -15,6 +15,7 @@
 
 	"milletramp.example/milletramp/balance"
 	"milletramp.example/milletramp/internal/netretry"
+	"milletramp.example/milletramp/internal/upstream"
 )
 
 const (
@@ -57,7 +58,7 @@
 	conns := newClientConns(netretry.NewListener(l, h.log), b.clients, b.usual, &h.figures.Unserved)
 	ending, end := context.WithCancel(context.Background())
 	return &Handler{host: h, config: c, ids: newIDs(b.requests), conns: conns,
-		room: &room{most: c.MemoryMB << 20 / bodyShare / MaxBufferedBody}, ending: ending, end: end}
+		room: &room{most: c.MemoryMB << 20 / bodyShare / upstream.MaxBufferedBody}, ending: ending, end: end}
 }
 
 // The least time from the word to stop to the kill, on top of the longest deadline, which counts for no more than most.
@@ -290,7 +291,7 @@
 	defer s.stopReading(conn)()
 	size := 4 << 10
 	if r.ContentLength > 0 {
-		size = int(min(r.ContentLength+1, MaxBufferedBody)) // and a byte for the end
+		size = int(min(r.ContentLength+1, upstream.MaxBufferedBody)) // and a byte for the end
 	}
 	body = [][]byte{make([]byte, 0, size)}
 	taken, all := 0, 0
@@ -303,15 +304,15 @@
 		piece := body[len(body)-1]
 		switch {
 		case len(piece) < cap(piece):
-		case len(piece) < MaxBufferedBody:
-			piece = append(make([]byte, 0, min(4*cap(piece), MaxBufferedBody)), piece...)
+		case len(piece) < upstream.MaxBufferedBody:
+			piece = append(make([]byte, 0, min(4*cap(piece), upstream.MaxBufferedBody)), piece...)
 		case all > maxRequestBody:
 			return bad(http.StatusRequestEntityTooLarge, "body too large")
 		default:
 			if taken == len(body)-1 {
 				// Many large bodies at once would take all memory. Where each takes its room bit by bit,
 				// all get a part and none gets through. One that says its length takes it at once.
-				more := max(1, (int(r.ContentLength)-all)/MaxBufferedBody+1)
+				more := max(1, (int(r.ContentLength)-all)/upstream.MaxBufferedBody+1)
 				if !s.room.take(more) {
 					return bad(http.StatusServiceUnavailable, "refused: too many large bodies at once")
 				}
@@ -376,7 +377,7 @@
 			return bad(name + " is given more than once")
 		}
 	}
-	c := &call{Message: Message{Method: r.Method, URL: r.URL, ID: r.Header.Get("X-Request-ID"),
+	c := &call{Message: upstream.Message{Method: r.Method, URL: r.URL, ID: r.Header.Get("X-Request-ID"),
 		IdempotencyKey: r.Header.Get("Idempotency-Key"), ContentType: r.Header.Get("Content-Type")}}
 	if c.ID == "" {
 		return bad("X-Request-ID is missing")
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -16,6 +16,7 @@
 	"milletramp.example/milletramp/balance"
 	"milletramp.example/milletramp/internal/discovery"
 	"milletramp.example/milletramp/internal/lab/testserver"
+	"milletramp.example/milletramp/internal/upstream"
 )
 
 // TestEffects has the first attempt of each class end in each way, and sees whether the class is tried again.
@@ -275,8 +276,8 @@
 		{"path", ask("read", func(r *http.Request) { r.URL.Path = "/apis" }), 404},
 		{"health method", ask("read", func(r *http.Request) { r.URL.Path, r.Method = "/healthz", "PUT" }), 405},
 		{"long body", sized(maxRequestBody + 1), 413},
-		{"longest body held in any case", sized(MaxBufferedBody), 200},
-		{"longer body", sized(10 * MaxBufferedBody), 200},
+		{"longest body held in any case", sized(upstream.MaxBufferedBody), 200},
+		{"longer body", sized(10 * upstream.MaxBufferedBody), 200},
 		{"unknown tenant", with("read", "X-Tenant-Id", "nobody"), 200},
 		{"no tenant", without("pay", "X-Tenant-Id"), 200},
 	} {
--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -9,6 +9,8 @@
 	"strconv"
 	"sync"
 	"time"
+
+	"milletramp.example/milletramp/internal/upstream"
 )
 
 const (
@@ -78,7 +80,7 @@
 
 // allowedPause is how long a server may pause in an answer of at least this length, to a client whose time ends at deadline.
 func allowedPause(length int64, deadline time.Time) time.Duration {
-	if length > MaxBufferedBody {
+	if length > upstream.MaxBufferedBody {
 		return maxStreamPause
 	}
 	return min(maxStreamPause, max(time.Until(deadline.Add(lateResponseGrace)), minStreamPause))
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"milletramp.example/milletramp/internal/lab/testserver"
+	"milletramp.example/milletramp/internal/upstream"
 )
 
 // TestAnswersThatStop: an answer of untold length that stops is cut soon after its client's time, so that the client can tell that it is not
@@ -49,9 +50,9 @@
 			return true
 		}, false, false},
 		{"a long one pauses", func(c net.Conn, _ *http.Request, _ []byte) bool {
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", MaxBufferedBody+1)
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", upstream.MaxBufferedBody+1)
 			<-rest
-			fmt.Fprint(c, strings.Repeat("x", MaxBufferedBody))
+			fmt.Fprint(c, strings.Repeat("x", upstream.MaxBufferedBody))
 			return true
 		}, false, true},
 	} {
@@ -70,7 +71,7 @@
 			if took := time.Since(began); tt.cut && took > maxStreamPause-time.Second {
 				t.Errorf("cut after %v", took)
 			}
-			if tt.cut != errors.Is(err, io.ErrUnexpectedEOF) || tt.long && len(body) != MaxBufferedBody+1 {
+			if tt.cut != errors.Is(err, io.ErrUnexpectedEOF) || tt.long && len(body) != upstream.MaxBufferedBody+1 {
 				t.Errorf("%d bytes, error %v, want a cut: %v", len(body), err, tt.cut)
 			}
 		})
--- a/internal/sidecar/sending_test.go
+++ b/internal/upstream/attempt_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package upstream
 
 import (
 	"context"
@@ -26,30 +26,30 @@
 func TestLateConnections(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
-		event func(*Upstream, *testserver.Backend, *atomic.Bool)
+		event func(*Client, *testserver.Backend, *atomic.Bool)
 		open  int // connections that are left
 	}{
-		{"the server drains", func(u *Upstream, b *testserver.Backend, _ *atomic.Bool) {
-			u.Update(parsed(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "DRAINING", 0))))
+		{"the server drains", func(u *Client, b *testserver.Backend, _ *atomic.Bool) {
+			u.Update(parseList(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "DRAINING", 0))))
 		}, 1},
-		{"a whole list leaves it out", func(u *Upstream, _ *testserver.Backend, _ *atomic.Bool) {
-			u.Update(parsed(t, testserver.ListText(2, true)))
+		{"a whole list leaves it out", func(u *Client, _ *testserver.Backend, _ *atomic.Bool) {
+			u.Update(parseList(t, testserver.ListText(2, true)))
 		}, 0},
-		{"it is removed", func(u *Upstream, b *testserver.Backend, _ *atomic.Bool) {
-			u.Update(parsed(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "DELETED", 0))))
+		{"it is removed", func(u *Client, b *testserver.Backend, _ *atomic.Bool) {
+			u.Update(parseList(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "DELETED", 0))))
 		}, 0},
-		{"it starts again", func(u *Upstream, b *testserver.Backend, _ *atomic.Bool) {
-			u.Update(parsed(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "SERVING", 1700000000000))))
+		{"it starts again", func(u *Client, b *testserver.Backend, _ *atomic.Bool) {
+			u.Update(parseList(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "SERVING", 1700000000000))))
 		}, 0},
-		{"it moves", func(u *Upstream, _ *testserver.Backend, _ *atomic.Bool) {
-			u.Update(parsed(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", "127.0.0.1:9", "SERVING", 0))))
+		{"it moves", func(u *Client, _ *testserver.Backend, _ *atomic.Bool) {
+			u.Update(parseList(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", "127.0.0.1:9", "SERVING", 0))))
 		}, 0},
-		{"it is taken out by hand", func(u *Upstream, _ *testserver.Backend, _ *atomic.Bool) { u.SetAdminDown("s-0", true) }, 0},
-		{"it is taken out and put back", func(u *Upstream, _ *testserver.Backend, _ *atomic.Bool) {
+		{"it is taken out by hand", func(u *Client, _ *testserver.Backend, _ *atomic.Bool) { u.SetAdminDown("s-0", true) }, 0},
+		{"it is taken out and put back", func(u *Client, _ *testserver.Backend, _ *atomic.Bool) {
 			u.SetAdminDown("s-0", true)
 			u.SetAdminDown("s-0", false)
 		}, 0},
-		{"nobody waits any more", func(_ *Upstream, _ *testserver.Backend, withdrawn *atomic.Bool) { withdrawn.Store(true) }, 1},
+		{"nobody waits any more", func(_ *Client, _ *testserver.Backend, withdrawn *atomic.Bool) { withdrawn.Store(true) }, 1},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
@@ -97,7 +97,7 @@
 func TestRepeatThatIsTakenTooLate(t *testing.T) {
 	l := testserver.Listen(t) // takes no more than the system holds
 	u, m := to(t, &testserver.Backend{Address: l.Addr().String()}), post("k")
-	m.Body = [][]byte{make([]byte, maxRequestBody), make([]byte, maxRequestBody)}
+	m.Body = [][]byte{make([]byte, 32<<20), make([]byte, 32<<20)}
 	s := AttemptRequest{ServerID: "s-0", Message: m, SendDeadline: time.Now().Add(50 * time.Millisecond), StartStreaming: whole}
 	ctx, cancel := context.WithTimeout(context.Background(), testserver.Timeout)
 	defer cancel()
@@ -145,8 +145,8 @@
 func TestConnectionRestsBeforeReuse(t *testing.T) {
 	for end := time.Now().Add(testserver.Timeout); time.Now().Before(end); {
 		b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
-		u := NewUpstream(wire.Limits{ConnectTimeout: testserver.Timeout, IdleClose: testserver.Timeout}, 1000, &atomic.Int64{})
-		u.Update(parsed(t, testserver.ServingList(1, b)))
+		u := New(wire.Limits{ConnectTimeout: testserver.Timeout, IdleClose: testserver.Timeout}, 1000, &atomic.Int64{})
+		u.Update(parseList(t, testserver.ServingList(1, b)))
 		t.Cleanup(func() { u.Update(discovery.List{Complete: true}) })
 		began := time.Now()
 		for range 2 {
--- a/internal/sidecar/body.go
+++ b/internal/upstream/body.go
@@ -1,4 +1,4 @@
-package sidecar
+package upstream
 
 import (
 	"io"
--- a/internal/sidecar/upstream.go
+++ b/internal/upstream/client.go
@@ -1,4 +1,4 @@
-package sidecar
+package upstream
 
 import (
 	"context"
@@ -50,8 +50,8 @@
 	Remainder   *Stream // what is still to come of a long one
 }
 
-// Upstream makes attempts at the servers.
-type Upstream struct {
+// Client makes attempts at the servers.
+type Client struct {
 	responseTimeoutNanos atomic.Int64 // nanoseconds for the rest of an answer that has begun
 	pool                 *pool
 	attemptsSent         *atomic.Int64 // written whole
@@ -61,26 +61,26 @@
 	adminDown map[string]bool // taken out by hand
 }
 
-// NewUpstream returns an upstream that counts its tries. How long the network may take to bring a connection up, the
+// New returns an upstream that counts its tries. How long the network may take to bring a connection up, the
 // rest of an answer that has begun may take too.
-func NewUpstream(limits wire.Limits, maxConns int, attemptsSent *atomic.Int64) *Upstream {
-	u := &Upstream{pool: newPool(maxConns), attemptsSent: attemptsSent, servers: map[string]*server{},
+func New(limits wire.Limits, maxConns int, attemptsSent *atomic.Int64) *Client {
+	u := &Client{pool: newPool(maxConns), attemptsSent: attemptsSent, servers: map[string]*server{},
 		adminDown: map[string]bool{}}
 	u.Configure(limits)
 	return u
 }
 
 // SetDial replaces how connections to servers are opened; nil: over TCP. It is called before the first attempt.
-func (u *Upstream) SetDial(dial discovery.DialFunc) { u.pool.dial = dial }
+func (u *Client) SetDial(dial discovery.DialFunc) { u.pool.dial = dial }
 
 // ConnCounts returns how many connections to servers are open, and how many of these are idle.
-func (u *Upstream) ConnCounts() (open, idle int) { return u.pool.connCounts() }
+func (u *Client) ConnCounts() (open, idle int) { return u.pool.connCounts() }
 
 // SetMaxConns changes how many connections to servers may be open.
-func (u *Upstream) SetMaxConns(n int) { u.pool.setMaxConns(n) }
+func (u *Client) SetMaxConns(n int) { u.pool.setMaxConns(n) }
 
 // Configure takes new limits.
-func (u *Upstream) Configure(l wire.Limits) {
+func (u *Client) Configure(l wire.Limits) {
 	u.responseTimeoutNanos.Store(int64(l.ConnectTimeout))
 	u.pool.connectTimeoutNanos.Store(int64(l.ConnectTimeout))
 	u.pool.idleTimeoutNanos.Store(int64(l.IdleClose / 2)) // half of the time after which servers close keeps well clear of it
@@ -88,7 +88,7 @@
 
 // SetAdminDown keeps everything new from a server that is taken out by hand, or lets it go there again. The staff
 // restarts it meanwhile. Its connections would swallow what is sent on them, and one that is just coming up is new.
-func (u *Upstream) SetAdminDown(id string, out bool) {
+func (u *Client) SetAdminDown(id string, out bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.adminDown[id] = out; !out {
@@ -103,7 +103,7 @@
 }
 
 // Update takes in a list: where each server listens now.
-func (u *Upstream) Update(list discovery.List) {
+func (u *Client) Update(list discovery.List) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, e := range list.Endpoints {
@@ -124,7 +124,7 @@
 }
 
 // applyEndpoint takes in one entry of a list. The lock is held.
-func (u *Upstream) applyEndpoint(e discovery.Endpoint) {
+func (u *Client) applyEndpoint(e discovery.Endpoint) {
 	removed := e.State == balance.Removed
 	old := u.servers[e.ID]
 	if old != nil && (removed || old.address != e.Address || !old.startedAt.Equal(e.StartedAt)) {
@@ -142,7 +142,7 @@
 }
 
 // Endpoints tells which servers there are, and when each last started.
-func (u *Upstream) Endpoints() (servers []discovery.Endpoint) {
+func (u *Client) Endpoints() (servers []discovery.Endpoint) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for id, t := range u.servers {
@@ -152,7 +152,7 @@
 }
 
 // removeServer forgets a server. Attempts that are out keep their connections to their end, and put none back.
-func (u *Upstream) removeServer(id string) {
+func (u *Client) removeServer(id string) {
 	u.pool.closeIdle(u.servers[id], true)
 	delete(u.servers, id)
 }
@@ -171,7 +171,7 @@
 // checkSendable tells why an attempt whose connection is up must not begin any more, or nil. A connection may come up long
 // after it was asked for, and another event may have come first. A close by the client has the least slack, so it is
 // looked for last: what holds the process up after its clock was read is over by then.
-func (u *Upstream) checkSendable(s *AttemptRequest, to *server) error {
+func (u *Client) checkSendable(s *AttemptRequest, to *server) error {
 	switch {
 	case u.pool.isRemoved(to):
 		return errServerRemoved
@@ -188,7 +188,7 @@
 // Attempt sends a message to a server and waits for the end, until ctx is done. It sends it at most once. Where a long answer has
 // come in part it asks begins whether that is passed on. If it is, the attempt lasts until all of it is, whatever ctx
 // says, and its reply tells nothing more.
-func (u *Upstream) Attempt(ctx context.Context, s AttemptRequest) Response {
+func (u *Client) Attempt(ctx context.Context, s AttemptRequest) Response {
 	m := s.Message
 	u.mu.Lock()
 	to, barred := u.servers[s.ServerID], u.adminDown[s.ServerID]
@@ -271,7 +271,7 @@
 }
 
 // acquire takes a connection for an attempt. One that would come up too late for it is not waited for.
-func (u *Upstream) acquire(ctx context.Context, s *AttemptRequest, to *server) (*serverConn, error) {
+func (u *Client) acquire(ctx context.Context, s *AttemptRequest, to *server) (*serverConn, error) {
 	if s.SendDeadline.IsZero() {
 		return u.pool.acquire(ctx, to)
 	}
@@ -286,7 +286,7 @@
 
 // receive waits for the answer and reads it. An answer that stops midway, as one whose length is too long,
 // would hold its request to the end.
-func (u *Upstream) receive(ctx context.Context, c *serverConn) (Response, bool, error) {
+func (u *Client) receive(ctx context.Context, c *serverConn) (Response, bool, error) {
 	c.limitedReader.N, c.allowedPause = 1<<10, 0
 	if _, err := c.reader.Peek(1); err != nil {
 		return Response{}, false, err
@@ -300,7 +300,7 @@
 }
 
 // classifyFailure tells how an attempt ended that got no answer. begun is when it began, ran says that it may have run.
-func (u *Upstream) classifyFailure(ctx context.Context, to *server, begun time.Time, ran bool, err error) Response {
+func (u *Client) classifyFailure(ctx context.Context, to *server, begun time.Time, ran bool, err error) Response {
 	cause := ctx.Err()
 	switch {
 	case errors.Is(err, errConnLimit) || errors.Is(err, errNotSendable) || errors.Is(cause, context.Canceled) && !ran:
--- a/internal/sidecar/upstream_test.go
+++ b/internal/upstream/client_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package upstream
 
 import (
 	"context"
@@ -16,7 +16,8 @@
 	"milletramp.example/milletramp/internal/wire"
 )
 
-func parsed(t *testing.T, text string) discovery.List {
+// parseList returns the list that a text in discovery's form holds.
+func parseList(t *testing.T, text string) discovery.List {
 	t.Helper()
 	l, err := discovery.ParseList([]byte(text))
 	if err != nil {
@@ -26,10 +27,10 @@
 }
 
 // to is an upstream that knows the backends.
-func to(t *testing.T, backends ...*testserver.Backend) *Upstream {
-	u := NewUpstream(wire.Limits{ConnectTimeout: testserver.Timeout, IdleClose: testserver.Timeout}, 1000, &atomic.Int64{})
+func to(t *testing.T, backends ...*testserver.Backend) *Client {
+	u := New(wire.Limits{ConnectTimeout: testserver.Timeout, IdleClose: testserver.Timeout}, 1000, &atomic.Int64{})
 	u.pool.reuseDelay = 0
-	u.Update(parsed(t, testserver.ServingList(1, backends...)))
+	u.Update(parseList(t, testserver.ServingList(1, backends...)))
 	t.Cleanup(func() { u.Update(discovery.List{Complete: true}) })
 	return u
 }
@@ -98,7 +99,7 @@
 	gone := testserver.Listen(t)
 	closed := testserver.EndpointEntry("s-1", gone.Addr().String(), "SERVING", 0)
 	gone.Close()
-	u.Update(parsed(t, testserver.ListText(2, false, closed)))
+	u.Update(parseList(t, testserver.ListText(2, false, closed)))
 	over, cancel := context.WithCancel(context.Background())
 	cancel()
 	for _, tt := range []struct {
@@ -231,23 +232,23 @@
 		return testserver.Receive(t, conns, "connection")
 	}
 	first := ask()
-	u.Update(parsed(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "DRAINING", 0))))
+	u.Update(parseList(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "DRAINING", 0))))
 	if r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole}); r.Outcome != balance.NotSent {
 		t.Errorf("outcome %d at a server that drains", r.Outcome)
 	}
-	u.Update(parsed(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "SERVING", 0))))
+	u.Update(parseList(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "SERVING", 0))))
 	if ask() != first {
 		t.Error("a change of state cost the connection")
 	}
-	u.Update(parsed(t, testserver.ListText(3, false, testserver.EndpointEntry("s-0", b.Address, "SERVING", 1700000000000))))
+	u.Update(parseList(t, testserver.ListText(3, false, testserver.EndpointEntry("s-0", b.Address, "SERVING", 1700000000000))))
 	if ask() == first {
 		t.Error("a request went to the former process's connection")
 	}
-	u.Update(parsed(t, testserver.ListText(4, false, testserver.EndpointEntry("s-0", b.Address, "DELETED", 0))))
+	u.Update(parseList(t, testserver.ListText(4, false, testserver.EndpointEntry("s-0", b.Address, "DELETED", 0))))
 	if r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole}); r.Outcome != balance.NotSent {
 		t.Errorf("outcome %d at a removed server", r.Outcome)
 	}
-	u.Update(parsed(t, testserver.ListText(5, false, testserver.EndpointEntry("s-0", b.Address, "SERVING", 0))))
+	u.Update(parseList(t, testserver.ListText(5, false, testserver.EndpointEntry("s-0", b.Address, "SERVING", 0))))
 	ask()
 }
 
--- a/internal/sidecar/answer_test.go
+++ b/internal/upstream/response_parser_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package upstream
 
 import (
 	"context"
@@ -198,7 +198,7 @@
 	if testserver.Receive(t, conns, "connection") != idle {
 		t.Fatal("the idle connection was not used")
 	}
-	u.Update(parsed(t, testserver.ListText(2, true, testserver.EndpointEntry("s-new", b.Address, "SERVING", 0))))
+	u.Update(parseList(t, testserver.ListText(2, true, testserver.EndpointEntry("s-new", b.Address, "SERVING", 0))))
 	gate <- true
 	if r := testserver.Receive(t, ended, "end"); r.Outcome != balance.Served {
 		t.Errorf("outcome %d of what was out when its server was removed", r.Outcome)
