--- a/cmd/milletramp/main.go
+++ b/cmd/milletramp/main.go
@@ -14,6 +14,7 @@
 	"github.com/alecthomas/kong"
 
 	"milletramp.example/milletramp/internal/sidecar"
+	"milletramp.example/milletramp/internal/config"
 )
 
 // commands are the tool's commands.
@@ -49,7 +50,7 @@
 func (sidecarCommand) Run(ctx context.Context) error {
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	config, err := sidecar.Load(os.Getenv)
+	config, err := config.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
--- a/cmd/milletramp/policy.go
+++ b/cmd/milletramp/policy.go
@@ -22,6 +22,7 @@
 	"milletramp.example/milletramp/internal/fleet/policyagent"
 	"milletramp.example/milletramp/internal/member"
 	"milletramp.example/milletramp/internal/sidecar"
+	"milletramp.example/milletramp/internal/config"
 )
 
 // The states of a change, as a console says them.
@@ -85,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	config, err := sidecar.Load(func(key string) string {
+	config, err := config.Load(func(key string) string {
 		if key == "PROXY_CONFIG" {
 			return c.Config
 		}
--- a/internal/sidecar/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
 // Package sidecar is the real sidecar: it drives the decision module of package balance over sockets. It decides
 // nothing itself.
-package sidecar
+package config
 
 import (
 	"cmp"
@@ -47,6 +47,19 @@
 	defaultIdleClose      = 15 * time.Second
 )
 
+// LimitsWithDefaults returns limits whose times that are not told have their defaults.
+func LimitsWithDefaults(limits wire.Limits) wire.Limits {
+	limits.ConnectTimeout = cmp.Or(limits.ConnectTimeout, defaultConnectTimeout)
+	limits.IdleClose = cmp.Or(limits.IdleClose, defaultIdleClose)
+	return limits
+}
+
+// SettingsDocument returns the settings of the file as JSON values by key.
+func (c *Config) SettingsDocument() map[string]any {
+	settings, _ := c.tree["settings"].(map[string]any)
+	return settings
+}
+
 // configFile is the form of the file that PROXY_CONFIG names. Unknown keys are ignored.
 type configFile struct {
 	Name      string
@@ -179,8 +192,7 @@
 	if c.Settings, c.Names, c.Limits, err = wire.SettingsJSON(seed, file.Settings); err != nil {
 		return nil, err
 	}
-	c.Limits.ConnectTimeout = cmp.Or(c.Limits.ConnectTimeout, defaultConnectTimeout)
-	c.Limits.IdleClose = cmp.Or(c.Limits.IdleClose, defaultIdleClose)
+	c.Limits = LimitsWithDefaults(c.Limits)
 	if file.Known != nil {
 		if c.Known, err = discovery.ParseList(*file.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
--- a/internal/lab/testserver/testserver.go
+++ b/internal/lab/testserver/testserver.go
@@ -189,3 +189,19 @@
 	return fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964","new":1,
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`, discovery, known, settings)
 }
+
+// Environment returns a lookup of environment variables in which PROXY_CONFIG names file. Each of variables is
+// KEY=VALUE; all others are unset.
+func Environment(file string, variables ...string) func(key string) string {
+	return func(key string) string {
+		if key == "PROXY_CONFIG" {
+			return file
+		}
+		for _, variable := range variables {
+			if name, value, _ := strings.Cut(variable, "="); name == key {
+				return value
+			}
+		}
+		return ""
+	}
+}
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -15,13 +15,14 @@
 	"milletramp.example/milletramp/internal/fleet/failuredetector"
 	"milletramp.example/milletramp/internal/sidecar"
 	"milletramp.example/milletramp/internal/wallclock"
+	"milletramp.example/milletramp/internal/config"
 )
 
 // part implements sidecar.Part.
 type part struct{ *fleet.Fleet }
 
 // Join begins a sidecar's part in the fleet that the operator's file names. It is a sidecar.Join.
-func Join(c *sidecar.Config, before []string, log *slog.Logger, told sidecar.Told) (sidecar.Part, error) {
+func Join(c *config.Config, before []string, log *slog.Logger, told sidecar.Told) (sidecar.Part, error) {
 	named, err := fleet.FromEnvironment(c.Getenv)
 	if err != nil || named == nil {
 		return nil, err
--- a/internal/sidecar/budget.go
+++ b/internal/sidecar/budget.go
@@ -3,6 +3,7 @@
 import (
 	"sync"
 
+	"milletramp.example/milletramp/internal/config"
 	"milletramp.example/milletramp/internal/console"
 	"milletramp.example/milletramp/internal/upstream"
 )
@@ -70,7 +71,7 @@
 // usualShare of the connections that clients can hold with a request leaves the rest for bursts.
 const usualShare = 0.75
 
-func newBudget(c *Config) budget {
+func newBudget(c *config.Config) budget {
 	all := c.Sockets - spareSockets
 	if c.Console != "" {
 		all -= consoleSockets
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"milletramp.example/milletramp/internal/config"
 	"milletramp.example/milletramp/internal/lab/testserver"
 	"milletramp.example/milletramp/internal/stats"
 )
@@ -154,12 +155,12 @@
 		}
 		return testserver.Respond(200, "", "ok")(c, r, body)
 	})
-	config := strings.Replace(testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings), `"sockets":1024`, `"sockets":64`, 1)
-	p := start(t, config)
+	configText := strings.Replace(testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings), `"sockets":1024`, `"sockets":64`, 1)
+	p := start(t, configText)
 	held := make(chan gotten, 1)
 	go func() { held <- p.do(p.request(context.Background(), "book", "50000")) }()
 	testserver.Receive(t, b.Requests, "attempt")
-	most := newBudget(&Config{Sockets: 64}).clients
+	most := newBudget(&config.Config{Sockets: 64}).clients
 	first := p.dial()
 	for range 4 * most {
 		p.dial()
@@ -252,9 +253,9 @@
 // end them, so that requests go on being taken. A connection in use before that is kept alive.
 func TestAskOnceAndStay(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
-	config := strings.Replace(testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings), `"sockets":1024`, `"sockets":64`, 1)
-	p := start(t, config)
-	budget := newBudget(&Config{Sockets: 64})
+	configText := strings.Replace(testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings), `"sockets":1024`, `"sockets":64`, 1)
+	p := start(t, configText)
+	budget := newBudget(&config.Config{Sockets: 64})
 	kept, ended := 0, 0
 	for i := range 3 * budget.clients {
 		c := p.dial() // stays open to the end
--- a/internal/sidecar/family.go
+++ b/internal/sidecar/family.go
@@ -10,6 +10,7 @@
 	"sync/atomic"
 	"time"
 
+	"milletramp.example/milletramp/internal/config"
 	"milletramp.example/milletramp/internal/console"
 	"milletramp.example/milletramp/internal/handover"
 )
@@ -23,7 +24,7 @@
 	shares atomic.Int32     // into which what the sidecar may hold is parted
 }
 
-func joinFamily(c *Config, log *slog.Logger) *family {
+func joinFamily(c *config.Config, log *slog.Logger) *family {
 	f := &family{}
 	f.shares.Store(1)
 	dir := c.Getenv("TMPDIR")
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/config"
 	"milletramp.example/milletramp/internal/console"
 	"milletramp.example/milletramp/internal/handover"
 )
@@ -22,7 +23,7 @@
 
 // Join begins a sidecar's part in the fleet that the operator's file names. It returns nil, and no error, where none is named. before
 // are the addresses at which the sidecar's other processes have theirs.
-type Join func(c *Config, before []string, log *slog.Logger, told Told) (Part, error)
+type Join func(c *config.Config, before []string, log *slog.Logger, told Told) (Part, error)
 
 // Part is a sidecar's part in a fleet. Package member has it; a program that is built without that package has none of
 // the fleet's code.
@@ -79,7 +80,7 @@
 
 // joinFleet begins this sidecar's part in the fleet, where the operator's file names one, and waits until it has caught
 // up, or has tried for long enough. leave ends it.
-func (o *ops) joinFleet(stop context.Context, c *Config, log *slog.Logger, join Join) (leave func(), err error) {
+func (o *ops) joinFleet(stop context.Context, c *config.Config, log *slog.Logger, join Join) (leave func(), err error) {
 	if join == nil {
 		if file := c.Getenv(FleetVariable); file != "" {
 			return nil, fmt.Errorf("%s names %s, and this program is built without a part in a fleet: fleetsidecar has one", FleetVariable, file)
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -15,6 +15,7 @@
 	"testing"
 	"time"
 
+	"milletramp.example/milletramp/internal/config"
 	"milletramp.example/milletramp/internal/discovery"
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
@@ -26,22 +27,12 @@
 	}
 }
 
-// load reads a configuration as the program does.
-func load(t *testing.T, text string, env ...string) (*Config, error) {
+// load reads a configuration as the program does. Each of env is KEY=VALUE.
+func load(t *testing.T, text string, env ...string) (*config.Config, error) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
 	write(t, file, text)
-	return Load(func(key string) string {
-		if key == "PROXY_CONFIG" {
-			return file
-		}
-		for _, e := range env {
-			if k, v, _ := strings.Cut(e, "="); k == key {
-				return v
-			}
-		}
-		return ""
-	})
+	return config.Load(testserver.Environment(file, env...))
 }
 
 // addressLog is a log that passes on the address served.
@@ -82,26 +73,26 @@
 	ejected atomic.Int32 // servers
 }
 
-func start(t *testing.T, config string, env ...string) *program {
+func start(t *testing.T, configText string, env ...string) *program {
 	t.Helper()
-	return startIn(t, config, drainTimes{quiet: time.Millisecond}, nil, env...)
+	return startIn(t, configText, drainTimes{quiet: time.Millisecond}, nil, env...)
 }
 
-func startDraining(t *testing.T, config string, times drainTimes) *program {
+func startDraining(t *testing.T, configText string, times drainTimes) *program {
 	t.Helper()
-	return startIn(t, config, times, nil)
+	return startIn(t, configText, times, nil)
 }
 
 // startIn starts a sidecar with a part in a fleet; nil: with none.
-func startIn(t *testing.T, config string, times drainTimes, join Join, env ...string) *program {
+func startIn(t *testing.T, configText string, times drainTimes, join Join, env ...string) *program {
 	t.Helper()
-	return startWith(t, config, times, join, hooks{}, env...)
+	return startWith(t, configText, times, join, hooks{}, env...)
 }
 
 // startWith starts a sidecar with hooks of its test.
-func startWith(t *testing.T, config string, times drainTimes, join Join, with hooks, env ...string) *program {
+func startWith(t *testing.T, configText string, times drainTimes, join Join, with hooks, env ...string) *program {
 	t.Helper()
-	c, err := load(t, config, env...)
+	c, err := load(t, configText, env...)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/config"
 	"milletramp.example/milletramp/internal/discovery"
 	"milletramp.example/milletramp/internal/stats"
 	"milletramp.example/milletramp/internal/upstream"
@@ -99,7 +100,7 @@
 }
 
 // newHost returns a host whose attempts and watches end with ctx. dial opens connections to discovery; nil: over TCP.
-func newHost(ctx context.Context, c *Config, log *slog.Logger, dial discovery.DialFunc) (*host, error) {
+func newHost(ctx context.Context, c *config.Config, log *slog.Logger, dial discovery.DialFunc) (*host, error) {
 	h := &host{log: log, origin: time.Now().Add(-originAge), ready: make(chan struct{}), heard: make(chan struct{}), wake: make(chan struct{}, 1),
 		figures: &stats.Figures{}, calls: map[balance.RequestID]*call{}, ctx: ctx}
 	h.upstream = upstream.New(c.Limits, newBudget(c).upstream, &h.figures.Tries)
--- a/internal/sidecar/listen.go
+++ b/internal/sidecar/listen.go
@@ -54,7 +54,7 @@
 
 // listenShared listens at an address that the sidecar's next process can listen at too.
 func listenShared(address string, log *slog.Logger) (*net.TCPListener, error) {
-	config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
+	listenConfig := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		var failed error
 		err := c.Control(func(fd uintptr) {
 			failed = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
@@ -64,8 +64,8 @@
 		}
 		return err
 	}}
-	config.SetMultipathTCP(false) // the kernel lets no filter choose among listeners that have it (turnAway)
-	l, err := config.Listen(context.Background(), "tcp", address)
+	listenConfig.SetMultipathTCP(false) // the kernel lets no filter choose among listeners that have it (turnAway)
+	l, err := listenConfig.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
--- a/internal/sidecar/main.go
+++ b/internal/sidecar/main.go
@@ -8,6 +8,8 @@
 	"os/signal"
 	"strings"
 	"syscall"
+
+	"milletramp.example/milletramp/internal/config"
 )
 
 // Main is a program that is a sidecar: it takes its configuration from the environment, reads its file again at SIGHUP, and
@@ -18,9 +20,9 @@
 	signal.Notify(reload, syscall.SIGHUP)
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
-	config, err := Load(os.Getenv)
+	c, err := config.Load(os.Getenv)
 	if err == nil {
-		err = Run(stop, reload, config, slog.New(slog.NewTextHandler(os.Stderr, nil)), join)
+		err = Run(stop, reload, c, slog.New(slog.NewTextHandler(os.Stderr, nil)), join)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "sidecar:", strings.ReplaceAll(err.Error(), "\n", "; "))
--- a/internal/sidecar/policy.go
+++ b/internal/sidecar/policy.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/config"
 	"milletramp.example/milletramp/internal/wire"
 )
 
@@ -55,9 +56,9 @@
 }
 
 // newGate returns a gate whose policies stand beside the own place of a configuration. Its policy is set before it is used.
-func newGate(h *host, c *Config) *gate {
+func newGate(h *host, c *config.Config) *gate {
 	g := &gate{host: h, own: map[string]any{}, ready: map[uint64]checkedPolicy{}}
-	settings, _ := c.tree["settings"].(map[string]any)
+	settings := c.SettingsDocument()
 	for _, key := range ownKeys {
 		if v, told := settings[key]; told {
 			g.own[key] = v
@@ -103,21 +104,13 @@
 	if p.settings, p.names, p.limits, err = wire.SettingsJSON(0, object); err != nil {
 		return p, fmt.Errorf("policy: %w", err)
 	}
-	p.limits.ConnectTimeout = orDefault(p.limits.ConnectTimeout, defaultConnectTimeout)
-	p.limits.IdleClose = orDefault(p.limits.IdleClose, defaultIdleClose)
+	p.limits = config.LimitsWithDefaults(p.limits)
 	return p, nil
 }
 
-func orDefault(d, usual time.Duration) time.Duration {
-	if d == 0 {
-		return usual
-	}
-	return d
-}
-
 // CheckPolicy says what is wrong with a policy for a sidecar of this configuration. A sidecar also holds it against what it has run
 // since its start.
-func CheckPolicy(c *Config, text []byte) error {
+func CheckPolicy(c *config.Config, text []byte) error {
 	p, err := newGate(nil, c).read(text)
 	if err != nil {
 		return err
@@ -192,12 +185,12 @@
 }
 
 // differs says how a file's settings differ from the policy that the host goes by; "": not at all.
-func (g *gate) differs(c *Config) string {
+func (g *gate) differs(c *config.Config) string {
 	number := g.host.terms.Load().policy
 	g.mu.Lock()
 	p := g.ready[number]
 	g.mu.Unlock()
-	file, _ := c.tree["settings"].(map[string]any)
+	file := c.SettingsDocument()
 	for _, key := range slices.Sorted(maps.Keys(file)) {
 		if !slices.Contains(ownKeys, key) && !reflect.DeepEqual(file[key], p.tree[key]) {
 			return fmt.Sprintf("settings.%s is another than in policy %d, which is in force: propose it", key, number)
--- a/internal/sidecar/policy_test.go
+++ b/internal/sidecar/policy_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/config"
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
@@ -66,8 +67,8 @@
 }
 
 // join is a Join.
-func (f *fakePart) join(c *Config, _ []string, _ *slog.Logger, told Told) (Part, error) {
-	f.told, f.base = told, maps.Clone(c.tree["settings"].(map[string]any))
+func (f *fakePart) join(c *config.Config, _ []string, _ *slog.Logger, told Told) (Part, error) {
+	f.told, f.base = told, maps.Clone(c.SettingsDocument())
 	for _, key := range ownKeys {
 		delete(f.base, key)
 	}
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -3,11 +3,13 @@
 import (
 	"context"
 	"fmt"
+
+	"milletramp.example/milletramp/internal/config"
 )
 
 // reload reads the configuration again, takes its settings and moves to the discovery that it names. It returns the
 // configuration that is in use then: a file with any fault is turned down whole.
-func (h *host) reload(ctx context.Context, c *Config) *Config {
+func (h *host) reload(ctx context.Context, c *config.Config) *config.Config {
 	fresh, err := c.Reload()
 	if err == nil {
 		if asked := h.ask(ctx, func() { err = h.reconfigure(fresh) }); asked != nil {
@@ -25,7 +27,7 @@
 }
 
 // reconfigure takes a new file. Where the fleet has a policy its settings must be that one's.
-func (h *host) reconfigure(c *Config) error {
+func (h *host) reconfigure(c *config.Config) error {
 	if h.gate == nil {
 		return h.configure(c)
 	}
@@ -37,7 +39,7 @@
 }
 
 // configure takes new settings. With an error, nothing has changed.
-func (h *host) configure(c *Config) error {
+func (h *host) configure(c *config.Config) error {
 	places, err := h.balancer.Configure(c.Settings)
 	if err != nil {
 		return err
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -113,14 +113,3 @@
 		t.Errorf("answer %+v, %d new watches at the old address", g, len(d.Watches))
 	}
 }
-
-// TestDiscoveryPrecedence: the environment goes first at the start, the file at a reload.
-func TestDiscoveryPrecedence(t *testing.T) {
-	c, err := load(t, testserver.ConfigText("127.0.0.1:9", "", testserver.Settings), "PROXY_DISCOVERY=127.0.0.1:10")
-	if err != nil || c.Discovery != "127.0.0.1:10" {
-		t.Fatalf("discovery %q at the start, error %v", c.Discovery, err)
-	}
-	if c, err = c.Reload(); err != nil || c.Discovery != "127.0.0.1:9" {
-		t.Errorf("discovery %q after a reload, error %v", c.Discovery, err)
-	}
-}
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -13,6 +13,7 @@
 	"sync"
 	"time"
 
+	"milletramp.example/milletramp/internal/config"
 	"milletramp.example/milletramp/internal/console"
 	"milletramp.example/milletramp/internal/handover"
 )
@@ -32,7 +33,7 @@
 
 // Run is the sidecar, from its configuration to the end of its last request after stop is done. At each reload it
 // reads its configuration again. join begins its part in the fleet; nil: it can have none.
-func Run(stop context.Context, reload <-chan os.Signal, c *Config, log *slog.Logger, join Join) error {
+func Run(stop context.Context, reload <-chan os.Signal, c *config.Config, log *slog.Logger, join Join) error {
 	return run(stop, reload, c, log, join, drainTimes{accept: 450 * time.Millisecond, quiet: 25 * time.Millisecond,
 		closeIdle: 300 * time.Millisecond, unused: 300 * time.Millisecond, listen: time.Second,
 		idle: idleWithin + 200*time.Millisecond, deadline: killDeadline}, hooks{started: func(*ops) {}})
@@ -40,7 +41,7 @@
 
 // run is Run with the times and hooks of a test. It starts and ends all goroutines of the process; what is deferred here
 // ends in reverse: the server, the part in the fleet, the console, the entry for other processes, and last the loops.
-func run(stop context.Context, reload <-chan os.Signal, c *Config, log *slog.Logger, join Join, times drainTimes,
+func run(stop context.Context, reload <-chan os.Signal, c *config.Config, log *slog.Logger, join Join, times drainTimes,
 	with hooks) error {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Cores))))
 	debug.SetMemoryLimit(int64(float64(c.MemoryMB<<20) * memoryShare))
@@ -96,7 +97,7 @@
 
 // process is a running sidecar. Only run and what it calls use it.
 type process struct {
-	config *Config
+	config *config.Config
 	log    *slog.Logger
 	times  drainTimes
 	hooks  hooks
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/config"
 	"milletramp.example/milletramp/internal/netretry"
 	"milletramp.example/milletramp/internal/upstream"
 )
@@ -37,7 +38,7 @@
 // Handler answers the application.
 type Handler struct {
 	host     *host
-	config   *Config
+	config   *config.Config
 	ids      *ids
 	conns    *clientConns
 	draining atomic.Bool
@@ -50,7 +51,7 @@
 }
 
 // NewHandler returns a server for the connections that l accepts.
-func NewHandler(c *Config, h *host, l net.Listener) *Handler {
+func NewHandler(c *config.Config, h *host, l net.Listener) *Handler {
 	b := newBudget(c)
 	if c.Limits.MostHeld > 0 {
 		b.requests = min(b.requests, c.Limits.MostHeld)
--- a/internal/sidecar/settings_test.go
+++ b/internal/sidecar/settings_test.go
@@ -200,36 +200,3 @@
 	call("s-1", false, nil)
 	p.figuresAre("skipped_servers", "0")
 }
-
-// TestLacks holds files against the one in use.
-func TestLacks(t *testing.T) {
-	object := func(pairs ...any) map[string]any {
-		o := map[string]any{}
-		for i := 0; i < len(pairs); i += 2 {
-			o[pairs[i].(string)] = pairs[i+1]
-		}
-		return o
-	}
-	inUse := object("a", 1.0, "known", 1.0, "o", object("x", 1.0, "aim_stretch", 1.0), "l",
-		[]any{object("n", "p", "w", 1.0), object("n", "q", "w", 2.0, "extra", 3.0)}, "plain", []any{"x", "y"})
-	for _, tt := range []struct {
-		name  string
-		fresh map[string]any
-		want  string
-	}{
-		{"the same", inUse, ""},
-		{"more, and what may be absent", object("a", 2.0, "b", 1.0, "o", object("x", 2.0), "l", []any{object("n", "z", "w", 1.0)},
-			"plain", []any{}), ""},
-		{"a key", object("o", object("x", 1.0), "l", []any{}, "plain", []any{}), "a"},
-		{"a null", object("a", nil, "o", object("x", 1.0), "l", []any{}, "plain", []any{}), "a"},
-		{"an inner key", object("a", 1.0, "o", object(), "l", []any{}, "plain", []any{}), "o.x"},
-		{"no object", object("a", 1.0, "o", 3.0, "l", []any{}, "plain", []any{}), "o"},
-		{"no list", object("a", 1.0, "o", object("x", 1.0), "l", object(), "plain", []any{}), "l"},
-		{"a key of an entry", object("a", 1.0, "o", object("x", 1.0), "l", []any{object("n", "z", "w", 1.0), object("n", "z")},
-			"plain", []any{}), "l.1.w"},
-	} {
-		if got := missingKey("", inUse, tt.fresh); got != tt.want {
-			t.Errorf("%s: %q is missing, want %q", tt.name, got, tt.want)
-		}
-	}
-}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -13,7 +13,6 @@
 	"testing"
 	"time"
 
-	"milletramp.example/milletramp/balance"
 	"milletramp.example/milletramp/internal/discovery"
 	"milletramp.example/milletramp/internal/lab/testserver"
 	"milletramp.example/milletramp/internal/upstream"
@@ -408,49 +407,6 @@
 	}
 }
 
-func TestConfig(t *testing.T) {
-	good := testserver.ConfigText("127.0.0.1:9", `{"rev":4,"all":true,"targets":[`+testserver.EndpointEntry("s-0", "127.0.0.1:8", "SERVING", 5)+`]}`, testserver.Settings)
-	c, err := load(t, good, "PROXY_NAME=n7")
-	if err != nil {
-		t.Fatal(err)
-	}
-	if s := c.Settings; c.Name != "n7" || s.Seed != 0x8c1f30d27a5be964 || s.Service != "back" || len(s.Zones) != 2 || s.Peers != 1 ||
-		s.Classes[1].Effect != balance.Deduplicated || s.Classes[1].Scope != balance.ScopeAll ||
-		s.Classes[2].LatencyObjective != 20*time.Second || c.Names.Tenant["acme, east"] != 0 || len(c.Names.Tenant) != 1 ||
-		c.Limits.ConnectTimeout != 5*time.Second || c.Limits.MostHeld != 20000 || c.Sockets != 1024 {
-		t.Errorf("configuration %+v", c)
-	}
-	if k := c.Known; k.Revision != 4 || len(k.Endpoints) != 1 || !k.Endpoints[0].StartedAt.Equal(time.UnixMilli(5)) {
-		t.Errorf("known %+v", k)
-	}
-	for _, tt := range []struct{ old, new, want string }{
-		{`"seed":"8c`, `"seed":"xx`, "seed"},
-		{`"listen":"127.0.0.1:0"`, `"listen":"here"`, "listen"},
-		{`"discovery":"127.0.0.1:9"`, `"discovery":""`, "discovery: missing"},
-		{`"cores":1.0`, `"cores":0`, "limits.cores"},
-		{`"memory_mb":192`, `"memory_mb":-1`, "limits.memory_mb"},
-		{`"sockets":1024`, `"sockets":2`, "limits.sockets"},
-		{`"peers_total":1`, `"peers_total":"many"`, "peers_total"},
-		{`"my_zone":"a",`, ``, "my_zone"},
-		{`"effect":"at_most_once"`, `"effect":"twice"`, "effect"},
-		{`"connect_timeout_s":5.0`, `"connect_timeout_s":-1`, "connect_timeout_s"},
-		{`"state":"SERVING"`, `"state":"ASLEEP"`, "known"},
-		{`"uid":"s-0"`, `"uid":""`, "known"},
-		{`{"name"`, `{{"name"`, "config.json"},
-	} {
-		text := strings.Replace(good, tt.old, tt.new, 1)
-		if text == good {
-			t.Errorf("%s is not in the configuration", tt.old)
-		}
-		if _, err := load(t, text); err == nil || !strings.Contains(err.Error(), tt.want) {
-			t.Errorf("%s: error %v, want one with %q", tt.new, err, tt.want)
-		}
-	}
-	if _, err := Load(func(string) string { return "" }); err == nil {
-		t.Error("no error without a configuration")
-	}
-}
-
 func TestRefusalSaysWhen(t *testing.T) {
 	for _, tt := range []struct {
 		a      answer
--- a/internal/sidecar/stop_test.go
+++ b/internal/sidecar/stop_test.go
@@ -126,11 +126,11 @@
 		for range b.Requests {
 		}
 	}()
-	config := testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings)
+	configText := testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings)
 	var asked, unread atomic.Int64
 	for round := range *stopRounds {
 		random := rand.New(rand.NewPCG(uint64(round), 1))
-		p := startDraining(t, config, drainTimes{accept: time.Duration(random.IntN(3)) * time.Millisecond,
+		p := startDraining(t, configText, drainTimes{accept: time.Duration(random.IntN(3)) * time.Millisecond,
 			quiet: time.Millisecond, unused: time.Duration(random.IntN(4)) * time.Millisecond})
 		var clients sync.WaitGroup
 		for i := range 16 {
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -150,32 +150,6 @@
 	}
 }
 
-// TestReadFileFails has the configuration's file not be opened at first, or at all.
-func TestReadFileFails(t *testing.T) {
-	for _, tt := range []struct {
-		errno syscall.Errno
-		fails int
-		reads bool
-		calls int
-	}{
-		{unix.EMFILE, 5, true, 6},
-		{unix.ENOMEM, 1, true, 2},
-		{unix.ENOENT, 1, false, 1},
-		{unix.EACCES, 1, false, 1},
-	} {
-		calls := 0
-		text, err := readWithRetry("config.json", func(path string) ([]byte, error) {
-			if calls++; calls <= tt.fails {
-				return nil, &os.PathError{Op: "open", Path: path, Err: tt.errno}
-			}
-			return []byte("text"), nil
-		})
-		if (string(text) == "text" && err == nil) != tt.reads || calls != tt.calls || !tt.reads && !errors.Is(err, tt.errno) {
-			t.Errorf("%v: %q, error %v after %d calls", tt.errno, text, err, calls)
-		}
-	}
-}
-
 // TestNobodyIsEjected has no connection come up for a lack of descriptors, many times: no server is ejected for that, and
 // all are used once it has passed.
 func TestNobodyIsEjected(t *testing.T) {
@@ -243,7 +217,7 @@
 		for range b.Requests {
 		}
 	}()
-	config, asked := testserver.ConfigText(d.Address, testserver.ServingList(1, b, b), testserver.Settings), 0
+	configText, asked := testserver.ConfigText(d.Address, testserver.ServingList(1, b, b), testserver.Settings), 0
 	rapid.Check(t, func(rt *rapid.T) {
 		f := &testserver.Failures{}
 		draw := func() { // at listeners and clients fewer in a row than it tries again
@@ -255,7 +229,7 @@
 			f.Set("client write", drawFailures(rt, "client write", 6, testserver.StreamErrnos)...)
 		}
 		f.Set("listen", drawFailures(rt, "listen", 5, []syscall.Errno{unix.EMFILE, unix.ENOBUFS, unix.ENOMEM})...)
-		p := startWith(t, config, drainTimes{quiet: time.Millisecond, unused: testserver.Timeout}, nil, failureHooks(f))
+		p := startWith(t, configText, drainTimes{quiet: time.Millisecond, unused: testserver.Timeout}, nil, failureHooks(f))
 		ask := func(classes []string, between func()) {
 			var clients sync.WaitGroup
 			var conns []net.Conn
