--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,10 @@
-// Package sidecar is the real sidecar: it drives the decision module of package balance over sockets. It decides
-// nothing itself.
+// Package config reads a sidecar's configuration strictly: the JSON file that PROXY_CONFIG names, with PROXY_NAME,
+// PROXY_LISTEN, PROXY_DISCOVERY and PROXY_CONSOLE from the environment. A file with any fault is refused whole.
+//
+// Load reads it at the start of the process and Config.Reload again while it runs. A newer file must have every key that
+// the file in use has; which of its changes take effect is for the caller to say.
+//
+// The package starts no goroutine and keeps no state. Its errors name the file and the path of the key at fault.
 package config
 
 import (
@@ -8,9 +13,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"net"
 	"os"
-	"strconv"
 	"time"
 
 	"milletramp.example/milletramp/balance"
@@ -19,83 +22,73 @@
 	"milletramp.example/milletramp/internal/wire"
 )
 
-// Config is what a sidecar is told at its start.
+// Config is a sidecar's configuration.
 type Config struct {
 	Name      string
-	Listen    string // where the application connects
-	Discovery string // where discovery, or its agent on this machine, listens
-	Console   string // where the staff's calls come; "": nowhere
+	Listen    string // address for the application
+	Discovery string // address of discovery, or of its agent on this machine
+	Console   string // address for operators' calls; "": there is none
 	Cores     float64
 	MemoryMB  int
-	Sockets   int
+	Sockets   int            // file descriptors that the process may hold
 	Known     discovery.List // the servers as this sidecar last had them
 	Settings  balance.Settings
 	Names     *wire.Names
 	Limits    wire.Limits
 
-	Getenv func(string) string // where it came from
-	tree   map[string]any      // all of the file but the list
+	Getenv   func(string) string // the environment that it was read with
+	document map[string]any      // the whole file but the list of servers
 }
 
-// The limits and settings of a sidecar that is told none.
+// Defaults of what a file may leave out.
 const (
 	defaultCores          = 1
 	defaultMemoryMB       = 192
 	defaultSockets        = 1024
-	minSockets            = 64
 	defaultConnectTimeout = 250 * time.Millisecond
 	defaultIdleClose      = 15 * time.Second
 )
 
-// LimitsWithDefaults returns limits whose times that are not told have their defaults.
-func LimitsWithDefaults(limits wire.Limits) wire.Limits {
-	limits.ConnectTimeout = cmp.Or(limits.ConnectTimeout, defaultConnectTimeout)
-	limits.IdleClose = cmp.Or(limits.IdleClose, defaultIdleClose)
-	return limits
-}
-
-// SettingsDocument returns the settings of the file as JSON values by key.
-func (c *Config) SettingsDocument() map[string]any {
-	settings, _ := c.tree["settings"].(map[string]any)
-	return settings
-}
+// minSockets is the least number of descriptors that a sidecar can work with.
+const minSockets = 64
 
-// configFile is the form of the file that PROXY_CONFIG names. Unknown keys are ignored.
-type configFile struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Console   string
-	Seed      string
-	Limits    struct {
-		Cores    *float64
-		MemoryMB *int `json:"memory_mb"`
-		Sockets  *int
-	}
-	Known    *json.RawMessage
-	Settings json.RawMessage
-}
+// readTimeout bounds how long reading the file is retried while this machine is short of descriptors or memory. A
+// reloaded file has to be in use 4 s after the signal.
+const readTimeout = 3 * time.Second
 
-// Load reads the configuration from the file that PROXY_CONFIG names. PROXY_NAME, PROXY_LISTEN,
-// PROXY_DISCOVERY and PROXY_CONSOLE go before what the file says.
+// Load reads the configuration at the start of a process. The environment takes precedence over the file.
 func Load(getenv func(string) string) (*Config, error) {
-	return readConfig(getenv, func(file string) string { return cmp.Or(getenv("PROXY_DISCOVERY"), file) })
+	return read(getenv, func(inFile string) string { return cmp.Or(getenv("PROXY_DISCOVERY"), inFile) })
 }
 
-// Reload reads the configuration again. The file is newer than the environment now: its discovery goes first.
+// Reload reads the configuration again. The file is newer than the environment by now, so its address of discovery
+// takes precedence.
 func (c *Config) Reload() (*Config, error) {
-	fresh, err := readConfig(c.Getenv, func(file string) string { return cmp.Or(file, c.Getenv("PROXY_DISCOVERY")) })
+	fresh, err := read(c.Getenv, func(inFile string) string { return cmp.Or(inFile, c.Getenv("PROXY_DISCOVERY")) })
 	if err != nil {
 		return nil, err
 	}
-	if missing := missingKey("", c.tree, fresh.tree); missing != "" {
+	if missing := missingKey("", c.document, fresh.document); missing != "" {
 		return nil, fmt.Errorf("%s: %s: missing", c.Getenv("PROXY_CONFIG"), missing)
 	}
 	return fresh, nil
 }
 
-// readConfig reads the configuration. discovery chooses its address, given the file's.
-func readConfig(getenv func(string) string, discovery func(string) string) (*Config, error) {
+// SettingsDocument returns the settings of the file as JSON values by key.
+func (c *Config) SettingsDocument() map[string]any {
+	settings, _ := c.document["settings"].(map[string]any)
+	return settings
+}
+
+// LimitsWithDefaults returns limits in which the times that the settings leave out have their defaults.
+func LimitsWithDefaults(limits wire.Limits) wire.Limits {
+	limits.ConnectTimeout = cmp.Or(limits.ConnectTimeout, defaultConnectTimeout)
+	limits.IdleClose = cmp.Or(limits.IdleClose, defaultIdleClose)
+	return limits
+}
+
+// read reads the configuration. chooseDiscovery returns the address of discovery, given the file's.
+func read(getenv func(string) string, chooseDiscovery func(inFile string) string) (*Config, error) {
 	path := getenv("PROXY_CONFIG")
 	if path == "" {
 		return nil, errors.New("PROXY_CONFIG is not set")
@@ -104,113 +97,52 @@
 	if err != nil {
 		return nil, fmt.Errorf("PROXY_CONFIG: %w", err)
 	}
-	var file configFile
-	if err := json.Unmarshal(text, &file); err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
-	}
-	file.Discovery = discovery(file.Discovery)
-	c, err := file.config(getenv)
+	c, err := parse(text, getenv, chooseDiscovery)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if c.tree, err = readTree(text); err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
-	}
 	return c, nil
 }
 
-// readTimeout bounds how long reading the configuration is tried where this machine is short of something. A new one has
-// to be in use 4 s after the signal.
-const readTimeout = 3 * time.Second
-
-// readWithRetry reads a file by read. The signal to reload comes once, so that a shortage of descriptors must not undo it.
-func readWithRetry(path string, read func(string) ([]byte, error)) ([]byte, error) {
-	within, cancel := context.WithTimeout(context.Background(), readTimeout)
+// readWithRetry reads a file by readFile, and retries shortages of this machine: the signal to reload comes only once.
+func readWithRetry(path string, readFile func(string) ([]byte, error)) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), readTimeout)
 	defer cancel()
-	return netretry.Open(within, func() ([]byte, error) { return read(path) })
+	return netretry.Open(ctx, func() ([]byte, error) { return readFile(path) })
 }
 
-// readTree reads all of a configuration file but the list, which is as long as the fleet is large.
-func readTree(text []byte) (map[string]any, error) {
-	var parts map[string]json.RawMessage
-	if err := json.Unmarshal(text, &parts); err != nil {
+// parse reads the text of a file.
+func parse(text []byte, getenv func(string) string, chooseDiscovery func(inFile string) string) (*Config, error) {
+	var f file
+	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, err
 	}
-	delete(parts, "known")
-	tree := make(map[string]any, len(parts))
-	for key, part := range parts {
-		var value any
-		if err := json.Unmarshal(part, &value); err != nil {
-			return nil, err
-		}
-		tree[key] = value
-	}
-	return tree, nil
-}
-
-func (file *configFile) config(getenv func(string) string) (*Config, error) {
-	c := &Config{
-		Name:      cmp.Or(getenv("PROXY_NAME"), file.Name),
-		Listen:    cmp.Or(getenv("PROXY_LISTEN"), file.Listen),
-		Discovery: file.Discovery,
-		Console:   cmp.Or(getenv("PROXY_CONSOLE"), file.Console),
-		Cores:     defaultCores, MemoryMB: defaultMemoryMB, Sockets: defaultSockets,
-		Getenv: getenv,
-	}
-	for _, a := range []struct{ field, address string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
-		if err := checkAddress(a.address); err != nil {
-			return nil, fmt.Errorf("%s: %w", a.field, err)
-		}
-	}
-	if c.Console != "" {
-		if err := checkAddress(c.Console); err != nil {
-			return nil, fmt.Errorf("console: %w", err)
-		}
-	}
-	seed, err := strconv.ParseUint(file.Seed, 16, 64)
+	f.Discovery = chooseDiscovery(f.Discovery)
+	c, err := f.config(getenv)
 	if err != nil {
-		return nil, fmt.Errorf("seed: %q is no hexadecimal number of 64 bits", file.Seed)
-	}
-	if v := file.Limits.Cores; v != nil {
-		if c.Cores = *v; c.Cores <= 0 {
-			return nil, fmt.Errorf("limits.cores: %v is not above 0", c.Cores)
-		}
-	}
-	if v := file.Limits.MemoryMB; v != nil {
-		if c.MemoryMB = *v; c.MemoryMB <= 0 {
-			return nil, fmt.Errorf("limits.memory_mb: %d is not above 0", c.MemoryMB)
-		}
-	}
-	if v := file.Limits.Sockets; v != nil {
-		if c.Sockets = *v; c.Sockets < minSockets {
-			return nil, fmt.Errorf("limits.sockets: %d is under %d", c.Sockets, minSockets)
-		}
-	}
-	if len(file.Settings) == 0 {
-		return nil, errors.New("settings: missing")
-	}
-	if c.Settings, c.Names, c.Limits, err = wire.SettingsJSON(seed, file.Settings); err != nil {
 		return nil, err
 	}
-	c.Limits = LimitsWithDefaults(c.Limits)
-	if file.Known != nil {
-		if c.Known, err = discovery.ParseList(*file.Known); err != nil {
-			return nil, fmt.Errorf("known: %w", err)
-		}
+	c.document, err = parseDocument(text)
+	if err != nil {
+		return nil, err
 	}
 	return c, nil
 }
 
-func checkAddress(address string) error {
-	if address == "" {
-		return errors.New("missing")
-	}
-	host, port, err := net.SplitHostPort(address)
-	if err != nil {
-		return err
+// parseDocument returns all of a file but the list of servers, which is as long as the fleet is large.
+func parseDocument(text []byte) (map[string]any, error) {
+	var parts map[string]json.RawMessage
+	if err := json.Unmarshal(text, &parts); err != nil {
+		return nil, err
 	}
-	if _, err := strconv.ParseUint(port, 10, 16); err != nil || net.ParseIP(host) == nil {
-		return fmt.Errorf("%q is no IP address and port", address)
+	delete(parts, "known")
+	document := make(map[string]any, len(parts))
+	for key, part := range parts {
+		var value any
+		if err := json.Unmarshal(part, &value); err != nil {
+			return nil, err
+		}
+		document[key] = value
 	}
-	return nil
+	return document, nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -17,12 +17,14 @@
 
 // TestLoad reads a good file and refuses files with one fault each.
 func TestLoad(t *testing.T) {
-	good := testserver.ConfigText("127.0.0.1:9", `{"rev":4,"all":true,"targets":[`+testserver.EndpointEntry("s-0", "127.0.0.1:8", "SERVING", 5)+`]}`, testserver.Settings)
+	known := testserver.ListText(4, true, testserver.EndpointEntry("s-0", "127.0.0.1:8", "SERVING", 5))
+	good := testserver.ConfigText("127.0.0.1:9", known, testserver.Settings)
 	c, err := loadText(t, good, "PROXY_NAME=n7")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s := c.Settings; c.Name != "n7" || s.Seed != 0x8c1f30d27a5be964 || s.Service != "back" || len(s.Zones) != 2 || s.Peers != 1 ||
+	if s := c.Settings; c.Name != "n7" || s.Seed != 0x8c1f30d27a5be964 ||
+		s.Service != "back" || len(s.Zones) != 2 || s.Peers != 1 ||
 		s.Classes[1].Effect != balance.Deduplicated || s.Classes[1].Scope != balance.ScopeAll ||
 		s.Classes[2].LatencyObjective != 20*time.Second || c.Names.Tenant["acme, east"] != 0 || len(c.Names.Tenant) != 1 ||
 		c.Limits.ConnectTimeout != 5*time.Second || c.Limits.MostHeld != 20000 || c.Sockets != 1024 {
@@ -59,7 +61,7 @@
 	}
 }
 
-// TestEnvironmentGoesFirstAtStartFileAtReload: the environment goes first at the start, the file at a reload.
+// TestEnvironmentGoesFirstAtStartFileAtReload reads an address of discovery that the environment and the file name.
 func TestEnvironmentGoesFirstAtStartFileAtReload(t *testing.T) {
 	c, err := loadText(t, testserver.ConfigText("127.0.0.1:9", "", testserver.Settings), "PROXY_DISCOVERY=127.0.0.1:10")
 	if err != nil || c.Discovery != "127.0.0.1:10" {
@@ -70,7 +72,7 @@
 	}
 }
 
-// TestShortageOfDescriptorsDelaysReading has the configuration's file not be opened at first, or at all.
+// TestShortageOfDescriptorsDelaysReading makes opening the file fail: a shortage of this machine is retried, no other.
 func TestShortageOfDescriptorsDelaysReading(t *testing.T) {
 	for _, tt := range []struct {
 		errno syscall.Errno
@@ -113,15 +115,15 @@
 		want  string
 	}{
 		{"the same", inUse, ""},
-		{"more, and what may be absent", object("a", 2.0, "b", 1.0, "o", object("x", 2.0), "l", []any{object("n", "z", "w", 1.0)},
-			"plain", []any{}), ""},
+		{"more, and what may be absent", object("a", 2.0, "b", 1.0, "o", object("x", 2.0),
+			"l", []any{object("n", "z", "w", 1.0)}, "plain", []any{}), ""},
 		{"a key", object("o", object("x", 1.0), "l", []any{}, "plain", []any{}), "a"},
 		{"a null", object("a", nil, "o", object("x", 1.0), "l", []any{}, "plain", []any{}), "a"},
 		{"an inner key", object("a", 1.0, "o", object(), "l", []any{}, "plain", []any{}), "o.x"},
 		{"no object", object("a", 1.0, "o", 3.0, "l", []any{}, "plain", []any{}), "o"},
 		{"no list", object("a", 1.0, "o", object("x", 1.0), "l", object(), "plain", []any{}), "l"},
-		{"a key of an entry", object("a", 1.0, "o", object("x", 1.0), "l", []any{object("n", "z", "w", 1.0), object("n", "z")},
-			"plain", []any{}), "l.1.w"},
+		{"a key of an entry", object("a", 1.0, "o", object("x", 1.0),
+			"l", []any{object("n", "z", "w", 1.0), object("n", "z")}, "plain", []any{}), "l.1.w"},
 	} {
 		if got := missingKey("", inUse, tt.fresh); got != tt.want {
 			t.Errorf("%s: %q is missing, want %q", tt.name, got, tt.want)
--- /dev/null
+++ b/internal/config/file.go
@@ -0,0 +1,146 @@
+package config
+
+import (
+	"cmp"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"strconv"
+
+	"milletramp.example/milletramp/internal/discovery"
+	"milletramp.example/milletramp/internal/wire"
+)
+
+// file is the JSON form of a configuration. Unknown keys are ignored.
+type file struct {
+	Name      string
+	Listen    string
+	Discovery string
+	Console   string
+	Seed      string // 64 bits, hexadecimal
+	Limits    fileLimits
+	Known     *json.RawMessage
+	Settings  json.RawMessage
+}
+
+// fileLimits are the limits of the process; nil: the default.
+type fileLimits struct {
+	Cores    *float64
+	MemoryMB *int `json:"memory_mb"`
+	Sockets  *int
+}
+
+// config checks a file and returns the configuration that it holds, with names and addresses of the environment.
+func (f *file) config(getenv func(string) string) (*Config, error) {
+	c := &Config{
+		Name:      cmp.Or(getenv("PROXY_NAME"), f.Name),
+		Listen:    cmp.Or(getenv("PROXY_LISTEN"), f.Listen),
+		Discovery: f.Discovery,
+		Console:   cmp.Or(getenv("PROXY_CONSOLE"), f.Console),
+		Cores:     defaultCores,
+		MemoryMB:  defaultMemoryMB,
+		Sockets:   defaultSockets,
+		Getenv:    getenv,
+	}
+	if err := c.checkAddresses(); err != nil {
+		return nil, err
+	}
+	seed, err := strconv.ParseUint(f.Seed, 16, 64)
+	if err != nil {
+		return nil, fmt.Errorf("seed: %q is no hexadecimal number of 64 bits", f.Seed)
+	}
+	if err := f.Limits.apply(c); err != nil {
+		return nil, err
+	}
+	if err := f.applySettings(c, seed); err != nil {
+		return nil, err
+	}
+	if err := f.applyKnown(c); err != nil {
+		return nil, err
+	}
+	return c, nil
+}
+
+// checkAddresses checks the addresses of a configuration. That of the console may be missing.
+func (c *Config) checkAddresses() error {
+	if err := checkAddress(c.Listen); err != nil {
+		return fmt.Errorf("listen: %w", err)
+	}
+	if err := checkAddress(c.Discovery); err != nil {
+		return fmt.Errorf("discovery: %w", err)
+	}
+	if c.Console == "" {
+		return nil
+	}
+	if err := checkAddress(c.Console); err != nil {
+		return fmt.Errorf("console: %w", err)
+	}
+	return nil
+}
+
+// checkAddress reports whether an address is an IP address and a port.
+func checkAddress(address string) error {
+	if address == "" {
+		return errors.New("missing")
+	}
+	host, port, err := net.SplitHostPort(address)
+	if err != nil {
+		return err
+	}
+	if _, err := strconv.ParseUint(port, 10, 16); err != nil || net.ParseIP(host) == nil {
+		return fmt.Errorf("%q is no IP address and port", address)
+	}
+	return nil
+}
+
+// apply checks the limits that are given and sets them.
+func (l *fileLimits) apply(c *Config) error {
+	if l.Cores != nil {
+		c.Cores = *l.Cores
+	}
+	if c.Cores <= 0 {
+		return fmt.Errorf("limits.cores: %v is not above 0", c.Cores)
+	}
+	if l.MemoryMB != nil {
+		c.MemoryMB = *l.MemoryMB
+	}
+	if c.MemoryMB <= 0 {
+		return fmt.Errorf("limits.memory_mb: %d is not above 0", c.MemoryMB)
+	}
+	if l.Sockets != nil {
+		c.Sockets = *l.Sockets
+	}
+	if c.Sockets < minSockets {
+		return fmt.Errorf("limits.sockets: %d is under %d", c.Sockets, minSockets)
+	}
+	return nil
+}
+
+// applySettings reads the settings and sets them.
+func (f *file) applySettings(c *Config, seed uint64) error {
+	if len(f.Settings) == 0 {
+		return errors.New("settings: missing")
+	}
+	settings, names, limits, err := wire.SettingsJSON(seed, f.Settings)
+	if err != nil {
+		return err
+	}
+	c.Settings = settings
+	c.Names = names
+	c.Limits = LimitsWithDefaults(limits)
+	return nil
+}
+
+// applyKnown reads the list of servers that the sidecar last had, where there is one, and sets it.
+func (f *file) applyKnown(c *Config) error {
+	if f.Known == nil {
+		return nil
+	}
+	known, err := discovery.ParseList(*f.Known)
+	if err != nil {
+		return fmt.Errorf("known: %w", err)
+	}
+	c.Known = known
+	return nil
+}
