--- a/cmd/milletramp/main.go
+++ b/cmd/milletramp/main.go
@@ -13,8 +13,8 @@
 
 	"github.com/alecthomas/kong"
 
-	"milletramp.example/milletramp/internal/sidecar"
 	"milletramp.example/milletramp/internal/config"
+	"milletramp.example/milletramp/internal/sidecar"
 )
 
 // commands are the tool's commands.
--- a/cmd/milletramp/policy.go
+++ b/cmd/milletramp/policy.go
@@ -19,10 +19,10 @@
 	"text/tabwriter"
 	"time"
 
+	"milletramp.example/milletramp/internal/config"
 	"milletramp.example/milletramp/internal/fleet/policyagent"
 	"milletramp.example/milletramp/internal/member"
 	"milletramp.example/milletramp/internal/sidecar"
-	"milletramp.example/milletramp/internal/config"
 )
 
 // The states of a change, as a console says them.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,8 +1,8 @@
 // Package config reads a sidecar's configuration strictly: the JSON file that PROXY_CONFIG names, with PROXY_NAME,
 // PROXY_LISTEN, PROXY_DISCOVERY and PROXY_CONSOLE from the environment. A file with any fault is refused whole.
 //
-// Load reads it at the start of the process and Config.Reload again while it runs. A newer file must have every key that
-// the file in use has; which of its changes take effect is for the caller to say.
+// Load reads it at the start of the process and Config.Reload again while it runs. A newer file must have every key
+// that the file in use has; which of its changes take effect is for the caller to say.
 //
 // The package starts no goroutine and keeps no state. Its errors name the file and the path of the key at fault.
 package config
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -11,11 +11,11 @@
 	"log/slog"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/config"
 	"milletramp.example/milletramp/internal/fleet"
 	"milletramp.example/milletramp/internal/fleet/failuredetector"
 	"milletramp.example/milletramp/internal/sidecar"
 	"milletramp.example/milletramp/internal/wallclock"
-	"milletramp.example/milletramp/internal/config"
 )
 
 // part implements sidecar.Part.
--- a/internal/sidecar/churn_test.go
+++ b/internal/sidecar/churn_test.go
@@ -74,8 +74,8 @@
 			s.conns.mu.Lock()
 			openConns, idleConns := h.upstream.ConnCounts()
 			left <- fmt.Sprintf("calls %d, targets %d, connections to servers %d open %d idle, from clients %d open %d idle, ids %d",
-				len(h.calls), len(h.upstream.Endpoints()), openConns, idleConns, s.conns.open,
-				s.conns.idle.Len(), len(s.ids.held))
+				len(h.calls), len(h.upstream.Endpoints()), openConns, idleConns, s.conns.openConns,
+				s.conns.idleConns.Len(), len(s.ids.held))
 			s.conns.mu.Unlock()
 		})
 		got := testserver.Receive(t, left, "count")
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -81,8 +81,8 @@
 			}
 		})
 	}
-	if most := max(headWithin, bodyWithin, headWithin+bodyGrace); most > 2800*time.Millisecond || headWithin < 2200*time.Millisecond {
-		t.Errorf("a head may take %v, a peer without a request is held for %v; 2 s are a client's right, 3 s owed", headWithin, most)
+	if most := max(headTimeout, bodyWithin, headTimeout+bodyGrace); most > 2800*time.Millisecond || headTimeout < 2200*time.Millisecond {
+		t.Errorf("a head may take %v, a peer without a request is held for %v; 2 s are a client's right, 3 s owed", headTimeout, most)
 	}
 	if n := b.RequestCount(); n != 0 {
 		t.Errorf("%d requests were passed on, the first %+v", n, <-b.Requests)
@@ -179,9 +179,9 @@
 
 // TestClientConns follows the bound itself: a connection with a request is never closed for another.
 func TestClientConns(t *testing.T) {
-	l := newClientConns(testserver.Listen(t), 2, 2, &stats.Unserved{})
-	var taken []*clientConn
-	accept := func() *clientConn {
+	l := NewListener(testserver.Listen(t), 2, 2, &stats.Unserved{})
+	var taken []*Conn
+	accept := func() *Conn {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -191,19 +191,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn := got.(*clientConn)
+		conn := got.(*Conn)
 		taken = append(taken, conn)
 		go func() { // as the server does
 			if _, err := conn.Read(make([]byte, 1)); err != nil {
-				l.state(conn, http.StateClosed)
+				l.onHTTPState(conn, http.StateClosed)
 			}
 		}()
 		return conn
 	}
 	busy, idle := accept(), accept()
-	l.state(busy, http.StateActive)
+	l.onHTTPState(busy, http.StateActive)
 	third := accept()
-	closed := func(c *clientConn) bool {
+	closed := func(c *Conn) bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		return c.closed
@@ -211,23 +211,23 @@
 	if closed(busy) || !closed(idle) || closed(third) {
 		t.Fatalf("closed: busy %v, idle %v, third %v", closed(busy), closed(idle), closed(third))
 	}
-	l.state(third, http.StateActive)
-	l.state(idle, http.StateClosed) // the server hears of it late
-	l.ending(busy)
+	l.onHTTPState(third, http.StateActive)
+	l.onHTTPState(idle, http.StateClosed) // the server hears of it late
+	l.markFinalResponse(busy)
 	accept()
 	if !closed(busy) || closed(third) {
 		t.Errorf("closed: ending %v, busy %v", closed(busy), closed(third))
 	}
 	for _, c := range taken {
-		l.state(c, http.StateClosed)
+		l.onHTTPState(c, http.StateClosed)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if n := l.unserved[stats.Room].Load(); n != 1 {
 		t.Errorf("%d connections ended unserved for room, want 1", n)
 	}
-	if l.open != 0 || l.used != 0 || l.idle.Len() != 0 {
-		t.Errorf("%d open and %d idle after the end of all", l.open, l.idle.Len())
+	if l.openConns != 0 || l.usedConns != 0 || l.idleConns.Len() != 0 {
+		t.Errorf("%d open and %d idle after the end of all", l.openConns, l.idleConns.Len())
 	}
 }
 
--- a/internal/sidecar/conns.go
+++ b/internal/sidecar/conns.go
@@ -16,148 +16,148 @@
 	"milletramp.example/milletramp/internal/stats"
 )
 
-// leastIdle is how long a connection is idle before another may take its place. Otherwise a burst of connections would
+// minIdleTime is how long a connection is idle before another may take its place. Otherwise a burst of connections would
 // close those that came just before it, with their first requests on the way.
-const leastIdle = 20 * time.Millisecond
+const minIdleTime = 20 * time.Millisecond
 
-// lingerTime bounds how long a connection is read to its end behind its last answer, and lingerStep how soon it is closed after all where
+// lingerTimeout bounds how long a connection is read to its end behind its last answer, and lingerStep how soon it is closed after all where
 // its descriptor is wanted.
 const (
-	lingerTime = 200 * time.Millisecond
-	lingerStep = 20 * time.Millisecond
-	// lastLinger bounds it once the process ends, so that it is over before the kill.
-	lastLinger = killMargin / 4
+	lingerTimeout      = 200 * time.Millisecond
+	lingerPollInterval = 20 * time.Millisecond
+	// finalLingerTimeout bounds it once the process ends, so that it is over before the kill.
+	finalLingerTimeout = killMargin / 4
 )
 
-// clientConns is a listener that bounds the connections from clients, and ends those that have no request: the longest
+// Listener is a listener that bounds the connections from clients, and ends those that have no request: the longest
 // idle ones when they are too many, and all of them when the process stops.
 //
 // A connection that idles is not closed from outside, it is retired: its reader is told to read no more. Whoever
 // closes a connection cannot know whether its reader has just got a request, which then has no answer. The reader knows.
-type clientConns struct {
+type Listener struct {
 	net.Listener
 	unserved *stats.Unserved // counts those that ended with no request
 
-	mu      sync.Mutex
-	most    int
-	usual   int // connections that clients hold, from which on each answer ends its connection
-	open    int
-	used    int           // of these, that have brought a request
-	leaving int           // of these, that are retired
-	idle    *list.List    // of *clientConn without a request, the longest idle first
-	freed   chan struct{} // has one if a connection was closed or became idle
-	ended   time.Time     // when all had to be answered, as the process ends; zero: not yet
+	mu             sync.Mutex
+	maxConns       int
+	keepAliveLimit int // connections that clients hold, from which on each answer ends its connection
+	openConns      int
+	usedConns      int           // of these, that have brought a request
+	retiringConns  int           // of these, that are retired
+	idleConns      *list.List    // of *clientConn without a request, the longest idle first
+	capacity       chan struct{} // has one if a connection was closed or became idle
+	shutdownAt     time.Time     // when all had to be answered, as the process ends; zero: not yet
 }
 
-// clientConn is a connection from a client. Its clientConns' lock guards idle and what follows it.
-type clientConn struct {
+// Conn is a connection from a client. Its clientConns' lock guards idle and what follows it.
+type Conn struct {
 	net.Conn
-	owner  *clientConns
-	came   time.Time
-	frames framing // of what its reader has got
-	bad    error   // what it sent behind that
-
-	idle    *list.Element // nil: it has a request, or is closed
-	err     error         // that ended its reading
-	since   time.Time     // idle since
-	used    bool          // it has brought a request
-	closed  bool
-	heads   int         // read whole
-	answers int         // given, and the connection kept
-	partial bool        // and a part of another one
-	readBy  time.Time   // as net/http set it last
-	retired bool        // its reader reads no more, if nothing is left to read
-	last    bool        // its next answer ends it
-	active  bool        // it has a request, or has just had an answer and is kept no longer
-	closing bool        // its Close was called
-	over    bool        // it has had its last answer, but lingers
-	why     stats.Cause // that it was retired for
-}
-
-func newClientConns(l net.Listener, most, usual int, unserved *stats.Unserved) *clientConns {
-	return &clientConns{Listener: l, unserved: unserved, most: most, usual: usual, idle: list.New(), freed: make(chan struct{}, 1)}
-}
-
-// setMost changes how many connections there may be, and from how many on answers end theirs.
-func (l *clientConns) setMost(most, usual int) {
+	listener   *Listener
+	acceptedAt time.Time
+	framing    requestFraming // of what its reader has got
+	malformed  error          // what it sent behind that
+
+	idleElement        *list.Element // nil: it has a request, or is closed
+	readError          error         // that ended its reading
+	idleSince          time.Time     // idle since
+	used               bool          // it has brought a request
+	closed             bool
+	requestsRead       int         // read whole
+	responsesSent      int         // given, and the connection kept
+	partialHead        bool        // and a part of another one
+	readDeadline       time.Time   // as net/http set it last
+	retired            bool        // its reader reads no more, if nothing is left to read
+	closeAfterResponse bool        // its next answer ends it
+	handling           bool        // it has a request, or has just had an answer and is kept no longer
+	closeCalled        bool        // its Close was called
+	lingering          bool        // it has had its last answer, but lingers
+	retireCause        stats.Cause // that it was retired for
+}
+
+func NewListener(l net.Listener, most, usual int, unserved *stats.Unserved) *Listener {
+	return &Listener{Listener: l, unserved: unserved, maxConns: most, keepAliveLimit: usual, idleConns: list.New(), capacity: make(chan struct{}, 1)}
+}
+
+// SetLimits changes how many connections there may be, and from how many on answers end theirs.
+func (l *Listener) SetLimits(most, usual int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.most, l.usual = most, usual
-	l.free()
+	l.maxConns, l.keepAliveLimit = most, usual
+	l.signalCapacity()
 }
 
-// held is how many connections are open.
-func (l *clientConns) held() int {
+// OpenConns is how many connections are open.
+func (l *Listener) OpenConns() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.open
+	return l.openConns
 }
 
 // Accept implements net.Listener.
-func (l *clientConns) Accept() (net.Conn, error) {
+func (l *Listener) Accept() (net.Conn, error) {
 	inner, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	l.makeRoom()
-	c := &clientConn{Conn: inner, owner: l, came: time.Now()}
+	l.waitForCapacity()
+	c := &Conn{Conn: inner, listener: l, acceptedAt: time.Now()}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open++
-	l.setIdle(c)
+	l.openConns++
+	l.markIdle(c)
 	return c, nil
 }
 
 // Read implements net.Conn. What net/http would mend it turns down. The one goroutine that reads at a time owns frames.
-func (c *clientConn) Read(p []byte) (int, error) {
-	if c.bad != nil {
-		return 0, c.readBehindBad()
+func (c *Conn) Read(p []byte) (int, error) {
+	if c.malformed != nil {
+		return 0, c.readBehindMalformed()
 	}
 	n, err := netretry.Read(c.Conn, p)
-	for n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.owner.readOn(c) {
+	for n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.listener.extendReadDeadline(c) {
 		n, err = netretry.Read(c.Conn, p)
 	}
-	heads, partial := c.frames.heads, c.frames.partial()
-	if good, bad := c.frames.feed(p[:n]); bad != nil {
-		c.bad = bad
+	heads, partial := c.framing.requests, c.framing.partial()
+	if good, bad := c.framing.feed(p[:n]); bad != nil {
+		c.malformed = bad
 		if n, err = good, nil; good == 0 {
-			err = c.readBehindBad()
+			err = c.readBehindMalformed()
 		}
 	}
-	if heads != c.frames.heads || partial != c.frames.partial() || err != nil {
-		c.owner.hasRead(c, err)
+	if heads != c.framing.requests || partial != c.framing.partial() || err != nil {
+		c.listener.recordRead(c, err)
 	}
 	return n, err
 }
 
 // Write implements net.Conn. net/http ends the connection at the first error, and the answer would be lost.
-func (c *clientConn) Write(p []byte) (int, error) { return netretry.Write(c.Conn, p) }
+func (c *Conn) Write(p []byte) (int, error) { return netretry.Write(c.Conn, p) }
 
-// readBehindBad returns the error of what cannot be read, once no request before it is in hand. net/http reads ahead
+// readBehindMalformed returns the error of what cannot be read, once no request before it is in hand. net/http reads ahead
 // while it serves one, and takes any error of that for the client's leaving: the request would have no answer.
-func (c *clientConn) readBehindBad() error {
+func (c *Conn) readBehindMalformed() error {
 	unread := make([]byte, 4<<10)
-	for !c.frames.inBody && c.owner.hasRequest(c) {
+	for !c.framing.inBody && c.listener.hasRequest(c) {
 		_, err := netretry.Read(c.Conn, unread)
-		if err != nil && !(errors.Is(err, os.ErrDeadlineExceeded) && c.owner.readOn(c)) {
+		if err != nil && !(errors.Is(err, os.ErrDeadlineExceeded) && c.listener.extendReadDeadline(c)) {
 			return err
 		}
 	}
-	return c.bad
+	return c.malformed
 }
 
 // Close implements net.Conn. Behind an answer it first ends the sending and reads on for a time: closing over bytes that nobody has read
 // resets the connection, and what of the answer is still on its way is lost with it. A connection that idles is closed at once: a
 // request that comes just then finds it reset, so that its client knows that it was not read.
-func (c *clientConn) Close() error {
-	if c.owner.lingers(c) {
+func (c *Conn) Close() error {
+	if c.listener.shouldLinger(c) {
 		c.linger()
 	}
 	return c.Conn.Close()
 }
 
 // CloseWrite ends the sending. net/http does so behind the answer to what it cannot read.
-func (c *clientConn) CloseWrite() error {
+func (c *Conn) CloseWrite() error {
 	if inner, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return inner.CloseWrite()
 	}
@@ -165,17 +165,17 @@
 }
 
 // linger ends the sending and reads what comes until the client's end, for lingerTime at most.
-func (c *clientConn) linger() {
+func (c *Conn) linger() {
 	if c.CloseWrite() != nil {
 		return // it is closed already
 	}
 	unread := make([]byte, 4<<10)
-	for began := time.Now(); time.Now().Before(c.owner.lingerUntil(began)) && !c.owner.full(); {
-		if c.Conn.SetReadDeadline(time.Now().Add(lingerStep)) != nil {
+	for began := time.Now(); time.Now().Before(c.listener.lingerDeadline(began)) && !c.listener.atLimit(); {
+		if c.Conn.SetReadDeadline(time.Now().Add(lingerPollInterval)) != nil {
 			return
 		}
 		_, err := netretry.Read(c.Conn, unread)
-		for err == nil && time.Now().Before(c.owner.lingerUntil(began)) {
+		for err == nil && time.Now().Before(c.listener.lingerDeadline(began)) {
 			_, err = netretry.Read(c.Conn, unread)
 		}
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -184,17 +184,17 @@
 	}
 }
 
-// lingerUntil is when a connection is closed at the latest that has lingered since began.
-func (l *clientConns) lingerUntil(began time.Time) time.Time {
+// lingerDeadline is when a connection is closed at the latest that has lingered since began.
+func (l *Listener) lingerDeadline(began time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	until := began.Add(lingerTime)
-	if l.ended.IsZero() {
+	until := began.Add(lingerTimeout)
+	if l.shutdownAt.IsZero() {
 		return until
 	}
-	last := l.ended.Add(lastLinger)
-	if began.After(l.ended) {
-		last = began.Add(lastLinger)
+	last := l.shutdownAt.Add(finalLingerTimeout)
+	if began.After(l.shutdownAt) {
+		last = began.Add(finalLingerTimeout)
 	}
 	if last.Before(until) {
 		return last
@@ -202,81 +202,81 @@
 	return until
 }
 
-// lingers tells, the first time, whether c has had an answer just now, or sent what cannot be read, and its descriptor is
+// shouldLinger tells, the first time, whether c has had an answer just now, or sent what cannot be read, and its descriptor is
 // not wanted.
-func (l *clientConns) lingers(c *clientConn) bool {
+func (l *Listener) shouldLinger(c *Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	first := !c.closing
-	c.closing = true
-	return first && (c.active || c.over || c.bad != nil) && l.open < l.most
+	first := !c.closeCalled
+	c.closeCalled = true
+	return first && (c.handling || c.lingering || c.malformed != nil) && l.openConns < l.maxConns
 }
 
-// full tells whether there is no room for one more connection.
-func (l *clientConns) full() bool {
+// atLimit tells whether there is no room for one more connection.
+func (l *Listener) atLimit() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.open >= l.most
+	return l.openConns >= l.maxConns
 }
 
 // SetReadDeadline implements net.Conn. A retired connection keeps the one it has.
-func (c *clientConn) SetReadDeadline(t time.Time) error {
-	c.owner.mu.Lock()
-	defer c.owner.mu.Unlock()
-	if c.readBy = t; c.retired {
+func (c *Conn) SetReadDeadline(t time.Time) error {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	if c.readDeadline = t; c.retired {
 		return nil
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// hasRead takes in what c's reader has got, or why it got nothing. The time for its head may have run out, or c may have been retired,
+// recordRead takes in what c's reader has got, or why it got nothing. The time for its head may have run out, or c may have been retired,
 // while it was got.
-func (l *clientConns) hasRead(c *clientConn, err error) {
+func (l *Listener) recordRead(c *Conn, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c.err = err
-	if c.heads < c.frames.heads {
-		l.busy(c)
+	c.readError = err
+	if c.requestsRead < c.framing.requests {
+		l.markActive(c)
 	}
-	c.heads, c.partial = c.frames.heads, c.frames.partial()
+	c.requestsRead, c.partialHead = c.framing.requests, c.framing.partial()
 	if err != nil {
 		return
 	}
 	if c.retired {
-		l.recall(c)
+		l.resume(c)
 	}
-	if c.heads > 0 && c.partial { // the first head's time runs from the connection's start
-		_ = c.Conn.SetReadDeadline(time.Now().Add(headWithin))
+	if c.requestsRead > 0 && c.partialHead { // the first head's time runs from the connection's start
+		_ = c.Conn.SetReadDeadline(time.Now().Add(headTimeout))
 	}
 }
 
 // hasRequest reports whether c has a request that was read and not answered.
-func (l *clientConns) hasRequest(c *clientConn) bool {
+func (l *Listener) hasRequest(c *Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return c.idle == nil && !c.closed && c.heads > c.answers
+	return c.idleElement == nil && !c.closed && c.requestsRead > c.responsesSent
 }
 
-// readOn tells whether c is to be read on though the time for it is over: a request waits there, or one that came whole is
+// extendReadDeadline tells whether c is to be read on though the time for it is over: a request waits there, or one that came whole is
 // in hand. The time for its body must not end it; net/http's own end of reading ahead does.
-func (l *clientConns) readOn(c *clientConn) bool {
+func (l *Listener) extendReadDeadline(c *Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c.idle == nil && c.heads > c.answers && !c.frames.inBody && !isPast(c.readBy) {
+	if c.idleElement == nil && c.requestsRead > c.responsesSent && !c.framing.inBody && !isPastDeadline(c.readDeadline) {
 		return c.Conn.SetReadDeadline(time.Time{}) == nil
 	}
-	if c.idle == nil || c.partial || !c.retired && !c.used || !c.waiting() {
+	if c.idleElement == nil || c.partialHead || !c.retired && !c.used || !c.hasUnreadInput() {
 		return false
 	}
 	if c.retired {
-		l.recall(c)
+		l.resume(c)
 	}
-	_ = c.Conn.SetReadDeadline(time.Now().Add(headWithin))
+	_ = c.Conn.SetReadDeadline(time.Now().Add(headTimeout))
 	return true
 }
 
-// waiting tells whether something waits to be read. It reads nothing.
-func (c *clientConn) waiting() bool {
+// hasUnreadInput tells whether something waits to be read. It reads nothing.
+func (c *Conn) hasUnreadInput() bool {
 	inner, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return false
@@ -290,8 +290,8 @@
 	return failed == nil && err == nil && n > 0
 }
 
-// hungUp tells whether the client has ended its sending, also where bytes that came before that are not read yet.
-func (c *clientConn) hungUp() bool {
+// PeerClosed tells whether the client has ended its sending, also where bytes that came before that are not read yet.
+func (c *Conn) PeerClosed() bool {
 	inner, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return false
@@ -305,183 +305,183 @@
 	return failed == nil && err == nil && state&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// retire has c's reader end it, if it has nothing to read. The lock is held.
-func (l *clientConns) retire(c *clientConn, why stats.Cause) {
+// beginRetire has c's reader end it, if it has nothing to read. The lock is held.
+func (l *Listener) beginRetire(c *Conn, why stats.Cause) {
 	if c.closed || c.retired {
 		return
 	}
-	if c.last = true; c.idle == nil {
+	if c.closeAfterResponse = true; c.idleElement == nil {
 		return // its answer ends it
 	}
-	c.why = why
-	if c.over {
-		l.drop(c)
+	c.retireCause = why
+	if c.lingering {
+		l.markClosed(c)
 		_ = c.Conn.Close()
 		return
 	}
 	c.retired = true
-	l.leaving++
-	_ = c.Conn.SetReadDeadline(past)
+	l.retiringConns++
+	_ = c.Conn.SetReadDeadline(pastDeadline)
 }
 
-// recall has c answer what it has got after all. The lock is held.
-func (l *clientConns) recall(c *clientConn) {
+// resume has c answer what it has got after all. The lock is held.
+func (l *Listener) resume(c *Conn) {
 	c.retired = false
-	l.leaving--
-	l.free()
-	_ = c.Conn.SetReadDeadline(time.Now().Add(headWithin))
+	l.retiringConns--
+	l.signalCapacity()
+	_ = c.Conn.SetReadDeadline(time.Now().Add(headTimeout))
 }
 
-// retireIdle has connections end that have no request. One that never had any is given unused to bring it: its client
+// RetireIdle has connections end that have no request. One that never had any is given unused to bring it: its client
 // has opened it for one.
-func (l *clientConns) retireIdle(unused time.Duration) {
+func (l *Listener) RetireIdle(unused time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for e, next := l.idle.Front(), (*list.Element)(nil); e != nil; e = next {
+	for e, next := l.idleConns.Front(), (*list.Element)(nil); e != nil; e = next {
 		next = e.Next() // retiring may take e out
-		if c := e.Value.(*clientConn); !c.partial && (c.used || time.Since(c.since) >= unused) {
-			l.retire(c, stats.Stopping)
+		if c := e.Value.(*Conn); !c.partialHead && (c.used || time.Since(c.idleSince) >= unused) {
+			l.beginRetire(c, stats.Stopping)
 		}
 	}
 }
 
-// retireAll has all connections end on which no request was read whole, also those that have a part of one: the process
+// RetireAll has all connections end on which no request was read whole, also those that have a part of one: the process
 // may be killed before its answer. One that lingers behind its last answer is left to do so.
-func (l *clientConns) retireAll() {
+func (l *Listener) RetireAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.ended.IsZero() {
-		l.ended = time.Now()
+	if l.shutdownAt.IsZero() {
+		l.shutdownAt = time.Now()
 	}
-	for e, next := l.idle.Front(), (*list.Element)(nil); e != nil; e = next {
+	for e, next := l.idleConns.Front(), (*list.Element)(nil); e != nil; e = next {
 		next = e.Next() // retiring may take e out
-		if c := e.Value.(*clientConn); !c.over {
-			l.retire(c, stats.Stopping)
+		if c := e.Value.(*Conn); !c.lingering {
+			l.beginRetire(c, stats.Stopping)
 		}
 	}
 }
 
-// makeRoom waits until there is room for one more connection.
-func (l *clientConns) makeRoom() {
+// waitForCapacity waits until there is room for one more connection.
+func (l *Listener) waitForCapacity() {
 	for {
 		wait := time.Hour // for a connection to be closed, or to lose its request
 		l.mu.Lock()
-		for e := l.idle.Front(); e != nil && l.leaving == 0 && l.open >= l.most; e = e.Next() {
-			c := e.Value.(*clientConn)
-			if wait = leastIdle - time.Since(c.since); wait > 0 {
+		for e := l.idleConns.Front(); e != nil && l.retiringConns == 0 && l.openConns >= l.maxConns; e = e.Next() {
+			c := e.Value.(*Conn)
+			if wait = minIdleTime - time.Since(c.idleSince); wait > 0 {
 				break // the others have idled for less
 			}
-			if wait = leastIdle; !c.waiting() {
-				l.retire(c, stats.Room)
+			if wait = minIdleTime; !c.hasUnreadInput() {
+				l.beginRetire(c, stats.Room)
 				break
 			}
 		}
-		room := l.open < l.most
+		room := l.openConns < l.maxConns
 		l.mu.Unlock()
 		if room {
 			return
 		}
 		select {
-		case <-l.freed:
+		case <-l.capacity:
 		case <-time.After(wait):
 		}
 	}
 }
 
-// state follows a connection's life for http.Server.
-func (l *clientConns) state(conn net.Conn, state http.ConnState) {
-	c, ok := conn.(*clientConn)
+// onHTTPState follows a connection's life for http.Server.
+func (l *Listener) onHTTPState(conn net.Conn, state http.ConnState) {
+	c, ok := conn.(*Conn)
 	if !ok {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c.active = state == http.StateActive
+	c.handling = state == http.StateActive
 	switch state {
 	case http.StateActive:
 		if !c.used && !c.closed {
 			c.used = true
-			l.used++
+			l.usedConns++
 		}
-		l.busy(c)
+		l.markActive(c)
 	case http.StateIdle:
-		if c.answers++; c.heads > c.answers {
+		if c.responsesSent++; c.requestsRead > c.responsesSent {
 			return // its reader has got the next request too
 		}
-		if l.setIdle(c); c.last {
-			l.retire(c, c.why)
+		if l.markIdle(c); c.closeAfterResponse {
+			l.beginRetire(c, c.retireCause)
 		}
 	case http.StateClosed, http.StateHijacked:
-		l.drop(c)
+		l.markClosed(c)
 	}
 }
 
-// ending says that nothing more is served on a connection, though it may linger.
-func (l *clientConns) ending(c *clientConn) {
+// markFinalResponse says that nothing more is served on a connection, though it may linger.
+func (l *Listener) markFinalResponse(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c.over = true
-	l.setIdle(c)
+	c.lingering = true
+	l.markIdle(c)
 }
 
-// ends tells whether c's next answer is to end it: it is retired, or clients hold so many connections that none should
+// closesAfterResponse tells whether c's next answer is to end it: it is retired, or clients hold so many connections that none should
 // stay open behind its answer. Clients may hold no more than a share of the descriptors. Those that ask once and
 // stay take all of it within seconds, sooner than their connections have idled for long, and then no request comes any
 // more. A connection that an answer ends crosses no request, as one may that is closed for having idled. It costs a
 // connection for each request, so it is not done without need.
-func (l *clientConns) ends(c *clientConn) bool {
+func (l *Listener) closesAfterResponse(c *Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.used >= l.usual || c != nil && c.last
+	return l.usedConns >= l.keepAliveLimit || c != nil && c.closeAfterResponse
 }
 
-// setIdle counts c as idle from now on. The lock is held.
-func (l *clientConns) setIdle(c *clientConn) {
-	if c.closed || c.idle != nil {
+// markIdle counts c as idle from now on. The lock is held.
+func (l *Listener) markIdle(c *Conn) {
+	if c.closed || c.idleElement != nil {
 		return
 	}
-	c.since = time.Now()
-	c.idle = l.idle.PushBack(c)
-	l.free()
+	c.idleSince = time.Now()
+	c.idleElement = l.idleConns.PushBack(c)
+	l.signalCapacity()
 }
 
-// busy counts c as idle no longer. The lock is held.
-func (l *clientConns) busy(c *clientConn) {
-	if c.idle != nil {
-		l.idle.Remove(c.idle)
-		c.idle = nil
+// markActive counts c as idle no longer. The lock is held.
+func (l *Listener) markActive(c *Conn) {
+	if c.idleElement != nil {
+		l.idleConns.Remove(c.idleElement)
+		c.idleElement = nil
 	}
 }
 
-// drop counts c as closed. The lock is held.
-func (l *clientConns) drop(c *clientConn) {
+// markClosed counts c as closed. The lock is held.
+func (l *Listener) markClosed(c *Conn) {
 	if c.closed {
 		return
 	}
 	c.closed = true
-	l.open--
+	l.openConns--
 	if c.used {
-		l.used--
+		l.usedConns--
 	}
 	if c.retired {
-		l.leaving--
+		l.retiringConns--
 	}
 	switch {
-	case c.heads > 0 || c.err == nil || c.bad != nil: // it has had an answer
+	case c.requestsRead > 0 || c.readError == nil || c.malformed != nil: // it has had an answer
 	case c.retired:
-		l.unserved.Count(c.why)
-	case errors.Is(c.err, os.ErrDeadlineExceeded):
+		l.unserved.Count(c.retireCause)
+	case errors.Is(c.readError, os.ErrDeadlineExceeded):
 		l.unserved.Count(stats.Late)
 	default:
 		l.unserved.Count(stats.Gone)
 	}
-	l.busy(c)
-	l.free()
+	l.markActive(c)
+	l.signalCapacity()
 }
 
-func (l *clientConns) free() {
+func (l *Listener) signalCapacity() {
 	select {
-	case l.freed <- struct{}{}:
+	case l.capacity <- struct{}{}:
 	default:
 	}
 }
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -64,7 +64,7 @@
 	used := func() int {
 		conns.mu.Lock()
 		defer conns.mu.Unlock()
-		return conns.used
+		return conns.usedConns
 	}
 	for end := time.Now().Add(testserver.Timeout); used() < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
--- a/internal/sidecar/family.go
+++ b/internal/sidecar/family.go
@@ -97,7 +97,7 @@
 		b.requests = min(b.requests, s.config.Limits.MostHeld)
 	}
 	s.ids.setMost(b.requests / shares)
-	s.conns.setMost(b.clients/shares, max(b.usual/shares, 1))
+	s.conns.SetLimits(b.clients/shares, max(b.usual/shares, 1))
 	s.host.upstream.SetMaxConns(b.upstream / shares)
 	debug.SetMemoryLimit(int64(float64(s.config.MemoryMB<<20) * memoryShare / float64(shares)))
 }
--- a/internal/sidecar/framing.go
+++ b/internal/sidecar/framing.go
@@ -12,59 +12,59 @@
 // errFraming says that a client's message can be read in two ways.
 var errFraming = errors.New("bad framing")
 
-// mostHead is well beyond what net/http takes, so that it has its say first.
-const mostHead = 4 * maxRequestHeader
+// maxHeadBytes is well beyond what net/http takes, so that it has its say first.
+const maxHeadBytes = 4 * maxRequestHeader
 
 // maxRequestHeader is the bytes of a request's header that net/http takes.
 const maxRequestHeader = 16 << 10
 
-// framing follows the bytes that a client sends and finds what net/http would mend: a length beside chunks, a length
+// requestFraming follows the bytes that a client sends and finds what net/http would mend: a length beside chunks, a length
 // given twice, and folded lines. Whoever else read such a message would see another one. The zero value is at a
 // connection's start.
-type framing struct {
-	heads  int // that have come whole and can be read
-	inBody bool
-	line   []byte // of a head, as far as it has come
-	size   int    // of the head
-	first  bool   // the head's first line has come
-	length []byte // as given; nil: not
-	coded  bool   // a transfer coding is given
-	left   int64  // of a body with a length
-	chunks *chunked.Decoder
+type requestFraming struct {
+	requests       int // that have come whole and can be read
+	inBody         bool
+	line           []byte // of a head, as far as it has come
+	headBytes      int    // of the head
+	hasRequestLine bool   // the head's first line has come
+	contentLength  []byte // as given; nil: not
+	chunkedCoding  bool   // a transfer coding is given
+	remaining      int64  // of a body with a length
+	decoder        *chunked.Decoder
 }
 
 // partial tells whether a part of a head has come.
-func (f *framing) partial() bool { return f.size > 0 }
+func (f *requestFraming) partial() bool { return f.headBytes > 0 }
 
 // feed takes in what has come. good is how much of it comes before the message that is bad.
-func (f *framing) feed(in []byte) (good int, err error) {
+func (f *requestFraming) feed(in []byte) (good int, err error) {
 	for at := 0; at < len(in); {
 		var used int
 		switch {
-		case f.inBody && f.chunks != nil:
+		case f.inBody && f.decoder != nil:
 			var done bool
-			if _, used, done, err = f.chunks.Next(in[at:]); done {
-				f.inBody, f.chunks = false, nil
+			if _, used, done, err = f.decoder.Next(in[at:]); done {
+				f.inBody, f.decoder = false, nil
 			}
 		case f.inBody:
-			used = int(min(f.left, int64(len(in)-at)))
-			f.left -= int64(used)
-			f.inBody = f.left > 0
+			used = int(min(f.remaining, int64(len(in)-at)))
+			f.remaining -= int64(used)
+			f.inBody = f.remaining > 0
 		default:
-			used, err = f.head(in[at:])
+			used, err = f.feedHead(in[at:])
 		}
 		if err != nil {
 			return good, err
 		}
-		if at += used; f.inBody || f.size == 0 {
+		if at += used; f.inBody || f.headBytes == 0 {
 			good = at // up to here nothing is amiss
 		}
 	}
 	return len(in), nil
 }
 
-// head takes in what has come of a head, up to its end.
-func (f *framing) head(in []byte) (used int, err error) {
+// feedHead takes in what has come of a head, up to its end.
+func (f *requestFraming) feedHead(in []byte) (used int, err error) {
 	for used < len(in) {
 		end := bytes.IndexByte(in[used:], '\n')
 		piece := in[used:]
@@ -72,8 +72,8 @@
 			piece = piece[:end+1]
 		}
 		used += len(piece)
-		if f.size += len(piece); f.size > mostHead {
-			return used, fmt.Errorf("%w: a head of more than %d bytes", errFraming, mostHead)
+		if f.headBytes += len(piece); f.headBytes > maxHeadBytes {
+			return used, fmt.Errorf("%w: a head of more than %d bytes", errFraming, maxHeadBytes)
 		}
 		line := piece // most lines come whole
 		if end < 0 || len(f.line) > 0 {
@@ -83,20 +83,20 @@
 			line = f.line
 		}
 		line = bytes.TrimSuffix(line[:len(line)-1], []byte("\r"))
-		if len(line) == 0 && f.first {
-			return used, f.body()
+		if len(line) == 0 && f.hasRequestLine {
+			return used, f.endHead()
 		}
-		if err := f.field(line); err != nil {
+		if err := f.feedField(line); err != nil {
 			return used, err
 		}
-		f.first, f.line = true, f.line[:0]
+		f.hasRequestLine, f.line = true, f.line[:0]
 	}
 	return used, nil
 }
 
-// field takes in a line of a head.
-func (f *framing) field(line []byte) error {
-	if !f.first || len(line) == 0 {
+// feedField takes in a line of a head.
+func (f *requestFraming) feedField(line []byte) error {
+	if !f.hasRequestLine || len(line) == 0 {
 		return nil // what is wrong with it, net/http says
 	}
 	if line[0] == ' ' || line[0] == '\t' {
@@ -109,35 +109,35 @@
 	value = bytes.TrimSpace(value)
 	switch {
 	case bytes.EqualFold(name, []byte("Content-Length")):
-		if f.length != nil {
+		if f.contentLength != nil {
 			return fmt.Errorf("%w: two lengths", errFraming)
 		}
-		f.length = append([]byte{}, value...) // not nil, though it be empty
+		f.contentLength = append([]byte{}, value...) // not nil, though it be empty
 	case bytes.EqualFold(name, []byte("Transfer-Encoding")):
-		if f.coded || !bytes.EqualFold(value, []byte("chunked")) {
+		if f.chunkedCoding || !bytes.EqualFold(value, []byte("chunked")) {
 			return fmt.Errorf("%w: codings other than chunked", errFraming)
 		}
-		f.coded = true
+		f.chunkedCoding = true
 	}
 	return nil
 }
 
-// body takes in the end of a head.
-func (f *framing) body() error {
-	length, coded := f.length, f.coded
-	*f = framing{heads: f.heads, line: f.line[:0]}
+// endHead takes in the end of a head.
+func (f *requestFraming) endHead() error {
+	length, coded := f.contentLength, f.chunkedCoding
+	*f = requestFraming{requests: f.requests, line: f.line[:0]}
 	switch {
 	case coded && length != nil:
 		return fmt.Errorf("%w: a length beside chunks", errFraming)
 	case coded:
-		f.inBody, f.chunks = true, &chunked.Decoder{}
+		f.inBody, f.decoder = true, &chunked.Decoder{}
 	case length != nil:
 		n, err := strconv.ParseUint(string(length), 10, 63)
 		if err != nil {
 			return fmt.Errorf("%w: length %.40q", errFraming, length)
 		}
-		f.left, f.inBody = int64(n), n > 0
+		f.remaining, f.inBody = int64(n), n > 0
 	}
-	f.heads++
+	f.requests++
 	return nil
 }
--- a/internal/sidecar/framing_test.go
+++ b/internal/sidecar/framing_test.go
@@ -32,10 +32,10 @@
 		{"two codings", post("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", ""), true},
 		{"another coding", post("Transfer-Encoding: gzip, chunked\r\n", ""), true},
 		{"a bad chunk", post("Transfer-Encoding: chunked\r\n", "zz\r\n"), true},
-		{"an endless head", "GET /api HTTP/1.1\r\nX: " + strings.Repeat("x", mostHead), true},
+		{"an endless head", "GET /api HTTP/1.1\r\nX: " + strings.Repeat("x", maxHeadBytes), true},
 	} {
 		for _, piece := range []int{1, 7, 1 << 20} {
-			var f framing
+			var f requestFraming
 			var err error
 			text := getHead + tt.text
 			good := 0
@@ -59,7 +59,7 @@
 	f.Add([]byte(getHead+getHead), uint8(3))
 	f.Add([]byte("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"), uint8(1))
 	f.Fuzz(func(t *testing.T, text []byte, piece uint8) {
-		var whole, parts framing
+		var whole, parts requestFraming
 		_, want := whole.feed(text)
 		var got error
 		for at := 0; at < len(text) && got == nil; at += int(piece) + 1 {
--- a/internal/sidecar/kill_test.go
+++ b/internal/sidecar/kill_test.go
@@ -128,7 +128,7 @@
 // TestEndLeavesTheLastAnswer: a connection that lingers is not closed by the end, which would reset it where bytes are
 // unread, but lingers for less.
 func TestEndLeavesTheLastAnswer(t *testing.T) {
-	l := newClientConns(testserver.Listen(t), 2, 2, &stats.Unserved{})
+	l := NewListener(testserver.Listen(t), 2, 2, &stats.Unserved{})
 	out, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -139,14 +139,14 @@
 		t.Fatal(err)
 	}
 	defer accepted.Close()
-	c, began := accepted.(*clientConn), time.Now()
-	l.state(c, http.StateActive)
-	l.ending(c)
-	l.retireAll()
+	c, began := accepted.(*Conn), time.Now()
+	l.onHTTPState(c, http.StateActive)
+	l.markFinalResponse(c)
+	l.RetireAll()
 	if c.closed || c.retired {
 		t.Error("it is closed behind its last answer")
 	}
-	if until := l.lingerUntil(began); !until.Equal(l.ended.Add(lastLinger)) {
-		t.Errorf("it lingers for %v, want %v behind the end", until.Sub(began), lastLinger)
+	if until := l.lingerDeadline(began); !until.Equal(l.shutdownAt.Add(finalLingerTimeout)) {
+		t.Errorf("it lingers for %v, want %v behind the end", until.Sub(began), finalLingerTimeout)
 	}
 }
--- a/internal/sidecar/linger_test.go
+++ b/internal/sidecar/linger_test.go
@@ -80,7 +80,7 @@
 		reset bool // its client finds it reset
 	}{{"room is left", 2, false}, {"none is left", 1, true}} {
 		t.Run(tt.name, func(t *testing.T) {
-			l := newClientConns(testserver.Listen(t), tt.most, tt.most, &stats.Unserved{})
+			l := NewListener(testserver.Listen(t), tt.most, tt.most, &stats.Unserved{})
 			out, err := net.Dial("tcp", l.Addr().String())
 			if err != nil {
 				t.Fatal(err)
@@ -90,12 +90,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c := accepted.(*clientConn)
-			l.state(c, http.StateActive)
+			c := accepted.(*Conn)
+			l.onHTTPState(c, http.StateActive)
 			if _, err := out.Write(make([]byte, 1000)); err != nil {
 				t.Fatal(err)
 			}
-			for !c.waiting() {
+			for !c.hasUnreadInput() {
 				time.Sleep(time.Millisecond) // for the bytes to come
 			}
 			closed := make(chan error, 1)
--- a/internal/sidecar/listen_test.go
+++ b/internal/sidecar/listen_test.go
@@ -17,13 +17,13 @@
 	rounds := max(*stopRounds, 100)
 	log := slog.New(slog.DiscardHandler)
 	var serving sync.WaitGroup
-	begin := func(address string) (*drainListener, chan struct{}) {
-		inner, err := listenShared(address, log)
+	begin := func(address string) (*DrainListener, chan struct{}) {
+		inner, err := ListenShared(address, log)
 		if err != nil {
 			t.Fatal(err)
 		}
-		l, ended := &drainListener{TCPListener: inner, quiet: time.Millisecond}, make(chan struct{})
-		if err := l.takeTurns(); err != nil {
+		l, ended := &DrainListener{TCPListener: inner, quietPeriod: time.Millisecond}, make(chan struct{})
+		if err := l.ShareConnections(); err != nil {
 			t.Fatal(err)
 		}
 		go func() {
@@ -63,10 +63,10 @@
 	}
 	for range rounds {
 		next, nextEnded := begin(address)
-		if err := l.turnAway(); err != nil {
+		if err := l.RedirectToSuccessor(); err != nil {
 			t.Fatal(err)
 		}
-		if err := l.drain(0); err != nil {
+		if err := l.Drain(0); err != nil {
 			t.Fatal(err)
 		}
 		<-ended
--- a/internal/sidecar/readahead_test.go
+++ b/internal/sidecar/readahead_test.go
@@ -59,7 +59,7 @@
 // TestBodyTimeBehindARequest lets the time for a body run out once the body has come whole: the request is in hand, and
 // what net/http reads ahead must not fail, but for net/http's own end of it.
 func TestBodyTimeBehindARequest(t *testing.T) {
-	l := newClientConns(testserver.Listen(t), 2, 2, &stats.Unserved{})
+	l := NewListener(testserver.Listen(t), 2, 2, &stats.Unserved{})
 	out, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -69,13 +69,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := accepted.(*clientConn)
+	c := accepted.(*Conn)
 	read := func() (int, error) { return c.Read(make([]byte, 1000)) }
 	fmt.Fprint(out, "POST /api HTTP/1.1\r\nContent-Length: 4\r\n\r\nsk")
 	if _, err := read(); err != nil {
 		t.Fatal(err)
 	}
-	l.state(c, http.StateActive)
+	l.onHTTPState(c, http.StateActive)
 	over := time.Now().Add(-time.Second)
 	if err := c.SetReadDeadline(over); err != nil {
 		t.Fatal(err)
@@ -93,7 +93,7 @@
 	if n, err := read(); n != 1 || err != nil {
 		t.Errorf("%d bytes, error %v behind a whole body", n, err)
 	}
-	_ = c.SetReadDeadline(past)
+	_ = c.SetReadDeadline(pastDeadline)
 	if _, err := read(); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("error %v where reading ahead is ended", err)
 	}
--- a/internal/sidecar/reuse_test.go
+++ b/internal/sidecar/reuse_test.go
@@ -13,7 +13,7 @@
 // TestConnectionWithNextRequestIsNotIdle has a client send two requests at once. Behind the first response the reader has the second
 // request already: the connection counts as busy, and is not retired.
 func TestConnectionWithNextRequestIsNotIdle(t *testing.T) {
-	l := newClientConns(testserver.Listen(t), 2, 2, &stats.Unserved{})
+	l := NewListener(testserver.Listen(t), 2, 2, &stats.Unserved{})
 	out, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := accepted.(*clientConn)
+	c := accepted.(*Conn)
 	requests := "GET /api HTTP/1.1\r\n\r\nGET /api HTTP/1.1\r\n\r\n"
 	fmt.Fprint(out, requests)
 	for got, buffer := 0, make([]byte, 1000); got < len(requests); {
@@ -33,16 +33,16 @@
 		}
 		got += n
 	}
-	l.state(c, http.StateActive)
-	l.state(c, http.StateIdle)
-	l.retireIdle(0)
-	l.retireAll()
-	if c.idle != nil || c.retired || c.last || !l.hasRequest(c) {
-		t.Errorf("idle %v, retired %v, last %v, has a request %v", c.idle != nil, c.retired, c.last, l.hasRequest(c))
+	l.onHTTPState(c, http.StateActive)
+	l.onHTTPState(c, http.StateIdle)
+	l.RetireIdle(0)
+	l.RetireAll()
+	if c.idleElement != nil || c.retired || c.closeAfterResponse || !l.hasRequest(c) {
+		t.Errorf("idle %v, retired %v, last %v, has a request %v", c.idleElement != nil, c.retired, c.closeAfterResponse, l.hasRequest(c))
 	}
-	l.state(c, http.StateActive)
-	l.state(c, http.StateIdle)
-	if c.idle == nil || l.hasRequest(c) {
-		t.Errorf("behind its last response: idle %v, has a request %v", c.idle != nil, l.hasRequest(c))
+	l.onHTTPState(c, http.StateActive)
+	l.onHTTPState(c, http.StateIdle)
+	if c.idleElement == nil || l.hasRequest(c) {
+		t.Errorf("behind its last response: idle %v, has a request %v", c.idleElement != nil, l.hasRequest(c))
 	}
 }
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -36,7 +36,7 @@
 func Run(stop context.Context, reload <-chan os.Signal, c *config.Config, log *slog.Logger, join Join) error {
 	return run(stop, reload, c, log, join, drainTimes{accept: 450 * time.Millisecond, quiet: 25 * time.Millisecond,
 		closeIdle: 300 * time.Millisecond, unused: 300 * time.Millisecond, listen: time.Second,
-		idle: idleWithin + 200*time.Millisecond, deadline: killDeadline}, hooks{started: func(*ops) {}})
+		idle: idleTimeout + 200*time.Millisecond, deadline: killDeadline}, hooks{started: func(*ops) {}})
 }
 
 // run is Run with the times and hooks of a test. It starts and ends all goroutines of the process; what is deferred here
@@ -83,7 +83,7 @@
 	if hasPredecessor && !p.awaitServers(stop) {
 		return nil
 	}
-	inner, err := p.hooks.listening(stop, func() (*net.TCPListener, error) { return listenShared(c.Listen, log) })
+	inner, err := p.hooks.listening(stop, func() (*net.TCPListener, error) { return ListenShared(c.Listen, log) })
 	if err != nil {
 		return endedBefore(stop, err)
 	}
@@ -105,7 +105,7 @@
 	loops  sync.WaitGroup // end with the context of run
 
 	ops      *ops
-	listener *drainListener
+	listener *DrainListener
 	server   *Handler
 	web      *http.Server
 	served   chan error // gets what ended web.Serve, once
@@ -136,7 +136,7 @@
 	if p.config.Console == "" {
 		return nil, nil
 	}
-	calls, err := p.hooks.listening(stop, func() (*net.TCPListener, error) { return listenPlainly(p.config.Console) })
+	calls, err := p.hooks.listening(stop, func() (*net.TCPListener, error) { return Listen(p.config.Console) })
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
 	}
@@ -163,8 +163,8 @@
 
 // startServing serves the clients that connect to inner.
 func (p *process) startServing(ctx context.Context, inner *net.TCPListener, hasPredecessor bool) {
-	p.listener = &drainListener{TCPListener: inner, accept: p.hooks.accept, quiet: p.times.quiet}
-	if err := p.listener.takeTurns(); err != nil {
+	p.listener = &DrainListener{TCPListener: inner, accept: p.hooks.accept, quietPeriod: p.times.quiet}
+	if err := p.listener.ShareConnections(); err != nil {
 		p.log.Debug("the kernel chooses among the processes of this address", "err", err)
 	}
 	p.server = NewHandler(p.config, p.host, p.listener)
@@ -223,14 +223,14 @@
 	accept, closeIdle := p.times.accept, p.times.closeIdle
 	if succeeded {
 		accept, closeIdle = 0, p.times.idle // the next process takes what comes
-		if err := p.listener.turnAway(); err != nil {
+		if err := p.listener.RedirectToSuccessor(); err != nil {
 			p.log.Warn("connections that come just now may be reset", "err", err)
 		}
 	}
 	idleFrom := time.Now().Add(closeIdle)
-	idle := time.AfterFunc(closeIdle, func() { p.server.conns.retireIdle(p.times.unused) })
+	idle := time.AfterFunc(closeIdle, func() { p.server.conns.RetireIdle(p.times.unused) })
 	defer idle.Stop()
-	if err := p.listener.drain(accept); err != nil {
+	if err := p.listener.Drain(accept); err != nil {
 		return fmt.Errorf("drain: %w", err)
 	}
 	<-p.served
@@ -251,12 +251,12 @@
 // reads what still comes on connections and drops it, and closes others under a request that was just read. So
 // connections end one by one, each when it has answered, or has nothing to answer.
 func (p *process) awaitConnections(idleFrom time.Time) {
-	for p.server.conns.held() > 0 {
+	for p.server.conns.OpenConns() > 0 {
 		switch {
 		case p.server.ending.Err() != nil:
-			p.server.conns.retireAll()
+			p.server.conns.RetireAll()
 		case time.Now().After(idleFrom):
-			p.server.conns.retireIdle(p.times.unused)
+			p.server.conns.RetireIdle(p.times.unused)
 		}
 		time.Sleep(p.times.quiet)
 	}
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -21,18 +21,18 @@
 
 const (
 	maxRequestBody = 32 << 20 // bytes of a request's body
-	// headWithin is how long a client may take to send a head: 2 s are its right. One that never ends would hold
+	// headTimeout is how long a client may take to send a head: 2 s are its right. One that never ends would hold
 	// its connection for good.
-	headWithin = 2300 * time.Millisecond
+	headTimeout = 2300 * time.Millisecond
 	// bodyWithin is how long after a connection's start a body has to begin to keep its pace, and bodyGrace how long after
 	// its head, where that is later. A peer that sends no whole request is owed an end 3 s after it connected.
 	bodyWithin  = 2700 * time.Millisecond
 	bodyGrace   = 400 * time.Millisecond
 	bodyPace    = 48 << 10        // bytes a second that a body comes at least, less than the 64 kB that are a client's right
 	writeWithin = 2 * time.Second // a client may take to receive a short answer, or a piece of a long one
-	// idleWithin is how long a client's connection may idle; clients expect it to stay open for 2 s. Clients that
+	// idleTimeout is how long a client's connection may idle; clients expect it to stay open for 2 s. Clients that
 	// ask once and keep the connection take, all together, those that others need.
-	idleWithin = 2 * time.Second
+	idleTimeout = 2 * time.Second
 )
 
 // Handler answers the application.
@@ -40,7 +40,7 @@
 	host     *host
 	config   *config.Config
 	ids      *ids
-	conns    *clientConns
+	conns    *Listener
 	draining atomic.Bool
 	ends     atomic.Pointer[time.Time] // when this process may be killed at the earliest, once it drains
 	gate     *gate                     // set before it serves; nil: the settings are those of the own file
@@ -56,7 +56,7 @@
 	if c.Limits.MostHeld > 0 {
 		b.requests = min(b.requests, c.Limits.MostHeld)
 	}
-	conns := newClientConns(netretry.NewListener(l, h.log), b.clients, b.usual, &h.figures.Unserved)
+	conns := NewListener(netretry.NewListener(l, h.log), b.clients, b.usual, &h.figures.Unserved)
 	ending, end := context.WithCancel(context.Background())
 	return &Handler{host: h, config: c, ids: newIDs(b.requests), conns: conns,
 		room: &room{most: c.MemoryMB << 20 / bodyShare / upstream.MaxBufferedBody}, ending: ending, end: end}
@@ -78,7 +78,7 @@
 	s.host.Post(func() { s.host.endBy(ends) })
 	time.AfterFunc(time.Until(ends), func() {
 		s.end()
-		s.conns.retireAll()
+		s.conns.RetireAll()
 	})
 }
 
@@ -94,7 +94,7 @@
 func (s *Handler) stopReading(conn *http.ResponseController) (done func()) {
 	ended := make(chan struct{})
 	stop := context.AfterFunc(s.ending, func() {
-		_ = conn.SetReadDeadline(past) // it fails where the connection is closed
+		_ = conn.SetReadDeadline(pastDeadline) // it fails where the connection is closed
 		close(ended)
 	})
 	return func() {
@@ -117,8 +117,8 @@
 
 // httpServer returns the HTTP server that serves s.
 func (s *Handler) httpServer(log *slog.Logger) *http.Server {
-	return &http.Server{Handler: s, ReadHeaderTimeout: headWithin, IdleTimeout: idleWithin, MaxHeaderBytes: maxRequestHeader,
-		ConnState: s.conns.state, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
+	return &http.Server{Handler: s, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxRequestHeader,
+		ConnState: s.conns.onHTTPState, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }}
 }
 
@@ -126,15 +126,15 @@
 func (s *Handler) ServeHTTP(to http.ResponseWriter, r *http.Request) {
 	came, w := time.Now(), &response{ResponseWriter: to}
 	// What HTTP/1.0 says of a body's length is not to be relied on, and so what follows it is not either.
-	conn, _ := r.Context().Value(connKey{}).(*clientConn) // nil: not from httpServer
+	conn, _ := r.Context().Value(connKey{}).(*Conn) // nil: not from httpServer
 	defer s.answerPanic(w, conn)
-	if s.draining.Load() || !r.ProtoAtLeast(1, 1) || s.conns.ends(conn) {
+	if s.draining.Load() || !r.ProtoAtLeast(1, 1) || s.conns.closesAfterResponse(conn) {
 		w.Header().Set("Connection", "close")
 	}
 	if f := s.route(w, r, came); f != nil {
 		f.write(w)
 		if conn != nil {
-			s.conns.ending(conn)
+			s.conns.markFinalResponse(conn)
 		}
 	}
 }
@@ -270,8 +270,8 @@
 // leaving returns what tells whether the client of a request has left. net/http sees its close only once all that came before it is
 // read, which other requests may be.
 func leaving(r *http.Request) (left func() bool) {
-	conn, _ := r.Context().Value(connKey{}).(*clientConn)
-	return func() bool { return r.Context().Err() != nil || conn != nil && conn.hungUp() }
+	conn, _ := r.Context().Value(connKey{}).(*Conn)
+	return func() bool { return r.Context().Err() != nil || conn != nil && conn.PeerClosed() }
 }
 
 // unserved refuses a request that no policy lets this sidecar take now.
@@ -286,8 +286,8 @@
 // body reads a request's body, in pieces of mostBody bytes at most. release gives back the room that it took.
 func (s *Handler) body(w http.ResponseWriter, r *http.Request, came time.Time) (body [][]byte, release func(), f *fault) {
 	conn, start := http.NewResponseController(w), came.Add(bodyGrace)
-	if c, ok := r.Context().Value(connKey{}).(*clientConn); ok && c.came.Add(bodyWithin).After(start) {
-		start = c.came.Add(bodyWithin)
+	if c, ok := r.Context().Value(connKey{}).(*Conn); ok && c.acceptedAt.Add(bodyWithin).After(start) {
+		start = c.acceptedAt.Add(bodyWithin)
 	}
 	defer s.stopReading(conn)()
 	size := 4 << 10
@@ -327,7 +327,7 @@
 			return bad(http.StatusInternalServerError, "no deadline")
 		}
 		if s.ending.Err() != nil { // this process may be killed before the body is whole
-			_ = conn.SetReadDeadline(past) // or net/http would wait for the rest; it fails where the connection is closed
+			_ = conn.SetReadDeadline(pastDeadline) // or net/http would wait for the rest; it fails where the connection is closed
 			return bad(http.StatusServiceUnavailable, "refused: this process ends")
 		}
 		n, err := r.Body.Read(piece[len(piece):cap(piece)])
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -372,7 +372,7 @@
 // TestBacklog has connections wait unaccepted when the accepting ends: none may be reset.
 func TestBacklog(t *testing.T) {
 	inner := testserver.Listen(t).(*net.TCPListener)
-	l := &drainListener{TCPListener: inner, quiet: time.Second}
+	l := &DrainListener{TCPListener: inner, quietPeriod: time.Second}
 	const n = 3
 	for range n {
 		c, err := net.Dial("tcp", inner.Addr().String())
@@ -381,7 +381,7 @@
 		}
 		defer c.Close()
 	}
-	if err := l.drain(-time.Second); err != nil { // long over
+	if err := l.Drain(-time.Second); err != nil { // long over
 		t.Fatal(err)
 	}
 	for i := range n {
--- a/internal/sidecar/stop_test.go
+++ b/internal/sidecar/stop_test.go
@@ -78,7 +78,7 @@
 // accepted waits until the program holds n connections.
 func (p *program) accepted(n int) {
 	p.t.Helper()
-	for end := time.Now().Add(testserver.Timeout); p.staff.server.Load().conns.held() < n; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testserver.Timeout); p.staff.server.Load().conns.OpenConns() < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			p.t.Fatalf("not %d connections accepted", n)
 		}
@@ -212,18 +212,18 @@
 	for _, tt := range []struct {
 		name   string
 		before string // sent and answered first
-		retire func(*clientConns, *clientConn)
+		retire func(*Listener, *Conn)
 	}{
-		{"new, for room", "", func(l *clientConns, c *clientConn) { l.retire(c, stats.Room) }},
-		{"used, for room", "GET / HTTP/1.1\r\n\r\n", func(l *clientConns, c *clientConn) { l.retire(c, stats.Room) }},
-		{"used, stopping", "GET / HTTP/1.1\r\n\r\n", func(l *clientConns, c *clientConn) {
+		{"new, for room", "", func(l *Listener, c *Conn) { l.beginRetire(c, stats.Room) }},
+		{"used, for room", "GET / HTTP/1.1\r\n\r\n", func(l *Listener, c *Conn) { l.beginRetire(c, stats.Room) }},
+		{"used, stopping", "GET / HTTP/1.1\r\n\r\n", func(l *Listener, c *Conn) {
 			l.mu.Unlock()
-			l.retireIdle(0)
+			l.RetireIdle(0)
 			l.mu.Lock()
 		}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			l := newClientConns(testserver.Listen(t), 2, 2, &stats.Unserved{})
+			l := NewListener(testserver.Listen(t), 2, 2, &stats.Unserved{})
 			out, err := net.Dial("tcp", l.Addr().String())
 			if err != nil {
 				t.Fatal(err)
@@ -233,7 +233,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c := accepted.(*clientConn)
+			c := accepted.(*Conn)
 			inner := &caught{Conn: c.Conn}
 			c.Conn = inner
 			buffer := make([]byte, 1000)
@@ -242,8 +242,8 @@
 				if _, err := c.Read(buffer); err != nil {
 					t.Fatal(err)
 				}
-				l.state(c, http.StateActive)
-				l.state(c, http.StateIdle)
+				l.onHTTPState(c, http.StateActive)
+				l.onHTTPState(c, http.StateIdle)
 			}
 			inner.got = func() {
 				l.mu.Lock()
@@ -259,8 +259,8 @@
 				t.Fatalf("%d bytes, error %v", n, err)
 			}
 			inner.got = nil
-			if c.retired || !c.last || c.idle != nil || l.leaving != 0 || !l.ends(c) {
-				t.Errorf("retired %v, last %v, idle %v, %d leaving", c.retired, c.last, c.idle != nil, l.leaving)
+			if c.retired || !c.closeAfterResponse || c.idleElement != nil || l.retiringConns != 0 || !l.closesAfterResponse(c) {
+				t.Errorf("retired %v, last %v, idle %v, %d leaving", c.retired, c.closeAfterResponse, c.idleElement != nil, l.retiringConns)
 			}
 			fmt.Fprint(out, "x")
 			if _, err := c.Read(buffer); err != nil { // its deadline is not over
@@ -273,7 +273,7 @@
 // TestRetiredBesideARequest retires a connection, and lets its idle time run out, where a request waits unread.
 func TestRetiredBesideARequest(t *testing.T) {
 	for _, retired := range []bool{true, false} {
-		l := newClientConns(testserver.Listen(t), 2, 2, &stats.Unserved{})
+		l := NewListener(testserver.Listen(t), 2, 2, &stats.Unserved{})
 		out, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -283,25 +283,25 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := accepted.(*clientConn)
-		l.state(c, http.StateActive)
-		l.state(c, http.StateIdle)
+		c := accepted.(*Conn)
+		l.onHTTPState(c, http.StateActive)
+		l.onHTTPState(c, http.StateIdle)
 		fmt.Fprint(out, "GET /api HTTP/1.1\r\n\r\n")
-		for end := time.Now().Add(testserver.Timeout); !c.waiting(); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testserver.Timeout); !c.hasUnreadInput(); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal("nothing came")
 			}
 		}
 		if retired {
-			l.retireIdle(0)
-		} else if err := c.SetReadDeadline(past); err != nil {
+			l.RetireIdle(0)
+		} else if err := c.SetReadDeadline(pastDeadline); err != nil {
 			t.Fatal(err)
 		}
-		if n, err := c.Read(make([]byte, 1000)); n == 0 || err != nil || c.last != retired || c.retired {
-			t.Errorf("retired %v: %d bytes, error %v, last %v", retired, n, err, c.last)
+		if n, err := c.Read(make([]byte, 1000)); n == 0 || err != nil || c.closeAfterResponse != retired || c.retired {
+			t.Errorf("retired %v: %d bytes, error %v, last %v", retired, n, err, c.closeAfterResponse)
 		}
-		l.state(c, http.StateActive)
-		l.state(c, http.StateIdle)
+		l.onHTTPState(c, http.StateActive)
+		l.onHTTPState(c, http.StateIdle)
 		if c.retired != retired {
 			t.Errorf("behind its answer retired is %v, want %v", c.retired, retired)
 		}
--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -35,7 +35,7 @@
 	whole, ours := false, false
 	// A full send buffer takes more when a third of it is free. A slow client would take a large one's third for
 	// longer than any piece may take.
-	if client, ok := r.Context().Value(connKey{}).(*clientConn); ok {
+	if client, ok := r.Context().Value(connKey{}).(*Conn); ok {
 		if tcp, ok := client.Conn.(*net.TCPConn); ok {
 			_ = tcp.SetWriteBuffer(clientSendBuffer) // the system's own is only worse
 		}
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -92,16 +92,16 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	l := &drainListener{TCPListener: inner, quiet: time.Nanosecond, accept: func(*net.TCPListener) (net.Conn, error) {
+	l := &DrainListener{TCPListener: inner, quietPeriod: time.Nanosecond, accept: func(*net.TCPListener) (net.Conn, error) {
 		if calls++; calls%3 == 0 {
 			return nil, os.ErrDeadlineExceeded
 		}
 		return nil, os.NewSyscallError("accept4", unix.EMFILE)
 	}}
-	for calls < 10*mostFailed && !errors.Is(err, net.ErrClosed) {
+	for calls < 10*maxFailedRounds && !errors.Is(err, net.ErrClosed) {
 		_, err = l.Accept()
 	}
-	if !errors.Is(err, net.ErrClosed) || calls < 3*mostFailed {
+	if !errors.Is(err, net.ErrClosed) || calls < 3*maxFailedRounds {
 		t.Errorf("error %v after %d calls", err, calls)
 	}
 }
