--- a/internal/sidecar/attempts_test.go
+++ b/internal/sidecar/attempts_test.go
@@ -71,7 +71,7 @@
 // forgotten waits until the program serves no request.
 func (p *program) forgotten() {
 	p.t.Helper()
-	for end := time.Now().Add(testserver.Timeout); p.staff.server.Load().ids.inHand.Load() > 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testserver.Timeout); p.staff.serving.Load().handler.ids.inHand.Load() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			p.t.Fatal("a request is held for good")
 		}
--- a/internal/sidecar/budget.go
+++ b/internal/sidecar/budget.go
@@ -78,5 +78,9 @@
 	}
 	clients := all / 2
 	held := min(c.Sockets/3, clients-clients/8) // clients hold a third of the descriptors at most for requests
-	return budget{requests: held, clients: clients, usual: max(int(usualShare*float64(held)), 1), upstream: all - clients}
+	requests := held
+	if c.Limits.MostHeld > 0 {
+		requests = min(held, c.Limits.MostHeld)
+	}
+	return budget{requests: requests, clients: clients, usual: max(int(usualShare*float64(held)), 1), upstream: all - clients}
 }
--- a/internal/sidecar/churn_test.go
+++ b/internal/sidecar/churn_test.go
@@ -41,10 +41,13 @@
 		t.Fatal(err)
 	}
 	go h.run(ctx)
-	s := NewHandler(c, h, testserver.Listen(t))
-	web := s.httpServer(log)
-	go func() { _ = web.Serve(s.conns) }()
-	p := &program{t: t, address: s.conns.Addr().String(), client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
+	s := NewHandler(c, h)
+	limits := newBudget(c)
+	conns := NewListener(testserver.Listen(t), limits.clients, limits.usual, &h.figures.Unserved)
+	web := conns.HTTPServer(s, log)
+	web.ConnContext = ConnContext
+	go func() { _ = web.Serve(conns) }()
+	p := &program{t: t, address: conns.Addr().String(), client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 
 	tell := func(l discovery.List) {
 		done := make(chan bool)
@@ -71,12 +74,10 @@
 	left := make(chan string, 1)
 	for end := time.Now().Add(testserver.Timeout); ; {
 		h.Post(func() {
-			s.conns.mu.Lock()
 			openConns, idleConns := h.upstream.ConnCounts()
 			left <- fmt.Sprintf("calls %d, targets %d, connections to servers %d open %d idle, from clients %d open %d idle, ids %d",
-				len(h.calls), len(h.upstream.Endpoints()), openConns, idleConns, s.conns.openConns,
-				s.conns.idleConns.Len(), len(s.ids.held))
-			s.conns.mu.Unlock()
+				len(h.calls), len(h.upstream.Endpoints()), openConns, idleConns, conns.Counts().Open,
+				conns.Counts().Idle, len(s.ids.held))
 		})
 		got := testserver.Receive(t, left, "count")
 		if got == "calls 0, targets 0, connections to servers 0 open 0 idle, from clients 0 open 0 idle, ids 0" {
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -81,8 +81,8 @@
 			}
 		})
 	}
-	if most := max(headTimeout, bodyWithin, headTimeout+bodyGrace); most > 2800*time.Millisecond || headTimeout < 2200*time.Millisecond {
-		t.Errorf("a head may take %v, a peer without a request is held for %v; 2 s are a client's right, 3 s owed", headTimeout, most)
+	if most := max(HeadTimeout, bodyWithin, HeadTimeout+bodyGrace); most > 2800*time.Millisecond || HeadTimeout < 2200*time.Millisecond {
+		t.Errorf("a head may take %v, a peer without a request is held for %v; 2 s are a client's right, 3 s owed", HeadTimeout, most)
 	}
 	if n := b.RequestCount(); n != 0 {
 		t.Errorf("%d requests were passed on, the first %+v", n, <-b.Requests)
--- a/internal/sidecar/conns.go
+++ b/internal/sidecar/conns.go
@@ -3,6 +3,7 @@
 import (
 	"container/list"
 	"errors"
+	"log/slog"
 	"net"
 	"net/http"
 	"os"
@@ -16,6 +17,16 @@
 	"milletramp.example/milletramp/internal/stats"
 )
 
+// Times that a client may take.
+const (
+	// HeadTimeout is how long a client may take to send a head: 2 s are its right. One that never ends would hold
+	// its connection for good.
+	HeadTimeout = 2300 * time.Millisecond
+	// IdleTimeout is how long a client's connection may idle; clients expect it to stay open for 2 s. Clients that
+	// ask once and keep the connection take, all together, those that others need.
+	IdleTimeout = 2 * time.Second
+)
+
 // minIdleTime is how long a connection is idle before another may take its place. Otherwise a burst of connections would
 // close those that came just before it, with their first requests on the way.
 const minIdleTime = 20 * time.Millisecond
@@ -26,7 +37,7 @@
 	lingerTimeout      = 200 * time.Millisecond
 	lingerPollInterval = 20 * time.Millisecond
 	// finalLingerTimeout bounds it once the process ends, so that it is over before the kill.
-	finalLingerTimeout = killMargin / 4
+	finalLingerTimeout = 50 * time.Millisecond
 )
 
 // Listener is a listener that bounds the connections from clients, and ends those that have no request: the longest
@@ -86,6 +97,32 @@
 	l.signalCapacity()
 }
 
+// ConnCounts are numbers of connections at one moment.
+type ConnCounts struct {
+	Open int
+	Used int // that have brought a request
+	Idle int // without a request
+}
+
+// Counts returns the numbers of connections.
+func (l *Listener) Counts() ConnCounts {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return ConnCounts{Open: l.openConns, Used: l.usedConns, Idle: l.idleConns.Len()}
+}
+
+// HTTPServer returns a server for the connections of the listener, which it is to be given by Serve.
+func (l *Listener) HTTPServer(handler http.Handler, log *slog.Logger) *http.Server {
+	return &http.Server{
+		Handler:           handler,
+		ReadHeaderTimeout: HeadTimeout,
+		IdleTimeout:       IdleTimeout,
+		MaxHeaderBytes:    maxRequestHeader,
+		ConnState:         l.onHTTPState,
+		ErrorLog:          slog.NewLogLogger(log.Handler(), slog.LevelDebug),
+	}
+}
+
 // OpenConns is how many connections are open.
 func (l *Listener) OpenConns() int {
 	l.mu.Lock()
@@ -246,7 +283,7 @@
 		l.resume(c)
 	}
 	if c.requestsRead > 0 && c.partialHead { // the first head's time runs from the connection's start
-		_ = c.Conn.SetReadDeadline(time.Now().Add(headTimeout))
+		_ = c.Conn.SetReadDeadline(time.Now().Add(HeadTimeout))
 	}
 }
 
@@ -271,7 +308,7 @@
 	if c.retired {
 		l.resume(c)
 	}
-	_ = c.Conn.SetReadDeadline(time.Now().Add(headTimeout))
+	_ = c.Conn.SetReadDeadline(time.Now().Add(HeadTimeout))
 	return true
 }
 
@@ -290,6 +327,23 @@
 	return failed == nil && err == nil && n > 0
 }
 
+// AcceptedAt is when the connection was accepted.
+func (c *Conn) AcceptedAt() time.Time { return c.acceptedAt }
+
+// ClosesAfterResponse reports whether the next response is to end the connection.
+func (c *Conn) ClosesAfterResponse() bool { return c.listener.closesAfterResponse(c) }
+
+// MarkFinalResponse says that nothing more is served on the connection, though it may linger.
+func (c *Conn) MarkFinalResponse() { c.listener.markFinalResponse(c) }
+
+// SetWriteBuffer sets the bytes of responses that may wait in the system.
+func (c *Conn) SetWriteBuffer(bytes int) error {
+	if tcp, ok := c.Conn.(*net.TCPConn); ok {
+		return tcp.SetWriteBuffer(bytes)
+	}
+	return nil
+}
+
 // PeerClosed tells whether the client has ended its sending, also where bytes that came before that are not read yet.
 func (c *Conn) PeerClosed() bool {
 	inner, ok := c.Conn.(syscall.Conn)
@@ -329,7 +383,7 @@
 	c.retired = false
 	l.retiringConns--
 	l.signalCapacity()
-	_ = c.Conn.SetReadDeadline(time.Now().Add(headTimeout))
+	_ = c.Conn.SetReadDeadline(time.Now().Add(HeadTimeout))
 }
 
 // RetireIdle has connections end that have no request. One that never had any is given unused to bring it: its client
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -60,13 +60,8 @@
 // inUse waits until n connections have brought a request.
 func (p *program) inUse(n int) {
 	p.t.Helper()
-	conns := p.staff.server.Load().conns
-	used := func() int {
-		conns.mu.Lock()
-		defer conns.mu.Unlock()
-		return conns.usedConns
-	}
-	for end := time.Now().Add(testserver.Timeout); used() < n; time.Sleep(time.Millisecond) {
+	conns := p.staff.serving.Load().conns
+	for end := time.Now().Add(testserver.Timeout); conns.Counts().Used < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			p.t.Fatalf("not %d connections in use", n)
 		}
--- a/internal/sidecar/family.go
+++ b/internal/sidecar/family.go
@@ -91,15 +91,12 @@
 }
 
 // share has this process hold a part of what the sidecar may. Two processes count as one.
-func (s *Handler) share(shares int) {
-	b := newBudget(s.config)
-	if s.config.Limits.MostHeld > 0 {
-		b.requests = min(b.requests, s.config.Limits.MostHeld)
-	}
-	s.ids.setMost(b.requests / shares)
-	s.conns.SetLimits(b.clients/shares, max(b.usual/shares, 1))
-	s.host.upstream.SetMaxConns(b.upstream / shares)
-	debug.SetMemoryLimit(int64(float64(s.config.MemoryMB<<20) * memoryShare / float64(shares)))
+func (p *process) share(shares int) {
+	b := newBudget(p.config)
+	p.handler.ids.setMost(b.requests / shares)
+	p.conns.SetLimits(b.clients/shares, max(b.usual/shares, 1))
+	p.host.upstream.SetMaxConns(b.upstream / shares)
+	debug.SetMemoryLimit(int64(float64(p.config.MemoryMB<<20) * memoryShare / float64(shares)))
 }
 
 // join takes over what the other processes know that binds.
--- a/internal/sidecar/ops.go
+++ b/internal/sidecar/ops.go
@@ -15,7 +15,7 @@
 	host    *host
 	figures *stats.Figures
 	family  *family
-	server  atomic.Pointer[Handler] // nil: does not listen yet
+	serving atomic.Pointer[serving] // nil: does not listen yet
 	told    atomic.Bool             // other processes can see that this one is ready
 	part    atomic.Pointer[Part]    // in the fleet; nil: there is none
 	gate    *gate                   // set before it listens; nil: the fleet has no policy, or there is none
@@ -27,13 +27,19 @@
 	obeys map[string]bool // servers that the fleet last had out
 }
 
+// serving is what answers clients once a process listens.
+type serving struct {
+	handler *Handler
+	conns   *Listener
+}
+
 // Ready implements console.Sidecar.
 func (o *ops) Ready() (bool, string) {
-	s := o.server.Load()
+	s := o.serving.Load()
 	switch {
 	case s == nil:
 		return false, "not listening yet"
-	case s.draining.Load():
+	case s.handler.draining.Load():
 		return false, "told to stop"
 	}
 	select {
@@ -54,8 +60,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if s := o.server.Load(); s != nil {
-		g.InProgress = int(s.ids.inHand.Load())
+	if s := o.serving.Load(); s != nil {
+		g.InProgress = int(s.handler.ids.inHand.Load())
 	}
 	var text bytes.Buffer
 	if err := o.figures.Write(&text, g); err != nil {
--- a/internal/sidecar/readahead_test.go
+++ b/internal/sidecar/readahead_test.go
@@ -103,7 +103,7 @@
 // order, and the next one is served.
 func TestHandlerPanics(t *testing.T) {
 	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, testserver.StartBackend(t, testserver.Respond(200, "", "ok"))), testserver.Settings))
-	s := p.staff.server.Load()
+	s := p.staff.serving.Load().handler
 	ids := s.ids
 	s.ids = nil // which api uses once it has read the request
 	c := p.dial()
--- a/internal/sidecar/response.go
+++ b/internal/sidecar/response.go
@@ -28,7 +28,7 @@
 
 // answerPanic is deferred by the handler. Where a fault of the program ends the handler before an answer has begun, the
 // request gets an error; net/http would close its connection without one. An abort on purpose goes on.
-func (s *Handler) answerPanic(w *response, conn *Conn) {
+func (s *Handler) answerPanic(w *response, conn ClientConn) {
 	cause := recover()
 	switch {
 	case cause == nil:
@@ -39,6 +39,6 @@
 	s.host.log.Error("handler panicked", "cause", cause, "stack", string(debug.Stack()))
 	(&fault{http.StatusInternalServerError, "internal error", ""}).write(w)
 	if conn != nil {
-		s.conns.markFinalResponse(conn)
+		conn.MarkFinalResponse()
 	}
 }
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -16,6 +16,7 @@
 	"milletramp.example/milletramp/internal/config"
 	"milletramp.example/milletramp/internal/console"
 	"milletramp.example/milletramp/internal/handover"
+	"milletramp.example/milletramp/internal/netretry"
 )
 
 const memoryShare = 0.6 // of the limit that the heap may grow to; the rest is for what is not heap
@@ -36,7 +37,7 @@
 func Run(stop context.Context, reload <-chan os.Signal, c *config.Config, log *slog.Logger, join Join) error {
 	return run(stop, reload, c, log, join, drainTimes{accept: 450 * time.Millisecond, quiet: 25 * time.Millisecond,
 		closeIdle: 300 * time.Millisecond, unused: 300 * time.Millisecond, listen: time.Second,
-		idle: idleTimeout + 200*time.Millisecond, deadline: killDeadline}, hooks{started: func(*ops) {}})
+		idle: IdleTimeout + 200*time.Millisecond, deadline: killDeadline}, hooks{started: func(*ops) {}})
 }
 
 // run is Run with the times and hooks of a test. It starts and ends all goroutines of the process; what is deferred here
@@ -104,11 +105,12 @@
 	host   *host
 	loops  sync.WaitGroup // end with the context of run
 
-	ops      *ops
-	listener *DrainListener
-	server   *Handler
-	web      *http.Server
-	served   chan error // gets what ended web.Serve, once
+	ops       *ops
+	accepting *DrainListener // accepts from the kernel
+	conns     *Listener      // holds the clients' connections
+	handler   *Handler
+	web       *http.Server
+	served    chan error // gets what ended web.Serve, once
 }
 
 // startLoops starts the host's loop and the one that reloads the configuration, also while draining.
@@ -163,28 +165,32 @@
 
 // startServing serves the clients that connect to inner.
 func (p *process) startServing(ctx context.Context, inner *net.TCPListener, hasPredecessor bool) {
-	p.listener = &DrainListener{TCPListener: inner, accept: p.hooks.accept, quietPeriod: p.times.quiet}
-	if err := p.listener.ShareConnections(); err != nil {
+	p.accepting = &DrainListener{TCPListener: inner, accept: p.hooks.accept, quietPeriod: p.times.quiet}
+	if err := p.accepting.ShareConnections(); err != nil {
 		p.log.Debug("the kernel chooses among the processes of this address", "err", err)
 	}
-	p.server = NewHandler(p.config, p.host, p.listener)
-	p.server.gate = p.ops.gate
+	b := newBudget(p.config)
+	p.conns = NewListener(netretry.NewListener(p.accepting, p.log), b.clients, b.usual, &p.host.figures.Unserved)
+	p.handler = NewHandler(p.config, p.host)
+	context.AfterFunc(p.handler.ending, p.conns.RetireAll)
+	p.handler.gate = p.ops.gate
 	p.loops.Add(1)
 	go func() { // ends with ctx
 		defer p.loops.Done()
 		p.ops.family.follow(ctx, func(shares int) {
 			p.log.Info("processes of this sidecar", "count", shares)
-			p.server.share(shares)
+			p.share(shares)
 		})
 	}()
 	if hasPredecessor {
 		p.ops.family.shares.Store(2)
-		p.server.share(2)
+		p.share(2)
 	}
-	p.web = p.server.httpServer(p.log)
+	p.web = p.conns.HTTPServer(p.handler, p.log)
+	p.web.ConnContext = ConnContext
 	p.served = make(chan error, 1)
-	go func() { p.served <- p.web.Serve(p.server.conns) }() // ends when drain closes the listener
-	p.ops.server.Store(p.server)
+	go func() { p.served <- p.web.Serve(p.conns) }() // ends when drain closes the listener
+	p.ops.serving.Store(&serving{p.handler, p.conns})
 	p.hooks.started(p.ops)
 	p.log.Info("serving", "name", p.config.Name, "address", inner.Addr().String())
 }
@@ -216,21 +222,21 @@
 // drain ends serving once all that was read has its answer. Connections that are waiting when the listener closes are
 // reset, and what they sent is lost. So this goes on accepting and serving first, and only asks clients to close.
 func (p *process) drain() error {
-	p.server.drain(p.times.deadline) // first: the time until the kill runs
+	p.handler.drain(p.times.deadline) // first: the time until the kill runs
 	succeeded := p.ops.family.successor()
 	p.log.Info("draining", "succeeded", succeeded)
 	p.setPhase(handover.Draining, "the next process does not know that this one drains")
 	accept, closeIdle := p.times.accept, p.times.closeIdle
 	if succeeded {
 		accept, closeIdle = 0, p.times.idle // the next process takes what comes
-		if err := p.listener.RedirectToSuccessor(); err != nil {
+		if err := p.accepting.RedirectToSuccessor(); err != nil {
 			p.log.Warn("connections that come just now may be reset", "err", err)
 		}
 	}
 	idleFrom := time.Now().Add(closeIdle)
-	idle := time.AfterFunc(closeIdle, func() { p.server.conns.RetireIdle(p.times.unused) })
+	idle := time.AfterFunc(closeIdle, func() { p.conns.RetireIdle(p.times.unused) })
 	defer idle.Stop()
-	if err := p.listener.Drain(accept); err != nil {
+	if err := p.accepting.Drain(accept); err != nil {
 		return fmt.Errorf("drain: %w", err)
 	}
 	<-p.served
@@ -251,12 +257,12 @@
 // reads what still comes on connections and drops it, and closes others under a request that was just read. So
 // connections end one by one, each when it has answered, or has nothing to answer.
 func (p *process) awaitConnections(idleFrom time.Time) {
-	for p.server.conns.OpenConns() > 0 {
+	for p.conns.OpenConns() > 0 {
 		switch {
-		case p.server.ending.Err() != nil:
-			p.server.conns.RetireAll()
+		case p.handler.ending.Err() != nil:
+			p.conns.RetireAll()
 		case time.Now().After(idleFrom):
-			p.server.conns.RetireIdle(p.times.unused)
+			p.conns.RetireIdle(p.times.unused)
 		}
 		time.Sleep(p.times.quiet)
 	}
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -4,8 +4,6 @@
 	"context"
 	"errors"
 	"io"
-	"log/slog"
-	"net"
 	"net/http"
 	"os"
 	"strconv"
@@ -15,24 +13,17 @@
 
 	"milletramp.example/milletramp/balance"
 	"milletramp.example/milletramp/internal/config"
-	"milletramp.example/milletramp/internal/netretry"
 	"milletramp.example/milletramp/internal/upstream"
 )
 
 const (
 	maxRequestBody = 32 << 20 // bytes of a request's body
-	// headTimeout is how long a client may take to send a head: 2 s are its right. One that never ends would hold
-	// its connection for good.
-	headTimeout = 2300 * time.Millisecond
 	// bodyWithin is how long after a connection's start a body has to begin to keep its pace, and bodyGrace how long after
 	// its head, where that is later. A peer that sends no whole request is owed an end 3 s after it connected.
 	bodyWithin  = 2700 * time.Millisecond
 	bodyGrace   = 400 * time.Millisecond
 	bodyPace    = 48 << 10        // bytes a second that a body comes at least, less than the 64 kB that are a client's right
 	writeWithin = 2 * time.Second // a client may take to receive a short answer, or a piece of a long one
-	// idleTimeout is how long a client's connection may idle; clients expect it to stay open for 2 s. Clients that
-	// ask once and keep the connection take, all together, those that others need.
-	idleTimeout = 2 * time.Second
 )
 
 // Handler answers the application.
@@ -40,7 +31,6 @@
 	host     *host
 	config   *config.Config
 	ids      *ids
-	conns    *Listener
 	draining atomic.Bool
 	ends     atomic.Pointer[time.Time] // when this process may be killed at the earliest, once it drains
 	gate     *gate                     // set before it serves; nil: the settings are those of the own file
@@ -50,15 +40,11 @@
 	end    context.CancelFunc
 }
 
-// NewHandler returns a server for the connections that l accepts.
-func NewHandler(c *config.Config, h *host, l net.Listener) *Handler {
+// NewHandler returns the handler of a process that has this configuration.
+func NewHandler(c *config.Config, h *host) *Handler {
 	b := newBudget(c)
-	if c.Limits.MostHeld > 0 {
-		b.requests = min(b.requests, c.Limits.MostHeld)
-	}
-	conns := NewListener(netretry.NewListener(l, h.log), b.clients, b.usual, &h.figures.Unserved)
 	ending, end := context.WithCancel(context.Background())
-	return &Handler{host: h, config: c, ids: newIDs(b.requests), conns: conns,
+	return &Handler{host: h, config: c, ids: newIDs(b.requests),
 		room: &room{most: c.MemoryMB << 20 / bodyShare / upstream.MaxBufferedBody}, ending: ending, end: end}
 }
 
@@ -76,10 +62,7 @@
 	s.ends.Store(&ends)
 	s.draining.Store(true)
 	s.host.Post(func() { s.host.endBy(ends) })
-	time.AfterFunc(time.Until(ends), func() {
-		s.end()
-		s.conns.RetireAll()
-	})
+	time.AfterFunc(time.Until(ends), s.end)
 }
 
 // enter waits for a policy, for as long as an answer can still be given.
@@ -112,29 +95,19 @@
 	return longest
 }
 
-// connKey is the key of a request's *clientConn in its context.
-type connKey struct{}
-
-// httpServer returns the HTTP server that serves s.
-func (s *Handler) httpServer(log *slog.Logger) *http.Server {
-	return &http.Server{Handler: s, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxRequestHeader,
-		ConnState: s.conns.onHTTPState, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
-		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }}
-}
-
 // ServeHTTP implements http.Handler.
 func (s *Handler) ServeHTTP(to http.ResponseWriter, r *http.Request) {
 	came, w := time.Now(), &response{ResponseWriter: to}
 	// What HTTP/1.0 says of a body's length is not to be relied on, and so what follows it is not either.
-	conn, _ := r.Context().Value(connKey{}).(*Conn) // nil: not from httpServer
+	conn := clientConnOf(r)
 	defer s.answerPanic(w, conn)
-	if s.draining.Load() || !r.ProtoAtLeast(1, 1) || s.conns.closesAfterResponse(conn) {
+	if s.draining.Load() || !r.ProtoAtLeast(1, 1) || conn != nil && conn.ClosesAfterResponse() {
 		w.Header().Set("Connection", "close")
 	}
 	if f := s.route(w, r, came); f != nil {
 		f.write(w)
 		if conn != nil {
-			s.conns.markFinalResponse(conn)
+			conn.MarkFinalResponse()
 		}
 	}
 }
@@ -270,7 +243,7 @@
 // leaving returns what tells whether the client of a request has left. net/http sees its close only once all that came before it is
 // read, which other requests may be.
 func leaving(r *http.Request) (left func() bool) {
-	conn, _ := r.Context().Value(connKey{}).(*Conn)
+	conn := clientConnOf(r)
 	return func() bool { return r.Context().Err() != nil || conn != nil && conn.PeerClosed() }
 }
 
@@ -286,8 +259,8 @@
 // body reads a request's body, in pieces of mostBody bytes at most. release gives back the room that it took.
 func (s *Handler) body(w http.ResponseWriter, r *http.Request, came time.Time) (body [][]byte, release func(), f *fault) {
 	conn, start := http.NewResponseController(w), came.Add(bodyGrace)
-	if c, ok := r.Context().Value(connKey{}).(*Conn); ok && c.acceptedAt.Add(bodyWithin).After(start) {
-		start = c.acceptedAt.Add(bodyWithin)
+	if c := clientConnOf(r); c != nil && c.AcceptedAt().Add(bodyWithin).After(start) {
+		start = c.AcceptedAt().Add(bodyWithin)
 	}
 	defer s.stopReading(conn)()
 	size := 4 << 10
--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"io"
-	"net"
 	"net/http"
 	"strconv"
 	"sync"
@@ -35,10 +34,8 @@
 	whole, ours := false, false
 	// A full send buffer takes more when a third of it is free. A slow client would take a large one's third for
 	// longer than any piece may take.
-	if client, ok := r.Context().Value(connKey{}).(*Conn); ok {
-		if tcp, ok := client.Conn.(*net.TCPConn); ok {
-			_ = tcp.SetWriteBuffer(clientSendBuffer) // the system's own is only worse
-		}
+	if client := clientConnOf(r); client != nil {
+		_ = client.SetWriteBuffer(clientSendBuffer) // the system's own is only worse
 	}
 	defer func() { a.rest.Finish(whole) }()
 	defer context.AfterFunc(s.ending, a.rest.ShortenPause)()
