--- a/internal/sidecar/listen.go
+++ b/internal/downstream/drain_listener.go
@@ -1,4 +1,4 @@
-package sidecar
+package downstream
 
 import (
 	"context"
@@ -12,37 +12,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"milletramp.example/milletramp/internal/discovery"
 	"milletramp.example/milletramp/internal/netretry"
 )
 
-// listenWithin bounds how long listening is tried where this machine is short of something. A process has to be ready
-// within 10 s, and listens at two addresses.
-const listenWithin = 4 * time.Second
-
-// hooks let a test see and replace what a process does with the system; zero: nothing is.
-type hooks struct {
-	started func(*ops) // gets what the console asks, once the process listens
-	listen  func(open openFunc) (*net.TCPListener, error)
-	accept  func(*net.TCPListener) (net.Conn, error)
-	dial    discovery.DialFunc // to servers
-}
-
-// openFunc opens a listener.
-type openFunc func() (*net.TCPListener, error)
-
-// listening has open tried for listenWithin, or until stop is done.
-func (h *hooks) listening(stop context.Context, open openFunc) (*net.TCPListener, error) {
-	within, cancel := context.WithTimeout(stop, listenWithin)
-	defer cancel()
-	return netretry.Open(within, func() (*net.TCPListener, error) {
-		if h.listen != nil {
-			return h.listen(open)
-		}
-		return open()
-	})
-}
-
 // Listen listens at an address that one process has at a time.
 func Listen(address string) (*net.TCPListener, error) {
 	l, err := net.Listen("tcp", address)
@@ -118,6 +90,13 @@
 	failed      bool // to take one in this round
 }
 
+// NewDrainListener returns a DrainListener on l. accept takes a connection from it; nil: its Accept. quietPeriod is how
+// long none may be left waiting before a drain ends.
+func NewDrainListener(l *net.TCPListener, accept func(*net.TCPListener) (net.Conn, error),
+	quietPeriod time.Duration) *DrainListener {
+	return &DrainListener{TCPListener: l, accept: accept, quietPeriod: quietPeriod}
+}
+
 // hasWaitingConns tells whether a connection waits to be accepted. The accepting looks no more once its time is over, and
 // on a busy machine it is told so late.
 func (l *DrainListener) hasWaitingConns() bool {
--- a/internal/sidecar/listen_test.go
+++ b/internal/downstream/drain_listener_test.go
@@ -1,20 +1,29 @@
-package sidecar
+package downstream
 
 import (
+	"errors"
+	"flag"
 	"fmt"
 	"io"
 	"log/slog"
 	"net"
+	"os"
 	"runtime"
 	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"golang.org/x/sys/unix"
+
+	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
+var successorRounds = flag.Int("successor.rounds", 100, "rounds of TestListenersHandOver")
+
 // TestListenersHandOver has clients open connections all the time while one listener after another takes over the address: none is reset.
 func TestListenersHandOver(t *testing.T) {
-	rounds := max(*stopRounds, 100)
+	rounds := *successorRounds
 	log := slog.New(slog.DiscardHandler)
 	var serving sync.WaitGroup
 	begin := func(address string) (*DrainListener, chan struct{}) {
@@ -22,7 +31,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		l, ended := &DrainListener{TCPListener: inner, quietPeriod: time.Millisecond}, make(chan struct{})
+		l, ended := NewDrainListener(inner, nil, time.Millisecond), make(chan struct{})
 		if err := l.ShareConnections(); err != nil {
 			t.Fatal(err)
 		}
@@ -99,3 +108,52 @@
 	}
 	return nil
 }
+
+// TestBacklog has connections wait unaccepted when the accepting ends: none may be reset.
+func TestBacklog(t *testing.T) {
+	inner := testserver.Listen(t).(*net.TCPListener)
+	l := &DrainListener{TCPListener: inner, quietPeriod: time.Second}
+	const n = 3
+	for range n {
+		c, err := net.Dial("tcp", inner.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer c.Close()
+	}
+	if err := l.Drain(-time.Second); err != nil { // long over
+		t.Fatal(err)
+	}
+	for i := range n {
+		c, err := l.Accept()
+		if err != nil {
+			t.Fatalf("connection %d: %v", i, err)
+		}
+		c.Close()
+	}
+	if _, err := l.Accept(); err == nil {
+		t.Error("accepting did not end")
+	}
+}
+
+// TestDrainEnds has accepting fail for good while a connection waits: the end comes after some rounds.
+func TestDrainEnds(t *testing.T) {
+	inner, calls := testserver.Listen(t).(*net.TCPListener), 0
+	c, err := net.Dial("tcp", inner.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	l := &DrainListener{TCPListener: inner, quietPeriod: time.Nanosecond, accept: func(*net.TCPListener) (net.Conn, error) {
+		if calls++; calls%3 == 0 {
+			return nil, os.ErrDeadlineExceeded
+		}
+		return nil, os.NewSyscallError("accept4", unix.EMFILE)
+	}}
+	for calls < 10*maxFailedRounds && !errors.Is(err, net.ErrClosed) {
+		_, err = l.Accept()
+	}
+	if !errors.Is(err, net.ErrClosed) || calls < 3*maxFailedRounds {
+		t.Errorf("error %v after %d calls", err, calls)
+	}
+}
--- a/internal/sidecar/framing.go
+++ b/internal/downstream/framing.go
@@ -1,4 +1,4 @@
-package sidecar
+package downstream
 
 import (
 	"bytes"
--- /dev/null
+++ b/internal/downstream/listener_test.go
@@ -0,0 +1,331 @@
+package downstream
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"testing"
+	"time"
+
+	"milletramp.example/milletramp/internal/lab/testserver"
+	"milletramp.example/milletramp/internal/stats"
+)
+
+// TestClientConns follows the bound itself: a connection with a request is never closed for another.
+func TestClientConns(t *testing.T) {
+	l := NewListener(testserver.Listen(t), 2, 2, &stats.Unserved{})
+	var taken []*Conn
+	accept := func() *Conn {
+		c, err := net.Dial("tcp", l.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { c.Close() })
+		got, err := l.Accept()
+		if err != nil {
+			t.Fatal(err)
+		}
+		conn := got.(*Conn)
+		taken = append(taken, conn)
+		go func() { // as the server does
+			if _, err := conn.Read(make([]byte, 1)); err != nil {
+				l.onHTTPState(conn, http.StateClosed)
+			}
+		}()
+		return conn
+	}
+	busy, idle := accept(), accept()
+	l.onHTTPState(busy, http.StateActive)
+	third := accept()
+	closed := func(c *Conn) bool {
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		return c.closed
+	}
+	if closed(busy) || !closed(idle) || closed(third) {
+		t.Fatalf("closed: busy %v, idle %v, third %v", closed(busy), closed(idle), closed(third))
+	}
+	l.onHTTPState(third, http.StateActive)
+	l.onHTTPState(idle, http.StateClosed) // the server hears of it late
+	l.markFinalResponse(busy)
+	accept()
+	if !closed(busy) || closed(third) {
+		t.Errorf("closed: ending %v, busy %v", closed(busy), closed(third))
+	}
+	for _, c := range taken {
+		l.onHTTPState(c, http.StateClosed)
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if n := l.unserved[stats.Room].Load(); n != 1 {
+		t.Errorf("%d connections ended unserved for room, want 1", n)
+	}
+	if l.openConns != 0 || l.usedConns != 0 || l.idleConns.Len() != 0 {
+		t.Errorf("%d open and %d idle after the end of all", l.openConns, l.idleConns.Len())
+	}
+}
+
+// caught is a connection that calls got when its Read has got something, before that returns.
+type caught struct {
+	net.Conn
+	got func()
+}
+
+// Read implements net.Conn.
+func (c *caught) Read(p []byte) (int, error) {
+	n, err := c.Conn.Read(p)
+	if n > 0 && c.got != nil {
+		c.got()
+	}
+	return n, err
+}
+
+// TestRetiredUnderARequest retires a connection between the moment that its reader has got a request and the moment that
+// anybody can know: the request is served, and its answer ends the connection.
+func TestRetiredUnderARequest(t *testing.T) {
+	for _, tt := range []struct {
+		name   string
+		before string // sent and answered first
+		retire func(*Listener, *Conn)
+	}{
+		{"new, for room", "", func(l *Listener, c *Conn) { l.beginRetire(c, stats.Room) }},
+		{"used, for room", "GET / HTTP/1.1\r\n\r\n", func(l *Listener, c *Conn) { l.beginRetire(c, stats.Room) }},
+		{"used, stopping", "GET / HTTP/1.1\r\n\r\n", func(l *Listener, c *Conn) {
+			l.mu.Unlock()
+			l.RetireIdle(0)
+			l.mu.Lock()
+		}},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			l := NewListener(testserver.Listen(t), 2, 2, &stats.Unserved{})
+			out, err := net.Dial("tcp", l.Addr().String())
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer out.Close()
+			accepted, err := l.Accept()
+			if err != nil {
+				t.Fatal(err)
+			}
+			c := accepted.(*Conn)
+			inner := &caught{Conn: c.Conn}
+			c.Conn = inner
+			buffer := make([]byte, 1000)
+			if tt.before != "" {
+				fmt.Fprint(out, tt.before)
+				if _, err := c.Read(buffer); err != nil {
+					t.Fatal(err)
+				}
+				l.onHTTPState(c, http.StateActive)
+				l.onHTTPState(c, http.StateIdle)
+			}
+			inner.got = func() {
+				l.mu.Lock()
+				defer l.mu.Unlock()
+				tt.retire(l, c)
+				if !c.retired {
+					t.Error("it is not retired")
+				}
+			}
+			request := "GET /api HTTP/1.1\r\n\r\n"
+			fmt.Fprint(out, request)
+			if n, err := c.Read(buffer); n != len(request) || err != nil {
+				t.Fatalf("%d bytes, error %v", n, err)
+			}
+			inner.got = nil
+			if c.retired || !c.closeAfterResponse || c.idleElement != nil || l.retiringConns != 0 || !l.closesAfterResponse(c) {
+				t.Errorf("retired %v, last %v, idle %v, %d leaving", c.retired, c.closeAfterResponse, c.idleElement != nil, l.retiringConns)
+			}
+			fmt.Fprint(out, "x")
+			if _, err := c.Read(buffer); err != nil { // its deadline is not over
+				t.Errorf("error %v behind the request", err)
+			}
+		})
+	}
+}
+
+// TestRetiredBesideARequest retires a connection, and lets its idle time run out, where a request waits unread.
+func TestRetiredBesideARequest(t *testing.T) {
+	for _, retired := range []bool{true, false} {
+		l := NewListener(testserver.Listen(t), 2, 2, &stats.Unserved{})
+		out, err := net.Dial("tcp", l.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer out.Close()
+		accepted, err := l.Accept()
+		if err != nil {
+			t.Fatal(err)
+		}
+		c := accepted.(*Conn)
+		l.onHTTPState(c, http.StateActive)
+		l.onHTTPState(c, http.StateIdle)
+		fmt.Fprint(out, "GET /api HTTP/1.1\r\n\r\n")
+		for end := time.Now().Add(testserver.Timeout); !c.hasUnreadInput(); time.Sleep(time.Millisecond) {
+			if time.Now().After(end) {
+				t.Fatal("nothing came")
+			}
+		}
+		if retired {
+			l.RetireIdle(0)
+		} else if err := c.SetReadDeadline(pastDeadline); err != nil {
+			t.Fatal(err)
+		}
+		if n, err := c.Read(make([]byte, 1000)); n == 0 || err != nil || c.closeAfterResponse != retired || c.retired {
+			t.Errorf("retired %v: %d bytes, error %v, last %v", retired, n, err, c.closeAfterResponse)
+		}
+		l.onHTTPState(c, http.StateActive)
+		l.onHTTPState(c, http.StateIdle)
+		if c.retired != retired {
+			t.Errorf("behind its answer retired is %v, want %v", c.retired, retired)
+		}
+	}
+}
+
+// TestLingeringMakesRoom: a connection is read on behind its last answer until its client ends it, but not where its descriptor is wanted.
+func TestLingeringMakesRoom(t *testing.T) {
+	for _, tt := range []struct {
+		name  string
+		most  int
+		reset bool // its client finds it reset
+	}{{"room is left", 2, false}, {"none is left", 1, true}} {
+		t.Run(tt.name, func(t *testing.T) {
+			l := NewListener(testserver.Listen(t), tt.most, tt.most, &stats.Unserved{})
+			out, err := net.Dial("tcp", l.Addr().String())
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer out.Close()
+			accepted, err := l.Accept()
+			if err != nil {
+				t.Fatal(err)
+			}
+			c := accepted.(*Conn)
+			l.onHTTPState(c, http.StateActive)
+			if _, err := out.Write(make([]byte, 1000)); err != nil {
+				t.Fatal(err)
+			}
+			for !c.hasUnreadInput() {
+				time.Sleep(time.Millisecond) // for the bytes to come
+			}
+			closed := make(chan error, 1)
+			go func() { closed <- c.Close() }()
+			if _, err := io.ReadAll(out); (err != nil) != tt.reset {
+				t.Errorf("error %v, want a reset: %v", err, tt.reset)
+			}
+			out.Close()
+			if err := testserver.Receive(t, closed, "close"); err != nil {
+				t.Error(err)
+			}
+		})
+	}
+}
+
+// TestConnectionWithNextRequestIsNotIdle has a client send two requests at once. Behind the first response the reader has the second
+// request already: the connection counts as busy, and is not retired.
+func TestConnectionWithNextRequestIsNotIdle(t *testing.T) {
+	l := NewListener(testserver.Listen(t), 2, 2, &stats.Unserved{})
+	out, err := net.Dial("tcp", l.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer out.Close()
+	accepted, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	c := accepted.(*Conn)
+	requests := "GET /api HTTP/1.1\r\n\r\nGET /api HTTP/1.1\r\n\r\n"
+	fmt.Fprint(out, requests)
+	for got, buffer := 0, make([]byte, 1000); got < len(requests); {
+		n, err := c.Read(buffer)
+		if err != nil {
+			t.Fatal(err)
+		}
+		got += n
+	}
+	l.onHTTPState(c, http.StateActive)
+	l.onHTTPState(c, http.StateIdle)
+	l.RetireIdle(0)
+	l.RetireAll()
+	if c.idleElement != nil || c.retired || c.closeAfterResponse || !l.hasRequest(c) {
+		t.Errorf("idle %v, retired %v, last %v, has a request %v", c.idleElement != nil, c.retired, c.closeAfterResponse, l.hasRequest(c))
+	}
+	l.onHTTPState(c, http.StateActive)
+	l.onHTTPState(c, http.StateIdle)
+	if c.idleElement == nil || l.hasRequest(c) {
+		t.Errorf("behind its last response: idle %v, has a request %v", c.idleElement != nil, l.hasRequest(c))
+	}
+}
+
+// TestBodyTimeBehindARequest lets the time for a body run out once the body has come whole: the request is in hand, and
+// what net/http reads ahead must not fail, but for net/http's own end of it.
+func TestBodyTimeBehindARequest(t *testing.T) {
+	l := NewListener(testserver.Listen(t), 2, 2, &stats.Unserved{})
+	out, err := net.Dial("tcp", l.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer out.Close()
+	accepted, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	c := accepted.(*Conn)
+	read := func() (int, error) { return c.Read(make([]byte, 1000)) }
+	fmt.Fprint(out, "POST /api HTTP/1.1\r\nContent-Length: 4\r\n\r\nsk")
+	if _, err := read(); err != nil {
+		t.Fatal(err)
+	}
+	l.onHTTPState(c, http.StateActive)
+	over := time.Now().Add(-time.Second)
+	if err := c.SetReadDeadline(over); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := read(); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("error %v in a body whose time is over", err)
+	}
+	fmt.Fprint(out, "ip")
+	_ = c.SetReadDeadline(time.Now().Add(testserver.Timeout))
+	if _, err := read(); err != nil {
+		t.Fatal(err)
+	}
+	_ = c.SetReadDeadline(over)
+	fmt.Fprint(out, "G")
+	if n, err := read(); n != 1 || err != nil {
+		t.Errorf("%d bytes, error %v behind a whole body", n, err)
+	}
+	_ = c.SetReadDeadline(pastDeadline)
+	if _, err := read(); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("error %v where reading ahead is ended", err)
+	}
+}
+
+// TestEndLeavesTheLastAnswer: a connection that lingers is not closed by the end, which would reset it where bytes are
+// unread, but lingers for less.
+func TestEndLeavesTheLastAnswer(t *testing.T) {
+	l := NewListener(testserver.Listen(t), 2, 2, &stats.Unserved{})
+	out, err := net.Dial("tcp", l.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer out.Close()
+	accepted, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer accepted.Close()
+	c, began := accepted.(*Conn), time.Now()
+	l.onHTTPState(c, http.StateActive)
+	l.markFinalResponse(c)
+	l.RetireAll()
+	if c.closed || c.retired {
+		t.Error("it is closed behind its last answer")
+	}
+	if until := l.lingerDeadline(began); !until.Equal(l.shutdownAt.Add(finalLingerTimeout)) {
+		t.Errorf("it lingers for %v, want %v behind the end", until.Sub(began), finalLingerTimeout)
+	}
+}
--- a/internal/sidecar/churn_test.go
+++ b/internal/sidecar/churn_test.go
@@ -11,6 +11,7 @@
 
 	"milletramp.example/milletramp/balance"
 	"milletramp.example/milletramp/internal/discovery"
+	"milletramp.example/milletramp/internal/downstream"
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
@@ -43,7 +44,7 @@
 	go h.run(ctx)
 	s := NewHandler(c, h)
 	limits := newBudget(c)
-	conns := NewListener(testserver.Listen(t), limits.clients, limits.usual, &h.figures.Unserved)
+	conns := downstream.NewListener(testserver.Listen(t), limits.clients, limits.usual, &h.figures.Unserved)
 	web := conns.HTTPServer(s, log)
 	web.ConnContext = ConnContext
 	go func() { _ = web.Serve(conns) }()
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"milletramp.example/milletramp/internal/config"
+	"milletramp.example/milletramp/internal/downstream"
 	"milletramp.example/milletramp/internal/lab/testserver"
-	"milletramp.example/milletramp/internal/stats"
 )
 
 // head is a good request's head without its end.
@@ -64,7 +64,7 @@
 		{"body on GET", head("GET", "i", "read") + "Content-Length: 4\r\n\r\nskip" + hidden, 400},
 		{"no HTTP", "hello\r\n\r\n" + hidden, 400},
 		{"no end of the head", pay, 0},
-		{"head too long", pay + "X: " + strings.Repeat("x", 2*maxRequestHeader), 431},
+		{"head too long", pay + "X: " + strings.Repeat("x", 2*(16<<10)), 431},
 		{"half a body", pay + "Content-Length: 400\r\n\r\nhalf", 408},
 		{"nothing", "", 0},
 		{"faults in a row", strings.Repeat(head("GET", "i", "sing")+"\r\n", 20) + hidden, 400},
@@ -81,8 +81,8 @@
 			}
 		})
 	}
-	if most := max(HeadTimeout, bodyWithin, HeadTimeout+bodyGrace); most > 2800*time.Millisecond || HeadTimeout < 2200*time.Millisecond {
-		t.Errorf("a head may take %v, a peer without a request is held for %v; 2 s are a client's right, 3 s owed", HeadTimeout, most)
+	if most := max(downstream.HeadTimeout, bodyWithin, downstream.HeadTimeout+bodyGrace); most > 2800*time.Millisecond || downstream.HeadTimeout < 2200*time.Millisecond {
+		t.Errorf("a head may take %v, a peer without a request is held for %v; 2 s are a client's right, 3 s owed", downstream.HeadTimeout, most)
 	}
 	if n := b.RequestCount(); n != 0 {
 		t.Errorf("%d requests were passed on, the first %+v", n, <-b.Requests)
@@ -177,60 +177,6 @@
 	}
 }
 
-// TestClientConns follows the bound itself: a connection with a request is never closed for another.
-func TestClientConns(t *testing.T) {
-	l := NewListener(testserver.Listen(t), 2, 2, &stats.Unserved{})
-	var taken []*Conn
-	accept := func() *Conn {
-		c, err := net.Dial("tcp", l.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { c.Close() })
-		got, err := l.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		conn := got.(*Conn)
-		taken = append(taken, conn)
-		go func() { // as the server does
-			if _, err := conn.Read(make([]byte, 1)); err != nil {
-				l.onHTTPState(conn, http.StateClosed)
-			}
-		}()
-		return conn
-	}
-	busy, idle := accept(), accept()
-	l.onHTTPState(busy, http.StateActive)
-	third := accept()
-	closed := func(c *Conn) bool {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		return c.closed
-	}
-	if closed(busy) || !closed(idle) || closed(third) {
-		t.Fatalf("closed: busy %v, idle %v, third %v", closed(busy), closed(idle), closed(third))
-	}
-	l.onHTTPState(third, http.StateActive)
-	l.onHTTPState(idle, http.StateClosed) // the server hears of it late
-	l.markFinalResponse(busy)
-	accept()
-	if !closed(busy) || closed(third) {
-		t.Errorf("closed: ending %v, busy %v", closed(busy), closed(third))
-	}
-	for _, c := range taken {
-		l.onHTTPState(c, http.StateClosed)
-	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if n := l.unserved[stats.Room].Load(); n != 1 {
-		t.Errorf("%d connections ended unserved for room, want 1", n)
-	}
-	if l.openConns != 0 || l.usedConns != 0 || l.idleConns.Len() != 0 {
-		t.Errorf("%d open and %d idle after the end of all", l.openConns, l.idleConns.Len())
-	}
-}
-
 // TestKeepAlive sends good requests one after another on one connection.
 func TestKeepAlive(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
--- a/internal/sidecar/kill_test.go
+++ b/internal/sidecar/kill_test.go
@@ -14,7 +14,6 @@
 	"time"
 
 	"milletramp.example/milletramp/internal/lab/testserver"
-	"milletramp.example/milletramp/internal/stats"
 	"milletramp.example/milletramp/internal/upstream"
 )
 
@@ -124,29 +123,3 @@
 		})
 	}
 }
-
-// TestEndLeavesTheLastAnswer: a connection that lingers is not closed by the end, which would reset it where bytes are
-// unread, but lingers for less.
-func TestEndLeavesTheLastAnswer(t *testing.T) {
-	l := NewListener(testserver.Listen(t), 2, 2, &stats.Unserved{})
-	out, err := net.Dial("tcp", l.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer out.Close()
-	accepted, err := l.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer accepted.Close()
-	c, began := accepted.(*Conn), time.Now()
-	l.onHTTPState(c, http.StateActive)
-	l.markFinalResponse(c)
-	l.RetireAll()
-	if c.closed || c.retired {
-		t.Error("it is closed behind its last answer")
-	}
-	if until := l.lingerDeadline(began); !until.Equal(l.shutdownAt.Add(finalLingerTimeout)) {
-		t.Errorf("it lingers for %v, want %v behind the end", until.Sub(began), finalLingerTimeout)
-	}
-}
--- a/internal/sidecar/linger_test.go
+++ b/internal/sidecar/linger_test.go
@@ -8,10 +8,8 @@
 	"net/http"
 	"strings"
 	"testing"
-	"time"
 
 	"milletramp.example/milletramp/internal/lab/testserver"
-	"milletramp.example/milletramp/internal/stats"
 )
 
 // lastAnswer reads one answer from c, and fails the test if its connection does not end in order behind it.
@@ -71,42 +69,3 @@
 		p.ended <- nil // for the cleanup
 	})
 }
-
-// TestLingeringMakesRoom: a connection is read on behind its last answer until its client ends it, but not where its descriptor is wanted.
-func TestLingeringMakesRoom(t *testing.T) {
-	for _, tt := range []struct {
-		name  string
-		most  int
-		reset bool // its client finds it reset
-	}{{"room is left", 2, false}, {"none is left", 1, true}} {
-		t.Run(tt.name, func(t *testing.T) {
-			l := NewListener(testserver.Listen(t), tt.most, tt.most, &stats.Unserved{})
-			out, err := net.Dial("tcp", l.Addr().String())
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer out.Close()
-			accepted, err := l.Accept()
-			if err != nil {
-				t.Fatal(err)
-			}
-			c := accepted.(*Conn)
-			l.onHTTPState(c, http.StateActive)
-			if _, err := out.Write(make([]byte, 1000)); err != nil {
-				t.Fatal(err)
-			}
-			for !c.hasUnreadInput() {
-				time.Sleep(time.Millisecond) // for the bytes to come
-			}
-			closed := make(chan error, 1)
-			go func() { closed <- c.Close() }()
-			if _, err := io.ReadAll(out); (err != nil) != tt.reset {
-				t.Errorf("error %v, want a reset: %v", err, tt.reset)
-			}
-			out.Close()
-			if err := testserver.Receive(t, closed, "close"); err != nil {
-				t.Error(err)
-			}
-		})
-	}
-}
--- a/internal/sidecar/ops.go
+++ b/internal/sidecar/ops.go
@@ -7,6 +7,7 @@
 	"sync"
 	"sync/atomic"
 
+	"milletramp.example/milletramp/internal/downstream"
 	"milletramp.example/milletramp/internal/stats"
 )
 
@@ -30,7 +31,7 @@
 // serving is what answers clients once a process listens.
 type serving struct {
 	handler *Handler
-	conns   *Listener
+	conns   *downstream.Listener
 }
 
 // Ready implements console.Sidecar.
--- a/internal/sidecar/readahead_test.go
+++ b/internal/sidecar/readahead_test.go
@@ -12,7 +12,6 @@
 	"time"
 
 	"milletramp.example/milletramp/internal/lab/testserver"
-	"milletramp.example/milletramp/internal/stats"
 )
 
 // TestBadBehindARequest has a client send a good request and, behind it, one that cannot be read, whole or but for its
@@ -56,49 +55,6 @@
 	}
 }
 
-// TestBodyTimeBehindARequest lets the time for a body run out once the body has come whole: the request is in hand, and
-// what net/http reads ahead must not fail, but for net/http's own end of it.
-func TestBodyTimeBehindARequest(t *testing.T) {
-	l := NewListener(testserver.Listen(t), 2, 2, &stats.Unserved{})
-	out, err := net.Dial("tcp", l.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer out.Close()
-	accepted, err := l.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	c := accepted.(*Conn)
-	read := func() (int, error) { return c.Read(make([]byte, 1000)) }
-	fmt.Fprint(out, "POST /api HTTP/1.1\r\nContent-Length: 4\r\n\r\nsk")
-	if _, err := read(); err != nil {
-		t.Fatal(err)
-	}
-	l.onHTTPState(c, http.StateActive)
-	over := time.Now().Add(-time.Second)
-	if err := c.SetReadDeadline(over); err != nil {
-		t.Fatal(err)
-	}
-	if _, err := read(); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("error %v in a body whose time is over", err)
-	}
-	fmt.Fprint(out, "ip")
-	_ = c.SetReadDeadline(time.Now().Add(testserver.Timeout))
-	if _, err := read(); err != nil {
-		t.Fatal(err)
-	}
-	_ = c.SetReadDeadline(over)
-	fmt.Fprint(out, "G")
-	if n, err := read(); n != 1 || err != nil {
-		t.Errorf("%d bytes, error %v behind a whole body", n, err)
-	}
-	_ = c.SetReadDeadline(pastDeadline)
-	if _, err := read(); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("error %v where reading ahead is ended", err)
-	}
-}
-
 // TestHandlerPanics has a fault of the program end the handler: the request gets an error and its connection ends in
 // order, and the next one is served.
 func TestHandlerPanics(t *testing.T) {
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -15,6 +15,7 @@
 
 	"milletramp.example/milletramp/internal/config"
 	"milletramp.example/milletramp/internal/console"
+	"milletramp.example/milletramp/internal/downstream"
 	"milletramp.example/milletramp/internal/handover"
 	"milletramp.example/milletramp/internal/netretry"
 )
@@ -37,7 +38,7 @@
 func Run(stop context.Context, reload <-chan os.Signal, c *config.Config, log *slog.Logger, join Join) error {
 	return run(stop, reload, c, log, join, drainTimes{accept: 450 * time.Millisecond, quiet: 25 * time.Millisecond,
 		closeIdle: 300 * time.Millisecond, unused: 300 * time.Millisecond, listen: time.Second,
-		idle: IdleTimeout + 200*time.Millisecond, deadline: killDeadline}, hooks{started: func(*ops) {}})
+		idle: downstream.IdleTimeout + 200*time.Millisecond, deadline: killDeadline}, hooks{started: func(*ops) {}})
 }
 
 // run is Run with the times and hooks of a test. It starts and ends all goroutines of the process; what is deferred here
@@ -84,7 +85,7 @@
 	if hasPredecessor && !p.awaitServers(stop) {
 		return nil
 	}
-	inner, err := p.hooks.listening(stop, func() (*net.TCPListener, error) { return ListenShared(c.Listen, log) })
+	inner, err := p.hooks.listening(stop, func() (*net.TCPListener, error) { return downstream.ListenShared(c.Listen, log) })
 	if err != nil {
 		return endedBefore(stop, err)
 	}
@@ -106,8 +107,8 @@
 	loops  sync.WaitGroup // end with the context of run
 
 	ops       *ops
-	accepting *DrainListener // accepts from the kernel
-	conns     *Listener      // holds the clients' connections
+	accepting *downstream.DrainListener // accepts from the kernel
+	conns     *downstream.Listener      // holds the clients' connections
 	handler   *Handler
 	web       *http.Server
 	served    chan error // gets what ended web.Serve, once
@@ -138,7 +139,7 @@
 	if p.config.Console == "" {
 		return nil, nil
 	}
-	calls, err := p.hooks.listening(stop, func() (*net.TCPListener, error) { return Listen(p.config.Console) })
+	calls, err := p.hooks.listening(stop, func() (*net.TCPListener, error) { return downstream.Listen(p.config.Console) })
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
 	}
@@ -165,12 +166,12 @@
 
 // startServing serves the clients that connect to inner.
 func (p *process) startServing(ctx context.Context, inner *net.TCPListener, hasPredecessor bool) {
-	p.accepting = &DrainListener{TCPListener: inner, accept: p.hooks.accept, quietPeriod: p.times.quiet}
+	p.accepting = downstream.NewDrainListener(inner, p.hooks.accept, p.times.quiet)
 	if err := p.accepting.ShareConnections(); err != nil {
 		p.log.Debug("the kernel chooses among the processes of this address", "err", err)
 	}
 	b := newBudget(p.config)
-	p.conns = NewListener(netretry.NewListener(p.accepting, p.log), b.clients, b.usual, &p.host.figures.Unserved)
+	p.conns = downstream.NewListener(netretry.NewListener(p.accepting, p.log), b.clients, b.usual, &p.host.figures.Unserved)
 	p.handler = NewHandler(p.config, p.host)
 	context.AfterFunc(p.handler.ending, p.conns.RetireAll)
 	p.handler.gate = p.ops.gate
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -73,11 +73,14 @@
 	return s.gate.enter(ctx, within)
 }
 
+// endReading is a read deadline that is over by any clock. The zero time would be none.
+var endReading = time.Time{}.Add(time.Nanosecond)
+
 // stopReading ends what is read on a connection once the process ends. Nothing is ended any more after done.
 func (s *Handler) stopReading(conn *http.ResponseController) (done func()) {
 	ended := make(chan struct{})
 	stop := context.AfterFunc(s.ending, func() {
-		_ = conn.SetReadDeadline(pastDeadline) // it fails where the connection is closed
+		_ = conn.SetReadDeadline(endReading) // it fails where the connection is closed
 		close(ended)
 	})
 	return func() {
@@ -300,7 +303,7 @@
 			return bad(http.StatusInternalServerError, "no deadline")
 		}
 		if s.ending.Err() != nil { // this process may be killed before the body is whole
-			_ = conn.SetReadDeadline(pastDeadline) // or net/http would wait for the rest; it fails where the connection is closed
+			_ = conn.SetReadDeadline(endReading) // or net/http would wait for the rest; it fails where the connection is closed
 			return bad(http.StatusServiceUnavailable, "refused: this process ends")
 		}
 		n, err := r.Body.Read(piece[len(piece):cap(piece)])
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -369,33 +369,6 @@
 	}
 }
 
-// TestBacklog has connections wait unaccepted when the accepting ends: none may be reset.
-func TestBacklog(t *testing.T) {
-	inner := testserver.Listen(t).(*net.TCPListener)
-	l := &DrainListener{TCPListener: inner, quietPeriod: time.Second}
-	const n = 3
-	for range n {
-		c, err := net.Dial("tcp", inner.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer c.Close()
-	}
-	if err := l.Drain(-time.Second); err != nil { // long over
-		t.Fatal(err)
-	}
-	for i := range n {
-		c, err := l.Accept()
-		if err != nil {
-			t.Fatalf("connection %d: %v", i, err)
-		}
-		c.Close()
-	}
-	if _, err := l.Accept(); err == nil {
-		t.Error("accepting did not end")
-	}
-}
-
 func TestAddressInUse(t *testing.T) {
 	l := testserver.Listen(t)
 	c, err := load(t, testserver.ConfigText("127.0.0.1:9", "", testserver.Settings), "PROXY_LISTEN="+l.Addr().String())
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -9,7 +9,6 @@
 	"log/slog"
 	"net"
 	"net/http"
-	"os"
 	"slices"
 	"strings"
 	"sync"
@@ -84,28 +83,6 @@
 	}
 }
 
-// TestDrainEnds has accepting fail for good while a connection waits: the end comes after some rounds.
-func TestDrainEnds(t *testing.T) {
-	inner, calls := testserver.Listen(t).(*net.TCPListener), 0
-	c, err := net.Dial("tcp", inner.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
-	l := &DrainListener{TCPListener: inner, quietPeriod: time.Nanosecond, accept: func(*net.TCPListener) (net.Conn, error) {
-		if calls++; calls%3 == 0 {
-			return nil, os.ErrDeadlineExceeded
-		}
-		return nil, os.NewSyscallError("accept4", unix.EMFILE)
-	}}
-	for calls < 10*maxFailedRounds && !errors.Is(err, net.ErrClosed) {
-		_, err = l.Accept()
-	}
-	if !errors.Is(err, net.ErrClosed) || calls < 3*maxFailedRounds {
-		t.Errorf("error %v after %d calls", err, calls)
-	}
-}
-
 // TestListenFails has listening fail at the start.
 func TestListenFails(t *testing.T) {
 	for _, tt := range []struct {
