--- a/internal/downstream/framing.go
+++ b/internal/downstream/framing.go
@@ -13,10 +13,7 @@
 var errFraming = errors.New("bad framing")
 
 // maxHeadBytes is well beyond what net/http takes, so that it has its say first.
-const maxHeadBytes = 4 * maxRequestHeader
-
-// maxRequestHeader is the bytes of a request's header that net/http takes.
-const maxRequestHeader = 16 << 10
+const maxHeadBytes = 4 * maxHeaderBytes
 
 // requestFraming follows the bytes that a client sends and finds what net/http would mend: a length beside chunks, a length
 // given twice, and folded lines. Whoever else read such a message would see another one. The zero value is at a
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -43,14 +43,14 @@
 	closed := func(c *Conn) bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return c.closed
+		return c.state == stateClosed
 	}
 	if closed(busy) || !closed(idle) || closed(third) {
 		t.Fatalf("closed: busy %v, idle %v, third %v", closed(busy), closed(idle), closed(third))
 	}
 	l.onHTTPState(third, http.StateActive)
 	l.onHTTPState(idle, http.StateClosed) // the server hears of it late
-	l.markFinalResponse(busy)
+	busy.MarkFinalResponse()
 	accept()
 	if !closed(busy) || closed(third) {
 		t.Errorf("closed: ending %v, busy %v", closed(busy), closed(third))
@@ -126,7 +126,7 @@
 				l.mu.Lock()
 				defer l.mu.Unlock()
 				tt.retire(l, c)
-				if !c.retired {
+				if c.state != stateRetiring {
 					t.Error("it is not retired")
 				}
 			}
@@ -136,8 +136,8 @@
 				t.Fatalf("%d bytes, error %v", n, err)
 			}
 			inner.got = nil
-			if c.retired || !c.closeAfterResponse || c.idleElement != nil || l.retiringConns != 0 || !l.closesAfterResponse(c) {
-				t.Errorf("retired %v, last %v, idle %v, %d leaving", c.retired, c.closeAfterResponse, c.idleElement != nil, l.retiringConns)
+			if c.state == stateRetiring || !c.closeAfterResponse || c.idleElement != nil || l.retiringConns != 0 || !c.ClosesAfterResponse() {
+				t.Errorf("retired %v, last %v, idle %v, %d leaving", (c.state == stateRetiring), c.closeAfterResponse, c.idleElement != nil, l.retiringConns)
 			}
 			fmt.Fprint(out, "x")
 			if _, err := c.Read(buffer); err != nil { // its deadline is not over
@@ -174,13 +174,13 @@
 		} else if err := c.SetReadDeadline(pastDeadline); err != nil {
 			t.Fatal(err)
 		}
-		if n, err := c.Read(make([]byte, 1000)); n == 0 || err != nil || c.closeAfterResponse != retired || c.retired {
+		if n, err := c.Read(make([]byte, 1000)); n == 0 || err != nil || c.closeAfterResponse != retired || (c.state == stateRetiring) {
 			t.Errorf("retired %v: %d bytes, error %v, last %v", retired, n, err, c.closeAfterResponse)
 		}
 		l.onHTTPState(c, http.StateActive)
 		l.onHTTPState(c, http.StateIdle)
-		if c.retired != retired {
-			t.Errorf("behind its answer retired is %v, want %v", c.retired, retired)
+		if (c.state == stateRetiring) != retired {
+			t.Errorf("behind its answer retired is %v, want %v", (c.state == stateRetiring), retired)
 		}
 	}
 }
@@ -251,13 +251,13 @@
 	l.onHTTPState(c, http.StateIdle)
 	l.RetireIdle(0)
 	l.RetireAll()
-	if c.idleElement != nil || c.retired || c.closeAfterResponse || !l.hasRequest(c) {
-		t.Errorf("idle %v, retired %v, last %v, has a request %v", c.idleElement != nil, c.retired, c.closeAfterResponse, l.hasRequest(c))
+	if c.idleElement != nil || (c.state == stateRetiring) || c.closeAfterResponse || !c.hasRequest() {
+		t.Errorf("idle %v, retired %v, last %v, has a request %v", c.idleElement != nil, (c.state == stateRetiring), c.closeAfterResponse, c.hasRequest())
 	}
 	l.onHTTPState(c, http.StateActive)
 	l.onHTTPState(c, http.StateIdle)
-	if c.idleElement == nil || l.hasRequest(c) {
-		t.Errorf("behind its last response: idle %v, has a request %v", c.idleElement != nil, l.hasRequest(c))
+	if c.idleElement == nil || c.hasRequest() {
+		t.Errorf("behind its last response: idle %v, has a request %v", c.idleElement != nil, c.hasRequest())
 	}
 }
 
@@ -320,9 +320,9 @@
 	defer accepted.Close()
 	c, began := accepted.(*Conn), time.Now()
 	l.onHTTPState(c, http.StateActive)
-	l.markFinalResponse(c)
+	c.MarkFinalResponse()
 	l.RetireAll()
-	if c.closed || c.retired {
+	if c.state == stateClosed || (c.state == stateRetiring) {
 		t.Error("it is closed behind its last answer")
 	}
 	if until := l.lingerDeadline(began); !until.Equal(l.shutdownAt.Add(finalLingerTimeout)) {
--- /dev/null
+++ b/internal/downstream/state_test.go
@@ -0,0 +1,85 @@
+package downstream
+
+import (
+	"fmt"
+	"net"
+	"testing"
+
+	"milletramp.example/milletramp/internal/lab/testserver"
+	"milletramp.example/milletramp/internal/stats"
+)
+
+// stateNames and eventNames name the cases of TestTransitions.
+var (
+	stateNames = []string{"new", "idle", "active", "retiring", "lingering", "closed"}
+	eventNames = []string{"input", "request read", "handler started", "response sent", "final response", "retire", "close"}
+)
+
+// TestTransitions holds each event in each state to the table of connState; "-" is an event that is refused.
+func TestTransitions(t *testing.T) {
+	table := [][]string{ // by event, then by state
+		{"new", "idle", "active", "idle", "lingering", "-"},
+		{"active", "active", "active", "active", "active", "-"},
+		{"active", "active", "active", "retiring", "active", "-"},
+		{"-", "-", "idle", "-", "-", "-"},
+		{"-", "-", "lingering", "-", "-", "-"},
+		{"retiring", "retiring", "active", "-", "closed", "-"},
+		{"closed", "closed", "closed", "closed", "closed", "-"},
+	}
+	for event, row := range table {
+		for state, want := range row {
+			t.Run(fmt.Sprintf("%s, %s", stateNames[state], eventNames[event]), func(t *testing.T) {
+				next, ok := nextState(connState(state), connEvent(event), true)
+				switch {
+				case want == "-" && (ok || next != connState(state)):
+					t.Errorf("changes to %s, want that it is refused", stateNames[next])
+				case want != "-" && (!ok || stateNames[next] != want):
+					t.Errorf("changes to %s (%v), want %s", stateNames[next], ok, want)
+				}
+			})
+		}
+	}
+	if len(transitions) != len(table) {
+		t.Errorf("%d events, %d are held to the table", len(transitions), len(table))
+	}
+	if next, ok := nextState(stateRetiring, eventInput, false); !ok || next != stateNew {
+		t.Errorf("one that never had a request goes on as %s (%v), want new", stateNames[next], ok)
+	}
+}
+
+// TestRefusedEventsChangeNothing applies each event that is refused to a tracked connection in each state: its state and
+// the numbers of its listener stay.
+func TestRefusedEventsChangeNothing(t *testing.T) {
+	for event := eventInput; event <= eventClose; event++ {
+		for state := stateNew; state <= stateClosed; state++ {
+			if _, ok := nextState(state, event, true); ok {
+				continue
+			}
+			t.Run(fmt.Sprintf("%s, %s", stateNames[state], eventNames[event]), func(t *testing.T) {
+				l := NewListener(testserver.Listen(t), 2, 2, &stats.Unserved{})
+				out, err := net.Dial("tcp", l.Addr().String())
+				if err != nil {
+					t.Fatal(err)
+				}
+				defer out.Close()
+				accepted, err := l.Accept()
+				if err != nil {
+					t.Fatal(err)
+				}
+				defer accepted.Close()
+				c := accepted.(*Conn)
+				l.mu.Lock()
+				defer l.mu.Unlock()
+				l.setState(c, state)
+				open, retiring, idle := l.openConns, l.retiringConns, l.idleConns.Len()
+				if l.apply(c, event) || c.state != state {
+					t.Errorf("it is %s behind the event", stateNames[c.state])
+				}
+				if l.openConns != open || l.retiringConns != retiring || l.idleConns.Len() != idle {
+					t.Errorf("%d open, %d retiring, %d idle; want %d, %d, %d",
+						l.openConns, l.retiringConns, l.idleConns.Len(), open, retiring, idle)
+				}
+			})
+		}
+	}
+}
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -258,7 +258,7 @@
 // reads what still comes on connections and drops it, and closes others under a request that was just read. So
 // connections end one by one, each when it has answered, or has nothing to answer.
 func (p *process) awaitConnections(idleFrom time.Time) {
-	for p.conns.OpenConns() > 0 {
+	for p.conns.Counts().Open > 0 {
 		switch {
 		case p.handler.ending.Err() != nil:
 			p.conns.RetireAll()
--- a/internal/sidecar/stop_test.go
+++ b/internal/sidecar/stop_test.go
@@ -78,7 +78,7 @@
 // accepted waits until the program holds n connections.
 func (p *program) accepted(n int) {
 	p.t.Helper()
-	for end := time.Now().Add(testserver.Timeout); p.staff.serving.Load().conns.OpenConns() < n; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testserver.Timeout); p.staff.serving.Load().conns.Counts().Open < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			p.t.Fatalf("not %d connections accepted", n)
 		}
