--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -17,8 +17,8 @@
 // discardBufferSize is the bytes read at once of input that nobody is to get.
 const discardBufferSize = 4 << 10
 
-// Conn is a connection from a client. Its Listener's lock guards state and what follows it; framing and malformed belong
-// to the one goroutine that reads at a time.
+// Conn is a connection from a client. Its Listener's lock guards state and what follows it; framing and malformed
+// belong to the one goroutine that reads at a time.
 type Conn struct {
 	net.Conn
 	listener   *Listener
--- a/internal/downstream/drain_listener_test.go
+++ b/internal/downstream/drain_listener_test.go
@@ -19,10 +19,11 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-var successorRounds = flag.Int("successor.rounds", 100, "rounds of TestListenersHandOver")
+var successorRounds = flag.Int("successor.rounds", 100, "rounds of TestNoConnectionIsResetWhenAListenerTakesOver")
 
-// TestListenersHandOver has clients open connections all the time while one listener after another takes over the address: none is reset.
-func TestListenersHandOver(t *testing.T) {
+// TestNoConnectionIsResetWhenAListenerTakesOver has clients open connections all the time while one listener after
+// another takes over the address: none is reset.
+func TestNoConnectionIsResetWhenAListenerTakesOver(t *testing.T) {
 	rounds := *successorRounds
 	log := slog.New(slog.DiscardHandler)
 	var serving sync.WaitGroup
@@ -109,10 +110,10 @@
 	return nil
 }
 
-// TestBacklog has connections wait unaccepted when the accepting ends: none may be reset.
-func TestBacklog(t *testing.T) {
+// TestDrainAcceptsWaitingConnections has connections wait unaccepted when the accepting ends: none may be reset.
+func TestDrainAcceptsWaitingConnections(t *testing.T) {
 	inner := testserver.Listen(t).(*net.TCPListener)
-	l := &DrainListener{TCPListener: inner, quietPeriod: time.Second}
+	l := NewDrainListener(inner, nil, time.Second)
 	const n = 3
 	for range n {
 		c, err := net.Dial("tcp", inner.Addr().String())
@@ -136,20 +137,22 @@
 	}
 }
 
-// TestDrainEnds has accepting fail for good while a connection waits: the end comes after some rounds.
-func TestDrainEnds(t *testing.T) {
+// TestDrainEndsWhereAcceptFailsForGood has accepting fail for good while a connection waits: the end comes after some
+// rounds.
+func TestDrainEndsWhereAcceptFailsForGood(t *testing.T) {
 	inner, calls := testserver.Listen(t).(*net.TCPListener), 0
 	c, err := net.Dial("tcp", inner.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	l := &DrainListener{TCPListener: inner, quietPeriod: time.Nanosecond, accept: func(*net.TCPListener) (net.Conn, error) {
+	fail := func(*net.TCPListener) (net.Conn, error) {
 		if calls++; calls%3 == 0 {
 			return nil, os.ErrDeadlineExceeded
 		}
 		return nil, os.NewSyscallError("accept4", unix.EMFILE)
-	}}
+	}
+	l := NewDrainListener(inner, fail, time.Nanosecond)
 	for calls < 10*maxFailedRounds && !errors.Is(err, net.ErrClosed) {
 		_, err = l.Accept()
 	}
--- a/internal/downstream/framing_test.go
+++ b/internal/downstream/framing_test.go
@@ -10,15 +10,17 @@
 
 const getHead = "GET /api HTTP/1.1\r\nHost: x\r\n\r\n"
 
-// TestFraming tells messages that can be read in two ways, in pieces of any size, and how much before them is good.
-func TestFraming(t *testing.T) {
+// TestAmbiguousMessagesAreRefused tells messages that can be read in two ways, in pieces of any size, and how much
+// before them is good.
+func TestAmbiguousMessagesAreRefused(t *testing.T) {
 	post := func(fields, body string) string { return "POST /api HTTP/1.1\r\nHost: x\r\n" + fields + "\r\n" + body }
 	for _, tt := range []struct {
 		name, text string
 		bad        bool
 	}{
 		{"a request", getHead, false},
-		{"pipelined", getHead + post("Content-Length: 3\r\n", "abc") + post("transfer-encoding: Chunked\r\n", "1\r\na\r\n0\r\n\r\n") + getHead, false},
+		{"pipelined", getHead + post("Content-Length: 3\r\n", "abc") +
+			post("transfer-encoding: Chunked\r\n", "1\r\na\r\n0\r\n\r\n") + getHead, false},
 		{"a body that looks like a head", post("Content-Length: 12\r\n", "\r\n fold\r\n\r\n\r\n"), false},
 		{"an absolute target", "GET http://x/api HTTP/1.1\r\nHost: x\r\n\r\n", false},
 		{"a length beside chunks", post("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"), true},
@@ -44,7 +46,8 @@
 				n, err = f.feed([]byte(text[at:min(at+piece, len(text))]))
 				good += n
 			}
-			if (err != nil) != tt.bad || tt.bad && !errors.Is(err, errFraming) && !errors.Is(err, chunked.ErrMalformed) {
+			isFraming := errors.Is(err, errFraming) || errors.Is(err, chunked.ErrMalformed)
+			if (err != nil) != tt.bad || tt.bad && !isFraming {
 				t.Errorf("%s in pieces of %d: error %v, bad %v", tt.name, piece, err, tt.bad)
 			}
 			if want := len(text); !tt.bad && good != want || good < len(getHead) {
@@ -54,8 +57,8 @@
 	}
 }
 
-// FuzzFraming has the verdict not hang on how the bytes come.
-func FuzzFraming(f *testing.F) {
+// FuzzFramingIgnoresPieces has the verdict not hang on how the bytes come.
+func FuzzFramingIgnoresPieces(f *testing.F) {
 	f.Add([]byte(getHead+getHead), uint8(3))
 	f.Add([]byte("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"), uint8(1))
 	f.Fuzz(func(t *testing.T, text []byte, piece uint8) {
--- a/internal/downstream/linger.go
+++ b/internal/downstream/linger.go
@@ -18,8 +18,8 @@
 )
 
 // Close implements net.Conn. Behind a response it ends the sending and reads on for a time: closing over unread bytes
-// resets the connection, and what is on its way of the response is lost with it. An idle connection is closed at once: a
-// request that comes just then finds it reset, so that its client knows that it was not read.
+// resets the connection, and what is on its way of the response is lost with it. An idle connection is closed at once:
+// a request that comes just then finds it reset, so that its client knows that it was not read.
 func (c *Conn) Close() error {
 	if c.shouldLinger() {
 		c.linger()
--- /dev/null
+++ b/internal/downstream/listen.go
@@ -0,0 +1,84 @@
+package downstream
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"os"
+	"syscall"
+
+	"golang.org/x/sys/unix"
+)
+
+// Listen listens at an address that one process has at a time.
+func Listen(address string) (*net.TCPListener, error) {
+	l, err := net.Listen("tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	return l.(*net.TCPListener), nil
+}
+
+// ListenShared listens at an address that the sidecar's next process can listen at too.
+func ListenShared(address string, log *slog.Logger) (*net.TCPListener, error) {
+	config := net.ListenConfig{
+		Control: func(_, _ string, c syscall.RawConn) error { return allowSharing(c, log) },
+	}
+	config.SetMultipathTCP(false) // the kernel applies no filter to listeners that have it: RedirectToSuccessor
+	l, err := config.Listen(context.Background(), "tcp", address)
+	if err != nil {
+		return nil, fmt.Errorf("listen: %w", err)
+	}
+	return l.(*net.TCPListener), nil
+}
+
+// allowSharing lets another socket listen at the same address. Where that fails, only an upgrade is not possible.
+func allowSharing(c syscall.RawConn, log *slog.Logger) error {
+	var optionErr error
+	err := c.Control(func(fd uintptr) {
+		optionErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+	})
+	if optionErr != nil {
+		log.Warn("the address cannot be shared with a next process", "err", optionErr)
+	}
+	return err
+}
+
+// selectSecondListener is a socket filter that selects the second of the sockets that share an address.
+var selectSecondListener = []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: 1}}
+
+// RedirectToSuccessor sends new connections to the listener that shares the address and was opened after this one. The
+// kernel spreads connections over all listeners, and closing one resets those that it holds unaccepted. Sockets of an
+// address are numbered in the order in which they were opened; where there is no second one, the filter has no effect.
+func (l *DrainListener) RedirectToSuccessor() error {
+	return l.setSocketOption(func(fd int) error {
+		program := unix.SockFprog{Len: uint16(len(selectSecondListener)), Filter: &selectSecondListener[0]}
+		return unix.SetsockoptSockFprog(fd, unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF, &program)
+	})
+}
+
+// ShareConnections removes the filter that a predecessor has set, so that both processes get connections.
+func (l *DrainListener) ShareConnections() error {
+	err := l.setSocketOption(func(fd int) error {
+		return unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_DETACH_REUSEPORT_BPF, 0)
+	})
+	if errors.Is(err, unix.ENOENT) { // there is none
+		return nil
+	}
+	return err
+}
+
+// setSocketOption calls set with the listener's descriptor.
+func (l *DrainListener) setSocketOption(set func(fd int) error) error {
+	raw, err := l.SyscallConn()
+	if err != nil {
+		return err
+	}
+	var optionErr error
+	if err := raw.Control(func(fd uintptr) { optionErr = set(int(fd)) }); err != nil {
+		return err
+	}
+	return os.NewSyscallError("setsockopt", optionErr)
+}
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -15,8 +15,8 @@
 // connections would otherwise close those accepted just before, with their first requests on the way.
 const minIdleTime = 20 * time.Millisecond
 
-// Listener accepts and tracks the connections from clients. When there are too many it ends those without a request, the
-// longest idle first; when the process stops it ends all of them.
+// Listener accepts and tracks the connections from clients. When there are too many it ends those without a request,
+// the longest idle first; when the process stops it ends all of them.
 type Listener struct {
 	net.Listener
 	unserved *stats.Unserved // counts connections that ended without a request
@@ -158,8 +158,8 @@
 	}
 }
 
-// beginRetire ends a connection: at once behind its final response, by its reader where it has no request, and else with
-// its next response. The lock is held.
+// beginRetire ends a connection: at once behind its final response, by its reader where it has no request, and else
+// with its next response. The lock is held.
 func (l *Listener) beginRetire(c *Conn, cause stats.Cause) {
 	next, ok := nextState(c.state, eventRetire, c.used)
 	if !ok {
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -14,8 +14,26 @@
 	"milletramp.example/milletramp/internal/stats"
 )
 
-// TestClientConns follows the bound itself: a connection with a request is never closed for another.
-func TestClientConns(t *testing.T) {
+// acceptConn returns a listener for maxConns connections, one that it has accepted, and its client's end, which the end
+// of the test closes.
+func acceptConn(t *testing.T, maxConns int) (l *Listener, c *Conn, client net.Conn) {
+	t.Helper()
+	l = NewListener(testserver.Listen(t), maxConns, maxConns, &stats.Unserved{})
+	client, err := net.Dial("tcp", l.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { client.Close() })
+	accepted, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return l, accepted.(*Conn), client
+}
+
+// TestConnectionWithRequestKeepsItsPlace follows the bound itself: a connection with a request is never closed for
+// another.
+func TestConnectionWithRequestKeepsItsPlace(t *testing.T) {
 	l := NewListener(testserver.Listen(t), 2, 2, &stats.Unserved{})
 	var taken []*Conn
 	accept := func() *Conn {
@@ -83,9 +101,9 @@
 	return n, err
 }
 
-// TestRetiredUnderARequest retires a connection between the moment that its reader has got a request and the moment that
-// anybody can know: the request is served, and its answer ends the connection.
-func TestRetiredUnderARequest(t *testing.T) {
+// TestRetiredConnectionServesRequestReadMeanwhile retires a connection between the moment that its reader has got a
+// request and the moment that anybody can know: the request is served, and its answer ends the connection.
+func TestRetiredConnectionServesRequestReadMeanwhile(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
 		before string // sent and answered first
@@ -100,17 +118,7 @@
 		}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			l := NewListener(testserver.Listen(t), 2, 2, &stats.Unserved{})
-			out, err := net.Dial("tcp", l.Addr().String())
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer out.Close()
-			accepted, err := l.Accept()
-			if err != nil {
-				t.Fatal(err)
-			}
-			c := accepted.(*Conn)
+			l, c, out := acceptConn(t, 2)
 			inner := &caught{Conn: c.Conn}
 			c.Conn = inner
 			buffer := make([]byte, 1000)
@@ -136,8 +144,10 @@
 				t.Fatalf("%d bytes, error %v", n, err)
 			}
 			inner.got = nil
-			if c.state == stateRetiring || !c.closeAfterResponse || c.idleElement != nil || l.retiringConns != 0 || !c.ClosesAfterResponse() {
-				t.Errorf("retired %v, last %v, idle %v, %d leaving", (c.state == stateRetiring), c.closeAfterResponse, c.idleElement != nil, l.retiringConns)
+			if c.state != stateActive || !c.closeAfterResponse || c.idleElement != nil || l.retiringConns != 0 ||
+				!c.ClosesAfterResponse() {
+				t.Errorf("state %d, closes after its response %v, in the list %v, %d retiring",
+					c.state, c.closeAfterResponse, c.idleElement != nil, l.retiringConns)
 			}
 			fmt.Fprint(out, "x")
 			if _, err := c.Read(buffer); err != nil { // its deadline is not over
@@ -147,20 +157,11 @@
 	}
 }
 
-// TestRetiredBesideARequest retires a connection, and lets its idle time run out, where a request waits unread.
-func TestRetiredBesideARequest(t *testing.T) {
+// TestRetiredConnectionServesUnreadRequest retires a connection, and lets its idle time run out, where a request waits
+// unread.
+func TestRetiredConnectionServesUnreadRequest(t *testing.T) {
 	for _, retired := range []bool{true, false} {
-		l := NewListener(testserver.Listen(t), 2, 2, &stats.Unserved{})
-		out, err := net.Dial("tcp", l.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer out.Close()
-		accepted, err := l.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		c := accepted.(*Conn)
+		l, c, out := acceptConn(t, 2)
 		l.onHTTPState(c, http.StateActive)
 		l.onHTTPState(c, http.StateIdle)
 		fmt.Fprint(out, "GET /api HTTP/1.1\r\n\r\n")
@@ -174,7 +175,8 @@
 		} else if err := c.SetReadDeadline(pastDeadline); err != nil {
 			t.Fatal(err)
 		}
-		if n, err := c.Read(make([]byte, 1000)); n == 0 || err != nil || c.closeAfterResponse != retired || (c.state == stateRetiring) {
+		n, err := c.Read(make([]byte, 1000))
+		if n == 0 || err != nil || c.closeAfterResponse != retired || c.state == stateRetiring {
 			t.Errorf("retired %v: %d bytes, error %v, last %v", retired, n, err, c.closeAfterResponse)
 		}
 		l.onHTTPState(c, http.StateActive)
@@ -185,25 +187,16 @@
 	}
 }
 
-// TestLingeringMakesRoom: a connection is read on behind its last answer until its client ends it, but not where its descriptor is wanted.
-func TestLingeringMakesRoom(t *testing.T) {
+// TestLingeringEndsWhereDescriptorIsWanted: a connection is read on behind its last answer until its client ends it,
+// but not where its descriptor is wanted.
+func TestLingeringEndsWhereDescriptorIsWanted(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		most  int
 		reset bool // its client finds it reset
 	}{{"room is left", 2, false}, {"none is left", 1, true}} {
 		t.Run(tt.name, func(t *testing.T) {
-			l := NewListener(testserver.Listen(t), tt.most, tt.most, &stats.Unserved{})
-			out, err := net.Dial("tcp", l.Addr().String())
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer out.Close()
-			accepted, err := l.Accept()
-			if err != nil {
-				t.Fatal(err)
-			}
-			c := accepted.(*Conn)
+			l, c, out := acceptConn(t, tt.most)
 			l.onHTTPState(c, http.StateActive)
 			if _, err := out.Write(make([]byte, 1000)); err != nil {
 				t.Fatal(err)
@@ -224,20 +217,10 @@
 	}
 }
 
-// TestConnectionWithNextRequestIsNotIdle has a client send two requests at once. Behind the first response the reader has the second
-// request already: the connection counts as busy, and is not retired.
+// TestConnectionWithNextRequestIsNotIdle has a client send two requests at once. Behind the first response the reader
+// has the second request already: the connection counts as busy, and is not retired.
 func TestConnectionWithNextRequestIsNotIdle(t *testing.T) {
-	l := NewListener(testserver.Listen(t), 2, 2, &stats.Unserved{})
-	out, err := net.Dial("tcp", l.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer out.Close()
-	accepted, err := l.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	c := accepted.(*Conn)
+	l, c, out := acceptConn(t, 2)
 	requests := "GET /api HTTP/1.1\r\n\r\nGET /api HTTP/1.1\r\n\r\n"
 	fmt.Fprint(out, requests)
 	for got, buffer := 0, make([]byte, 1000); got < len(requests); {
@@ -251,8 +234,9 @@
 	l.onHTTPState(c, http.StateIdle)
 	l.RetireIdle(0)
 	l.RetireAll()
-	if c.idleElement != nil || (c.state == stateRetiring) || c.closeAfterResponse || !c.hasRequest() {
-		t.Errorf("idle %v, retired %v, last %v, has a request %v", c.idleElement != nil, (c.state == stateRetiring), c.closeAfterResponse, c.hasRequest())
+	if c.idleElement != nil || c.state == stateRetiring || c.closeAfterResponse || !c.hasRequest() {
+		t.Errorf("state %d, in the list %v, closes after its response %v, has a request %v",
+			c.state, c.idleElement != nil, c.closeAfterResponse, c.hasRequest())
 	}
 	l.onHTTPState(c, http.StateActive)
 	l.onHTTPState(c, http.StateIdle)
@@ -261,20 +245,10 @@
 	}
 }
 
-// TestBodyTimeBehindARequest lets the time for a body run out once the body has come whole: the request is in hand, and
-// what net/http reads ahead must not fail, but for net/http's own end of it.
-func TestBodyTimeBehindARequest(t *testing.T) {
-	l := NewListener(testserver.Listen(t), 2, 2, &stats.Unserved{})
-	out, err := net.Dial("tcp", l.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer out.Close()
-	accepted, err := l.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	c := accepted.(*Conn)
+// TestBodyDeadlineDoesNotEndReadingAhead lets the time for a body run out once the body has come whole: the request is
+// in hand, and what net/http reads ahead must not fail, but for net/http's own end of it.
+func TestBodyDeadlineDoesNotEndReadingAhead(t *testing.T) {
+	l, c, out := acceptConn(t, 2)
 	read := func() (int, error) { return c.Read(make([]byte, 1000)) }
 	fmt.Fprint(out, "POST /api HTTP/1.1\r\nContent-Length: 4\r\n\r\nsk")
 	if _, err := read(); err != nil {
@@ -304,25 +278,16 @@
 	}
 }
 
-// TestEndLeavesTheLastAnswer: a connection that lingers is not closed by the end, which would reset it where bytes are
-// unread, but lingers for less.
-func TestEndLeavesTheLastAnswer(t *testing.T) {
-	l := NewListener(testserver.Listen(t), 2, 2, &stats.Unserved{})
-	out, err := net.Dial("tcp", l.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer out.Close()
-	accepted, err := l.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer accepted.Close()
-	c, began := accepted.(*Conn), time.Now()
+// TestRetireAllLeavesLingeringConnections: a connection that lingers is not closed by the end, which would reset it
+// where bytes are unread, but lingers for less.
+func TestRetireAllLeavesLingeringConnections(t *testing.T) {
+	l, c, _ := acceptConn(t, 2)
+	defer c.Conn.Close()
+	began := time.Now()
 	l.onHTTPState(c, http.StateActive)
 	c.MarkFinalResponse()
 	l.RetireAll()
-	if c.state == stateClosed || (c.state == stateRetiring) {
+	if c.state == stateClosed || c.state == stateRetiring {
 		t.Error("it is closed behind its last answer")
 	}
 	if until := l.lingerDeadline(began); !until.Equal(l.shutdownAt.Add(finalLingerTimeout)) {
--- a/internal/downstream/state_test.go
+++ b/internal/downstream/state_test.go
@@ -2,17 +2,14 @@
 
 import (
 	"fmt"
-	"net"
 	"testing"
-
-	"milletramp.example/milletramp/internal/lab/testserver"
-	"milletramp.example/milletramp/internal/stats"
 )
 
 // stateNames and eventNames name the cases of TestTransitions.
 var (
 	stateNames = []string{"new", "idle", "active", "retiring", "lingering", "closed"}
-	eventNames = []string{"input", "request read", "handler started", "response sent", "final response", "retire", "close"}
+	eventNames = []string{"input", "request read", "handler started", "response sent", "final response", "retire",
+		"close"}
 )
 
 // TestTransitions holds each event in each state to the table of connState; "-" is an event that is refused.
@@ -47,8 +44,8 @@
 	}
 }
 
-// TestRefusedEventsChangeNothing applies each event that is refused to a tracked connection in each state: its state and
-// the numbers of its listener stay.
+// TestRefusedEventsChangeNothing applies each event that is refused to a tracked connection in each state: its state
+// and the numbers of its listener stay.
 func TestRefusedEventsChangeNothing(t *testing.T) {
 	for event := eventInput; event <= eventClose; event++ {
 		for state := stateNew; state <= stateClosed; state++ {
@@ -56,18 +53,8 @@
 				continue
 			}
 			t.Run(fmt.Sprintf("%s, %s", stateNames[state], eventNames[event]), func(t *testing.T) {
-				l := NewListener(testserver.Listen(t), 2, 2, &stats.Unserved{})
-				out, err := net.Dial("tcp", l.Addr().String())
-				if err != nil {
-					t.Fatal(err)
-				}
-				defer out.Close()
-				accepted, err := l.Accept()
-				if err != nil {
-					t.Fatal(err)
-				}
-				defer accepted.Close()
-				c := accepted.(*Conn)
+				l, c, _ := acceptConn(t, 2)
+				defer c.Conn.Close()
 				l.mu.Lock()
 				defer l.mu.Unlock()
 				l.setState(c, state)
