--- a/internal/member/policy.go
+++ b/internal/member/policy.go
@@ -35,8 +35,8 @@
 	return p
 }
 
-// Calls implements sidecar.Policy.
-func (p *calls) Calls() http.Handler { return p.mux }
+// Handler implements sidecar.Policy.
+func (p *calls) Handler() http.Handler { return p.mux }
 
 func (p *calls) status(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
--- a/internal/sidecar/attempts_test.go
+++ b/internal/sidecar/attempts_test.go
@@ -71,7 +71,7 @@
 // forgotten waits until the program serves no request.
 func (p *program) forgotten() {
 	p.t.Helper()
-	for end := time.Now().Add(testserver.Timeout); p.staff.serving.Load().handler.ids.inHand.Load() > 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testserver.Timeout); p.staff.serving.Load().handler.ids.count.Load() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			p.t.Fatal("a request is held for good")
 		}
@@ -86,7 +86,7 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	h, err := newHost(ctx, c, slog.New(slog.DiscardHandler), nil)
+	h, err := NewEventLoop(ctx, c, slog.New(slog.DiscardHandler), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,24 +94,24 @@
 	loop.Add(1)
 	go func() {
 		defer loop.Done()
-		h.run(ctx)
+		h.Run(ctx)
 	}()
 	defer loop.Wait()
 	defer cancel()
-	request := &call{answered: make(chan answer, 1)}
-	request.left = func() bool {
-		if err := h.ask(ctx, func() { h.answer(request, answer{kind: refused}) }); err != nil {
+	request := &inflightRequest{response: make(chan finalResponse, 1)}
+	request.peerClosed = func() bool {
+		if err := h.Do(ctx, func() { h.respond(request, finalResponse{kind: rejected}) }); err != nil {
 			t.Error(err)
 		}
 		return true
 	}
-	if !h.withdrawn(request) {
+	if !h.isCancelled(request) {
 		t.Error("a request whose client has left is not withdrawn")
 	}
-	if err := h.ask(ctx, func() {}); err != nil { // what was posted before is done
+	if err := h.Do(ctx, func() {}); err != nil { // what was posted before is done
 		t.Fatal(err)
 	}
-	if len(request.answered) != 1 {
+	if len(request.response) != 1 {
 		t.Error("its handler has no answer to take")
 	}
 }
--- a/internal/sidecar/beyond_test.go
+++ b/internal/sidecar/beyond_test.go
@@ -116,7 +116,7 @@
 // there in time once it is back.
 func TestDiscoveryOutForMinutes(t *testing.T) {
 	for phase := time.Duration(0); phase < 3*time.Second; phase += 170 * time.Millisecond {
-		followed(t, func(t *testing.T, a *testserver.Agent, _ *host, told chan time.Time) {
+		followed(t, func(t *testing.T, a *testserver.Agent, _ *EventLoop, told chan time.Time) {
 			<-told
 			time.Sleep(10 * time.Second)
 			a.Silence(true, 0)
@@ -139,7 +139,7 @@
 		refuses int // of one more
 	}{{"after a second", time.Second, 0}, {"after two seconds", 2 * time.Second, 0}, {"refuses most", 0, 4},
 		{"refuses some, answers late", 700 * time.Millisecond, 1}} {
-		followed(t, func(t *testing.T, a *testserver.Agent, h *host, told chan time.Time) {
+		followed(t, func(t *testing.T, a *testserver.Agent, h *EventLoop, told chan time.Time) {
 			<-told
 			var calls atomic.Int64
 			a.SetDelay(tt.after)
--- a/internal/sidecar/budget.go
+++ b/internal/sidecar/budget.go
@@ -8,42 +8,42 @@
 	"milletramp.example/milletramp/internal/upstream"
 )
 
-// budget shares out the descriptors that the process may hold. Without any left, accepting fails for all.
-type budget struct {
-	requests int // held at once; each has a connection of its client
-	clients  int // connections from clients
-	usual    int // of these, that clients hold before they are asked to close them
-	upstream int // connections to servers, with a request or idle
+// SocketBudget shares out the descriptors that the process may hold. Without any left, accepting fails for all.
+type SocketBudget struct {
+	Requests       int // held at once; each has a connection of its client
+	ClientConns    int // connections from clients
+	KeepAliveConns int // of these, that clients hold before they are asked to close them
+	UpstreamConns  int // connections to servers, with a request or idle
 }
 
-// consoleSockets are set aside for the console: its listener, its callers, and one that is being taken.
-const consoleSockets = console.Connections + 2
+// adminSockets are set aside for the console: its listener, its callers, and one that is being taken.
+const adminSockets = console.Connections + 2
 
-// bodyShare is the part of the memory that bodies of clients may take beyond what each may.
-const bodyShare = 4
+// bodyMemoryShare is the part of the memory that bodies of clients may take beyond what each may.
+const bodyMemoryShare = 4
 
-// room bounds what is held of long bodies at once, in pieces of mostBody bytes. Pieces are used again: what waits for the
+// bufferPool bounds what is held of long bodies at once, in pieces of mostBody bytes. Pieces are used again: what waits for the
 // garbage collector counts as memory too.
-type room struct {
-	mu   sync.Mutex
-	most int // pieces
-	held int
-	free [][]byte
+type bufferPool struct {
+	mu         sync.Mutex
+	maxBuffers int // pieces
+	reserved   int
+	free       [][]byte
 }
 
-// take sets n pieces aside, or none and returns false.
-func (r *room) take(n int) bool {
+// reserve sets n pieces aside, or none and returns false.
+func (r *bufferPool) reserve(n int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.held+n > r.most {
+	if r.reserved+n > r.maxBuffers {
 		return false
 	}
-	r.held += n
+	r.reserved += n
 	return true
 }
 
-// piece returns one that was set aside.
-func (r *room) piece() []byte {
+// buffer returns one that was set aside.
+func (r *bufferPool) buffer() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if last := len(r.free) - 1; last >= 0 {
@@ -54,27 +54,27 @@
 	return make([]byte, 0, upstream.MaxBufferedBody)
 }
 
-// give gives back n pieces, and those of them that were used. Nobody may use them any more.
-func (r *room) give(n int, used [][]byte) {
+// release gives back n pieces, and those of them that were used. Nobody may use them any more.
+func (r *bufferPool) release(n int, used [][]byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.held -= n; r.held == 0 {
+	if r.reserved -= n; r.reserved == 0 {
 		r.free = nil // a quiet time: the memory is not kept
 		return
 	}
 	r.free = append(r.free, used...)
 }
 
-// spareSockets are for the listener, discovery's watches, a connection that is about to be closed, and the runtime.
-const spareSockets = 20
+// reservedSockets are for the listener, discovery's watches, a connection that is about to be closed, and the runtime.
+const reservedSockets = 20
 
-// usualShare of the connections that clients can hold with a request leaves the rest for bursts.
-const usualShare = 0.75
+// keepAliveShare of the connections that clients can hold with a request leaves the rest for bursts.
+const keepAliveShare = 0.75
 
-func newBudget(c *config.Config) budget {
-	all := c.Sockets - spareSockets
+func NewSocketBudget(c *config.Config) SocketBudget {
+	all := c.Sockets - reservedSockets
 	if c.Console != "" {
-		all -= consoleSockets
+		all -= adminSockets
 	}
 	clients := all / 2
 	held := min(c.Sockets/3, clients-clients/8) // clients hold a third of the descriptors at most for requests
@@ -82,5 +82,5 @@
 	if c.Limits.MostHeld > 0 {
 		requests = min(held, c.Limits.MostHeld)
 	}
-	return budget{requests: requests, clients: clients, usual: max(int(usualShare*float64(held)), 1), upstream: all - clients}
+	return SocketBudget{Requests: requests, ClientConns: clients, KeepAliveConns: max(int(keepAliveShare*float64(held)), 1), UpstreamConns: all - clients}
 }
--- a/internal/sidecar/churn_test.go
+++ b/internal/sidecar/churn_test.go
@@ -37,14 +37,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	log := slog.New(slog.DiscardHandler)
-	h, err := newHost(ctx, c, log, nil)
+	h, err := NewEventLoop(ctx, c, log, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	go h.run(ctx)
+	go h.Run(ctx)
 	s := NewHandler(c, h)
-	limits := newBudget(c)
-	conns := downstream.NewListener(testserver.Listen(t), limits.clients, limits.usual, &h.figures.Unserved)
+	limits := NewSocketBudget(c)
+	conns := downstream.NewListener(testserver.Listen(t), limits.ClientConns, limits.KeepAliveConns, &h.metrics.Unserved)
 	web := conns.HTTPServer(s, log)
 	web.ConnContext = ConnContext
 	go func() { _ = web.Serve(conns) }()
@@ -77,8 +77,8 @@
 		h.Post(func() {
 			openConns, idleConns := h.upstream.ConnCounts()
 			left <- fmt.Sprintf("calls %d, targets %d, connections to servers %d open %d idle, from clients %d open %d idle, ids %d",
-				len(h.calls), len(h.upstream.Endpoints()), openConns, idleConns, conns.Counts().Open,
-				conns.Counts().Idle, len(s.ids.held))
+				len(h.inflight), len(h.upstream.Endpoints()), openConns, idleConns, conns.Counts().Open,
+				conns.Counts().Idle, len(s.ids.inFlight))
 		})
 		got := testserver.Receive(t, left, "count")
 		if got == "calls 0, targets 0, connections to servers 0 open 0 idle, from clients 0 open 0 idle, ids 0" {
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -81,7 +81,7 @@
 			}
 		})
 	}
-	if most := max(downstream.HeadTimeout, bodyWithin, downstream.HeadTimeout+bodyGrace); most > 2800*time.Millisecond || downstream.HeadTimeout < 2200*time.Millisecond {
+	if most := max(downstream.HeadTimeout, bodyStartTimeout, downstream.HeadTimeout+bodyGrace); most > 2800*time.Millisecond || downstream.HeadTimeout < 2200*time.Millisecond {
 		t.Errorf("a head may take %v, a peer without a request is held for %v; 2 s are a client's right, 3 s owed", downstream.HeadTimeout, most)
 	}
 	if n := b.RequestCount(); n != 0 {
@@ -125,22 +125,22 @@
 
 // TestIDsAreForgotten: what is remembered of requests that are over goes with time.
 func TestIDsAreForgotten(t *testing.T) {
-	i := newIDs(1)
+	i := newInflightIDs(1)
 	for n := range 1000 {
 		id := fmt.Sprint(n)
-		if known, full := i.take(id); known || full {
+		if known, full := i.reserve(id); known || full {
 			t.Fatalf("id %d: known %v, full %v", n, known, full)
 		}
-		if _, full := i.take("another"); !full {
+		if _, full := i.reserve("another"); !full {
 			t.Fatal("more are held than may be")
 		}
-		i.end(id)
-		i.rotated = i.rotated.Add(-idMemory)
+		i.release(id)
+		i.rotatedAt = i.rotatedAt.Add(-idRetention)
 	}
-	if n := len(i.held) + len(i.ended[0]) + len(i.ended[1]); n > 2 {
+	if n := len(i.inFlight) + len(i.recent[0]) + len(i.recent[1]); n > 2 {
 		t.Errorf("%d ids are left of 1000", n)
 	}
-	if known, _ := i.take("0"); known {
+	if known, _ := i.reserve("0"); known {
 		t.Error("an id of long ago is still taken")
 	}
 }
@@ -160,7 +160,7 @@
 	held := make(chan gotten, 1)
 	go func() { held <- p.do(p.request(context.Background(), "book", "50000")) }()
 	testserver.Receive(t, b.Requests, "attempt")
-	most := newBudget(&config.Config{Sockets: 64}).clients
+	most := NewSocketBudget(&config.Config{Sockets: 64}).ClientConns
 	first := p.dial()
 	for range 4 * most {
 		p.dial()
@@ -201,9 +201,9 @@
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	configText := strings.Replace(testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings), `"sockets":1024`, `"sockets":64`, 1)
 	p := start(t, configText)
-	budget := newBudget(&config.Config{Sockets: 64})
+	budget := NewSocketBudget(&config.Config{Sockets: 64})
 	kept, ended := 0, 0
-	for i := range 3 * budget.clients {
+	for i := range 3 * budget.ClientConns {
 		c := p.dial() // stays open to the end
 		in := bufio.NewReader(c)
 		fmt.Fprintf(c, "%s\r\n", head("GET", fmt.Sprint("once-", i), "read"))
@@ -223,7 +223,7 @@
 			t.Errorf("connection %d: %v behind the last answer, want its end", i, err)
 		}
 	}
-	if kept == 0 || ended == 0 || kept >= budget.requests {
-		t.Errorf("%d connections are kept and %d ended, of %d that clients may hold", kept, ended, budget.requests)
+	if kept == 0 || ended == 0 || kept >= budget.Requests {
+		t.Errorf("%d connections are kept and %d ended, of %d that clients may hold", kept, ended, budget.Requests)
 	}
 }
--- a/internal/sidecar/family.go
+++ b/internal/sidecar/family.go
@@ -92,10 +92,10 @@
 
 // share has this process hold a part of what the sidecar may. Two processes count as one.
 func (p *process) share(shares int) {
-	b := newBudget(p.config)
-	p.handler.ids.setMost(b.requests / shares)
-	p.conns.SetLimits(b.clients/shares, max(b.usual/shares, 1))
-	p.host.upstream.SetMaxConns(b.upstream / shares)
+	b := NewSocketBudget(p.config)
+	p.handler.ids.setMax(b.Requests / shares)
+	p.conns.SetLimits(b.ClientConns/shares, max(b.KeepAliveConns/shares, 1))
+	p.host.upstream.SetMaxConns(b.UpstreamConns / shares)
 	debug.SetMemoryLimit(int64(float64(p.config.MemoryMB<<20) * memoryShare / float64(shares)))
 }
 
@@ -115,7 +115,7 @@
 
 // handOut takes servers out that another process was told of, known here or not.
 func (o *ops) handOut(ctx context.Context, ids map[string]bool) error {
-	err := o.host.ask(ctx, func() {
+	err := o.host.Do(ctx, func() {
 		var list []string
 		for id := range ids {
 			list = append(list, id)
@@ -132,7 +132,7 @@
 	o.publishing.Lock()
 	defer o.publishing.Unlock()
 	var out []string
-	if err := o.host.ask(ctx, func() { out = o.host.balancer.AdminDown() }); err != nil {
+	if err := o.host.Do(ctx, func() { out = o.host.balancer.AdminDown() }); err != nil {
 		return err
 	}
 	return o.family.member.Update(func(s *handover.State) { s.Out = out })
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -94,9 +94,9 @@
 			before = append(before, s.Fleet)
 		}
 	}
-	gate := newGate(o.host, c)
+	gate := NewPolicyGate(o.host, c)
 	part, err := join(c, before, log, Told{Out: o.obey, Doubts: o.doubt, Check: func(number uint64, text []byte) string {
-		return gate.check(o.host.ctx, number, text)
+		return gate.Check(o.host.ctx, number, text)
 	}})
 	if err != nil || part == nil {
 		return func() {}, err
@@ -105,7 +105,7 @@
 		log.Warn("the next process will not ask this one what the fleet holds", "err", err)
 	}
 	if gate.policy = part.Policy(); gate.policy != nil {
-		if err := o.host.ask(stop, func() { o.host.gate = gate }); err != nil {
+		if err := o.host.Do(stop, func() { o.host.gate = gate }); err != nil {
 			return func() {}, errors.Join(err, part.Close())
 		}
 		o.gate = gate
@@ -118,9 +118,9 @@
 	}()
 	o.part.Store(&part)
 	o.host.Post(func() {
-		o.host.listed = part.Listed
+		o.host.onList = part.Listed
 		o.host.balancer.SetObserver(part)
-		o.host.tellList()
+		o.host.reportList()
 	})
 	select {
 	case <-part.CaughtUp():
@@ -164,7 +164,7 @@
 		}
 		for id := range o.obeys {
 			if !now[id] && here[id] {
-				o.host.takeOut(id, false)
+				o.host.setAdminDown(id, false)
 			}
 		}
 		o.obeys = now
@@ -239,7 +239,7 @@
 	if part == nil {
 		return true, ""
 	}
-	if o.gate != nil && !o.gate.enter(context.Background(), fleetWithin) {
+	if o.gate != nil && !o.gate.Enter(context.Background(), fleetWithin) {
 		return false, "policy: nobody has promised this sidecar one"
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), fleetWithin)
@@ -255,7 +255,7 @@
 	if o.inFleet() == nil || o.gate == nil {
 		return nil
 	}
-	return o.gate.policy.Calls()
+	return o.gate.policy.Handler()
 }
 
 // Fleet implements console.Sidecar.
@@ -276,14 +276,14 @@
 	return part.Figures(ctx, w)
 }
 
-// tellList hands the own list on, where somebody wants it.
-func (h *host) tellList() {
-	if h.listed == nil {
+// reportList hands the own list on, where somebody wants it.
+func (h *EventLoop) reportList() {
+	if h.onList == nil {
 		return
 	}
 	var servers []Server
 	for _, t := range h.upstream.Endpoints() {
 		servers = append(servers, Server{t.ID, t.StartedAt})
 	}
-	h.listed(servers)
+	h.onList(servers)
 }
--- a/internal/sidecar/follow_test.go
+++ b/internal/sidecar/follow_test.go
@@ -16,7 +16,7 @@
 )
 
 // followed runs play in a bubble, with an agent, a host that follows it, and the times at which that gets a list.
-func followed(t *testing.T, play func(t *testing.T, a *testserver.Agent, h *host, told chan time.Time)) {
+func followed(t *testing.T, play func(t *testing.T, a *testserver.Agent, h *EventLoop, told chan time.Time)) {
 	synctest.Test(t, func(t *testing.T) {
 		a := &testserver.Agent{}
 		c, err := load(t, testserver.ConfigText("127.0.0.1:9", testserver.ServingList(1, &testserver.Backend{Address: "127.0.0.1:9"}), testserver.Settings))
@@ -24,14 +24,14 @@
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		h, err := newHost(ctx, c, slog.New(slog.DiscardHandler), a.Dial)
+		h, err := NewEventLoop(ctx, c, slog.New(slog.DiscardHandler), a.Dial)
 		if err != nil {
 			t.Fatal(err)
 		}
 		told := make(chan time.Time, 1000)
-		h.listed = func([]Server) { told <- time.Now() }
+		h.onList = func([]Server) { told <- time.Now() }
 		var over sync.WaitGroup
-		over.Go(func() { h.run(ctx) })
+		over.Go(func() { h.Run(ctx) })
 		play(t, a, h, told)
 		cancel()
 		over.Wait()
@@ -46,7 +46,7 @@
 	}
 	for inVain := range 2 {
 		for phase := time.Millisecond; phase < 2*time.Second; phase += 130 * time.Millisecond {
-			followed(t, func(t *testing.T, a *testserver.Agent, _ *host, told chan time.Time) {
+			followed(t, func(t *testing.T, a *testserver.Agent, _ *EventLoop, told chan time.Time) {
 				<-told // the first list
 				time.Sleep(20*time.Second + phase)
 				a.Silence(false, inVain)
@@ -59,7 +59,7 @@
 	}
 	const longest = discovery.FirstListTimeout + balance.MaxDiscoveryBackoff // a call begun just before the return, and the wait behind it
 	for outage := 100 * time.Millisecond; outage < 30*time.Second; outage += 370 * time.Millisecond {
-		followed(t, func(t *testing.T, a *testserver.Agent, _ *host, told chan time.Time) {
+		followed(t, func(t *testing.T, a *testserver.Agent, _ *EventLoop, told chan time.Time) {
 			<-told
 			time.Sleep(10*time.Second + time.Millisecond)
 			a.Silence(true, 0)
@@ -78,7 +78,7 @@
 // then, and a call is open nearly all the time.
 func TestToldAtTheReturn(t *testing.T) {
 	for outage := 3500 * time.Millisecond; outage < 20*time.Second; outage += 110 * time.Millisecond {
-		followed(t, func(t *testing.T, a *testserver.Agent, _ *host, told chan time.Time) {
+		followed(t, func(t *testing.T, a *testserver.Agent, _ *EventLoop, told chan time.Time) {
 			<-told
 			time.Sleep(10*time.Second + time.Millisecond)
 			a.HoldCalls()
@@ -97,7 +97,7 @@
 // after it was read.
 func TestMoveToASilentAddress(t *testing.T) {
 	for inVain := range 3 {
-		followed(t, func(t *testing.T, a *testserver.Agent, h *host, told chan time.Time) {
+		followed(t, func(t *testing.T, a *testserver.Agent, h *EventLoop, told chan time.Time) {
 			<-told
 			time.Sleep(10 * time.Second)
 			a.Silence(false, inVain) // the former address says nothing more
@@ -119,7 +119,7 @@
 			t.Fatal(err)
 		}
 		c.Settings.PollDiscovery = true // and so no watch but that of this test
-		h, err := newHost(context.Background(), c, slog.New(slog.DiscardHandler), nil)
+		h, err := NewEventLoop(context.Background(), c, slog.New(slog.DiscardHandler), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/sidecar/heldup_test.go
+++ b/internal/sidecar/heldup_test.go
@@ -60,7 +60,7 @@
 // bubble is a host in a bubble, with two servers.
 type bubble struct {
 	t    *testing.T
-	host *host
+	host *EventLoop
 	came chan arrival
 	// dials has connections to servers come up; nil: at once. answers tells what the nth attempt gets; "": nothing.
 	dials   func(ctx context.Context, n int) error
@@ -85,7 +85,7 @@
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		h, err := newHost(ctx, c, slog.New(slog.DiscardHandler), func(context.Context, string, string) (net.Conn, error) {
+		h, err := NewEventLoop(ctx, c, slog.New(slog.DiscardHandler), func(context.Context, string, string) (net.Conn, error) {
 			return nil, syscall.ECONNREFUSED // discovery is down
 		})
 		if err != nil {
@@ -134,7 +134,7 @@
 			return &pipeConn{Conn: near, raw: quietFD{pair[0]}, heldUp: b.heldUp}, nil
 		})
 		var over sync.WaitGroup
-		over.Go(func() { h.run(ctx) })
+		over.Go(func() { h.Run(ctx) })
 		play(b)
 		cancel()
 		over.Wait()
@@ -142,7 +142,7 @@
 }
 
 // ask has the host serve a request whose client waits so long, and returns what it answered.
-func (b *bubble) ask(class string, wait time.Duration, left func() bool) chan answer {
+func (b *bubble) ask(class string, wait time.Duration, left func() bool) chan finalResponse {
 	method, key := http.MethodPost, ""
 	switch class {
 	case "read":
@@ -150,9 +150,9 @@
 	case "book":
 		key = "k-1"
 	}
-	c := &call{Message: upstream.Message{Method: method, URL: &url.URL{Path: "/api"}, ID: "id-1", IdempotencyKey: key}, tenant: -1,
-		term: b.host.terms.Load().classes[class], deadline: time.Now().Add(wait - answerMargin), left: left}
-	answered := make(chan answer, 1)
+	c := &inflightRequest{Message: upstream.Message{Method: method, URL: &url.URL{Path: "/api"}, ID: "id-1", IdempotencyKey: key}, tenant: -1,
+		classSettings: b.host.settings.Load().classes[class], deadline: time.Now().Add(wait - answerMargin), peerClosed: left}
+	answered := make(chan finalResponse, 1)
 	go func() {
 		a, _ := b.host.serve(context.Background(), c)
 		answered <- a
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -23,56 +23,56 @@
 	answerMargin = 5 * time.Millisecond
 )
 
-// answerKind is a kind of final answer.
-type answerKind int
+// responseKind is a kind of final answer.
+type responseKind int
 
 const (
-	served answerKind = iota
-	refused
-	failed
-	stale // none: the policy that it was read under is not in force any more
+	served responseKind = iota
+	rejected
+	badGateway
+	policyChanged // none: the policy that it was read under is not in force any more
 )
 
-// answer is a request's final answer.
-type answer struct {
-	kind  answerKind
-	body  []byte           // served: all of it, or what has come
-	ctype string           // served
-	rest  *upstream.Stream // served: what is still to come; nil: nothing
-	after time.Duration    // refused: when to come back; 0: not said
+// finalResponse is a request's final answer.
+type finalResponse struct {
+	kind        responseKind
+	body        []byte           // served: all of it, or what has come
+	contentType string           // served
+	remainder   *upstream.Stream // served: what is still to come; nil: nothing
+	retryAfter  time.Duration    // refused: when to come back; 0: not said
 }
 
-// call is a client's request while the host has it. The loop alone touches what follows answered.
-type call struct {
+// inflightRequest is a client's request while the host has it. The loop alone touches what follows answered.
+type inflightRequest struct {
 	upstream.Message
-	*term
-	policy   uint64 // that it was read under; 0: there is none
-	tenant   int
-	retry    bool      // its client asked before
-	deadline time.Time // the final answer is due
-	answered chan answer
+	*classSettings
+	policyNumber uint64 // that it was read under; 0: there is none
+	tenant       int
+	isRetry      bool      // its client asked before
+	deadline     time.Time // the final answer is due
+	response     chan finalResponse
 
 	// release gives back the room of the body, once no attempt can read it any more; nil: it took none.
-	release func()
+	releaseBody func()
 
 	// left tells whether its client has closed the connection; nil: nobody can tell.
-	left func() bool
+	peerClosed func() bool
 
-	number   balance.RequestID
-	over     atomic.Bool // has its final answer; the loop sets it
-	attempts []context.CancelFunc
-	out      int
+	requestID        balance.RequestID
+	completed        atomic.Bool // has its final answer; the loop sets it
+	attempts         []context.CancelFunc
+	attemptsInFlight int
 }
 
-// host runs the Balancer. Its loop is the only goroutine that touches it; everything that happens is posted to it.
-type host struct {
-	log      *slog.Logger
-	origin   time.Time
-	upstream *upstream.Client
-	figures  *stats.Figures
-	terms    atomic.Pointer[terms]
-	ready    chan struct{} // closed once servers are known
-	heard    chan struct{} // closed once discovery has told
+// EventLoop runs the Balancer. Its loop is the only goroutine that touches it; everything that happens is posted to it.
+type EventLoop struct {
+	log         *slog.Logger
+	origin      time.Time
+	upstream    *upstream.Client
+	metrics     *stats.Figures
+	settings    atomic.Pointer[requestSettings]
+	ready       chan struct{} // closed once servers are known
+	firstUpdate chan struct{} // closed once discovery has told
 
 	mu    sync.Mutex
 	queue []event
@@ -82,15 +82,15 @@
 	ctx           context.Context
 	balancer      *balance.Balancer
 	now           balance.Time
-	last          balance.RequestID
-	calls         map[balance.RequestID]*call
+	lastID        balance.RequestID
+	inflight      map[balance.RequestID]*inflightRequest
 	isReady       bool
-	hasHeard      bool
+	hasUpdate     bool
 	subscriptions *discovery.Subscriptions
 	starts        *discovery.StartTimes
-	ends          time.Time      // what is open then is given up, as the process may be killed; zero: it goes on
-	gate          *gate          // nil: the settings are those of the own file
-	listed        func([]Server) // is told each list; nil: nobody is
+	shutdownAt    time.Time      // what is open then is given up, as the process may be killed; zero: it goes on
+	gate          *PolicyGate    // nil: the settings are those of the own file
+	onList        func([]Server) // is told each list; nil: nobody is
 }
 
 // event is what happened at a time.
@@ -99,11 +99,11 @@
 	do func()
 }
 
-// newHost returns a host whose attempts and watches end with ctx. dial opens connections to discovery; nil: over TCP.
-func newHost(ctx context.Context, c *config.Config, log *slog.Logger, dial discovery.DialFunc) (*host, error) {
-	h := &host{log: log, origin: time.Now().Add(-originAge), ready: make(chan struct{}), heard: make(chan struct{}), wake: make(chan struct{}, 1),
-		figures: &stats.Figures{}, calls: map[balance.RequestID]*call{}, ctx: ctx}
-	h.upstream = upstream.New(c.Limits, newBudget(c).upstream, &h.figures.Tries)
+// NewEventLoop returns a host whose attempts and watches end with ctx. dial opens connections to discovery; nil: over TCP.
+func NewEventLoop(ctx context.Context, c *config.Config, log *slog.Logger, dial discovery.DialFunc) (*EventLoop, error) {
+	h := &EventLoop{log: log, origin: time.Now().Add(-originAge), ready: make(chan struct{}), firstUpdate: make(chan struct{}), wake: make(chan struct{}, 1),
+		metrics: &stats.Figures{}, inflight: map[balance.RequestID]*inflightRequest{}, ctx: ctx}
+	h.upstream = upstream.New(c.Limits, NewSocketBudget(c).UpstreamConns, &h.metrics.Tries)
 	h.now = h.clock()
 	h.starts = discovery.NewStartTimes(h.clock)
 	h.subscriptions = discovery.NewSubscriptions(ctx, h, discovery.Options{Address: c.Discovery, Revision: knownRevision(c.Known),
@@ -116,7 +116,7 @@
 	for i := range places {
 		places[i] = i
 	}
-	h.terms.Store(newTerms(c.Settings, c.Names, places, h.figures))
+	h.settings.Store(newRequestSettings(c.Settings, c.Names, places, h.metrics))
 	h.OnUpdate(balance.ListRemembered, c.Known)
 	if !c.Settings.PollDiscovery {
 		h.Subscribe() // an agent that pushes tells all who listen
@@ -133,13 +133,13 @@
 }
 
 // Subscribe implements balance.Actions. It opens a watch of discovery if there is none.
-func (h *host) Subscribe() { h.subscriptions.Subscribe() }
+func (h *EventLoop) Subscribe() { h.subscriptions.Subscribe() }
 
 // clock reads the Balancer's time.
-func (h *host) clock() balance.Time { return time.Since(h.origin) }
+func (h *EventLoop) clock() balance.Time { return time.Since(h.origin) }
 
 // Post has the loop do something. It never waits: what the loop waits for may be posting.
-func (h *host) Post(do func()) {
+func (h *EventLoop) Post(do func()) {
 	h.mu.Lock()
 	h.queue = append(h.queue, event{h.clock(), do}) // timed under the lock: the order is that of the times
 	h.mu.Unlock()
@@ -149,8 +149,8 @@
 	}
 }
 
-// run is the loop. It ends with ctx.
-func (h *host) run(ctx context.Context) {
+// Run is the loop. It ends with ctx.
+func (h *EventLoop) Run(ctx context.Context) {
 	for {
 		h.mu.Lock()
 		batch := h.queue
@@ -173,52 +173,52 @@
 
 // serve has the Balancer decide on a request and returns its final answer, or false if ctx, the client's connection,
 // ends first.
-func (h *host) serve(ctx context.Context, c *call) (answer, bool) {
-	c.answered = make(chan answer, 1)
-	h.Post(func() { h.begin(c) })
+func (h *EventLoop) serve(ctx context.Context, c *inflightRequest) (finalResponse, bool) {
+	c.response = make(chan finalResponse, 1)
+	h.Post(func() { h.start(c) })
 	// A request that the Balancer left without an answer would hang until the client gives up.
 	due := time.AfterFunc(time.Until(c.deadline)+answerMargin/2, func() { h.Post(func() { h.abandon(c, true) }) })
 	defer due.Stop()
 	select {
-	case a := <-c.answered:
+	case a := <-c.response:
 		return a, true
 	case <-ctx.Done():
 		h.Post(func() { h.abandon(c, false) })
-		return answer{}, false
+		return finalResponse{}, false
 	}
 }
 
-func (h *host) begin(c *call) {
-	if c.gone() {
-		h.answer(c, answer{kind: failed})
-		c.released()
+func (h *EventLoop) start(c *inflightRequest) {
+	if c.clientGone() {
+		h.respond(c, finalResponse{kind: badGateway})
+		c.dropBody()
 		return
 	}
-	if h.gate != nil && !h.gate.holds(c.policy) {
-		h.answer(c, answer{kind: stale})
+	if h.gate != nil && !h.gate.isInForce(c.policyNumber) {
+		h.respond(c, finalResponse{kind: policyChanged})
 		return
 	}
-	h.last++
-	c.number = h.last
-	h.calls[c.number] = c
-	h.giveUpInTime(c)
-	h.balancer.Request(h.now, balance.Request{ID: c.number, Class: c.place, Tenant: c.tenant,
-		Timeout: c.deadline.Sub(h.origin) - h.now, Retry: c.retry, ClassTerms: &c.Class})
+	h.lastID++
+	c.requestID = h.lastID
+	h.inflight[c.requestID] = c
+	h.scheduleExpiry(c)
+	h.balancer.Request(h.now, balance.Request{ID: c.requestID, Class: c.index, Tenant: c.tenant,
+		Timeout: c.deadline.Sub(h.origin) - h.now, Retry: c.isRetry, ClassTerms: &c.Class})
 }
 
-// gone tells whether the client of a request has left, also where its connection still has bytes that nobody has read.
-func (c *call) gone() bool { return c.left != nil && c.left() }
+// clientGone tells whether the client of a request has left, also where its connection still has bytes that nobody has read.
+func (c *inflightRequest) clientGone() bool { return c.peerClosed != nil && c.peerClosed() }
 
-// withdrawn tells whether nobody waits for a request any more. No attempt at it may begin then.
-func (h *host) withdrawn(c *call) bool {
-	if c.over.Load() {
+// isCancelled tells whether nobody waits for a request any more. No attempt at it may begin then.
+func (h *EventLoop) isCancelled(c *inflightRequest) bool {
+	if c.completed.Load() {
 		return true
 	}
-	gone := c.gone()
+	gone := c.clientGone()
 	if gone {
 		h.Post(func() {
 			// The request may have got its answer meanwhile, which its handler is about to take.
-			if !c.over.Load() {
+			if !c.completed.Load() {
 				h.abandon(c, false)
 			}
 		})
@@ -226,29 +226,29 @@
 	return gone
 }
 
-// endBy has all requests answered by a time, those in hand too: one may have longer to go than this process has.
-func (h *host) endBy(ends time.Time) {
-	h.ends = ends
-	for _, c := range h.calls {
-		h.giveUpInTime(c)
+// expireBy has all requests answered by a time, those in hand too: one may have longer to go than this process has.
+func (h *EventLoop) expireBy(ends time.Time) {
+	h.shutdownAt = ends
+	for _, c := range h.inflight {
+		h.scheduleExpiry(c)
 	}
 }
 
-// giveUpInTime has a request given up where the process ends before its deadline.
-func (h *host) giveUpInTime(c *call) {
-	if !h.ends.IsZero() && h.ends.Before(c.deadline) {
-		time.AfterFunc(time.Until(h.ends), func() { h.Post(func() { h.abandon(c, true) }) })
+// scheduleExpiry has a request given up where the process ends before its deadline.
+func (h *EventLoop) scheduleExpiry(c *inflightRequest) {
+	if !h.shutdownAt.IsZero() && h.shutdownAt.Before(c.deadline) {
+		time.AfterFunc(time.Until(h.shutdownAt), func() { h.Post(func() { h.abandon(c, true) }) })
 	}
 }
 
 // abandon ends a request that nobody waits for any more, or that is overdue.
-func (h *host) abandon(c *call, overdue bool) {
-	if c.over.Load() {
+func (h *EventLoop) abandon(c *inflightRequest, overdue bool) {
+	if c.completed.Load() {
 		if !overdue {
 			select {
-			case a := <-c.answered: // nobody takes it any more
-				if a.rest != nil {
-					a.rest.Finish(false)
+			case a := <-c.response: // nobody takes it any more
+				if a.remainder != nil {
+					a.remainder.Finish(false)
 				}
 			default:
 			}
@@ -258,54 +258,54 @@
 	if overdue {
 		h.log.Warn("request overdue", "class", c.Name)
 	}
-	final := answer{kind: failed}
-	if len(c.attempts) == 0 || h.balancer.MayReject(c.number) {
-		final = answer{kind: refused, after: h.terms.Load().again}
+	final := finalResponse{kind: badGateway}
+	if len(c.attempts) == 0 || h.balancer.MayReject(c.requestID) {
+		final = finalResponse{kind: rejected, retryAfter: h.settings.Load().retryAfter}
 	}
-	h.answer(c, final)
-	h.balancer.ClientGone(h.now, c.number)
-	h.forget(c)
+	h.respond(c, final)
+	h.balancer.ClientGone(h.now, c.requestID)
+	h.releaseIfDone(c)
 }
 
-// answer gives a request its final answer. The first counts.
-func (h *host) answer(c *call, a answer) {
-	if c != nil && !c.over.Load() {
-		c.over.Store(true)
-		c.answered <- a
+// respond gives a request its final answer. The first counts.
+func (h *EventLoop) respond(c *inflightRequest, a finalResponse) {
+	if c != nil && !c.completed.Load() {
+		c.completed.Store(true)
+		c.response <- a
 	}
 }
 
-// released gives back the room of the body. Given back while an attempt still writes it, the next request's body
+// dropBody gives back the room of the body. Given back while an attempt still writes it, the next request's body
 // would go out in its place.
-func (c *call) released() {
-	if c.release != nil {
-		c.release()
-		c.release, c.Body = nil, nil
+func (c *inflightRequest) dropBody() {
+	if c.releaseBody != nil {
+		c.releaseBody()
+		c.releaseBody, c.Body = nil, nil
 	}
 }
 
-// forget lets go of a request that has its answer and has nothing out.
-func (h *host) forget(c *call) {
-	if c.over.Load() && c.out == 0 {
-		delete(h.calls, c.number)
-		c.released()
+// releaseIfDone lets go of a request that has its answer and has nothing out.
+func (h *EventLoop) releaseIfDone(c *inflightRequest) {
+	if c.completed.Load() && c.attemptsInFlight == 0 {
+		delete(h.inflight, c.requestID)
+		c.dropBody()
 	}
 }
 
 // Send implements balance.Actions, as do the methods after it. It starts an attempt.
-func (h *host) Send(id balance.RequestID, endpoint string, within time.Duration) {
-	c := h.calls[id]
+func (h *EventLoop) Send(id balance.RequestID, endpoint string, within time.Duration) {
+	c := h.inflight[id]
 	if c == nil {
 		return
 	}
 	n, sent := len(c.attempts), h.now
 	ctx, cancel := context.WithDeadline(h.ctx, c.deadline)
 	c.attempts = append(c.attempts, cancel)
-	c.out++
+	c.attemptsInFlight++
 	go func() {
 		begun := false
-		s := upstream.AttemptRequest{ServerID: endpoint, Message: &c.Message, IsCancelled: func() bool { return h.withdrawn(c) }, StartStreaming: func(r upstream.Response) bool {
-			begun = h.begins(c, n, endpoint, sent, r)
+		s := upstream.AttemptRequest{ServerID: endpoint, Message: &c.Message, IsCancelled: func() bool { return h.isCancelled(c) }, StartStreaming: func(r upstream.Response) bool {
+			begun = h.startStreaming(c, n, endpoint, sent, r)
 			return begun
 		}}
 		if within > 0 {
@@ -314,21 +314,21 @@
 		r := h.upstream.Attempt(ctx, s)
 		cancel()
 		if !begun {
-			h.Post(func() { h.result(c, n, endpoint, sent, r) })
+			h.Post(func() { h.finishAttempt(c, n, endpoint, sent, r) })
 		}
 	}()
 }
 
-// begins takes in that a long answer has come in part, and tells whether it is to be passed on. From then on the request
+// startStreaming takes in that a long answer has come in part, and tells whether it is to be passed on. From then on the request
 // has its answer, and the attempt has ended for the Balancer. Of two answers a client would get parts of both.
-func (h *host) begins(c *call, n int, endpoint string, sent balance.Time, r upstream.Response) (wins bool) {
+func (h *EventLoop) startStreaming(c *inflightRequest, n int, endpoint string, sent balance.Time, r upstream.Response) (wins bool) {
 	decided := make(chan bool, 1)
 	h.Post(func() {
-		if c.over.Load() {
+		if c.completed.Load() {
 			decided <- false
 			return
 		}
-		h.result(c, n, endpoint, sent, r)
+		h.finishAttempt(c, n, endpoint, sent, r)
 		decided <- true
 	})
 	select {
@@ -339,54 +339,54 @@
 	}
 }
 
-// result takes in how an attempt ended.
-func (h *host) result(c *call, n int, endpoint string, sent balance.Time, r upstream.Response) {
-	wins := r.Outcome == balance.Served && !c.over.Load()
+// finishAttempt takes in how an attempt ended.
+func (h *EventLoop) finishAttempt(c *inflightRequest, n int, endpoint string, sent balance.Time, r upstream.Response) {
+	wins := r.Outcome == balance.Served && !c.completed.Load()
 	if wins {
-		c.over.Store(true)
+		c.completed.Store(true)
 	}
-	c.out--
-	h.balancer.Result(h.now, balance.Result{ID: c.number, Attempt: n, Endpoint: endpoint, Outcome: r.Outcome,
-		Took: h.now - sent, Finished: c.over.Load()})
+	c.attemptsInFlight--
+	h.balancer.Result(h.now, balance.Result{ID: c.requestID, Attempt: n, Endpoint: endpoint, Outcome: r.Outcome,
+		Took: h.now - sent, Finished: c.completed.Load()})
 	if wins { // A second copy that is not called off before would be sent after the final answer.
-		c.answered <- answer{kind: served, body: r.Body, ctype: r.ContentType, rest: r.Remainder}
+		c.response <- finalResponse{kind: served, body: r.Body, contentType: r.ContentType, remainder: r.Remainder}
 	}
-	h.forget(c)
+	h.releaseIfDone(c)
 }
 
 // Cancel ends an attempt. Its result comes from its own goroutine.
-func (h *host) Cancel(id balance.RequestID, attempt int) {
-	if c := h.calls[id]; c != nil && attempt >= 0 && attempt < len(c.attempts) {
+func (h *EventLoop) Cancel(id balance.RequestID, attempt int) {
+	if c := h.inflight[id]; c != nil && attempt >= 0 && attempt < len(c.attempts) {
 		c.attempts[attempt]()
 	}
 }
 
 // Reject answers that a retry does no harm.
-func (h *host) Reject(id balance.RequestID, after time.Duration) {
-	h.end(id, answer{kind: refused, after: after})
+func (h *EventLoop) Reject(id balance.RequestID, after time.Duration) {
+	h.respondByID(id, finalResponse{kind: rejected, retryAfter: after})
 }
 
 // Fail answers without a promise.
-func (h *host) Fail(id balance.RequestID) { h.end(id, answer{kind: failed}) }
+func (h *EventLoop) Fail(id balance.RequestID) { h.respondByID(id, finalResponse{kind: badGateway}) }
 
-func (h *host) end(id balance.RequestID, a answer) {
-	if c := h.calls[id]; c != nil {
-		h.answer(c, a)
-		h.forget(c)
+func (h *EventLoop) respondByID(id balance.RequestID, a finalResponse) {
+	if c := h.inflight[id]; c != nil {
+		h.respond(c, a)
+		h.releaseIfDone(c)
 	}
 }
 
 // Timer starts a timer.
-func (h *host) Timer(after time.Duration, token uint64) {
+func (h *EventLoop) Timer(after time.Duration, token uint64) {
 	time.AfterFunc(after, func() { h.Post(func() { h.balancer.Timer(h.now, token) }) })
 }
 
 // Log writes a line of the Balancer.
-func (h *host) Log(text string) { h.log.Info(text) }
+func (h *EventLoop) Log(text string) { h.log.Info(text) }
 
 // OnUpdate implements discovery.Subscriber. It hands a list to the connections and to the Balancer, in this order: what
 // the Balancer sends next must find its address.
-func (h *host) OnUpdate(kind balance.ListKind, l discovery.List) {
+func (h *EventLoop) OnUpdate(kind balance.ListKind, l discovery.List) {
 	l.Complete = l.Complete || kind == balance.ListRemembered
 	h.upstream.Update(l)
 	entries := make([]balance.Endpoint, 0, len(l.Endpoints))
@@ -396,10 +396,10 @@
 	}
 	h.starts.Update(h.now, kind, l)
 	h.balancer.Endpoints(h.now, kind, entries)
-	h.tellList()
-	if !h.hasHeard && kind != balance.ListRemembered {
-		h.hasHeard = true
-		close(h.heard)
+	h.reportList()
+	if !h.hasUpdate && kind != balance.ListRemembered {
+		h.hasUpdate = true
+		close(h.firstUpdate)
 	}
 	if !h.isReady && (kind != balance.ListRemembered || len(entries) > 0) {
 		h.isReady = true
@@ -408,7 +408,7 @@
 }
 
 // OnUnchanged implements discovery.Subscriber.
-func (h *host) OnUnchanged() { h.starts.Confirm(h.now) }
+func (h *EventLoop) OnUnchanged() { h.starts.Confirm(h.now) }
 
 // OnWatchEnded implements discovery.Subscriber.
-func (h *host) OnWatchEnded() { h.balancer.Endpoints(h.now, balance.ListRefused, nil) }
+func (h *EventLoop) OnWatchEnded() { h.balancer.Endpoints(h.now, balance.ListRefused, nil) }
--- a/internal/sidecar/ids.go
+++ b/internal/sidecar/ids.go
@@ -6,60 +6,60 @@
 	"time"
 )
 
-// idMemory is how long an id is at least remembered after its request's end.
-const idMemory = time.Second
+// idRetention is how long an id is at least remembered after its request's end.
+const idRetention = time.Second
 
-// ids are those of the requests in hand and of those that have just ended. A second request under an id would
+// inflightIDs are those of the requests in hand and of those that have just ended. A second request under an id would
 // be a second copy for servers, and one of the two would get the other's answer. It may still be on its way when the
 // first has its answer.
-type ids struct {
-	most   int          // requests in hand
-	inHand atomic.Int64 // how many held has, for those who only look
+type inflightIDs struct {
+	maxInFlight int          // requests in hand
+	count       atomic.Int64 // how many held has, for those who only look
 
-	mu      sync.Mutex
-	held    map[string]bool
-	ended   [2]map[string]bool // lately, and before that
-	rotated time.Time
+	mu        sync.Mutex
+	inFlight  map[string]bool
+	recent    [2]map[string]bool // lately, and before that
+	rotatedAt time.Time
 }
 
-func newIDs(most int) *ids {
-	return &ids{most: most, held: map[string]bool{}, ended: [2]map[string]bool{{}, {}}, rotated: time.Now()}
+func newInflightIDs(most int) *inflightIDs {
+	return &inflightIDs{maxInFlight: most, inFlight: map[string]bool{}, recent: [2]map[string]bool{{}, {}}, rotatedAt: time.Now()}
 }
 
-// take takes a request in hand. known says that its id is taken, full that there are too many requests.
-func (i *ids) take(id string) (known, full bool) {
+// reserve takes a request in hand. known says that its id is taken, full that there are too many requests.
+func (i *inflightIDs) reserve(id string) (known, full bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.rotate()
-	known = i.held[id] || i.ended[0][id] || i.ended[1][id]
-	full = len(i.held) >= i.most
+	known = i.inFlight[id] || i.recent[0][id] || i.recent[1][id]
+	full = len(i.inFlight) >= i.maxInFlight
 	if !known && !full {
-		i.held[id] = true
-		i.inHand.Store(int64(len(i.held)))
+		i.inFlight[id] = true
+		i.count.Store(int64(len(i.inFlight)))
 	}
 	return known, full
 }
 
-// setMost changes how many requests may be in hand.
-func (i *ids) setMost(most int) {
+// setMax changes how many requests may be in hand.
+func (i *inflightIDs) setMax(most int) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.most = most
+	i.maxInFlight = most
 }
 
-// end lets go of a request.
-func (i *ids) end(id string) {
+// release lets go of a request.
+func (i *inflightIDs) release(id string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.rotate()
-	delete(i.held, id)
-	i.inHand.Store(int64(len(i.held)))
-	i.ended[0][id] = true
+	delete(i.inFlight, id)
+	i.count.Store(int64(len(i.inFlight)))
+	i.recent[0][id] = true
 }
 
 // rotate forgets what has been over for long. The lock is held.
-func (i *ids) rotate() {
-	if now := time.Now(); now.Sub(i.rotated) >= idMemory {
-		i.ended, i.rotated = [2]map[string]bool{{}, i.ended[0]}, now
+func (i *inflightIDs) rotate() {
+	if now := time.Now(); now.Sub(i.rotatedAt) >= idRetention {
+		i.recent, i.rotatedAt = [2]map[string]bool{{}, i.recent[0]}, now
 	}
 }
--- a/internal/sidecar/kill_test.go
+++ b/internal/sidecar/kill_test.go
@@ -104,7 +104,7 @@
 			if err := testserver.Receive(t, p.ended, "end"); err != nil {
 				t.Errorf("it ended with %v", err)
 			}
-			if took, kill := time.Since(stopped), deadline+killAfter; took > kill+held() {
+			if took, kill := time.Since(stopped), deadline+killDelay; took > kill+held() {
 				t.Errorf("it ended after %v, and may be killed after %v", took, kill)
 			}
 			clients.Wait()
--- a/internal/sidecar/ops.go
+++ b/internal/sidecar/ops.go
@@ -13,13 +13,13 @@
 
 // ops is what the console asks of the sidecar.
 type ops struct {
-	host    *host
+	host    *EventLoop
 	figures *stats.Figures
 	family  *family
 	serving atomic.Pointer[serving] // nil: does not listen yet
 	told    atomic.Bool             // other processes can see that this one is ready
 	part    atomic.Pointer[Part]    // in the fleet; nil: there is none
-	gate    *gate                   // set before it listens; nil: the fleet has no policy, or there is none
+	gate    *PolicyGate             // set before it listens; nil: the fleet has no policy, or there is none
 	obeyed  chan struct{}           // has one if what is out by hand has changed by word of the fleet
 
 	publishing sync.Mutex // held by publish
@@ -57,12 +57,12 @@
 // Figures implements console.Sidecar.
 func (o *ops) Figures(ctx context.Context) ([]byte, error) {
 	var g stats.Gauges
-	err := o.host.ask(ctx, func() { g.Known, g.Skipped = o.host.balancer.CountEndpoints(o.host.now) })
+	err := o.host.Do(ctx, func() { g.Known, g.Skipped = o.host.balancer.CountEndpoints(o.host.now) })
 	if err != nil {
 		return nil, err
 	}
 	if s := o.serving.Load(); s != nil {
-		g.InProgress = int(s.handler.ids.inHand.Load())
+		g.InProgress = int(s.handler.ids.count.Load())
 	}
 	var text bytes.Buffer
 	if err := o.figures.Write(&text, g); err != nil {
@@ -77,7 +77,7 @@
 // neither.
 func (o *ops) TakeOut(ctx context.Context, id string, out, passed bool) (note string, err error) {
 	known := false
-	if err := o.host.ask(ctx, func() { known = o.host.takeOut(id, out) }); err != nil {
+	if err := o.host.Do(ctx, func() { known = o.host.setAdminDown(id, out) }); err != nil {
 		return "", err
 	}
 	elsewhere := passed // the other process has it, and the list here is about to
@@ -100,8 +100,8 @@
 	return o.tellFleet(ctx, id, out, known || elsewhere && !passed, passed)
 }
 
-// ask has the loop do something and waits until it has, or until ctx ends: then it may still do it.
-func (h *host) ask(ctx context.Context, do func()) error {
+// Do has the loop do something and waits until it has, or until ctx ends: then it may still do it.
+func (h *EventLoop) Do(ctx context.Context, do func()) error {
 	done := make(chan struct{})
 	h.Post(func() {
 		do()
@@ -115,8 +115,8 @@
 	}
 }
 
-// takeOut takes a server out by hand, or puts it back, and tells whether it is known.
-func (h *host) takeOut(id string, out bool) (known bool) {
+// setAdminDown takes a server out by hand, or puts it back, and tells whether it is known.
+func (h *EventLoop) setAdminDown(id string, out bool) (known bool) {
 	if known = h.balancer.SetAdminDown(h.now, id, out); known {
 		h.upstream.SetAdminDown(id, out)
 	}
--- a/internal/sidecar/policy.go
+++ b/internal/sidecar/policy.go
@@ -26,52 +26,52 @@
 	// that is known. It reads the clock each time.
 	Serves() (number uint64, wait time.Duration, ok bool)
 	// Calls answers the staff's.
-	Calls() http.Handler
+	Handler() http.Handler
 }
 
 // policyHeader tells the application under which policy its request was decided.
 const policyHeader = "X-Policy"
 
-// enterWithin is how long a request waits for the next policy at most; a change takes a round trip between sidecars.
-const enterWithin = time.Second
+// maxPolicyWait is how long a request waits for the next policy at most; a change takes a round trip between sidecars.
+const maxPolicyWait = time.Second
 
-// ownKeys are the settings that tell this sidecar of its place. A policy has none of them, and all others.
-var ownKeys = []string{"ordinal", "peers_total", "my_zone", "areas", "models", "tier", "tiers", "discovery"}
+// ownSettingKeys are the settings that tell this sidecar of its place. A policy has none of them, and all others.
+var ownSettingKeys = []string{"ordinal", "peers_total", "my_zone", "areas", "models", "tier", "tiers", "discovery"}
 
-// gate has requests taken under the policy in force alone.
-type gate struct {
+// PolicyGate has requests taken under the policy in force alone.
+type PolicyGate struct {
 	policy Policy
-	host   *host
+	loop   *EventLoop
 
-	mu    sync.Mutex
-	own   map[string]any           // this sidecar's place, of its own file
-	ready map[uint64]checkedPolicy // that it can run
+	mu          sync.Mutex
+	ownSettings map[string]any           // this sidecar's place, of its own file
+	checked     map[uint64]checkedPolicy // that it can run
 }
 
 type checkedPolicy struct {
 	settings balance.Settings
 	names    *wire.Names
 	limits   wire.Limits
-	tree     map[string]any // the document
+	document map[string]any // the document
 }
 
-// newGate returns a gate whose policies stand beside the own place of a configuration. Its policy is set before it is used.
-func newGate(h *host, c *config.Config) *gate {
-	g := &gate{host: h, own: map[string]any{}, ready: map[uint64]checkedPolicy{}}
+// NewPolicyGate returns a gate whose policies stand beside the own place of a configuration. Its policy is set before it is used.
+func NewPolicyGate(h *EventLoop, c *config.Config) *PolicyGate {
+	g := &PolicyGate{loop: h, ownSettings: map[string]any{}, checked: map[uint64]checkedPolicy{}}
 	settings := c.SettingsDocument()
-	for _, key := range ownKeys {
+	for _, key := range ownSettingKeys {
 		if v, told := settings[key]; told {
-			g.own[key] = v
+			g.ownSettings[key] = v
 		}
 	}
 	return g
 }
 
-// check reads a document whole, as it would be run here, and says what is wrong with it; "": nothing, and then it can be run.
-func (g *gate) check(ctx context.Context, number uint64, text []byte) (fault string) {
+// Check reads a document whole, as it would be run here, and says what is wrong with it; "": nothing, and then it can be run.
+func (g *PolicyGate) Check(ctx context.Context, number uint64, text []byte) (fault string) {
 	p, err := g.read(text)
 	if err == nil {
-		if asked := g.host.ask(ctx, func() { err = g.host.balancer.CanConfigure(p.settings) }); asked != nil {
+		if asked := g.loop.Do(ctx, func() { err = g.loop.balancer.CanConfigure(p.settings) }); asked != nil {
 			err = asked
 		}
 	}
@@ -80,23 +80,23 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.ready[number] = p
+	g.checked[number] = p
 	// A change comes behind the one in force; what lies further back is served no more.
-	maps.DeleteFunc(g.ready, func(n uint64, _ checkedPolicy) bool { return n+8 < number })
+	maps.DeleteFunc(g.checked, func(n uint64, _ checkedPolicy) bool { return n+8 < number })
 	return ""
 }
 
-func (g *gate) read(text []byte) (p checkedPolicy, err error) {
-	if err := json.Unmarshal(text, &p.tree); err != nil {
+func (g *PolicyGate) read(text []byte) (p checkedPolicy, err error) {
+	if err := json.Unmarshal(text, &p.document); err != nil {
 		return p, fmt.Errorf("policy: %w", err)
 	}
-	merged := maps.Clone(p.tree)
-	for _, key := range ownKeys {
-		if _, there := p.tree[key]; there {
+	merged := maps.Clone(p.document)
+	for _, key := range ownSettingKeys {
+		if _, there := p.document[key]; there {
 			return p, fmt.Errorf("policy: %s: is of each sidecar's own place, in its own file", key)
 		}
 	}
-	maps.Copy(merged, g.own)
+	maps.Copy(merged, g.ownSettings)
 	object, err := json.Marshal(merged)
 	if err != nil {
 		return p, fmt.Errorf("policy: %w", err)
@@ -111,58 +111,58 @@
 // CheckPolicy says what is wrong with a policy for a sidecar of this configuration. A sidecar also holds it against what it has run
 // since its start.
 func CheckPolicy(c *config.Config, text []byte) error {
-	p, err := newGate(nil, c).read(text)
+	p, err := NewPolicyGate(nil, c).read(text)
 	if err != nil {
 		return err
 	}
-	_, err = balance.New(p.settings, idle{})
+	_, err = balance.New(p.settings, noActions{})
 	return err
 }
 
-// idle implements balance.Actions and does nothing.
-type idle struct{ balance.Actions }
+// noActions implements balance.Actions and does nothing.
+type noActions struct{ balance.Actions }
 
 // Timer implements balance.Actions.
-func (idle) Timer(time.Duration, uint64) {}
+func (noActions) Timer(time.Duration, uint64) {}
 
 // adopt has the host go by a policy from now on. It is the loop's.
-func (g *gate) adopt(number uint64) error {
-	if g.host.terms.Load().policy == number {
+func (g *PolicyGate) adopt(number uint64) error {
+	if g.loop.settings.Load().policy == number {
 		return nil
 	}
 	g.mu.Lock()
-	p, ready := g.ready[number]
+	p, ready := g.checked[number]
 	g.mu.Unlock()
 	if !ready {
 		return fmt.Errorf("policy %d is in force, and was not checked here", number)
 	}
-	places, err := g.host.balancer.Configure(p.settings)
+	places, err := g.loop.balancer.Configure(p.settings)
 	if err != nil {
 		return fmt.Errorf("policy %d: %w", number, err)
 	}
-	t := newTerms(p.settings, p.names, places, g.host.figures)
+	t := newRequestSettings(p.settings, p.names, places, g.loop.metrics)
 	t.policy = number
-	g.host.terms.Store(t)
-	g.host.upstream.Configure(p.limits)
-	g.host.log.Info("goes by a policy", "number", number)
+	g.loop.settings.Store(t)
+	g.loop.upstream.Configure(p.limits)
+	g.loop.log.Info("goes by a policy", "number", number)
 	return nil
 }
 
-// enter waits until requests are taken, if that is soon, and has the host go by the policy in force. What it says may
+// Enter waits until requests are taken, if that is soon, and has the host go by the policy in force. What it says may
 // be over when it returns; holds is what counts.
-func (g *gate) enter(ctx context.Context, within time.Duration) bool {
-	for end := time.Now().Add(min(within, enterWithin)); ; {
+func (g *PolicyGate) Enter(ctx context.Context, within time.Duration) bool {
+	for end := time.Now().Add(min(within, maxPolicyWait)); ; {
 		number, wait, ok := g.policy.Serves()
 		switch {
-		case ok && g.host.terms.Load().policy == number:
+		case ok && g.loop.settings.Load().policy == number:
 			return true
 		case ok:
 			var err error
-			if asked := g.host.ask(ctx, func() { err = g.adopt(number) }); asked != nil {
+			if asked := g.loop.Do(ctx, func() { err = g.adopt(number) }); asked != nil {
 				return false
 			}
 			if err != nil {
-				g.host.log.Error("no request is taken", "err", err)
+				g.loop.log.Error("no request is taken", "err", err)
 				return false
 			}
 		case wait == 0 || time.Until(end) < wait:
@@ -177,41 +177,41 @@
 	}
 }
 
-// holds tells whether a request that was read under a policy may be taken now. It is the loop's, called just before the request is
+// isInForce tells whether a request that was read under a policy may be taken now. It is the loop's, called just before the request is
 // taken. A process that stood still meanwhile sees that here.
-func (g *gate) holds(number uint64) bool {
+func (g *PolicyGate) isInForce(number uint64) bool {
 	now, _, ok := g.policy.Serves()
-	return ok && now == number && g.host.terms.Load().policy == number
+	return ok && now == number && g.loop.settings.Load().policy == number
 }
 
-// differs says how a file's settings differ from the policy that the host goes by; "": not at all.
-func (g *gate) differs(c *config.Config) string {
-	number := g.host.terms.Load().policy
+// difference says how a file's settings differ from the policy that the host goes by; "": not at all.
+func (g *PolicyGate) difference(c *config.Config) string {
+	number := g.loop.settings.Load().policy
 	g.mu.Lock()
-	p := g.ready[number]
+	p := g.checked[number]
 	g.mu.Unlock()
 	file := c.SettingsDocument()
 	for _, key := range slices.Sorted(maps.Keys(file)) {
-		if !slices.Contains(ownKeys, key) && !reflect.DeepEqual(file[key], p.tree[key]) {
+		if !slices.Contains(ownSettingKeys, key) && !reflect.DeepEqual(file[key], p.document[key]) {
 			return fmt.Sprintf("settings.%s is another than in policy %d, which is in force: propose it", key, number)
 		}
 	}
 	return ""
 }
 
-// errFixed says that a file's settings are not taken where the fleet's policy is.
-var errFixed = errors.New("not the policy in force")
+// errNotInForce says that a file's settings are not taken where the fleet's policy is.
+var errNotInForce = errors.New("not the policy in force")
 
-// policyOf is the number that a response says; "": there is none.
-func policyOf(number uint64) string {
+// formatPolicyNumber is the number that a response says; "": there is none.
+func formatPolicyNumber(number uint64) string {
 	if number == 0 {
 		return ""
 	}
 	return strconv.FormatUint(number, 10)
 }
 
-// waits is how long a request's client waits, as far as its head says so.
-func waits(r *http.Request) time.Duration {
+// policyWait is how long a request's client waits, as far as its head says so.
+func policyWait(r *http.Request) time.Duration {
 	ms, err := strconv.ParseUint(strings.TrimSpace(r.Header.Get("X-Timeout-Ms")), 10, 31)
 	if err != nil {
 		return 0
--- a/internal/sidecar/policy_test.go
+++ b/internal/sidecar/policy_test.go
@@ -47,7 +47,7 @@
 func (f *fakePart) Figures(context.Context, io.Writer) error                      { return nil }
 func (f *fakePart) Close() error                                                  { return nil }
 func (f *fakePart) Policy() Policy                                                { return f }
-func (f *fakePart) Calls() http.Handler                                           { return http.NotFoundHandler() }
+func (f *fakePart) Handler() http.Handler                                         { return http.NotFoundHandler() }
 
 // Serves implements Policy.
 func (f *fakePart) Serves() (uint64, time.Duration, bool) {
@@ -69,7 +69,7 @@
 // join is a Join.
 func (f *fakePart) join(c *config.Config, _ []string, _ *slog.Logger, told Told) (Part, error) {
 	f.told, f.base = told, maps.Clone(c.SettingsDocument())
-	for _, key := range ownKeys {
+	for _, key := range ownSettingKeys {
 		delete(f.base, key)
 	}
 	return f, nil
@@ -163,7 +163,7 @@
 	}
 	for end := time.Now().Add(testserver.Timeout); ; time.Sleep(time.Millisecond) { // until its head has been read
 		f.mu.Lock()
-		read := f.looks > 0 && p.staff.host.terms.Load().policy == 1
+		read := f.looks > 0 && p.staff.host.settings.Load().policy == 1
 		f.mu.Unlock()
 		if read {
 			break
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -38,7 +38,7 @@
 func Run(stop context.Context, reload <-chan os.Signal, c *config.Config, log *slog.Logger, join Join) error {
 	return run(stop, reload, c, log, join, drainTimes{accept: 450 * time.Millisecond, quiet: 25 * time.Millisecond,
 		closeIdle: 300 * time.Millisecond, unused: 300 * time.Millisecond, listen: time.Second,
-		idle: downstream.IdleTimeout + 200*time.Millisecond, deadline: killDeadline}, hooks{started: func(*ops) {}})
+		idle: downstream.IdleTimeout + 200*time.Millisecond, deadline: maxKillDeadline}, hooks{started: func(*ops) {}})
 }
 
 // run is Run with the times and hooks of a test. It starts and ends all goroutines of the process; what is deferred here
@@ -50,7 +50,7 @@
 
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	h, err := newHost(ctx, c, log, nil)
+	h, err := NewEventLoop(ctx, c, log, nil)
 	if err != nil {
 		return err
 	}
@@ -68,7 +68,7 @@
 	if calls != nil {
 		defer calls.Close()
 	}
-	p.ops = &ops{host: h, figures: h.figures, family: joinFamily(c, log)}
+	p.ops = &ops{host: h, figures: h.metrics, family: joinFamily(c, log)}
 	defer func() { _ = p.ops.family.member.Leave() }() // what is left binds nobody
 	if calls != nil {
 		defer startConsole(calls, p.ops, log)()
@@ -103,7 +103,7 @@
 	log    *slog.Logger
 	times  drainTimes
 	hooks  hooks
-	host   *host
+	host   *EventLoop
 	loops  sync.WaitGroup // end with the context of run
 
 	ops       *ops
@@ -119,14 +119,14 @@
 	p.loops.Add(2)
 	go func() { // ends with ctx
 		defer p.loops.Done()
-		p.host.run(ctx)
+		p.host.Run(ctx)
 	}()
 	go func() { // ends with ctx
 		defer p.loops.Done()
 		for inUse := p.config; ; {
 			select {
 			case <-reload:
-				inUse = p.host.reload(ctx, inUse)
+				inUse = p.host.Reload(ctx, inUse)
 			case <-ctx.Done():
 				return
 			}
@@ -151,7 +151,7 @@
 // serve. It returns false where the process was told to stop meanwhile.
 func (p *process) awaitServers(stop context.Context) bool {
 	select {
-	case <-p.host.heard:
+	case <-p.host.firstUpdate:
 	case <-time.After(p.times.listen):
 	case <-stop.Done():
 		return false
@@ -170,10 +170,10 @@
 	if err := p.accepting.ShareConnections(); err != nil {
 		p.log.Debug("the kernel chooses among the processes of this address", "err", err)
 	}
-	b := newBudget(p.config)
-	p.conns = downstream.NewListener(netretry.NewListener(p.accepting, p.log), b.clients, b.usual, &p.host.figures.Unserved)
+	b := NewSocketBudget(p.config)
+	p.conns = downstream.NewListener(netretry.NewListener(p.accepting, p.log), b.ClientConns, b.KeepAliveConns, &p.host.metrics.Unserved)
 	p.handler = NewHandler(p.config, p.host)
-	context.AfterFunc(p.handler.ending, p.conns.RetireAll)
+	context.AfterFunc(p.handler.shutdown, p.conns.RetireAll)
 	p.handler.gate = p.ops.gate
 	p.loops.Add(1)
 	go func() { // ends with ctx
@@ -223,7 +223,7 @@
 // drain ends serving once all that was read has its answer. Connections that are waiting when the listener closes are
 // reset, and what they sent is lost. So this goes on accepting and serving first, and only asks clients to close.
 func (p *process) drain() error {
-	p.handler.drain(p.times.deadline) // first: the time until the kill runs
+	p.handler.Drain(p.times.deadline) // first: the time until the kill runs
 	succeeded := p.ops.family.successor()
 	p.log.Info("draining", "succeeded", succeeded)
 	p.setPhase(handover.Draining, "the next process does not know that this one drains")
@@ -260,7 +260,7 @@
 func (p *process) awaitConnections(idleFrom time.Time) {
 	for p.conns.Counts().Open > 0 {
 		switch {
-		case p.handler.ending.Err() != nil:
+		case p.handler.shutdown.Err() != nil:
 			p.conns.RetireAll()
 		case time.Now().After(idleFrom):
 			p.conns.RetireIdle(p.times.unused)
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -18,59 +18,59 @@
 
 const (
 	maxRequestBody = 32 << 20 // bytes of a request's body
-	// bodyWithin is how long after a connection's start a body has to begin to keep its pace, and bodyGrace how long after
+	// bodyStartTimeout is how long after a connection's start a body has to begin to keep its pace, and bodyGrace how long after
 	// its head, where that is later. A peer that sends no whole request is owed an end 3 s after it connected.
-	bodyWithin  = 2700 * time.Millisecond
-	bodyGrace   = 400 * time.Millisecond
-	bodyPace    = 48 << 10        // bytes a second that a body comes at least, less than the 64 kB that are a client's right
-	writeWithin = 2 * time.Second // a client may take to receive a short answer, or a piece of a long one
+	bodyStartTimeout = 2700 * time.Millisecond
+	bodyGrace        = 400 * time.Millisecond
+	minBodyRate      = 48 << 10        // bytes a second that a body comes at least, less than the 64 kB that are a client's right
+	writeTimeout     = 2 * time.Second // a client may take to receive a short answer, or a piece of a long one
 )
 
 // Handler answers the application.
 type Handler struct {
-	host     *host
-	config   *config.Config
-	ids      *ids
-	draining atomic.Bool
-	ends     atomic.Pointer[time.Time] // when this process may be killed at the earliest, once it drains
-	gate     *gate                     // set before it serves; nil: the settings are those of the own file
-	room     *room                     // for what of bodies goes beyond the usual
+	loop       *EventLoop
+	config     *config.Config
+	ids        *inflightIDs
+	draining   atomic.Bool
+	shutdownAt atomic.Pointer[time.Time] // when this process may be killed at the earliest, once it drains
+	gate       *PolicyGate               // set before it serves; nil: the settings are those of the own file
+	buffers    *bufferPool               // for what of bodies goes beyond the usual
 
-	ending context.Context // is done when all has to be answered, shortly before this process may be killed
-	end    context.CancelFunc
+	shutdown      context.Context // is done when all has to be answered, shortly before this process may be killed
+	beginShutdown context.CancelFunc
 }
 
 // NewHandler returns the handler of a process that has this configuration.
-func NewHandler(c *config.Config, h *host) *Handler {
-	b := newBudget(c)
+func NewHandler(c *config.Config, h *EventLoop) *Handler {
+	b := NewSocketBudget(c)
 	ending, end := context.WithCancel(context.Background())
-	return &Handler{host: h, config: c, ids: newIDs(b.requests),
-		room: &room{most: c.MemoryMB << 20 / bodyShare / upstream.MaxBufferedBody}, ending: ending, end: end}
+	return &Handler{loop: h, config: c, ids: newInflightIDs(b.Requests),
+		buffers: &bufferPool{maxBuffers: c.MemoryMB << 20 / bodyMemoryShare / upstream.MaxBufferedBody}, shutdown: ending, beginShutdown: end}
 }
 
 // The least time from the word to stop to the kill, on top of the longest deadline, which counts for no more than most.
 const (
-	killAfter    = 700 * time.Millisecond
-	killDeadline = 3 * time.Second
+	killDelay       = 700 * time.Millisecond
+	maxKillDeadline = 3 * time.Second
 	// killMargin is for the last answers: each may be held up, and then has its way to go.
 	killMargin = balance.SchedulingStall + 50*time.Millisecond
 )
 
-// drain has answers end their connections from now on, and requests be answered before this process may be killed.
-func (s *Handler) drain(mostDeadline time.Duration) {
-	ends := time.Now().Add(min(s.longestDeadline(), mostDeadline) + killAfter - killMargin)
-	s.ends.Store(&ends)
+// Drain has answers end their connections from now on, and requests be answered before this process may be killed.
+func (s *Handler) Drain(mostDeadline time.Duration) {
+	ends := time.Now().Add(min(s.longestDeadline(), mostDeadline) + killDelay - killMargin)
+	s.shutdownAt.Store(&ends)
 	s.draining.Store(true)
-	s.host.Post(func() { s.host.endBy(ends) })
-	time.AfterFunc(time.Until(ends), s.end)
+	s.loop.Post(func() { s.loop.expireBy(ends) })
+	time.AfterFunc(time.Until(ends), s.beginShutdown)
 }
 
-// enter waits for a policy, for as long as an answer can still be given.
-func (s *Handler) enter(ctx context.Context, within time.Duration) bool {
+// awaitPolicy waits for a policy, for as long as an answer can still be given.
+func (s *Handler) awaitPolicy(ctx context.Context, within time.Duration) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(s.ending, cancel)()
-	return s.gate.enter(ctx, within)
+	defer context.AfterFunc(s.shutdown, cancel)()
+	return s.gate.Enter(ctx, within)
 }
 
 // endReading is a read deadline that is over by any clock. The zero time would be none.
@@ -79,7 +79,7 @@
 // stopReading ends what is read on a connection once the process ends. Nothing is ended any more after done.
 func (s *Handler) stopReading(conn *http.ResponseController) (done func()) {
 	ended := make(chan struct{})
-	stop := context.AfterFunc(s.ending, func() {
+	stop := context.AfterFunc(s.shutdown, func() {
 		_ = conn.SetReadDeadline(endReading) // it fails where the connection is closed
 		close(ended)
 	})
@@ -92,7 +92,7 @@
 
 // longestDeadline is that of the settings in force now: the platform goes by its newest file.
 func (s *Handler) longestDeadline() (longest time.Duration) {
-	for _, c := range s.host.terms.Load().classes {
+	for _, c := range s.loop.settings.Load().classes {
 		longest = max(longest, c.Deadline)
 	}
 	return longest
@@ -100,10 +100,10 @@
 
 // ServeHTTP implements http.Handler.
 func (s *Handler) ServeHTTP(to http.ResponseWriter, r *http.Request) {
-	came, w := time.Now(), &response{ResponseWriter: to}
+	came, w := time.Now(), &responseRecorder{ResponseWriter: to}
 	// What HTTP/1.0 says of a body's length is not to be relied on, and so what follows it is not either.
 	conn := clientConnOf(r)
-	defer s.answerPanic(w, conn)
+	defer s.recoverPanic(w, conn)
 	if s.draining.Load() || !r.ProtoAtLeast(1, 1) || conn != nil && conn.ClosesAfterResponse() {
 		w.Header().Set("Connection", "close")
 	}
@@ -115,25 +115,25 @@
 	}
 }
 
-func (s *Handler) route(w http.ResponseWriter, r *http.Request, came time.Time) *fault {
+func (s *Handler) route(w http.ResponseWriter, r *http.Request, came time.Time) *httpError {
 	switch {
 	case r.ContentLength > maxRequestBody:
-		return &fault{http.StatusRequestEntityTooLarge, "body too large", ""}
+		return &httpError{http.StatusRequestEntityTooLarge, "body too large", ""}
 	case r.URL.Path == "/healthz":
 		return s.health(w, r)
 	case r.URL.Path == "/api" || strings.HasPrefix(r.URL.Path, "/api/"):
-		return s.api(w, r, came)
+		return s.serveAPI(w, r, came)
 	}
-	return &fault{http.StatusNotFound, "no such path", ""}
+	return &httpError{http.StatusNotFound, "no such path", ""}
 }
 
 // health answers 200 once servers are known and as long as new connections are welcome.
-func (s *Handler) health(w http.ResponseWriter, r *http.Request) *fault {
+func (s *Handler) health(w http.ResponseWriter, r *http.Request) *httpError {
 	if r.Method != http.MethodGet && r.Method != http.MethodHead {
-		return &fault{http.StatusMethodNotAllowed, "method not allowed", "GET, HEAD"}
+		return &httpError{http.StatusMethodNotAllowed, "method not allowed", "GET, HEAD"}
 	}
 	select {
-	case <-s.host.ready:
+	case <-s.loop.ready:
 		if !s.draining.Load() {
 			return nil
 		}
@@ -143,10 +143,10 @@
 	return nil
 }
 
-// api serves a request, or says why it cannot be taken.
-func (s *Handler) api(w http.ResponseWriter, r *http.Request, came time.Time) *fault {
-	if s.gate != nil && !s.enter(r.Context(), waits(r)) {
-		return s.unserved(w, r)
+// serveAPI serves a request, or says why it cannot be taken.
+func (s *Handler) serveAPI(w http.ResponseWriter, r *http.Request, came time.Time) *httpError {
+	if s.gate != nil && !s.awaitPolicy(r.Context(), policyWait(r)) {
+		return s.rejectWithoutPolicy(w, r)
 	}
 	c, f := s.receive(w, r, came)
 	if f != nil {
@@ -155,38 +155,38 @@
 	// The time for the request is over; a later end of the connection means that the client is gone.
 	conn := http.NewResponseController(w)
 	if err := conn.SetReadDeadline(time.Time{}); err != nil {
-		c.released()
-		return &fault{http.StatusInternalServerError, "no deadline", ""}
+		c.dropBody()
+		return &httpError{http.StatusInternalServerError, "no deadline", ""}
 	}
-	switch known, full := s.ids.take(c.ID); {
+	switch known, full := s.ids.reserve(c.ID); {
 	case known:
-		c.released()
-		return &fault{http.StatusConflict, "X-Request-ID is in use", ""}
+		c.dropBody()
+		return &httpError{http.StatusConflict, "X-Request-ID is in use", ""}
 	case full:
-		c.released()
-		answer{kind: refused, after: s.host.terms.Load().again}.write(w)
-		c.counts.Dropped.Add(1)
+		c.dropBody()
+		finalResponse{kind: rejected, retryAfter: s.loop.settings.Load().retryAfter}.write(w)
+		c.counters.Dropped.Add(1)
 		return nil
 	}
-	defer s.ids.end(c.ID)
-	c.left = leaving(r)
-	a, ok := s.host.serve(r.Context(), c)
-	for ok && a.kind == stale { // the policy has changed since the head was read
-		if !s.enter(r.Context(), time.Until(c.deadline)) {
-			c.released()
-			return s.unserved(w, r)
+	defer s.ids.release(c.ID)
+	c.peerClosed = peerClosedFunc(r)
+	a, ok := s.loop.serve(r.Context(), c)
+	for ok && a.kind == policyChanged { // the policy has changed since the head was read
+		if !s.awaitPolicy(r.Context(), time.Until(c.deadline)) {
+			c.dropBody()
+			return s.rejectWithoutPolicy(w, r)
 		}
-		again, _, f := s.parse(r)
+		again, _, f := s.parseRequest(r)
 		if f != nil {
-			c.released()
+			c.dropBody()
 			return f
 		}
-		again.Body, again.release, again.deadline, again.left = c.Body, c.release, c.deadline, c.left
+		again.Body, again.releaseBody, again.deadline, again.peerClosed = c.Body, c.releaseBody, c.deadline, c.peerClosed
 		c = again
-		a, ok = s.host.serve(r.Context(), c)
+		a, ok = s.loop.serve(r.Context(), c)
 	}
-	if c.policy > 0 {
-		w.Header().Set(policyHeader, policyOf(c.policy))
+	if c.policyNumber > 0 {
+		w.Header().Set(policyHeader, formatPolicyNumber(c.policyNumber))
 	}
 	if !ok {
 		// net/http ends a handler that wrote nothing with an empty 200, which a client that has closed
@@ -197,24 +197,24 @@
 }
 
 // receive reads a request whole, and sets when its final answer is due.
-func (s *Handler) receive(w http.ResponseWriter, r *http.Request, came time.Time) (*call, *fault) {
-	c, wait, f := s.parse(r)
+func (s *Handler) receive(w http.ResponseWriter, r *http.Request, came time.Time) (*inflightRequest, *httpError) {
+	c, wait, f := s.parseRequest(r)
 	if f != nil {
 		return nil, f
 	}
 	if r.ContentLength != 0 {
-		body, release, f := s.body(w, r, came)
+		body, release, f := s.readBody(w, r, came)
 		if f != nil {
 			if f.status == http.StatusServiceUnavailable {
-				c.counts.Dropped.Add(1)
+				c.counters.Dropped.Add(1)
 			}
 			return nil, f
 		}
-		c.Body, c.release, came = body, release, time.Now() // the client's time begins with its last byte
+		c.Body, c.releaseBody, came = body, release, time.Now() // the client's time begins with its last byte
 	}
 	c.deadline = came.Add(wait - answerMargin)
 	if s.draining.Load() {
-		if ends := s.ends.Load(); ends.Before(c.deadline) {
+		if ends := s.shutdownAt.Load(); ends.Before(c.deadline) {
 			c.deadline = *ends
 		}
 	}
@@ -222,48 +222,48 @@
 }
 
 // respond writes a request's final answer and counts it.
-func (s *Handler) respond(w http.ResponseWriter, r *http.Request, conn *http.ResponseController, a answer, c *call) *fault {
+func (s *Handler) respond(w http.ResponseWriter, r *http.Request, conn *http.ResponseController, a finalResponse, c *inflightRequest) *httpError {
 	if s.draining.Load() { // also where it was told so since the request came
 		w.Header().Set("Connection", "close")
 	}
 	// A client that reads no answers would hold its handler for good.
-	_ = conn.SetWriteDeadline(time.Now().Add(writeWithin))
-	if a.rest != nil {
+	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	if a.remainder != nil {
 		return s.stream(w, r, conn, a, c)
 	}
 	a.write(w)
 	switch a.kind {
 	case served:
-		c.counts.Passed.Add(1)
-	case refused:
-		c.counts.Dropped.Add(1)
+		c.counters.Passed.Add(1)
+	case rejected:
+		c.counters.Dropped.Add(1)
 	default:
-		c.counts.BadGateway.Add(1)
+		c.counters.BadGateway.Add(1)
 	}
 	return nil
 }
 
-// leaving returns what tells whether the client of a request has left. net/http sees its close only once all that came before it is
+// peerClosedFunc returns what tells whether the client of a request has left. net/http sees its close only once all that came before it is
 // read, which other requests may be.
-func leaving(r *http.Request) (left func() bool) {
+func peerClosedFunc(r *http.Request) (left func() bool) {
 	conn := clientConnOf(r)
 	return func() bool { return r.Context().Err() != nil || conn != nil && conn.PeerClosed() }
 }
 
-// unserved refuses a request that no policy lets this sidecar take now.
-func (s *Handler) unserved(w http.ResponseWriter, r *http.Request) *fault {
-	if c, _, f := s.parse(r); f == nil {
-		c.counts.Dropped.Add(1)
+// rejectWithoutPolicy refuses a request that no policy lets this sidecar take now.
+func (s *Handler) rejectWithoutPolicy(w http.ResponseWriter, r *http.Request) *httpError {
+	if c, _, f := s.parseRequest(r); f == nil {
+		c.counters.Dropped.Add(1)
 	}
-	answer{kind: refused, after: s.host.terms.Load().again}.write(w)
+	finalResponse{kind: rejected, retryAfter: s.loop.settings.Load().retryAfter}.write(w)
 	return nil
 }
 
-// body reads a request's body, in pieces of mostBody bytes at most. release gives back the room that it took.
-func (s *Handler) body(w http.ResponseWriter, r *http.Request, came time.Time) (body [][]byte, release func(), f *fault) {
+// readBody reads a request's body, in pieces of mostBody bytes at most. release gives back the room that it took.
+func (s *Handler) readBody(w http.ResponseWriter, r *http.Request, came time.Time) (body [][]byte, release func(), f *httpError) {
 	conn, start := http.NewResponseController(w), came.Add(bodyGrace)
-	if c := clientConnOf(r); c != nil && c.AcceptedAt().Add(bodyWithin).After(start) {
-		start = c.AcceptedAt().Add(bodyWithin)
+	if c := clientConnOf(r); c != nil && c.AcceptedAt().Add(bodyStartTimeout).After(start) {
+		start = c.AcceptedAt().Add(bodyStartTimeout)
 	}
 	defer s.stopReading(conn)()
 	size := 4 << 10
@@ -272,10 +272,10 @@
 	}
 	body = [][]byte{make([]byte, 0, size)}
 	taken, all := 0, 0
-	release = func() { s.room.give(taken, body[1:]) }
-	bad := func(status int, text string) ([][]byte, func(), *fault) {
+	release = func() { s.buffers.release(taken, body[1:]) }
+	bad := func(status int, text string) ([][]byte, func(), *httpError) {
 		release()
-		return nil, nil, &fault{status, text, ""}
+		return nil, nil, &httpError{status, text, ""}
 	}
 	for {
 		piece := body[len(body)-1]
@@ -290,19 +290,19 @@
 				// Many large bodies at once would take all memory. Where each takes its room bit by bit,
 				// all get a part and none gets through. One that says its length takes it at once.
 				more := max(1, (int(r.ContentLength)-all)/upstream.MaxBufferedBody+1)
-				if !s.room.take(more) {
+				if !s.buffers.reserve(more) {
 					return bad(http.StatusServiceUnavailable, "refused: too many large bodies at once")
 				}
 				taken += more
 			}
-			piece = s.room.piece()
+			piece = s.buffers.buffer()
 			body = append(body, nil)
 		}
 		// A body that never ends would hold its connection for good.
-		if err := conn.SetReadDeadline(start.Add(time.Duration(all) * time.Second / bodyPace)); err != nil {
+		if err := conn.SetReadDeadline(start.Add(time.Duration(all) * time.Second / minBodyRate)); err != nil {
 			return bad(http.StatusInternalServerError, "no deadline")
 		}
-		if s.ending.Err() != nil { // this process may be killed before the body is whole
+		if s.shutdown.Err() != nil { // this process may be killed before the body is whole
 			_ = conn.SetReadDeadline(endReading) // or net/http would wait for the rest; it fails where the connection is closed
 			return bad(http.StatusServiceUnavailable, "refused: this process ends")
 		}
@@ -311,7 +311,7 @@
 		switch {
 		case err == io.EOF:
 			return body, release, nil
-		case errors.Is(err, os.ErrDeadlineExceeded) && s.ending.Err() != nil: // and so the loop says
+		case errors.Is(err, os.ErrDeadlineExceeded) && s.shutdown.Err() != nil: // and so the loop says
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return bad(http.StatusRequestTimeout, "body came too slowly")
 		case err != nil:
@@ -320,15 +320,15 @@
 	}
 }
 
-// fault is the answer to a request that cannot be taken.
-type fault struct {
+// httpError is the answer to a request that cannot be taken.
+type httpError struct {
 	status int
 	text   string
 	allow  string // the method that is allowed
 }
 
 // write writes the fault and has the connection closed: what follows on it is not to be relied on.
-func (f *fault) write(w http.ResponseWriter) {
+func (f *httpError) write(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	if f.allow != "" {
 		w.Header().Set("Allow", f.allow)
@@ -336,16 +336,16 @@
 	http.Error(w, f.text, f.status)
 }
 
-// parse reads a request's headers, and how long the client waits.
-func (s *Handler) parse(r *http.Request) (*call, time.Duration, *fault) {
-	bad := func(text string) (*call, time.Duration, *fault) {
-		return nil, 0, &fault{http.StatusBadRequest, text, ""}
+// parseRequest reads a request's headers, and how long the client waits.
+func (s *Handler) parseRequest(r *http.Request) (*inflightRequest, time.Duration, *httpError) {
+	bad := func(text string) (*inflightRequest, time.Duration, *httpError) {
+		return nil, 0, &httpError{http.StatusBadRequest, text, ""}
 	}
 	if r.Method != http.MethodGet && r.Method != http.MethodPost {
-		return nil, 0, &fault{http.StatusMethodNotAllowed, "method not allowed", "GET, POST"}
+		return nil, 0, &httpError{http.StatusMethodNotAllowed, "method not allowed", "GET, POST"}
 	}
 	if !r.ProtoAtLeast(1, 1) {
-		return nil, 0, &fault{http.StatusHTTPVersionNotSupported, "HTTP/1.1 is needed", ""}
+		return nil, 0, &httpError{http.StatusHTTPVersionNotSupported, "HTTP/1.1 is needed", ""}
 	}
 	// Of two values, servers may take the other one.
 	for _, name := range []string{"X-Request-Id", "X-Priority-Class", "X-Tenant-Id", "X-Timeout-Ms", "Idempotency-Key",
@@ -354,12 +354,12 @@
 			return bad(name + " is given more than once")
 		}
 	}
-	c := &call{Message: upstream.Message{Method: r.Method, URL: r.URL, ID: r.Header.Get("X-Request-ID"),
+	c := &inflightRequest{Message: upstream.Message{Method: r.Method, URL: r.URL, ID: r.Header.Get("X-Request-ID"),
 		IdempotencyKey: r.Header.Get("Idempotency-Key"), ContentType: r.Header.Get("Content-Type")}}
 	if c.ID == "" {
 		return bad("X-Request-ID is missing")
 	}
-	now := s.host.terms.Load()
+	now := s.loop.settings.Load()
 	class, ok := now.classes[r.Header.Get("X-Priority-Class")]
 	if !ok {
 		return bad("X-Priority-Class is missing or unknown")
@@ -370,7 +370,7 @@
 		method = http.MethodGet
 	}
 	if r.Method != method {
-		return nil, 0, &fault{http.StatusMethodNotAllowed, "another method goes with the class", method}
+		return nil, 0, &httpError{http.StatusMethodNotAllowed, "another method goes with the class", method}
 	}
 	if (c.IdempotencyKey != "") != (effect == balance.Deduplicated) {
 		return bad("Idempotency-Key goes with the classes that carry one")
@@ -385,8 +385,8 @@
 	}
 	// A client that claims to wait for weeks would be held for weeks.
 	wait := min(time.Duration(ms)*time.Millisecond, class.Deadline)
-	c.policy = now.policy
-	c.term, c.tenant, c.retry = class, -1, r.Header.Get("X-Retried") == "1"
+	c.policyNumber = now.policy
+	c.classSettings, c.tenant, c.isRetry = class, -1, r.Header.Get("X-Retried") == "1"
 	if tenant, ok := now.tenants[r.Header.Get("X-Tenant-Id")]; ok {
 		c.tenant = tenant
 	}
@@ -394,19 +394,19 @@
 }
 
 // write writes the final answer.
-func (a answer) write(w http.ResponseWriter) {
+func (a finalResponse) write(w http.ResponseWriter) {
 	switch a.kind {
 	case served:
 		// A guessed type or a chunked body would be another answer than the server's.
 		w.Header()["Content-Type"] = nil
-		if a.ctype != "" {
-			w.Header().Set("Content-Type", a.ctype)
+		if a.contentType != "" {
+			w.Header().Set("Content-Type", a.contentType)
 		}
 		w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
 		_, _ = w.Write(a.body) // a client that is gone needs no answer
-	case refused:
-		if a.after > 0 {
-			w.Header().Set("Retry-After", strconv.FormatFloat(a.after.Seconds(), 'f', 3, 64))
+	case rejected:
+		if a.retryAfter > 0 {
+			w.Header().Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64))
 		}
 		http.Error(w, "refused: a retry is harmless", http.StatusServiceUnavailable)
 	default:
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -221,7 +221,7 @@
 		cold bool
 	}{{booted, true}, {time.Time{}, false}, {booted.Add(-2 * originAge), false}} {
 		c.Known = discovery.List{Revision: 1, Complete: true, Endpoints: []discovery.Endpoint{{ID: "s-0", Address: "127.0.0.1:9", Zone: "a", Kind: "m", Weight: 1, StartedAt: tt.boot}}}
-		h, err := newHost(context.Background(), c, slog.New(slog.DiscardHandler), nil)
+		h, err := NewEventLoop(context.Background(), c, slog.New(slog.DiscardHandler), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -382,13 +382,13 @@
 
 func TestRefusalSaysWhen(t *testing.T) {
 	for _, tt := range []struct {
-		a      answer
+		a      finalResponse
 		status int
 		header string
 	}{
-		{answer{kind: refused, after: 250 * time.Millisecond}, 503, "0.250"},
-		{answer{kind: refused}, 503, ""},
-		{answer{kind: failed}, 502, ""},
+		{finalResponse{kind: rejected, retryAfter: 250 * time.Millisecond}, 503, "0.250"},
+		{finalResponse{kind: rejected}, 503, ""},
+		{finalResponse{kind: badGateway}, 502, ""},
 	} {
 		w := httptest.NewRecorder()
 		tt.a.write(w)
--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -30,20 +30,20 @@
 
 // stream passes a long answer on. What the server cuts off must not look whole to the client: its connection ends
 // before the length is met, or before the chunks' end.
-func (s *Handler) stream(w http.ResponseWriter, r *http.Request, conn *http.ResponseController, a answer, c *call) *fault {
+func (s *Handler) stream(w http.ResponseWriter, r *http.Request, conn *http.ResponseController, a finalResponse, c *inflightRequest) *httpError {
 	whole, ours := false, false
 	// A full send buffer takes more when a third of it is free. A slow client would take a large one's third for
 	// longer than any piece may take.
 	if client := clientConnOf(r); client != nil {
 		_ = client.SetWriteBuffer(clientSendBuffer) // the system's own is only worse
 	}
-	defer func() { a.rest.Finish(whole) }()
-	defer context.AfterFunc(s.ending, a.rest.ShortenPause)()
+	defer func() { a.remainder.Finish(whole) }()
+	defer context.AfterFunc(s.shutdown, a.remainder.ShortenPause)()
 	w.Header()["Content-Type"] = nil
-	if a.ctype != "" {
-		w.Header().Set("Content-Type", a.ctype)
+	if a.contentType != "" {
+		w.Header().Set("Content-Type", a.contentType)
 	}
-	if n := a.rest.Length(); n >= 0 {
+	if n := a.remainder.Length(); n >= 0 {
 		w.Header().Set("Content-Length", strconv.FormatInt(n, 10))
 	}
 	passed := int64(0)
@@ -55,22 +55,22 @@
 			break
 		}
 		passed += int64(len(piece))
-		if a.rest.IsComplete() {
+		if a.remainder.IsComplete() {
 			whole = true
 			break
 		}
-		a.rest.AllowPause(allowedPause(max(passed, a.rest.Length()), c.deadline))
-		n, err := a.rest.Read(buffer[:])
+		a.remainder.AllowPause(allowedPause(max(passed, a.remainder.Length()), c.deadline))
+		n, err := a.remainder.Read(buffer[:])
 		if piece = buffer[:n]; err != nil && !errors.Is(err, io.EOF) {
 			break
 		}
 	}
 	switch {
 	case whole:
-		c.counts.Passed.Add(1)
+		c.counters.Passed.Add(1)
 		return nil
 	case !ours:
-		c.counts.BadGateway.Add(1)
+		c.counters.BadGateway.Add(1)
 	}
 	panic(http.ErrAbortHandler)
 }
--- a/internal/sidecar/terms.go
+++ b/internal/sidecar/terms.go
@@ -9,28 +9,28 @@
 	"milletramp.example/milletramp/internal/wire"
 )
 
-// terms are the classes and tenants as clients name them now. They are replaced as a whole and never changed.
-type terms struct {
-	classes map[string]*term
-	tenants map[string]int
-	again   time.Duration // when to come back if too many requests are held
-	policy  uint64        // its number; 0: they are of the own file
+// requestSettings are the classes and tenants as clients name them now. They are replaced as a whole and never changed.
+type requestSettings struct {
+	classes    map[string]*classSettings
+	tenants    map[string]int
+	retryAfter time.Duration // when to come back if too many requests are held
+	policy     uint64        // its number; 0: they are of the own file
 }
 
-// term is one class. Requests keep it to their end.
-type term struct {
+// classSettings is one class. Requests keep it to their end.
+type classSettings struct {
 	balance.Class
-	place  int // in the Balancer
-	counts *stats.Class
+	index    int // in the Balancer
+	counters *stats.Class
 }
 
-// newTerms returns the terms of these settings, whose classes stand at these places in the Balancer.
-func newTerms(set balance.Settings, names *wire.Names, places []int, figures *stats.Figures) *terms {
-	t := &terms{classes: map[string]*term{}, tenants: names.Tenant}
+// newRequestSettings returns the terms of these settings, whose classes stand at these places in the Balancer.
+func newRequestSettings(set balance.Settings, names *wire.Names, places []int, figures *stats.Figures) *requestSettings {
+	t := &requestSettings{classes: map[string]*classSettings{}, tenants: names.Tenant}
 	for name, i := range names.Class {
 		c := set.Classes[i]
-		t.classes[name] = &term{Class: c, place: places[i], counts: figures.Class(name)}
-		t.again = min(cmp.Or(t.again, c.LatencyObjective), c.LatencyObjective)
+		t.classes[name] = &classSettings{Class: c, index: places[i], counters: figures.Class(name)}
+		t.retryAfter = min(cmp.Or(t.retryAfter, c.LatencyObjective), c.LatencyObjective)
 	}
 	return t
 }
