--- a/cmd/milletramp/policy.go
+++ b/cmd/milletramp/policy.go
@@ -22,7 +22,7 @@
 	"milletramp.example/milletramp/internal/config"
 	"milletramp.example/milletramp/internal/fleet/policyagent"
 	"milletramp.example/milletramp/internal/member"
-	"milletramp.example/milletramp/internal/sidecar"
+	"milletramp.example/milletramp/internal/proxy"
 )
 
 // The states of a change, as a console says them.
@@ -95,7 +95,7 @@
 	if err != nil {
 		return err
 	}
-	if err := sidecar.CheckPolicy(config, text); err != nil {
+	if err := proxy.CheckPolicy(config, text); err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
 	fmt.Printf("%s: a sidecar of %s can run it\n", c.File, c.Config)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -14,6 +14,7 @@
 	"milletramp.example/milletramp/internal/config"
 	"milletramp.example/milletramp/internal/fleet"
 	"milletramp.example/milletramp/internal/fleet/failuredetector"
+	"milletramp.example/milletramp/internal/proxy"
 	"milletramp.example/milletramp/internal/sidecar"
 	"milletramp.example/milletramp/internal/wallclock"
 )
@@ -41,7 +42,7 @@
 }
 
 // Policy implements sidecar.Part.
-func (p part) Policy() sidecar.Policy {
+func (p part) Policy() proxy.Policy {
 	if c := p.Fleet.Policy(); c != nil {
 		return newCalls(c)
 	}
--- /dev/null
+++ b/internal/proxy/abandoned_test.go
@@ -0,0 +1,86 @@
+//go:build go1.25
+
+package proxy
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"milletramp.example/milletramp/internal/lab/testserver"
+)
+
+// earn has requests be served, each on the connection of the one before, which then is closed.
+func (b *bubble) earn(requests int) {
+	b.answers = func(int) string {
+		time.Sleep(50 * time.Millisecond)
+		return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+	}
+	for range requests {
+		<-b.ask("read", time.Second, nil)
+		time.Sleep(20 * time.Millisecond) // a connection rests so long before its next request
+	}
+	time.Sleep(10 * time.Second)
+	for len(b.came) > 0 {
+		<-b.came
+	}
+}
+
+// TestGoneBeforeAnAttempt has a client leave, so that only a look at its connection tells, while its request has one
+// attempt to come for each reason that there is: that attempt is not made. With a client that stays it is.
+func TestGoneBeforeAnAttempt(t *testing.T) {
+	later := func(text string) func(int) string {
+		return func(int) string { time.Sleep(time.Second); return text }
+	}
+	lost := func(int) string { return "" }
+	slow := func(context.Context, int) error { time.Sleep(time.Second); return nil }
+	refused := func(_ context.Context, n int) error {
+		if time.Sleep(time.Second); n == 0 {
+			return syscall.ECONNREFUSED
+		}
+		return nil
+	}
+	shut := "HTTP/1.1 503 X\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
+	timed := strings.ReplaceAll(testserver.Settings, `"aim_s":20.0`, `"aim_s":0.4`)
+	hedged := strings.Replace(timed, `"cancelling":true`, `"cancelling":true,"second_copies":true`, 1)
+	for _, tt := range []struct {
+		name, settings string
+		leaves         time.Duration // after the request
+		dials          func(context.Context, int) error
+		answers        func(int) string
+		stays, gone    int // attempts that reach a server
+	}{
+		{"before its turn", testserver.Settings, 0, nil, later(serverError), 2, 0},
+		{"while a connection comes up", testserver.Settings, time.Second / 2, slow, later(serverError), 2, 0},
+		{"no connection", testserver.Settings, time.Second / 2, refused, later(serverError), 1, 0},
+		{"an error", testserver.Settings, time.Second / 2, nil, later(serverError), 2, 1},
+		{"turned away", testserver.Settings, time.Second / 2, nil, later(shut), 2, 1},
+		{"a retry's connection comes up", testserver.Settings, 5 * time.Second / 2, slow, later(serverError), 2, 1},
+		{"given up by a timer", timed, time.Millisecond, nil, lost, 2, 1},
+		{"hedged by a timer", hedged, time.Millisecond, nil, lost, 2, 1},
+	} {
+		for _, leaves := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, leaves %v", tt.name, leaves), func(t *testing.T) {
+				inBubble(t, tt.settings, func(b *bubble) {
+					if tt.settings != testserver.Settings {
+						b.earn(1000) // from these it knows when an answer is late
+					}
+					b.dials, b.answers = tt.dials, tt.answers
+					end := time.Now().Add(tt.leaves)
+					answered := b.ask("read", 50*time.Second, func() bool { return leaves && !time.Now().Before(end) })
+					time.Sleep(55 * time.Second)
+					want := tt.stays
+					if leaves {
+						want = tt.gone
+					}
+					if len(b.came) != want || len(answered) != 1 {
+						b.t.Errorf("%d attempts, want %d; %d answers", len(b.came), want, len(answered))
+					}
+				})
+			})
+		}
+	}
+}
--- a/internal/sidecar/follow_test.go
+++ b/internal/proxy/discovery_test.go
@@ -1,11 +1,12 @@
 //go:build go1.25
 
-package sidecar
+package proxy
 
 import (
 	"context"
 	"log/slog"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -24,12 +25,12 @@
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		h, err := NewEventLoop(ctx, c, slog.New(slog.DiscardHandler), a.Dial)
+		h, err := NewEventLoop(ctx, c, 1000, slog.New(slog.DiscardHandler), a.Dial)
 		if err != nil {
 			t.Fatal(err)
 		}
 		told := make(chan time.Time, 1000)
-		h.onList = func([]Server) { told <- time.Now() }
+		h.onList = func([]discovery.Endpoint) { told <- time.Now() }
 		var over sync.WaitGroup
 		over.Go(func() { h.Run(ctx) })
 		play(t, a, h, told)
@@ -110,29 +111,59 @@
 	}
 }
 
-// TestListOfAnyAge has a process begin with a list that the platform wrote down: what the first list of discovery has
-// beyond that may have started long before.
-func TestListOfAnyAge(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c, err := load(t, testserver.ConfigText("127.0.0.1:9", "", testserver.Settings))
-		if err != nil {
-			t.Fatal(err)
-		}
-		c.Settings.PollDiscovery = true // and so no watch but that of this test
-		h, err := NewEventLoop(context.Background(), c, slog.New(slog.DiscardHandler), nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		endpoint := func(id string, start time.Time) discovery.Endpoint {
-			return discovery.Endpoint{ID: id, Address: "127.0.0.1:9", Zone: "a", Kind: "m", Weight: 1, StartedAt: start}
-		}
-		h.OnUpdate(balance.ListRemembered, discovery.List{Endpoints: []discovery.Endpoint{endpoint("s-0", time.Time{})}})
-		time.Sleep(time.Second)
-		warm := endpoint("s-1", time.Now().Add(-time.Hour).Round(0))
-		h.now = h.clock()
-		h.OnUpdate(balance.ListFull, discovery.List{Revision: 1, Complete: true, Endpoints: []discovery.Endpoint{endpoint("s-0", time.Time{}), warm}})
-		if got := h.clock() - h.starts.StartOf(warm); got != time.Hour {
-			t.Errorf("it is %v old, want 1h", got)
-		}
-	})
+// TestDiscoveryOutForMinutes has discovery be down for two minutes, in each phase of the sidecar's calls: the list is
+// there in time once it is back.
+func TestDiscoveryOutForMinutes(t *testing.T) {
+	for phase := time.Duration(0); phase < 3*time.Second; phase += 170 * time.Millisecond {
+		followed(t, func(t *testing.T, a *testserver.Agent, _ *EventLoop, told chan time.Time) {
+			<-told
+			time.Sleep(10 * time.Second)
+			a.Silence(true, 0)
+			time.Sleep(2*time.Minute + phase)
+			a.SetDown(false)
+			back := time.Now()
+			if took := (<-told).Sub(back); took > discovery.FirstListTimeout+balance.MaxDiscoveryBackoff {
+				t.Errorf("told %v after an outage of two minutes and %v", took, phase)
+			}
+		})
+	}
+}
+
+// TestSlowOrCrowdedDiscovery has the watch fall silent while discovery answers each call only after a time, or refuses
+// four calls of five: the next list is there at the latest 6 s later.
+func TestSlowOrCrowdedDiscovery(t *testing.T) {
+	for _, tt := range []struct {
+		name    string
+		after   time.Duration
+		refuses int // of one more
+	}{{"after a second", time.Second, 0}, {"after two seconds", 2 * time.Second, 0}, {"refuses most", 0, 4},
+		{"refuses some, answers late", 700 * time.Millisecond, 1}} {
+		followed(t, func(t *testing.T, a *testserver.Agent, h *EventLoop, told chan time.Time) {
+			<-told
+			var calls atomic.Int64
+			a.SetDelay(tt.after)
+			a.RefuseWhen(func() bool { return calls.Add(1)%int64(tt.refuses+1) != 0 })
+			time.Sleep(20 * time.Second)
+			a.Silence(false, 0)
+			silent := time.Now()
+			select {
+			case at := <-told:
+				if took := at.Sub(silent); took > discovery.MaxStaleness {
+					t.Errorf("%s: told after %v", tt.name, took)
+				}
+			case <-time.After(time.Minute):
+				t.Errorf("%s: not told within a minute, %d calls", tt.name, calls.Load())
+			}
+			h.Post(func() { h.subscriptions.SwitchAddress("127.0.0.1:8") })
+			moved := time.Now()
+			select {
+			case at := <-told:
+				if took := at.Sub(moved); took >= 4*time.Second {
+					t.Errorf("%s: told %v after the move", tt.name, took)
+				}
+			case <-time.After(time.Minute):
+				t.Errorf("%s: not told within a minute after the move, %d calls", tt.name, calls.Load())
+			}
+		})
+	}
 }
--- a/internal/sidecar/host.go
+++ b/internal/proxy/event_loop.go
@@ -1,4 +1,4 @@
-package sidecar
+package proxy
 
 import (
 	"context"
@@ -88,9 +88,9 @@
 	hasUpdate     bool
 	subscriptions *discovery.Subscriptions
 	starts        *discovery.StartTimes
-	shutdownAt    time.Time      // what is open then is given up, as the process may be killed; zero: it goes on
-	gate          *PolicyGate    // nil: the settings are those of the own file
-	onList        func([]Server) // is told each list; nil: nobody is
+	shutdownAt    time.Time                  // what is open then is given up, as the process may be killed; zero: it goes on
+	gate          *PolicyGate                // nil: the settings are those of the own file
+	onList        func([]discovery.Endpoint) // is told each list; nil: nobody is
 }
 
 // event is what happened at a time.
@@ -100,14 +100,15 @@
 }
 
 // NewEventLoop returns a host whose attempts and watches end with ctx. dial opens connections to discovery; nil: over TCP.
-func NewEventLoop(ctx context.Context, c *config.Config, log *slog.Logger, dial discovery.DialFunc) (*EventLoop, error) {
+func NewEventLoop(ctx context.Context, c *config.Config, maxUpstreamConns int, log *slog.Logger,
+	dialDiscovery discovery.DialFunc) (*EventLoop, error) {
 	h := &EventLoop{log: log, origin: time.Now().Add(-originAge), ready: make(chan struct{}), firstUpdate: make(chan struct{}), wake: make(chan struct{}, 1),
 		metrics: &stats.Figures{}, inflight: map[balance.RequestID]*inflightRequest{}, ctx: ctx}
-	h.upstream = upstream.New(c.Limits, NewSocketBudget(c).UpstreamConns, &h.metrics.Tries)
+	h.upstream = upstream.New(c.Limits, maxUpstreamConns, &h.metrics.Tries)
 	h.now = h.clock()
 	h.starts = discovery.NewStartTimes(h.clock)
 	h.subscriptions = discovery.NewSubscriptions(ctx, h, discovery.Options{Address: c.Discovery, Revision: knownRevision(c.Known),
-		ConnectTimeout: c.Limits.ConnectTimeout, Dial: dial, Log: log})
+		ConnectTimeout: c.Limits.ConnectTimeout, Dial: dialDiscovery, Log: log})
 	var err error
 	if h.balancer, err = balance.New(c.Settings, h); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -412,3 +413,89 @@
 
 // OnWatchEnded implements discovery.Subscriber.
 func (h *EventLoop) OnWatchEnded() { h.balancer.Endpoints(h.now, balance.ListRefused, nil) }
+
+// Do has the loop do something and waits until it has, or until ctx ends: then it may still do it.
+func (h *EventLoop) Do(ctx context.Context, do func()) error {
+	done := make(chan struct{})
+	h.Post(func() {
+		do()
+		close(done)
+	})
+	select {
+	case <-done:
+		return nil
+	case <-ctx.Done():
+		return fmt.Errorf("the sidecar is busy: %w", context.Cause(ctx))
+	}
+}
+
+// SetAdminDown takes a server out by hand, or puts it back, and tells whether it is known.
+func (h *EventLoop) SetAdminDown(id string, out bool) (known bool) {
+	if known = h.balancer.SetAdminDown(h.now, id, out); known {
+		h.upstream.SetAdminDown(id, out)
+	}
+	return known
+}
+
+// AdminDown returns the servers that are administratively down. It is called on the loop.
+func (h *EventLoop) AdminDown() []string { return h.balancer.AdminDown() }
+
+// AdoptAdminDown takes servers administratively down, known here or not. It is called on the loop.
+func (h *EventLoop) AdoptAdminDown(ids []string) {
+	for _, id := range ids {
+		h.upstream.SetAdminDown(id, true)
+	}
+	h.balancer.AdoptAdminDown(h.now, ids)
+}
+
+// CountEndpoints returns how many servers are known, and how many of these are avoided. It is called on the loop.
+func (h *EventLoop) CountEndpoints() (known, avoided int) { return h.balancer.CountEndpoints(h.now) }
+
+// SuspectedServer is a server that other sidecars suspect.
+type SuspectedServer struct {
+	ID  string
+	Age time.Duration // of the latest report
+}
+
+// SetSuspected replaces the servers that are suspected. It is called on the loop.
+func (h *EventLoop) SetSuspected(servers []SuspectedServer) {
+	reports := make([]balance.PeerReport, 0, len(servers))
+	for _, s := range servers {
+		reports = append(reports, balance.PeerReport{ID: s.ID, WrittenAt: h.now - s.Age})
+	}
+	h.balancer.SetSuspected(reports)
+}
+
+// SetObserver sets what gets the Balancer's observations of servers; nil: nothing does. It is called on the loop.
+func (h *EventLoop) SetObserver(observer balance.Observer) { h.balancer.SetObserver(observer) }
+
+// SetListObserver sets what gets each list of servers, and gives it the one in hand. It is called on the loop.
+func (h *EventLoop) SetListObserver(onList func([]discovery.Endpoint)) {
+	h.onList = onList
+	h.reportList()
+}
+
+// PolicyNumber is the number of the policy in force; 0: the settings are those of the file.
+func (h *EventLoop) PolicyNumber() uint64 { return h.settings.Load().policy }
+
+// SetPolicyGate sets the gate that requests pass. It is called on the loop.
+func (h *EventLoop) SetPolicyGate(gate *PolicyGate) { h.gate = gate }
+
+// Ready is closed once servers are known.
+func (h *EventLoop) Ready() <-chan struct{} { return h.ready }
+
+// FirstUpdate is closed once discovery has answered.
+func (h *EventLoop) FirstUpdate() <-chan struct{} { return h.firstUpdate }
+
+// Metrics returns the counters of the process.
+func (h *EventLoop) Metrics() *stats.Figures { return h.metrics }
+
+// Upstream returns the client that makes the attempts.
+func (h *EventLoop) Upstream() *upstream.Client { return h.upstream }
+
+// reportList passes the list of servers on, where it is wanted.
+func (h *EventLoop) reportList() {
+	if h.onList != nil {
+		h.onList(h.upstream.Endpoints())
+	}
+}
--- a/internal/sidecar/server.go
+++ b/internal/proxy/handler.go
@@ -1,4 +1,4 @@
-package sidecar
+package proxy
 
 import (
 	"context"
@@ -17,11 +17,11 @@
 )
 
 const (
-	maxRequestBody = 32 << 20 // bytes of a request's body
-	// bodyStartTimeout is how long after a connection's start a body has to begin to keep its pace, and bodyGrace how long after
+	MaxRequestBody = 32 << 20 // bytes of a request's body
+	// BodyStartTimeout is how long after a connection's start a body has to begin to keep its pace, and bodyGrace how long after
 	// its head, where that is later. A peer that sends no whole request is owed an end 3 s after it connected.
-	bodyStartTimeout = 2700 * time.Millisecond
-	bodyGrace        = 400 * time.Millisecond
+	BodyStartTimeout = 2700 * time.Millisecond
+	BodyGrace        = 400 * time.Millisecond
 	minBodyRate      = 48 << 10        // bytes a second that a body comes at least, less than the 64 kB that are a client's right
 	writeTimeout     = 2 * time.Second // a client may take to receive a short answer, or a piece of a long one
 )
@@ -41,24 +41,39 @@
 }
 
 // NewHandler returns the handler of a process that has this configuration.
-func NewHandler(c *config.Config, h *EventLoop) *Handler {
-	b := NewSocketBudget(c)
+func NewHandler(c *config.Config, h *EventLoop, maxInFlight int) *Handler {
 	ending, end := context.WithCancel(context.Background())
-	return &Handler{loop: h, config: c, ids: newInflightIDs(b.Requests),
+	return &Handler{loop: h, config: c, ids: newInflightIDs(maxInFlight),
 		buffers: &bufferPool{maxBuffers: c.MemoryMB << 20 / bodyMemoryShare / upstream.MaxBufferedBody}, shutdown: ending, beginShutdown: end}
 }
 
 // The least time from the word to stop to the kill, on top of the longest deadline, which counts for no more than most.
 const (
-	killDelay       = 700 * time.Millisecond
-	maxKillDeadline = 3 * time.Second
+	KillDelay       = 700 * time.Millisecond
+	MaxKillDeadline = 3 * time.Second
 	// killMargin is for the last answers: each may be held up, and then has its way to go.
 	killMargin = balance.SchedulingStall + 50*time.Millisecond
 )
 
+// SetPolicyGate sets the gate that requests pass; nil: none. It is called before the handler serves.
+func (s *Handler) SetPolicyGate(gate *PolicyGate) { s.gate = gate }
+
+// SetMaxInFlight changes how many requests may be in flight.
+func (s *Handler) SetMaxInFlight(n int) { s.ids.setMax(n) }
+
+// InFlight is how many requests are in flight.
+func (s *Handler) InFlight() int { return int(s.ids.count.Load()) }
+
+// IsDraining reports whether Drain was called.
+func (s *Handler) IsDraining() bool { return s.draining.Load() }
+
+// Shutdown returns a context that is done when all requests have to be answered, shortly before the process may be
+// killed.
+func (s *Handler) Shutdown() context.Context { return s.shutdown }
+
 // Drain has answers end their connections from now on, and requests be answered before this process may be killed.
 func (s *Handler) Drain(mostDeadline time.Duration) {
-	ends := time.Now().Add(min(s.longestDeadline(), mostDeadline) + killDelay - killMargin)
+	ends := time.Now().Add(min(s.LongestDeadline(), mostDeadline) + KillDelay - killMargin)
 	s.shutdownAt.Store(&ends)
 	s.draining.Store(true)
 	s.loop.Post(func() { s.loop.expireBy(ends) })
@@ -90,8 +105,8 @@
 	}
 }
 
-// longestDeadline is that of the settings in force now: the platform goes by its newest file.
-func (s *Handler) longestDeadline() (longest time.Duration) {
+// LongestDeadline is that of the settings in force now: the platform goes by its newest file.
+func (s *Handler) LongestDeadline() (longest time.Duration) {
 	for _, c := range s.loop.settings.Load().classes {
 		longest = max(longest, c.Deadline)
 	}
@@ -117,7 +132,7 @@
 
 func (s *Handler) route(w http.ResponseWriter, r *http.Request, came time.Time) *httpError {
 	switch {
-	case r.ContentLength > maxRequestBody:
+	case r.ContentLength > MaxRequestBody:
 		return &httpError{http.StatusRequestEntityTooLarge, "body too large", ""}
 	case r.URL.Path == "/healthz":
 		return s.health(w, r)
@@ -186,7 +201,7 @@
 		a, ok = s.loop.serve(r.Context(), c)
 	}
 	if c.policyNumber > 0 {
-		w.Header().Set(policyHeader, formatPolicyNumber(c.policyNumber))
+		w.Header().Set(PolicyHeader, formatPolicyNumber(c.policyNumber))
 	}
 	if !ok {
 		// net/http ends a handler that wrote nothing with an empty 200, which a client that has closed
@@ -261,9 +276,9 @@
 
 // readBody reads a request's body, in pieces of mostBody bytes at most. release gives back the room that it took.
 func (s *Handler) readBody(w http.ResponseWriter, r *http.Request, came time.Time) (body [][]byte, release func(), f *httpError) {
-	conn, start := http.NewResponseController(w), came.Add(bodyGrace)
-	if c := clientConnOf(r); c != nil && c.AcceptedAt().Add(bodyStartTimeout).After(start) {
-		start = c.AcceptedAt().Add(bodyStartTimeout)
+	conn, start := http.NewResponseController(w), came.Add(BodyGrace)
+	if c := clientConnOf(r); c != nil && c.AcceptedAt().Add(BodyStartTimeout).After(start) {
+		start = c.AcceptedAt().Add(BodyStartTimeout)
 	}
 	defer s.stopReading(conn)()
 	size := 4 << 10
@@ -283,7 +298,7 @@
 		case len(piece) < cap(piece):
 		case len(piece) < upstream.MaxBufferedBody:
 			piece = append(make([]byte, 0, min(4*cap(piece), upstream.MaxBufferedBody)), piece...)
-		case all > maxRequestBody:
+		case all > MaxRequestBody:
 			return bad(http.StatusRequestEntityTooLarge, "body too large")
 		default:
 			if taken == len(body)-1 {
--- a/internal/sidecar/churn_test.go
+++ b/internal/proxy/handler_test.go
@@ -1,20 +1,33 @@
-package sidecar
+package proxy
 
 import (
 	"context"
 	"fmt"
 	"log/slog"
 	"net/http"
+	"net/http/httptest"
 	"runtime"
 	"testing"
 	"time"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/config"
 	"milletramp.example/milletramp/internal/discovery"
 	"milletramp.example/milletramp/internal/downstream"
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
+// serve serves a handler of the loop on client connections, as the process does, until the caller closes the server.
+func serve(t *testing.T, c *config.Config, h *EventLoop) (*Handler, *downstream.Listener, *http.Server) {
+	t.Helper()
+	handler := NewHandler(c, h, 1000)
+	conns := downstream.NewListener(testserver.Listen(t), 1000, 1000, &h.metrics.Unserved)
+	web := conns.HTTPServer(handler, slog.New(slog.DiscardHandler))
+	web.ConnContext = ConnContext
+	go func() { _ = web.Serve(conns) }()
+	return handler, conns, web
+}
+
 // TestChurn has thousands of requests come, each with a new id on a connection of its own, while servers are replaced
 // all the time, also at addresses of former ones. Danger: on a long day, what is left behind of each adds up.
 func TestChurn(t *testing.T) {
@@ -37,18 +50,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	log := slog.New(slog.DiscardHandler)
-	h, err := NewEventLoop(ctx, c, log, nil)
+	h, err := NewEventLoop(ctx, c, 1000, log, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	go h.Run(ctx)
-	s := NewHandler(c, h)
-	limits := NewSocketBudget(c)
-	conns := downstream.NewListener(testserver.Listen(t), limits.ClientConns, limits.KeepAliveConns, &h.metrics.Unserved)
-	web := conns.HTTPServer(s, log)
-	web.ConnContext = ConnContext
-	go func() { _ = web.Serve(conns) }()
-	p := &program{t: t, address: conns.Addr().String(), client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
+	s, conns, web := serve(t, c, h)
+	p := &testserver.Client{T: t, Address: conns.Addr().String(), HTTP: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 
 	tell := func(l discovery.List) {
 		done := make(chan bool)
@@ -63,7 +71,7 @@
 		}
 		tell(parsed(t, testserver.ListText(round+2, true, entries...)))
 		for range each {
-			if g := p.ask([]string{"read", "book", "pay"}[round%3]); g.status != 200 {
+			if g := p.Send([]string{"read", "book", "pay"}[round%3]); g.Status != 200 {
 				t.Fatalf("answer %+v in round %d", g, round)
 			}
 		}
@@ -98,3 +106,53 @@
 		time.Sleep(time.Millisecond)
 	}
 }
+
+// TestHandlerPanics has a fault of the program end the handler: the request gets an error and its connection ends in
+// order, and the next one is served.
+func TestHandlerPanics(t *testing.T) {
+	backend := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+	c, err := load(t, testserver.ConfigText("127.0.0.1:9", testserver.ServingList(1, backend), testserver.Settings))
+	if err != nil {
+		t.Fatal(err)
+	}
+	c.Settings.PollDiscovery = true // and so no watch in this test
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	h, err := NewEventLoop(ctx, c, 1000, slog.New(slog.DiscardHandler), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	go h.Run(ctx)
+	s, conns, web := serve(t, c, h)
+	defer web.Close()
+	p := &testserver.Client{T: t, Address: conns.Addr().String(), HTTP: &http.Client{Transport: &http.Transport{}}}
+	defer p.HTTP.CloseIdleConnections()
+	ids := s.ids
+	s.ids = nil // which api uses once it has read the request
+	conn := p.DialConn()
+	fmt.Fprintf(conn, "%s\r\n", testserver.RequestHead("GET", "first", "read"))
+	testserver.ExpectFinalResponse(t, conn, http.StatusInternalServerError)
+	s.ids = ids
+	if g := p.Send("pay"); g.Status != http.StatusOK {
+		t.Errorf("answer %+v to the next request", g)
+	}
+}
+
+// TestRejectionSaysWhenToRetry holds the status and Retry-After of final responses without a body.
+func TestRejectionSaysWhenToRetry(t *testing.T) {
+	for _, tt := range []struct {
+		a      finalResponse
+		status int
+		header string
+	}{
+		{finalResponse{kind: rejected, retryAfter: 250 * time.Millisecond}, 503, "0.250"},
+		{finalResponse{kind: rejected}, 503, ""},
+		{finalResponse{kind: badGateway}, 502, ""},
+	} {
+		w := httptest.NewRecorder()
+		tt.a.write(w)
+		if w.Code != tt.status || w.Header().Get("Retry-After") != tt.header {
+			t.Errorf("%+v: status %d, header %v", tt.a, w.Code, w.Header())
+		}
+	}
+}
--- /dev/null
+++ b/internal/proxy/main_test.go
@@ -0,0 +1,21 @@
+package proxy
+
+import (
+	"fmt"
+	"os"
+	"testing"
+
+	"milletramp.example/milletramp/internal/lab/testrun"
+)
+
+// TestMain keeps other packages that measure time off while these tests run.
+func TestMain(m *testing.M) {
+	release, err := testrun.Exclusive()
+	if err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		os.Exit(1)
+	}
+	status := m.Run()
+	release()
+	os.Exit(status)
+}
--- a/internal/sidecar/policy.go
+++ b/internal/proxy/policy_gate.go
@@ -1,4 +1,4 @@
-package sidecar
+package proxy
 
 import (
 	"context"
@@ -29,14 +29,14 @@
 	Handler() http.Handler
 }
 
-// policyHeader tells the application under which policy its request was decided.
-const policyHeader = "X-Policy"
+// PolicyHeader tells the application under which policy its request was decided.
+const PolicyHeader = "X-Policy"
 
 // maxPolicyWait is how long a request waits for the next policy at most; a change takes a round trip between sidecars.
 const maxPolicyWait = time.Second
 
-// ownSettingKeys are the settings that tell this sidecar of its place. A policy has none of them, and all others.
-var ownSettingKeys = []string{"ordinal", "peers_total", "my_zone", "areas", "models", "tier", "tiers", "discovery"}
+// OwnSettingKeys are the settings that tell this sidecar of its place. A policy has none of them, and all others.
+var OwnSettingKeys = []string{"ordinal", "peers_total", "my_zone", "areas", "models", "tier", "tiers", "discovery"}
 
 // PolicyGate has requests taken under the policy in force alone.
 type PolicyGate struct {
@@ -59,7 +59,7 @@
 func NewPolicyGate(h *EventLoop, c *config.Config) *PolicyGate {
 	g := &PolicyGate{loop: h, ownSettings: map[string]any{}, checked: map[uint64]checkedPolicy{}}
 	settings := c.SettingsDocument()
-	for _, key := range ownSettingKeys {
+	for _, key := range OwnSettingKeys {
 		if v, told := settings[key]; told {
 			g.ownSettings[key] = v
 		}
@@ -67,11 +67,17 @@
 	return g
 }
 
+// SetPolicy sets the policy that the gate goes by. It is called before the gate is used.
+func (g *PolicyGate) SetPolicy(policy Policy) { g.policy = policy }
+
+// Policy is the policy that the gate goes by.
+func (g *PolicyGate) Policy() Policy { return g.policy }
+
 // Check reads a document whole, as it would be run here, and says what is wrong with it; "": nothing, and then it can be run.
-func (g *PolicyGate) Check(ctx context.Context, number uint64, text []byte) (fault string) {
+func (g *PolicyGate) Check(number uint64, text []byte) (fault string) {
 	p, err := g.read(text)
 	if err == nil {
-		if asked := g.loop.Do(ctx, func() { err = g.loop.balancer.CanConfigure(p.settings) }); asked != nil {
+		if asked := g.loop.Do(g.loop.ctx, func() { err = g.loop.balancer.CanConfigure(p.settings) }); asked != nil {
 			err = asked
 		}
 	}
@@ -91,7 +97,7 @@
 		return p, fmt.Errorf("policy: %w", err)
 	}
 	merged := maps.Clone(p.document)
-	for _, key := range ownSettingKeys {
+	for _, key := range OwnSettingKeys {
 		if _, there := p.document[key]; there {
 			return p, fmt.Errorf("policy: %s: is of each sidecar's own place, in its own file", key)
 		}
@@ -192,7 +198,7 @@
 	g.mu.Unlock()
 	file := c.SettingsDocument()
 	for _, key := range slices.Sorted(maps.Keys(file)) {
-		if !slices.Contains(ownSettingKeys, key) && !reflect.DeepEqual(file[key], p.document[key]) {
+		if !slices.Contains(OwnSettingKeys, key) && !reflect.DeepEqual(file[key], p.document[key]) {
 			return fmt.Sprintf("settings.%s is another than in policy %d, which is in force: propose it", key, number)
 		}
 	}
--- a/internal/sidecar/terms.go
+++ b/internal/proxy/request_settings.go
@@ -1,4 +1,4 @@
-package sidecar
+package proxy
 
 import (
 	"cmp"
--- a/internal/sidecar/heldup_test.go
+++ b/internal/proxy/stalled_test.go
@@ -1,6 +1,6 @@
 //go:build go1.25
 
-package sidecar
+package proxy
 
 import (
 	"bufio"
@@ -85,7 +85,7 @@
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		h, err := NewEventLoop(ctx, c, slog.New(slog.DiscardHandler), func(context.Context, string, string) (net.Conn, error) {
+		h, err := NewEventLoop(ctx, c, 1000, slog.New(slog.DiscardHandler), func(context.Context, string, string) (net.Conn, error) {
 			return nil, syscall.ECONNREFUSED // discovery is down
 		})
 		if err != nil {
--- a/internal/sidecar/stream.go
+++ b/internal/proxy/stream.go
@@ -1,4 +1,4 @@
-package sidecar
+package proxy
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 const (
 	streamBufferSize = 16 << 10 // bytes of a long answer that are held at once
 	clientSendBuffer = 64 << 10 // bytes of it that may wait in the client's connection
-	// maxStreamPause is how long a server may pause in an answer that is being passed on: one that vanishes says nothing.
-	maxStreamPause = 5 * time.Second
+	// MaxStreamPause is how long a server may pause in an answer that is being passed on: one that vanishes says nothing.
+	MaxStreamPause = 5 * time.Second
 	// lateResponseGrace is how long after its client's time an answer of usual length may still end. Its client counts it as lost 0.5 s after
 	// that time, and as failed where it was told before that it has no end.
 	lateResponseGrace = 250 * time.Millisecond
@@ -78,14 +78,14 @@
 // allowedPause is how long a server may pause in an answer of at least this length, to a client whose time ends at deadline.
 func allowedPause(length int64, deadline time.Time) time.Duration {
 	if length > upstream.MaxBufferedBody {
-		return maxStreamPause
+		return MaxStreamPause
 	}
-	return min(maxStreamPause, max(time.Until(deadline.Add(lateResponseGrace)), minStreamPause))
+	return min(MaxStreamPause, max(time.Until(deadline.Add(lateResponseGrace)), minStreamPause))
 }
 
 // writePiece sends a piece of an answer. The time it may take is the piece's own.
 func writePiece(w http.ResponseWriter, conn *http.ResponseController, piece []byte) error {
-	if err := conn.SetWriteDeadline(time.Now().Add(maxStreamPause)); err != nil {
+	if err := conn.SetWriteDeadline(time.Now().Add(MaxStreamPause)); err != nil {
 		return err
 	}
 	if _, err := w.Write(piece); err != nil {
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -15,34 +15,18 @@
 	"milletramp.example/milletramp/internal/config"
 	"milletramp.example/milletramp/internal/downstream"
 	"milletramp.example/milletramp/internal/lab/testserver"
+	"milletramp.example/milletramp/internal/proxy"
 )
 
-// head is a good request's head without its end.
-func head(method, id, class string) string {
-	return fmt.Sprintf("%s /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\nX-Timeout-Ms: 50000\r\n", method, id, class)
-}
-
 // dial connects to the program. What is read on it must come in time.
-func (p *program) dial() net.Conn {
-	p.t.Helper()
-	c, err := net.Dial("tcp", p.address)
-	if err != nil {
-		p.t.Fatal(err)
-	}
-	p.t.Cleanup(func() { c.Close() })
-	if err := c.SetReadDeadline(time.Now().Add(testserver.Timeout)); err != nil {
-		p.t.Fatal(err)
-	}
-	return c
-}
 
 // TestRawFaults sends what net/http's client would not. Each gets one error or a close, and what stands behind it is
 // never taken for a request.
 func TestRawFaults(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
-	hidden := head("GET", "hidden", "read") + "\r\n"
-	pay := head("POST", "i", "pay")
+	hidden := testserver.RequestHead("GET", "hidden", "read") + "\r\n"
+	pay := testserver.RequestHead("POST", "i", "pay")
 	for _, tt := range []struct {
 		name, text string
 		status     int // 0: a close will do
@@ -61,16 +45,16 @@
 		{"no number", pay + "Content-Length: four\r\n\r\nskip" + hidden, 400},
 		{"huge length", pay + "Content-Length: 60000000\r\n\r\n" + hidden, 413},
 		{"length beyond numbers", pay + "Content-Length: 99999999999999999999\r\n\r\n" + hidden, 400},
-		{"body on GET", head("GET", "i", "read") + "Content-Length: 4\r\n\r\nskip" + hidden, 400},
+		{"body on GET", testserver.RequestHead("GET", "i", "read") + "Content-Length: 4\r\n\r\nskip" + hidden, 400},
 		{"no HTTP", "hello\r\n\r\n" + hidden, 400},
 		{"no end of the head", pay, 0},
 		{"head too long", pay + "X: " + strings.Repeat("x", 2*(16<<10)), 431},
 		{"half a body", pay + "Content-Length: 400\r\n\r\nhalf", 408},
 		{"nothing", "", 0},
-		{"faults in a row", strings.Repeat(head("GET", "i", "sing")+"\r\n", 20) + hidden, 400},
+		{"faults in a row", strings.Repeat(testserver.RequestHead("GET", "i", "sing")+"\r\n", 20) + hidden, 400},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			c := p.dial()
+			c := p.DialConn()
 			if _, err := io.WriteString(c, tt.text); err != nil {
 				t.Fatal(err)
 			}
@@ -81,13 +65,13 @@
 			}
 		})
 	}
-	if most := max(downstream.HeadTimeout, bodyStartTimeout, downstream.HeadTimeout+bodyGrace); most > 2800*time.Millisecond || downstream.HeadTimeout < 2200*time.Millisecond {
+	if most := max(downstream.HeadTimeout, proxy.BodyStartTimeout, downstream.HeadTimeout+proxy.BodyGrace); most > 2800*time.Millisecond || downstream.HeadTimeout < 2200*time.Millisecond {
 		t.Errorf("a head may take %v, a peer without a request is held for %v; 2 s are a client's right, 3 s owed", downstream.HeadTimeout, most)
 	}
 	if n := b.RequestCount(); n != 0 {
 		t.Errorf("%d requests were passed on, the first %+v", n, <-b.Requests)
 	}
-	if g := p.ask("pay"); g.status != 200 {
+	if g := p.Send("pay"); g.Status != 200 {
 		t.Errorf("answer %+v to a good request", g)
 	}
 }
@@ -101,21 +85,21 @@
 	})
 	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
 	ask := func() *http.Request {
-		r := p.request(context.Background(), "pay", "50000")
+		r := p.NewRequest(context.Background(), "pay", "50000")
 		r.Header.Set("X-Request-ID", "same")
 		return r
 	}
-	first := make(chan gotten, 1)
-	go func() { first <- p.do(ask()) }()
+	first := make(chan testserver.Result, 1)
+	go func() { first <- p.Do(ask()) }()
 	testserver.Receive(t, b.Requests, "attempt")
-	if g := p.do(ask()); g.status != 409 || !g.closing {
+	if g := p.Do(ask()); g.Status != 409 || !g.Close {
 		t.Errorf("answer %+v to an id in hand", g)
 	}
 	close(gate)
-	if g := testserver.Receive(t, first, "answer"); g.status != 200 || g.body != "mine" {
+	if g := testserver.Receive(t, first, "answer"); g.Status != 200 || g.Body != "mine" {
 		t.Errorf("the first one got %+v", g)
 	}
-	if g := p.do(ask()); g.status != 409 {
+	if g := p.Do(ask()); g.Status != 409 {
 		t.Errorf("answer %+v to an id just used", g)
 	}
 	if n := b.RequestCount(); n != 0 {
@@ -123,28 +107,6 @@
 	}
 }
 
-// TestIDsAreForgotten: what is remembered of requests that are over goes with time.
-func TestIDsAreForgotten(t *testing.T) {
-	i := newInflightIDs(1)
-	for n := range 1000 {
-		id := fmt.Sprint(n)
-		if known, full := i.reserve(id); known || full {
-			t.Fatalf("id %d: known %v, full %v", n, known, full)
-		}
-		if _, full := i.reserve("another"); !full {
-			t.Fatal("more are held than may be")
-		}
-		i.release(id)
-		i.rotatedAt = i.rotatedAt.Add(-idRetention)
-	}
-	if n := len(i.inFlight) + len(i.recent[0]) + len(i.recent[1]); n > 2 {
-		t.Errorf("%d ids are left of 1000", n)
-	}
-	if known, _ := i.reserve("0"); known {
-		t.Error("an id of long ago is still taken")
-	}
-}
-
 // TestHoardedConnections has clients hold hundreds of silent connections: those of a request in hand and of new
 // requests are served, and the longest idle are closed.
 func TestHoardedConnections(t *testing.T) {
@@ -157,22 +119,22 @@
 	})
 	configText := strings.Replace(testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings), `"sockets":1024`, `"sockets":64`, 1)
 	p := start(t, configText)
-	held := make(chan gotten, 1)
-	go func() { held <- p.do(p.request(context.Background(), "book", "50000")) }()
+	held := make(chan testserver.Result, 1)
+	go func() { held <- p.Do(p.NewRequest(context.Background(), "book", "50000")) }()
 	testserver.Receive(t, b.Requests, "attempt")
 	most := NewSocketBudget(&config.Config{Sockets: 64}).ClientConns
-	first := p.dial()
+	first := p.DialConn()
 	for range 4 * most {
-		p.dial()
+		p.DialConn()
 	}
 	if _, err := first.Read(make([]byte, 1)); err == nil {
 		t.Error("the longest idle connection got an answer")
 	}
-	if g := p.ask("pay"); g.status != 200 {
+	if g := p.Send("pay"); g.Status != 200 {
 		t.Errorf("answer %+v to a new request", g)
 	}
 	close(gate)
-	if g := testserver.Receive(t, held, "answer"); g.status != 200 {
+	if g := testserver.Receive(t, held, "answer"); g.Status != 200 {
 		t.Errorf("answer %+v to the request in hand", g)
 	}
 }
@@ -181,10 +143,10 @@
 func TestKeepAlive(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
-	c := p.dial()
+	c := p.DialConn()
 	in := bufio.NewReader(c)
 	for i := range 3 {
-		fmt.Fprintf(c, "%s\r\n", head("GET", fmt.Sprint("k", i), "read"))
+		fmt.Fprintf(c, "%s\r\n", testserver.RequestHead("GET", fmt.Sprint("k", i), "read"))
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil || resp.StatusCode != 200 || resp.Close {
 			t.Fatalf("request %d: answer %+v, error %v", i, resp, err)
@@ -204,9 +166,9 @@
 	budget := NewSocketBudget(&config.Config{Sockets: 64})
 	kept, ended := 0, 0
 	for i := range 3 * budget.ClientConns {
-		c := p.dial() // stays open to the end
+		c := p.DialConn() // stays open to the end
 		in := bufio.NewReader(c)
-		fmt.Fprintf(c, "%s\r\n", head("GET", fmt.Sprint("once-", i), "read"))
+		fmt.Fprintf(c, "%s\r\n", testserver.RequestHead("GET", fmt.Sprint("once-", i), "read"))
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil || resp.StatusCode != http.StatusOK {
 			t.Fatalf("connection %d: answer %+v, error %v", i, resp, err)
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -27,7 +27,7 @@
 			return reset && testserver.ResetConnection(c, r, body)
 		})
 		p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
-		resp, err := p.client.Do(p.request(context.Background(), "pay", "50000"))
+		resp, err := p.HTTP.Do(p.NewRequest(context.Background(), "pay", "50000"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -44,13 +44,13 @@
 func TestStopWhileABodyComes(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
-	c := p.dial()
-	fmt.Fprintf(c, "%sContent-Length: 8\r\n\r\nhalf", head("POST", "slow", "pay"))
+	c := p.DialConn()
+	fmt.Fprintf(c, "%sContent-Length: 8\r\n\r\nhalf", testserver.RequestHead("POST", "slow", "pay"))
 	p.inUse(1)
 	p.stop()
 	p.deaf()
 	fmt.Fprint(c, "rest")
-	lastAnswer(t, c, http.StatusOK)
+	testserver.ExpectFinalResponse(t, c, http.StatusOK)
 	if err := testserver.Receive(t, p.ended, "end"); err != nil {
 		t.Errorf("it ended with %v", err)
 	}
@@ -59,11 +59,11 @@
 
 // inUse waits until n connections have brought a request.
 func (p *program) inUse(n int) {
-	p.t.Helper()
+	p.T.Helper()
 	conns := p.staff.serving.Load().conns
 	for end := time.Now().Add(testserver.Timeout); conns.Counts().Used < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			p.t.Fatalf("not %d connections in use", n)
+			p.T.Fatalf("not %d connections in use", n)
 		}
 	}
 }
@@ -80,7 +80,7 @@
 	})
 	text := testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings)
 	p := start(t, text)
-	resp, err := p.client.Do(p.request(context.Background(), "pay", "50000"))
+	resp, err := p.HTTP.Do(p.NewRequest(context.Background(), "pay", "50000"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -121,24 +121,24 @@
 			other := testserver.StartBackend(t, testserver.Respond(200, "", "other"))
 			d := testserver.StartDiscovery(t)
 			p := start(t, testserver.ConfigText(d.Address, testserver.ServingList(1, b), testserver.Settings))
-			if g := p.ask("read"); g.body != "first" {
+			if g := p.Send("read"); g.Body != "first" {
 				t.Fatalf("answer %+v", g)
 			}
 			time.Sleep(connectionRest) // and so the next request goes out on the connection
 			w := testserver.Receive(t, d.Watches, "watch")
-			g := make(chan gotten, 1)
+			g := make(chan testserver.Result, 1)
 			w.Lines <- testserver.ListText(2, false, testserver.EndpointEntry("s-1", other.Address, "SERVING", 0))
 			p.listed(2)
 			for b.RequestCount() > 0 {
 				<-b.Requests
 			}
 			for range 2 { // even turns: one of two goes to the server that closes
-				go func() { g <- p.do(p.request(context.Background(), tt.class, "50000")) }()
+				go func() { g <- p.Do(p.NewRequest(context.Background(), tt.class, "50000")) }()
 				answer := testserver.Receive(t, g, "answer")
 				if len(closing) == 0 {
 					continue
 				}
-				if answer.status != tt.status {
+				if answer.Status != tt.status {
 					t.Errorf("answer %+v, want status %d", answer, tt.status)
 				}
 				break
@@ -152,10 +152,10 @@
 
 // listed waits until the program knows n servers.
 func (p *program) listed(n int) {
-	p.t.Helper()
-	for end := time.Now().Add(testserver.Timeout); len(p.staff.host.upstream.Endpoints()) != n; time.Sleep(time.Millisecond) {
+	p.T.Helper()
+	for end := time.Now().Add(testserver.Timeout); len(p.staff.host.Upstream().Endpoints()) != n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			p.t.Fatalf("not %d servers listed", n)
+			p.T.Fatalf("not %d servers listed", n)
 		}
 	}
 }
@@ -169,13 +169,13 @@
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	silent := testserver.Listen(t) // takes calls, and answers none
 	p := start(t, testserver.ConfigText(silent.Addr().String(), testserver.ServingList(1, b, &testserver.Backend{Address: address}), testserver.Settings))
-	resp, err := p.client.Get("http://" + p.address + "/healthz")
+	resp, err := p.HTTP.Get("http://" + p.Address + "/healthz")
 	if err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatalf("answer %+v, error %v, want ready", resp, err)
 	}
 	resp.Body.Close()
 	for range 4 {
-		if g := p.ask("pay"); g.body != "ok" {
+		if g := p.Send("pay"); g.Body != "ok" {
 			t.Errorf("answer %+v by an old list", g)
 		}
 	}
@@ -184,7 +184,7 @@
 // TestStopBeforeReady has the process told to stop before it knows a server: it ends at once.
 func TestStopBeforeReady(t *testing.T) {
 	p := start(t, testserver.ConfigText(testserver.Listen(t).Addr().String(), "", testserver.Settings))
-	c := p.dial()
+	c := p.DialConn()
 	p.accepted(1)
 	p.stop()
 	if err := testserver.Receive(t, p.ended, "end"); err != nil {
--- a/internal/sidecar/family.go
+++ b/internal/sidecar/family.go
@@ -93,9 +93,9 @@
 // share has this process hold a part of what the sidecar may. Two processes count as one.
 func (p *process) share(shares int) {
 	b := NewSocketBudget(p.config)
-	p.handler.ids.setMax(b.Requests / shares)
+	p.handler.SetMaxInFlight(b.Requests / shares)
 	p.conns.SetLimits(b.ClientConns/shares, max(b.KeepAliveConns/shares, 1))
-	p.host.upstream.SetMaxConns(b.UpstreamConns / shares)
+	p.host.Upstream().SetMaxConns(b.UpstreamConns / shares)
 	debug.SetMemoryLimit(int64(float64(p.config.MemoryMB<<20) * memoryShare / float64(shares)))
 }
 
@@ -119,9 +119,8 @@
 		var list []string
 		for id := range ids {
 			list = append(list, id)
-			o.host.upstream.SetAdminDown(id, true)
 		}
-		o.host.balancer.AdoptAdminDown(o.host.now, list)
+		o.host.AdoptAdminDown(list)
 	})
 	return errors.Join(err, o.publish(ctx))
 }
@@ -132,7 +131,7 @@
 	o.publishing.Lock()
 	defer o.publishing.Unlock()
 	var out []string
-	if err := o.host.Do(ctx, func() { out = o.host.balancer.AdminDown() }); err != nil {
+	if err := o.host.Do(ctx, func() { out = o.host.AdminDown() }); err != nil {
 		return err
 	}
 	return o.family.member.Update(func(s *handover.State) { s.Out = out })
--- a/internal/sidecar/family_fault_test.go
+++ b/internal/sidecar/family_fault_test.go
@@ -45,7 +45,7 @@
 		t.Error("a call that the next process would not see is answered with yes")
 	}
 	for range 20 {
-		if g := p.ask("read"); g.status != 200 || g.body != "three" {
+		if g := p.Send("read"); g.Status != 200 || g.Body != "three" {
 			t.Fatalf("answer %+v while the folder is away", g)
 		}
 	}
--- a/internal/sidecar/family_test.go
+++ b/internal/sidecar/family_test.go
@@ -44,7 +44,7 @@
 		t.Errorf("the sidecar's limits are parted into %d", staff.family.shares.Load())
 	}
 	listed, avoided := 0, 0
-	if err := staff.host.Do(context.Background(), func() { listed, avoided = staff.host.balancer.CountEndpoints(staff.host.now) }); err != nil {
+	if err := staff.host.Do(context.Background(), func() { listed, avoided = staff.host.CountEndpoints() }); err != nil {
 		t.Fatal(err)
 	}
 	if listed != 2 || avoided != 1 {
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -12,7 +12,9 @@
 	"milletramp.example/milletramp/balance"
 	"milletramp.example/milletramp/internal/config"
 	"milletramp.example/milletramp/internal/console"
+	"milletramp.example/milletramp/internal/discovery"
 	"milletramp.example/milletramp/internal/handover"
+	"milletramp.example/milletramp/internal/proxy"
 )
 
 // fleetWithin bounds how long the fleet's part may take for a question that it answers from memory.
@@ -48,7 +50,7 @@
 	// Figures writes the fleet's figures as the console gives them.
 	Figures(ctx context.Context, w io.Writer) error
 	// Policy is the fleet's; nil: it has none.
-	Policy() Policy
+	Policy() proxy.Policy
 	// Close says farewell and waits for all that was begun.
 	Close() error
 }
@@ -94,9 +96,9 @@
 			before = append(before, s.Fleet)
 		}
 	}
-	gate := NewPolicyGate(o.host, c)
+	gate := proxy.NewPolicyGate(o.host, c)
 	part, err := join(c, before, log, Told{Out: o.obey, Doubts: o.doubt, Check: func(number uint64, text []byte) string {
-		return gate.Check(o.host.ctx, number, text)
+		return gate.Check(number, text)
 	}})
 	if err != nil || part == nil {
 		return func() {}, err
@@ -104,8 +106,9 @@
 	if err := o.family.member.Update(func(s *handover.State) { s.Fleet = part.Address() }); err != nil {
 		log.Warn("the next process will not ask this one what the fleet holds", "err", err)
 	}
-	if gate.policy = part.Policy(); gate.policy != nil {
-		if err := o.host.Do(stop, func() { o.host.gate = gate }); err != nil {
+	if policy := part.Policy(); policy != nil {
+		gate.SetPolicy(policy)
+		if err := o.host.Do(stop, func() { o.host.SetPolicyGate(gate) }); err != nil {
 			return func() {}, errors.Join(err, part.Close())
 		}
 		o.gate = gate
@@ -118,9 +121,8 @@
 	}()
 	o.part.Store(&part)
 	o.host.Post(func() {
-		o.host.onList = part.Listed
-		o.host.balancer.SetObserver(part)
-		o.host.reportList()
+		o.host.SetObserver(part)
+		o.host.SetListObserver(func(endpoints []discovery.Endpoint) { part.Listed(listed(endpoints)) })
 	})
 	select {
 	case <-part.CaughtUp():
@@ -128,7 +130,10 @@
 	}
 	return func() {
 		cancel()
-		o.host.Post(func() { o.host.balancer.SetObserver(nil); o.host.balancer.SetSuspected(nil) })
+		o.host.Post(func() {
+			o.host.SetObserver(nil)
+			o.host.SetSuspected(nil)
+		})
 		if err := part.Close(); err != nil {
 			log.Warn("leaving the fleet", "err", err)
 		}
@@ -149,22 +154,21 @@
 func (o *ops) obey(out []string) {
 	o.host.Post(func() {
 		now, here := map[string]bool{}, map[string]bool{}
-		for _, id := range o.host.balancer.AdminDown() {
+		for _, id := range o.host.AdminDown() {
 			here[id] = true
 		}
 		var news []string
 		for _, id := range out {
 			if now[id] = true; !here[id] {
 				news = append(news, id)
-				o.host.upstream.SetAdminDown(id, true)
 			}
 		}
 		if len(news) > 0 {
-			o.host.balancer.AdoptAdminDown(o.host.now, news)
+			o.host.AdoptAdminDown(news)
 		}
 		for id := range o.obeys {
 			if !now[id] && here[id] {
-				o.host.setAdminDown(id, false)
+				o.host.SetAdminDown(id, false)
 			}
 		}
 		o.obeys = now
@@ -178,11 +182,11 @@
 // doubt takes in which servers the fleet doubts. It does not wait.
 func (o *ops) doubt(doubts []Doubt) {
 	o.host.Post(func() {
-		words := make([]balance.PeerReport, 0, len(doubts))
+		servers := make([]proxy.SuspectedServer, 0, len(doubts))
 		for _, d := range doubts {
-			words = append(words, balance.PeerReport{ID: d.ID, WrittenAt: o.host.now - d.Age})
+			servers = append(servers, proxy.SuspectedServer(d))
 		}
-		o.host.balancer.SetSuspected(words)
+		o.host.SetSuspected(servers)
 	})
 }
 
@@ -255,7 +259,7 @@
 	if o.inFleet() == nil || o.gate == nil {
 		return nil
 	}
-	return o.gate.policy.Handler()
+	return o.gate.Policy().Handler()
 }
 
 // Fleet implements console.Sidecar.
@@ -276,14 +280,11 @@
 	return part.Figures(ctx, w)
 }
 
-// reportList hands the own list on, where somebody wants it.
-func (h *EventLoop) reportList() {
-	if h.onList == nil {
-		return
+// listed returns endpoints as entries of the own list.
+func listed(endpoints []discovery.Endpoint) []Server {
+	servers := make([]Server, 0, len(endpoints))
+	for _, e := range endpoints {
+		servers = append(servers, Server{e.ID, e.StartedAt})
 	}
-	var servers []Server
-	for _, t := range h.upstream.Endpoints() {
-		servers = append(servers, Server{t.ID, t.StartedAt})
-	}
-	h.onList(servers)
+	return servers
 }
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -3,8 +3,6 @@
 import (
 	"cmp"
 	"context"
-	"fmt"
-	"io"
 	"log/slog"
 	"net/http"
 	"os"
@@ -61,15 +59,12 @@
 
 // program is a running sidecar.
 type program struct {
-	t       *testing.T
-	address string
+	testserver.Client
 	stop    context.CancelFunc
 	file    string // its configuration
 	hup     chan os.Signal
 	ended   chan error
 	staff   *ops
-	client  *http.Client
-	ids     atomic.Int64
 	ejected atomic.Int32 // servers
 }
 
@@ -98,7 +93,7 @@
 	}
 	times.deadline = cmp.Or(times.deadline, testserver.Timeout) // no verdict hangs on how soon a request in hand has to be given up
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &program{t: t, stop: cancel, file: c.Getenv("PROXY_CONFIG"), hup: make(chan os.Signal, 1), ended: make(chan error, 1), client: &http.Client{Transport: &http.Transport{}}}
+	p := &program{Client: testserver.Client{T: t, HTTP: &http.Client{Transport: &http.Transport{}}}, stop: cancel, file: c.Getenv("PROXY_CONFIG"), hup: make(chan os.Signal, 1), ended: make(chan error, 1)}
 	with.started = func(o *ops) { p.staff = o }
 	log := addressLog{slog.DiscardHandler, make(chan string, 1), &p.ejected}
 	var over sync.WaitGroup
@@ -108,64 +103,14 @@
 		p.ended <- run(ctx, p.hup, c, slog.New(log), join, times, with)
 	}()
 	t.Cleanup(func() {
-		p.client.CloseIdleConnections()
+		p.HTTP.CloseIdleConnections()
 		cancel()
 		over.Wait()
 	})
-	p.address = testserver.Receive(t, log.address, "address")
+	p.Address = testserver.Receive(t, log.address, "address")
 	return p
 }
 
-// gotten is a final answer as the client sees it.
-type gotten struct {
-	status  int
-	body    string
-	closing bool // the sidecar asks to close the connection
-	err     error
-}
-
-// request makes a request of a class. Its method and key follow from the class.
-func (p *program) request(ctx context.Context, class, timeout string) *http.Request {
-	method, key, body := http.MethodGet, "", ""
-	switch class {
-	case "book":
-		method, key, body = http.MethodPost, "k-1", "skip of 6 m3"
-	case "pay":
-		method, body = http.MethodPost, "RWF 45000"
-	}
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+p.address+"/api?k=a%20b&x=%2F", strings.NewReader(body))
-	if err != nil {
-		p.t.Fatal(err)
-	}
-	r.Header.Set("X-Request-ID", fmt.Sprintf("id-%d", p.ids.Add(1)))
-	r.Header.Set("X-Priority-Class", class)
-	r.Header.Set("X-Tenant-Id", "acme, east")
-	r.Header.Set("X-Timeout-Ms", timeout)
-	if key != "" {
-		r.Header.Set("Idempotency-Key", key)
-	}
-	return r
-}
-
-func (p *program) do(r *http.Request) gotten {
-	resp, err := p.client.Do(r)
-	if err != nil {
-		return gotten{err: err}
-	}
-	defer resp.Body.Close()
-	body, err := io.ReadAll(resp.Body)
-	return gotten{resp.StatusCode, string(body), resp.Close, err}
-}
-
-func (p *program) ask(class string) gotten {
-	p.t.Helper()
-	g := p.do(p.request(context.Background(), class, "50000"))
-	if g.err != nil {
-		p.t.Fatal(g.err)
-	}
-	return g
-}
-
 // parsed returns the list that a text in discovery's form holds.
 func parsed(t *testing.T, text string) discovery.List {
 	t.Helper()
--- a/internal/sidecar/kill_test.go
+++ b/internal/sidecar/kill_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"milletramp.example/milletramp/internal/lab/testserver"
+	"milletramp.example/milletramp/internal/proxy"
 	"milletramp.example/milletramp/internal/upstream"
 )
 
@@ -64,15 +65,15 @@
 				f.check(t, 1, f.document(t, ""), "")
 				f.set(1, 20*time.Millisecond, true)
 			}
-			used := p.dial()
+			used := p.DialConn()
 			fmt.Fprint(used, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 			if resp, err := http.ReadResponse(bufio.NewReader(used), nil); err != nil || resp.StatusCode != 200 {
 				t.Fatalf("answer %+v, error %v", resp, err)
 			}
-			unused, partial, uploading, late := p.dial(), p.dial(), p.dial(), p.dial()
-			fmt.Fprint(partial, head("GET", "partial", "read"))
-			fmt.Fprint(uploading, head("POST", "uploading", "pay"), "Content-Length: 8\r\n\r\nhalf")
-			long, err := p.client.Do(p.request(context.Background(), "book", "50000"))
+			unused, partial, uploading, late := p.DialConn(), p.DialConn(), p.DialConn(), p.DialConn()
+			fmt.Fprint(partial, testserver.RequestHead("GET", "partial", "read"))
+			fmt.Fprint(uploading, testserver.RequestHead("POST", "uploading", "pay"), "Content-Length: 8\r\n\r\nhalf")
+			long, err := p.HTTP.Do(p.NewRequest(context.Background(), "book", "50000"))
 			if err != nil || long.StatusCode != 200 {
 				t.Fatalf("answer %+v, error %v", long, err)
 			}
@@ -84,7 +85,7 @@
 				go func() {
 					defer clients.Done()
 					for n := 0; ; n++ {
-						c, err := net.Dial("tcp", p.address)
+						c, err := net.Dial("tcp", p.Address)
 						if err != nil {
 							return // it listens no more
 						}
@@ -100,18 +101,18 @@
 			held, stopped := heldUp(), time.Now()
 			p.stop()
 			p.deaf()
-			fmt.Fprintf(late, "%s\r\n", head("GET", "late", "read"))
+			fmt.Fprintf(late, "%s\r\n", testserver.RequestHead("GET", "late", "read"))
 			if err := testserver.Receive(t, p.ended, "end"); err != nil {
 				t.Errorf("it ended with %v", err)
 			}
-			if took, kill := time.Since(stopped), deadline+killDelay; took > kill+held() {
+			if took, kill := time.Since(stopped), deadline+proxy.KillDelay; took > kill+held() {
 				t.Errorf("it ended after %v, and may be killed after %v", took, kill)
 			}
 			clients.Wait()
 			if resp, err := http.ReadResponse(bufio.NewReader(late), nil); err != nil || !resp.Close {
 				t.Errorf("answer %+v, error %v to a request that came while draining", resp, err)
 			}
-			lastAnswer(t, uploading, http.StatusServiceUnavailable)
+			testserver.ExpectFinalResponse(t, uploading, http.StatusServiceUnavailable)
 			if n, err := io.Copy(io.Discard, long.Body); err == nil {
 				t.Errorf("a long answer that hangs looks whole behind %d bytes", n)
 			}
--- a/internal/sidecar/ops.go
+++ b/internal/sidecar/ops.go
@@ -3,23 +3,23 @@
 import (
 	"bytes"
 	"context"
-	"fmt"
 	"sync"
 	"sync/atomic"
 
 	"milletramp.example/milletramp/internal/downstream"
+	"milletramp.example/milletramp/internal/proxy"
 	"milletramp.example/milletramp/internal/stats"
 )
 
 // ops is what the console asks of the sidecar.
 type ops struct {
-	host    *EventLoop
+	host    *proxy.EventLoop
 	figures *stats.Figures
 	family  *family
 	serving atomic.Pointer[serving] // nil: does not listen yet
 	told    atomic.Bool             // other processes can see that this one is ready
 	part    atomic.Pointer[Part]    // in the fleet; nil: there is none
-	gate    *PolicyGate             // set before it listens; nil: the fleet has no policy, or there is none
+	gate    *proxy.PolicyGate       // set before it listens; nil: the fleet has no policy, or there is none
 	obeyed  chan struct{}           // has one if what is out by hand has changed by word of the fleet
 
 	publishing sync.Mutex // held by publish
@@ -30,7 +30,7 @@
 
 // serving is what answers clients once a process listens.
 type serving struct {
-	handler *Handler
+	handler *proxy.Handler
 	conns   *downstream.Listener
 }
 
@@ -40,11 +40,11 @@
 	switch {
 	case s == nil:
 		return false, "not listening yet"
-	case s.handler.draining.Load():
+	case s.handler.IsDraining():
 		return false, "told to stop"
 	}
 	select {
-	case <-o.host.ready:
+	case <-o.host.Ready():
 	default:
 		return false, "no list of servers yet"
 	}
@@ -57,12 +57,12 @@
 // Figures implements console.Sidecar.
 func (o *ops) Figures(ctx context.Context) ([]byte, error) {
 	var g stats.Gauges
-	err := o.host.Do(ctx, func() { g.Known, g.Skipped = o.host.balancer.CountEndpoints(o.host.now) })
+	err := o.host.Do(ctx, func() { g.Known, g.Skipped = o.host.CountEndpoints() })
 	if err != nil {
 		return nil, err
 	}
 	if s := o.serving.Load(); s != nil {
-		g.InProgress = int(s.handler.ids.count.Load())
+		g.InProgress = s.handler.InFlight()
 	}
 	var text bytes.Buffer
 	if err := o.figures.Write(&text, g); err != nil {
@@ -77,7 +77,7 @@
 // neither.
 func (o *ops) TakeOut(ctx context.Context, id string, out, passed bool) (note string, err error) {
 	known := false
-	if err := o.host.Do(ctx, func() { known = o.host.setAdminDown(id, out) }); err != nil {
+	if err := o.host.Do(ctx, func() { known = o.host.SetAdminDown(id, out) }); err != nil {
 		return "", err
 	}
 	elsewhere := passed // the other process has it, and the list here is about to
@@ -99,26 +99,3 @@
 	}
 	return o.tellFleet(ctx, id, out, known || elsewhere && !passed, passed)
 }
-
-// Do has the loop do something and waits until it has, or until ctx ends: then it may still do it.
-func (h *EventLoop) Do(ctx context.Context, do func()) error {
-	done := make(chan struct{})
-	h.Post(func() {
-		do()
-		close(done)
-	})
-	select {
-	case <-done:
-		return nil
-	case <-ctx.Done():
-		return fmt.Errorf("the sidecar is busy: %w", context.Cause(ctx))
-	}
-}
-
-// setAdminDown takes a server out by hand, or puts it back, and tells whether it is known.
-func (h *EventLoop) setAdminDown(id string, out bool) (known bool) {
-	if known = h.balancer.SetAdminDown(h.now, id, out); known {
-		h.upstream.SetAdminDown(id, out)
-	}
-	return known
-}
--- a/internal/sidecar/policy_test.go
+++ b/internal/sidecar/policy_test.go
@@ -17,6 +17,7 @@
 	"milletramp.example/milletramp/balance"
 	"milletramp.example/milletramp/internal/config"
 	"milletramp.example/milletramp/internal/lab/testserver"
+	"milletramp.example/milletramp/internal/proxy"
 )
 
 // fakePart is a part in a fleet that has a policy, and whose word a test gives.
@@ -46,7 +47,7 @@
 func (f *fakePart) Status(context.Context) ([]byte, error)                        { return nil, nil }
 func (f *fakePart) Figures(context.Context, io.Writer) error                      { return nil }
 func (f *fakePart) Close() error                                                  { return nil }
-func (f *fakePart) Policy() Policy                                                { return f }
+func (f *fakePart) Policy() proxy.Policy                                          { return f }
 func (f *fakePart) Handler() http.Handler                                         { return http.NotFoundHandler() }
 
 // Serves implements Policy.
@@ -69,7 +70,7 @@
 // join is a Join.
 func (f *fakePart) join(c *config.Config, _ []string, _ *slog.Logger, told Told) (Part, error) {
 	f.told, f.base = told, maps.Clone(c.SettingsDocument())
-	for _, key := range ownSettingKeys {
+	for _, key := range proxy.OwnSettingKeys {
 		delete(f.base, key)
 	}
 	return f, nil
@@ -103,13 +104,13 @@
 	p := startIn(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings), drainTimes{quiet: time.Millisecond}, f.join)
 	ask := func(class string, status int, policy string) {
 		t.Helper()
-		resp, err := p.client.Do(p.request(context.Background(), class, "2000"))
+		resp, err := p.HTTP.Do(p.NewRequest(context.Background(), class, "2000"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		resp.Body.Close()
-		if resp.StatusCode != status || resp.Header.Get(policyHeader) != policy {
-			t.Errorf("%s: status %d under %q, want %d under %q", class, resp.StatusCode, resp.Header.Get(policyHeader), status, policy)
+		if resp.StatusCode != status || resp.Header.Get(proxy.PolicyHeader) != policy {
+			t.Errorf("%s: status %d under %q, want %d under %q", class, resp.StatusCode, resp.Header.Get(proxy.PolicyHeader), status, policy)
 		}
 	}
 	ask("read", 503, "") // nobody has promised anything
@@ -153,7 +154,7 @@
 	f.check(t, 1, f.document(t, ""), "")
 	f.check(t, 2, f.document(t, "pay"), "")
 	f.set(1, 0, true)
-	c, err := net.Dial("tcp", p.address)
+	c, err := net.Dial("tcp", p.Address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -163,7 +164,7 @@
 	}
 	for end := time.Now().Add(testserver.Timeout); ; time.Sleep(time.Millisecond) { // until its head has been read
 		f.mu.Lock()
-		read := f.looks > 0 && p.staff.host.settings.Load().policy == 1
+		read := f.looks > 0 && p.staff.host.PolicyNumber() == 1
 		f.mu.Unlock()
 		if read {
 			break
@@ -193,14 +194,14 @@
 	f.check(t, 1, f.document(t, ""), "")
 	f.check(t, 2, f.document(t, "pay"), "")
 	f.set(1, 0, true)
-	p.ask("read")
+	p.Send("read")
 	testserver.Receive(t, d.Watches, "a watch")
 	next := testserver.StartDiscovery(t)
 	p.hangup(testserver.ConfigText(next.Address, testserver.ServingList(1, b), testserver.Settings))
 	testserver.Receive(t, next.Watches, "a watch at the new address")
 	p.figuresAre("loads", "1", "load_errors", "0")
 	f.set(2, 0, true)
-	p.ask("read")
+	p.Send("read")
 	p.hangup(good)
 	p.figuresAre("loads", "1", "load_errors", "1")
 }
--- a/internal/sidecar/readahead_test.go
+++ b/internal/sidecar/readahead_test.go
@@ -18,7 +18,7 @@
 // last byte, which net/http reads ahead while the first is out at its server. The first is served, and the second gets
 // an error or the end.
 func TestBadBehindARequest(t *testing.T) {
-	unread := head("GET", "bad", "read") + "Content-Length: 0\r\n"
+	unread := testserver.RequestHead("GET", "bad", "read") + "Content-Length: 0\r\n"
 	for name, bad := range map[string]string{
 		"two lengths":       unread + "Content-Length: 0\r\n",
 		"length and chunks": unread + "Transfer-Encoding: chunked\r\n\r\n",
@@ -30,8 +30,8 @@
 				return testserver.Respond(200, "", "ok")(c, r, body)
 			})
 			p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
-			c := p.dial()
-			fmt.Fprintf(c, "%s\r\n%s", head("GET", "good", "read"), bad[:len(bad)-later])
+			c := p.DialConn()
+			fmt.Fprintf(c, "%s\r\n%s", testserver.RequestHead("GET", "good", "read"), bad[:len(bad)-later])
 			testserver.Receive(t, b.Requests, "first request")
 			fmt.Fprint(c, bad[len(bad)-later:])
 			_ = c.SetReadDeadline(time.Now().Add(100 * time.Millisecond)) // nothing may come, however long this is
@@ -54,19 +54,3 @@
 		}
 	}
 }
-
-// TestHandlerPanics has a fault of the program end the handler: the request gets an error and its connection ends in
-// order, and the next one is served.
-func TestHandlerPanics(t *testing.T) {
-	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, testserver.StartBackend(t, testserver.Respond(200, "", "ok"))), testserver.Settings))
-	s := p.staff.serving.Load().handler
-	ids := s.ids
-	s.ids = nil // which api uses once it has read the request
-	c := p.dial()
-	fmt.Fprintf(c, "%s\r\n", head("GET", "first", "read"))
-	lastAnswer(t, c, http.StatusInternalServerError)
-	s.ids = ids
-	if g := p.ask("pay"); g.status != http.StatusOK {
-		t.Errorf("answer %+v to the next request", g)
-	}
-}
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -15,25 +15,25 @@
 
 // moveTo has the program reload a file that names another discovery.
 func (p *program) moveTo(address, was string) {
-	p.t.Helper()
+	p.T.Helper()
 	text, err := os.ReadFile(p.file)
 	if err != nil {
-		p.t.Fatal(err)
+		p.T.Fatal(err)
 	}
-	write(p.t, p.file, strings.ReplaceAll(string(text), was, address))
+	write(p.T, p.file, strings.ReplaceAll(string(text), was, address))
 	p.hup <- syscall.SIGHUP
 }
 
 // until asks until an answer comes from the server that says so.
 func (p *program) until(want string) {
-	p.t.Helper()
+	p.T.Helper()
 	for end := time.Now().Add(testserver.Timeout); ; {
-		g := p.ask("read")
-		if g.body == want {
+		g := p.Send("read")
+		if g.Body == want {
 			return
 		}
 		if time.Now().After(end) {
-			p.t.Fatalf("answer %+v, want %q", g, want)
+			p.T.Fatalf("answer %+v, want %q", g, want)
 		}
 	}
 }
@@ -82,15 +82,15 @@
 		t.Errorf("query %q after the end of a watch", again.Query)
 	}
 
-	held := make(chan gotten, 1)
-	go func() { held <- p.do(p.request(context.Background(), "book", "50000")) }()
+	held := make(chan testserver.Result, 1)
+	go func() { held <- p.Do(p.NewRequest(context.Background(), "book", "50000")) }()
 	for r := testserver.Receive(t, one.Requests, "request"); r.Method != http.MethodPost; r = testserver.Receive(t, one.Requests, "request") {
 	}
 	p.stop()
 	p.moveTo(b.Address, address)
 	testserver.Receive(t, b.Watches, "watch while draining")
 	close(gate)
-	if g := testserver.Receive(t, held, "answer"); g.body != "one" {
+	if g := testserver.Receive(t, held, "answer"); g.Body != "one" {
 		t.Errorf("answer %+v while draining", g)
 	}
 }
@@ -109,7 +109,7 @@
 	w.Lines <- testserver.ListText(2, false)
 	p.moveTo(other.Address, d.Address)
 	testserver.Receive(t, other.Watches, "watch after a good file")
-	if g := p.ask("pay"); g.body != "ok" || len(d.Watches) != 0 {
+	if g := p.Send("pay"); g.Body != "ok" || len(d.Watches) != 0 {
 		t.Errorf("answer %+v, %d new watches at the old address", g, len(d.Watches))
 	}
 }
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -18,6 +18,7 @@
 	"milletramp.example/milletramp/internal/downstream"
 	"milletramp.example/milletramp/internal/handover"
 	"milletramp.example/milletramp/internal/netretry"
+	"milletramp.example/milletramp/internal/proxy"
 )
 
 const memoryShare = 0.6 // of the limit that the heap may grow to; the rest is for what is not heap
@@ -38,7 +39,7 @@
 func Run(stop context.Context, reload <-chan os.Signal, c *config.Config, log *slog.Logger, join Join) error {
 	return run(stop, reload, c, log, join, drainTimes{accept: 450 * time.Millisecond, quiet: 25 * time.Millisecond,
 		closeIdle: 300 * time.Millisecond, unused: 300 * time.Millisecond, listen: time.Second,
-		idle: downstream.IdleTimeout + 200*time.Millisecond, deadline: maxKillDeadline}, hooks{started: func(*ops) {}})
+		idle: downstream.IdleTimeout + 200*time.Millisecond, deadline: proxy.MaxKillDeadline}, hooks{started: func(*ops) {}})
 }
 
 // run is Run with the times and hooks of a test. It starts and ends all goroutines of the process; what is deferred here
@@ -50,11 +51,11 @@
 
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	h, err := NewEventLoop(ctx, c, log, nil)
+	h, err := proxy.NewEventLoop(ctx, c, NewSocketBudget(c).UpstreamConns, log, nil)
 	if err != nil {
 		return err
 	}
-	h.upstream.SetDial(with.dial)
+	h.Upstream().SetDial(with.dial)
 	p := &process{config: c, log: log, times: times, hooks: with, host: h}
 	p.startLoops(ctx, reload)
 	defer p.loops.Wait()
@@ -68,7 +69,7 @@
 	if calls != nil {
 		defer calls.Close()
 	}
-	p.ops = &ops{host: h, figures: h.metrics, family: joinFamily(c, log)}
+	p.ops = &ops{host: h, figures: h.Metrics(), family: joinFamily(c, log)}
 	defer func() { _ = p.ops.family.member.Leave() }() // what is left binds nobody
 	if calls != nil {
 		defer startConsole(calls, p.ops, log)()
@@ -103,13 +104,13 @@
 	log    *slog.Logger
 	times  drainTimes
 	hooks  hooks
-	host   *EventLoop
+	host   *proxy.EventLoop
 	loops  sync.WaitGroup // end with the context of run
 
 	ops       *ops
 	accepting *downstream.DrainListener // accepts from the kernel
 	conns     *downstream.Listener      // holds the clients' connections
-	handler   *Handler
+	handler   *proxy.Handler
 	web       *http.Server
 	served    chan error // gets what ended web.Serve, once
 }
@@ -126,7 +127,7 @@
 		for inUse := p.config; ; {
 			select {
 			case <-reload:
-				inUse = p.host.Reload(ctx, inUse)
+				inUse = p.reload(ctx, inUse)
 			case <-ctx.Done():
 				return
 			}
@@ -151,13 +152,13 @@
 // serve. It returns false where the process was told to stop meanwhile.
 func (p *process) awaitServers(stop context.Context) bool {
 	select {
-	case <-p.host.firstUpdate:
+	case <-p.host.FirstUpdate():
 	case <-time.After(p.times.listen):
 	case <-stop.Done():
 		return false
 	}
 	select {
-	case <-p.host.ready:
+	case <-p.host.Ready():
 		return true
 	case <-stop.Done():
 		return false
@@ -171,10 +172,10 @@
 		p.log.Debug("the kernel chooses among the processes of this address", "err", err)
 	}
 	b := NewSocketBudget(p.config)
-	p.conns = downstream.NewListener(netretry.NewListener(p.accepting, p.log), b.ClientConns, b.KeepAliveConns, &p.host.metrics.Unserved)
-	p.handler = NewHandler(p.config, p.host)
-	context.AfterFunc(p.handler.shutdown, p.conns.RetireAll)
-	p.handler.gate = p.ops.gate
+	p.conns = downstream.NewListener(netretry.NewListener(p.accepting, p.log), b.ClientConns, b.KeepAliveConns, &p.host.Metrics().Unserved)
+	p.handler = proxy.NewHandler(p.config, p.host, b.Requests)
+	context.AfterFunc(p.handler.Shutdown(), p.conns.RetireAll)
+	p.handler.SetPolicyGate(p.ops.gate)
 	p.loops.Add(1)
 	go func() { // ends with ctx
 		defer p.loops.Done()
@@ -188,7 +189,7 @@
 		p.share(2)
 	}
 	p.web = p.conns.HTTPServer(p.handler, p.log)
-	p.web.ConnContext = ConnContext
+	p.web.ConnContext = proxy.ConnContext
 	p.served = make(chan error, 1)
 	go func() { p.served <- p.web.Serve(p.conns) }() // ends when drain closes the listener
 	p.ops.serving.Store(&serving{p.handler, p.conns})
@@ -199,7 +200,7 @@
 // awaitStop tells other processes that this one is ready, once it is, and waits until it is told to stop. It returns an
 // error where serving ends before.
 func (p *process) awaitStop(stop context.Context) error {
-	for ready := p.host.ready; ; {
+	for ready := p.host.Ready(); ; {
 		select {
 		case err := <-p.served:
 			return fmt.Errorf("serve: %w", err)
@@ -260,7 +261,7 @@
 func (p *process) awaitConnections(idleFrom time.Time) {
 	for p.conns.Counts().Open > 0 {
 		switch {
-		case p.handler.shutdown.Err() != nil:
+		case p.handler.Shutdown().Err() != nil:
 			p.conns.RetireAll()
 		case time.Now().After(idleFrom):
 			p.conns.RetireIdle(p.times.unused)
--- a/internal/sidecar/settings_test.go
+++ b/internal/sidecar/settings_test.go
@@ -16,24 +16,24 @@
 
 // hangup writes a configuration, has it read, and waits until one more was taken or turned down.
 func (p *program) hangup(text string) {
-	p.t.Helper()
+	p.T.Helper()
 	f := p.staff.figures
 	before := f.Loads.Load() + f.LoadErrors.Load()
-	write(p.t, p.file, text)
+	write(p.T, p.file, text)
 	p.hup <- syscall.SIGHUP
 	for end := time.Now().Add(testserver.Timeout); f.Loads.Load()+f.LoadErrors.Load() == before; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			p.t.Fatalf("no reload within %v", testserver.Timeout)
+			p.T.Fatalf("no reload within %v", testserver.Timeout)
 		}
 	}
 }
 
 // figure reads one figure as the staff does.
 func (p *program) figure(name string) string {
-	p.t.Helper()
+	p.T.Helper()
 	text, err := p.staff.Figures(context.Background())
 	if err != nil {
-		p.t.Fatal(err)
+		p.T.Fatal(err)
 	}
 	for _, line := range strings.Split(string(text), "\n") {
 		if value, ok := strings.CutPrefix(line, "sidecar."+name+"="); ok {
@@ -44,10 +44,10 @@
 }
 
 func (p *program) figuresAre(want ...string) {
-	p.t.Helper()
+	p.T.Helper()
 	for i := 0; i < len(want); i += 2 {
 		if got := p.figure(want[i]); got != want[i+1] {
-			p.t.Errorf("%s is %s, want %s", want[i], got, want[i+1])
+			p.T.Errorf("%s is %s, want %s", want[i], got, want[i+1])
 		}
 	}
 }
@@ -105,7 +105,7 @@
 			t.Fatalf("%s: %d files turned down, want %d", tt.name, errors, i+1)
 		}
 	}
-	if g := p.ask("pay"); g.status != 200 || len(decoy.Watches) != 0 {
+	if g := p.Send("pay"); g.Status != 200 || len(decoy.Watches) != 0 {
 		t.Errorf("answer %+v, %d watches at the address of a bad file", g, len(decoy.Watches))
 	}
 	p.figuresAre("loads", "0", "load_errors", "33")
@@ -130,37 +130,37 @@
 	d := testserver.StartDiscovery(t)
 	old := testserver.ConfigText(d.Address, testserver.ServingList(1, b, b), testserver.Settings)
 	p := start(t, old)
-	held := make(chan gotten, 1)
-	go func() { held <- p.do(p.request(context.Background(), "pay", "50000")) }()
+	held := make(chan testserver.Result, 1)
+	go func() { held <- p.Do(p.NewRequest(context.Background(), "pay", "50000")) }()
 	testserver.Receive(t, b.Requests, "request")
 	p.figuresAre("in_progress", "1", "known_servers", "2")
 
 	dropped := strings.Replace(old, `"name":"pay"`, `"name":"tip"`, 1)
 	p.hangup(dropped)
-	if g := p.ask("pay"); g.status != http.StatusBadRequest {
+	if g := p.Send("pay"); g.Status != http.StatusBadRequest {
 		t.Errorf("a dropped class got %+v", g)
 	}
 	// Added again, it may be repeated now.
 	changed := strings.Replace(dropped, `"name":"read"`, `"name":"pay"`, 1)
 	p.hangup(changed)
-	if g := p.do(p.safe("pay")); g.status != 200 {
+	if g := p.Do(p.safe("pay")); g.Status != 200 {
 		t.Errorf("the class with its new effect got %+v", g)
 	}
 	close(gate)
-	if g := testserver.Receive(t, held, "answer"); g.status != http.StatusBadGateway || pays.Load() != 1 {
+	if g := testserver.Receive(t, held, "answer"); g.Status != http.StatusBadGateway || pays.Load() != 1 {
 		t.Errorf("the open request got %+v after %d attempts, want a failure after 1", g, pays.Load())
 	}
 	p.figuresAre("passed.pay", "1", "bad_gateway.pay", "1", "in_progress", "0", "passed.read", "0", "passed.tip", "0",
 		"upstream_tries", "2", "loads", "2")
 	p.hangup(old)
-	if g := p.do(p.safe("read")); g.status != 200 {
+	if g := p.Do(p.safe("read")); g.Status != 200 {
 		t.Errorf("the class added again got %+v", g)
 	}
 }
 
 // safe makes a request of a class whose requests may be repeated.
 func (p *program) safe(class string) *http.Request {
-	r := p.request(context.Background(), "read", "50000")
+	r := p.NewRequest(context.Background(), "read", "50000")
 	r.Header.Set("X-Priority-Class", class)
 	return r
 }
@@ -186,12 +186,12 @@
 	w.Lines <- testserver.ServingList(3, one, two)
 	p.hangup(strings.Replace(text, `"try_limit":3`, `"try_limit":2`, 1))
 	for range 50 {
-		if g := p.ask("read"); g.body != "two" {
+		if g := p.Send("read"); g.Body != "two" {
 			t.Fatalf("answer %+v while the server is out", g)
 		}
 	}
 	call("s-1", true, nil)
-	if g := p.ask("read"); g.status != http.StatusServiceUnavailable {
+	if g := p.Send("read"); g.Status != http.StatusServiceUnavailable {
 		t.Errorf("answer %+v with all servers out", g)
 	}
 	p.figuresAre("skipped_servers", "2", "dropped.read", "1")
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -8,13 +8,12 @@
 	"log/slog"
 	"net"
 	"net/http"
-	"net/http/httptest"
 	"strings"
 	"testing"
 	"time"
 
-	"milletramp.example/milletramp/internal/discovery"
 	"milletramp.example/milletramp/internal/lab/testserver"
+	"milletramp.example/milletramp/internal/proxy"
 	"milletramp.example/milletramp/internal/upstream"
 )
 
@@ -52,12 +51,12 @@
 				}
 			}
 			p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, testserver.StartBackend(t, do), testserver.StartBackend(t, do)), testserver.Settings))
-			g := p.ask(tt.class)
-			if g.status != tt.status || len(came) != tt.attempts {
-				t.Fatalf("status %d after %d attempts, want %d after %d", g.status, len(came), tt.status, tt.attempts)
+			g := p.Send(tt.class)
+			if g.Status != tt.status || len(came) != tt.attempts {
+				t.Fatalf("status %d after %d attempts, want %d after %d", g.Status, len(came), tt.status, tt.attempts)
 			}
-			if g.status == 200 && g.body != "done" {
-				t.Errorf("body %q", g.body)
+			if g.Status == 200 && g.Body != "done" {
+				t.Errorf("body %q", g.Body)
 			}
 			first := <-came
 			for len(came) > 0 {
@@ -76,8 +75,8 @@
 	gone := &testserver.Backend{Address: l.Addr().String()}
 	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, gone), testserver.Settings))
 	for _, class := range []string{"read", "book", "pay"} {
-		if g := p.ask(class); g.status != 503 {
-			t.Errorf("%s: status %d, want a refusal", class, g.status)
+		if g := p.Send(class); g.Status != 503 {
+			t.Errorf("%s: status %d, want a refusal", class, g.Status)
 		}
 	}
 }
@@ -89,18 +88,18 @@
 		class  string
 		status int
 	}{{"pay", 502}, {"read", 503}} {
-		g := p.do(p.request(context.Background(), tt.class, "1500"))
+		g := p.Do(p.NewRequest(context.Background(), tt.class, "1500"))
 		testserver.Receive(t, b.Requests, "attempt")
-		if g.err != nil || g.status != tt.status {
-			t.Errorf("%s: status %d, error %v, want %d", tt.class, g.status, g.err, tt.status)
+		if g.Err != nil || g.Status != tt.status {
+			t.Errorf("%s: status %d, error %v, want %d", tt.class, g.Status, g.Err, tt.status)
 		}
 	}
 	if n := b.RequestCount(); n != 0 {
 		t.Errorf("%d attempts too many", n)
 	}
 	// What has no time left is not sent at all.
-	if g := p.do(p.request(context.Background(), "pay", "0")); g.status != 503 || b.RequestCount() != 0 {
-		t.Errorf("status %d, %d attempts", g.status, b.RequestCount())
+	if g := p.Do(p.NewRequest(context.Background(), "pay", "0")); g.Status != 503 || b.RequestCount() != 0 {
+		t.Errorf("status %d, %d attempts", g.Status, b.RequestCount())
 	}
 }
 
@@ -113,8 +112,8 @@
 	})
 	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan gotten, 1)
-	go func() { ended <- p.do(p.request(ctx, "read", "50000")) }()
+	ended := make(chan testserver.Result, 1)
+	go func() { ended <- p.Do(p.NewRequest(ctx, "read", "50000")) }()
 	testserver.Receive(t, b.Requests, "attempt")
 	cancel()
 	testserver.Receive(t, ended, "end")
@@ -134,8 +133,8 @@
 	})
 	defer close(gate)
 	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
-	c := p.dial()
-	fmt.Fprintf(c, "%s\r\n", head("GET", "leaves", "read"))
+	c := p.DialConn()
+	fmt.Fprintf(c, "%s\r\n", testserver.RequestHead("GET", "leaves", "read"))
 	testserver.Receive(t, b.Requests, "attempt")
 	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
@@ -154,14 +153,14 @@
 	if first.Query != "watch=1&from=41" {
 		t.Errorf("query %q", first.Query)
 	}
-	if g := p.ask("pay"); g.body != "drained" {
+	if g := p.Send("pay"); g.Body != "drained" {
 		t.Errorf("answer %+v", g)
 	}
 	first.Lines <- "" // a heartbeat
 	first.Lines <- testserver.ListText(42, false, testserver.EndpointEntry("s-0", drained.Address, "DRAINING", 0), testserver.EndpointEntry("s-1", kept.Address, "SERVING", 0))
 	p.until("kept")
 	for range 20 {
-		if g := p.ask("pay"); g.body != "kept" {
+		if g := p.Send("pay"); g.Body != "kept" {
 			t.Fatalf("a request went to a server that drains: %+v", g)
 		}
 	}
@@ -170,12 +169,12 @@
 	if second.Query != "watch=1&from=42" {
 		t.Errorf("query %q after a bad line", second.Query)
 	}
-	if g := p.ask("pay"); g.body != "kept" {
+	if g := p.Send("pay"); g.Body != "kept" {
 		t.Errorf("a bad line cost the list: %+v", g)
 	}
 	close(second.Lines)
 	third := testserver.Receive(t, d.Watches, "watch after a break")
-	if g := p.ask("pay"); g.body != "kept" {
+	if g := p.Send("pay"); g.Body != "kept" {
 		t.Errorf("a break cost the list: %+v", g)
 	}
 	third.Lines <- testserver.ListText(44, true, testserver.EndpointEntry("s-0", drained.Address, "SERVING", 0))
@@ -186,7 +185,7 @@
 	d := testserver.StartDiscovery(t)
 	p := start(t, testserver.ConfigText(d.Address, "", testserver.Settings))
 	health := func() int {
-		resp, err := p.client.Get("http://" + p.address + "/healthz")
+		resp, err := p.HTTP.Get("http://" + p.Address + "/healthz")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -209,34 +208,12 @@
 }
 
 // TestColdServer has a sidecar start beside a server that started just before it.
-func TestColdServer(t *testing.T) {
-	c, err := load(t, testserver.ConfigText("127.0.0.1:9", "", testserver.Settings))
-	if err != nil {
-		t.Fatal(err)
-	}
-	c.Settings.PollDiscovery = true // and so no watch in this test
-	booted := time.Now().Add(-3 * time.Second)
-	for _, tt := range []struct {
-		boot time.Time
-		cold bool
-	}{{booted, true}, {time.Time{}, false}, {booted.Add(-2 * originAge), false}} {
-		c.Known = discovery.List{Revision: 1, Complete: true, Endpoints: []discovery.Endpoint{{ID: "s-0", Address: "127.0.0.1:9", Zone: "a", Kind: "m", Weight: 1, StartedAt: tt.boot}}}
-		h, err := NewEventLoop(context.Background(), c, slog.New(slog.DiscardHandler), nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		started := h.starts.StartOf(c.Known.Endpoints[0])
-		if age := h.clock() - started; tt.cold && (started <= 0 || age < 3*time.Second || age > 3*time.Second+testserver.Timeout) || !tt.cold && started > 0 {
-			t.Errorf("boot %v: started %v, age %v", tt.boot, started, age)
-		}
-	}
-}
 
 func TestBadInput(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
 	ask := func(class string, change func(*http.Request)) *http.Request {
-		r := p.request(context.Background(), class, "50000")
+		r := p.NewRequest(context.Background(), class, "50000")
 		change(r)
 		return r
 	}
@@ -274,7 +251,7 @@
 		{"method", method("read", "DELETE"), 405},
 		{"path", ask("read", func(r *http.Request) { r.URL.Path = "/apis" }), 404},
 		{"health method", ask("read", func(r *http.Request) { r.URL.Path, r.Method = "/healthz", "PUT" }), 405},
-		{"long body", sized(maxRequestBody + 1), 413},
+		{"long body", sized(proxy.MaxRequestBody + 1), 413},
 		{"longest body held in any case", sized(upstream.MaxBufferedBody), 200},
 		{"longer body", sized(10 * upstream.MaxBufferedBody), 200},
 		{"unknown tenant", with("read", "X-Tenant-Id", "nobody"), 200},
@@ -282,13 +259,13 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			came := b.RequestCount()
-			if g := p.do(tt.r); g.err != nil || g.status != tt.status {
-				t.Errorf("status %d, error %v, want %d", g.status, g.err, tt.status)
+			if g := p.Do(tt.r); g.Err != nil || g.Status != tt.status {
+				t.Errorf("status %d, error %v, want %d", g.Status, g.Err, tt.status)
 			}
 			if sent := b.RequestCount() > came; sent != (tt.status == 200) {
 				t.Errorf("sent to a server: %v", sent)
 			}
-			if g := p.ask("pay"); g.status != 200 {
+			if g := p.Send("pay"); g.Status != 200 {
 				t.Errorf("the next request: %+v", g)
 			}
 		})
@@ -300,11 +277,11 @@
 	settings := strings.Replace(testserver.Settings, `"most_held":20000`, `"most_held":1`, 1)
 	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), settings))
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan gotten, 1)
-	go func() { ended <- p.do(p.request(ctx, "pay", "50000")) }()
+	ended := make(chan testserver.Result, 1)
+	go func() { ended <- p.Do(p.NewRequest(ctx, "pay", "50000")) }()
 	testserver.Receive(t, b.Requests, "attempt")
-	if g := p.ask("pay"); g.status != 503 || b.RequestCount() != 0 {
-		t.Errorf("status %d, %d attempts", g.status, b.RequestCount())
+	if g := p.Send("pay"); g.Status != 503 || b.RequestCount() != 0 {
+		t.Errorf("status %d, %d attempts", g.Status, b.RequestCount())
 	}
 	cancel()
 	testserver.Receive(t, ended, "end")
@@ -321,24 +298,24 @@
 	})
 	p := startDraining(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings),
 		drainTimes{accept: 4 * time.Second, quiet: 10 * time.Millisecond, closeIdle: 2 * time.Second})
-	slow := make(chan gotten, 1)
-	go func() { slow <- p.do(p.request(context.Background(), "book", "50000")) }()
+	slow := make(chan testserver.Result, 1)
+	go func() { slow <- p.Do(p.NewRequest(context.Background(), "book", "50000")) }()
 	testserver.Receive(t, b.Requests, "attempt")
 	p.stop()
 	for closing := false; !closing; {
-		g := p.ask("pay")
-		if g.status != 200 {
+		g := p.Send("pay")
+		if g.Status != 200 {
 			t.Fatalf("answer %+v while draining", g)
 		}
-		closing = g.closing
+		closing = g.Close
 	}
 	time.Sleep(200 * time.Millisecond) // long past the quiet that ends the accepting, well within its time
-	fresh, err := net.Dial("tcp", p.address)
+	fresh, err := net.Dial("tcp", p.Address)
 	if err != nil {
 		t.Fatalf("no new connections while draining: %v", err)
 	}
 	defer fresh.Close()
-	if err := p.request(context.Background(), "pay", "50000").Write(fresh); err != nil {
+	if err := p.NewRequest(context.Background(), "pay", "50000").Write(fresh); err != nil {
 		t.Fatal(err)
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(fresh), nil)
@@ -346,7 +323,7 @@
 		t.Errorf("answer %+v, error %v on a new connection", resp, err)
 	}
 	for end := time.Now().Add(testserver.Timeout); ; {
-		c, err := net.Dial("tcp", p.address)
+		c, err := net.Dial("tcp", p.Address)
 		if err != nil {
 			break
 		}
@@ -361,7 +338,7 @@
 	default:
 	}
 	close(gate)
-	if g := testserver.Receive(t, slow, "answer"); g.status != 200 || g.body != "ok" {
+	if g := testserver.Receive(t, slow, "answer"); g.Status != 200 || g.Body != "ok" {
 		t.Errorf("answer %+v to what was taken", g)
 	}
 	if err := testserver.Receive(t, p.ended, "end"); err != nil {
@@ -380,29 +357,11 @@
 	}
 }
 
-func TestRefusalSaysWhen(t *testing.T) {
-	for _, tt := range []struct {
-		a      finalResponse
-		status int
-		header string
-	}{
-		{finalResponse{kind: rejected, retryAfter: 250 * time.Millisecond}, 503, "0.250"},
-		{finalResponse{kind: rejected}, 503, ""},
-		{finalResponse{kind: badGateway}, 502, ""},
-	} {
-		w := httptest.NewRecorder()
-		tt.a.write(w)
-		if w.Code != tt.status || w.Header().Get("Retry-After") != tt.header {
-			t.Errorf("%+v: status %d, header %v", tt.a, w.Code, w.Header())
-		}
-	}
-}
-
 // TestEndlessBody has a client send half a body and no more: its connection ends with its time, and others are served.
 func TestEndlessBody(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
-	c, err := net.Dial("tcp", p.address)
+	c, err := net.Dial("tcp", p.Address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -419,7 +378,7 @@
 		t.Errorf("%d attempts for half a request", n)
 	}
 	// A connection whose body's time is over still serves what takes longer.
-	if g := p.ask("pay"); g.status != 200 {
+	if g := p.Send("pay"); g.Status != 200 {
 		t.Errorf("answer %+v", g)
 	}
 }
--- a/internal/sidecar/stop_test.go
+++ b/internal/sidecar/stop_test.go
@@ -36,20 +36,20 @@
 	})
 	p := startDraining(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings),
 		drainTimes{quiet: time.Millisecond, unused: testserver.Timeout})
-	held := make(chan gotten, 1)
-	go func() { held <- p.do(p.request(context.Background(), "book", "50000")) }()
+	held := make(chan testserver.Result, 1)
+	go func() { held <- p.Do(p.NewRequest(context.Background(), "book", "50000")) }()
 	testserver.Receive(t, b.Requests, "attempt")
-	late := p.dial()
+	late := p.DialConn()
 	p.accepted(2)
 	p.stop()
 	p.deaf()
-	fmt.Fprintf(late, "%s\r\n", head("GET", "late", "read"))
+	fmt.Fprintf(late, "%s\r\n", testserver.RequestHead("GET", "late", "read"))
 	resp, err := http.ReadResponse(bufio.NewReader(late), nil)
 	if err != nil || resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("answer %+v, error %v to a request that came after the word to stop", resp, err)
 	}
 	close(gate)
-	if g := testserver.Receive(t, held, "answer"); g.status != 200 {
+	if g := testserver.Receive(t, held, "answer"); g.Status != 200 {
 		t.Errorf("answer %+v to what was taken", g)
 	}
 	if err := testserver.Receive(t, p.ended, "end"); err != nil {
@@ -61,7 +61,7 @@
 func TestStopEndsUnused(t *testing.T) {
 	p := startDraining(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, testserver.StartBackend(t, testserver.Respond(200, "", "ok"))), testserver.Settings),
 		drainTimes{quiet: time.Millisecond, unused: 10 * time.Millisecond})
-	c := p.dial()
+	c := p.DialConn()
 	p.accepted(1)
 	p.stop()
 	if err := testserver.Receive(t, p.ended, "end"); err != nil {
@@ -77,25 +77,25 @@
 
 // accepted waits until the program holds n connections.
 func (p *program) accepted(n int) {
-	p.t.Helper()
+	p.T.Helper()
 	for end := time.Now().Add(testserver.Timeout); p.staff.serving.Load().conns.Counts().Open < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			p.t.Fatalf("not %d connections accepted", n)
+			p.T.Fatalf("not %d connections accepted", n)
 		}
 	}
 }
 
 // deaf waits until the program listens no more.
 func (p *program) deaf() {
-	p.t.Helper()
+	p.T.Helper()
 	for end := time.Now().Add(testserver.Timeout); ; time.Sleep(time.Millisecond) {
-		c, err := net.Dial("tcp", p.address)
+		c, err := net.Dial("tcp", p.Address)
 		if err != nil {
 			return
 		}
 		c.Close()
 		if time.Now().After(end) {
-			p.t.Fatal("it never stopped listening")
+			p.T.Fatal("it never stopped listening")
 		}
 	}
 }
@@ -139,7 +139,7 @@
 			go func() {
 				defer clients.Done()
 				for n := 0; ; n++ {
-					c, err := net.Dial("tcp", p.address)
+					c, err := net.Dial("tcp", p.Address)
 					if err != nil {
 						return // it listens no more
 					}
@@ -172,7 +172,7 @@
 	_ = c.SetDeadline(time.Now().Add(testserver.Timeout))
 	for n := 0; ; n++ {
 		time.Sleep(pause)
-		if _, err := fmt.Fprintf(c, "%s\r\n", head("GET", fmt.Sprint(id, "-", n), "read")); err != nil {
+		if _, err := fmt.Fprintf(c, "%s\r\n", testserver.RequestHead("GET", fmt.Sprint(id, "-", n), "read")); err != nil {
 			return true
 		}
 		resp, err := http.ReadResponse(in, nil)
@@ -200,10 +200,10 @@
 	p := start(t, text)
 	held := map[string]chan *http.Response{"pay": nil, "read": nil, "book": nil}
 	for class := range held {
-		answered, r := make(chan *http.Response, 1), p.request(context.Background(), class, "50000")
+		answered, r := make(chan *http.Response, 1), p.NewRequest(context.Background(), class, "50000")
 		held[class] = answered
 		go func() {
-			resp, err := p.client.Do(r)
+			resp, err := p.HTTP.Do(r)
 			if err != nil {
 				t.Error(err)
 			}
@@ -213,7 +213,7 @@
 	}
 	p.hangup(strings.ReplaceAll(strings.ReplaceAll(text, `"deadline_s":60.0`, `"deadline_s":0.3`), `"aim_s":20.0`, `"aim_s":0.2`))
 	p.figuresAre("loads", "1", "load_errors", "0")
-	if longest := p.staff.serving.Load().handler.longestDeadline(); longest != 300*time.Millisecond {
+	if longest := p.staff.serving.Load().handler.LongestDeadline(); longest != 300*time.Millisecond {
 		t.Errorf("the platform kills by a deadline of 300ms, the process goes by %v", longest)
 	}
 	p.stop()
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"milletramp.example/milletramp/internal/lab/testserver"
+	"milletramp.example/milletramp/internal/proxy"
 	"milletramp.example/milletramp/internal/upstream"
 )
 
@@ -58,7 +59,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, testserver.StartBackend(t, tt.do)), testserver.Settings))
-			resp, err := p.client.Do(p.request(context.Background(), "pay", "600"))
+			resp, err := p.HTTP.Do(p.NewRequest(context.Background(), "pay", "600"))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -68,7 +69,7 @@
 			began := time.Now()
 			body, err := io.ReadAll(resp.Body)
 			resp.Body.Close()
-			if took := time.Since(began); tt.cut && took > maxStreamPause-time.Second {
+			if took := time.Since(began); tt.cut && took > proxy.MaxStreamPause-time.Second {
 				t.Errorf("cut after %v", took)
 			}
 			if tt.cut != errors.Is(err, io.ErrUnexpectedEOF) || tt.long && len(body) != upstream.MaxBufferedBody+1 {
--- a/internal/sidecar/swallow_test.go
+++ b/internal/sidecar/swallow_test.go
@@ -30,24 +30,24 @@
 	// What is swallowed is out for four aims.
 	settings := strings.ReplaceAll(testserver.Settings, `"aim_s":20.0`, `"aim_s":1.0`)
 	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, backends...), settings))
-	ended := make(chan gotten, each*len(backends))
+	ended := make(chan testserver.Result, each*len(backends))
 	for range cap(ended) {
-		r := p.request(context.Background(), "book", "4000")
-		go func() { ended <- p.do(r) }()
+		r := p.NewRequest(context.Background(), "book", "4000")
+		go func() { ended <- p.Do(r) }()
 	}
 	for range cap(ended) {
 		testserver.Receive(t, came, "attempt that is swallowed")
 	}
 	answered := func(when string) {
 		for range each * len(backends) {
-			if g := p.ask("read"); g.status != http.StatusOK {
+			if g := p.Send("read"); g.Status != http.StatusOK {
 				t.Fatalf("answer %+v %s", g, when)
 			}
 		}
 	}
 	answered("while others are out")
 	for range cap(ended) {
-		if g := testserver.Receive(t, ended, "answer"); g.status == http.StatusOK {
+		if g := testserver.Receive(t, ended, "answer"); g.Status == http.StatusOK {
 			t.Errorf("answer %+v to what was swallowed", g)
 		}
 	}
@@ -82,19 +82,19 @@
 	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, backends...), settings))
 	ask := func(n int) {
 		for range n {
-			if g := p.ask("read"); g.status != http.StatusOK {
+			if g := p.Send("read"); g.Status != http.StatusOK {
 				t.Fatalf("answer %+v", g)
 			}
 		}
 	}
-	begin := func(class, id, timeout string, ended chan gotten) {
-		r := p.request(context.Background(), class, timeout)
+	begin := func(class, id, timeout string, ended chan testserver.Result) {
+		r := p.NewRequest(context.Background(), class, timeout)
 		r.Header.Set("X-Request-ID", id)
-		go func() { ended <- p.do(r) }()
+		go func() { ended <- p.Do(r) }()
 		testserver.Receive(t, came, "attempt that is swallowed")
 	}
 	ask(40) // and so it is known how long answers take
-	ended := make(chan gotten, payments)
+	ended := make(chan testserver.Result, payments)
 	for i := range payments {
 		begin("pay", fmt.Sprint("lost-pay-", i), "500", ended)
 	}
@@ -102,13 +102,13 @@
 	for range payments {
 		testserver.Receive(t, ended, "end of a payment")
 	}
-	again := make(chan gotten, len(backends))
+	again := make(chan testserver.Result, len(backends))
 	for i := range backends { // one at each, so that each gets others too
 		begin("read", fmt.Sprint("lost-read-", i), "59000", again) // longer than the test has patience
 	}
 	ask(24)
 	for range backends {
-		if g := testserver.Receive(t, again, "answer to what was swallowed"); g.status != http.StatusOK {
+		if g := testserver.Receive(t, again, "answer to what was swallowed"); g.Status != http.StatusOK {
 			t.Errorf("answer %+v to what was swallowed at first", g)
 		}
 	}
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -54,18 +54,18 @@
 			f.Set("accept", once, once)
 			p := startWith(t, testserver.ConfigText(d.Address, testserver.ServingList(1, b), testserver.Settings),
 				drainTimes{quiet: time.Millisecond, unused: testserver.Timeout}, nil, failureHooks(f))
-			if g := p.ask("read"); g.status != 200 {
+			if g := p.Send("read"); g.Status != 200 {
 				t.Errorf("answer %+v in service", g)
 			}
-			p.client.CloseIdleConnections()
+			p.HTTP.CloseIdleConnections()
 			f.Set("accept", slices.Repeat([]testserver.Failure{once}, 1000)...)
 			answers := make(chan error, 2)
 			for i := range 2 { // the call that is out takes the first
-				c := p.dial()
+				c := p.DialConn()
 				go func() { answers <- oneAnswer(c, fmt.Sprint("waits-", i), "read") }()
 			}
 			p.stop()
-			for end := time.Now().Add(testserver.Timeout); !p.staff.serving.Load().handler.draining.Load(); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(testserver.Timeout); !p.staff.serving.Load().handler.IsDraining(); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal("it does not drain")
 				}
@@ -107,7 +107,7 @@
 				}
 				f.Set("listen", slices.Repeat([]testserver.Failure{{Errno: tt.errno}}, tt.times)...)
 				if tt.starts {
-					if g := startWith(t, text, drainTimes{quiet: time.Millisecond}, nil, failureHooks(f)).ask("read"); g.status != 200 {
+					if g := startWith(t, text, drainTimes{quiet: time.Millisecond}, nil, failureHooks(f)).Send("read"); g.Status != 200 {
 						t.Errorf("answer %+v", g)
 					}
 					return
@@ -148,7 +148,7 @@
 			go func() {
 				defer clients.Done()
 				for range 10 {
-					if g := p.do(p.request(context.Background(), "read", "50000")); g.status != want {
+					if g := p.Do(p.NewRequest(context.Background(), "read", "50000")); g.Status != want {
 						t.Errorf("answer %+v, want %d", g, want)
 					}
 				}
@@ -211,7 +211,7 @@
 			var clients sync.WaitGroup
 			var conns []net.Conn
 			for range classes {
-				conns = append(conns, p.dial())
+				conns = append(conns, p.DialConn())
 			}
 			between()
 			for i, class := range classes {
@@ -250,12 +250,12 @@
 // oneAnswer asks for a class on a connection, and tells what is wrong with what comes back.
 func oneAnswer(c net.Conn, id, class string) error {
 	defer c.Close()
-	text := head("GET", id, class) + "Connection: close\r\n\r\n"
+	text := testserver.RequestHead("GET", id, class) + "Connection: close\r\n\r\n"
 	switch class {
 	case "book":
-		text = head("POST", id, class) + "Idempotency-Key: " + id + "\r\nContent-Length: 4\r\nConnection: close\r\n\r\nskip"
+		text = testserver.RequestHead("POST", id, class) + "Idempotency-Key: " + id + "\r\nContent-Length: 4\r\nConnection: close\r\n\r\nskip"
 	case "pay":
-		text = head("POST", id, class) + "Content-Length: 4\r\nConnection: close\r\n\r\nskip"
+		text = testserver.RequestHead("POST", id, class) + "Content-Length: 4\r\nConnection: close\r\n\r\nskip"
 	}
 	if _, err := io.WriteString(c, text); err != nil {
 		return err
