--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -23,18 +23,18 @@
 type part struct{ *fleet.Fleet }
 
 // Join begins a sidecar's part in the fleet that the operator's file names. It is a sidecar.Join.
-func Join(c *config.Config, before []string, log *slog.Logger, told sidecar.Told) (sidecar.Part, error) {
+func Join(c *config.Config, before []string, log *slog.Logger, told sidecar.Callbacks) (sidecar.Participant, error) {
 	named, err := fleet.FromEnvironment(c.Getenv)
 	if err != nil || named == nil {
 		return nil, err
 	}
-	f, err := fleet.Start(named, c.Name, before, log, fleet.Told{Out: told.Out, Doubts: func(doubts []fleet.Doubt) {
-		words := make([]sidecar.Doubt, 0, len(doubts))
+	f, err := fleet.Start(named, c.Name, before, log, fleet.Told{Out: told.OnAdminDown, Doubts: func(doubts []fleet.Doubt) {
+		words := make([]sidecar.Suspicion, 0, len(doubts))
 		for _, d := range doubts {
-			words = append(words, sidecar.Doubt(d))
+			words = append(words, sidecar.Suspicion(d))
 		}
-		told.Doubts(words)
-	}, Check: told.Check})
+		told.OnSuspicions(words)
+	}, Check: told.CheckPolicy})
 	if err != nil {
 		return nil, err
 	}
@@ -50,12 +50,12 @@
 }
 
 // Listed implements sidecar.Part.
-func (p part) Listed(servers []sidecar.Server) {
+func (p part) Listed(servers []sidecar.ListedServer) {
 	list := make([]fleet.Server, 0, len(servers))
 	for _, s := range servers {
 		o := fleet.Server{ID: s.ID}
-		if !s.Boot.IsZero() {
-			o.Boot = wallclock.Milliseconds(s.Boot)
+		if !s.StartedAt.IsZero() {
+			o.Boot = wallclock.Milliseconds(s.StartedAt)
 		}
 		list = append(list, o)
 	}
@@ -72,7 +72,7 @@
 // TakeOut implements sidecar.Part.
 func (p part) TakeOut(ctx context.Context, server string, out, confirm bool) (held, asked int, err error) {
 	if held, asked, err = p.Fleet.TakeOut(ctx, server, out, confirm); errors.Is(err, fleet.ErrSilent) || errors.Is(err, fleet.ErrEnded) {
-		return 0, 0, sidecar.ErrSilent
+		return 0, 0, sidecar.ErrSuperseded
 	}
 	return held, asked, err
 }
--- a/internal/sidecar/attempts_test.go
+++ b/internal/sidecar/attempts_test.go
@@ -50,7 +50,7 @@
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	settings := strings.Replace(testserver.Settings, `"cancelling":true`, `"cancelling":false`, 1)
 	p, late := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), settings)), testserver.NewDelayedDialer()
-	u := p.staff.host.Upstream()
+	u := p.staff.loop.Upstream()
 	u.SetDial(late.Dial)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan testserver.Result, 1)
--- a/internal/sidecar/beyond_test.go
+++ b/internal/sidecar/beyond_test.go
@@ -59,8 +59,8 @@
 	two := testserver.StartBackend(t, testserver.Respond(200, "", "two"))
 	d := testserver.StartDiscovery(t)
 	text := testserver.ConfigText(d.Address, testserver.ServingList(1, one), testserver.Settings)
-	p := startDraining(t, text, drainTimes{accept: 100 * time.Millisecond, quiet: time.Millisecond,
-		closeIdle: testserver.Timeout, unused: testserver.Timeout})
+	p := startDraining(t, text, drainTimes{acceptFor: 100 * time.Millisecond, quietPeriod: time.Millisecond,
+		idleGrace: testserver.Timeout, unusedGrace: testserver.Timeout})
 	w := testserver.Receive(t, d.Watches, "watch")
 	kept := make([]net.Conn, 8)
 	for i := range kept {
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -153,7 +153,7 @@
 // listed waits until the program knows n servers.
 func (p *program) listed(n int) {
 	p.T.Helper()
-	for end := time.Now().Add(testserver.Timeout); len(p.staff.host.Upstream().Endpoints()) != n; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testserver.Timeout); len(p.staff.loop.Upstream().Endpoints()) != n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			p.T.Fatalf("not %d servers listed", n)
 		}
--- a/internal/sidecar/family.go
+++ b/internal/sidecar/family.go
@@ -15,17 +15,17 @@
 	"milletramp.example/milletramp/internal/handover"
 )
 
-// lookEvery is how often this process looks whether another of the sidecar has come or gone.
-const lookEvery = 250 * time.Millisecond
+// processPollInterval is how often this process looks whether another of the sidecar has come or gone.
+const processPollInterval = 250 * time.Millisecond
 
-// family is this process among those of its sidecar: one most of the time, two in an upgrade.
-type family struct {
+// processGroup is this process among those of its sidecar: one most of the time, two in an upgrade.
+type processGroup struct {
 	member *handover.Member // nil: there is no way to know of others
 	shares atomic.Int32     // into which what the sidecar may hold is parted
 }
 
-func joinFamily(c *config.Config, log *slog.Logger) *family {
-	f := &family{}
+func joinProcessGroup(c *config.Config, log *slog.Logger) *processGroup {
+	f := &processGroup{}
 	f.shares.Store(1)
 	dir := c.Getenv("TMPDIR")
 	if dir == "" {
@@ -41,14 +41,14 @@
 	return f
 }
 
-// successor tells whether a newer process of the sidecar is ready to take what comes.
-func (f *family) successor() bool {
+// hasSuccessor tells whether a newer process of the sidecar is ready to take what comes.
+func (f *processGroup) hasSuccessor() bool {
 	return f.member.Succeeded()
 }
 
-// tell passes a call of the staff on to the other processes. It returns whether any knows the server, and an error if one
+// forwardAdminDown passes a call of the staff on to the other processes. It returns whether any knows the server, and an error if one
 // that lives could not be told.
-func (f *family) tell(ctx context.Context, id string, out bool) (known bool, err error) {
+func (f *processGroup) forwardAdminDown(ctx context.Context, id string, out bool) (known bool, err error) {
 	for _, s := range f.member.Others() {
 		if s.Console == "" {
 			continue
@@ -64,12 +64,12 @@
 	return known, err
 }
 
-// follow calls changed each time that the number of processes changes, until ctx ends.
-func (f *family) follow(ctx context.Context, changed func(shares int)) {
+// watch calls changed each time that the number of processes changes, until ctx ends.
+func (f *processGroup) watch(ctx context.Context, changed func(shares int)) {
 	if f.member == nil {
 		return
 	}
-	look := time.NewTicker(lookEvery)
+	look := time.NewTicker(processPollInterval)
 	defer look.Stop()
 	seen := int64(-1)
 	for {
@@ -95,14 +95,14 @@
 	b := NewSocketBudget(p.config)
 	p.handler.SetMaxInFlight(b.Requests / shares)
 	p.conns.SetLimits(b.ClientConns/shares, max(b.KeepAliveConns/shares, 1))
-	p.host.Upstream().SetMaxConns(b.UpstreamConns / shares)
+	p.loop.Upstream().SetMaxConns(b.UpstreamConns / shares)
 	debug.SetMemoryLimit(int64(float64(p.config.MemoryMB<<20) * memoryShare / float64(shares)))
 }
 
-// join takes over what the other processes know that binds.
-func (o *ops) join(ctx context.Context) error {
+// inherit takes over what the other processes know that binds.
+func (o *operator) inherit(ctx context.Context) error {
 	out := map[string]bool{}
-	for _, s := range o.family.member.Others() {
+	for _, s := range o.group.member.Others() {
 		for _, id := range s.Out {
 			out[id] = true
 		}
@@ -110,29 +110,29 @@
 	if len(out) == 0 {
 		return nil
 	}
-	return o.handOut(ctx, out)
+	return o.adoptAdminDown(ctx, out)
 }
 
-// handOut takes servers out that another process was told of, known here or not.
-func (o *ops) handOut(ctx context.Context, ids map[string]bool) error {
-	err := o.host.Do(ctx, func() {
+// adoptAdminDown takes servers out that another process was told of, known here or not.
+func (o *operator) adoptAdminDown(ctx context.Context, ids map[string]bool) error {
+	err := o.loop.Do(ctx, func() {
 		var list []string
 		for id := range ids {
 			list = append(list, id)
 		}
-		o.host.AdoptAdminDown(list)
+		o.loop.AdoptAdminDown(list)
 	})
-	return errors.Join(err, o.publish(ctx))
+	return errors.Join(err, o.publishAdminDown(ctx))
 }
 
-// publish writes down which servers are out. One call at a time does: of two that overlapped, the one that read the
+// publishAdminDown writes down which servers are out. One call at a time does: of two that overlapped, the one that read the
 // older list could write last, after both calls of the operators were answered with yes.
-func (o *ops) publish(ctx context.Context) error {
+func (o *operator) publishAdminDown(ctx context.Context) error {
 	o.publishing.Lock()
 	defer o.publishing.Unlock()
 	var out []string
-	if err := o.host.Do(ctx, func() { out = o.host.AdminDown() }); err != nil {
+	if err := o.loop.Do(ctx, func() { out = o.loop.AdminDown() }); err != nil {
 		return err
 	}
-	return o.family.member.Update(func(s *handover.State) { s.Out = out })
+	return o.group.member.Update(func(s *handover.State) { s.Out = out })
 }
--- a/internal/sidecar/family_test.go
+++ b/internal/sidecar/family_test.go
@@ -27,10 +27,10 @@
 		t.Fatal(err)
 	}
 	stop, cancel := context.WithCancel(context.Background())
-	started, ended := make(chan *ops, 1), make(chan error, 1)
+	started, ended := make(chan *operator, 1), make(chan error, 1)
 	go func() {
-		ended <- run(stop, nil, c, slog.New(slog.DiscardHandler), nil, drainTimes{quiet: time.Millisecond},
-			hooks{started: func(o *ops) { started <- o }})
+		ended <- run(stop, nil, c, slog.New(slog.DiscardHandler), nil, drainTimes{quietPeriod: time.Millisecond},
+			hooks{started: func(o *operator) { started <- o }})
 	}()
 	w := testserver.Receive(t, d.Watches, "watch")
 	select {
@@ -40,11 +40,11 @@
 	}
 	w.Lines <- testserver.ServingList(1, b, b)
 	staff := testserver.Receive(t, started, "listening with a list")
-	if staff.family.shares.Load() != 2 {
-		t.Errorf("the sidecar's limits are parted into %d", staff.family.shares.Load())
+	if staff.group.shares.Load() != 2 {
+		t.Errorf("the sidecar's limits are parted into %d", staff.group.shares.Load())
 	}
 	listed, avoided := 0, 0
-	if err := staff.host.Do(context.Background(), func() { listed, avoided = staff.host.CountEndpoints() }); err != nil {
+	if err := staff.loop.Do(context.Background(), func() { listed, avoided = staff.loop.CountEndpoints() }); err != nil {
 		t.Fatal(err)
 	}
 	if listed != 2 || avoided != 1 {
--- a/internal/sidecar/gone_test.go
+++ b/internal/sidecar/gone_test.go
@@ -16,7 +16,7 @@
 // behind it: nothing is sent on.
 func TestGoneBeforeItsRequestIsWhole(t *testing.T) {
 	b, f := testserver.StartBackend(t, testserver.Respond(200, "", "ok")), &fakePart{}
-	p := startIn(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings), drainTimes{quiet: time.Millisecond}, f.join)
+	p := startIn(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings), drainTimes{quietPeriod: time.Millisecond}, f.join)
 	f.check(t, 1, f.document(t, ""), "")
 	f.set(1, 0, true)
 	pay := testserver.RequestHead("POST", "gone", "pay")
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -64,13 +64,13 @@
 	file    string // its configuration
 	hup     chan os.Signal
 	ended   chan error
-	staff   *ops
+	staff   *operator
 	ejected atomic.Int32 // servers
 }
 
 func start(t *testing.T, configText string, env ...string) *program {
 	t.Helper()
-	return startIn(t, configText, drainTimes{quiet: time.Millisecond}, nil, env...)
+	return startIn(t, configText, drainTimes{quietPeriod: time.Millisecond}, nil, env...)
 }
 
 func startDraining(t *testing.T, configText string, times drainTimes) *program {
@@ -79,22 +79,22 @@
 }
 
 // startIn starts a sidecar with a part in a fleet; nil: with none.
-func startIn(t *testing.T, configText string, times drainTimes, join Join, env ...string) *program {
+func startIn(t *testing.T, configText string, times drainTimes, join JoinFunc, env ...string) *program {
 	t.Helper()
 	return startWith(t, configText, times, join, hooks{}, env...)
 }
 
 // startWith starts a sidecar with hooks of its test.
-func startWith(t *testing.T, configText string, times drainTimes, join Join, with hooks, env ...string) *program {
+func startWith(t *testing.T, configText string, times drainTimes, join JoinFunc, with hooks, env ...string) *program {
 	t.Helper()
 	c, err := load(t, configText, env...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	times.deadline = cmp.Or(times.deadline, testserver.Timeout) // no verdict hangs on how soon a request in hand has to be given up
+	times.maxDeadline = cmp.Or(times.maxDeadline, testserver.Timeout) // no verdict hangs on how soon a request in hand has to be given up
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &program{Client: testserver.Client{T: t, HTTP: &http.Client{Transport: &http.Transport{}}}, stop: cancel, file: c.Getenv("PROXY_CONFIG"), hup: make(chan os.Signal, 1), ended: make(chan error, 1)}
-	with.started = func(o *ops) { p.staff = o }
+	with.started = func(o *operator) { p.staff = o }
 	log := addressLog{slog.DiscardHandler, make(chan string, 1), &p.ejected}
 	var over sync.WaitGroup
 	over.Add(1)
--- a/internal/sidecar/kill_test.go
+++ b/internal/sidecar/kill_test.go
@@ -54,8 +54,8 @@
 	settings := short.Replace(testserver.Settings)
 	for _, gated := range []bool{false, true} {
 		t.Run(fmt.Sprint("waits for a policy ", gated), func(t *testing.T) {
-			times := drainTimes{accept: 100 * time.Millisecond, quiet: time.Millisecond, closeIdle: testserver.Timeout, unused: testserver.Timeout}
-			var join Join
+			times := drainTimes{acceptFor: 100 * time.Millisecond, quietPeriod: time.Millisecond, idleGrace: testserver.Timeout, unusedGrace: testserver.Timeout}
+			var join JoinFunc
 			f := &fakePart{}
 			if gated {
 				join = f.join
--- a/internal/sidecar/main.go
+++ b/internal/sidecar/main.go
@@ -14,7 +14,7 @@
 
 // Main is a program that is a sidecar: it takes its configuration from the environment, reads its file again at SIGHUP, and
 // ends on SIGTERM once it has finished what it has taken. It returns the exit status.
-func Main(join Join) (status int) {
+func Main(join JoinFunc) (status int) {
 	// Until it is caught, SIGHUP ends the process. One that comes meanwhile is kept.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
--- a/internal/sidecar/ops.go
+++ b/internal/sidecar/ops.go
@@ -11,21 +11,21 @@
 	"milletramp.example/milletramp/internal/stats"
 )
 
-// ops is what the console asks of the sidecar.
-type ops struct {
-	host    *proxy.EventLoop
-	figures *stats.Figures
-	family  *family
-	serving atomic.Pointer[serving] // nil: does not listen yet
-	told    atomic.Bool             // other processes can see that this one is ready
-	part    atomic.Pointer[Part]    // in the fleet; nil: there is none
-	gate    *proxy.PolicyGate       // set before it listens; nil: the fleet has no policy, or there is none
-	obeyed  chan struct{}           // has one if what is out by hand has changed by word of the fleet
+// operator is what the console asks of the sidecar.
+type operator struct {
+	loop             *proxy.EventLoop
+	metrics          *stats.Figures
+	group            *processGroup
+	serving          atomic.Pointer[serving]     // nil: does not listen yet
+	announced        atomic.Bool                 // other processes can see that this one is ready
+	participant      atomic.Pointer[Participant] // in the fleet; nil: there is none
+	gate             *proxy.PolicyGate           // set before it listens; nil: the fleet has no policy, or there is none
+	adminDownChanged chan struct{}               // has one if what is out by hand has changed by word of the fleet
 
 	publishing sync.Mutex // held by publish
 
 	// Of the loop.
-	obeys map[string]bool // servers that the fleet last had out
+	fleetAdminDown map[string]bool // servers that the fleet last had out
 }
 
 // serving is what answers clients once a process listens.
@@ -35,7 +35,7 @@
 }
 
 // Ready implements console.Sidecar.
-func (o *ops) Ready() (bool, string) {
+func (o *operator) Ready() (bool, string) {
 	s := o.serving.Load()
 	switch {
 	case s == nil:
@@ -44,20 +44,20 @@
 		return false, "told to stop"
 	}
 	select {
-	case <-o.host.Ready():
+	case <-o.loop.Ready():
 	default:
 		return false, "no list of servers yet"
 	}
-	if !o.told.Load() {
+	if !o.announced.Load() {
 		return false, "starting"
 	}
-	return o.caughtUp()
+	return o.fleetReady()
 }
 
 // Figures implements console.Sidecar.
-func (o *ops) Figures(ctx context.Context) ([]byte, error) {
+func (o *operator) Figures(ctx context.Context) ([]byte, error) {
 	var g stats.Gauges
-	err := o.host.Do(ctx, func() { g.Known, g.Skipped = o.host.CountEndpoints() })
+	err := o.loop.Do(ctx, func() { g.Known, g.Skipped = o.loop.CountEndpoints() })
 	if err != nil {
 		return nil, err
 	}
@@ -65,37 +65,37 @@
 		g.InProgress = s.handler.InFlight()
 	}
 	var text bytes.Buffer
-	if err := o.figures.Write(&text, g); err != nil {
+	if err := o.metrics.Write(&text, g); err != nil {
 		return nil, err
 	}
-	err = o.fleetFigures(ctx, &text)
+	err = o.writeFleetMetrics(ctx, &text)
 	return text.Bytes(), err
 }
 
 // TakeOut implements console.Sidecar. In an upgrade it binds both processes before it returns. One that is just
 // starting looks at what is written down, and one that has started is told; what is written first and told then misses
 // neither.
-func (o *ops) TakeOut(ctx context.Context, id string, out, passed bool) (note string, err error) {
+func (o *operator) TakeOut(ctx context.Context, id string, out, passed bool) (note string, err error) {
 	known := false
-	if err := o.host.Do(ctx, func() { known = o.host.SetAdminDown(id, out) }); err != nil {
+	if err := o.loop.Do(ctx, func() { known = o.loop.SetAdminDown(id, out) }); err != nil {
 		return "", err
 	}
 	elsewhere := passed // the other process has it, and the list here is about to
 	if known {
-		if err := o.publish(ctx); err != nil {
+		if err := o.publishAdminDown(ctx); err != nil {
 			return "", err
 		}
 	}
 	if !passed {
-		if elsewhere, err = o.family.tell(ctx, id, out); err != nil {
+		if elsewhere, err = o.group.forwardAdminDown(ctx, id, out); err != nil {
 			return "", err
 		}
 	}
 	if elsewhere && !known && out {
-		if err := o.handOut(ctx, map[string]bool{id: true}); err != nil {
+		if err := o.adoptAdminDown(ctx, map[string]bool{id: true}); err != nil {
 			return "", err
 		}
 		known = true
 	}
-	return o.tellFleet(ctx, id, out, known || elsewhere && !passed, passed)
+	return o.publishToFleet(ctx, id, out, known || elsewhere && !passed, passed)
 }
--- a/internal/sidecar/policy_test.go
+++ b/internal/sidecar/policy_test.go
@@ -22,7 +22,7 @@
 
 // fakePart is a part in a fleet that has a policy, and whose word a test gives.
 type fakePart struct {
-	told Told
+	told Callbacks
 	base map[string]any // the sidecar's own settings, but for its place
 
 	mu     sync.Mutex
@@ -40,7 +40,7 @@
 	return c
 }
 func (f *fakePart) Ready(context.Context) (bool, string)                          { return true, "" }
-func (f *fakePart) Listed([]Server)                                               {}
+func (f *fakePart) Listed([]ListedServer)                                         {}
 func (f *fakePart) Observe(string, balance.Observation)                           {}
 func (f *fakePart) Knows(context.Context, string) (bool, error)                   { return false, nil }
 func (f *fakePart) TakeOut(context.Context, string, bool, bool) (int, int, error) { return 0, 0, nil }
@@ -68,7 +68,7 @@
 }
 
 // join is a Join.
-func (f *fakePart) join(c *config.Config, _ []string, _ *slog.Logger, told Told) (Part, error) {
+func (f *fakePart) join(c *config.Config, _ []string, _ *slog.Logger, told Callbacks) (Participant, error) {
 	f.told, f.base = told, maps.Clone(c.SettingsDocument())
 	for _, key := range proxy.OwnSettingKeys {
 		delete(f.base, key)
@@ -92,7 +92,7 @@
 // check has the sidecar check a document and fails where it says otherwise.
 func (f *fakePart) check(t *testing.T, number uint64, text []byte, fault string) {
 	t.Helper()
-	if got := f.told.Check(number, text); (got == "") != (fault == "") || !strings.Contains(got, fault) {
+	if got := f.told.CheckPolicy(number, text); (got == "") != (fault == "") || !strings.Contains(got, fault) {
 		t.Errorf("policy %d: %q, want %q", number, got, fault)
 	}
 }
@@ -101,7 +101,7 @@
 // no promise.
 func TestGate(t *testing.T) {
 	b, f := testserver.StartBackend(t, testserver.Respond(200, "", "ok")), &fakePart{}
-	p := startIn(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings), drainTimes{quiet: time.Millisecond}, f.join)
+	p := startIn(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings), drainTimes{quietPeriod: time.Millisecond}, f.join)
 	ask := func(class string, status int, policy string) {
 		t.Helper()
 		resp, err := p.HTTP.Do(p.NewRequest(context.Background(), class, "2000"))
@@ -150,7 +150,7 @@
 // TestGateWhileABodyComes: a request whose class is gone when its body is there is not taken.
 func TestGateWhileABodyComes(t *testing.T) {
 	b, f := testserver.StartBackend(t, testserver.Respond(200, "", "ok")), &fakePart{}
-	p := startIn(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings), drainTimes{quiet: time.Millisecond}, f.join)
+	p := startIn(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings), drainTimes{quietPeriod: time.Millisecond}, f.join)
 	f.check(t, 1, f.document(t, ""), "")
 	f.check(t, 2, f.document(t, "pay"), "")
 	f.set(1, 0, true)
@@ -164,7 +164,7 @@
 	}
 	for end := time.Now().Add(testserver.Timeout); ; time.Sleep(time.Millisecond) { // until its head has been read
 		f.mu.Lock()
-		read := f.looks > 0 && p.staff.host.PolicyNumber() == 1
+		read := f.looks > 0 && p.staff.loop.PolicyNumber() == 1
 		f.mu.Unlock()
 		if read {
 			break
@@ -190,7 +190,7 @@
 func TestGateAndFile(t *testing.T) {
 	b, f, d := testserver.StartBackend(t, testserver.Respond(200, "", "ok")), &fakePart{}, testserver.StartDiscovery(t)
 	good := testserver.ConfigText(d.Address, testserver.ServingList(1, b), testserver.Settings)
-	p := startIn(t, good, drainTimes{quiet: time.Millisecond}, f.join)
+	p := startIn(t, good, drainTimes{quietPeriod: time.Millisecond}, f.join)
 	f.check(t, 1, f.document(t, ""), "")
 	f.check(t, 2, f.document(t, "pay"), "")
 	f.set(1, 0, true)
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -9,10 +9,10 @@
 // reload reads the configuration again and takes what it may change. It returns the configuration that is in use then: a
 // file with any fault is refused whole.
 func (p *process) reload(ctx context.Context, inUse *config.Config) *config.Config {
-	metrics := p.host.Metrics()
+	metrics := p.loop.Metrics()
 	fresh, err := inUse.Reload()
 	if err == nil {
-		if ended := p.host.Do(ctx, func() { err = p.host.Reconfigure(fresh) }); ended != nil {
+		if ended := p.loop.Do(ctx, func() { err = p.loop.Reconfigure(fresh) }); ended != nil {
 			return inUse // the process ends
 		}
 	}
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -25,26 +25,26 @@
 
 // drainTimes say how a planned restart goes.
 type drainTimes struct {
-	accept    time.Duration // new connections go on coming for 0.4 s after the restart is announced
-	quiet     time.Duration // and then none may be left waiting
-	closeIdle time.Duration // while a client that was about to use one can still open another
-	unused    time.Duration // a connection that never had a request is left to bring one
-	listen    time.Duration // the list may take, beside another process
-	idle      time.Duration // and clients' connections that idle are left to end by themselves
-	deadline  time.Duration // the most that a deadline counts for in the time until the process may be killed
+	acceptFor          time.Duration // new connections go on coming for 0.4 s after the restart is announced
+	quietPeriod        time.Duration // and then none may be left waiting
+	idleGrace          time.Duration // while a client that was about to use one can still open another
+	unusedGrace        time.Duration // a connection that never had a request is left to bring one
+	listTimeout        time.Duration // the list may take, beside another process
+	successorIdleGrace time.Duration // and clients' connections that idle are left to end by themselves
+	maxDeadline        time.Duration // the most that a deadline counts for in the time until the process may be killed
 }
 
 // Run is the sidecar, from its configuration to the end of its last request after stop is done. At each reload it
 // reads its configuration again. join begins its part in the fleet; nil: it can have none.
-func Run(stop context.Context, reload <-chan os.Signal, c *config.Config, log *slog.Logger, join Join) error {
-	return run(stop, reload, c, log, join, drainTimes{accept: 450 * time.Millisecond, quiet: 25 * time.Millisecond,
-		closeIdle: 300 * time.Millisecond, unused: 300 * time.Millisecond, listen: time.Second,
-		idle: downstream.IdleTimeout + 200*time.Millisecond, deadline: proxy.MaxKillDeadline}, hooks{started: func(*ops) {}})
+func Run(stop context.Context, reload <-chan os.Signal, c *config.Config, log *slog.Logger, join JoinFunc) error {
+	return run(stop, reload, c, log, join, drainTimes{acceptFor: 450 * time.Millisecond, quietPeriod: 25 * time.Millisecond,
+		idleGrace: 300 * time.Millisecond, unusedGrace: 300 * time.Millisecond, listTimeout: time.Second,
+		successorIdleGrace: downstream.IdleTimeout + 200*time.Millisecond, maxDeadline: proxy.MaxKillDeadline}, hooks{started: func(*operator) {}})
 }
 
 // run is Run with the times and hooks of a test. It starts and ends all goroutines of the process; what is deferred here
 // ends in reverse: the server, the part in the fleet, the console, the entry for other processes, and last the loops.
-func run(stop context.Context, reload <-chan os.Signal, c *config.Config, log *slog.Logger, join Join, times drainTimes,
+func run(stop context.Context, reload <-chan os.Signal, c *config.Config, log *slog.Logger, join JoinFunc, times drainTimes,
 	with hooks) error {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Cores))))
 	debug.SetMemoryLimit(int64(float64(c.MemoryMB<<20) * memoryShare))
@@ -56,29 +56,29 @@
 		return err
 	}
 	h.Upstream().SetDial(with.dial)
-	p := &process{config: c, log: log, times: times, hooks: with, host: h}
+	p := &process{config: c, log: log, times: times, hooks: with, loop: h}
 	p.startLoops(ctx, reload)
-	defer p.loops.Wait()
+	defer p.background.Wait()
 	defer cancel()
 
 	// Other processes may call the console as soon as they see this one, so it listens first.
 	calls, err := p.listenForCalls(stop)
 	if err != nil {
-		return endedBefore(stop, err)
+		return unlessStopped(stop, err)
 	}
 	if calls != nil {
 		defer calls.Close()
 	}
-	p.ops = &ops{host: h, figures: h.Metrics(), family: joinFamily(c, log)}
-	defer func() { _ = p.ops.family.member.Leave() }() // what is left binds nobody
+	p.operator = &operator{loop: h, metrics: h.Metrics(), group: joinProcessGroup(c, log)}
+	defer func() { _ = p.operator.group.member.Leave() }() // what is left binds nobody
 	if calls != nil {
-		defer startConsole(calls, p.ops, log)()
+		defer startAdmin(calls, p.operator, log)()
 	}
-	hasPredecessor := len(p.ops.family.member.Others()) > 0
-	if err := p.ops.join(ctx); err != nil {
+	hasPredecessor := len(p.operator.group.member.Others()) > 0
+	if err := p.operator.inherit(ctx); err != nil {
 		return err
 	}
-	leave, err := p.ops.joinFleet(stop, c, log, join)
+	leave, err := p.operator.joinFleet(stop, c, log, join)
 	if err != nil {
 		return err
 	}
@@ -86,9 +86,9 @@
 	if hasPredecessor && !p.awaitServers(stop) {
 		return nil
 	}
-	inner, err := p.hooks.listening(stop, func() (*net.TCPListener, error) { return downstream.ListenShared(c.Listen, log) })
+	inner, err := p.hooks.listenWithRetry(stop, func() (*net.TCPListener, error) { return downstream.ListenShared(c.Listen, log) })
 	if err != nil {
-		return endedBefore(stop, err)
+		return unlessStopped(stop, err)
 	}
 	defer inner.Close()
 	p.startServing(ctx, inner, hasPredecessor)
@@ -100,14 +100,14 @@
 
 // process is a running sidecar. Only run and what it calls use it.
 type process struct {
-	config *config.Config
-	log    *slog.Logger
-	times  drainTimes
-	hooks  hooks
-	host   *proxy.EventLoop
-	loops  sync.WaitGroup // end with the context of run
+	config     *config.Config
+	log        *slog.Logger
+	times      drainTimes
+	hooks      hooks
+	loop       *proxy.EventLoop
+	background sync.WaitGroup // end with the context of run
 
-	ops       *ops
+	operator  *operator
 	accepting *downstream.DrainListener // accepts from the kernel
 	conns     *downstream.Listener      // holds the clients' connections
 	handler   *proxy.Handler
@@ -117,13 +117,13 @@
 
 // startLoops starts the host's loop and the one that reloads the configuration, also while draining.
 func (p *process) startLoops(ctx context.Context, reload <-chan os.Signal) {
-	p.loops.Add(2)
+	p.background.Add(2)
 	go func() { // ends with ctx
-		defer p.loops.Done()
-		p.host.Run(ctx)
+		defer p.background.Done()
+		p.loop.Run(ctx)
 	}()
 	go func() { // ends with ctx
-		defer p.loops.Done()
+		defer p.background.Done()
 		for inUse := p.config; ; {
 			select {
 			case <-reload:
@@ -140,7 +140,7 @@
 	if p.config.Console == "" {
 		return nil, nil
 	}
-	calls, err := p.hooks.listening(stop, func() (*net.TCPListener, error) { return downstream.Listen(p.config.Console) })
+	calls, err := p.hooks.listenWithRetry(stop, func() (*net.TCPListener, error) { return downstream.Listen(p.config.Console) })
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
 	}
@@ -152,13 +152,13 @@
 // serve. It returns false where the process was told to stop meanwhile.
 func (p *process) awaitServers(stop context.Context) bool {
 	select {
-	case <-p.host.FirstUpdate():
-	case <-time.After(p.times.listen):
+	case <-p.loop.FirstUpdate():
+	case <-time.After(p.times.listTimeout):
 	case <-stop.Done():
 		return false
 	}
 	select {
-	case <-p.host.Ready():
+	case <-p.loop.Ready():
 		return true
 	case <-stop.Done():
 		return false
@@ -167,46 +167,46 @@
 
 // startServing serves the clients that connect to inner.
 func (p *process) startServing(ctx context.Context, inner *net.TCPListener, hasPredecessor bool) {
-	p.accepting = downstream.NewDrainListener(inner, p.hooks.accept, p.times.quiet)
+	p.accepting = downstream.NewDrainListener(inner, p.hooks.accept, p.times.quietPeriod)
 	if err := p.accepting.ShareConnections(); err != nil {
 		p.log.Debug("the kernel chooses among the processes of this address", "err", err)
 	}
 	b := NewSocketBudget(p.config)
-	p.conns = downstream.NewListener(netretry.NewListener(p.accepting, p.log), b.ClientConns, b.KeepAliveConns, &p.host.Metrics().Unserved)
-	p.handler = proxy.NewHandler(p.config, p.host, b.Requests)
+	p.conns = downstream.NewListener(netretry.NewListener(p.accepting, p.log), b.ClientConns, b.KeepAliveConns, &p.loop.Metrics().Unserved)
+	p.handler = proxy.NewHandler(p.config, p.loop, b.Requests)
 	context.AfterFunc(p.handler.Shutdown(), p.conns.RetireAll)
-	p.handler.SetPolicyGate(p.ops.gate)
-	p.loops.Add(1)
+	p.handler.SetPolicyGate(p.operator.gate)
+	p.background.Add(1)
 	go func() { // ends with ctx
-		defer p.loops.Done()
-		p.ops.family.follow(ctx, func(shares int) {
+		defer p.background.Done()
+		p.operator.group.watch(ctx, func(shares int) {
 			p.log.Info("processes of this sidecar", "count", shares)
 			p.share(shares)
 		})
 	}()
 	if hasPredecessor {
-		p.ops.family.shares.Store(2)
+		p.operator.group.shares.Store(2)
 		p.share(2)
 	}
 	p.web = p.conns.HTTPServer(p.handler, p.log)
 	p.web.ConnContext = proxy.ConnContext
 	p.served = make(chan error, 1)
 	go func() { p.served <- p.web.Serve(p.conns) }() // ends when drain closes the listener
-	p.ops.serving.Store(&serving{p.handler, p.conns})
-	p.hooks.started(p.ops)
+	p.operator.serving.Store(&serving{p.handler, p.conns})
+	p.hooks.started(p.operator)
 	p.log.Info("serving", "name", p.config.Name, "address", inner.Addr().String())
 }
 
 // awaitStop tells other processes that this one is ready, once it is, and waits until it is told to stop. It returns an
 // error where serving ends before.
 func (p *process) awaitStop(stop context.Context) error {
-	for ready := p.host.Ready(); ; {
+	for ready := p.loop.Ready(); ; {
 		select {
 		case err := <-p.served:
 			return fmt.Errorf("serve: %w", err)
 		case <-ready:
 			p.setPhase(handover.Ready, "the next process cannot take over from this one")
-			p.ops.told.Store(true)
+			p.operator.announced.Store(true)
 			ready = nil
 		case <-stop.Done():
 			return nil
@@ -216,7 +216,7 @@
 
 // setPhase tells other processes how far this one is. warning says what follows if that fails.
 func (p *process) setPhase(phase handover.Phase, warning string) {
-	if err := p.ops.family.member.Update(func(s *handover.State) { s.Phase = phase }); err != nil {
+	if err := p.operator.group.member.Update(func(s *handover.State) { s.Phase = phase }); err != nil {
 		p.log.Warn(warning, "err", err)
 	}
 }
@@ -224,19 +224,19 @@
 // drain ends serving once all that was read has its answer. Connections that are waiting when the listener closes are
 // reset, and what they sent is lost. So this goes on accepting and serving first, and only asks clients to close.
 func (p *process) drain() error {
-	p.handler.Drain(p.times.deadline) // first: the time until the kill runs
-	succeeded := p.ops.family.successor()
+	p.handler.Drain(p.times.maxDeadline) // first: the time until the kill runs
+	succeeded := p.operator.group.hasSuccessor()
 	p.log.Info("draining", "succeeded", succeeded)
 	p.setPhase(handover.Draining, "the next process does not know that this one drains")
-	accept, closeIdle := p.times.accept, p.times.closeIdle
+	accept, closeIdle := p.times.acceptFor, p.times.idleGrace
 	if succeeded {
-		accept, closeIdle = 0, p.times.idle // the next process takes what comes
+		accept, closeIdle = 0, p.times.successorIdleGrace // the next process takes what comes
 		if err := p.accepting.RedirectToSuccessor(); err != nil {
 			p.log.Warn("connections that come just now may be reset", "err", err)
 		}
 	}
 	idleFrom := time.Now().Add(closeIdle)
-	idle := time.AfterFunc(closeIdle, func() { p.conns.RetireIdle(p.times.unused) })
+	idle := time.AfterFunc(closeIdle, func() { p.conns.RetireIdle(p.times.unusedGrace) })
 	defer idle.Stop()
 	if err := p.accepting.Drain(accept); err != nil {
 		return fmt.Errorf("drain: %w", err)
@@ -248,7 +248,7 @@
 	}
 	// The console closes next, and whoever passes an operator's call on to this process would be turned away. It has
 	// nothing in hand that a call could still concern.
-	if err := p.ops.family.member.Leave(); err != nil {
+	if err := p.operator.group.member.Leave(); err != nil {
 		p.log.Warn("the next process takes this one for a living one until it has ended", "err", err)
 	}
 	p.log.Info("drained")
@@ -264,22 +264,22 @@
 		case p.handler.Shutdown().Err() != nil:
 			p.conns.RetireAll()
 		case time.Now().After(idleFrom):
-			p.conns.RetireIdle(p.times.unused)
+			p.conns.RetireIdle(p.times.unusedGrace)
 		}
-		time.Sleep(p.times.quiet)
+		time.Sleep(p.times.quietPeriod)
 	}
 }
 
-// endedBefore returns err, with which the start failed, or nil where the process was told to stop meanwhile.
-func endedBefore(stop context.Context, err error) error {
+// unlessStopped returns err, with which the start failed, or nil where the process was told to stop meanwhile.
+func unlessStopped(stop context.Context, err error) error {
 	if stop.Err() != nil {
 		return nil
 	}
 	return err
 }
 
-// startConsole answers the calls that come to l, and returns what ends it.
-func startConsole(l net.Listener, staff *ops, log *slog.Logger) (stop func()) {
+// startAdmin answers the calls that come to l, and returns what ends it.
+func startAdmin(l net.Listener, staff *operator, log *slog.Logger) (stop func()) {
 	calls := console.New(l, staff, log)
 	var over sync.WaitGroup
 	over.Add(1)
--- a/internal/sidecar/settings_test.go
+++ b/internal/sidecar/settings_test.go
@@ -17,7 +17,7 @@
 // hangup writes a configuration, has it read, and waits until one more was taken or turned down.
 func (p *program) hangup(text string) {
 	p.T.Helper()
-	f := p.staff.figures
+	f := p.staff.metrics
 	before := f.Loads.Load() + f.LoadErrors.Load()
 	write(p.T, p.file, text)
 	p.hup <- syscall.SIGHUP
@@ -101,7 +101,7 @@
 			t.Fatalf("%s: nothing is changed", tt.name)
 		}
 		p.hangup(bad)
-		if errors := p.staff.figures.LoadErrors.Load(); errors != int64(i+1) {
+		if errors := p.staff.metrics.LoadErrors.Load(); errors != int64(i+1) {
 			t.Fatalf("%s: %d files turned down, want %d", tt.name, errors, i+1)
 		}
 	}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -297,7 +297,7 @@
 		return testserver.Respond(200, "", "ok")(c, r, body)
 	})
 	p := startDraining(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings),
-		drainTimes{accept: 4 * time.Second, quiet: 10 * time.Millisecond, closeIdle: 2 * time.Second})
+		drainTimes{acceptFor: 4 * time.Second, quietPeriod: 10 * time.Millisecond, idleGrace: 2 * time.Second})
 	slow := make(chan testserver.Result, 1)
 	go func() { slow <- p.Do(p.NewRequest(context.Background(), "book", "50000")) }()
 	testserver.Receive(t, b.Requests, "attempt")
--- a/internal/sidecar/socket_budget.go
+++ b/internal/sidecar/socket_budget.go
@@ -13,19 +13,19 @@
 	UpstreamConns  int // connections to servers, with a request or idle
 }
 
-// adminSockets are set aside for the console: its listener, its callers, and one that is being taken.
-const adminSockets = console.Connections + 2
+// adminDescriptors are set aside for the console: its listener, its callers, and one that is being taken.
+const adminDescriptors = console.Connections + 2
 
-// reservedSockets are for the listener, discovery's watches, a connection that is about to be closed, and the runtime.
-const reservedSockets = 20
+// reservedDescriptors are for the listener, discovery's watches, a connection that is about to be closed, and the runtime.
+const reservedDescriptors = 20
 
 // keepAliveShare of the connections that clients can hold with a request leaves the rest for bursts.
 const keepAliveShare = 0.75
 
 func NewSocketBudget(c *config.Config) SocketBudget {
-	all := c.Sockets - reservedSockets
+	all := c.Sockets - reservedDescriptors
 	if c.Console != "" {
-		all -= adminSockets
+		all -= adminDescriptors
 	}
 	clients := all / 2
 	held := min(c.Sockets/3, clients-clients/8) // clients hold a third of the descriptors at most for requests
--- a/internal/sidecar/stop_test.go
+++ b/internal/sidecar/stop_test.go
@@ -35,7 +35,7 @@
 		return testserver.Respond(200, "", "ok")(c, r, body)
 	})
 	p := startDraining(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings),
-		drainTimes{quiet: time.Millisecond, unused: testserver.Timeout})
+		drainTimes{quietPeriod: time.Millisecond, unusedGrace: testserver.Timeout})
 	held := make(chan testserver.Result, 1)
 	go func() { held <- p.Do(p.NewRequest(context.Background(), "book", "50000")) }()
 	testserver.Receive(t, b.Requests, "attempt")
@@ -60,7 +60,7 @@
 // TestStopEndsUnused has a connection never bring a request: it holds the end up for its time and no longer.
 func TestStopEndsUnused(t *testing.T) {
 	p := startDraining(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, testserver.StartBackend(t, testserver.Respond(200, "", "ok"))), testserver.Settings),
-		drainTimes{quiet: time.Millisecond, unused: 10 * time.Millisecond})
+		drainTimes{quietPeriod: time.Millisecond, unusedGrace: 10 * time.Millisecond})
 	c := p.DialConn()
 	p.accepted(1)
 	p.stop()
@@ -70,7 +70,7 @@
 	if n, err := c.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 		t.Errorf("%d bytes, error %v on a connection without a request, want its end", n, err)
 	}
-	if n := p.staff.figures.Unserved[stats.Stopping].Load(); n != 1 {
+	if n := p.staff.metrics.Unserved[stats.Stopping].Load(); n != 1 {
 		t.Errorf("%d connections ended unserved by the stop, want 1", n)
 	}
 }
@@ -130,8 +130,8 @@
 	var asked, unread atomic.Int64
 	for round := range *stopRounds {
 		random := rand.New(rand.NewPCG(uint64(round), 1))
-		p := startDraining(t, configText, drainTimes{accept: time.Duration(random.IntN(3)) * time.Millisecond,
-			quiet: time.Millisecond, unused: time.Duration(random.IntN(4)) * time.Millisecond})
+		p := startDraining(t, configText, drainTimes{acceptFor: time.Duration(random.IntN(3)) * time.Millisecond,
+			quietPeriod: time.Millisecond, unusedGrace: time.Duration(random.IntN(4)) * time.Millisecond})
 		var clients sync.WaitGroup
 		for i := range 16 {
 			clients.Add(1)
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -25,7 +25,7 @@
 // failureHooks makes a program's calls fail as planned by f.
 func failureHooks(f *testserver.Failures) hooks {
 	return hooks{
-		listen: func(open openFunc) (*net.TCPListener, error) {
+		listen: func(open listenFunc) (*net.TCPListener, error) {
 			if _, err := f.Next("listen"); err != nil {
 				return nil, err
 			}
@@ -53,7 +53,7 @@
 			once := testserver.Failure{Errno: errno}
 			f.Set("accept", once, once)
 			p := startWith(t, testserver.ConfigText(d.Address, testserver.ServingList(1, b), testserver.Settings),
-				drainTimes{quiet: time.Millisecond, unused: testserver.Timeout}, nil, failureHooks(f))
+				drainTimes{quietPeriod: time.Millisecond, unusedGrace: testserver.Timeout}, nil, failureHooks(f))
 			if g := p.Send("read"); g.Status != 200 {
 				t.Errorf("answer %+v in service", g)
 			}
@@ -107,7 +107,7 @@
 				}
 				f.Set("listen", slices.Repeat([]testserver.Failure{{Errno: tt.errno}}, tt.times)...)
 				if tt.starts {
-					if g := startWith(t, text, drainTimes{quiet: time.Millisecond}, nil, failureHooks(f)).Send("read"); g.Status != 200 {
+					if g := startWith(t, text, drainTimes{quietPeriod: time.Millisecond}, nil, failureHooks(f)).Send("read"); g.Status != 200 {
 						t.Errorf("answer %+v", g)
 					}
 					return
@@ -117,7 +117,7 @@
 					t.Fatal(err)
 				}
 				with := failureHooks(f)
-				with.started = func(*ops) { t.Error("it serves") }
+				with.started = func(*operator) { t.Error("it serves") }
 				err = run(context.Background(), nil, c, slog.New(slog.DiscardHandler), nil, drainTimes{}, with)
 				if !errors.Is(err, tt.errno) {
 					t.Errorf("error %v", err)
@@ -139,7 +139,7 @@
 	}
 	f := &testserver.Failures{}
 	p := startWith(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, backends...), testserver.Settings),
-		drainTimes{quiet: time.Millisecond}, nil, failureHooks(f))
+		drainTimes{quietPeriod: time.Millisecond}, nil, failureHooks(f))
 	ask := func(want int) {
 		t.Helper()
 		var clients sync.WaitGroup
@@ -206,7 +206,7 @@
 			f.Set("client write", drawFailures(rt, "client write", 6, testserver.StreamErrnos)...)
 		}
 		f.Set("listen", drawFailures(rt, "listen", 5, []syscall.Errno{unix.EMFILE, unix.ENOBUFS, unix.ENOMEM})...)
-		p := startWith(t, configText, drainTimes{quiet: time.Millisecond, unused: testserver.Timeout}, nil, failureHooks(f))
+		p := startWith(t, configText, drainTimes{quietPeriod: time.Millisecond, unusedGrace: testserver.Timeout}, nil, failureHooks(f))
 		ask := func(classes []string, between func()) {
 			var clients sync.WaitGroup
 			var conns []net.Conn
