--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -203,7 +203,7 @@
 	}
 	// An attempt that is given up must end now, wherever it stands.
 	stop := context.AfterFunc(ctx, c.abort)
-	request, body := m.request(ctx, to.address)
+	request, body := m.encode(ctx, to.address)
 	// A deadline set by another goroutine comes too late for a second copy that is called off as it is sent.
 	n, err := 0, ctx.Err()
 	if err == nil {
@@ -224,7 +224,7 @@
 	var r Response
 	clean := false
 	if err == nil {
-		r, clean, err = u.receive(ctx, c)
+		r, clean, err = u.receiveResponse(ctx, c)
 	}
 	on := stop()
 	if err == nil && r.Remainder != nil {
@@ -284,9 +284,9 @@
 	return c, err
 }
 
-// receive waits for the answer and reads it. An answer that stops midway, as one whose length is too long,
+// receiveResponse waits for the answer and reads it. An answer that stops midway, as one whose length is too long,
 // would hold its request to the end.
-func (u *Client) receive(ctx context.Context, c *serverConn) (Response, bool, error) {
+func (u *Client) receiveResponse(ctx context.Context, c *serverConn) (Response, bool, error) {
 	c.limitedReader.N, c.allowedPause = 1<<10, 0
 	if _, err := c.reader.Peek(1); err != nil {
 		return Response{}, false, err
@@ -328,9 +328,9 @@
 	return Response{Outcome: balance.Reset}
 }
 
-// request writes the request of one attempt, in two parts where its body is long. X-Timeout-Ms is what is left now: the wait for a connection was the
+// encode writes the request of one attempt, in two parts where its body is long. X-Timeout-Ms is what is left now: the wait for a connection was the
 // client's time too.
-func (m *Message) request(ctx context.Context, address string) (head []byte, body [][]byte) {
+func (m *Message) encode(ctx context.Context, address string) (head []byte, body [][]byte) {
 	b := make([]byte, 0, 512+min(m.bodyLength(), MaxBufferedBody))
 	line := func(parts ...string) {
 		for _, p := range parts {
