--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -229,7 +229,7 @@
 				if got := ask(); got != balance.Served {
 					t.Errorf("outcome %d after one failure, want that it was tried again", got)
 				}
-				u.pool.closeIdle(u.servers["s-0"], false)
+				u.pool.closeIdle(u.servers["s-0"])
 			}
 			f.Set(tt.call, slices.Repeat([]testserver.Failure{once}, 10)...)
 			u.pool.reuseDelay = testserver.Timeout // the idle connection is not taken for the attempt
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -61,6 +61,18 @@
 	adminDown map[string]bool // taken out by hand
 }
 
+// server is a server as last listed. A server that moved or restarted is a new one.
+type server struct {
+	address      string
+	startedAt    time.Time
+	lastResponse atomic.Pointer[time.Time] // when a response was last read in full; nil: never
+	draining     atomic.Bool
+
+	// The pool's lock guards these.
+	removed bool          // it gets nothing new: it was removed, moved, restarted or taken out of service
+	idle    []*serverConn // the longest idle first
+}
+
 // New returns an upstream that counts its tries. How long the network may take to bring a connection up, the
 // rest of an answer that has begun may take too.
 func New(limits wire.Limits, maxConns int, attemptsSent *atomic.Int64) *Client {
@@ -153,7 +165,7 @@
 
 // removeServer forgets a server. Attempts that are out keep their connections to their end, and put none back.
 func (u *Client) removeServer(id string) {
-	u.pool.closeIdle(u.servers[id], true)
+	u.pool.removeServer(u.servers[id])
 	delete(u.servers, id)
 }
 
@@ -317,7 +329,7 @@
 	// dead, and to close the others would have it work on new ones all the time.
 	last := to.lastResponse.Load()
 	if cause == nil || last == nil || last.Before(begun) {
-		u.pool.closeIdle(to, false)
+		u.pool.closeIdle(to)
 	}
 	switch {
 	case !ran:
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,212 +1,131 @@
 package upstream
 
 import (
-	"bufio"
 	"container/list"
 	"context"
-	"errors"
-	"fmt"
-	"io"
 	"net"
-	"net/textproto"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 
 	"milletramp.example/milletramp/internal/discovery"
 	"milletramp.example/milletramp/internal/netretry"
 )
 
-// pastDeadline is a deadline that is over by any clock. The zero time would be none.
-var pastDeadline = time.Time{}.Add(time.Nanosecond)
-
-// errConnLimit says that the descriptors do not allow one more connection.
-var errConnLimit = errors.New("no descriptor left for a connection")
-
-// errNotSendable says that an attempt was not made as something came before it, while its connection came up. The other errors say what.
-var errNotSendable = errors.New("not sent")
-
-var (
-	errServerRemoved    = fmt.Errorf("%w: the server was taken out, removed or restarted", errNotSendable)
-	errServerDraining   = fmt.Errorf("%w: the server drains", errNotSendable)
-	errSendDeadline     = fmt.Errorf("%w: the time for it is over", errNotSendable)
-	errRequestCancelled = fmt.Errorf("%w: nobody waits for it", errNotSendable)
-)
+// defaultReuseDelay is how long a connection rests after a response. A faulty server may send a second response some
+// milliseconds after the first, and that would be taken for the response to the next request.
+const defaultReuseDelay = 20 * time.Millisecond
 
-// pool holds the connections to the servers, one request at a time on each. http.Transport is not used: it may put a
-// connection back with bytes behind the answer, and take them for the answer to the next request.
+// pool holds the connections to the servers. A connection is either idle in the pool or acquired by one attempt, which
+// has to release it.
 type pool struct {
 	dial       discovery.DialFunc // nil: over TCP
-	reuseDelay time.Duration      // that a connection rests after an answer, before it has another request
+	reuseDelay time.Duration      // how long a connection rests before it may have another request
 
-	connectTimeoutNanos atomic.Int64 // nanoseconds that a connection may take to come up
-	idleTimeoutNanos    atomic.Int64 // and that an idle one is kept
+	connectTimeoutNanos atomic.Int64 // nanoseconds
+	idleTimeoutNanos    atomic.Int64 // nanoseconds that an idle connection stays open
 
 	mu          sync.Mutex
-	maxConns    int // connections open at once, over all servers
-	openConns   int
-	idleConns   *list.List // of *serverConn, over all servers, the longest idle first
-	expiryTimer *time.Timer
+	maxConns    int         // over all servers, idle and acquired
+	openConns   int         // those, and the ones being dialled
+	idleConns   *list.List  // of *serverConn, over all servers, the longest idle first
+	expiryTimer *time.Timer // runs closeExpired; nil: not scheduled
 }
 
-// server is a server as last listed.
-type server struct {
-	address      string
-	startedAt    time.Time
-	lastResponse atomic.Pointer[time.Time] // when a response was last read whole; nil: never
-	draining     atomic.Bool               // it finishes what it has
-	removed      bool                      // removed, moved or restarted: the pool's lock guards it and idle
-	idle         []*serverConn             // the longest idle first
+func newPool(maxConns int) *pool {
+	return &pool{maxConns: maxConns, idleConns: list.New(), reuseDelay: defaultReuseDelay}
 }
 
-// serverConn is a connection to a server.
-type serverConn struct {
-	net.Conn
-	rawConn       syscall.RawConn
-	server        *server
-	reader        *bufio.Reader
-	textReader    *textproto.Reader // of in
-	limitedReader *io.LimitedReader // under in
-	pool          *pool
-	allowedPause  time.Duration // that the server may make before its next bytes; 0: any. Of the one who reads.
-	idleSince     time.Time     // idle since
-
-	mu             sync.Mutex
-	aborted        bool          // nothing is waited for any more
-	pauseShortened bool          // the server may pause for lastPause at most
-	idleElement    *list.Element // in the pool's list; nil: it has a request
-}
-
-// defaultReuseDelay is how long a connection rests after an answer. A server that is at fault may send a second answer some milliseconds after
-// the first, and that would be taken for the answer to the next request.
-const defaultReuseDelay = 20 * time.Millisecond
-
-func newPool(most int) *pool {
-	return &pool{maxConns: most, idleConns: list.New(), reuseDelay: defaultReuseDelay}
-}
-
-// idleTimeout is how long an idle connection is kept.
+// idleTimeout is how long an idle connection stays open.
 func (p *pool) idleTimeout() time.Duration { return time.Duration(p.idleTimeoutNanos.Load()) }
 
-// acquire returns a connection to a server, an idle one if there is a good one. Of these it takes the longest idle: what
-// a server still has to say on it has had the most time to come.
-func (p *pool) acquire(ctx context.Context, to *server) (*serverConn, error) {
-	p.mu.Lock()
-	for len(to.idle) > 0 && time.Since(to.idle[0].idleSince) >= p.reuseDelay {
-		c := to.idle[0]
-		p.removeIdle(c)
-		if time.Since(c.idleSince) < p.idleTimeout() && c.isReusable() {
-			p.mu.Unlock()
-			return c, nil
-		}
-		p.closeLocked(c)
-	}
-	if front := p.idleConns.Front(); p.openConns >= p.maxConns && front != nil {
-		c := front.Value.(*serverConn)
-		p.removeIdle(c)
-		p.closeLocked(c)
-	}
-	if p.openConns >= p.maxConns {
-		p.mu.Unlock()
-		return nil, errConnLimit
+// acquire returns a connection to a server: a usable idle one, or else a new one. It fails with errConnLimit where all
+// connections that may be open are acquired.
+func (p *pool) acquire(ctx context.Context, target *server) (*serverConn, error) {
+	conn, err := p.takeIdleOrReserve(target)
+	if conn != nil || err != nil {
+		return conn, err
 	}
-	p.openConns++
-	p.mu.Unlock()
-	c, err := p.dialServer(ctx, to)
+	conn, err = p.dialServer(ctx, target)
 	if err != nil {
 		p.mu.Lock()
 		p.openConns--
 		p.mu.Unlock()
 	}
-	return c, err
+	return conn, err
 }
 
-// dialServer opens a connection to a server.
-func (p *pool) dialServer(ctx context.Context, to *server) (*serverConn, error) {
-	dial := p.dial
-	if dial == nil {
-		dial = (&net.Dialer{Timeout: time.Duration(p.connectTimeoutNanos.Load()), KeepAlive: -1}).DialContext
+// takeIdleOrReserve returns an idle connection to a server, or nil once it has reserved the place of a new one.
+func (p *pool) takeIdleOrReserve(target *server) (*serverConn, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if conn := p.takeIdle(target); conn != nil {
+		return conn, nil
 	}
-	inner, err := netretry.Dial(ctx, func() (net.Conn, error) { return dial(ctx, "tcp", to.address) })
-	if err != nil {
-		return nil, err
+	if longestIdle := p.longestIdle(); p.openConns >= p.maxConns && longestIdle != nil {
+		p.closeIdleConn(longestIdle)
 	}
-	raw, err := inner.(syscall.Conn).SyscallConn()
-	if err != nil {
-		_ = inner.Close()
-		return nil, fmt.Errorf("connection: %w", err)
+	if p.openConns >= p.maxConns {
+		return nil, errConnLimit
 	}
-	c := &serverConn{Conn: inner, rawConn: raw, server: to, pool: p}
-	c.limitedReader = &io.LimitedReader{R: c}
-	c.reader = bufio.NewReader(c.limitedReader)
-	c.textReader = textproto.NewReader(c.reader)
-	return c, nil
+	p.openConns++
+	return nil, nil
 }
 
-// Read implements net.Conn. Each read has the pause for itself: an answer may take its time as long as it comes.
-func (c *serverConn) Read(p []byte) (int, error) {
-	if c.allowedPause > 0 {
-		if err := c.extendReadDeadline(); err != nil {
-			return 0, err
+// takeIdle returns the longest idle usable connection to a server, or nil: whatever the server still had to send on that
+// one has had the most time to arrive. It closes unusable ones on the way. The lock is held.
+func (p *pool) takeIdle(target *server) *serverConn {
+	for len(target.idle) > 0 && time.Since(target.idle[0].idleSince) >= p.reuseDelay {
+		conn := target.idle[0]
+		p.removeIdle(conn)
+		if time.Since(conn.idleSince) < p.idleTimeout() && conn.isReusable() {
+			return conn
 		}
+		p.closeLocked(conn)
 	}
-	return netretry.Read(c.Conn, p)
+	return nil
 }
 
-// Write implements net.Conn.
-func (c *serverConn) Write(p []byte) (int, error) { return netretry.Write(c.Conn, p) }
-
-func (c *serverConn) extendReadDeadline() error {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.aborted { // The deadline that ends the read would be overwritten.
-		return nil
+// dialServer opens a connection to a server.
+func (p *pool) dialServer(ctx context.Context, target *server) (*serverConn, error) {
+	dial := p.dial
+	if dial == nil {
+		timeout := time.Duration(p.connectTimeoutNanos.Load())
+		dial = (&net.Dialer{Timeout: timeout, KeepAlive: -1}).DialContext
 	}
-	pause := c.allowedPause
-	if c.pauseShortened {
-		pause = min(pause, finalPause)
+	conn, err := netretry.Dial(ctx, func() (net.Conn, error) { return dial(ctx, "tcp", target.address) })
+	if err != nil {
+		return nil, err
 	}
-	return c.SetReadDeadline(time.Now().Add(pause))
+	return newServerConn(conn, target)
 }
 
-// shortenPause has the server pause for lastPause at most from now on.
-func (c *serverConn) shortenPause() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.pauseShortened = true; !c.aborted {
-		_ = c.SetReadDeadline(time.Now().Add(finalPause)) // it fails where the connection is closed
+// release takes a connection back from its attempt, and closes it unless it is reusable: the whole response was read and
+// nothing else has come.
+func (p *pool) release(conn *serverConn, reusable bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	// A connection to a former process or address would swallow the next request.
+	if !reusable || conn.server.removed || p.openConns > p.maxConns {
+		p.closeLocked(conn)
+		return
 	}
-}
-
-// setWriteDeadline bounds what is written, unless it is given up already: the deadline that ends it would be
-// overwritten.
-func (c *serverConn) setWriteDeadline(t time.Time) error {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.aborted {
-		return nil
+	conn.idleSince = time.Now()
+	conn.server.idle = append(conn.server.idle, conn)
+	conn.idleElement = p.idleConns.PushBack(conn)
+	if p.expiryTimer == nil {
+		p.expiryTimer = time.AfterFunc(p.idleTimeout(), p.closeExpired)
 	}
-	return c.SetWriteDeadline(t)
 }
 
-// abort ends what is read and written, now and later.
-func (c *serverConn) abort() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.aborted = true
-	_ = c.SetDeadline(pastDeadline) // it fails where the connection is closed
-}
-
-// setMaxConns changes how many connections may be open. Idle ones beyond that are closed at once, others as they end.
-func (p *pool) setMaxConns(most int) {
+// setMaxConns changes how many connections may be open. Idle ones beyond that are closed at once, others when they are
+// released.
+func (p *pool) setMaxConns(maxConns int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.maxConns = most
-	for front := p.idleConns.Front(); p.openConns > p.maxConns && front != nil; front = p.idleConns.Front() {
-		c := front.Value.(*serverConn)
-		p.removeIdle(c)
-		p.closeLocked(c)
+	p.maxConns = maxConns
+	for conn := p.longestIdle(); p.openConns > p.maxConns && conn != nil; conn = p.longestIdle() {
+		p.closeIdleConn(conn)
 	}
 }
 
@@ -217,88 +136,81 @@
 	return p.openConns, p.idleConns.Len()
 }
 
-// release takes a connection back once its request is over. clean says that the whole answer was read, and nothing else.
-func (p *pool) release(c *serverConn, clean bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	// A connection to a former process or address swallows the next request.
-	if !clean || c.server.removed || p.openConns > p.maxConns {
-		p.closeLocked(c)
-		return
-	}
-	c.idleSince = time.Now()
-	c.server.idle = append(c.server.idle, c)
-	c.idleElement = p.idleConns.PushBack(c)
-	if p.expiryTimer == nil {
-		p.expiryTimer = time.AfterFunc(p.idleTimeout(), p.closeExpired)
-	}
-}
-
-// closeExpired closes what has idled for too long. A server closes a connection that has idled too long, and what
-// crosses that close is a reset that may have run.
+// closeExpired closes the connections that were idle for the idle timeout. A server closes them soon after, and a request
+// that crosses its close is reset and may have run.
 func (p *pool) closeExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for front := p.idleConns.Front(); front != nil; front = p.idleConns.Front() {
-		c := front.Value.(*serverConn)
-		if left := p.idleTimeout() - time.Since(c.idleSince); left > 0 {
-			p.expiryTimer = time.AfterFunc(left, p.closeExpired)
+	for conn := p.longestIdle(); conn != nil; conn = p.longestIdle() {
+		remaining := p.idleTimeout() - time.Since(conn.idleSince)
+		if remaining > 0 {
+			p.expiryTimer = time.AfterFunc(remaining, p.closeExpired)
 			return
 		}
-		p.removeIdle(c)
-		p.closeLocked(c)
+		p.closeIdleConn(conn)
 	}
 	p.expiryTimer = nil
 }
 
-// closeIdle closes a server's idle connections. gone says that none may be put back either.
-func (p *pool) closeIdle(t *server, gone bool) {
+// closeIdle closes a server's idle connections. Acquired ones may still be released to the pool.
+func (p *pool) closeIdle(target *server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	t.removed = t.removed || gone
-	for len(t.idle) > 0 {
-		c := t.idle[0]
-		p.removeIdle(c)
-		p.closeLocked(c)
-	}
+	p.closeIdleLocked(target)
 }
 
-// isRemoved tells whether a server was removed, moved, restarted or taken out since it was asked for.
-func (p *pool) isRemoved(t *server) bool {
+// removeServer closes a server's idle connections, and its acquired ones once they are released.
+func (p *pool) removeServer(target *server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return t.removed
+	target.removed = true
+	p.closeIdleLocked(target)
 }
 
-// removeIdle takes a connection from the idle ones. The lock is held.
-func (p *pool) removeIdle(c *serverConn) {
-	p.idleConns.Remove(c.idleElement)
-	c.idleElement = nil
-	for i, other := range c.server.idle {
-		if other == c {
-			c.server.idle = append(c.server.idle[:i], c.server.idle[i+1:]...)
-			return
-		}
+// isRemoved reports whether a server was removed since it was looked up.
+func (p *pool) isRemoved(target *server) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return target.removed
+}
+
+// longestIdle returns the connection that has been idle for the longest time, or nil. The lock is held.
+func (p *pool) longestIdle() *serverConn {
+	front := p.idleConns.Front()
+	if front == nil {
+		return nil
 	}
+	return front.Value.(*serverConn)
 }
 
-// closeLocked closes a connection that is not listed as idle. The lock is held.
-func (p *pool) closeLocked(c *serverConn) {
-	p.openConns--
-	_ = c.Conn.Close() // nothing is owed on it
+// closeIdleLocked closes a server's idle connections. The lock is held.
+func (p *pool) closeIdleLocked(target *server) {
+	for len(target.idle) > 0 {
+		p.closeIdleConn(target.idle[0])
+	}
 }
 
-// isReusable tells whether the connection is open and has nothing to read. What a server said unasked would be
-// taken for the answer to the next request.
-func (c *serverConn) isReusable() bool {
-	if c.reader.Buffered() > 0 {
-		return false
+// closeIdleConn closes an idle connection. The lock is held.
+func (p *pool) closeIdleConn(conn *serverConn) {
+	p.removeIdle(conn)
+	p.closeLocked(conn)
+}
+
+// removeIdle takes a connection off the lists of idle ones. The lock is held.
+func (p *pool) removeIdle(conn *serverConn) {
+	p.idleConns.Remove(conn.idleElement)
+	conn.idleElement = nil
+	idle := conn.server.idle
+	for i, other := range idle {
+		if other == conn {
+			conn.server.idle = append(idle[:i], idle[i+1:]...)
+			return
+		}
 	}
-	silent := false
-	err := c.rawConn.Read(func(fd uintptr) bool {
-		_, err := netretry.Peek(int(fd))
-		silent = errors.Is(err, syscall.EAGAIN)
-		return true
-	})
-	return err == nil && silent
+}
+
+// closeLocked closes a connection that is on no list of idle ones. The lock is held.
+func (p *pool) closeLocked(conn *serverConn) {
+	p.openConns--
+	_ = conn.Conn.Close() // nothing is left to be sent on it
 }
--- a/internal/upstream/response_parser.go
+++ b/internal/upstream/response_parser.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"io"
 	"math"
 	"net"
@@ -25,13 +24,6 @@
 	unknownLengthHold = 150 * time.Millisecond
 )
 
-// errMalformedResponse says that a server's answer cannot be read. Its request has run.
-var errMalformedResponse = errors.New("spoilt answer")
-
-func malformed(format string, args ...any) error {
-	return fmt.Errorf("%w: %s", errMalformedResponse, fmt.Sprintf(format, args...))
-}
-
 // readResponse reads the answer to the request just written. clean says that nothing was left behind it, so that the
 // connection can have another request. It reads strictly: http.ReadResponse lets a length pass that is given twice or
 // beside chunks, and does not tell a body that has no length from one that was cut off.
