--- /dev/null
+++ b/internal/upstream/request.go
@@ -0,0 +1,107 @@
+package upstream
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"net/url"
+	"os"
+	"strconv"
+	"time"
+)
+
+// usualHeadBytes is the first capacity of a request's head. A longer one grows.
+const usualHeadBytes = 512
+
+// Message is a client's request as servers get it.
+type Message struct {
+	Method         string
+	URL            *url.URL // path and query
+	ID             string   // X-Request-ID
+	IdempotencyKey string   // Idempotency-Key; "": none
+	ContentType    string   // Content-Type; "": none
+	Body           [][]byte // in pieces
+}
+
+// bodyLength returns the length of the body in bytes.
+func (m *Message) bodyLength() int { return totalLength(m.Body) }
+
+func totalLength(pieces [][]byte) (length int) {
+	for _, piece := range pieces {
+		length += len(piece)
+	}
+	return length
+}
+
+// encodedRequest is a request as it is written. A body of one piece is part of head; one of several is not copied, since
+// copies of many large bodies would exhaust the memory.
+type encodedRequest struct {
+	head []byte
+	body [][]byte
+}
+
+// length returns the length of the whole request in bytes.
+func (r *encodedRequest) length() int { return len(r.head) + totalLength(r.body) }
+
+// encode returns the request to be sent to address. X-Timeout-Ms is what is left of the context now: the wait for a
+// connection took its share of the client's time.
+func (m *Message) encode(ctx context.Context, address string) encodedRequest {
+	head := make([]byte, 0, usualHeadBytes+min(m.bodyLength(), MaxBufferedBody))
+	appendLine := func(parts ...string) {
+		for _, part := range parts {
+			head = append(head, part...)
+		}
+		head = append(head, "\r\n"...)
+	}
+	appendLine(m.Method, " ", m.URL.RequestURI(), " HTTP/1.1")
+	appendLine("Host: ", address)
+	appendLine("X-Request-ID: ", m.ID)
+	if deadline, ok := ctx.Deadline(); ok {
+		remaining := max(time.Until(deadline).Milliseconds(), 1)
+		appendLine("X-Timeout-Ms: ", strconv.FormatInt(remaining, 10))
+	}
+	if m.IdempotencyKey != "" {
+		appendLine("Idempotency-Key: ", m.IdempotencyKey)
+	}
+	if m.ContentType != "" {
+		appendLine("Content-Type: ", m.ContentType)
+	}
+	if m.Method == http.MethodPost {
+		appendLine("Content-Length: ", strconv.Itoa(m.bodyLength()))
+	}
+	appendLine()
+	if len(m.Body) == 1 {
+		return encodedRequest{head: append(head, m.Body[0]...)}
+	}
+	return encodedRequest{head: head, body: m.Body}
+}
+
+// writeRequest writes a request and returns how many bytes of it were written. It gives up at the deadline, if there is
+// one: the server's window for dropping a repeated request is over then, and a request without its last byte never runs.
+func (c *serverConn) writeRequest(deadline time.Time, request encodedRequest) (written int, err error) {
+	if deadline.IsZero() {
+		return c.writeParts(request)
+	}
+	if err := c.setWriteDeadline(deadline); err != nil {
+		return 0, err
+	}
+	written, err = c.writeParts(request)
+	if errors.Is(err, os.ErrDeadlineExceeded) && !time.Now().Before(deadline) {
+		err = errSendDeadline
+	}
+	return written, errors.Join(err, c.setWriteDeadline(time.Time{}))
+}
+
+// writeParts writes the head and each piece of the body, up to the first error.
+func (c *serverConn) writeParts(request encodedRequest) (written int, err error) {
+	written, err = c.Write(request.head)
+	for _, piece := range request.body {
+		if err != nil {
+			break
+		}
+		var n int
+		n, err = c.Write(piece)
+		written += n
+	}
+	return written, err
+}
--- a/internal/upstream/response_parser.go
+++ b/internal/upstream/response_parser.go
@@ -16,7 +16,12 @@
 	"milletramp.example/milletramp/internal/chunked"
 )
 
+// MaxBufferedBody is how many bytes of a request's or a response's body are buffered in any case.
+const MaxBufferedBody = 64 << 10
+
 const (
+	maxHeaderBytes = 16 << 10 // bytes of a response's header
+
 	maxResponseBody     = 64 << 20 // bytes that an answer may say it has; 32 MB are agreed on
 	maxInterimResponses = 8        // 1xx answers ahead of one
 	// unknownLengthHold is how long an answer whose length is not told is held from its first byte on. Passed on sooner, one
