--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -25,8 +25,8 @@
 	SendDeadline time.Time
 	// IsCancelled reports whether nobody waits for the response any more; nil: somebody always does.
 	IsCancelled func() bool
-	// StartStreaming is called with a long response of which only a part has come. It reports whether the caller streams
-	// the rest, in which case it has to see to Response.Remainder being read and finished.
+	// StartStreaming is called with a long response of which only a part has come. It reports whether the caller
+	// streams the rest, in which case it has to see to Response.Remainder being read and finished.
 	StartStreaming func(Response) bool
 }
 
@@ -134,8 +134,8 @@
 }
 
 // checkSendable returns why a request must not be sent to a server any more, or nil. It is called again once the
-// connection is up, which may have taken long. Cancellation has the least slack, so it is checked last: if the process was
-// held up during the other checks, that is over by then.
+// connection is up, which may have taken long. Cancellation has the least slack, so it is checked last: if the
+// process was held up during the other checks, that is over by then.
 func (c *Client) checkSendable(ctx context.Context, request *AttemptRequest, target *server) error {
 	if err := ctx.Err(); err != nil {
 		return err
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -10,7 +10,8 @@
 	"milletramp.example/milletramp/internal/wire"
 )
 
-// Client makes attempts at the servers that discovery lists. Its methods may be called from any goroutine, except SetDial.
+// Client makes attempts at the servers that discovery lists. Its methods may be called from any goroutine, except
+// SetDial.
 type Client struct {
 	responseTimeoutNanos atomic.Int64 // nanoseconds that a server may pause within a response
 	pool                 *pool
@@ -33,8 +34,8 @@
 	idle    []*serverConn // the longest idle first
 }
 
-// New returns a Client without servers. It may open maxConns connections, and counts in attemptsSent each request that it
-// has written in full.
+// New returns a Client without servers. It may open maxConns connections, and counts in attemptsSent each request
+// that it has written in full.
 func New(limits wire.Limits, maxConns int, attemptsSent *atomic.Int64) *Client {
 	c := &Client{
 		pool:         newPool(maxConns),
@@ -64,8 +65,8 @@
 	c.pool.idleTimeoutNanos.Store(int64(limits.IdleClose / 2))
 }
 
-// SetAdminDown takes a server out of service, so that no attempt at it begins, or puts it back. Operators restart servers
-// meanwhile, so no connection from before is used after.
+// SetAdminDown takes a server out of service, so that no attempt at it begins, or puts it back. Operators restart
+// servers meanwhile, so no connection from before is used after.
 func (c *Client) SetAdminDown(id string, down bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -109,8 +109,8 @@
 	_ = c.SetDeadline(pastDeadline) // fails only on a closed connection
 }
 
-// isReusable reports whether the connection is open and has nothing to read. Bytes that the server sent unasked would be
-// taken for the response to the next request.
+// isReusable reports whether the connection is open and has nothing to read. Bytes that the server sent unasked would
+// be taken for the response to the next request.
 func (c *serverConn) isReusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -72,8 +72,8 @@
 	return nil, nil
 }
 
-// takeIdle returns the longest idle usable connection to a server, or nil: whatever the server still had to send on that
-// one has had the most time to arrive. It closes unusable ones on the way. The lock is held.
+// takeIdle returns the longest idle usable connection to a server, or nil: whatever the server still had to send on
+// that one has had the most time to arrive. It closes unusable ones on the way. The lock is held.
 func (p *pool) takeIdle(target *server) *serverConn {
 	for len(target.idle) > 0 && time.Since(target.idle[0].idleSince) >= p.reuseDelay {
 		conn := target.idle[0]
@@ -100,8 +100,8 @@
 	return newServerConn(conn, target)
 }
 
-// release takes a connection back from its attempt, and closes it unless it is reusable: the whole response was read and
-// nothing else has come.
+// release takes a connection back from its attempt, and closes it unless it is reusable: the whole response was read
+// and nothing else has come.
 func (p *pool) release(conn *serverConn, reusable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -136,8 +136,8 @@
 	return p.openConns, p.idleConns.Len()
 }
 
-// closeExpired closes the connections that were idle for the idle timeout. A server closes them soon after, and a request
-// that crosses its close is reset and may have run.
+// closeExpired closes the connections that were idle for the idle timeout. A server closes them soon after, and a
+// request that crosses its close is reset and may have run.
 func (p *pool) closeExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -212,5 +212,5 @@
 // closeLocked closes a connection that is on no list of idle ones. The lock is held.
 func (p *pool) closeLocked(conn *serverConn) {
 	p.openConns--
-	_ = conn.Conn.Close() // nothing is left to be sent on it
+	_ = conn.Conn.Close() // nothing is left to be written on it
 }
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -33,8 +33,8 @@
 	return length
 }
 
-// encodedRequest is a request as it is written. A body of one piece is part of head; one of several is not copied, since
-// copies of many large bodies would exhaust the memory.
+// encodedRequest is a request as it is written. A body of one piece is part of head; one of several is not copied,
+// since copies of many large bodies would exhaust the memory.
 type encodedRequest struct {
 	head []byte
 	body [][]byte
@@ -76,8 +76,9 @@
 	return encodedRequest{head: head, body: m.Body}
 }
 
-// writeRequest writes a request and returns how many bytes of it were written. It gives up at the deadline, if there is
-// one: the server's window for dropping a repeated request is over then, and a request without its last byte never runs.
+// writeRequest writes a request and returns how many bytes of it were written. It gives up at the deadline, if there
+// is one: the server's window for dropping a repeated request is over then, and a request without its last byte never
+// runs.
 func (c *serverConn) writeRequest(deadline time.Time, request encodedRequest) (written int, err error) {
 	if deadline.IsZero() {
 		return c.writeParts(request)
--- a/internal/upstream/response_parser.go
+++ b/internal/upstream/response_parser.go
@@ -3,171 +3,133 @@
 import (
 	"errors"
 	"io"
-	"math"
 	"net"
 	"net/http"
-	"os"
-	"slices"
 	"strconv"
 	"strings"
-	"time"
 
 	"milletramp.example/milletramp/balance"
-	"milletramp.example/milletramp/internal/chunked"
 )
 
-// MaxBufferedBody is how many bytes of a request's or a response's body are buffered in any case.
-const MaxBufferedBody = 64 << 10
-
 const (
-	maxHeaderBytes = 16 << 10 // bytes of a response's header
-
-	maxResponseBody     = 64 << 20 // bytes that an answer may say it has; 32 MB are agreed on
-	maxInterimResponses = 8        // 1xx answers ahead of one
-	// unknownLengthHold is how long an answer whose length is not told is held from its first byte on. Passed on sooner, one
-	// that stops is not made good by a repeat; later, a long one is late.
-	unknownLengthHold = 150 * time.Millisecond
+	maxHeaderBytes      = 16 << 10 // bytes of a response's heads, interim ones included
+	maxInterimResponses = 8        // 1xx responses before the final one
 )
 
-// readResponse reads the answer to the request just written. clean says that nothing was left behind it, so that the
-// connection can have another request. It reads strictly: http.ReadResponse lets a length pass that is given twice or
-// beside chunks, and does not tell a body that has no length from one that was cut off.
-func (c *serverConn) readResponse() (r Response, clean bool, err error) {
-	c.limitedReader.N = maxHeaderBytes // or a head that never ends would be read on
-	status, header, err := c.readHead()
-	for n := 0; err == nil && status/100 == 1; n++ {
-		if status == http.StatusSwitchingProtocols || n == maxInterimResponses {
-			return Response{}, false, malformed("status %d, the %dth ahead of an answer", status, n+1)
-		}
-		status, header, err = c.readHead()
+// responseHead is the status and the header of a response.
+type responseHead struct {
+	status int
+	header http.Header
+}
+
+// isInterim reports whether another response follows (1xx).
+func (h *responseHead) isInterim() bool { return h.status/100 == 1 }
+
+// closesConnection reports whether the server announces that it closes the connection.
+func (h *responseHead) closesConnection() bool {
+	return strings.EqualFold(h.header.Get("Connection"), "close")
+}
+
+// outcome returns what the response says of its request.
+func (h *responseHead) outcome() balance.Outcome {
+	notProcessed := h.header.Get("X-Not-Processed") == "1"
+	switch {
+	case h.status == http.StatusOK:
+		return balance.Served
+	case (h.status == http.StatusServiceUnavailable || h.status == http.StatusGatewayTimeout) && notProcessed:
+		return balance.Saturated
 	}
+	return balance.Errored
+}
+
+// readResponse reads the response to the request just written. reusable reports whether nothing follows it, so that the
+// connection can have another request. http.ReadResponse is too lenient: it accepts a length that is declared twice or
+// next to chunks, and a body of unknown length that was cut off.
+func (c *serverConn) readResponse() (r Response, reusable bool, err error) {
+	c.limitedReader.N = maxHeaderBytes // ends a head that never ends
+	head, err := c.readFinalHead()
 	if err != nil {
 		return Response{}, false, err
 	}
-	r.Outcome = outcomeOf(status, header.Get("X-Not-Processed") == "1")
-	if r.Outcome != balance.Served && isCloseDelimited(header) {
-		return r, false, nil // its body is not needed and may never end
+	r.Outcome = head.outcome()
+	if r.Outcome != balance.Served {
+		return r, c.skipBody(&head), nil
 	}
-	body, rest, err := c.readFramedBody(header)
-	switch {
-	case err == nil:
-	case r.Outcome == balance.Served:
+	r.Body, r.Remainder, err = c.readBody(head.header)
+	if err != nil {
 		return Response{}, false, err
-	default: // other answers have said all in their head
+	}
+	r.ContentType = head.header.Get("Content-Type")
+	if r.Remainder != nil {
+		r.Remainder.connectionCloses = head.closesConnection()
 		return r, false, nil
 	}
-	if r.Outcome != balance.Served {
-		if rest != nil {
-			return r, false, nil
-		}
-	} else {
-		r.Body, r.Remainder, r.ContentType = body, rest, header.Get("Content-Type")
+	return r, c.isReusable() && !head.closesConnection(), nil
+}
+
+// skipBody reads the body of a response whose head says all, and reports whether the connection is reusable. A body
+// that is long or may never end is left unread.
+func (c *serverConn) skipBody(head *responseHead) (reusable bool) {
+	if isCloseDelimited(head.header) {
+		return false
 	}
-	if rest != nil {
-		rest.connectionCloses = strings.EqualFold(header.Get("Connection"), "close")
-		return r, false, nil
+	_, rest, err := c.readBody(head.header)
+	if err != nil || rest != nil {
+		return false
 	}
-	return r, c.isReusable() && !strings.EqualFold(header.Get("Connection"), "close"), nil
+	return c.isReusable() && !head.closesConnection()
 }
 
-func outcomeOf(status int, notProcessed bool) balance.Outcome {
-	switch {
-	case status == http.StatusOK:
-		return balance.Served
-	case (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout) && notProcessed:
-		return balance.Saturated
+// readFinalHead reads the head of the final response, after those of interim ones.
+func (c *serverConn) readFinalHead() (responseHead, error) {
+	for interim := 1; ; interim++ {
+		head, err := c.readHead()
+		if err != nil || !head.isInterim() {
+			return head, err
+		}
+		if head.status == http.StatusSwitchingProtocols || interim > maxInterimResponses {
+			return responseHead{}, malformed("status %d, interim response %d", head.status, interim)
+		}
 	}
-	return balance.Errored
 }
 
-// readHead reads one head.
-func (c *serverConn) readHead() (status int, header http.Header, err error) {
+// readHead reads the head of one response.
+func (c *serverConn) readHead() (responseHead, error) {
 	line, err := c.textReader.ReadLine()
 	if err != nil {
-		return 0, nil, c.classifyReadError(err)
+		return responseHead{}, c.classifyReadError(err)
 	}
-	version, rest, _ := strings.Cut(line, " ")
-	code, _, _ := strings.Cut(rest, " ")
-	status, err = strconv.Atoi(code)
-	if err != nil || len(code) != 3 || status < 100 || version != "HTTP/1.1" && version != "HTTP/1.0" {
-		return 0, nil, malformed("status line %.40q", line)
+	status, err := parseStatusLine(line)
+	if err != nil {
+		return responseHead{}, err
 	}
 	fields, err := c.textReader.ReadMIMEHeader()
 	if err != nil {
-		return 0, nil, c.classifyReadError(err)
+		return responseHead{}, c.classifyReadError(err)
 	}
-	return status, http.Header(fields), nil
-}
-
-// readFramedBody reads the body behind a head: all of it, or where it is long or pauses with its length untold, what has come and
-// the rest as a stream.
-func (c *serverConn) readFramedBody(header http.Header) (whole []byte, rest *Stream, err error) {
-	b := &serverBody{conn: c, length: -1}
-	lengths, codings := header["Content-Length"], header["Transfer-Encoding"]
-	c.limitedReader.N = math.MaxInt64 // pieces of bodies are bounded, not bodies
-	switch {
-	case len(codings) == 0 && len(lengths) == 1:
-		n, err := strconv.ParseUint(lengths[0], 10, 63)
-		if err != nil || n > maxResponseBody {
-			return nil, nil, malformed("length %.40q", lengths[0])
-		}
-		b.length, b.remaining = int64(n), int64(n)
-	case len(lengths) == 0 && len(codings) == 1 && strings.EqualFold(codings[0], "chunked"):
-		b.decoder = &chunked.Decoder{}
-	case isCloseDelimited(header):
-		// Whole once the server has closed the connection in order, whether or not it announced that. A reset or a
-		// silence is no end.
-	default:
-		return nil, nil, malformed("lengths %q, codings %q", lengths, codings)
-	}
-	return c.readBody(b)
-}
-
-// isCloseDelimited reports whether a response declares no length, so that the close of its connection ends its body
-// (RFC 9112, section 6.3).
-func isCloseDelimited(header http.Header) bool {
-	return len(header["Content-Length"]) == 0 && len(header["Transfer-Encoding"]) == 0
+	return responseHead{status: status, header: http.Header(fields)}, nil
 }
 
-// readBody reads a body until it is whole or is to be passed on.
-func (c *serverConn) readBody(b *serverBody) (whole []byte, rest *Stream, err error) {
-	long, usual, first := b.length > MaxBufferedBody, c.allowedPause, time.Time{}
-	if b.length >= 0 && !long {
-		whole = make([]byte, 0, b.length)
-	}
-	for !b.isComplete() {
-		if long && len(whole) > 0 || len(whole) >= MaxBufferedBody {
-			return whole, &Stream{body: b, reusable: make(chan bool, 1)}, nil
-		}
-		untold := b.length < 0 && len(whole) > 0
-		if c.allowedPause = usual; untold {
-			c.allowedPause = min(usual, max(time.Until(first.Add(unknownLengthHold)), time.Nanosecond))
-		}
-		if len(whole) == cap(whole) {
-			whole = slices.Grow(whole, 4<<10)
-		}
-		n, err := b.Read(whole[len(whole):min(cap(whole), MaxBufferedBody)])
-		if whole = whole[:len(whole)+n]; !untold {
-			first = time.Now()
-		}
-		switch {
-		case err == nil || err == io.EOF:
-		case untold && errors.Is(err, os.ErrDeadlineExceeded):
-			return whole, &Stream{body: b, reusable: make(chan bool, 1)}, nil
-		default:
-			return nil, nil, c.classifyReadError(err)
-		}
+// parseStatusLine returns the status code of a status line.
+func parseStatusLine(line string) (status int, err error) {
+	version, rest, _ := strings.Cut(line, " ")
+	code, _, _ := strings.Cut(rest, " ")
+	status, err = strconv.Atoi(code)
+	if err != nil || len(code) != 3 || status < 100 || version != "HTTP/1.1" && version != "HTTP/1.0" {
+		return 0, malformed("status line %.40q", line)
 	}
-	return whole, nil, nil
+	return status, nil
 }
 
-// classifyReadError tells an answer that is spoilt from a connection that broke.
+// classifyReadError distinguishes a connection that broke, whose error it returns, from a response that is malformed.
 func (c *serverConn) classifyReadError(err error) error {
-	var broken net.Error
-	switch {
-	case errors.As(err, &broken):
+	var netErr net.Error
+	if errors.As(err, &netErr) {
 		return err
-	case (errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)) && c.limitedReader.N > 0:
+	}
+	// At the bound of limitedReader an EOF is not the connection's.
+	isEOF := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
+	if isEOF && c.limitedReader.N > 0 {
 		return err
 	}
 	return malformed("%v", err)
--- a/internal/upstream/response_stream.go
+++ b/internal/upstream/response_stream.go
@@ -2,34 +2,35 @@
 
 import "time"
 
-// finalPause is how long a server may pause in a streamed body once this process ends: a body that hangs is cut off
-// before the process is killed, and one that comes goes on.
+// finalPause is how long a server may pause in a stream once this process ends: a stream that hangs is cut off before
+// the process is killed, and one that makes progress goes on.
 const finalPause = 50 * time.Millisecond
 
-// Stream is the rest of an answer that is passed on as it comes.
+// Stream is the rest of a long response, which is read as it comes. One goroutine reads it and calls Finish once.
 type Stream struct {
 	body             *serverBody
-	connectionCloses bool      // the server closes the connection behind it
-	reusable         chan bool // gets whether its connection can have another request, once
+	connectionCloses bool      // the server announced that it closes the connection after the body
+	reusable         chan bool // gets once whether the connection can have another request
 }
 
-// Finish lets go of the server's connection. whole says that all of the answer was read.
-func (s *Stream) Finish(whole bool) {
-	ends := s.body.length >= 0 || s.body.decoder != nil // without its connection
-	s.reusable <- whole && ends && !s.connectionCloses && s.body.conn.isReusable()
+func newStream(body *serverBody) *Stream { return &Stream{body: body, reusable: make(chan bool, 1)} }
+
+// Finish ends the stream and gives the server's connection back. complete says that all of the body was read.
+func (s *Stream) Finish(complete bool) {
+	s.reusable <- complete && s.body.isSelfDelimiting() && !s.connectionCloses && s.body.conn.isReusable()
 }
 
 // Read reads what has come of the body, without waiting for more than its next bytes, and returns io.EOF at its end.
 func (s *Stream) Read(p []byte) (int, error) { return s.body.Read(p) }
 
-// Length is the declared length of the whole body, -1 where none is declared.
+// Length returns the declared length of the whole body, or -1 where none is declared.
 func (s *Stream) Length() int64 { return s.body.length }
 
 // IsComplete reports whether the body was read to its end.
 func (s *Stream) IsComplete() bool { return s.body.isComplete() }
 
-// AllowPause sets how long the server may pause before its next bytes. Only the goroutine that reads calls it.
+// AllowPause sets how long the server may pause before its next bytes. Only the goroutine that reads may call it.
 func (s *Stream) AllowPause(pause time.Duration) { s.body.conn.allowedPause = pause }
 
-// ShortenPause limits all pauses from now on to finalPause. Any goroutine may call it.
+// ShortenPause limits all pauses from now on, the current one included, to finalPause. Any goroutine may call it.
 func (s *Stream) ShortenPause() { s.body.conn.shortenPause() }
