--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -21,9 +21,9 @@
 	"milletramp.example/milletramp/internal/wire"
 )
 
-// TestLateConnections has something come first while the connection of an attempt comes up. The attempt is not made then, and the
+// TestAttemptIsNotSentAfterEventWhileConnecting has something come first while the connection of an attempt comes up. The attempt is not made then, and the
 // connection, which nothing was written on, is kept where the server is.
-func TestLateConnections(t *testing.T) {
+func TestAttemptIsNotSentAfterEventWhileConnecting(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		event func(*Client, *testserver.Backend, *atomic.Bool)
@@ -53,12 +53,12 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
-			u, late := to(t, b), testserver.NewDelayedDialer()
+			u, late := newTestClient(t, b), testserver.NewDelayedDialer()
 			u.pool.dial = late.Dial
 			var withdrawn atomic.Bool
 			ended := make(chan Response, 1)
 			go func() {
-				ended <- u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: post("k"), IsCancelled: withdrawn.Load, StartStreaming: whole})
+				ended <- u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: newPostRequest("k"), IsCancelled: withdrawn.Load, StartStreaming: declineStreaming})
 			}()
 			testserver.Receive(t, late.Connected, "connection")
 			tt.event(u, b, &withdrawn)
@@ -74,11 +74,11 @@
 }
 
 // TestRepeatThatComesUpTooLate: an attempt whose connection is not up by its time is given up, and not sent once it is.
-func TestRepeatThatComesUpTooLate(t *testing.T) {
+func TestAttemptIsNotSentWhenConnectionOpensAfterSendDeadline(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
-	u, late := to(t, b), testserver.NewDelayedDialer()
+	u, late := newTestClient(t, b), testserver.NewDelayedDialer()
 	u.pool.dial = late.Dial
-	s := AttemptRequest{ServerID: "s-0", Message: post("k"), SendDeadline: time.Now().Add(50 * time.Millisecond), StartStreaming: whole}
+	s := AttemptRequest{ServerID: "s-0", Message: newPostRequest("k"), SendDeadline: time.Now().Add(50 * time.Millisecond), StartStreaming: declineStreaming}
 	if r := u.Attempt(context.Background(), s); r.Outcome != balance.NotSent {
 		t.Errorf("outcome %d where no connection came up in time", r.Outcome)
 	}
@@ -94,11 +94,11 @@
 
 // TestRepeatThatIsTakenTooLate: an attempt whose server takes only a part of it by its time is given up, and never gets
 // the rest.
-func TestRepeatThatIsTakenTooLate(t *testing.T) {
+func TestAttemptStopsWritingAtSendDeadline(t *testing.T) {
 	l := testserver.Listen(t) // takes no more than the system holds
-	u, m := to(t, &testserver.Backend{Address: l.Addr().String()}), post("k")
+	u, m := newTestClient(t, &testserver.Backend{Address: l.Addr().String()}), newPostRequest("k")
 	m.Body = [][]byte{make([]byte, 32<<20), make([]byte, 32<<20)}
-	s := AttemptRequest{ServerID: "s-0", Message: m, SendDeadline: time.Now().Add(50 * time.Millisecond), StartStreaming: whole}
+	s := AttemptRequest{ServerID: "s-0", Message: m, SendDeadline: time.Now().Add(50 * time.Millisecond), StartStreaming: declineStreaming}
 	ctx, cancel := context.WithTimeout(context.Background(), testserver.Timeout)
 	defer cancel()
 	if r := u.Attempt(ctx, s); r.Outcome != balance.NotSent || ctx.Err() != nil {
@@ -115,9 +115,9 @@
 	}
 }
 
-// TestSecondAnswer has a server send one more answer as soon as a second request comes on a connection. A connection that has just had
+// TestSecondResponseIsNotTakenForNextRequest has a server send one more answer as soon as a second request comes on a connection. A connection that has just had
 // an answer gets no request, so that nobody takes the one for the other.
-func TestSecondAnswer(t *testing.T) {
+func TestSecondResponseIsNotTakenForNextRequest(t *testing.T) {
 	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		id := r.Header.Get("X-Request-Id")
 		testserver.Respond(200, "", id)(c, r, body)
@@ -125,12 +125,12 @@
 		testserver.Respond(200, "", id)(c, r, body)
 		return false
 	})
-	u := to(t, b)
+	u := newTestClient(t, b)
 	u.pool.reuseDelay = time.Hour
 	for i := range 3 {
-		m := get()
+		m := newGetRequest()
 		m.ID = fmt.Sprint("id-", i)
-		r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: m, StartStreaming: whole})
+		r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: m, StartStreaming: declineStreaming})
 		if r.Outcome != balance.Served || string(r.Body) != m.ID {
 			t.Errorf("outcome %d, body %q to %s", r.Outcome, r.Body, m.ID)
 		}
@@ -150,7 +150,7 @@
 		t.Cleanup(func() { u.Update(discovery.List{Complete: true}) })
 		began := time.Now()
 		for range 2 {
-			r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole})
+			r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: newGetRequest(), StartStreaming: declineStreaming})
 			if r.Outcome != balance.Served {
 				t.Fatalf("outcome %d", r.Outcome)
 			}
@@ -166,11 +166,11 @@
 	t.Fatal("no two requests within 20 ms")
 }
 
-// whole is for attempts whose answers are not long.
-func whole(Response) bool { return false }
+// declineStreaming is for attempts whose answers are not long.
+func declineStreaming(Response) bool { return false }
 
-// taken takes a long answer, as a client does that is quick enough.
-func taken(r Response) bool {
+// drainStream takes a long answer, as a client does that is quick enough.
+func drainStream(r Response) bool {
 	go func() {
 		_, err := io.Copy(io.Discard, r.Remainder)
 		r.Remainder.Finish(err == nil)
@@ -179,13 +179,13 @@
 }
 
 // TestTimeToldAfterTheWait: the time that an attempt tells its server is what is left once its connection is up.
-func TestTimeToldAfterTheWait(t *testing.T) {
+func TestTimeoutHeaderExcludesConnectTime(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
-	u, late := to(t, b), testserver.NewDelayedDialer()
+	u, late := newTestClient(t, b), testserver.NewDelayedDialer()
 	u.pool.dial = late.Dial
 	ctx, cancel := context.WithTimeout(context.Background(), testserver.Timeout)
 	defer cancel()
-	go func() { u.Attempt(ctx, AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole}) }()
+	go func() { u.Attempt(ctx, AttemptRequest{ServerID: "s-0", Message: newGetRequest(), StartStreaming: declineStreaming}) }()
 	testserver.Receive(t, late.Connected, "connection")
 	const wait = 100 * time.Millisecond
 	time.Sleep(wait) // the connection takes so long
@@ -197,9 +197,9 @@
 	}
 }
 
-// TestConnectFails has an attempt fail with each error: what it tells of the server, and whether idle connections are
+// TestOutcomeOfSocketErrors has an attempt fail with each error: what it tells of the server, and whether idle connections are
 // kept.
-func TestConnectFails(t *testing.T) {
+func TestOutcomeOfSocketErrors(t *testing.T) {
 	of := func(call string, want balance.Outcome, keeps bool, errnos ...syscall.Errno) (tests []connectTest) {
 		for _, errno := range errnos {
 			tests = append(tests, connectTest{call, errno, want, keeps})
@@ -215,10 +215,10 @@
 	for _, tt := range tests {
 		t.Run(tt.call+", "+tt.errno.Error(), func(t *testing.T) {
 			f, b := &testserver.Failures{}, testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
-			u := to(t, b)
+			u := newTestClient(t, b)
 			u.pool.dial = f.Dial
 			ask := func() balance.Outcome {
-				return u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: post(""), StartStreaming: whole}).Outcome
+				return u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: newPostRequest(""), StartStreaming: declineStreaming}).Outcome
 			}
 			idle, err := u.pool.acquire(context.Background(), u.servers["s-0"])
 			if err != nil {
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -26,8 +26,8 @@
 	return l
 }
 
-// to is an upstream that knows the backends.
-func to(t *testing.T, backends ...*testserver.Backend) *Client {
+// newTestClient is an upstream that knows the backends.
+func newTestClient(t *testing.T, backends ...*testserver.Backend) *Client {
 	u := New(wire.Limits{ConnectTimeout: testserver.Timeout, IdleClose: testserver.Timeout}, 1000, &atomic.Int64{})
 	u.pool.reuseDelay = 0
 	u.Update(parseList(t, testserver.ServingList(1, backends...)))
@@ -35,16 +35,16 @@
 	return u
 }
 
-func post(key string) *Message {
+func newPostRequest(key string) *Message {
 	return &Message{Method: http.MethodPost, URL: &url.URL{Path: "/api", RawQuery: "k=a%20b"}, ID: "id-1", IdempotencyKey: key,
 		Body: [][]byte{[]byte("skip")}}
 }
 
-func get() *Message {
+func newGetRequest() *Message {
 	return &Message{Method: http.MethodGet, URL: &url.URL{Path: "/api"}, ID: "id-1"}
 }
 
-func TestOutcomes(t *testing.T) {
+func TestOutcomeOfResponses(t *testing.T) {
 	tests := []struct {
 		name string
 		do   func(net.Conn, *http.Request, []byte) bool
@@ -76,9 +76,9 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			for _, m := range []*Message{get(), post(""), post("k")} {
+			for _, m := range []*Message{newGetRequest(), newPostRequest(""), newPostRequest("k")} {
 				b := testserver.StartBackend(t, tt.do)
-				r := to(t, b).Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: m, StartStreaming: taken})
+				r := newTestClient(t, b).Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: m, StartStreaming: drainStream})
 				if r.Outcome != tt.want {
 					t.Errorf("%s with key %q: outcome %d, want %d", m.Method, m.IdempotencyKey, r.Outcome, tt.want)
 				}
@@ -93,9 +93,9 @@
 	}
 }
 
-func TestNeverRan(t *testing.T) {
+func TestOutcomeOfUnsentAttempts(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.NeverRespond)
-	u := to(t, b)
+	u := newTestClient(t, b)
 	gone := testserver.Listen(t)
 	closed := testserver.EndpointEntry("s-1", gone.Addr().String(), "SERVING", 0)
 	gone.Close()
@@ -111,7 +111,7 @@
 		{"unknown server", "s-9", context.Background(), balance.NotSent},
 		{"called off before", "s-0", over, balance.NotSent},
 	} {
-		if r := u.Attempt(tt.ctx, AttemptRequest{ServerID: tt.to, Message: post(""), StartStreaming: whole}); r.Outcome != tt.want {
+		if r := u.Attempt(tt.ctx, AttemptRequest{ServerID: tt.to, Message: newPostRequest(""), StartStreaming: declineStreaming}); r.Outcome != tt.want {
 			t.Errorf("%s: outcome %d, want %d", tt.name, r.Outcome, tt.want)
 		}
 	}
@@ -120,21 +120,21 @@
 	}
 }
 
-// endable is a context whose deadline comes when the test says.
-type endable struct {
+// manualDeadline is a context whose deadline comes when the test says.
+type manualDeadline struct {
 	context.Context
 	done chan struct{}
 }
 
-func newEndable() *endable { return &endable{context.Background(), make(chan struct{})} }
+func newManualDeadline() *manualDeadline { return &manualDeadline{context.Background(), make(chan struct{})} }
 
-func (e *endable) end() { close(e.done) }
+func (e *manualDeadline) expire() { close(e.done) }
 
 // Done implements context.Context.
-func (e *endable) Done() <-chan struct{} { return e.done }
+func (e *manualDeadline) Done() <-chan struct{} { return e.done }
 
 // Err implements context.Context.
-func (e *endable) Err() error {
+func (e *manualDeadline) Err() error {
 	select {
 	case <-e.done:
 		return context.DeadlineExceeded
@@ -143,24 +143,24 @@
 	}
 }
 
-func TestSilence(t *testing.T) {
+func TestOutcomeOfUnansweredAttempts(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.NeverRespond)
-	u := to(t, b)
-	late := newEndable()
+	u := newTestClient(t, b)
+	late := newManualDeadline()
 	ended := make(chan Response, 1)
 	go func() {
-		ended <- u.Attempt(late, AttemptRequest{ServerID: "s-0", Message: post(""), StartStreaming: whole})
+		ended <- u.Attempt(late, AttemptRequest{ServerID: "s-0", Message: newPostRequest(""), StartStreaming: declineStreaming})
 	}()
 	testserver.Receive(t, b.Requests, "request")
-	late.end()
+	late.expire()
 	if r := testserver.Receive(t, ended, "end"); r.Outcome != balance.TimedOut {
 		t.Errorf("outcome %d, want a time-out", r.Outcome)
 	}
 	b = testserver.StartBackend(t, testserver.NeverRespond)
-	u = to(t, b)
+	u = newTestClient(t, b)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
-		ended <- u.Attempt(ctx, AttemptRequest{ServerID: "s-0", Message: post(""), StartStreaming: whole})
+		ended <- u.Attempt(ctx, AttemptRequest{ServerID: "s-0", Message: newPostRequest(""), StartStreaming: declineStreaming})
 	}()
 	testserver.Receive(t, b.Requests, "request")
 	cancel()
@@ -169,10 +169,10 @@
 	}
 }
 
-// TestStaleConnection has a server answer once and then reset the connection on the next request. The transport
+// TestResetOnReusedConnectionIsNotRetried has a server answer once and then reset the connection on the next request. The transport
 // would send GETs and keyed requests again by itself.
-func TestStaleConnection(t *testing.T) {
-	for _, m := range []*Message{get(), post(""), post("k")} {
+func TestResetOnReusedConnectionIsNotRetried(t *testing.T) {
+	for _, m := range []*Message{newGetRequest(), newPostRequest(""), newPostRequest("k")} {
 		first := true
 		b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 			if first {
@@ -181,11 +181,11 @@
 			}
 			return testserver.ResetConnection(c, r, body)
 		})
-		u := to(t, b)
-		if r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: m, StartStreaming: taken}); r.Outcome != balance.Served {
+		u := newTestClient(t, b)
+		if r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: m, StartStreaming: drainStream}); r.Outcome != balance.Served {
 			t.Fatalf("first outcome %d", r.Outcome)
 		}
-		if r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: m, StartStreaming: taken}); r.Outcome != balance.Reset {
+		if r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: m, StartStreaming: drainStream}); r.Outcome != balance.Reset {
 			t.Errorf("%s with key %q: outcome %d, want a reset", m.Method, m.IdempotencyKey, r.Outcome)
 		}
 		if n := b.RequestCount(); n != 2 {
@@ -194,7 +194,7 @@
 	}
 }
 
-func TestForwardsUnchanged(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	bodies := make(chan string, 1)
 	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		bodies <- string(body)
@@ -202,7 +202,7 @@
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), testserver.Timeout)
 	defer cancel()
-	to(t, b).Attempt(ctx, AttemptRequest{ServerID: "s-0", Message: post("k-7"), StartStreaming: whole})
+	newTestClient(t, b).Attempt(ctx, AttemptRequest{ServerID: "s-0", Message: newPostRequest("k-7"), StartStreaming: declineStreaming})
 	r := testserver.Receive(t, b.Requests, "request")
 	if r.Method != "POST" || r.RequestURI != "/api?k=a%20b" || r.Header.Get("X-Request-ID") != "id-1" ||
 		r.Header.Get("Idempotency-Key") != "k-7" || r.Header.Get("Accept-Encoding") != "" || r.ContentLength != 4 {
@@ -217,23 +217,23 @@
 	}
 }
 
-// TestChangedEndpoint has a server restart: its old connections must not get the next request.
-func TestChangedEndpoint(t *testing.T) {
+// TestRestartedServerGetsNewConnections has a server restart: its old connections must not get the next request.
+func TestRestartedServerGetsNewConnections(t *testing.T) {
 	conns := make(chan net.Conn, 10)
 	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		conns <- c
 		return testserver.Respond(200, "", "")(c, r, body)
 	})
-	u := to(t, b)
+	u := newTestClient(t, b)
 	ask := func() net.Conn {
-		if r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole}); r.Outcome != balance.Served {
+		if r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: newGetRequest(), StartStreaming: declineStreaming}); r.Outcome != balance.Served {
 			t.Fatalf("outcome %d", r.Outcome)
 		}
 		return testserver.Receive(t, conns, "connection")
 	}
 	first := ask()
 	u.Update(parseList(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "DRAINING", 0))))
-	if r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole}); r.Outcome != balance.NotSent {
+	if r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: newGetRequest(), StartStreaming: declineStreaming}); r.Outcome != balance.NotSent {
 		t.Errorf("outcome %d at a server that drains", r.Outcome)
 	}
 	u.Update(parseList(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "SERVING", 0))))
@@ -245,15 +245,15 @@
 		t.Error("a request went to the former process's connection")
 	}
 	u.Update(parseList(t, testserver.ListText(4, false, testserver.EndpointEntry("s-0", b.Address, "DELETED", 0))))
-	if r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole}); r.Outcome != balance.NotSent {
+	if r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: newGetRequest(), StartStreaming: declineStreaming}); r.Outcome != balance.NotSent {
 		t.Errorf("outcome %d at a removed server", r.Outcome)
 	}
 	u.Update(parseList(t, testserver.ListText(5, false, testserver.EndpointEntry("s-0", b.Address, "SERVING", 0))))
 	ask()
 }
 
-// TestVanishedMachine has one attempt fail while another connection idles: that one must not get a request.
-func TestVanishedMachine(t *testing.T) {
+// TestFailureClosesIdleConnections has one attempt fail while another connection idles: that one must not get a request.
+func TestFailureClosesIdleConnections(t *testing.T) {
 	for _, timeout := range []bool{true, false} {
 		conns := make(chan net.Conn, 10)
 		verdict := make(chan string, 10)
@@ -267,11 +267,11 @@
 			}
 			return testserver.Respond(200, "", "")(c, r, body)
 		})
-		u := to(t, b)
+		u := newTestClient(t, b)
 		ended := make(chan Response, 2)
 		for range 2 {
 			go func() {
-				ended <- u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole})
+				ended <- u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: newGetRequest(), StartStreaming: declineStreaming})
 			}()
 		}
 		old := map[net.Conn]bool{testserver.Receive(t, conns, "connection"): true, testserver.Receive(t, conns, "connection"): true}
@@ -279,9 +279,9 @@
 			verdict <- "ok"
 			testserver.Receive(t, ended, "end")
 		}
-		ctx, want := newEndable(), balance.Reset
+		ctx, want := newManualDeadline(), balance.Reset
 		go func() {
-			ended <- u.Attempt(ctx, AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole})
+			ended <- u.Attempt(ctx, AttemptRequest{ServerID: "s-0", Message: newGetRequest(), StartStreaming: declineStreaming})
 		}()
 		if c := testserver.Receive(t, conns, "connection"); !old[c] {
 			t.Fatal("the request did not reuse a connection")
@@ -289,7 +289,7 @@
 		if timeout {
 			want = balance.TimedOut
 			verdict <- "silent"
-			ctx.end()
+			ctx.expire()
 		} else {
 			verdict <- "reset"
 		}
@@ -297,7 +297,7 @@
 			t.Errorf("outcome %d, want %d", r.Outcome, want)
 		}
 		go func() {
-			ended <- u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole})
+			ended <- u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: newGetRequest(), StartStreaming: declineStreaming})
 		}()
 		if c := testserver.Receive(t, conns, "connection"); old[c] {
 			t.Error("a request went to an idle connection of a server that failed")
--- a/internal/upstream/response_parser_test.go
+++ b/internal/upstream/response_parser_test.go
@@ -14,17 +14,17 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// writeRaw answers with text as it is, and waits for the other side to close.
-func writeRaw(text string) func(net.Conn, *http.Request, []byte) bool {
+// respondRaw answers with text as it is, and waits for the other side to close.
+func respondRaw(text string) func(net.Conn, *http.Request, []byte) bool {
 	return func(c net.Conn, r *http.Request, body []byte) bool {
 		_, _ = io.WriteString(c, text)
 		return testserver.NeverRespond(c, r, body)
 	}
 }
 
-// TestSpoiltAnswers has answers come that cannot be read, on connections that stay open: each may have run, is not
+// TestMalformedResponsesAreErrors has answers come that cannot be read, on connections that stay open: each may have run, is not
 // served, and costs its connection at once.
-func TestSpoiltAnswers(t *testing.T) {
+func TestMalformedResponsesAreErrors(t *testing.T) {
 	for _, tt := range []struct{ name, text string }{
 		{"noise", "\x00\x17\x90what\r\n\r\n"},
 		{"another protocol", "ICY 200 OK\r\nContent-Length: 4\r\n\r\nslot"},
@@ -51,13 +51,13 @@
 		t.Run(tt.name, func(t *testing.T) {
 			closed := make(chan bool, 1)
 			b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-				writeRaw(tt.text)(c, r, body)
+				respondRaw(tt.text)(c, r, body)
 				closed <- true
 				return false
 			})
-			u := to(t, b)
+			u := newTestClient(t, b)
 			u.responseTimeoutNanos.Store(int64(100 * time.Millisecond))
-			if r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole}); r.Outcome != balance.Errored || r.Body != nil {
+			if r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: newGetRequest(), StartStreaming: declineStreaming}); r.Outcome != balance.Errored || r.Body != nil {
 				t.Errorf("outcome %d, body %q, want an error", r.Outcome, r.Body)
 			}
 			testserver.Receive(t, closed, "end of the connection")
@@ -70,7 +70,7 @@
 
 // TestNoLength: a body without a length is whole once its server ends the connection in order, whatever the head says of
 // the connection. After a reset it may be a part.
-func TestNoLength(t *testing.T) {
+func TestCloseDelimitedBodyEndsWithOrderlyClose(t *testing.T) {
 	for _, start := range []string{"HTTP/1.1 200 OK\r\n", "HTTP/1.1 200 OK\r\nConnection: close\r\n",
 		"HTTP/1.1 200 OK\r\nConnection: keep-alive\r\n", "HTTP/1.0 200 OK\r\n"} {
 		for _, body := range []string{"hal", ""} {
@@ -79,8 +79,8 @@
 					fmt.Fprint(c, start+"\r\n"+body)
 					return reset && testserver.ResetConnection(c, r, nil)
 				})
-				u := to(t, b)
-				r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole})
+				u := newTestClient(t, b)
+				r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: newGetRequest(), StartStreaming: declineStreaming})
 				if r.Outcome != want || !reset && string(r.Body) != body || u.pool.openConns != 0 {
 					t.Errorf("%q, body %q, reset %v: outcome %d, body %q, %d connections left, want outcome %d",
 						start, body, reset, r.Outcome, r.Body, u.pool.openConns, want)
@@ -91,18 +91,18 @@
 }
 
 // TestNoLengthOfAnError: the head of an answer that is not 200 says all. Its body, which may never end, is not waited for.
-func TestNoLengthOfAnError(t *testing.T) {
+func TestCloseDelimitedErrorIsNotWaitedFor(t *testing.T) {
 	for head, want := range map[string]balance.Outcome{
 		"HTTP/1.1 503 X\r\nX-Not-Processed: 1\r\n\r\n":                      balance.Saturated,
 		"HTTP/1.1 503 X\r\nX-Not-Processed: 1\r\nConnection: close\r\n\r\n": balance.Saturated,
 		"HTTP/1.1 500 X\r\n\r\n":                                            balance.Errored,
 		"HTTP/1.1 204 X\r\n\r\n":                                            balance.Errored,
 	} {
-		u := to(t, testserver.StartBackend(t, writeRaw(head)))
+		u := newTestClient(t, testserver.StartBackend(t, respondRaw(head)))
 		u.responseTimeoutNanos.Store(int64(time.Hour))
 		ended := make(chan Response, 1)
 		go func() {
-			ended <- u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: post(""), StartStreaming: whole})
+			ended <- u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: newPostRequest(""), StartStreaming: declineStreaming})
 		}()
 		if r := testserver.Receive(t, ended, "outcome"); r.Outcome != want {
 			t.Errorf("%q: outcome %d, want %d", head, r.Outcome, want)
@@ -110,9 +110,9 @@
 	}
 }
 
-// TestGoodAnswers has good answers come with what else servers say: all are served, and what is behind one is never
+// TestWellFormedResponsesAreServed has good answers come with what else servers say: all are served, and what is behind one is never
 // taken for the next.
-func TestGoodAnswers(t *testing.T) {
+func TestWellFormedResponsesAreServed(t *testing.T) {
 	answer := func(r *http.Request) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(r.Header.Get("X-Request-ID")), r.Header.Get("X-Request-ID"))
 	}
@@ -135,12 +135,12 @@
 				conns <- c
 				return true
 			})
-			u := to(t, b)
+			u := newTestClient(t, b)
 			var last net.Conn
 			for i := range 3 {
-				m := get()
+				m := newGetRequest()
 				m.ID = fmt.Sprint("id-", i)
-				r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: m, StartStreaming: whole})
+				r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: m, StartStreaming: declineStreaming})
 				if r.Outcome != balance.Served || string(r.Body) != m.ID {
 					t.Fatalf("outcome %d, body %q for %q", r.Outcome, r.Body, m.ID)
 				}
@@ -158,16 +158,16 @@
 }
 
 // TestChunked: a chunked answer with a trailer is whole, and its connection good.
-func TestChunked(t *testing.T) {
+func TestChunkedResponseLeavesConnectionReusable(t *testing.T) {
 	conns := make(chan net.Conn, 10)
 	b := testserver.StartBackend(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nsl\r\n2\r\not\r\n0\r\nX-T: 1\r\n\r\n")
 		conns <- c
 		return true
 	})
-	u := to(t, b)
+	u := newTestClient(t, b)
 	for range 2 {
-		if r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole}); r.Outcome != balance.Served || string(r.Body) != "slot" {
+		if r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: newGetRequest(), StartStreaming: declineStreaming}); r.Outcome != balance.Served || string(r.Body) != "slot" {
 			t.Fatalf("outcome %d, body %q", r.Outcome, r.Body)
 		}
 	}
@@ -178,17 +178,17 @@
 
 // TestNoOldConnections: a new id at an old address gets no old connection, and what was out to a removed server comes
 // back to nobody.
-func TestNoOldConnections(t *testing.T) {
+func TestConnectionsOfRemovedServerAreNotReused(t *testing.T) {
 	conns, gate := make(chan net.Conn, 10), make(chan bool, 10)
 	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		conns <- c
 		<-gate
 		return testserver.Respond(200, "", "ok")(c, r, body)
 	})
-	u := to(t, b)
+	u := newTestClient(t, b)
 	ended := make(chan Response, 1)
 	ask := func(id string) {
-		ended <- u.Attempt(context.Background(), AttemptRequest{ServerID: id, Message: get(), StartStreaming: whole})
+		ended <- u.Attempt(context.Background(), AttemptRequest{ServerID: id, Message: newGetRequest(), StartStreaming: declineStreaming})
 	}
 	gate <- true
 	ask("s-0")
@@ -215,24 +215,24 @@
 }
 
 // TestPoolBound: beyond the bound the longest idle connection makes room, and without one nothing is sent.
-func TestPoolBound(t *testing.T) {
+func TestConnLimitReplacesLongestIdleConnection(t *testing.T) {
 	gate := make(chan bool)
 	quick := testserver.StartBackend(t, testserver.Respond(200, "", ""))
 	slow := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		<-gate
 		return testserver.Respond(200, "", "")(c, r, body)
 	})
-	u := to(t, quick, slow)
+	u := newTestClient(t, quick, slow)
 	u.pool.maxConns = 1
-	if r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole}); r.Outcome != balance.Served {
+	if r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: newGetRequest(), StartStreaming: declineStreaming}); r.Outcome != balance.Served {
 		t.Fatalf("outcome %d", r.Outcome)
 	}
 	ended := make(chan Response, 1)
 	go func() {
-		ended <- u.Attempt(context.Background(), AttemptRequest{ServerID: "s-1", Message: get(), StartStreaming: whole})
+		ended <- u.Attempt(context.Background(), AttemptRequest{ServerID: "s-1", Message: newGetRequest(), StartStreaming: declineStreaming})
 	}()
 	testserver.Receive(t, slow.Requests, "request in the idle connection's place")
-	if r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole}); r.Outcome != balance.NotSent {
+	if r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: newGetRequest(), StartStreaming: declineStreaming}); r.Outcome != balance.NotSent {
 		t.Errorf("outcome %d with no descriptor left", r.Outcome)
 	}
 	close(gate)
@@ -243,7 +243,7 @@
 }
 
 // TestIdleExpires: an idle connection is closed well before its server would.
-func TestIdleExpires(t *testing.T) {
+func TestIdleConnectionsExpire(t *testing.T) {
 	closed := make(chan bool, 1)
 	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		testserver.Respond(200, "", "")(c, r, body)
@@ -251,8 +251,8 @@
 		closed <- true
 		return false
 	})
-	u := to(t, b)
+	u := newTestClient(t, b)
 	u.pool.idleTimeoutNanos.Store(int64(20 * time.Millisecond))
-	u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: get(), StartStreaming: whole})
+	u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: newGetRequest(), StartStreaming: declineStreaming})
 	testserver.Receive(t, closed, "end of the idle connection")
 }
