--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -7,7 +7,7 @@
 	"net"
 	"net/http"
 	"slices"
-	"strconv"
+	"strings"
 	"sync/atomic"
 	"syscall"
 	"testing"
@@ -18,235 +18,281 @@
 	"milletramp.example/milletramp/balance"
 	"milletramp.example/milletramp/internal/discovery"
 	"milletramp.example/milletramp/internal/lab/testserver"
-	"milletramp.example/milletramp/internal/wire"
 )
 
-// TestAttemptIsNotSentAfterEventWhileConnecting has something come first while the connection of an attempt comes up. The attempt is not made then, and the
-// connection, which nothing was written on, is kept where the server is.
-func TestAttemptIsNotSentAfterEventWhileConnecting(t *testing.T) {
-	for _, tt := range []struct {
-		name  string
-		event func(*Client, *testserver.Backend, *atomic.Bool)
-		open  int // connections that are left
+// TestOutcomeOfResponses gives each response to a request of each kind. None of the requests is sent twice.
+func TestOutcomeOfResponses(t *testing.T) {
+	tests := []struct {
+		name    string
+		respond testserver.Handler
+		want    balance.Outcome
 	}{
-		{"the server drains", func(u *Client, b *testserver.Backend, _ *atomic.Bool) {
-			u.Update(parseList(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "DRAINING", 0))))
-		}, 1},
-		{"a whole list leaves it out", func(u *Client, _ *testserver.Backend, _ *atomic.Bool) {
-			u.Update(parseList(t, testserver.ListText(2, true)))
-		}, 0},
-		{"it is removed", func(u *Client, b *testserver.Backend, _ *atomic.Bool) {
-			u.Update(parseList(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "DELETED", 0))))
-		}, 0},
-		{"it starts again", func(u *Client, b *testserver.Backend, _ *atomic.Bool) {
-			u.Update(parseList(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", b.Address, "SERVING", 1700000000000))))
-		}, 0},
-		{"it moves", func(u *Client, _ *testserver.Backend, _ *atomic.Bool) {
-			u.Update(parseList(t, testserver.ListText(2, false, testserver.EndpointEntry("s-0", "127.0.0.1:9", "SERVING", 0))))
-		}, 0},
-		{"it is taken out by hand", func(u *Client, _ *testserver.Backend, _ *atomic.Bool) { u.SetAdminDown("s-0", true) }, 0},
-		{"it is taken out and put back", func(u *Client, _ *testserver.Backend, _ *atomic.Bool) {
-			u.SetAdminDown("s-0", true)
-			u.SetAdminDown("s-0", false)
-		}, 0},
-		{"nobody waits any more", func(_ *Client, _ *testserver.Backend, withdrawn *atomic.Bool) { withdrawn.Store(true) }, 1},
-	} {
+		{"served", testserver.Respond(200, "", "slot"), balance.Served},
+		{"empty", testserver.Respond(200, "", ""), balance.Served},
+		{"error", testserver.Respond(500, "", "oh"), balance.Errored},
+		{"full", testserver.Respond(503, "X-Not-Processed: 1\r\n", "no"), balance.Saturated},
+		{"late", testserver.Respond(504, "X-Not-Processed: 1\r\n", ""), balance.Saturated},
+		{"unavailable, may have run", testserver.Respond(503, "", ""), balance.Errored},
+		{"error that claims not to have run", testserver.Respond(500, "X-Not-Processed: 1\r\n", ""), balance.Errored},
+		{"large", testserver.Respond(200, "", strings.Repeat("x", 32<<20)), balance.Served},
+		{"too long", func(conn net.Conn, _ *http.Request, _ []byte) bool {
+			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", maxResponseBody+1)
+			return false
+		}, balance.Errored},
+		{"reset", testserver.ResetConnection, balance.Reset},
+		{"end", func(net.Conn, *http.Request, []byte) bool { return false }, balance.Reset},
+		{"no HTTP", func(conn net.Conn, _ *http.Request, _ []byte) bool {
+			fmt.Fprint(conn, "what\r\n\r\n")
+			return false
+		}, balance.Errored},
+		{"half a body", func(conn net.Conn, _ *http.Request, _ []byte) bool {
+			fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
+			return false
+		}, balance.Reset},
+		{"half a chunked body", func(conn net.Conn, _ *http.Request, _ []byte) bool {
+			fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n")
+			return false
+		}, balance.Reset},
+	}
+	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
-			u, late := newTestClient(t, b), testserver.NewDelayedDialer()
-			u.pool.dial = late.Dial
-			var withdrawn atomic.Bool
-			ended := make(chan Response, 1)
-			go func() {
-				ended <- u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: newPostRequest("k"), IsCancelled: withdrawn.Load, StartStreaming: declineStreaming})
-			}()
-			testserver.Receive(t, late.Connected, "connection")
-			tt.event(u, b, &withdrawn)
-			late.Release <- struct{}{}
-			if r := testserver.Receive(t, ended, "end"); r.Outcome != balance.NotSent || b.RequestCount() != 0 {
-				t.Errorf("outcome %d, %d requests sent", r.Outcome, b.RequestCount())
-			}
-			if u.pool.openConns != tt.open {
-				t.Errorf("%d connections are left, want %d", u.pool.openConns, tt.open)
+			for _, message := range []*Message{newGetRequest(), newPostRequest(""), newPostRequest("k")} {
+				backend := testserver.StartBackend(t, tt.respond)
+				response := sendStreaming(newTestClient(t, backend), "s-0", message)
+				if response.Outcome != tt.want {
+					t.Errorf("%s with key %q: outcome %d, want %d",
+						message.Method, message.IdempotencyKey, response.Outcome, tt.want)
+				}
+				if tt.name == "served" && string(response.Body) != "slot" {
+					t.Errorf("body %q", response.Body)
+				}
+				if n := backend.RequestCount(); n != 1 {
+					t.Errorf("%s with key %q came %d times", message.Method, message.IdempotencyKey, n)
+				}
 			}
 		})
 	}
 }
 
-// TestRepeatThatComesUpTooLate: an attempt whose connection is not up by its time is given up, and not sent once it is.
-func TestAttemptIsNotSentWhenConnectionOpensAfterSendDeadline(t *testing.T) {
-	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
-	u, late := newTestClient(t, b), testserver.NewDelayedDialer()
-	u.pool.dial = late.Dial
-	s := AttemptRequest{ServerID: "s-0", Message: newPostRequest("k"), SendDeadline: time.Now().Add(50 * time.Millisecond), StartStreaming: declineStreaming}
-	if r := u.Attempt(context.Background(), s); r.Outcome != balance.NotSent {
-		t.Errorf("outcome %d where no connection came up in time", r.Outcome)
-	}
-	u.pool.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
-		<-ctx.Done() // and then it is there after all
-		return net.Dial(network, address)
-	}
-	s.SendDeadline = time.Now().Add(50 * time.Millisecond)
-	if r := u.Attempt(context.Background(), s); r.Outcome != balance.NotSent || b.RequestCount() != 0 {
-		t.Errorf("outcome %d, %d requests sent behind their time", r.Outcome, b.RequestCount())
-	}
-}
-
-// TestRepeatThatIsTakenTooLate: an attempt whose server takes only a part of it by its time is given up, and never gets
-// the rest.
-func TestAttemptStopsWritingAtSendDeadline(t *testing.T) {
-	l := testserver.Listen(t) // takes no more than the system holds
-	u, m := newTestClient(t, &testserver.Backend{Address: l.Addr().String()}), newPostRequest("k")
-	m.Body = [][]byte{make([]byte, 32<<20), make([]byte, 32<<20)}
-	s := AttemptRequest{ServerID: "s-0", Message: m, SendDeadline: time.Now().Add(50 * time.Millisecond), StartStreaming: declineStreaming}
-	ctx, cancel := context.WithTimeout(context.Background(), testserver.Timeout)
-	defer cancel()
-	if r := u.Attempt(ctx, s); r.Outcome != balance.NotSent || ctx.Err() != nil {
-		t.Errorf("outcome %d, error %v", r.Outcome, ctx.Err())
-	}
-	u.Update(discovery.List{Complete: true}) // ends a connection that is kept, as nothing was written on it in time
-	c, err := l.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
-	if n, _ := io.Copy(io.Discard, c); n >= int64(m.bodyLength()) {
-		t.Errorf("the server gets %d bytes, with all %d of the body", n, m.bodyLength())
-	}
-}
-
-// TestSecondResponseIsNotTakenForNextRequest has a server send one more answer as soon as a second request comes on a connection. A connection that has just had
-// an answer gets no request, so that nobody takes the one for the other.
-func TestSecondResponseIsNotTakenForNextRequest(t *testing.T) {
-	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		id := r.Header.Get("X-Request-Id")
-		testserver.Respond(200, "", id)(c, r, body)
-		_, _ = c.Read(make([]byte, 1)) // until more comes
-		testserver.Respond(200, "", id)(c, r, body)
-		return false
-	})
-	u := newTestClient(t, b)
-	u.pool.reuseDelay = time.Hour
-	for i := range 3 {
-		m := newGetRequest()
-		m.ID = fmt.Sprint("id-", i)
-		r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: m, StartStreaming: declineStreaming})
-		if r.Outcome != balance.Served || string(r.Body) != m.ID {
-			t.Errorf("outcome %d, body %q to %s", r.Outcome, r.Body, m.ID)
+// TestOutcomeOfUnsentAttempts: an attempt that cannot be sent says whether its server is unreachable.
+func TestOutcomeOfUnsentAttempts(t *testing.T) {
+	backend := testserver.StartBackend(t, testserver.NeverRespond)
+	client := newTestClient(t, backend)
+	listener := testserver.Listen(t)
+	closedPort := testserver.EndpointEntry("s-1", listener.Addr().String(), "SERVING", 0)
+	listener.Close()
+	updateList(t, client, testserver.ListText(2, false, closedPort))
+	cancelled, cancel := context.WithCancel(context.Background())
+	cancel()
+	for _, tt := range []struct {
+		name, serverID string
+		ctx            context.Context
+		want           balance.Outcome
+	}{
+		{"connection refused", "s-1", context.Background(), balance.ConnectFailed},
+		{"unknown server", "s-9", context.Background(), balance.NotSent},
+		{"already cancelled", "s-0", cancelled, balance.NotSent},
+	} {
+		if response := sendRequestWithin(tt.ctx, client, tt.serverID, newPostRequest("")); response.Outcome != tt.want {
+			t.Errorf("%s: outcome %d, want %d", tt.name, response.Outcome, tt.want)
 		}
 	}
-	if u.pool.openConns != 3 {
-		t.Errorf("%d connections, want one for each request", u.pool.openConns)
+	if n := backend.RequestCount(); n != 0 {
+		t.Errorf("%d requests came", n)
 	}
 }
 
-// TestConnectionRestsBeforeReuse sends two requests one right after the other: within the reuse delay of a connection the second one
-// goes out on a connection of its own. A pair that a busy machine held up for longer shows nothing, and is followed by another.
-func TestConnectionRestsBeforeReuse(t *testing.T) {
-	for end := time.Now().Add(testserver.Timeout); time.Now().Before(end); {
-		b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
-		u := New(wire.Limits{ConnectTimeout: testserver.Timeout, IdleClose: testserver.Timeout}, 1000, &atomic.Int64{})
-		u.Update(parseList(t, testserver.ServingList(1, b)))
-		t.Cleanup(func() { u.Update(discovery.List{Complete: true}) })
-		began := time.Now()
-		for range 2 {
-			r := u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: newGetRequest(), StartStreaming: declineStreaming})
-			if r.Outcome != balance.Served {
-				t.Fatalf("outcome %d", r.Outcome)
-			}
-		}
-		if time.Since(began) >= 20*time.Millisecond {
-			continue
-		}
-		if u.pool.openConns != 2 {
-			t.Errorf("%d connections for two requests within 20 ms, want 2", u.pool.openConns)
-		}
-		return
+// TestOutcomeOfUnansweredAttempts: an attempt without a response says whether its deadline passed or it was cancelled.
+func TestOutcomeOfUnansweredAttempts(t *testing.T) {
+	backend := testserver.StartBackend(t, testserver.NeverRespond)
+	client := newTestClient(t, backend)
+	deadline := newManualDeadline()
+	ended := make(chan Response, 1)
+	go func() {
+		ended <- sendRequestWithin(deadline, client, "s-0", newPostRequest(""))
+	}()
+	testserver.Receive(t, backend.Requests, "request")
+	deadline.expire()
+	if response := testserver.Receive(t, ended, "end"); response.Outcome != balance.TimedOut {
+		t.Errorf("outcome %d, want a time-out", response.Outcome)
 	}
-	t.Fatal("no two requests within 20 ms")
-}
-
-// declineStreaming is for attempts whose answers are not long.
-func declineStreaming(Response) bool { return false }
-
-// drainStream takes a long answer, as a client does that is quick enough.
-func drainStream(r Response) bool {
+	backend = testserver.StartBackend(t, testserver.NeverRespond)
+	client = newTestClient(t, backend)
+	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
-		_, err := io.Copy(io.Discard, r.Remainder)
-		r.Remainder.Finish(err == nil)
+		ended <- sendRequestWithin(ctx, client, "s-0", newPostRequest(""))
 	}()
-	return true
-}
-
-// TestTimeToldAfterTheWait: the time that an attempt tells its server is what is left once its connection is up.
-func TestTimeoutHeaderExcludesConnectTime(t *testing.T) {
-	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
-	u, late := newTestClient(t, b), testserver.NewDelayedDialer()
-	u.pool.dial = late.Dial
-	ctx, cancel := context.WithTimeout(context.Background(), testserver.Timeout)
-	defer cancel()
-	go func() { u.Attempt(ctx, AttemptRequest{ServerID: "s-0", Message: newGetRequest(), StartStreaming: declineStreaming}) }()
-	testserver.Receive(t, late.Connected, "connection")
-	const wait = 100 * time.Millisecond
-	time.Sleep(wait) // the connection takes so long
-	late.Release <- struct{}{}
-	r := testserver.Receive(t, b.Requests, "request")
-	told, err := strconv.Atoi(r.Header.Get("X-Timeout-Ms"))
-	if err != nil || time.Duration(told)*time.Millisecond > testserver.Timeout-wait {
-		t.Errorf("the server is told %d ms, error %v, where %v less than %v are left", told, err, wait, testserver.Timeout)
+	testserver.Receive(t, backend.Requests, "request")
+	cancel()
+	if response := testserver.Receive(t, ended, "end"); response.Outcome != balance.Cancelled {
+		t.Errorf("outcome %d, want cancelled", response.Outcome)
 	}
 }
 
-// TestOutcomeOfSocketErrors has an attempt fail with each error: what it tells of the server, and whether idle connections are
-// kept.
+// TestOutcomeOfSocketErrors has an attempt fail with each error. Errors of this machine are retried first, and then say
+// nothing of the server: its idle connections stay open.
 func TestOutcomeOfSocketErrors(t *testing.T) {
-	of := func(call string, want balance.Outcome, keeps bool, errnos ...syscall.Errno) (tests []connectTest) {
+	cases := func(call string, want balance.Outcome, keepsIdle bool, errnos ...syscall.Errno) []socketErrorTest {
+		var tests []socketErrorTest
 		for _, errno := range errnos {
-			tests = append(tests, connectTest{call, errno, want, keeps})
+			tests = append(tests, socketErrorTest{call, errno, want, keepsIdle})
 		}
 		return tests
 	}
-	tests := of("connect", balance.NotSent, true, testserver.MachineErrnos...)
-	tests = append(tests, of("connect", balance.ConnectFailed, false, unix.ENETUNREACH, unix.EHOSTUNREACH,
-		unix.ETIMEDOUT, unix.ECONNREFUSED)...)
-	tests = append(tests, of("server write", balance.NotSent, true, testserver.StreamErrnos...)...)
-	tests = append(tests, of("server read", balance.Cancelled, true, testserver.StreamErrnos...)...)
-	tests = append(tests, of("server read", balance.Reset, false, unix.ECONNRESET, unix.ETIMEDOUT)...)
+	tests := cases("connect", balance.NotSent, true, testserver.MachineErrnos...)
+	tests = append(tests, cases("connect", balance.ConnectFailed, false,
+		unix.ENETUNREACH, unix.EHOSTUNREACH, unix.ETIMEDOUT, unix.ECONNREFUSED)...)
+	tests = append(tests, cases("server write", balance.NotSent, true, testserver.StreamErrnos...)...)
+	tests = append(tests, cases("server read", balance.Cancelled, true, testserver.StreamErrnos...)...)
+	tests = append(tests, cases("server read", balance.Reset, false, unix.ECONNRESET, unix.ETIMEDOUT)...)
 	for _, tt := range tests {
 		t.Run(tt.call+", "+tt.errno.Error(), func(t *testing.T) {
-			f, b := &testserver.Failures{}, testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
-			u := newTestClient(t, b)
-			u.pool.dial = f.Dial
-			ask := func() balance.Outcome {
-				return u.Attempt(context.Background(), AttemptRequest{ServerID: "s-0", Message: newPostRequest(""), StartStreaming: declineStreaming}).Outcome
+			failures := &testserver.Failures{}
+			backend := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+			client := newTestClient(t, backend)
+			client.pool.dial = failures.Dial
+			attemptOutcome := func() balance.Outcome {
+				return sendRequest(client, "s-0", newPostRequest("")).Outcome
 			}
-			idle, err := u.pool.acquire(context.Background(), u.servers["s-0"])
+			idle, err := client.pool.acquire(context.Background(), client.servers["s-0"])
 			if err != nil {
 				t.Fatal(err)
 			}
 			once := testserver.Failure{Errno: tt.errno}
-			if f.Set(tt.call, once); tt.keeps {
-				if got := ask(); got != balance.Served {
-					t.Errorf("outcome %d after one failure, want that it was tried again", got)
+			failures.Set(tt.call, once)
+			if tt.keepsIdle {
+				if got := attemptOutcome(); got != balance.Served {
+					t.Errorf("outcome %d after one failure, want that it was retried", got)
 				}
-				u.pool.closeIdle(u.servers["s-0"])
+				client.pool.closeIdle(client.servers["s-0"])
 			}
-			f.Set(tt.call, slices.Repeat([]testserver.Failure{once}, 10)...)
-			u.pool.reuseDelay = testserver.Timeout // the idle connection is not taken for the attempt
-			u.pool.release(idle, true)
-			if got := ask(); got != tt.want {
+			failures.Set(tt.call, slices.Repeat([]testserver.Failure{once}, 10)...)
+			client.pool.reuseDelay = testserver.Timeout // the attempt does not use the idle connection
+			client.pool.release(idle, true)
+			if got := attemptOutcome(); got != tt.want {
 				t.Errorf("outcome %d, want %d", got, tt.want)
 			}
-			if kept := len(u.servers["s-0"].idle) == 1; kept != tt.keeps {
+			if kept := len(client.servers["s-0"].idle) == 1; kept != tt.keepsIdle {
 				t.Errorf("the idle connection is kept: %v", kept)
 			}
 		})
 	}
 }
 
-type connectTest struct {
-	call  string
-	errno syscall.Errno
-	want  balance.Outcome
-	keeps bool
+// socketErrorTest is a system call that fails, and what an attempt makes of it.
+type socketErrorTest struct {
+	call      string
+	errno     syscall.Errno
+	want      balance.Outcome
+	keepsIdle bool
+}
+
+// TestAttemptIsNotSentAfterEventWhileConnecting has something happen while the connection of an attempt opens. The
+// attempt is not sent then. The connection, on which nothing was written, stays open unless the server was removed.
+func TestAttemptIsNotSentAfterEventWhileConnecting(t *testing.T) {
+	for _, tt := range []struct {
+		name      string
+		event     func(*Client, *testserver.Backend, *atomic.Bool)
+		wantConns int
+	}{
+		{"the server drains", func(client *Client, backend *testserver.Backend, _ *atomic.Bool) {
+			updateEndpoint(t, client, 2, backend.Address, "DRAINING", 0)
+		}, 1},
+		{"a complete list leaves it out", func(client *Client, _ *testserver.Backend, _ *atomic.Bool) {
+			updateList(t, client, testserver.ListText(2, true))
+		}, 0},
+		{"it is removed", func(client *Client, backend *testserver.Backend, _ *atomic.Bool) {
+			updateEndpoint(t, client, 2, backend.Address, "DELETED", 0)
+		}, 0},
+		{"it starts again", func(client *Client, backend *testserver.Backend, _ *atomic.Bool) {
+			updateEndpoint(t, client, 2, backend.Address, "SERVING", 1700000000000)
+		}, 0},
+		{"it moves", func(client *Client, _ *testserver.Backend, _ *atomic.Bool) {
+			updateEndpoint(t, client, 2, "127.0.0.1:9", "SERVING", 0)
+		}, 0},
+		{"it is taken out of service", func(client *Client, _ *testserver.Backend, _ *atomic.Bool) {
+			client.SetAdminDown("s-0", true)
+		}, 0},
+		{"it is taken out of service and put back", func(client *Client, _ *testserver.Backend, _ *atomic.Bool) {
+			client.SetAdminDown("s-0", true)
+			client.SetAdminDown("s-0", false)
+		}, 0},
+		{"the request is cancelled", func(_ *Client, _ *testserver.Backend, cancelled *atomic.Bool) {
+			cancelled.Store(true)
+		}, 1},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			backend := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+			client := newTestClient(t, backend)
+			dialer := testserver.NewDelayedDialer()
+			client.pool.dial = dialer.Dial
+			var cancelled atomic.Bool
+			request := AttemptRequest{
+				ServerID:       "s-0",
+				Message:        newPostRequest("k"),
+				IsCancelled:    cancelled.Load,
+				StartStreaming: declineStreaming,
+			}
+			ended := make(chan Response, 1)
+			go func() { ended <- client.Attempt(context.Background(), request) }()
+			testserver.Receive(t, dialer.Connected, "connection")
+			tt.event(client, backend, &cancelled)
+			dialer.Release <- struct{}{}
+			response := testserver.Receive(t, ended, "end")
+			if response.Outcome != balance.NotSent || backend.RequestCount() != 0 {
+				t.Errorf("outcome %d, %d requests sent", response.Outcome, backend.RequestCount())
+			}
+			if client.pool.openConns != tt.wantConns {
+				t.Errorf("%d connections are left, want %d", client.pool.openConns, tt.wantConns)
+			}
+		})
+	}
+}
+
+// TestAttemptIsNotSentWhenConnectionOpensAfterSendDeadline: such an attempt is given up at the deadline, and is not
+// sent once the connection is open.
+func TestAttemptIsNotSentWhenConnectionOpensAfterSendDeadline(t *testing.T) {
+	backend := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+	client := newTestClient(t, backend)
+	dialer := testserver.NewDelayedDialer()
+	client.pool.dial = dialer.Dial
+	request := AttemptRequest{ServerID: "s-0", Message: newPostRequest("k"), StartStreaming: declineStreaming}
+	request.SendDeadline = time.Now().Add(50 * time.Millisecond)
+	if response := client.Attempt(context.Background(), request); response.Outcome != balance.NotSent {
+		t.Errorf("outcome %d where no connection came up in time", response.Outcome)
+	}
+	client.pool.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+		<-ctx.Done()
+		return net.Dial(network, address)
+	}
+	request.SendDeadline = time.Now().Add(50 * time.Millisecond)
+	response := client.Attempt(context.Background(), request)
+	if response.Outcome != balance.NotSent || backend.RequestCount() != 0 {
+		t.Errorf("outcome %d, %d requests sent after their deadline", response.Outcome, backend.RequestCount())
+	}
+}
+
+// TestAttemptStopsWritingAtSendDeadline: a server that has read only a part of a request by its send deadline never
+// gets the rest.
+func TestAttemptStopsWritingAtSendDeadline(t *testing.T) {
+	listener := testserver.Listen(t) // accepts no more than the system buffers
+	client := newTestClient(t, &testserver.Backend{Address: listener.Addr().String()})
+	message := newPostRequest("k")
+	message.Body = [][]byte{make([]byte, 32<<20), make([]byte, 32<<20)}
+	request := AttemptRequest{ServerID: "s-0", Message: message, StartStreaming: declineStreaming}
+	request.SendDeadline = time.Now().Add(50 * time.Millisecond)
+	ctx, cancel := context.WithTimeout(context.Background(), testserver.Timeout)
+	defer cancel()
+	if response := client.Attempt(ctx, request); response.Outcome != balance.NotSent || ctx.Err() != nil {
+		t.Errorf("outcome %d, error %v", response.Outcome, ctx.Err())
+	}
+	client.Update(discovery.List{Complete: true}) // would close a connection that went back to the pool
+	conn, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	if n, _ := io.Copy(io.Discard, conn); n >= int64(message.bodyLength()) {
+		t.Errorf("the server got %d bytes, with all %d of the body", n, message.bodyLength())
+	}
 }
--- /dev/null
+++ b/internal/upstream/pool_test.go
@@ -0,0 +1,186 @@
+package upstream
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/lab/testserver"
+)
+
+// TestResetOnReusedConnectionIsNotRetried has a server respond once and then reset the connection on the next
+// request. http.Transport would retry GETs and requests with an idempotency key by itself.
+func TestResetOnReusedConnectionIsNotRetried(t *testing.T) {
+	for _, message := range []*Message{newGetRequest(), newPostRequest(""), newPostRequest("k")} {
+		first := true
+		backend := testserver.StartBackend(t, func(conn net.Conn, r *http.Request, body []byte) bool {
+			if first {
+				first = false
+				return testserver.Respond(200, "", "ok")(conn, r, body)
+			}
+			return testserver.ResetConnection(conn, r, body)
+		})
+		client := newTestClient(t, backend)
+		if response := sendStreaming(client, "s-0", message); response.Outcome != balance.Served {
+			t.Fatalf("first outcome %d", response.Outcome)
+		}
+		if response := sendStreaming(client, "s-0", message); response.Outcome != balance.Reset {
+			t.Errorf("%s with key %q: outcome %d, want a reset",
+				message.Method, message.IdempotencyKey, response.Outcome)
+		}
+		if n := backend.RequestCount(); n != 2 {
+			t.Errorf("%s with key %q: %d requests for two attempts", message.Method, message.IdempotencyKey, n)
+		}
+	}
+}
+
+// TestFailureClosesIdleConnections has one attempt fail while another connection is idle: that one must not get a
+// request.
+func TestFailureClosesIdleConnections(t *testing.T) {
+	for _, timeout := range []bool{true, false} {
+		conns := make(chan net.Conn, 10)
+		behaviours := make(chan string, 10)
+		backend := testserver.StartBackend(t, func(conn net.Conn, r *http.Request, body []byte) bool {
+			conns <- conn
+			switch <-behaviours {
+			case "silent":
+				return testserver.NeverRespond(conn, r, body)
+			case "reset":
+				return testserver.ResetConnection(conn, r, body)
+			}
+			return testserver.Respond(200, "", "")(conn, r, body)
+		})
+		client := newTestClient(t, backend)
+		ended := make(chan Response, 2)
+		for range 2 {
+			go func() { ended <- sendRequest(client, "s-0", newGetRequest()) }()
+		}
+		old := map[net.Conn]bool{}
+		for range 2 {
+			old[testserver.Receive(t, conns, "connection")] = true
+		}
+		for range 2 {
+			behaviours <- "ok"
+			testserver.Receive(t, ended, "end")
+		}
+		ctx := newManualDeadline()
+		want := balance.Reset
+		go func() { ended <- sendRequestWithin(ctx, client, "s-0", newGetRequest()) }()
+		if conn := testserver.Receive(t, conns, "connection"); !old[conn] {
+			t.Fatal("the request did not reuse a connection")
+		}
+		if timeout {
+			want = balance.TimedOut
+			behaviours <- "silent"
+			ctx.expire()
+		} else {
+			behaviours <- "reset"
+		}
+		if response := testserver.Receive(t, ended, "end"); response.Outcome != want {
+			t.Errorf("outcome %d, want %d", response.Outcome, want)
+		}
+		go func() { ended <- sendRequest(client, "s-0", newGetRequest()) }()
+		if conn := testserver.Receive(t, conns, "connection"); old[conn] {
+			t.Error("a request went to an idle connection of a server that failed")
+		}
+		behaviours <- "ok"
+		testserver.Receive(t, ended, "end")
+	}
+}
+
+// TestSecondResponseIsNotTakenForNextRequest has a server send its response again as soon as a second request comes
+// on the connection. A connection that rests after its response gets no request, so the second response is never
+// read.
+func TestSecondResponseIsNotTakenForNextRequest(t *testing.T) {
+	backend := testserver.StartBackend(t, func(conn net.Conn, r *http.Request, body []byte) bool {
+		id := r.Header.Get("X-Request-Id")
+		testserver.Respond(200, "", id)(conn, r, body)
+		_, _ = conn.Read(make([]byte, 1)) // until more comes
+		testserver.Respond(200, "", id)(conn, r, body)
+		return false
+	})
+	client := newTestClient(t, backend)
+	client.pool.reuseDelay = time.Hour
+	for i := range 3 {
+		message := newGetRequest()
+		message.ID = fmt.Sprint("id-", i)
+		response := sendRequest(client, "s-0", message)
+		if response.Outcome != balance.Served || string(response.Body) != message.ID {
+			t.Errorf("outcome %d, body %q to %s", response.Outcome, response.Body, message.ID)
+		}
+	}
+	if client.pool.openConns != 3 {
+		t.Errorf("%d connections, want one for each request", client.pool.openConns)
+	}
+}
+
+// TestConnectionRestsBeforeReuse sends two requests one right after the other: within the reuse delay of the first
+// one's connection the second has one of its own. A pair that a busy machine delayed for longer shows nothing and is
+// repeated.
+func TestConnectionRestsBeforeReuse(t *testing.T) {
+	end := time.Now().Add(testserver.Timeout)
+	for time.Now().Before(end) {
+		backend := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+		client := newDefaultClient(t, backend)
+		startedAt := time.Now()
+		for range 2 {
+			response := sendRequest(client, "s-0", newGetRequest())
+			if response.Outcome != balance.Served {
+				t.Fatalf("outcome %d", response.Outcome)
+			}
+		}
+		if time.Since(startedAt) >= 20*time.Millisecond {
+			continue
+		}
+		if client.pool.openConns != 2 {
+			t.Errorf("%d connections for two requests within 20 ms, want 2", client.pool.openConns)
+		}
+		return
+	}
+	t.Fatal("no two requests within 20 ms")
+}
+
+// TestConnLimitReplacesLongestIdleConnection: at the limit a new connection replaces the longest idle one, and where
+// none is idle nothing is sent.
+func TestConnLimitReplacesLongestIdleConnection(t *testing.T) {
+	mayRespond := make(chan bool)
+	quick := testserver.StartBackend(t, testserver.Respond(200, "", ""))
+	slow := testserver.StartBackend(t, func(conn net.Conn, r *http.Request, body []byte) bool {
+		<-mayRespond
+		return testserver.Respond(200, "", "")(conn, r, body)
+	})
+	client := newTestClient(t, quick, slow)
+	client.pool.maxConns = 1
+	if response := sendRequest(client, "s-0", newGetRequest()); response.Outcome != balance.Served {
+		t.Fatalf("outcome %d", response.Outcome)
+	}
+	ended := make(chan Response, 1)
+	go func() { ended <- sendRequest(client, "s-1", newGetRequest()) }()
+	testserver.Receive(t, slow.Requests, "request in the idle connection's place")
+	if response := sendRequest(client, "s-0", newGetRequest()); response.Outcome != balance.NotSent {
+		t.Errorf("outcome %d with no descriptor left", response.Outcome)
+	}
+	close(mayRespond)
+	testserver.Receive(t, ended, "end")
+	if client.pool.openConns != 1 || client.pool.idleConns.Len() != 1 {
+		t.Errorf("%d open, %d idle", client.pool.openConns, client.pool.idleConns.Len())
+	}
+}
+
+// TestIdleConnectionsExpire: the pool closes a connection that was idle for the idle timeout.
+func TestIdleConnectionsExpire(t *testing.T) {
+	closed := make(chan bool, 1)
+	backend := testserver.StartBackend(t, func(conn net.Conn, r *http.Request, body []byte) bool {
+		testserver.Respond(200, "", "")(conn, r, body)
+		testserver.NeverRespond(conn, r, body)
+		closed <- true
+		return false
+	})
+	client := newTestClient(t, backend)
+	client.pool.idleTimeoutNanos.Store(int64(20 * time.Millisecond))
+	sendRequest(client, "s-0", newGetRequest())
+	testserver.Receive(t, closed, "end of the idle connection")
+}
--- /dev/null
+++ b/internal/upstream/request_test.go
@@ -0,0 +1,60 @@
+package upstream
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"strconv"
+	"testing"
+	"time"
+
+	"milletramp.example/milletramp/internal/lab/testserver"
+)
+
+// TestRequestIsForwardedUnchanged: a server gets the client's request, with the time that is left.
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	bodies := make(chan string, 1)
+	backend := testserver.StartBackend(t, func(conn net.Conn, r *http.Request, body []byte) bool {
+		bodies <- string(body)
+		return testserver.Respond(200, "", "")(conn, r, body)
+	})
+	ctx, cancel := context.WithTimeout(context.Background(), testserver.Timeout)
+	defer cancel()
+	sendRequestWithin(ctx, newTestClient(t, backend), "s-0", newPostRequest("k-7"))
+	request := testserver.Receive(t, backend.Requests, "request")
+	header := request.Header
+	if request.Method != "POST" || request.RequestURI != "/api?k=a%20b" || header.Get("X-Request-ID") != "id-1" ||
+		header.Get("Idempotency-Key") != "k-7" || header.Get("Accept-Encoding") != "" || request.ContentLength != 4 {
+		t.Errorf("got %+v", request)
+	}
+	if body := testserver.Receive(t, bodies, "body"); body != "skip" {
+		t.Errorf("body %q", body)
+	}
+	var ms int64
+	_, err := fmt.Sscan(header.Get("X-Timeout-Ms"), &ms)
+	if err != nil || ms < 1 || ms > testserver.Timeout.Milliseconds() {
+		t.Errorf("X-Timeout-Ms %q: %v", header.Get("X-Timeout-Ms"), err)
+	}
+}
+
+// TestTimeoutHeaderExcludesConnectTime: the time that a server gets is what is left once its connection is open.
+func TestTimeoutHeaderExcludesConnectTime(t *testing.T) {
+	backend := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+	client := newTestClient(t, backend)
+	dialer := testserver.NewDelayedDialer()
+	client.pool.dial = dialer.Dial
+	ctx, cancel := context.WithTimeout(context.Background(), testserver.Timeout)
+	defer cancel()
+	go sendRequestWithin(ctx, client, "s-0", newGetRequest())
+	testserver.Receive(t, dialer.Connected, "connection")
+	const connectTime = 100 * time.Millisecond
+	time.Sleep(connectTime)
+	dialer.Release <- struct{}{}
+	request := testserver.Receive(t, backend.Requests, "request")
+	timeoutMS, err := strconv.Atoi(request.Header.Get("X-Timeout-Ms"))
+	if err != nil || time.Duration(timeoutMS)*time.Millisecond > testserver.Timeout-connectTime {
+		t.Errorf("the server gets %d ms, error %v, where %v less than %v are left",
+			timeoutMS, err, connectTime, testserver.Timeout)
+	}
+}
