--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -39,8 +39,8 @@
 // reached: the silence is noticed, the call waits its turn, fails, waits again, and the next one is answered.
 const MaxUpdateDelay = watchSilenceTimeout + balance.FirstDiscoveryBackoff + FirstListTimeout + 2*balance.FirstDiscoveryBackoff
 
-// errSilent says that a watch was given up as nothing came.
-var errSilent = errors.New("discovery is silent")
+// errWatchTimeout says that a watch was given up as nothing came.
+var errWatchTimeout = errors.New("discovery is silent")
 
 // Endpoint is one server of discovery's list.
 type Endpoint struct {
@@ -156,7 +156,7 @@
 		defer late.Stop()
 		patience = slowListTimeout
 	}
-	silent := time.AfterFunc(patience, func() { cancel(fmt.Errorf("%w: nothing came for %v", errSilent, patience)) })
+	silent := time.AfterFunc(patience, func() { cancel(fmt.Errorf("%w: nothing came for %v", errWatchTimeout, patience)) })
 	defer silent.Stop()
 	body, err := d.openWatch(ctx, from)
 	if err != nil {
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -163,7 +163,7 @@
 			d := NewClient("127.0.0.1:9", 0, spoken(time.Millisecond, pieces...))
 			var revs []int64
 			err := d.Watch(context.Background(), 1, func(l List) { revs = append(revs, l.Revision) }, func() {})
-			if fmt.Sprint(revs) != "[2 3 4]" || !errors.Is(err, errSilent) {
+			if fmt.Sprint(revs) != "[2 3 4]" || !errors.Is(err, errWatchTimeout) {
 				t.Errorf("pieces of %d bytes: lists %v, error %v", size, revs, err)
 			}
 		})
@@ -181,7 +181,7 @@
 		name   string
 		pieces []string
 		want   error
-	}{{"a trickle", trickle, errSilent}, {"a flood", flood, bufio.ErrTooLong}} {
+	}{{"a trickle", trickle, errWatchTimeout}, {"a flood", flood, bufio.ErrTooLong}} {
 		synctest.Test(t, func(t *testing.T) {
 			d := NewClient("127.0.0.1:9", 0, spoken(time.Second, tt.pieces...))
 			began := time.Now()
--- a/internal/discovery/start_times_test.go
+++ b/internal/discovery/start_times_test.go
@@ -201,7 +201,7 @@
 				d := NewClient("127.0.0.1:9", 0, spoken(time.Millisecond, pieces...))
 				got := 0
 				err := d.Watch(context.Background(), tt.from, func(List) {}, func() { got++ })
-				if got != tt.want || !errors.Is(err, errSilent) && !errors.Is(err, io.EOF) {
+				if got != tt.want || !errors.Is(err, errWatchTimeout) && !errors.Is(err, io.EOF) {
 					t.Errorf("%d heartbeats, want %d, error %v", got, tt.want, err)
 				}
 			})
--- a/internal/discovery/subscriptions.go
+++ b/internal/discovery/subscriptions.go
@@ -53,7 +53,7 @@
 	next           *subscription // at a new address, until its first list has come; nil: none
 	slow           *subscription // its first list is late, and another call was made at the same address; nil: none
 	addressRetries int           // calls of the new address that failed
-	wasSilent      bool          // the last watch was silent: the next one asks for the complete list, which comes at once
+	lastWatchTimedOut      bool          // the last watch was silent: the next one asks for the complete list, which comes at once
 }
 
 // subscription is one watch.
@@ -71,10 +71,10 @@
 		return
 	}
 	from := s.revision
-	if s.wasSilent {
+	if s.lastWatchTimedOut {
 		from = wholeList
 	}
-	s.current = s.open(from)
+	s.current = s.startWatch(from)
 }
 
 // SwitchAddress follows discovery at another address. The old address goes on telling until the new one has answered:
@@ -91,11 +91,11 @@
 		}
 	}
 	s.slow = nil
-	s.next = s.open(wholeList) // a revision of the old address may mean another list at the new one
+	s.next = s.startWatch(wholeList) // a revision of the old address may mean another list at the new one
 }
 
-// open opens a watch on what came after revision from.
-func (s *Subscriptions) open(from int64) *subscription {
+// startWatch opens a watch on what came after revision from.
+func (s *Subscriptions) startWatch(from int64) *subscription {
 	ctx, cancel := context.WithCancel(s.ctx)
 	opened := &subscription{cancel}
 	client := NewClient(s.address, s.options.ConnectTimeout, s.options.Dial)
@@ -130,7 +130,7 @@
 	if list.Complete {
 		kind = balance.ListFull
 	}
-	s.wasSilent = false
+	s.lastWatchTimedOut = false
 	s.revision = list.Revision
 	s.subscriber.OnUpdate(kind, list)
 }
@@ -153,7 +153,7 @@
 	} else {
 		s.slow = late
 	}
-	s.replace(late, errSilent)
+	s.replaceWatch(late, errWatchTimeout)
 }
 
 // onWatchEnded takes in that a watch has ended.
@@ -161,11 +161,11 @@
 	if s.slow == ended {
 		s.slow = nil
 	}
-	s.replace(ended, err)
+	s.replaceWatch(ended, err)
 }
 
-// replace takes in that another watch is to be opened in the place of one that has ended, or is slow.
-func (s *Subscriptions) replace(ended *subscription, err error) {
+// replaceWatch takes in that another watch is to be opened in the place of one that has ended, or is slow.
+func (s *Subscriptions) replaceWatch(ended *subscription, err error) {
 	switch ended {
 	case s.next:
 		s.options.Log.Info("discovery", "err", err)
@@ -173,7 +173,7 @@
 	case s.current:
 		s.options.Log.Info("discovery", "err", err)
 		s.current = nil
-		s.wasSilent = s.wasSilent || errors.Is(err, errSilent)
+		s.lastWatchTimedOut = s.lastWatchTimedOut || errors.Is(err, errWatchTimeout)
 		if s.next == nil { // else the new address is about to answer
 			s.subscriber.OnWatchEnded()
 		}
@@ -187,7 +187,7 @@
 	time.AfterFunc(backoff, func() {
 		s.subscriber.Post(func() {
 			if s.next == ended {
-				s.next = s.open(wholeList)
+				s.next = s.startWatch(wholeList)
 			}
 		})
 	})
