--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -22,8 +22,8 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestObjects cuts drawn objects, indented or not, from a stream that comes in drawn pieces: each comes out as it went in.
-func TestObjects(t *testing.T) {
+// TestSplitterReturnsObjectsUnchanged cuts drawn objects, indented or not, from a stream that comes in drawn pieces: each comes out as it went in.
+func TestSplitterReturnsObjectsUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var stream bytes.Buffer
 		var want []string
@@ -42,7 +42,7 @@
 			stream.WriteString(rapid.StringMatching("[ \t\r\n]{0,3}").Draw(t, "behind"))
 		}
 		piece := rapid.IntRange(1, 40).Draw(t, "piece")
-		in := bufio.NewScanner(&inPieces{&stream, piece})
+		in := bufio.NewScanner(&pieceReader{&stream, piece})
 		in.Split((&jsonSplitter{}).split)
 		var got []string
 		for in.Scan() {
@@ -54,17 +54,17 @@
 	})
 }
 
-// inPieces reads at most so many bytes at a time.
-type inPieces struct {
+// pieceReader reads at most so many bytes at a time.
+type pieceReader struct {
 	in   io.Reader
-	most int
+	maxBytes int
 }
 
 // Read implements io.Reader.
-func (p *inPieces) Read(b []byte) (int, error) { return p.in.Read(b[:min(len(b), p.most)]) }
+func (p *pieceReader) Read(b []byte) (int, error) { return p.in.Read(b[:min(len(b), p.maxBytes)]) }
 
 // TestNoObjects: a stream that holds anything else is turned down where that begins.
-func TestNoObjects(t *testing.T) {
+func TestSplitterRejectsOtherValues(t *testing.T) {
 	for _, text := range []string{"[]", "1", "x", "{", `{"a":"}`, `{} {"a":[1,2}`} {
 		in := bufio.NewScanner(strings.NewReader(text))
 		in.Split((&jsonSplitter{}).split)
@@ -74,7 +74,7 @@
 			t.Errorf("%q passed", text)
 		}
 	}
-	endless := bufio.NewScanner(io.MultiReader(strings.NewReader(`{"a":"`), neverEnding{}))
+	endless := bufio.NewScanner(io.MultiReader(strings.NewReader(`{"a":"`), endlessReader{}))
 	endless.Buffer(nil, 1<<16)
 	endless.Split((&jsonSplitter{}).split)
 	if endless.Scan() || !errors.Is(endless.Err(), bufio.ErrTooLong) {
@@ -83,7 +83,7 @@
 }
 
 // TestObjectsAreNotHeldBack: an object is there once its last byte is, whatever comes before it and though nothing comes behind it.
-func TestObjectsAreNotHeldBack(t *testing.T) {
+func TestSplitterReturnsObjectAtItsLastByte(t *testing.T) {
 	out, in := io.Pipe()
 	defer in.Close()
 	lists := bufio.NewScanner(out)
@@ -104,19 +104,19 @@
 	}
 }
 
-// neverEnding is a string that goes on.
-type neverEnding struct{}
+// endlessReader is a string that goes on.
+type endlessReader struct{}
 
 // Read implements io.Reader.
-func (neverEnding) Read(b []byte) (int, error) {
+func (endlessReader) Read(b []byte) (int, error) {
 	for i := range b {
 		b[i] = 'a'
 	}
 	return len(b), nil
 }
 
-// spoken is a connection on which discovery says these pieces, one every pause, and then nothing more.
-func spoken(pause time.Duration, pieces ...string) DialFunc {
+// dialScripted is a connection on which discovery says these pieces, one every pause, and then nothing more.
+func dialScripted(pause time.Duration, pieces ...string) DialFunc {
 	return func(context.Context, string, string) (net.Conn, error) {
 		near, far := net.Pipe()
 		go func() {
@@ -146,7 +146,7 @@
 }
 
 // TestListForms: a list may come indented, in pieces, without an end of its line, and beside others.
-func TestListForms(t *testing.T) {
+func TestWatchAcceptsListsInAnyForm(t *testing.T) {
 	var indented bytes.Buffer
 	if err := json.Indent(&indented, []byte(testserver.ServingList(2, &testserver.Backend{Address: "127.0.0.1:9"})), "\t", "  "); err != nil {
 		t.Fatal(err)
@@ -160,7 +160,7 @@
 				n := min(size, len(all))
 				pieces, all = append(pieces, all[:n]), all[n:]
 			}
-			d := NewClient("127.0.0.1:9", 0, spoken(time.Millisecond, pieces...))
+			d := NewClient("127.0.0.1:9", 0, dialScripted(time.Millisecond, pieces...))
 			var revs []int64
 			err := d.Watch(context.Background(), 1, func(l List) { revs = append(revs, l.Revision) }, func() {})
 			if fmt.Sprint(revs) != "[2 3 4]" || !errors.Is(err, errWatchTimeout) {
@@ -171,7 +171,7 @@
 }
 
 // TestListThatNeverEnds: bytes that come all the time are no progress where their list has no end. Nor are more bytes than a list has.
-func TestListThatNeverEnds(t *testing.T) {
+func TestWatchEndsOnListWithoutEnd(t *testing.T) {
 	trickle := []string{"HTTP/1.1 200 OK\r\n\r\n", `{"rev":1,"targets":[`}
 	for range 100 {
 		trickle = append(trickle, " ")
@@ -183,7 +183,7 @@
 		want   error
 	}{{"a trickle", trickle, errWatchTimeout}, {"a flood", flood, bufio.ErrTooLong}} {
 		synctest.Test(t, func(t *testing.T) {
-			d := NewClient("127.0.0.1:9", 0, spoken(time.Second, tt.pieces...))
+			d := NewClient("127.0.0.1:9", 0, dialScripted(time.Second, tt.pieces...))
 			began := time.Now()
 			err := d.Watch(context.Background(), 1, func(l List) { t.Errorf("%s: list %+v", tt.name, l) }, func() {})
 			if took := time.Since(began); !errors.Is(err, tt.want) || took > 2*time.Second+listTimeout+watchSilenceTimeout {
@@ -193,8 +193,8 @@
 	}
 }
 
-// TestSilentWatchEnds gives up a watch on which nothing comes.
-func TestSilentWatchEnds(t *testing.T) {
+// TestWatchEndsWhenDiscoveryIsUnresponsive gives up a watch on which nothing comes.
+func TestWatchEndsWhenDiscoveryIsUnresponsive(t *testing.T) {
 	d := NewClient(testserver.StartDiscovery(t).Address, testserver.Timeout, nil)
 	d.silenceTimeout = 50 * time.Millisecond
 	err := d.Watch(context.Background(), -1, func(List) { t.Error("a list") }, func() {})
--- a/internal/discovery/start_times_test.go
+++ b/internal/discovery/start_times_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// hearing runs play in a bubble with a loop that gets the lists that play says, as from its watch.
-func hearing(t *testing.T, play func(t *testing.T, l *testLoop, says func(complete bool, endpoints ...Endpoint))) {
+// withTestLoop runs play in a bubble with a loop that gets the lists that play says, as from its watch.
+func withTestLoop(t *testing.T, play func(t *testing.T, l *testLoop, says func(complete bool, endpoints ...Endpoint))) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newTestLoop(context.Background(), nil)
 		l.subscriptions.current = &subscription{func() {}}
@@ -77,8 +77,8 @@
 	})
 }
 
-// claimed is a server that discovery claims to have started at a time; zero: long ago.
-func claimed(id string, boot time.Time) Endpoint {
+// endpointStartedAt is a server that discovery claims to have started at a time; zero: long ago.
+func endpointStartedAt(id string, boot time.Time) Endpoint {
 	return Endpoint{ID: id, Address: "127.0.0.1:9", Zone: "a", Kind: "m", Weight: 1, StartedAt: boot}
 }
 
@@ -100,9 +100,9 @@
 			{"discovery's clock, behind a heartbeat", 0, step, true, max(0, min(100*time.Millisecond, age-step))},
 		} {
 			t.Run(fmt.Sprintf("%s by %v", tt.name, step), func(t *testing.T) {
-				hearing(t, func(t *testing.T, l *testLoop, says func(bool, ...Endpoint)) {
-					old := claimed("s-0", time.Now().Add(-5*time.Second).Round(0))
-					says(true, old, claimed("s-1", time.Time{}))
+				withTestLoop(t, func(t *testing.T, l *testLoop, says func(bool, ...Endpoint)) {
+					old := endpointStartedAt("s-0", time.Now().Add(-5*time.Second).Round(0))
+					says(true, old, endpointStartedAt("s-1", time.Time{}))
 					if got := l.clock() - l.starts.StartOf(old); got != 5*time.Second {
 						t.Fatalf("in the first list a server is %v old, want 5s", got)
 					}
@@ -112,18 +112,18 @@
 					}
 					time.Sleep(100 * time.Millisecond)
 					l.starts.wallClock = func() time.Time { return time.Now().Add(tt.here).Round(0) }
-					fresh := claimed("s-2", time.Now().Add(tt.abroad-age).Round(0))
+					fresh := endpointStartedAt("s-2", time.Now().Add(tt.abroad-age).Round(0))
 					says(false, fresh)
 					if got := l.clock() - l.starts.StartOf(fresh); got != tt.want {
 						t.Errorf("it is %v old, want %v", got, tt.want)
 					}
-					again := claimed("s-0", fresh.StartedAt)
+					again := endpointStartedAt("s-0", fresh.StartedAt)
 					says(false, again)
 					if got := l.clock() - l.starts.StartOf(again); got != 0 {
 						t.Errorf("one that has started since the list before, at the same time, is %v old", got)
 					}
 					says(true, fresh, old)
-					if l.starts.StartOf(claimed("s-1", time.Time{})) != 0 || l.clock()-l.starts.StartOf(fresh) != tt.want {
+					if l.starts.StartOf(endpointStartedAt("s-1", time.Time{})) != 0 || l.clock()-l.starts.StartOf(fresh) != tt.want {
 						t.Error("a list that tells nothing new changes a start")
 					}
 				})
@@ -132,11 +132,11 @@
 	}
 }
 
-// TestStartsThatAreKnown has a server be on no list for a while and come back with the start that it had: it is as warm
+// TestStartIsKeptWhileServerIsDelisted has a server be on no list for a while and come back with the start that it had: it is as warm
 // as it was. One that a new discovery lists and the former did not is at most as old as the former one's last list.
-func TestStartsThatAreKnown(t *testing.T) {
-	hearing(t, func(t *testing.T, l *testLoop, says func(bool, ...Endpoint)) {
-		warm, other := claimed("s-0", time.Now().Add(-time.Minute).Round(0)), claimed("s-1", time.Time{})
+func TestStartIsKeptWhileServerIsDelisted(t *testing.T) {
+	withTestLoop(t, func(t *testing.T, l *testLoop, says func(bool, ...Endpoint)) {
+		warm, other := endpointStartedAt("s-0", time.Now().Add(-time.Minute).Round(0)), endpointStartedAt("s-1", time.Time{})
 		says(true, warm, other)
 		was := l.starts.StartOf(warm)
 		says(true, other)
@@ -150,7 +150,7 @@
 		next := &subscription{func() {}}
 		l.subscriptions.next = next
 		l.subscriptions.onUnchanged(next) // which has told nothing yet
-		unheard := claimed("s-2", time.Now().Add(-time.Hour).Round(0))
+		unheard := endpointStartedAt("s-2", time.Now().Add(-time.Hour).Round(0))
 		l.subscriptions.onUpdate(next, List{Revision: 1, Complete: true, Endpoints: []Endpoint{warm, other, unheard}})
 		if got := l.clock() - l.starts.StartOf(unheard); got != 3*time.Second {
 			t.Errorf("a server that the former discovery did not list is %v old, want 3s", got)
@@ -158,18 +158,18 @@
 	})
 }
 
-// TestStartsAreBounded has many servers pass by: the starts of the last ones are kept, and those of servers that are
+// TestDelistedStartsAreBounded has many servers pass by: the starts of the last ones are kept, and those of servers that are
 // listed.
-func TestStartsAreBounded(t *testing.T) {
+func TestDelistedStartsAreBounded(t *testing.T) {
 	s := NewStartTimes(func() balance.Time { return 24 * time.Hour })
 	says := func(target Endpoint) {
 		s.StartOf(target)
 		s.Update(24*time.Hour, balance.ListChanges, List{Endpoints: []Endpoint{target}})
 	}
-	stays, last := claimed("s-0", time.Now()), Endpoint{}
+	stays, last := endpointStartedAt("s-0", time.Now()), Endpoint{}
 	says(stays)
 	for i := range 2 * maxDelisted {
-		last = claimed(fmt.Sprintf("p-%d", i), time.Now())
+		last = endpointStartedAt(fmt.Sprintf("p-%d", i), time.Now())
 		says(last)
 		gone := last
 		gone.State = balance.Removed
@@ -180,9 +180,9 @@
 	}
 }
 
-// TestHeartbeats counts what is a heartbeat: white space alone, outside a list and behind one or a version to begin
+// TestWatchReportsHeartbeats counts what is a heartbeat: white space alone, outside a list and behind one or a version to begin
 // with.
-func TestHeartbeats(t *testing.T) {
+func TestWatchReportsHeartbeats(t *testing.T) {
 	first, half, rest := testserver.ListText(2, true), `{"rev":3,"targets":`, "[]}\n"
 	for _, tt := range []struct {
 		name   string
@@ -198,7 +198,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				pieces := append([]string{"HTTP/1.1 200 OK\r\n\r\n"}, tt.pieces...)
-				d := NewClient("127.0.0.1:9", 0, spoken(time.Millisecond, pieces...))
+				d := NewClient("127.0.0.1:9", 0, dialScripted(time.Millisecond, pieces...))
 				got := 0
 				err := d.Watch(context.Background(), tt.from, func(List) {}, func() { got++ })
 				if got != tt.want || !errors.Is(err, errWatchTimeout) && !errors.Is(err, io.EOF) {
--- a/internal/discovery/subscriptions_test.go
+++ b/internal/discovery/subscriptions_test.go
@@ -12,8 +12,8 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestFormerWatch has a former watch say a line and end after the new one has answered: neither is news.
-func TestFormerWatch(t *testing.T) {
+// TestFormerWatchIsIgnored has a former watch say a line and end after the new one has answered: neither is news.
+func TestFormerWatchIsIgnored(t *testing.T) {
 	l := newTestLoop(context.Background(), nil)
 	w := l.subscriptions
 	over := make(chan string, 2)
@@ -24,7 +24,7 @@
 		t.Fatal("the end of the old watch cost the new one")
 	}
 	w.current = old
-	w.onUpdate(next, List{Revision: 9, Complete: true, Endpoints: []Endpoint{claimed("s-0", time.Time{})}})
+	w.onUpdate(next, List{Revision: 9, Complete: true, Endpoints: []Endpoint{endpointStartedAt("s-0", time.Time{})}})
 	if who := testserver.Receive(t, over, "end of the old watch"); who != "old" {
 		t.Errorf("the %s watch was ended", who)
 	}
@@ -35,9 +35,9 @@
 	}
 }
 
-// TestLateListOfAFormerAddress has discovery move while a late call goes on next to another: the call ends, and what it
+// TestSlowWatchOfFormerAddressIsIgnored has discovery move while a late call goes on next to another: the call ends, and what it
 // still tells is dropped.
-func TestLateListOfAFormerAddress(t *testing.T) {
+func TestSlowWatchOfFormerAddressIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		a := &testserver.Agent{}
