--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -56,7 +56,7 @@
 
 // pieceReader reads at most so many bytes at a time.
 type pieceReader struct {
-	in   io.Reader
+	in       io.Reader
 	maxBytes int
 }
 
--- a/internal/discovery/subscriptions.go
+++ b/internal/discovery/subscriptions.go
@@ -15,9 +15,6 @@
 	maxAddressBackoff = 400 * time.Millisecond
 )
 
-// wholeList is the revision to watch from that asks for the complete list.
-const wholeList = -1
-
 // Subscriber is the event loop that a Subscriptions serves. Its On methods are called on the loop's goroutine.
 type Subscriber interface {
 	// Post runs f on the loop's goroutine. It does not wait.
@@ -47,13 +44,13 @@
 	subscriber Subscriber
 	options    Options
 
-	address        string        // of discovery, as last configured
-	revision       int64         // of the list in hand; -1: none
-	current        *subscription // whose updates count; nil: none is open
-	next           *subscription // at a new address, until its first list has come; nil: none
-	slow           *subscription // its first list is late, and another call was made at the same address; nil: none
-	addressRetries int           // calls of the new address that failed
-	lastWatchTimedOut      bool          // the last watch was silent: the next one asks for the complete list, which comes at once
+	address           string        // of discovery, as last configured
+	revision          int64         // of the list in hand; -1: none
+	current           *subscription // whose updates count; nil: none is open
+	next              *subscription // at a new address, until its first list has come; nil: none
+	slow              *subscription // its first list is late, and another call was made at the same address; nil: none
+	addressRetries    int           // calls of the new address that failed
+	lastWatchTimedOut bool          // the last watch was silent: the next one asks for the complete list, which comes at once
 }
 
 // subscription is one watch.
