--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// watchSilenceTimeout is how long a watch may bring nothing. Discovery sends at least an empty line every 2 s; a machine
-	// that is cut off sends nothing, and its last list would be taken for the current one for ever.
+	// watchSilenceTimeout is how long a watch may bring nothing. Discovery sends at least an empty line every 2 s; a
+	// machine that is cut off sends nothing, and its last list would be taken for the current one for ever.
 	watchSilenceTimeout = 3 * time.Second
-	// FirstListTimeout is how long the first list may take of a watch that asks for the complete list, which discovery sends
-	// at once.
+	// FirstListTimeout is how long the first list may take of a watch that asks for the complete list, which
+	// discovery sends at once.
 	FirstListTimeout = 1200 * time.Millisecond
 	// slowListTimeout is how long a watch that is late with its first list goes on next to another one.
 	slowListTimeout = 5 * time.Second
@@ -30,8 +30,8 @@
 	maxListBytes = 4 << 20
 )
 
-// MaxStaleness is how long after discovery has a change, and can be reached, the change counts as notified, whatever calls
-// failed before.
+// MaxStaleness is how long after discovery has a change, and can be reached, the change counts as notified, whatever
+// calls failed before.
 const MaxStaleness = 6 * time.Second
 
 // MaxUpdateDelay is the longest time from a watch's last byte to a new list if one call fails although discovery can be
@@ -59,8 +59,8 @@
 	onSlow           func() // called where the first list is late; the watch then goes on for a while. nil: it ends
 }
 
-// NewClient returns a client of the discovery at address. dial opens connections; nil: over TCP, with connectTimeout, but
-// at least minConnectTimeout, for a connection to open.
+// NewClient returns a client of the discovery at address. dial opens connections; nil: over TCP, with connectTimeout,
+// but at least minConnectTimeout, for a connection to open.
 func NewClient(address string, connectTimeout time.Duration, dial DialFunc) *Client {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: max(connectTimeout, minConnectTimeout)}).DialContext
--- a/internal/discovery/splitter.go
+++ b/internal/discovery/splitter.go
@@ -6,50 +6,50 @@
 	"time"
 )
 
-// errNotObject says that a stream of JSON objects holds something else.
+// errNotObject says that a stream of JSON objects has something else in it.
 var errNotObject = errors.New("no JSON object")
 
-// jsonSplitter parts a stream into JSON objects, in whatever lines and pieces they come. It finds where each one ends and leaves it to the
-// parser whether it is well formed. The zero value is at a stream's start. A bufio.Scanner bounds the size of one.
+// jsonSplitter splits a stream into JSON objects, in whatever lines and pieces they come. It finds the end of each and
+// leaves it to the parser whether it is well formed. Its split is used by a bufio.Scanner, which bounds the size of an
+// object. The zero value is at the start of a stream.
 type jsonSplitter struct {
-	scanned   int // bytes of the object that have been looked at; 0: none has begun
-	depth     int // of brackets that are open
+	scanned   int // bytes of the current object that were consumed; 0: no object has begun
+	depth     int // open brackets and braces
 	inString  bool
-	escaped   bool // the next byte of a string has no meaning of its own
-	startedAt time.Time
+	escaped   bool      // the next byte of the string follows a backslash
+	startedAt time.Time // when the first byte of the current object came
 }
 
-// inObject tells whether an object is on its way.
-func (o *jsonSplitter) inObject() bool { return o.scanned > 0 }
+// inObject reports whether an object has begun and not ended.
+func (s *jsonSplitter) inObject() bool { return s.scanned > 0 }
 
-// objectAge is for how long an object has been coming; 0: none has begun.
-func (o *jsonSplitter) objectAge() time.Duration {
-	if o.scanned == 0 {
+// objectAge returns for how long the current object has been coming; 0: no object has begun.
+func (s *jsonSplitter) objectAge() time.Duration {
+	if s.scanned == 0 {
 		return 0
 	}
-	return time.Since(o.startedAt)
+	return time.Since(s.startedAt)
 }
 
-// split implements bufio.SplitFunc. An object is returned as soon as its last byte is there. White space between objects is passed over.
-func (o *jsonSplitter) split(data []byte, atEOF bool) (advance int, token []byte, err error) {
-	if o.scanned == 0 {
-		for advance < len(data) && isSpace(data[advance]) {
-			advance++
-		}
+// split implements bufio.SplitFunc. It returns an object as soon as its last byte is there, and skips the white space
+// between objects.
+func (s *jsonSplitter) split(data []byte, atEOF bool) (advance int, token []byte, err error) {
+	if s.scanned == 0 {
+		advance = countSpace(data)
 		if advance == len(data) {
 			return advance, nil, nil
 		}
 		if first := data[advance]; first != '{' {
 			return 0, nil, fmt.Errorf("%w: it begins with %q", errNotObject, first)
 		}
-		o.startedAt = time.Now()
+		s.startedAt = time.Now()
 	}
 	object := data[advance:]
-	for _, b := range object[o.scanned:] {
-		o.scanned++
-		if o.consume(b); o.depth == 0 {
-			end := o.scanned
-			*o = jsonSplitter{}
+	for _, b := range object[s.scanned:] {
+		s.consume(b)
+		if s.depth == 0 {
+			end := s.scanned
+			*s = jsonSplitter{}
 			return advance + end, object[:end], nil
 		}
 	}
@@ -59,22 +59,32 @@
 	return advance, nil, nil
 }
 
-// consume takes in a byte of an object.
-func (o *jsonSplitter) consume(b byte) {
+// consume follows strings and nesting over the next byte of an object.
+func (s *jsonSplitter) consume(b byte) {
+	s.scanned++
 	switch {
-	case o.escaped:
-		o.escaped = false
-	case o.inString:
-		o.escaped = b == '\\'
-		o.inString = b != '"'
+	case s.escaped:
+		s.escaped = false
+	case s.inString:
+		s.escaped = b == '\\'
+		s.inString = b != '"'
 	case b == '"':
-		o.inString = true
+		s.inString = true
 	case b == '{' || b == '[':
-		o.depth++
+		s.depth++
 	case b == '}' || b == ']':
-		o.depth--
+		s.depth--
+	}
+}
+
+// countSpace returns how many bytes of white space text begins with.
+func countSpace(text []byte) int {
+	count := 0
+	for count < len(text) && isSpace(text[count]) {
+		count++
 	}
+	return count
 }
 
-// isSpace tells whether JSON passes over b between values.
+// isSpace reports whether b is white space in JSON.
 func isSpace(b byte) bool { return b == ' ' || b == '\t' || b == '\r' || b == '\n' }
--- a/internal/discovery/start_times.go
+++ b/internal/discovery/start_times.go
@@ -7,69 +7,78 @@
 	"milletramp.example/milletramp/internal/wallclock"
 )
 
-// maxDelisted bounds the servers that are on no list any more and whose start is kept all the same.
+// maxDelisted is how many servers that are on no list any more have their starts remembered.
 const maxDelisted = 4096
 
-// StartTimes turns the starts that discovery claims into the Balancer's time. The claims are stamps of a clock of day
-// that may be off or may step, as may the one that they are compared with here. So each is turned once, when it is
-// first told, and its age is bounded by what this process knows by the monotonic clock: a start that the last list did
-// not have came after that list.
+// StartTimes converts the starts that discovery claims into the Balancer's time. A claim is a wall-clock time, and
+// both its clock and this machine's may be wrong or may step. So each claim is converted once, when it first comes,
+// and its age is bounded by what the monotonic clock tells: a start that the last list did not have came after that
+// list.
 //
-// Nothing but the claim itself bounds the ages in the first list of a process, nor those in a list that the platform
-// wrote down, which may be of any age: taken for new, warm servers would count as cold. The loop alone touches a
-// startTimes.
+// Nothing else bounds the ages in the first list of a process, nor in a remembered list, which may be of any age: taken
+// for new, warm servers would count as warming up. A StartTimes belongs to one goroutine.
 type StartTimes struct {
-	wallClock   func() time.Time // reads the clock of day
-	clock       func() balance.Time
-	starts      map[string]*serverStart // by server
-	confirmedAt balance.Time            // when discovery last had nothing more to tell than this process knew; 0: never
-	delisted    []*serverStart          // on no list, the longest first
+	wallClock   func() time.Time
+	clock       func() balance.Time     // monotonic
+	starts      map[string]*serverStart // by endpoint ID
+	confirmedAt balance.Time            // when the list in hand was last known to be the current one; 0: never
+	delisted    []*serverStart          // the longest delisted first; may hold some that were listed again
 }
 
 // serverStart is the last start of a server.
 type serverStart struct {
 	endpointID   string
-	claimedStart time.Time // as claimed
+	claimedStart time.Time // as discovery claims it
 	startedAt    balance.Time
 	listed       bool
 }
 
+// NewStartTimes returns a StartTimes that knows no server. clock reads the Balancer's time.
 func NewStartTimes(clock func() balance.Time) *StartTimes {
-	return &StartTimes{wallClock: wallclock.Now, clock: clock, starts: map[string]*serverStart{}}
+	return &StartTimes{
+		wallClock: wallclock.Now,
+		clock:     clock,
+		starts:    map[string]*serverStart{},
+	}
 }
 
-// StartOf returns when a server of a list started; 0: long ago.
-func (s *StartTimes) StartOf(t Endpoint) balance.Time {
-	if t.StartedAt.IsZero() {
+// StartOf returns when an endpoint of a list started; 0: long ago. It has to be called before Update with that list.
+func (s *StartTimes) StartOf(endpoint Endpoint) balance.Time {
+	if endpoint.StartedAt.IsZero() {
 		return 0
 	}
-	if start := s.starts[t.ID]; start != nil && start.claimedStart.Equal(t.StartedAt) {
+	if start := s.starts[endpoint.ID]; start != nil && start.claimedStart.Equal(endpoint.StartedAt) {
 		return start.startedAt
 	}
-	at := s.toBalanceTime(t.StartedAt)
-	if t.State != balance.Removed {
-		s.starts[t.ID] = &serverStart{endpointID: t.ID, claimedStart: t.StartedAt, startedAt: at}
+	startedAt := s.toBalanceTime(endpoint.StartedAt)
+	if endpoint.State != balance.Removed {
+		s.starts[endpoint.ID] = &serverStart{
+			endpointID:   endpoint.ID,
+			claimedStart: endpoint.StartedAt,
+			startedAt:    startedAt,
+		}
 	}
-	return at
+	return startedAt
 }
 
-// toBalanceTime is when a start that is told of now was. One that is yet to come, by this machine's clock, is now.
-func (s *StartTimes) toBalanceTime(boot time.Time) balance.Time {
-	now, age := s.clock(), max(s.wallClock().Sub(boot), 0)
+// toBalanceTime converts a claim that comes now. A start in the future, by this machine's clock, counts as now.
+func (s *StartTimes) toBalanceTime(claimedStart time.Time) balance.Time {
+	now := s.clock()
+	age := max(s.wallClock().Sub(claimedStart), 0)
 	if s.confirmedAt > 0 {
 		age = min(age, now-s.confirmedAt)
 	}
 	return max(now-age, 0)
 }
 
-// Update takes in that a list was told, after the starts in it.
-func (s *StartTimes) Update(now balance.Time, kind balance.ListKind, l List) {
-	listed := make(map[string]bool, len(l.Endpoints))
-	for _, t := range l.Endpoints {
-		listed[t.ID] = t.State != balance.Removed
-		s.setListed(s.starts[t.ID], listed[t.ID])
+// Update records which servers a list has, and that it is the current one unless it is a remembered list.
+func (s *StartTimes) Update(now balance.Time, kind balance.ListKind, list List) {
+	listed := make(map[string]bool, len(list.Endpoints))
+	for _, endpoint := range list.Endpoints {
+		listed[endpoint.ID] = endpoint.State != balance.Removed
+		s.setListed(s.starts[endpoint.ID], listed[endpoint.ID])
 	}
-	if l.Complete {
+	if list.Complete {
 		for id, start := range s.starts {
 			s.setListed(start, listed[id])
 		}
@@ -79,11 +88,11 @@
 	}
 }
 
-// Confirm takes in that the list in hand was the current one at a time.
+// Confirm records that the list in hand was the current one at a time.
 func (s *StartTimes) Confirm(at balance.Time) { s.confirmedAt = at }
 
-// setListed takes in whether a server is listed. What is known of one that is not is kept, to be right where the same
-// process comes back: a list may leave out servers that run on.
+// setListed records whether a server is listed. The start of a delisted one is remembered in case the same process is
+// listed again: a list may leave out servers that run on.
 func (s *StartTimes) setListed(start *serverStart, listed bool) {
 	if start == nil || start.listed == listed {
 		return
@@ -92,11 +101,18 @@
 	if listed {
 		return
 	}
-	if s.delisted = append(s.delisted, start); len(s.delisted) > maxDelisted {
-		oldest := s.delisted[0]
-		s.delisted = s.delisted[1:]
-		if !oldest.listed && s.starts[oldest.endpointID] == oldest {
-			delete(s.starts, oldest.endpointID)
-		}
+	s.delisted = append(s.delisted, start)
+	if len(s.delisted) > maxDelisted {
+		s.dropOldestDelisted()
+	}
+}
+
+// dropOldestDelisted forgets the start of the server that was delisted first, unless it was listed or started again
+// since.
+func (s *StartTimes) dropOldestDelisted() {
+	oldest := s.delisted[0]
+	s.delisted = s.delisted[1:]
+	if !oldest.listed && s.starts[oldest.endpointID] == oldest {
+		delete(s.starts, oldest.endpointID)
 	}
 }
--- a/internal/discovery/subscriptions.go
+++ b/internal/discovery/subscriptions.go
@@ -9,48 +9,51 @@
 	"milletramp.example/milletramp/balance"
 )
 
-// The backoff before a new address of discovery is called again doubles from the first to the longest.
+// The backoff before a new address of discovery is called again doubles from the least to the greatest.
 const (
 	minAddressBackoff = 200 * time.Millisecond
 	maxAddressBackoff = 400 * time.Millisecond
+	maxBackoffShift   = 8 // doublings, which keeps the shift from overflowing
 )
 
 // Subscriber is the event loop that a Subscriptions serves. Its On methods are called on the loop's goroutine.
 type Subscriber interface {
 	// Post runs f on the loop's goroutine. It does not wait.
 	Post(f func())
-	// OnUpdate takes in a list.
+	// OnUpdate handles a list.
 	OnUpdate(kind balance.ListKind, list List)
-	// OnUnchanged takes in that the list in hand is the current one.
+	// OnUnchanged handles that the list in hand is the current one.
 	OnUnchanged()
-	// OnWatchEnded takes in that no watch is open. The loop calls Subscribe when another one is to be opened.
+	// OnWatchEnded handles that no watch is open. The loop calls Subscribe when another one is to be opened.
 	OnWatchEnded()
 }
 
-// Options are what a Subscriptions needs to open watches.
+// Options say how a Subscriptions opens watches.
 type Options struct {
 	Address        string        // of discovery
 	Revision       int64         // of the list in hand; -1: there is none
-	ConnectTimeout time.Duration // for a connection to come up
+	ConnectTimeout time.Duration // for a connection to open
 	Dial           DialFunc      // opens connections to discovery; nil: over TCP
 	Log            *slog.Logger
 }
 
-// Subscriptions holds the open watches of a process: the current one, while discovery moves the one at its new address,
-// and a slow one that may still answer. Only the loop's goroutine calls its methods. Each watch has a goroutine, which
-// ends with the context given to NewSubscriptions or when the watch does.
+// Subscriptions holds the open watches of a process: the current one, the one at a new address while discovery moves,
+// and a slow one that may still bring a list. Only the loop's goroutine calls its methods. Each watch has a
+// goroutine, which ends with the watch, at the latest with the context given to NewSubscriptions.
 type Subscriptions struct {
 	ctx        context.Context
 	subscriber Subscriber
 	options    Options
 
-	address           string        // of discovery, as last configured
-	revision          int64         // of the list in hand; -1: none
-	current           *subscription // whose updates count; nil: none is open
-	next              *subscription // at a new address, until its first list has come; nil: none
-	slow              *subscription // its first list is late, and another call was made at the same address; nil: none
-	addressRetries    int           // calls of the new address that failed
-	lastWatchTimedOut bool          // the last watch was silent: the next one asks for the complete list, which comes at once
+	address        string        // of discovery, as last configured
+	addressRetries int           // failed calls of a new address
+	revision       int64         // of the list in hand; wholeList: there is none
+	current        *subscription // the one whose updates count; nil: none is open
+	next           *subscription // at a new address, until its first list has come; nil: none
+	slow           *subscription // late with its first list and replaced, but not ended; nil: none
+	// lastWatchTimedOut says that no list has come since a watch timed out. The next watch asks for the complete list,
+	// which comes at once.
+	lastWatchTimedOut bool
 }
 
 // subscription is one watch.
@@ -58,8 +61,13 @@
 
 // NewSubscriptions returns a Subscriptions with no watch open. Its watches end with ctx.
 func NewSubscriptions(ctx context.Context, subscriber Subscriber, options Options) *Subscriptions {
-	return &Subscriptions{ctx: ctx, subscriber: subscriber, options: options, address: options.Address,
-		revision: options.Revision}
+	return &Subscriptions{
+		ctx:        ctx,
+		subscriber: subscriber,
+		options:    options,
+		address:    options.Address,
+		revision:   options.Revision,
+	}
 }
 
 // Subscribe opens a watch if there is none.
@@ -67,15 +75,15 @@
 	if s.current != nil || s.next != nil {
 		return
 	}
-	from := s.revision
+	revision := s.revision
 	if s.lastWatchTimedOut {
-		from = wholeList
+		revision = wholeList
 	}
-	s.current = s.startWatch(from)
+	s.current = s.startWatch(revision)
 }
 
-// SwitchAddress follows discovery at another address. The old address goes on telling until the new one has answered:
-// the move itself is no end of a watch, for which the Balancer would wait before it subscribed again.
+// SwitchAddress follows discovery at another address. The watch at the old address goes on until the new one has
+// brought a list: if the switch ended it, the Balancer would back off before it subscribed again.
 func (s *Subscriptions) SwitchAddress(address string) {
 	if address == s.address {
 		return
@@ -88,20 +96,21 @@
 		}
 	}
 	s.slow = nil
-	s.next = s.startWatch(wholeList) // a revision of the old address may mean another list at the new one
+	// A revision of the old address may mean another list at the new one.
+	s.next = s.startWatch(wholeList)
 }
 
-// startWatch opens a watch on what came after revision from.
-func (s *Subscriptions) startWatch(from int64) *subscription {
+// startWatch opens a watch of the changes after a revision, in a goroutine that ends with it.
+func (s *Subscriptions) startWatch(revision int64) *subscription {
 	ctx, cancel := context.WithCancel(s.ctx)
 	opened := &subscription{cancel}
 	client := NewClient(s.address, s.options.ConnectTimeout, s.options.Dial)
 	client.onSlow = func() { s.subscriber.Post(func() { s.onWatchSlow(opened) }) }
-	go func() { // ends with the watch
+	onUpdate := func(list List) { s.subscriber.Post(func() { s.onUpdate(opened, list) }) }
+	onUnchanged := func() { s.subscriber.Post(func() { s.onUnchanged(opened) }) }
+	go func() {
 		defer cancel()
-		err := client.Watch(ctx, from,
-			func(list List) { s.subscriber.Post(func() { s.onUpdate(opened, list) }) },
-			func() { s.subscriber.Post(func() { s.onUnchanged(opened) }) })
+		err := client.Watch(ctx, revision, onUpdate, onUnchanged)
 		if s.ctx.Err() == nil {
 			s.subscriber.Post(func() { s.onWatchEnded(opened, err) })
 		}
@@ -109,19 +118,15 @@
 	return opened
 }
 
-// onUpdate takes in a list from a watch. The first one from a watch other than the current one makes it the current one.
+// onUpdate handles a list from a watch. The watch becomes the current one and the others end, except that the current
+// one does not end the one at a new address. A late list from a former address is dropped: it would undo newer ones.
 func (s *Subscriptions) onUpdate(from *subscription, list List) {
 	switch {
 	case from == s.next, from == s.slow, from == s.current && s.next == nil:
-		for _, other := range []*subscription{s.current, s.next, s.slow} {
-			if other != nil && other != from {
-				other.cancel()
-			}
-		}
-		s.current, s.next, s.slow = from, nil, nil
+		s.makeCurrent(from)
 	case from == s.current:
 	default:
-		return // a late list from a former address would undo what the new one has told
+		return
 	}
 	kind := balance.ListChanges
 	if list.Complete {
@@ -132,15 +137,27 @@
 	s.subscriber.OnUpdate(kind, list)
 }
 
-// onUnchanged takes in that a watch has nothing beyond what it has told.
+// makeCurrent makes a watch the only one.
+func (s *Subscriptions) makeCurrent(chosen *subscription) {
+	for _, other := range []*subscription{s.current, s.next, s.slow} {
+		if other != nil && other != chosen {
+			other.cancel()
+		}
+	}
+	s.current = chosen
+	s.next = nil
+	s.slow = nil
+}
+
+// onUnchanged handles that a watch has nothing newer than its last list.
 func (s *Subscriptions) onUnchanged(from *subscription) {
 	if from == s.current {
 		s.subscriber.OnUnchanged()
 	}
 }
 
-// onWatchSlow takes in that a watch is late with its first list. If each slow call were given up, a slow discovery would
-// never be heard: one goes on beside the calls made anew, and any others end.
+// onWatchSlow handles that a watch is late with its first list. If each slow watch were given up, no list of a slow
+// discovery would ever arrive: one goes on next to the watches opened after it, and any others end.
 func (s *Subscriptions) onWatchSlow(late *subscription) {
 	if late != s.current && late != s.next {
 		return
@@ -153,15 +170,17 @@
 	s.replaceWatch(late, errWatchTimeout)
 }
 
-// onWatchEnded takes in that a watch has ended.
+// onWatchEnded handles the end of a watch.
 func (s *Subscriptions) onWatchEnded(ended *subscription, err error) {
-	if s.slow == ended {
+	if ended == s.slow {
 		s.slow = nil
 	}
 	s.replaceWatch(ended, err)
 }
 
-// replaceWatch takes in that another watch is to be opened in the place of one that has ended, or is slow.
+// replaceWatch has another watch opened in the place of one that has ended or is slow: at a new address after a
+// backoff of its own, else as the Balancer decides. Where the new address is still to answer, the current watch is
+// not replaced.
 func (s *Subscriptions) replaceWatch(ended *subscription, err error) {
 	switch ended {
 	case s.next:
@@ -171,15 +190,16 @@
 		s.options.Log.Info("discovery", "err", err)
 		s.current = nil
 		s.lastWatchTimedOut = s.lastWatchTimedOut || errors.Is(err, errWatchTimeout)
-		if s.next == nil { // else the new address is about to answer
+		if s.next == nil {
 			s.subscriber.OnWatchEnded()
 		}
 	}
 }
 
-// retryAddress calls a new address again after a backoff. Without one an address that is not up yet would be flooded.
+// retryAddress calls a new address again after a backoff. Without one an address that is not up yet would be flooded
+// with calls.
 func (s *Subscriptions) retryAddress(ended *subscription) {
-	backoff := min(minAddressBackoff<<min(s.addressRetries, 8), maxAddressBackoff)
+	backoff := min(minAddressBackoff<<min(s.addressRetries, maxBackoffShift), maxAddressBackoff)
 	s.addressRetries++
 	time.AfterFunc(backoff, func() {
 		s.subscriber.Post(func() {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// Watch asks for the changes after a revision (below 0: for the complete list) and calls onUpdate with each list until the
-// watch ends. It calls onUnchanged when discovery reports that nothing has changed since the last list, or since that
-// revision. It always returns an error, which says why the watch ended.
+// Watch asks for the changes after a revision (below 0: for the complete list) and calls onUpdate with each list
+// until the watch ends. It calls onUnchanged when discovery reports that nothing has changed since the last list, or
+// since that revision. It always returns an error, which says why the watch ended.
 func (c *Client) Watch(ctx context.Context, revision int64, onUpdate func(List), onUnchanged func()) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -94,8 +94,8 @@
 	w.onUpdate(list)
 }
 
-// handleProgress handles what was just read. White space outside a list is a heartbeat: nothing has changed. Bytes before
-// the first list of a complete watch are no progress, and neither are those of a list that takes too long.
+// handleProgress handles what was just read. White space outside a list is a heartbeat: nothing has changed. Bytes
+// before the first list of a complete watch are no progress, and neither are those of a list that takes too long.
 func (w *watch) handleProgress(text []byte) {
 	if w.revision < 0 {
 		return
