--- /dev/null
+++ b/internal/discovery/helpers_test.go
@@ -0,0 +1,122 @@
+//go:build go1.25
+
+package discovery
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"milletramp.example/milletramp/balance"
+)
+
+// testLoop is an event loop that gives each list to a StartTimes, as the process does.
+type testLoop struct {
+	mu            sync.Mutex
+	clock         func() balance.Time
+	starts        *StartTimes
+	subscriptions *Subscriptions
+	updated       chan time.Time // gets the time of each list
+	resubscribes  bool           // opens a watch in place of one that has ended
+}
+
+// newTestLoop returns a loop whose watches are opened over dial and end with ctx.
+func newTestLoop(ctx context.Context, dial DialFunc) *testLoop {
+	origin := time.Now().Add(-24 * time.Hour)
+	l := &testLoop{
+		clock:   func() balance.Time { return time.Since(origin) },
+		updated: make(chan time.Time, 1000),
+	}
+	l.starts = NewStartTimes(l.clock)
+	l.subscriptions = NewSubscriptions(ctx, l, Options{
+		Address:  "127.0.0.1:9",
+		Revision: wholeList,
+		Dial:     dial,
+		Log:      slog.New(slog.DiscardHandler),
+	})
+	return l
+}
+
+// Post implements Subscriber.
+func (l *testLoop) Post(f func()) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	f()
+}
+
+// OnUpdate implements Subscriber.
+func (l *testLoop) OnUpdate(kind balance.ListKind, list List) {
+	for _, endpoint := range list.Endpoints {
+		l.starts.StartOf(endpoint)
+	}
+	l.starts.Update(l.clock(), kind, list)
+	l.updated <- time.Now()
+}
+
+// OnUnchanged implements Subscriber.
+func (l *testLoop) OnUnchanged() { l.starts.Confirm(l.clock()) }
+
+// OnWatchEnded implements Subscriber.
+func (l *testLoop) OnWatchEnded() {
+	if l.resubscribes {
+		time.AfterFunc(balance.FirstDiscoveryBackoff, func() { l.Post(l.subscriptions.Subscribe) })
+	}
+}
+
+// updateFunc gives a list to a loop, as its current watch does.
+type updateFunc func(complete bool, endpoints ...Endpoint)
+
+// withTestLoop runs play on a simulated clock, with a loop that has a watch open.
+func withTestLoop(t *testing.T, play func(t *testing.T, loop *testLoop, update updateFunc)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		loop := newTestLoop(context.Background(), nil)
+		loop.subscriptions.current = &subscription{func() {}}
+		play(t, loop, func(complete bool, endpoints ...Endpoint) {
+			list := List{Revision: 1, Complete: complete, Endpoints: endpoints}
+			loop.subscriptions.onUpdate(loop.subscriptions.current, list)
+		})
+	})
+}
+
+// endpointStartedAt returns an endpoint that discovery claims to have started at a time; zero: long ago.
+func endpointStartedAt(id string, startedAt time.Time) Endpoint {
+	return Endpoint{ID: id, Address: "127.0.0.1:9", Zone: "a", Kind: "m", Weight: 1, StartedAt: startedAt}
+}
+
+// dialScripted opens connections on which discovery sends these pieces, one every pause, and then nothing more.
+func dialScripted(pause time.Duration, pieces ...string) DialFunc {
+	return func(context.Context, string, string) (net.Conn, error) {
+		clientEnd, serverEnd := net.Pipe()
+		go func() {
+			defer serverEnd.Close()
+			if _, err := http.ReadRequest(bufio.NewReader(serverEnd)); err != nil {
+				return
+			}
+			clientClosed := make(chan struct{})
+			go func() {
+				_, _ = io.Copy(io.Discard, serverEnd)
+				close(clientClosed)
+			}()
+			for _, piece := range pieces {
+				if _, err := io.WriteString(serverEnd, piece); err != nil {
+					return
+				}
+				select {
+				case <-time.After(pause):
+				case <-clientClosed:
+					return
+				}
+			}
+			<-clientClosed
+		}()
+		return clientEnd, nil
+	}
+}
--- a/internal/discovery/subscriptions_test.go
+++ b/internal/discovery/subscriptions_test.go
@@ -12,60 +12,69 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestFormerWatchIsIgnored has a former watch say a line and end after the new one has answered: neither is news.
+// TestFormerWatchIsIgnored has a former watch bring a list and end after the new one has brought its first list:
+// both are ignored.
 func TestFormerWatchIsIgnored(t *testing.T) {
-	l := newTestLoop(context.Background(), nil)
-	w := l.subscriptions
-	over := make(chan string, 2)
-	old, next := &subscription{func() { over <- "old" }}, &subscription{func() { over <- "next" }}
-	w.current, w.next = old, next
-	w.onWatchEnded(old, errors.New("ended"))
-	if w.next != next {
-		t.Fatal("the end of the old watch cost the new one")
+	loop := newTestLoop(context.Background(), nil)
+	subscriptions := loop.subscriptions
+	cancelled := make(chan string, 2)
+	former := &subscription{func() { cancelled <- "former" }}
+	next := &subscription{func() { cancelled <- "next" }}
+	subscriptions.current = former
+	subscriptions.next = next
+	subscriptions.onWatchEnded(former, errors.New("ended"))
+	if subscriptions.next != next {
+		t.Fatal("the end of the former watch ended the new one")
 	}
-	w.current = old
-	w.onUpdate(next, List{Revision: 9, Complete: true, Endpoints: []Endpoint{endpointStartedAt("s-0", time.Time{})}})
-	if who := testserver.Receive(t, over, "end of the old watch"); who != "old" {
+	subscriptions.current = former
+	endpoints := []Endpoint{endpointStartedAt("s-0", time.Time{})}
+	subscriptions.onUpdate(next, List{Revision: 9, Complete: true, Endpoints: endpoints})
+	if who := testserver.Receive(t, cancelled, "end of the former watch"); who != "former" {
 		t.Errorf("the %s watch was ended", who)
 	}
-	w.onUpdate(old, List{Revision: 5, Complete: true})
-	w.onWatchEnded(old, errors.New("ended"))
-	if w.current != next || w.revision != 9 || len(l.updated) != 1 {
-		t.Errorf("watches %+v, version %d, %d lists after the old watch's end", w, w.revision, len(l.updated))
+	subscriptions.onUpdate(former, List{Revision: 5, Complete: true})
+	subscriptions.onWatchEnded(former, errors.New("ended"))
+	if subscriptions.current != next || subscriptions.revision != 9 || len(loop.updated) != 1 {
+		t.Errorf("watches %+v, revision %d, %d lists after the former watch's end",
+			subscriptions, subscriptions.revision, len(loop.updated))
 	}
 }
 
-// TestSlowWatchOfFormerAddressIsIgnored has discovery move while a late call goes on next to another: the call ends, and what it
-// still tells is dropped.
+// TestSlowWatchOfFormerAddressIsIgnored has discovery move while a slow watch goes on next to another: it ends, and a
+// list that it still brings is dropped.
 func TestSlowWatchOfFormerAddressIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		a := &testserver.Agent{}
-		l := newTestLoop(ctx, a.Dial)
-		l.resubscribes = true
-		w := l.subscriptions
-		l.Post(w.Subscribe)
-		<-l.updated
-		var late *subscription
-		a.SetDelay(2 * time.Second)
+		agent := &testserver.Agent{}
+		loop := newTestLoop(ctx, agent.Dial)
+		loop.resubscribes = true
+		subscriptions := loop.subscriptions
+		loop.Post(subscriptions.Subscribe)
+		<-loop.updated
+		var slow *subscription
+		agent.SetDelay(2 * time.Second)
 		time.Sleep(20 * time.Second)
-		a.Silence(false, 0)
-		for late == nil {
+		agent.Silence(false, 0)
+		for slow == nil {
 			time.Sleep(10 * time.Millisecond)
-			l.Post(func() { late = w.slow })
+			loop.Post(func() { slow = subscriptions.slow })
 			synctest.Wait()
 		}
 		ended := false
-		l.Post(func() {
-			end := late.cancel
-			late.cancel = func() { ended = true; end() }
-			w.SwitchAddress("127.0.0.1:8")
-			w.onUpdate(late, List{Revision: 99})
-			if !ended || w.revision == 99 || w.slow != nil {
-				t.Errorf("ended %v, version %d, late call %v after the move", ended, w.revision, w.slow)
+		loop.Post(func() {
+			cancelSlow := slow.cancel
+			slow.cancel = func() {
+				ended = true
+				cancelSlow()
+			}
+			subscriptions.SwitchAddress("127.0.0.1:8")
+			subscriptions.onUpdate(slow, List{Revision: 99})
+			if !ended || subscriptions.revision == 99 || subscriptions.slow != nil {
+				t.Errorf("ended %v, revision %d, slow watch %v after the move",
+					ended, subscriptions.revision, subscriptions.slow)
 			}
 		})
-		<-l.updated
+		<-loop.updated
 		cancel()
 		synctest.Wait()
 	})
--- /dev/null
+++ b/internal/discovery/watch_test.go
@@ -0,0 +1,114 @@
+//go:build go1.25
+
+package discovery
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"milletramp.example/milletramp/internal/lab/testserver"
+)
+
+// TestWatchAcceptsListsInAnyForm: a list may come indented, in pieces, without a line end, and together with others.
+func TestWatchAcceptsListsInAnyForm(t *testing.T) {
+	var indented bytes.Buffer
+	serving := testserver.ServingList(2, &testserver.Backend{Address: "127.0.0.1:9"})
+	if err := json.Indent(&indented, []byte(serving), "\t", "  "); err != nil {
+		t.Fatal(err)
+	}
+	draining := testserver.EndpointEntry("s-{\"[", "127.0.0.1:9", "DRAINING", 0)
+	plain := testserver.ListText(3, false) + testserver.ListText(4, false, draining)
+	for _, size := range []int{1, 7, 1 << 20} {
+		synctest.Test(t, func(t *testing.T) {
+			unsent := "HTTP/1.1 200 OK\r\n\r\n\n" + indented.String() + plain
+			var pieces []string
+			for len(unsent) > 0 {
+				n := min(size, len(unsent))
+				pieces = append(pieces, unsent[:n])
+				unsent = unsent[n:]
+			}
+			client := NewClient("127.0.0.1:9", 0, dialScripted(time.Millisecond, pieces...))
+			var revisions []int64
+			onUpdate := func(list List) { revisions = append(revisions, list.Revision) }
+			err := client.Watch(context.Background(), 1, onUpdate, func() {})
+			if fmt.Sprint(revisions) != "[2 3 4]" || !errors.Is(err, errWatchTimeout) {
+				t.Errorf("pieces of %d bytes: lists %v, error %v", size, revisions, err)
+			}
+		})
+	}
+}
+
+// TestWatchEndsOnListWithoutEnd: bytes that keep coming are no progress if their list has no end, and a list may not
+// have more than maxListBytes.
+func TestWatchEndsOnListWithoutEnd(t *testing.T) {
+	trickle := []string{"HTTP/1.1 200 OK\r\n\r\n", `{"rev":1,"targets":[`}
+	for range 100 {
+		trickle = append(trickle, " ")
+	}
+	flood := []string{"HTTP/1.1 200 OK\r\n\r\n", `{"rev":1,"targets":[`, strings.Repeat(" ", maxListBytes)}
+	for _, tt := range []struct {
+		name   string
+		pieces []string
+		want   error
+	}{{"a trickle", trickle, errWatchTimeout}, {"a flood", flood, bufio.ErrTooLong}} {
+		synctest.Test(t, func(t *testing.T) {
+			client := NewClient("127.0.0.1:9", 0, dialScripted(time.Second, tt.pieces...))
+			startedAt := time.Now()
+			onUpdate := func(list List) { t.Errorf("%s: list %+v", tt.name, list) }
+			err := client.Watch(context.Background(), 1, onUpdate, func() {})
+			took := time.Since(startedAt)
+			if !errors.Is(err, tt.want) || took > 2*time.Second+listTimeout+watchSilenceTimeout {
+				t.Errorf("%s: error %v after %v, want %v", tt.name, err, took, tt.want)
+			}
+		})
+	}
+}
+
+// TestWatchEndsWhenDiscoveryIsUnresponsive opens a watch on which nothing comes.
+func TestWatchEndsWhenDiscoveryIsUnresponsive(t *testing.T) {
+	client := NewClient(testserver.StartDiscovery(t).Address, testserver.Timeout, nil)
+	client.silenceTimeout = 50 * time.Millisecond
+	err := client.Watch(context.Background(), -1, func(List) { t.Error("a list") }, func() {})
+	if err == nil || !strings.Contains(err.Error(), "nothing came for 50ms") {
+		t.Errorf("error %v", err)
+	}
+}
+
+// TestWatchReportsHeartbeats counts what is a heartbeat: white space alone, outside a list, and after a list or a
+// revision to begin with.
+func TestWatchReportsHeartbeats(t *testing.T) {
+	first := testserver.ListText(2, true)
+	const firstHalf, secondHalf = `{"rev":3,"targets":`, "[]}\n"
+	for _, tt := range []struct {
+		name     string
+		revision int64
+		pieces   []string
+		want     int
+	}{
+		{"after a revision", 1, []string{"\n", "\n"}, 2},
+		{"before the first list", wholeList, []string{"\n", first, "\n"}, 1},
+		{"with a list", 1, []string{"\n" + first + "\n"}, 0},
+		{"within a list", 1, []string{firstHalf, "\n", secondHalf, "\n"}, 1},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				pieces := append([]string{"HTTP/1.1 200 OK\r\n\r\n"}, tt.pieces...)
+				client := NewClient("127.0.0.1:9", 0, dialScripted(time.Millisecond, pieces...))
+				got := 0
+				err := client.Watch(context.Background(), tt.revision, func(List) {}, func() { got++ })
+				if got != tt.want || !errors.Is(err, errWatchTimeout) && !errors.Is(err, io.EOF) {
+					t.Errorf("%d heartbeats, want %d, error %v", got, tt.want, err)
+				}
+			})
+		})
+	}
+}
