--- a/internal/netretry/netretry.go
+++ b/internal/netretry/netretry.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	firstBackoff   = time.Millisecond
-	longestBackoff = 50 * time.Millisecond
-	mostTries      = 8 // of a read or a write, over about 0.1 s
-	mostDials      = 5 // of a connection, over about 15 ms: another server may be asked instead
+	minBackoff   = time.Millisecond
+	maxBackoff = 50 * time.Millisecond
+	maxIOAttempts      = 8 // of a read or a write, over about 0.1 s
+	maxDialAttempts      = 5 // of a connection, over about 15 ms: another server may be asked instead
 )
 
 // backoff is how long to wait after the given number of failures in a row.
 func backoff(failures int) time.Duration {
-	return min(firstBackoff<<min(failures-1, 10), longestBackoff)
+	return min(minBackoff<<min(failures-1, 10), maxBackoff)
 }
 
 // machineErrors are the errors of socket, connect, read and write that say something of this machine only.
@@ -84,7 +84,7 @@
 func Dial(ctx context.Context, dial func() (net.Conn, error)) (net.Conn, error) {
 	for failures := 1; ; failures++ {
 		c, err := dial()
-		if err == nil || failures == mostDials || !MachineError(err) {
+		if err == nil || failures == maxDialAttempts || !MachineError(err) {
 			return c, err
 		}
 		select {
@@ -99,7 +99,7 @@
 func Read(r io.Reader, p []byte) (n int, err error) {
 	for failures := 1; ; failures++ {
 		n, err = r.Read(p)
-		if n > 0 || failures == mostTries || !MachineError(err) {
+		if n > 0 || failures == maxIOAttempts || !MachineError(err) {
 			return n, err
 		}
 		time.Sleep(backoff(failures))
@@ -115,7 +115,7 @@
 			err = io.ErrShortWrite
 		}
 		retry := MachineError(err) || errors.Is(err, io.ErrShortWrite)
-		if written += n; !retry || n == 0 && failures == mostTries {
+		if written += n; !retry || n == 0 && failures == maxIOAttempts {
 			return written, err
 		}
 		if n > 0 {
--- a/internal/netretry/netretry_test.go
+++ b/internal/netretry/netretry_test.go
@@ -22,26 +22,26 @@
 	syscall.EINTR, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.EHOSTDOWN, syscall.ENONET,
 	syscall.EPROTO, syscall.EPERM, syscall.ECONNABORTED, syscall.ENOPROTOOPT, syscall.EOPNOTSUPP}
 
-// failing fails with err as long as left says, and then as then says.
-type failing struct {
+// failingSocket fails with err as long as left says, and then as then says.
+type failingSocket struct {
 	net.Listener
 	net.Conn
 	err   error
-	left  int
-	then  error
+	failuresLeft  int
+	finalErr  error
 	calls int
 }
 
-func (f *failing) call() error {
-	if f.calls++; f.left > 0 {
-		f.left--
+func (f *failingSocket) call() error {
+	if f.calls++; f.failuresLeft > 0 {
+		f.failuresLeft--
 		return f.err
 	}
-	return f.then
+	return f.finalErr
 }
 
 // Accept implements net.Listener.
-func (f *failing) Accept() (net.Conn, error) {
+func (f *failingSocket) Accept() (net.Conn, error) {
 	if err := f.call(); err != nil {
 		return nil, err
 	}
@@ -49,7 +49,7 @@
 }
 
 // Read implements io.Reader.
-func (f *failing) Read(p []byte) (int, error) {
+func (f *failingSocket) Read(p []byte) (int, error) {
 	if err := f.call(); err != nil {
 		return 0, err
 	}
@@ -57,33 +57,33 @@
 }
 
 // Write implements io.Writer. It is short even where it does not fail.
-func (f *failing) Write(p []byte) (int, error) { return len(p) / 2, f.call() }
+func (f *failingSocket) Write(p []byte) (int, error) { return len(p) / 2, f.call() }
 
 // Close implements io.Closer.
-func (f *failing) Close() error { return nil }
+func (f *failingSocket) Close() error { return nil }
 
-func TestAccept(t *testing.T) {
+func TestAcceptRetriesAllButClose(t *testing.T) {
 	for _, errno := range acceptErrors {
 		t.Run(errno.Error(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				log := &bytes.Buffer{}
-				f := &failing{err: &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", errno)}, left: 100}
+				f := &failingSocket{err: &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", errno)}, failuresLeft: 100}
 				l, begun := NewListener(f, slog.New(slog.NewTextHandler(log, nil))), time.Now()
 				if c, err := l.Accept(); c == nil || err != nil {
 					t.Fatalf("connection %v, error %v", c, err)
 				}
-				if took := time.Since(begun); took > 101*longestBackoff || took < 90*longestBackoff || f.calls != 101 {
+				if took := time.Since(begun); took > 101*maxBackoff || took < 90*maxBackoff || f.calls != 101 {
 					t.Errorf("%d calls in %v", f.calls, took)
 				}
-				f.left = 1
+				f.failuresLeft = 1
 				begun = time.Now()
-				if _, err := l.Accept(); err != nil || time.Since(begun) != firstBackoff {
+				if _, err := l.Accept(); err != nil || time.Since(begun) != minBackoff {
 					t.Errorf("error %v after one failure, and %v", err, time.Since(begun))
 				}
 				if lines := strings.Count(log.String(), "\n"); lines != 2 {
 					t.Errorf("%d lines for two runs of failures:\n%s", lines, log)
 				}
-				f.left, f.then = 2, &net.OpError{Op: "accept", Err: net.ErrClosed}
+				f.failuresLeft, f.finalErr = 2, &net.OpError{Op: "accept", Err: net.ErrClosed}
 				if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
 					t.Errorf("error %v of a listener that is closed", err)
 				}
@@ -92,25 +92,25 @@
 	}
 }
 
-// TestBounded has each other call fail a number of times, and tells how often it was made and how it ended.
-func TestBounded(t *testing.T) {
+// TestRetriesAreBounded has each other call fail a number of times, and tells how often it was made and how it ended.
+func TestRetriesAreBounded(t *testing.T) {
 	const forever = 1 << 20
-	listen := func(ctx context.Context, f *failing) error {
-		_, err := Open(ctx, func() (*failing, error) { return f, f.call() })
+	listen := func(ctx context.Context, f *failingSocket) error {
+		_, err := Open(ctx, func() (*failingSocket, error) { return f, f.call() })
 		return err
 	}
-	dial := func(ctx context.Context, f *failing) error {
+	dial := func(ctx context.Context, f *failingSocket) error {
 		_, err := Dial(ctx, func() (net.Conn, error) { return f, f.call() })
 		return err
 	}
-	read := func(_ context.Context, f *failing) error {
+	read := func(_ context.Context, f *failingSocket) error {
 		n, err := Read(f, make([]byte, 10))
 		if (n == 10) != (err == nil) {
 			t.Errorf("%d bytes read, error %v", n, err)
 		}
 		return err
 	}
-	write := func(_ context.Context, f *failing) error { // 500, 250, 125, 62 and so on: ten calls
+	write := func(_ context.Context, f *failingSocket) error { // 500, 250, 125, 62 and so on: ten calls
 		n, err := Write(f, make([]byte, 1000))
 		if (n == 1000) != (err == nil) {
 			t.Errorf("%d bytes written, error %v", n, err)
@@ -119,7 +119,7 @@
 	}
 	for _, tt := range []struct {
 		name   string
-		do     func(context.Context, *failing) error
+		do     func(context.Context, *failingSocket) error
 		err    syscall.Errno
 		fails  int
 		calls  int // 0: any number
@@ -127,16 +127,16 @@
 		passes bool
 	}{
 		{"listen, no descriptor", listen, syscall.EMFILE, 20, 21, time.Second, true},
-		{"listen, no memory, for good", listen, syscall.ENOMEM, forever, 0, 4*time.Second + longestBackoff, false},
+		{"listen, no memory, for good", listen, syscall.ENOMEM, forever, 0, 4*time.Second + maxBackoff, false},
 		{"listen, in use", listen, syscall.EADDRINUSE, forever, 1, 0, false},
 		{"listen, no such address", listen, syscall.EADDRNOTAVAIL, forever, 1, 0, false},
 		{"listen, not allowed", listen, syscall.EACCES, forever, 1, 0, false},
 		{"dial, no port", dial, syscall.EADDRNOTAVAIL, 2, 3, 3 * time.Millisecond, true},
-		{"dial, no descriptor, for good", dial, syscall.ENFILE, forever, mostDials, 15 * time.Millisecond, false},
+		{"dial, no descriptor, for good", dial, syscall.ENFILE, forever, maxDialAttempts, 15 * time.Millisecond, false},
 		{"dial, refused", dial, syscall.ECONNREFUSED, forever, 1, 0, false},
 		{"dial, unreachable", dial, syscall.ENETUNREACH, forever, 1, 0, false},
 		{"read, no memory", read, syscall.ENOMEM, 3, 4, 7 * time.Millisecond, true},
-		{"read, no buffer, for good", read, syscall.ENOBUFS, forever, mostTries, 200 * time.Millisecond, false},
+		{"read, no buffer, for good", read, syscall.ENOBUFS, forever, maxIOAttempts, 200 * time.Millisecond, false},
 		{"read, reset", read, syscall.ECONNRESET, forever, 1, 0, false},
 		{"read, no time left", read, syscall.ETIMEDOUT, forever, 1, 0, false},
 		{"write, short", write, 0, 0, 0, 500 * time.Millisecond, false}, // never the last byte
@@ -146,7 +146,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithTimeout(t.Context(), 4*time.Second)
 				defer cancel()
-				f, begun := &failing{err: os.NewSyscallError("call", tt.err), left: tt.fails}, time.Now()
+				f, begun := &failingSocket{err: os.NewSyscallError("call", tt.err), failuresLeft: tt.fails}, time.Now()
 				err := tt.do(ctx, f)
 				if (err == nil) != tt.passes || tt.calls > 0 && f.calls != tt.calls || time.Since(begun) > tt.within {
 					t.Errorf("%d calls, error %v after %v", f.calls, err, time.Since(begun))
@@ -159,10 +159,10 @@
 	}
 }
 
-// TestWrite has writes be short and fail in turn: all bytes go out once, in their order.
-func TestWrite(t *testing.T) {
+// TestWriteContinuesAfterShortWrites has writes be short and fail in turn: all bytes go out once, in their order.
+func TestWriteContinuesAfterShortWrites(t *testing.T) {
 	text, out, turn := bytes.Repeat([]byte("0123456789"), 30), &bytes.Buffer{}, 0
-	n, err := Write(writer(func(p []byte) (int, error) {
+	n, err := Write(writerFunc(func(p []byte) (int, error) {
 		errs := []error{nil, syscall.ENOBUFS, syscall.EAGAIN}
 		turn++
 		n, _ := out.Write(p[:min(len(p), turn%4*7)])
@@ -176,14 +176,14 @@
 	}
 }
 
-// writer is a function that writes.
-type writer func(p []byte) (int, error)
+// writerFunc is a function that writes.
+type writerFunc func(p []byte) (int, error)
 
 // Write implements io.Writer.
-func (w writer) Write(p []byte) (int, error) { return w(p) }
+func (w writerFunc) Write(p []byte) (int, error) { return w(p) }
 
-func TestUninterrupted(t *testing.T) {
-	f := &failing{err: os.NewSyscallError("poll", syscall.EINTR), left: 3, then: syscall.EBADF}
+func TestUninterruptedRetriesInterruptedCalls(t *testing.T) {
+	f := &failingSocket{err: os.NewSyscallError("poll", syscall.EINTR), failuresLeft: 3, finalErr: syscall.EBADF}
 	if err := Uninterrupted(f.call); err != syscall.EBADF || f.calls != 4 {
 		t.Errorf("error %v after %d calls", err, f.calls)
 	}
--- a/internal/netretry/socket_test.go
+++ b/internal/netretry/socket_test.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestSocketLooksGoOnAfterSignals has signals interrupt the calls that look at a socket.
-func TestSocketLooksGoOnAfterSignals(t *testing.T) {
+// TestPeekAndPollRetryInterruptedCalls has signals interrupt the calls that look at a socket.
+func TestPeekAndPollRetryInterruptedCalls(t *testing.T) {
 	interrupted := 0
 	interrupts := func() error {
 		if interrupted++; interrupted%3 != 0 {
