--- a/deploy/names_test.go
+++ b/deploy/names_test.go
@@ -185,10 +185,24 @@
 // former house style that no comment or name in them has.
 var (
 	finished = []string{
-		"balance", "internal/chunked", "internal/config", "internal/downstream", "internal/loadlevel", "internal/lossdetect", "internal/quota", "internal/retrybudget",
-		"internal/fleet/consensus", "internal/fleet/failuredetector", "internal/fleet/gossip",
-		"internal/fleet/membership", "internal/fleet/policy", "internal/fleet/policyagent",
-		"internal/fleet/replication", "internal/fleet/transport",
+		"balance",
+		"internal/chunked",
+		"internal/config",
+		"internal/discovery",
+		"internal/downstream",
+		"internal/fleet/consensus",
+		"internal/fleet/failuredetector",
+		"internal/fleet/gossip",
+		"internal/fleet/membership",
+		"internal/fleet/policy",
+		"internal/fleet/policyagent",
+		"internal/fleet/replication",
+		"internal/fleet/transport",
+		"internal/loadlevel",
+		"internal/lossdetect",
+		"internal/quota",
+		"internal/retrybudget",
+		"internal/upstream",
 	}
 	houseTerms = regexp.MustCompile(`(?i)\b(danger|staff|told|heard|deciders?|court|owed|doubts?|mayGo|coldRoom|drawTurns)\b`)
 )
