--- a/internal/fleet/policyagent/voter.go
+++ b/internal/fleet/policyagent/voter.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"milletramp.example/milletramp/internal/fleet/consensus"
-	"milletramp.example/milletramp/internal/fleet/disk"
 	"milletramp.example/milletramp/internal/fleet/policy"
+	"milletramp.example/milletramp/internal/fleet/raftlog"
 	"milletramp.example/milletramp/internal/fleet/raftnode"
 )
 
@@ -244,17 +244,17 @@
 // openFolder opens the voter's folder once no other process has it open (during an upgrade, the former process has) and
 // the system no longer fails it. It returns nil if the agent is closed, or if what the folder holds is wrong, which a
 // retry does not mend; this sidecar then serves, but does not vote.
-func (a *Agent) openFolder() *disk.Log {
+func (a *Agent) openFolder() *raftlog.Log {
 	delay := folderRetryInterval
 	for attempt := 0; ; attempt++ {
-		folder, dropped, err := disk.Open(a.settings.Folder, rand.Uint64()|1)
+		folder, dropped, err := raftlog.Open(a.settings.Folder, rand.Uint64()|1)
 		if err == nil {
 			if dropped > 0 {
 				a.log.Warn("a torn record was dropped", "folder", a.settings.Folder, "bytes", dropped)
 			}
 			return folder
 		}
-		held, errno := errors.Is(err, disk.ErrHeld), syscall.Errno(0)
+		held, errno := errors.Is(err, raftlog.ErrHeld), syscall.Errno(0)
 		if !held && !errors.As(err, &errno) {
 			a.log.Error("this voter takes no part", "err", err)
 			return nil
--- a/internal/fleet/disk/fault_test.go
+++ b/internal/fleet/raftlog/fault_test.go
@@ -1,4 +1,4 @@
-package disk
+package raftlog
 
 import (
 	"fmt"
@@ -145,7 +145,7 @@
 // TestLivesWithFaults draws lives with batches, faults, kills and losses of power.
 func TestLivesWithFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		dir, err := os.MkdirTemp("", "disk")
+		dir, err := os.MkdirTemp("", "raftlog")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fleet/disk/fixture_test.go
+++ b/internal/fleet/raftlog/fixture_test.go
@@ -1,4 +1,4 @@
-package disk
+package raftlog
 
 import (
 	"os"
--- a/internal/fleet/disk/disk.go
+++ b/internal/fleet/raftlog/raftlog.go
@@ -1,4 +1,4 @@
-// Package disk keeps on disk what a decider must not forget: who it is, which consensus group it is of, and its part of the consensus group's log
+// Package raftlog keeps on disk what a decider must not forget: who it is, which consensus group it is of, and its part of the consensus group's log
 // (package consensus group). It decides nothing.
 //
 // A folder holds one file of sealed records, each a length, a sum over it, a sum over the content, and the content as CBOR. A
@@ -8,7 +8,7 @@
 // place by its name.
 //
 // Not told apart: a file that somebody has cut at the end of a record. A folder of an earlier life is, by package consensus.
-package disk
+package raftlog
 
 import (
 	"bytes"
--- a/internal/fleet/disk/disk_test.go
+++ b/internal/fleet/raftlog/raftlog_test.go
@@ -1,4 +1,4 @@
-package disk
+package raftlog
 
 import (
 	"bytes"
@@ -253,7 +253,7 @@
 // TestAsRaftKeeps drives the folder and raft's own storage with the same drawn batches, through rewrites and new lives.
 func TestAsRaftKeeps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		dir, err := os.MkdirTemp("", "disk")
+		dir, err := os.MkdirTemp("", "raftlog")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fleet/raftnode/cluster_test.go
+++ b/internal/fleet/raftnode/cluster_test.go
@@ -16,8 +16,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 
 	"milletramp.example/milletramp/internal/fleet/consensus"
-	"milletramp.example/milletramp/internal/fleet/disk"
 	"milletramp.example/milletramp/internal/fleet/policy"
+	"milletramp.example/milletramp/internal/fleet/raftlog"
 )
 
 var voterNames = []string{"a", "b", "c"}
@@ -42,7 +42,7 @@
 	name        string
 	configured  []string // voters, by its settings
 	node        *Node    // nil: down
-	log         *disk.Log
+	log         *raftlog.Log
 	pausedUntil time.Duration
 	killAtWrite int           // of the writes to come, the one that kills it; 0: none does
 	failsUntil  time.Duration // its folder fails
@@ -52,7 +52,7 @@
 // faultyStorage is a folder that fails for a while, of a process that is killed behind one of its writes, before it can
 // send anything.
 type faultyStorage struct {
-	*disk.Log
+	*raftlog.Log
 	cluster *cluster
 	member  *member
 }
@@ -172,7 +172,7 @@
 	if m.node != nil {
 		return
 	}
-	log, _, err := disk.Open(c.folder(m.name), c.random.Uint64()|1)
+	log, _, err := raftlog.Open(c.folder(m.name), c.random.Uint64()|1)
 	if err != nil {
 		c.t.Fatal(err)
 	}
--- a/internal/fleet/raftnode/node.go
+++ b/internal/fleet/raftnode/node.go
@@ -21,8 +21,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 
 	"milletramp.example/milletramp/internal/fleet/consensus"
-	"milletramp.example/milletramp/internal/fleet/disk"
 	"milletramp.example/milletramp/internal/fleet/policy"
+	"milletramp.example/milletramp/internal/fleet/raftlog"
 )
 
 // Time is a reading of the host's monotonic clock.
@@ -34,7 +34,7 @@
 // Storage keeps what must survive the process. *disk.Log is one. Its writes return once the data is durable; after an
 // error the node repeats the same write until it succeeds.
 type Storage interface {
-	Memory() disk.Memory
+	Memory() raftlog.Memory
 	Found(consensus.Bootstrap) error
 	Keep(consensus.Batch) error
 	Compact(raftpb.Snapshot) error
@@ -110,7 +110,7 @@
 }
 
 // startMachine takes part in the group that the folder is of.
-func (n *Node) startMachine(now Time, memory disk.Memory) error {
+func (n *Node) startMachine(now Time, memory raftlog.Memory) error {
 	machine, err := consensus.New(now, consensus.Settings{
 		Identity:     memory.Self,
 		Bootstrap:    *memory.Bootstrap,
