--- a/internal/fleet/policyagent/voter.go
+++ b/internal/fleet/policyagent/voter.go
@@ -254,7 +254,7 @@
 			}
 			return folder
 		}
-		held, errno := errors.Is(err, raftlog.ErrHeld), syscall.Errno(0)
+		held, errno := errors.Is(err, raftlog.ErrLocked), syscall.Errno(0)
 		if !held && !errors.As(err, &errno) {
 			a.log.Error("this voter takes no part", "err", err)
 			return nil
--- a/internal/fleet/raftlog/fault_test.go
+++ b/internal/fleet/raftlog/fault_test.go
@@ -15,27 +15,27 @@
 )
 
 const (
-	smallGrown = 400 // bytes after which a file of these tests is written anew
-	mostTries  = 50
+	testCompactionThreshold = 400 // bytes after which a file of these tests is written anew
+	maxAttempts             = 50
 )
 
-// life is a folder on a file system that fails, and what it has to hold.
-type life struct {
-	dir  string
-	fs   *faultfs.FS
-	log  *Log
-	kept Memory // all that was acknowledged
-	next Memory // with what was not acknowledged at the end
+// storedFolder is a folder on a file system that fails, and what it has to hold.
+type storedFolder struct {
+	dir          string
+	fs           *faultfs.FS
+	log          *Log
+	acknowledged PersistentState // all that was acknowledged
+	attempted    PersistentState // with what was not acknowledged at the end
 }
 
 // open opens the folder, as often as it takes, unless the process is killed.
-func (f *life) open(t rapid.TB) {
-	for range mostTries {
-		l, _, err := open(f.dir, 1, f.fs, smallGrown)
+func (f *storedFolder) open(t rapid.TB) {
+	for range maxAttempts {
+		l, _, err := open(f.dir, 1, f.fs, testCompactionThreshold)
 		if err == nil {
 			f.log = l
-			f.check(t, "opened", l.Memory(), f.kept, f.next)
-			f.kept, f.next = l.Memory(), l.Memory()
+			f.check(t, "opened", l.State(), f.acknowledged, f.attempted)
+			f.acknowledged, f.attempted = l.State(), l.State()
 			return
 		}
 		if f.fs.Killed() {
@@ -45,20 +45,20 @@
 	t.Fatalf("never opened")
 }
 
-// keep has a batch be kept, as often as it takes, unless the process is killed.
-func (f *life) keep(t rapid.TB, b consensus.Batch) {
-	r, err := recordOf(b)
+// persist has a batch be kept, as often as it takes, unless the process is killed.
+func (f *storedFolder) persist(t rapid.TB, b consensus.Batch) {
+	r, err := newRecord(b)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.next, err = f.kept.with(r); err != nil {
+	if f.attempted, err = f.acknowledged.withRecord(r); err != nil {
 		t.Fatal(err)
 	}
-	for range mostTries {
-		if err = f.log.Keep(b); err == nil {
-			f.kept = f.next
+	for range maxAttempts {
+		if err = f.log.Persist(b); err == nil {
+			f.acknowledged = f.attempted
 		}
-		f.check(t, "held", f.log.Memory(), f.kept)
+		f.check(t, "held", f.log.State(), f.acknowledged)
 		if err == nil || f.fs.Killed() {
 			return
 		}
@@ -66,47 +66,47 @@
 	t.Fatalf("never kept: %v", err)
 }
 
-// end ends the process, and reads what the next one would.
-func (f *life) end(t rapid.TB, power bool) {
+// endProcess ends the process, and reads what the next one would.
+func (f *storedFolder) endProcess(t rapid.TB, power bool) {
 	if err := f.fs.End(power); err != nil {
 		t.Fatal(err)
 	}
 	if f.log != nil {
-		done(t, f.log)
+		closeLog(t, f.log)
 	}
-	l, _, err := open(f.dir, 1, fsys.OS{}, smallGrown)
+	l, _, err := open(f.dir, 1, fsys.OS{}, testCompactionThreshold)
 	if err != nil {
 		t.Fatalf("after the end: %v", err)
 	}
-	f.check(t, "read", l.Memory(), f.kept, f.next)
-	f.kept, f.next, f.log = l.Memory(), l.Memory(), nil
-	done(t, l)
+	f.check(t, "read", l.State(), f.acknowledged, f.attempted)
+	f.acknowledged, f.attempted, f.log = l.State(), l.State(), nil
+	closeLog(t, l)
 }
 
-func (f *life) check(t rapid.TB, what string, got Memory, want ...Memory) {
+func (f *storedFolder) check(t rapid.TB, what string, got PersistentState, want ...PersistentState) {
 	t.Helper()
 	for _, w := range want {
-		if w.Self.ID == 0 && got.Bootstrap == nil || same(got, w) { // before the first life there is nothing to hold
+		if w.Self.ID == 0 && got.Bootstrap == nil || sameState(got, w) { // before the first life there is nothing to hold
 			return
 		}
 	}
 	t.Fatalf("%s %+v, want one of %+v", what, got, want)
 }
 
-// TestFaultAtEachOperation has each operation of a short life fail, once or for a while, or be the one in which the
+// TestAcknowledgedStateSurvivesEachFault has each operation of a short life fail, once or for a while, or be the one in which the
 // process is killed, with and without a loss of power: what was acknowledged is read by the next life, and with a fault
 // all of it is kept.
-func TestFaultAtEachOperation(t *testing.T) {
+func TestAcknowledgedStateSurvivesEachFault(t *testing.T) {
 	clean := faultfs.New(0)
 	play := func(t *testing.T, fs *faultfs.FS, power bool) {
-		f := &life{dir: t.TempDir(), fs: fs}
+		f := &storedFolder{dir: t.TempDir(), fs: fs}
 		f.open(t)
 		for _, b := range batches() {
 			if f.log != nil && !fs.Killed() {
-				f.keep(t, b)
+				f.persist(t, b)
 			}
 		}
-		f.end(t, power)
+		f.endProcess(t, power)
 	}
 	play(t, clean, false)
 	operations := clean.Operations()
@@ -142,15 +142,15 @@
 	}
 }
 
-// TestLivesWithFaults draws lives with batches, faults, kills and losses of power.
-func TestLivesWithFaults(t *testing.T) {
+// TestAcknowledgedStateSurvivesDrawnFaults draws lives with batches, faults, kills and losses of power.
+func TestAcknowledgedStateSurvivesDrawnFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "raftlog")
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer os.RemoveAll(dir)
-		f := &life{dir: dir}
+		f := &storedFolder{dir: dir}
 		term := uint64(1)
 		for range rapid.IntRange(1, 4).Draw(t, "lives") {
 			f.fs = faultfs.New(rapid.Uint64().Draw(t, "seed"))
@@ -165,8 +165,8 @@
 				case 4:
 					f.fs.KillAfter(skip)
 				}
-				first := f.kept.Kept.Snapshot.Metadata.Index + 1
-				end := first + uint64(len(f.kept.Kept.Entries))
+				first := f.acknowledged.Raft.Snapshot.Metadata.Index + 1
+				end := first + uint64(len(f.acknowledged.Raft.Entries))
 				var b consensus.Batch
 				switch rapid.IntRange(0, 3).Draw(t, "what") {
 				case 0:
@@ -179,11 +179,11 @@
 					at := rapid.Uint64Range(first, end).Draw(t, "at")
 					b.Snapshot = &raftpb.Snapshot{Data: []byte("all"), Metadata: raftpb.SnapshotMetadata{Index: at, Term: term}}
 				}
-				if f.keep(t, b); f.fs.Killed() {
+				if f.persist(t, b); f.fs.Killed() {
 					break
 				}
 			}
-			f.end(t, rapid.Bool().Draw(t, "power"))
+			f.endProcess(t, rapid.Bool().Draw(t, "power"))
 		}
 	})
 }
--- a/internal/fleet/raftlog/fixture_test.go
+++ b/internal/fleet/raftlog/fixture_test.go
@@ -9,9 +9,9 @@
 	"milletramp.example/milletramp/internal/fleet/consensus"
 )
 
-// TestReadsStoredFolder opens a folder as the build f152def left it: with a bootstrap, states, entries that were overwritten,
+// TestFolderOfEarlierBuildIsRead opens a folder as the build f152def left it: with a bootstrap, states, entries that were overwritten,
 // and a snapshot.
-func TestReadsStoredFolder(t *testing.T) {
+func TestFolderOfEarlierBuildIsRead(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS("testdata/f152def")); err != nil {
 		t.Fatal(err)
@@ -20,11 +20,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer done(t, l)
-	want := Memory{Self: consensus.Identity{ID: 1, Incarnation: 2}, Heard: map[uint64]uint64{2: 4, 3: 2}, Bootstrap: &bootstrap,
-		Kept: consensus.PersistentState{HardState: raftpb.HardState{Term: 5, Commit: 12}, Entries: entries(6, 12, 2),
+	defer closeLog(t, l)
+	want := PersistentState{Self: consensus.Identity{ID: 1, Incarnation: 2}, Incarnations: map[uint64]uint64{2: 4, 3: 2}, Bootstrap: &bootstrap,
+		Raft: consensus.PersistentState{HardState: raftpb.HardState{Term: 5, Commit: 12}, Entries: entries(6, 12, 2),
 			Snapshot: raftpb.Snapshot{Data: []byte("all"), Metadata: raftpb.SnapshotMetadata{Index: 5, Term: 1}}}}
-	if got := l.Memory(); !same(got, want) || got.Self.Incarnation != 2 || dropped != 0 {
+	if got := l.State(); !sameState(got, want) || got.Self.Incarnation != 2 || dropped != 0 {
 		t.Errorf("read as %+v, want %+v, %d bytes dropped", got, want, dropped)
 	}
 }
--- a/internal/fleet/raftlog/raftlog.go
+++ b/internal/fleet/raftlog/raftlog.go
@@ -32,36 +32,36 @@
 )
 
 const (
-	format     = 1
-	headBytes  = 4 + 4 + 8 // length, sum over the length, sum over the content
-	mostRecord = 64 << 20  // bytes of a record's content: a snapshot, or some documents
+	formatVersion  = 1
+	headerBytes    = 4 + 4 + 8 // length, sum over the length, sum over the content
+	maxRecordBytes = 64 << 20  // bytes of a record's content: a snapshot, or some documents
 	// A file is written anew once it has this many bytes, and twice those that it began with.
-	usualGrown = 4 << 20
-	nameStart  = "council-"
-	newEnd     = ".new"
-	lockName   = "lock"
+	defaultCompactionThreshold = 4 << 20
+	filePrefix                 = "council-"
+	tempSuffix                 = ".new"
+	lockFileName               = "lock"
 )
 
-// ErrSpoilt says that a file has something in its midst that was never written so. The decider cannot take part with it.
-var ErrSpoilt = errors.New("the folder is spoilt: give this decider an empty one and add it anew")
+// ErrCorrupt says that a file has something in its midst that was never written so. The decider cannot take part with it.
+var ErrCorrupt = errors.New("the folder is spoilt: give this decider an empty one and add it anew")
 
 // record is what a file is made of. The first of a file has all that held before it.
 type record struct {
-	Format    int                  `cbor:"1,keyasint,omitempty"` // of the first
-	Self      *consensus.Identity  `cbor:"2,keyasint,omitempty"`
-	Bootstrap *consensus.Bootstrap `cbor:"3,keyasint,omitempty"`
-	Heard     map[uint64]uint64    `cbor:"4,keyasint,omitempty"` // lives of others, by decider
-	State     []byte               `cbor:"5,keyasint,omitempty"`
-	Snapshot  []byte               `cbor:"6,keyasint,omitempty"`
-	Entries   [][]byte             `cbor:"7,keyasint,omitempty"`
+	Format       int                  `cbor:"1,keyasint,omitempty"` // of the first
+	Self         *consensus.Identity  `cbor:"2,keyasint,omitempty"`
+	Bootstrap    *consensus.Bootstrap `cbor:"3,keyasint,omitempty"`
+	Incarnations map[uint64]uint64    `cbor:"4,keyasint,omitempty"` // lives of others, by decider
+	HardState    []byte               `cbor:"5,keyasint,omitempty"`
+	Snapshot     []byte               `cbor:"6,keyasint,omitempty"`
+	Entries      [][]byte             `cbor:"7,keyasint,omitempty"`
 }
 
-// Memory is what a folder holds.
-type Memory struct {
-	Self      consensus.Identity
-	Bootstrap *consensus.Bootstrap // nil: it is of no consensus group yet
-	Heard     map[uint64]uint64
-	Kept      consensus.PersistentState
+// PersistentState is what a folder holds.
+type PersistentState struct {
+	Self         consensus.Identity
+	Bootstrap    *consensus.Bootstrap // nil: it is of no consensus group yet
+	Incarnations map[uint64]uint64
+	Raft         consensus.PersistentState
 }
 
 // errClosed says that the folder was let go of.
@@ -69,83 +69,83 @@
 
 // Log is an open folder.
 type Log struct {
-	dir   string
-	fs    fsys.FS
-	grown int64
-	lock  *os.File
+	dir                 string
+	fs                  fsys.FS
+	compactionThreshold int64
+	lockFile            *os.File
 
-	mu      sync.Mutex
-	file    fsys.File
-	number  uint64
-	size    int64
-	began   int64 // size of the file's first record
-	compact int64 // no rewrite is tried below this size, as one has failed
-	memory  Memory
-	failed  bool // what the file holds behind the last record kept is not known, or a newer one may have its place
-	closed  bool
+	mu                  sync.Mutex
+	file                fsys.File
+	fileNumber          uint64
+	size                int64
+	initialSize         int64 // size of the file's first record
+	compactionRetrySize int64 // no rewrite is tried below this size, as one has failed
+	state               PersistentState
+	tailUnknown         bool // what the file holds behind the last record kept is not known, or a newer one may have its place
+	closed              bool
 }
 
 // Open opens a folder, which it makes where there is none, for a further life of its decider. dropped is how many bytes of a torn
 // record were passed over. fresh is what a decider without any memory is to be called.
 func Open(dir string, fresh uint64) (l *Log, dropped int, err error) {
-	return open(dir, fresh, fsys.OS{}, usualGrown)
+	return open(dir, fresh, fsys.OS{}, defaultCompactionThreshold)
 }
 
 func open(dir string, fresh uint64, fs fsys.FS, grown int64) (l *Log, dropped int, err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, 0, fmt.Errorf("consensus folder: %w", err)
 	}
-	l = &Log{dir: dir, fs: fs, grown: grown, memory: Memory{Heard: map[uint64]uint64{}}}
-	held, err := lock(filepath.Join(dir, lockName))
+	l = &Log{dir: dir, fs: fs, compactionThreshold: grown, state: PersistentState{Incarnations: map[uint64]uint64{}}}
+	held, err := lockFolder(filepath.Join(dir, lockFileName))
 	if err != nil {
 		return nil, 0, err
 	}
-	l.lock = held
+	l.lockFile = held
 	defer func() {
 		if err != nil {
 			_ = held.Close()
 		}
 	}()
-	numbers, err := l.files()
+	numbers, err := l.listFiles()
 	if err != nil {
 		return nil, 0, err
 	}
 	if len(numbers) > 0 { // a file gets its name when it is whole, so the newest one has all
-		l.number = numbers[len(numbers)-1]
-		if dropped, err = l.read(l.path(l.number)); err != nil {
+		l.fileNumber = numbers[len(numbers)-1]
+		if dropped, err = l.readFile(l.filePath(l.fileNumber)); err != nil {
 			return nil, 0, err
 		}
 	}
-	if l.memory.Self.ID == 0 {
-		l.memory.Self.ID = fresh
+	if l.state.Self.ID == 0 {
+		l.state.Self.ID = fresh
 	}
-	l.memory.Self.Incarnation++
+	l.state.Self.Incarnation++
 	// Danger: what was torn is never appended to; the file is written anew, with the new life in it.
-	if err := l.rewrite(l.memory); err != nil {
+	if err := l.rewrite(l.state); err != nil {
 		return nil, 0, err
 	}
 	for _, n := range numbers {
-		_ = os.Remove(l.path(n)) // one that stays is passed over
+		_ = os.Remove(l.filePath(n)) // one that stays is passed over
 	}
 	return l, dropped, nil
 }
 
-func (l *Log) path(number uint64) string {
-	return filepath.Join(l.dir, fmt.Sprintf("%s%016x", nameStart, number))
+func (l *Log) filePath(number uint64) string {
+	return filepath.Join(l.dir, fmt.Sprintf("%s%016x", filePrefix, number))
 }
 
-// files lists the numbers of the whole files, in order, and removes what was not finished.
-func (l *Log) files() (numbers []uint64, err error) {
+// listFiles lists the numbers of the whole files, in order, and removes what was not finished.
+func (l *Log) listFiles() (numbers []uint64, err error) {
 	entries, err := os.ReadDir(l.dir)
 	if err != nil {
 		return nil, fmt.Errorf("consensus folder: %w", err)
 	}
 	for _, e := range entries {
-		rest, ours := strings.CutPrefix(e.Name(), nameStart)
+		rest, ours := strings.CutPrefix(e.Name(), filePrefix)
 		if !ours {
 			continue
 		}
-		if strings.HasSuffix(rest, newEnd) {
+		if strings.HasSuffix(rest, tempSuffix) {
 			if err := os.Remove(filepath.Join(l.dir, e.Name())); err != nil && !errors.Is(err, fs.ErrNotExist) {
 				return nil, fmt.Errorf("consensus folder: %w", err)
 			}
@@ -161,23 +161,23 @@
 	return numbers, nil
 }
 
-// Memory is what the folder holds. Entries and snapshot are the caller's to read alone.
-func (l *Log) Memory() Memory {
+// State is what the folder holds. Entries and snapshot are the caller's to read alone.
+func (l *Log) State() PersistentState {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	m := l.memory
-	m.Kept.Entries, m.Heard = slices.Clone(m.Kept.Entries), maps.Clone(m.Heard)
+	m := l.state
+	m.Raft.Entries, m.Incarnations = slices.Clone(m.Raft.Entries), maps.Clone(m.Incarnations)
 	return m
 }
 
-// read takes in a file.
-func (l *Log) read(path string) (dropped int, err error) {
+// readFile takes in a file.
+func (l *Log) readFile(path string) (dropped int, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return 0, fmt.Errorf("consensus folder: %w", err)
 	}
 	for at := 0; at < len(text); {
-		content, size, err := next(text[at:])
+		content, size, err := decodeRecord(text[at:])
 		if err != nil {
 			return 0, fmt.Errorf("%s: byte %d: %w", path, at, err)
 		}
@@ -187,76 +187,76 @@
 		}
 		var r record
 		if err := cbor.Unmarshal(content, &r); err != nil {
-			return 0, fmt.Errorf("%s: byte %d: %w: %w", path, at, ErrSpoilt, err)
+			return 0, fmt.Errorf("%s: byte %d: %w: %w", path, at, ErrCorrupt, err)
 		}
-		if at == 0 && r.Format != format {
-			return 0, fmt.Errorf("%s: format %d, this program knows %d", path, r.Format, format)
+		if at == 0 && r.Format != formatVersion {
+			return 0, fmt.Errorf("%s: format %d, this program knows %d", path, r.Format, formatVersion)
 		}
-		if err := l.memory.take(r); err != nil {
-			return 0, fmt.Errorf("%s: byte %d: %w: %w", path, at, ErrSpoilt, err)
+		if err := l.state.applyRecord(r); err != nil {
+			return 0, fmt.Errorf("%s: byte %d: %w: %w", path, at, ErrCorrupt, err)
 		}
 		at += size
 	}
-	if l.memory.Self.ID == 0 { // its first record was whole before it had its name
-		return 0, fmt.Errorf("%s: %w: it has no first record", path, ErrSpoilt)
+	if l.state.Self.ID == 0 { // its first record was whole before it had its name
+		return 0, fmt.Errorf("%s: %w: it has no first record", path, ErrCorrupt)
 	}
 	return dropped, nil
 }
 
-// next returns the content of the record that text begins with, and the record's size; 0: it is torn.
-func next(text []byte) (content []byte, size int, err error) {
-	if len(text) < headBytes {
+// decodeRecord returns the content of the record that text begins with, and the record's size; 0: it is torn.
+func decodeRecord(text []byte) (content []byte, size int, err error) {
+	if len(text) < headerBytes {
 		return nil, 0, nil
 	}
 	length := binary.LittleEndian.Uint32(text)
-	if binary.LittleEndian.Uint32(text[4:]) != uint32(xxhash.Sum64(text[:4])) || length > mostRecord {
-		if len(bytes.Trim(text[headBytes:], "\x00")) == 0 { // the file got its length before its content
+	if binary.LittleEndian.Uint32(text[4:]) != uint32(xxhash.Sum64(text[:4])) || length > maxRecordBytes {
+		if len(bytes.Trim(text[headerBytes:], "\x00")) == 0 { // the file got its length before its content
 			return nil, 0, nil
 		}
-		return nil, 0, ErrSpoilt
+		return nil, 0, ErrCorrupt
 	}
-	if size = headBytes + int(length); len(text) < size {
+	if size = headerBytes + int(length); len(text) < size {
 		return nil, 0, nil
 	}
-	if content = text[headBytes:size]; binary.LittleEndian.Uint64(text[8:]) != xxhash.Sum64(content) {
+	if content = text[headerBytes:size]; binary.LittleEndian.Uint64(text[8:]) != xxhash.Sum64(content) {
 		if len(text) == size || len(bytes.Trim(text[size:], "\x00")) == 0 { // the last one
 			return nil, 0, nil
 		}
-		return nil, 0, ErrSpoilt
+		return nil, 0, ErrCorrupt
 	}
 	return content, size, nil
 }
 
-// with returns the memory with a record added. The former one stays as it is.
-func (m Memory) with(r record) (Memory, error) {
-	m.Heard = maps.Clone(m.Heard)
-	err := m.take(r)
+// withRecord returns the memory with a record added. The former one stays as it is.
+func (m PersistentState) withRecord(r record) (PersistentState, error) {
+	m.Incarnations = maps.Clone(m.Incarnations)
+	err := m.applyRecord(r)
 	return m, err
 }
 
-// take adds a record.
-func (m *Memory) take(r record) error {
+// applyRecord adds a record.
+func (m *PersistentState) applyRecord(r record) error {
 	if r.Self != nil {
 		m.Self = *r.Self
 	}
 	if r.Bootstrap != nil {
 		m.Bootstrap = r.Bootstrap
 	}
-	for id, life := range r.Heard {
-		m.Heard[id] = max(m.Heard[id], life)
+	for id, life := range r.Incarnations {
+		m.Incarnations[id] = max(m.Incarnations[id], life)
 	}
-	if r.State != nil {
-		m.Kept.HardState = raftpb.HardState{}
-		if err := m.Kept.HardState.Unmarshal(r.State); err != nil {
+	if r.HardState != nil {
+		m.Raft.HardState = raftpb.HardState{}
+		if err := m.Raft.HardState.Unmarshal(r.HardState); err != nil {
 			return err
 		}
 	}
 	if r.Snapshot != nil {
-		m.Kept.Snapshot = raftpb.Snapshot{}
-		if err := m.Kept.Snapshot.Unmarshal(r.Snapshot); err != nil {
+		m.Raft.Snapshot = raftpb.Snapshot{}
+		if err := m.Raft.Snapshot.Unmarshal(r.Snapshot); err != nil {
 			return err
 		}
-		m.Kept.Entries = after(m.Kept.Entries, m.Kept.Snapshot.Metadata.Index)
+		m.Raft.Entries = entriesAfter(m.Raft.Entries, m.Raft.Snapshot.Metadata.Index)
 	}
 	if len(r.Entries) == 0 {
 		return nil
@@ -267,23 +267,23 @@
 			return err
 		}
 	}
-	kept := m.Kept.Entries
+	kept := m.Raft.Entries
 	if i := slices.IndexFunc(kept, func(e raftpb.Entry) bool { return e.Index >= entries[0].Index }); i >= 0 {
 		kept = kept[:i]
 	}
-	last := m.Kept.Snapshot.Metadata.Index
+	last := m.Raft.Snapshot.Metadata.Index
 	if len(kept) > 0 {
 		last = kept[len(kept)-1].Index
 	}
 	if entries[0].Index > last+1 && last > 0 {
 		return fmt.Errorf("entry %d follows entry %d", entries[0].Index, last)
 	}
-	m.Kept.Entries = append(slices.Clip(kept), entries...)
+	m.Raft.Entries = append(slices.Clip(kept), entries...)
 	return nil
 }
 
-// after returns the entries behind an index.
-func after(entries []raftpb.Entry, index uint64) []raftpb.Entry {
+// entriesAfter returns the entries behind an index.
+func entriesAfter(entries []raftpb.Entry, index uint64) []raftpb.Entry {
 	i := slices.IndexFunc(entries, func(e raftpb.Entry) bool { return e.Index > index })
 	if i < 0 {
 		return nil
@@ -291,27 +291,27 @@
 	return entries[i:]
 }
 
-// Keep writes a batch down. After an error the batch is not kept, and nothing that rests on it may be told; a later
+// Persist writes a batch down. After an error the batch is not kept, and nothing that rests on it may be told; a later
 // life may read it all the same. The batch is to be kept again until that succeeds: each try writes all that is held
 // into a new file, as what a failed write or sync has left of the former one is not known.
-func (l *Log) Keep(b consensus.Batch) error {
-	r, err := recordOf(b)
+func (l *Log) Persist(b consensus.Batch) error {
+	r, err := newRecord(b)
 	if err != nil {
 		return err
 	}
 	return l.append(r)
 }
 
-// Found writes down which consensus group the decider is of.
-func (l *Log) Found(f consensus.Bootstrap) error { return l.append(record{Bootstrap: &f}) }
+// SaveBootstrap writes down which consensus group the decider is of.
+func (l *Log) SaveBootstrap(f consensus.Bootstrap) error { return l.append(record{Bootstrap: &f}) }
 
 // Compact writes down a snapshot, which takes the place of the entries up to it.
-func (l *Log) Compact(s raftpb.Snapshot) error { return l.Keep(consensus.Batch{Snapshot: &s}) }
+func (l *Log) Compact(s raftpb.Snapshot) error { return l.Persist(consensus.Batch{Snapshot: &s}) }
 
-func recordOf(b consensus.Batch) (r record, err error) {
-	r.Heard = b.Incarnations
+func newRecord(b consensus.Batch) (r record, err error) {
+	r.Incarnations = b.Incarnations
 	if b.HardState != nil {
-		if r.State, err = b.HardState.Marshal(); err != nil {
+		if r.HardState, err = b.HardState.Marshal(); err != nil {
 			return r, fmt.Errorf("consensus folder: state: %w", err)
 		}
 	}
@@ -330,15 +330,15 @@
 	return r, nil
 }
 
-func seal(r record) ([]byte, error) {
+func encodeRecord(r record) ([]byte, error) {
 	content, err := cbor.Marshal(r)
 	if err != nil {
 		return nil, fmt.Errorf("consensus folder: %w", err)
 	}
-	if len(content) > mostRecord {
-		return nil, fmt.Errorf("consensus folder: a record of %d bytes, %d are allowed", len(content), mostRecord)
+	if len(content) > maxRecordBytes {
+		return nil, fmt.Errorf("consensus folder: a record of %d bytes, %d are allowed", len(content), maxRecordBytes)
 	}
-	text := make([]byte, headBytes, headBytes+len(content))
+	text := make([]byte, headerBytes, headerBytes+len(content))
 	binary.LittleEndian.PutUint32(text, uint32(len(content)))
 	binary.LittleEndian.PutUint32(text[4:], uint32(xxhash.Sum64(text[:4])))
 	binary.LittleEndian.PutUint64(text[8:], xxhash.Sum64(content))
@@ -351,14 +351,14 @@
 	if l.closed {
 		return errClosed
 	}
-	next, err := l.memory.with(r)
+	next, err := l.state.withRecord(r)
 	if err != nil {
 		return fmt.Errorf("consensus folder %s: %w", l.dir, err)
 	}
-	if l.failed {
+	if l.tailUnknown {
 		return l.rewrite(next)
 	}
-	text, err := seal(r)
+	text, err := encodeRecord(r)
 	if err != nil {
 		return err
 	}
@@ -366,13 +366,13 @@
 		err = l.file.Sync()
 	}
 	if err != nil {
-		l.failed = true
+		l.tailUnknown = true
 		return fmt.Errorf("consensus folder: %w", err)
 	}
 	l.size += int64(len(text))
-	l.memory = next
-	if l.size > max(l.grown, 2*l.began, l.compact) && l.rewrite(next) != nil {
-		l.compact = l.size + l.grown // the record is kept; the file goes on growing for a while
+	l.state = next
+	if l.size > max(l.compactionThreshold, 2*l.initialSize, l.compactionRetrySize) && l.rewrite(next) != nil {
+		l.compactionRetrySize = l.size + l.compactionThreshold // the record is kept; the file goes on growing for a while
 	}
 	return nil
 }
@@ -380,18 +380,18 @@
 // rewrite begins a further file that holds a memory, and drops the former one. Whatever fails, the former one is as it
 // was; but once the further one may have its name it is what a later life reads, so that nothing may be appended to the
 // former one any more.
-func (l *Log) rewrite(m Memory) error {
-	r, err := recordOf(consensus.Batch{HardState: &m.Kept.HardState, Snapshot: &m.Kept.Snapshot, Entries: m.Kept.Entries})
+func (l *Log) rewrite(m PersistentState) error {
+	r, err := newRecord(consensus.Batch{HardState: &m.Raft.HardState, Snapshot: &m.Raft.Snapshot, Entries: m.Raft.Entries})
 	if err != nil {
 		return err
 	}
-	r.Format, r.Self, r.Bootstrap, r.Heard = format, &m.Self, m.Bootstrap, m.Heard
-	text, err := seal(r)
+	r.Format, r.Self, r.Bootstrap, r.Incarnations = formatVersion, &m.Self, m.Bootstrap, m.Incarnations
+	text, err := encodeRecord(r)
 	if err != nil {
 		return err
 	}
-	path := l.path(l.number + 1)
-	f, err := l.fs.Create(path + newEnd)
+	path := l.filePath(l.fileNumber + 1)
+	f, err := l.fs.Create(path + tempSuffix)
 	if err != nil {
 		return fmt.Errorf("consensus folder: %w", err)
 	}
@@ -399,23 +399,23 @@
 		err = f.Sync()
 	}
 	if err == nil {
-		l.failed = true
-		err = l.fs.Rename(path+newEnd, path)
+		l.tailUnknown = true
+		err = l.fs.Rename(path+tempSuffix, path)
 	}
 	if err == nil {
 		err = l.fs.SyncDir(l.dir)
 	}
 	if err != nil {
 		err = errors.Join(fmt.Errorf("consensus folder: %w", err), f.Close())
-		_ = l.fs.Remove(path + newEnd) // a full disk needs its room; the next try takes its place anyway
+		_ = l.fs.Remove(path + tempSuffix) // a full disk needs its room; the next try takes its place anyway
 		return err
 	}
 	if l.file != nil {
-		_ = l.file.Close()                // nothing more is written to it
-		_ = l.fs.Remove(l.path(l.number)) // one that stays is passed over
+		_ = l.file.Close()                        // nothing more is written to it
+		_ = l.fs.Remove(l.filePath(l.fileNumber)) // one that stays is passed over
 	}
-	l.file, l.number, l.size, l.began = f, l.number+1, int64(len(text)), int64(len(text))
-	l.memory, l.compact, l.failed = m, 0, false
+	l.file, l.fileNumber, l.size, l.initialSize = f, l.fileNumber+1, int64(len(text)), int64(len(text))
+	l.state, l.compactionRetrySize, l.tailUnknown = m, 0, false
 	return nil
 }
 
@@ -424,5 +424,5 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
-	return errors.Join(l.file.Close(), l.lock.Close())
+	return errors.Join(l.file.Close(), l.lockFile.Close())
 }
--- a/internal/fleet/raftlog/raftlog_test.go
+++ b/internal/fleet/raftlog/raftlog_test.go
@@ -19,8 +19,8 @@
 
 var bootstrap = consensus.Bootstrap{Voters: map[string]uint64{"a": 1, "b": 2, "c": 3}, InitialPolicy: []byte("first")}
 
-// begin opens a folder whose file is written anew once it has so many bytes.
-func begin(t rapid.TB, dir string, grown int64) (*Log, int) {
+// openLog opens a folder whose file is written anew once it has so many bytes.
+func openLog(t rapid.TB, dir string, grown int64) (*Log, int) {
 	t.Helper()
 	l, dropped, err := open(dir, 1, fsys.OS{}, grown)
 	if err != nil {
@@ -29,7 +29,7 @@
 	return l, dropped
 }
 
-func done(t rapid.TB, l *Log) {
+func closeLog(t rapid.TB, l *Log) {
 	t.Helper()
 	if err := l.Close(); err != nil {
 		t.Error(err)
@@ -59,58 +59,58 @@
 	}
 }
 
-// only is the path of the one file that a folder has.
-func only(t rapid.TB, dir string) string {
+// onlyFile is the path of the one file that a folder has.
+func onlyFile(t rapid.TB, dir string) string {
 	t.Helper()
-	found, err := filepath.Glob(filepath.Join(dir, nameStart+"*"))
+	found, err := filepath.Glob(filepath.Join(dir, filePrefix+"*"))
 	if err != nil || len(found) != 1 {
 		t.Fatalf("files %v, error %v", found, err)
 	}
 	return found[0]
 }
 
-// same tells whether two memories hold the same, but for their lives.
-func same(a, b Memory) bool {
+// sameState tells whether two memories hold the same, but for their lives.
+func sameState(a, b PersistentState) bool {
 	a.Self.Incarnation, b.Self.Incarnation = 0, 0
-	if len(a.Kept.Entries)+len(b.Kept.Entries) == 0 {
-		a.Kept.Entries, b.Kept.Entries = nil, nil
+	if len(a.Raft.Entries)+len(b.Raft.Entries) == 0 {
+		a.Raft.Entries, b.Raft.Entries = nil, nil
 	}
 	return reflect.DeepEqual(a, b)
 }
 
-// written is a folder's file after each batch: how long it was, and what it held.
-func written(t rapid.TB, dir string) (text []byte, sizes []int64, held []Memory) {
+// writeExample is a folder's file after each batch: how long it was, and what it held.
+func writeExample(t rapid.TB, dir string) (text []byte, sizes []int64, held []PersistentState) {
 	t.Helper()
-	l, _ := begin(t, dir, usualGrown)
-	if err := l.Found(bootstrap); err != nil {
+	l, _ := openLog(t, dir, defaultCompactionThreshold)
+	if err := l.SaveBootstrap(bootstrap); err != nil {
 		t.Fatal(err)
 	}
-	note := func() { sizes, held = append(sizes, l.size), append(held, l.Memory()) }
+	note := func() { sizes, held = append(sizes, l.size), append(held, l.State()) }
 	note()
 	for _, b := range batches() {
-		if err := l.Keep(b); err != nil {
+		if err := l.Persist(b); err != nil {
 			t.Fatal(err)
 		}
 		note()
 	}
-	done(t, l)
-	text, err := os.ReadFile(only(t, dir))
+	closeLog(t, l)
+	text, err := os.ReadFile(onlyFile(t, dir))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return text, sizes, held
 }
 
-// TestCutAnywhere cuts the file at every byte: what was kept whole is there, nothing else is, and it goes on from there.
-func TestCutAnywhere(t *testing.T) {
-	text, sizes, held := written(t, t.TempDir())
+// TestTruncatedFileKeepsCompleteRecords cuts the file at every byte: what was kept whole is there, nothing else is, and it goes on from there.
+func TestTruncatedFileKeepsCompleteRecords(t *testing.T) {
+	text, sizes, held := writeExample(t, t.TempDir())
 	for cut := range len(text) + 1 {
 		for _, zeros := range []int{0, 40} { // as a file that had got its length
 			dir := t.TempDir()
-			if err := os.WriteFile(filepath.Join(dir, nameStart+"0000000000000001"), append(bytes.Clone(text[:cut]), make([]byte, zeros)...), 0o600); err != nil {
+			if err := os.WriteFile(filepath.Join(dir, filePrefix+"0000000000000001"), append(bytes.Clone(text[:cut]), make([]byte, zeros)...), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			l, _, err := open(dir, 9, fsys.OS{}, usualGrown)
+			l, _, err := open(dir, 9, fsys.OS{}, defaultCompactionThreshold)
 			last := -1
 			for i, size := range sizes {
 				if int64(cut) >= size {
@@ -120,10 +120,10 @@
 			if last < 0 {
 				if err == nil {
 					last, err = 0, l.Close() // of what it began with there is no size
-					if got := l.Memory(); got.Bootstrap != nil || got.Self.ID != 1 || err != nil {
+					if got := l.State(); got.Bootstrap != nil || got.Self.ID != 1 || err != nil {
 						t.Errorf("cut at %d: %+v, error %v", cut, got, err)
 					}
-				} else if !errors.Is(err, ErrSpoilt) {
+				} else if !errors.Is(err, ErrCorrupt) {
 					t.Errorf("cut at %d: %v", cut, err)
 				}
 				continue
@@ -131,127 +131,127 @@
 			if err != nil {
 				t.Fatalf("cut at %d with %d zeros: %v", cut, zeros, err)
 			}
-			if zeros > 0 && last+1 < len(held) && same(l.Memory(), held[last+1]) {
+			if zeros > 0 && last+1 < len(held) && sameState(l.State(), held[last+1]) {
 				last++ // what was missing of it was zeros
 			}
-			if got := l.Memory(); !same(got, held[last]) || got.Self.Incarnation != 2 {
+			if got := l.State(); !sameState(got, held[last]) || got.Self.Incarnation != 2 {
 				t.Errorf("cut at %d: %+v, want %+v", cut, got, held[last])
 			}
-			if err := l.Keep(consensus.Batch{HardState: &raftpb.HardState{Term: 99}}); err != nil {
+			if err := l.Persist(consensus.Batch{HardState: &raftpb.HardState{Term: 99}}); err != nil {
 				t.Error(err)
 			}
-			done(t, l)
-			again, _ := begin(t, dir, usualGrown)
-			if got := again.Memory(); got.Kept.HardState.Term != 99 || len(got.Kept.Entries) != len(held[last].Kept.Entries) {
+			closeLog(t, l)
+			again, _ := openLog(t, dir, defaultCompactionThreshold)
+			if got := again.State(); got.Raft.HardState.Term != 99 || len(got.Raft.Entries) != len(held[last].Raft.Entries) {
 				t.Errorf("cut at %d, and gone on: %+v", cut, got)
 			}
-			done(t, again)
+			closeLog(t, again)
 		}
 	}
 }
 
-// TestSpoiltAnywhere changes each byte: but in the last record, which nobody may have heard of, that is found.
-func TestSpoiltAnywhere(t *testing.T) {
-	text, sizes, held := written(t, t.TempDir())
+// TestCorruptionBeforeLastRecordIsDetected changes each byte: but in the last record, which nobody may have heard of, that is found.
+func TestCorruptionBeforeLastRecordIsDetected(t *testing.T) {
+	text, sizes, held := writeExample(t, t.TempDir())
 	before := sizes[len(sizes)-2] // where the last record begins
 	for at := range text {
 		spoilt := bytes.Clone(text)
 		spoilt[at] ^= 0x20
 		dir := t.TempDir()
-		if err := os.WriteFile(filepath.Join(dir, nameStart+"0000000000000001"), spoilt, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, filePrefix+"0000000000000001"), spoilt, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		l, dropped, err := open(dir, 9, fsys.OS{}, usualGrown)
+		l, dropped, err := open(dir, 9, fsys.OS{}, defaultCompactionThreshold)
 		switch {
-		case err == nil && (int64(at) < before || dropped == 0 || !same(l.Memory(), held[len(held)-2])):
+		case err == nil && (int64(at) < before || dropped == 0 || !sameState(l.State(), held[len(held)-2])):
 			t.Errorf("byte %d: taken, with %d dropped", at, dropped)
-		case err != nil && !errors.Is(err, ErrSpoilt):
+		case err != nil && !errors.Is(err, ErrCorrupt):
 			t.Errorf("byte %d: %v", at, err)
 		}
 		if err == nil {
-			done(t, l)
+			closeLog(t, l)
 		}
 	}
 }
 
-// full is a disk with little room.
-type full struct {
+// fullDisk is a disk with little room.
+type fullDisk struct {
 	fsys.FS
-	room *int
+	freeBytes *int
 }
 
-// fullFile is a file on it.
-type fullFile struct {
+// fullDiskFile is a file on it.
+type fullDiskFile struct {
 	fsys.File
-	room *int
+	freeBytes *int
 }
 
-var errFull = errors.New("no space left")
+var errDiskFull = errors.New("no space left")
 
-func (d full) Create(path string) (fsys.File, error) {
+func (d fullDisk) Create(path string) (fsys.File, error) {
 	f, err := d.FS.Create(path)
-	return fullFile{f, d.room}, err
+	return fullDiskFile{f, d.freeBytes}, err
 }
 
-func (f fullFile) Write(text []byte) (int, error) {
-	n := min(len(text), *f.room)
-	*f.room -= n
+func (f fullDiskFile) Write(text []byte) (int, error) {
+	n := min(len(text), *f.freeBytes)
+	*f.freeBytes -= n
 	if _, err := f.File.Write(text[:n]); err != nil || n == len(text) {
 		return n, err
 	}
-	return n, errFull
+	return n, errDiskFull
 }
 
-// TestFullDisk: once the disk is full nothing more is kept, as often as it is tried; once there is room again all is
+// TestFullDiskLosesNoAcknowledgedBatch: once the disk is full nothing more is kept, as often as it is tried; once there is room again all is
 // kept that could not be, and is there with what was kept before. A life that ends in between has what was kept, or
 // more.
-func TestFullDisk(t *testing.T) {
+func TestFullDiskLosesNoAcknowledgedBatch(t *testing.T) {
 	for room := 100; room < 3000; room += 13 {
 		for _, ends := range []bool{false, true} { // before there is room
 			dir, left := t.TempDir(), room
-			l, _, err := open(dir, 1, full{fsys.OS{}, &left}, 600)
+			l, _, err := open(dir, 1, fullDisk{fsys.OS{}, &left}, 600)
 			if err != nil {
-				if !errors.Is(err, errFull) {
+				if !errors.Is(err, errDiskFull) {
 					t.Fatal(err)
 				}
 				continue
 			}
-			kept := l.Memory() // as it is to be, worked out beside the folder
+			kept := l.State() // as it is to be, worked out beside the folder
 			for _, b := range append(batches(), batches()[4:]...) {
-				if err := l.Keep(b); err != nil {
-					if !errors.Is(err, errFull) || l.Keep(b) == nil {
+				if err := l.Persist(b); err != nil {
+					if !errors.Is(err, errDiskFull) || l.Persist(b) == nil {
 						t.Errorf("room for %d bytes: %v, and kept the next time", room, err)
 					}
 					if ends {
 						break
 					}
 					left += 1 << 20
-					if err := l.Keep(b); err != nil {
+					if err := l.Persist(b); err != nil {
 						t.Errorf("room for %d bytes, and more: %v", room, err)
 					}
 				}
-				r, failed := recordOf(b)
-				if failed = errors.Join(failed, kept.take(r)); failed != nil {
+				r, failed := newRecord(b)
+				if failed = errors.Join(failed, kept.applyRecord(r)); failed != nil {
 					t.Fatal(failed)
 				}
 			}
-			if !ends && !same(l.Memory(), kept) {
-				t.Errorf("room for %d bytes: holds %+v, kept %+v", room, l.Memory(), kept)
+			if !ends && !sameState(l.State(), kept) {
+				t.Errorf("room for %d bytes: holds %+v, kept %+v", room, l.State(), kept)
 			}
-			done(t, l)
-			again, _ := begin(t, dir, 600)
-			if got := again.Memory(); !ends && !same(got, kept) {
+			closeLog(t, l)
+			again, _ := openLog(t, dir, 600)
+			if got := again.State(); !ends && !sameState(got, kept) {
 				t.Errorf("room for %d bytes: %+v, kept %+v", room, got, kept)
-			} else if got.Kept.HardState.Term < kept.Kept.HardState.Term || got.Kept.Snapshot.Metadata.Index < kept.Kept.Snapshot.Metadata.Index {
+			} else if got.Raft.HardState.Term < kept.Raft.HardState.Term || got.Raft.Snapshot.Metadata.Index < kept.Raft.Snapshot.Metadata.Index {
 				t.Errorf("room for %d bytes: %+v, was kept %+v", room, got, kept)
 			}
-			done(t, again)
+			closeLog(t, again)
 		}
 	}
 }
 
-// TestAsRaftKeeps drives the folder and raft's own storage with the same drawn batches, through rewrites and new lives.
-func TestAsRaftKeeps(t *testing.T) {
+// TestHoldsSameStateAsMemoryStorage drives the folder and raft's own storage with the same drawn batches, through rewrites and new lives.
+func TestHoldsSameStateAsMemoryStorage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "raftlog")
 		if err != nil {
@@ -259,8 +259,8 @@
 		}
 		defer os.RemoveAll(dir)
 		model := raft.NewMemoryStorage()
-		l, _ := begin(t, dir, 500)
-		defer func() { done(t, l) }()
+		l, _ := openLog(t, dir, 500)
+		defer func() { closeLog(t, l) }()
 		term := uint64(1)
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			first, _ := model.FirstIndex()
@@ -291,8 +291,8 @@
 					t.Fatal(err)
 				}
 			case 4:
-				done(t, l)
-				l, _ = begin(t, dir, 500)
+				closeLog(t, l)
+				l, _ = openLog(t, dir, 500)
 				continue
 			case 5:
 				b.Snapshot = &raftpb.Snapshot{Data: []byte("another's"), Metadata: raftpb.SnapshotMetadata{Index: last + 3, Term: term}}
@@ -300,10 +300,10 @@
 					t.Fatal(err)
 				}
 			}
-			if err := l.Keep(b); err != nil {
+			if err := l.Persist(b); err != nil {
 				t.Fatal(err)
 			}
-			got := l.Memory().Kept
+			got := l.State().Raft
 			first, _ = model.FirstIndex()
 			last, _ = model.LastIndex()
 			var want []raftpb.Entry
@@ -325,18 +325,18 @@
 // was not finished goes; and what is no file of ours is an error.
 func TestFolder(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "new")
-	l, _ := begin(t, dir, usualGrown)
+	l, _ := openLog(t, dir, defaultCompactionThreshold)
 	if _, _, err := Open(dir, 7); err == nil {
 		t.Error("two processes have one folder")
 	}
-	if err := l.Found(bootstrap); err != nil {
+	if err := l.SaveBootstrap(bootstrap); err != nil {
 		t.Fatal(err)
 	}
-	done(t, l)
-	if err := l.Found(bootstrap); err == nil {
+	closeLog(t, l)
+	if err := l.SaveBootstrap(bootstrap); err == nil {
 		t.Error("a closed folder keeps")
 	}
-	former, err := os.ReadFile(only(t, dir))
+	former, err := os.ReadFile(onlyFile(t, dir))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -344,14 +344,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m := l.Memory(); m.Self != (consensus.Identity{ID: 1, Incarnation: 2}) || m.Bootstrap.GroupID() != bootstrap.GroupID() {
+	if m := l.State(); m.Self != (consensus.Identity{ID: 1, Incarnation: 2}) || m.Bootstrap.GroupID() != bootstrap.GroupID() {
 		t.Errorf("%+v", m)
 	}
-	if err := l.Keep(batches()[0]); err != nil {
+	if err := l.Persist(batches()[0]); err != nil {
 		t.Fatal(err)
 	}
-	done(t, l)
-	for name, text := range map[string][]byte{nameStart + "0000000000000001": former, nameStart + "00000000000000ff" + newEnd: {1, 2}} {
+	closeLog(t, l)
+	for name, text := range map[string][]byte{filePrefix + "0000000000000001": former, filePrefix + "00000000000000ff" + tempSuffix: {1, 2}} {
 		if err := os.WriteFile(filepath.Join(dir, name), text, 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -360,12 +360,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m := l.Memory(); m.Self.Incarnation != 3 || m.Kept.HardState.Term != 1 || m.Heard[2] != 4 {
+	if m := l.State(); m.Self.Incarnation != 3 || m.Raft.HardState.Term != 1 || m.Incarnations[2] != 4 {
 		t.Errorf("%+v", m)
 	}
-	done(t, l)
-	only(t, dir)
-	if err := os.WriteFile(filepath.Join(dir, nameStart+"notes"), nil, 0o600); err != nil {
+	closeLog(t, l)
+	onlyFile(t, dir)
+	if err := os.WriteFile(filepath.Join(dir, filePrefix+"notes"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := Open(dir, 7); err == nil {
--- a/internal/fleet/raftnode/cluster_test.go
+++ b/internal/fleet/raftnode/cluster_test.go
@@ -70,12 +70,12 @@
 	return err
 }
 
-func (s faultyStorage) Found(b consensus.Bootstrap) error {
-	return s.write(func() error { return s.Log.Found(b) })
+func (s faultyStorage) SaveBootstrap(b consensus.Bootstrap) error {
+	return s.write(func() error { return s.Log.SaveBootstrap(b) })
 }
 
-func (s faultyStorage) Keep(b consensus.Batch) error {
-	return s.write(func() error { return s.Log.Keep(b) })
+func (s faultyStorage) Persist(b consensus.Batch) error {
+	return s.write(func() error { return s.Log.Persist(b) })
 }
 
 func (s faultyStorage) Compact(image raftpb.Snapshot) error {
@@ -160,7 +160,7 @@
 	voters, settled := m.node.machine.Voters()
 	for name, id := range voters {
 		o := c.members[name]
-		if o.node == nil || o.log.Memory().Self.ID != id || o.node.machine == nil {
+		if o.node == nil || o.log.State().Self.ID != id || o.node.machine == nil {
 			return false
 		}
 	}
--- a/internal/fleet/raftnode/hello.go
+++ b/internal/fleet/raftnode/hello.go
@@ -64,7 +64,7 @@
 		return err
 	}
 	// The others count on what this node says of its group, so that it must not forget it.
-	n.write(now, func() error { return n.storage.Found(*bootstrap) }, n.bootstrapPersisted)
+	n.write(now, func() error { return n.storage.SaveBootstrap(*bootstrap) }, n.bootstrapPersisted)
 	if n.Err() == nil && hello.Bootstrap == nil {
 		return n.replyToHello(now, hello)
 	}
@@ -73,9 +73,9 @@
 
 // bootstrapPersisted has this node take part in the group that its folder is of since the last write.
 func (n *Node) bootstrapPersisted(now Time) {
-	memory := n.storage.Memory()
-	n.log.Info("raftnode: joined a consensus group", "group", memory.Bootstrap.String())
-	if err := n.startMachine(now, memory); err != nil {
+	state := n.storage.State()
+	n.log.Info("raftnode: joined a consensus group", "group", state.Bootstrap.String())
+	if err := n.startMachine(now, state); err != nil {
 		n.stop(err)
 		return
 	}
--- a/internal/fleet/raftnode/node.go
+++ b/internal/fleet/raftnode/node.go
@@ -34,9 +34,9 @@
 // Storage keeps what must survive the process. *disk.Log is one. Its writes return once the data is durable; after an
 // error the node repeats the same write until it succeeds.
 type Storage interface {
-	Memory() raftlog.Memory
-	Found(consensus.Bootstrap) error
-	Keep(consensus.Batch) error
+	State() raftlog.PersistentState
+	SaveBootstrap(consensus.Bootstrap) error
+	Persist(consensus.Batch) error
 	Compact(raftpb.Snapshot) error
 }
 
@@ -88,9 +88,9 @@
 // New returns the node of a process that starts now. It fails where the settings are wrong, where the folder is another
 // voter's, and where the persisted state is not consistent.
 func New(now Time, settings Settings, storage Storage, log *slog.Logger) (*Node, error) {
-	memory := storage.Memory()
+	state := storage.State()
 	bootstrapper, err := consensus.NewBootstrapper(
-		settings.Name, memory.Self, settings.Voters, settings.InitialPolicy, memory.Bootstrap)
+		settings.Name, state.Self, settings.Voters, settings.InitialPolicy, state.Bootstrap)
 	if err != nil {
 		return nil, err
 	}
@@ -103,20 +103,20 @@
 		helloTargets: settings.Voters,
 		standbys:     map[string]standby{},
 	}
-	if memory.Bootstrap != nil {
-		return n, n.startMachine(now, memory)
+	if state.Bootstrap != nil {
+		return n, n.startMachine(now, state)
 	}
 	return n, nil
 }
 
 // startMachine takes part in the group that the folder is of.
-func (n *Node) startMachine(now Time, memory raftlog.Memory) error {
+func (n *Node) startMachine(now Time, state raftlog.PersistentState) error {
 	machine, err := consensus.New(now, consensus.Settings{
-		Identity:     memory.Self,
-		Bootstrap:    *memory.Bootstrap,
-		Incarnations: memory.Heard,
+		Identity:     state.Self,
+		Bootstrap:    *state.Bootstrap,
+		Incarnations: state.Incarnations,
 		Terms:        n.settings.Terms,
-		Persisted:    memory.Kept,
+		Persisted:    state.Raft,
 	}, n.log)
 	if err != nil {
 		return err
@@ -269,7 +269,7 @@
 		if !due {
 			break
 		}
-		n.write(now, func() error { return n.storage.Keep(b) }, n.batchPersisted)
+		n.write(now, func() error { return n.storage.Persist(b) }, n.batchPersisted)
 	}
 	if n.fatalErr != nil {
 		return
