--- /dev/null
+++ b/internal/fleet/raftlog/recovery.go
@@ -0,0 +1,111 @@
+package raftlog
+
+import (
+	"errors"
+	"fmt"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+const (
+	filePrefix = "council-" // of a log file, whose number follows in hexadecimal
+	tempSuffix = ".new"     // of a log file that is not complete
+)
+
+// recoverState takes in the newest file of the folder for a further incarnation of the voter, and writes a file of its
+// own: nothing is ever appended to a torn record. dropped is the size of a torn record that was passed over.
+func (l *Log) recoverState(freshID uint64) (dropped int, err error) {
+	numbers, err := l.listFiles()
+	if err != nil {
+		return 0, err
+	}
+	if len(numbers) > 0 {
+		// A file gets its name once it is complete, so the newest one holds the whole state.
+		l.fileNumber = numbers[len(numbers)-1]
+		if l.state, dropped, err = readFile(l.filePath(l.fileNumber)); err != nil {
+			return 0, err
+		}
+	}
+	if l.state.Self.ID == 0 {
+		l.state.Self.ID = freshID
+	}
+	l.state.Self.Incarnation++
+	if err := l.rewrite(l.state); err != nil {
+		return 0, err
+	}
+	for _, number := range numbers {
+		_ = os.Remove(l.filePath(number)) // one that remains is older than the file in use, and ignored
+	}
+	return dropped, nil
+}
+
+func (l *Log) filePath(number uint64) string {
+	return filepath.Join(l.dir, fmt.Sprintf("%s%016x", filePrefix, number))
+}
+
+// listFiles lists the numbers of the complete files in order, and removes the incomplete ones.
+func (l *Log) listFiles() (numbers []uint64, err error) {
+	entries, err := os.ReadDir(l.dir)
+	if err != nil {
+		return nil, folderError(err)
+	}
+	for _, entry := range entries {
+		digits, isLogFile := strings.CutPrefix(entry.Name(), filePrefix)
+		if !isLogFile {
+			continue
+		}
+		if strings.HasSuffix(digits, tempSuffix) {
+			err := os.Remove(filepath.Join(l.dir, entry.Name()))
+			if err != nil && !errors.Is(err, fs.ErrNotExist) {
+				return nil, folderError(err)
+			}
+			continue
+		}
+		var number uint64
+		if _, err := fmt.Sscanf(digits, "%016x", &number); err != nil {
+			return nil, fmt.Errorf("consensus folder: %s: no file of this program", entry.Name())
+		}
+		numbers = append(numbers, number)
+	}
+	slices.Sort(numbers)
+	return numbers, nil
+}
+
+// readFile returns the state that the records of a file come to. dropped is the size of a torn one at its end.
+func readFile(path string) (state PersistentState, dropped int, err error) {
+	state = emptyState()
+	data, err := os.ReadFile(path)
+	if err != nil {
+		return state, 0, folderError(err)
+	}
+	for offset := 0; offset < len(data); {
+		content, size, err := decodeRecord(data[offset:])
+		if errors.Is(err, errTorn) {
+			dropped = len(data) - offset
+			break
+		}
+		if err != nil {
+			return state, 0, fmt.Errorf("%s: byte %d: %w", path, offset, err)
+		}
+		var r record
+		if err := cbor.Unmarshal(content, &r); err != nil {
+			return state, 0, fmt.Errorf("%s: byte %d: %w: %w", path, offset, ErrCorrupt, err)
+		}
+		if offset == 0 && r.Format != formatVersion {
+			return state, 0, fmt.Errorf("%s: format %d, this program knows %d", path, r.Format, formatVersion)
+		}
+		if err := state.applyRecord(r); err != nil {
+			return state, 0, fmt.Errorf("%s: byte %d: %w: %w", path, offset, ErrCorrupt, err)
+		}
+		offset += size
+	}
+	if state.Self.ID == 0 { // the first record was complete before the file had its name
+		return state, 0, fmt.Errorf("%s: %w: it has no first record", path, ErrCorrupt)
+	}
+	return state, dropped, nil
+}
