--- a/deploy/names_test.go
+++ b/deploy/names_test.go
@@ -188,7 +188,7 @@
 		"balance", "internal/loadlevel", "internal/lossdetect", "internal/quota", "internal/retrybudget",
 		"internal/fleet/consensus", "internal/fleet/failuredetector", "internal/fleet/gossip",
 		"internal/fleet/membership", "internal/fleet/policy", "internal/fleet/policyagent",
-		"internal/fleet/replication", "internal/fleet/transport",
+		"internal/fleet/raftlog", "internal/fleet/replication", "internal/fleet/transport",
 	}
 	houseTerms = regexp.MustCompile(`(?i)\b(danger|staff|told|heard|deciders?|court|owed|doubts?|mayGo|coldRoom|drawTurns)\b`)
 )
