--- a/internal/fleet/raftlog/fault_test.go
+++ b/internal/fleet/raftlog/fault_test.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	testCompactionThreshold = 400 // bytes after which a file of these tests is written anew
+	testCompactionThreshold = 400 // bytes
 	maxAttempts             = 50
 )
 
-// storedFolder is a folder on a file system that fails, and what it has to hold.
-type storedFolder struct {
+// faultyFolder is a folder on a file system that fails, and what it has to hold.
+type faultyFolder struct {
 	dir          string
 	fs           *faultfs.FS
 	log          *Log
-	acknowledged PersistentState // all that was acknowledged
-	attempted    PersistentState // with what was not acknowledged at the end
+	acknowledged PersistentState
+	attempted    PersistentState // acknowledged, and with the batch that was written last
 }
 
-// open opens the folder, as often as it takes, unless the process is killed.
-func (f *storedFolder) open(t rapid.TB) {
+// open opens the folder, in as many attempts as it takes, unless the process is killed.
+func (f *faultyFolder) open(t rapid.TB) {
 	for range maxAttempts {
 		l, _, err := open(f.dir, 1, f.fs, testCompactionThreshold)
 		if err == nil {
@@ -45,8 +45,8 @@
 	t.Fatalf("never opened")
 }
 
-// persist has a batch be kept, as often as it takes, unless the process is killed.
-func (f *storedFolder) persist(t rapid.TB, b consensus.Batch) {
+// persist persists a batch, in as many attempts as it takes, unless the process is killed.
+func (f *faultyFolder) persist(t rapid.TB, b consensus.Batch) {
 	r, err := newRecord(b)
 	if err != nil {
 		t.Fatal(err)
@@ -58,17 +58,17 @@
 		if err = f.log.Persist(b); err == nil {
 			f.acknowledged = f.attempted
 		}
-		f.check(t, "held", f.log.State(), f.acknowledged)
+		f.check(t, "holds", f.log.State(), f.acknowledged)
 		if err == nil || f.fs.Killed() {
 			return
 		}
 	}
-	t.Fatalf("never kept: %v", err)
+	t.Fatalf("never persisted: %v", err)
 }
 
 // endProcess ends the process, and reads what the next one would.
-func (f *storedFolder) endProcess(t rapid.TB, power bool) {
-	if err := f.fs.End(power); err != nil {
+func (f *faultyFolder) endProcess(t rapid.TB, powerLoss bool) {
+	if err := f.fs.End(powerLoss); err != nil {
 		t.Fatal(err)
 	}
 	if f.log != nil {
@@ -83,41 +83,45 @@
 	closeLog(t, l)
 }
 
-func (f *storedFolder) check(t rapid.TB, what string, got PersistentState, want ...PersistentState) {
+// check fails unless a state is one of those that are wanted. Before the first process has opened it a folder holds
+// nothing.
+func (f *faultyFolder) check(t rapid.TB, what string, got PersistentState, want ...PersistentState) {
 	t.Helper()
 	for _, w := range want {
-		if w.Self.ID == 0 && got.Bootstrap == nil || sameState(got, w) { // before the first life there is nothing to hold
+		if w.Self.ID == 0 && got.Bootstrap == nil || sameState(got, w) {
 			return
 		}
 	}
 	t.Fatalf("%s %+v, want one of %+v", what, got, want)
 }
 
-// TestAcknowledgedStateSurvivesEachFault has each operation of a short life fail, once or for a while, or be the one in which the
-// process is killed, with and without a loss of power: what was acknowledged is read by the next life, and with a fault
-// all of it is kept.
-func TestAcknowledgedStateSurvivesEachFault(t *testing.T) {
-	clean := faultfs.New(0)
-	play := func(t *testing.T, fs *faultfs.FS, power bool) {
-		f := &storedFolder{dir: t.TempDir(), fs: fs}
-		f.open(t)
-		for _, b := range batches() {
-			if f.log != nil && !fs.Killed() {
-				f.persist(t, b)
-			}
+// persistBatches opens a new folder, persists the batches while the process lives, and ends it.
+func persistBatches(t *testing.T, fs *faultfs.FS, powerLoss bool) {
+	f := &faultyFolder{dir: t.TempDir(), fs: fs}
+	f.open(t)
+	for _, b := range batches() {
+		if f.log != nil && !fs.Killed() {
+			f.persist(t, b)
 		}
-		f.endProcess(t, power)
 	}
-	play(t, clean, false)
+	f.endProcess(t, powerLoss)
+}
+
+// TestAcknowledgedStateSurvivesEachFault has each operation of a short run fail, once or for a while, or be the one in
+// which the process is killed, with and without a loss of power: what was acknowledged is read by the next process, and
+// with a fault everything is acknowledged in the end.
+func TestAcknowledgedStateSurvivesEachFault(t *testing.T) {
+	clean := faultfs.New(0)
+	persistBatches(t, clean, false)
 	operations := clean.Operations()
 	if operations < 3*len(batches()) {
-		t.Fatalf("only %d operations, so no file was written anew", operations)
+		t.Fatalf("only %d operations, so no file was rewritten", operations)
 	}
 	for _, tt := range []struct {
-		name  string
-		fault error
-		count int
-		power bool
+		name      string
+		fault     error // nil: the process is killed
+		count     int
+		powerLoss bool
 	}{
 		{"ENOSPC once", syscall.ENOSPC, 1, false},
 		{"ENOSPC for a while", syscall.ENOSPC, 7, true},
@@ -127,22 +131,24 @@
 		{"loss of power", nil, 0, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			for at := range operations {
+			for operation := range operations {
 				for seed := range uint64(2) {
 					fs := faultfs.New(seed)
 					if tt.fault == nil {
-						fs.KillAfter(at)
+						fs.KillAfter(operation)
 					} else {
-						fs.Fail(at, tt.count, tt.fault)
+						fs.Fail(operation, tt.count, tt.fault)
 					}
-					t.Run(fmt.Sprintf("operation %d seed %d", at, seed), func(t *testing.T) { play(t, fs, tt.power) })
+					t.Run(fmt.Sprintf("operation %d seed %d", operation, seed), func(t *testing.T) {
+						persistBatches(t, fs, tt.powerLoss)
+					})
 				}
 			}
 		})
 	}
 }
 
-// TestAcknowledgedStateSurvivesDrawnFaults draws lives with batches, faults, kills and losses of power.
+// TestAcknowledgedStateSurvivesDrawnFaults draws processes with batches, faults, kills and losses of power.
 func TestAcknowledgedStateSurvivesDrawnFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "raftlog")
@@ -150,36 +156,14 @@
 			t.Fatal(err)
 		}
 		defer os.RemoveAll(dir)
-		f := &storedFolder{dir: dir}
+		f := &faultyFolder{dir: dir}
 		term := uint64(1)
-		for range rapid.IntRange(1, 4).Draw(t, "lives") {
+		for range rapid.IntRange(1, 4).Draw(t, "processes") {
 			f.fs = faultfs.New(rapid.Uint64().Draw(t, "seed"))
 			f.open(t)
 			for range rapid.IntRange(1, 12).Draw(t, "batches") {
-				skip := rapid.IntRange(0, 6).Draw(t, "skip")
-				switch rapid.IntRange(0, 9).Draw(t, "fault") {
-				case 0, 1:
-					f.fs.Fail(skip, rapid.IntRange(1, 9).Draw(t, "count"), syscall.ENOSPC)
-				case 2, 3:
-					f.fs.Fail(skip, rapid.IntRange(1, 9).Draw(t, "count"), syscall.EIO)
-				case 4:
-					f.fs.KillAfter(skip)
-				}
-				first := f.acknowledged.Raft.Snapshot.Metadata.Index + 1
-				end := first + uint64(len(f.acknowledged.Raft.Entries))
-				var b consensus.Batch
-				switch rapid.IntRange(0, 3).Draw(t, "what") {
-				case 0:
-					term++
-					b.HardState = &raftpb.HardState{Term: term, Vote: 1}
-				case 1, 2:
-					from := rapid.Uint64Range(first, end).Draw(t, "from")
-					b.Entries, b.Incarnations = entries(from, from+rapid.Uint64Range(0, 5).Draw(t, "more"), term), map[uint64]uint64{2: term}
-				case 3:
-					at := rapid.Uint64Range(first, end).Draw(t, "at")
-					b.Snapshot = &raftpb.Snapshot{Data: []byte("all"), Metadata: raftpb.SnapshotMetadata{Index: at, Term: term}}
-				}
-				if f.persist(t, b); f.fs.Killed() {
+				drawFault(t, f.fs)
+				if f.persist(t, drawBatch(t, f.acknowledged.Raft, &term)); f.fs.Killed() {
 					break
 				}
 			}
@@ -187,3 +171,34 @@
 		}
 	})
 }
+
+// drawFault has the file system fail or the process be killed at a drawn operation, in half of the cases.
+func drawFault(t *rapid.T, fs *faultfs.FS) {
+	operation := rapid.IntRange(0, 6).Draw(t, "skip")
+	switch rapid.IntRange(0, 9).Draw(t, "fault") {
+	case 0, 1:
+		fs.Fail(operation, rapid.IntRange(1, 9).Draw(t, "count"), syscall.ENOSPC)
+	case 2, 3:
+		fs.Fail(operation, rapid.IntRange(1, 9).Draw(t, "count"), syscall.EIO)
+	case 4:
+		fs.KillAfter(operation)
+	}
+}
+
+// drawBatch draws a batch that may follow a state.
+func drawBatch(t *rapid.T, state consensus.PersistentState, term *uint64) (b consensus.Batch) {
+	first := state.Snapshot.Metadata.Index + 1
+	end := first + uint64(len(state.Entries))
+	switch rapid.IntRange(0, 3).Draw(t, "what") {
+	case 0:
+		*term++
+		b.HardState = &raftpb.HardState{Term: *term, Vote: 1}
+	case 1, 2:
+		from := rapid.Uint64Range(first, end).Draw(t, "from")
+		b.Entries = entries(from, from+rapid.Uint64Range(0, 5).Draw(t, "more"), *term)
+		b.Incarnations = map[uint64]uint64{2: *term}
+	case 3:
+		b.Snapshot = snapshotAt(rapid.Uint64Range(first, end).Draw(t, "at"), *term)
+	}
+	return b
+}
