--- a/cmd/milletramp/fleet.go
+++ b/cmd/milletramp/fleet.go
@@ -115,8 +115,8 @@
 		case first == nil:
 			first = &all[i]
 		default:
-			for kind, sum := range t.Status.Sums {
-				if sum != first.Status.Sums[kind] {
+			for kind, sum := range t.Status.Digests {
+				if sum != first.Status.Digests[kind] {
 					return fmt.Errorf("%s and %s differ in %s", first.Status.Name, t.Status.Name, kind)
 				}
 			}
@@ -137,18 +137,18 @@
 		}
 		s := a.Status
 		phase := s.Phase
-		if !s.Bears {
+		if !s.OwnsName {
 			phase = "silent: another process bears its name"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%.8s\t%.8s\t%.8s\t%.8s\n", s.Name, phase, s.Here, s.Sick, s.Sums["by hand"], s.Sums["evidence"], s.Sums["starts"], s.Sums["tests"])
+		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%.8s\t%.8s\t%.8s\t%.8s\n", s.Name, phase, s.NumPresent, s.LocalHealth, s.Digests["by hand"], s.Digests["evidence"], s.Digests["starts"], s.Digests["tests"])
 	}
 	for _, a := range all {
 		if a.Status == nil {
 			continue
 		}
 		for _, m := range a.Status.Members {
-			if m.State != "alive" || len(m.Differ) > 0 {
-				fmt.Fprintf(t, "%s holds\t%s %s\theard %.1f s ago\tdiffers in %s for %.1f s\n", a.Status.Name, m.Name, m.State, m.Heard, strings.Join(m.Differ, ", "), m.Lag)
+			if m.State != "alive" || len(m.DivergedKinds) > 0 {
+				fmt.Fprintf(t, "%s holds\t%s %s\theard %.1f s ago\tdiffers in %s for %.1f s\n", a.Status.Name, m.Name, m.State, m.LastContactSeconds, strings.Join(m.DivergedKinds, ", "), m.DivergedSeconds)
 			}
 		}
 	}
@@ -162,7 +162,7 @@
 			for _, c := range s.Calls {
 				calls = append(calls, c.String())
 			}
-			line := fmt.Sprintf("server %s\tout %v, disputed %v\t%s\n", s.ID, s.Out, s.Disputed, strings.Join(calls, "; "))
+			line := fmt.Sprintf("server %s\tout %v, disputed %v\t%s\n", s.ID, s.AdminDown, s.Disputed, strings.Join(calls, "; "))
 			if !shown[line] {
 				shown[line] = true
 				fmt.Fprintf(t, "%s: %s", a.Status.Name, line)
@@ -175,16 +175,16 @@
 
 // printDoubts prints of each server that anybody asked has rows of who speaks ill of it, by the first that holds most.
 func printDoubts(w io.Writer, all []told) {
-	most := map[string]fleet.DoubtStatus{}
+	most := map[string]fleet.SuspicionStatus{}
 	by, lasts := map[string]int{}, map[string]float64{} // sidecars for which it is in doubt, and the longest of these times
 	for _, a := range all {
 		if a.Status == nil {
 			continue
 		}
-		for _, d := range a.Status.Doubts {
-			if d.Doubt && d.Listed {
+		for _, d := range a.Status.Suspicions {
+			if d.Suspected && d.Listed {
 				by[d.ID]++
-				lasts[d.ID] = max(lasts[d.ID], d.For)
+				lasts[d.ID] = max(lasts[d.ID], d.SuspectedSeconds)
 			}
 			if len(d.Rows) > len(most[d.ID].Rows) {
 				most[d.ID] = d
@@ -194,9 +194,9 @@
 	for _, id := range slices.Sorted(maps.Keys(most)) {
 		var rows []string
 		for _, r := range most[id].Rows {
-			row := fmt.Sprintf("%s %.1f s ago: %d silent, %d late, %d refused", r.By, r.Age, r.Silent, r.Late, r.Refused)
-			if r.Good >= 0 {
-				row += fmt.Sprintf(", answered %.1f s before", r.Good)
+			row := fmt.Sprintf("%s %.1f s ago: %d silent, %d late, %d refused", r.Reporter, r.AgeSeconds, r.Unresponsive, r.Late, r.Refused)
+			if r.LastGoodSeconds >= 0 {
+				row += fmt.Sprintf(", answered %.1f s before", r.LastGoodSeconds)
 			}
 			rows = append(rows, row)
 		}
--- a/deploy/fleet_test.go
+++ b/deploy/fleet_test.go
@@ -160,7 +160,7 @@
 // used by all again.
 func TestFleetObeys(t *testing.T) {
 	sites, p := newFleet(t, 3)
-	p[0].await(func() bool { return p[0].status().Here == 3 })
+	p[0].await(func() bool { return p[0].status().NumPresent == 3 })
 	var stops []func()
 	for _, s := range sites {
 		stops = append(stops, s.load(4))
@@ -208,7 +208,7 @@
 	for i := range sites {
 		kB, peak, files := p[i].holds()
 		t.Logf("sidecar %d of three under load: %d kB, at most %d, %d descriptors", i, kB, peak, files)
-		if st := p[i].status(); st.Here != 3 || len(st.Servers) != 1 || st.Servers[0].Out || !st.Bears {
+		if st := p[i].status(); st.NumPresent != 3 || len(st.Servers) != 1 || st.Servers[0].AdminDown || !st.OwnsName {
 			t.Errorf("sidecar %d holds %+v", i, st)
 		}
 	}
@@ -251,7 +251,7 @@
 // the fleet again.
 func TestTwins(t *testing.T) {
 	sites, p := newFleet(t, 3)
-	p[0].await(func() bool { return p[0].status().Here == 3 })
+	p[0].await(func() bool { return p[0].status().NumPresent == 3 })
 	twin := newSite(t, 64, quick)
 	twin.program = fleetProgram
 	twin.env = slices.Clone(sites[0].env)
@@ -261,7 +261,7 @@
 		}
 	}
 	second := twin.start()
-	p[0].await(func() bool { return !p[0].status().Bears })
+	p[0].await(func() bool { return !p[0].status().OwnsName })
 	if status, text := p[0].ask("POST", "/ops/servers/down", `{"target":"s-0"}`); status != 503 || !strings.Contains(text, "bears its name") {
 		t.Errorf("the older one answers %d, %q", status, text)
 	}
@@ -276,7 +276,7 @@
 	again := sites[0].start()
 	again.await(func() bool {
 		s := again.status()
-		return s.Bears && s.Here == 4 && again.figure("skipped_servers") == 1
+		return s.OwnsName && s.NumPresent == 4 && again.figure("skipped_servers") == 1
 	})
 	for _, one := range []*process{p[1], p[2], second, again} {
 		one.stop()
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -25,56 +25,56 @@
 	Advertise string   `toml:"advertise"`
 	Peers     []string `toml:"peers"` // addresses of some sidecars, to find the others by
 	// Folder is where the sidecar leaves what the staff has said, for a fleet that is lost as a whole; "": nowhere.
-	Folder string `toml:"folder"`
-	Limits Limits `toml:"limits"`
+	SnapshotFolder string `toml:"folder"`
+	Limits         Limits `toml:"limits"`
 	// Policy says who decides on the fleet's policy; nil: each sidecar's own file does.
 	Policy *PolicyConfig `toml:"policy"`
 
-	clock time.Duration // by which the clock of day is taken to be off; for tests
+	clockOffset time.Duration // by which the clock of day is taken to be off; for tests
 }
 
 // PolicyConfig is the part of the file on the fleet's policy.
 type PolicyConfig struct {
-	Deciders  []string `toml:"deciders"`   // names of three or five sidecars
-	First     string   `toml:"first"`      // file of the policy in force before any change
-	Folder    string   `toml:"folder"`     // below which each decider has a folder of its own, that outlasts it
-	PromiseMS int      `toml:"promise_ms"` // the length of a promise; 0: the usual 3000
-	ServeOn   bool     `toml:"serve_on"`   // a sidecar without a promise serves on under what it had
+	Voters            []string `toml:"deciders"`   // names of three or five sidecars
+	InitialPolicyFile string   `toml:"first"`      // file of the policy in force before any change
+	RaftFolder        string   `toml:"folder"`     // below which each decider has a folder of its own, that outlasts it
+	LeaseMS           int      `toml:"promise_ms"` // the length of a promise; 0: the usual 3000
+	ServeWithoutLease bool     `toml:"serve_on"`   // a sidecar without a promise serves on under what it had
 
-	text []byte // of the first policy
+	initialPolicy []byte // of the first policy
 }
 
 // Terms are those of the promises.
 func (p *PolicyConfig) Terms() policy.Terms {
 	t := policy.DefaultTerms
-	if p.PromiseMS > 0 {
-		t.Length = time.Duration(p.PromiseMS) * time.Millisecond
+	if p.LeaseMS > 0 {
+		t.Length = time.Duration(p.LeaseMS) * time.Millisecond
 		t.Short = min(t.Short, t.Length/4)
 	}
 	return t
 }
 
-// check reads what the file names, from the folder that it stands in.
-func (p *PolicyConfig) check(dir string) (err error) {
-	if len(p.Deciders) != 3 && len(p.Deciders) != 5 {
-		return fmt.Errorf("policy.deciders: %d, three or five are needed", len(p.Deciders))
+// load reads what the file names, from the folder that it stands in.
+func (p *PolicyConfig) load(dir string) (err error) {
+	if len(p.Voters) != 3 && len(p.Voters) != 5 {
+		return fmt.Errorf("policy.deciders: %d, three or five are needed", len(p.Voters))
 	}
-	for i, name := range p.Deciders {
-		if name == "" || slices.Contains(p.Deciders[:i], name) {
+	for i, name := range p.Voters {
+		if name == "" || slices.Contains(p.Voters[:i], name) {
 			return fmt.Errorf("policy.deciders[%d]: %q is no name, or given twice", i, name)
 		}
 	}
-	if p.Folder == "" {
+	if p.RaftFolder == "" {
 		return errors.New("policy.folder: missing")
 	}
-	if err := p.Terms().Check(); p.PromiseMS < 0 || err != nil {
-		return fmt.Errorf("policy.promise_ms: %d: %w", p.PromiseMS, err)
+	if err := p.Terms().Check(); p.LeaseMS < 0 || err != nil {
+		return fmt.Errorf("policy.promise_ms: %d: %w", p.LeaseMS, err)
 	}
-	first := p.First
+	first := p.InitialPolicyFile
 	if !filepath.IsAbs(first) {
 		first = filepath.Join(dir, first)
 	}
-	if p.text, err = os.ReadFile(first); err != nil {
+	if p.initialPolicy, err = os.ReadFile(first); err != nil {
 		return fmt.Errorf("policy.first: %w", err)
 	}
 	return nil
@@ -86,29 +86,29 @@
 }
 
 const (
-	mostPeers  = 1024
-	leastCatch = 100 * time.Millisecond
-	mostCatch  = time.Minute
-	usualCatch = 2 * time.Second
-	mostText   = 1 << 20 // bytes of the file
-	mostLabel  = 64
+	maxPeers              = 1024
+	minCatchUpTimeout     = 100 * time.Millisecond
+	maxCatchUpTimeout     = time.Minute
+	defaultCatchUpTimeout = 2 * time.Second
+	maxConfigBytes        = 1 << 20 // bytes of the file
+	maxLabelBytes         = 64
 )
 
 // The variables of the environment.
 const (
-	variable      = "MILLETRAMP_FLEET" // names the file; package sidecar has it too
-	addressOver   = "MILLETRAMP_FLEET_ADDRESS"
-	advertiseOver = "MILLETRAMP_FLEET_ADVERTISE"
-	// clockOver is for tests alone: seconds that are added to the clock of day where the fleet reads it. It is safe as no
+	configVariable    = "MILLETRAMP_FLEET" // names the file; package sidecar has it too
+	addressVariable   = "MILLETRAMP_FLEET_ADDRESS"
+	advertiseVariable = "MILLETRAMP_FLEET_ADVERTISE"
+	// clockOffsetVariable is for tests alone: seconds that are added to the clock of day where the fleet reads it. It is safe as no
 	// decision rests on that clock: stamps are for people, the number of a life yields to what the fleet knows, and what
 	// is kept by the hour is kept for a day beyond its last listing.
-	clockOver = "MILLETRAMP_FLEET_CLOCK_S"
+	clockOffsetVariable = "MILLETRAMP_FLEET_CLOCK_S"
 )
 
 // FromEnvironment reads the file that MILLETRAMP_FLEET names. MILLETRAMP_FLEET_ADDRESS and MILLETRAMP_FLEET_ADVERTISE go
 // before its address and what it advertises, so that sidecars can share a file. Without the first there is no fleet: nil, and no error.
 func FromEnvironment(getenv func(string) string) (*Config, error) {
-	path := getenv(variable)
+	path := getenv(configVariable)
 	if path == "" {
 		return nil, nil
 	}
@@ -116,23 +116,23 @@
 	if err != nil {
 		return nil, err
 	}
-	if c.Address = cmp.Or(getenv(addressOver), c.Address); c.Address == "" {
-		return nil, fmt.Errorf("%s: address: missing, there and in %s", path, addressOver)
+	if c.Address = cmp.Or(getenv(addressVariable), c.Address); c.Address == "" {
+		return nil, fmt.Errorf("%s: address: missing, there and in %s", path, addressVariable)
 	}
 	if err := checkAddress(c.Address); err != nil {
 		return nil, fmt.Errorf("%s: address: %w", path, err)
 	}
-	if c.Advertise = cmp.Or(getenv(advertiseOver), c.Advertise); c.Advertise != "" {
+	if c.Advertise = cmp.Or(getenv(advertiseVariable), c.Advertise); c.Advertise != "" {
 		if err := checkAddress(c.Advertise); err != nil {
 			return nil, fmt.Errorf("%s: advertise: %w", path, err)
 		}
 	}
-	if off := getenv(clockOver); off != "" {
+	if off := getenv(clockOffsetVariable); off != "" {
 		s, err := strconv.ParseFloat(off, 64)
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", clockOver, err)
+			return nil, fmt.Errorf("%s: %w", clockOffsetVariable, err)
 		}
-		c.clock = time.Duration(s * float64(time.Second))
+		c.clockOffset = time.Duration(s * float64(time.Second))
 	}
 	return c, nil
 }
@@ -143,8 +143,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	if len(text) > mostText {
-		return nil, fmt.Errorf("%s: %d bytes, %d are allowed", path, len(text), mostText)
+	if len(text) > maxConfigBytes {
+		return nil, fmt.Errorf("%s: %d bytes, %d are allowed", path, len(text), maxConfigBytes)
 	}
 	c := &Config{}
 	meta, err := toml.Decode(string(text), c)
@@ -158,7 +158,7 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if c.Policy != nil {
-		if err := c.Policy.check(filepath.Dir(path)); err != nil {
+		if err := c.Policy.load(filepath.Dir(path)); err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
 	}
@@ -167,12 +167,12 @@
 
 func (c *Config) check() error {
 	switch {
-	case c.Label == "" || len(c.Label) > mostLabel || strings.TrimSpace(c.Label) != c.Label:
-		return fmt.Errorf("label: %.80q: 1 to %d bytes with no space around them", c.Label, mostLabel)
-	case len(c.Peers) > mostPeers:
-		return fmt.Errorf("peers: %d, %d are allowed", len(c.Peers), mostPeers)
-	case c.Limits.CatchUpMS != 0 && (c.CatchUp() < leastCatch || c.CatchUp() > mostCatch):
-		return fmt.Errorf("limits.catch_up_ms: %d is not from %d to %d", c.Limits.CatchUpMS, leastCatch.Milliseconds(), mostCatch.Milliseconds())
+	case c.Label == "" || len(c.Label) > maxLabelBytes || strings.TrimSpace(c.Label) != c.Label:
+		return fmt.Errorf("label: %.80q: 1 to %d bytes with no space around them", c.Label, maxLabelBytes)
+	case len(c.Peers) > maxPeers:
+		return fmt.Errorf("peers: %d, %d are allowed", len(c.Peers), maxPeers)
+	case c.Limits.CatchUpMS != 0 && (c.CatchUp() < minCatchUpTimeout || c.CatchUp() > maxCatchUpTimeout):
+		return fmt.Errorf("limits.catch_up_ms: %d is not from %d to %d", c.Limits.CatchUpMS, minCatchUpTimeout.Milliseconds(), maxCatchUpTimeout.Milliseconds())
 	}
 	if c.Address != "" {
 		if err := checkAddress(c.Address); err != nil {
@@ -208,8 +208,8 @@
 	return nil
 }
 
-// told is what the others are told, where this sidecar listens at an address: the port may be another one than the file's.
-func (c *Config) told(listens string) string {
+// advertisedAddress is what the others are told, where this sidecar listens at an address: the port may be another one than the file's.
+func (c *Config) advertisedAddress(listens string) string {
 	if c.Advertise == "" {
 		return listens
 	}
@@ -223,5 +223,5 @@
 
 // CatchUp is after what time a sidecar that finds nobody goes by what it knows.
 func (c *Config) CatchUp() time.Duration {
-	return cmp.Or(time.Duration(c.Limits.CatchUpMS)*time.Millisecond, usualCatch)
+	return cmp.Or(time.Duration(c.Limits.CatchUpMS)*time.Millisecond, defaultCatchUpTimeout)
 }
--- a/internal/fleet/fault_test.go
+++ b/internal/fleet/fault_test.go
@@ -17,23 +17,23 @@
 	"milletramp.example/milletramp/internal/fsys/faultfs"
 )
 
-// warmText reads a warm file whole.
-func warmText(t *testing.T, file string) string {
+// readSnapshotText reads a warm file whole.
+func readSnapshotText(t *testing.T, file string) string {
 	t.Helper()
 	sealed, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := unseal(sealed)
+	text, err := decodeSnapshot(sealed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return string(text)
 }
 
-// TestWarmFileFails has each operation of a write fail for a while, or be the one in which the process is killed: the file has the
+// TestSnapshotFileSurvivesEachFault has each operation of a write fail for a while, or be the one in which the process is killed: the file has the
 // former state or the new one, and the new one as soon as that is possible, with one line of the log at each end.
-func TestWarmFileFails(t *testing.T) {
+func TestSnapshotFileSurvivesEachFault(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		fault error
@@ -56,7 +56,7 @@
 					states, ended := make(chan []byte, 1), make(chan struct{})
 					go func() { // until states is closed
 						defer close(ended)
-						f.keep(fs, file, states)
+						f.writeSnapshots(fs, file, states)
 					}()
 					send := func(text string) {
 						states <- []byte(text)
@@ -72,13 +72,13 @@
 						want = "newer"
 						send(want)
 					}
-					if got := warmText(t, file); got != "former" && got != "next" && got != want {
+					if got := readSnapshotText(t, file); got != "former" && got != "next" && got != want {
 						t.Errorf("meanwhile it has %q", got)
 					}
 					if !tt.ends {
-						time.Sleep(time.Duration(tt.count) * mostWarmWait)
+						time.Sleep(time.Duration(tt.count) * maxSnapshotBackoff)
 						synctest.Wait()
-						if got := warmText(t, file); got != want {
+						if got := readSnapshotText(t, file); got != want {
 							t.Errorf("it has %q, want %q", got, want)
 						}
 						for _, line := range []string{"will not know", "written down again"} {
@@ -92,7 +92,7 @@
 					if err := fs.End(false); err != nil {
 						t.Error(err)
 					}
-					if got := warmText(t, file); got != "former" && got != want {
+					if got := readSnapshotText(t, file); got != "former" && got != want {
 						t.Errorf("in the end it has %q", got)
 					}
 				})
--- a/internal/fleet/fixture_test.go
+++ b/internal/fleet/fixture_test.go
@@ -9,13 +9,13 @@
 	"milletramp.example/milletramp/internal/fleet/replication"
 )
 
-// TestReadsStoredWarmFile reads a warm file as the build f152def wrote it, under the name and label of its sidecar.
-func TestReadsStoredWarmFile(t *testing.T) {
-	c := &Config{Label: "test", Folder: filepath.Join("testdata", "f152def")}
-	if _, err := os.Stat(c.warmFile("a")); err != nil {
+// TestSnapshotFileOfEarlierBuildIsRead reads a warm file as the build f152def wrote it, under the name and label of its sidecar.
+func TestSnapshotFileOfEarlierBuildIsRead(t *testing.T) {
+	c := &Config{Label: "test", SnapshotFolder: filepath.Join("testdata", "f152def")}
+	if _, err := os.Stat(c.snapshotPath("a")); err != nil {
 		t.Fatal(err) // readWarm takes no file for an empty one
 	}
-	items, peers, err := readWarm(c.warmFile("a"), c.Label)
+	items, peers, err := readSnapshot(c.snapshotPath("a"), c.Label)
 	if err != nil || len(items) != 3 || !slices.Equal(peers, []string{"127.0.0.1:59228"}) {
 		t.Fatalf("%d items, peers %v, error %v", len(items), peers, err)
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -28,42 +28,42 @@
 )
 
 const (
-	tickEvery  = 50 * time.Millisecond
-	mostQueued = 256 // datagrams that wait for the loop; more are lost, as on the way
+	tickInterval    = 50 * time.Millisecond
+	maxQueuedEvents = 256 // datagrams that wait for the loop; more are lost, as on the way
 )
 
 // Fleet is a sidecar's part in the fleet.
 type Fleet struct {
-	log       *slog.Logger
-	transport *transport.Transport
-	origin    time.Time
-	clock     time.Duration // by which the clock of day is taken to be off
-	told      Told
-
-	events  chan func(now replication.Now)
-	over    sync.WaitGroup
-	ctx     context.Context
-	stop    context.CancelFunc
-	agent   *policyagent.Agent // nil: the fleet has no policy
-	address string             // that the others are told
-	ready   chan struct{}      // closed once it has caught up for the first time
+	log         *slog.Logger
+	transport   *transport.Transport
+	startedAt   time.Time
+	clockOffset time.Duration // by which the clock of day is taken to be off
+	callbacks   Callbacks
+
+	events     chan func(now replication.Now)
+	goroutines sync.WaitGroup
+	ctx        context.Context
+	stop       context.CancelFunc
+	agent      *policyagent.Agent // nil: the fleet has no policy
+	address    string             // that the others are told
+	caughtUp   chan struct{}      // closed once it has caught up for the first time
 
 	// Of the loop.
-	machine  *gossip.Machine
-	waiting  map[replication.Key][]chan gossip.Confirmation
-	out      []string
-	tell     bool // Out is to be called though out has not changed
-	recorder *failuredetector.Recorder
-	doubts   bool             // some server is in doubt, as was told
-	boots    map[string]int64 // of the own list
-	done     bool             // ready is closed
-	list     []Server
-	renewed  time.Duration            // when the list was last gone through
-	stands   map[string]time.Duration // servers in doubt, and since when without a break
-	states   chan []byte              // to be left for the next life; nil: nowhere
-	kept     uint64                   // sum of what was last left
-	keptAt   time.Duration
-	raise    func(life uint64) // tells the part in the policy the life that membership has come to; nil: there is none
+	machine            *gossip.Machine
+	pendingConfirms    map[replication.Key][]chan gossip.Confirmation
+	adminDown          []string
+	notifyAdminDown    bool // Out is to be called though out has not changed
+	recorder           *failuredetector.Recorder
+	suspicionsReported bool             // some server is in doubt, as was told
+	bootTimes          map[string]int64 // of the own list
+	hasCaughtUp        bool             // ready is closed
+	servers            []Server
+	serversMarkedAt    time.Duration            // when the list was last gone through
+	suspectedSince     map[string]time.Duration // servers in doubt, and since when without a break
+	snapshots          chan []byte              // to be left for the next life; nil: nowhere
+	savedDigest        uint64                   // sum of what was last left
+	savedAt            time.Duration
+	raiseIncarnation   func(life uint64) // tells the part in the policy the life that membership has come to; nil: there is none
 }
 
 // Server is an entry of the own list.
@@ -72,51 +72,51 @@
 	Boot int64 // its last start in Unix milliseconds; 0: long ago
 }
 
-// Told is what the fleet tells its sidecar. Each is called from the one goroutine of the fleet and must not wait for it.
-type Told struct {
+// Callbacks is what the fleet tells its sidecar. Each is called from the one goroutine of the fleet and must not wait for it.
+type Callbacks struct {
 	// Out is told the servers that are out by hand, all of them, each time that they change.
-	Out func(servers []string)
+	OnAdminDown func(servers []string)
 	// Doubts is told the servers of the own list that the fleet doubts, all of them and the worst first, as long as there are
 	// any, and once when there are none any more.
-	Doubts func(doubts []Doubt)
+	OnSuspicions func(doubts []Suspicion)
 	// Check reads a policy whole and says what is wrong with it; "": nothing. It is called from a goroutine of its own.
-	Check func(number uint64, text []byte) (fault string)
+	CheckPolicy func(number uint64, text []byte) (fault string)
 }
 
-// Doubt is a server that does not do its work, by the word of other sidecars.
-type Doubt struct {
+// Suspicion is a server that does not do its work, by the word of other sidecars.
+type Suspicion struct {
 	ID  string
 	Age time.Duration // of the youngest word
 }
 
-// renewEvery is how often the own list is gone through again: what the staff said of a listed server is kept.
-const renewEvery = time.Minute
+// markListedInterval is how often the own list is gone through again: what the staff said of a listed server is kept.
+const markListedInterval = time.Minute
 
 // Start begins a sidecar's part. before are the addresses of its other processes, which this one replaces.
-func Start(c *Config, name string, before []string, log *slog.Logger, told Told) (*Fleet, error) {
+func Start(c *Config, name string, before []string, log *slog.Logger, told Callbacks) (*Fleet, error) {
 	l, err := transport.Listen(c.Address, gossip.MaxSnapshotBytes)
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{log: log.With("part", "fleet"), transport: l, origin: time.Now(), clock: c.clock, told: told, boots: map[string]int64{}, events: make(chan func(replication.Now), mostQueued),
-		ready: make(chan struct{}), waiting: map[replication.Key][]chan gossip.Confirmation{}}
+	f := &Fleet{log: log.With("part", "fleet"), transport: l, startedAt: time.Now(), clockOffset: c.clockOffset, callbacks: told, bootTimes: map[string]int64{}, events: make(chan func(replication.Now), maxQueuedEvents),
+		caughtUp: make(chan struct{}), pendingConfirms: map[replication.Key][]chan gossip.Confirmation{}}
 	f.ctx, f.stop = context.WithCancel(context.Background())
-	f.address = c.told(l.Address())
+	f.address = c.advertisedAddress(l.Address())
 	var warm []replication.Item
-	file, peers := c.warmFile(name), c.Peers
+	file, peers := c.snapshotPath(name), c.Peers
 	if file != "" {
-		items, known, err := readWarm(file, c.Label)
+		items, known, err := readSnapshot(file, c.Label)
 		if err != nil {
 			f.log.Warn("dropped what a former life left", "err", err)
 		} else if len(items)+len(known) > 0 {
 			f.log.Info("took what a former life left", "servers", len(items), "peers", len(known))
 			warm, peers = items, append(slices.Clone(peers), known...)
 		}
-		f.states = make(chan []byte, 1)
-		f.over.Add(1)
+		f.snapshots = make(chan []byte, 1)
+		f.goroutines.Add(1)
 		go func() {
-			defer f.over.Done()
-			f.keep(fsys.OS{}, file, f.states)
+			defer f.goroutines.Done()
+			f.writeSnapshots(fsys.OS{}, file, f.snapshots)
 		}()
 	}
 	var random [16]byte
@@ -127,20 +127,20 @@
 		Address: f.address, Peers: peers, Seed: binary.LittleEndian.Uint64(random[:8]),
 		LifeNonce: binary.LittleEndian.Uint64(random[8:]) | 1, LifeNumber: uint64(max(now.Wall, 1))}}, warm)
 	f.log.Info("joining", "label", c.Label, "address", l.Address(), "peers", len(c.Peers))
-	f.over.Add(1)
+	f.goroutines.Add(1)
 	go func() {
-		defer f.over.Done()
+		defer f.goroutines.Done()
 		f.run()
 	}()
 	if c.Policy != nil {
-		if f.agent, err = policyagent.Start(c.agentSettings(name, uint64(max(now.Wall, 1)), told.Check), f, log); err != nil {
+		if f.agent, err = policyagent.Start(c.agentSettings(name, uint64(max(now.Wall, 1)), told.CheckPolicy), f, log); err != nil {
 			f.stop()
-			f.over.Wait()
+			f.goroutines.Wait()
 			return nil, errors.Join(err, l.Close())
 		}
 		l.SetCallHandler(f.agent)
 		raise := f.agent.RaiseIncarnation
-		f.events <- func(replication.Now) { f.raise = raise } // the loop, which has begun, takes it
+		f.events <- func(replication.Now) { f.raiseIncarnation = raise } // the loop, which has begun, takes it
 	}
 	l.Serve(f, gossip.MaxPacketBytes)
 	return f, nil
@@ -149,8 +149,8 @@
 // agentSettings is what this sidecar's part in the policy is told.
 func (c *Config) agentSettings(name string, life uint64, check func(uint64, []byte) string) policyagent.Settings {
 	p := c.Policy
-	return policyagent.Settings{Name: name, Incarnation: life, Voters: p.Deciders, InitialPolicy: p.text, Terms: p.Terms(), ServeWithoutLease: p.ServeOn, Check: check,
-		Folder: filepath.Join(p.Folder, fmt.Sprintf("council-%016x", xxhash.Sum64String(name)))}
+	return policyagent.Settings{Name: name, Incarnation: life, Voters: p.Voters, InitialPolicy: p.initialPolicy, Terms: p.Terms(), ServeWithoutLease: p.ServeWithoutLease, Check: check,
+		Folder: filepath.Join(p.RaftFolder, fmt.Sprintf("council-%016x", xxhash.Sum64String(name)))}
 }
 
 // Policy is this sidecar's part in the fleet's policy; nil: the file names no deciders.
@@ -159,7 +159,7 @@
 // Call implements policyagent.Peers.
 func (f *Fleet) Call(ctx context.Context, name string, text []byte) ([]byte, error) {
 	address := ""
-	if err := f.ask(ctx, func(replication.Now) {
+	if err := f.call(ctx, func(replication.Now) {
 		for _, m := range f.machine.Members.Members() {
 			if m.Name == name && m.Present() {
 				address = m.Address
@@ -179,23 +179,23 @@
 
 func (f *Fleet) now() replication.Now {
 	now := time.Now()
-	return replication.Now{Time: monotonicOrigin + now.Sub(f.origin), Wall: wallclock.Milliseconds(now.Add(f.clock))}
+	return replication.Now{Time: monotonicOrigin + now.Sub(f.startedAt), Wall: wallclock.Milliseconds(now.Add(f.clockOffset))}
 }
 
 // run is the loop. It ends with Close.
 func (f *Fleet) run() {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-f.ctx.Done():
 			f.machine.Leave(f.now())
-			f.act()
-			f.forsake()
-			if f.states != nil {
-				f.keptAt = 0
-				f.leaveWarm(f.now())
-				close(f.states)
+			f.carryOutActions()
+			f.endPendingConfirms()
+			if f.snapshots != nil {
+				f.savedAt = 0
+				f.saveSnapshot(f.now())
+				close(f.snapshots)
 			}
 			return
 		case do := <-f.events:
@@ -203,33 +203,33 @@
 		case <-tick.C:
 			now := f.now()
 			f.machine.Tick(now)
-			if now.Time-f.renewed >= renewEvery {
-				f.renew(now)
+			if now.Time-f.serversMarkedAt >= markListedInterval {
+				f.markListed(now)
 			}
-			f.leaveWarm(now)
-			f.write(now)
-			f.weigh(now)
+			f.saveSnapshot(now)
+			f.writeEvidence(now)
+			f.updateSuspicions(now)
 		}
-		f.act()
+		f.carryOutActions()
 	}
 }
 
-// forsake ends what waits for others to hold a call. Where another process bears the name it has been given all calls.
-func (f *Fleet) forsake() {
+// endPendingConfirms ends what waits for others to hold a call. Where another process bears the name it has been given all calls.
+func (f *Fleet) endPendingConfirms() {
 	_, bears := f.machine.Members.Self()
-	for key, waiting := range f.waiting {
+	for key, waiting := range f.pendingConfirms {
 		for _, c := range waiting {
 			if !bears {
 				c <- gossip.Confirmation{Key: key, Asked: 1} // has room for it
 			}
 			close(c)
 		}
-		delete(f.waiting, key)
+		delete(f.pendingConfirms, key)
 	}
 }
 
-// act carries out what the machine asks for.
-func (f *Fleet) act() {
+// carryOutActions carries out what the machine asks for.
+func (f *Fleet) carryOutActions() {
 	out := f.machine.TakeActions()
 	for _, d := range out.Send {
 		if err := f.transport.Send(d.To, d.Payload); err != nil {
@@ -237,11 +237,11 @@
 		}
 	}
 	for _, from := range out.Fetch {
-		f.over.Add(1)
+		f.goroutines.Add(1)
 		go func() {
-			defer f.over.Done()
+			defer f.goroutines.Done()
 			text, err := f.transport.Fetch(f.ctx, from)
-			f.do(f.ctx, func(now replication.Now) {
+			f.post(f.ctx, func(now replication.Now) {
 				if err := f.machine.ReceiveSnapshot(now, from, text, err); err != nil {
 					f.log.Debug("no snapshot", "from", from, "err", err)
 				}
@@ -249,53 +249,53 @@
 		}()
 	}
 	for _, c := range out.Changes {
-		f.changed(c)
+		f.logMemberChange(c)
 	}
-	if self, bears := f.machine.Members.Self(); bears && f.raise != nil {
-		f.raise(self.Life.Number)
+	if self, bears := f.machine.Members.Self(); bears && f.raiseIncarnation != nil {
+		f.raiseIncarnation(self.Life.Number)
 	}
 	for _, p := range out.Phases {
 		f.log.Info("caught up", "phase", p.String(), "members", f.machine.Members.NumPresent())
-		if p != gossip.CatchingUp && !f.done {
-			f.done = true
-			close(f.ready)
+		if p != gossip.CatchingUp && !f.hasCaughtUp {
+			f.hasCaughtUp = true
+			close(f.caughtUp)
 		}
 	}
 	for _, h := range out.Confirmations {
-		for _, c := range f.waiting[h.Key] {
+		for _, c := range f.pendingConfirms[h.Key] {
 			c <- h // has room for it
 		}
-		delete(f.waiting, h.Key)
+		delete(f.pendingConfirms, h.Key)
 	}
-	if now := f.machine.Store.AdminDown(); f.tell || !slices.Equal(now, f.out) {
-		f.out, f.tell = now, false
-		f.told.Out(slices.Clone(now))
+	if now := f.machine.Store.AdminDown(); f.notifyAdminDown || !slices.Equal(now, f.adminDown) {
+		f.adminDown, f.notifyAdminDown = now, false
+		f.callbacks.OnAdminDown(slices.Clone(now))
 	}
-	f.hear(out)
+	f.handleReports(out)
 }
 
-// hear takes in what the machine has heard of servers.
-func (f *Fleet) hear(out gossip.Actions) {
+// handleReports takes in what the machine has heard of servers.
+func (f *Fleet) handleReports(out gossip.Actions) {
 	now := f.now()
 	for _, server := range out.ReportServers {
 		f.recorder.RequestReport(now.Time, server)
 	}
 	if len(out.ReportServers) > 0 {
-		f.write(now)
-		f.act()
+		f.writeEvidence(now)
+		f.carryOutActions()
 	}
 	if slices.ContainsFunc(out.Updated, func(k replication.Key) bool { return k.Kind == replication.KindRow }) {
-		f.weigh(now)
+		f.updateSuspicions(now)
 	}
 }
 
-// write tells the fleet what this sidecar has seen of servers.
-func (f *Fleet) write(now replication.Now) {
+// writeEvidence tells the fleet what this sidecar has seen of servers.
+func (f *Fleet) writeEvidence(now replication.Now) {
 	if _, bears := f.machine.Members.Self(); !bears {
 		return
 	}
 	for _, e := range f.recorder.DueRows(now.Time, f.machine.Members.NumPresent()) {
-		key, err := f.machine.Store.WriteRow(now, e.Server, f.boots[e.Server], e.Evidence)
+		key, err := f.machine.Store.WriteRow(now, e.Server, f.bootTimes[e.Server], e.Evidence)
 		if err != nil {
 			f.log.Debug("not written", "server", e.Server, "err", err)
 			continue
@@ -304,48 +304,48 @@
 	}
 }
 
-// weigh tells the sidecar which servers the fleet doubts. What is said of a process that the own list does not have, or of no
+// updateSuspicions tells the sidecar which servers the fleet doubts. What is said of a process that the own list does not have, or of no
 // server in it, counts for nothing.
-func (f *Fleet) weigh(now replication.Now) {
-	var doubts []Doubt
+func (f *Fleet) updateSuspicions(now replication.Now) {
+	var doubts []Suspicion
 	since, stands := map[string]time.Duration{}, map[string]time.Duration{}
-	for _, d := range f.machine.Suspicions(now, len(f.list)) {
-		if boot, listed := f.boots[d.Server]; listed && boot == d.Boot {
-			doubts = append(doubts, Doubt{d.Server, now.Time - d.Newest})
+	for _, d := range f.machine.Suspicions(now, len(f.servers)) {
+		if boot, listed := f.bootTimes[d.Server]; listed && boot == d.Boot {
+			doubts = append(doubts, Suspicion{d.Server, now.Time - d.Newest})
 			since[d.Server] = d.Newest
 			stands[d.Server] = now.Time
-			if begun, known := f.stands[d.Server]; known {
+			if begun, known := f.suspectedSince[d.Server]; known {
 				stands[d.Server] = begun
 			}
 		}
 	}
-	f.stands = stands
+	f.suspectedSince = stands
 	f.recorder.SetSuspected(now.Time, since)
-	if len(doubts) > 0 || f.doubts {
-		f.doubts = len(doubts) > 0
-		f.told.Doubts(doubts)
+	if len(doubts) > 0 || f.suspicionsReported {
+		f.suspicionsReported = len(doubts) > 0
+		f.callbacks.OnSuspicions(doubts)
 	}
 }
 
-// Saw takes in what this sidecar has seen of a server. It does not wait: where much comes at once some is lost.
-func (f *Fleet) Saw(server string, e failuredetector.Outcome) {
+// Observe takes in what this sidecar has seen of a server. It does not wait: where much comes at once some is lost.
+func (f *Fleet) Observe(server string, e failuredetector.Outcome) {
 	select {
 	case f.events <- func(now replication.Now) {
 		if note, due := f.recorder.Observe(now.Time, server, e); due {
 			f.machine.SendNote(now.Time, note)
 		}
 		if e == failuredetector.Silent || e == failuredetector.Refused {
-			f.write(now)
+			f.writeEvidence(now)
 		}
 	}:
 	default:
 	}
 }
 
-// leaveWarm has what the staff has said be written down, where it has changed and a folder is named.
-func (f *Fleet) leaveWarm(now replication.Now) {
+// saveSnapshot has what the staff has said be written down, where it has changed and a folder is named.
+func (f *Fleet) saveSnapshot(now replication.Now) {
 	sum := f.machine.Store.Digest().PerKind()[replication.KindAdmin] ^ f.machine.Members.Digest()
-	if f.states == nil || sum == f.kept || f.keptAt > 0 && now.Time-f.keptAt < warmEvery {
+	if f.snapshots == nil || sum == f.savedDigest || f.savedAt > 0 && now.Time-f.savedAt < snapshotInterval {
 		return
 	}
 	text, err := f.machine.EncodeWarmStart(now)
@@ -354,18 +354,18 @@
 		return
 	}
 	select {
-	case <-f.states: // one that nobody has begun to write
+	case <-f.snapshots: // one that nobody has begun to write
 	default:
 	}
-	f.states <- text // has room: this is the only sender
-	f.kept, f.keptAt = sum, now.Time
+	f.snapshots <- text // has room: this is the only sender
+	f.savedDigest, f.savedAt = sum, now.Time
 }
 
-// renew tells the fleet of the own list.
-func (f *Fleet) renew(now replication.Now) {
-	f.renewed = now.Time
-	ids := make([]string, 0, len(f.list))
-	for _, s := range f.list {
+// markListed tells the fleet of the own list.
+func (f *Fleet) markListed(now replication.Now) {
+	f.serversMarkedAt = now.Time
+	ids := make([]string, 0, len(f.servers))
+	for _, s := range f.servers {
 		ids = append(ids, s.ID)
 		if s.Boot > 0 {
 			if key, changed := f.machine.Store.RecordStart(now, s.ID, s.Boot); changed {
@@ -378,7 +378,7 @@
 	}
 }
 
-func (f *Fleet) changed(c membership.Change) {
+func (f *Fleet) logMemberChange(c membership.Change) {
 	level := slog.LevelInfo
 	if c.Member.State == membership.Suspect {
 		level = slog.LevelDebug
@@ -391,8 +391,8 @@
 		"life", c.Member.Life.Number, "incarnation", c.Member.Incarnation)
 }
 
-// do has the loop do something, and does not wait until it has. It returns false if ctx ends first.
-func (f *Fleet) do(ctx context.Context, do func(replication.Now)) bool {
+// post has the loop do something, and does not wait until it has. It returns false if ctx ends first.
+func (f *Fleet) post(ctx context.Context, do func(replication.Now)) bool {
 	select {
 	case f.events <- do:
 		return true
@@ -402,10 +402,10 @@
 	return false
 }
 
-// ask has the loop do something and waits until it has.
-func (f *Fleet) ask(ctx context.Context, do func(replication.Now)) error {
+// call has the loop do something and waits until it has.
+func (f *Fleet) call(ctx context.Context, do func(replication.Now)) error {
 	done := make(chan struct{})
-	if f.do(ctx, func(now replication.Now) { do(now); close(done) }) {
+	if f.post(ctx, func(now replication.Now) { do(now); close(done) }) {
 		select {
 		case <-done:
 			return nil
@@ -416,7 +416,7 @@
 	if err := ctx.Err(); err != nil {
 		return fmt.Errorf("fleet: %w", context.Cause(ctx))
 	}
-	return ErrEnded
+	return ErrClosed
 }
 
 // Datagram implements transport.Handler.
@@ -435,24 +435,24 @@
 
 // Snapshot implements transport.Handler.
 func (f *Fleet) Snapshot(ctx context.Context) (text []byte, err error) {
-	failed := f.ask(ctx, func(now replication.Now) { text, err = f.machine.EncodeSnapshot(now) })
+	failed := f.call(ctx, func(now replication.Now) { text, err = f.machine.EncodeSnapshot(now) })
 	return text, errors.Join(failed, err)
 }
 
-// ErrSilent says that a younger process bears this sidecar's name, as in an upgrade, and that this one tells nobody
+// ErrSuperseded says that a younger process bears this sidecar's name, as in an upgrade, and that this one tells nobody
 // anything.
-var ErrSilent = errors.New("another process speaks for this sidecar")
+var ErrSuperseded = errors.New("another process speaks for this sidecar")
 
-// ErrEnded says that the part has been closed.
-var ErrEnded = errors.New("fleet: it has ended")
+// ErrClosed says that the part has been closed.
+var ErrClosed = errors.New("fleet: it has ended")
 
-// TakeOut takes a call of the staff into the fleet's state. Where confirm says so it waits for others to hold it, and returns how
+// SetAdminDown takes a call of the staff into the fleet's state. Where confirm says so it waits for others to hold it, and returns how
 // many do by then; asked is 0 where there is nobody else.
-func (f *Fleet) TakeOut(ctx context.Context, server string, out, confirm bool) (held, asked int, err error) {
+func (f *Fleet) SetAdminDown(ctx context.Context, server string, out, confirm bool) (held, asked int, err error) {
 	answer := make(chan gossip.Confirmation, 1)
-	failed := f.ask(ctx, func(now replication.Now) {
+	failed := f.call(ctx, func(now replication.Now) {
 		if _, bears := f.machine.Members.Self(); !bears {
-			err = ErrSilent
+			err = ErrSuperseded
 			return
 		}
 		var key replication.Key
@@ -461,12 +461,12 @@
 			return
 		}
 		call, _ := f.machine.Store.AdminState(server)
-		f.log.Info("by hand", "server", server, "out", out, "call", strings.Join(calls(call), ","), "replaces", strings.Join(calls(former), ","))
+		f.log.Info("by hand", "server", server, "out", out, "call", strings.Join(callIDs(call), ","), "replaces", strings.Join(callIDs(former), ","))
 		f.machine.Broadcast(key)
-		if f.tell = true; !confirm {
+		if f.notifyAdminDown = true; !confirm {
 			return
 		}
-		f.waiting[key] = append(f.waiting[key], answer)
+		f.pendingConfirms[key] = append(f.pendingConfirms[key], answer)
 		f.machine.Confirm(now, key)
 	})
 	if err = errors.Join(failed, err); err != nil || !confirm {
@@ -475,7 +475,7 @@
 	select {
 	case h, ok := <-answer:
 		if !ok {
-			return 0, 0, ErrEnded
+			return 0, 0, ErrClosed
 		}
 		return h.Holders, h.Asked, nil
 	case <-ctx.Done():
@@ -483,28 +483,28 @@
 	}
 }
 
-// calls names the calls that stand.
-func calls(h replication.AdminState) (names []string) {
+// callIDs names the calls that stand.
+func callIDs(h replication.AdminState) (names []string) {
 	for _, c := range h.Standing {
 		names = append(names, c.Dot.String())
 	}
 	return names
 }
 
-// Listed says which servers the own list has. It does not wait; of lists that come in a rush only the last counts.
-func (f *Fleet) Listed(servers []Server) {
+// SetServers says which servers the own list has. It does not wait; of lists that come in a rush only the last counts.
+func (f *Fleet) SetServers(servers []Server) {
 	select {
 	case f.events <- func(now replication.Now) {
-		f.list = servers
-		former := f.boots
-		f.boots = make(map[string]int64, len(servers))
+		f.servers = servers
+		former := f.bootTimes
+		f.bootTimes = make(map[string]int64, len(servers))
 		for _, s := range servers {
-			f.boots[s.ID] = s.Boot
+			f.bootTimes[s.ID] = s.Boot
 			if boot, known := former[s.ID]; known && boot != s.Boot {
 				f.recorder.Forget(s.ID) // it was another process
 			}
 		}
-		f.renew(now)
+		f.markListed(now)
 	}:
 	default: // the next one does as well
 	}
@@ -515,16 +515,16 @@
 
 // Knows tells whether the staff has ever said anything of a server.
 func (f *Fleet) Knows(ctx context.Context, server string) (known bool, err error) {
-	err = f.ask(ctx, func(replication.Now) { _, known = f.machine.Store.AdminState(server) })
+	err = f.call(ctx, func(replication.Now) { _, known = f.machine.Store.AdminState(server) })
 	return known, err
 }
 
 // CaughtUp is closed once this sidecar has caught up with the fleet, or has tried for long enough.
-func (f *Fleet) CaughtUp() <-chan struct{} { return f.ready }
+func (f *Fleet) CaughtUp() <-chan struct{} { return f.caughtUp }
 
 // Ready tells whether this sidecar has what the fleet holds, or has tried for long enough, and what it is at.
 func (f *Fleet) Ready(ctx context.Context) (ready bool, phase string) {
-	if err := f.ask(ctx, func(replication.Now) {
+	if err := f.call(ctx, func(replication.Now) {
 		p, _ := f.machine.Phase()
 		ready, phase = p != gossip.CatchingUp, p.String()
 	}); err != nil {
@@ -539,6 +539,6 @@
 		f.agent.Close()
 	}
 	f.stop()
-	f.over.Wait()
+	f.goroutines.Wait()
 	return f.transport.Close()
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -26,13 +26,13 @@
 	if err != nil || named == nil {
 		return nil, err
 	}
-	f, err := fleet.Start(named, c.Name, before, log, fleet.Told{Out: told.Out, Doubts: func(doubts []fleet.Doubt) {
+	f, err := fleet.Start(named, c.Name, before, log, fleet.Callbacks{OnAdminDown: told.Out, OnSuspicions: func(doubts []fleet.Suspicion) {
 		words := make([]sidecar.Doubt, 0, len(doubts))
 		for _, d := range doubts {
 			words = append(words, sidecar.Doubt(d))
 		}
 		told.Doubts(words)
-	}, Check: told.Check})
+	}, CheckPolicy: told.Check})
 	if err != nil {
 		return nil, err
 	}
@@ -57,7 +57,7 @@
 		}
 		list = append(list, o)
 	}
-	p.Fleet.Listed(list)
+	p.Fleet.SetServers(list)
 }
 
 // ends are the Balancer's sights as the fleet calls them.
@@ -65,11 +65,11 @@
 	balance.ObservedFailure: failuredetector.Failed, balance.ObservedRefusal: failuredetector.Refused}
 
 // Observe implements balance.Observer.
-func (p part) Observe(endpoint string, s balance.Observation) { p.Fleet.Saw(endpoint, ends[s]) }
+func (p part) Observe(endpoint string, s balance.Observation) { p.Fleet.Observe(endpoint, ends[s]) }
 
 // TakeOut implements sidecar.Part.
 func (p part) TakeOut(ctx context.Context, server string, out, confirm bool) (held, asked int, err error) {
-	if held, asked, err = p.Fleet.TakeOut(ctx, server, out, confirm); errors.Is(err, fleet.ErrSilent) || errors.Is(err, fleet.ErrEnded) {
+	if held, asked, err = p.Fleet.SetAdminDown(ctx, server, out, confirm); errors.Is(err, fleet.ErrSuperseded) || errors.Is(err, fleet.ErrClosed) {
 		return 0, 0, sidecar.ErrSilent
 	}
 	return held, asked, err
@@ -91,8 +91,8 @@
 		return err
 	}
 	alone, doubts := 0, 0
-	for _, d := range s.Doubts {
-		if d.Doubt && d.Listed {
+	for _, d := range s.Suspicions {
+		if d.Suspected && d.Listed {
 			doubts++
 		}
 	}
@@ -100,6 +100,6 @@
 		alone = 1
 	}
 	_, err = fmt.Fprintf(w, "sidecar.fleet.members=%d\nsidecar.fleet.alone=%d\nsidecar.fleet.own_trouble=%d\nsidecar.fleet.packets=%d\nsidecar.fleet.bytes=%d\nsidecar.fleet.in_doubt=%d\n",
-		s.Here, alone, s.Sick, s.Figures.Packets, s.Figures.Bytes, doubts)
+		s.NumPresent, alone, s.LocalHealth, s.Figures.Packets, s.Figures.Bytes, doubts)
 	return err
 }
