--- /dev/null
+++ b/internal/fleet/policy.go
@@ -0,0 +1,78 @@
+package fleet
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"milletramp.example/milletramp/internal/fleet/policy"
+	"milletramp.example/milletramp/internal/fleet/policyagent"
+)
+
+// raftFolderFormat is the name of a voter's folder, by the hash of the sidecar's name.
+const raftFolderFormat = "council-%016x"
+
+// PolicyConfig is the part of the file on the fleet's policy.
+type PolicyConfig struct {
+	Voters            []string `toml:"deciders"`   // names of three or five sidecars
+	InitialPolicyFile string   `toml:"first"`      // holds the policy in force before any change
+	RaftFolder        string   `toml:"folder"`     // where each voter has a folder of its own, which must outlast it
+	LeaseMS           int      `toml:"promise_ms"` // the length of a lease; 0: the default of 3000
+	ServeWithoutLease bool     `toml:"serve_on"`   // a sidecar without a lease serves under the policy that it had
+
+	initialPolicy []byte
+}
+
+// Terms are those of the leases.
+func (p *PolicyConfig) Terms() policy.Terms {
+	terms := policy.DefaultTerms
+	if p.LeaseMS > 0 {
+		terms.Length = time.Duration(p.LeaseMS) * time.Millisecond
+		terms.Short = min(terms.Short, terms.Length/4)
+	}
+	return terms
+}
+
+// load checks the settings, and reads the initial policy, whose path may be relative to dir.
+func (p *PolicyConfig) load(dir string) (err error) {
+	if len(p.Voters) != 3 && len(p.Voters) != 5 {
+		return fmt.Errorf("policy.deciders: %d, three or five are needed", len(p.Voters))
+	}
+	for i, name := range p.Voters {
+		if name == "" || slices.Contains(p.Voters[:i], name) {
+			return fmt.Errorf("policy.deciders[%d]: %q is no name, or given twice", i, name)
+		}
+	}
+	if p.RaftFolder == "" {
+		return errors.New("policy.folder: missing")
+	}
+	if err := p.Terms().Check(); p.LeaseMS < 0 || err != nil {
+		return fmt.Errorf("policy.promise_ms: %d: %w", p.LeaseMS, err)
+	}
+	path := p.InitialPolicyFile
+	if !filepath.IsAbs(path) {
+		path = filepath.Join(dir, path)
+	}
+	if p.initialPolicy, err = os.ReadFile(path); err != nil {
+		return fmt.Errorf("policy.first: %w", err)
+	}
+	return nil
+}
+
+// agentSettings are those of this sidecar's policy agent.
+func (p *PolicyConfig) agentSettings(name string, lifeNumber uint64) policyagent.Settings {
+	return policyagent.Settings{
+		Name:              name,
+		Incarnation:       lifeNumber,
+		Voters:            p.Voters,
+		InitialPolicy:     p.initialPolicy,
+		Folder:            filepath.Join(p.RaftFolder, fmt.Sprintf(raftFolderFormat, xxhash.Sum64String(name))),
+		Terms:             p.Terms(),
+		ServeWithoutLease: p.ServeWithoutLease,
+	}
+}
