--- a/internal/fleet/fault_test.go
+++ b/internal/fleet/fault_test.go
@@ -51,12 +51,12 @@
 			t.Run(fmt.Sprint(tt.name, " at ", at), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					var log bytes.Buffer
-					f := &Fleet{log: slog.New(slog.NewTextHandler(&log, nil))}
 					file, fs := filepath.Join(t.TempDir(), "x.state"), faultfs.New(uint64(at))
+					writer := &snapshotWriter{log: slog.New(slog.NewTextHandler(&log, nil)), fs: fs, path: file}
 					states, ended := make(chan []byte, 1), make(chan struct{})
 					go func() { // until states is closed
 						defer close(ended)
-						f.writeSnapshots(fs, file, states)
+						writer.run(states)
 					}()
 					send := func(text string) {
 						states <- []byte(text)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -60,10 +60,8 @@
 	servers            []Server
 	serversMarkedAt    time.Duration            // when the list was last gone through
 	suspectedSince     map[string]time.Duration // servers in doubt, and since when without a break
-	snapshots          chan []byte              // to be left for the next life; nil: nowhere
-	savedDigest        uint64                   // sum of what was last left
-	savedAt            time.Duration
-	raiseIncarnation   func(life uint64) // tells the part in the policy the life that membership has come to; nil: there is none
+	saver              *snapshotSaver           // nil: the operator names no folder
+	raiseIncarnation   func(life uint64)        // tells the part in the policy the life that membership has come to; nil: there is none
 }
 
 // Server is an entry of the own list.
@@ -112,11 +110,12 @@
 			f.log.Info("took what a former life left", "servers", len(items), "peers", len(known))
 			warm, peers = items, append(slices.Clone(peers), known...)
 		}
-		f.snapshots = make(chan []byte, 1)
+		f.saver = &snapshotSaver{snapshots: make(chan []byte, 1)}
+		writer := &snapshotWriter{log: f.log, fs: fsys.OS{}, path: file}
 		f.goroutines.Add(1)
 		go func() {
 			defer f.goroutines.Done()
-			f.writeSnapshots(fsys.OS{}, file, f.snapshots)
+			writer.run(f.saver.snapshots)
 		}()
 	}
 	var random [16]byte
@@ -192,10 +191,10 @@
 			f.machine.Leave(f.now())
 			f.carryOutActions()
 			f.endPendingConfirms()
-			if f.snapshots != nil {
-				f.savedAt = 0
+			if f.saver != nil {
+				f.saver.savedAt = 0
 				f.saveSnapshot(f.now())
-				close(f.snapshots)
+				close(f.saver.snapshots)
 			}
 			return
 		case do := <-f.events:
@@ -342,25 +341,6 @@
 	}
 }
 
-// saveSnapshot has what the staff has said be written down, where it has changed and a folder is named.
-func (f *Fleet) saveSnapshot(now replication.Now) {
-	sum := f.machine.Store.Digest().PerKind()[replication.KindAdmin] ^ f.machine.Members.Digest()
-	if f.snapshots == nil || sum == f.savedDigest || f.savedAt > 0 && now.Time-f.savedAt < snapshotInterval {
-		return
-	}
-	text, err := f.machine.EncodeWarmStart(now)
-	if err != nil {
-		f.log.Warn("nothing is left for the next life", "err", err)
-		return
-	}
-	select {
-	case <-f.snapshots: // one that nobody has begun to write
-	default:
-	}
-	f.snapshots <- text // has room: this is the only sender
-	f.savedDigest, f.savedAt = sum, now.Time
-}
-
 // markListed tells the fleet of the own list.
 func (f *Fleet) markListed(now replication.Now) {
 	f.serversMarkedAt = now.Time
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"log/slog"
 	"math/rand/v2"
 	"os"
 	"path/filepath"
@@ -20,105 +21,154 @@
 )
 
 const (
-	snapshotMagic    = "milletramp-fleet-warm"
-	snapshotFormat   = 1
-	snapshotInterval = time.Second // between two files, at least
+	snapshotMagic      = "milletramp-fleet-warm"
+	snapshotFormat     = 1
+	snapshotFileFormat = "fleet-%016x.state" // by the hash of the sidecar's name
+	maxHeaderBytes     = 1000
 
-	maxSnapshotBackoff = 5 * time.Second // between two tries of one that cannot be written
+	snapshotInterval   = time.Second     // least time between two snapshots, and backoff of the first retry
+	maxSnapshotBackoff = 5 * time.Second // until a write that failed is retried; it doubles up to this
 )
 
-// encodeSnapshot puts a head before a text: its form, length and checksum.
-func encodeSnapshot(text []byte) []byte {
-	return append(fmt.Appendf(nil, "%s %d %d %016x\n", snapshotMagic, snapshotFormat, len(text), xxhash.Sum64(text)), text...)
+// encodeSnapshot puts a header before a snapshot: magic, format, length and checksum.
+func encodeSnapshot(content []byte) []byte {
+	header := fmt.Sprintf("%s %d %d %016x\n", snapshotMagic, snapshotFormat, len(content), xxhash.Sum64(content))
+	return append([]byte(header), content...)
 }
 
-// decodeSnapshot returns the text behind a head. What is torn, changed, or of another form is an error.
-func decodeSnapshot(sealed []byte) ([]byte, error) {
-	head, text, ok := bytes.Cut(sealed, []byte("\n"))
-	fields := strings.Split(string(head), " ")
+// decodeSnapshot returns the content behind a header. It is an error if that is torn, corrupt or of another format.
+func decodeSnapshot(data []byte) ([]byte, error) {
+	header, content, ok := bytes.Cut(data, []byte("\n"))
+	fields := strings.Split(string(header), " ")
 	switch {
 	case !ok || len(fields) != 4 || fields[0] != snapshotMagic:
 		return nil, errors.New("is no state of a fleet")
 	case fields[1] != strconv.Itoa(snapshotFormat):
 		return nil, fmt.Errorf("is of form %.20q, this process knows %d", fields[1], snapshotFormat)
-	case fields[2] != strconv.Itoa(len(text)):
-		return nil, fmt.Errorf("has %d bytes, its head says %.20q", len(text), fields[2])
-	case fields[3] != fmt.Sprintf("%016x", xxhash.Sum64(text)):
-		return nil, fmt.Errorf("has the checksum %016x, its head says %.20q", xxhash.Sum64(text), fields[3])
+	case fields[2] != strconv.Itoa(len(content)):
+		return nil, fmt.Errorf("has %d bytes, its head says %.20q", len(content), fields[2])
+	case fields[3] != fmt.Sprintf("%016x", xxhash.Sum64(content)):
+		return nil, fmt.Errorf("has the checksum %016x, its head says %.20q", xxhash.Sum64(content), fields[3])
 	}
-	return text, nil
+	return content, nil
 }
 
-// snapshotPath is where a sidecar leaves its state.
+// snapshotPath is the path of a sidecar's snapshot file; "": it has none.
 func (c *Config) snapshotPath(name string) string {
 	if c.SnapshotFolder == "" {
 		return ""
 	}
-	return filepath.Join(c.SnapshotFolder, fmt.Sprintf("fleet-%016x.state", xxhash.Sum64String(name)))
+	return filepath.Join(c.SnapshotFolder, fmt.Sprintf(snapshotFileFormat, xxhash.Sum64String(name)))
 }
 
-// readSnapshot reads what a former life left. That there is nothing is no error.
-func readSnapshot(file, label string) (items []replication.Item, peers []string, err error) {
-	f, err := os.Open(file)
+// readSnapshot reads a snapshot file: items, and addresses of members. One that does not exist is empty.
+func readSnapshot(path, label string) (items []replication.Item, peers []string, err error) {
+	file, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil, nil
 	}
 	if err != nil {
 		return nil, nil, err
 	}
-	defer f.Close()
-	sealed, err := io.ReadAll(io.LimitReader(f, gossip.MaxSnapshotBytes+1000))
+	defer file.Close()
+	data, err := io.ReadAll(io.LimitReader(file, gossip.MaxSnapshotBytes+maxHeaderBytes))
 	if err != nil {
 		return nil, nil, err
 	}
-	text, err := decodeSnapshot(sealed)
+	content, err := decodeSnapshot(data)
 	if err == nil {
-		items, peers, err = gossip.DecodeWarmStart(text, label)
+		items, peers, err = gossip.DecodeWarmStart(content, label)
 	}
 	if err != nil {
-		return nil, nil, fmt.Errorf("%s %w", file, err)
+		return nil, nil, fmt.Errorf("%s %w", path, err)
 	}
 	return items, peers, nil
 }
 
-// writeSnapshot leaves a state for the next life. Whoever reads the file sees the former or the new one, also behind a loss of
-// power. Another process of an upgrade may write at the same time.
-func writeSnapshot(fs fsys.FS, file string, text []byte) error {
-	return fsys.Replace(fs, fmt.Sprintf("%s.new%016x", file, rand.Uint64()), file, encodeSnapshot(text), true)
+// writeSnapshot replaces a snapshot file. A reader finds the former or the new content, also after a loss of power.
+// Another process of the sidecar may write at the same time, as in an upgrade.
+func writeSnapshot(fs fsys.FS, path string, content []byte) error {
+	temp := fmt.Sprintf("%s.new%016x", path, rand.Uint64())
+	return fsys.Replace(fs, temp, path, encodeSnapshot(content), true)
 }
 
-// writeSnapshots writes what comes to a file, the last of what has come, until states is closed. What could not be written is
-// tried again, with a backoff, until it is or something newer comes; at the end once more.
-func (f *Fleet) writeSnapshots(fs fsys.FS, file string, states <-chan []byte) {
-	var owed []byte // nil: all is written
+// snapshotSaver is the loop's state of the snapshot file.
+type snapshotSaver struct {
+	snapshots chan []byte   // to the writer; it holds one, the newest
+	digest    uint64        // of the state that was saved last
+	savedAt   time.Duration // 0: never
+}
+
+// saveSnapshot passes operators' calls and members' addresses to the writer, where they have changed.
+func (f *Fleet) saveSnapshot(now replication.Now) {
+	saver := f.saver
+	if saver == nil {
+		return
+	}
+	digest := f.machine.Store.Digest().PerKind()[replication.KindAdmin] ^ f.machine.Members.Digest()
+	if digest == saver.digest || saver.savedAt > 0 && now.Time-saver.savedAt < snapshotInterval {
+		return
+	}
+	content, err := f.machine.EncodeWarmStart(now)
+	if err != nil {
+		f.log.Warn("nothing is left for the next life", "err", err)
+		return
+	}
+	select {
+	case <-saver.snapshots: // the writer has not begun with it
+	default:
+	}
+	saver.snapshots <- content // does not wait, as no other goroutine sends
+	saver.digest = digest
+	saver.savedAt = now.Time
+}
+
+// snapshotWriter writes the snapshot file.
+type snapshotWriter struct {
+	log  *slog.Logger
+	fs   fsys.FS
+	path string
+}
+
+// run writes each snapshot that comes, until the channel is closed. A write that fails is retried with a backoff, until
+// it succeeds or a newer snapshot comes, and once more at the end.
+func (w *snapshotWriter) run(snapshots <-chan []byte) {
+	var unwritten []byte // nil: all is written
 	failing := false
-	wait, again := snapshotInterval, time.NewTimer(0)
-	again.Stop()
-	defer again.Stop()
+	backoff := snapshotInterval
+	retry := time.NewTimer(0)
+	retry.Stop()
+	defer retry.Stop()
 	for open := true; open; {
-		var text []byte
+		var content []byte
 		select {
-		case text, open = <-states:
+		case content, open = <-snapshots:
 			if open {
-				owed, wait = text, snapshotInterval
+				unwritten, backoff = content, snapshotInterval
 			}
-		case <-again.C:
+		case <-retry.C:
 		}
-		if owed == nil {
+		if unwritten == nil {
 			continue
 		}
-		err := writeSnapshot(fs, file, owed)
-		switch {
-		case err != nil && !failing:
-			f.log.Warn("a fleet that is lost as a whole will not know what is out by hand; it is tried again", "err", err)
-		case err == nil && failing:
-			f.log.Info("what is out by hand is written down again")
-		}
-		if failing = err != nil; !failing {
-			owed = nil
+		err := writeSnapshot(w.fs, w.path, unwritten)
+		w.logResult(err, failing)
+		failing = err != nil
+		if !failing {
+			unwritten = nil
 			continue
 		}
-		again.Reset(wait)
-		wait = min(2*wait, maxSnapshotBackoff)
+		retry.Reset(backoff)
+		backoff = min(2*backoff, maxSnapshotBackoff)
+	}
+}
+
+// logResult logs the first of several writes that fail, and the one that succeeds after them.
+func (w *snapshotWriter) logResult(err error, failedBefore bool) {
+	switch {
+	case err != nil && !failedBefore:
+		w.log.Warn("a fleet that is lost as a whole will not know what is out by hand; it is tried again", "err", err)
+	case err == nil && failedBefore:
+		w.log.Info("what is out by hand is written down again")
 	}
 }
