--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -1,8 +1,10 @@
 package fleet
 
 import (
+	"context"
 	"errors"
 	"fmt"
+	"log/slog"
 	"os"
 	"path/filepath"
 	"slices"
@@ -12,6 +14,7 @@
 
 	"milletramp.example/milletramp/internal/fleet/policy"
 	"milletramp.example/milletramp/internal/fleet/policyagent"
+	"milletramp.example/milletramp/internal/fleet/replication"
 )
 
 // raftFolderFormat is the name of a voter's folder, by the hash of the sidecar's name.
@@ -76,3 +79,31 @@
 		ServeWithoutLease: p.ServeWithoutLease,
 	}
 }
+
+// startAgent starts this sidecar's policy agent. The loop runs already.
+func (f *Fleet) startAgent(p *PolicyConfig, name string, lifeNumber uint64, log *slog.Logger) (err error) {
+	settings := p.agentSettings(name, lifeNumber)
+	settings.Check = f.callbacks.CheckPolicy
+	if f.agent, err = policyagent.Start(settings, f, log); err != nil {
+		return err
+	}
+	f.transport.SetCallHandler(f.agent)
+	raise := f.agent.RaiseIncarnation
+	f.events <- func(replication.Now) { f.raiseIncarnation = raise }
+	return nil
+}
+
+// Policy is this sidecar's policy agent; nil: the operator's file names no voters.
+func (f *Fleet) Policy() *policyagent.Agent { return f.agent }
+
+// Call implements policyagent.Peers.
+func (f *Fleet) Call(ctx context.Context, name string, text []byte) ([]byte, error) {
+	var address string
+	if err := f.call(ctx, func(replication.Now) { address = f.addressOf(name) }); err != nil {
+		return nil, err
+	}
+	if address == "" {
+		return nil, fmt.Errorf("fleet: %s is not there", name)
+	}
+	return f.transport.Call(ctx, address, text)
+}
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -2,49 +2,50 @@
 
 import (
 	"context"
+	"fmt"
 	"time"
 
 	"milletramp.example/milletramp/internal/fleet/gossip"
 	"milletramp.example/milletramp/internal/fleet/replication"
 )
 
-// Status is what this sidecar holds of the fleet, for the staff.
+// Status is what this sidecar holds of the fleet, for operators. The JSON keys are an interface to them.
 type Status struct {
 	Name         string            `json:"name"`
 	Address      string            `json:"address"`
 	LifeNumber   uint64            `json:"life"`
-	OwnsName     bool              `json:"bears_its_name"` // false: a younger process bears it, and this one is silent
+	OwnsName     bool              `json:"bears_its_name"` // false: a later process has it, this one sends nothing
 	Phase        string            `json:"phase"`
 	PhaseSeconds float64           `json:"phase_for_s"`
 	NumPresent   int               `json:"members_here"` // this one included
-	LocalHealth  int               `json:"own_trouble"`  // 0: none; up to 8: others' answers do not come
-	Digests      map[string]string `json:"sums"`
+	LocalHealth  int               `json:"own_trouble"`  // 0: good; up to 8: others' answers do not arrive
+	Digests      map[string]string `json:"sums"`         // of the replicated state, by kind
 	Members      []MemberStatus    `json:"members"`
 	Servers      []ServerStatus    `json:"by_hand"`
 	Suspicions   []SuspicionStatus `json:"in_doubt"`
 	Figures      gossip.Figures    `json:"figures"`
 }
 
-// SuspicionStatus is a server that the fleet doubts, or of which a sidecar has written.
+// SuspicionStatus is a server on which some sidecar has reported.
 type SuspicionStatus struct {
 	ID               string      `json:"id"`
-	Suspected        bool        `json:"in_doubt"` // by the word of others; false: there are rows, but not enough, or answered
-	SuspectedSeconds float64     `json:"for_s"`    // that it has been so, without a break
-	Listed           bool        `json:"listed"`   // with the process that is spoken of; otherwise the word counts for nothing
+	Suspected        bool        `json:"in_doubt"` // false: too few have reported, or one has had an answer
+	SuspectedSeconds float64     `json:"for_s"`    // without a break
+	Listed           bool        `json:"listed"`   // here, with the boot time of the reports, which else do not count
 	Rows             []RowStatus `json:"rows"`
 }
 
-// RowStatus is what one sidecar has written of a server.
+// RowStatus is the report of one sidecar on one server.
 type RowStatus struct {
 	Reporter        string  `json:"by"`
 	AgeSeconds      float64 `json:"age_s"`
 	Late            uint32  `json:"late"`
 	Unresponsive    uint32  `json:"silent"`
 	Refused         uint32  `json:"refused"`
-	LastGoodSeconds float64 `json:"good_s_before"` // its last good answer before it wrote; -1: none of late
+	LastGoodSeconds float64 `json:"good_s_before"` // from the last good answer to the report; -1: no recent one
 }
 
-// MemberStatus is what it holds of another.
+// MemberStatus is what this sidecar holds of another.
 type MemberStatus struct {
 	Name               string   `json:"name"`
 	Address            string   `json:"address"`
@@ -52,110 +53,159 @@
 	LifeNumber         uint64   `json:"life"`
 	Incarnation        uint32   `json:"incarnation"`
 	LastContactSeconds float64  `json:"heard_s_ago"` // -1: never
-	InSync             bool     `json:"same_copy"`   // by its last word
+	InSync             bool     `json:"same_copy"`   // by the last digest that it sent
 	DivergedSeconds    float64  `json:"differs_for_s"`
 	DivergedKinds      []string `json:"differs_in,omitempty"`
 }
 
-// ServerStatus is what the staff has said of a server.
+// ServerStatus is a server on which operators have made calls.
 type ServerStatus struct {
 	ID        string       `json:"id"`
 	AdminDown bool         `json:"out"`
-	Disputed  bool         `json:"disputed"` // calls that did not know of each other stand side by side; out holds
+	Disputed  bool         `json:"disputed"` // concurrent calls differ; the one that takes it down wins
 	Calls     []CallStatus `json:"calls"`
 }
 
-// CallStatus is a call that stands.
+// CallStatus is a standing call of an operator.
 type CallStatus struct {
 	ID        string `json:"id"`
 	By        string `json:"by"`
 	AdminDown bool   `json:"out"`
-	At        string `json:"at"` // by the clocks of the sidecars
+	At        string `json:"at"` // by the sidecars' wall clocks
 }
 
 // String implements fmt.Stringer.
 func (c CallStatus) String() string {
-	return map[bool]string{true: "out", false: "back"}[c.AdminDown] + " by " + c.By + " at " + c.At
+	direction := "back"
+	if c.AdminDown {
+		direction = "out"
+	}
+	return direction + " by " + c.By + " at " + c.At
 }
 
-// Status tells what this sidecar holds.
+// Status returns what this sidecar holds.
 func (f *Fleet) Status(ctx context.Context) (s Status, err error) {
 	err = f.call(ctx, func(now replication.Now) { s = f.status(now) })
 	return s, err
 }
 
 func (f *Fleet) status(now replication.Now) Status {
-	m := f.machine
-	self, bears := m.Members.Self()
-	phase, since := m.Phase()
-	s := Status{Name: self.Name, Address: self.Address, LifeNumber: self.Life.Number, OwnsName: bears, Phase: phase.String(),
-		PhaseSeconds: seconds(now.Time - since), NumPresent: m.Members.NumPresent(), LocalHealth: m.Members.LocalHealth(), Digests: map[string]string{}, Figures: m.Figures()}
-	for k, sum := range m.Store.Digest().PerKind() {
-		s.Digests[replication.Kind(k).String()] = formatDigest(sum)
+	members := f.machine.Members
+	self, ownsName := members.Self()
+	phase, since := f.machine.Phase()
+	return Status{
+		Name:         self.Name,
+		Address:      self.Address,
+		LifeNumber:   self.Life.Number,
+		OwnsName:     ownsName,
+		Phase:        phase.String(),
+		PhaseSeconds: seconds(now.Time - since),
+		NumPresent:   members.NumPresent(),
+		LocalHealth:  members.LocalHealth(),
+		Digests:      f.digests(),
+		Members:      f.memberStatus(now),
+		Servers:      f.serverStatus(),
+		Suspicions:   f.suspicionStatus(now),
+		Figures:      f.machine.Figures(),
 	}
-	lags := map[string]gossip.Divergence{}
-	for _, l := range m.Divergences(now.Time) {
-		lags[l.Name] = l
+}
+
+func (f *Fleet) digests() map[string]string {
+	digests := map[string]string{}
+	for kind, digest := range f.machine.Store.Digest().PerKind() {
+		digests[replication.Kind(kind).String()] = fmt.Sprintf("%016x", digest)
+	}
+	return digests
+}
+
+func (f *Fleet) memberStatus(now replication.Now) (all []MemberStatus) {
+	divergences := map[string]gossip.Divergence{}
+	for _, divergence := range f.machine.Divergences(now.Time) {
+		divergences[divergence.Name] = divergence
 	}
-	for _, p := range m.Members.Members() {
-		l := lags[p.Name]
-		o := MemberStatus{Name: p.Name, Address: p.Address, State: p.State.String(), LifeNumber: p.Life.Number, Incarnation: p.Incarnation,
-			LastContactSeconds: -1, InSync: l.Known && l.Equal, DivergedSeconds: seconds(l.For)}
-		if heard, ok := m.Members.LastContact(p.Name); ok {
-			o.LastContactSeconds = seconds(now.Time - heard)
+	for _, member := range f.machine.Members.Members() {
+		divergence := divergences[member.Name]
+		status := MemberStatus{
+			Name:               member.Name,
+			Address:            member.Address,
+			State:              member.State.String(),
+			LifeNumber:         member.Life.Number,
+			Incarnation:        member.Incarnation,
+			LastContactSeconds: -1,
+			InSync:             divergence.Known && divergence.Equal,
+			DivergedSeconds:    seconds(divergence.For),
+		}
+		if contact, ok := f.machine.Members.LastContact(member.Name); ok {
+			status.LastContactSeconds = seconds(now.Time - contact)
 		}
-		for _, k := range l.Kinds {
-			o.DivergedKinds = append(o.DivergedKinds, k.String())
+		for _, kind := range divergence.Kinds {
+			status.DivergedKinds = append(status.DivergedKinds, kind.String())
 		}
-		s.Members = append(s.Members, o)
+		all = append(all, status)
 	}
-	for _, k := range m.Store.Keys() {
-		if k.Kind != replication.KindAdmin {
+	return all
+}
+
+func (f *Fleet) serverStatus() (all []ServerStatus) {
+	for _, key := range f.machine.Store.Keys() {
+		if key.Kind != replication.KindAdmin {
 			continue
 		}
-		h, _ := m.Store.AdminState(k.Server)
-		o := ServerStatus{ID: h.Server, AdminDown: h.Down(), Disputed: h.Disputed()}
-		for _, c := range h.Standing {
-			o.Calls = append(o.Calls, CallStatus{c.Dot.String(), c.Dot.By, c.Down, c.At.String()})
+		state, _ := f.machine.Store.AdminState(key.Server)
+		status := ServerStatus{ID: state.Server, AdminDown: state.Down(), Disputed: state.Disputed()}
+		for _, call := range state.Standing {
+			status.Calls = append(status.Calls, CallStatus{
+				ID:        call.Dot.String(),
+				By:        call.Dot.By,
+				AdminDown: call.Down,
+				At:        call.At.String(),
+			})
 		}
-		s.Servers = append(s.Servers, o)
+		all = append(all, status)
 	}
-	s.Suspicions = f.suspicionStatus(now)
-	return s
+	return all
 }
 
 func (f *Fleet) suspicionStatus(now replication.Now) (all []SuspicionStatus) {
-	doubted := map[string]int64{}
-	for _, d := range f.machine.Suspicions(now, len(f.servers)) {
-		doubted[d.Server] = d.Boot
+	suspectedBoots := map[string]int64{}
+	for _, suspicion := range f.machine.Suspicions(now, len(f.servers.list)) {
+		suspectedBoots[suspicion.Server] = suspicion.Boot
 	}
 	for _, server := range f.machine.Store.ServersWithEvidence() {
-		own, listed := f.bootTimes[server]
-		boot, doubt := doubted[server]
-		o := SuspicionStatus{ID: server, Suspected: doubt, Listed: listed && (!doubt || own == boot)}
-		if begun, known := f.suspectedSince[server]; known && doubt {
-			o.SuspectedSeconds = seconds(now.Time - begun)
+		boot, listed := f.servers.bootTimes[server]
+		suspectedBoot, suspected := suspectedBoots[server]
+		status := SuspicionStatus{
+			ID:        server,
+			Suspected: suspected,
+			Listed:    listed && (!suspected || boot == suspectedBoot),
+			Rows:      f.rowStatus(now, server),
 		}
-		for _, r := range f.machine.Store.Rows(now, server) {
-			row := RowStatus{Reporter: r.Owner, AgeSeconds: float64(r.Age) / 1e3, Late: r.Evidence.Late, Unresponsive: r.Evidence.Silent, Refused: r.Evidence.Refused, LastGoodSeconds: -1}
-			if r.Evidence.Good > 0 {
-				row.LastGoodSeconds = float64(r.Evidence.Good) / 1e3
-			}
-			o.Rows = append(o.Rows, row)
+		if since, known := f.evidence.suspectedSince[server]; known && suspected {
+			status.SuspectedSeconds = seconds(now.Time - since)
 		}
-		all = append(all, o)
+		all = append(all, status)
 	}
 	return all
 }
 
-func seconds(d time.Duration) float64 { return d.Round(time.Millisecond).Seconds() }
-
-const hexDigits = "0123456789abcdef"
-
-func formatDigest(x uint64) string {
-	var text [16]byte
-	for i := range text {
-		text[15-i] = hexDigits[x>>(4*i)&15]
+func (f *Fleet) rowStatus(now replication.Now, server string) (all []RowStatus) {
+	for _, row := range f.machine.Store.Rows(now, server) {
+		status := RowStatus{
+			Reporter:        row.Owner,
+			AgeSeconds:      fromMilliseconds(row.Age),
+			Late:            row.Evidence.Late,
+			Unresponsive:    row.Evidence.Silent,
+			Refused:         row.Evidence.Refused,
+			LastGoodSeconds: -1,
+		}
+		if row.Evidence.Good > 0 {
+			status.LastGoodSeconds = fromMilliseconds(row.Evidence.Good)
+		}
+		all = append(all, status)
 	}
-	return string(text[:])
+	return all
 }
+
+func seconds(d time.Duration) float64 { return d.Round(time.Millisecond).Seconds() }
+
+func fromMilliseconds(ms uint32) float64 { return float64(ms) / 1e3 }
--- a/internal/lab/fleet/mutants/mutants_test.go
+++ b/internal/lab/fleet/mutants/mutants_test.go
@@ -28,9 +28,9 @@
 var mutants = []mutant{
 	{name: "the fleet's word ignored", file: "../sidecar/fleet.go", from: "if now[id] = true; !here[id] {", to: "if now[id] = true; false {",
 		rule: "nothing new to a server out by hand", play: "procs TestDrawnPlans"},
-	{"evidence kept to oneself", "fleet.go",
-		"range f.recorder.DueRows(now.Time, f.machine.Members.NumPresent()) {",
-		"range f.recorder.DueRows(now.Time, f.machine.Members.NumPresent())[:0] {",
+	{"evidence kept to oneself", "evidence.go",
+		"range f.evidence.recorder.DueRows(now.Time, f.machine.Members.NumPresent()) {",
+		"range f.evidence.recorder.DueRows(now.Time, f.machine.Members.NumPresent())[:0] {",
 		"silent servers known to all", "procs TestServersFallSilent"},
 	{"words that stand for good", "failuredetector/recorder.go",
 		"s.row.Bad = uint32((now - bad) / time.Millisecond)",
