--- a/deploy/names_test.go
+++ b/deploy/names_test.go
@@ -186,7 +186,7 @@
 var (
 	finished = []string{
 		"balance", "internal/loadlevel", "internal/lossdetect", "internal/quota", "internal/retrybudget",
-		"internal/fleet/consensus", "internal/fleet/failuredetector", "internal/fleet/gossip",
+		"internal/fleet", "internal/fleet/consensus", "internal/fleet/failuredetector", "internal/fleet/gossip",
 		"internal/fleet/membership", "internal/fleet/policy", "internal/fleet/policyagent",
 		"internal/fleet/raftlog", "internal/fleet/replication", "internal/fleet/transport",
 	}
