--- /dev/null
+++ b/internal/fleet/helpers_test.go
@@ -0,0 +1,105 @@
+package fleet
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"net"
+	"slices"
+	"sync"
+	"testing"
+	"time"
+
+	"go.uber.org/goleak"
+)
+
+const (
+	patience     = 30 * time.Second // until a condition must hold
+	pollInterval = 20 * time.Millisecond
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// testMember is a member of a fleet, and the notifications that it has had.
+type testMember struct {
+	*Fleet
+	adminDownUpdates chan []string
+
+	mu        sync.Mutex
+	suspected []string // by the last notification
+}
+
+// startMember starts a member, which is closed when the test ends.
+func startMember(t *testing.T, name string, peers ...string) *testMember {
+	t.Helper()
+	m := &testMember{adminDownUpdates: make(chan []string, 100)}
+	callbacks := Callbacks{
+		OnAdminDown:  func(servers []string) { m.adminDownUpdates <- servers },
+		OnSuspicions: m.onSuspicions,
+	}
+	c := &Config{Label: "test", Address: "127.0.0.1:0", Peers: peers}
+	var err error
+	if m.Fleet, err = Start(c, name, nil, slog.New(slog.DiscardHandler), callbacks); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if err := m.Close(); err != nil && !errors.Is(err, net.ErrClosed) { // the test may have closed it
+			t.Error(err)
+		}
+	})
+	return m
+}
+
+func (m *testMember) onSuspicions(suspicions []Suspicion) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.suspected = nil
+	for _, s := range suspicions {
+		m.suspected = append(m.suspected, s.ID)
+	}
+	slices.Sort(m.suspected)
+}
+
+// hasSuspected tells whether the last notification named these suspected servers and no others.
+func (m *testMember) hasSuspected(want ...string) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return slices.Equal(m.suspected, want)
+}
+
+// waitForAdminDown waits for a notification that these servers, and no others, are administratively down.
+func (m *testMember) waitForAdminDown(t *testing.T, want ...string) {
+	t.Helper()
+	for timeout := time.After(patience); ; {
+		select {
+		case got := <-m.adminDownUpdates:
+			if slices.Equal(got, want) {
+				return
+			}
+		case <-timeout:
+			t.Fatalf("never notified that %v are down", want)
+		}
+	}
+}
+
+// status fails where the member does not answer.
+func (m *testMember) status(t *testing.T) Status {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	defer cancel()
+	s, err := m.Status(ctx)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return s
+}
+
+// waitFor checks a condition until it holds.
+func waitFor(t *testing.T, what string, holds func() bool) {
+	t.Helper()
+	for end := time.Now().Add(patience); !holds(); time.Sleep(pollInterval) {
+		if time.Now().After(end) {
+			t.Fatalf("never: %s", what)
+		}
+	}
+}
