--- a/internal/fleet/raftnode/node.go
+++ b/internal/fleet/raftnode/node.go
@@ -1,6 +1,6 @@
 // Package raftnode runs one voter of the policy's consensus group: it finds or forms the group
 // (consensus.Bootstrapper), runs its part in it (consensus.Machine), and has everything that must survive a crash
-// persisted (package disk) before anything that rests on it is sent.
+// persisted (package raftlog) before anything that rests on it is sent.
 //
 // While a write of Storage fails, the node is suspended: it neither votes, acknowledges nor answers, and drops the
 // messages that arrive, as a paused process would. It retries the write with a backoff, and goes on once that succeeds.
@@ -31,8 +31,8 @@
 // maxMessageBytes bounds an encoded message: entries and a snapshot.
 const maxMessageBytes = 8 << 20
 
-// Storage keeps what must survive the process. *disk.Log is one. Its writes return once the data is durable; after an
-// error the node repeats the same write until it succeeds.
+// Storage keeps what must survive the process. *raftlog.Log is one. Its writes return once the data is durable; after
+// an error the node repeats the same write until it succeeds.
 type Storage interface {
 	State() raftlog.PersistentState
 	SaveBootstrap(consensus.Bootstrap) error
