--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,18 @@
-// Package fleet is a sidecar's part in the fleet: it owns the machine that decides (gossip), the sockets (link), and the
-// one goroutine in which both meet. Where the operator names no fleet there is none of it.
+// Package fleet is one sidecar's part in the fleet: what the sidecars know in common of administratively down servers,
+// of servers that seem to have failed and of the policy in force. It decides little itself. Package gossip replicates
+// the state, failuredetector decides what to report, policyagent follows the policy, transport has the sockets; this
+// package connects them to each other, to the clock and to the sidecar.
+//
+// Start starts these goroutines; Close ends them and waits for them:
+//
+//   - the loop (run), which alone uses the state machines and calls the Callbacks;
+//   - the writer of the snapshot file, where the operator names a folder for it;
+//   - one for each snapshot that is being fetched from another sidecar;
+//   - those of the transport and of the policy agent, which belong to these packages.
+//
+// The methods of Fleet may be called from any goroutine. They pass events to the loop; those that wait for it end with
+// their context, and with ErrClosed once the Fleet is closed. ErrSuperseded says that a later process has taken this
+// sidecar's name. Errors of the configuration name the file and the key.
 package fleet
 
 import (
@@ -7,16 +20,11 @@
 	"crypto/rand"
 	"encoding/binary"
 	"errors"
-	"fmt"
 	"log/slog"
-	"path/filepath"
 	"slices"
-	"strings"
 	"sync"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
 	"milletramp.example/milletramp/internal/fleet/failuredetector"
 	"milletramp.example/milletramp/internal/fleet/gossip"
 	"milletramp.example/milletramp/internal/fleet/membership"
@@ -27,518 +35,148 @@
 	"milletramp.example/milletramp/internal/wallclock"
 )
 
-const (
-	tickEvery  = 50 * time.Millisecond
-	mostQueued = 256 // datagrams that wait for the loop; more are lost, as on the way
-)
-
-// Fleet is a sidecar's part in the fleet.
-type Fleet struct {
-	log       *slog.Logger
-	transport *transport.Transport
-	origin    time.Time
-	clock     time.Duration // by which the clock of day is taken to be off
-	told      Told
-
-	events  chan func(now replication.Now)
-	over    sync.WaitGroup
-	ctx     context.Context
-	stop    context.CancelFunc
-	agent   *policyagent.Agent // nil: the fleet has no policy
-	address string             // that the others are told
-	ready   chan struct{}      // closed once it has caught up for the first time
-
-	// Of the loop.
-	machine  *gossip.Machine
-	waiting  map[replication.Key][]chan gossip.Confirmation
-	out      []string
-	tell     bool // Out is to be called though out has not changed
-	recorder *failuredetector.Recorder
-	doubts   bool             // some server is in doubt, as was told
-	boots    map[string]int64 // of the own list
-	done     bool             // ready is closed
-	list     []Server
-	renewed  time.Duration            // when the list was last gone through
-	stands   map[string]time.Duration // servers in doubt, and since when without a break
-	states   chan []byte              // to be left for the next life; nil: nowhere
-	kept     uint64                   // sum of what was last left
-	keptAt   time.Duration
-	raise    func(life uint64) // tells the part in the policy the life that membership has come to; nil: there is none
-}
-
-// Server is an entry of the own list.
-type Server struct {
-	ID   string
-	Boot int64 // its last start in Unix milliseconds; 0: long ago
-}
-
-// Told is what the fleet tells its sidecar. Each is called from the one goroutine of the fleet and must not wait for it.
-type Told struct {
-	// Out is told the servers that are out by hand, all of them, each time that they change.
-	Out func(servers []string)
-	// Doubts is told the servers of the own list that the fleet doubts, all of them and the worst first, as long as there are
-	// any, and once when there are none any more.
-	Doubts func(doubts []Doubt)
-	// Check reads a policy whole and says what is wrong with it; "": nothing. It is called from a goroutine of its own.
-	Check func(number uint64, text []byte) (fault string)
-}
+// monotonicOrigin is added to the readings of the monotonic clock, so that none is 0.
+const monotonicOrigin = time.Hour
 
-// Doubt is a server that does not do its work, by the word of other sidecars.
-type Doubt struct {
-	ID  string
-	Age time.Duration // of the youngest word
-}
+// ErrSuperseded says that a later process has taken this sidecar's name, as in an upgrade, and that this one sends
+// nothing any more.
+var ErrSuperseded = errors.New("another process speaks for this sidecar")
 
-// renewEvery is how often the own list is gone through again: what the staff said of a listed server is kept.
-const renewEvery = time.Minute
+// ErrClosed says that the Fleet has been closed.
+var ErrClosed = errors.New("fleet: it has ended")
 
-// Start begins a sidecar's part. before are the addresses of its other processes, which this one replaces.
-func Start(c *Config, name string, before []string, log *slog.Logger, told Told) (*Fleet, error) {
-	l, err := transport.Listen(c.Address, gossip.MaxSnapshotBytes)
+// Fleet is a sidecar's part in the fleet. Close must be called at the end.
+type Fleet struct {
+	log         *slog.Logger
+	callbacks   Callbacks
+	transport   *transport.Transport
+	address     string             // that is advertised to the other sidecars
+	agent       *policyagent.Agent // nil: the fleet has no policy
+	startedAt   time.Time
+	clockOffset time.Duration // that is added to the wall clock; for tests
+
+	ctx        context.Context // ends with Close
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
+	events     chan func(now replication.Now) // which the loop runs
+	caughtUp   chan struct{}                  // closed by the loop once it has caught up for the first time
+
+	// Of the loop alone.
+	machine          *gossip.Machine
+	hasCaughtUp      bool                // caughtUp is closed
+	raiseIncarnation func(number uint64) // of the policy agent; nil: there is none
+	admin            adminState
+	servers          serverState
+	evidence         evidenceState
+	saver            *snapshotSaver // nil: the operator names no folder
+}
+
+// Start starts a sidecar's part. predecessors are the addresses of the sidecar's other processes, which this one
+// replaces.
+func Start(c *Config, name string, predecessors []string, log *slog.Logger, callbacks Callbacks) (*Fleet, error) {
+	sockets, err := transport.Listen(c.Address, gossip.MaxSnapshotBytes)
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{log: log.With("part", "fleet"), transport: l, origin: time.Now(), clock: c.clock, told: told, boots: map[string]int64{}, events: make(chan func(replication.Now), mostQueued),
-		ready: make(chan struct{}), waiting: map[replication.Key][]chan gossip.Confirmation{}}
-	f.ctx, f.stop = context.WithCancel(context.Background())
-	f.address = c.told(l.Address())
-	var warm []replication.Item
-	file, peers := c.warmFile(name), c.Peers
-	if file != "" {
-		items, known, err := readWarm(file, c.Label)
-		if err != nil {
-			f.log.Warn("dropped what a former life left", "err", err)
-		} else if len(items)+len(known) > 0 {
-			f.log.Info("took what a former life left", "servers", len(items), "peers", len(known))
-			warm, peers = items, append(slices.Clone(peers), known...)
-		}
-		f.states = make(chan []byte, 1)
-		f.over.Add(1)
-		go func() {
-			defer f.over.Done()
-			f.keep(fsys.OS{}, file, f.states)
-		}()
-	}
-	var random [16]byte
-	_, _ = rand.Read(random[:]) // never fails
-	now := f.now()
-	f.recorder = failuredetector.New(binary.LittleEndian.Uint64(random[:8]))
-	f.machine = gossip.New(now, gossip.Settings{Label: c.Label, CatchUpTimeout: c.CatchUp(), Predecessors: before, Membership: membership.Settings{Name: name,
-		Address: f.address, Peers: peers, Seed: binary.LittleEndian.Uint64(random[:8]),
-		LifeNonce: binary.LittleEndian.Uint64(random[8:]) | 1, LifeNumber: uint64(max(now.Wall, 1))}}, warm)
-	f.log.Info("joining", "label", c.Label, "address", l.Address(), "peers", len(c.Peers))
-	f.over.Add(1)
+	f := newFleet(c, sockets, log.With("part", "fleet"), callbacks)
+	items, peers := f.startSaver(c, name)
+	settings := gossip.Settings{
+		Label:          c.Label,
+		CatchUpTimeout: c.CatchUp(),
+		Predecessors:   predecessors,
+		Membership: membership.Settings{
+			Name:    name,
+			Address: f.address,
+			Peers:   slices.Concat(c.Peers, peers),
+		},
+	}
+	lifeNumber := f.createMachine(settings, items)
+	f.log.Info("joining", "label", c.Label, "address", sockets.Address(), "peers", len(c.Peers))
+	f.goroutines.Add(1)
 	go func() {
-		defer f.over.Done()
+		defer f.goroutines.Done()
 		f.run()
 	}()
 	if c.Policy != nil {
-		if f.agent, err = policyagent.Start(c.agentSettings(name, uint64(max(now.Wall, 1)), told.Check), f, log); err != nil {
+		if err := f.startAgent(c.Policy, name, lifeNumber, log); err != nil {
 			f.stop()
-			f.over.Wait()
-			return nil, errors.Join(err, l.Close())
+			f.goroutines.Wait()
+			return nil, errors.Join(err, sockets.Close())
 		}
-		l.SetCallHandler(f.agent)
-		raise := f.agent.RaiseIncarnation
-		f.events <- func(replication.Now) { f.raise = raise } // the loop, which has begun, takes it
 	}
-	l.Serve(f, gossip.MaxPacketBytes)
+	sockets.Serve(f, gossip.MaxPacketBytes)
 	return f, nil
 }
 
-// agentSettings is what this sidecar's part in the policy is told.
-func (c *Config) agentSettings(name string, life uint64, check func(uint64, []byte) string) policyagent.Settings {
-	p := c.Policy
-	return policyagent.Settings{Name: name, Incarnation: life, Voters: p.Deciders, InitialPolicy: p.text, Terms: p.Terms(), ServeWithoutLease: p.ServeOn, Check: check,
-		Folder: filepath.Join(p.Folder, fmt.Sprintf("council-%016x", xxhash.Sum64String(name)))}
-}
-
-// Policy is this sidecar's part in the fleet's policy; nil: the file names no deciders.
-func (f *Fleet) Policy() *policyagent.Agent { return f.agent }
-
-// Call implements policyagent.Peers.
-func (f *Fleet) Call(ctx context.Context, name string, text []byte) ([]byte, error) {
-	address := ""
-	if err := f.ask(ctx, func(replication.Now) {
-		for _, m := range f.machine.Members.Members() {
-			if m.Name == name && m.Present() {
-				address = m.Address
-			}
-		}
-	}); err != nil {
-		return nil, err
-	}
-	if address == "" {
-		return nil, fmt.Errorf("fleet: %s is not there", name)
-	}
-	return f.transport.Call(ctx, address, text)
-}
-
-// monotonic readings begin at an hour, so that none is 0.
-const monotonicOrigin = time.Hour
-
-func (f *Fleet) now() replication.Now {
-	now := time.Now()
-	return replication.Now{Time: monotonicOrigin + now.Sub(f.origin), Wall: wallclock.Milliseconds(now.Add(f.clock))}
-}
-
-// run is the loop. It ends with Close.
-func (f *Fleet) run() {
-	tick := time.NewTicker(tickEvery)
-	defer tick.Stop()
-	for {
-		select {
-		case <-f.ctx.Done():
-			f.machine.Leave(f.now())
-			f.act()
-			f.forsake()
-			if f.states != nil {
-				f.keptAt = 0
-				f.leaveWarm(f.now())
-				close(f.states)
-			}
-			return
-		case do := <-f.events:
-			do(f.now())
-		case <-tick.C:
-			now := f.now()
-			f.machine.Tick(now)
-			if now.Time-f.renewed >= renewEvery {
-				f.renew(now)
-			}
-			f.leaveWarm(now)
-			f.write(now)
-			f.weigh(now)
-		}
-		f.act()
-	}
-}
-
-// forsake ends what waits for others to hold a call. Where another process bears the name it has been given all calls.
-func (f *Fleet) forsake() {
-	_, bears := f.machine.Members.Self()
-	for key, waiting := range f.waiting {
-		for _, c := range waiting {
-			if !bears {
-				c <- gossip.Confirmation{Key: key, Asked: 1} // has room for it
-			}
-			close(c)
-		}
-		delete(f.waiting, key)
-	}
-}
-
-// act carries out what the machine asks for.
-func (f *Fleet) act() {
-	out := f.machine.TakeActions()
-	for _, d := range out.Send {
-		if err := f.transport.Send(d.To, d.Payload); err != nil {
-			f.log.Debug("not sent", "to", d.To, "err", err)
-		}
-	}
-	for _, from := range out.Fetch {
-		f.over.Add(1)
-		go func() {
-			defer f.over.Done()
-			text, err := f.transport.Fetch(f.ctx, from)
-			f.do(f.ctx, func(now replication.Now) {
-				if err := f.machine.ReceiveSnapshot(now, from, text, err); err != nil {
-					f.log.Debug("no snapshot", "from", from, "err", err)
-				}
-			})
-		}()
-	}
-	for _, c := range out.Changes {
-		f.changed(c)
-	}
-	if self, bears := f.machine.Members.Self(); bears && f.raise != nil {
-		f.raise(self.Life.Number)
-	}
-	for _, p := range out.Phases {
-		f.log.Info("caught up", "phase", p.String(), "members", f.machine.Members.NumPresent())
-		if p != gossip.CatchingUp && !f.done {
-			f.done = true
-			close(f.ready)
-		}
-	}
-	for _, h := range out.Confirmations {
-		for _, c := range f.waiting[h.Key] {
-			c <- h // has room for it
-		}
-		delete(f.waiting, h.Key)
-	}
-	if now := f.machine.Store.AdminDown(); f.tell || !slices.Equal(now, f.out) {
-		f.out, f.tell = now, false
-		f.told.Out(slices.Clone(now))
-	}
-	f.hear(out)
-}
-
-// hear takes in what the machine has heard of servers.
-func (f *Fleet) hear(out gossip.Actions) {
-	now := f.now()
-	for _, server := range out.ReportServers {
-		f.recorder.RequestReport(now.Time, server)
-	}
-	if len(out.ReportServers) > 0 {
-		f.write(now)
-		f.act()
-	}
-	if slices.ContainsFunc(out.Updated, func(k replication.Key) bool { return k.Kind == replication.KindRow }) {
-		f.weigh(now)
-	}
-}
-
-// write tells the fleet what this sidecar has seen of servers.
-func (f *Fleet) write(now replication.Now) {
-	if _, bears := f.machine.Members.Self(); !bears {
-		return
-	}
-	for _, e := range f.recorder.DueRows(now.Time, f.machine.Members.NumPresent()) {
-		key, err := f.machine.Store.WriteRow(now, e.Server, f.boots[e.Server], e.Evidence)
-		if err != nil {
-			f.log.Debug("not written", "server", e.Server, "err", err)
-			continue
-		}
-		f.machine.BroadcastUrgent(now, key)
-	}
-}
-
-// weigh tells the sidecar which servers the fleet doubts. What is said of a process that the own list does not have, or of no
-// server in it, counts for nothing.
-func (f *Fleet) weigh(now replication.Now) {
-	var doubts []Doubt
-	since, stands := map[string]time.Duration{}, map[string]time.Duration{}
-	for _, d := range f.machine.Suspicions(now, len(f.list)) {
-		if boot, listed := f.boots[d.Server]; listed && boot == d.Boot {
-			doubts = append(doubts, Doubt{d.Server, now.Time - d.Newest})
-			since[d.Server] = d.Newest
-			stands[d.Server] = now.Time
-			if begun, known := f.stands[d.Server]; known {
-				stands[d.Server] = begun
-			}
-		}
-	}
-	f.stands = stands
-	f.recorder.SetSuspected(now.Time, since)
-	if len(doubts) > 0 || f.doubts {
-		f.doubts = len(doubts) > 0
-		f.told.Doubts(doubts)
-	}
-}
-
-// Saw takes in what this sidecar has seen of a server. It does not wait: where much comes at once some is lost.
-func (f *Fleet) Saw(server string, e failuredetector.Outcome) {
-	select {
-	case f.events <- func(now replication.Now) {
-		if note, due := f.recorder.Observe(now.Time, server, e); due {
-			f.machine.SendNote(now.Time, note)
-		}
-		if e == failuredetector.Silent || e == failuredetector.Refused {
-			f.write(now)
-		}
-	}:
-	default:
+func newFleet(c *Config, sockets *transport.Transport, log *slog.Logger, callbacks Callbacks) *Fleet {
+	f := &Fleet{
+		log:         log,
+		callbacks:   callbacks,
+		transport:   sockets,
+		address:     c.advertisedAddress(sockets.Address()),
+		startedAt:   time.Now(),
+		clockOffset: c.clockOffset,
+		events:      make(chan func(replication.Now), maxQueuedEvents),
+		caughtUp:    make(chan struct{}),
+		admin:       adminState{pendingConfirms: map[replication.Key][]chan gossip.Confirmation{}},
+		servers:     serverState{bootTimes: map[string]int64{}},
 	}
+	f.ctx, f.stop = context.WithCancel(context.Background())
+	return f
 }
 
-// leaveWarm has what the staff has said be written down, where it has changed and a folder is named.
-func (f *Fleet) leaveWarm(now replication.Now) {
-	sum := f.machine.Store.Digest().PerKind()[replication.KindAdmin] ^ f.machine.Members.Digest()
-	if f.states == nil || sum == f.kept || f.keptAt > 0 && now.Time-f.keptAt < warmEvery {
-		return
+// startSaver starts the writer of the snapshot file, where there is one, and returns what the file holds.
+func (f *Fleet) startSaver(c *Config, name string) (items []replication.Item, peers []string) {
+	path := c.snapshotPath(name)
+	if path == "" {
+		return nil, nil
 	}
-	text, err := f.machine.EncodeWarmStart(now)
+	items, peers, err := readSnapshot(path, c.Label)
 	if err != nil {
-		f.log.Warn("nothing is left for the next life", "err", err)
-		return
-	}
-	select {
-	case <-f.states: // one that nobody has begun to write
-	default:
-	}
-	f.states <- text // has room: this is the only sender
-	f.kept, f.keptAt = sum, now.Time
-}
-
-// renew tells the fleet of the own list.
-func (f *Fleet) renew(now replication.Now) {
-	f.renewed = now.Time
-	ids := make([]string, 0, len(f.list))
-	for _, s := range f.list {
-		ids = append(ids, s.ID)
-		if s.Boot > 0 {
-			if key, changed := f.machine.Store.RecordStart(now, s.ID, s.Boot); changed {
-				f.machine.Broadcast(key)
-			}
-		}
-	}
-	for _, key := range f.machine.Store.MarkListed(now, ids) {
-		f.machine.Broadcast(key)
-	}
-}
-
-func (f *Fleet) changed(c membership.Change) {
-	level := slog.LevelInfo
-	if c.Member.State == membership.Suspect {
-		level = slog.LevelDebug
-	}
-	if c.Superseded {
-		f.log.Warn("another process bears this sidecar's name; this one is silent from now on", "at", c.Member.Address, "life", c.Member.Life)
-		return
-	}
-	f.log.Log(f.ctx, level, "member", "name", c.Member.Name, "state", c.Member.State.String(), "address", c.Member.Address,
-		"life", c.Member.Life.Number, "incarnation", c.Member.Incarnation)
-}
-
-// do has the loop do something, and does not wait until it has. It returns false if ctx ends first.
-func (f *Fleet) do(ctx context.Context, do func(replication.Now)) bool {
-	select {
-	case f.events <- do:
-		return true
-	case <-ctx.Done():
-	case <-f.ctx.Done():
-	}
-	return false
-}
-
-// ask has the loop do something and waits until it has.
-func (f *Fleet) ask(ctx context.Context, do func(replication.Now)) error {
-	done := make(chan struct{})
-	if f.do(ctx, func(now replication.Now) { do(now); close(done) }) {
-		select {
-		case <-done:
-			return nil
-		case <-ctx.Done():
-		case <-f.ctx.Done():
-		}
-	}
-	if err := ctx.Err(); err != nil {
-		return fmt.Errorf("fleet: %w", context.Cause(ctx))
-	}
-	return ErrEnded
-}
-
-// Datagram implements transport.Handler.
-func (f *Fleet) Datagram(from string, text []byte) {
-	text = slices.Clone(text)
-	select {
-	case f.events <- func(now replication.Now) {
-		if err := f.machine.Receive(now, from, text); err != nil {
-			f.log.Debug("passed over", "from", from, "err", err)
-		}
-	}:
-	default: // Danger: a flood must not take memory
-		// and what is lost is found by the sums
-	}
-}
-
-// Snapshot implements transport.Handler.
-func (f *Fleet) Snapshot(ctx context.Context) (text []byte, err error) {
-	failed := f.ask(ctx, func(now replication.Now) { text, err = f.machine.EncodeSnapshot(now) })
-	return text, errors.Join(failed, err)
-}
-
-// ErrSilent says that a younger process bears this sidecar's name, as in an upgrade, and that this one tells nobody
-// anything.
-var ErrSilent = errors.New("another process speaks for this sidecar")
-
-// ErrEnded says that the part has been closed.
-var ErrEnded = errors.New("fleet: it has ended")
-
-// TakeOut takes a call of the staff into the fleet's state. Where confirm says so it waits for others to hold it, and returns how
-// many do by then; asked is 0 where there is nobody else.
-func (f *Fleet) TakeOut(ctx context.Context, server string, out, confirm bool) (held, asked int, err error) {
-	answer := make(chan gossip.Confirmation, 1)
-	failed := f.ask(ctx, func(now replication.Now) {
-		if _, bears := f.machine.Members.Self(); !bears {
-			err = ErrSilent
-			return
-		}
-		var key replication.Key
-		former, _ := f.machine.Store.AdminState(server)
-		if key, err = f.machine.Store.RecordCall(now, server, out); err != nil {
-			return
-		}
-		call, _ := f.machine.Store.AdminState(server)
-		f.log.Info("by hand", "server", server, "out", out, "call", strings.Join(calls(call), ","), "replaces", strings.Join(calls(former), ","))
-		f.machine.Broadcast(key)
-		if f.tell = true; !confirm {
-			return
-		}
-		f.waiting[key] = append(f.waiting[key], answer)
-		f.machine.Confirm(now, key)
-	})
-	if err = errors.Join(failed, err); err != nil || !confirm {
-		return 0, 0, err
-	}
-	select {
-	case h, ok := <-answer:
-		if !ok {
-			return 0, 0, ErrEnded
-		}
-		return h.Holders, h.Asked, nil
-	case <-ctx.Done():
-		return 0, 0, fmt.Errorf("fleet: %w", context.Cause(ctx))
-	}
-}
-
-// calls names the calls that stand.
-func calls(h replication.AdminState) (names []string) {
-	for _, c := range h.Standing {
-		names = append(names, c.Dot.String())
-	}
-	return names
-}
-
-// Listed says which servers the own list has. It does not wait; of lists that come in a rush only the last counts.
-func (f *Fleet) Listed(servers []Server) {
-	select {
-	case f.events <- func(now replication.Now) {
-		f.list = servers
-		former := f.boots
-		f.boots = make(map[string]int64, len(servers))
-		for _, s := range servers {
-			f.boots[s.ID] = s.Boot
-			if boot, known := former[s.ID]; known && boot != s.Boot {
-				f.recorder.Forget(s.ID) // it was another process
-			}
-		}
-		f.renew(now)
-	}:
-	default: // the next one does as well
+		f.log.Warn("dropped what a former life left", "err", err)
+	} else if len(items)+len(peers) > 0 {
+		f.log.Info("took what a former life left", "servers", len(items), "peers", len(peers))
 	}
+	f.saver = &snapshotSaver{snapshots: make(chan []byte, 1)}
+	writer := &snapshotWriter{log: f.log, fs: fsys.OS{}, path: path}
+	f.goroutines.Add(1)
+	go func() {
+		defer f.goroutines.Done()
+		writer.run(f.saver.snapshots)
+	}()
+	return items, peers
 }
 
-// Address is where other sidecars reach this one.
-func (f *Fleet) Address() string { return f.address }
-
-// Knows tells whether the staff has ever said anything of a server.
-func (f *Fleet) Knows(ctx context.Context, server string) (known bool, err error) {
-	err = f.ask(ctx, func(replication.Now) { _, known = f.machine.Store.AdminState(server) })
-	return known, err
+// createMachine draws this process's identity, and creates the machine with the items of a snapshot file. It returns
+// the number of this process's life in the fleet.
+func (f *Fleet) createMachine(settings gossip.Settings, items []replication.Item) (lifeNumber uint64) {
+	var random [16]byte
+	_, _ = rand.Read(random[:]) // never fails
+	seed := binary.LittleEndian.Uint64(random[:8])
+	now := f.now()
+	lifeNumber = uint64(max(now.Wall, 1))
+	settings.Membership.Seed = seed
+	settings.Membership.LifeNonce = binary.LittleEndian.Uint64(random[8:]) | 1
+	settings.Membership.LifeNumber = lifeNumber
+	f.evidence.recorder = failuredetector.New(seed)
+	f.machine = gossip.New(now, settings, items)
+	return lifeNumber
 }
 
-// CaughtUp is closed once this sidecar has caught up with the fleet, or has tried for long enough.
-func (f *Fleet) CaughtUp() <-chan struct{} { return f.ready }
-
-// Ready tells whether this sidecar has what the fleet holds, or has tried for long enough, and what it is at.
-func (f *Fleet) Ready(ctx context.Context) (ready bool, phase string) {
-	if err := f.ask(ctx, func(replication.Now) {
-		p, _ := f.machine.Phase()
-		ready, phase = p != gossip.CatchingUp, p.String()
-	}); err != nil {
-		return false, err.Error()
+func (f *Fleet) now() replication.Now {
+	now := time.Now()
+	return replication.Now{
+		Time: monotonicOrigin + now.Sub(f.startedAt),
+		Wall: wallclock.Milliseconds(now.Add(f.clockOffset)),
 	}
-	return ready, phase
 }
 
-// Close says farewell and waits for all that was begun.
+// Close tells the other sidecars that this one leaves, ends all goroutines and waits for them.
 func (f *Fleet) Close() error {
 	if f.agent != nil {
 		f.agent.Close()
 	}
 	f.stop()
-	f.over.Wait()
+	f.goroutines.Wait()
 	return f.transport.Close()
 }
--- a/internal/fleet/raftnode/node.go
+++ b/internal/fleet/raftnode/node.go
@@ -1,6 +1,6 @@
 // Package raftnode runs one voter of the policy's consensus group: it finds or forms the group
 // (consensus.Bootstrapper), runs its part in it (consensus.Machine), and has everything that must survive a crash
-// persisted (package disk) before anything that rests on it is sent.
+// persisted (package raftlog) before anything that rests on it is sent.
 //
 // While a write of Storage fails, the node is suspended: it neither votes, acknowledges nor answers, and drops the
 // messages that arrive, as a paused process would. It retries the write with a backoff, and goes on once that succeeds.
@@ -21,8 +21,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 
 	"milletramp.example/milletramp/internal/fleet/consensus"
-	"milletramp.example/milletramp/internal/fleet/disk"
 	"milletramp.example/milletramp/internal/fleet/policy"
+	"milletramp.example/milletramp/internal/fleet/raftlog"
 )
 
 // Time is a reading of the host's monotonic clock.
@@ -31,12 +31,12 @@
 // maxMessageBytes bounds an encoded message: entries and a snapshot.
 const maxMessageBytes = 8 << 20
 
-// Storage keeps what must survive the process. *disk.Log is one. Its writes return once the data is durable; after an
-// error the node repeats the same write until it succeeds.
+// Storage keeps what must survive the process. *raftlog.Log is one. Its writes return once the data is durable; after
+// an error the node repeats the same write until it succeeds.
 type Storage interface {
-	Memory() disk.Memory
-	Found(consensus.Bootstrap) error
-	Keep(consensus.Batch) error
+	State() raftlog.PersistentState
+	SaveBootstrap(consensus.Bootstrap) error
+	Persist(consensus.Batch) error
 	Compact(raftpb.Snapshot) error
 }
 
@@ -88,9 +88,9 @@
 // New returns the node of a process that starts now. It fails where the settings are wrong, where the folder is another
 // voter's, and where the persisted state is not consistent.
 func New(now Time, settings Settings, storage Storage, log *slog.Logger) (*Node, error) {
-	memory := storage.Memory()
+	state := storage.State()
 	bootstrapper, err := consensus.NewBootstrapper(
-		settings.Name, memory.Self, settings.Voters, settings.InitialPolicy, memory.Bootstrap)
+		settings.Name, state.Self, settings.Voters, settings.InitialPolicy, state.Bootstrap)
 	if err != nil {
 		return nil, err
 	}
@@ -103,20 +103,20 @@
 		helloTargets: settings.Voters,
 		standbys:     map[string]standby{},
 	}
-	if memory.Bootstrap != nil {
-		return n, n.startMachine(now, memory)
+	if state.Bootstrap != nil {
+		return n, n.startMachine(now, state)
 	}
 	return n, nil
 }
 
 // startMachine takes part in the group that the folder is of.
-func (n *Node) startMachine(now Time, memory disk.Memory) error {
+func (n *Node) startMachine(now Time, state raftlog.PersistentState) error {
 	machine, err := consensus.New(now, consensus.Settings{
-		Identity:     memory.Self,
-		Bootstrap:    *memory.Bootstrap,
-		Incarnations: memory.Heard,
+		Identity:     state.Self,
+		Bootstrap:    *state.Bootstrap,
+		Incarnations: state.Incarnations,
 		Terms:        n.settings.Terms,
-		Persisted:    memory.Kept,
+		Persisted:    state.Raft,
 	}, n.log)
 	if err != nil {
 		return err
@@ -269,7 +269,7 @@
 		if !due {
 			break
 		}
-		n.write(now, func() error { return n.storage.Keep(b) }, n.batchPersisted)
+		n.write(now, func() error { return n.storage.Persist(b) }, n.batchPersisted)
 	}
 	if n.fatalErr != nil {
 		return
