--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -46,18 +46,18 @@
 		case wire.BatchStart:
 			now, number = e.Now, -1
 			continue
-		case wire.EndOfBatch:
-			if err := writer.End(); err != nil {
+		case wire.BatchEnd:
+			if err := writer.FinishReply(); err != nil {
 				return fmt.Errorf("reply: %w", err)
 			}
 			continue
-		case wire.Instance:
+		case wire.SelectInstance:
 			number = e.Instance
 			continue
-		case wire.Stop:
+		case wire.StopInstance:
 			delete(instances, number)
 			continue
-		case wire.Open:
+		case wire.StartInstance:
 			h := &instance{number: number, out: writer, names: e.Names}
 			if h.Balancer, err = balance.New(e.Settings, h); err != nil {
 				return fmt.Errorf("instance %d: %w", number, err)
@@ -79,7 +79,7 @@
 func (h *instance) event(now balance.Time, e *wire.Event) error {
 	switch e.Kind {
 	case wire.Endpoints:
-		h.Balancer.Endpoints(now, e.List, e.Entries)
+		h.Balancer.Endpoints(now, e.ListKind, e.Entries)
 	case wire.Request:
 		class, ok := h.names.Class[e.Class]
 		if !ok {
@@ -89,7 +89,7 @@
 		if !ok {
 			tenant = -1
 		}
-		h.Balancer.Request(now, balance.Request{ID: e.ID, Class: class, Tenant: tenant, Timeout: e.Within, Retry: e.Retry})
+		h.Balancer.Request(now, balance.Request{ID: e.ID, Class: class, Tenant: tenant, Timeout: e.Timeout, Retry: e.Retry})
 	case wire.AnswerStarted:
 		h.Balancer.AnswerStarted(now, e.ID, e.Attempt)
 	case wire.Result:
@@ -112,7 +112,7 @@
 
 // Reject passes a refusal on.
 func (h *instance) Reject(id balance.RequestID, after time.Duration) {
-	h.out.Refuse(h.number, id, after)
+	h.out.Reject(h.number, id, after)
 }
 
 // Fail passes a failure on.
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -26,43 +26,43 @@
 	MaxRetryAfter  time.Duration // the longest wait that a client honours; 0: not told
 }
 
-// conf is the settings as values by their paths. The first malformed value is kept in fault.
-type conf struct {
+// settingsReader is the settings as values by their paths. The first malformed value is kept in fault.
+type settingsReader struct {
 	values map[string]string
 	lists  map[string][]string // lists of plain values, where they come unjoined
-	words  map[string]bool     // values that JSON gives as strings, which are no numbers whatever they spell
-	fault  error
+	quoted map[string]bool     // values that JSON gives as strings, which are no numbers whatever they spell
+	err    error
 }
 
-func (c *conf) fail(key, want string) {
-	if c.fault == nil {
-		c.fault = fmt.Errorf("setting %s is %q, want %s", key, c.values[key], want)
+func (c *settingsReader) fail(key, want string) {
+	if c.err == nil {
+		c.err = fmt.Errorf("setting %s is %q, want %s", key, c.values[key], want)
 	}
 }
 
-// need fails for a required key that is missing.
-func (c *conf) need(key string) string {
+// require fails for a required key that is missing.
+func (c *settingsReader) require(key string) string {
 	v, ok := c.values[key]
-	if !ok && c.fault == nil {
-		c.fault = fmt.Errorf("setting %s is missing", key)
+	if !ok && c.err == nil {
+		c.err = fmt.Errorf("setting %s is missing", key)
 	}
 	return v
 }
 
-func (c *conf) float(key string) float64 {
+func (c *settingsReader) float(key string) float64 {
 	v, ok := c.values[key]
 	if !ok || v == "-" {
 		return 0
 	}
 	f, err := strconv.ParseFloat(v, 64)
-	if err != nil || c.words[key] || math.IsNaN(f) || math.Abs(f) > 1e12 {
+	if err != nil || c.quoted[key] || math.IsNaN(f) || math.Abs(f) > 1e12 {
 		c.fail(key, "a number")
 		return 0
 	}
 	return f
 }
 
-func (c *conf) integer(key string) int {
+func (c *settingsReader) integer(key string) int {
 	f := c.float(key)
 	if f != math.Trunc(f) || math.Abs(f) > math.MaxInt32 {
 		c.fail(key, "a whole number")
@@ -70,9 +70,9 @@
 	return int(f)
 }
 
-func (c *conf) duration(key string) time.Duration { return seconds(c.float(key)) }
+func (c *settingsReader) duration(key string) time.Duration { return seconds(c.float(key)) }
 
-func (c *conf) boolean(key string) bool {
+func (c *settingsReader) boolean(key string) bool {
 	switch c.values[key] {
 	case "true", "1":
 		return true
@@ -83,15 +83,15 @@
 	return false
 }
 
-func (c *conf) list(key string) []string {
+func (c *settingsReader) list(key string) []string {
 	if v := c.values[key]; v != "" && v != "-" {
 		return strings.Split(v, ",")
 	}
 	return c.lists[key]
 }
 
-// choose maps a word to its meaning.
-func choose[T any](c *conf, key string, words map[string]T) T {
+// lookup maps a word to its meaning.
+func lookup[T any](c *settingsReader, key string, words map[string]T) T {
 	v, ok := words[c.values[key]]
 	if !ok {
 		c.fail(key, "one of the known words")
@@ -99,21 +99,21 @@
 	return v
 }
 
-// mostListed bounds the length of a settings list that a line may claim.
-const mostListed = 4096
+// maxListLength bounds the length of a settings list that a line may claim.
+const maxListLength = 4096
 
-func (c *conf) count(key string) int {
+func (c *settingsReader) listLength(key string) int {
 	n := c.integer(key)
-	if n < 0 || n > mostListed {
+	if n < 0 || n > maxListLength {
 		c.fail(key, "a small count")
 		return 0
 	}
 	return n
 }
 
-// settings reads an instance's settings line. Unknown ones are skipped.
-func settings(seed uint64, pairs [][]byte) (balance.Settings, *Names, error) {
-	c := &conf{values: make(map[string]string, len(pairs))}
+// parseSettings reads an instance's settings line. Unknown ones are skipped.
+func parseSettings(seed uint64, pairs [][]byte) (balance.Settings, *Names, error) {
+	c := &settingsReader{values: make(map[string]string, len(pairs))}
 	for _, p := range pairs {
 		if key, value, ok := strings.Cut(string(p), "="); ok {
 			c.values[key] = value
@@ -121,13 +121,13 @@
 			return balance.Settings{}, nil, fmt.Errorf("setting %q is no key=value pair", p)
 		}
 	}
-	s, names := c.settings(seed)
-	return s, names, c.fault
+	s, names := c.readSettings(seed)
+	return s, names, c.err
 }
 
 // SettingsJSON reads the same settings from a nested JSON object, by the same paths and words.
 func SettingsJSON(seed uint64, object []byte) (balance.Settings, *Names, Limits, error) {
-	c := &conf{values: map[string]string{}, lists: map[string][]string{}, words: map[string]bool{}}
+	c := &settingsReader{values: map[string]string{}, lists: map[string][]string{}, quoted: map[string]bool{}}
 	d := json.NewDecoder(bytes.NewReader(object))
 	d.UseNumber()
 	var tree map[string]any
@@ -135,17 +135,17 @@
 		return balance.Settings{}, nil, Limits{}, fmt.Errorf("settings: %w", err)
 	}
 	c.flatten("", tree)
-	s, names := c.settings(seed)
-	limits := Limits{ConnectTimeout: c.amount("limits.connect_timeout_s"), IdleClose: c.amount("limits.idle_close_s"),
-		MostHeld: c.integer("limits.most_held"), MaxRetryAfter: c.amount("limits.max_retry_after_s")}
+	s, names := c.readSettings(seed)
+	limits := Limits{ConnectTimeout: c.nonNegativeDuration("limits.connect_timeout_s"), IdleClose: c.nonNegativeDuration("limits.idle_close_s"),
+		MostHeld: c.integer("limits.most_held"), MaxRetryAfter: c.nonNegativeDuration("limits.max_retry_after_s")}
 	if limits.MostHeld < 0 {
 		c.fail("limits.most_held", "a number from 0 up")
 	}
-	return s, names, limits, c.fault
+	return s, names, limits, c.err
 }
 
-// amount is a duration that cannot be negative.
-func (c *conf) amount(key string) time.Duration {
+// nonNegativeDuration is a duration that cannot be negative.
+func (c *settingsReader) nonNegativeDuration(key string) time.Duration {
 	d := c.duration(key)
 	if d < 0 {
 		c.fail(key, "a number from 0 up")
@@ -153,15 +153,15 @@
 	return d
 }
 
-// above fails for a number that is not above 0.
-func (c *conf) above(key string) {
-	if c.need(key); c.float(key) <= 0 {
+// requirePositive fails for a number that is not above 0.
+func (c *settingsReader) requirePositive(key string) {
+	if c.require(key); c.float(key) <= 0 {
 		c.fail(key, "a number above 0")
 	}
 }
 
 // flatten stores a JSON value under its path, as the text wire spells it.
-func (c *conf) flatten(path string, value any) {
+func (c *settingsReader) flatten(path string, value any) {
 	switch v := value.(type) {
 	case map[string]any:
 		for key, inner := range v {
@@ -176,24 +176,24 @@
 		}
 	case nil: // as if absent
 	case string:
-		c.values[path], c.words[path] = v, true
+		c.values[path], c.quoted[path] = v, true
 	default:
 		c.values[path] = fmt.Sprint(v)
 	}
 }
 
-// settings reads what the module is told.
-func (c *conf) settings(seed uint64) (balance.Settings, *Names) {
+// readSettings reads what the module is told.
+func (c *settingsReader) readSettings(seed uint64) (balance.Settings, *Names) {
 	for _, key := range []string{"peers_total", "ordinal", "request_classes.count", "limits.try_limit", "my_zone"} {
-		c.need(key)
+		c.require(key)
 	}
-	c.above("limits.try_limit")
+	c.requirePositive("limits.try_limit")
 	s := balance.Settings{
 		Seed: seed, Ordinal: c.integer("ordinal"), Peers: c.integer("peers_total"), Zone: c.values["my_zone"],
 		Zones: c.list("areas"), Kinds: c.list("models"),
 		MaxAttempts: c.integer("limits.try_limit"), CancelAllowed: c.boolean("limits.cancelling"),
 		HedgingAllowed: c.boolean("limits.second_copies"),
-		PollDiscovery:  choose(c, "discovery", map[string]bool{"pushed": false, "on_request": true}),
+		PollDiscovery:  lookup(c, "discovery", map[string]bool{"pushed": false, "on_request": true}),
 		MaxListAge:     c.duration("rules.must_ask_in_s"), SlowStartWindow: c.duration("rules.cold_s"),
 		SlowStartCapacity: c.float("rules.start_capacity"), OverloadMultiple: c.float("rules.fall_multiple"),
 		OverloadWindow: c.duration("rules.fall_s"), CrossZoneCharge: c.float("charges.cross_zone"),
@@ -202,14 +202,14 @@
 		s.Service = tiers[c.integer("tier")]
 	}
 	names := &Names{Class: map[string]int{}, Tenant: map[string]int{}}
-	for i := range c.count("request_classes.count") {
+	for i := range c.listLength("request_classes.count") {
 		at := "request_classes." + strconv.Itoa(i) + "."
-		c.above(at + "deadline_s")
+		c.requirePositive(at + "deadline_s")
 		s.Classes = append(s.Classes, balance.Class{
-			Name: c.need(at + "name"),
-			Effect: choose(c, at+"effect", map[string]balance.Effect{"idempotent": balance.Idempotent,
+			Name: c.require(at + "name"),
+			Effect: lookup(c, at+"effect", map[string]balance.Effect{"idempotent": balance.Idempotent,
 				"deduplicated": balance.Deduplicated, "at_most_once": balance.AtMostOnce}),
-			Scope: choose(c, at+"group", map[string]balance.Scope{"": balance.ScopePodGroup, "-": balance.ScopePodGroup,
+			Scope: lookup(c, at+"group", map[string]balance.Scope{"": balance.ScopePodGroup, "-": balance.ScopePodGroup,
 				"all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopePodGroup}),
 			DedupeWindow: c.duration(at + "window_s"), LatencyObjective: c.duration(at + "aim_s"),
 			Deadline: c.duration(at + "deadline_s"), Priority: c.float(at + "credit"),
@@ -217,9 +217,9 @@
 		})
 		names.Class[s.Classes[i].Name] = i
 	}
-	for i := range c.count("tenants.count") {
+	for i := range c.listLength("tenants.count") {
 		at := "tenants." + strconv.Itoa(i) + "."
-		s.Tenants = append(s.Tenants, balance.Tenant{Name: c.need(at + "name"),
+		s.Tenants = append(s.Tenants, balance.Tenant{Name: c.require(at + "name"),
 			Allowance: c.float(at + "allowance_per_s")})
 		names.Tenant[s.Tenants[i].Name] = i
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -14,16 +14,16 @@
 	"milletramp.example/milletramp/balance"
 )
 
-// Kind is the kind of an event line.
-type Kind int
+// EventKind is the kind of an event line.
+type EventKind int
 
 // The kinds of events. EndOfBatch closes a batch; a reply is due.
 const (
-	BatchStart Kind = iota
-	EndOfBatch
-	Instance
-	Open
-	Stop
+	BatchStart EventKind = iota
+	BatchEnd
+	SelectInstance
+	StartInstance
+	StopInstance
 	Endpoints
 	Request
 	AnswerStarted
@@ -32,22 +32,22 @@
 	Timer
 )
 
-// attrRetry is the bit of a request's attributes that marks a client's retry.
-const attrRetry = 2
+// attributeRetry is the bit of a request's attributes that marks a client's retry.
+const attributeRetry = 2
 
 // Event is one event. The Reader reuses it; only the fields that its kind has are set.
 type Event struct {
-	Kind     Kind
+	Kind     EventKind
 	Now      balance.Time
 	Instance int
 	Settings balance.Settings
 	Names    *Names // of Open: how the instance's requests name classes and tenants
-	List     balance.ListKind
+	ListKind balance.ListKind
 	Entries  []balance.Endpoint
 	ID       balance.RequestID
 	Class    string
 	Tenant   string
-	Within   time.Duration
+	Timeout  time.Duration
 	Retry    bool
 	Attempt  int
 	Result   balance.Result
@@ -56,19 +56,19 @@
 
 // Reader reads events.
 type Reader struct {
-	in     *bufio.Reader
-	long   []byte
-	line   int
-	event  Event
-	parts  [][]byte
-	lists  [16][]balance.Endpoint
-	intern map[string]string
-	fault  error // of the first malformed field of the line
+	input      *bufio.Reader
+	longLine   []byte
+	lineNumber int
+	event      Event
+	fields     [][]byte
+	lists      [16][]balance.Endpoint
+	interned   map[string]string
+	fieldErr   error // of the first malformed field of the line
 }
 
 // NewReader returns a Reader of in.
 func NewReader(in io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(in, 1<<16), intern: map[string]string{}}
+	return &Reader{input: bufio.NewReaderSize(in, 1<<16), interned: map[string]string{}}
 }
 
 // Next returns the next event, which holds until the following call. At the end of input it returns io.EOF.
@@ -80,14 +80,14 @@
 			if errors.Is(err, io.EOF) {
 				return nil, io.EOF
 			}
-			return nil, fmt.Errorf("line %d: %w", r.line+1, err)
+			return nil, fmt.Errorf("line %d: %w", r.lineNumber+1, err)
 		}
 		if len(line) == 0 {
 			continue
 		}
 		ok, err := r.parse(line)
 		if err != nil {
-			return nil, fmt.Errorf("line %d: %w", r.line, err)
+			return nil, fmt.Errorf("line %d: %w", r.lineNumber, err)
 		}
 		if ok {
 			return &r.event, nil
@@ -96,124 +96,124 @@
 }
 
 func (r *Reader) readLine() ([]byte, error) {
-	line, err := r.in.ReadSlice('\n')
+	line, err := r.input.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		r.long = append(r.long[:0], line...)
+		r.longLine = append(r.longLine[:0], line...)
 		for errors.Is(err, bufio.ErrBufferFull) {
-			line, err = r.in.ReadSlice('\n')
-			r.long = append(r.long, line...)
+			line, err = r.input.ReadSlice('\n')
+			r.longLine = append(r.longLine, line...)
 		}
-		line = r.long
+		line = r.longLine
 	}
 	if err != nil && (!errors.Is(err, io.EOF) || len(line) == 0) {
 		return nil, err
 	}
-	r.line++
+	r.lineNumber++
 	return bytes.TrimSuffix(line, []byte{'\n'}), nil
 }
 
 // parse reads one line into r.event and tells whether an event is complete.
 func (r *Reader) parse(line []byte) (bool, error) {
-	r.split(line)
-	r.fault = nil
+	r.splitFields(line)
+	r.fieldErr = nil
 	e := &r.event
 	done := true
-	switch name := string(r.parts[0]); name {
+	switch name := string(r.fields[0]); name {
 	case "FRAME":
 		e.Kind, e.Now = BatchStart, r.duration(1)
 	case "YOUR_TURN":
-		e.Kind = EndOfBatch
+		e.Kind = BatchEnd
 	case "SWITCH_TO":
-		e.Kind, e.Instance = Instance, r.integer(1)
+		e.Kind, e.Instance = SelectInstance, r.integer(1)
 	case "OPEN_INSTANCE":
-		e.Kind = Open
-		seed := r.number64(1)
-		if r.fault == nil {
-			e.Settings, e.Names, r.fault = settings(seed, r.parts[2:])
+		e.Kind = StartInstance
+		seed := r.uint64(1)
+		if r.fieldErr == nil {
+			e.Settings, e.Names, r.fieldErr = parseSettings(seed, r.fields[2:])
 		}
 	case "STOP":
-		e.Kind = Stop
+		e.Kind = StopInstance
 	case "DEFINE_LIST":
-		return false, r.defineList()
+		return false, r.parseList()
 	case "ENDPOINTS":
 		e.Kind = Endpoints
-		r.endpoints()
+		r.parseEndpoints()
 	case "DEMAND":
-		e.Kind, e.ID = Request, balance.RequestID(r.number64(1))
+		e.Kind, e.ID = Request, balance.RequestID(r.uint64(1))
 		e.Class, e.Tenant = r.text(2), r.text(3)
-		e.Within = r.duration(5)
-		e.Retry = r.optional64(7)&attrRetry != 0
+		e.Timeout = r.duration(5)
+		e.Retry = r.optionalUint64(7)&attributeRetry != 0
 	case "ACCEPTED":
-		e.Kind, e.ID, e.Attempt = AnswerStarted, balance.RequestID(r.number64(1)), r.integer(2)
+		e.Kind, e.ID, e.Attempt = AnswerStarted, balance.RequestID(r.uint64(1)), r.integer(2)
 	case "RESPONSE":
 		e.Kind = Result
-		e.Result = balance.Result{ID: balance.RequestID(r.number64(1)), Attempt: r.integer(2), Endpoint: r.text(3),
+		e.Result = balance.Result{ID: balance.RequestID(r.uint64(1)), Attempt: r.integer(2), Endpoint: r.text(3),
 			Outcome: r.outcome(4), Took: r.duration(5), Finished: r.boolean(6)}
 	case "CLIENT_LEFT":
-		e.Kind, e.ID = ClientGone, balance.RequestID(r.number64(1))
+		e.Kind, e.ID = ClientGone, balance.RequestID(r.uint64(1))
 	case "DUE":
-		e.Kind, e.Token = Timer, r.number64(1)
+		e.Kind, e.Token = Timer, r.uint64(1)
 	case "STATUS_BACK", "PEER_DATA": // answers to what the module never asks, and what it does not listen to
 		return false, nil
 	default:
 		return false, fmt.Errorf("unknown message %q", name)
 	}
-	if r.fault != nil {
-		return false, fmt.Errorf("%s: %w", r.parts[0], r.fault)
+	if r.fieldErr != nil {
+		return false, fmt.Errorf("%s: %w", r.fields[0], r.fieldErr)
 	}
 	return done, nil
 }
 
-func (r *Reader) split(line []byte) {
-	r.parts = r.parts[:0]
+func (r *Reader) splitFields(line []byte) {
+	r.fields = r.fields[:0]
 	for {
 		i := bytes.IndexByte(line, '\t')
 		if i < 0 {
-			r.parts = append(r.parts, line)
+			r.fields = append(r.fields, line)
 			return
 		}
-		r.parts = append(r.parts, line[:i])
+		r.fields = append(r.fields, line[:i])
 		line = line[i+1:]
 	}
 }
 
-// absent tells whether part i is missing or "-".
-func (r *Reader) absent(i int) bool {
-	return i >= len(r.parts) || len(r.parts[i]) == 0 || len(r.parts[i]) == 1 && r.parts[i][0] == '-'
+// isAbsent tells whether part i is missing or "-".
+func (r *Reader) isAbsent(i int) bool {
+	return i >= len(r.fields) || len(r.fields[i]) == 0 || len(r.fields[i]) == 1 && r.fields[i][0] == '-'
 }
 
 func (r *Reader) fail(i int, want string) {
-	if r.fault != nil {
+	if r.fieldErr != nil {
 		return
 	}
-	if i >= len(r.parts) {
-		r.fault = fmt.Errorf("part %d is missing, want %s", i, want)
+	if i >= len(r.fields) {
+		r.fieldErr = fmt.Errorf("part %d is missing, want %s", i, want)
 		return
 	}
-	r.fault = fmt.Errorf("part %d is %q, want %s", i, r.parts[i], want)
+	r.fieldErr = fmt.Errorf("part %d is %q, want %s", i, r.fields[i], want)
 }
 
-func (r *Reader) number64(i int) uint64 {
-	if i >= len(r.parts) {
+func (r *Reader) uint64(i int) uint64 {
+	if i >= len(r.fields) {
 		r.fail(i, "a whole number")
 		return 0
 	}
-	n, ok := parseUint(r.parts[i])
+	n, ok := parseUint(r.fields[i])
 	if !ok {
 		r.fail(i, "a whole number")
 	}
 	return n
 }
 
-func (r *Reader) optional64(i int) uint64 {
-	if r.absent(i) {
+func (r *Reader) optionalUint64(i int) uint64 {
+	if r.isAbsent(i) {
 		return 0
 	}
-	return r.number64(i)
+	return r.uint64(i)
 }
 
 func (r *Reader) integer(i int) int {
-	n := r.number64(i)
+	n := r.uint64(i)
 	if n > math.MaxInt32 {
 		r.fail(i, "a small whole number")
 		return 0
@@ -221,12 +221,12 @@
 	return int(n)
 }
 
-func (r *Reader) float(i int) float64 {
-	if i >= len(r.parts) {
+func (r *Reader) float64(i int) float64 {
+	if i >= len(r.fields) {
 		r.fail(i, "a number")
 		return 0
 	}
-	f, err := strconv.ParseFloat(string(r.parts[i]), 64)
+	f, err := strconv.ParseFloat(string(r.fields[i]), 64)
 	if err != nil || math.IsNaN(f) || math.Abs(f) > 1e12 {
 		r.fail(i, "a number")
 		return 0
@@ -234,7 +234,7 @@
 	return f
 }
 
-func (r *Reader) duration(i int) time.Duration { return seconds(r.float(i)) }
+func (r *Reader) duration(i int) time.Duration { return seconds(r.float64(i)) }
 
 // seconds rounds to the wire's microseconds. Clock readings beyond what fits are cut.
 func seconds(s float64) time.Duration {
@@ -245,8 +245,8 @@
 }
 
 func (r *Reader) boolean(i int) bool {
-	if i < len(r.parts) && len(r.parts[i]) == 1 {
-		switch r.parts[i][0] {
+	if i < len(r.fields) && len(r.fields[i]) == 1 {
+		switch r.fields[i][0] {
 		case '1':
 			return true
 		case '0':
@@ -257,34 +257,34 @@
 	return false
 }
 
-// internMost bounds the strings kept for reuse.
-const internMost = 1 << 16
+// maxInternedStrings bounds the strings kept for reuse.
+const maxInternedStrings = 1 << 16
 
 // text returns part i as a string, "" where absent. Strings are kept, so that the same one costs nothing.
 func (r *Reader) text(i int) string {
-	if r.absent(i) {
+	if r.isAbsent(i) {
 		return ""
 	}
-	if s, ok := r.intern[string(r.parts[i])]; ok {
+	if s, ok := r.interned[string(r.fields[i])]; ok {
 		return s
 	}
-	if len(r.intern) >= internMost {
-		clear(r.intern)
+	if len(r.interned) >= maxInternedStrings {
+		clear(r.interned)
 	}
-	s := string(r.parts[i])
-	r.intern[s] = s
+	s := string(r.fields[i])
+	r.interned[s] = s
 	return s
 }
 
-var outcomes = map[string]balance.Outcome{
+var outcomesByWord = map[string]balance.Outcome{
 	"completed": balance.Served, "errored": balance.Errored, "saturated": balance.Saturated,
 	"overdue": balance.TimedOut, "refused_conn": balance.ConnectFailed, "severed": balance.Reset,
 	"recalled": balance.Cancelled, "superseded": balance.NotSent,
 }
 
 func (r *Reader) outcome(i int) balance.Outcome {
-	if i < len(r.parts) {
-		if o, ok := outcomes[string(r.parts[i])]; ok {
+	if i < len(r.fields) {
+		if o, ok := outcomesByWord[string(r.fields[i])]; ok {
 			return o
 		}
 	}
@@ -301,22 +301,22 @@
 	return n
 }
 
-func (r *Reader) endpoints() {
+func (r *Reader) parseEndpoints() {
 	e := &r.event
 	e.Entries = nil
-	if r.parts = append(r.parts, nil, nil); len(r.parts) < 5 {
-		r.fault = errors.New("too few parts")
+	if r.fields = append(r.fields, nil, nil); len(r.fields) < 5 {
+		r.fieldErr = errors.New("too few parts")
 		return
 	}
-	switch string(r.parts[2]) {
+	switch string(r.fields[2]) {
 	case "all":
-		e.List = balance.ListFull
+		e.ListKind = balance.ListFull
 	case "changes":
-		e.List = balance.ListChanges
+		e.ListKind = balance.ListChanges
 	case "remembered":
-		e.List = balance.ListRemembered
+		e.ListKind = balance.ListRemembered
 	case "refused":
-		e.List = balance.ListRefused
+		e.ListKind = balance.ListRefused
 		return
 	default:
 		r.fail(2, "a mode")
@@ -325,11 +325,11 @@
 	e.Entries = r.lists[r.listNumber(1)]
 }
 
-// defineList reads a list's line and the entries that follow it.
-func (r *Reader) defineList() error {
+// parseList reads a list's line and the entries that follow it.
+func (r *Reader) parseList() error {
 	at, rows := r.listNumber(1), r.integer(2)
-	if r.fault != nil {
-		return fmt.Errorf("DEFINE_LIST: %w", r.fault)
+	if r.fieldErr != nil {
+		return fmt.Errorf("DEFINE_LIST: %w", r.fieldErr)
 	}
 	list := r.lists[at][:0]
 	for range rows {
@@ -340,11 +340,11 @@
 		if err != nil {
 			return fmt.Errorf("list of %d entries ends early: %w", rows, err)
 		}
-		r.split(line)
-		if string(r.parts[0]) != "ITEM" {
-			return fmt.Errorf("%q where an entry is due", r.parts[0])
+		r.splitFields(line)
+		if string(r.fields[0]) != "ITEM" {
+			return fmt.Errorf("%q where an entry is due", r.fields[0])
 		}
-		item := balance.Endpoint{ID: r.text(1), Zone: r.text(2), Kind: r.text(3), PodGroup: int(r.optional64(4)), Weight: 1}
+		item := balance.Endpoint{ID: r.text(1), Zone: r.text(2), Kind: r.text(3), PodGroup: int(r.optionalUint64(4)), Weight: 1}
 		if item.ID == "" {
 			r.fail(1, "a server")
 		}
@@ -357,14 +357,14 @@
 		default:
 			r.fail(5, "a state")
 		}
-		if !r.absent(6) {
-			item.Weight = r.float(6)
+		if !r.isAbsent(6) {
+			item.Weight = r.float64(6)
 		}
-		if !r.absent(7) {
+		if !r.isAbsent(7) {
 			item.Started = r.duration(7)
 		}
-		if r.fault != nil {
-			return fmt.Errorf("ITEM: %w", r.fault)
+		if r.fieldErr != nil {
+			return fmt.Errorf("ITEM: %w", r.fieldErr)
 		}
 		list = append(list, item)
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	kinds := []Kind{BatchStart, Instance, Open, Endpoints, Request, Result, ClientGone, Timer, Stop, EndOfBatch}
+	kinds := []EventKind{BatchStart, SelectInstance, StartInstance, Endpoints, Request, Result, ClientGone, Timer, StopInstance, BatchEnd}
 	if len(events) != len(kinds) {
 		t.Fatalf("%d events, want %d", len(events), len(kinds))
 	}
@@ -62,11 +62,11 @@
 		t.Errorf("class %+v", c)
 	}
 	list := events[3].Entries
-	if events[3].List != balance.ListRemembered || len(list) != 2 || list[0].Weight != 1.5 || list[0].PodGroup != 4 ||
+	if events[3].ListKind != balance.ListRemembered || len(list) != 2 || list[0].Weight != 1.5 || list[0].PodGroup != 4 ||
 		list[0].Started != 6100*time.Millisecond || list[1].State != balance.Draining || list[1].Weight != 1 {
 		t.Errorf("list %+v", list)
 	}
-	if e := events[4]; e.ID != 15 || e.Class != "read" || e.Tenant != "acme" || e.Within != 240*time.Millisecond || !e.Retry {
+	if e := events[4]; e.ID != 15 || e.Class != "read" || e.Tenant != "acme" || e.Timeout != 240*time.Millisecond || !e.Retry {
 		t.Errorf("request %+v", e)
 	}
 	r := events[5].Result
@@ -111,8 +111,8 @@
 	w := NewWriter(&out)
 	w.Send(3, 15, "10.0.0.1:80", 80*time.Millisecond)
 	w.Timer(3, 1500*time.Microsecond, 77)
-	w.Refuse(5, 16, 0)
-	if err := w.End(); err != nil {
+	w.Reject(5, 16, 0)
+	if err := w.FinishReply(); err != nil {
 		t.Fatal(err)
 	}
 	want := "SPEAKING\t3\nFORWARD\t15\t10.0.0.1:80\t0.08\nAFTER\t0.0015\t77\nSPEAKING\t5\nNOT_NOW\t16\t0\nEND\n"
