--- /dev/null
+++ b/internal/wire/fields.go
@@ -0,0 +1,194 @@
+package wire
+
+import (
+	"bytes"
+	"fmt"
+	"math"
+	"strconv"
+	"time"
+
+	"milletramp.example/milletramp/balance"
+)
+
+const (
+	maxMagnitude       = 1e12    // of any number
+	maxSeconds         = 9e9     // that a time.Duration holds, rounded down
+	microsPerSecond    = 1e6     // the protocol's resolution of time
+	maxInternedStrings = 1 << 16 // kept for reuse
+	maxUint64Digits    = 20
+)
+
+var outcomes = map[string]balance.Outcome{
+	"completed":    balance.Served,
+	"errored":      balance.Errored,
+	"saturated":    balance.Saturated,
+	"overdue":      balance.TimedOut,
+	"refused_conn": balance.ConnectFailed,
+	"severed":      balance.Reset,
+	"recalled":     balance.Cancelled,
+	"superseded":   balance.NotSent,
+}
+
+// splitFields makes line the current one. The methods below read its fields; what a malformed one holds is zero, and
+// the first fault stays in r.fieldErr.
+func (r *Reader) splitFields(line []byte) {
+	r.fieldErr = nil
+	r.fields = r.fields[:0]
+	for {
+		i := bytes.IndexByte(line, fieldSeparator)
+		if i < 0 {
+			r.fields = append(r.fields, line)
+			return
+		}
+		r.fields = append(r.fields, line[:i])
+		line = line[i+1:]
+	}
+}
+
+// lineErr returns the first fault of the current line's fields, with the name of its message.
+func (r *Reader) lineErr() error {
+	if r.fieldErr == nil {
+		return nil
+	}
+	return fmt.Errorf("%s: %w", r.fields[0], r.fieldErr)
+}
+
+// fail records that field i is not what was wanted.
+func (r *Reader) fail(i int, want string) {
+	if r.fieldErr != nil {
+		return
+	}
+	fault := &FieldError{Index: i, Missing: i >= len(r.fields), Want: want}
+	if !fault.Missing {
+		fault.Value = string(r.fields[i])
+	}
+	r.fieldErr = fault
+}
+
+// isAbsent reports whether field i is missing, empty or "-".
+func (r *Reader) isAbsent(i int) bool {
+	if i >= len(r.fields) {
+		return true
+	}
+	field := r.fields[i]
+	return len(field) == 0 || len(field) == 1 && field[0] == '-'
+}
+
+func (r *Reader) uint64(i int) uint64 {
+	if i >= len(r.fields) {
+		r.fail(i, "a whole number")
+		return 0
+	}
+	n, ok := parseUint(r.fields[i])
+	if !ok {
+		r.fail(i, "a whole number")
+	}
+	return n
+}
+
+func (r *Reader) optionalUint64(i int) uint64 {
+	if r.isAbsent(i) {
+		return 0
+	}
+	return r.uint64(i)
+}
+
+func (r *Reader) requestID(i int) balance.RequestID { return balance.RequestID(r.uint64(i)) }
+
+func (r *Reader) integer(i int) int {
+	n := r.uint64(i)
+	if n > math.MaxInt32 {
+		r.fail(i, "a small whole number")
+		return 0
+	}
+	return int(n)
+}
+
+func (r *Reader) float64(i int) float64 {
+	if i >= len(r.fields) {
+		r.fail(i, "a number")
+		return 0
+	}
+	f, err := parseFloat(string(r.fields[i]))
+	if err != nil {
+		r.fail(i, "a number")
+		return 0
+	}
+	return f
+}
+
+func (r *Reader) duration(i int) time.Duration { return seconds(r.float64(i)) }
+
+func (r *Reader) boolean(i int) bool {
+	if i < len(r.fields) {
+		switch string(r.fields[i]) {
+		case "1":
+			return true
+		case "0":
+			return false
+		}
+	}
+	r.fail(i, "1 or 0")
+	return false
+}
+
+// text returns field i as a string, "" where absent. Strings are interned, as few distinct ones come many times.
+func (r *Reader) text(i int) string {
+	if r.isAbsent(i) {
+		return ""
+	}
+	if s, ok := r.interned[string(r.fields[i])]; ok {
+		return s
+	}
+	if len(r.interned) >= maxInternedStrings {
+		clear(r.interned)
+	}
+	s := string(r.fields[i])
+	r.interned[s] = s
+	return s
+}
+
+func (r *Reader) outcome(i int) balance.Outcome {
+	if i < len(r.fields) {
+		if o, ok := outcomes[string(r.fields[i])]; ok {
+			return o
+		}
+	}
+	r.fail(i, "an outcome")
+	return 0
+}
+
+// parseFloat reads a number of a sensible magnitude.
+func parseFloat(text string) (float64, error) {
+	f, err := strconv.ParseFloat(text, 64)
+	if err != nil {
+		return 0, err
+	}
+	if math.IsNaN(f) || math.Abs(f) > maxMagnitude {
+		return 0, strconv.ErrRange
+	}
+	return f, nil
+}
+
+// parseUint reads a decimal number without making a string of it.
+func parseUint(digits []byte) (n uint64, ok bool) {
+	if len(digits) == 0 || len(digits) > maxUint64Digits {
+		return 0, false
+	}
+	for _, c := range digits {
+		d := uint64(c - '0')
+		if c < '0' || c > '9' || n > (math.MaxUint64-d)/10 {
+			return 0, false
+		}
+		n = n*10 + d
+	}
+	return n, true
+}
+
+// seconds returns s as a duration, rounded to microseconds. What a duration cannot hold is cut.
+func seconds(s float64) time.Duration {
+	if math.Abs(s) > maxSeconds {
+		s = math.Copysign(maxSeconds, s)
+	}
+	return time.Duration(math.Round(s*microsPerSecond)) * time.Microsecond
+}
