--- a/cmd/fleetsidecar/main.go
+++ b/cmd/fleetsidecar/main.go
@@ -1,5 +1,5 @@
-// Command fleetsidecar is command sidecar with a part in the fleet that MILLETRAMP_FLEET names a file of. Without that variable
-// it is what command sidecar is.
+// Command fleetsidecar is command sidecar as a member of a fleet. MILLETRAMP_FLEET names the fleet's configuration
+// file; without that variable it does what command sidecar does.
 package main
 
 import (
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -1,6 +1,6 @@
-// Command sidecar stands beside one copy of the calling application and passes its requests to servers, as the
-// decision module says. Its configuration comes from the environment; SIGHUP has it read its file again, SIGTERM has
-// it finish and exit. It has no part in a fleet, and none of the fleet's code: command fleetsidecar has.
+// Command sidecar is a proxy next to one copy of the calling application. It forwards requests to the servers that the
+// decision module selects. Its configuration comes from the environment; SIGHUP makes it read its file again, SIGTERM
+// starts a graceful shutdown. It links none of the fleet's code, which is in command fleetsidecar.
 package main
 
 import (
