--- a/cmd/milletramp/fleet.go
+++ b/cmd/milletramp/fleet.go
@@ -41,8 +41,8 @@
 	Timeout  time.Duration `default:"2s" help:"For all answers."`
 }
 
-// told is what a console said.
-type told struct {
+// fleetReply is what a console said.
+type fleetReply struct {
 	Console string        `json:"console"`
 	Status  *fleet.Status `json:"status,omitempty"`
 	Err     string        `json:"error,omitempty"`
@@ -52,16 +52,16 @@
 func (c fleetStatus) Run(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
-	answers := make(chan told, len(c.Consoles))
+	answers := make(chan fleetReply, len(c.Consoles))
 	for _, at := range c.Consoles {
-		go func() { answers <- askFleet(ctx, at) }()
+		go func() { answers <- fetchFleetStatus(ctx, at) }()
 	}
-	byConsole := map[string]told{}
+	byConsole := map[string]fleetReply{}
 	for range c.Consoles {
 		a := <-answers
 		byConsole[a.Console] = a
 	}
-	all := make([]told, 0, len(c.Consoles))
+	all := make([]fleetReply, 0, len(c.Consoles))
 	for _, at := range c.Consoles {
 		all = append(all, byConsole[at])
 	}
@@ -71,15 +71,15 @@
 		if err := out.Encode(all); err != nil {
 			return err
 		}
-	} else if err := printFleet(os.Stdout, all); err != nil {
+	} else if err := writeFleetTable(os.Stdout, all); err != nil {
 		return err
 	}
-	return disagree(all)
+	return checkAgreement(all)
 }
 
-// askFleet asks one console.
-func askFleet(ctx context.Context, at string) told {
-	t := told{Console: at}
+// fetchFleetStatus asks one console.
+func fetchFleetStatus(ctx context.Context, at string) fleetReply {
+	t := fleetReply{Console: at}
 	err := func() error {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at+"/ops/fleet", nil)
 		if err != nil {
@@ -105,9 +105,9 @@
 	return t
 }
 
-// disagree says what the copies differ in, or who does not answer.
-func disagree(all []told) error {
-	var first *told
+// checkAgreement says what the copies differ in, or who does not answer.
+func checkAgreement(all []fleetReply) error {
+	var first *fleetReply
 	for i, t := range all {
 		switch {
 		case t.Status == nil:
@@ -125,9 +125,9 @@
 	return nil
 }
 
-// printFleet prints a table of the sidecars asked, of what any of them holds of others that is out of the ordinary, and of the
+// writeFleetTable prints a table of the sidecars asked, of what any of them holds of others that is out of the ordinary, and of the
 // servers out by hand.
-func printFleet(w io.Writer, all []told) error {
+func writeFleetTable(w io.Writer, all []fleetReply) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "sidecar\tphase\tmembers\ttrouble\tby hand\tevidence\tstarts\ttests")
 	for _, a := range all {
@@ -169,12 +169,12 @@
 			}
 		}
 	}
-	printDoubts(t, all)
+	writeSuspicions(t, all)
 	return t.Flush()
 }
 
-// printDoubts prints of each server that anybody asked has rows of who speaks ill of it, by the first that holds most.
-func printDoubts(w io.Writer, all []told) {
+// writeSuspicions prints of each server that anybody asked has rows of who speaks ill of it, by the first that holds most.
+func writeSuspicions(w io.Writer, all []fleetReply) {
 	most := map[string]fleet.DoubtStatus{}
 	by, lasts := map[string]int{}, map[string]float64{} // sidecars for which it is in doubt, and the longest of these times
 	for _, a := range all {
--- a/cmd/milletramp/lab.go
+++ b/cmd/milletramp/lab.go
@@ -50,7 +50,7 @@
 	return t.Flush()
 }
 
-func read(dir, name string) (*scenario.Scenario, error) {
+func readScenario(dir, name string) (*scenario.Scenario, error) {
 	file, err := lab.Find(dir, name)
 	if err != nil {
 		return nil, err
@@ -58,8 +58,8 @@
 	return scenario.Read(file)
 }
 
-// player says how to play: with which build on sockets, or which policy in simulated time.
-func player(plane, policy, sidecar string, log bool) (lab.Player, error) {
+// newPlayer says how to play: with which build on sockets, or which policy in simulated time.
+func newPlayer(plane, policy, sidecar string, log bool) (lab.Player, error) {
 	p := lab.Player{Sockets: plane == "sockets", Policy: policy}
 	if log {
 		p.Log = os.Stderr
@@ -85,8 +85,8 @@
 	return p, nil
 }
 
-// ticker says from time to time how far something has come.
-func ticker(name string) func(at, of time.Duration) {
+// newProgressPrinter says from time to time how far something has come.
+func newProgressPrinter(name string) func(at, of time.Duration) {
 	last := time.Now()
 	return func(at, of time.Duration) {
 		if time.Since(last) > 2*time.Second {
@@ -96,8 +96,8 @@
 	}
 }
 
-// counter says how many days are done.
-func counter(n, of int) {
+// printDayCount says how many days are done.
+func printDayCount(n, of int) {
 	if n%max(of/10, 1) == 0 {
 		fmt.Fprintf(os.Stderr, "%d of %d days\n", n, of)
 	}
@@ -131,7 +131,7 @@
 
 type labRun struct {
 	Scenario []string `arg:"" help:"Names of scenarios, or paths of their files."`
-	Plane    string   `enum:"sockets,sim" default:"sockets" help:"sockets: real sidecars and stand-ins on loopback, in real time; sim: simulated time."`
+	Backend  string   `name:"plane" enum:"sockets,sim" default:"sockets" help:"sockets: real sidecars and stand-ins on loopback, in real time; sim: simulated time."`
 	Policy   string   `default:"module" help:"In the simulated plane: module, random, round-robin, least-requests, two-choices, oracle."`
 	Sidecar  string   `help:"On the socket plane: a build of the sidecar to play in place of this one." type:"existingfile"`
 	Seed     uint64   `help:"Of the draw; 0: the scenario's own."`
@@ -142,17 +142,17 @@
 
 // Run plays the scenarios.
 func (r *labRun) Run(ctx context.Context, all *commands) error {
-	p, err := player(r.Plane, r.Policy, r.Sidecar, r.Log)
+	p, err := newPlayer(r.Backend, r.Policy, r.Sidecar, r.Log)
 	if err != nil {
 		return err
 	}
 	bad := 0
 	for _, name := range r.Scenario {
-		s, err := read(all.Lab.Dir, name)
+		s, err := readScenario(all.Lab.Dir, name)
 		if err != nil {
 			return err
 		}
-		p.Progress = ticker(s.Name)
+		p.Progress = newProgressPrinter(s.Name)
 		d, err := p.Play(ctx, s, r.Seed)
 		if err != nil {
 			return err
@@ -179,42 +179,42 @@
 }
 
 type labSweep struct {
-	Scenario string `arg:"" help:"Name of a scenario, or its file."`
-	Knob     string `required:"" help:"The value to vary, by its path in the file: load.use, fleet.nodes, trouble[0].size, ..."`
-	Range    string `required:"" help:"Its values: FROM:TO:STEP, or a list with commas."`
-	Seeds    int    `default:"5" help:"Days for each value."`
-	Policy   string `default:"module" help:"As for lab run."`
-	JSON     bool   `name:"json" help:"Print the points as JSON."`
-	HTML     string `name:"html" help:"Write a page with a plot to this file."`
+	Scenario  string `arg:"" help:"Name of a scenario, or its file."`
+	Parameter string `name:"knob" required:"" help:"The value to vary, by its path in the file: load.use, fleet.nodes, trouble[0].size, ..."`
+	Range     string `required:"" help:"Its values: FROM:TO:STEP, or a list with commas."`
+	Seeds     int    `default:"5" help:"Days for each value."`
+	Policy    string `default:"module" help:"As for lab run."`
+	JSON      bool   `name:"json" help:"Print the points as JSON."`
+	HTML      string `name:"html" help:"Write a page with a plot to this file."`
 }
 
 // Run sweeps.
 func (r *labSweep) Run(ctx context.Context, all *commands) error {
-	s, err := read(all.Lab.Dir, r.Scenario)
+	s, err := readScenario(all.Lab.Dir, r.Scenario)
 	if err != nil {
 		return err
 	}
-	values, err := span(r.Range)
+	values, err := parseRange(r.Range)
 	if err != nil {
 		return err
 	}
-	points, err := lab.Player{Policy: r.Policy}.Sweep(ctx, s, r.Knob, values, r.Seeds, counter)
+	points, err := lab.Player{Policy: r.Policy}.Sweep(ctx, s, r.Parameter, values, r.Seeds, printDayCount)
 	if err != nil {
 		return err
 	}
 	if r.HTML != "" {
-		if err := writeFile(r.HTML, func(w io.Writer) error { return sweepPage(w, s, r, points) }); err != nil {
+		if err := writeFile(r.HTML, func(w io.Writer) error { return writeSweepPage(w, s, r, points) }); err != nil {
 			return err
 		}
 	}
 	if r.JSON {
 		return printJSON(points)
 	}
-	return sweepTable(os.Stdout, r.Knob, r.Seeds, points)
+	return writeSweepTable(os.Stdout, r.Parameter, r.Seeds, points)
 }
 
-// span reads FROM:TO:STEP or a list.
-func span(text string) ([]string, error) {
+// parseRange reads FROM:TO:STEP or a list.
+func parseRange(text string) ([]string, error) {
 	parts := strings.Split(text, ":")
 	if len(parts) != 3 {
 		return strings.Split(text, ","), nil
@@ -237,7 +237,7 @@
 	return values, nil
 }
 
-func sweepTable(w io.Writer, knob string, seeds int, points []lab.Point) error {
+func writeSweepTable(w io.Writer, knob string, seeds int, points []lab.Point) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "%s", knob)
 	for _, m := range lab.Measures {
@@ -255,7 +255,7 @@
 	return t.Flush()
 }
 
-func sweepPage(w io.Writer, s *scenario.Scenario, r *labSweep, points []lab.Point) error {
+func writeSweepPage(w io.Writer, s *scenario.Scenario, r *labSweep, points []lab.Point) error {
 	var lines []report.Line
 	for _, m := range lab.Measures[:4] {
 		l := report.Line{Name: m.Name}
@@ -269,36 +269,36 @@
 		}
 		lines = append(lines, l)
 	}
-	svg, err := report.Chart(fmt.Sprintf("%s, %s", s.Name, r.Policy), r.Knob, "share", lines...)
+	svg, err := report.Chart(fmt.Sprintf("%s, %s", s.Name, r.Policy), r.Parameter, "share", lines...)
 	if err != nil {
 		return err
 	}
 	var text strings.Builder
-	if err := sweepTable(&text, r.Knob, r.Seeds, points); err != nil {
+	if err := writeSweepTable(&text, r.Parameter, r.Seeds, points); err != nil {
 		return err
 	}
-	return report.Page(w, "Sweep of "+r.Knob+" in "+s.Name, text.String(), svg)
+	return report.Page(w, "Sweep of "+r.Parameter+" in "+s.Name, text.String(), svg)
 }
 
 type labCompare struct {
 	Scenario string `arg:"" help:"Name of a scenario, or its file."`
 	A        string `required:"" help:"A policy, or on the socket plane a build of the sidecar."`
 	B        string `required:"" help:"The one to judge against it."`
-	Plane    string `enum:"sockets,sim" default:"sim" help:"As for lab run."`
+	Backend  string `name:"plane" enum:"sockets,sim" default:"sim" help:"As for lab run."`
 	Seeds    int    `default:"10" help:"Days for each."`
 	JSON     bool   `name:"json" help:"Print the differences as JSON."`
 }
 
 // Run compares.
 func (r *labCompare) Run(ctx context.Context, all *commands) error {
-	s, err := read(all.Lab.Dir, r.Scenario)
+	s, err := readScenario(all.Lab.Dir, r.Scenario)
 	if err != nil {
 		return err
 	}
 	var sides [2]lab.Player
 	for i, name := range []string{r.A, r.B} {
 		policy, build := name, ""
-		if r.Plane == "sockets" {
+		if r.Backend == "sockets" {
 			if policy = "module"; name != "module" { // this build
 				build = name
 				if _, err := os.Stat(name); err != nil {
@@ -306,11 +306,11 @@
 				}
 			}
 		}
-		if sides[i], err = player(r.Plane, policy, build, false); err != nil {
+		if sides[i], err = newPlayer(r.Backend, policy, build, false); err != nil {
 			return err
 		}
 	}
-	diffs, err := lab.Compare(ctx, s, sides[0], sides[1], r.Seeds, counter)
+	diffs, err := lab.Compare(ctx, s, sides[0], sides[1], r.Seeds, printDayCount)
 	if err != nil {
 		return err
 	}
--- a/cmd/milletramp/main.go
+++ b/cmd/milletramp/main.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "milletramp:", err)
 		if errors.Is(err, errUndecided) {
-			os.Exit(undecided)
+			os.Exit(exitUndecided)
 		}
 		os.Exit(1)
 	}
--- a/cmd/milletramp/policy.go
+++ b/cmd/milletramp/policy.go
@@ -26,12 +26,12 @@
 
 // The states of a change, as a console says them.
 const (
-	inForce   = "in force"
-	isRefused = "refused"
+	stateInForce = "in force"
+	stateRefused = "refused"
 )
 
-// undecided is the exit status where it is not known yet what becomes of a change. Refused, and any other fault, is 1.
-const undecided = 2
+// exitUndecided is the exit status where it is not known yet what becomes of a change. Refused, and any other fault, is 1.
+const exitUndecided = 2
 
 var errUndecided = errors.New("undecided: ask again with `milletramp policy outcome`")
 
@@ -46,8 +46,8 @@
 	Replace policyReplace `cmd:"" help:"Have a decider that waits for a place take that of another; exit status 0: it has, 1: refused, 2: not known."`
 }
 
-// policyCall makes a call at a console.
-func policyCall(ctx context.Context, console, method, path string, body, into any) error {
+// callConsole makes a call at a console.
+func callConsole(ctx context.Context, console, method, path string, body, into any) error {
 	var text []byte
 	if body != nil {
 		var err error
@@ -101,14 +101,14 @@
 	return nil
 }
 
-// asking is what all commands that ask a console have.
-type asking struct {
+// policyConsole is what all commands that ask a console have.
+type policyConsole struct {
 	Console string        `arg:"" help:"Address of any sidecar's console."`
 	JSON    bool          `help:"Print the answer as JSON."`
 	Wait    time.Duration `default:"30s" help:"For the answer."`
 }
 
-func (a asking) print(v any, text string) error {
+func (a policyConsole) print(v any, text string) error {
 	if !a.JSON {
 		_, err := fmt.Println(text)
 		return err
@@ -119,12 +119,12 @@
 }
 
 // status asks for it.
-func (a asking) status(ctx context.Context) (s policyagent.Status, err error) {
-	return s, policyCall(ctx, a.Console, http.MethodGet, "/ops/policy/status", nil, &s)
+func (a policyConsole) status(ctx context.Context) (s policyagent.Status, err error) {
+	return s, callConsole(ctx, a.Console, http.MethodGet, "/ops/policy/status", nil, &s)
 }
 
-// inForce is the number of the policy in force, by most deciders that answer.
-func (a asking) inForce(ctx context.Context) (uint64, error) {
+// policyInForce is the number of the policy in force, by most deciders that answer.
+func (a policyConsole) policyInForce(ctx context.Context) (uint64, error) {
 	s, err := a.status(ctx)
 	if err != nil {
 		return 0, err
@@ -139,10 +139,10 @@
 	return number, nil
 }
 
-// await follows a change until it has ended or the time is over, and writes what it waits for. One that no decider has heard of, as
+// awaitOutcome follows a change until it has ended or the time is over, and writes what it waits for. One that no decider has heard of, as
 // nobody led when it was proposed, is proposed again, where it is given: by its id it is the same.
-func (a asking) await(ctx context.Context, o member.Outcome, again *member.Proposal) error {
-	for said := ""; o.State != inForce && o.State != isRefused; {
+func (a policyConsole) awaitOutcome(ctx context.Context, o member.Outcome, again *member.Proposal) error {
+	for said := ""; o.State != stateInForce && o.State != stateRefused; {
 		if s, err := a.status(ctx); err == nil {
 			for _, d := range s.Voters {
 				line := fmt.Sprintf("%s, waits for %s, %.1f s at most", o.State, strings.Join(d.Waiting, ", "), d.Seconds)
@@ -159,27 +159,27 @@
 		}
 		var now member.Outcome
 		if o.State == "unknown" && again != nil {
-			if err := policyCall(ctx, a.Console, http.MethodPost, "/ops/policy/propose", again, &now); err == nil && now.State != "unknown" {
+			if err := callConsole(ctx, a.Console, http.MethodPost, "/ops/policy/propose", again, &now); err == nil && now.State != "unknown" {
 				o = now
 			}
 			continue
 		}
-		if err := policyCall(ctx, a.Console, http.MethodGet, "/ops/policy/outcome?id="+url.QueryEscape(o.ID), nil, &now); err == nil && now.State != "unknown" {
+		if err := callConsole(ctx, a.Console, http.MethodGet, "/ops/policy/outcome?id="+url.QueryEscape(o.ID), nil, &now); err == nil && now.State != "unknown" {
 			o = now
 		}
 	}
-	if o.State == isRefused {
+	if o.State == stateRefused {
 		return errors.Join(a.print(o, "refused, nowhere in force: "+o.Reason), fmt.Errorf("change %s was refused", o.ID))
 	}
 	return a.print(o, fmt.Sprintf("policy %d is in force", o.Number))
 }
 
 type policyPropose struct {
-	File    string `arg:"" type:"existingfile" help:"The document."`
-	ID      string `help:"By which the answer can be asked for again; one is drawn where none is given."`
-	Author  string `help:"Who asks; usual: the user's name."`
-	Follows uint64 `help:"The number that is to be in force until then; usual: that which is."`
-	asking  `embed:""`
+	File          string `arg:"" type:"existingfile" help:"The document."`
+	ID            string `help:"By which the answer can be asked for again; one is drawn where none is given."`
+	Author        string `help:"Who asks; usual: the user's name."`
+	Follows       uint64 `help:"The number that is to be in force until then; usual: that which is."`
+	policyConsole `embed:""`
 }
 
 // Run proposes the document.
@@ -191,11 +191,11 @@
 	return c.propose(ctx, member.Proposal{ID: c.ID, Author: c.Author, Follows: c.Follows, Text: text})
 }
 
-func (a asking) propose(ctx context.Context, p member.Proposal) (err error) {
+func (a policyConsole) propose(ctx context.Context, p member.Proposal) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, a.Wait)
 	defer cancel()
 	if p.Follows == 0 {
-		if p.Follows, err = a.inForce(ctx); err != nil {
+		if p.Follows, err = a.policyInForce(ctx); err != nil {
 			return err
 		}
 	}
@@ -207,36 +207,36 @@
 	}
 	fmt.Fprintln(os.Stderr, "change", p.ID)
 	o := member.Outcome{ID: p.ID, State: "unknown"}
-	if err := policyCall(ctx, a.Console, http.MethodPost, "/ops/policy/propose", p, &o); err != nil {
+	if err := callConsole(ctx, a.Console, http.MethodPost, "/ops/policy/propose", p, &o); err != nil {
 		return err
 	}
-	return a.await(ctx, o, &p)
+	return a.awaitOutcome(ctx, o, &p)
 }
 
 type policyOutcome struct {
-	ID     string `arg:"" help:"Of the change."`
-	asking `embed:""`
+	ID            string `arg:"" help:"Of the change."`
+	policyConsole `embed:""`
 }
 
 // Run asks again.
 func (c policyOutcome) Run(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Wait)
 	defer cancel()
-	return c.await(ctx, member.Outcome{ID: c.ID, State: "unknown"}, nil)
+	return c.awaitOutcome(ctx, member.Outcome{ID: c.ID, State: "unknown"}, nil)
 }
 
 // document gets one; 0: the one in force.
-func (a asking) document(ctx context.Context, number uint64) (d member.Document, err error) {
+func (a policyConsole) document(ctx context.Context, number uint64) (d member.Document, err error) {
 	path := "/ops/policy/document"
 	if number > 0 {
 		path += fmt.Sprintf("?number=%d", number)
 	}
-	return d, policyCall(ctx, a.Console, http.MethodGet, path, nil, &d)
+	return d, callConsole(ctx, a.Console, http.MethodGet, path, nil, &d)
 }
 
 type policyRevert struct {
-	Number uint64 `arg:"" help:"Of the document that is to be in force again, under a new number."`
-	asking `embed:""`
+	Number        uint64 `arg:"" help:"Of the document that is to be in force again, under a new number."`
+	policyConsole `embed:""`
 }
 
 // Run proposes the earlier document.
@@ -249,7 +249,7 @@
 }
 
 type policyStatus struct {
-	asking `embed:""`
+	policyConsole `embed:""`
 }
 
 // Run shows the status.
@@ -302,36 +302,36 @@
 }
 
 type policyReplace struct {
-	Out    string `arg:"" help:"The decider that goes."`
-	In     string `arg:"" help:"The one that comes: the same name, where it has lost its folder."`
-	asking `embed:""`
+	OldVoter      string `arg:"" name:"out" help:"The decider that goes."`
+	NewVoter      string `arg:"" name:"in" help:"The one that comes: the same name, where it has lost its folder."`
+	policyConsole `embed:""`
 }
 
 // Run asks for it and waits until it is through.
 func (c policyReplace) Run(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Wait)
 	defer cancel()
-	if err := policyCall(ctx, c.Console, http.MethodPost, "/ops/policy/replace", member.Replacement{Out: c.Out, In: c.In}, &member.Replacement{}); err != nil {
+	if err := callConsole(ctx, c.Console, http.MethodPost, "/ops/policy/replace", member.Replacement{Out: c.OldVoter, In: c.NewVoter}, &member.Replacement{}); err != nil {
 		return err
 	}
 	for {
 		if s, err := c.status(ctx); err == nil {
 			for _, d := range s.Voters {
-				if d.Voter == c.In && d.Settled && slices.Contains(d.Voters, c.In) && (c.In == c.Out || !slices.Contains(d.Voters, c.Out)) {
-					return c.print(d.Voters, fmt.Sprintf("%s decides: %s", c.In, strings.Join(d.Voters, ", ")))
+				if d.Voter == c.NewVoter && d.Settled && slices.Contains(d.Voters, c.NewVoter) && (c.NewVoter == c.OldVoter || !slices.Contains(d.Voters, c.OldVoter)) {
+					return c.print(d.Voters, fmt.Sprintf("%s decides: %s", c.NewVoter, strings.Join(d.Voters, ", ")))
 				}
 			}
 		}
 		select {
 		case <-time.After(200 * time.Millisecond):
 		case <-ctx.Done():
-			return errors.Join(fmt.Errorf("%s has not yet taken the place of %s", c.In, c.Out), errUndecided)
+			return errors.Join(fmt.Errorf("%s has not yet taken the place of %s", c.NewVoter, c.OldVoter), errUndecided)
 		}
 	}
 }
 
 type policyLog struct {
-	asking `embed:""`
+	policyConsole `embed:""`
 }
 
 // Run lists changes, by the decider that knows most.
@@ -359,9 +359,9 @@
 }
 
 type policyDiff struct {
-	asking `embed:""`
-	From   uint64 `arg:"" help:"Number of a document."`
-	To     uint64 `arg:"" optional:"" help:"Number of another; usual: the one in force."`
+	policyConsole `embed:""`
+	From          uint64 `arg:"" help:"Number of a document."`
+	To            uint64 `arg:"" optional:"" help:"Number of another; usual: the one in force."`
 }
 
 // Run compares two documents.
--- a/cmd/milletramp/scale.go
+++ b/cmd/milletramp/scale.go
@@ -16,7 +16,7 @@
 
 // Run measures a sidecar in fleets of different sizes.
 func (s *labScale) Run(ctx context.Context) error {
-	p, err := player("sockets", "module", s.Sidecar, false)
+	p, err := newPlayer("sockets", "module", s.Sidecar, false)
 	if err != nil {
 		return err
 	}
