--- a/cmd/milletramp/main.go
+++ b/cmd/milletramp/main.go
@@ -1,57 +1,56 @@
-// Command milletramp is the operators' tool. Its lab plays scenarios of the emulated service against the decision module
-// or real sidecars, judges them by the binding rules, and reports.
+// Command milletramp is the operators' tool. Its lab runs scenarios of the emulated service against the decision module
+// or real sidecars, checks them against the binding rules and reports; its other commands call the consoles of running
+// sidecars.
+//
+// Each command has a file of its own. Its exit status is 0 on success, 1 on failure, 2 if it is not known yet whether a
+// change of policy takes effect, and 80 for wrong usage; the help of a command says what its failures are.
 package main
 
 import (
 	"context"
 	"errors"
 	"fmt"
-	"log/slog"
 	"os"
 	"os/signal"
 	"syscall"
 
 	"github.com/alecthomas/kong"
-
-	"milletramp.example/milletramp/internal/sidecar"
 )
 
+// exitFailure is the exit status of a command that failed. Kong exits with 80 for wrong usage.
+const exitFailure = 1
+
+const description = "The operators' tool of the milletramp sidecar.\n\n" +
+	"Exit status of every command: 0 on success, 1 on failure, 80 for wrong usage; the help of a command says more."
+
 // commands are the tool's commands.
 type commands struct {
-	Lab     labCommands    `cmd:"" help:"Play scenarios of the emulated service, judge and compare them."`
-	Fleet   fleetCommands  `cmd:"" help:"Show and check what sidecars hold in common."`
+	Lab     labCommands    `cmd:"" help:"Run scenarios of the emulated service, check and compare them."`
+	Fleet   fleetCommands  `cmd:"" help:"Show and check the state that sidecars replicate."`
 	Policy  policyCommands `cmd:"" help:"Check, propose and show the policy of a fleet."`
 	Sidecar sidecarCommand `cmd:"" hidden:"" help:"Be a sidecar, as bin/sidecar is. The lab starts these."`
 }
 
 func main() {
-	var c commands
-	parser := kong.Parse(&c, kong.Name("milletramp"), kong.UsageOnError(),
-		kong.Description("The operators' tool of the milletramp sidecar."))
-	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	err := func() error {
-		defer cancel()
-		parser.BindTo(ctx, (*context.Context)(nil))
-		return parser.Run()
-	}()
-	if err != nil {
+	if err := run(); err != nil {
 		fmt.Fprintln(os.Stderr, "milletramp:", err)
-		if errors.Is(err, errUndecided) {
-			os.Exit(exitUndecided)
-		}
-		os.Exit(1)
+		os.Exit(exitStatus(err))
 	}
 }
 
-type sidecarCommand struct{}
+// run runs the command that the arguments name. SIGINT and SIGTERM end its context.
+func run() error {
+	var c commands
+	parser := kong.Parse(&c, kong.Name("milletramp"), kong.UsageOnError(), kong.Description(description), labHelp)
+	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	defer cancel()
+	parser.BindTo(ctx, (*context.Context)(nil))
+	return parser.Run()
+}
 
-// Run is what cmd/sidecar does.
-func (sidecarCommand) Run(ctx context.Context) error {
-	reload := make(chan os.Signal, 1)
-	signal.Notify(reload, syscall.SIGHUP)
-	config, err := sidecar.LoadConfig(os.Getenv)
-	if err != nil {
-		return err
+func exitStatus(err error) int {
+	if errors.Is(err, errUndecided) {
+		return exitUndecided
 	}
-	return sidecar.Run(ctx, reload, config, slog.New(slog.NewTextHandler(os.Stderr, nil)), nil)
+	return exitFailure
 }
--- /dev/null
+++ b/cmd/milletramp/sidecar.go
@@ -0,0 +1,24 @@
+package main
+
+import (
+	"context"
+	"log/slog"
+	"os"
+	"os/signal"
+	"syscall"
+
+	"milletramp.example/milletramp/internal/sidecar"
+)
+
+type sidecarCommand struct{}
+
+// Run does what cmd/sidecar does.
+func (sidecarCommand) Run(ctx context.Context) error {
+	reload := make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP)
+	config, err := sidecar.LoadConfig(os.Getenv)
+	if err != nil {
+		return err
+	}
+	return sidecar.Run(ctx, reload, config, slog.New(slog.NewTextHandler(os.Stderr, nil)), nil)
+}
