--- a/cmd/milletramp/main.go
+++ b/cmd/milletramp/main.go
@@ -17,11 +17,15 @@
 	"github.com/alecthomas/kong"
 )
 
-// exitFailure is the exit status of a command that failed. Kong exits with 80 for wrong usage.
-const exitFailure = 1
+// The exit statuses besides 0. Kong exits with 80 for wrong usage.
+const (
+	exitFailure   = 1
+	exitUndecided = 2
+)
 
 const description = "The operators' tool of the milletramp sidecar.\n\n" +
-	"Exit status of every command: 0 on success, 1 on failure, 80 for wrong usage; the help of a command says more."
+	"Exit status of every command: 0 on success, 1 on failure, 2 if the outcome of a change is not known yet, 80 for " +
+	"wrong usage. The help of a command says what counts as its failure."
 
 // commands are the tool's commands.
 type commands struct {
--- a/cmd/milletramp/output.go
+++ b/cmd/milletramp/output.go
@@ -24,6 +24,13 @@
 	return wrapReportError(json.NewEncoder(os.Stdout).Encode(v))
 }
 
+// printIndentedJSON prints what a console answered.
+func printIndentedJSON(v any) error {
+	encoder := json.NewEncoder(os.Stdout)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(v)
+}
+
 // writeFile writes a whole file or none: an interrupted command leaves no part of a report under its name.
 func writeFile(name string, write func(io.Writer) error) error {
 	file, err := os.CreateTemp(filepath.Dir(name), ".milletramp-*")
