--- a/deploy/names_test.go
+++ b/deploy/names_test.go
@@ -186,6 +186,9 @@
 var (
 	finished = []string{
 		"balance",
+		"cmd/adapter",
+		"cmd/fleetsidecar",
+		"cmd/sidecar",
 		"internal/chunked",
 		"internal/config",
 		"internal/discovery",
@@ -205,6 +208,7 @@
 		"internal/quota",
 		"internal/retrybudget",
 		"internal/upstream",
+		"internal/wire",
 	}
 	houseTerms = regexp.MustCompile(`(?i)\b(danger|staff|told|heard|deciders?|court|owed|doubts?|mayGo|coldRoom|drawTurns)\b`)
 )
