--- a/internal/handover/fault_test.go
+++ b/internal/handover/fault_test.go
@@ -19,8 +19,8 @@
 	"milletramp.example/milletramp/internal/fsys/faultfs"
 )
 
-// sees returns what a process sees of the one other.
-func sees(t rapid.TB, m *Member) []string {
+// adminDownSeenBy returns what a process sees of the one other.
+func adminDownSeenBy(t rapid.TB, m *Member) []string {
 	t.Helper()
 	others := m.Others()
 	if len(others) != 1 {
@@ -37,21 +37,21 @@
 		for skip := range 3 { // create, write, rename
 			for _, count := range []int{1, 4, 60} {
 				t.Run(fmt.Sprintf("%v %d behind %d", fault, count, skip), func(t *testing.T) {
-					synctest.Test(t, func(t *testing.T) { updateFails(t, fault, skip, count) })
+					synctest.Test(t, func(t *testing.T) { updateWithFaults(t, fault, skip, count) })
 				})
 			}
 		}
 	}
 }
 
-func updateFails(t *testing.T, fault error, skip, count int) {
+func updateWithFaults(t *testing.T, fault error, skip, count int) {
 	var log bytes.Buffer
 	dir, fs := t.TempDir(), faultfs.New(uint64(skip+count))
-	m, err := joinOn(fs, dir, state(1), slog.New(slog.NewTextHandler(&log, nil)))
+	m, err := joinWithFS(fs, dir, startingState(1), slog.New(slog.NewTextHandler(&log, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := join(t, dir, state(2), quiet())
+	next := mustJoin(t, dir, startingState(2), discardLog())
 	kept, owed := []string{"s-1"}, []string{"s-1", "s-2"}
 	if err := m.Update(func(s *State) { s.Out = kept }); err != nil {
 		t.Fatal(err)
@@ -60,12 +60,12 @@
 	if err := m.Update(func(s *State) { s.Out = owed }); err == nil {
 		t.Error("what is not written is answered with yes")
 	}
-	if got := sees(t, next); !slices.Equal(got, kept) && !slices.Equal(got, owed) {
+	if got := adminDownSeenBy(t, next); !slices.Equal(got, kept) && !slices.Equal(got, owed) {
 		t.Errorf("the next process sees %v", got)
 	}
-	time.Sleep(time.Duration(count) * mostBackoff)
+	time.Sleep(time.Duration(count) * maxBackoff)
 	synctest.Wait()
-	if got := sees(t, next); !slices.Equal(got, owed) {
+	if got := adminDownSeenBy(t, next); !slices.Equal(got, owed) {
 		t.Errorf("the next process sees %v, owed are %v", got, owed)
 	}
 	for _, line := range []string{"is not written", "is written again"} {
@@ -80,7 +80,7 @@
 	if err := m.Leave(); err != nil {
 		t.Error(err)
 	}
-	time.Sleep(mostBackoff)
+	time.Sleep(maxBackoff)
 	if left, err := os.ReadDir(next.dir); err != nil || len(left) != 2 {
 		t.Errorf("behind its end %d files are left, error %v, want the next one's 2", len(left), err)
 	}
@@ -99,11 +99,11 @@
 		}
 		defer os.RemoveAll(dir)
 		fs := faultfs.New(rapid.Uint64().Draw(t, "seed"))
-		m, err := joinOn(fs, dir, state(1), quiet())
+		m, err := joinWithFS(fs, dir, startingState(1), discardLog())
 		if err != nil {
 			t.Fatal(err)
 		}
-		next, err := Join(dir, state(2), quiet())
+		next, err := Join(dir, startingState(2), discardLog())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -118,7 +118,7 @@
 			if m.Update(func(s *State) { s.Out = make([]string, i) }) == nil {
 				kept = i
 			}
-			if got := len(sees(t, next)); got < kept || got > i {
+			if got := len(adminDownSeenBy(t, next)); got < kept || got > i {
 				t.Fatalf("the next process sees state %d, %d was acknowledged, %d is the last", got, kept, i)
 			}
 		}
--- a/internal/handover/fixture_test.go
+++ b/internal/handover/fixture_test.go
@@ -16,7 +16,7 @@
 	if err := os.CopyFS(dir, os.DirFS("testdata/f152def")); err != nil {
 		t.Fatal(err)
 	}
-	locks, err := filepath.Glob(filepath.Join(dir, "*", "*"+lockEnd))
+	locks, err := filepath.Glob(filepath.Join(dir, "*", "*"+lockSuffix))
 	if err != nil || len(locks) != 1 {
 		t.Fatalf("locks %v, error %v", locks, err)
 	}
@@ -28,7 +28,7 @@
 	if err := syscall.Flock(int(held.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		t.Fatal(err)
 	}
-	others := join(t, dir, state(2), quiet()).Others()
+	others := mustJoin(t, dir, startingState(2), discardLog()).Others()
 	if len(others) != 1 {
 		t.Fatalf("it sees %+v", others)
 	}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -59,32 +59,32 @@
 }
 
 const (
-	magic     = "milletramp-handover"
-	version   = 1
-	mostState = 1 << 20 // bytes of a state file
-	mostOut   = 4096
-	mostOther = 16 // processes looked at
+	formatMagic   = "milletramp-handover"
+	formatVersion = 1
+	maxStateBytes = 1 << 20 // bytes of a state file
+	maxAdminDown  = 4096
+	maxOthers     = 16 // processes looked at
 )
 
-// encode writes a state with its version, length and checksum ahead.
-func encode(s State) ([]byte, error) {
+// encodeState writes a state with its version, length and checksum ahead.
+func encodeState(s State) ([]byte, error) {
 	body, err := json.Marshal(s)
 	if err != nil {
 		return nil, fmt.Errorf("state: %w", err)
 	}
-	head := fmt.Sprintf("%s %d %d %08x\n", magic, version, len(body), crc32.ChecksumIEEE(body))
+	head := fmt.Sprintf("%s %d %d %08x\n", formatMagic, formatVersion, len(body), crc32.ChecksumIEEE(body))
 	return append([]byte(head), body...), nil
 }
 
-// decode reads a state. Whatever is torn, of another version, or not of this sidecar is an error.
-func decode(text []byte, name, listen string) (State, error) {
+// decodeState reads a state. Whatever is torn, of another version, or not of this sidecar is an error.
+func decodeState(text []byte, name, listen string) (State, error) {
 	head, body, ok := bytes.Cut(text, []byte("\n"))
 	fields := strings.Fields(string(head))
-	if !ok || len(fields) != 4 || fields[0] != magic {
+	if !ok || len(fields) != 4 || fields[0] != formatMagic {
 		return State{}, errors.New("is no state of a sidecar")
 	}
-	if fields[1] != strconv.Itoa(version) {
-		return State{}, fmt.Errorf("is of version %.20q, this process knows %d", fields[1], version)
+	if fields[1] != strconv.Itoa(formatVersion) {
+		return State{}, fmt.Errorf("is of version %.20q, this process knows %d", fields[1], formatVersion)
 	}
 	if fields[2] != strconv.Itoa(len(body)) {
 		return State{}, fmt.Errorf("has %d bytes, its head says %.20q", len(body), fields[2])
@@ -101,44 +101,44 @@
 		return State{}, fmt.Errorf("is of sidecar %.40q at %.40q", s.Name, s.Listen)
 	case s.Phase != Starting && s.Phase != Ready && s.Phase != Draining:
 		return State{}, fmt.Errorf("has the unknown phase %.40q", s.Phase)
-	case len(s.Out) > mostOut:
-		return State{}, fmt.Errorf("names %d servers, %d at most", len(s.Out), mostOut)
+	case len(s.Out) > maxAdminDown:
+		return State{}, fmt.Errorf("names %d servers, %d at most", len(s.Out), maxAdminDown)
 	}
 	return s, nil
 }
 
 // Member is this process's place among those of its sidecar. A nil one knows of no other.
 type Member struct {
-	dir  string
-	id   string // of this process's files
-	held *os.File
-	log  *slog.Logger
-	fs   fsys.FS
+	dir      string
+	id       string // of this process's files
+	lockFile *os.File
+	log      *slog.Logger
+	fs       fsys.FS
 
-	mu      sync.Mutex
-	state   State
-	left    bool
-	backoff time.Duration // until the next try of a write that has failed; 0: the file holds the state
-	again   *time.Timer   // that begins it
+	mu         sync.Mutex
+	state      State
+	hasLeft    bool
+	backoff    time.Duration // until the next try of a write that has failed; 0: the file holds the state
+	retryTimer *time.Timer   // that begins it
 }
 
 // Between two tries of a write that fails.
 const (
-	leastBackoff = 100 * time.Millisecond
-	mostBackoff  = 5 * time.Second
+	initialBackoff = 100 * time.Millisecond
+	maxBackoff     = 5 * time.Second
 )
 
 const (
-	lockEnd  = ".lock"
-	stateEnd = ".state"
+	lockSuffix  = ".lock"
+	stateSuffix = ".state"
 )
 
 // Join makes this process known in a folder below dir, which the processes of the sidecar share.
 func Join(dir string, s State, log *slog.Logger) (*Member, error) {
-	return joinOn(fsys.OS{}, dir, s, log)
+	return joinWithFS(fsys.OS{}, dir, s, log)
 }
 
-func joinOn(fs fsys.FS, dir string, s State, log *slog.Logger) (*Member, error) {
+func joinWithFS(fs fsys.FS, dir string, s State, log *slog.Logger) (*Member, error) {
 	sum := crc32.ChecksumIEEE([]byte(s.Name + "\x00" + s.Listen))
 	m := &Member{dir: filepath.Join(dir, fmt.Sprintf("milletramp-%08x", sum)), log: log, fs: fs, state: s,
 		id: fmt.Sprintf("%d-%d", os.Getpid(), wallclock.Nanoseconds(s.Started))}
@@ -146,28 +146,28 @@
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	// Another process that finds the file before its lock takes it for a dead one's. So it gets its name last.
-	held, err := os.OpenFile(m.file(".new"), os.O_CREATE|os.O_EXCL|os.O_RDWR, 0o600)
+	held, err := os.OpenFile(m.path(".new"), os.O_CREATE|os.O_EXCL|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	m.held = held
+	m.lockFile = held
 	if err := syscall.Flock(int(held.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		return nil, errors.Join(fmt.Errorf("handover: lock: %w", err), m.Leave())
 	}
-	if err := os.Rename(m.file(".new"), m.file(lockEnd)); err != nil {
+	if err := os.Rename(m.path(".new"), m.path(lockSuffix)); err != nil {
 		return nil, errors.Join(fmt.Errorf("handover: %w", err), m.Leave())
 	}
 	for _, o := range m.Others() {
 		m.state.Generation = max(m.state.Generation, o.Generation)
 	}
 	m.state.Generation++
-	if err := m.write(); err != nil {
+	if err := m.writeState(); err != nil {
 		return nil, errors.Join(err, m.Leave())
 	}
 	return m, nil
 }
 
-func (m *Member) file(end string) string { return filepath.Join(m.dir, m.id+end) }
+func (m *Member) path(end string) string { return filepath.Join(m.dir, m.id+end) }
 
 // Succeeded tells whether a newer process of the sidecar is ready.
 func (m *Member) Succeeded() bool {
@@ -188,49 +188,49 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.left {
+	if m.hasLeft {
 		return nil // nobody asks any more
 	}
 	change(&m.state)
-	err := m.write()
-	m.written(err)
+	err := m.writeState()
+	m.scheduleRetry(err)
 	return err
 }
 
-// written has a write that has failed be tried again.
-func (m *Member) written(err error) {
+// scheduleRetry has a write that has failed be tried again.
+func (m *Member) scheduleRetry(err error) {
 	switch {
 	case err == nil && m.backoff > 0:
 		m.log.Info("handover: the state is written again")
 		m.backoff = 0
-		m.again.Stop()
+		m.retryTimer.Stop()
 	case err != nil && m.backoff == 0:
 		m.log.Warn("handover: the state is not written, and is tried again", "err", err)
-		m.backoff = leastBackoff
-		m.again = time.AfterFunc(m.backoff, m.writeAgain)
+		m.backoff = initialBackoff
+		m.retryTimer = time.AfterFunc(m.backoff, m.retryWrite)
 	}
 }
 
-// writeAgain is a try after one that has failed. It runs in the goroutine of its timer, which Leave stops.
-func (m *Member) writeAgain() {
+// retryWrite is a try after one that has failed. It runs in the goroutine of its timer, which Leave stops.
+func (m *Member) retryWrite() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.left || m.backoff == 0 {
+	if m.hasLeft || m.backoff == 0 {
 		return
 	}
-	err := m.write()
+	err := m.writeState()
 	if err != nil {
-		m.backoff = min(2*m.backoff, mostBackoff)
-		m.again.Reset(m.backoff)
+		m.backoff = min(2*m.backoff, maxBackoff)
+		m.retryTimer.Reset(m.backoff)
 	}
-	m.written(err)
+	m.scheduleRetry(err)
 }
 
-// write replaces the state file. A reader sees the former or the new one.
-func (m *Member) write() error {
-	text, err := encode(m.state)
+// writeState replaces the state file. A reader sees the former or the new one.
+func (m *Member) writeState() error {
+	text, err := encodeState(m.state)
 	if err == nil { // not synced: after a loss of power nobody lives whose state counts
-		err = fsys.Replace(m.fs, m.file(".new"), m.file(stateEnd), text, false)
+		err = fsys.Replace(m.fs, m.path(".new"), m.path(stateSuffix), text, false)
 	}
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
@@ -245,20 +245,20 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.left {
+	if m.hasLeft {
 		return nil
 	}
-	m.left = true
-	if m.again != nil {
-		m.again.Stop()
+	m.hasLeft = true
+	if m.retryTimer != nil {
+		m.retryTimer.Stop()
 	}
 	var errs []error
-	for _, end := range []string{".new", stateEnd, lockEnd} {
-		if err := os.Remove(m.file(end)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	for _, end := range []string{".new", stateSuffix, lockSuffix} {
+		if err := os.Remove(m.path(end)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			errs = append(errs, err)
 		}
 	}
-	return errors.Join(append(errs, m.held.Close())...)
+	return errors.Join(append(errs, m.lockFile.Close())...)
 }
 
 // Changed tells a number that is another one after a process has come, left or changed its state.
@@ -286,21 +286,21 @@
 	}
 	var others []State
 	for _, e := range entries {
-		id, ok := strings.CutSuffix(e.Name(), lockEnd)
-		if !ok || id == m.id || len(others) == mostOther {
+		id, ok := strings.CutSuffix(e.Name(), lockSuffix)
+		if !ok || id == m.id || len(others) == maxOthers {
 			continue
 		}
-		if alive, err := lives(filepath.Join(m.dir, e.Name())); err != nil {
+		if alive, err := isLocked(filepath.Join(m.dir, e.Name())); err != nil {
 			m.log.Warn("handover", "err", err)
 			continue
 		} else if !alive {
 			m.log.Info("handover: dropped what a process left that has ended", "process", id)
-			for _, end := range []string{".new", stateEnd, lockEnd} {
+			for _, end := range []string{".new", stateSuffix, lockSuffix} {
 				_ = os.Remove(filepath.Join(m.dir, id+end)) // another process may have been quicker
 			}
 			continue
 		}
-		s, err := read(filepath.Join(m.dir, id+stateEnd), m.state.Name, m.state.Listen)
+		s, err := readStateFile(filepath.Join(m.dir, id+stateSuffix), m.state.Name, m.state.Listen)
 		if errors.Is(err, fs.ErrNotExist) {
 			continue // it has only just begun, and will look for this process
 		}
@@ -314,29 +314,29 @@
 	return others
 }
 
-// read reads a state file.
-func read(path, name, listen string) (State, error) {
+// readStateFile reads a state file.
+func readStateFile(path, name, listen string) (State, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return State{}, err
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, mostState+1))
+	text, err := io.ReadAll(io.LimitReader(f, maxStateBytes+1))
 	if err != nil {
 		return State{}, err
 	}
-	if len(text) > mostState {
-		return State{}, fmt.Errorf("%s has more than %d bytes", path, mostState)
+	if len(text) > maxStateBytes {
+		return State{}, fmt.Errorf("%s has more than %d bytes", path, maxStateBytes)
 	}
-	s, err := decode(text, name, listen)
+	s, err := decodeState(text, name, listen)
 	if err != nil {
 		return State{}, fmt.Errorf("%s %w", path, err)
 	}
 	return s, nil
 }
 
-// lives tells whether a process holds the lock of a file.
-func lives(path string) (bool, error) {
+// isLocked tells whether a process holds the lock of a file.
+func isLocked(path string) (bool, error) {
 	f, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return false, nil
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -15,13 +15,13 @@
 	"pgregory.net/rapid"
 )
 
-func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func discardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-func state(second int64) State {
+func startingState(second int64) State {
 	return State{Name: "n0", Listen: "127.0.0.1:80", Console: "127.0.0.1:81", Started: time.Unix(second, 0), Phase: Starting}
 }
 
-func join(t *testing.T, dir string, s State, log *slog.Logger) *Member {
+func mustJoin(t *testing.T, dir string, s State, log *slog.Logger) *Member {
 	t.Helper()
 	m, err := Join(dir, s, log)
 	if err != nil {
@@ -34,21 +34,21 @@
 // TestMembers has processes come, change and go. A lock is held by an open file, so those of this test count as apart.
 func TestMembers(t *testing.T) {
 	dir := t.TempDir()
-	a := join(t, dir, state(1), quiet())
+	a := mustJoin(t, dir, startingState(1), discardLog())
 	if got := a.Others(); len(got) != 0 {
 		t.Fatalf("alone, it sees %+v", got)
 	}
 	before := a.Changed()
-	b := join(t, dir, state(2), quiet())
+	b := mustJoin(t, dir, startingState(2), discardLog())
 	if a.Changed() == before {
 		t.Error("a process came and nothing changed")
 	}
 	if err := b.Update(func(s *State) { s.Phase, s.Out = Ready, []string{"s-1"} }); err != nil {
 		t.Fatal(err)
 	}
-	c := join(t, dir, state(3), quiet())
+	c := mustJoin(t, dir, startingState(3), discardLog())
 	got := c.Others()
-	if len(got) != 2 || !got[0].Started.Equal(state(1).Started) || got[1].Phase != Ready || !slices.Equal(got[1].Out, []string{"s-1"}) {
+	if len(got) != 2 || !got[0].Started.Equal(startingState(1).Started) || got[1].Phase != Ready || !slices.Equal(got[1].Out, []string{"s-1"}) {
 		t.Errorf("the third sees %+v", got)
 	}
 	if err := b.Leave(); err != nil {
@@ -57,7 +57,7 @@
 	if got := c.Others(); len(got) != 1 {
 		t.Errorf("after one left the third sees %+v", got)
 	}
-	if got := join(t, dir, State{Name: "n1", Listen: "127.0.0.1:80", Phase: Ready}, quiet()).Others(); len(got) != 0 {
+	if got := mustJoin(t, dir, State{Name: "n1", Listen: "127.0.0.1:80", Phase: Ready}, discardLog()).Others(); len(got) != 0 {
 		t.Errorf("another sidecar sees %+v", got)
 	}
 }
@@ -66,15 +66,15 @@
 // be out for good.
 func TestDeadStateDoesNotBind(t *testing.T) {
 	dir := t.TempDir()
-	dead := join(t, dir, state(1), quiet())
+	dead := mustJoin(t, dir, startingState(1), discardLog())
 	if err := dead.Update(func(s *State) { s.Out = []string{"s-1"} }); err != nil {
 		t.Fatal(err)
 	}
-	if err := dead.held.Close(); err != nil { // as the end of its process does
+	if err := dead.lockFile.Close(); err != nil { // as the end of its process does
 		t.Fatal(err)
 	}
 	var log bytes.Buffer
-	m := join(t, dir, state(2), slog.New(slog.NewTextHandler(&log, nil)))
+	m := mustJoin(t, dir, startingState(2), slog.New(slog.NewTextHandler(&log, nil)))
 	if got := m.Others(); len(got) != 0 || !strings.Contains(log.String(), "has ended") {
 		t.Errorf("it sees %+v and says %q", got, log.String())
 	}
@@ -85,22 +85,22 @@
 
 // TestBadStateIsDropped has a living process leave state that cannot be believed. Danger: half of it is believed.
 func TestBadStateIsDropped(t *testing.T) {
-	good, err := encode(state(1))
+	good, err := encodeState(startingState(1))
 	if err != nil {
 		t.Fatal(err)
 	}
 	made := func(version int, body string) []byte {
-		return fmt.Appendf(nil, "%s %d %d %08x\n%s", magic, version, len(body), crc32.ChecksumIEEE([]byte(body)), body)
+		return fmt.Appendf(nil, "%s %d %d %08x\n%s", formatMagic, version, len(body), crc32.ChecksumIEEE([]byte(body)), body)
 	}
-	foreign := state(1)
+	foreign := startingState(1)
 	foreign.Listen = "127.0.0.1:90"
-	other, err := encode(foreign)
+	other, err := encodeState(foreign)
 	if err != nil {
 		t.Fatal(err)
 	}
 	flipped := bytes.Clone(good)
 	flipped[len(flipped)-3] ^= 1
-	many := `{"name":"n0","listen":"127.0.0.1:80","phase":"ready","out":["` + strings.Repeat(`","`, mostOut) + `"]}`
+	many := `{"name":"n0","listen":"127.0.0.1:80","phase":"ready","out":["` + strings.Repeat(`","`, maxAdminDown) + `"]}`
 	for _, tt := range []struct {
 		name string
 		text []byte
@@ -112,20 +112,20 @@
 		{"torn in its head", good[:10], "is no state"},
 		{"changed", flipped, "checksum"},
 		{"foreign", other, "is of sidecar"},
-		{"newer", made(version+1, `{}`), "is of version"},
-		{"no JSON", made(version, `{`), "unexpected end"},
-		{"an unknown phase", made(version, `{"name":"n0","listen":"127.0.0.1:80","phase":"asleep"}`), "unknown phase"},
-		{"too many servers", made(version, many), "servers"},
-		{"too long", make([]byte, mostState+1), "more than"},
+		{"newer", made(formatVersion+1, `{}`), "is of version"},
+		{"no JSON", made(formatVersion, `{`), "unexpected end"},
+		{"an unknown phase", made(formatVersion, `{"name":"n0","listen":"127.0.0.1:80","phase":"asleep"}`), "unknown phase"},
+		{"too many servers", made(formatVersion, many), "servers"},
+		{"too long", make([]byte, maxStateBytes+1), "more than"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			dir := t.TempDir()
-			a := join(t, dir, state(1), quiet())
-			if err := os.WriteFile(a.file(stateEnd), tt.text, 0o600); err != nil {
+			a := mustJoin(t, dir, startingState(1), discardLog())
+			if err := os.WriteFile(a.path(stateSuffix), tt.text, 0o600); err != nil {
 				t.Fatal(err)
 			}
 			var log bytes.Buffer
-			got := join(t, dir, state(2), slog.New(slog.NewTextHandler(&log, nil))).Others()
+			got := mustJoin(t, dir, startingState(2), slog.New(slog.NewTextHandler(&log, nil))).Others()
 			if (len(got) == 1) != (tt.says == "") || !strings.Contains(log.String(), tt.says) {
 				t.Errorf("it sees %+v and says %q, want %q", got, log.String(), tt.says)
 			}
@@ -139,7 +139,7 @@
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if m, err := Join(file, state(1), quiet()); err == nil {
+	if m, err := Join(file, startingState(1), discardLog()); err == nil {
 		t.Errorf("joined %+v in a file", m)
 	}
 	var none *Member
@@ -153,11 +153,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := State{Name: rapid.String().Draw(t, "name"), Listen: rapid.String().Draw(t, "listen"), Phase: Ready,
 			Console: "c", Out: rapid.SliceOf(rapid.String()).Draw(t, "out")}
-		text, err := encode(s)
+		text, err := encodeState(s)
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := decode(text, s.Name, s.Listen)
+		got, err := decodeState(text, s.Name, s.Listen)
 		if err != nil || !slices.Equal(got.Out, s.Out) || got.Phase != s.Phase || got.Console != s.Console {
 			t.Fatalf("%+v came back as %+v, error %v", s, got, err)
 		}
@@ -166,15 +166,15 @@
 
 // FuzzDecode has no text be read that its own head does not vouch for.
 func FuzzDecode(f *testing.F) {
-	good, err := encode(state(1))
+	good, err := encodeState(startingState(1))
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(good)
-	f.Add([]byte(magic + " 1 0 00000000\n"))
+	f.Add([]byte(formatMagic + " 1 0 00000000\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		s, err := decode(text, "n0", "127.0.0.1:80")
-		if err == nil && (s.Name != "n0" || len(s.Out) > mostOut || !bytes.HasPrefix(text, []byte(magic))) {
+		s, err := decodeState(text, "n0", "127.0.0.1:80")
+		if err == nil && (s.Name != "n0" || len(s.Out) > maxAdminDown || !bytes.HasPrefix(text, []byte(formatMagic))) {
 			t.Errorf("%q is read as %+v", text, s)
 		}
 	})
@@ -190,9 +190,9 @@
 		t.Run(step.String(), func(t *testing.T) {
 			dir := t.TempDir()
 			ready := func(started time.Time) *Member {
-				s := state(0)
+				s := startingState(0)
 				s.Started, s.Phase = started, Ready
-				return join(t, dir, s, quiet())
+				return mustJoin(t, dir, s, discardLog())
 			}
 			a := ready(begun)
 			b := ready(begun.Add(time.Second + step))
@@ -207,8 +207,8 @@
 				t.Error(err)
 			}
 			sum := crc32.ChecksumIEEE([]byte(former))
-			text := fmt.Appendf(nil, "%s %d %d %08x\n%s", magic, version, len(former), sum, former)
-			if err := os.WriteFile(b.file(stateEnd), text, 0o600); err != nil {
+			text := fmt.Appendf(nil, "%s %d %d %08x\n%s", formatMagic, formatVersion, len(former), sum, former)
+			if err := os.WriteFile(b.path(stateSuffix), text, 0o600); err != nil {
 				t.Fatal(err)
 			}
 			got, succeeded := c.Others(), c.Succeeded()
