--- a/internal/handover/fault_test.go
+++ b/internal/handover/fault_test.go
@@ -81,7 +81,7 @@
 		t.Error(err)
 	}
 	time.Sleep(maxBackoff)
-	if left, err := os.ReadDir(next.dir); err != nil || len(left) != 2 {
+	if left, err := os.ReadDir(next.files.dir); err != nil || len(left) != 2 {
 		t.Errorf("behind its end %d files are left, error %v, want the next one's 2", len(left), err)
 	}
 	if err := fs.End(false); err != nil {
--- /dev/null
+++ b/internal/handover/files.go
@@ -0,0 +1,95 @@
+package handover
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"syscall"
+)
+
+// Suffixes of the files of one process, behind its id.
+const (
+	lockSuffix  = ".lock"
+	stateSuffix = ".state"
+	tempSuffix  = ".new" // a file that gets one of the other two names once it is complete
+)
+
+// processFiles names the files of one process.
+type processFiles struct {
+	dir string // shared by the processes of a sidecar
+	id  string // of the process, unique in dir
+}
+
+func (p processFiles) lockPath() string  { return filepath.Join(p.dir, p.id+lockSuffix) }
+func (p processFiles) statePath() string { return filepath.Join(p.dir, p.id+stateSuffix) }
+func (p processFiles) tempPath() string  { return filepath.Join(p.dir, p.id+tempSuffix) }
+
+// createLocked creates the lock file and locks it. The file is returned wherever it was created, with an error too.
+// It is locked under the temporary name: a process that found it before its lock would take its owner for ended.
+func (p processFiles) createLocked() (*os.File, error) {
+	file, err := os.OpenFile(p.tempPath(), os.O_CREATE|os.O_EXCL|os.O_RDWR, 0o600)
+	if err != nil {
+		return nil, fmt.Errorf("handover: %w", err)
+	}
+	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
+		return file, fmt.Errorf("handover: lock: %w", err)
+	}
+	if err := os.Rename(p.tempPath(), p.lockPath()); err != nil {
+		return file, fmt.Errorf("handover: %w", err)
+	}
+	return file, nil
+}
+
+// remove removes the files. One that does not exist is no error.
+func (p processFiles) remove() error {
+	var errs []error
+	for _, path := range []string{p.tempPath(), p.statePath(), p.lockPath()} {
+		if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
+			errs = append(errs, err)
+		}
+	}
+	return errors.Join(errs...)
+}
+
+// isLocked reports whether a process holds the lock of the file at path.
+func isLocked(path string) (bool, error) {
+	file, err := os.Open(path)
+	if errors.Is(err, fs.ErrNotExist) {
+		return false, nil
+	}
+	if err != nil {
+		return false, err
+	}
+	defer file.Close()
+	switch err := syscall.Flock(int(file.Fd()), syscall.LOCK_SH|syscall.LOCK_NB); {
+	case errors.Is(err, syscall.EWOULDBLOCK):
+		return true, nil
+	case err != nil:
+		return false, fmt.Errorf("%s: lock: %w", path, err)
+	}
+	return false, nil
+}
+
+// readStateFile returns the state in the file at path, if it is one of the sidecar with this name and listen address.
+func readStateFile(path, name, listen string) (State, error) {
+	file, err := os.Open(path)
+	if err != nil {
+		return State{}, err
+	}
+	defer file.Close()
+	content, err := io.ReadAll(io.LimitReader(file, maxStateBytes+1))
+	if err != nil {
+		return State{}, err
+	}
+	if len(content) > maxStateBytes {
+		return State{}, fmt.Errorf("%s has more than %d bytes", path, maxStateBytes)
+	}
+	s, err := decodeState(content, name, listen)
+	if err != nil {
+		return State{}, fmt.Errorf("%s %w", path, err)
+	}
+	return s, nil
+}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -78,7 +78,7 @@
 	if got := m.Others(); len(got) != 0 || !strings.Contains(log.String(), "has ended") {
 		t.Errorf("it sees %+v and says %q", got, log.String())
 	}
-	if left, err := os.ReadDir(m.dir); err != nil || len(left) != 2 {
+	if left, err := os.ReadDir(m.files.dir); err != nil || len(left) != 2 {
 		t.Errorf("%d files are left, error %v, want its own 2", len(left), err)
 	}
 }
@@ -121,7 +121,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			dir := t.TempDir()
 			a := mustJoin(t, dir, startingState(1), discardLog())
-			if err := os.WriteFile(a.path(stateSuffix), tt.text, 0o600); err != nil {
+			if err := os.WriteFile(a.files.statePath(), tt.text, 0o600); err != nil {
 				t.Fatal(err)
 			}
 			var log bytes.Buffer
@@ -208,7 +208,7 @@
 			}
 			sum := crc32.ChecksumIEEE([]byte(former))
 			text := fmt.Appendf(nil, "%s %d %d %08x\n%s", formatMagic, formatVersion, len(former), sum, former)
-			if err := os.WriteFile(b.path(stateSuffix), text, 0o600); err != nil {
+			if err := os.WriteFile(b.files.statePath(), text, 0o600); err != nil {
 				t.Fatal(err)
 			}
 			got, succeeded := c.Others(), c.Succeeded()
--- /dev/null
+++ b/internal/handover/others.go
@@ -0,0 +1,86 @@
+package handover
+
+import (
+	"errors"
+	"io/fs"
+	"os"
+	"slices"
+	"strings"
+
+	"milletramp.example/milletramp/internal/wallclock"
+)
+
+// maxOthers bounds the other processes that are read.
+const maxOthers = 16
+
+// Succeeded reports whether a newer process of the sidecar is ready.
+func (m *Member) Succeeded() bool {
+	others := m.Others()
+	if len(others) == 0 {
+		return false
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return slices.ContainsFunc(others, func(s State) bool { return s.Phase == Ready && s.Compare(m.state) > 0 })
+}
+
+// Changed returns a number that differs from the former one after a process has joined, left or changed its state. A
+// process that ended without leaving changes nothing. -1: the directory cannot be read.
+func (m *Member) Changed() int64 {
+	if m == nil {
+		return 0
+	}
+	info, err := os.Stat(m.files.dir)
+	if err != nil {
+		return -1
+	}
+	return wallclock.Nanoseconds(info.ModTime())
+}
+
+// Others returns the states of the other processes that run, the oldest first. It removes the files of processes that
+// have ended. A process whose files cannot be read or are invalid is left out, and the reason is logged.
+func (m *Member) Others() []State {
+	if m == nil {
+		return nil
+	}
+	entries, err := os.ReadDir(m.files.dir)
+	if err != nil {
+		m.log.Warn("handover", "err", err)
+		return nil
+	}
+	var others []State
+	for _, entry := range entries {
+		id, isLock := strings.CutSuffix(entry.Name(), lockSuffix)
+		if !isLock || id == m.files.id || len(others) == maxOthers {
+			continue
+		}
+		if s, found := m.readOther(processFiles{dir: m.files.dir, id: id}); found {
+			others = append(others, s)
+		}
+	}
+	slices.SortFunc(others, State.Compare)
+	return others
+}
+
+// readOther returns the state of the process that owns files, if it runs and its state is valid.
+func (m *Member) readOther(files processFiles) (s State, found bool) {
+	running, err := isLocked(files.lockPath())
+	if err != nil {
+		m.log.Warn("handover", "err", err)
+		return State{}, false
+	}
+	if !running {
+		m.log.Info("handover: dropped what a process left that has ended", "process", files.id)
+		_ = files.remove() // another process may remove them at the same time
+		return State{}, false
+	}
+	s, err = readStateFile(files.statePath(), m.state.Name, m.state.Listen)
+	if errors.Is(err, fs.ErrNotExist) {
+		return State{}, false // it has just started, and writes its own state before it acts on others
+	}
+	if err != nil {
+		m.log.Warn("handover: dropped", "err", err)
+		return State{}, false
+	}
+	return s, true
+}
--- /dev/null
+++ b/internal/handover/state.go
@@ -0,0 +1,109 @@
+package handover
+
+import (
+	"bytes"
+	"cmp"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"hash/crc32"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// Phase is how far a process is in its lifecycle.
+type Phase string
+
+// The phases.
+const (
+	Starting Phase = "starting" // not yet ready to serve
+	Ready    Phase = "ready"    // serves
+	Draining Phase = "draining" // was asked to stop and completes its requests
+)
+
+// State is what a process lets the other processes of its sidecar know.
+type State struct {
+	Name    string    `json:"name"`            // of the sidecar
+	Listen  string    `json:"listen"`          // address for clients
+	Console string    `json:"console"`         // address for operators; "": none
+	Fleet   string    `json:"fleet,omitempty"` // address for other sidecars; "": takes no part in a fleet
+	Started time.Time `json:"started"`
+	// Generation counts the processes that follow each other, from 1. 0: the process's build does not count them.
+	Generation uint64   `json:"generation,omitempty"`
+	Phase      Phase    `json:"phase"`
+	Out        []string `json:"out"` // ids of the servers that are administratively down
+}
+
+// Compare orders the processes of a sidecar, the oldest first. The wall clock, which may step, decides only where one
+// of the two has no generation, or where both joined at the same moment and have the same one.
+func (s State) Compare(o State) int {
+	if s.Generation > 0 && o.Generation > 0 && s.Generation != o.Generation {
+		return cmp.Compare(s.Generation, o.Generation)
+	}
+	return s.Started.Compare(o.Started)
+}
+
+// A state file is one header line, "MAGIC VERSION LENGTH CHECKSUM", and the state as JSON. LENGTH is the number of
+// bytes of the JSON, CHECKSUM its CRC-32 (IEEE) as eight hexadecimal digits.
+const (
+	formatMagic   = "milletramp-handover"
+	formatVersion = 1
+	headerFields  = 4
+
+	maxStateBytes = 1 << 20 // of a state file
+	maxAdminDown  = 4096    // servers in one state
+)
+
+// encodeState returns the content of a state file.
+func encodeState(s State) ([]byte, error) {
+	body, err := json.Marshal(s)
+	if err != nil {
+		return nil, fmt.Errorf("state: %w", err)
+	}
+	header := fmt.Sprintf("%s %d %d %s\n", formatMagic, formatVersion, len(body), checksum(body))
+	return append([]byte(header), body...), nil
+}
+
+func checksum(body []byte) string { return fmt.Sprintf("%08x", crc32.ChecksumIEEE(body)) }
+
+// decodeState returns the state that the content of a state file holds, if it is one of the sidecar with this name and
+// listen address.
+func decodeState(content []byte, name, listen string) (State, error) {
+	body, err := checkHeader(content)
+	if err != nil {
+		return State{}, err
+	}
+	var s State
+	if err := json.Unmarshal(body, &s); err != nil {
+		return State{}, err
+	}
+	switch {
+	case s.Name != name || s.Listen != listen:
+		return State{}, fmt.Errorf("is of sidecar %.40q at %.40q", s.Name, s.Listen)
+	case s.Phase != Starting && s.Phase != Ready && s.Phase != Draining:
+		return State{}, fmt.Errorf("has the unknown phase %.40q", s.Phase)
+	case len(s.Out) > maxAdminDown:
+		return State{}, fmt.Errorf("names %d servers, %d at most", len(s.Out), maxAdminDown)
+	}
+	return s, nil
+}
+
+// checkHeader returns the body of a state file whose header is of this version and matches the body.
+func checkHeader(content []byte) (body []byte, err error) {
+	header, body, complete := bytes.Cut(content, []byte("\n"))
+	fields := strings.Fields(string(header))
+	if !complete || len(fields) != headerFields || fields[0] != formatMagic {
+		return nil, errors.New("is no state of a sidecar")
+	}
+	version, length, sum := fields[1], fields[2], fields[3]
+	switch {
+	case version != strconv.Itoa(formatVersion):
+		return nil, fmt.Errorf("is of version %.20q, this process knows %d", version, formatVersion)
+	case length != strconv.Itoa(len(body)):
+		return nil, fmt.Errorf("has %d bytes, its head says %.20q", len(body), length)
+	case sum != checksum(body):
+		return nil, fmt.Errorf("has the checksum %s, its head says %.20q", checksum(body), sum)
+	}
+	return body, nil
+}
