--- a/internal/handover/files.go
+++ b/internal/handover/files.go
@@ -74,6 +74,7 @@
 }
 
 // readStateFile returns the state in the file at path, if it is one of the sidecar with this name and listen address.
+// The error wraps an *invalidStateError if the file could be read and does not count.
 func readStateFile(path, name, listen string) (State, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -84,9 +85,6 @@
 	if err != nil {
 		return State{}, err
 	}
-	if len(content) > maxStateBytes {
-		return State{}, fmt.Errorf("%s has more than %d bytes", path, maxStateBytes)
-	}
 	s, err := decodeState(content, name, listen)
 	if err != nil {
 		return State{}, fmt.Errorf("%s %w", path, err)
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"cmp"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"hash/crc32"
 	"strconv"
@@ -68,23 +67,26 @@
 func checksum(body []byte) string { return fmt.Sprintf("%08x", crc32.ChecksumIEEE(body)) }
 
 // decodeState returns the state that the content of a state file holds, if it is one of the sidecar with this name and
-// listen address.
+// listen address. Else the error is an *invalidStateError.
 func decodeState(content []byte, name, listen string) (State, error) {
+	if len(content) > maxStateBytes {
+		return State{}, invalid(tooLong, "has more than %d bytes", maxStateBytes)
+	}
 	body, err := checkHeader(content)
 	if err != nil {
 		return State{}, err
 	}
 	var s State
 	if err := json.Unmarshal(body, &s); err != nil {
-		return State{}, err
+		return State{}, invalid(malformedJSON, "%v", err)
 	}
 	switch {
 	case s.Name != name || s.Listen != listen:
-		return State{}, fmt.Errorf("is of sidecar %.40q at %.40q", s.Name, s.Listen)
+		return State{}, invalid(otherSidecar, "is of sidecar %.40q at %.40q", s.Name, s.Listen)
 	case s.Phase != Starting && s.Phase != Ready && s.Phase != Draining:
-		return State{}, fmt.Errorf("has the unknown phase %.40q", s.Phase)
+		return State{}, invalid(unknownPhase, "has the unknown phase %.40q", s.Phase)
 	case len(s.Out) > maxAdminDown:
-		return State{}, fmt.Errorf("names %d servers, %d at most", len(s.Out), maxAdminDown)
+		return State{}, invalid(tooManyServers, "names %d servers, %d at most", len(s.Out), maxAdminDown)
 	}
 	return s, nil
 }
@@ -94,16 +96,16 @@
 	header, body, complete := bytes.Cut(content, []byte("\n"))
 	fields := strings.Fields(string(header))
 	if !complete || len(fields) != headerFields || fields[0] != formatMagic {
-		return nil, errors.New("is no state of a sidecar")
+		return nil, invalid(notStateFile, "is no state of a sidecar")
 	}
 	version, length, sum := fields[1], fields[2], fields[3]
 	switch {
 	case version != strconv.Itoa(formatVersion):
-		return nil, fmt.Errorf("is of version %.20q, this process knows %d", version, formatVersion)
+		return nil, invalid(unsupportedVersion, "is of version %.20q, this process knows %d", version, formatVersion)
 	case length != strconv.Itoa(len(body)):
-		return nil, fmt.Errorf("has %d bytes, its head says %.20q", len(body), length)
+		return nil, invalid(lengthMismatch, "has %d bytes, its head says %.20q", len(body), length)
 	case sum != checksum(body):
-		return nil, fmt.Errorf("has the checksum %s, its head says %.20q", checksum(body), sum)
+		return nil, invalid(checksumMismatch, "has the checksum %s, its head says %.20q", checksum(body), sum)
 	}
 	return body, nil
 }
