--- a/internal/handover/fixture_test.go
+++ b/internal/handover/fixture_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// TestStateOfFormerBuildIsRead has a process join beside one that runs the build f152def: testdata/f152def is the folder as that build
-// wrote it. Its lock is taken here, as a living process holds it.
+// TestStateOfFormerBuildIsRead: a process reads the state of one that runs the build f152def. testdata/f152def is the
+// directory as that build wrote it. The test takes its lock, as the running process held it.
 func TestStateOfFormerBuildIsRead(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS("testdata/f152def")); err != nil {
@@ -20,20 +20,21 @@
 	if err != nil || len(locks) != 1 {
 		t.Fatalf("locks %v, error %v", locks, err)
 	}
-	held, err := os.Open(locks[0])
+	lockFile, err := os.Open(locks[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
-	if err := syscall.Flock(int(held.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
+	defer lockFile.Close()
+	if err := syscall.Flock(int(lockFile.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		t.Fatal(err)
 	}
 	others := mustJoin(t, dir, startingState(2), discardLog()).Others()
 	if len(others) != 1 {
-		t.Fatalf("it sees %+v", others)
+		t.Fatalf("the new process reads %+v, want one state", others)
 	}
 	got := others[0]
-	if got.Name != "n0" || got.Listen != "127.0.0.1:80" || got.Console != "127.0.0.1:81" || got.Fleet != "127.0.0.1:82" ||
+	if got.Name != "n0" || got.Listen != "127.0.0.1:80" ||
+		got.Console != "127.0.0.1:81" || got.Fleet != "127.0.0.1:82" ||
 		got.Phase != Ready || !slices.Equal(got.Out, []string{"s-1", `s-"2"`}) ||
 		!got.Started.Equal(time.Date(2026, 7, 1, 12, 30, 0, 123456789, time.UTC)) {
 		t.Errorf("read as %+v", got)
--- a/internal/handover/member_test.go
+++ b/internal/handover/member_test.go
@@ -15,74 +15,82 @@
 
 func discardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
+// startingState is the state of a process that started at this second of the wall clock.
 func startingState(second int64) State {
-	return State{Name: "n0", Listen: "127.0.0.1:80", Console: "127.0.0.1:81", Started: time.Unix(second, 0), Phase: Starting}
+	return State{
+		Name: "n0", Listen: "127.0.0.1:80", Console: "127.0.0.1:81",
+		Started: time.Unix(second, 0), Phase: Starting,
+	}
 }
 
+// mustJoin joins, and leaves when the test ends.
 func mustJoin(t *testing.T, dir string, s State, log *slog.Logger) *Member {
 	t.Helper()
 	m, err := Join(dir, s, log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = m.Leave() }) // the test may have had it leave
+	t.Cleanup(func() { _ = m.Leave() }) // the test may have closed its lock file
 	return m
 }
 
-// TestMembersSeeEachOther has processes come, change and go. A lock is held by an open file, so those of this test count as apart.
+// TestMembersSeeEachOther: a process reads the states of those that have joined and not left, the oldest first, and none
+// of another sidecar. A lock belongs to an open file, so several members in one test count as several processes.
 func TestMembersSeeEachOther(t *testing.T) {
 	dir := t.TempDir()
-	a := mustJoin(t, dir, startingState(1), discardLog())
-	if got := a.Others(); len(got) != 0 {
-		t.Fatalf("alone, it sees %+v", got)
+	first := mustJoin(t, dir, startingState(1), discardLog())
+	if got := first.Others(); len(got) != 0 {
+		t.Fatalf("the first process sees %+v, want none", got)
 	}
-	before := a.Changed()
-	b := mustJoin(t, dir, startingState(2), discardLog())
-	if a.Changed() == before {
-		t.Error("a process came and nothing changed")
+	before := first.Changed()
+	second := mustJoin(t, dir, startingState(2), discardLog())
+	if first.Changed() == before {
+		t.Error("a process joined and Changed returns the same number")
 	}
-	if err := b.Update(func(s *State) { s.Phase, s.Out = Ready, []string{"s-1"} }); err != nil {
+	if err := second.Update(func(s *State) { s.Phase, s.Out = Ready, []string{"s-1"} }); err != nil {
 		t.Fatal(err)
 	}
-	c := mustJoin(t, dir, startingState(3), discardLog())
-	got := c.Others()
-	if len(got) != 2 || !got[0].Started.Equal(startingState(1).Started) || got[1].Phase != Ready || !slices.Equal(got[1].Out, []string{"s-1"}) {
-		t.Errorf("the third sees %+v", got)
+	third := mustJoin(t, dir, startingState(3), discardLog())
+	got := third.Others()
+	if len(got) != 2 || !got[0].Started.Equal(startingState(1).Started) ||
+		got[1].Phase != Ready || !slices.Equal(got[1].Out, []string{"s-1"}) {
+		t.Errorf("the third process sees %+v", got)
 	}
-	if err := b.Leave(); err != nil {
+	if err := second.Leave(); err != nil {
 		t.Error(err)
 	}
-	if got := c.Others(); len(got) != 1 {
-		t.Errorf("after one left the third sees %+v", got)
+	if got := third.Others(); len(got) != 1 {
+		t.Errorf("after the second has left the third process sees %+v", got)
 	}
-	if got := mustJoin(t, dir, State{Name: "n1", Listen: "127.0.0.1:80", Phase: Ready}, discardLog()).Others(); len(got) != 0 {
+	otherSidecar := mustJoin(t, dir, State{Name: "n1", Listen: "127.0.0.1:80", Phase: Ready}, discardLog())
+	if got := otherSidecar.Others(); len(got) != 0 {
 		t.Errorf("another sidecar sees %+v", got)
 	}
 }
 
-// TestStateOfEndedProcessIsRemoved has a process end without leaving. Danger: servers that it was told are out, long ago, would
-// be out for good.
+// TestStateOfEndedProcessIsRemoved: the state of a process that ended without leaving doesn't count and is removed.
+// Otherwise servers that it once knew as administratively down would stay so.
 func TestStateOfEndedProcessIsRemoved(t *testing.T) {
 	dir := t.TempDir()
-	dead := mustJoin(t, dir, startingState(1), discardLog())
-	if err := dead.Update(func(s *State) { s.Out = []string{"s-1"} }); err != nil {
+	ended := mustJoin(t, dir, startingState(1), discardLog())
+	if err := ended.Update(func(s *State) { s.Out = []string{"s-1"} }); err != nil {
 		t.Fatal(err)
 	}
-	if err := dead.lockFile.Close(); err != nil { // as the end of its process does
+	if err := ended.lockFile.Close(); err != nil { // as the end of its process does
 		t.Fatal(err)
 	}
 	var log bytes.Buffer
 	m := mustJoin(t, dir, startingState(2), slog.New(slog.NewTextHandler(&log, nil)))
 	if got := m.Others(); len(got) != 0 || !strings.Contains(log.String(), "has ended") {
-		t.Errorf("it sees %+v and says %q", got, log.String())
+		t.Errorf("the next process sees %+v and logs %q", got, log.String())
 	}
 	if left, err := os.ReadDir(m.files.dir); err != nil || len(left) != 2 {
 		t.Errorf("%d files are left, error %v, want its own 2", len(left), err)
 	}
 }
 
-// TestNilMemberIsAlone has no folder to share.
-func TestNilMemberIsAlone(t *testing.T) {
+// TestJoinFailsWithoutDirectory: where the shared directory cannot be made, Join returns an error.
+func TestJoinFailsWithoutDirectory(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
@@ -90,46 +98,58 @@
 	if m, err := Join(file, startingState(1), discardLog()); err == nil {
 		t.Errorf("joined %+v in a file", m)
 	}
+}
+
+// TestNilMemberIsAlone: a nil Member changes no state, sees no other process and leaves without an error.
+func TestNilMemberIsAlone(t *testing.T) {
 	var none *Member
-	if err := none.Update(func(*State) { t.Error("there is no state") }); err != nil || none.Others() != nil || none.Leave() != nil {
-		t.Error("no member is not alone")
+	if err := none.Update(func(*State) { t.Error("Update changed the state of a nil Member") }); err != nil {
+		t.Errorf("Update: %v", err)
+	}
+	if got := none.Others(); got != nil {
+		t.Errorf("it sees %+v", got)
+	}
+	if err := none.Leave(); err != nil {
+		t.Errorf("Leave: %v", err)
 	}
 }
 
-// TestOrderUnderClockSteps has processes follow each other while the clock of day steps: each takes those before it for
-// older. One of a build that does not count generations goes by the clock, as it always did, and its file is read.
+// TestOrderUnderClockSteps: while the wall clock steps, each process still counts those that joined before it as older.
+// One of a build without generations is ordered by the wall clock, as before, and its file is read.
 func TestOrderUnderClockSteps(t *testing.T) {
-	const former = `{"name":"n0","listen":"127.0.0.1:80","console":"127.0.0.1:81",` +
+	const withoutGeneration = `{"name":"n0","listen":"127.0.0.1:80","console":"127.0.0.1:81",` +
 		`"started":"2026-01-02T03:04:05.000000006Z","phase":"ready","out":[]}`
-	begun := time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC)
+	started := time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC)
 	for _, step := range []time.Duration{-time.Hour, -3 * time.Second, 3 * time.Second, time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
 			dir := t.TempDir()
-			ready := func(started time.Time) *Member {
+			joinReady := func(started time.Time) *Member {
 				s := startingState(0)
 				s.Started, s.Phase = started, Ready
 				return mustJoin(t, dir, s, discardLog())
 			}
-			a := ready(begun)
-			b := ready(begun.Add(time.Second + step))
-			c := ready(begun.Add(2*time.Second + 2*step))
-			if !a.Succeeded() || !b.Succeeded() || c.Succeeded() {
-				t.Errorf("succeeded: %v, %v and %v, want all but the last", a.Succeeded(), b.Succeeded(), c.Succeeded())
+			first := joinReady(started)
+			second := joinReady(started.Add(time.Second + step))
+			third := joinReady(started.Add(2*time.Second + 2*step))
+			if !first.Succeeded() || !second.Succeeded() || third.Succeeded() {
+				t.Errorf("succeeded: %v, %v and %v, want all but the last",
+					first.Succeeded(), second.Succeeded(), third.Succeeded())
 			}
-			if got := c.Others(); len(got) != 2 || got[0].Compare(a.state) != 0 || got[1].Compare(b.state) != 0 {
-				t.Errorf("the last one sees %+v", got)
+			got := third.Others()
+			if len(got) != 2 || got[0].Compare(first.state) != 0 || got[1].Compare(second.state) != 0 {
+				t.Errorf("the third process sees %+v", got)
 			}
-			if err := a.Leave(); err != nil {
+			if err := first.Leave(); err != nil {
 				t.Error(err)
 			}
-			sum := crc32.ChecksumIEEE([]byte(former))
-			text := fmt.Appendf(nil, "%s %d %d %08x\n%s", formatMagic, formatVersion, len(former), sum, former)
-			if err := os.WriteFile(b.files.statePath(), text, 0o600); err != nil {
+			sum := crc32.ChecksumIEEE([]byte(withoutGeneration))
+			text := fmt.Appendf(nil, "%s %d %d %08x\n%s", formatMagic, formatVersion, len(withoutGeneration), sum, withoutGeneration)
+			if err := os.WriteFile(second.files.statePath(), text, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			got, succeeded := c.Others(), c.Succeeded()
-			if len(got) != 1 || got[0].Generation != 0 || !got[0].Started.Equal(begun) || succeeded != (step < 0) {
-				t.Errorf("beside one that does not count it sees %+v, succeeded %v", got, succeeded)
+			got, succeeded := third.Others(), third.Succeeded()
+			if len(got) != 1 || got[0].Generation != 0 || !got[0].Started.Equal(started) || succeeded != (step < 0) {
+				t.Errorf("of one without a generation it sees %+v, succeeded %v", got, succeeded)
 			}
 		})
 	}
--- a/internal/handover/state_test.go
+++ b/internal/handover/state_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"hash/crc32"
 	"log/slog"
@@ -13,83 +14,97 @@
 	"pgregory.net/rapid"
 )
 
-// TestStateRoundTrip reads what was written.
+// TestStateRoundTrip: what encodeState writes, decodeState reads as the same state.
 func TestStateRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := State{Name: rapid.String().Draw(t, "name"), Listen: rapid.String().Draw(t, "listen"), Phase: Ready,
 			Console: "c", Out: rapid.SliceOf(rapid.String()).Draw(t, "out")}
-		text, err := encodeState(s)
+		content, err := encodeState(s)
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := decodeState(text, s.Name, s.Listen)
+		got, err := decodeState(content, s.Name, s.Listen)
 		if err != nil || !slices.Equal(got.Out, s.Out) || got.Phase != s.Phase || got.Console != s.Console {
 			t.Fatalf("%+v came back as %+v, error %v", s, got, err)
 		}
 	})
 }
 
-// FuzzDecodeState has no text be read that its own head does not vouch for.
+// FuzzDecodeState: content that is read is of this sidecar, within the limits and has the format's header.
 func FuzzDecodeState(f *testing.F) {
-	good, err := encodeState(startingState(1))
+	valid, err := encodeState(startingState(1))
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(good)
+	f.Add(valid)
 	f.Add([]byte(formatMagic + " 1 0 00000000\n"))
-	f.Fuzz(func(t *testing.T, text []byte) {
-		s, err := decodeState(text, "n0", "127.0.0.1:80")
-		if err == nil && (s.Name != "n0" || len(s.Out) > maxAdminDown || !bytes.HasPrefix(text, []byte(formatMagic))) {
-			t.Errorf("%q is read as %+v", text, s)
+	f.Fuzz(func(t *testing.T, content []byte) {
+		s, err := decodeState(content, "n0", "127.0.0.1:80")
+		hasMagic := bytes.HasPrefix(content, []byte(formatMagic))
+		if err == nil && (s.Name != "n0" || len(s.Out) > maxAdminDown || !hasMagic) {
+			t.Errorf("%q is read as %+v", content, s)
 		}
 	})
 }
 
-// TestInvalidStateIsIgnored has a living process leave state that cannot be believed. Danger: half of it is believed.
+// TestInvalidStateIsIgnored: the state file of a running process that is invalid in any way counts as a whole for
+// nothing, the log says why, and the error has that reason.
 func TestInvalidStateIsIgnored(t *testing.T) {
-	good, err := encodeState(startingState(1))
+	valid, err := encodeState(startingState(1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	made := func(version int, body string) []byte {
-		return fmt.Appendf(nil, "%s %d %d %08x\n%s", formatMagic, version, len(body), crc32.ChecksumIEEE([]byte(body)), body)
+	withHeader := func(version int, body string) []byte {
+		sum := crc32.ChecksumIEEE([]byte(body))
+		return fmt.Appendf(nil, "%s %d %d %08x\n%s", formatMagic, version, len(body), sum, body)
 	}
-	foreign := startingState(1)
-	foreign.Listen = "127.0.0.1:90"
-	other, err := encodeState(foreign)
+	otherAddress := startingState(1)
+	otherAddress.Listen = "127.0.0.1:90"
+	foreign, err := encodeState(otherAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
-	flipped := bytes.Clone(good)
+	flipped := bytes.Clone(valid)
 	flipped[len(flipped)-3] ^= 1
-	many := `{"name":"n0","listen":"127.0.0.1:80","phase":"ready","out":["` + strings.Repeat(`","`, maxAdminDown) + `"]}`
+	sleeping := `{"name":"n0","listen":"127.0.0.1:80","phase":"asleep"}`
+	tooMany := `{"name":"n0","listen":"127.0.0.1:80","phase":"ready","out":["` + strings.Repeat(`","`, maxAdminDown) + `"]}`
 	for _, tt := range []struct {
-		name string
-		text []byte
-		says string
+		name    string
+		content []byte
+		logged  string
+		reason  invalidReason // 0: valid
 	}{
-		{"good", good, ""},
-		{"empty", nil, "is no state"},
-		{"torn", good[:len(good)-5], "bytes, its head says"},
-		{"torn in its head", good[:10], "is no state"},
-		{"changed", flipped, "checksum"},
-		{"foreign", other, "is of sidecar"},
-		{"newer", made(formatVersion+1, `{}`), "is of version"},
-		{"no JSON", made(formatVersion, `{`), "unexpected end"},
-		{"an unknown phase", made(formatVersion, `{"name":"n0","listen":"127.0.0.1:80","phase":"asleep"}`), "unknown phase"},
-		{"too many servers", made(formatVersion, many), "servers"},
-		{"too long", make([]byte, maxStateBytes+1), "more than"},
+		{"valid", valid, "", 0},
+		{"empty", nil, "is no state", notStateFile},
+		{"cut off", valid[:len(valid)-5], "bytes, its head says", lengthMismatch},
+		{"cut off in its header", valid[:10], "is no state", notStateFile},
+		{"changed", flipped, "checksum", checksumMismatch},
+		{"of another sidecar", foreign, "is of sidecar", otherSidecar},
+		{"of a newer version", withHeader(formatVersion+1, `{}`), "is of version", unsupportedVersion},
+		{"no JSON", withHeader(formatVersion, `{`), "unexpected end", malformedJSON},
+		{"of an unknown phase", withHeader(formatVersion, sleeping), "unknown phase", unknownPhase},
+		{"with too many servers", withHeader(formatVersion, tooMany), "servers", tooManyServers},
+		{"too long", make([]byte, maxStateBytes+1), "more than", tooLong},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			dir := t.TempDir()
-			a := mustJoin(t, dir, startingState(1), discardLog())
-			if err := os.WriteFile(a.files.statePath(), tt.text, 0o600); err != nil {
+			owner := mustJoin(t, dir, startingState(1), discardLog())
+			if err := os.WriteFile(owner.files.statePath(), tt.content, 0o600); err != nil {
 				t.Fatal(err)
 			}
 			var log bytes.Buffer
 			got := mustJoin(t, dir, startingState(2), slog.New(slog.NewTextHandler(&log, nil))).Others()
-			if (len(got) == 1) != (tt.says == "") || !strings.Contains(log.String(), tt.says) {
-				t.Errorf("it sees %+v and says %q, want %q", got, log.String(), tt.says)
+			if (len(got) == 1) != (tt.logged == "") || !strings.Contains(log.String(), tt.logged) {
+				t.Errorf("the other process sees %+v and logs %q, want %q", got, log.String(), tt.logged)
+			}
+			_, err := readStateFile(owner.files.statePath(), "n0", "127.0.0.1:80")
+			var invalidState *invalidStateError
+			var reason invalidReason
+			if errors.As(err, &invalidState) {
+				reason = invalidState.reason
+			}
+			if reason != tt.reason || (err == nil) != (tt.reason == 0) {
+				t.Errorf("error %v, want reason %d", err, tt.reason)
 			}
 		})
 	}
--- a/internal/handover/write_test.go
+++ b/internal/handover/write_test.go
@@ -19,19 +19,18 @@
 	"milletramp.example/milletramp/internal/fsys/faultfs"
 )
 
-// adminDownSeenBy returns what a process sees of the one other.
+// adminDownSeenBy returns the administratively down servers that m reads of the one other process.
 func adminDownSeenBy(t rapid.TB, m *Member) []string {
 	t.Helper()
 	others := m.Others()
 	if len(others) != 1 {
-		t.Fatalf("it sees %+v", others)
+		t.Fatalf("it sees %+v, want one process", others)
 	}
 	return others[0].Out
 }
 
-// TestUpdateFails has each operation of an Update fail for a while: others see the former state or the new one, what
-// was answered with yes stays seen, and the last state is written as soon as that is possible, with one line of the log
-// at each end.
+// TestUpdateFails: while an operation of Update fails, others see the former state or the new one. The last state is
+// written as soon as that is possible, and the log has one line when the failures begin and one when they end.
 func TestUpdateFails(t *testing.T) {
 	for _, fault := range []error{syscall.ENOSPC, syscall.EIO} {
 		for skip := range 3 { // create, write, rename
@@ -52,45 +51,45 @@
 		t.Fatal(err)
 	}
 	next := mustJoin(t, dir, startingState(2), discardLog())
-	kept, owed := []string{"s-1"}, []string{"s-1", "s-2"}
-	if err := m.Update(func(s *State) { s.Out = kept }); err != nil {
+	written, pending := []string{"s-1"}, []string{"s-1", "s-2"}
+	if err := m.Update(func(s *State) { s.Out = written }); err != nil {
 		t.Fatal(err)
 	}
 	fs.Fail(skip, count, fault)
-	if err := m.Update(func(s *State) { s.Out = owed }); err == nil {
-		t.Error("what is not written is answered with yes")
+	if err := m.Update(func(s *State) { s.Out = pending }); err == nil {
+		t.Error("Update returned nil and the state is not written")
 	}
-	if got := adminDownSeenBy(t, next); !slices.Equal(got, kept) && !slices.Equal(got, owed) {
+	if got := adminDownSeenBy(t, next); !slices.Equal(got, written) && !slices.Equal(got, pending) {
 		t.Errorf("the next process sees %v", got)
 	}
 	time.Sleep(time.Duration(count) * maxBackoff)
 	synctest.Wait()
-	if got := adminDownSeenBy(t, next); !slices.Equal(got, owed) {
-		t.Errorf("the next process sees %v, owed are %v", got, owed)
+	if got := adminDownSeenBy(t, next); !slices.Equal(got, pending) {
+		t.Errorf("the next process sees %v, want %v", got, pending)
 	}
 	for _, line := range []string{"is not written", "is written again"} {
 		if n := strings.Count(log.String(), line); n != 1 {
-			t.Errorf("it says %d times %q", n, line)
+			t.Errorf("the log has %d times %q", n, line)
 		}
 	}
 	fs.Fail(0, 1, fault)
 	if err := m.Update(func(s *State) { s.Out = nil }); err == nil {
-		t.Error("what is not written is answered with yes")
+		t.Error("Update returned nil and the state is not written")
 	}
 	if err := m.Leave(); err != nil {
 		t.Error(err)
 	}
 	time.Sleep(maxBackoff)
 	if left, err := os.ReadDir(next.files.dir); err != nil || len(left) != 2 {
-		t.Errorf("behind its end %d files are left, error %v, want the next one's 2", len(left), err)
+		t.Errorf("after it has left %d files are left, error %v, want the next one's 2", len(left), err)
 	}
 	if err := fs.End(false); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestUpdateSurvivesKill draws updates, faults, and a kill in the midst of an operation: whoever reads finds the last state
-// that was acknowledged, or a later one.
+// TestUpdateSurvivesKill: after any sequence of updates, failing operations and a kill during one of them, another
+// process reads the last state for which Update returned nil, or a later one.
 func TestUpdateSurvivesKill(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "handover")
@@ -107,7 +106,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		kept := 0
+		acknowledged := 0
 		for i := 1; i <= 12 && !fs.Killed(); i++ {
 			switch skip := rapid.IntRange(0, 3).Draw(t, "skip"); rapid.IntRange(0, 5).Draw(t, "fault") {
 			case 0:
@@ -116,10 +115,10 @@
 				fs.KillAfter(skip)
 			}
 			if m.Update(func(s *State) { s.Out = make([]string, i) }) == nil {
-				kept = i
+				acknowledged = i
 			}
-			if got := len(adminDownSeenBy(t, next)); got < kept || got > i {
-				t.Fatalf("the next process sees state %d, %d was acknowledged, %d is the last", got, kept, i)
+			if got := len(adminDownSeenBy(t, next)); got < acknowledged || got > i {
+				t.Fatalf("the next process sees state %d, %d was acknowledged, %d is the last", got, acknowledged, i)
 			}
 		}
 		for _, m := range []*Member{m, next} {
