--- a/internal/console/callers.go
+++ b/internal/console/callers.go
@@ -6,115 +6,115 @@
 	"sync"
 )
 
-// callers is a listener that bounds the connections held. When all are taken, the one that has been held for the
+// listener is a listener that bounds the connections held. When all are taken, the one that has been held for the
 // longest without a whole call is closed. Callers that send nothing would keep the staff out.
-type callers struct {
+type listener struct {
 	net.Listener
-	most int
+	maxOpen int
 
-	mu      sync.Mutex
-	open    int
-	waiting *list.List    // of *caller without a whole call, the longest held first
-	freed   chan struct{} // has one if a connection was closed
-	closed  chan struct{}
-	once    sync.Once
+	mu         sync.Mutex
+	open       int
+	incomplete *list.List    // of *caller without a whole call, the longest held first
+	released   chan struct{} // has one if a connection was closed
+	closed     chan struct{}
+	closeOnce  sync.Once
 }
 
-// caller is a connection. Its callers' lock guards its fields.
-type caller struct {
+// conn is a connection. Its callers' lock guards its fields.
+type conn struct {
 	net.Conn
-	of    *callers
-	place *list.Element // nil: its call is whole, or it is closed
-	gone  bool
+	listener *listener
+	element  *list.Element // nil: its call is whole, or it is closed
+	isClosed bool
 }
 
-func newCallers(l net.Listener, most int) *callers {
-	return &callers{Listener: l, most: most, waiting: list.New(), freed: make(chan struct{}, 1),
+func newListener(l net.Listener, most int) *listener {
+	return &listener{Listener: l, maxOpen: most, incomplete: list.New(), released: make(chan struct{}, 1),
 		closed: make(chan struct{})}
 }
 
 // Accept implements net.Listener.
-func (l *callers) Accept() (net.Conn, error) {
+func (l *listener) Accept() (net.Conn, error) {
 	inner, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	for !l.room() {
+	for !l.ensureCapacity() {
 		select {
-		case <-l.freed:
+		case <-l.released:
 		case <-l.closed:
 			_ = inner.Close()
 			return nil, net.ErrClosed
 		}
 	}
-	c := &caller{Conn: inner, of: l}
+	c := &conn{Conn: inner, listener: l}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.open++
-	c.place = l.waiting.PushBack(c)
+	c.element = l.incomplete.PushBack(c)
 	return c, nil
 }
 
-// room tells whether there is room for one more, and makes it if it can.
-func (l *callers) room() bool {
+// ensureCapacity tells whether there is room for one more, and makes it if it can.
+func (l *listener) ensureCapacity() bool {
 	l.mu.Lock()
-	if l.open < l.most {
+	if l.open < l.maxOpen {
 		l.mu.Unlock()
 		return true
 	}
-	front := l.waiting.Front()
+	front := l.incomplete.Front()
 	l.mu.Unlock()
 	if front == nil {
 		return false // all have whole calls, which end within a bounded time
 	}
-	_ = front.Value.(*caller).Close()
+	_ = front.Value.(*conn).Close()
 	return true
 }
 
 // Close implements net.Listener.
-func (l *callers) Close() error {
+func (l *listener) Close() error {
 	var err error
-	l.once.Do(func() {
+	l.closeOnce.Do(func() {
 		close(l.closed)
 		err = l.Listener.Close()
 	})
 	return err
 }
 
-// whole takes c from those that give way.
-func (l *callers) whole(c *caller) {
+// markComplete takes c from those that give way.
+func (l *listener) markComplete(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.settle(c)
+	l.removeIncomplete(c)
 }
 
-// answering counts the connections with a whole call.
-func (l *callers) answering() int {
+// completeCalls counts the connections with a whole call.
+func (l *listener) completeCalls() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.open - l.waiting.Len()
+	return l.open - l.incomplete.Len()
 }
 
-// settle takes c from the list. The lock is held.
-func (l *callers) settle(c *caller) {
-	if c.place != nil {
-		l.waiting.Remove(c.place)
-		c.place = nil
+// removeIncomplete takes c from the list. The lock is held.
+func (l *listener) removeIncomplete(c *conn) {
+	if c.element != nil {
+		l.incomplete.Remove(c.element)
+		c.element = nil
 	}
 }
 
 // Close implements net.Conn.
-func (c *caller) Close() error {
-	c.of.mu.Lock()
-	if !c.gone {
-		c.gone = true
-		c.of.open--
-		c.of.settle(c)
+func (c *conn) Close() error {
+	c.listener.mu.Lock()
+	if !c.isClosed {
+		c.isClosed = true
+		c.listener.open--
+		c.listener.removeIncomplete(c)
 		select {
-		case c.of.freed <- struct{}{}:
+		case c.listener.released <- struct{}{}:
 		default:
 		}
 	}
-	c.of.mu.Unlock()
+	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -43,13 +43,13 @@
 	// Connections that callers hold at most. Callers that send no whole call give way to others.
 	Connections = 16
 
-	callWithin    = 2 * time.Second // a caller may take to send its call
-	answerWithin  = 800 * time.Millisecond
-	writeWithin   = 2 * time.Second      // and to take the answer
-	answeredEvery = 2 * time.Millisecond // Close looks whether calls are still to be answered
-	mostBody      = 4 << 10
-	mostHeader    = 4 << 10
-	mostID        = 256
+	readTimeout       = 2 * time.Second // a caller may take to send its call
+	backendTimeout    = 800 * time.Millisecond
+	writeTimeout      = 2 * time.Second      // and to take the answer
+	drainPollInterval = 2 * time.Millisecond // Close looks whether calls are still to be answered
+	maxBodyBytes      = 4 << 10
+	maxHeaderBytes    = 4 << 10
+	maxServerIDBytes  = 256
 )
 
 // PassedOn marks a call that comes from the other process of an upgrade.
@@ -57,28 +57,28 @@
 
 // Server answers calls.
 type Server struct {
-	sidecar Sidecar
-	web     *http.Server
-	callers *callers
-	closing atomic.Bool
+	sidecar    Sidecar
+	httpServer *http.Server
+	listener   *listener
+	closing    atomic.Bool
 }
 
-// connKey is the key of a call's connection in its context.
-type connKey struct{}
+// connContextKey is the key of a call's connection in its context.
+type connContextKey struct{}
 
 // New returns a server for the calls that come to l.
 func New(l net.Listener, sidecar Sidecar, log *slog.Logger) *Server {
-	s := &Server{sidecar: sidecar, callers: newCallers(netretry.NewListener(l, log), Connections)}
+	s := &Server{sidecar: sidecar, listener: newListener(netretry.NewListener(l, log), Connections)}
 	mux := http.NewServeMux()
 	for _, c := range []struct {
 		path, method string
 		do           func(http.ResponseWriter, *http.Request)
 	}{
-		{"/ops/readiness", http.MethodGet, s.readiness},
-		{"/ops/stats", http.MethodGet, s.stats},
-		{"/ops/fleet", http.MethodGet, s.fleet},
-		{"/ops/servers/down", http.MethodPost, func(w http.ResponseWriter, r *http.Request) { s.server(w, r, true) }},
-		{"/ops/servers/up", http.MethodPost, func(w http.ResponseWriter, r *http.Request) { s.server(w, r, false) }},
+		{"/ops/readiness", http.MethodGet, s.handleReadiness},
+		{"/ops/stats", http.MethodGet, s.handleMetrics},
+		{"/ops/fleet", http.MethodGet, s.handleFleet},
+		{"/ops/servers/down", http.MethodPost, func(w http.ResponseWriter, r *http.Request) { s.handleAdminDown(w, r, true) }},
+		{"/ops/servers/up", http.MethodPost, func(w http.ResponseWriter, r *http.Request) { s.handleAdminDown(w, r, false) }},
 	} {
 		mux.HandleFunc(c.path, func(w http.ResponseWriter, r *http.Request) {
 			if r.Method != c.method {
@@ -95,23 +95,25 @@
 			http.Error(w, "the fleet has no policy: see deploy/fleet.toml", http.StatusNotFound)
 			return
 		}
-		s.whole(r)
+		s.markComplete(r)
 		h.ServeHTTP(w, r)
 	})
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
 		http.Error(w, "no such path, see /ops/readiness, /ops/stats, /ops/fleet, /ops/servers/down and /ops/servers/up",
 			http.StatusNotFound)
 	})
-	s.web = &http.Server{Handler: mux, ReadTimeout: callWithin, WriteTimeout: callWithin + answerWithin + writeWithin,
-		MaxHeaderBytes: mostHeader, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
-		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }}
-	s.web.SetKeepAlivesEnabled(false)
+	s.httpServer = &http.Server{Handler: mux, ReadTimeout: readTimeout, WriteTimeout: readTimeout + backendTimeout + writeTimeout,
+		MaxHeaderBytes: maxHeaderBytes, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
+		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
+			return context.WithValue(ctx, connContextKey{}, c)
+		}}
+	s.httpServer.SetKeepAlivesEnabled(false)
 	return s
 }
 
 // Serve answers calls until Close, and returns why it ended.
 func (s *Server) Serve() error {
-	if err := s.web.Serve(s.callers); !errors.Is(err, http.ErrServerClosed) && !s.closing.Load() {
+	if err := s.httpServer.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) && !s.closing.Load() {
 		return fmt.Errorf("console: %w", err)
 	}
 	return nil
@@ -121,22 +123,22 @@
 // has taken what the staff said of a server; were its answer cut off, nobody could know.
 func (s *Server) Close() error {
 	s.closing.Store(true)
-	err := s.callers.Close()
-	for end := time.Now().Add(answerWithin); s.callers.answering() > 0 && time.Now().Before(end); {
-		time.Sleep(answeredEvery)
+	err := s.listener.Close()
+	for end := time.Now().Add(backendTimeout); s.listener.completeCalls() > 0 && time.Now().Before(end); {
+		time.Sleep(drainPollInterval)
 	}
-	return errors.Join(err, s.web.Close())
+	return errors.Join(err, s.httpServer.Close())
 }
 
-// whole marks the call as whole: its caller does not give way to others any more.
-func (s *Server) whole(r *http.Request) {
-	if c, ok := r.Context().Value(connKey{}).(*caller); ok {
-		s.callers.whole(c)
+// markComplete marks the call as whole: its caller does not give way to others any more.
+func (s *Server) markComplete(r *http.Request) {
+	if c, ok := r.Context().Value(connContextKey{}).(*conn); ok {
+		s.listener.markComplete(c)
 	}
 }
 
-func (s *Server) readiness(w http.ResponseWriter, r *http.Request) {
-	s.whole(r)
+func (s *Server) handleReadiness(w http.ResponseWriter, r *http.Request) {
+	s.markComplete(r)
 	if ready, why := s.sidecar.Ready(); !ready {
 		http.Error(w, "not ready: "+why, http.StatusServiceUnavailable)
 		return
@@ -144,9 +146,9 @@
 	fmt.Fprintln(w, "ready")
 }
 
-func (s *Server) stats(w http.ResponseWriter, r *http.Request) {
-	s.whole(r)
-	ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
+func (s *Server) handleMetrics(w http.ResponseWriter, r *http.Request) {
+	s.markComplete(r)
+	ctx, cancel := context.WithTimeout(r.Context(), backendTimeout)
 	defer cancel()
 	text, err := s.sidecar.Figures(ctx)
 	if err != nil {
@@ -157,9 +159,9 @@
 	_, _ = w.Write(text) // a caller that is gone needs no figures
 }
 
-func (s *Server) fleet(w http.ResponseWriter, r *http.Request) {
-	s.whole(r)
-	ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
+func (s *Server) handleFleet(w http.ResponseWriter, r *http.Request) {
+	s.markComplete(r)
+	ctx, cancel := context.WithTimeout(r.Context(), backendTimeout)
 	defer cancel()
 	switch text, err := s.sidecar.Fleet(ctx); {
 	case errors.Is(err, ErrNoFleet):
@@ -172,23 +174,23 @@
 	}
 }
 
-func (s *Server) server(w http.ResponseWriter, r *http.Request, out bool) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, mostBody))
+func (s *Server) handleAdminDown(w http.ResponseWriter, r *http.Request, out bool) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
-		http.Error(w, fmt.Sprintf("body of more than %d bytes", mostBody), http.StatusRequestEntityTooLarge)
+		http.Error(w, fmt.Sprintf("body of more than %d bytes", maxBodyBytes), http.StatusRequestEntityTooLarge)
 		return
 	}
 	if err != nil {
 		http.Error(w, "body ended early", http.StatusBadRequest)
 		return
 	}
-	id, err := parseTarget(body)
+	id, err := parseServerID(body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	s.whole(r)
-	ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
+	s.markComplete(r)
+	ctx, cancel := context.WithTimeout(r.Context(), backendTimeout)
 	defer cancel()
 	note, err := s.sidecar.TakeOut(ctx, id, out, r.Header.Get(PassedOn) != "")
 	if note != "" {
@@ -206,8 +208,8 @@
 	}
 }
 
-// parseTarget reads the server's id from a call's body.
-func parseTarget(body []byte) (string, error) {
+// parseServerID reads the server's id from a call's body.
+func parseServerID(body []byte) (string, error) {
 	if len(bytes.TrimSpace(body)) == 0 {
 		return "", errors.New(`no body, want {"target":"ID"}`)
 	}
@@ -227,8 +229,8 @@
 	switch {
 	case *id == "":
 		return "", errors.New("target is empty")
-	case len(*id) > mostID:
-		return "", fmt.Errorf("target has more than %d bytes", mostID)
+	case len(*id) > maxServerIDBytes:
+		return "", fmt.Errorf("target has more than %d bytes", maxServerIDBytes)
 	}
 	return *id, nil
 }
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -16,53 +16,55 @@
 	"time"
 )
 
-// fake is a sidecar that knows the servers of out.
-type fake struct {
-	notReady string
-	err      error
-	out      map[string]bool
-	passed   bool
-	note     string             // what the fleet has to say; "": there is none
-	taken    chan chan struct{} // TakeOut sends one, and goes on when it is closed; nil: at once
+// fakeSidecar is a sidecar that knows the servers of out.
+type fakeSidecar struct {
+	notReady  string
+	err       error
+	adminDown map[string]bool
+	forwarded bool
+	note      string             // what the fleet has to say; "": there is none
+	entered   chan chan struct{} // TakeOut sends one, and goes on when it is closed; nil: at once
 }
 
-func (f *fake) Ready() (bool, string) { return f.notReady == "", f.notReady }
+func (f *fakeSidecar) Ready() (bool, string) { return f.notReady == "", f.notReady }
 
-func (f *fake) Figures(context.Context) ([]byte, error) { return []byte("sidecar.loads=0\n"), f.err }
+func (f *fakeSidecar) Figures(context.Context) ([]byte, error) {
+	return []byte("sidecar.loads=0\n"), f.err
+}
 
-func (f *fake) Policy() http.Handler { return nil }
+func (f *fakeSidecar) Policy() http.Handler { return nil }
 
-func (f *fake) TakeOut(_ context.Context, id string, out, passed bool) (string, error) {
-	if _, ok := f.out[id]; !ok {
+func (f *fakeSidecar) TakeOut(_ context.Context, id string, out, passed bool) (string, error) {
+	if _, ok := f.adminDown[id]; !ok {
 		return "", ErrUnknown
 	}
-	if f.out[id], f.passed = out, passed; f.taken != nil {
+	if f.adminDown[id], f.forwarded = out, passed; f.entered != nil {
 		goOn := make(chan struct{})
-		f.taken <- goOn
+		f.entered <- goOn
 		<-goOn
 	}
 	return f.note, f.err
 }
 
-func (f *fake) Fleet(context.Context) ([]byte, error) {
+func (f *fakeSidecar) Fleet(context.Context) ([]byte, error) {
 	if f.note == "" {
 		return nil, ErrNoFleet
 	}
 	return []byte(`{"members_here":3}`), f.err
 }
 
-// open starts a console and returns its address.
-func open(t *testing.T, f *fake) string {
+// startServer starts a console and returns its address.
+func startServer(t *testing.T, f *fakeSidecar) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return serve(t, l, f)
+	return startServerOn(t, l, f)
 }
 
-// serve starts a console at a listener.
-func serve(t *testing.T, l net.Listener, f *fake) string {
+// startServerOn starts a console at a listener.
+func startServerOn(t *testing.T, l net.Listener, f *fakeSidecar) string {
 	t.Helper()
 	s, done := New(l, f, slog.New(slog.DiscardHandler)), make(chan error, 1)
 	go func() { done <- s.Serve() }()
@@ -77,8 +79,8 @@
 	return l.Addr().String()
 }
 
-// say sends text and returns the answer.
-func say(t *testing.T, address, text string) (status int, allow, body string) {
+// send sends text and returns the answer.
+func send(t *testing.T, address, text string) (status int, allow, body string) {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -104,7 +106,7 @@
 	return r.StatusCode, r.Header.Get("Allow"), string(all)
 }
 
-func call(method, path, body string) string {
+func requestText(method, path, body string) string {
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body)
 }
 
@@ -112,47 +114,47 @@
 func TestCalls(t *testing.T) {
 	for _, tt := range []struct {
 		name, method, path, body string
-		fake                     fake
+		fake                     fakeSidecar
 		status                   int
 		says                     string
 	}{
-		{"ready", "GET", "/ops/readiness", "", fake{}, 200, "ready"},
-		{"not ready", "GET", "/ops/readiness", "", fake{notReady: "told to stop"}, 503, "not ready: told to stop"},
-		{"figures", "GET", "/ops/stats", "", fake{}, 200, "sidecar.loads=0"},
-		{"figures late", "GET", "/ops/stats", "", fake{err: errors.New("busy")}, 503, "figures: busy"},
-		{"down", "POST", "/ops/servers/down", `{"target":"s-1"}`, fake{}, 200, "s-1 is down"},
-		{"up", "POST", "/ops/servers/up", ` {"target":"s-1","why":[1]} `, fake{}, 200, "s-1 is up"},
-		{"unknown server", "POST", "/ops/servers/down", `{"target":"s-9"}`, fake{}, 404, `no server "s-9"`},
-		{"busy", "POST", "/ops/servers/down", `{"target":"s-1"}`, fake{err: errors.New("busy")}, 503, "busy"},
-		{"no policy", "GET", "/ops/policy/status", "", fake{}, 404, "no policy"},
-		{"unknown path", "GET", "/ops", "", fake{}, 404, "no such path"},
-		{"requests do not come here", "GET", "/api", "", fake{}, 404, "no such path"},
-		{"wrong method", "POST", "/ops/stats", "{}", fake{}, 405, "use GET"},
-		{"wrong method of a change", "GET", "/ops/servers/up", "", fake{}, 405, "use POST"},
-		{"no body", "POST", "/ops/servers/up", "", fake{}, 400, "no body"},
-		{"cut short", "POST", "/ops/servers/up", `{"target":"s-1"`, fake{}, 400, "no JSON object"},
-		{"two values", "POST", "/ops/servers/up", `{"target":"s-1"}{}`, fake{}, 400, "no JSON object"},
-		{"a list", "POST", "/ops/servers/up", `["s-1"]`, fake{}, 400, "no JSON object"},
-		{"null", "POST", "/ops/servers/up", `null`, fake{}, 400, "target is missing"},
-		{"another key", "POST", "/ops/servers/up", `{"Target":"s-1"}`, fake{}, 400, "target is missing"},
-		{"a number", "POST", "/ops/servers/up", `{"target":1}`, fake{}, 400, "target is no string"},
-		{"a null target", "POST", "/ops/servers/up", `{"target":null}`, fake{}, 400, "target is no string"},
-		{"an empty target", "POST", "/ops/servers/up", `{"target":""}`, fake{}, 400, "target is empty"},
-		{"a long target", "POST", "/ops/servers/up", `{"target":"` + strings.Repeat("x", 300) + `"}`, fake{}, 400, "more than"},
-		{"a long body", "POST", "/ops/servers/up", strings.Repeat(" ", mostBody+1), fake{}, 413, "more than"},
+		{"ready", "GET", "/ops/readiness", "", fakeSidecar{}, 200, "ready"},
+		{"not ready", "GET", "/ops/readiness", "", fakeSidecar{notReady: "told to stop"}, 503, "not ready: told to stop"},
+		{"figures", "GET", "/ops/stats", "", fakeSidecar{}, 200, "sidecar.loads=0"},
+		{"figures late", "GET", "/ops/stats", "", fakeSidecar{err: errors.New("busy")}, 503, "figures: busy"},
+		{"down", "POST", "/ops/servers/down", `{"target":"s-1"}`, fakeSidecar{}, 200, "s-1 is down"},
+		{"up", "POST", "/ops/servers/up", ` {"target":"s-1","why":[1]} `, fakeSidecar{}, 200, "s-1 is up"},
+		{"unknown server", "POST", "/ops/servers/down", `{"target":"s-9"}`, fakeSidecar{}, 404, `no server "s-9"`},
+		{"busy", "POST", "/ops/servers/down", `{"target":"s-1"}`, fakeSidecar{err: errors.New("busy")}, 503, "busy"},
+		{"no policy", "GET", "/ops/policy/status", "", fakeSidecar{}, 404, "no policy"},
+		{"unknown path", "GET", "/ops", "", fakeSidecar{}, 404, "no such path"},
+		{"requests do not come here", "GET", "/api", "", fakeSidecar{}, 404, "no such path"},
+		{"wrong method", "POST", "/ops/stats", "{}", fakeSidecar{}, 405, "use GET"},
+		{"wrong method of a change", "GET", "/ops/servers/up", "", fakeSidecar{}, 405, "use POST"},
+		{"no body", "POST", "/ops/servers/up", "", fakeSidecar{}, 400, "no body"},
+		{"cut short", "POST", "/ops/servers/up", `{"target":"s-1"`, fakeSidecar{}, 400, "no JSON object"},
+		{"two values", "POST", "/ops/servers/up", `{"target":"s-1"}{}`, fakeSidecar{}, 400, "no JSON object"},
+		{"a list", "POST", "/ops/servers/up", `["s-1"]`, fakeSidecar{}, 400, "no JSON object"},
+		{"null", "POST", "/ops/servers/up", `null`, fakeSidecar{}, 400, "target is missing"},
+		{"another key", "POST", "/ops/servers/up", `{"Target":"s-1"}`, fakeSidecar{}, 400, "target is missing"},
+		{"a number", "POST", "/ops/servers/up", `{"target":1}`, fakeSidecar{}, 400, "target is no string"},
+		{"a null target", "POST", "/ops/servers/up", `{"target":null}`, fakeSidecar{}, 400, "target is no string"},
+		{"an empty target", "POST", "/ops/servers/up", `{"target":""}`, fakeSidecar{}, 400, "target is empty"},
+		{"a long target", "POST", "/ops/servers/up", `{"target":"` + strings.Repeat("x", 300) + `"}`, fakeSidecar{}, 400, "more than"},
+		{"a long body", "POST", "/ops/servers/up", strings.Repeat(" ", maxBodyBytes+1), fakeSidecar{}, 413, "more than"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			f := tt.fake
-			f.out = map[string]bool{"s-1": false}
-			status, allow, body := say(t, open(t, &f), call(tt.method, tt.path, tt.body))
+			f.adminDown = map[string]bool{"s-1": false}
+			status, allow, body := send(t, startServer(t, &f), requestText(tt.method, tt.path, tt.body))
 			if status != tt.status || !strings.Contains(body, tt.says) || strings.Count(body, "\n") != 1 {
 				t.Errorf("%d %q, want %d with %q on one line", status, body, tt.status, tt.says)
 			}
 			if (status == 405) != (allow != "") {
 				t.Errorf("status %d with Allow %q", status, allow)
 			}
-			if want := status == 200 && strings.HasSuffix(tt.path, "/down"); f.out["s-1"] != want && tt.name != "busy" {
-				t.Errorf("s-1 is out: %v", f.out["s-1"])
+			if want := status == 200 && strings.HasSuffix(tt.path, "/down"); f.adminDown["s-1"] != want && tt.name != "busy" {
+				t.Errorf("s-1 is out: %v", f.adminDown["s-1"])
 			}
 		})
 	}
@@ -162,7 +164,7 @@
 // head and a part of its body. A whole call is answered beside them, and the oldest of them is closed. Danger: they keep
 // the staff out.
 func TestHeldConnections(t *testing.T) {
-	address := open(t, &fake{out: map[string]bool{"s-1": false}})
+	address := startServer(t, &fakeSidecar{adminDown: map[string]bool{"s-1": false}})
 	var held []net.Conn
 	for i := range 3 * Connections {
 		c, err := net.Dial("tcp", address)
@@ -176,7 +178,7 @@
 		}
 		held = append(held, c)
 	}
-	if status, _, _ := say(t, address, call("GET", "/ops/readiness", "")); status != 200 {
+	if status, _, _ := send(t, address, requestText("GET", "/ops/readiness", "")); status != 200 {
 		t.Errorf("status %d", status)
 	}
 	_ = held[0].SetReadDeadline(time.Now().Add(30 * time.Second))
@@ -185,14 +187,14 @@
 	}
 }
 
-// failing is a listener whose Accept fails with each of the errors first.
-type failing struct {
+// failingListener is a listener whose Accept fails with each of the errors first.
+type failingListener struct {
 	net.Listener
 	errnos []syscall.Errno
 }
 
 // Accept implements net.Listener.
-func (l *failing) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	if len(l.errnos) > 0 {
 		errno := l.errnos[0]
 		l.errnos = l.errnos[1:]
@@ -207,19 +209,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	address := serve(t, &failing{l, []syscall.Errno{syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENETDOWN,
-		syscall.EPROTO, syscall.EPERM, syscall.ECONNABORTED}}, &fake{})
-	if status, _, _ := say(t, address, call("GET", "/ops/readiness", "")); status != 200 {
+	address := startServerOn(t, &failingListener{l, []syscall.Errno{syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENETDOWN,
+		syscall.EPROTO, syscall.EPERM, syscall.ECONNABORTED}}, &fakeSidecar{})
+	if status, _, _ := send(t, address, requestText("GET", "/ops/readiness", "")); status != 200 {
 		t.Errorf("status %d", status)
 	}
 }
 
 // TestPassedOn tells calls of the staff from those that the other process of an upgrade passes on.
 func TestPassedOn(t *testing.T) {
-	f := &fake{out: map[string]bool{"s-1": false}}
-	say(t, open(t, f), "POST /ops/servers/down HTTP/1.1\r\nHost: x\r\n"+PassedOn+": 1\r\nContent-Length: 16\r\n\r\n{\"target\":\"s-1\"}")
-	if !f.passed || !f.out["s-1"] {
-		t.Errorf("passed on %v, out %v", f.passed, f.out)
+	f := &fakeSidecar{adminDown: map[string]bool{"s-1": false}}
+	send(t, startServer(t, f), "POST /ops/servers/down HTTP/1.1\r\nHost: x\r\n"+PassedOn+": 1\r\nContent-Length: 16\r\n\r\n{\"target\":\"s-1\"}")
+	if !f.forwarded || !f.adminDown["s-1"] {
+		t.Errorf("passed on %v, out %v", f.forwarded, f.adminDown)
 	}
 }
 
@@ -229,8 +231,8 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		id, err := parseTarget(body)
-		if (err == nil) != (id != "") || len(id) > mostID {
+		id, err := parseServerID(body)
+		if (err == nil) != (id != "") || len(id) > maxServerIDBytes {
 			t.Errorf("%q is read as %q, error %v", body, id, err)
 		}
 	})
@@ -238,21 +240,21 @@
 
 // TestFleet: with a fleet the staff sees what is held of it and what became of a call there; without one both are as before.
 func TestFleet(t *testing.T) {
-	f := &fake{out: map[string]bool{"s": false}}
-	at := open(t, f)
+	f := &fakeSidecar{adminDown: map[string]bool{"s": false}}
+	at := startServer(t, f)
 	down := "POST /ops/servers/down HTTP/1.1\r\nHost: x\r\nContent-Length: 14\r\n\r\n{\"target\":\"s\"}"
 	show := "GET /ops/fleet HTTP/1.1\r\nHost: x\r\n\r\n"
-	if status, _, body := say(t, at, down); status != 200 || body != "s is down\n" {
+	if status, _, body := send(t, at, down); status != 200 || body != "s is down\n" {
 		t.Errorf("status %d, %q without a fleet", status, body)
 	}
-	if status, _, body := say(t, at, show); status != 404 {
+	if status, _, body := send(t, at, show); status != 404 {
 		t.Errorf("status %d, %q without a fleet", status, body)
 	}
 	f.note = "2 others hold it"
-	if status, _, body := say(t, at, down); status != 200 || body != "s is down; 2 others hold it\n" {
+	if status, _, body := send(t, at, down); status != 200 || body != "s is down; 2 others hold it\n" {
 		t.Errorf("status %d, %q", status, body)
 	}
-	if status, _, body := say(t, at, show); status != 200 || body != `{"members_here":3}` {
+	if status, _, body := send(t, at, show); status != 200 || body != `{"members_here":3}` {
 		t.Errorf("status %d, %q", status, body)
 	}
 }
@@ -264,7 +266,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fake{out: map[string]bool{"s-1": false}, taken: make(chan chan struct{})}
+	f := &fakeSidecar{adminDown: map[string]bool{"s-1": false}, entered: make(chan chan struct{})}
 	s, served, closed := New(l, f, slog.New(slog.DiscardHandler)), make(chan error, 1), make(chan error, 1)
 	go func() { served <- s.Serve() }()
 	mute, err := net.Dial("tcp", l.Addr().String())
@@ -274,10 +276,10 @@
 	defer mute.Close()
 	answered := make(chan int, 1)
 	go func() {
-		status, _, _ := say(t, l.Addr().String(), call("POST", "/ops/servers/down", `{"target":"s-1"}`))
+		status, _, _ := send(t, l.Addr().String(), requestText("POST", "/ops/servers/down", `{"target":"s-1"}`))
 		answered <- status
 	}()
-	goOn := <-f.taken
+	goOn := <-f.entered
 	go func() { closed <- s.Close() }()
 	if err := <-served; err != nil { // it takes no more calls
 		t.Error(err)
