--- /dev/null
+++ b/internal/console/listener.go
@@ -0,0 +1,132 @@
+package console
+
+import (
+	"container/list"
+	"net"
+	"sync"
+)
+
+// listener bounds the number of open connections. At the limit, Accept closes the one that has been open longest
+// without a complete call, so that clients that send nothing can't lock operators out. If all calls are complete, it
+// waits for one to be answered.
+type listener struct {
+	net.Listener
+	maxOpen int
+
+	mu         sync.Mutex
+	open       int           // connections accepted and not closed
+	incomplete *list.List    // of *conn, those without a complete call, the longest open first
+	released   chan struct{} // of capacity 1; has a value if a connection was closed
+	closed     chan struct{}
+	closeOnce  sync.Once
+}
+
+// conn is an accepted connection.
+type conn struct {
+	net.Conn
+	listener *listener     // whose mu guards the fields below
+	element  *list.Element // in incomplete; nil: the call is complete, or conn is closed
+	isClosed bool
+}
+
+func newListener(l net.Listener, maxOpen int) *listener {
+	return &listener{
+		Listener:   l,
+		maxOpen:    maxOpen,
+		incomplete: list.New(),
+		released:   make(chan struct{}, 1),
+		closed:     make(chan struct{}),
+	}
+}
+
+// Accept implements net.Listener.
+func (l *listener) Accept() (net.Conn, error) {
+	accepted, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	for !l.ensureCapacity() {
+		select {
+		case <-l.released:
+		case <-l.closed:
+			_ = accepted.Close()
+			return nil, net.ErrClosed
+		}
+	}
+	c := &conn{Conn: accepted, listener: l}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.open++
+	c.element = l.incomplete.PushBack(c)
+	return c, nil
+}
+
+// ensureCapacity reports whether one more connection may be open, after closing an incomplete one if need be.
+func (l *listener) ensureCapacity() bool {
+	l.mu.Lock()
+	if l.open < l.maxOpen {
+		l.mu.Unlock()
+		return true
+	}
+	oldest := l.incomplete.Front()
+	l.mu.Unlock()
+	if oldest == nil {
+		return false
+	}
+	_ = oldest.Value.(*conn).Close()
+	return true
+}
+
+// Close implements net.Listener.
+func (l *listener) Close() error {
+	var err error
+	l.closeOnce.Do(func() {
+		close(l.closed)
+		err = l.Listener.Close()
+	})
+	return err
+}
+
+// markComplete records that the call on c is complete.
+func (l *listener) markComplete(c *conn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.removeIncomplete(c)
+}
+
+// completeCalls returns the number of open connections with a complete call.
+func (l *listener) completeCalls() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.open - l.incomplete.Len()
+}
+
+// removeIncomplete removes c from the incomplete connections. The caller holds mu.
+func (l *listener) removeIncomplete(c *conn) {
+	if c.element != nil {
+		l.incomplete.Remove(c.element)
+		c.element = nil
+	}
+}
+
+// Close implements net.Conn.
+func (c *conn) Close() error {
+	c.listener.release(c)
+	return c.Conn.Close()
+}
+
+// release counts c as closed, once.
+func (l *listener) release(c *conn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if c.isClosed {
+		return
+	}
+	c.isClosed = true
+	l.open--
+	l.removeIncomplete(c)
+	select {
+	case l.released <- struct{}{}:
+	default:
+	}
+}
--- /dev/null
+++ b/internal/console/request.go
@@ -0,0 +1,73 @@
+package console
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+)
+
+// requestError is a mistake in a call, and the status of the response to it.
+type requestError struct {
+	status int
+	detail string
+}
+
+// Error implements error.
+func (e *requestError) Error() string { return e.detail }
+
+// badRequest returns a requestError of status 400.
+func badRequest(format string, args ...any) error {
+	return &requestError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
+}
+
+// writeRequestError answers a call in which err was found.
+func writeRequestError(w http.ResponseWriter, err error) {
+	status := http.StatusBadRequest
+	if mistake := (*requestError)(nil); errors.As(err, &mistake) {
+		status = mistake.status
+	}
+	http.Error(w, err.Error(), status)
+}
+
+// readServerID reads the id of a server from the body of a call. The error is a *requestError.
+func readServerID(w http.ResponseWriter, r *http.Request) (string, error) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
+	if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
+		detail := fmt.Sprintf("body of more than %d bytes", maxBodyBytes)
+		return "", &requestError{http.StatusRequestEntityTooLarge, detail}
+	}
+	if err != nil {
+		return "", badRequest("body ended early")
+	}
+	return parseServerID(body)
+}
+
+// parseServerID returns the id of a server that the body of a call names. The error is a *requestError.
+func parseServerID(body []byte) (string, error) {
+	if len(bytes.TrimSpace(body)) == 0 {
+		return "", badRequest(`no body, want {"target":"ID"}`)
+	}
+	// Decoded into a struct, the key "Target" would pass for "target". A map keeps the keys as they are.
+	var values map[string]json.RawMessage
+	if err := json.Unmarshal(body, &values); err != nil {
+		return "", badRequest("body is no JSON object: %v", err)
+	}
+	target, found := values["target"]
+	if !found {
+		return "", badRequest("target is missing")
+	}
+	var id *string
+	if err := json.Unmarshal(target, &id); err != nil || id == nil {
+		return "", badRequest("target is no string")
+	}
+	switch {
+	case *id == "":
+		return "", badRequest("target is empty")
+	case len(*id) > maxServerIDBytes:
+		return "", badRequest("target has more than %d bytes", maxServerIDBytes)
+	}
+	return *id, nil
+}
