--- a/internal/console/server_test.go
+++ b/internal/console/server_test.go
@@ -110,8 +110,8 @@
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body)
 }
 
-// TestCalls holds the answers to good and bad calls. Danger: a mistaken call that passes for done.
-func TestCalls(t *testing.T) {
+// TestResponseToEachCall holds the answers to good and bad calls. Danger: a mistaken call that passes for done.
+func TestResponseToEachCall(t *testing.T) {
 	for _, tt := range []struct {
 		name, method, path, body string
 		fake                     fakeSidecar
@@ -160,10 +160,10 @@
 	}
 }
 
-// TestHeldConnections has more callers than there is room for hold connections with no whole call, one of them with a
+// TestIncompleteCallsGiveWay has more callers than there is room for hold connections with no whole call, one of them with a
 // head and a part of its body. A whole call is answered beside them, and the oldest of them is closed. Danger: they keep
 // the staff out.
-func TestHeldConnections(t *testing.T) {
+func TestIncompleteCallsGiveWay(t *testing.T) {
 	address := startServer(t, &fakeSidecar{adminDown: map[string]bool{"s-1": false}})
 	var held []net.Conn
 	for i := range 3 * Connections {
@@ -203,8 +203,8 @@
 	return l.Listener.Accept()
 }
 
-// TestAcceptFails has accepting fail with errors at which net/http ends: the console goes on.
-func TestAcceptFails(t *testing.T) {
+// TestServeSurvivesAcceptErrors has accepting fail with errors at which net/http ends: the console goes on.
+func TestServeSurvivesAcceptErrors(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -216,8 +216,8 @@
 	}
 }
 
-// TestPassedOn tells calls of the staff from those that the other process of an upgrade passes on.
-func TestPassedOn(t *testing.T) {
+// TestForwardedCallIsMarked tells calls of the staff from those that the other process of an upgrade passes on.
+func TestForwardedCallIsMarked(t *testing.T) {
 	f := &fakeSidecar{adminDown: map[string]bool{"s-1": false}}
 	send(t, startServer(t, f), "POST /ops/servers/down HTTP/1.1\r\nHost: x\r\n"+PassedOn+": 1\r\nContent-Length: 16\r\n\r\n{\"target\":\"s-1\"}")
 	if !f.forwarded || !f.adminDown["s-1"] {
@@ -225,8 +225,8 @@
 	}
 }
 
-// FuzzTarget has no body be taken for another target than a plain reading of it gives.
-func FuzzTarget(f *testing.F) {
+// FuzzParseServerID has no body be taken for another target than a plain reading of it gives.
+func FuzzParseServerID(f *testing.F) {
 	for _, s := range []string{`{"target":"a"}`, `{"target":1}`, `{}`, `[]`, ``, `{"target":"a","target":"b"}`} {
 		f.Add([]byte(s))
 	}
@@ -239,7 +239,7 @@
 }
 
 // TestFleet: with a fleet the staff sees what is held of it and what became of a call there; without one both are as before.
-func TestFleet(t *testing.T) {
+func TestFleetStatusAndNote(t *testing.T) {
 	f := &fakeSidecar{adminDown: map[string]bool{"s": false}}
 	at := startServer(t, f)
 	down := "POST /ops/servers/down HTTP/1.1\r\nHost: x\r\nContent-Length: 14\r\n\r\n{\"target\":\"s\"}"
@@ -261,7 +261,7 @@
 
 // TestCloseAnswers: what was called whole when the console closes has its answer, and a caller that has sent nothing holds
 // nothing up.
-func TestCloseAnswers(t *testing.T) {
+func TestCloseAnswersCompleteCalls(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
