--- /dev/null
+++ b/internal/console/forward_test.go
@@ -0,0 +1,30 @@
+package console
+
+import (
+	"context"
+	"errors"
+	"testing"
+)
+
+// TestForwardReturnsResponse: forwarding returns nil for a call that the other process carries out, and ErrUnknown or the
+// response as a ResponseError for one that it doesn't.
+func TestForwardReturnsResponse(t *testing.T) {
+	f := &fakeSidecar{adminDown: map[string]bool{"s-1": false}}
+	address := startServer(t, f)
+	ctx := context.Background()
+	if err := PassOn(ctx, address, "s-1", true); err != nil || !f.forwarded || !f.adminDown["s-1"] {
+		t.Errorf("error %v, forwarded %v, administratively down %v", err, f.forwarded, f.adminDown)
+	}
+	if err := PassOn(ctx, address, "s-9", true); !errors.Is(err, ErrUnknown) {
+		t.Errorf("error %v for an unknown server", err)
+	}
+	f.err = errors.New("busy")
+	err := PassOn(ctx, address, "s-1", false)
+	var response *ResponseError
+	if !errors.As(err, &response) || response.StatusCode != 503 || response.Detail != `server "s-1": busy` {
+		t.Errorf("error %v from a busy process", err)
+	}
+	if want := `pass on: status 503, server "s-1": busy`; err == nil || err.Error() != want {
+		t.Errorf("error %v, want %s", err, want)
+	}
+}
--- /dev/null
+++ b/internal/console/listener_test.go
@@ -0,0 +1,40 @@
+package console
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"testing"
+	"time"
+)
+
+// TestIncompleteCallsGiveWay: while more clients than the limit keep connections open without a complete call, some
+// with a part of it, a complete call is still answered, and the oldest of the connections is closed.
+func TestIncompleteCallsGiveWay(t *testing.T) {
+	address := startServer(t, &fakeSidecar{adminDown: map[string]bool{"s-1": false}})
+	partialCalls := []string{
+		"",
+		"GET /ops/st",
+		"POST /ops/servers/down HTTP/1.1\r\nHost: x\r\nContent-Length: 16\r\n\r\n{",
+	}
+	var open []net.Conn
+	for i := range 3 * Connections {
+		c, err := net.Dial("tcp", address)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer c.Close()
+		if _, err := io.WriteString(c, partialCalls[i%len(partialCalls)]); err != nil {
+			t.Fatal(err)
+		}
+		open = append(open, c)
+	}
+	if status, _, _ := send(t, address, requestText("GET", "/ops/readiness", "")); status != 200 {
+		t.Errorf("status %d", status)
+	}
+	_ = open[0].SetReadDeadline(time.Now().Add(30 * time.Second))
+	if n, err := open[0].Read(make([]byte, 1)); n != 0 || err == nil || errors.Is(err, context.DeadlineExceeded) {
+		t.Errorf("the oldest connection got %d bytes, error %v", n, err)
+	}
+}
