--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -26,13 +26,13 @@
 	Late                  // its first head took too long
 	Room                  // another one needed its place
 	Stopping              // the process stops
-	causes
+	reasonCount
 )
 
-var causeNames = [causes]string{"gone", "late", "room", "stopping"}
+var reasonNames = [reasonCount]string{"gone", "late", "room", "stopping"}
 
 // Unserved counts connections of clients that ended before a request had come whole on them.
-type Unserved [causes]atomic.Int64
+type Unserved [reasonCount]atomic.Int64
 
 // Count counts one.
 func (u *Unserved) Count(c Cause) { u[c].Add(1) }
@@ -94,7 +94,7 @@
 	line("skipped_servers", int64(g.Skipped))
 	line("loads", f.Loads.Load())
 	line("load_errors", f.LoadErrors.Load())
-	for c, name := range causeNames {
+	for c, name := range reasonNames {
 		line("unserved."+name, f.Unserved[c].Load())
 	}
 	_, err := w.Write(text)
--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestWrite checks names, order and form. Danger: a reader takes a figure that is missing for 0.
-func TestWrite(t *testing.T) {
+// TestWriteNamesOrderAndForm checks names, order and form. Danger: a reader takes a figure that is missing for 0.
+func TestWriteNamesOrderAndForm(t *testing.T) {
 	var f Figures
 	f.Class("read").Passed.Add(3)
 	f.Class("book").Dropped.Add(2)
@@ -14,7 +14,7 @@
 	f.Tries.Add(7)
 	f.Loads.Add(4)
 	f.LoadErrors.Add(5)
-	for c := range causes {
+	for c := range reasonCount {
 		for range c + 1 {
 			f.Unserved.Count(c)
 		}
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestClassKeeps checks that a class that is named again goes on counting.
-func TestClassKeeps(t *testing.T) {
+// TestClassReturnsSameCounters checks that a class that is named again goes on counting.
+func TestClassReturnsSameCounters(t *testing.T) {
 	var f Figures
 	f.Class("read").Passed.Add(1)
 	f.Class("read").Passed.Add(1)
