--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestWriteNamesOrderAndForm checks names, order and form. Danger: a reader takes a figure that is missing for 0.
+// TestWriteNamesOrderAndForm: every metric is written, also one that is 0, under its name, in order and one a line.
 func TestWriteNamesOrderAndForm(t *testing.T) {
 	var f Figures
 	f.Class("read").Passed.Add(3)
@@ -45,7 +45,7 @@
 	}
 }
 
-// TestClassReturnsSameCounters checks that a class that is named again goes on counting.
+// TestClassReturnsSameCounters: the counters of a class go on when the class is named again.
 func TestClassReturnsSameCounters(t *testing.T) {
 	var f Figures
 	f.Class("read").Passed.Add(1)
