--- a/deploy/names_test.go
+++ b/deploy/names_test.go
@@ -189,7 +189,7 @@
 		"internal/fleet/consensus", "internal/fleet/failuredetector", "internal/fleet/gossip",
 		"internal/fleet/membership", "internal/fleet/policy", "internal/fleet/policyagent",
 		"internal/fleet/replication", "internal/fleet/transport",
-		"internal/console", "internal/handover",
+		"internal/console", "internal/handover", "internal/stats",
 	}
 	houseTerms = regexp.MustCompile(`(?i)\b(danger|staff|told|heard|deciders?|court|owed|doubts?|mayGo|coldRoom|drawTurns)\b`)
 )
