--- a/internal/console/server_test.go
+++ b/internal/console/server_test.go
@@ -32,11 +32,11 @@
 
 func (f *fakeSidecar) Policy() http.Handler { return nil }
 
-func (f *fakeSidecar) TakeOut(_ context.Context, id string, out, passed bool) (string, error) {
+func (f *fakeSidecar) TakeOut(_ context.Context, id string, down, forwarded bool) (string, error) {
 	if _, ok := f.adminDown[id]; !ok {
 		return "", ErrUnknown
 	}
-	if f.adminDown[id], f.forwarded = out, passed; f.entered != nil {
+	if f.adminDown[id], f.forwarded = down, forwarded; f.entered != nil {
 		proceed := make(chan struct{})
 		f.entered <- proceed
 		<-proceed
