--- a/internal/console/forward.go
+++ b/internal/console/forward.go
@@ -26,9 +26,9 @@
 // Error implements error.
 func (e *ResponseError) Error() string { return fmt.Sprintf("status %d, %s", e.StatusCode, e.Detail) }
 
-// PassOn forwards a call that came to this process to the process whose console is at address: to set a server
-// administratively down, or up again where down is not set. It returns ErrUnknown if that process has no such server,
-// and an error that wraps a *ResponseError if it refuses otherwise.
+// PassOn forwards a call that came to this process to the process whose server is at address: to set a server
+// administratively down, or up again where down is not set. It returns ErrUnknown if that process has no such
+// server, and an error that wraps a *ResponseError if it does not do it for another reason.
 func PassOn(ctx context.Context, address, id string, down bool) error {
 	resp, err := sendAdminDown(ctx, address, id, down)
 	if err != nil {
--- a/internal/console/server.go
+++ b/internal/console/server.go
@@ -4,8 +4,10 @@
 //
 // [Server.Serve] accepts connections in its caller's goroutine, and net/http starts one goroutine a connection, which
 // answers one call. [Server.Close] ends Serve and closes the connections; a call that is complete has 800 ms to be
-// answered before that. The sidecar answers with [ErrNoFleet] and [ErrUnknown] where there is no fleet or no such
-// server, and [PassOn] returns an [ErrUnknown] or a [ResponseError] for a call that another process did not carry out.
+// answered before that.
+//
+// A Sidecar returns [ErrNoFleet] or [ErrUnknown] where there is no fleet or no such server. [PassOn] returns
+// [ErrUnknown] or a [ResponseError] for a call that another process did not carry out.
 package console
 
 import (
@@ -27,9 +29,9 @@
 	Ready() (ready bool, why string)
 	// Figures returns the metrics as text.
 	Figures(ctx context.Context) ([]byte, error)
-	// TakeOut sets a server administratively down, or up again where down is not set. It returns ErrUnknown for a server
-	// that nobody knows. forwarded is set for a call that another process of the sidecar has forwarded; it isn't
-	// forwarded again. note is for the operator and may be "".
+	// TakeOut sets a server administratively down, or up again where down is not set. It returns ErrUnknown for a
+	// server that nobody knows. forwarded is set for a call that another process of the sidecar has forwarded; it
+	// isn't forwarded again. note is for the operator and may be "".
 	TakeOut(ctx context.Context, id string, down, forwarded bool) (note string, err error)
 	// Policy returns the handler of calls below /ops/policy/, or nil if there is no fleet or it has no policy.
 	Policy() http.Handler
@@ -43,12 +45,12 @@
 // ErrUnknown is returned for a server that does not exist.
 var ErrUnknown = errors.New("no such server")
 
-// Connections is the most connections that are open at a time. Beyond it, the one that has been open longest without a
-// complete call is closed.
+// Connections is the most connections that are open at a time. Beyond it, the one that has been open longest without
+// a complete call is closed.
 const Connections = 16
 
 const (
-	readTimeout    = 2 * time.Second        // from the accept to the end of the call
+	readTimeout    = 2 * time.Second        // for a client to send its call
 	backendTimeout = 800 * time.Millisecond // for the Sidecar to do what is asked
 	writeTimeout   = 2 * time.Second        // for the operator to read the response
 
--- a/internal/handover/member.go
+++ b/internal/handover/member.go
@@ -78,9 +78,9 @@
 	}
 }
 
-// Update changes this process's state. Other processes see the change once Update has returned nil. After an error they
-// see the former state, and the new one as soon as it can be written: the write is retried until it succeeds or the
-// process leaves. Update does nothing after Leave.
+// Update changes this process's state. Other processes see the change once Update has returned nil. After an error
+// they see the former state, and the new one as soon as it can be written: the write is retried until it succeeds or
+// the process leaves. Update does nothing after Leave.
 func (m *Member) Update(change func(*State)) error {
 	if m == nil {
 		return nil
--- a/internal/handover/member_test.go
+++ b/internal/handover/member_test.go
@@ -143,7 +143,8 @@
 				t.Error(err)
 			}
 			sum := crc32.ChecksumIEEE([]byte(withoutGeneration))
-			text := fmt.Appendf(nil, "%s %d %d %08x\n%s", formatMagic, formatVersion, len(withoutGeneration), sum, withoutGeneration)
+			text := fmt.Appendf(nil, "%s %d %d %08x\n%s",
+				formatMagic, formatVersion, len(withoutGeneration), sum, withoutGeneration)
 			if err := os.WriteFile(second.files.statePath(), text, 0o600); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/handover/others.go
+++ b/internal/handover/others.go
@@ -24,8 +24,8 @@
 	return slices.ContainsFunc(others, func(s State) bool { return s.Phase == Ready && s.Compare(m.state) > 0 })
 }
 
-// Changed returns a number that differs from the former one after a process has joined, left or changed its state. A
-// process that ended without leaving changes nothing. -1: the directory cannot be read.
+// Changed returns a number that differs from the former one after a process has joined, left or changed its state.
+// A process that ended without leaving changes nothing. -1: the directory cannot be read.
 func (m *Member) Changed() int64 {
 	if m == nil {
 		return 0
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -12,15 +12,15 @@
 
 // Class counts how the requests of one class ended.
 type Class struct {
-	Passed     atomic.Int64 // served
-	Dropped    atomic.Int64 // rejected, with status 503
-	BadGateway atomic.Int64 // failed: no server gave a complete response in time
+	Passed     atomic.Int64 // the response of a server was written to the client
+	Dropped    atomic.Int64 // answered with status 503: had no effect, and may be retried
+	BadGateway atomic.Int64 // answered with status 502, or with a response that its server cut off
 }
 
-// Cause is why a client's connection ended before a request on it was complete.
+// Cause is the reason why a client's connection ended before a request on it was complete.
 type Cause int
 
-// The causes.
+// The reasons.
 const (
 	Gone     Cause = iota // the client closed it, or it broke
 	Late                  // the first request head took too long
--- a/internal/stats/text.go
+++ b/internal/stats/text.go
@@ -7,8 +7,13 @@
 	"slices"
 )
 
-// reasonNames are the names of the causes in the text.
-var reasonNames = [reasonCount]string{Gone: "gone", Late: "late", Room: "room", Stopping: "stopping"}
+// reasonNames are the names in the text of why connections ended.
+var reasonNames = [reasonCount]string{
+	Gone:     "gone",
+	Late:     "late",
+	Room:     "room",
+	Stopping: "stopping",
+}
 
 // Write writes the metrics to w in one call, one "sidecar.NAME=VALUE" on a line, the classes first and sorted by name.
 func (f *Figures) Write(w io.Writer, g Gauges) error {
