--- a/internal/handover/member_test.go
+++ b/internal/handover/member_test.go
@@ -34,8 +34,8 @@
 	return m
 }
 
-// TestMembersSeeEachOther: a process reads the states of those that have joined and not left, the oldest first, and none
-// of another sidecar. A lock belongs to an open file, so several members in one test count as several processes.
+// TestMembersSeeEachOther: a process reads the states of those that have joined and not left, the oldest first, and
+// none of another sidecar. A lock belongs to an open file, so several members in one test count as several processes.
 func TestMembersSeeEachOther(t *testing.T) {
 	dir := t.TempDir()
 	first := mustJoin(t, dir, startingState(1), discardLog())
--- a/internal/handover/state_test.go
+++ b/internal/handover/state_test.go
@@ -24,7 +24,8 @@
 			t.Fatal(err)
 		}
 		got, err := decodeState(content, s.Name, s.Listen)
-		if err != nil || !slices.Equal(got.Out, s.Out) || got.Phase != s.Phase || got.Console != s.Console {
+		if err != nil || !slices.Equal(got.Out, s.Out) ||
+			got.Phase != s.Phase || got.Console != s.Console {
 			t.Fatalf("%+v came back as %+v, error %v", s, got, err)
 		}
 	})
@@ -67,7 +68,8 @@
 	flipped := bytes.Clone(valid)
 	flipped[len(flipped)-3] ^= 1
 	sleeping := `{"name":"n0","listen":"127.0.0.1:80","phase":"asleep"}`
-	tooMany := `{"name":"n0","listen":"127.0.0.1:80","phase":"ready","out":["` + strings.Repeat(`","`, maxAdminDown) + `"]}`
+	tooMany := `{"name":"n0","listen":"127.0.0.1:80","phase":"ready","out":["` +
+		strings.Repeat(`","`, maxAdminDown) + `"]}`
 	for _, tt := range []struct {
 		name    string
 		content []byte
