--- a/internal/console/forward_test.go
+++ b/internal/console/forward_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestForwardReturnsResponse: forwarding returns nil for a call that the other process carries out, and ErrUnknown
-// or the response as a ResponseError for one that it doesn't.
+// TestForwardReturnsResponse: forwarding returns nil for a call that the other process carries out. For one that it
+// doesn't it returns ErrUnknown or the response as a ResponseError.
 func TestForwardReturnsResponse(t *testing.T) {
 	f := &fakeSidecar{adminDown: map[string]bool{"s-1": false}}
 	address := startServer(t, f)
--- a/internal/console/server.go
+++ b/internal/console/server.go
@@ -29,9 +29,9 @@
 	Ready() (ready bool, why string)
 	// Figures returns the metrics as text.
 	Figures(ctx context.Context) ([]byte, error)
-	// TakeOut sets a server administratively down, or up again where down is not set. It returns ErrUnknown for
-	// a server that nobody knows. forwarded is set for a call that another process of the sidecar has forwarded;
-	// it isn't forwarded again. note is for the operator and may be "".
+	// TakeOut sets a server administratively down, or up again where down is not set. It returns
+	// ErrUnknown for a server that nobody knows. forwarded is set for a call that another process of the
+	// sidecar has forwarded; it isn't forwarded again. note is for the operator and may be "".
 	TakeOut(ctx context.Context, id string, down, forwarded bool) (note string, err error)
 	// Policy returns the handler of calls below /ops/policy/, or nil if there is no fleet or it has no policy.
 	Policy() http.Handler
