--- a/balance/admin.go
+++ b/balance/admin.go
@@ -18,17 +18,17 @@
 	case b.adminDown[id] == down:
 		return true
 	case down:
-		b.setBarred(now, id, true)
+		b.applyAdminDown(now, id, true)
 		b.actions.Log("taken out by hand " + id)
 	default:
 		// It was restarted while it was down, most likely, and discovery may tell so late, or never.
 		b.restored[id] = now
 		if e != nil {
 			b.forgetObservations(e, now, now)
-			e.Started, e.awaitsFirstTurn = now, true
+			e.Started, e.awaitsFirstSelection = now, true
 			b.started = append(b.started, e)
 		}
-		b.setBarred(now, id, false)
+		b.applyAdminDown(now, id, false)
 		b.actions.Log("put back by hand " + id)
 	}
 	b.refreshAfterChange(now)
@@ -39,7 +39,7 @@
 // not.
 func (b *Balancer) AdoptAdminDown(now Time, ids []string) {
 	for _, id := range ids {
-		b.setBarred(now, id, true)
+		b.applyAdminDown(now, id, true)
 	}
 	b.refreshAfterChange(now)
 }
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -143,7 +143,7 @@
 	for i := range b.zoneTimes {
 		b.zoneTimes[i].decay(keep)
 	}
-	b.zonedCapacity, b.activeCapacity, b.capacity.warmWeight = 0, 0, [2]float64{}
+	b.zonedCapacity, b.activeCapacity, b.capacity.warmedUpWeight = 0, 0, [2]float64{}
 	b.endpointsVisited += len(b.active)
 	var ejected, all, waiting float64
 	for _, e := range b.active {
@@ -151,7 +151,7 @@
 			waiting += e.waitingSeconds(now)
 		}
 		e.decay(keep)
-		e.warmth = b.warmth(e, now)
+		e.capacityShare = b.capacityShareAt(e, now)
 		e.homeGroup.waitingSeconds += e.waitingSeconds(now)
 		b.countCapacity(e, now)
 		all += e.Weight
@@ -168,11 +168,11 @@
 // countCapacity adds an active endpoint to the capacities.
 func (b *Balancer) countCapacity(e *endpoint, now Time) {
 	zoneWeight := b.zoneWeight[e.zoneIndex]
-	b.zonedCapacity += e.Weight * e.warmth * zoneWeight
-	b.activeCapacity += e.Weight * e.warmth
-	if now >= e.ejectedUntil && e.warmth >= 1 {
-		b.capacity.warmWeight[0] += e.Weight * zoneWeight
-		b.capacity.warmWeight[1] += e.Weight
+	b.zonedCapacity += e.Weight * e.capacityShare * zoneWeight
+	b.activeCapacity += e.Weight * e.capacityShare
+	if now >= e.ejectedUntil && e.capacityShare >= 1 {
+		b.capacity.warmedUpWeight[0] += e.Weight * zoneWeight
+		b.capacity.warmedUpWeight[1] += e.Weight
 	}
 }
 
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -23,21 +23,21 @@
 	lastResponse Time // when it last answered
 	reportedAt   Time // when the newest peers' report against it was written; 0: there is none
 
-	warmth          float64 // share of its capacity that it has, from 0 to 1
-	awaitsFirstTurn bool    // its process has started and had no turn drawn yet
-	turns           turns   // while it is cold, towards its next request
+	capacityShare        float64         // share of its capacity that it has, from 0 to 1
+	awaitsFirstSelection bool            // its process has started and had no turn drawn yet
+	slowStart            selectionCredit // while it is cold, towards its next request
 
 	zoneIndex int      // 0 in the sidecar's own zone, 1 in others
 	memberOf  []*group // groups of the rule whose tags it carries
 	homeGroup *group   // the first of them, or that of all endpoints: its peers there are alike
 	ringKey   uint64   // its place on the rings of its groups
 
-	listed        bool    // it is in the index
-	listPosition  int     // where in index.listed
-	usable        bool    // it is in the rings: ready and not administratively down
-	inColdList    bool    // it is in index.cold
-	countedWarmth float64 // the warmth that its groups' capacities count
-	active        bool    // it is in the subset of one of its groups
+	listed               bool    // it is in the index
+	listPosition         int     // where in index.listed
+	usable               bool    // it is in the rings: ready and not administratively down
+	inWarmingUp          bool    // it is in index.cold
+	countedCapacityShare float64 // the warmth that its groups' capacities count
+	active               bool    // it is in the subset of one of its groups
 
 	eligible        bool    // may be chosen for the request that is being decided
 	expectedSeconds float64 // answer time expected for that request
@@ -45,15 +45,15 @@
 
 // index holds the endpoints so that a change costs what it changes.
 type index struct {
-	listed        []*endpoint          // in no order
-	known         map[string]*endpoint // by id: listed, or removed with attempts out
-	departing     []*endpoint          // removed with attempts out
-	cold          []*endpoint          // not known to be warm yet
-	warmthUpdated Time                 // when the warmth of the cold ones was last updated
-	started       []*endpoint          // processes without a first turn
-	listedByZone  [2]int               // how many are listed in the own zone, and in others
-	usableCount   int                  // how many are ready and not administratively down
-	groupsByTags  map[[2]string][]*group
+	listed                []*endpoint          // in no order
+	known                 map[string]*endpoint // by id: listed, or removed with attempts out
+	departing             []*endpoint          // removed with attempts out
+	warmingUp             []*endpoint          // not known to be warm yet
+	capacitySharesUpdated Time                 // when the warmth of the cold ones was last updated
+	started               []*endpoint          // processes without a first turn
+	listedByZone          [2]int               // how many are listed in the own zone, and in others
+	usableCount           int                  // how many are ready and not administratively down
+	groupsByTags          map[[2]string][]*group
 
 	subsetsStale bool // a subset is to be taken anew
 	resettled    bool // all of them are, as for a new fleet
@@ -135,9 +135,9 @@
 	if entry.Started = max(entry.Started, b.restored[entry.ID]); entry.Started != e.Started {
 		// A restart under the same id is a new process: what was seen of the old one does not count.
 		b.forgetObservations(e, entry.Started, now)
-		e.awaitsFirstTurn = true
+		e.awaitsFirstSelection = true
 	}
-	if e.awaitsFirstTurn {
+	if e.awaitsFirstSelection {
 		b.started = append(b.started, e)
 	}
 	e.Endpoint, e.Weight = entry, cmp.Or(max(entry.Weight, 0), 1)
@@ -158,7 +158,7 @@
 		b.updateZoneWeight(now)
 	}
 	slices.SortFunc(b.started, func(x, y *endpoint) int { return strings.Compare(x.ID, y.ID) })
-	b.drawFirstTurns(now)
+	b.drawFirstSelections(now)
 	b.started = b.started[:0]
 }
 
@@ -237,8 +237,8 @@
 	e.usable = false
 }
 
-// setBarred takes an endpoint administratively down, or puts it back, whether or not it is listed.
-func (b *Balancer) setBarred(now Time, id string, out bool) {
+// applyAdminDown takes an endpoint administratively down, or puts it back, whether or not it is listed.
+func (b *Balancer) applyAdminDown(now Time, id string, out bool) {
 	if b.adminDown[id] = out; !out {
 		delete(b.adminDown, id)
 	}
@@ -254,14 +254,14 @@
 	b.endpointsVisited++
 	e.listPosition, b.listed = len(b.listed), append(b.listed, e)
 	b.listedByZone[e.zoneIndex]++
-	e.listed, e.usable, e.warmth = true, e.State == Ready && !b.adminDown[e.ID], b.warmth(e, now)
-	e.countedWarmth = e.warmth
+	e.listed, e.usable, e.capacityShare = true, e.State == Ready && !b.adminDown[e.ID], b.capacityShareAt(e, now)
+	e.countedCapacityShare = e.capacityShare
 	if e.usable {
 		b.usableCount++
 	}
-	if e.warmth < 1 && !e.inColdList {
-		e.inColdList = true
-		b.cold = append(b.cold, e)
+	if e.capacityShare < 1 && !e.inWarmingUp {
+		e.inWarmingUp = true
+		b.warmingUp = append(b.warmingUp, e)
 	}
 }
 
@@ -298,26 +298,26 @@
 // addWeight adds an endpoint's size to the group's, or takes it away.
 func (g *group) addWeight(e *endpoint, sign float64) {
 	g.totalWeight += sign * e.Weight
-	g.capacity[e.zoneIndex] += sign * e.Weight * e.countedWarmth
+	g.capacity[e.zoneIndex] += sign * e.Weight * e.countedCapacityShare
 	if len(g.endpoints) == 0 { // what rounding has left
 		g.totalWeight, g.capacity = 0, [2]float64{}
 	}
 }
 
-// updateWarmth records how warm the endpoints have become that were cold.
-func (b *Balancer) updateWarmth(now Time) {
-	b.warmthUpdated = now
-	b.endpointsVisited += len(b.cold)
-	b.cold = slices.DeleteFunc(b.cold, func(e *endpoint) bool {
-		e.warmth = b.warmth(e, now)
+// updateCapacityShares records how warm the endpoints have become that were cold.
+func (b *Balancer) updateCapacityShares(now Time) {
+	b.capacitySharesUpdated = now
+	b.endpointsVisited += len(b.warmingUp)
+	b.warmingUp = slices.DeleteFunc(b.warmingUp, func(e *endpoint) bool {
+		e.capacityShare = b.capacityShareAt(e, now)
 		if e.usable {
 			for _, g := range b.groupsOfEndpoint(e) {
-				g.capacity[e.zoneIndex] += e.Weight * (e.warmth - e.countedWarmth)
+				g.capacity[e.zoneIndex] += e.Weight * (e.capacityShare - e.countedCapacityShare)
 			}
 		}
-		e.countedWarmth = e.warmth
-		e.inColdList = e.listed && e.warmth < 1
-		return !e.inColdList
+		e.countedCapacityShare = e.capacityShare
+		e.inWarmingUp = e.listed && e.capacityShare < 1
+		return !e.inWarmingUp
 	})
 }
 
--- a/balance/endpoints_test.go
+++ b/balance/endpoints_test.go
@@ -89,7 +89,7 @@
 			if ok && e.State == Ready && !out[e.ID] && (g != b.allEndpoints || g.inUse) {
 				ids = append(ids, e.ID)
 				total += e.Weight
-				size[e.zoneIndex] += e.Weight * e.countedWarmth
+				size[e.zoneIndex] += e.Weight * e.countedCapacityShare
 			}
 		}
 		if !sameIDs(g.endpoints, ids) || !slices.IsSortedFunc(g.endpoints, byKey) {
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -242,7 +242,7 @@
 	again := e.Endpoint
 	again.Started = h.now
 	b.Endpoints(h.now, ListChanges, []Endpoint{again})
-	if e.ejectedUntil != 0 || e.answerInFlight != 0 || e.warmth >= 1 {
+	if e.ejectedUntil != 0 || e.answerInFlight != 0 || e.capacityShare >= 1 {
 		t.Errorf("a restarted endpoint keeps its past: %+v", e)
 	}
 }
--- a/balance/hedging.go
+++ b/balance/hedging.go
@@ -42,7 +42,7 @@
 	delay, next := b.hedgeDelay(q, a), tickEvery.Seconds()
 	// A slow endpoint whose late attempts do not count any more looks idle, and draws requests.
 	if answers && out >= min(delay, b.lateThreshold(q.Class)*slowdown) {
-		a.uncount()
+		a.releaseInFlight()
 	}
 	if !answers && !a.reportedLate && out >= b.lateThreshold(q.Class) {
 		a.reportedLate = true
@@ -98,7 +98,7 @@
 		return
 	}
 	q.prepaid = true
-	a.uncount()
+	a.releaseInFlight()
 	b.actions.Cancel(q.ID, n) // its result leads to the next attempt
 }
 
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -58,7 +58,7 @@
 		drain = regress(drain, group/e.Weight, now-e.lastSample)
 		drain = regress(drain, 0, now-b.allEndpoints.lastSample)
 	}
-	return (float64(e.inFlight)/e.warmth + 1 + unseenRequests) * drain
+	return (float64(e.inFlight)/e.capacityShare + 1 + unseenRequests) * drain
 }
 
 // regress returns what is left of a belief that has not been tested for some time: what of it exceeds the
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -124,7 +124,7 @@
 	for _, q := range b.requests {
 		for i := range q.attempts {
 			if a := &q.attempts[i]; a.endpoint == e && !a.done && a.sent < started {
-				a.uncount()
+				a.releaseInFlight()
 			}
 		}
 	}
--- a/balance/requests.go
+++ b/balance/requests.go
@@ -38,7 +38,7 @@
 	inFlightThen    float64 // requests that the endpoint held at the sending, this one included
 	done            bool    // has its result
 	mayHaveRun      bool    // done, and may have run
-	uncounted       bool    // does not count as in flight any more
+	released        bool    // does not count as in flight any more
 	countsAsSilence bool    // counts for the silence of its endpoint
 	reportedLate    bool    // the observer was notified that it is late
 	hedged          bool    // another attempt was made, as this one seemed lost
@@ -50,16 +50,16 @@
 
 // restartWait makes the attempt's answer due from now on.
 func (a *attempt) restartWait(now Time) {
-	if !a.uncounted {
+	if !a.released {
 		a.endpoint.dueSinceSum += now - a.dueSince
 		a.dueSince = now
 	}
 }
 
-// uncount stops counting the attempt as in flight at its endpoint.
-func (a *attempt) uncount() {
-	if !a.uncounted {
-		a.uncounted = true
+// releaseInFlight stops counting the attempt as in flight at its endpoint.
+func (a *attempt) releaseInFlight() {
+	if !a.released {
+		a.released = true
 		a.endpoint.inFlight--
 		a.endpoint.dueSinceSum -= a.dueSince
 	}
@@ -95,7 +95,7 @@
 		b.send(q, to, now)
 		return
 	}
-	if b.capacity.warmWeight[1] == 0 {
+	if b.capacity.warmedUpWeight[1] == 0 {
 		b.sends++ // where all are cold, rejected requests alone bring turns on
 	}
 	if b.mayReject(q) {
@@ -124,7 +124,7 @@
 		expectedNow:    expected,
 	})
 	b.sends++
-	to.turns.reset(b.sends, now, 0)
+	to.slowStart.reset(b.sends, now, 0)
 	b.actions.Send(q.ID, to.ID, within)
 	last := len(q.attempts) - 1
 	token := tokenAttempt + uint64(q.ID)*maxAttemptsPerRequest + uint64(last)
@@ -141,7 +141,7 @@
 	a := &q.attempts[r.Attempt]
 	a.done = true
 	a.mayHaveRun = r.Outcome != Saturated && r.Outcome != ConnectFailed && r.Outcome != NotSent
-	a.uncount()
+	a.releaseInFlight()
 	q.reached = q.reached || a.mayHaveRun || r.Outcome == Saturated
 	q.outstanding--
 	switch r.Outcome {
@@ -152,7 +152,7 @@
 	case Served:
 		b.recordAnswerTime(q.Class, r.Took)
 		b.retryBudget.Earn(q.Class)
-		if a.endpoint.warmth >= 1 {
+		if a.endpoint.capacityShare >= 1 {
 			b.capacity.served++
 		}
 	}
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -23,15 +23,15 @@
 func (b *Balancer) mayAttemptAt(q *request, e *endpoint, now Time) bool {
 	for i := range q.attempts {
 		a := &q.attempts[i]
-		if a.endpoint == e || !q.class.mayRepeat(a, e, now) {
+		if a.endpoint == e || !q.class.allowsRetry(a, e, now) {
 			return false
 		}
 	}
 	return true
 }
 
-// mayRepeat reports whether what an attempt did, or may have done, allows another one at e.
-func (c *Class) mayRepeat(a *attempt, e *endpoint, now Time) bool {
+// allowsRetry reports whether what an attempt did, or may have done, allows another one at e.
+func (c *Class) allowsRetry(a *attempt, e *endpoint, now Time) bool {
 	if a.done && !a.mayHaveRun {
 		return true
 	}
--- a/balance/routing.go
+++ b/balance/routing.go
@@ -150,7 +150,7 @@
 		if !e.eligible {
 			continue
 		}
-		if e.warmth < 1 && e.turns.ahead {
+		if e.capacityShare < 1 && e.slowStart.aheadOfRotation {
 			return e
 		}
 		seen++
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -25,7 +25,7 @@
 const (
 	overloadShare        = 0.7                 // of N: what all sidecars send in the mean, at most
 	unknownCapacityShare = overloadShare / 1.4 // of N, where the capacity is not known
-	maxEarlyShares       = 2.0                 // shares that a cold endpoint gets at most, if all else is full
+	maxOverflowShares    = 2.0                 // shares that a cold endpoint gets at most, if all else is full
 
 	capacityMemory = 30 * time.Second // what warm endpoints have served decays by 1/e in this time
 	minServed      = 0.5              // answers, and
@@ -34,10 +34,10 @@
 
 // capacityMeter measures what warm endpoints serve this sidecar a second for each unit of weight.
 type capacityMeter struct {
-	served        float64    // decaying count of their answers
-	seconds       float64    // decaying length of the time
-	weightSeconds [2]float64 // size of those in use, by seconds: for their zone, and regardless of it
-	warmWeight    [2]float64 // size of those in use now
+	served         float64    // decaying count of their answers
+	seconds        float64    // decaying length of the time
+	weightSeconds  [2]float64 // size of those in use, by seconds: for their zone, and regardless of it
+	warmedUpWeight [2]float64 // size of those in use now
 }
 
 // advance records that a time has passed with the endpoints in use as they are.
@@ -46,7 +46,7 @@
 	m.served *= keep
 	m.seconds = m.seconds*keep + d.Seconds()
 	for i := range m.weightSeconds {
-		m.weightSeconds[i] = m.weightSeconds[i]*keep + m.warmWeight[i]*d.Seconds()
+		m.weightSeconds[i] = m.weightSeconds[i]*keep + m.warmedUpWeight[i]*d.Seconds()
 	}
 }
 
@@ -55,50 +55,58 @@
 	return m.served >= minServed && m.seconds >= minMeasured && m.weightSeconds[0] > 0
 }
 
-// turns are parts of the next turn of a cold endpoint that have come due, 1 or more where the turn is
-// there. They add up as warmth, traffic and capacity go: what has come due is not counted anew by a warmth
+// selectionCredit are parts of the next turn of a cold endpoint that have come due, 1 or more where the turn
+// is there. They add up as warmth, traffic and capacity go: what has come due is not counted anew by a warmth
 // that has risen since, or sidecars with little traffic would all have their turn well before its time.
-type turns struct {
-	sends         float64 // the balancer's count of sends up to which they are counted
-	until         Time    // and the time
-	share         float64 // of the traffic, in the endpoint's zone
-	early         float64 // of the traffic, regardless of zones
-	zoneAllowance float64 // of the allowance, in the endpoint's zone
-	allowance     float64 // of the allowance, regardless of zones
+type selectionCredit struct {
+	countedSends   float64 // the balancer's count of sends up to which they are counted
+	countedUntil   Time    // and the time
+	zoneTraffic    float64 // of the traffic, in the endpoint's zone
+	fleetTraffic   float64 // of the traffic, regardless of zones
+	zoneAllowance  float64 // of the allowance, in the endpoint's zone
+	fleetAllowance float64 // of the allowance, regardless of zones
 	// ahead has the endpoint go before the rotation, once its turn has come. Where that takes longer than the
 	// memory to come round, most turns would pass before it does.
-	ahead bool
+	aheadOfRotation bool
 }
 
 // reset begins a turn at a phase from 0 to 1. It is the same for all parts: they have to come due together.
-func (t *turns) reset(sends float64, now Time, phase float64) {
-	*t = turns{sends: sends, until: now, share: phase, early: phase, zoneAllowance: phase, allowance: phase}
+func (t *selectionCredit) reset(sends float64, now Time, phase float64) {
+	*t = selectionCredit{
+		countedSends:   sends,
+		countedUntil:   now,
+		zoneTraffic:    phase,
+		fleetTraffic:   phase,
+		zoneAllowance:  phase,
+		fleetAllowance: phase,
+	}
 }
 
-// accrue brings the turns of a cold endpoint up to date, and returns what the request in hand adds to its
-// share and to its early one.
-func (b *Balancer) accrue(e *endpoint, now Time) (share, early float64) {
-	t, m, able := &e.turns, &b.capacity, e.Weight*e.warmth
-	share, early = 1, maxEarlyShares
+// updateCredit brings the turns of a cold endpoint up to date, and returns what the request in hand adds to
+// its share and to its early one.
+func (b *Balancer) updateCredit(e *endpoint, now Time) (share, early float64) {
+	t, m, able := &e.slowStart, &b.capacity, e.Weight*e.capacityShare
+	share, early = 1, maxOverflowShares
 	if !m.known() {
-		t.zoneAllowance, t.allowance = max(t.zoneAllowance, 1), max(t.allowance, 1)
-		early = min(maxEarlyShares, unknownCapacityShare*b.settings.OverloadMultiple)
+		t.zoneAllowance, t.fleetAllowance = max(t.zoneAllowance, 1), max(t.fleetAllowance, 1)
+		early = min(maxOverflowShares, unknownCapacityShare*b.settings.OverloadMultiple)
 		share, early = min(early, 1)*b.usedShare(b.zonedCapacity), early*b.usedShare(b.activeCapacity)
 	} else {
-		allowed := overloadShare * b.settings.OverloadMultiple * able * m.served * max(now-t.until, 0).Seconds()
-		if m.warmWeight[1] > 0 {
+		elapsed := max(now-t.countedUntil, 0).Seconds()
+		allowed := overloadShare * b.settings.OverloadMultiple * able * m.served * elapsed
+		if m.warmedUpWeight[1] > 0 {
 			// Where each zone keeps to itself, its sidecars alone may use up the allowance, and the early turns of
 			// all others come on top: one allowance less what is near of the whole.
 			allowed /= 2 - m.weightSeconds[0]/m.weightSeconds[1]
 		}
 		t.zoneAllowance += allowed * b.zoneWeight[e.zoneIndex] / m.weightSeconds[0]
-		t.allowance += allowed / m.weightSeconds[1]
+		t.fleetAllowance += allowed / m.weightSeconds[1]
 	}
-	sent := b.sends - t.sends
+	sent := b.sends - t.countedSends
 	share *= able * b.zoneWeight[e.zoneIndex] / math.Max(b.zonedCapacity, 1e-9)
 	early *= able / math.Max(b.activeCapacity, 1e-9)
-	t.share, t.early = t.share+share*sent, t.early+early*sent
-	t.sends, t.until = b.sends, now
+	t.zoneTraffic, t.fleetTraffic = t.zoneTraffic+share*sent, t.fleetTraffic+early*sent
+	t.countedSends, t.countedUntil = b.sends, now
 	return share, early
 }
 
@@ -120,21 +128,22 @@
 // the own one is thought to do. Early turns are counted over the fleet: all sidecars together give some
 // times its share. No turn goes beyond the allowance.
 func (b *Balancer) slowStartAllows(e *endpoint, early bool, now Time) bool {
-	if e.warmth >= 1 {
+	if e.capacityShare >= 1 {
 		return true
 	}
-	share, earlyShare := b.accrue(e, now)
-	t := &e.turns
-	inZone, anywhere := t.share+share >= 1 && t.zoneAllowance >= 1, t.early+earlyShare >= 1 && t.allowance >= 1
-	t.ahead = inZone && b.capacity.known() && b.arrivals < minSubset
-	if b.capacity.warmWeight[1] == 0 {
+	share, earlyShare := b.updateCredit(e, now)
+	t := &e.slowStart
+	inZone := t.zoneTraffic+share >= 1 && t.zoneAllowance >= 1
+	anywhere := t.fleetTraffic+earlyShare >= 1 && t.fleetAllowance >= 1
+	t.aheadOfRotation = inZone && b.capacity.known() && b.arrivals < minSubset
+	if b.capacity.warmedUpWeight[1] == 0 {
 		return anywhere && (early || inZone) // all are cold: the own zone's have no more than the others
 	}
 	return inZone || early && anywhere
 }
 
-// warmth is the share of its capacity that an endpoint has: it rises evenly from its start.
-func (b *Balancer) warmth(e *endpoint, now Time) float64 {
+// capacityShareAt is the share of its capacity that an endpoint has: it rises evenly from its start.
+func (b *Balancer) capacityShareAt(e *endpoint, now Time) float64 {
 	age, window, start := now-e.Started, b.settings.SlowStartWindow, b.settings.SlowStartCapacity
 	if e.Started <= 0 || age >= window {
 		return 1
@@ -142,14 +151,14 @@
 	return start + (1-start)*max(age.Seconds(), 0)/window.Seconds()
 }
 
-// drawFirstTurns draws when started endpoints have their first turn, within the time in which each has one.
-// Sidecars that are notified together must not send together. That time is long for one of many sidecars, and
-// if each began it with the start, the fleet would leave what started idle until it is warm.
-func (b *Balancer) drawFirstTurns(now Time) {
+// drawFirstSelections draws when started endpoints have their first turn, within the time in which each has
+// one. Sidecars that are notified together must not send together. That time is long for one of many
+// sidecars, and if each began it with the start, the fleet would leave what started idle until it is warm.
+func (b *Balancer) drawFirstSelections(now Time) {
 	for _, e := range b.started {
-		if e.awaitsFirstTurn {
-			e.turns.reset(b.sends, now, b.random.Float64())
+		if e.awaitsFirstSelection {
+			e.slowStart.reset(b.sends, now, b.random.Float64())
 		}
-		e.awaitsFirstTurn = false
+		e.awaitsFirstSelection = false
 	}
 }
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -38,8 +38,8 @@
 	usual := b.widthFactor() == 0
 	settle := !b.subsetsStale || b.resettled || usual
 	b.subsetsStale, b.resettled = false, false
-	if now >= b.warmthUpdated+subsetInterval || usual {
-		b.updateWarmth(now)
+	if now >= b.capacitySharesUpdated+subsetInterval || usual {
+		b.updateCapacityShares(now)
 	}
 	for _, e := range b.active {
 		e.active = false
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -226,7 +226,7 @@
 		t.Errorf("%d of %d requests are refused while all endpoints are idle and cold", n, requests)
 	}
 	for id, n := range got {
-		if most := maxEarlyShares*requests/12 + 2; float64(n) > most {
+		if most := maxOverflowShares*requests/12 + 2; float64(n) > most {
 			t.Errorf("cold endpoint %s got %d requests, want %.0f at most", id, n, most)
 		}
 	}
--- a/balance/untested_test.go
+++ b/balance/untested_test.go
@@ -55,7 +55,7 @@
 	b, h := start(t, settings(), pair())
 	serve(b, h, 200, 20*time.Millisecond)
 	warm, cold := b.known["a"], b.known["b"]
-	cold.observations, cold.warmth = warm.observations, 0.3
+	cold.observations, cold.capacityShare = warm.observations, 0.3
 	if got, want := b.expectedTime(cold, h.now), b.expectedTime(warm, h.now); got != want {
 		t.Errorf("idle and cold it is expected to take %v s, warm %v", got, want)
 	}
