--- a/balance/admin.go
+++ b/balance/admin.go
@@ -44,6 +44,18 @@
 	b.refreshAfterChange(now)
 }
 
+// applyAdminDown takes an endpoint administratively down, or puts it back, whether or not it is listed.
+func (b *Balancer) applyAdminDown(now Time, id string, out bool) {
+	if b.adminDown[id] = out; !out {
+		delete(b.adminDown, id)
+	}
+	if e := b.known[id]; e != nil && e.listed {
+		b.removeFromIndex(e)
+		b.addToIndex(e, now)
+		b.subsetsStale = true
+	}
+}
+
 // AdminDown returns the endpoints that are administratively down, in order.
 func (b *Balancer) AdminDown() []string { return slices.Sorted(maps.Keys(b.adminDown)) }
 
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -1,7 +1,6 @@
 package balance
 
-// This file holds the list of endpoints and its index, which is kept in order: a change costs what it
-// changes.
+// This file holds the endpoints and how lists of discovery change them.
 
 import (
 	"cmp"
@@ -9,8 +8,6 @@
 	"slices"
 	"strings"
 	"time"
-
-	"github.com/cespare/xxhash/v2"
 )
 
 // endpoint is a server as listed, and what this sidecar knows of it.
@@ -43,59 +40,64 @@
 	expectedSeconds float64 // answer time expected for that request
 }
 
-// index holds the endpoints so that a change costs what it changes.
-type index struct {
-	listed                []*endpoint          // in no order
-	known                 map[string]*endpoint // by id: listed, or removed with attempts out
-	departing             []*endpoint          // removed with attempts out
-	warmingUp             []*endpoint          // not known to be warm yet
-	capacitySharesUpdated Time                 // when the warmth of the cold ones was last updated
-	started               []*endpoint          // processes without a first turn
-	listedByZone          [2]int               // how many are listed in the own zone, and in others
-	usableCount           int                  // how many are ready and not administratively down
-	groupsByTags          map[[2]string][]*group
-
-	subsetsStale bool // a subset is to be taken anew
-	resettled    bool // all of them are, as for a new fleet
-	ringsHashed  bool // the rings are in order of hashes, not of ids
-
-	endpointsVisited int // by lists and ticks so far: what the size of a fleet costs
-}
-
 // Endpoints takes over a list of discovery. A call of discovery that failed leaves the list as it is.
 func (b *Balancer) Endpoints(now Time, kind ListKind, list []Endpoint) {
 	if kind == ListRefused {
 		b.retryDiscovery()
 		return
 	}
-	whole := kind != ListChanges
-	if whole {
-		for _, e := range b.listed {
-			e.State = Removed
-		}
+	if kind == ListChanges {
+		b.applyChanges(list, now)
+	} else {
+		b.applyFullList(list, now)
+	}
+	b.forgetRemoved(now)
+	b.refreshAfterChange(now)
+	if kind != ListRemembered {
+		b.discoveryFailures = 0
+	}
+}
+
+// applyFullList takes over a list that names all endpoints. One that it doesn't name is removed.
+func (b *Balancer) applyFullList(list []Endpoint, now Time) {
+	for _, e := range b.listed {
+		e.State = Removed
 	}
 	for _, entry := range list {
-		e := b.known[entry.ID]
-		if e == nil && entry.State == Removed {
-			continue
+		if e := b.endpointOf(entry, now); e != nil {
+			b.updateEndpoint(e, entry, now)
 		}
-		if e == nil {
-			e = &endpoint{observations: b.newObservations(now), ringKey: b.ringKeyOf(entry.ID)}
-			b.known[entry.ID] = e
-		}
-		if !whole {
+	}
+	b.rebuildIndex(now)
+}
+
+// applyChanges takes over a list that names the endpoints that have changed.
+func (b *Balancer) applyChanges(list []Endpoint, now Time) {
+	for _, entry := range list {
+		if e := b.endpointOf(entry, now); e != nil {
 			b.removeFromIndex(e)
-		}
-		b.updateEndpoint(e, entry, now)
-		if !whole {
+			b.updateEndpoint(e, entry, now)
 			b.addToIndex(e, now)
 		}
 	}
-	if whole {
-		b.rebuildIndex(now)
+}
+
+// endpointOf returns the endpoint of an entry, a new one if it is not known yet, or nil if an unknown one is
+// removed.
+func (b *Balancer) endpointOf(entry Endpoint, now Time) *endpoint {
+	e := b.known[entry.ID]
+	if e == nil && entry.State != Removed {
+		e = &endpoint{observations: b.newObservations(now), ringKey: b.ringKeyOf(entry.ID)}
+		b.known[entry.ID] = e
 	}
-	maps.DeleteFunc(b.restored, func(id string, back Time) bool {
-		return b.known[id] == nil && now-back > b.settings.SlowStartWindow
+	return e
+}
+
+// forgetRemoved drops the endpoints that are removed and have no attempt out any more, and the restarts of
+// unknown ones that no longer matter for slow start.
+func (b *Balancer) forgetRemoved(now Time) {
+	maps.DeleteFunc(b.restored, func(id string, restoredAt Time) bool {
+		return b.known[id] == nil && now-restoredAt > b.settings.SlowStartWindow
 	})
 	b.departing = slices.DeleteFunc(b.departing, func(e *endpoint) bool {
 		gone := e.State == Removed && e.inFlight == 0
@@ -104,10 +106,6 @@
 		}
 		return gone || e.State != Removed
 	})
-	b.refreshAfterChange(now)
-	if kind != ListRemembered {
-		b.discoveryFailures = 0
-	}
 }
 
 // retryDiscovery has discovery be called again after a call that failed. Sidecars that call again at once,
@@ -161,188 +159,3 @@
 	b.drawFirstSelections(now)
 	b.started = b.started[:0]
 }
-
-// ruleMatchesNone reports whether no endpoint is ready in a group of the rule.
-func (b *Balancer) ruleMatchesNone() bool {
-	return !slices.ContainsFunc(b.groups[:len(b.groups)-1], func(g *group) bool { return len(g.endpoints) > 0 })
-}
-
-// setFallbackGroup makes the ring of all ready endpoints, which is kept while no other has any, or lets go
-// of it.
-func (b *Balancer) setFallbackGroup(bare bool) {
-	g := b.allEndpoints
-	b.subsetsStale, b.resettled, g.inUse = true, true, bare
-	if g.empty(); !bare {
-		return
-	}
-	for _, e := range b.listed {
-		if e.usable {
-			g.endpoints = append(g.endpoints, e)
-			g.addWeight(e, 1)
-		}
-	}
-	slices.SortFunc(g.endpoints, byKey)
-}
-
-// groupsOfEndpoint lists the groups that an endpoint is entered in.
-func (b *Balancer) groupsOfEndpoint(e *endpoint) []*group {
-	if b.allEndpoints.inUse {
-		return append(slices.Clone(e.memberOf), b.allEndpoints)
-	}
-	return e.memberOf
-}
-
-// addToIndex enters an endpoint into the index, as far as it is listed, ready and not out.
-func (b *Balancer) addToIndex(e *endpoint, now Time) {
-	if e.State == Removed {
-		if !slices.Contains(b.departing, e) {
-			b.departing = append(b.departing, e)
-		}
-		return
-	}
-	b.enterList(e, now)
-	if !e.usable {
-		return
-	}
-	for _, g := range b.groupsOfEndpoint(e) {
-		at := g.rank(e.ringKey, e.ID)
-		g.endpoints = slices.Insert(g.endpoints, at, e)
-		g.addWeight(e, 1)
-		b.subsetsStale = b.subsetsStale || g.reaches(at)
-	}
-}
-
-// removeFromIndex takes an endpoint out of the index.
-func (b *Balancer) removeFromIndex(e *endpoint) {
-	if !e.listed {
-		return
-	}
-	b.endpointsVisited++
-	last := len(b.listed) - 1
-	b.listed[e.listPosition] = b.listed[last]
-	b.listed[e.listPosition].listPosition, b.listed[last] = e.listPosition, nil
-	b.listed = b.listed[:last]
-	b.listedByZone[e.zoneIndex]--
-	e.listed = false
-	if !e.usable {
-		return
-	}
-	b.usableCount--
-	b.subsetsStale = b.subsetsStale || e.active
-	for _, g := range b.groupsOfEndpoint(e) {
-		at := g.rank(e.ringKey, e.ID)
-		g.endpoints = slices.Delete(g.endpoints, at, at+1)
-		g.addWeight(e, -1)
-	}
-	e.usable = false
-}
-
-// applyAdminDown takes an endpoint administratively down, or puts it back, whether or not it is listed.
-func (b *Balancer) applyAdminDown(now Time, id string, out bool) {
-	if b.adminDown[id] = out; !out {
-		delete(b.adminDown, id)
-	}
-	if e := b.known[id]; e != nil && e.listed {
-		b.removeFromIndex(e)
-		b.addToIndex(e, now)
-		b.subsetsStale = true
-	}
-}
-
-// enterList records that an endpoint is listed, and whether it may be used.
-func (b *Balancer) enterList(e *endpoint, now Time) {
-	b.endpointsVisited++
-	e.listPosition, b.listed = len(b.listed), append(b.listed, e)
-	b.listedByZone[e.zoneIndex]++
-	e.listed, e.usable, e.capacityShare = true, e.State == Ready && !b.adminDown[e.ID], b.capacityShareAt(e, now)
-	e.countedCapacityShare = e.capacityShare
-	if e.usable {
-		b.usableCount++
-	}
-	if e.capacityShare < 1 && !e.inWarmingUp {
-		e.inWarmingUp = true
-		b.warmingUp = append(b.warmingUp, e)
-	}
-}
-
-// rebuildIndex makes the index anew, as a whole list has come.
-func (b *Balancer) rebuildIndex(now Time) {
-	b.listed, b.departing, b.listedByZone, b.usableCount = b.listed[:0], b.departing[:0], [2]int{}, 0
-	b.subsetsStale, b.resettled = true, true
-	var listed []*endpoint
-	for _, g := range b.groups {
-		g.empty()
-	}
-	b.allEndpoints.inUse = false // until it is gathered
-	for _, e := range b.known {
-		if e.listed, e.usable = false, false; e.State == Removed {
-			b.departing = append(b.departing, e)
-		} else {
-			listed = append(listed, e)
-		}
-	}
-	slices.SortFunc(listed, byKey)
-	for _, e := range listed {
-		if b.enterList(e, now); e.usable {
-			for _, g := range e.memberOf {
-				g.endpoints = append(g.endpoints, e)
-				g.addWeight(e, 1)
-			}
-		}
-	}
-}
-
-// empty takes all endpoints out of the group.
-func (g *group) empty() { g.endpoints, g.capacity, g.totalWeight = g.endpoints[:0], [2]float64{}, 0 }
-
-// addWeight adds an endpoint's size to the group's, or takes it away.
-func (g *group) addWeight(e *endpoint, sign float64) {
-	g.totalWeight += sign * e.Weight
-	g.capacity[e.zoneIndex] += sign * e.Weight * e.countedCapacityShare
-	if len(g.endpoints) == 0 { // what rounding has left
-		g.totalWeight, g.capacity = 0, [2]float64{}
-	}
-}
-
-// updateCapacityShares records how warm the endpoints have become that were cold.
-func (b *Balancer) updateCapacityShares(now Time) {
-	b.capacitySharesUpdated = now
-	b.endpointsVisited += len(b.warmingUp)
-	b.warmingUp = slices.DeleteFunc(b.warmingUp, func(e *endpoint) bool {
-		e.capacityShare = b.capacityShareAt(e, now)
-		if e.usable {
-			for _, g := range b.groupsOfEndpoint(e) {
-				g.capacity[e.zoneIndex] += e.Weight * (e.capacityShare - e.countedCapacityShare)
-			}
-		}
-		e.countedCapacityShare = e.capacityShare
-		e.inWarmingUp = e.listed && e.capacityShare < 1
-		return !e.inWarmingUp
-	})
-}
-
-// byKey orders endpoints on the ring of a group.
-func byKey(x, y *endpoint) int {
-	return cmp.Or(cmp.Compare(x.ringKey, y.ringKey), strings.Compare(x.ID, y.ID))
-}
-
-// ringKeyOf is the place of an id on the rings. In a wide fleet it is a hash, so that those that come and go
-// are spread over the rings whatever their names.
-func (b *Balancer) ringKeyOf(id string) uint64 {
-	if b.ringsHashed {
-		return xxhash.Sum64String(id)
-	}
-	return 0
-}
-
-// reorderRings puts the rings in order of hashes, or of ids again.
-func (b *Balancer) reorderRings(hashed bool) {
-	b.ringsHashed, b.subsetsStale, b.resettled = hashed, true, true
-	for _, e := range b.known {
-		e.ringKey = b.ringKeyOf(e.ID)
-	}
-	for _, g := range b.groups {
-		slices.SortFunc(g.endpoints, byKey)
-		g.anchored = false
-	}
-}
--- /dev/null
+++ b/balance/index.go
@@ -0,0 +1,112 @@
+package balance
+
+import "slices"
+
+// This file holds the index of the endpoints: it is kept in order, so that a change costs what it changes.
+
+// index holds the endpoints so that a change costs what it changes.
+type index struct {
+	listed                []*endpoint          // in no order
+	known                 map[string]*endpoint // by id: listed, or removed with attempts out
+	departing             []*endpoint          // removed with attempts out
+	warmingUp             []*endpoint          // not known to be warm yet
+	capacitySharesUpdated Time                 // when the warmth of the cold ones was last updated
+	started               []*endpoint          // processes without a first turn
+	listedByZone          [2]int               // how many are listed in the own zone, and in others
+	usableCount           int                  // how many are ready and not administratively down
+	groupsByTags          map[[2]string][]*group
+
+	subsetsStale bool // a subset is to be taken anew
+	resettled    bool // all of them are, as for a new fleet
+	ringsHashed  bool // the rings are in order of hashes, not of ids
+
+	endpointsVisited int // by lists and ticks so far: what the size of a fleet costs
+}
+
+// addToIndex enters an endpoint into the index, as far as it is listed, ready and not out.
+func (b *Balancer) addToIndex(e *endpoint, now Time) {
+	if e.State == Removed {
+		if !slices.Contains(b.departing, e) {
+			b.departing = append(b.departing, e)
+		}
+		return
+	}
+	b.enterList(e, now)
+	if !e.usable {
+		return
+	}
+	for _, g := range b.groupsOfEndpoint(e) {
+		at := g.rank(e.ringKey, e.ID)
+		g.endpoints = slices.Insert(g.endpoints, at, e)
+		g.addWeight(e, 1)
+		b.subsetsStale = b.subsetsStale || g.reaches(at)
+	}
+}
+
+// removeFromIndex takes an endpoint out of the index.
+func (b *Balancer) removeFromIndex(e *endpoint) {
+	if !e.listed {
+		return
+	}
+	b.endpointsVisited++
+	last := len(b.listed) - 1
+	b.listed[e.listPosition] = b.listed[last]
+	b.listed[e.listPosition].listPosition, b.listed[last] = e.listPosition, nil
+	b.listed = b.listed[:last]
+	b.listedByZone[e.zoneIndex]--
+	e.listed = false
+	if !e.usable {
+		return
+	}
+	b.usableCount--
+	b.subsetsStale = b.subsetsStale || e.active
+	for _, g := range b.groupsOfEndpoint(e) {
+		at := g.rank(e.ringKey, e.ID)
+		g.endpoints = slices.Delete(g.endpoints, at, at+1)
+		g.addWeight(e, -1)
+	}
+	e.usable = false
+}
+
+// enterList records that an endpoint is listed, and whether it may be used.
+func (b *Balancer) enterList(e *endpoint, now Time) {
+	b.endpointsVisited++
+	e.listPosition, b.listed = len(b.listed), append(b.listed, e)
+	b.listedByZone[e.zoneIndex]++
+	e.listed, e.usable, e.capacityShare = true, e.State == Ready && !b.adminDown[e.ID], b.capacityShareAt(e, now)
+	e.countedCapacityShare = e.capacityShare
+	if e.usable {
+		b.usableCount++
+	}
+	if e.capacityShare < 1 && !e.inWarmingUp {
+		e.inWarmingUp = true
+		b.warmingUp = append(b.warmingUp, e)
+	}
+}
+
+// rebuildIndex makes the index anew, as a whole list has come.
+func (b *Balancer) rebuildIndex(now Time) {
+	b.listed, b.departing, b.listedByZone, b.usableCount = b.listed[:0], b.departing[:0], [2]int{}, 0
+	b.subsetsStale, b.resettled = true, true
+	var listed []*endpoint
+	for _, g := range b.groups {
+		g.empty()
+	}
+	b.allEndpoints.inUse = false // until it is gathered
+	for _, e := range b.known {
+		if e.listed, e.usable = false, false; e.State == Removed {
+			b.departing = append(b.departing, e)
+		} else {
+			listed = append(listed, e)
+		}
+	}
+	slices.SortFunc(listed, byKey)
+	for _, e := range listed {
+		if b.enterList(e, now); e.usable {
+			for _, g := range e.memberOf {
+				g.endpoints = append(g.endpoints, e)
+				g.addWeight(e, 1)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/balance/rings.go
@@ -0,0 +1,94 @@
+package balance
+
+import (
+	"cmp"
+	"slices"
+	"sort"
+	"strings"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// This file holds the rings of the groups: their usable endpoints, in an order that all sidecars share.
+
+// ruleMatchesNone reports whether no endpoint is ready in a group of the rule.
+func (b *Balancer) ruleMatchesNone() bool {
+	return !slices.ContainsFunc(b.groups[:len(b.groups)-1], func(g *group) bool { return len(g.endpoints) > 0 })
+}
+
+// setFallbackGroup makes the ring of all ready endpoints, which is kept while no other has any, or lets go
+// of it.
+func (b *Balancer) setFallbackGroup(bare bool) {
+	g := b.allEndpoints
+	b.subsetsStale, b.resettled, g.inUse = true, true, bare
+	if g.empty(); !bare {
+		return
+	}
+	for _, e := range b.listed {
+		if e.usable {
+			g.endpoints = append(g.endpoints, e)
+			g.addWeight(e, 1)
+		}
+	}
+	slices.SortFunc(g.endpoints, byKey)
+}
+
+// groupsOfEndpoint lists the groups that an endpoint is entered in.
+func (b *Balancer) groupsOfEndpoint(e *endpoint) []*group {
+	if b.allEndpoints.inUse {
+		return append(slices.Clone(e.memberOf), b.allEndpoints)
+	}
+	return e.memberOf
+}
+
+// empty takes all endpoints out of the group.
+func (g *group) empty() { g.endpoints, g.capacity, g.totalWeight = g.endpoints[:0], [2]float64{}, 0 }
+
+// addWeight adds an endpoint's size to the group's, or takes it away.
+func (g *group) addWeight(e *endpoint, sign float64) {
+	g.totalWeight += sign * e.Weight
+	g.capacity[e.zoneIndex] += sign * e.Weight * e.countedCapacityShare
+	if len(g.endpoints) == 0 { // what rounding has left
+		g.totalWeight, g.capacity = 0, [2]float64{}
+	}
+}
+
+// byKey orders endpoints on the ring of a group.
+func byKey(x, y *endpoint) int {
+	return cmp.Or(cmp.Compare(x.ringKey, y.ringKey), strings.Compare(x.ID, y.ID))
+}
+
+// ringKeyOf is the place of an id on the rings. In a wide fleet it is a hash, so that those that come and go
+// are spread over the rings whatever their names.
+func (b *Balancer) ringKeyOf(id string) uint64 {
+	if b.ringsHashed {
+		return xxhash.Sum64String(id)
+	}
+	return 0
+}
+
+// reorderRings puts the rings in order of hashes, or of ids again.
+func (b *Balancer) reorderRings(hashed bool) {
+	b.ringsHashed, b.subsetsStale, b.resettled = hashed, true, true
+	for _, e := range b.known {
+		e.ringKey = b.ringKeyOf(e.ID)
+	}
+	for _, g := range b.groups {
+		slices.SortFunc(g.endpoints, byKey)
+		g.anchored = false
+	}
+}
+
+// rank is how many endpoints of the group come on its ring before a key, and an id that has it.
+func (g *group) rank(key uint64, id string) int {
+	return sort.Search(len(g.endpoints), func(i int) bool {
+		e := g.endpoints[i]
+		return e.ringKey > key || e.ringKey == key && e.ID >= id
+	})
+}
+
+// reaches reports whether the endpoint at a rank is within the subset, or next behind it.
+func (g *group) reaches(at int) bool {
+	n := len(g.endpoints)
+	return g.inUse && (!g.anchored || (at-g.rank(g.anchor, g.anchorID)%n+n)%n <= len(g.subset))
+}
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"slices"
 	"time"
 )
 
@@ -162,3 +163,20 @@
 		e.awaitsFirstSelection = false
 	}
 }
+
+// updateCapacityShares records how warm the endpoints have become that were cold.
+func (b *Balancer) updateCapacityShares(now Time) {
+	b.capacitySharesUpdated = now
+	b.endpointsVisited += len(b.warmingUp)
+	b.warmingUp = slices.DeleteFunc(b.warmingUp, func(e *endpoint) bool {
+		e.capacityShare = b.capacityShareAt(e, now)
+		if e.usable {
+			for _, g := range b.groupsOfEndpoint(e) {
+				g.capacity[e.zoneIndex] += e.Weight * (e.capacityShare - e.countedCapacityShare)
+			}
+		}
+		e.countedCapacityShare = e.capacityShare
+		e.inWarmingUp = e.listed && e.capacityShare < 1
+		return !e.inWarmingUp
+	})
+}
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -4,7 +4,6 @@
 
 import (
 	"math"
-	"sort"
 	"time"
 )
 
@@ -151,17 +150,3 @@
 func (b *Balancer) widthFactor() float64 {
 	return min(max(float64(b.usableCount-usualFleetMax)/(wideFleet-usualFleetMax), 0), 1)
 }
-
-// rank is how many endpoints of the group come on its ring before a key, and an id that has it.
-func (g *group) rank(key uint64, id string) int {
-	return sort.Search(len(g.endpoints), func(i int) bool {
-		e := g.endpoints[i]
-		return e.ringKey > key || e.ringKey == key && e.ID >= id
-	})
-}
-
-// reaches reports whether the endpoint at a rank is within the subset, or next behind it.
-func (g *group) reaches(at int) bool {
-	n := len(g.endpoints)
-	return g.inUse && (!g.anchored || (at-g.rank(g.anchor, g.anchorID)%n+n)%n <= len(g.subset))
-}
