--- a/balance/admin.go
+++ b/balance/admin.go
@@ -21,7 +21,7 @@
 		b.applyAdminDown(now, id, true)
 		b.actions.Log("taken out by hand " + id)
 	default:
-		// It was restarted while it was down, most likely, and discovery may tell so late, or never.
+		// Most likely it was restarted while it was down, and discovery may report that late or never.
 		b.restored[id] = now
 		if e != nil {
 			b.forgetObservations(e, now, now)
@@ -44,9 +44,9 @@
 	b.refreshAfterChange(now)
 }
 
-// applyAdminDown takes an endpoint administratively down, or puts it back, whether or not it is listed.
-func (b *Balancer) applyAdminDown(now Time, id string, out bool) {
-	if b.adminDown[id] = out; !out {
+// applyAdminDown sets an endpoint administratively down or up, whether or not it is listed.
+func (b *Balancer) applyAdminDown(now Time, id string, down bool) {
+	if b.adminDown[id] = down; !down {
 		delete(b.adminDown, id)
 	}
 	if e := b.known[id]; e != nil && e.listed {
--- a/balance/admission.go
+++ b/balance/admission.go
@@ -14,7 +14,7 @@
 	// spillObjectiveShare is the share of the shortest objective above which an endpoint is full.
 	spillObjectiveShare = 0.5
 	// rejectObjectiveShare is the share of the shortest objective above which an expected answer is not
-	// worth its work.
+	// useful any more.
 	rejectObjectiveShare = 0.85
 	// overAllowanceFactor scales the limit of requests beyond their tenant's allowance.
 	overAllowanceFactor = 0.5
@@ -23,7 +23,7 @@
 // Passes of pickEndpoint over the endpoints. A later pass admits what the former one held back.
 const (
 	passUsual     = iota // endpoints that are not full and not ejected
-	passFull             // also full ones, early turns of cold ones, and ejected ones while panicking
+	passFull             // also full ones, ones not yet due by slow start, and ejected ones while panicking
 	passSuspected        // also those that peers suspect
 	numPasses
 )
@@ -31,7 +31,7 @@
 // pickEndpoint lets the schedule choose among the endpoints that are not full, else among those where the
 // request can still hope for an answer in time. Where there is none it returns by how many seconds the best
 // one would be late. Classes of lower priority give way only while all endpoints are full: their limit may
-// lie under what an idle slow machine takes, and quiet days would lose their even turns.
+// lie under what an idle slow machine takes, and endpoints would not be used evenly under low load.
 func (b *Balancer) pickEndpoint(q *request, now Time) (to *endpoint, late float64) {
 	late = b.objective
 	for pass := range numPasses {
@@ -60,7 +60,7 @@
 	free     bool      // some endpoint is not
 }
 
-// chooseInPass takes the turn among the endpoints that are eligible for a request in a pass. An endpoint
+// chooseInPass selects among the endpoints that are eligible for a request in a pass. An endpoint
 // that exceeds only the limit of the request's own class does not count as full: a class that gives way
 // would otherwise prolong the overload by itself.
 func (b *Balancer) chooseInPass(q *request, pass int, now Time) choice {
--- a/balance/api.go
+++ b/balance/api.go
@@ -92,15 +92,15 @@
 
 	MaxAttempts    int
 	CancelAllowed  bool
-	HedgingAllowed bool // a request may have two attempts out at a time
+	HedgingAllowed bool // a request may have two attempts in flight at a time
 
 	PollDiscovery bool          // list changes come only to a subscriber
 	MaxListAge    time.Duration // without a call for this long, changes count as notified
 
-	SlowStartWindow   time.Duration // a started endpoint is warm after this time
+	SlowStartWindow   time.Duration // a started endpoint is warmed up after this time
 	SlowStartCapacity float64       // and starts at this share of its capacity
-	OverloadMultiple  float64       // a cold endpoint sent more than this multiple of what it can do
-	OverloadWindow    time.Duration // for this long falls over
+	OverloadMultiple  float64       // one that is sent more than this multiple of what it can do
+	OverloadWindow    time.Duration // within this time is overloaded
 
 	CrossZoneCharge float64 // price of crossing zones, as a share of a request's priority
 }
@@ -187,7 +187,7 @@
 const (
 	Served        Outcome = iota
 	Errored               // the endpoint answered with an error; it may have run
-	Saturated             // turned away unseen: it did not run
+	Saturated             // rejected before it was processed: it did not run
 	TimedOut              // no answer in time; it may have run
 	ConnectFailed         // no connection: it did not run
 	Reset                 // the connection broke; it may have run
@@ -224,9 +224,9 @@
 	Send(id RequestID, endpoint string, within time.Duration)
 	// Cancel stops waiting for an attempt. Its Result follows.
 	Cancel(id RequestID, attempt int)
-	// Reject is the final answer that promises that a retry does no harm.
+	// Reject is the final answer that says that the request had no effect and may be retried.
 	Reject(id RequestID, after time.Duration)
-	// Fail is the final answer without a promise.
+	// Fail is the final answer that says nothing of the effect.
 	Fail(id RequestID)
 	// Timer asks for a Timer event.
 	Timer(after time.Duration, token uint64)
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -59,9 +59,9 @@
 	objective         float64       // the shortest latency objective, in seconds
 	removedClasses    []bool        // by class: it is not in the settings any more
 	zoneWeight        [2]float64    // of the own zone, which is 1, and of the others
-	zonedCapacity     float64       // weight of the active endpoints, times their warmth and zone weight
-	activeCapacity    float64       // and times their warmth alone
-	capacity          capacityMeter // of warm endpoints, as this sidecar sees it
+	zonedCapacity     float64       // weight of the active endpoints, times their capacity share and zone weight
+	activeCapacity    float64       // and times their capacity share alone
+	capacity          capacityMeter // of warmed-up endpoints, as this sidecar sees it
 	arrivals          float64       // decaying count of requests
 	allowances        float64       // sum of the tenants' allowances, in requests a second
 	subsetsTaken      Time          // when the subsets were last taken
@@ -100,8 +100,8 @@
 	act.Timer(time.Duration(b.random.Float64()*float64(tickEvery)), tokenTick)
 	if set.PollDiscovery {
 		// All sidecars start at once, and the list service serves few calls at a time.
-		turn := (float64(set.Ordinal) + b.random.Float64()) / float64(set.Peers)
-		act.Timer(time.Duration(turn*float64(max(set.MaxListAge/2, time.Second))), tokenDiscovery)
+		phase := (float64(set.Ordinal) + b.random.Float64()) / float64(set.Peers)
+		act.Timer(time.Duration(phase*float64(max(set.MaxListAge/2, time.Second))), tokenDiscovery)
 	}
 	return b, nil
 }
@@ -129,7 +129,7 @@
 	}
 }
 
-// decay keeps a share of what is remembered, and recounts warmth, capacities and the share ejected.
+// decay keeps a share of what is remembered, and updates capacity shares, capacities and the share ejected.
 func (b *Balancer) decay(now Time, keep float64) {
 	b.arrivals *= keep
 	b.endedAttempts *= keep
@@ -159,7 +159,7 @@
 			ejected += e.Weight
 		}
 	}
-	// Where attempts are lost, that they are out tells nothing of how long answers take.
+	// Where attempts are lost, their time in flight tells nothing of how long answers take.
 	waiting *= max(0, 1-b.fleetLosses.Share(usualLoss)/partialLossShare)
 	b.loadLevel.Decay(math.Pow(keep, memory.Seconds()/recentMemory.Seconds()), keep, waiting)
 	b.panicking = ejected > panicThreshold*all
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -15,14 +15,14 @@
 	Endpoint
 	observations
 
-	inFlight     int  // attempts of this sidecar that are out and count
+	inFlight     int  // attempts of this sidecar that count as in flight
 	dueSinceSum  Time // sum of the times since which their answers are due
 	lastResponse Time // when it last answered
-	reportedAt   Time // when the newest peers' report against it was written; 0: there is none
+	reportedAt   Time // when the newest report of peers against it was written; 0: there is none
 
-	capacityShare        float64         // share of its capacity that it has, from 0 to 1
-	awaitsFirstSelection bool            // its process has started and had no turn drawn yet
-	slowStart            selectionCredit // while it is cold, towards its next request
+	capacityShare        float64         // share of its capacity that it has; below 1 it is warming up
+	awaitsFirstSelection bool            // its process has started, and its first selection is not drawn yet
+	slowStart            selectionCredit // towards its next selection, while it is warming up
 
 	zoneIndex int      // 0 in the sidecar's own zone, 1 in others
 	memberOf  []*group // groups of the rule whose tags it carries
@@ -32,15 +32,15 @@
 	listed               bool    // it is in the index
 	listPosition         int     // where in index.listed
 	usable               bool    // it is in the rings: ready and not administratively down
-	inWarmingUp          bool    // it is in index.cold
-	countedCapacityShare float64 // the warmth that its groups' capacities count
+	inWarmingUp          bool    // it is in index.warmingUp
+	countedCapacityShare float64 // the capacity share that its groups' capacities count
 	active               bool    // it is in the subset of one of its groups
 
 	eligible        bool    // may be chosen for the request that is being decided
 	expectedSeconds float64 // answer time expected for that request
 }
 
-// Endpoints takes over a list of discovery. A call of discovery that failed leaves the list as it is.
+// Endpoints applies a list of discovery. A call of discovery that failed leaves the list as it is.
 func (b *Balancer) Endpoints(now Time, kind ListKind, list []Endpoint) {
 	if kind == ListRefused {
 		b.retryDiscovery()
@@ -58,7 +58,7 @@
 	}
 }
 
-// applyFullList takes over a list that names all endpoints. One that it doesn't name is removed.
+// applyFullList applies a list that names all endpoints. One that it doesn't name is removed.
 func (b *Balancer) applyFullList(list []Endpoint, now Time) {
 	for _, e := range b.listed {
 		e.State = Removed
@@ -71,7 +71,7 @@
 	b.rebuildIndex(now)
 }
 
-// applyChanges takes over a list that names the endpoints that have changed.
+// applyChanges applies a list that names the endpoints that have changed.
 func (b *Balancer) applyChanges(list []Endpoint, now Time) {
 	for _, entry := range list {
 		if e := b.endpointOf(entry, now); e != nil {
@@ -93,8 +93,8 @@
 	return e
 }
 
-// forgetRemoved drops the endpoints that are removed and have no attempt out any more, and the restarts of
-// unknown ones that no longer matter for slow start.
+// forgetRemoved drops the endpoints that are removed and have no attempt in flight any more, and the restarts
+// of unknown ones that no longer matter for slow start.
 func (b *Balancer) forgetRemoved(now Time) {
 	maps.DeleteFunc(b.restored, func(id string, restoredAt Time) bool {
 		return b.known[id] == nil && now-restoredAt > b.settings.SlowStartWindow
@@ -108,9 +108,9 @@
 	})
 }
 
-// retryDiscovery has discovery be called again after a call that failed. Sidecars that call again at once,
-// all together, keep a weak list service from ever answering. One that waits for long is notified of changes
-// too late.
+// retryDiscovery schedules the next call of discovery after one that failed, with backoff and jitter.
+// Sidecars that all retry at once would keep discovery overloaded; one that waits for long would
+// learn of changes too late.
 func (b *Balancer) retryDiscovery() {
 	b.subscribed = false
 	wait := min(FirstDiscoveryBackoff<<min(b.discoveryFailures, 8), MaxDiscoveryBackoff)
@@ -121,7 +121,7 @@
 	b.actions.Timer(time.Duration((1+3*b.random.Float64())*float64(wait)/4), tokenDiscovery)
 }
 
-// updateEndpoint takes over what discovery says of an endpoint.
+// updateEndpoint applies an entry of a list to its endpoint.
 func (b *Balancer) updateEndpoint(e *endpoint, entry Endpoint, now Time) {
 	if e.memberOf == nil || e.Zone != entry.Zone || e.Kind != entry.Kind {
 		e.memberOf = b.matchingGroups(entry)
@@ -131,7 +131,7 @@
 		e.zoneIndex = 1
 	}
 	if entry.Started = max(entry.Started, b.restored[entry.ID]); entry.Started != e.Started {
-		// A restart under the same id is a new process: what was seen of the old one does not count.
+		// A restart under the same id is a new process: observations of the old one do not count.
 		b.forgetObservations(e, entry.Started, now)
 		e.awaitsFirstSelection = true
 	}
@@ -141,7 +141,7 @@
 	e.Endpoint, e.Weight = entry, cmp.Or(max(entry.Weight, 0), 1)
 }
 
-// refreshAfterChange records that endpoints have come, gone, or started.
+// refreshAfterChange updates groups, rings and subsets after endpoints were added, removed or started.
 func (b *Balancer) refreshAfterChange(now Time) {
 	if bare := b.ruleMatchesNone(); bare != b.allEndpoints.inUse {
 		b.setFallbackGroup(bare)
--- a/balance/hedging.go
+++ b/balance/hedging.go
@@ -28,8 +28,8 @@
 	b.actions.Timer(time.Duration(max(seconds, minCheckDelay)*float64(time.Second)), token)
 }
 
-// checkAttempt looks at an attempt that has been out for long, and again until its end: an endpoint may be
-// silent for a while, answer others later and never this one. Where the endpoint answers others, the
+// checkAttempt looks at an attempt that has been in flight for long, and again until its end: an endpoint may
+// be silent for a while, answer others later and never this one. Where the endpoint answers others, the
 // attempt's connection is dead, and counting it would make the endpoint look slow and full for all.
 func (b *Balancer) checkAttempt(q *request, n int, token uint64, now Time) {
 	if q == nil || n >= len(q.attempts) || q.attempts[n].done || q.ended {
@@ -63,7 +63,7 @@
 
 // expectedWithout is the answer time in seconds that can be expected now at an attempt's endpoint. One that
 // has slowed since the sending would otherwise be taken to lose what it still owes. The wait of the attempt
-// itself does not count: it would never look lost where little else is out.
+// itself does not count: it would never look lost where little else is in flight.
 func (b *Balancer) expectedWithout(a *attempt, class int, now Time) float64 {
 	waited := now - a.sent
 	a.endpoint.dueSinceSum += waited
@@ -72,9 +72,9 @@
 	return expected
 }
 
-// hedge makes an attempt that seems lost anew elsewhere, while the first is still out where that is allowed.
-// Where answers just come late, further attempts add to the load that makes them late. So a hedge goes only
-// where there is capacity, to an endpoint that loses no more, and is paid from the retry budget.
+// hedge makes an attempt that seems lost anew elsewhere, while the first is still in flight where that is
+// allowed. Where answers just come late, further attempts add to the load that makes them late. So a hedge
+// goes only where there is capacity, to an endpoint that loses no more, and is paid from the retry budget.
 func (b *Balancer) hedge(q *request, n int, now Time) {
 	a := &q.attempts[n]
 	allowed := b.settings.HedgingAllowed || b.settings.CancelAllowed
--- a/balance/index.go
+++ b/balance/index.go
@@ -2,28 +2,29 @@
 
 import "slices"
 
-// This file holds the index of the endpoints: it is kept in order, so that a change costs what it changes.
+// This file holds the index of the endpoints. It is updated entry by entry, so that the cost of a change is
+// that of the endpoints that change.
 
-// index holds the endpoints so that a change costs what it changes.
+// index holds the endpoints and what is derived from them.
 type index struct {
 	listed                []*endpoint          // in no order
-	known                 map[string]*endpoint // by id: listed, or removed with attempts out
-	departing             []*endpoint          // removed with attempts out
-	warmingUp             []*endpoint          // not known to be warm yet
-	capacitySharesUpdated Time                 // when the warmth of the cold ones was last updated
-	started               []*endpoint          // processes without a first turn
+	known                 map[string]*endpoint // by id: listed, or removed with attempts in flight
+	departing             []*endpoint          // removed with attempts in flight
+	warmingUp             []*endpoint          // listed, and not yet known to be warmed up
+	capacitySharesUpdated Time                 // when the capacity shares of warmingUp were last updated
+	started               []*endpoint          // their first selection is yet to be drawn
 	listedByZone          [2]int               // how many are listed in the own zone, and in others
 	usableCount           int                  // how many are ready and not administratively down
 	groupsByTags          map[[2]string][]*group
 
-	subsetsStale bool // a subset is to be taken anew
-	resettled    bool // all of them are, as for a new fleet
+	subsetsStale bool // a subset has to be chosen anew
+	resettled    bool // all of them have to, as for a new fleet
 	ringsHashed  bool // the rings are in order of hashes, not of ids
 
-	endpointsVisited int // by lists and ticks so far: what the size of a fleet costs
+	endpointsVisited int // by lists and ticks so far, a measure of their cost
 }
 
-// addToIndex enters an endpoint into the index, as far as it is listed, ready and not out.
+// addToIndex adds an endpoint to the index, and to its rings if it is ready and not administratively down.
 func (b *Balancer) addToIndex(e *endpoint, now Time) {
 	if e.State == Removed {
 		if !slices.Contains(b.departing, e) {
@@ -43,7 +44,7 @@
 	}
 }
 
-// removeFromIndex takes an endpoint out of the index.
+// removeFromIndex removes an endpoint from the index and its rings.
 func (b *Balancer) removeFromIndex(e *endpoint) {
 	if !e.listed {
 		return
@@ -68,7 +69,7 @@
 	e.usable = false
 }
 
-// enterList records that an endpoint is listed, and whether it may be used.
+// enterList adds an endpoint to the listed ones, and determines whether it may be used.
 func (b *Balancer) enterList(e *endpoint, now Time) {
 	b.endpointsVisited++
 	e.listPosition, b.listed = len(b.listed), append(b.listed, e)
@@ -84,7 +85,7 @@
 	}
 }
 
-// rebuildIndex makes the index anew, as a whole list has come.
+// rebuildIndex builds the index anew after a full list.
 func (b *Balancer) rebuildIndex(now Time) {
 	b.listed, b.departing, b.listedByZone, b.usableCount = b.listed[:0], b.departing[:0], [2]int{}, 0
 	b.subsetsStale, b.resettled = true, true
@@ -92,7 +93,7 @@
 	for _, g := range b.groups {
 		g.empty()
 	}
-	b.allEndpoints.inUse = false // until it is gathered
+	b.allEndpoints.inUse = false // until refreshAfterChange fills it
 	for _, e := range b.known {
 		if e.listed, e.usable = false, false; e.State == Removed {
 			b.departing = append(b.departing, e)
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -42,17 +42,17 @@
 //
 // A sidecar that believes the fleet too slow sends nothing and never learns better, so a belief that is not
 // tested decays until a request tries it, one at a time. Where everything is full, each of many sidecars
-// would try each endpoint in turn, and such tries alone would keep the fleet full. So an endpoint that is
+// would try each endpoint, and such attempts alone would keep the fleet full. So an endpoint that is
 // not tested is taken to be like its group, not to be idle, and a group like the fleet; the belief about
-// the fleet decays only while no answer at all comes. A cold endpoint can do less at a time, but answers
-// what finds it idle as soon as a warm one.
+// the fleet decays only while no answer at all comes. An endpoint that is warming up can do less at a time,
+// but answers a request that finds it idle as soon as another one.
 func (b *Balancer) expectedTime(e *endpoint, now Time) float64 {
 	fleet := b.allEndpoints.secondsPerRequest()
 	g := e.homeGroup
 	group := (g.answerSeconds + g.waitingSeconds + priorRequests*fleet) / (g.answerInFlight + priorRequests)
 	own := e.answerSeconds + e.waitingSeconds(now)
 	drain := (own + priorRequests*group/e.Weight) / (e.answerInFlight + priorRequests)
-	// Endpoints that are expected to answer in time are tested in turn anyway.
+	// Endpoints that are expected to answer in time are tested by the rotation anyway.
 	if e.inFlight == 0 && drain > rejectObjectiveShare*b.objective/(1+unseenRequests) {
 		group = regress(group, fleet, now-g.lastSample)
 		drain = regress(drain, group/e.Weight, now-e.lastSample)
@@ -67,7 +67,7 @@
 	return like + max(belief-like, 0)*max(0, 1-untested.Seconds()/memory.Seconds()) + min(belief-like, 0)
 }
 
-// waitingSeconds is the sum of the seconds for which the requests in flight have been out. Without it a slow
+// waitingSeconds is the sum of the seconds for which the requests in flight have waited. Without it a slow
 // endpoint would be known by its quick answers alone, which come first, and a dead one would look idle.
 func (e *endpoint) waitingSeconds(now Time) float64 {
 	return (now*Time(e.inFlight) - e.dueSinceSum).Seconds()
--- a/balance/locality.go
+++ b/balance/locality.go
@@ -13,9 +13,9 @@
 )
 
 // updateZoneWeight moves the weight that other zones get, as a share of the own zone's: a zone may have more
-// traffic than its servers can carry. Other zones count in full once the own zone answers later by what a
-// crossing is worth, at most spillObjectiveShare, and not at all below half of that. The weight moves slowly,
-// so that turns stay even.
+// traffic than its servers can carry. Other zones count in full once the own zone answers later by the price
+// of a crossing, at most spillObjectiveShare, and not at all below half of that. The weight moves slowly, so
+// that the rotation stays even.
 func (b *Balancer) updateZoneWeight(now Time) {
 	var wait, size [2]float64
 	for _, e := range b.active {
--- a/balance/losses.go
+++ b/balance/losses.go
@@ -7,7 +7,7 @@
 	"milletramp.example/milletramp/internal/lossdetect"
 )
 
-// This file holds which attempts are taken to be lost, with the estimates of package repeats.
+// This file holds which attempts are taken to be lost, with the estimates of package lossdetect.
 
 const (
 	// usualLoss is the share of attempts lost where nothing is known.
@@ -58,8 +58,8 @@
 	return e.losses.Share(b.fleetLosses.Share(usualLoss))
 }
 
-// countLikelyLoss counts an attempt that is still out as lost by its probability, so that losses are known
-// long before a client gives up.
+// countLikelyLoss counts an attempt that is still in flight as lost by its probability, so that losses are
+// known long before a client gives up.
 func (b *Balancer) countLikelyLoss(q *request, a *attempt, now Time) {
 	survival := b.answerTimes.Survival((now - a.sent).Seconds() / a.expectedNow)
 	b.recordUnanswered(
@@ -127,7 +127,7 @@
 }
 
 // recordSilence records an attempt whose endpoint has answered nothing since it was sent. A pause of the
-// endpoint holds up everything that is out there. That is one silence, not many: at first only what is sent
+// endpoint holds up everything in flight there. That is one silence, not many: at first only what is sent
 // after it was noticed reports whether it lasts.
 func (b *Balancer) recordSilence(a *attempt, survival float64, now Time) {
 	e := a.endpoint
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -15,7 +15,7 @@
 	ejectFailureShare = 0.8
 	// ejectionTime is how long an ejection lasts; the next failure after it ejects again.
 	ejectionTime = 5 * time.Second
-	// classEjectionTime is how long an endpoint that turned a class away is not asked for it.
+	// classEjectionTime is how long an endpoint that rejected a class gets no request of it.
 	classEjectionTime = time.Second
 )
 
@@ -53,7 +53,7 @@
 	b.recordFailure(a, r, now)
 }
 
-// recordSample records how long an attempt was out, as a sample of how fast its endpoint is.
+// recordSample records how long an attempt was in flight, as a sample of how fast its endpoint is.
 func (b *Balancer) recordSample(a *attempt, r Result, now Time) {
 	e, took := a.endpoint, r.Took.Seconds()
 	if r.Outcome == Served {
--- a/balance/requests.go
+++ b/balance/requests.go
@@ -38,7 +38,7 @@
 	inFlightThen    float64 // requests that the endpoint held at the sending, this one included
 	done            bool    // has its result
 	mayHaveRun      bool    // done, and may have run
-	released        bool    // does not count as in flight any more
+	released        bool    // no longer counted as in flight
 	countsAsSilence bool    // counts for the silence of its endpoint
 	reportedLate    bool    // the observer was notified that it is late
 	hedged          bool    // another attempt was made, as this one seemed lost
@@ -96,7 +96,7 @@
 		return
 	}
 	if b.capacity.warmedUpWeight[1] == 0 {
-		b.sends++ // where all are cold, rejected requests alone bring turns on
+		b.sends++ // while all endpoints are warming up, rejected requests alone add to their credit
 	}
 	if b.mayReject(q) {
 		b.actions.Reject(q.ID, time.Duration(min(max(late, 0), b.objective)*float64(time.Second)))
@@ -132,7 +132,7 @@
 }
 
 // Result ends an attempt. It leads to the request's final answer, to a retry, or to nothing where others are
-// still out.
+// still in flight.
 func (b *Balancer) Result(now Time, r Result) {
 	q := b.requests[r.ID]
 	if q == nil || r.Attempt < 0 || r.Attempt >= len(q.attempts) || q.attempts[r.Attempt].done {
@@ -146,7 +146,7 @@
 	q.outstanding--
 	switch r.Outcome {
 	case Saturated:
-		// Some endpoints serve one class and turn another away. That makes them neither slow nor full for what
+		// Some endpoints serve one class and reject another. That makes them neither slow nor full for what
 		// they serve, so they are ejected for that class alone.
 		b.ejectForClass(a.endpoint, q.Class, now+classEjectionTime)
 	case Served:
@@ -156,7 +156,7 @@
 			b.capacity.served++
 		}
 	}
-	if a.sent >= a.endpoint.Started { // what a former process did tells nothing of this one
+	if a.sent >= a.endpoint.Started { // the results of a former process tell nothing of this one
 		b.recordEnd(q, a, r, now)
 		b.recordOutcome(a, r, now)
 	}
@@ -192,7 +192,7 @@
 	}
 }
 
-// end marks a request as ended, cancels what is still out for it, and forgets it once nothing is.
+// end marks a request as ended, cancels its attempts in flight, and forgets it once nothing is.
 func (b *Balancer) end(q *request) {
 	for i := range q.attempts {
 		if !q.attempts[i].done && !q.ended && b.settings.CancelAllowed {
--- a/balance/rings.go
+++ b/balance/rings.go
@@ -16,8 +16,8 @@
 	return !slices.ContainsFunc(b.groups[:len(b.groups)-1], func(g *group) bool { return len(g.endpoints) > 0 })
 }
 
-// setFallbackGroup makes the ring of all ready endpoints, which is kept while no other has any, or lets go
-// of it.
+// setFallbackGroup fills the group of all ready endpoints, which is used while no group of the rule has any,
+// or empties it.
 func (b *Balancer) setFallbackGroup(bare bool) {
 	g := b.allEndpoints
 	b.subsetsStale, b.resettled, g.inUse = true, true, bare
@@ -33,7 +33,7 @@
 	slices.SortFunc(g.endpoints, byKey)
 }
 
-// groupsOfEndpoint lists the groups that an endpoint is entered in.
+// groupsOfEndpoint returns the groups whose rings hold an endpoint.
 func (b *Balancer) groupsOfEndpoint(e *endpoint) []*group {
 	if b.allEndpoints.inUse {
 		return append(slices.Clone(e.memberOf), b.allEndpoints)
@@ -41,14 +41,14 @@
 	return e.memberOf
 }
 
-// empty takes all endpoints out of the group.
+// empty removes all endpoints from the group.
 func (g *group) empty() { g.endpoints, g.capacity, g.totalWeight = g.endpoints[:0], [2]float64{}, 0 }
 
-// addWeight adds an endpoint's size to the group's, or takes it away.
+// addWeight adds an endpoint's weight and capacity to those of the group, or subtracts them.
 func (g *group) addWeight(e *endpoint, sign float64) {
 	g.totalWeight += sign * e.Weight
 	g.capacity[e.zoneIndex] += sign * e.Weight * e.countedCapacityShare
-	if len(g.endpoints) == 0 { // what rounding has left
+	if len(g.endpoints) == 0 { // without what rounding has left over
 		g.totalWeight, g.capacity = 0, [2]float64{}
 	}
 }
@@ -58,8 +58,8 @@
 	return cmp.Or(cmp.Compare(x.ringKey, y.ringKey), strings.Compare(x.ID, y.ID))
 }
 
-// ringKeyOf is the place of an id on the rings. In a wide fleet it is a hash, so that those that come and go
-// are spread over the rings whatever their names.
+// ringKeyOf is the position of an id on the rings. In a wide fleet it is a hash, so that endpoints that are
+// added and removed are spread over the rings whatever their names.
 func (b *Balancer) ringKeyOf(id string) uint64 {
 	if b.ringsHashed {
 		return xxhash.Sum64String(id)
@@ -67,7 +67,7 @@
 	return 0
 }
 
-// reorderRings puts the rings in order of hashes, or of ids again.
+// reorderRings sorts the rings by hashes, or by ids again.
 func (b *Balancer) reorderRings(hashed bool) {
 	b.ringsHashed, b.subsetsStale, b.resettled = hashed, true, true
 	for _, e := range b.known {
--- a/balance/routing.go
+++ b/balance/routing.go
@@ -59,7 +59,7 @@
 
 	endpoints   []*endpoint // that may be used, in order of the ring
 	totalWeight float64     // of the endpoints
-	capacity    [2]float64  // weight of the endpoints times their warmth, in the own zone and in others
+	capacity    [2]float64  // weight of the endpoints times their capacity share, in the own zone and in others
 	largest     float64     // the largest totalWeight so far
 
 	subset     []*endpoint // the part that this sidecar uses, in order of rotation
@@ -72,9 +72,9 @@
 	lastSample     Time    // when an attempt last showed how fast its endpoints are
 	answerSeconds  float64 // decaying sum of the seconds that answers took
 	answerInFlight float64 // and of the requests in flight for each unit of weight
-	waitingSeconds float64 // for which requests in flight have been out, at the last tick
+	waitingSeconds float64 // for which requests have been in flight, at the last tick
 
-	next   int     // index in subset of the member whose turn it is
+	next   int     // index in subset of the member to be selected next
 	credit float64 // of the smooth weighted schedule
 }
 
@@ -109,8 +109,8 @@
 	return joins
 }
 
-// weight is the configured weight for what the group's ready members can do: a shrunken, lost or cold group
-// that kept its full weight would overload its last members.
+// weight is the configured weight for what the group's ready members can do: if a group kept its full weight
+// while it shrinks or warms up, its last members would be overloaded.
 func (g *group) weight(zoneWeight [2]float64) float64 {
 	capacity := g.capacity[0]*zoneWeight[0] + g.capacity[1]*zoneWeight[1]
 	if g.destination.PerEndpointWeight {
@@ -119,8 +119,8 @@
 	return g.destination.Weight * capacity / math.Max(g.largest, minWeight)
 }
 
-// nextEndpoint takes the next turn of the smooth interleaved schedule among the groups with an eligible
-// member, and in that group the next turn of the rotation. It returns nil if no member is eligible.
+// nextEndpoint selects by smooth weighted round-robin among the groups with an eligible member, and in that
+// group the next member of its rotation. It returns nil if no member is eligible.
 func (b *Balancer) nextEndpoint() *endpoint {
 	var due *group
 	var total float64
@@ -141,8 +141,9 @@
 	return due.nextMember()
 }
 
-// nextMember gives the turn to the first eligible member from the due one on. If the eligible member after it
-// has fewer of this sidecar's requests in flight, the due one yields. A cold member may go ahead of both.
+// nextMember selects the first eligible member from the next one in the rotation on, or the eligible one
+// after it if that has fewer of this sidecar's requests in flight. A member that is warming up may go ahead
+// of both.
 func (g *group) nextMember() (due *endpoint) {
 	members, offset := len(g.subset), 0
 	for i, seen := 0, 0; i < members && seen < 2; i++ {
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -10,13 +10,13 @@
 const (
 	// minSubset is how many endpoints of a group a sidecar uses at least: some may fail.
 	minSubset = 4
-	// subsetInterval is how often the subsets are taken anew at least.
+	// subsetInterval is how often the subsets are chosen anew at least.
 	subsetInterval = time.Second
 
-	// A fleet is wide from usualMost ready endpoints on, by degrees, and wholly from wideFleet on. There a
-	// sidecar's traffic is the same, and so is what it can know and keep connections to: it uses no more
-	// than wideUsed endpoints, or that share of usualFleet of its requests within the memory, and no more
-	// than wideLeast and a further one for each wideEach listed.
+	// A fleet becomes wide gradually from usualFleetMax usable endpoints on, and is so fully from wideFleet on.
+	// There a sidecar's traffic is the same, and so is the number of endpoints that it can know and keep
+	// connections to: it uses no more than wideFleetUsed of them, or for each request within the memory that
+	// share of usualFleet, and no more than wideFleetBase and a further one for each wideFleetStep listed.
 	usualFleet    = 200
 	usualFleetMax = 300
 	wideFleet     = 400
@@ -24,14 +24,14 @@
 	wideFleetBase = 25
 	wideFleetStep = 7
 	// maxDrift is how far a long subset may be from its place in such a fleet, as a share of its length,
-	// and longSubset how long it is then. Of short ones, a few that are out of place would make the spread
-	// over the servers uneven.
+	// and longSubset the length from which on a subset is long. A few short ones out of place would spread
+	// the sidecars unevenly.
 	maxDrift   = 1.0 / 8
 	longSubset = 16
 )
 
-// takeSubsets takes this sidecar's subset of each group. Where endpoints are ready but none is in a group of
-// the rule, all ready ones form one group, as without a rule.
+// takeSubsets chooses this sidecar's subset of each group. Where endpoints are ready but none is in a group
+// of the rule, all ready ones form one group, as without a rule.
 func (b *Balancer) takeSubsets(now Time) {
 	// In a wide fleet, what one change does to lengths and places may move members of all groups.
 	usual := b.widthFactor() == 0
@@ -98,10 +98,10 @@
 	return int(min(math.Max(minSubset, math.Ceil(share*float64(len(g.endpoints)))), float64(len(g.endpoints))))
 }
 
-// takeSubset takes the part of a group that this sidecar uses: a run of the group's ring from its own place
-// on. A sidecar with little traffic that goes through a large fleet knows none of its servers, and
-// connects to all of them. Places that follow the golden ratio spread any number of sidecars evenly.
-// Members that are ejected are made up for.
+// takeSubset chooses the part of a group that this sidecar uses: consecutive members of the group's ring from
+// the sidecar's own position on. A sidecar with little traffic that used a whole large fleet would know none
+// of its servers, and connect to all of them. Positions by the golden ratio spread any number of sidecars
+// evenly. Each member that is ejected is replaced by a further one.
 func (b *Balancer) takeSubset(g *group, settle bool, now Time) {
 	n := len(g.endpoints)
 	want := min(max(g.subsetSize, minSubset), n)
@@ -122,10 +122,10 @@
 	}
 }
 
-// subsetStart is where on the ring the subset begins. A subset that followed the sidecar's own place
-// among those ready now would move with each endpoint that comes or goes, wherever on the ring, and meet
-// servers that know nothing of it. So it stays where it began, unless it has drifted so far from its place
-// that the sidecars would not be spread evenly any more. Then it moves back by one endpoint at a time.
+// subsetStart is the position on the ring at which the subset begins. If it followed the sidecar's own
+// position among the usable endpoints, it would move with each one that is added or removed anywhere on the
+// ring, to endpoints without connections. So it stays at its first endpoint until it has drifted so far that
+// the sidecars would not be spread evenly any more. Then it moves back by one endpoint at a time.
 func (b *Balancer) subsetStart(g *group, want int, settle bool) (first int) {
 	n := len(g.endpoints)
 	ideal := int(math.Mod(float64(b.settings.Ordinal)*(math.Sqrt(5)-1)/2, 1) * float64(n))
