--- /dev/null
+++ b/internal/console/server_test.go
@@ -0,0 +1,175 @@
+package console
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// fakeSidecar is a Sidecar that knows the servers in adminDown.
+type fakeSidecar struct {
+	notReady  string // why it is not ready; "": it is
+	err       error
+	adminDown map[string]bool
+	forwarded bool
+	note      string             // returned by TakeOut; "": there is no fleet
+	entered   chan chan struct{} // TakeOut sends a channel and returns once that is closed; nil: at once
+}
+
+func (f *fakeSidecar) Ready() (bool, string) { return f.notReady == "", f.notReady }
+
+func (f *fakeSidecar) Figures(context.Context) ([]byte, error) {
+	return []byte("sidecar.loads=0\n"), f.err
+}
+
+func (f *fakeSidecar) Policy() http.Handler { return nil }
+
+func (f *fakeSidecar) TakeOut(_ context.Context, id string, down, forwarded bool) (string, error) {
+	if _, ok := f.adminDown[id]; !ok {
+		return "", ErrUnknown
+	}
+	if f.adminDown[id], f.forwarded = down, forwarded; f.entered != nil {
+		proceed := make(chan struct{})
+		f.entered <- proceed
+		<-proceed
+	}
+	return f.note, f.err
+}
+
+func (f *fakeSidecar) Fleet(context.Context) ([]byte, error) {
+	if f.note == "" {
+		return nil, ErrNoFleet
+	}
+	return []byte(`{"members_here":3}`), f.err
+}
+
+// startServer starts a server until the end of the test and returns its address.
+func startServer(t *testing.T, f *fakeSidecar) string {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return startServerOn(t, l, f)
+}
+
+// startServerOn starts a server that accepts from l, until the end of the test.
+func startServerOn(t *testing.T, l net.Listener, f *fakeSidecar) string {
+	t.Helper()
+	s, done := New(l, f, slog.New(slog.DiscardHandler)), make(chan error, 1)
+	go func() { done <- s.Serve() }()
+	t.Cleanup(func() {
+		if err := s.Close(); err != nil {
+			t.Error(err)
+		}
+		if err := <-done; err != nil {
+			t.Error(err)
+		}
+	})
+	return l.Addr().String()
+}
+
+// send sends text on a new connection and returns the response, after which the connection must end.
+func send(t *testing.T, address, text string) (status int, allow, body string) {
+	t.Helper()
+	c, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	if _, err := io.WriteString(c, text); err != nil {
+		t.Fatal(err)
+	}
+	_ = c.SetReadDeadline(time.Now().Add(30 * time.Second))
+	r, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer r.Body.Close()
+	all, err := io.ReadAll(r.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !r.Close {
+		t.Error("the connection stays open")
+	}
+	return r.StatusCode, r.Header.Get("Allow"), string(all)
+}
+
+// requestText returns the text of a request.
+func requestText(method, path, body string) string {
+	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body)
+}
+
+// failingListener is a listener whose Accept fails first, once with each of errnos.
+type failingListener struct {
+	net.Listener
+	errnos []syscall.Errno
+}
+
+// Accept implements net.Listener.
+func (l *failingListener) Accept() (net.Conn, error) {
+	if len(l.errnos) > 0 {
+		errno := l.errnos[0]
+		l.errnos = l.errnos[1:]
+		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", errno)}
+	}
+	return l.Listener.Accept()
+}
+
+// TestServeSurvivesAcceptErrors: Serve continues after errors of accept at which net/http would end.
+func TestServeSurvivesAcceptErrors(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	address := startServerOn(t, &failingListener{l, []syscall.Errno{
+		syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENETDOWN,
+		syscall.EPROTO, syscall.EPERM, syscall.ECONNABORTED,
+	}}, &fakeSidecar{})
+	if status, _, _ := send(t, address, requestText("GET", "/ops/readiness", "")); status != 200 {
+		t.Errorf("status %d", status)
+	}
+}
+
+// TestCloseAnswersCompleteCalls: a call that is complete when Close is called is answered, and a client that has sent
+// nothing doesn't delay Close.
+func TestCloseAnswersCompleteCalls(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	f := &fakeSidecar{adminDown: map[string]bool{"s-1": false}, entered: make(chan chan struct{})}
+	s, served, closed := New(l, f, slog.New(slog.DiscardHandler)), make(chan error, 1), make(chan error, 1)
+	go func() { served <- s.Serve() }()
+	silent, err := net.Dial("tcp", l.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer silent.Close()
+	answered := make(chan int, 1)
+	go func() {
+		status, _, _ := send(t, l.Addr().String(), requestText("POST", "/ops/servers/down", `{"target":"s-1"}`))
+		answered <- status
+	}()
+	proceed := <-f.entered
+	go func() { closed <- s.Close() }()
+	if err := <-served; err != nil { // Serve has ended and the call is not yet answered
+		t.Error(err)
+	}
+	close(proceed)
+	if status := <-answered; status != 200 {
+		t.Errorf("status %d", status)
+	}
+	if err := <-closed; err != nil {
+		t.Error(err)
+	}
+}
--- /dev/null
+++ b/internal/handover/write_test.go
@@ -0,0 +1,133 @@
+//go:build go1.25
+
+package handover
+
+import (
+	"bytes"
+	"fmt"
+	"log/slog"
+	"os"
+	"slices"
+	"strings"
+	"syscall"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"milletramp.example/milletramp/internal/fsys/faultfs"
+)
+
+// adminDownSeenBy returns the administratively down servers that m reads of the one other process.
+func adminDownSeenBy(t rapid.TB, m *Member) []string {
+	t.Helper()
+	others := m.Others()
+	if len(others) != 1 {
+		t.Fatalf("it sees %+v, want one process", others)
+	}
+	return others[0].Out
+}
+
+// TestUpdateFails: while an operation of Update fails, others see the former state or the new one. The last state is
+// written as soon as that is possible, and the log has one line when the failures begin and one when they end.
+func TestUpdateFails(t *testing.T) {
+	for _, fault := range []error{syscall.ENOSPC, syscall.EIO} {
+		for skip := range 3 { // create, write, rename
+			for _, count := range []int{1, 4, 60} {
+				t.Run(fmt.Sprintf("%v %d behind %d", fault, count, skip), func(t *testing.T) {
+					synctest.Test(t, func(t *testing.T) { updateWithFaults(t, fault, skip, count) })
+				})
+			}
+		}
+	}
+}
+
+func updateWithFaults(t *testing.T, fault error, skip, count int) {
+	var log bytes.Buffer
+	dir, fs := t.TempDir(), faultfs.New(uint64(skip+count))
+	m, err := joinWithFS(fs, dir, startingState(1), slog.New(slog.NewTextHandler(&log, nil)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	next := mustJoin(t, dir, startingState(2), discardLog())
+	written, pending := []string{"s-1"}, []string{"s-1", "s-2"}
+	if err := m.Update(func(s *State) { s.Out = written }); err != nil {
+		t.Fatal(err)
+	}
+	fs.Fail(skip, count, fault)
+	if err := m.Update(func(s *State) { s.Out = pending }); err == nil {
+		t.Error("Update returned nil and the state is not written")
+	}
+	if got := adminDownSeenBy(t, next); !slices.Equal(got, written) && !slices.Equal(got, pending) {
+		t.Errorf("the next process sees %v", got)
+	}
+	time.Sleep(time.Duration(count) * maxBackoff)
+	synctest.Wait()
+	if got := adminDownSeenBy(t, next); !slices.Equal(got, pending) {
+		t.Errorf("the next process sees %v, want %v", got, pending)
+	}
+	for _, line := range []string{"is not written", "is written again"} {
+		if n := strings.Count(log.String(), line); n != 1 {
+			t.Errorf("the log has %d times %q", n, line)
+		}
+	}
+	fs.Fail(0, 1, fault)
+	if err := m.Update(func(s *State) { s.Out = nil }); err == nil {
+		t.Error("Update returned nil and the state is not written")
+	}
+	if err := m.Leave(); err != nil {
+		t.Error(err)
+	}
+	time.Sleep(maxBackoff)
+	if left, err := os.ReadDir(next.files.dir); err != nil || len(left) != 2 {
+		t.Errorf("after it has left %d files are left, error %v, want the next one's 2", len(left), err)
+	}
+	if err := fs.End(false); err != nil {
+		t.Error(err)
+	}
+}
+
+// TestUpdateSurvivesKill: after any sequence of updates, failing operations and a kill during one of them, another
+// process reads the last state for which Update returned nil, or a later one.
+func TestUpdateSurvivesKill(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		dir, err := os.MkdirTemp("", "handover")
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer os.RemoveAll(dir)
+		fs := faultfs.New(rapid.Uint64().Draw(t, "seed"))
+		m, err := joinWithFS(fs, dir, startingState(1), discardLog())
+		if err != nil {
+			t.Fatal(err)
+		}
+		next, err := Join(dir, startingState(2), discardLog())
+		if err != nil {
+			t.Fatal(err)
+		}
+		acknowledged := 0
+		for i := 1; i <= 12 && !fs.Killed(); i++ {
+			switch skip := rapid.IntRange(0, 3).Draw(t, "skip"); rapid.IntRange(0, 5).Draw(t, "fault") {
+			case 0:
+				fs.Fail(skip, rapid.IntRange(1, 5).Draw(t, "count"), syscall.EIO)
+			case 1:
+				fs.KillAfter(skip)
+			}
+			if m.Update(func(s *State) { s.Out = make([]string, i) }) == nil {
+				acknowledged = i
+			}
+			if got := len(adminDownSeenBy(t, next)); got < acknowledged || got > i {
+				t.Fatalf("the next process sees state %d, %d was acknowledged, %d is the last", got, acknowledged, i)
+			}
+		}
+		for _, m := range []*Member{m, next} {
+			if err := m.Leave(); err != nil {
+				t.Fatal(err)
+			}
+		}
+		if err := fs.End(false); err != nil {
+			t.Fatal(err)
+		}
+	})
+}
