--- a/internal/console/forward.go
+++ b/internal/console/forward.go
@@ -26,10 +26,10 @@
 // Error implements error.
 func (e *ResponseError) Error() string { return fmt.Sprintf("status %d, %s", e.StatusCode, e.Detail) }
 
-// PassOn forwards a call that came to this process to the process whose server is at address: to set a server
+// ForwardAdminDown forwards a call that came to this process to the process whose server is at address: to set a server
 // administratively down, or up again where down is not set. It returns ErrUnknown if that process has no such
 // server, and an error that wraps a *ResponseError if it does not do it for another reason.
-func PassOn(ctx context.Context, address, id string, down bool) error {
+func ForwardAdminDown(ctx context.Context, address, id string, down bool) error {
 	resp, err := sendAdminDown(ctx, address, id, down)
 	if err != nil {
 		return fmt.Errorf("pass on: %w", err)
@@ -37,7 +37,7 @@
 	defer resp.Body.Close()
 	switch {
 	case resp.StatusCode == http.StatusNotFound:
-		return ErrUnknown
+		return ErrUnknownServer
 	case resp.StatusCode/100 != 2:
 		return fmt.Errorf("pass on: %w", readResponseError(resp))
 	}
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	req.Header.Set(PassedOn, "1")
+	req.Header.Set(ForwardedHeader, "1")
 	req.Close = true
 	return (&http.Transport{DisableKeepAlives: true}).RoundTrip(req)
 }
--- a/internal/console/forward_test.go
+++ b/internal/console/forward_test.go
@@ -12,14 +12,14 @@
 	f := &fakeSidecar{adminDown: map[string]bool{"s-1": false}}
 	address := startServer(t, f)
 	ctx := context.Background()
-	if err := PassOn(ctx, address, "s-1", true); err != nil || !f.forwarded || !f.adminDown["s-1"] {
+	if err := ForwardAdminDown(ctx, address, "s-1", true); err != nil || !f.forwarded || !f.adminDown["s-1"] {
 		t.Errorf("error %v, forwarded %v, administratively down %v", err, f.forwarded, f.adminDown)
 	}
-	if err := PassOn(ctx, address, "s-9", true); !errors.Is(err, ErrUnknown) {
+	if err := ForwardAdminDown(ctx, address, "s-9", true); !errors.Is(err, ErrUnknownServer) {
 		t.Errorf("error %v for an unknown server", err)
 	}
 	f.err = errors.New("busy")
-	err := PassOn(ctx, address, "s-1", false)
+	err := ForwardAdminDown(ctx, address, "s-1", false)
 	var response *ResponseError
 	if !errors.As(err, &response) || response.StatusCode != 503 || response.Detail != `server "s-1": busy` {
 		t.Errorf("error %v from a busy process", err)
--- a/internal/console/handlers.go
+++ b/internal/console/handlers.go
@@ -17,8 +17,8 @@
 	policyPrefix   = "/ops/policy/"
 )
 
-// PassedOn is the header that marks a call that another process of the sidecar has forwarded.
-const PassedOn = "X-Passed-On"
+// ForwardedHeader is the header that marks a call that another process of the sidecar has forwarded.
+const ForwardedHeader = "X-Passed-On"
 
 // routes returns the handler of all calls.
 func (s *Server) routes() http.Handler {
@@ -64,7 +64,7 @@
 	s.markComplete(r)
 	ctx, cancel := context.WithTimeout(r.Context(), backendTimeout)
 	defer cancel()
-	text, err := s.sidecar.Figures(ctx)
+	text, err := s.sidecar.Metrics(ctx)
 	if err != nil {
 		http.Error(w, "figures: "+err.Error(), http.StatusServiceUnavailable)
 		return
@@ -77,7 +77,7 @@
 	s.markComplete(r)
 	ctx, cancel := context.WithTimeout(r.Context(), backendTimeout)
 	defer cancel()
-	status, err := s.sidecar.Fleet(ctx)
+	status, err := s.sidecar.FleetStatus(ctx)
 	switch {
 	case errors.Is(err, ErrNoFleet):
 		http.Error(w, err.Error(), http.StatusNotFound)
@@ -90,7 +90,7 @@
 }
 
 func (s *Server) handlePolicy(w http.ResponseWriter, r *http.Request) {
-	handler := s.sidecar.Policy()
+	handler := s.sidecar.PolicyHandler()
 	if handler == nil {
 		http.Error(w, "the fleet has no policy: see deploy/fleet.toml", http.StatusNotFound)
 		return
@@ -110,8 +110,8 @@
 		s.markComplete(r)
 		ctx, cancel := context.WithTimeout(r.Context(), backendTimeout)
 		defer cancel()
-		forwarded := r.Header.Get(PassedOn) != ""
-		note, err := s.sidecar.TakeOut(ctx, id, down, forwarded)
+		forwarded := r.Header.Get(ForwardedHeader) != ""
+		note, err := s.sidecar.SetAdminDown(ctx, id, down, forwarded)
 		writeAdminDownResult(w, id, down, note, err)
 	}
 }
@@ -126,7 +126,7 @@
 		note = "; " + note
 	}
 	switch {
-	case errors.Is(err, ErrUnknown):
+	case errors.Is(err, ErrUnknownServer):
 		http.Error(w, fmt.Sprintf("no server %q", id), http.StatusNotFound)
 	case err != nil:
 		http.Error(w, fmt.Sprintf("server %q: %v", id, err), http.StatusServiceUnavailable)
--- a/internal/console/handlers_test.go
+++ b/internal/console/handlers_test.go
@@ -86,7 +86,7 @@
 // TestForwardedCallIsMarked: a call with the header is passed to the sidecar as one that another process has forwarded.
 func TestForwardedCallIsMarked(t *testing.T) {
 	f := &fakeSidecar{adminDown: map[string]bool{"s-1": false}}
-	send(t, startServer(t, f), "POST /ops/servers/down HTTP/1.1\r\nHost: x\r\n"+PassedOn+": 1\r\n"+
+	send(t, startServer(t, f), "POST /ops/servers/down HTTP/1.1\r\nHost: x\r\n"+ForwardedHeader+": 1\r\n"+
 		"Content-Length: 16\r\n\r\n{\"target\":\"s-1\"}")
 	if !f.forwarded || !f.adminDown["s-1"] {
 		t.Errorf("forwarded %v, administratively down %v", f.forwarded, f.adminDown)
--- a/internal/console/listener_test.go
+++ b/internal/console/listener_test.go
@@ -19,7 +19,7 @@
 		"POST /ops/servers/down HTTP/1.1\r\nHost: x\r\nContent-Length: 16\r\n\r\n{",
 	}
 	var open []net.Conn
-	for i := range 3 * Connections {
+	for i := range 3 * MaxConnections {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/console/server.go
+++ b/internal/console/server.go
@@ -28,26 +28,26 @@
 	// Ready reports whether the process is ready to serve, and if not, why.
 	Ready() (ready bool, why string)
 	// Figures returns the metrics as text.
-	Figures(ctx context.Context) ([]byte, error)
+	Metrics(ctx context.Context) ([]byte, error)
 	// TakeOut sets a server administratively down, or up again where down is not set. It returns
 	// ErrUnknown for a server that nobody knows. forwarded is set for a call that another process of the
 	// sidecar has forwarded; it isn't forwarded again. note is for the operator and may be "".
-	TakeOut(ctx context.Context, id string, down, forwarded bool) (note string, err error)
+	SetAdminDown(ctx context.Context, id string, down, forwarded bool) (note string, err error)
 	// Policy returns the handler of calls below /ops/policy/, or nil if there is no fleet or it has no policy.
-	Policy() http.Handler
+	PolicyHandler() http.Handler
 	// Fleet returns what this sidecar knows of the fleet, as JSON, or ErrNoFleet.
-	Fleet(ctx context.Context) ([]byte, error)
+	FleetStatus(ctx context.Context) ([]byte, error)
 }
 
 // ErrNoFleet is returned by a Sidecar that takes no part in a fleet.
 var ErrNoFleet = errors.New("no fleet is named: see deploy/fleet.toml")
 
-// ErrUnknown is returned for a server that does not exist.
-var ErrUnknown = errors.New("no such server")
+// ErrUnknownServer is returned for a server that does not exist.
+var ErrUnknownServer = errors.New("no such server")
 
-// Connections is the most connections that are open at a time. Beyond it, the one that has been open longest without
+// MaxConnections is the most connections that are open at a time. Beyond it, the one that has been open longest without
 // a complete call is closed.
-const Connections = 16
+const MaxConnections = 16
 
 const (
 	readTimeout    = 2 * time.Second        // for a client to send its call
@@ -72,7 +72,7 @@
 
 // New returns a server for the calls that come to l. It logs failures of the listener.
 func New(l net.Listener, sidecar Sidecar, log *slog.Logger) *Server {
-	s := &Server{sidecar: sidecar, listener: newListener(netretry.NewListener(l, log), Connections)}
+	s := &Server{sidecar: sidecar, listener: newListener(netretry.NewListener(l, log), MaxConnections)}
 	s.httpServer = &http.Server{
 		Handler:        s.routes(),
 		ReadTimeout:    readTimeout,
--- a/internal/console/server_test.go
+++ b/internal/console/server_test.go
@@ -26,15 +26,15 @@
 
 func (f *fakeSidecar) Ready() (bool, string) { return f.notReady == "", f.notReady }
 
-func (f *fakeSidecar) Figures(context.Context) ([]byte, error) {
+func (f *fakeSidecar) Metrics(context.Context) ([]byte, error) {
 	return []byte("sidecar.loads=0\n"), f.err
 }
 
-func (f *fakeSidecar) Policy() http.Handler { return nil }
+func (f *fakeSidecar) PolicyHandler() http.Handler { return nil }
 
-func (f *fakeSidecar) TakeOut(_ context.Context, id string, down, forwarded bool) (string, error) {
+func (f *fakeSidecar) SetAdminDown(_ context.Context, id string, down, forwarded bool) (string, error) {
 	if _, ok := f.adminDown[id]; !ok {
-		return "", ErrUnknown
+		return "", ErrUnknownServer
 	}
 	if f.adminDown[id], f.forwarded = down, forwarded; f.entered != nil {
 		proceed := make(chan struct{})
@@ -44,7 +44,7 @@
 	return f.note, f.err
 }
 
-func (f *fakeSidecar) Fleet(context.Context) ([]byte, error) {
+func (f *fakeSidecar) FleetStatus(context.Context) ([]byte, error) {
 	if f.note == "" {
 		return nil, ErrNoFleet
 	}
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -19,7 +19,7 @@
 // the longest idle first; when the process stops it ends all of them.
 type Listener struct {
 	net.Listener
-	unserved *stats.Unserved // counts connections that ended without a request
+	unserved *stats.UnservedConns // counts connections that ended without a request
 
 	mu             sync.Mutex
 	maxConns       int
@@ -34,7 +34,7 @@
 
 // NewListener returns a Listener that accepts from l at most maxConns connections, and from keepAliveLimit used ones on
 // ends each with its response.
-func NewListener(l net.Listener, maxConns, keepAliveLimit int, unserved *stats.Unserved) *Listener {
+func NewListener(l net.Listener, maxConns, keepAliveLimit int, unserved *stats.UnservedConns) *Listener {
 	return &Listener{
 		Listener:       l,
 		unserved:       unserved,
@@ -114,7 +114,7 @@
 		}
 		wait = minIdleTime
 		if !c.hasUnreadInput() {
-			l.beginRetire(c, stats.Room)
+			l.beginRetire(c, stats.Evicted)
 			break
 		}
 	}
@@ -129,7 +129,7 @@
 	l.eachIdle(func(c *Conn) {
 		isDue := c.state != stateNew || time.Since(c.idleSince) >= unused
 		if isDue && !c.partialHead {
-			l.beginRetire(c, stats.Stopping)
+			l.beginRetire(c, stats.ShuttingDown)
 		}
 	})
 }
@@ -144,7 +144,7 @@
 	}
 	l.eachIdle(func(c *Conn) {
 		if c.state != stateLingering {
-			l.beginRetire(c, stats.Stopping)
+			l.beginRetire(c, stats.ShuttingDown)
 		}
 	})
 }
@@ -160,7 +160,7 @@
 
 // beginRetire ends a connection: at once behind its final response, by its reader where it has no request, and else
 // with its next response. The lock is held.
-func (l *Listener) beginRetire(c *Conn, cause stats.Cause) {
+func (l *Listener) beginRetire(c *Conn, cause stats.CloseReason) {
 	next, ok := nextState(c.state, eventRetire, c.used)
 	if !ok {
 		return
@@ -236,9 +236,9 @@
 	case previous == stateRetiring:
 		l.unserved.Count(c.retireCause)
 	case errors.Is(c.readError, os.ErrDeadlineExceeded):
-		l.unserved.Count(stats.Late)
+		l.unserved.Count(stats.HeadTimeout)
 	default:
-		l.unserved.Count(stats.Gone)
+		l.unserved.Count(stats.ClientClosed)
 	}
 	l.signalCapacity()
 }
--- a/internal/handover/fixture_test.go
+++ b/internal/handover/fixture_test.go
@@ -33,9 +33,9 @@
 		t.Fatalf("the new process reads %+v, want one state", others)
 	}
 	got := others[0]
-	if got.Name != "n0" || got.Listen != "127.0.0.1:80" ||
-		got.Console != "127.0.0.1:81" || got.Fleet != "127.0.0.1:82" ||
-		got.Phase != Ready || !slices.Equal(got.Out, []string{"s-1", `s-"2"`}) ||
+	if got.Name != "n0" || got.ListenAddress != "127.0.0.1:80" ||
+		got.AdminAddress != "127.0.0.1:81" || got.FleetAddress != "127.0.0.1:82" ||
+		got.Phase != Ready || !slices.Equal(got.AdminDown, []string{"s-1", `s-"2"`}) ||
 		!got.Started.Equal(time.Date(2026, 7, 1, 12, 30, 0, 123456789, time.UTC)) {
 		t.Errorf("read as %+v", got)
 	}
--- a/internal/handover/member.go
+++ b/internal/handover/member.go
@@ -71,7 +71,7 @@
 
 // newProcessFiles names the files of a process of this state, in a directory for the sidecar's name and address.
 func newProcessFiles(dir string, s State) processFiles {
-	sidecar := crc32.ChecksumIEEE([]byte(s.Name + "\x00" + s.Listen))
+	sidecar := crc32.ChecksumIEEE([]byte(s.Name + "\x00" + s.ListenAddress))
 	return processFiles{
 		dir: filepath.Join(dir, fmt.Sprintf("milletramp-%08x", sidecar)),
 		id:  fmt.Sprintf("%d-%d", os.Getpid(), wallclock.Nanoseconds(s.Started)),
--- a/internal/handover/member_test.go
+++ b/internal/handover/member_test.go
@@ -18,7 +18,7 @@
 // startingState is the state of a process that started at this second of the wall clock.
 func startingState(second int64) State {
 	return State{
-		Name: "n0", Listen: "127.0.0.1:80", Console: "127.0.0.1:81",
+		Name: "n0", ListenAddress: "127.0.0.1:80", AdminAddress: "127.0.0.1:81",
 		Started: time.Unix(second, 0), Phase: Starting,
 	}
 }
@@ -42,18 +42,18 @@
 	if got := first.Others(); len(got) != 0 {
 		t.Fatalf("the first process sees %+v, want none", got)
 	}
-	before := first.Changed()
+	before := first.DirRevision()
 	second := mustJoin(t, dir, startingState(2), discardLog())
-	if first.Changed() == before {
+	if first.DirRevision() == before {
 		t.Error("a process joined and Changed returns the same number")
 	}
-	if err := second.Update(func(s *State) { s.Phase, s.Out = Ready, []string{"s-1"} }); err != nil {
+	if err := second.Update(func(s *State) { s.Phase, s.AdminDown = Ready, []string{"s-1"} }); err != nil {
 		t.Fatal(err)
 	}
 	third := mustJoin(t, dir, startingState(3), discardLog())
 	got := third.Others()
 	if len(got) != 2 || !got[0].Started.Equal(startingState(1).Started) ||
-		got[1].Phase != Ready || !slices.Equal(got[1].Out, []string{"s-1"}) {
+		got[1].Phase != Ready || !slices.Equal(got[1].AdminDown, []string{"s-1"}) {
 		t.Errorf("the third process sees %+v", got)
 	}
 	if err := second.Leave(); err != nil {
@@ -62,7 +62,7 @@
 	if got := third.Others(); len(got) != 1 {
 		t.Errorf("after the second has left the third process sees %+v", got)
 	}
-	otherSidecar := mustJoin(t, dir, State{Name: "n1", Listen: "127.0.0.1:80", Phase: Ready}, discardLog())
+	otherSidecar := mustJoin(t, dir, State{Name: "n1", ListenAddress: "127.0.0.1:80", Phase: Ready}, discardLog())
 	if got := otherSidecar.Others(); len(got) != 0 {
 		t.Errorf("another sidecar sees %+v", got)
 	}
@@ -73,7 +73,7 @@
 func TestStateOfEndedProcessIsRemoved(t *testing.T) {
 	dir := t.TempDir()
 	ended := mustJoin(t, dir, startingState(1), discardLog())
-	if err := ended.Update(func(s *State) { s.Out = []string{"s-1"} }); err != nil {
+	if err := ended.Update(func(s *State) { s.AdminDown = []string{"s-1"} }); err != nil {
 		t.Fatal(err)
 	}
 	if err := ended.lockFile.Close(); err != nil { // as the end of its process does
@@ -131,9 +131,9 @@
 			first := joinReady(started)
 			second := joinReady(started.Add(time.Second + step))
 			third := joinReady(started.Add(2*time.Second + 2*step))
-			if !first.Succeeded() || !second.Succeeded() || third.Succeeded() {
+			if !first.HasReadySuccessor() || !second.HasReadySuccessor() || third.HasReadySuccessor() {
 				t.Errorf("succeeded: %v, %v and %v, want all but the last",
-					first.Succeeded(), second.Succeeded(), third.Succeeded())
+					first.HasReadySuccessor(), second.HasReadySuccessor(), third.HasReadySuccessor())
 			}
 			got := third.Others()
 			if len(got) != 2 || got[0].Compare(first.state) != 0 || got[1].Compare(second.state) != 0 {
@@ -148,7 +148,7 @@
 			if err := os.WriteFile(second.files.statePath(), text, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			got, succeeded := third.Others(), third.Succeeded()
+			got, succeeded := third.Others(), third.HasReadySuccessor()
 			if len(got) != 1 || got[0].Generation != 0 || !got[0].Started.Equal(started) || succeeded != (step < 0) {
 				t.Errorf("of one without a generation it sees %+v, succeeded %v", got, succeeded)
 			}
--- a/internal/handover/others.go
+++ b/internal/handover/others.go
@@ -13,8 +13,8 @@
 // maxOthers bounds the other processes that are read.
 const maxOthers = 16
 
-// Succeeded reports whether a newer process of the sidecar is ready.
-func (m *Member) Succeeded() bool {
+// HasReadySuccessor reports whether a newer process of the sidecar is ready.
+func (m *Member) HasReadySuccessor() bool {
 	others := m.Others()
 	if len(others) == 0 {
 		return false
@@ -24,9 +24,9 @@
 	return slices.ContainsFunc(others, func(s State) bool { return s.Phase == Ready && s.Compare(m.state) > 0 })
 }
 
-// Changed returns a number that differs from the former one after a process has joined, left or changed its state.
+// DirRevision returns a number that differs from the former one after a process has joined, left or changed its state.
 // A process that ended without leaving changes nothing. -1: the directory cannot be read.
-func (m *Member) Changed() int64 {
+func (m *Member) DirRevision() int64 {
 	if m == nil {
 		return 0
 	}
@@ -74,7 +74,7 @@
 		_ = files.remove() // another process may remove them at the same time
 		return State{}, false
 	}
-	s, err = readStateFile(files.statePath(), m.state.Name, m.state.Listen)
+	s, err = readStateFile(files.statePath(), m.state.Name, m.state.ListenAddress)
 	if errors.Is(err, fs.ErrNotExist) {
 		return State{}, false // it has just started, and writes its own state before it acts on others
 	}
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -23,15 +23,15 @@
 
 // State is what a process lets the other processes of its sidecar know.
 type State struct {
-	Name    string    `json:"name"`            // of the sidecar
-	Listen  string    `json:"listen"`          // address for clients
-	Console string    `json:"console"`         // address for operators; "": none
-	Fleet   string    `json:"fleet,omitempty"` // address for other sidecars; "": takes no part in a fleet
-	Started time.Time `json:"started"`
+	Name          string    `json:"name"`            // of the sidecar
+	ListenAddress string    `json:"listen"`          // address for clients
+	AdminAddress  string    `json:"console"`         // address for operators; "": none
+	FleetAddress  string    `json:"fleet,omitempty"` // address for other sidecars; "": takes no part in a fleet
+	Started       time.Time `json:"started"`
 	// Generation counts the processes that follow each other, from 1. 0: the process's build does not count them.
 	Generation uint64   `json:"generation,omitempty"`
 	Phase      Phase    `json:"phase"`
-	Out        []string `json:"out"` // ids of the servers that are administratively down
+	AdminDown  []string `json:"out"` // ids of the servers that are administratively down
 }
 
 // Compare orders the processes of a sidecar, the oldest first. The wall clock, which may step, decides only where one
@@ -81,12 +81,12 @@
 		return State{}, invalid(malformedJSON, "%v", err)
 	}
 	switch {
-	case s.Name != name || s.Listen != listen:
-		return State{}, invalid(otherSidecar, "is of sidecar %.40q at %.40q", s.Name, s.Listen)
+	case s.Name != name || s.ListenAddress != listen:
+		return State{}, invalid(otherSidecar, "is of sidecar %.40q at %.40q", s.Name, s.ListenAddress)
 	case s.Phase != Starting && s.Phase != Ready && s.Phase != Draining:
 		return State{}, invalid(unknownPhase, "has the unknown phase %.40q", s.Phase)
-	case len(s.Out) > maxAdminDown:
-		return State{}, invalid(tooManyServers, "names %d servers, %d at most", len(s.Out), maxAdminDown)
+	case len(s.AdminDown) > maxAdminDown:
+		return State{}, invalid(tooManyServers, "names %d servers, %d at most", len(s.AdminDown), maxAdminDown)
 	}
 	return s, nil
 }
--- a/internal/handover/state_test.go
+++ b/internal/handover/state_test.go
@@ -17,15 +17,15 @@
 // TestStateRoundTrip: what encodeState writes, decodeState reads as the same state.
 func TestStateRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := State{Name: rapid.String().Draw(t, "name"), Listen: rapid.String().Draw(t, "listen"), Phase: Ready,
-			Console: "c", Out: rapid.SliceOf(rapid.String()).Draw(t, "out")}
+		s := State{Name: rapid.String().Draw(t, "name"), ListenAddress: rapid.String().Draw(t, "listen"), Phase: Ready,
+			AdminAddress: "c", AdminDown: rapid.SliceOf(rapid.String()).Draw(t, "out")}
 		content, err := encodeState(s)
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := decodeState(content, s.Name, s.Listen)
-		if err != nil || !slices.Equal(got.Out, s.Out) ||
-			got.Phase != s.Phase || got.Console != s.Console {
+		got, err := decodeState(content, s.Name, s.ListenAddress)
+		if err != nil || !slices.Equal(got.AdminDown, s.AdminDown) ||
+			got.Phase != s.Phase || got.AdminAddress != s.AdminAddress {
 			t.Fatalf("%+v came back as %+v, error %v", s, got, err)
 		}
 	})
@@ -42,7 +42,7 @@
 	f.Fuzz(func(t *testing.T, content []byte) {
 		s, err := decodeState(content, "n0", "127.0.0.1:80")
 		hasMagic := bytes.HasPrefix(content, []byte(formatMagic))
-		if err == nil && (s.Name != "n0" || len(s.Out) > maxAdminDown || !hasMagic) {
+		if err == nil && (s.Name != "n0" || len(s.AdminDown) > maxAdminDown || !hasMagic) {
 			t.Errorf("%q is read as %+v", content, s)
 		}
 	})
@@ -60,7 +60,7 @@
 		return fmt.Appendf(nil, "%s %d %d %08x\n%s", formatMagic, version, len(body), sum, body)
 	}
 	otherAddress := startingState(1)
-	otherAddress.Listen = "127.0.0.1:90"
+	otherAddress.ListenAddress = "127.0.0.1:90"
 	foreign, err := encodeState(otherAddress)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/handover/write_test.go
+++ b/internal/handover/write_test.go
@@ -26,7 +26,7 @@
 	if len(others) != 1 {
 		t.Fatalf("it sees %+v, want one process", others)
 	}
-	return others[0].Out
+	return others[0].AdminDown
 }
 
 // TestUpdateFails: while an operation of Update fails, others see the former state or the new one. The last state is
@@ -52,11 +52,11 @@
 	}
 	next := mustJoin(t, dir, startingState(2), discardLog())
 	written, pending := []string{"s-1"}, []string{"s-1", "s-2"}
-	if err := m.Update(func(s *State) { s.Out = written }); err != nil {
+	if err := m.Update(func(s *State) { s.AdminDown = written }); err != nil {
 		t.Fatal(err)
 	}
 	fs.Fail(skip, count, fault)
-	if err := m.Update(func(s *State) { s.Out = pending }); err == nil {
+	if err := m.Update(func(s *State) { s.AdminDown = pending }); err == nil {
 		t.Error("Update returned nil and the state is not written")
 	}
 	if got := adminDownSeenBy(t, next); !slices.Equal(got, written) && !slices.Equal(got, pending) {
@@ -73,7 +73,7 @@
 		}
 	}
 	fs.Fail(0, 1, fault)
-	if err := m.Update(func(s *State) { s.Out = nil }); err == nil {
+	if err := m.Update(func(s *State) { s.AdminDown = nil }); err == nil {
 		t.Error("Update returned nil and the state is not written")
 	}
 	if err := m.Leave(); err != nil {
@@ -114,7 +114,7 @@
 			case 1:
 				fs.KillAfter(skip)
 			}
-			if m.Update(func(s *State) { s.Out = make([]string, i) }) == nil {
+			if m.Update(func(s *State) { s.AdminDown = make([]string, i) }) == nil {
 				acknowledged = i
 			}
 			if got := len(adminDownSeenBy(t, next)); got < acknowledged || got > i {
--- a/internal/netretry/netretry.go
+++ b/internal/netretry/netretry.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	minBackoff   = time.Millisecond
-	maxBackoff = 50 * time.Millisecond
-	maxIOAttempts      = 8 // of a read or a write, over about 0.1 s
-	maxDialAttempts      = 5 // of a connection, over about 15 ms: another server may be asked instead
+	minBackoff      = time.Millisecond
+	maxBackoff      = 50 * time.Millisecond
+	maxIOAttempts   = 8 // of a read or a write, over about 0.1 s
+	maxDialAttempts = 5 // of a connection, over about 15 ms: another server may be asked instead
 )
 
 // backoff is how long to wait after the given number of failures in a row.
--- a/internal/netretry/netretry_test.go
+++ b/internal/netretry/netretry_test.go
@@ -26,10 +26,10 @@
 type failingSocket struct {
 	net.Listener
 	net.Conn
-	err   error
-	failuresLeft  int
-	finalErr  error
-	calls int
+	err          error
+	failuresLeft int
+	finalErr     error
+	calls        int
 }
 
 func (f *failingSocket) call() error {
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -180,7 +180,7 @@
 	case full:
 		c.dropBody()
 		finalResponse{kind: rejected, retryAfter: s.loop.settings.Load().retryAfter}.write(w)
-		c.counters.Dropped.Add(1)
+		c.counters.Rejected.Add(1)
 		return nil
 	}
 	defer s.ids.release(c.ID)
@@ -221,7 +221,7 @@
 		body, release, f := s.readBody(w, r, came)
 		if f != nil {
 			if f.status == http.StatusServiceUnavailable {
-				c.counters.Dropped.Add(1)
+				c.counters.Rejected.Add(1)
 			}
 			return nil, f
 		}
@@ -249,11 +249,11 @@
 	a.write(w)
 	switch a.kind {
 	case served:
-		c.counters.Passed.Add(1)
+		c.counters.Served.Add(1)
 	case rejected:
-		c.counters.Dropped.Add(1)
+		c.counters.Rejected.Add(1)
 	default:
-		c.counters.BadGateway.Add(1)
+		c.counters.Failed.Add(1)
 	}
 	return nil
 }
@@ -268,7 +268,7 @@
 // rejectWithoutPolicy refuses a request that no policy lets this sidecar take now.
 func (s *Handler) rejectWithoutPolicy(w http.ResponseWriter, r *http.Request) *httpError {
 	if c, _, f := s.parseRequest(r); f == nil {
-		c.counters.Dropped.Add(1)
+		c.counters.Rejected.Add(1)
 	}
 	finalResponse{kind: rejected, retryAfter: s.loop.settings.Load().retryAfter}.write(w)
 	return nil
--- a/internal/proxy/handler_test.go
+++ b/internal/proxy/handler_test.go
@@ -21,7 +21,7 @@
 func serve(t *testing.T, c *config.Config, h *EventLoop) (*Handler, *downstream.Listener, *http.Server) {
 	t.Helper()
 	handler := NewHandler(c, h, 1000)
-	conns := downstream.NewListener(testserver.Listen(t), 1000, 1000, &h.metrics.Unserved)
+	conns := downstream.NewListener(testserver.Listen(t), 1000, 1000, &h.metrics.UnservedConns)
 	web := conns.HTTPServer(handler, slog.New(slog.DiscardHandler))
 	web.ConnContext = ConnContext
 	go func() { _ = web.Serve(conns) }()
--- a/internal/proxy/request_settings.go
+++ b/internal/proxy/request_settings.go
@@ -21,11 +21,11 @@
 type classSettings struct {
 	balance.Class
 	index    int // in the Balancer
-	counters *stats.Class
+	counters *stats.ClassCounters
 }
 
 // newRequestSettings returns the terms of these settings, whose classes stand at these places in the Balancer.
-func newRequestSettings(set balance.Settings, names *wire.Names, places []int, figures *stats.Figures) *requestSettings {
+func newRequestSettings(set balance.Settings, names *wire.Names, places []int, figures *stats.Counters) *requestSettings {
 	t := &requestSettings{classes: map[string]*classSettings{}, tenants: names.Tenant}
 	for name, i := range names.Class {
 		c := set.Classes[i]
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -67,10 +67,10 @@
 	}
 	switch {
 	case whole:
-		c.counters.Passed.Add(1)
+		c.counters.Served.Add(1)
 		return nil
 	case !ours:
-		c.counters.BadGateway.Add(1)
+		c.counters.Failed.Add(1)
 	}
 	panic(http.ErrAbortHandler)
 }
--- a/internal/sidecar/family.go
+++ b/internal/sidecar/family.go
@@ -33,7 +33,7 @@
 		return f
 	}
 	var err error
-	f.member, err = handover.Join(dir, handover.State{Name: c.Name, Listen: c.Listen, Console: c.Console,
+	f.member, err = handover.Join(dir, handover.State{Name: c.Name, ListenAddress: c.Listen, AdminAddress: c.Console,
 		Started: time.Now(), Phase: handover.Starting}, log)
 	if err != nil {
 		log.Warn("nothing is handed over in an upgrade", "err", err)
@@ -43,22 +43,22 @@
 
 // hasSuccessor tells whether a newer process of the sidecar is ready to take what comes.
 func (f *processGroup) hasSuccessor() bool {
-	return f.member.Succeeded()
+	return f.member.HasReadySuccessor()
 }
 
 // forwardAdminDown passes a call of the staff on to the other processes. It returns whether any knows the server, and an error if one
 // that lives could not be told.
 func (f *processGroup) forwardAdminDown(ctx context.Context, id string, out bool) (known bool, err error) {
 	for _, s := range f.member.Others() {
-		if s.Console == "" {
+		if s.AdminAddress == "" {
 			continue
 		}
-		switch failed := console.PassOn(ctx, s.Console, id, out); {
+		switch failed := console.ForwardAdminDown(ctx, s.AdminAddress, id, out); {
 		case failed == nil:
 			known = true
-		case errors.Is(failed, console.ErrUnknown):
+		case errors.Is(failed, console.ErrUnknownServer):
 		case slices.ContainsFunc(f.member.Others(), func(o handover.State) bool { return o.Compare(s) == 0 }):
-			err = errors.Join(err, fmt.Errorf("the other process at %s was not told: %w", s.Console, failed))
+			err = errors.Join(err, fmt.Errorf("the other process at %s was not told: %w", s.AdminAddress, failed))
 		}
 	}
 	return known, err
@@ -79,7 +79,7 @@
 			return
 		}
 		// A process that is killed leaves its files as they are, so with two it is asked each time.
-		if now := f.member.Changed(); now == seen && f.shares.Load() == 1 {
+		if now := f.member.DirRevision(); now == seen && f.shares.Load() == 1 {
 			continue
 		} else {
 			seen = now
@@ -103,7 +103,7 @@
 func (o *operator) inherit(ctx context.Context) error {
 	out := map[string]bool{}
 	for _, s := range o.group.member.Others() {
-		for _, id := range s.Out {
+		for _, id := range s.AdminDown {
 			out[id] = true
 		}
 	}
@@ -134,5 +134,5 @@
 	if err := o.loop.Do(ctx, func() { out = o.loop.AdminDown() }); err != nil {
 		return err
 	}
-	return o.group.member.Update(func(s *handover.State) { s.Out = out })
+	return o.group.member.Update(func(s *handover.State) { s.AdminDown = out })
 }
--- a/internal/sidecar/family_fault_test.go
+++ b/internal/sidecar/family_fault_test.go
@@ -24,14 +24,14 @@
 	p := start(t, testserver.ConfigText(d.Address, testserver.ServingList(1, one, two, three), testserver.Settings), "TMPDIR="+dir)
 	testserver.Receive(t, d.Watches, "watch")
 	p.until("three")
-	next, err := handover.Join(dir, handover.State{Name: "n0", Listen: "127.0.0.1:0", Started: time.Now(),
+	next, err := handover.Join(dir, handover.State{Name: "n0", ListenAddress: "127.0.0.1:0", Started: time.Now(),
 		Phase: handover.Starting}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = next.Leave() }()
-	sees := func() []string { return next.Others()[0].Out }
-	if _, err := p.staff.TakeOut(context.Background(), "s-0", true, false); err != nil || !slices.Equal(sees(), []string{"s-0"}) {
+	sees := func() []string { return next.Others()[0].AdminDown }
+	if _, err := p.staff.SetAdminDown(context.Background(), "s-0", true, false); err != nil || !slices.Equal(sees(), []string{"s-0"}) {
 		t.Fatalf("error %v, the next process sees %v", err, sees())
 	}
 	folders, err := filepath.Glob(filepath.Join(dir, "milletramp-*"))
@@ -41,7 +41,7 @@
 	if err := os.Rename(folders[0], folders[0]+"-away"); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := p.staff.TakeOut(context.Background(), "s-1", true, false); err == nil {
+	if _, err := p.staff.SetAdminDown(context.Background(), "s-1", true, false); err == nil {
 		t.Error("a call that the next process would not see is answered with yes")
 	}
 	for range 20 {
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -92,8 +92,8 @@
 	o.adminDownChanged = make(chan struct{}, 1)
 	var before []string
 	for _, s := range o.group.member.Others() {
-		if s.Fleet != "" {
-			before = append(before, s.Fleet)
+		if s.FleetAddress != "" {
+			before = append(before, s.FleetAddress)
 		}
 	}
 	gate := proxy.NewPolicyGate(o.loop, c)
@@ -103,7 +103,7 @@
 	if err != nil || part == nil {
 		return func() {}, err
 	}
-	if err := o.group.member.Update(func(s *handover.State) { s.Fleet = part.Address() }); err != nil {
+	if err := o.group.member.Update(func(s *handover.State) { s.FleetAddress = part.Address() }); err != nil {
 		log.Warn("the next process will not ask this one what the fleet holds", "err", err)
 	}
 	if policy := part.Policy(); policy != nil {
@@ -215,7 +215,7 @@
 	}
 	switch {
 	case !known:
-		return "", console.ErrUnknown
+		return "", console.ErrUnknownServer
 	case part == nil:
 		return "", nil
 	}
@@ -254,16 +254,16 @@
 	return true, ""
 }
 
-// Policy implements console.Sidecar.
-func (o *operator) Policy() http.Handler {
+// PolicyHandler implements console.Sidecar.
+func (o *operator) PolicyHandler() http.Handler {
 	if o.fleet() == nil || o.gate == nil {
 		return nil
 	}
 	return o.gate.Policy().Handler()
 }
 
-// Fleet implements console.Sidecar.
-func (o *operator) Fleet(ctx context.Context) ([]byte, error) {
+// FleetStatus implements console.Sidecar.
+func (o *operator) FleetStatus(ctx context.Context) ([]byte, error) {
 	part := o.fleet()
 	if part == nil {
 		return nil, console.ErrNoFleet
--- a/internal/sidecar/ops.go
+++ b/internal/sidecar/ops.go
@@ -14,7 +14,7 @@
 // operator is what the console asks of the sidecar.
 type operator struct {
 	loop             *proxy.EventLoop
-	metrics          *stats.Figures
+	metrics          *stats.Counters
 	group            *processGroup
 	serving          atomic.Pointer[serving]     // nil: does not listen yet
 	announced        atomic.Bool                 // other processes can see that this one is ready
@@ -54,15 +54,15 @@
 	return o.fleetReady()
 }
 
-// Figures implements console.Sidecar.
-func (o *operator) Figures(ctx context.Context) ([]byte, error) {
+// Metrics implements console.Sidecar.
+func (o *operator) Metrics(ctx context.Context) ([]byte, error) {
 	var g stats.Gauges
-	err := o.loop.Do(ctx, func() { g.Known, g.Skipped = o.loop.CountEndpoints() })
+	err := o.loop.Do(ctx, func() { g.ListedServers, g.AvoidedServers = o.loop.CountEndpoints() })
 	if err != nil {
 		return nil, err
 	}
 	if s := o.serving.Load(); s != nil {
-		g.InProgress = s.handler.InFlight()
+		g.InFlight = s.handler.InFlight()
 	}
 	var text bytes.Buffer
 	if err := o.metrics.Write(&text, g); err != nil {
@@ -72,10 +72,10 @@
 	return text.Bytes(), err
 }
 
-// TakeOut implements console.Sidecar. In an upgrade it binds both processes before it returns. One that is just
+// SetAdminDown implements console.Sidecar. In an upgrade it binds both processes before it returns. One that is just
 // starting looks at what is written down, and one that has started is told; what is written first and told then misses
 // neither.
-func (o *operator) TakeOut(ctx context.Context, id string, out, passed bool) (note string, err error) {
+func (o *operator) SetAdminDown(ctx context.Context, id string, out, passed bool) (note string, err error) {
 	known := false
 	if err := o.loop.Do(ctx, func() { known = o.loop.SetAdminDown(id, out) }); err != nil {
 		return "", err
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -17,11 +17,11 @@
 		}
 	}
 	if err != nil {
-		metrics.LoadErrors.Add(1)
+		metrics.ReloadErrors.Add(1)
 		p.log.Error("not reloaded", "err", err)
 		return inUse
 	}
-	metrics.Loads.Add(1)
+	metrics.Reloads.Add(1)
 	p.log.Info("reloaded", "discovery", fresh.Discovery)
 	return fresh
 }
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -172,7 +172,7 @@
 		p.log.Debug("the kernel chooses among the processes of this address", "err", err)
 	}
 	b := NewSocketBudget(p.config)
-	p.conns = downstream.NewListener(netretry.NewListener(p.accepting, p.log), b.ClientConns, b.KeepAliveConns, &p.loop.Metrics().Unserved)
+	p.conns = downstream.NewListener(netretry.NewListener(p.accepting, p.log), b.ClientConns, b.KeepAliveConns, &p.loop.Metrics().UnservedConns)
 	p.handler = proxy.NewHandler(p.config, p.loop, b.Requests)
 	context.AfterFunc(p.handler.Shutdown(), p.conns.RetireAll)
 	p.handler.SetPolicyGate(p.operator.gate)
--- a/internal/sidecar/settings_test.go
+++ b/internal/sidecar/settings_test.go
@@ -18,10 +18,10 @@
 func (p *program) hangup(text string) {
 	p.T.Helper()
 	f := p.staff.metrics
-	before := f.Loads.Load() + f.LoadErrors.Load()
+	before := f.Reloads.Load() + f.ReloadErrors.Load()
 	write(p.T, p.file, text)
 	p.hup <- syscall.SIGHUP
-	for end := time.Now().Add(testserver.Timeout); f.Loads.Load()+f.LoadErrors.Load() == before; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testserver.Timeout); f.Reloads.Load()+f.ReloadErrors.Load() == before; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			p.T.Fatalf("no reload within %v", testserver.Timeout)
 		}
@@ -31,7 +31,7 @@
 // figure reads one figure as the staff does.
 func (p *program) figure(name string) string {
 	p.T.Helper()
-	text, err := p.staff.Figures(context.Background())
+	text, err := p.staff.Metrics(context.Background())
 	if err != nil {
 		p.T.Fatal(err)
 	}
@@ -101,7 +101,7 @@
 			t.Fatalf("%s: nothing is changed", tt.name)
 		}
 		p.hangup(bad)
-		if errors := p.staff.metrics.LoadErrors.Load(); errors != int64(i+1) {
+		if errors := p.staff.metrics.ReloadErrors.Load(); errors != int64(i+1) {
 			t.Fatalf("%s: %d files turned down, want %d", tt.name, errors, i+1)
 		}
 	}
@@ -175,11 +175,11 @@
 	p.until("one")
 	call := func(id string, out bool, want error) {
 		t.Helper()
-		if _, err := p.staff.TakeOut(context.Background(), id, out, false); err != want {
+		if _, err := p.staff.SetAdminDown(context.Background(), id, out, false); err != want {
 			t.Fatalf("call for %s, out %v: %v, want %v", id, out, err, want)
 		}
 	}
-	call("s-9", true, console.ErrUnknown)
+	call("s-9", true, console.ErrUnknownServer)
 	call("s-0", true, nil)
 	p.figuresAre("known_servers", "2", "skipped_servers", "1")
 	w.Lines <- testserver.ListText(2, false, testserver.EndpointEntry("s-0", one.Address, "DRAINING", 0))
--- a/internal/sidecar/socket_budget.go
+++ b/internal/sidecar/socket_budget.go
@@ -14,7 +14,7 @@
 }
 
 // adminDescriptors are set aside for the console: its listener, its callers, and one that is being taken.
-const adminDescriptors = console.Connections + 2
+const adminDescriptors = console.MaxConnections + 2
 
 // reservedDescriptors are for the listener, discovery's watches, a connection that is about to be closed, and the runtime.
 const reservedDescriptors = 20
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -10,62 +10,62 @@
 	"sync/atomic"
 )
 
-// Class counts how the requests of one class ended.
-type Class struct {
-	Passed     atomic.Int64 // the response of a server was written to the client
-	Dropped    atomic.Int64 // answered with status 503: had no effect, and may be retried
-	BadGateway atomic.Int64 // answered with status 502, or with a response that its server cut off
+// ClassCounters counts how the requests of one class ended.
+type ClassCounters struct {
+	Served   atomic.Int64 // the response of a server was written to the client
+	Rejected atomic.Int64 // answered with status 503: had no effect, and may be retried
+	Failed   atomic.Int64 // answered with status 502, or with a response that its server cut off
 }
 
-// Cause is the reason why a client's connection ended before a request on it was complete.
-type Cause int
+// CloseReason is the reason why a client's connection ended before a request on it was complete.
+type CloseReason int
 
 // The reasons.
 const (
-	Gone     Cause = iota // the client closed it, or it broke
-	Late                  // the first request head took too long
-	Room                  // closed for another connection, at the limit of open ones
-	Stopping              // the process shuts down
+	ClientClosed CloseReason = iota // the client closed it, or it broke
+	HeadTimeout                     // the first request head took too long
+	Evicted                         // closed for another connection, at the limit of open ones
+	ShuttingDown                    // the process shuts down
 
 	reasonCount
 )
 
-// Unserved counts the connections of clients that ended before a request on them was complete.
-type Unserved [reasonCount]atomic.Int64
+// UnservedConns counts the connections of clients that ended before a request on them was complete.
+type UnservedConns [reasonCount]atomic.Int64
 
 // Count counts one connection.
-func (u *Unserved) Count(c Cause) { u[c].Add(1) }
+func (u *UnservedConns) Count(c CloseReason) { u[c].Add(1) }
 
-// Figures are the counters of one process, from 0 at its start. The zero value is ready. Its methods may be called by
+// Counters are the counters of one process, from 0 at its start. The zero value is ready. Its methods may be called by
 // several goroutines at once.
-type Figures struct {
-	Tries      atomic.Int64 // attempts written to their last byte
-	Loads      atomic.Int64 // configuration files accepted at SIGHUP
-	LoadErrors atomic.Int64 // configuration files rejected at SIGHUP
-	Unserved   Unserved
+type Counters struct {
+	Attempts      atomic.Int64 // attempts written to their last byte
+	Reloads       atomic.Int64 // configuration files accepted at SIGHUP
+	ReloadErrors  atomic.Int64 // configuration files rejected at SIGHUP
+	UnservedConns UnservedConns
 
 	mu      sync.Mutex
-	classes map[string]*Class
+	classes map[string]*ClassCounters
 }
 
 // Gauges are values of the state at one moment.
 type Gauges struct {
-	InProgress int // requests accepted and not yet answered
-	Known      int // servers in the endpoint list
-	Skipped    int // of these, the ones that are administratively down or ejected
+	InFlight       int // requests accepted and not yet answered
+	ListedServers  int // servers in the endpoint list
+	AvoidedServers int // of these, the ones that are administratively down or ejected
 }
 
 // Class returns the counters of a class, the same at each call. Callers that count each request keep the pointer, as
 // Class takes a lock.
-func (f *Figures) Class(name string) *Class {
+func (f *Counters) Class(name string) *ClassCounters {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.classes == nil {
-		f.classes = map[string]*Class{}
+		f.classes = map[string]*ClassCounters{}
 	}
 	counters := f.classes[name]
 	if counters == nil {
-		counters = &Class{}
+		counters = &ClassCounters{}
 		f.classes[name] = counters
 	}
 	return counters
--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -7,20 +7,20 @@
 
 // TestWriteNamesOrderAndForm: every metric is written, also one that is 0, under its name, in order and one a line.
 func TestWriteNamesOrderAndForm(t *testing.T) {
-	var f Figures
-	f.Class("read").Passed.Add(3)
-	f.Class("book").Dropped.Add(2)
-	f.Class("book").BadGateway.Add(1)
-	f.Tries.Add(7)
-	f.Loads.Add(4)
-	f.LoadErrors.Add(5)
+	var f Counters
+	f.Class("read").Served.Add(3)
+	f.Class("book").Rejected.Add(2)
+	f.Class("book").Failed.Add(1)
+	f.Attempts.Add(7)
+	f.Reloads.Add(4)
+	f.ReloadErrors.Add(5)
 	for c := range reasonCount {
 		for range c + 1 {
-			f.Unserved.Count(c)
+			f.UnservedConns.Count(c)
 		}
 	}
 	var got strings.Builder
-	if err := f.Write(&got, Gauges{InProgress: 14, Known: 9, Skipped: 2}); err != nil {
+	if err := f.Write(&got, Gauges{InFlight: 14, ListedServers: 9, AvoidedServers: 2}); err != nil {
 		t.Fatal(err)
 	}
 	want := `sidecar.passed.book=0
@@ -47,10 +47,10 @@
 
 // TestClassReturnsSameCounters: the counters of a class go on when the class is named again.
 func TestClassReturnsSameCounters(t *testing.T) {
-	var f Figures
-	f.Class("read").Passed.Add(1)
-	f.Class("read").Passed.Add(1)
-	if n := f.Class("read").Passed.Load(); n != 2 {
+	var f Counters
+	f.Class("read").Served.Add(1)
+	f.Class("read").Served.Add(1)
+	if n := f.Class("read").Served.Load(); n != 2 {
 		t.Errorf("%d, want 2", n)
 	}
 }
