--- a/internal/console/forward.go
+++ b/internal/admin/forward.go
@@ -1,4 +1,4 @@
-package console
+package admin
 
 import (
 	"bytes"
@@ -27,7 +27,7 @@
 func (e *ResponseError) Error() string { return fmt.Sprintf("status %d, %s", e.StatusCode, e.Detail) }
 
 // ForwardAdminDown forwards a call that came to this process to the process whose server is at address: to set a server
-// administratively down, or up again where down is not set. It returns ErrUnknown if that process has no such
+// administratively down, or up again where down is not set. It returns ErrUnknownServer if that process has no such
 // server, and an error that wraps a *ResponseError if it does not do it for another reason.
 func ForwardAdminDown(ctx context.Context, address, id string, down bool) error {
 	resp, err := sendAdminDown(ctx, address, id, down)
--- a/internal/console/forward_test.go
+++ b/internal/admin/forward_test.go
@@ -1,4 +1,4 @@
-package console
+package admin
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 )
 
 // TestForwardReturnsResponse: forwarding returns nil for a call that the other process carries out. For one that it
-// doesn't it returns ErrUnknown or the response as a ResponseError.
+// doesn't it returns ErrUnknownServer or the response as a ResponseError.
 func TestForwardReturnsResponse(t *testing.T) {
 	f := &fakeSidecar{adminDown: map[string]bool{"s-1": false}}
 	address := startServer(t, f)
--- a/internal/console/request.go
+++ b/internal/admin/request.go
@@ -1,4 +1,4 @@
-package console
+package admin
 
 import (
 	"bytes"
--- a/internal/console/server.go
+++ b/internal/admin/server.go
@@ -1,4 +1,4 @@
-// Package console is the sidecar's second address, for operators: readiness, metrics, the state of the fleet, and
+// Package admin is the sidecar's second address, for operators: readiness, metrics, the state of the fleet, and
 // servers that are set administratively down or up. It reads calls and writes responses; what a call does is up to the
 // [Sidecar].
 //
@@ -6,9 +6,9 @@
 // answers one call. [Server.Close] ends Serve and closes the connections; a call that is complete has 800 ms to be
 // answered before that.
 //
-// A Sidecar returns [ErrNoFleet] or [ErrUnknown] where there is no fleet or no such server.
-// [PassOn] returns [ErrUnknown] or a [ResponseError] for a call that another process did not carry out.
-package console
+// A Sidecar returns [ErrNoFleet] or [ErrUnknownServer] where there is no fleet or no such server.
+// [ForwardAdminDown] returns [ErrUnknownServer] or a [ResponseError] for a call that another process did not carry out.
+package admin
 
 import (
 	"context"
@@ -27,15 +27,15 @@
 type Sidecar interface {
 	// Ready reports whether the process is ready to serve, and if not, why.
 	Ready() (ready bool, why string)
-	// Figures returns the metrics as text.
+	// Metrics returns the metrics as text.
 	Metrics(ctx context.Context) ([]byte, error)
-	// TakeOut sets a server administratively down, or up again where down is not set. It returns
-	// ErrUnknown for a server that nobody knows. forwarded is set for a call that another process of the
+	// SetAdminDown sets a server administratively down, or up again where down is not set. It returns
+	// ErrUnknownServer for a server that nobody knows. forwarded is set for a call that another process of the
 	// sidecar has forwarded; it isn't forwarded again. note is for the operator and may be "".
 	SetAdminDown(ctx context.Context, id string, down, forwarded bool) (note string, err error)
-	// Policy returns the handler of calls below /ops/policy/, or nil if there is no fleet or it has no policy.
+	// PolicyHandler returns the handler of calls below /ops/policy/, or nil if there is no fleet or it has no policy.
 	PolicyHandler() http.Handler
-	// Fleet returns what this sidecar knows of the fleet, as JSON, or ErrNoFleet.
+	// FleetStatus returns what this sidecar knows of the fleet, as JSON, or ErrNoFleet.
 	FleetStatus(ctx context.Context) ([]byte, error)
 }
 
--- a/internal/console/server_test.go
+++ b/internal/admin/server_test.go
@@ -1,4 +1,4 @@
-package console
+package admin
 
 import (
 	"bufio"
@@ -20,8 +20,8 @@
 	err       error
 	adminDown map[string]bool
 	forwarded bool
-	note      string             // returned by TakeOut; "": there is no fleet
-	entered   chan chan struct{} // TakeOut sends a channel and returns once that is closed; nil: at once
+	note      string             // returned by SetAdminDown; "": there is no fleet
+	entered   chan chan struct{} // SetAdminDown sends a channel and returns once that is closed; nil: at once
 }
 
 func (f *fakeSidecar) Ready() (bool, string) { return f.notReady == "", f.notReady }
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -10,8 +10,8 @@
 
 	"golang.org/x/sys/unix"
 
+	"milletramp.example/milletramp/internal/metrics"
 	"milletramp.example/milletramp/internal/netretry"
-	"milletramp.example/milletramp/internal/stats"
 )
 
 // discardBufferSize is the bytes read at once of input that nobody is to get.
@@ -27,18 +27,18 @@
 	malformed  error          // of the message behind these; nil: none is malformed
 
 	state              connState
-	idleElement        *list.Element     // in the listener's list; nil: the state is one with a request, or closed
-	idleSince          time.Time         // when it was put into that list
-	used               bool              // http.Server has read a request, or a part of one
-	handling           bool              // http.Server holds it for active
-	closeCalled        bool              // Close was called
-	closeAfterResponse bool              // its next response ends it
-	requestsRead       int               // heads that were read whole
-	responsesSent      int               // behind which the connection was kept
-	partialHead        bool              // a part of another head was read
-	readError          error             // that ended the reading
-	readDeadline       time.Time         // as http.Server set it last
-	retireCause        stats.CloseReason // why it was retired
+	idleElement        *list.Element       // in the listener's list; nil: the state is one with a request, or closed
+	idleSince          time.Time           // when it was put into that list
+	used               bool                // http.Server has read a request, or a part of one
+	handling           bool                // http.Server holds it for active
+	closeCalled        bool                // Close was called
+	closeAfterResponse bool                // its next response ends it
+	requestsRead       int                 // heads that were read whole
+	responsesSent      int                 // behind which the connection was kept
+	partialHead        bool                // a part of another head was read
+	readError          error               // that ended the reading
+	readDeadline       time.Time           // as http.Server set it last
+	retireCause        metrics.CloseReason // why it was retired
 }
 
 // AcceptedAt is when the connection was accepted.
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"milletramp.example/milletramp/internal/stats"
+	"milletramp.example/milletramp/internal/metrics"
 )
 
 // minIdleTime is how long a connection is without a request before another one may take its place. A burst of
@@ -19,7 +19,7 @@
 // the longest idle first; when the process stops it ends all of them.
 type Listener struct {
 	net.Listener
-	unserved *stats.UnservedConns // counts connections that ended without a request
+	unserved *metrics.UnservedConns // counts connections that ended without a request
 
 	mu             sync.Mutex
 	maxConns       int
@@ -34,7 +34,7 @@
 
 // NewListener returns a Listener that accepts from l at most maxConns connections, and from keepAliveLimit used ones on
 // ends each with its response.
-func NewListener(l net.Listener, maxConns, keepAliveLimit int, unserved *stats.UnservedConns) *Listener {
+func NewListener(l net.Listener, maxConns, keepAliveLimit int, unserved *metrics.UnservedConns) *Listener {
 	return &Listener{
 		Listener:       l,
 		unserved:       unserved,
@@ -114,7 +114,7 @@
 		}
 		wait = minIdleTime
 		if !c.hasUnreadInput() {
-			l.beginRetire(c, stats.Evicted)
+			l.beginRetire(c, metrics.Evicted)
 			break
 		}
 	}
@@ -129,7 +129,7 @@
 	l.eachIdle(func(c *Conn) {
 		isDue := c.state != stateNew || time.Since(c.idleSince) >= unused
 		if isDue && !c.partialHead {
-			l.beginRetire(c, stats.ShuttingDown)
+			l.beginRetire(c, metrics.ShuttingDown)
 		}
 	})
 }
@@ -144,7 +144,7 @@
 	}
 	l.eachIdle(func(c *Conn) {
 		if c.state != stateLingering {
-			l.beginRetire(c, stats.ShuttingDown)
+			l.beginRetire(c, metrics.ShuttingDown)
 		}
 	})
 }
@@ -160,7 +160,7 @@
 
 // beginRetire ends a connection: at once behind its final response, by its reader where it has no request, and else
 // with its next response. The lock is held.
-func (l *Listener) beginRetire(c *Conn, cause stats.CloseReason) {
+func (l *Listener) beginRetire(c *Conn, cause metrics.CloseReason) {
 	next, ok := nextState(c.state, eventRetire, c.used)
 	if !ok {
 		return
@@ -236,9 +236,9 @@
 	case previous == stateRetiring:
 		l.unserved.Count(c.retireCause)
 	case errors.Is(c.readError, os.ErrDeadlineExceeded):
-		l.unserved.Count(stats.HeadTimeout)
+		l.unserved.Count(metrics.HeadTimeout)
 	default:
-		l.unserved.Count(stats.ClientClosed)
+		l.unserved.Count(metrics.ClientClosed)
 	}
 	l.signalCapacity()
 }
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -11,14 +11,14 @@
 	"time"
 
 	"milletramp.example/milletramp/internal/lab/testserver"
-	"milletramp.example/milletramp/internal/stats"
+	"milletramp.example/milletramp/internal/metrics"
 )
 
 // acceptConn returns a listener for maxConns connections, one that it has accepted, and its client's end, which the end
 // of the test closes.
 func acceptConn(t *testing.T, maxConns int) (l *Listener, c *Conn, client net.Conn) {
 	t.Helper()
-	l = NewListener(testserver.Listen(t), maxConns, maxConns, &stats.UnservedConns{})
+	l = NewListener(testserver.Listen(t), maxConns, maxConns, &metrics.UnservedConns{})
 	client, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +34,7 @@
 // TestConnectionWithRequestKeepsItsPlace follows the bound itself: a connection with a request is never closed for
 // another.
 func TestConnectionWithRequestKeepsItsPlace(t *testing.T) {
-	l := NewListener(testserver.Listen(t), 2, 2, &stats.UnservedConns{})
+	l := NewListener(testserver.Listen(t), 2, 2, &metrics.UnservedConns{})
 	var taken []*Conn
 	accept := func() *Conn {
 		c, err := net.Dial("tcp", l.Addr().String())
@@ -78,7 +78,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if n := l.unserved[stats.Evicted].Load(); n != 1 {
+	if n := l.unserved[metrics.Evicted].Load(); n != 1 {
 		t.Errorf("%d connections ended unserved for room, want 1", n)
 	}
 	if l.openConns != 0 || l.usedConns != 0 || l.idleConns.Len() != 0 {
@@ -109,8 +109,8 @@
 		before string // sent and answered first
 		retire func(*Listener, *Conn)
 	}{
-		{"new, for room", "", func(l *Listener, c *Conn) { l.beginRetire(c, stats.Evicted) }},
-		{"used, for room", "GET / HTTP/1.1\r\n\r\n", func(l *Listener, c *Conn) { l.beginRetire(c, stats.Evicted) }},
+		{"new, for room", "", func(l *Listener, c *Conn) { l.beginRetire(c, metrics.Evicted) }},
+		{"used, for room", "GET / HTTP/1.1\r\n\r\n", func(l *Listener, c *Conn) { l.beginRetire(c, metrics.Evicted) }},
 		{"used, stopping", "GET / HTTP/1.1\r\n\r\n", func(l *Listener, c *Conn) {
 			l.mu.Unlock()
 			l.RetireIdle(0)
--- a/internal/handover/member.go
+++ b/internal/hotrestart/member.go
@@ -1,4 +1,4 @@
-// Package handover lets the processes of one sidecar know of each other during a hot restart, in which a new process
+// Package hotrestart lets the processes of one sidecar know of each other during a hot restart, in which a new process
 // starts before the one that it replaces ends.
 //
 // The processes share a directory. Each owns two files in it: one that it holds an advisory lock on for as long as it
@@ -8,7 +8,7 @@
 // The package starts no goroutine until a write of the state fails: it is retried from a timer, which [Member.Leave]
 // stops. [Join], [Member.Update] and [Member.Leave] return errors of the file system. What is wrong with the files of
 // other processes is logged, and those processes are left out.
-package handover
+package hotrestart
 
 import (
 	"errors"
--- a/internal/handover/member_test.go
+++ b/internal/hotrestart/member_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"bytes"
@@ -45,7 +45,7 @@
 	before := first.DirRevision()
 	second := mustJoin(t, dir, startingState(2), discardLog())
 	if first.DirRevision() == before {
-		t.Error("a process joined and Changed returns the same number")
+		t.Error("a process joined and DirRevision returns the same number")
 	}
 	if err := second.Update(func(s *State) { s.Phase, s.AdminDown = Ready, []string{"s-1"} }); err != nil {
 		t.Fatal(err)
--- a/internal/handover/others.go
+++ b/internal/hotrestart/others.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"errors"
--- a/internal/handover/write_test.go
+++ b/internal/hotrestart/write_test.go
@@ -1,6 +1,6 @@
 //go:build go1.25
 
-package handover
+package hotrestart
 
 import (
 	"bytes"
--- a/internal/stats/stats.go
+++ b/internal/metrics/stats.go
@@ -1,9 +1,9 @@
-// Package stats holds the metrics that one process of the sidecar reports to its operators.
+// Package metrics holds the metrics that one process of the sidecar reports to its operators.
 //
 // Counters only rise, and each is counted in one place, where the event happens. Gauges are read from the state when
 // the metrics are written. The package starts no goroutine, and its only error is that of the writer which
-// [Figures.Write] is given.
-package stats
+// [Counters.Write] is given.
+package metrics
 
 import (
 	"sync"
--- a/internal/stats/text.go
+++ b/internal/metrics/text.go
@@ -1,4 +1,4 @@
-package stats
+package metrics
 
 import (
 	"fmt"
--- a/internal/proxy/event_loop.go
+++ b/internal/proxy/event_loop.go
@@ -11,7 +11,7 @@
 	"milletramp.example/milletramp/balance"
 	"milletramp.example/milletramp/internal/config"
 	"milletramp.example/milletramp/internal/discovery"
-	"milletramp.example/milletramp/internal/stats"
+	"milletramp.example/milletramp/internal/metrics"
 	"milletramp.example/milletramp/internal/upstream"
 )
 
@@ -69,7 +69,7 @@
 	log         *slog.Logger
 	origin      time.Time
 	upstream    *upstream.Client
-	metrics     *stats.Counters
+	metrics     *metrics.Counters
 	settings    atomic.Pointer[requestSettings]
 	ready       chan struct{} // closed once servers are known
 	firstUpdate chan struct{} // closed once discovery has told
@@ -103,7 +103,7 @@
 func NewEventLoop(ctx context.Context, c *config.Config, maxUpstreamConns int, log *slog.Logger,
 	dialDiscovery discovery.DialFunc) (*EventLoop, error) {
 	h := &EventLoop{log: log, origin: time.Now().Add(-originAge), ready: make(chan struct{}), firstUpdate: make(chan struct{}), wake: make(chan struct{}, 1),
-		metrics: &stats.Counters{}, inflight: map[balance.RequestID]*inflightRequest{}, ctx: ctx}
+		metrics: &metrics.Counters{}, inflight: map[balance.RequestID]*inflightRequest{}, ctx: ctx}
 	h.upstream = upstream.New(c.Limits, maxUpstreamConns, &h.metrics.Attempts)
 	h.now = h.clock()
 	h.starts = discovery.NewStartTimes(h.clock)
@@ -488,7 +488,7 @@
 func (h *EventLoop) FirstUpdate() <-chan struct{} { return h.firstUpdate }
 
 // Metrics returns the counters of the process.
-func (h *EventLoop) Metrics() *stats.Counters { return h.metrics }
+func (h *EventLoop) Metrics() *metrics.Counters { return h.metrics }
 
 // Upstream returns the client that makes the attempts.
 func (h *EventLoop) Upstream() *upstream.Client { return h.upstream }
--- a/internal/proxy/request_settings.go
+++ b/internal/proxy/request_settings.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
-	"milletramp.example/milletramp/internal/stats"
+	"milletramp.example/milletramp/internal/metrics"
 	"milletramp.example/milletramp/internal/wire"
 )
 
@@ -21,11 +21,11 @@
 type classSettings struct {
 	balance.Class
 	index    int // in the Balancer
-	counters *stats.ClassCounters
+	counters *metrics.ClassCounters
 }
 
 // newRequestSettings returns the terms of these settings, whose classes stand at these places in the Balancer.
-func newRequestSettings(set balance.Settings, names *wire.Names, places []int, figures *stats.Counters) *requestSettings {
+func newRequestSettings(set balance.Settings, names *wire.Names, places []int, figures *metrics.Counters) *requestSettings {
 	t := &requestSettings{classes: map[string]*classSettings{}, tenants: names.Tenant}
 	for name, i := range names.Class {
 		c := set.Classes[i]
--- a/internal/sidecar/family.go
+++ b/internal/sidecar/family.go
@@ -10,9 +10,9 @@
 	"sync/atomic"
 	"time"
 
+	"milletramp.example/milletramp/internal/admin"
 	"milletramp.example/milletramp/internal/config"
-	"milletramp.example/milletramp/internal/console"
-	"milletramp.example/milletramp/internal/handover"
+	"milletramp.example/milletramp/internal/hotrestart"
 )
 
 // processPollInterval is how often this process looks whether another of the sidecar has come or gone.
@@ -20,8 +20,8 @@
 
 // processGroup is this process among those of its sidecar: one most of the time, two in an upgrade.
 type processGroup struct {
-	member *handover.Member // nil: there is no way to know of others
-	shares atomic.Int32     // into which what the sidecar may hold is parted
+	member *hotrestart.Member // nil: there is no way to know of others
+	shares atomic.Int32       // into which what the sidecar may hold is parted
 }
 
 func joinProcessGroup(c *config.Config, log *slog.Logger) *processGroup {
@@ -33,8 +33,8 @@
 		return f
 	}
 	var err error
-	f.member, err = handover.Join(dir, handover.State{Name: c.Name, ListenAddress: c.Listen, AdminAddress: c.Console,
-		Started: time.Now(), Phase: handover.Starting}, log)
+	f.member, err = hotrestart.Join(dir, hotrestart.State{Name: c.Name, ListenAddress: c.Listen, AdminAddress: c.Console,
+		Started: time.Now(), Phase: hotrestart.Starting}, log)
 	if err != nil {
 		log.Warn("nothing is handed over in an upgrade", "err", err)
 	}
@@ -53,11 +53,11 @@
 		if s.AdminAddress == "" {
 			continue
 		}
-		switch failed := console.ForwardAdminDown(ctx, s.AdminAddress, id, out); {
+		switch failed := admin.ForwardAdminDown(ctx, s.AdminAddress, id, out); {
 		case failed == nil:
 			known = true
-		case errors.Is(failed, console.ErrUnknownServer):
-		case slices.ContainsFunc(f.member.Others(), func(o handover.State) bool { return o.Compare(s) == 0 }):
+		case errors.Is(failed, admin.ErrUnknownServer):
+		case slices.ContainsFunc(f.member.Others(), func(o hotrestart.State) bool { return o.Compare(s) == 0 }):
 			err = errors.Join(err, fmt.Errorf("the other process at %s was not told: %w", s.AdminAddress, failed))
 		}
 	}
@@ -134,5 +134,5 @@
 	if err := o.loop.Do(ctx, func() { out = o.loop.AdminDown() }); err != nil {
 		return err
 	}
-	return o.group.member.Update(func(s *handover.State) { s.AdminDown = out })
+	return o.group.member.Update(func(s *hotrestart.State) { s.AdminDown = out })
 }
--- a/internal/sidecar/family_fault_test.go
+++ b/internal/sidecar/family_fault_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"milletramp.example/milletramp/internal/handover"
+	"milletramp.example/milletramp/internal/hotrestart"
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
@@ -24,8 +24,8 @@
 	p := start(t, testserver.ConfigText(d.Address, testserver.ServingList(1, one, two, three), testserver.Settings), "TMPDIR="+dir)
 	testserver.Receive(t, d.Watches, "watch")
 	p.until("three")
-	next, err := handover.Join(dir, handover.State{Name: "n0", ListenAddress: "127.0.0.1:0", Started: time.Now(),
-		Phase: handover.Starting}, slog.New(slog.DiscardHandler))
+	next, err := hotrestart.Join(dir, hotrestart.State{Name: "n0", ListenAddress: "127.0.0.1:0", Started: time.Now(),
+		Phase: hotrestart.Starting}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/family_test.go
+++ b/internal/sidecar/family_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"milletramp.example/milletramp/internal/handover"
+	"milletramp.example/milletramp/internal/hotrestart"
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
@@ -14,8 +14,8 @@
 // it has one. Danger: it would refuse what the other one serves. It takes over what is out by hand.
 func TestBesideAnother(t *testing.T) {
 	dir := t.TempDir()
-	other, err := handover.Join(dir, handover.State{Name: "n0", ListenAddress: "127.0.0.1:0", Started: time.Now(),
-		Phase: handover.Ready, AdminDown: []string{"s-0"}}, slog.New(slog.DiscardHandler))
+	other, err := hotrestart.Join(dir, hotrestart.State{Name: "n0", ListenAddress: "127.0.0.1:0", Started: time.Now(),
+		Phase: hotrestart.Ready, AdminDown: []string{"s-0"}}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -10,10 +10,10 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/admin"
 	"milletramp.example/milletramp/internal/config"
-	"milletramp.example/milletramp/internal/console"
 	"milletramp.example/milletramp/internal/discovery"
-	"milletramp.example/milletramp/internal/handover"
+	"milletramp.example/milletramp/internal/hotrestart"
 	"milletramp.example/milletramp/internal/proxy"
 )
 
@@ -103,7 +103,7 @@
 	if err != nil || part == nil {
 		return func() {}, err
 	}
-	if err := o.group.member.Update(func(s *handover.State) { s.FleetAddress = part.Address() }); err != nil {
+	if err := o.group.member.Update(func(s *hotrestart.State) { s.FleetAddress = part.Address() }); err != nil {
 		log.Warn("the next process will not ask this one what the fleet holds", "err", err)
 	}
 	if policy := part.Policy(); policy != nil {
@@ -215,7 +215,7 @@
 	}
 	switch {
 	case !known:
-		return "", console.ErrUnknownServer
+		return "", admin.ErrUnknownServer
 	case part == nil:
 		return "", nil
 	}
@@ -266,7 +266,7 @@
 func (o *operator) FleetStatus(ctx context.Context) ([]byte, error) {
 	part := o.fleet()
 	if part == nil {
-		return nil, console.ErrNoFleet
+		return nil, admin.ErrNoFleet
 	}
 	return part.Status(ctx)
 }
--- a/internal/sidecar/ops.go
+++ b/internal/sidecar/ops.go
@@ -7,14 +7,14 @@
 	"sync/atomic"
 
 	"milletramp.example/milletramp/internal/downstream"
+	"milletramp.example/milletramp/internal/metrics"
 	"milletramp.example/milletramp/internal/proxy"
-	"milletramp.example/milletramp/internal/stats"
 )
 
 // operator is what the console asks of the sidecar.
 type operator struct {
 	loop             *proxy.EventLoop
-	metrics          *stats.Counters
+	metrics          *metrics.Counters
 	group            *processGroup
 	serving          atomic.Pointer[serving]     // nil: does not listen yet
 	announced        atomic.Bool                 // other processes can see that this one is ready
@@ -56,7 +56,7 @@
 
 // Metrics implements console.Sidecar.
 func (o *operator) Metrics(ctx context.Context) ([]byte, error) {
-	var g stats.Gauges
+	var g metrics.Gauges
 	err := o.loop.Do(ctx, func() { g.ListedServers, g.AvoidedServers = o.loop.CountEndpoints() })
 	if err != nil {
 		return nil, err
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -13,10 +13,10 @@
 	"sync"
 	"time"
 
+	"milletramp.example/milletramp/internal/admin"
 	"milletramp.example/milletramp/internal/config"
-	"milletramp.example/milletramp/internal/console"
 	"milletramp.example/milletramp/internal/downstream"
-	"milletramp.example/milletramp/internal/handover"
+	"milletramp.example/milletramp/internal/hotrestart"
 	"milletramp.example/milletramp/internal/netretry"
 	"milletramp.example/milletramp/internal/proxy"
 )
@@ -205,7 +205,7 @@
 		case err := <-p.served:
 			return fmt.Errorf("serve: %w", err)
 		case <-ready:
-			p.setPhase(handover.Ready, "the next process cannot take over from this one")
+			p.setPhase(hotrestart.Ready, "the next process cannot take over from this one")
 			p.operator.announced.Store(true)
 			ready = nil
 		case <-stop.Done():
@@ -215,8 +215,8 @@
 }
 
 // setPhase tells other processes how far this one is. warning says what follows if that fails.
-func (p *process) setPhase(phase handover.Phase, warning string) {
-	if err := p.operator.group.member.Update(func(s *handover.State) { s.Phase = phase }); err != nil {
+func (p *process) setPhase(phase hotrestart.Phase, warning string) {
+	if err := p.operator.group.member.Update(func(s *hotrestart.State) { s.Phase = phase }); err != nil {
 		p.log.Warn(warning, "err", err)
 	}
 }
@@ -227,7 +227,7 @@
 	p.handler.Drain(p.times.maxDeadline) // first: the time until the kill runs
 	succeeded := p.operator.group.hasSuccessor()
 	p.log.Info("draining", "succeeded", succeeded)
-	p.setPhase(handover.Draining, "the next process does not know that this one drains")
+	p.setPhase(hotrestart.Draining, "the next process does not know that this one drains")
 	accept, closeIdle := p.times.acceptFor, p.times.idleGrace
 	if succeeded {
 		accept, closeIdle = 0, p.times.successorIdleGrace // the next process takes what comes
@@ -280,7 +280,7 @@
 
 // startAdmin answers the calls that come to l, and returns what ends it.
 func startAdmin(l net.Listener, staff *operator, log *slog.Logger) (stop func()) {
-	calls := console.New(l, staff, log)
+	calls := admin.New(l, staff, log)
 	var over sync.WaitGroup
 	over.Add(1)
 	go func() {
--- a/internal/sidecar/settings_test.go
+++ b/internal/sidecar/settings_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"milletramp.example/milletramp/internal/console"
+	"milletramp.example/milletramp/internal/admin"
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
@@ -179,7 +179,7 @@
 			t.Fatalf("call for %s, out %v: %v, want %v", id, out, err, want)
 		}
 	}
-	call("s-9", true, console.ErrUnknownServer)
+	call("s-9", true, admin.ErrUnknownServer)
 	call("s-0", true, nil)
 	p.figuresAre("known_servers", "2", "skipped_servers", "1")
 	w.Lines <- testserver.ListText(2, false, testserver.EndpointEntry("s-0", one.Address, "DRAINING", 0))
--- a/internal/sidecar/socket_budget.go
+++ b/internal/sidecar/socket_budget.go
@@ -1,8 +1,8 @@
 package sidecar
 
 import (
+	"milletramp.example/milletramp/internal/admin"
 	"milletramp.example/milletramp/internal/config"
-	"milletramp.example/milletramp/internal/console"
 )
 
 // SocketBudget shares out the descriptors that the process may hold. Without any left, accepting fails for all.
@@ -14,7 +14,7 @@
 }
 
 // adminDescriptors are set aside for the console: its listener, its callers, and one that is being taken.
-const adminDescriptors = console.MaxConnections + 2
+const adminDescriptors = admin.MaxConnections + 2
 
 // reservedDescriptors are for the listener, discovery's watches, a connection that is about to be closed, and the runtime.
 const reservedDescriptors = 20
--- a/internal/sidecar/stop_test.go
+++ b/internal/sidecar/stop_test.go
@@ -19,7 +19,7 @@
 	"golang.org/x/sys/unix"
 
 	"milletramp.example/milletramp/internal/lab/testserver"
-	"milletramp.example/milletramp/internal/stats"
+	"milletramp.example/milletramp/internal/metrics"
 )
 
 var stopRounds = flag.Int("stop.rounds", 40, "rounds of TestStopUnderLoad")
@@ -70,7 +70,7 @@
 	if n, err := c.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 		t.Errorf("%d bytes, error %v on a connection without a request, want its end", n, err)
 	}
-	if n := p.staff.metrics.UnservedConns[stats.ShuttingDown].Load(); n != 1 {
+	if n := p.staff.metrics.UnservedConns[metrics.ShuttingDown].Load(); n != 1 {
 		t.Errorf("%d connections ended unserved by the stop, want 1", n)
 	}
 }
