--- a/deploy/names_test.go
+++ b/deploy/names_test.go
@@ -207,6 +207,7 @@
 		"internal/hotrestart",
 		"internal/loadlevel",
 		"internal/lossdetect",
+		"internal/proxy",
 		"internal/quota",
 		"internal/retrybudget",
 		"internal/metrics",
--- /dev/null
+++ b/internal/proxy/attempts.go
@@ -0,0 +1,125 @@
+package proxy
+
+import (
+	"context"
+	"time"
+
+	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/upstream"
+)
+
+// attempt is one attempt at a request, as the Balancer ordered it.
+type attempt struct {
+	request  *inflightRequest
+	index    int // among the attempts at the request
+	endpoint string
+	startAt  balance.Time
+}
+
+// Send implements balance.Actions: it starts an attempt, which has to be sent within a time; 0: at any time.
+func (l *EventLoop) Send(id balance.RequestID, endpoint string, within time.Duration) {
+	r := l.inflight[id]
+	if r == nil {
+		return
+	}
+	a := attempt{request: r, index: len(r.attempts), endpoint: endpoint, startAt: l.now}
+	ctx, cancel := context.WithDeadline(l.ctx, r.deadline)
+	r.attempts = append(r.attempts, cancel)
+	r.attemptsInFlight++
+	go func() { // ends with the attempt
+		defer cancel()
+		l.runAttempt(ctx, a, within)
+	}()
+}
+
+// runAttempt makes an attempt and posts its result. Where its response was streamed, the result was posted before.
+func (l *EventLoop) runAttempt(ctx context.Context, a attempt, within time.Duration) {
+	isStreamed := false
+	order := upstream.AttemptRequest{
+		ServerID:    a.endpoint,
+		Message:     &a.request.Message,
+		IsCancelled: func() bool { return l.isCancelled(a.request) },
+		StartStreaming: func(response upstream.Response) bool {
+			isStreamed = l.startStreaming(a, response)
+			return isStreamed
+		},
+	}
+	if within > 0 {
+		order.SendDeadline = l.origin.Add(a.startAt + within)
+	}
+	response := l.upstream.Attempt(ctx, order)
+	if !isStreamed {
+		l.Post(func() { l.finishAttempt(a, response) })
+	}
+}
+
+// startStreaming reports whether a long response, of which a part has come, is to be streamed to the client. From then
+// on the request has its final response, and the attempt has ended for the Balancer. A client would get parts of two
+// responses otherwise.
+func (l *EventLoop) startStreaming(a attempt, response upstream.Response) bool {
+	decided := make(chan bool, 1)
+	l.Post(func() {
+		if a.request.completed.Load() {
+			decided <- false
+			return
+		}
+		l.finishAttempt(a, response)
+		decided <- true
+	})
+	select {
+	case isFinal := <-decided:
+		return isFinal
+	case <-l.ctx.Done():
+		return false
+	}
+}
+
+// finishAttempt takes in how an attempt ended. The first good response is the final one.
+func (l *EventLoop) finishAttempt(a attempt, response upstream.Response) {
+	r := a.request
+	isFinal := response.Outcome == balance.Served && !r.completed.Load()
+	if isFinal {
+		r.completed.Store(true)
+	}
+	r.attemptsInFlight--
+	l.balancer.Result(l.now, balance.Result{
+		ID:       r.requestID,
+		Attempt:  a.index,
+		Endpoint: a.endpoint,
+		Outcome:  response.Outcome,
+		Took:     l.now - a.startAt,
+		Finished: r.completed.Load(),
+	})
+	if isFinal { // only now: the Balancer has cancelled hedged requests, which could be sent behind the final response
+		r.response <- finalResponse{
+			kind:        served,
+			body:        response.Body,
+			contentType: response.ContentType,
+			remainder:   response.Remainder,
+		}
+	}
+	l.releaseIfDone(r)
+}
+
+// Cancel implements balance.Actions: it cancels an attempt, whose result comes from its own goroutine.
+func (l *EventLoop) Cancel(id balance.RequestID, attempt int) {
+	if r := l.inflight[id]; r != nil && attempt >= 0 && attempt < len(r.attempts) {
+		r.attempts[attempt]()
+	}
+}
+
+// Reject implements balance.Actions: the request has had no effect, and may be sent again after a time.
+func (l *EventLoop) Reject(id balance.RequestID, retryAfter time.Duration) {
+	l.respondByID(id, finalResponse{kind: rejected, retryAfter: retryAfter})
+}
+
+// Fail implements balance.Actions: the request may have had an effect.
+func (l *EventLoop) Fail(id balance.RequestID) { l.respondByID(id, finalResponse{kind: badGateway}) }
+
+// Timer implements balance.Actions.
+func (l *EventLoop) Timer(after time.Duration, token uint64) {
+	time.AfterFunc(after, func() { l.Post(func() { l.balancer.Timer(l.now, token) }) })
+}
+
+// Log implements balance.Actions.
+func (l *EventLoop) Log(text string) { l.log.Info(text) }
--- a/internal/proxy/buffer_pool.go
+++ b/internal/proxy/buffer_pool.go
@@ -6,48 +6,56 @@
 	"milletramp.example/milletramp/internal/upstream"
 )
 
-// bodyMemoryShare is the part of the memory that bodies of clients may take beyond what each may.
+// bodyMemoryShare is the part of the memory, as its divisor, that bodies may take beyond upstream.MaxBufferedBody each.
 const bodyMemoryShare = 4
 
-// bufferPool bounds what is held of long bodies at once, in pieces of mostBody bytes. Pieces are used again: what waits for the
-// garbage collector counts as memory too.
+// bufferPool bounds the memory of long bodies. It hands out buffers of upstream.MaxBufferedBody bytes and uses them
+// again, as what waits for the garbage collector takes memory too.
 type bufferPool struct {
 	mu         sync.Mutex
-	maxBuffers int // pieces
+	maxBuffers int
 	reserved   int
 	free       [][]byte
 }
 
-// reserve sets n pieces aside, or none and returns false.
-func (r *bufferPool) reserve(n int) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.reserved+n > r.maxBuffers {
+// newBufferPool returns a pool for its share of the memory of a process.
+func newBufferPool(memoryMB int) *bufferPool {
+	return &bufferPool{maxBuffers: memoryMB << 20 / bodyMemoryShare / upstream.MaxBufferedBody}
+}
+
+// reserve reserves n buffers, or none and returns false.
+func (p *bufferPool) reserve(n int) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.reserved+n > p.maxBuffers {
 		return false
 	}
-	r.reserved += n
+	p.reserved += n
 	return true
 }
 
-// buffer returns one that was set aside.
-func (r *bufferPool) buffer() []byte {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if last := len(r.free) - 1; last >= 0 {
-		piece := r.free[last]
-		r.free = r.free[:last]
-		return piece[:0]
+// buffer returns an empty buffer. It has to be reserved.
+func (p *bufferPool) buffer() []byte {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	last := len(p.free) - 1
+	if last < 0 {
+		return make([]byte, 0, upstream.MaxBufferedBody)
 	}
-	return make([]byte, 0, upstream.MaxBufferedBody)
+	buffer := p.free[last]
+	p.free = p.free[:last]
+	return buffer[:0]
 }
 
-// release gives back n pieces, and those of them that were used. Nobody may use them any more.
-func (r *bufferPool) release(n int, used [][]byte) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.reserved -= n; r.reserved == 0 {
-		r.free = nil // a quiet time: the memory is not kept
+// release gives back n reserved buffers, and those of them that were used. Nothing may use these any more. When none is
+// reserved, the pool keeps no memory.
+func (p *bufferPool) release(n int, used [][]byte) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.reserved -= n
+	if p.reserved == 0 {
+		p.free = nil
 		return
 	}
-	r.free = append(r.free, used...)
+	p.free = append(p.free, used...)
 }
--- a/internal/proxy/buffer_pool_test.go
+++ b/internal/proxy/buffer_pool_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestRoom checks that no more pieces are out than there may be, that those given back are used again, and that none are
-// kept in a quiet time.
+// TestRoom checks that no more pieces are out than there may be, that those given back are used again, and that none
+// are kept in a quiet time.
 func TestRoom(t *testing.T) {
 	r := &bufferPool{maxBuffers: 3}
 	if !r.reserve(2) || r.reserve(2) || !r.reserve(1) || r.reserve(1) {
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -39,8 +39,9 @@
 	})
 }
 
-// TestToldInTime has the watch fall silent in each phase of its heartbeat, with none or one more call that gets no answer, and has
-// discovery be down for any time: the next list is there less than 6 s after the silence began, or discovery was back.
+// TestToldInTime has the watch fall silent in each phase of its heartbeat, with none or one more call that gets no
+// answer, and has discovery be down for any time: the next list is there less than 6 s after the silence began, or
+// discovery was back.
 func TestToldInTime(t *testing.T) {
 	if discovery.MaxUpdateDelay >= discovery.MaxStaleness {
 		t.Errorf("a list may take %v, want less than %v", discovery.MaxUpdateDelay, discovery.MaxStaleness)
@@ -75,8 +76,8 @@
 	}
 }
 
-// TestToldAtTheReturn has an agent that answers, as soon as it is up again, what was asked while it was down: what it has counts as told
-// then, and a call is open nearly all the time.
+// TestToldAtTheReturn has an agent that answers, as soon as it is up again, what was asked while it was down: what it
+// has counts as told then, and a call is open nearly all the time.
 func TestToldAtTheReturn(t *testing.T) {
 	for outage := 3500 * time.Millisecond; outage < 20*time.Second; outage += 110 * time.Millisecond {
 		followed(t, func(t *testing.T, a *testserver.Agent, _ *EventLoop, told chan time.Time) {
@@ -94,8 +95,8 @@
 	}
 }
 
-// TestMoveToASilentAddress has a file name another address of discovery, whose first calls get no answer: the list is there less than 4 s
-// after it was read.
+// TestMoveToASilentAddress has a file name another address of discovery, whose first calls get no answer: the list is
+// there less than 4 s after it was read.
 func TestMoveToASilentAddress(t *testing.T) {
 	for inVain := range 3 {
 		followed(t, func(t *testing.T, a *testserver.Agent, h *EventLoop, told chan time.Time) {
--- a/internal/proxy/event_loop_test.go
+++ b/internal/proxy/event_loop_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestAnswerBesideALeavingClient has a request get its answer between the moment that its client is seen to leave and the moment that the
-// host hears of it: the answer is there for its handler, which would wait for ever without it.
+// TestAnswerBesideALeavingClient has a request get its answer between the moment that its client is seen to leave and
+// the moment that the host hears of it: the answer is there for its handler, which would wait for ever without it.
 func TestAnswerBesideALeavingClient(t *testing.T) {
 	c, err := load(t, testserver.ConfigText("127.0.0.1:9", testserver.ServingList(1, &testserver.Backend{Address: "127.0.0.1:9"}), testserver.Settings))
 	if err != nil {
--- a/internal/proxy/inflight_ids.go
+++ b/internal/proxy/inflight_ids.go
@@ -1,53 +1,67 @@
 package proxy
 
 import (
+	"errors"
 	"sync"
 	"sync/atomic"
 	"time"
 )
 
-// idRetention is how long an id is at least remembered after its request's end.
+// idRetention is how long an id is remembered at least after the end of its request.
 const idRetention = time.Second
 
-// inflightIDs are those of the requests in hand and of those that have just ended. A second request under an id would
-// be a second copy for servers, and one of the two would get the other's answer. It may still be on its way when the
-// first has its answer.
+// Errors of inflightIDs.reserve.
+var (
+	errDuplicateID     = errors.New("the id of a request is in use")
+	errTooManyRequests = errors.New("too many requests in flight")
+)
+
+// inflightIDs are the ids of the requests in flight and of those that have just ended. Servers would take a second
+// request with the same id for a repeat of the first, and it may still be on its way when the first has its response.
 type inflightIDs struct {
-	maxInFlight int          // requests in hand
-	count       atomic.Int64 // how many held has, for those who only look
+	count atomic.Int64 // of the requests in flight, to be read without the lock
 
-	mu        sync.Mutex
-	inFlight  map[string]bool
-	recent    [2]map[string]bool // lately, and before that
-	rotatedAt time.Time
+	mu          sync.Mutex
+	maxInFlight int
+	inFlight    map[string]bool
+	recent      [2]map[string]bool // ended since rotatedAt, and in the period before
+	rotatedAt   time.Time
 }
 
-func newInflightIDs(most int) *inflightIDs {
-	return &inflightIDs{maxInFlight: most, inFlight: map[string]bool{}, recent: [2]map[string]bool{{}, {}}, rotatedAt: time.Now()}
+// newInflightIDs returns an empty set for at most maxInFlight requests in flight.
+func newInflightIDs(maxInFlight int) *inflightIDs {
+	return &inflightIDs{
+		maxInFlight: maxInFlight,
+		inFlight:    map[string]bool{},
+		recent:      [2]map[string]bool{{}, {}},
+		rotatedAt:   time.Now(),
+	}
 }
 
-// reserve takes a request in hand. known says that its id is taken, full that there are too many requests.
-func (i *inflightIDs) reserve(id string) (known, full bool) {
+// reserve counts a request as in flight, or returns errDuplicateID or errTooManyRequests, in this order.
+func (i *inflightIDs) reserve(id string) error {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.rotate()
-	known = i.inFlight[id] || i.recent[0][id] || i.recent[1][id]
-	full = len(i.inFlight) >= i.maxInFlight
-	if !known && !full {
-		i.inFlight[id] = true
-		i.count.Store(int64(len(i.inFlight)))
+	switch {
+	case i.inFlight[id] || i.recent[0][id] || i.recent[1][id]:
+		return errDuplicateID
+	case len(i.inFlight) >= i.maxInFlight:
+		return errTooManyRequests
 	}
-	return known, full
+	i.inFlight[id] = true
+	i.count.Store(int64(len(i.inFlight)))
+	return nil
 }
 
-// setMax changes how many requests may be in hand.
-func (i *inflightIDs) setMax(most int) {
+// setMax changes how many requests may be in flight.
+func (i *inflightIDs) setMax(maxInFlight int) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.maxInFlight = most
+	i.maxInFlight = maxInFlight
 }
 
-// release lets go of a request.
+// release counts a request as ended.
 func (i *inflightIDs) release(id string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -57,9 +71,11 @@
 	i.recent[0][id] = true
 }
 
-// rotate forgets what has been over for long. The lock is held.
+// rotate forgets the ids of requests that ended long ago. The lock is held.
 func (i *inflightIDs) rotate() {
-	if now := time.Now(); now.Sub(i.rotatedAt) >= idRetention {
-		i.recent, i.rotatedAt = [2]map[string]bool{{}, i.recent[0]}, now
+	now := time.Now()
+	if now.Sub(i.rotatedAt) >= idRetention {
+		i.recent = [2]map[string]bool{{}, i.recent[0]}
+		i.rotatedAt = now
 	}
 }
--- a/internal/proxy/inflight_ids_test.go
+++ b/internal/proxy/inflight_ids_test.go
@@ -10,11 +10,14 @@
 	i := newInflightIDs(1)
 	for n := range 1000 {
 		id := fmt.Sprint(n)
-		if known, full := i.reserve(id); known || full {
-			t.Fatalf("id %d: known %v, full %v", n, known, full)
+		if err := i.reserve(id); err != nil {
+			t.Fatalf("id %d: %v", n, err)
 		}
-		if _, full := i.reserve("another"); !full {
-			t.Fatal("more are held than may be")
+		if err := i.reserve(id); err != errDuplicateID {
+			t.Fatalf("id %d again: %v", n, err)
+		}
+		if err := i.reserve("another"); err != errTooManyRequests {
+			t.Fatalf("more in flight than may be: %v", err)
 		}
 		i.release(id)
 		i.rotatedAt = i.rotatedAt.Add(-idRetention)
@@ -22,7 +25,7 @@
 	if n := len(i.inFlight) + len(i.recent[0]) + len(i.recent[1]); n > 2 {
 		t.Errorf("%d ids are left of 1000", n)
 	}
-	if known, _ := i.reserve("0"); known {
-		t.Error("an id of long ago is still taken")
+	if err := i.reserve("0"); err != nil {
+		t.Errorf("an id of long ago: %v", err)
 	}
 }
--- /dev/null
+++ b/internal/proxy/policy_document.go
@@ -0,0 +1,64 @@
+package proxy
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"time"
+
+	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/config"
+	"milletramp.example/milletramp/internal/wire"
+)
+
+// OwnSettingKeys are the settings that tell a sidecar of its place. They are of its own file; a policy has all others.
+var OwnSettingKeys = []string{"ordinal", "peers_total", "my_zone", "areas", "models", "tier", "tiers", "discovery"}
+
+// checkedPolicy is a policy that this sidecar can run.
+type checkedPolicy struct {
+	settings balance.Settings
+	names    *wire.Names
+	limits   wire.Limits
+	document map[string]any
+}
+
+// parse reads a policy's document, with the own settings of this sidecar.
+func (g *PolicyGate) parse(text []byte) (policy checkedPolicy, err error) {
+	if err := json.Unmarshal(text, &policy.document); err != nil {
+		return policy, fmt.Errorf("policy: %w", err)
+	}
+	for _, key := range OwnSettingKeys {
+		if _, ok := policy.document[key]; ok {
+			return policy, fmt.Errorf("policy: %s: is of each sidecar's own place, in its own file", key)
+		}
+	}
+	merged := maps.Clone(policy.document)
+	maps.Copy(merged, g.ownSettings)
+	object, err := json.Marshal(merged)
+	if err != nil {
+		return policy, fmt.Errorf("policy: %w", err)
+	}
+	policy.settings, policy.names, policy.limits, err = wire.SettingsJSON(0, object)
+	if err != nil {
+		return policy, fmt.Errorf("policy: %w", err)
+	}
+	policy.limits = config.LimitsWithDefaults(policy.limits)
+	return policy, nil
+}
+
+// CheckPolicy returns what is wrong with a policy for a sidecar of this configuration. A running sidecar also checks it
+// against what it has run since its start.
+func CheckPolicy(c *config.Config, text []byte) error {
+	policy, err := NewPolicyGate(nil, c).parse(text)
+	if err != nil {
+		return err
+	}
+	_, err = balance.New(policy.settings, noActions{})
+	return err
+}
+
+// noActions implements balance.Actions for a Balancer that only checks settings.
+type noActions struct{ balance.Actions }
+
+// Timer implements balance.Actions.
+func (noActions) Timer(time.Duration, uint64) {}
--- a/internal/proxy/policy_gate.go
+++ b/internal/proxy/policy_gate.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"maps"
@@ -14,54 +13,49 @@
 	"sync"
 	"time"
 
-	"milletramp.example/milletramp/balance"
 	"milletramp.example/milletramp/internal/config"
-	"milletramp.example/milletramp/internal/wire"
 )
 
-// Policy is the fleet's policy as this sidecar has to do with it. A program without a part in a fleet, or whose operator's file names
-// no deciders, has none.
-type Policy interface {
-	// Serves tells under which policy a request may be taken now; wait is how long it would have to wait for the next one, where
-	// that is known. It reads the clock each time.
-	Serves() (number uint64, wait time.Duration, ok bool)
-	// Calls answers the staff's.
-	Handler() http.Handler
-}
-
 // PolicyHeader tells the application under which policy its request was decided.
 const PolicyHeader = "X-Policy"
 
-// maxPolicyWait is how long a request waits for the next policy at most; a change takes a round trip between sidecars.
-const maxPolicyWait = time.Second
+const (
+	// maxPolicyWait is how long a request waits for the next policy at most. A change takes a round trip between
+	// sidecars.
+	maxPolicyWait = time.Second
+	// policyRetention is how many numbers back a checked policy may still come into force.
+	policyRetention = 8
+)
+
+// errNotInForce is the error of a file whose settings are not those of the fleet's policy.
+var errNotInForce = errors.New("not the policy in force")
 
-// OwnSettingKeys are the settings that tell this sidecar of its place. A policy has none of them, and all others.
-var OwnSettingKeys = []string{"ordinal", "peers_total", "my_zone", "areas", "models", "tier", "tiers", "discovery"}
+// Policy is the fleet's policy, as far as requests have to do with it.
+type Policy interface {
+	// Serves returns the number of the policy under which a request may be taken now. If none may be, wait is how long
+	// it would have to wait for the next one; 0: that is not known. It reads the clock each time.
+	Serves() (number uint64, wait time.Duration, ok bool)
+	// Handler answers operators' calls on the policy.
+	Handler() http.Handler
+}
 
-// PolicyGate has requests taken under the policy in force alone.
+// PolicyGate has requests taken only under the policy in force. Its loop runs a policy that the gate has checked.
 type PolicyGate struct {
 	policy Policy
 	loop   *EventLoop
 
 	mu          sync.Mutex
-	ownSettings map[string]any           // this sidecar's place, of its own file
-	checked     map[uint64]checkedPolicy // that it can run
-}
-
-type checkedPolicy struct {
-	settings balance.Settings
-	names    *wire.Names
-	limits   wire.Limits
-	document map[string]any // the document
+	ownSettings map[string]any           // of the file, by OwnSettingKeys
+	checked     map[uint64]checkedPolicy // by number
 }
 
-// NewPolicyGate returns a gate whose policies stand beside the own place of a configuration. Its policy is set before it is used.
-func NewPolicyGate(h *EventLoop, c *config.Config) *PolicyGate {
-	g := &PolicyGate{loop: h, ownSettings: map[string]any{}, checked: map[uint64]checkedPolicy{}}
+// NewPolicyGate returns a gate for a sidecar of this configuration. SetPolicy is called before it is used.
+func NewPolicyGate(loop *EventLoop, c *config.Config) *PolicyGate {
+	g := &PolicyGate{loop: loop, ownSettings: map[string]any{}, checked: map[uint64]checkedPolicy{}}
 	settings := c.SettingsDocument()
 	for _, key := range OwnSettingKeys {
-		if v, told := settings[key]; told {
-			g.ownSettings[key] = v
+		if value, ok := settings[key]; ok {
+			g.ownSettings[key] = value
 		}
 	}
 	return g
@@ -70,157 +64,126 @@
 // SetPolicy sets the policy that the gate goes by. It is called before the gate is used.
 func (g *PolicyGate) SetPolicy(policy Policy) { g.policy = policy }
 
-// Policy is the policy that the gate goes by.
+// Policy returns the policy that the gate goes by.
 func (g *PolicyGate) Policy() Policy { return g.policy }
 
-// Check reads a document whole, as it would be run here, and says what is wrong with it; "": nothing, and then it can be run.
+// Check reads a document as it would be run here, and returns what is wrong with it. If that is "", the loop can run
+// the policy under its number.
 func (g *PolicyGate) Check(number uint64, text []byte) (fault string) {
-	p, err := g.read(text)
+	policy, err := g.parse(text)
 	if err == nil {
-		if asked := g.loop.Do(g.loop.ctx, func() { err = g.loop.balancer.CanConfigure(p.settings) }); asked != nil {
-			err = asked
-		}
+		err = g.canConfigure(policy)
 	}
 	if err != nil {
 		return err.Error()
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.checked[number] = p
-	// A change comes behind the one in force; what lies further back is served no more.
-	maps.DeleteFunc(g.checked, func(n uint64, _ checkedPolicy) bool { return n+8 < number })
+	g.checked[number] = policy
+	maps.DeleteFunc(g.checked, func(n uint64, _ checkedPolicy) bool { return n+policyRetention < number })
 	return ""
 }
 
-func (g *PolicyGate) read(text []byte) (p checkedPolicy, err error) {
-	if err := json.Unmarshal(text, &p.document); err != nil {
-		return p, fmt.Errorf("policy: %w", err)
+// canConfigure asks the Balancer whether it can take the settings of a policy.
+func (g *PolicyGate) canConfigure(policy checkedPolicy) error {
+	var err error
+	loopErr := g.loop.Do(g.loop.ctx, func() { err = g.loop.balancer.CanConfigure(policy.settings) })
+	if loopErr != nil {
+		return loopErr
 	}
-	merged := maps.Clone(p.document)
-	for _, key := range OwnSettingKeys {
-		if _, there := p.document[key]; there {
-			return p, fmt.Errorf("policy: %s: is of each sidecar's own place, in its own file", key)
+	return err
+}
+
+// Enter waits until requests are taken, if that is soon, and has the loop run the policy in force. What it reports may
+// be over when it returns; isInForce is what counts.
+func (g *PolicyGate) Enter(ctx context.Context, within time.Duration) bool {
+	deadline := time.Now().Add(min(within, maxPolicyWait))
+	for {
+		number, wait, ok := g.policy.Serves()
+		if ok {
+			if g.loop.PolicyNumber() == number {
+				return true
+			}
+			if !g.adopt(ctx, number) {
+				return false
+			}
+			continue
+		}
+		if wait == 0 || time.Until(deadline) < wait {
+			return false
+		}
+		select {
+		case <-time.After(wait):
+		case <-ctx.Done():
+			return false
 		}
 	}
-	maps.Copy(merged, g.ownSettings)
-	object, err := json.Marshal(merged)
-	if err != nil {
-		return p, fmt.Errorf("policy: %w", err)
-	}
-	if p.settings, p.names, p.limits, err = wire.SettingsJSON(0, object); err != nil {
-		return p, fmt.Errorf("policy: %w", err)
-	}
-	p.limits = config.LimitsWithDefaults(p.limits)
-	return p, nil
 }
 
-// CheckPolicy says what is wrong with a policy for a sidecar of this configuration. A sidecar also holds it against what it has run
-// since its start.
-func CheckPolicy(c *config.Config, text []byte) error {
-	p, err := NewPolicyGate(nil, c).read(text)
+// adopt has the loop run a policy, and reports whether it does.
+func (g *PolicyGate) adopt(ctx context.Context, number uint64) bool {
+	var err error
+	if loopErr := g.loop.Do(ctx, func() { err = g.run(number) }); loopErr != nil {
+		return false
+	}
 	if err != nil {
-		return err
+		g.loop.log.Error("no request is taken", "err", err)
+		return false
 	}
-	_, err = balance.New(p.settings, noActions{})
-	return err
+	return true
 }
 
-// noActions implements balance.Actions and does nothing.
-type noActions struct{ balance.Actions }
-
-// Timer implements balance.Actions.
-func (noActions) Timer(time.Duration, uint64) {}
-
-// adopt has the host go by a policy from now on. It is the loop's.
-func (g *PolicyGate) adopt(number uint64) error {
-	if g.loop.settings.Load().policy == number {
+// run has the loop run a policy from now on. It is called on the loop.
+func (g *PolicyGate) run(number uint64) error {
+	if g.loop.PolicyNumber() == number {
 		return nil
 	}
 	g.mu.Lock()
-	p, ready := g.checked[number]
+	policy, ok := g.checked[number]
 	g.mu.Unlock()
-	if !ready {
+	if !ok {
 		return fmt.Errorf("policy %d is in force, and was not checked here", number)
 	}
-	places, err := g.loop.balancer.Configure(p.settings)
+	indexes, err := g.loop.balancer.Configure(policy.settings)
 	if err != nil {
 		return fmt.Errorf("policy %d: %w", number, err)
 	}
-	t := newRequestSettings(p.settings, p.names, places, g.loop.metrics)
-	t.policy = number
-	g.loop.settings.Store(t)
-	g.loop.upstream.Configure(p.limits)
+	settings := newRequestSettings(policy.settings, policy.names, indexes, g.loop.metrics)
+	settings.policy = number
+	g.loop.settings.Store(settings)
+	g.loop.upstream.Configure(policy.limits)
 	g.loop.log.Info("goes by a policy", "number", number)
 	return nil
 }
 
-// Enter waits until requests are taken, if that is soon, and has the host go by the policy in force. What it says may
-// be over when it returns; holds is what counts.
-func (g *PolicyGate) Enter(ctx context.Context, within time.Duration) bool {
-	for end := time.Now().Add(min(within, maxPolicyWait)); ; {
-		number, wait, ok := g.policy.Serves()
-		switch {
-		case ok && g.loop.settings.Load().policy == number:
-			return true
-		case ok:
-			var err error
-			if asked := g.loop.Do(ctx, func() { err = g.adopt(number) }); asked != nil {
-				return false
-			}
-			if err != nil {
-				g.loop.log.Error("no request is taken", "err", err)
-				return false
-			}
-		case wait == 0 || time.Until(end) < wait:
-			return false
-		default:
-			select {
-			case <-time.After(wait):
-			case <-ctx.Done():
-				return false
-			}
-		}
-	}
-}
-
-// isInForce tells whether a request that was read under a policy may be taken now. It is the loop's, called just before the request is
-// taken. A process that stood still meanwhile sees that here.
+// isInForce reports whether a request that was read under a policy may be taken now. It is called on the loop just
+// before the request is taken, so that a process that stood still meanwhile sees it.
 func (g *PolicyGate) isInForce(number uint64) bool {
-	now, _, ok := g.policy.Serves()
-	return ok && now == number && g.loop.settings.Load().policy == number
+	current, _, ok := g.policy.Serves()
+	return ok && current == number && g.loop.PolicyNumber() == number
 }
 
-// difference says how a file's settings differ from the policy that the host goes by; "": not at all.
+// difference returns how the settings of a file differ from the policy that the loop runs; "": not at all.
 func (g *PolicyGate) difference(c *config.Config) string {
-	number := g.loop.settings.Load().policy
+	number := g.loop.PolicyNumber()
 	g.mu.Lock()
-	p := g.checked[number]
+	policy := g.checked[number]
 	g.mu.Unlock()
-	file := c.SettingsDocument()
-	for _, key := range slices.Sorted(maps.Keys(file)) {
-		if !slices.Contains(OwnSettingKeys, key) && !reflect.DeepEqual(file[key], p.document[key]) {
-			return fmt.Sprintf("settings.%s is another than in policy %d, which is in force: propose it", key, number)
+	settings := c.SettingsDocument()
+	for _, key := range slices.Sorted(maps.Keys(settings)) {
+		if slices.Contains(OwnSettingKeys, key) || reflect.DeepEqual(settings[key], policy.document[key]) {
+			continue
 		}
+		return fmt.Sprintf("settings.%s is another than in policy %d, which is in force: propose it", key, number)
 	}
 	return ""
 }
 
-// errNotInForce says that a file's settings are not taken where the fleet's policy is.
-var errNotInForce = errors.New("not the policy in force")
-
-// formatPolicyNumber is the number that a response says; "": there is none.
-func formatPolicyNumber(number uint64) string {
-	if number == 0 {
-		return ""
-	}
-	return strconv.FormatUint(number, 10)
-}
-
-// policyWait is how long a request's client waits, as far as its head says so.
+// policyWait is how long a request may wait for a policy: half of its timeout, as far as its head tells one.
 func policyWait(r *http.Request) time.Duration {
-	ms, err := strconv.ParseUint(strings.TrimSpace(r.Header.Get("X-Timeout-Ms")), 10, 31)
+	timeoutMS, err := strconv.ParseUint(strings.TrimSpace(r.Header.Get("X-Timeout-Ms")), 10, 31)
 	if err != nil {
 		return 0
 	}
-	return time.Duration(ms) * time.Millisecond / 2
+	return time.Duration(timeoutMS) * time.Millisecond / 2
 }
--- a/internal/proxy/reconfigure.go
+++ b/internal/proxy/reconfigure.go
@@ -6,26 +6,27 @@
 	"milletramp.example/milletramp/internal/config"
 )
 
-// Reconfigure takes a new file. Where the fleet has a policy its settings must be that one's.
-func (h *EventLoop) Reconfigure(c *config.Config) error {
-	if h.gate == nil {
-		return h.configure(c)
+// Reconfigure takes a newer configuration. Under a fleet's policy its settings must be those of the policy in force,
+// and only the address of discovery is taken. With an error nothing has changed. It is called on the loop.
+func (l *EventLoop) Reconfigure(c *config.Config) error {
+	if l.gate == nil {
+		return l.configure(c)
 	}
-	if how := h.gate.difference(c); how != "" {
-		return fmt.Errorf("%w: %s", errNotInForce, how)
+	if difference := l.gate.difference(c); difference != "" {
+		return fmt.Errorf("%w: %s", errNotInForce, difference)
 	}
-	h.subscriptions.SwitchAddress(c.Discovery)
+	l.subscriptions.SwitchAddress(c.Discovery)
 	return nil
 }
 
-// configure takes new settings. With an error, nothing has changed.
-func (h *EventLoop) configure(c *config.Config) error {
-	places, err := h.balancer.Configure(c.Settings)
+// configure takes new settings and the address of discovery. With an error nothing has changed.
+func (l *EventLoop) configure(c *config.Config) error {
+	indexes, err := l.balancer.Configure(c.Settings)
 	if err != nil {
 		return err
 	}
-	h.settings.Store(newRequestSettings(c.Settings, c.Names, places, h.metrics))
-	h.upstream.Configure(c.Limits)
-	h.subscriptions.SwitchAddress(c.Discovery)
+	l.settings.Store(newRequestSettings(c.Settings, c.Names, indexes, l.metrics))
+	l.upstream.Configure(c.Limits)
+	l.subscriptions.SwitchAddress(c.Discovery)
 	return nil
 }
--- a/internal/proxy/request_settings.go
+++ b/internal/proxy/request_settings.go
@@ -9,28 +9,30 @@
 	"milletramp.example/milletramp/internal/wire"
 )
 
-// requestSettings are the classes and tenants as clients name them now. They are replaced as a whole and never changed.
+// requestSettings are the classes and tenants in force, by the names that requests carry. They are replaced whole and
+// never changed.
 type requestSettings struct {
 	classes    map[string]*classSettings
 	tenants    map[string]int
-	retryAfter time.Duration // when to come back if too many requests are held
-	policy     uint64        // its number; 0: they are of the own file
+	retryAfter time.Duration // given to clients when too many requests are in flight
+	policy     uint64        // number of the policy that they are of; 0: of the file
 }
 
-// classSettings is one class. Requests keep it to their end.
+// classSettings are the settings of one class. A request keeps those that it was read under.
 type classSettings struct {
 	balance.Class
 	index    int // in the Balancer
 	counters *metrics.ClassCounters
 }
 
-// newRequestSettings returns the terms of these settings, whose classes stand at these places in the Balancer.
-func newRequestSettings(set balance.Settings, names *wire.Names, places []int, figures *metrics.Counters) *requestSettings {
-	t := &requestSettings{classes: map[string]*classSettings{}, tenants: names.Tenant}
+// newRequestSettings returns the settings of requests. indexes are those of the classes in the Balancer.
+func newRequestSettings(settings balance.Settings, names *wire.Names, indexes []int,
+	counters *metrics.Counters) *requestSettings {
+	s := &requestSettings{classes: map[string]*classSettings{}, tenants: names.Tenant}
 	for name, i := range names.Class {
-		c := set.Classes[i]
-		t.classes[name] = &classSettings{Class: c, index: places[i], counters: figures.Class(name)}
-		t.retryAfter = min(cmp.Or(t.retryAfter, c.LatencyObjective), c.LatencyObjective)
+		class := settings.Classes[i]
+		s.classes[name] = &classSettings{Class: class, index: indexes[i], counters: counters.Class(name)}
+		s.retryAfter = min(cmp.Or(s.retryAfter, class.LatencyObjective), class.LatencyObjective)
 	}
-	return t
+	return s
 }
--- a/internal/proxy/response_recorder.go
+++ b/internal/proxy/response_recorder.go
@@ -5,7 +5,7 @@
 	"runtime/debug"
 )
 
-// responseRecorder is a http.ResponseWriter that notes whether a final answer has begun. Its handler's goroutine alone uses it.
+// responseRecorder is a http.ResponseWriter that records whether a final response has begun.
 type responseRecorder struct {
 	http.ResponseWriter
 	started bool
@@ -26,9 +26,9 @@
 	return r.ResponseWriter.Write(p)
 }
 
-// recoverPanic is deferred by the handler. Where a fault of the program ends the handler before an answer has begun, the
-// request gets an error; net/http would close its connection without one. An abort on purpose goes on.
-func (s *Handler) recoverPanic(w *responseRecorder, conn ClientConn) {
+// recoverPanic is deferred by the handler. If a fault of the program ends the handler before a response has begun, the
+// request gets an error, where net/http would close its connection without one. An abort on purpose goes on.
+func (h *Handler) recoverPanic(w *responseRecorder, conn ClientConn) {
 	cause := recover()
 	switch {
 	case cause == nil:
@@ -36,8 +36,9 @@
 	case cause == http.ErrAbortHandler || w.started:
 		panic(cause)
 	}
-	s.loop.log.Error("handler panicked", "cause", cause, "stack", string(debug.Stack()))
-	(&httpError{http.StatusInternalServerError, "internal error", ""}).write(w)
+	h.loop.log.Error("handler panicked", "cause", cause, "stack", string(debug.Stack()))
+	httpErr := &httpError{status: http.StatusInternalServerError, text: "internal error"}
+	httpErr.write(w)
 	if conn != nil {
 		conn.MarkFinalResponse()
 	}
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -13,77 +13,91 @@
 )
 
 const (
-	streamBufferSize = 16 << 10 // bytes of a long answer that are held at once
-	clientSendBuffer = 64 << 10 // bytes of it that may wait in the client's connection
-	// MaxStreamPause is how long a server may pause in an answer that is being passed on: one that vanishes says nothing.
+	// streamBufferSize is the bytes of a streamed body that are held at once.
+	streamBufferSize = 16 << 10
+	// clientSendBuffer is the bytes of it that may wait in the client's connection. A full buffer takes more once a
+	// third of it is free, which with a large one would take a slow client longer than a piece may take.
+	clientSendBuffer = 64 << 10
+	// MaxStreamPause is how long a server may pause in a streamed body, and a client take to receive a piece of it.
 	MaxStreamPause = 5 * time.Second
-	// lateResponseGrace is how long after its client's time an answer of usual length may still end. Its client counts it as lost 0.5 s after
-	// that time, and as failed where it was told before that it has no end.
+	// lateResponseGrace is how long after its client's deadline a body of usual length may still end. Clients count a
+	// response as lost 0.5 s after the deadline.
 	lateResponseGrace = 250 * time.Millisecond
-	// minStreamPause is how long a server may pause in any case. Whether an answer of untold length is a long one, of which only the first
-	// bytes are timed, is not known while it comes: one that a server is still giving must not be cut off.
+	// minStreamPause is how long a server may pause in any case. Of a body of unknown length nobody can tell whether it
+	// is a long one, of which only the first bytes are due at the deadline.
 	minStreamPause = time.Second
 )
 
-// streamBuffers are buffers of passPiece bytes.
+// streamBuffers are buffers of streamBufferSize bytes.
 var streamBuffers = sync.Pool{New: func() any { return new([streamBufferSize]byte) }}
 
-// stream passes a long answer on. What the server cuts off must not look whole to the client: its connection ends
-// before the length is met, or before the chunks' end.
-func (s *Handler) stream(w http.ResponseWriter, r *http.Request, conn *http.ResponseController, a finalResponse, c *inflightRequest) *httpError {
-	whole, ours := false, false
-	// A full send buffer takes more when a third of it is free. A slow client would take a large one's third for
-	// longer than any piece may take.
+// Errors that end a stream before the body is complete.
+var (
+	errClientWrite = errors.New("the client does not take the response")
+	errServerRead  = errors.New("the server does not complete its response")
+)
+
+// stream writes a long response as it comes, and counts it. One that the server breaks off must not look complete to
+// the client, so the handler is aborted: the connection ends before the declared length, or without the last chunk.
+func (h *Handler) stream(w http.ResponseWriter, r *http.Request, conn *http.ResponseController,
+	response finalResponse, request *inflightRequest) {
 	if client := clientConnOf(r); client != nil {
-		_ = client.SetWriteBuffer(clientSendBuffer) // the system's own is only worse
+		_ = client.SetWriteBuffer(clientSendBuffer) // the size that the system chose serves as well
 	}
-	defer func() { a.remainder.Finish(whole) }()
-	defer context.AfterFunc(s.shutdown, a.remainder.ShortenPause)()
-	w.Header()["Content-Type"] = nil
-	if a.contentType != "" {
-		w.Header().Set("Content-Type", a.contentType)
+	isComplete := false
+	defer func() { response.remainder.Finish(isComplete) }()
+	defer context.AfterFunc(h.shutdown, response.remainder.ShortenPause)()
+	response.writeContentType(w)
+	if length := response.remainder.Length(); length >= 0 {
+		w.Header().Set("Content-Length", strconv.FormatInt(length, 10))
 	}
-	if n := a.remainder.Length(); n >= 0 {
-		w.Header().Set("Content-Length", strconv.FormatInt(n, 10))
+	err := copyStream(w, conn, response, request.deadline)
+	switch err {
+	case nil:
+		isComplete = true
+		request.counters.Served.Add(1)
+		return
+	case errServerRead:
+		request.counters.Failed.Add(1)
 	}
-	passed := int64(0)
+	panic(http.ErrAbortHandler)
+}
+
+// copyStream writes a body, of which a part has come, to its end. It returns errClientWrite or errServerRead.
+func copyStream(w http.ResponseWriter, conn *http.ResponseController, response finalResponse,
+	deadline time.Time) error {
 	buffer := streamBuffers.Get().(*[streamBufferSize]byte)
 	defer streamBuffers.Put(buffer)
-	for piece := a.body; ; {
+	remainder := response.remainder
+	piece := response.body
+	written := int64(0)
+	for {
 		if err := writePiece(w, conn, piece); err != nil {
-			ours = true // the client is gone, or takes less than it must
-			break
+			return errClientWrite
 		}
-		passed += int64(len(piece))
-		if a.remainder.IsComplete() {
-			whole = true
-			break
+		written += int64(len(piece))
+		if remainder.IsComplete() {
+			return nil
 		}
-		a.remainder.AllowPause(allowedPause(max(passed, a.remainder.Length()), c.deadline))
-		n, err := a.remainder.Read(buffer[:])
-		if piece = buffer[:n]; err != nil && !errors.Is(err, io.EOF) {
-			break
+		remainder.AllowPause(allowedPause(max(written, remainder.Length()), deadline))
+		n, err := remainder.Read(buffer[:])
+		if err != nil && !errors.Is(err, io.EOF) {
+			return errServerRead
 		}
+		piece = buffer[:n]
 	}
-	switch {
-	case whole:
-		c.counters.Served.Add(1)
-		return nil
-	case !ours:
-		c.counters.Failed.Add(1)
-	}
-	panic(http.ErrAbortHandler)
 }
 
-// allowedPause is how long a server may pause in an answer of at least this length, to a client whose time ends at deadline.
+// allowedPause is how long a server may pause in a body of at least this length, to a client with this deadline.
 func allowedPause(length int64, deadline time.Time) time.Duration {
 	if length > upstream.MaxBufferedBody {
 		return MaxStreamPause
 	}
-	return min(MaxStreamPause, max(time.Until(deadline.Add(lateResponseGrace)), minStreamPause))
+	untilLost := time.Until(deadline.Add(lateResponseGrace))
+	return min(MaxStreamPause, max(untilLost, minStreamPause))
 }
 
-// writePiece sends a piece of an answer. The time it may take is the piece's own.
+// writePiece writes a piece of a body. The time that it may take is its own.
 func writePiece(w http.ResponseWriter, conn *http.ResponseController, piece []byte) error {
 	if err := conn.SetWriteDeadline(time.Now().Add(MaxStreamPause)); err != nil {
 		return err
