--- a/internal/chunked/decoder.go
+++ b/internal/chunked/decoder.go
@@ -22,15 +22,15 @@
 
 const (
 	chunkSize      decoderState = iota // a digit of a size, or what ends it
-	chunkExtension                     // what follows a size, to the end of its line
+	chunkExtension                     // what follows a size, up to the end of its line
 	chunkSizeLF                        // the line feed that ends a size's line
 	chunkData
-	chunkDataCR // behind data
-	chunkDataLF
-	trailerStart // of a line
-	trailerText
-	trailerLF // behind a trailer
-	finalLF   // behind an empty line
+	chunkDataCR  // after the data
+	chunkDataLF  // after its carriage return
+	trailerStart // the first byte of a trailer line, or of the empty line that ends them
+	trailerText  // the rest of a trailer line
+	trailerLF    // the line feed of a trailer line
+	finalLF      // the line feed of the empty line
 	chunksDone
 )
 
@@ -38,8 +38,8 @@
 type Decoder struct {
 	state      decoderState
 	sizeDigits int
-	remaining  uint64 // of the chunk's data
-	lineBytes  int    // bytes of the line, or of all trailers
+	remaining  uint64 // bytes of the chunk's data that are still to come
+	lineBytes  int    // consumed bytes of the line, or of all trailers
 }
 
 // Next decodes bytes of the body's encoded form. It returns the next run of data, which is a part of in, the number of
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// unexpectedByte is the error of a byte that must not stand where it does.
+// unexpectedByte returns the error of a byte that is not allowed where it stands.
 func unexpectedByte(b byte, where string) error {
 	return fmt.Errorf("%w: %q %s", ErrMalformed, b, where)
 }
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// consumeSizeEnd decodes the line feed behind a size. The chunk of size 0 is the last one.
+// consumeSizeEnd decodes the line feed after a size. The chunk of size 0 is the last one.
 func (d *Decoder) consumeSizeEnd(b byte) error {
 	if err := d.expect(b, '\n', chunkData, "behind a size"); err != nil {
 		return err
--- a/internal/chunked/decoder_test.go
+++ b/internal/chunked/decoder_test.go
@@ -10,23 +10,24 @@
 	"pgregory.net/rapid"
 )
 
-// decode decodes text that comes in pieces of a size.
-func decode(text []byte, piece int) (body []byte, rest int, done bool, err error) {
-	var c Decoder
-	for at := 0; at < len(text); {
-		data, used, done, err := c.Next(text[at:min(at+piece, len(text))])
+// decode decodes text that comes in pieces of a size. rest is how many bytes follow the body.
+func decode(text []byte, pieceBytes int) (body []byte, rest int, done bool, err error) {
+	var decoder Decoder
+	for offset := 0; offset < len(text); {
+		data, used, done, err := decoder.Next(text[offset:min(offset+pieceBytes, len(text))])
 		if err != nil {
 			return nil, 0, false, err
 		}
 		body = append(body, data...)
-		if at += used; done {
-			return body, len(text) - at, true, nil
+		offset += used
+		if done {
+			return body, len(text) - offset, true, nil
 		}
 	}
 	return body, 0, false, nil
 }
 
-// TestDecoder holds the decoder to good and bad chunks, whole and byte by byte.
+// TestDecoder decodes good and bad chunks, at once and in pieces.
 func TestDecoder(t *testing.T) {
 	for _, tt := range []struct {
 		name, text, body string
@@ -51,25 +52,27 @@
 		for _, piece := range []int{1, 2, 3, 1 << 20} {
 			body, rest, done, err := decode([]byte(tt.text), piece)
 			if (err != nil) != tt.bad || done != tt.done || err == nil && string(body) != tt.body || rest != 0 {
-				t.Errorf("%s in pieces of %d: body %q, done %v, %d left, error %v", tt.name, piece, body, done, rest, err)
+				t.Errorf("%s in pieces of %d: body %q, done %v, %d left, error %v",
+					tt.name, piece, body, done, rest, err)
 			}
 		}
 	}
 }
 
-// TestDecoderReadsWhatHTTPUtilWrites encodes bodies as httputil does, in pieces of any size, with a message behind.
+// TestDecoderReadsWhatHTTPUtilWrites encodes bodies as httputil does, in pieces of any size, followed by another
+// message.
 func TestDecoderReadsWhatHTTPUtilWrites(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var text bytes.Buffer
 		var want []byte
-		w := httputil.NewChunkedWriter(&text)
-		for _, p := range rapid.SliceOf(rapid.SliceOfN(rapid.Byte(), 1, 50)).Draw(t, "chunks") {
-			want = append(want, p...)
-			if _, err := w.Write(p); err != nil {
+		writer := httputil.NewChunkedWriter(&text)
+		for _, chunk := range rapid.SliceOf(rapid.SliceOfN(rapid.Byte(), 1, 50)).Draw(t, "chunks") {
+			want = append(want, chunk...)
+			if _, err := writer.Write(chunk); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if err := w.Close(); err != nil {
+		if err := writer.Close(); err != nil {
 			t.Fatal(err)
 		}
 		text.WriteString("\r\nGET /")
@@ -80,7 +83,7 @@
 	})
 }
 
-// FuzzDecoder holds what the decoder takes to what httputil reads of it: the same body.
+// FuzzDecoder: of a text that both the decoder and httputil accept, they read the same body.
 func FuzzDecoder(f *testing.F) {
 	f.Add([]byte("2\r\nab\r\n0\r\n\r\n"), uint8(1))
 	f.Add([]byte("2;x\r\nab\r\n0\r\nT: 1\r\n\r\n"), uint8(3))
--- a/internal/netretry/netretry.go
+++ b/internal/netretry/netretry.go
@@ -1,6 +1,7 @@
 // Package netretry holds the one policy for system calls on sockets that fail for a reason of this machine: they are
-// tried again, with a short and bounded backoff. A shortage of descriptors, buffers or memory passes, and neither a
-// peer nor the process may be given up for it.
+// retried, with a short and bounded backoff. A shortage of descriptors, buffers or memory passes, and neither a peer
+// nor the process may be given up for it. The package starts no goroutine and returns the errors of the calls that it
+// makes.
 package netretry
 
 import (
@@ -14,22 +15,32 @@
 )
 
 const (
-	minBackoff   = time.Millisecond
-	maxBackoff = 50 * time.Millisecond
-	maxIOAttempts      = 8 // of a read or a write, over about 0.1 s
-	maxDialAttempts      = 5 // of a connection, over about 15 ms: another server may be asked instead
+	minBackoff      = time.Millisecond
+	maxBackoff      = 50 * time.Millisecond
+	maxIOAttempts   = 8 // of a read or a write, over about 0.1 s
+	maxDialAttempts = 5 // of a dial, over about 15 ms: another server may be tried instead
 )
 
-// backoff is how long to wait after the given number of failures in a row.
+// maxBackoffShift bounds the doublings of the backoff, which keeps the shift from overflowing.
+const maxBackoffShift = 10
+
+// backoff returns how long to wait after the given number of failures in a row.
 func backoff(failures int) time.Duration {
-	return min(minBackoff<<min(failures-1, 10), maxBackoff)
+	return min(minBackoff<<min(failures-1, maxBackoffShift), maxBackoff)
 }
 
-// machineErrors are the errors of socket, connect, read and write that say something of this machine only.
-var machineErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
-	syscall.EAGAIN, syscall.EINTR}
+// machineErrors are the errors of socket, connect, read and write that concern this machine only.
+var machineErrors = []error{
+	syscall.EMFILE,
+	syscall.ENFILE,
+	syscall.ENOBUFS,
+	syscall.ENOMEM,
+	syscall.EADDRNOTAVAIL,
+	syscall.EAGAIN,
+	syscall.EINTR,
+}
 
-// MachineError reports whether err is a failure of this machine, which tells nothing of the peer.
+// MachineError reports whether err is a failure of this machine, which says nothing of the peer.
 func MachineError(err error) bool {
 	for _, machine := range machineErrors {
 		if errors.Is(err, machine) {
@@ -48,9 +59,9 @@
 // NewListener returns a Listener that accepts from l.
 func NewListener(l net.Listener, log *slog.Logger) *Listener { return &Listener{l, log} }
 
-// Accept implements net.Listener. Any error but net.ErrClosed is tried again: accept(2) reports shortages, errors of
-// the network, and those of a connection that ended before it was accepted, and none of them ends the listener. A run
-// of failures is logged once.
+// Accept implements net.Listener. It retries after any error but net.ErrClosed: accept(2) reports shortages, errors of
+// the network, and those of a connection that ended before it was accepted, and none of them ends the listener. It logs
+// a run of failures once.
 func (l *Listener) Accept() (net.Conn, error) {
 	for failures := 1; ; failures++ {
 		c, err := l.Listener.Accept()
@@ -65,7 +76,7 @@
 }
 
 // Open calls open, which opens a listener or a file, until it succeeds, ctx is done, or it fails for a reason that does
-// not pass, as an address that is in use or is not of this machine.
+// not pass, as an address that is in use or does not belong to this machine.
 func Open[T any](ctx context.Context, open func() (T, error)) (T, error) {
 	for failures := 1; ; failures++ {
 		opened, err := open()
@@ -80,7 +91,7 @@
 	}
 }
 
-// Dial calls dial, and tries a failure of this machine again for a bounded time, or until ctx is done.
+// Dial calls dial, and retries a failure of this machine for a bounded time, or until ctx is done.
 func Dial(ctx context.Context, dial func() (net.Conn, error)) (net.Conn, error) {
 	for failures := 1; ; failures++ {
 		c, err := dial()
@@ -95,7 +106,7 @@
 	}
 }
 
-// Read reads from r as its Read does, and tries a failure of this machine again for a bounded time.
+// Read reads from r as its Read does, and retries a failure of this machine for a bounded time.
 func Read(r io.Reader, p []byte) (n int, err error) {
 	for failures := 1; ; failures++ {
 		n, err = r.Read(p)
@@ -106,8 +117,8 @@
 	}
 }
 
-// Write writes all of p to w. What a short write or a failure of this machine left is written after it, for a bounded
-// time where nothing can be written.
+// Write writes all of p to w. After a short write or a failure of this machine it goes on with what is left, for a
+// bounded time if nothing can be written.
 func Write(w io.Writer, p []byte) (written int, err error) {
 	for failures := 1; ; failures++ {
 		n, err := w.Write(p[written:])
@@ -115,18 +126,19 @@
 			err = io.ErrShortWrite
 		}
 		retry := MachineError(err) || errors.Is(err, io.ErrShortWrite)
-		if written += n; !retry || n == 0 && failures == maxIOAttempts {
+		written += n
+		if !retry || n == 0 && failures == maxIOAttempts {
 			return written, err
 		}
-		if n > 0 {
-			failures = 0 // it gets on
+		if n > 0 { // progress: failures are counted anew
+			failures = 0
 			continue
 		}
 		time.Sleep(backoff(failures))
 	}
 }
 
-// Uninterrupted calls call again as long as a signal interrupted it.
+// Uninterrupted calls call until no signal interrupts it, and returns its error.
 func Uninterrupted(call func() error) error {
 	for {
 		if err := call(); !errors.Is(err, syscall.EINTR) {
--- a/internal/netretry/netretry_test.go
+++ b/internal/netretry/netretry_test.go
@@ -17,23 +17,24 @@
 	"time"
 )
 
-// acceptErrors are what accept(2) fails with, but for a listener that is closed.
+// acceptErrors are what accept(2) fails with, except for a closed listener.
 var acceptErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN,
 	syscall.EINTR, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.EHOSTDOWN, syscall.ENONET,
 	syscall.EPROTO, syscall.EPERM, syscall.ECONNABORTED, syscall.ENOPROTOOPT, syscall.EOPNOTSUPP}
 
-// failingSocket fails with err as long as left says, and then as then says.
+// failingSocket fails with err failuresLeft times, and then returns finalErr.
 type failingSocket struct {
 	net.Listener
 	net.Conn
-	err   error
-	failuresLeft  int
-	finalErr  error
-	calls int
+	err          error
+	failuresLeft int
+	finalErr     error
+	calls        int
 }
 
 func (f *failingSocket) call() error {
-	if f.calls++; f.failuresLeft > 0 {
+	f.calls++
+	if f.failuresLeft > 0 {
 		f.failuresLeft--
 		return f.err
 	}
@@ -62,37 +63,41 @@
 // Close implements io.Closer.
 func (f *failingSocket) Close() error { return nil }
 
+// TestAcceptRetriesAllButClose has each error of accept(2) come a hundred times and once, and then net.ErrClosed.
 func TestAcceptRetriesAllButClose(t *testing.T) {
 	for _, errno := range acceptErrors {
 		t.Run(errno.Error(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				log := &bytes.Buffer{}
-				f := &failingSocket{err: &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", errno)}, failuresLeft: 100}
-				l, begun := NewListener(f, slog.New(slog.NewTextHandler(log, nil))), time.Now()
-				if c, err := l.Accept(); c == nil || err != nil {
-					t.Fatalf("connection %v, error %v", c, err)
+				acceptError := &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", errno)}
+				f := &failingSocket{err: acceptError, failuresLeft: 100}
+				listener := NewListener(f, slog.New(slog.NewTextHandler(log, nil)))
+				startedAt := time.Now()
+				if conn, err := listener.Accept(); conn == nil || err != nil {
+					t.Fatalf("connection %v, error %v", conn, err)
 				}
-				if took := time.Since(begun); took > 101*maxBackoff || took < 90*maxBackoff || f.calls != 101 {
+				if took := time.Since(startedAt); took > 101*maxBackoff || took < 90*maxBackoff || f.calls != 101 {
 					t.Errorf("%d calls in %v", f.calls, took)
 				}
 				f.failuresLeft = 1
-				begun = time.Now()
-				if _, err := l.Accept(); err != nil || time.Since(begun) != minBackoff {
-					t.Errorf("error %v after one failure, and %v", err, time.Since(begun))
+				startedAt = time.Now()
+				if _, err := listener.Accept(); err != nil || time.Since(startedAt) != minBackoff {
+					t.Errorf("error %v after one failure, and %v", err, time.Since(startedAt))
 				}
 				if lines := strings.Count(log.String(), "\n"); lines != 2 {
 					t.Errorf("%d lines for two runs of failures:\n%s", lines, log)
 				}
-				f.failuresLeft, f.finalErr = 2, &net.OpError{Op: "accept", Err: net.ErrClosed}
-				if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
-					t.Errorf("error %v of a listener that is closed", err)
+				f.failuresLeft = 2
+				f.finalErr = &net.OpError{Op: "accept", Err: net.ErrClosed}
+				if _, err := listener.Accept(); !errors.Is(err, net.ErrClosed) {
+					t.Errorf("error %v of a closed listener", err)
 				}
 			})
 		})
 	}
 }
 
-// TestRetriesAreBounded has each other call fail a number of times, and tells how often it was made and how it ended.
+// TestRetriesAreBounded has each other call fail a number of times, and counts how often it was made.
 func TestRetriesAreBounded(t *testing.T) {
 	const forever = 1 << 20
 	listen := func(ctx context.Context, f *failingSocket) error {
@@ -118,13 +123,13 @@
 		return err
 	}
 	for _, tt := range []struct {
-		name   string
-		do     func(context.Context, *failingSocket) error
-		err    syscall.Errno
-		fails  int
-		calls  int // 0: any number
-		within time.Duration
-		passes bool
+		name     string
+		do       func(context.Context, *failingSocket) error
+		err      syscall.Errno
+		failures int
+		calls    int // 0: any number
+		within   time.Duration
+		succeeds bool
 	}{
 		{"listen, no descriptor", listen, syscall.EMFILE, 20, 21, time.Second, true},
 		{"listen, no memory, for good", listen, syscall.ENOMEM, forever, 0, 4*time.Second + maxBackoff, false},
@@ -146,12 +151,14 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithTimeout(t.Context(), 4*time.Second)
 				defer cancel()
-				f, begun := &failingSocket{err: os.NewSyscallError("call", tt.err), failuresLeft: tt.fails}, time.Now()
+				f := &failingSocket{err: os.NewSyscallError("call", tt.err), failuresLeft: tt.failures}
+				startedAt := time.Now()
 				err := tt.do(ctx, f)
-				if (err == nil) != tt.passes || tt.calls > 0 && f.calls != tt.calls || time.Since(begun) > tt.within {
-					t.Errorf("%d calls, error %v after %v", f.calls, err, time.Since(begun))
+				took := time.Since(startedAt)
+				if (err == nil) != tt.succeeds || tt.calls > 0 && f.calls != tt.calls || took > tt.within {
+					t.Errorf("%d calls, error %v after %v", f.calls, err, took)
 				}
-				if !tt.passes && !errors.Is(err, tt.err) && !errors.Is(err, io.ErrShortWrite) {
+				if !tt.succeeds && !errors.Is(err, tt.err) && !errors.Is(err, io.ErrShortWrite) {
 					t.Errorf("error %v", err)
 				}
 			})
@@ -159,9 +166,12 @@
 	}
 }
 
-// TestWriteContinuesAfterShortWrites has writes be short and fail in turn: all bytes go out once, in their order.
+// TestWriteContinuesAfterShortWrites has writes be short and fail in turn: all bytes are written once, in
+// order.
 func TestWriteContinuesAfterShortWrites(t *testing.T) {
-	text, out, turn := bytes.Repeat([]byte("0123456789"), 30), &bytes.Buffer{}, 0
+	text := bytes.Repeat([]byte("0123456789"), 30)
+	out := &bytes.Buffer{}
+	turn := 0
 	n, err := Write(writerFunc(func(p []byte) (int, error) {
 		errs := []error{nil, syscall.ENOBUFS, syscall.EAGAIN}
 		turn++
@@ -176,12 +186,13 @@
 	}
 }
 
-// writerFunc is a function that writes.
+// writerFunc is an io.Writer by its function.
 type writerFunc func(p []byte) (int, error)
 
 // Write implements io.Writer.
 func (w writerFunc) Write(p []byte) (int, error) { return w(p) }
 
+// TestUninterruptedRetriesInterruptedCalls has a call be interrupted three times and then fail.
 func TestUninterruptedRetriesInterruptedCalls(t *testing.T) {
 	f := &failingSocket{err: os.NewSyscallError("poll", syscall.EINTR), failuresLeft: 3, finalErr: syscall.EBADF}
 	if err := Uninterrupted(f.call); err != syscall.EBADF || f.calls != 4 {
--- a/internal/netretry/socket.go
+++ b/internal/netretry/socket.go
@@ -8,8 +8,8 @@
 // pollFunc has the signature of unix.Poll.
 type pollFunc func(fds []unix.PollFd, timeout int) (int, error)
 
-// Peek reports how many bytes can be read from a socket, counting at most one. It neither waits nor takes any. An open
-// connection with nothing to read is the error EAGAIN.
+// Peek returns how many bytes can be read from a socket, counting at most one. It neither waits nor consumes any. For
+// an open connection with nothing to read it returns EAGAIN.
 func Peek(fd int) (n int, err error) { return peek(fd, unix.Recvfrom) }
 
 func peek(fd int, receive recvfromFunc) (n int, err error) {
@@ -21,7 +21,7 @@
 	return n, err
 }
 
-// Poll returns which of the events a file has now, beside POLLHUP and POLLERR. It does not wait.
+// Poll returns which of the events a file has now, and POLLHUP and POLLERR if it has them. It does not wait.
 func Poll(fd int, events int16) (int16, error) { return poll(fd, events, unix.Poll) }
 
 func poll(fd int, events int16, call pollFunc) (int16, error) {
--- a/internal/netretry/socket_test.go
+++ b/internal/netretry/socket_test.go
@@ -6,22 +6,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestPeekAndPollRetryInterruptedCalls has signals interrupt the calls that look at a socket.
+// TestPeekAndPollRetryInterruptedCalls has signals interrupt the calls that inspect a socket.
 func TestPeekAndPollRetryInterruptedCalls(t *testing.T) {
 	interrupted := 0
-	interrupts := func() error {
-		if interrupted++; interrupted%3 != 0 {
+	interruptTwice := func() error {
+		interrupted++
+		if interrupted%3 != 0 {
 			return unix.EINTR
 		}
 		return nil
 	}
-	n, err := peek(0, func(int, []byte, int) (int, unix.Sockaddr, error) { return 1, nil, interrupts() })
+	n, err := peek(0, func(int, []byte, int) (int, unix.Sockaddr, error) { return 1, nil, interruptTwice() })
 	if n != 1 || err != nil {
 		t.Errorf("peek: %d, error %v", n, err)
 	}
 	state, err := poll(0, unix.POLLRDHUP, func(fds []unix.PollFd, _ int) (int, error) {
 		fds[0].Revents = 0
-		if err := interrupts(); err != nil {
+		if err := interruptTwice(); err != nil {
 			return -1, err
 		}
 		fds[0].Revents = unix.POLLRDHUP
