--- a/deploy/names_test.go
+++ b/deploy/names_test.go
@@ -185,8 +185,8 @@
 // former house style that no comment or name in them has.
 var (
 	finished = []string{
-		"balance", "internal/discovery", "internal/loadlevel", "internal/lossdetect", "internal/quota",
-		"internal/retrybudget",
+		"balance", "internal/chunked", "internal/discovery", "internal/loadlevel", "internal/lossdetect",
+		"internal/netretry", "internal/quota", "internal/retrybudget",
 		"internal/fleet/consensus", "internal/fleet/failuredetector", "internal/fleet/gossip",
 		"internal/fleet/membership", "internal/fleet/policy", "internal/fleet/policyagent",
 		"internal/fleet/replication", "internal/fleet/transport", "internal/upstream",
