--- a/balance/byhand_test.go
+++ b/balance/admin_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// tell plays n requests a millisecond apart, each answered at once, and counts them by endpoint.
-func tell(b *Balancer, h *host, n int) map[string]int {
+// countByEndpoint plays n requests a millisecond apart, each answered at once, and counts them by endpoint.
+func countByEndpoint(b *Balancer, h *host, n int) map[string]int {
 	got := map[string]int{}
 	for range n {
 		h.now += time.Millisecond
@@ -20,9 +20,9 @@
 	return got
 }
 
-// TestTakenOut takes an endpoint out by hand, with everything that discovery can say of it in between.
+// TestAdminDownOutlastsDiscovery takes an endpoint out by hand, with everything that discovery can say of it in between.
 // Danger: the staff works on a machine that traffic returns to.
-func TestTakenOut(t *testing.T) {
+func TestAdminDownOutlastsDiscovery(t *testing.T) {
 	list := []Endpoint{
 		{ID: "a", Zone: "x", Kind: "big", Weight: 1},
 		{ID: "b", Zone: "x", Kind: "big", Weight: 1},
@@ -51,14 +51,14 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			b, h := start(t, settings(), list)
-			if got := tell(b, h, 100); got["a"] == 0 {
+			if got := countByEndpoint(b, h, 100); got["a"] == 0 {
 				t.Fatal("it was never used before")
 			}
 			if !b.SetAdminDown(h.now, "a", true) {
 				t.Fatal("it is unknown")
 			}
 			tt.do(b, h)
-			if got := tell(b, h, 200); got["a"] != 0 || got["b"] != 200 {
+			if got := countByEndpoint(b, h, 200); got["a"] != 0 || got["b"] != 200 {
 				t.Errorf("attempts %v while a is out", got)
 			}
 			if listed, avoided := b.CountEndpoints(h.now); listed != 2 || avoided != 1 {
@@ -76,15 +76,15 @@
 			if e := b.known["a"]; e.Started != h.now {
 				t.Errorf("after a list it counts as started at %v, want %v", e.Started, h.now)
 			}
-			if got := tell(b, h, 1000); got["a"] == 0 || got["a"] > 450 {
+			if got := countByEndpoint(b, h, 1000); got["a"] == 0 || got["a"] > 450 {
 				t.Errorf("attempts %v in the first second after a is back, cold", got)
 			}
 		})
 	}
 }
 
-// TestTakenOutUnknown checks which ids get a no. Danger: a typing mistake passes for a server that is out.
-func TestTakenOutUnknown(t *testing.T) {
+// TestSetAdminDownOfUnknownEndpoint checks which ids get a no. Danger: a typing mistake passes for a server that is out.
+func TestSetAdminDownOfUnknownEndpoint(t *testing.T) {
 	b, h := start(t, settings(), pair())
 	for _, out := range []bool{true, false} {
 		if b.SetAdminDown(h.now, "nobody", out) {
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestAllTakenOut has a request find nobody: it is refused at once.
-func TestAllTakenOut(t *testing.T) {
+// TestRequestIsRejectedIfAllAreAdminDown has a request find nobody: it is refused at once.
+func TestRequestIsRejectedIfAllAreAdminDown(t *testing.T) {
 	b, h := start(t, settings(), pair())
 	b.AdoptAdminDown(h.now, []string{"a", "b", "later"})
 	b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: time.Second})
--- a/balance/word_test.go
+++ b/balance/peers_test.go
@@ -9,40 +9,40 @@
 	"pgregory.net/rapid"
 )
 
-// worded is a Balancer with n endpoints of one size in one group, and what it sent.
-type worded struct {
+// peerReportRig is a Balancer with n endpoints of one size in one group, and what it sent.
+type peerReportRig struct {
 	*Balancer
-	acts *recorder
-	now  Time
-	next RequestID
+	recorded *actionRecorder
+	now      Time
+	next     RequestID
 }
 
-// recorder takes actions down as text.
-type recorder struct {
+// actionRecorder takes actions down as text.
+type actionRecorder struct {
 	lines []string
 	sent  []string
 }
 
-func (r *recorder) Send(id RequestID, endpoint string, timeout time.Duration) {
+func (r *actionRecorder) Send(id RequestID, endpoint string, timeout time.Duration) {
 	r.lines = append(r.lines, fmt.Sprint("send ", id, endpoint, timeout))
 	r.sent = append(r.sent, endpoint)
 }
-func (r *recorder) Cancel(id RequestID, n int) {
+func (r *actionRecorder) Cancel(id RequestID, n int) {
 	r.lines = append(r.lines, fmt.Sprint("cancel ", id, n))
 }
-func (r *recorder) Reject(id RequestID, after time.Duration) {
+func (r *actionRecorder) Reject(id RequestID, after time.Duration) {
 	r.lines = append(r.lines, fmt.Sprint("refuse ", id, after))
 }
-func (r *recorder) Fail(id RequestID) { r.lines = append(r.lines, fmt.Sprint("fail ", id)) }
-func (r *recorder) Timer(after time.Duration, token uint64) {
+func (r *actionRecorder) Fail(id RequestID) { r.lines = append(r.lines, fmt.Sprint("fail ", id)) }
+func (r *actionRecorder) Timer(after time.Duration, token uint64) {
 	r.lines = append(r.lines, fmt.Sprint("timer ", after, token))
 }
-func (r *recorder) Subscribe()      { r.lines = append(r.lines, "subscribe") }
-func (r *recorder) Log(text string) { r.lines = append(r.lines, text) }
+func (r *actionRecorder) Subscribe()      { r.lines = append(r.lines, "subscribe") }
+func (r *actionRecorder) Log(text string) { r.lines = append(r.lines, text) }
 
-func newWorded(t rapid.TB, n int) *worded {
+func newPeerReportRig(t rapid.TB, n int) *peerReportRig {
 	t.Helper()
-	acts := &recorder{}
+	acts := &actionRecorder{}
 	b, err := New(
 		Settings{Seed: 1, Peers: 80, Zone: "a", Zones: []string{"a"}, Kinds: []string{"k"}, Service: "s",
 			Classes: []Class{
@@ -55,7 +55,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &worded{Balancer: b, acts: acts, now: 24 * time.Hour}
+	w := &peerReportRig{Balancer: b, recorded: acts, now: 24 * time.Hour}
 	var list []Endpoint
 	for i := range n {
 		list = append(list, Endpoint{ID: fmt.Sprint("e", i), Zone: "a", Kind: "k", Weight: 1})
@@ -64,17 +64,17 @@
 	return w
 }
 
-// ask has requests come one after another, each answered in 50 ms but by those that are silent, and returns
+// sendSequentially has requests come one after another, each answered in 50 ms but by those that are silent, and returns
 // how many went where.
-func (w *worded) ask(n int, silent ...string) map[string]int {
+func (w *peerReportRig) sendSequentially(n int, silent ...string) map[string]int {
 	went := map[string]int{}
 	for range n {
 		w.next++
-		w.acts.sent = nil
+		w.recorded.sent = nil
 		w.Request(w.now, Request{ID: w.next, Tenant: -1, Timeout: 2 * time.Second})
 		w.now += 50 * time.Millisecond
 		w.Timer(w.now, tokenTick)
-		for i, to := range w.acts.sent {
+		for i, to := range w.recorded.sent {
 			went[to]++
 			if !slices.Contains(silent, to) {
 				w.Result(w.now, Result{ID: w.next, Attempt: i, Endpoint: to, Took: 50 * time.Millisecond, Finished: true})
@@ -86,14 +86,14 @@
 
 // TestDoubtedGoBehind: what others speak ill of gets nothing while another has room, and is used where
 // nothing else is.
-func TestDoubtedGoBehind(t *testing.T) {
-	w := newWorded(t, 6)
-	if went := w.ask(60); went["e1"] < 6 {
+func TestSuspectedEndpointsAreUsedLast(t *testing.T) {
+	w := newPeerReportRig(t, 6)
+	if went := w.sendSequentially(60); went["e1"] < 6 {
 		t.Fatalf("without a word it gets its turns: %v", went)
 	}
 	w.SetSuspected([]PeerReport{{"e1", w.now + 1}, {"nobody", w.now + 1}})
 	w.now += 2
-	went := w.ask(30)
+	went := w.sendSequentially(30)
 	if went["e1"] > 0 || went["nobody"] > 0 || len(went) != 5 {
 		t.Errorf("in doubt: %v", went)
 	}
@@ -102,23 +102,23 @@
 			t.Fatal("not known: ", id)
 		}
 	}
-	if went = w.ask(1); went["e1"] != 1 {
+	if went = w.sendSequentially(1); went["e1"] != 1 {
 		t.Errorf("the only one left, in doubt as it is: %v", went)
 	}
 }
 
 // TestDoubtEnds: word counts for a while, until a good answer of one's own, until the process is another
 // one, or until others take it back.
-func TestDoubtEnds(t *testing.T) {
-	for name, end := range map[string]func(w *worded){
-		"it grows old":   func(w *worded) { w.now += peerReportLifetime },
-		"own answer":     func(w *worded) { w.known["e1"].lastResponse = w.now },
-		"taken back":     func(w *worded) { w.SetSuspected(nil) },
-		"restarted":      func(w *worded) { w.SetAdminDown(w.now, "e1", true); w.SetAdminDown(w.now, "e1", false) },
-		"others instead": func(w *worded) { w.SetSuspected([]PeerReport{{"e2", w.now}}) },
+func TestSuspicionEnds(t *testing.T) {
+	for name, end := range map[string]func(w *peerReportRig){
+		"it grows old":   func(w *peerReportRig) { w.now += peerReportLifetime },
+		"own answer":     func(w *peerReportRig) { w.known["e1"].lastResponse = w.now },
+		"taken back":     func(w *peerReportRig) { w.SetSuspected(nil) },
+		"restarted":      func(w *peerReportRig) { w.SetAdminDown(w.now, "e1", true); w.SetAdminDown(w.now, "e1", false) },
+		"others instead": func(w *peerReportRig) { w.SetSuspected([]PeerReport{{"e2", w.now}}) },
 	} {
-		w := newWorded(t, 6)
-		w.ask(60)
+		w := newPeerReportRig(t, 6)
+		w.sendSequentially(60)
 		w.SetSuspected([]PeerReport{{"e1", w.now + 1}})
 		w.now += 2
 		if !w.suspectedByPeers(w.known["e1"], w.now) {
@@ -134,11 +134,11 @@
 // TestWordOpensNothing: whatever others say, no endpoint gets anything that would not get anything without
 // a word: one that is draining, gone, out by hand, ejected or of another list; at most a share of the size
 // is put behind; and a request that finds a place without the word finds one with it.
-func TestWordOpensNothing(t *testing.T) {
+func TestPeerReportsAdmitNoEndpoint(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "endpoints")
-		w := newWorded(t, n)
-		w.ask(5 * n)
+		w := newPeerReportRig(t, n)
+		w.sendSequentially(5 * n)
 		shut := map[string]bool{}
 		for i := range n {
 			id := fmt.Sprint("e", i)
@@ -172,7 +172,7 @@
 		if behind > maxSuspectedShare*ready {
 			t.Errorf("%v of %v is put behind", behind, ready)
 		}
-		went := w.ask(3)
+		went := w.sendSequentially(3)
 		for id := range went {
 			if shut[id] {
 				t.Errorf("%s got a request", id)
@@ -184,54 +184,54 @@
 	})
 }
 
-type watcher struct{ saw []string }
+type recordingObserver struct{ observed []string }
 
-func (w *watcher) Observe(endpoint string, s Observation) {
-	w.saw = append(w.saw, fmt.Sprint(endpoint, " ", s))
+func (w *recordingObserver) Observe(endpoint string, s Observation) {
+	w.observed = append(w.observed, fmt.Sprint(endpoint, " ", s))
 }
 
-// TestWitnessChangesNothing plays the same events with and without a witness, and with words about nobody:
+// TestObserverChangesNoAction plays the same events with and without a witness, and with words about nobody:
 // the actions are the same to the letter.
-func TestWitnessChangesNothing(t *testing.T) {
+func TestObserverChangesNoAction(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		plain, watched := newWorded(t, 5), newWorded(t, 5)
-		seen := &watcher{}
+		plain, watched := newPeerReportRig(t, 5), newPeerReportRig(t, 5)
+		seen := &recordingObserver{}
 		watched.SetObserver(seen)
 		for range rapid.IntRange(1, 60).Draw(t, "rounds") {
 			silent := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"e0", "e1", "e2", "e3"}), 0, 2, rapid.ID).
 				Draw(t, "silent")
-			for _, w := range []*worded{plain, watched} {
-				w.ask(3, silent...)
+			for _, w := range []*peerReportRig{plain, watched} {
+				w.sendSequentially(3, silent...)
 				w.Timer(w.now, tokenAttempt+uint64(w.next)*maxAttemptsPerRequest)
 			}
 			watched.SetSuspected([]PeerReport{{"nobody", watched.now}})
 		}
-		if !slices.Equal(plain.acts.lines, watched.acts.lines) {
+		if !slices.Equal(plain.recorded.lines, watched.recorded.lines) {
 			t.Error("a witness changed what is done")
 		}
-		if len(seen.saw) == 0 {
+		if len(seen.observed) == 0 {
 			t.Error("the witness saw nothing")
 		}
 	})
 }
 
-// TestSights says what a witness is told of each end of an attempt.
-func TestSights(t *testing.T) {
+// TestObservationsOfEachOutcome says what a witness is told of each end of an attempt.
+func TestObservationsOfEachOutcome(t *testing.T) {
 	for outcome, want := range map[Outcome][]string{Served: {"e0 0"}, Errored: {"e0 3"}, Reset: {"e0 3"}, ConnectFailed: {"e0 4"}, Saturated: nil,
 		Cancelled: nil, NotSent: nil} {
-		w, seen := newWorded(t, 1), &watcher{}
+		w, seen := newPeerReportRig(t, 1), &recordingObserver{}
 		w.SetObserver(seen)
 		w.Request(w.now, Request{ID: 1, Tenant: -1, Timeout: time.Second})
 		w.Result(
 			w.now+time.Millisecond,
 			Result{ID: 1, Endpoint: "e0", Outcome: outcome, Took: time.Millisecond, Finished: true},
 		)
-		if !slices.Equal(seen.saw, want) {
-			t.Errorf("outcome %d: %v, want %v", outcome, seen.saw, want)
+		if !slices.Equal(seen.observed, want) {
+			t.Errorf("outcome %d: %v, want %v", outcome, seen.observed, want)
 		}
 	}
-	w, seen := newWorded(t, 1), &watcher{}
-	w.ask(3000)
+	w, seen := newPeerReportRig(t, 1), &recordingObserver{}
+	w.sendSequentially(3000)
 	w.SetObserver(seen)
 	w.next++
 	w.now++
@@ -241,7 +241,7 @@
 		w.Timer(w.now, tokenTick)
 		w.Timer(w.now, tokenAttempt+uint64(w.next)*maxAttemptsPerRequest)
 	}
-	if !slices.Equal(seen.saw, []string{"e0 1", "e0 2"}) {
-		t.Errorf("a silent one is late once, then silent once: %v", seen.saw)
+	if !slices.Equal(seen.observed, []string{"e0 1", "e0 2"}) {
+		t.Errorf("a silent one is late once, then silent once: %v", seen.observed)
 	}
 }
