--- a/balance/admin_test.go
+++ b/balance/admin_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// countByEndpoint plays n requests a millisecond apart, each answered at once, and counts them by endpoint.
+// countByEndpoint plays n requests a millisecond apart, each answered at once, and counts attempts by endpoint.
 func countByEndpoint(b *Balancer, h *host, n int) map[string]int {
 	got := map[string]int{}
 	for range n {
@@ -20,8 +20,8 @@
 	return got
 }
 
-// TestAdminDownOutlastsDiscovery takes an endpoint out by hand, with everything that discovery can say of it in between.
-// Danger: the staff works on a machine that traffic returns to.
+// TestAdminDownOutlastsDiscovery: an endpoint that is administratively down gets no request, whatever discovery
+// reports of it. Once it is up again it counts as just started.
 func TestAdminDownOutlastsDiscovery(t *testing.T) {
 	list := []Endpoint{
 		{ID: "a", Zone: "x", Kind: "big", Weight: 1},
@@ -32,9 +32,9 @@
 		name string
 		do   func(b *Balancer, h *host)
 	}{
-		{"nothing said", func(*Balancer, *host) {}},
-		{"taken out again", func(b *Balancer, h *host) { b.SetAdminDown(h.now, "a", true) }},
-		{"a whole list", func(b *Balancer, h *host) { b.Endpoints(h.now, ListFull, list) }},
+		{"no list", func(*Balancer, *host) {}},
+		{"set down again", func(b *Balancer, h *host) { b.SetAdminDown(h.now, "a", true) }},
+		{"a full list", func(b *Balancer, h *host) { b.Endpoints(h.now, ListFull, list) }},
 		{"ready again", func(b *Balancer, h *host) { b.Endpoints(h.now, ListChanges, list[:1]) }},
 		{"drained and ready", func(b *Balancer, h *host) {
 			b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1, State: Draining}})
@@ -59,65 +59,65 @@
 			}
 			tt.do(b, h)
 			if got := countByEndpoint(b, h, 200); got["a"] != 0 || got["b"] != 200 {
-				t.Errorf("attempts %v while a is out", got)
+				t.Errorf("attempts %v while a is administratively down", got)
 			}
 			if listed, avoided := b.CountEndpoints(h.now); listed != 2 || avoided != 1 {
 				t.Errorf("%d listed, %d avoided, want 2 and 1", listed, avoided)
 			}
 			for range 2 {
 				if !b.SetAdminDown(h.now, "a", false) {
-					t.Error("it is unknown when put back, or again")
+					t.Error("it is unknown when it is set up, or again")
 				}
 			}
 			if e := b.known["a"]; e.Started != h.now {
-				t.Errorf("put back at %v it counts as started at %v", h.now, e.Started)
+				t.Errorf("set up at %v it counts as started at %v", h.now, e.Started)
 			}
-			b.Endpoints(h.now, ListFull, restarted) // an old start told late does not make it warm
+			b.Endpoints(h.now, ListFull, restarted) // an old start that is reported late does not make it warmed up
 			if e := b.known["a"]; e.Started != h.now {
 				t.Errorf("after a list it counts as started at %v, want %v", e.Started, h.now)
 			}
 			if got := countByEndpoint(b, h, 1000); got["a"] == 0 || got["a"] > 450 {
-				t.Errorf("attempts %v in the first second after a is back, cold", got)
+				t.Errorf("attempts %v in the first second after a is up, warming up", got)
 			}
 		})
 	}
 }
 
-// TestSetAdminDownOfUnknownEndpoint checks which ids get a no. Danger: a typing mistake passes for a server that is out.
+// TestSetAdminDownOfUnknownEndpoint: an id that is neither listed nor administratively down is reported as unknown.
 func TestSetAdminDownOfUnknownEndpoint(t *testing.T) {
 	b, h := start(t, settings(), pair())
-	for _, out := range []bool{true, false} {
-		if b.SetAdminDown(h.now, "nobody", out) {
-			t.Errorf("out %v: an id that nobody has is known", out)
+	for _, down := range []bool{true, false} {
+		if b.SetAdminDown(h.now, "nobody", down) {
+			t.Errorf("down %v: an id that no endpoint has is known", down)
 		}
 	}
 	b.SetAdminDown(h.now, "a", true)
 	b.Endpoints(h.now, ListFull, pair()[1:])
 	if !b.SetAdminDown(h.now, "a", true) || !b.SetAdminDown(h.now, "a", false) {
-		t.Error("one that is out has left the list, and is unknown")
+		t.Error("one that is administratively down has left the list, and is unknown")
 	}
 	if b.SetAdminDown(h.now, "a", false) {
-		t.Error("one that is neither listed nor out is known")
+		t.Error("one that is neither listed nor administratively down is known")
 	}
 	b.Endpoints(h.now, ListFull, pair())
 	if e := b.known["a"]; e.Started != h.now {
-		t.Error("put back while it was not listed, it is not cold when it comes")
+		t.Error("set up while it was not listed, it is not warming up once it is listed")
 	}
 }
 
-// TestRequestIsRejectedIfAllAreAdminDown has a request find nobody: it is refused at once.
+// TestRequestIsRejectedIfAllAreAdminDown: with all endpoints administratively down, a request is rejected at once.
 func TestRequestIsRejectedIfAllAreAdminDown(t *testing.T) {
 	b, h := start(t, settings(), pair())
 	b.AdoptAdminDown(h.now, []string{"a", "b", "later"})
 	b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: time.Second})
 	if len(h.sent) != 0 || len(h.refused) != 1 {
-		t.Errorf("%d attempts, %d refusals, want a refusal alone", len(h.sent), len(h.refused))
+		t.Errorf("%d attempts, %d rejections, want a rejection alone", len(h.sent), len(h.refused))
 	}
 	if got := b.AdminDown(); !slices.Equal(got, []string{"a", "b", "later"}) {
-		t.Errorf("out are %v", got)
+		t.Errorf("administratively down are %v", got)
 	}
 	b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "later", Zone: "x", Kind: "big", Weight: 1}})
 	if b.Request(h.now, Request{ID: 2, Tenant: -1, Timeout: time.Second}); len(h.sent) != 0 {
-		t.Errorf("an attempt at %v, which was handed over as out", h.sent)
+		t.Errorf("an attempt at %v, which was adopted as administratively down", h.sent)
 	}
 }
--- a/balance/peers_test.go
+++ b/balance/peers_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// peerReportRig is a Balancer with n endpoints of one size in one group, and what it sent.
+// peerReportRig is a Balancer with n endpoints of one weight in one group, and the actions that it took.
 type peerReportRig struct {
 	*Balancer
 	recorded *actionRecorder
@@ -17,7 +17,7 @@
 	next     RequestID
 }
 
-// actionRecorder takes actions down as text.
+// actionRecorder records actions as text.
 type actionRecorder struct {
 	lines []string
 	sent  []string
@@ -64,8 +64,8 @@
 	return w
 }
 
-// sendSequentially has requests come one after another, each answered in 50 ms but by those that are silent, and returns
-// how many went where.
+// sendSequentially plays n requests one after another and counts attempts by endpoint. Each is answered after 50 ms,
+// but for those at silent endpoints.
 func (w *peerReportRig) sendSequentially(n int, silent ...string) map[string]int {
 	went := map[string]int{}
 	for range n {
@@ -84,18 +84,18 @@
 	return went
 }
 
-// TestDoubtedGoBehind: what others speak ill of gets nothing while another has room, and is used where
-// nothing else is.
+// TestSuspectedEndpointsAreUsedLast: an endpoint that peers suspect gets no request while another has capacity,
+// and is used where there is no other.
 func TestSuspectedEndpointsAreUsedLast(t *testing.T) {
 	w := newPeerReportRig(t, 6)
 	if went := w.sendSequentially(60); went["e1"] < 6 {
-		t.Fatalf("without a word it gets its turns: %v", went)
+		t.Fatalf("without a report it is not in the rotation: %v", went)
 	}
 	w.SetSuspected([]PeerReport{{"e1", w.now + 1}, {"nobody", w.now + 1}})
 	w.now += 2
 	went := w.sendSequentially(30)
 	if went["e1"] > 0 || went["nobody"] > 0 || len(went) != 5 {
-		t.Errorf("in doubt: %v", went)
+		t.Errorf("suspected: %v", went)
 	}
 	for _, id := range []string{"e0", "e2", "e3", "e4", "e5"} {
 		if !w.SetAdminDown(w.now, id, true) {
@@ -103,43 +103,43 @@
 		}
 	}
 	if went = w.sendSequentially(1); went["e1"] != 1 {
-		t.Errorf("the only one left, in doubt as it is: %v", went)
+		t.Errorf("the only one left, suspected: %v", went)
 	}
 }
 
-// TestDoubtEnds: word counts for a while, until a good answer of one's own, until the process is another
-// one, or until others take it back.
+// TestSuspicionEnds: a peer's report counts until it expires, this sidecar gets an answer itself, the endpoint is
+// restarted, or the peers withdraw it.
 func TestSuspicionEnds(t *testing.T) {
 	for name, end := range map[string]func(w *peerReportRig){
-		"it grows old":   func(w *peerReportRig) { w.now += peerReportLifetime },
-		"own answer":     func(w *peerReportRig) { w.known["e1"].lastResponse = w.now },
-		"taken back":     func(w *peerReportRig) { w.SetSuspected(nil) },
-		"restarted":      func(w *peerReportRig) { w.SetAdminDown(w.now, "e1", true); w.SetAdminDown(w.now, "e1", false) },
-		"others instead": func(w *peerReportRig) { w.SetSuspected([]PeerReport{{"e2", w.now}}) },
+		"expired":         func(w *peerReportRig) { w.now += peerReportLifetime },
+		"own answer":      func(w *peerReportRig) { w.known["e1"].lastResponse = w.now },
+		"withdrawn":       func(w *peerReportRig) { w.SetSuspected(nil) },
+		"restarted":       func(w *peerReportRig) { w.SetAdminDown(w.now, "e1", true); w.SetAdminDown(w.now, "e1", false) },
+		"others reported": func(w *peerReportRig) { w.SetSuspected([]PeerReport{{"e2", w.now}}) },
 	} {
 		w := newPeerReportRig(t, 6)
 		w.sendSequentially(60)
 		w.SetSuspected([]PeerReport{{"e1", w.now + 1}})
 		w.now += 2
 		if !w.suspectedByPeers(w.known["e1"], w.now) {
-			t.Fatal("not in doubt to begin with")
+			t.Fatal("not suspected after the report")
 		}
 		end(w)
 		if w.suspectedByPeers(w.known["e1"], w.now) {
-			t.Errorf("%s: still in doubt", name)
+			t.Errorf("%s: still suspected", name)
 		}
 	}
 }
 
-// TestWordOpensNothing: whatever others say, no endpoint gets anything that would not get anything without
-// a word: one that is draining, gone, out by hand, ejected or of another list; at most a share of the size
-// is put behind; and a request that finds a place without the word finds one with it.
+// TestPeerReportsAdmitNoEndpoint: whatever peers report, an endpoint that is draining, removed or
+// administratively down gets no request, at most maxSuspectedShare of the ready weight is suspected, and a
+// request that finds an endpoint without the reports finds one with them.
 func TestPeerReportsAdmitNoEndpoint(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "endpoints")
 		w := newPeerReportRig(t, n)
 		w.sendSequentially(5 * n)
-		shut := map[string]bool{}
+		unusable := map[string]bool{}
 		for i := range n {
 			id := fmt.Sprint("e", i)
 			switch rapid.IntRange(0, 5).Draw(t, "state") {
@@ -152,34 +152,34 @@
 			default:
 				continue
 			}
-			shut[id] = true
+			unusable[id] = true
 		}
-		var words []PeerReport
-		for range rapid.IntRange(0, 20).Draw(t, "words") {
-			words = append(words, PeerReport{fmt.Sprint("e", rapid.IntRange(0, 14).Draw(t, "about")),
+		var reports []PeerReport
+		for range rapid.IntRange(0, 20).Draw(t, "reports") {
+			reports = append(reports, PeerReport{fmt.Sprint("e", rapid.IntRange(0, 14).Draw(t, "about")),
 				w.now + Time(rapid.Int64Range(-int64(10*time.Second), int64(time.Second)).Draw(t, "since"))})
 		}
-		w.SetSuspected(words)
-		behind, ready := 0.0, 0.0
+		w.SetSuspected(reports)
+		suspected, ready := 0.0, 0.0
 		for _, e := range w.listed {
 			if e.State == Ready {
 				ready += e.Weight
 			}
 			if e.reportedAt != 0 {
-				behind += e.Weight
+				suspected += e.Weight
 			}
 		}
-		if behind > maxSuspectedShare*ready {
-			t.Errorf("%v of %v is put behind", behind, ready)
+		if suspected > maxSuspectedShare*ready {
+			t.Errorf("%v of %v is suspected", suspected, ready)
 		}
 		went := w.sendSequentially(3)
 		for id := range went {
-			if shut[id] {
+			if unusable[id] {
 				t.Errorf("%s got a request", id)
 			}
 		}
-		if len(shut) < n && len(went) == 0 {
-			t.Error("no request found a place")
+		if len(unusable) < n && len(went) == 0 {
+			t.Error("no request found an endpoint")
 		}
 	})
 }
@@ -190,8 +190,8 @@
 	w.observed = append(w.observed, fmt.Sprint(endpoint, " ", s))
 }
 
-// TestObserverChangesNoAction plays the same events with and without a witness, and with words about nobody:
-// the actions are the same to the letter.
+// TestObserverChangesNoAction: the same events with and without an observer, and with reports about unknown
+// endpoints, lead to the same actions.
 func TestObserverChangesNoAction(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plain, watched := newPeerReportRig(t, 5), newPeerReportRig(t, 5)
@@ -207,15 +207,15 @@
 			watched.SetSuspected([]PeerReport{{"nobody", watched.now}})
 		}
 		if !slices.Equal(plain.recorded.lines, watched.recorded.lines) {
-			t.Error("a witness changed what is done")
+			t.Error("an observer changed the actions")
 		}
 		if len(seen.observed) == 0 {
-			t.Error("the witness saw nothing")
+			t.Error("the observer was notified of nothing")
 		}
 	})
 }
 
-// TestObservationsOfEachOutcome says what a witness is told of each end of an attempt.
+// TestObservationsOfEachOutcome: the observer is notified of what each outcome of an attempt shows.
 func TestObservationsOfEachOutcome(t *testing.T) {
 	for outcome, want := range map[Outcome][]string{Served: {"e0 0"}, Errored: {"e0 3"}, Reset: {"e0 3"}, ConnectFailed: {"e0 4"}, Saturated: nil,
 		Cancelled: nil, NotSent: nil} {
@@ -242,6 +242,6 @@
 		w.Timer(w.now, tokenAttempt+uint64(w.next)*maxAttemptsPerRequest)
 	}
 	if !slices.Equal(seen.observed, []string{"e0 1", "e0 2"}) {
-		t.Errorf("a silent one is late once, then silent once: %v", seen.observed)
+		t.Errorf("one without an answer is observed as %v, want late once and silent once", seen.observed)
 	}
 }
