--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -41,11 +41,11 @@
 	const want = "1d4167ace4551d4447fbd9deccf7391cedb3787ca3f59fde19fc9e1bfcb5b825"
 	s := testScenario()
 	keys := NewZipf(s.Load.Keys, s.Load.Zipf)
-	outcomes := []Outcome{Refused, Failed, Unreached, Served, Refused}
+	outcomes := []Outcome{Rejected, Failed, Unreachable, Served, Rejected}
 	drawn, retried := 0, 0
 	hash := sha256.New()
 	for sidecar := range s.Fleet.Sidecars {
-		source := New(s, sidecar, 7, keys)
+		source := NewSource(s, sidecar, 7, keys)
 		rng := rand.New(rand.NewPCG(7, uint64(sidecar)))
 		for {
 			a, ok := source.Next()
@@ -55,7 +55,7 @@
 			for i := drawn; ok; i++ {
 				fmt.Fprintln(hash, a)
 				after := time.Duration(i%3) * 200 * time.Millisecond
-				a, ok = Again(s, a, a.At+a.Wait/4, outcomes[i%len(outcomes)], after, rng)
+				a, ok = Retry(s, a, a.At+a.Timeout/4, outcomes[i%len(outcomes)], after, rng)
 				if ok {
 					retried++
 				}
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -119,7 +119,7 @@
 	down     bool
 	decider  Decider
 	source   *load.Source
-	next     load.Ask
+	next     load.Request
 	clients  *rand.Rand
 	requests map[balance.RequestID]*request
 	idle     [][]idleConn // by node
@@ -143,7 +143,7 @@
 }
 
 type request struct {
-	ask      load.Ask
+	ask      load.Request
 	id       uint64
 	first    uint64
 	side     *sidecar
@@ -224,7 +224,7 @@
 	}
 	keys := load.NewZipf(s.Load.Keys, s.Load.Zipf)
 	for i := range s.Fleet.Sidecars {
-		c := &sidecar{w: w, i: int32(i), zone: i % len(s.Fleet.Zones), source: load.New(s, i, w.p.Seed, keys),
+		c := &sidecar{w: w, i: int32(i), zone: i % len(s.Fleet.Zones), source: load.NewSource(s, i, w.p.Seed, keys),
 			clients: rand.New(rand.NewPCG(w.p.Seed, uint64(i)+0xc11e47)), list: map[int32]balance.Endpoint{}}
 		w.sidecars = append(w.sidecars, c)
 		for n, m := range w.nodes {
@@ -378,35 +378,35 @@
 }
 
 // request is a client's try.
-func (w *world) request(c *sidecar, a load.Ask, first uint64) {
+func (w *world) request(c *sidecar, a load.Request, first uint64) {
 	w.requests++
 	w.res.Requests++
 	r := &request{ask: a, id: w.requests, first: first, side: c, life: c.life}
 	if first == 0 {
 		r.first = r.id
 	}
-	r.deadline = w.now + a.Wait - answerMargin
+	r.deadline = w.now + a.Timeout - answerMargin
 	w.emit(record.Event{Kind: record.Asked, Request: r.id, First: r.first, Sidecar: c.i, Class: uint8(a.Class),
-		Tenant: int32(a.Tenant), Wait: a.Wait, Work: a.Work, Effect: r.id})
+		Tenant: int32(a.Tenant), Wait: a.Timeout, Work: a.Work, Effect: r.id})
 	if c.down {
 		w.emit(record.Event{Kind: record.Answered, Request: r.id, Sidecar: c.i, Status: record.NotReached})
 		r.over = true
-		w.again(r, load.Unreached, 0)
+		w.again(r, load.Unreachable, 0)
 		return
 	}
 	w.open++
 	c.requests[balance.RequestID(r.id)] = r
 	w.q.push(event{at: r.deadline, kind: evDeadline, req: r})
-	if a.Leaves > 0 {
-		w.q.push(event{at: w.now + a.Leaves, kind: evLeave, req: r})
+	if a.LeavesAfter > 0 {
+		w.q.push(event{at: w.now + a.LeavesAfter, kind: evLeave, req: r})
 	}
 	c.decider.Request(w.now+epoch, balance.Request{ID: balance.RequestID(r.id), Class: a.Class, Tenant: a.Tenant,
-		Timeout: a.Wait - answerMargin, Retry: a.Try > 0})
+		Timeout: a.Timeout - answerMargin, Retry: a.RetriesMade > 0})
 }
 
 // again has a client make its next try, where it does.
 func (w *world) again(r *request, how load.Outcome, after time.Duration) {
-	if next, ok := load.Again(w.p.Scenario, r.ask, w.now, how, after, r.side.clients); ok {
+	if next, ok := load.Retry(w.p.Scenario, r.ask, w.now, how, after, r.side.clients); ok {
 		w.open++ // a try that is to come keeps the day open
 		w.q.push(event{at: next.At, kind: evAgain, req: &request{ask: next, first: r.first, side: r.side}})
 	}
@@ -467,7 +467,7 @@
 	}
 	switch s {
 	case record.Refused:
-		w.again(r, load.Refused, after)
+		w.again(r, load.Rejected, after)
 	case record.Failed:
 		w.again(r, load.Failed, 0)
 	}
--- a/internal/lab/sockets/sockets.go
+++ b/internal/lab/sockets/sockets.go
@@ -298,7 +298,7 @@
 		running.Add(1)
 		go func() {
 			defer running.Done()
-			late[i] = c.Run(ctx, load.New(s, i, w.p.Seed, keys))
+			late[i] = c.Run(ctx, load.NewSource(s, i, w.p.Seed, keys))
 		}()
 	}
 	acting := make(chan struct{})
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -95,7 +95,7 @@
 }
 
 // request makes a request, with its further tries.
-func (c *Clients) request(ctx context.Context, a load.Ask) {
+func (c *Clients) request(ctx context.Context, a load.Request) {
 	first := uint64(0)
 	for {
 		id := c.IDs.Add(1)
@@ -107,7 +107,7 @@
 		c.mu.Unlock()
 		how, after := c.try(ctx, a, id, first)
 		c.mu.Lock()
-		next, ok := load.Again(c.Scenario, a, c.Log.Now(), how, after, c.rng)
+		next, ok := load.Retry(c.Scenario, a, c.Log.Now(), how, after, c.rng)
 		c.mu.Unlock()
 		if !ok || !wait(ctx, next.At-c.Log.Now()) {
 			return
@@ -117,28 +117,28 @@
 }
 
 // try makes one try and tells how it ended.
-func (c *Clients) try(ctx context.Context, a load.Ask, id, first uint64) (load.Outcome, time.Duration) {
+func (c *Clients) try(ctx context.Context, a load.Request, id, first uint64) (load.Outcome, time.Duration) {
 	class := c.Scenario.Classes[a.Class]
 	known := Known{Class: a.Class, Work: a.Work, Key: a.Key}
 	if class.Effect == "deduplicated" {
 		known.Effect = id
 	}
 	c.Book.Note(id, known)
-	most := a.Wait + c.Patience
-	if a.Leaves > 0 {
-		most = a.Leaves
+	most := a.Timeout + c.Patience
+	if a.LeavesAfter > 0 {
+		most = a.LeavesAfter
 	}
 	c.mu.Lock()
 	address := c.address
 	c.mu.Unlock()
 	if address == "" {
 		now := record.Event{Request: id, First: first, Sidecar: c.Sidecar, Class: uint8(a.Class), Tenant: int32(a.Tenant),
-			Wait: a.Wait, Work: a.Work, Effect: id, Status: record.NotReached, At: c.Log.Now()}
+			Wait: a.Timeout, Work: a.Work, Effect: id, Status: record.NotReached, At: c.Log.Now()}
 		now.Kind = record.Asked
 		c.Log.Add(now)
 		now.Kind = record.Answered
 		c.Log.Add(now)
-		return load.Unreached, 0
+		return load.Unreachable, 0
 	}
 	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
@@ -146,7 +146,7 @@
 	asked := func() {
 		if sent.CompareAndSwap(0, 1) {
 			c.Log.Add(record.Event{Kind: record.Asked, Request: id, First: first, Sidecar: c.Sidecar, Class: uint8(a.Class),
-				Tenant: int32(a.Tenant), Wait: a.Wait, Work: a.Work, Effect: id})
+				Tenant: int32(a.Tenant), Wait: a.Timeout, Work: a.Work, Effect: id})
 		}
 	}
 	// A request is taken once its last byte is written.
@@ -169,14 +169,14 @@
 	asked()
 	e := record.Event{Request: id, Sidecar: c.Sidecar, Kind: record.Answered}
 	switch {
-	case err != nil && errors.Is(ctx.Err(), context.DeadlineExceeded) && a.Leaves > 0, errors.Is(ctx.Err(), context.Canceled):
+	case err != nil && errors.Is(ctx.Err(), context.DeadlineExceeded) && a.LeavesAfter > 0, errors.Is(ctx.Err(), context.Canceled):
 		e.Kind = record.Left
 		c.Log.Add(e)
 		return load.Failed, 0
 	case err != nil && !taken:
 		e.Status = record.NotReached
 		c.Log.Add(e)
-		return load.Unreached, 0
+		return load.Unreachable, 0
 	case err != nil:
 		return load.Failed, 0 // no whole answer ever came: nothing to note, and the referee misses it
 	case resp.StatusCode == http.StatusOK:
@@ -187,14 +187,14 @@
 		s, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 		e.Status, e.After = record.Refused, time.Duration(s*1e9)
 		c.Log.Add(e)
-		return load.Refused, e.After
+		return load.Rejected, e.After
 	}
 	e.Status = record.Failed
 	c.Log.Add(e)
 	return load.Failed, 0
 }
 
-func (c *Clients) build(ctx context.Context, a load.Ask, class scenario.Class, id uint64, address string) (*http.Request, error) {
+func (c *Clients) build(ctx context.Context, a load.Request, class scenario.Class, id uint64, address string) (*http.Request, error) {
 	method, body := http.MethodPost, io.Reader(strings.NewReader("bags: 12"))
 	if class.Effect == "idempotent" {
 		method, body = http.MethodGet, nil
@@ -206,12 +206,12 @@
 	r.GetBody = nil // the transport must not send it again by itself
 	r.Header.Set("X-Request-ID", strconv.FormatUint(id, 16))
 	r.Header.Set("X-Priority-Class", class.Name)
-	r.Header.Set("X-Timeout-Ms", strconv.FormatInt(a.Wait.Milliseconds(), 10))
+	r.Header.Set("X-Timeout-Ms", strconv.FormatInt(a.Timeout.Milliseconds(), 10))
 	r.Header.Set("X-Cost", strconv.FormatInt(int64(a.Work*1e6), 10))
 	if class.Effect == "deduplicated" {
 		r.Header.Set("Idempotency-Key", fmt.Sprintf("%032x", id))
 	}
-	if a.Try > 0 {
+	if a.RetriesMade > 0 {
 		r.Header.Set("X-Retried", "1")
 	}
 	if a.Tenant >= 0 {
