--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -13,10 +13,10 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
-	"milletramp.example/milletramp/internal/lab/load"
 	"milletramp.example/milletramp/internal/lab/node"
 	"milletramp.example/milletramp/internal/lab/plan"
 	"milletramp.example/milletramp/internal/lab/record"
+	"milletramp.example/milletramp/internal/lab/workload"
 )
 
 // Decider is what decides for one sidecar: the decision module, or a baseline policy.
@@ -118,8 +118,8 @@
 	life     int32
 	down     bool
 	decider  Decider
-	source   *load.Source
-	next     load.Request
+	source   *workload.Source
+	next     workload.Request
 	clients  *rand.Rand
 	requests map[balance.RequestID]*request
 	idle     [][]idleConn // by node
@@ -143,7 +143,7 @@
 }
 
 type request struct {
-	ask      load.Request
+	ask      workload.Request
 	id       uint64
 	first    uint64
 	side     *sidecar
@@ -222,9 +222,9 @@
 			w.emit(record.Event{Kind: record.Started, Node: int32(i), Capacity: float64(m.Spec.Cores) * m.Spec.Speed})
 		}
 	}
-	keys := load.NewZipf(s.Load.Keys, s.Load.Zipf)
+	keys := workload.NewZipf(s.Load.Keys, s.Load.Zipf)
 	for i := range s.Fleet.Sidecars {
-		c := &sidecar{w: w, i: int32(i), zone: i % len(s.Fleet.Zones), source: load.NewSource(s, i, w.p.Seed, keys),
+		c := &sidecar{w: w, i: int32(i), zone: i % len(s.Fleet.Zones), source: workload.NewSource(s, i, w.p.Seed, keys),
 			clients: rand.New(rand.NewPCG(w.p.Seed, uint64(i)+0xc11e47)), list: map[int32]balance.Endpoint{}}
 		w.sidecars = append(w.sidecars, c)
 		for n, m := range w.nodes {
@@ -378,7 +378,7 @@
 }
 
 // request is a client's try.
-func (w *world) request(c *sidecar, a load.Request, first uint64) {
+func (w *world) request(c *sidecar, a workload.Request, first uint64) {
 	w.requests++
 	w.res.Requests++
 	r := &request{ask: a, id: w.requests, first: first, side: c, life: c.life}
@@ -391,7 +391,7 @@
 	if c.down {
 		w.emit(record.Event{Kind: record.Answered, Request: r.id, Sidecar: c.i, Status: record.NotReached})
 		r.over = true
-		w.again(r, load.Unreachable, 0)
+		w.again(r, workload.Unreachable, 0)
 		return
 	}
 	w.open++
@@ -405,8 +405,8 @@
 }
 
 // again has a client make its next try, where it does.
-func (w *world) again(r *request, how load.Outcome, after time.Duration) {
-	if next, ok := load.Retry(w.p.Scenario, r.ask, w.now, how, after, r.side.clients); ok {
+func (w *world) again(r *request, how workload.Outcome, after time.Duration) {
+	if next, ok := workload.Retry(w.p.Scenario, r.ask, w.now, how, after, r.side.clients); ok {
 		w.open++ // a try that is to come keeps the day open
 		w.q.push(event{at: next.At, kind: evAgain, req: &request{ask: next, first: r.first, side: r.side}})
 	}
@@ -443,7 +443,7 @@
 		}
 	}
 	r.side.forget(r)
-	w.again(r, load.Failed, 0)
+	w.again(r, workload.Failed, 0)
 }
 
 // answer gives a request its final answer. The first counts.
@@ -467,9 +467,9 @@
 	}
 	switch s {
 	case record.Refused:
-		w.again(r, load.Rejected, after)
+		w.again(r, workload.Rejected, after)
 	case record.Failed:
-		w.again(r, load.Failed, 0)
+		w.again(r, workload.Failed, 0)
 	}
 }
 
@@ -913,7 +913,7 @@
 		if !r.over {
 			r.over = true
 			w.open--
-			w.again(r, load.Failed, 0)
+			w.again(r, workload.Failed, 0)
 		}
 	}
 	w.q.push(event{at: w.now + restartTime, kind: evUp, a: c.i})
--- a/internal/lab/sockets/sockets.go
+++ b/internal/lab/sockets/sockets.go
@@ -19,10 +19,10 @@
 	"syscall"
 	"time"
 
-	"milletramp.example/milletramp/internal/lab/load"
 	"milletramp.example/milletramp/internal/lab/node"
 	"milletramp.example/milletramp/internal/lab/plan"
 	"milletramp.example/milletramp/internal/lab/record"
+	"milletramp.example/milletramp/internal/lab/workload"
 	"milletramp.example/milletramp/internal/standin"
 )
 
@@ -274,7 +274,7 @@
 	s := w.p.Scenario
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	keys := load.NewZipf(s.Load.Keys, s.Load.Zipf)
+	keys := workload.NewZipf(s.Load.Keys, s.Load.Zipf)
 	var ids atomic.Uint64
 	for i := range w.side {
 		c := standin.NewClients(standin.ClientOptions{Sidecar: int32(i), Scenario: s, Book: w.book, Log: w.log, IDs: &ids,
@@ -298,7 +298,7 @@
 		running.Add(1)
 		go func() {
 			defer running.Done()
-			late[i] = c.Run(ctx, load.NewSource(s, i, w.p.Seed, keys))
+			late[i] = c.Run(ctx, workload.NewSource(s, i, w.p.Seed, keys))
 		}()
 	}
 	acting := make(chan struct{})
--- a/internal/lab/load/load.go
+++ b/internal/lab/workload/workload.go
@@ -1,6 +1,6 @@
-// Package load draws what clients ask for: open-loop arrivals, which never wait for answers, with classes, keys, work and
+// Package workload draws what clients ask for: open-loop arrivals, which never wait for answers, with classes, keys, work and
 // patience, and what a client does with the answer. It does no I/O, and the same seed always draws the same.
-package load
+package workload
 
 import (
 	"math"
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/workload/workload_test.go
@@ -1,4 +1,4 @@
-package load
+package workload
 
 import (
 	"crypto/sha256"
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -15,9 +15,9 @@
 	"sync/atomic"
 	"time"
 
-	"milletramp.example/milletramp/internal/lab/load"
 	"milletramp.example/milletramp/internal/lab/record"
 	"milletramp.example/milletramp/internal/lab/scenario"
+	"milletramp.example/milletramp/internal/lab/workload"
 )
 
 // Clients are the application next to one sidecar: they send what a source draws, when it is due, whatever becomes of
@@ -59,7 +59,7 @@
 
 // Run sends all that the source draws, until it ends or ctx is done, and waits for the answers. It returns by how much
 // the latest request was sent behind its time.
-func (c *Clients) Run(ctx context.Context, s *load.Source) time.Duration {
+func (c *Clients) Run(ctx context.Context, s *workload.Source) time.Duration {
 	var out sync.WaitGroup
 	defer c.web.CloseIdleConnections()
 	for {
@@ -95,7 +95,7 @@
 }
 
 // request makes a request, with its further tries.
-func (c *Clients) request(ctx context.Context, a load.Request) {
+func (c *Clients) request(ctx context.Context, a workload.Request) {
 	first := uint64(0)
 	for {
 		id := c.IDs.Add(1)
@@ -107,7 +107,7 @@
 		c.mu.Unlock()
 		how, after := c.try(ctx, a, id, first)
 		c.mu.Lock()
-		next, ok := load.Retry(c.Scenario, a, c.Log.Now(), how, after, c.rng)
+		next, ok := workload.Retry(c.Scenario, a, c.Log.Now(), how, after, c.rng)
 		c.mu.Unlock()
 		if !ok || !wait(ctx, next.At-c.Log.Now()) {
 			return
@@ -117,7 +117,7 @@
 }
 
 // try makes one try and tells how it ended.
-func (c *Clients) try(ctx context.Context, a load.Request, id, first uint64) (load.Outcome, time.Duration) {
+func (c *Clients) try(ctx context.Context, a workload.Request, id, first uint64) (workload.Outcome, time.Duration) {
 	class := c.Scenario.Classes[a.Class]
 	known := Known{Class: a.Class, Work: a.Work, Key: a.Key}
 	if class.Effect == "deduplicated" {
@@ -138,7 +138,7 @@
 		c.Log.Add(now)
 		now.Kind = record.Answered
 		c.Log.Add(now)
-		return load.Unreachable, 0
+		return workload.Unreachable, 0
 	}
 	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
@@ -172,29 +172,29 @@
 	case err != nil && errors.Is(ctx.Err(), context.DeadlineExceeded) && a.LeavesAfter > 0, errors.Is(ctx.Err(), context.Canceled):
 		e.Kind = record.Left
 		c.Log.Add(e)
-		return load.Failed, 0
+		return workload.Failed, 0
 	case err != nil && !taken:
 		e.Status = record.NotReached
 		c.Log.Add(e)
-		return load.Unreachable, 0
+		return workload.Unreachable, 0
 	case err != nil:
-		return load.Failed, 0 // no whole answer ever came: nothing to note, and the referee misses it
+		return workload.Failed, 0 // no whole answer ever came: nothing to note, and the referee misses it
 	case resp.StatusCode == http.StatusOK:
 		e.Token, _ = strconv.ParseUint(strings.TrimPrefix(string(body), "answer "), 10, 64)
 		c.Log.Add(e)
-		return load.Served, 0
+		return workload.Served, 0
 	case resp.StatusCode == http.StatusTooManyRequests || resp.StatusCode == http.StatusServiceUnavailable:
 		s, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 		e.Status, e.After = record.Refused, time.Duration(s*1e9)
 		c.Log.Add(e)
-		return load.Rejected, e.After
+		return workload.Rejected, e.After
 	}
 	e.Status = record.Failed
 	c.Log.Add(e)
-	return load.Failed, 0
+	return workload.Failed, 0
 }
 
-func (c *Clients) build(ctx context.Context, a load.Request, class scenario.Class, id uint64, address string) (*http.Request, error) {
+func (c *Clients) build(ctx context.Context, a workload.Request, class scenario.Class, id uint64, address string) (*http.Request, error) {
 	method, body := http.MethodPost, io.Reader(strings.NewReader("bags: 12"))
 	if class.Effect == "idempotent" {
 		method, body = http.MethodGet, nil
