--- a/internal/lab/referee/referee.go
+++ b/internal/lab/referee/referee.go
@@ -132,13 +132,13 @@
 // Record implements record.Sink.
 func (r *Referee) Record(e *record.Event) {
 	switch e.Kind {
-	case record.Asked:
+	case record.Requested:
 		r.asked++
 		r.requests[e.Request] = &request{asked: *e, free: e.At}
 		r.forget(e.At)
 	case record.Answered:
 		r.answer(e)
-	case record.Left:
+	case record.ClientLeft:
 		if q := r.requests[e.Request]; q != nil {
 			q.void = true
 			r.ended = append(r.ended, ended{e.At, e.Request})
@@ -156,7 +156,7 @@
 	case record.Replied:
 		if q := r.requests[e.Request]; q != nil {
 			for i := range q.attempts {
-				if a := &q.attempts[i]; a.n == e.Attempt && e.Status == record.Refused {
+				if a := &q.attempts[i]; a.n == e.Attempt && e.Status == record.Rejected {
 					a.proven = true
 				}
 			}
@@ -164,7 +164,7 @@
 				q.made = append(q.made, e.Token)
 			}
 		}
-	case record.Ended:
+	case record.AttemptEnded:
 		if q := r.requests[e.Request]; q != nil {
 			out := false
 			for i := range q.attempts {
@@ -177,14 +177,14 @@
 				q.free = e.At
 			}
 		}
-	case record.Told:
+	case record.Notified:
 		at := pair{e.Sidecar, e.Node}
 		if e.State == record.Serving {
 			delete(r.told, at)
 		} else if _, ok := r.told[at]; !ok {
 			r.told[at] = e.At
 		}
-	case record.Started:
+	case record.NodeStarted:
 		if e.Boot > 0 {
 			r.nodes[e.Node] = &cold{boot: e.Boot, capacity: e.Capacity}
 		}
@@ -242,7 +242,7 @@
 			r.breach(e.At, Genuine, "request %d is served with an answer that no node made for it", e.Request)
 		}
 		return
-	case record.Refused:
+	case record.Rejected:
 		if c := r.terms.Classes[q.asked.Class]; !c.Refuse && slices.ContainsFunc(q.attempts, func(a attempt) bool { return !a.proven }) {
 			r.breach(e.At, Effect, "request %d of class %d is refused though it may have run", e.Request, q.asked.Class)
 		}
--- a/internal/lab/referee/referee_test.go
+++ b/internal/lab/referee/referee_test.go
@@ -30,7 +30,7 @@
 }
 
 func ask(class uint8) record.Event {
-	return at(0, record.Event{Kind: record.Asked, Class: class, Wait: 10 * time.Second})
+	return at(0, record.Event{Kind: record.Requested, Class: class, Wait: 10 * time.Second})
 }
 
 func send(ms int, attempt uint8, node int32) record.Event {
@@ -42,7 +42,7 @@
 }
 
 func end(ms int, attempt uint8) record.Event {
-	return at(ms, record.Event{Kind: record.Ended, Attempt: attempt})
+	return at(ms, record.Event{Kind: record.AttemptEnded, Attempt: attempt})
 }
 
 func answer(ms int, s record.Status, token uint64) record.Event {
@@ -50,7 +50,7 @@
 }
 
 func tell(ms int, node int32, s record.State) record.Event {
-	return at(ms, record.Event{Kind: record.Told, Node: node, State: s})
+	return at(ms, record.Event{Kind: record.Notified, Node: node, State: s})
 }
 
 func arrive(ms int, node int32, work float64) record.Event {
@@ -71,7 +71,7 @@
 		{"served late", Answer, anywhere, append(served[:3:3], answer(10021, record.Served, 9))},
 		{"answered twice", Answer, anywhere, append(served[:4:4], answer(7, record.Failed, 0))},
 		{"never answered", Answer, anywhere, served[:3]},
-		{"its client left", "", anywhere, append(served[:3:3], at(6, record.Event{Kind: record.Left}))},
+		{"its client left", "", anywhere, append(served[:3:3], at(6, record.Event{Kind: record.ClientLeft}))},
 		{"its sidecar died", "", anywhere, append(served[:2:2], at(6, record.Event{Kind: record.SidecarDown}))},
 		{"another sidecar died", Answer, anywhere, append(served[:2:2], at(6, record.Event{Kind: record.SidecarDown, Sidecar: 3}))},
 		{"the sidecar was not reached", "", once, []record.Event{answer(1, record.NotReached, 0)}},
@@ -79,16 +79,16 @@
 		{"an answer out of thin air", Genuine, anywhere, []record.Event{answer(6, record.Served, 1)}},
 		{"an answer to nobody", Genuine, anywhere, append(served[:4:4], at(9, record.Event{Kind: record.Answered, Request: 5}))},
 		{"a request of nobody", Genuine, anywhere, append(served[:4:4], at(9, record.Event{Kind: record.Sent, Request: 5}))},
-		{"refused at once", "", inPod, []record.Event{answer(2, record.Refused, 0)}},
-		{"refused after a while", Prompt, inPod, []record.Event{answer(80, record.Refused, 0)}},
+		{"refused at once", "", inPod, []record.Event{answer(2, record.Rejected, 0)}},
+		{"refused after a while", Prompt, inPod, []record.Event{answer(80, record.Rejected, 0)}},
 		{"failed just after an attempt", "", once, []record.Event{send(1, 0, 0), end(4000, 0), answer(4050, record.Failed, 0)}},
 		{"failed long after an attempt", Prompt, once, []record.Event{send(1, 0, 0), end(4000, 0), answer(4051, record.Failed, 0)}},
-		{"refused where it may have run", Effect, inPod, []record.Event{send(1, 0, 0), end(9, 0), answer(9, record.Refused, 0)}},
-		{"refused where it was turned away", "", once, []record.Event{send(1, 0, 0), reply(3, 0, record.Refused, 0), end(4, 0), answer(5, record.Refused, 0)}},
+		{"refused where it may have run", Effect, inPod, []record.Event{send(1, 0, 0), end(9, 0), answer(9, record.Rejected, 0)}},
+		{"refused where it was turned away", "", once, []record.Event{send(1, 0, 0), reply(3, 0, record.Rejected, 0), end(4, 0), answer(5, record.Rejected, 0)}},
 		{"repeated anywhere", "", anywhere, append([]record.Event{send(0, 7, 8)}, served...)},
 		{"repeated within the pod", "", inPod, append([]record.Event{send(0, 7, 1)}, served...)},
 		{"repeated outside the pod", Effect, inPod, append([]record.Event{send(0, 7, 2)}, served...)},
-		{"repeated outside once turned away", "", inPod, append([]record.Event{send(0, 7, 2), reply(1, 7, record.Refused, 0), end(1, 7)}, served...)},
+		{"repeated outside once turned away", "", inPod, append([]record.Event{send(0, 7, 2), reply(1, 7, record.Rejected, 0), end(1, 7)}, served...)},
 		{"repeated too late", Effect, inPod, []record.Event{send(1, 0, 0), end(9, 0), send(3002, 1, 1), reply(3003, 1, record.Served, 9), end(3003, 1), answer(3004, record.Served, 9)}},
 		{"what must run once goes out again", Effect, once, append([]record.Event{send(0, 7, 0)}, served...)},
 		{"it ran twice", Effect, once, append(served[:4:4], at(7, record.Event{Kind: record.Ran}), at(8, record.Event{Kind: record.Ran}))},
@@ -104,8 +104,8 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			r := New(terms())
-			r.Record(&record.Event{Kind: record.Started, Node: 4, Boot: time.Millisecond, Capacity: 2})
-			r.Record(&record.Event{Kind: record.Started, Node: 5, Capacity: 2})
+			r.Record(&record.Event{Kind: record.NodeStarted, Node: 4, Boot: time.Millisecond, Capacity: 2})
+			r.Record(&record.Event{Kind: record.NodeStarted, Node: 5, Capacity: 2})
 			first := ask(tt.class)
 			r.Record(&first)
 			for _, e := range tt.events {
--- a/internal/lab/report/meter.go
+++ b/internal/lab/report/meter.go
@@ -141,19 +141,19 @@
 // Record implements record.Sink.
 func (m *Meter) Record(e *record.Event) {
 	switch e.Kind {
-	case record.Asked:
+	case record.Requested:
 		s := &m.seconds[m.second(e.At)]
 		s.Tries++
-		if e.Request == e.First {
+		if e.Request == e.FirstRequest {
 			c := &chain{at: e.At, class: e.Class, worth: m.worths[e.Class] * e.Work, second: m.second(e.At)}
-			m.chains[e.First] = c
+			m.chains[e.FirstRequest] = c
 			s.Asked++
 			s.Worth += c.worth
 			s.Failed++ // until something better is known
 		}
-		m.tries[e.Request] = e.First
+		m.tries[e.Request] = e.FirstRequest
 		m.hold(e.At, 1)
-	case record.Answered, record.Left:
+	case record.Answered, record.ClientLeft:
 		first, ok := m.tries[e.Request]
 		if !ok {
 			return // the referee has a word for it
@@ -164,22 +164,22 @@
 	case record.Arrived:
 		m.seconds[m.second(e.At)].Attempts++
 		m.nodes[e.Node].Attempts++
-	case record.Dropped:
+	case record.Deduplicated:
 		m.nodes[e.Node].Known++
 	case record.Replied:
 		switch e.Status {
 		case record.Served:
 			m.made[e.Token] = e.Work
-		case record.Refused:
+		case record.Rejected:
 			m.nodes[e.Node].Turned++
 		}
-	case record.Known:
+	case record.LossDetected:
 		_ = m.known.RecordValue(max(e.Wait.Microseconds(), 1))
-	case record.Unknown:
+	case record.LossUndetected:
 		if m.missed++; e.Attempt < fewLosses {
 			m.unseen++
 		}
-	case record.Worked:
+	case record.NodeStopped:
 		n := &m.nodes[e.Node]
 		n.Work += e.Work
 		m.done += e.Work
@@ -193,9 +193,9 @@
 	}
 	to := failed
 	switch {
-	case e.Kind == record.Left:
+	case e.Kind == record.ClientLeft:
 		to = left
-	case e.Status == record.Refused:
+	case e.Status == record.Rejected:
 		to = refused
 	case e.Status == record.Served:
 		took := e.At - c.at
--- a/internal/lab/report/meter_test.go
+++ b/internal/lab/report/meter_test.go
@@ -57,7 +57,7 @@
 			first = id
 		}
 		for _, e := range []record.Event{
-			{At: at, Kind: record.Asked, Request: id, First: first, Work: 1},
+			{At: at, Kind: record.Requested, Request: id, FirstRequest: first, Work: 1},
 			{At: at + took, Kind: record.Arrived, Request: id},
 			{At: at + took, Kind: record.Replied, Request: id, Status: status, Token: id, Work: 1},
 			{At: at + took, Kind: record.Answered, Request: id, Status: status, Token: id},
@@ -72,16 +72,16 @@
 		case i < 5 || i >= 12:
 			try(at, 100*time.Millisecond, 0, record.Served)
 		case i < 8: // refused, and then served in time by a second try
-			first := try(at, 50*time.Millisecond, 0, record.Refused)
+			first := try(at, 50*time.Millisecond, 0, record.Rejected)
 			try(at+100*time.Millisecond, 200*time.Millisecond, first, record.Served)
 		case i < 10: // served, but late over both tries
-			first := try(at, 50*time.Millisecond, 0, record.Refused)
+			first := try(at, 50*time.Millisecond, 0, record.Rejected)
 			try(at+300*time.Millisecond, 300*time.Millisecond, first, record.Served)
 		default:
 			try(at, 50*time.Millisecond, 0, record.Failed)
 		}
 	}
-	m.Record(&record.Event{Kind: record.Worked, Work: 32})
+	m.Record(&record.Event{Kind: record.NodeStopped, Work: 32})
 	f := m.Figures()
 	for name, v := range map[string][2]float64{
 		"asked": {f.Asked, 20}, "in time": {f.InTime, 16. / 20}, "late": {f.Late, 2. / 20}, "failed": {f.Failed, 2. / 20},
--- a/internal/lab/sim/known.go
+++ b/internal/lab/sim/known.go
@@ -67,11 +67,11 @@
 	w, left := c.w, c.losses[:0]
 	for _, l := range c.losses {
 		mended := w.trueLoss(c, l.node, l.class) == 0
-		kind := record.Known
+		kind := record.LossDetected
 		switch {
 		case l.known: // it stays, so that it is counted once
 		case mended:
-			kind = record.Unknown
+			kind = record.LossUndetected
 			fallthrough
 		case c.member != nil && c.member.doubted[w.nodes[l.node].ID], c.decider.(Believer).LossShare(w.now+epoch, w.nodes[l.node].ID, l.class) >= knownAt*l.share:
 			l.known = true
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -206,7 +206,7 @@
 		w.handle(&e)
 	}
 	for i, m := range w.nodes {
-		w.emit(record.Event{Kind: record.Worked, Node: int32(i), Work: m.worked + m.Done()})
+		w.emit(record.Event{Kind: record.NodeStopped, Node: int32(i), Work: m.worked + m.Done()})
 	}
 	return w.res, nil
 }
@@ -219,7 +219,7 @@
 		w.nodes = append(w.nodes, n)
 		w.raise(n, 0)
 		if m.Born == 0 {
-			w.emit(record.Event{Kind: record.Started, Node: int32(i), Capacity: float64(m.Spec.Cores) * m.Spec.Speed})
+			w.emit(record.Event{Kind: record.NodeStarted, Node: int32(i), Capacity: float64(m.Spec.Cores) * m.Spec.Speed})
 		}
 	}
 	keys := workload.NewZipf(s.Load.Keys, s.Load.Zipf)
@@ -336,7 +336,7 @@
 			panic(fmt.Sprintf("sim: sidecar %d does not start again: %v", e.a, err)) // its settings were good before
 		}
 	case evNote:
-		w.emit(record.Event{Kind: record.Told, Sidecar: e.a, Node: e.b, State: record.State(e.status)})
+		w.emit(record.Event{Kind: record.Notified, Sidecar: e.a, Node: e.b, State: record.State(e.status)})
 	case evDo:
 		e.do()
 	case evLate:
@@ -386,8 +386,8 @@
 		r.first = r.id
 	}
 	r.deadline = w.now + a.Timeout - answerMargin
-	w.emit(record.Event{Kind: record.Asked, Request: r.id, First: r.first, Sidecar: c.i, Class: uint8(a.Class),
-		Tenant: int32(a.Tenant), Wait: a.Timeout, Work: a.Work, Effect: r.id})
+	w.emit(record.Event{Kind: record.Requested, Request: r.id, FirstRequest: r.first, Sidecar: c.i,
+		Class: uint8(a.Class), Tenant: int32(a.Tenant), Wait: a.Timeout, Work: a.Work, Effect: r.id})
 	if c.down {
 		w.emit(record.Event{Kind: record.Answered, Request: r.id, Sidecar: c.i, Status: record.NotReached})
 		r.over = true
@@ -435,7 +435,7 @@
 	}
 	r.over = true
 	w.open--
-	w.emit(record.Event{Kind: record.Left, Request: r.id, Sidecar: r.side.i})
+	w.emit(record.Event{Kind: record.ClientLeft, Request: r.id, Sidecar: r.side.i})
 	r.side.decider.ClientGone(w.now+epoch, balance.RequestID(r.id))
 	for _, a := range r.attempts {
 		if !a.ended {
@@ -461,12 +461,12 @@
 	}
 	r.over = true
 	w.open--
-	w.emit(record.Event{Kind: record.Answered, Request: r.id, Sidecar: c.i, Status: s, Token: token, After: after})
+	w.emit(record.Event{Kind: record.Answered, Request: r.id, Sidecar: c.i, Status: s, Token: token, RetryAfter: after})
 	if host.Twice > 0 && w.counts.answers%host.Twice == 0 {
 		w.emit(record.Event{Kind: record.Answered, Request: r.id, Sidecar: c.i, Status: record.Failed})
 	}
 	switch s {
-	case record.Refused:
+	case record.Rejected:
 		w.again(r, workload.Rejected, after)
 	case record.Failed:
 		w.again(r, workload.Failed, 0)
@@ -517,7 +517,7 @@
 	a.life = m.life
 	end := r.deadline
 	if r.over || w.now >= end {
-		w.q.push(event{at: w.now, kind: evBack, att: a, status: uint8(record.Called)})
+		w.q.push(event{at: w.now, kind: evBack, att: a, status: uint8(record.Cancelled)})
 		return
 	}
 	if c.takeIdle(a.to) {
@@ -529,7 +529,7 @@
 	up := time.Duration(w.p.Scenario.Fleet.HandshakeRTTs * 2 * float64(way))
 	switch connect := w.p.Scenario.Network.Connect.Std(); {
 	case within > 0 && up > within:
-		w.q.push(event{at: w.now + within, kind: evBack, att: a, status: uint8(record.Called)})
+		w.q.push(event{at: w.now + within, kind: evBack, att: a, status: uint8(record.Cancelled)})
 	case w.mute(c, a.to):
 		c.lost(a.to, r.ask.Class)
 		w.q.push(event{at: w.now + connect, kind: evBack, att: a, status: uint8(record.NotReached)})
@@ -578,12 +578,12 @@
 	if r == nil || n < 0 || n >= len(r.attempts) || r.attempts[n].ended {
 		return
 	}
-	c.w.q.push(event{at: c.w.now, kind: evBack, att: r.attempts[n], status: uint8(record.Called)})
+	c.w.q.push(event{at: c.w.now, kind: evBack, att: r.attempts[n], status: uint8(record.Cancelled)})
 }
 
 // Reject answers that a retry does no harm.
 func (c *sidecar) Reject(id balance.RequestID, after time.Duration) {
-	c.final(id, record.Refused, after)
+	c.final(id, record.Rejected, after)
 }
 
 // Fail answers without a promise.
@@ -642,13 +642,13 @@
 	a.Owner = a
 	switch m.Arrive(w.now, &a.Job, a.req.ask.Class, a.req.ask.Key, effect, extra) {
 	case node.TurnedAway:
-		w.emit(record.Event{Kind: record.Replied, Request: a.req.id, Attempt: a.n, Node: a.to, Status: record.Refused})
-		w.q.push(event{at: w.now + w.way(c, a.to), kind: evBack, att: a, status: uint8(record.Refused)})
+		w.emit(record.Event{Kind: record.Replied, Request: a.req.id, Attempt: a.n, Node: a.to, Status: record.Rejected})
+		w.q.push(event{at: w.now + w.way(c, a.to), kind: evBack, att: a, status: uint8(record.Rejected)})
 	case node.Swallowed:
 		c.lost(a.to, a.req.ask.Class)
 	case node.Known:
 		a.atNode, a.known = true, true
-		w.emit(record.Event{Kind: record.Dropped, Request: a.req.id, Attempt: a.n, Node: a.to})
+		w.emit(record.Event{Kind: record.Deduplicated, Request: a.req.id, Attempt: a.n, Node: a.to})
 	default:
 		a.atNode = true
 		w.emit(record.Event{Kind: record.Ran, Request: a.req.id, Attempt: a.n, Sidecar: c.i, Node: a.to})
@@ -706,7 +706,7 @@
 	case record.Served:
 		c.heard[a.to] = w.now
 		c.answer(r, record.Served, token, 0)
-	case record.Refused:
+	case record.Rejected:
 		outcome = balance.Saturated
 		c.heard[a.to] = w.now
 	case record.Failed:
@@ -718,7 +718,7 @@
 	case record.NotReached:
 		outcome = balance.ConnectFailed
 		c.dropIdle(a.to)
-	case record.Called:
+	case record.Cancelled:
 		outcome = balance.Cancelled
 	case record.TimedOut:
 		outcome = balance.TimedOut
@@ -727,7 +727,7 @@
 		}
 	}
 	switch {
-	case s == record.Served || s == record.Refused || s == record.Failed:
+	case s == record.Served || s == record.Rejected || s == record.Failed:
 		if alive {
 			c.idle[a.to] = append(c.idle[a.to], idleConn{w.now, a.life})
 		}
@@ -735,19 +735,19 @@
 		if alive {
 			m.conns--
 		}
-	case s == record.Called || s == record.TimedOut:
+	case s == record.Cancelled || s == record.TimedOut:
 		if alive && a.begun >= 0 {
 			m.conns--
 		}
 		w.q.push(event{at: w.now + w.way(c, a.to), kind: evCancel, att: a})
 	}
-	if (s == record.Called || s == record.TimedOut) && (a.begun < 0 || a.begun > w.now) {
+	if (s == record.Cancelled || s == record.TimedOut) && (a.begun < 0 || a.begun > w.now) {
 		// Not a byte of it was written: the real sidecar tells these apart.
-		if outcome = balance.ConnectFailed; s == record.Called {
+		if outcome = balance.ConnectFailed; s == record.Cancelled {
 			outcome = balance.NotSent
 		}
 	}
-	w.emit(record.Event{Kind: record.Ended, Request: r.id, Attempt: a.n, Sidecar: c.i, Node: a.to, Status: s})
+	w.emit(record.Event{Kind: record.AttemptEnded, Request: r.id, Attempt: a.n, Sidecar: c.i, Node: a.to, Status: s})
 	c.decider.Result(w.now+epoch, balance.Result{ID: balance.RequestID(r.id), Attempt: int(a.n), Endpoint: m.ID,
 		Outcome: outcome, Took: w.now - a.sent, Finished: r.over})
 	c.learn()
@@ -782,7 +782,7 @@
 		}
 		list = append(list, t.entry)
 		if w.opt.Host.StaleList == 0 {
-			w.emit(record.Event{Kind: record.Told, Sidecar: c.i, Node: t.node, State: stateOf(t.entry.State)})
+			w.emit(record.Event{Kind: record.Notified, Sidecar: c.i, Node: t.node, State: stateOf(t.entry.State)})
 		}
 	}
 	if len(list) > 0 {
@@ -831,7 +831,7 @@
 		w.kill(w.sidecars[n])
 		return
 	case plan.Over:
-		w.emit(record.Event{Kind: record.TroubleOver})
+		w.emit(record.Event{Kind: record.FaultOver})
 		return
 	}
 	m := w.nodes[n]
@@ -839,7 +839,8 @@
 	case plan.Start, plan.Restart:
 		w.raise(m, max(w.now, 1))
 		m.down, m.listed = false, true
-		w.emit(record.Event{Kind: record.Started, Node: n, Capacity: float64(m.Spec.Cores) * m.Spec.Speed, Boot: m.boot})
+		w.emit(record.Event{Kind: record.NodeStarted, Node: n,
+			Capacity: float64(m.Spec.Cores) * m.Spec.Speed, Boot: m.boot})
 		w.tell(n, balance.Ready)
 	case plan.Drain:
 		w.tell(n, balance.Draining)
--- a/internal/lab/sockets/sockets.go
+++ b/internal/lab/sockets/sockets.go
@@ -240,7 +240,7 @@
 	w.lives[n]++
 	w.nodes[n].Start(l, node.NewServer(node.New(spec, w.log.Now()), pod, f.KeyGain, f.KeyFor.Std(), f.KeysPerCore*spec.Cores,
 		rand.New(rand.NewPCG(w.p.Seed, uint64(n)<<20+uint64(w.lives[n])))))
-	w.log.Add(record.Event{Kind: record.Started, Node: int32(n), Capacity: float64(spec.Cores) * spec.Speed, Boot: started})
+	w.log.Add(record.Event{Kind: record.NodeStarted, Node: int32(n), Capacity: float64(spec.Cores) * spec.Speed, Boot: started})
 }
 
 // start starts a sidecar and waits until it is ready.
@@ -395,7 +395,7 @@
 		w.opt.Sink.Record(&events[i])
 	}
 	for i, n := range w.nodes {
-		w.opt.Sink.Record(&record.Event{At: w.log.Now(), Kind: record.Worked, Node: int32(i), Work: n.Worked()})
+		w.opt.Sink.Record(&record.Event{At: w.log.Now(), Kind: record.NodeStopped, Node: int32(i), Work: n.Worked()})
 	}
 }
 
@@ -421,7 +421,7 @@
 	change := func(do func(s *node.Server, now time.Duration)) { w.nodes[n].Change(do) }
 	switch a.Op {
 	case plan.Over:
-		w.log.Add(record.Event{Kind: record.TroubleOver})
+		w.log.Add(record.Event{Kind: record.FaultOver})
 	case plan.CutZone:
 		w.cut[n] = a.On
 		w.rewire()
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -132,9 +132,9 @@
 	address := c.address
 	c.mu.Unlock()
 	if address == "" {
-		now := record.Event{Request: id, First: first, Sidecar: c.Sidecar, Class: uint8(a.Class), Tenant: int32(a.Tenant),
+		now := record.Event{Request: id, FirstRequest: first, Sidecar: c.Sidecar, Class: uint8(a.Class), Tenant: int32(a.Tenant),
 			Wait: a.Timeout, Work: a.Work, Effect: id, Status: record.NotReached, At: c.Log.Now()}
-		now.Kind = record.Asked
+		now.Kind = record.Requested
 		c.Log.Add(now)
 		now.Kind = record.Answered
 		c.Log.Add(now)
@@ -145,7 +145,7 @@
 	var sent atomic.Int64
 	asked := func() {
 		if sent.CompareAndSwap(0, 1) {
-			c.Log.Add(record.Event{Kind: record.Asked, Request: id, First: first, Sidecar: c.Sidecar, Class: uint8(a.Class),
+			c.Log.Add(record.Event{Kind: record.Requested, Request: id, FirstRequest: first, Sidecar: c.Sidecar, Class: uint8(a.Class),
 				Tenant: int32(a.Tenant), Wait: a.Timeout, Work: a.Work, Effect: id})
 		}
 	}
@@ -170,7 +170,7 @@
 	e := record.Event{Request: id, Sidecar: c.Sidecar, Kind: record.Answered}
 	switch {
 	case err != nil && errors.Is(ctx.Err(), context.DeadlineExceeded) && a.LeavesAfter > 0, errors.Is(ctx.Err(), context.Canceled):
-		e.Kind = record.Left
+		e.Kind = record.ClientLeft
 		c.Log.Add(e)
 		return workload.Failed, 0
 	case err != nil && !taken:
@@ -185,9 +185,9 @@
 		return workload.Served, 0
 	case resp.StatusCode == http.StatusTooManyRequests || resp.StatusCode == http.StatusServiceUnavailable:
 		s, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-		e.Status, e.After = record.Refused, time.Duration(s*1e9)
+		e.Status, e.RetryAfter = record.Rejected, time.Duration(s*1e9)
 		c.Log.Add(e)
-		return workload.Rejected, e.After
+		return workload.Rejected, e.RetryAfter
 	}
 	e.Status = record.Failed
 	c.Log.Add(e)
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -246,7 +246,7 @@
 	for _, e := range list {
 		for state, word := range States {
 			if word == e.State {
-				d.log.Add(record.Event{Kind: record.Told, Sidecar: d.sidecar, Node: d.number(e.UID), State: state})
+				d.log.Add(record.Event{Kind: record.Notified, Sidecar: d.sidecar, Node: d.number(e.UID), State: state})
 			}
 		}
 	}
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -32,7 +32,7 @@
 	l.start.Store(&now)
 	kept := l.events[:0]
 	for _, e := range l.events {
-		if e.Kind == record.Told {
+		if e.Kind == record.Notified {
 			e.At = 1
 			kept = append(kept, e)
 		}
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -209,7 +209,7 @@
 		extra = n.hand
 	}
 	end := func(s record.Status) {
-		n.log.Add(record.Event{Kind: record.Ended, Request: id, Attempt: attempt, Node: n.Number, Status: s})
+		n.log.Add(record.Event{Kind: record.AttemptEnded, Request: id, Attempt: attempt, Node: n.Number, Status: s})
 	}
 	n.mu.Lock()
 	verdict := n.server.Arrive(n.log.Now(), job, known.Class, known.Key, known.Effect, extra)
@@ -218,17 +218,17 @@
 	n.mu.Unlock()
 	switch verdict {
 	case node.TurnedAway:
-		n.log.Add(record.Event{Kind: record.Replied, Request: id, Attempt: attempt, Node: n.Number, Status: record.Refused})
-		end(record.Refused)
+		n.log.Add(record.Event{Kind: record.Replied, Request: id, Attempt: attempt, Node: n.Number, Status: record.Rejected})
+		end(record.Rejected)
 		w.Header().Set("X-Not-Processed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case node.Swallowed:
 		<-r.Context().Done()
-		end(record.Called)
+		end(record.Cancelled)
 		panic(http.ErrAbortHandler)
 	case node.Known:
-		n.log.Add(record.Event{Kind: record.Dropped, Request: id, Attempt: attempt, Node: n.Number})
+		n.log.Add(record.Event{Kind: record.Deduplicated, Request: id, Attempt: attempt, Node: n.Number})
 	default:
 		n.log.Add(record.Event{Kind: record.Ran, Request: id, Attempt: attempt, Node: n.Number})
 	}
@@ -249,7 +249,7 @@
 			n.step()
 		}
 		n.mu.Unlock()
-		end(record.Called)
+		end(record.Cancelled)
 		panic(http.ErrAbortHandler)
 	}
 }
