--- a/internal/lab/record/record.go
+++ b/internal/lab/record/record.go
@@ -20,7 +20,7 @@
 	AttemptEnded               // the sidecar's side of the attempt is over: Request, Attempt, Status
 	Notified                   // discovery told a sidecar of a node: Sidecar, Node, State
 	NodeStarted                // a node started: Node, Capacity, Boot (cold) or not
-	NodeStopped                // a node's life is over: Node, Work done
+	NodeWork                   // a node's life is over: Node, Work done
 	SidecarDown                // a sidecar died: Sidecar; what it held is not owed any more
 	FaultOver                  // the last effect of a trouble ended
 	LossDetected               // a sidecar knows, Wait after the first of Attempt losses there, that a node loses: Sidecar, Node
--- a/internal/lab/report/meter.go
+++ b/internal/lab/report/meter.go
@@ -179,7 +179,7 @@
 		if m.missed++; e.Attempt < fewLosses {
 			m.unseen++
 		}
-	case record.NodeStopped:
+	case record.NodeWork:
 		n := &m.nodes[e.Node]
 		n.Work += e.Work
 		m.done += e.Work
--- a/internal/lab/report/meter_test.go
+++ b/internal/lab/report/meter_test.go
@@ -81,7 +81,7 @@
 			try(at, 50*time.Millisecond, 0, record.Failed)
 		}
 	}
-	m.Record(&record.Event{Kind: record.NodeStopped, Work: 32})
+	m.Record(&record.Event{Kind: record.NodeWork, Work: 32})
 	f := m.Figures()
 	for name, v := range map[string][2]float64{
 		"asked": {f.Asked, 20}, "in time": {f.InTime, 16. / 20}, "late": {f.Late, 2. / 20}, "failed": {f.Failed, 2. / 20},
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -206,7 +206,7 @@
 		w.handle(&e)
 	}
 	for i, m := range w.nodes {
-		w.emit(record.Event{Kind: record.NodeStopped, Node: int32(i), Work: m.worked + m.Done()})
+		w.emit(record.Event{Kind: record.NodeWork, Node: int32(i), Work: m.worked + m.Done()})
 	}
 	return w.res, nil
 }
--- a/internal/lab/sockets/sockets.go
+++ b/internal/lab/sockets/sockets.go
@@ -395,7 +395,7 @@
 		w.opt.Sink.Record(&events[i])
 	}
 	for i, n := range w.nodes {
-		w.opt.Sink.Record(&record.Event{At: w.log.Now(), Kind: record.NodeStopped, Node: int32(i), Work: n.Worked()})
+		w.opt.Sink.Record(&record.Event{At: w.log.Now(), Kind: record.NodeWork, Node: int32(i), Work: n.Worked()})
 	}
 }
 
