--- a/internal/lab/sockets/sockets.go
+++ b/internal/lab/sockets/sockets.go
@@ -19,10 +19,10 @@
 	"syscall"
 	"time"
 
-	"milletramp.example/milletramp/internal/lab/load"
 	"milletramp.example/milletramp/internal/lab/node"
 	"milletramp.example/milletramp/internal/lab/plan"
 	"milletramp.example/milletramp/internal/lab/record"
+	"milletramp.example/milletramp/internal/lab/workload"
 	"milletramp.example/milletramp/internal/standin"
 )
 
@@ -240,7 +240,7 @@
 	w.lives[n]++
 	w.nodes[n].Start(l, node.NewServer(node.New(spec, w.log.Now()), pod, f.KeyGain, f.KeyFor.Std(), f.KeysPerCore*spec.Cores,
 		rand.New(rand.NewPCG(w.p.Seed, uint64(n)<<20+uint64(w.lives[n])))))
-	w.log.Add(record.Event{Kind: record.Started, Node: int32(n), Capacity: float64(spec.Cores) * spec.Speed, Boot: started})
+	w.log.Add(record.Event{Kind: record.NodeStarted, Node: int32(n), Capacity: float64(spec.Cores) * spec.Speed, Boot: started})
 }
 
 // start starts a sidecar and waits until it is ready.
@@ -274,7 +274,7 @@
 	s := w.p.Scenario
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	keys := load.NewZipf(s.Load.Keys, s.Load.Zipf)
+	keys := workload.NewZipf(s.Load.Keys, s.Load.Zipf)
 	var ids atomic.Uint64
 	for i := range w.side {
 		c := standin.NewClients(standin.ClientOptions{Sidecar: int32(i), Scenario: s, Book: w.book, Log: w.log, IDs: &ids,
@@ -298,7 +298,7 @@
 		running.Add(1)
 		go func() {
 			defer running.Done()
-			late[i] = c.Run(ctx, load.New(s, i, w.p.Seed, keys))
+			late[i] = c.Run(ctx, workload.NewSource(s, i, w.p.Seed, keys))
 		}()
 	}
 	acting := make(chan struct{})
@@ -395,7 +395,7 @@
 		w.opt.Sink.Record(&events[i])
 	}
 	for i, n := range w.nodes {
-		w.opt.Sink.Record(&record.Event{At: w.log.Now(), Kind: record.Worked, Node: int32(i), Work: n.Worked()})
+		w.opt.Sink.Record(&record.Event{At: w.log.Now(), Kind: record.NodeWork, Node: int32(i), Work: n.Worked()})
 	}
 }
 
@@ -421,7 +421,7 @@
 	change := func(do func(s *node.Server, now time.Duration)) { w.nodes[n].Change(do) }
 	switch a.Op {
 	case plan.Over:
-		w.log.Add(record.Event{Kind: record.TroubleOver})
+		w.log.Add(record.Event{Kind: record.FaultOver})
 	case plan.CutZone:
 		w.cut[n] = a.On
 		w.rewire()
