--- a/internal/fleet/admin.go
+++ b/internal/fleet/admin.go
@@ -78,8 +78,8 @@
 	return strings.Join(ids, ",")
 }
 
-// Knows tells whether an operator has ever made a call on a server.
-func (f *Fleet) Knows(ctx context.Context, server string) (known bool, err error) {
+// KnowsServer tells whether an operator has ever made a call on a server.
+func (f *Fleet) KnowsServer(ctx context.Context, server string) (known bool, err error) {
 	err = f.call(ctx, func(replication.Now) { _, known = f.machine.Store.AdminState(server) })
 	return known, err
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -41,7 +41,7 @@
 	}
 	a.waitForAdminDown(t, "s-0", "s-1")
 	b.waitForAdminDown(t, "s-0", "s-1")
-	if known, err := b.Knows(ctx, "s-1"); err != nil || !known {
+	if known, err := b.KnowsServer(ctx, "s-1"); err != nil || !known {
 		t.Errorf("known %v, error %v", known, err)
 	}
 	if _, _, err := b.SetAdminDown(ctx, "s-0", false, true); err != nil {
--- a/internal/fleet/snapshot_test.go
+++ b/internal/fleet/snapshot_test.go
@@ -36,7 +36,7 @@
 			t.Fatal(err)
 		}
 		second := start()
-		known, err := second.Knows(ctx, "s-1")
+		known, err := second.KnowsServer(ctx, "s-1")
 		if err != nil || known != (folder != "") {
 			t.Errorf("known %v, error %v with folder %q", known, err, folder)
 		}
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// Listed implements sidecar.Part.
-func (p part) Listed(servers []sidecar.ListedServer) {
+// UpdateServers implements sidecar.Part.
+func (p part) UpdateServers(servers []sidecar.ListedServer) {
 	list := make([]fleet.Server, 0, len(servers))
 	for _, s := range servers {
 		o := fleet.Server{ID: s.ID}
@@ -69,8 +69,8 @@
 // Observe implements balance.Observer.
 func (p part) Observe(endpoint string, s balance.Observation) { p.Fleet.Observe(endpoint, ends[s]) }
 
-// TakeOut implements sidecar.Part.
-func (p part) TakeOut(ctx context.Context, server string, out, confirm bool) (held, asked int, err error) {
+// SetAdminDown implements sidecar.Part.
+func (p part) SetAdminDown(ctx context.Context, server string, out, confirm bool) (held, asked int, err error) {
 	if held, asked, err = p.Fleet.SetAdminDown(ctx, server, out, confirm); errors.Is(err, fleet.ErrSuperseded) || errors.Is(err, fleet.ErrClosed) {
 		return 0, 0, sidecar.ErrSuperseded
 	}
@@ -86,8 +86,8 @@
 	return json.MarshalIndent(s, "", "  ")
 }
 
-// Figures implements sidecar.Part.
-func (p part) Figures(ctx context.Context, w io.Writer) error {
+// WriteMetrics implements sidecar.Part.
+func (p part) WriteMetrics(ctx context.Context, w io.Writer) error {
 	s, err := p.Fleet.Status(ctx)
 	if err != nil {
 		return err
--- a/internal/sidecar/attempts_test.go
+++ b/internal/sidecar/attempts_test.go
@@ -69,7 +69,7 @@
 // forgotten waits until the program serves no request.
 func (p *program) forgotten() {
 	p.T.Helper()
-	for end := time.Now().Add(testserver.Timeout); p.staff.serving.Load().handler.InFlight() > 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testserver.Timeout); p.staff.server.Load().handler.InFlight() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			p.T.Fatal("a request is held for good")
 		}
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -122,7 +122,7 @@
 	held := make(chan testserver.Result, 1)
 	go func() { held <- p.Do(p.NewRequest(context.Background(), "book", "50000")) }()
 	testserver.Receive(t, b.Requests, "attempt")
-	most := NewSocketBudget(&config.Config{Sockets: 64}).ClientConns
+	most := newSocketBudget(&config.Config{Sockets: 64}).ClientConns
 	first := p.DialConn()
 	for range 4 * most {
 		p.DialConn()
@@ -163,7 +163,7 @@
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	configText := strings.Replace(testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings), `"sockets":1024`, `"sockets":64`, 1)
 	p := start(t, configText)
-	budget := NewSocketBudget(&config.Config{Sockets: 64})
+	budget := newSocketBudget(&config.Config{Sockets: 64})
 	kept, ended := 0, 0
 	for i := range 3 * budget.ClientConns {
 		c := p.DialConn() // stays open to the end
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -60,7 +60,7 @@
 // inUse waits until n connections have brought a request.
 func (p *program) inUse(n int) {
 	p.T.Helper()
-	conns := p.staff.serving.Load().conns
+	conns := p.staff.server.Load().conns
 	for end := time.Now().Add(testserver.Timeout); conns.Counts().Used < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			p.T.Fatalf("not %d connections in use", n)
--- a/internal/sidecar/family.go
+++ b/internal/sidecar/family.go
@@ -92,7 +92,7 @@
 
 // share has this process hold a part of what the sidecar may. Two processes count as one.
 func (p *process) share(shares int) {
-	b := NewSocketBudget(p.config)
+	b := newSocketBudget(p.config)
 	p.handler.SetMaxInFlight(b.Requests / shares)
 	p.conns.SetLimits(b.ClientConns/shares, max(b.KeepAliveConns/shares, 1))
 	p.loop.Upstream().SetMaxConns(b.UpstreamConns / shares)
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -37,18 +37,18 @@
 	// Ready tells whether it knows now, and what it is at.
 	Ready(ctx context.Context) (ready bool, phase string)
 	// Listed says which servers the own list has. It does not wait.
-	Listed(servers []ListedServer)
+	UpdateServers(servers []ListedServer)
 	// Observe implements balance.Observer. It does not wait.
 	Observe(endpoint string, s balance.Observation)
 	// Knows tells whether the staff has ever said anything of a server.
-	Knows(ctx context.Context, server string) (bool, error)
+	KnowsServer(ctx context.Context, server string) (bool, error)
 	// TakeOut passes on a call of the staff. Where confirm says so it waits for others to hold it, and returns how many of those
 	// that were asked do by then.
-	TakeOut(ctx context.Context, server string, out, confirm bool) (held, asked int, err error)
+	SetAdminDown(ctx context.Context, server string, out, confirm bool) (held, asked int, err error)
 	// Status is what is held of the fleet, as JSON.
 	Status(ctx context.Context) ([]byte, error)
 	// Figures writes the fleet's figures as the console gives them.
-	Figures(ctx context.Context, w io.Writer) error
+	WriteMetrics(ctx context.Context, w io.Writer) error
 	// Policy is the fleet's; nil: it has none.
 	Policy() proxy.Policy
 	// Close says farewell and waits for all that was begun.
@@ -122,7 +122,7 @@
 	o.participant.Store(&part)
 	o.loop.Post(func() {
 		o.loop.SetObserver(part)
-		o.loop.SetListObserver(func(endpoints []discovery.Endpoint) { part.Listed(listed(endpoints)) })
+		o.loop.SetListObserver(func(endpoints []discovery.Endpoint) { part.UpdateServers(listed(endpoints)) })
 	})
 	select {
 	case <-part.CaughtUp():
@@ -209,7 +209,7 @@
 func (o *operator) publishToFleet(ctx context.Context, id string, out, known, passed bool) (note string, err error) {
 	part := o.fleet()
 	if part != nil && !known { // on no list here, but it may be out all the same
-		if known, err = part.Knows(ctx, id); err != nil {
+		if known, err = part.KnowsServer(ctx, id); err != nil {
 			return "", err
 		}
 	}
@@ -219,7 +219,7 @@
 	case part == nil:
 		return "", nil
 	}
-	held, asked, err := part.TakeOut(ctx, id, out, !passed)
+	held, asked, err := part.SetAdminDown(ctx, id, out, !passed)
 	switch {
 	case errors.Is(err, ErrSuperseded) && len(o.group.member.Others()) > 0: // the other process of an upgrade was told
 		return "", nil
@@ -277,7 +277,7 @@
 	if part == nil {
 		return nil
 	}
-	return part.Figures(ctx, w)
+	return part.WriteMetrics(ctx, w)
 }
 
 // listed returns endpoints as entries of the own list.
--- a/internal/sidecar/ops.go
+++ b/internal/sidecar/ops.go
@@ -16,11 +16,11 @@
 	loop             *proxy.EventLoop
 	metrics          *metrics.Counters
 	group            *processGroup
-	serving          atomic.Pointer[serving]     // nil: does not listen yet
-	announced        atomic.Bool                 // other processes can see that this one is ready
-	participant      atomic.Pointer[Participant] // in the fleet; nil: there is none
-	gate             *proxy.PolicyGate           // set before it listens; nil: the fleet has no policy, or there is none
-	adminDownChanged chan struct{}               // has one if what is out by hand has changed by word of the fleet
+	server           atomic.Pointer[clientServer] // nil: does not listen yet
+	announced        atomic.Bool                  // other processes can see that this one is ready
+	participant      atomic.Pointer[Participant]  // in the fleet; nil: there is none
+	gate             *proxy.PolicyGate            // set before it listens; nil: the fleet has no policy, or there is none
+	adminDownChanged chan struct{}                // has one if what is out by hand has changed by word of the fleet
 
 	publishing sync.Mutex // held by publish
 
@@ -28,15 +28,15 @@
 	fleetAdminDown map[string]bool // servers that the fleet last had out
 }
 
-// serving is what answers clients once a process listens.
-type serving struct {
+// clientServer is what answers clients once a process listens.
+type clientServer struct {
 	handler *proxy.Handler
 	conns   *downstream.Listener
 }
 
 // Ready implements console.Sidecar.
 func (o *operator) Ready() (bool, string) {
-	s := o.serving.Load()
+	s := o.server.Load()
 	switch {
 	case s == nil:
 		return false, "not listening yet"
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if s := o.serving.Load(); s != nil {
+	if s := o.server.Load(); s != nil {
 		g.InFlight = s.handler.InFlight()
 	}
 	var text bytes.Buffer
--- a/internal/sidecar/policy_test.go
+++ b/internal/sidecar/policy_test.go
@@ -39,16 +39,18 @@
 	close(c)
 	return c
 }
-func (f *fakePart) Ready(context.Context) (bool, string)                          { return true, "" }
-func (f *fakePart) Listed([]ListedServer)                                         {}
-func (f *fakePart) Observe(string, balance.Observation)                           {}
-func (f *fakePart) Knows(context.Context, string) (bool, error)                   { return false, nil }
-func (f *fakePart) TakeOut(context.Context, string, bool, bool) (int, int, error) { return 0, 0, nil }
-func (f *fakePart) Status(context.Context) ([]byte, error)                        { return nil, nil }
-func (f *fakePart) Figures(context.Context, io.Writer) error                      { return nil }
-func (f *fakePart) Close() error                                                  { return nil }
-func (f *fakePart) Policy() proxy.Policy                                          { return f }
-func (f *fakePart) Handler() http.Handler                                         { return http.NotFoundHandler() }
+func (f *fakePart) Ready(context.Context) (bool, string)              { return true, "" }
+func (f *fakePart) UpdateServers([]ListedServer)                      {}
+func (f *fakePart) Observe(string, balance.Observation)               {}
+func (f *fakePart) KnowsServer(context.Context, string) (bool, error) { return false, nil }
+func (f *fakePart) SetAdminDown(context.Context, string, bool, bool) (int, int, error) {
+	return 0, 0, nil
+}
+func (f *fakePart) Status(context.Context) ([]byte, error)        { return nil, nil }
+func (f *fakePart) WriteMetrics(context.Context, io.Writer) error { return nil }
+func (f *fakePart) Close() error                                  { return nil }
+func (f *fakePart) Policy() proxy.Policy                          { return f }
+func (f *fakePart) Handler() http.Handler                         { return http.NotFoundHandler() }
 
 // Serves implements Policy.
 func (f *fakePart) Serves() (uint64, time.Duration, bool) {
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -51,7 +51,7 @@
 
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	h, err := proxy.NewEventLoop(ctx, c, NewSocketBudget(c).UpstreamConns, log, nil)
+	h, err := proxy.NewEventLoop(ctx, c, newSocketBudget(c).UpstreamConns, log, nil)
 	if err != nil {
 		return err
 	}
@@ -107,12 +107,12 @@
 	loop       *proxy.EventLoop
 	background sync.WaitGroup // end with the context of run
 
-	operator  *operator
-	accepting *downstream.DrainListener // accepts from the kernel
-	conns     *downstream.Listener      // holds the clients' connections
-	handler   *proxy.Handler
-	web       *http.Server
-	served    chan error // gets what ended web.Serve, once
+	operator   *operator
+	accepting  *downstream.DrainListener // accepts from the kernel
+	conns      *downstream.Listener      // holds the clients' connections
+	handler    *proxy.Handler
+	httpServer *http.Server
+	served     chan error // gets what ended web.Serve, once
 }
 
 // startLoops starts the host's loop and the one that reloads the configuration, also while draining.
@@ -171,7 +171,7 @@
 	if err := p.accepting.ShareConnections(); err != nil {
 		p.log.Debug("the kernel chooses among the processes of this address", "err", err)
 	}
-	b := NewSocketBudget(p.config)
+	b := newSocketBudget(p.config)
 	p.conns = downstream.NewListener(netretry.NewListener(p.accepting, p.log), b.ClientConns, b.KeepAliveConns, &p.loop.Metrics().UnservedConns)
 	p.handler = proxy.NewHandler(p.config, p.loop, b.Requests)
 	context.AfterFunc(p.handler.Shutdown(), p.conns.RetireAll)
@@ -188,11 +188,11 @@
 		p.operator.group.shares.Store(2)
 		p.share(2)
 	}
-	p.web = p.conns.HTTPServer(p.handler, p.log)
-	p.web.ConnContext = proxy.ConnContext
+	p.httpServer = p.conns.HTTPServer(p.handler, p.log)
+	p.httpServer.ConnContext = proxy.ConnContext
 	p.served = make(chan error, 1)
-	go func() { p.served <- p.web.Serve(p.conns) }() // ends when drain closes the listener
-	p.operator.serving.Store(&serving{p.handler, p.conns})
+	go func() { p.served <- p.httpServer.Serve(p.conns) }() // ends when drain closes the listener
+	p.operator.server.Store(&clientServer{p.handler, p.conns})
 	p.hooks.started(p.operator)
 	p.log.Info("serving", "name", p.config.Name, "address", inner.Addr().String())
 }
@@ -243,7 +243,7 @@
 	}
 	<-p.served
 	p.awaitConnections(idleFrom)
-	if err := p.web.Close(); err != nil { // which holds nothing any more
+	if err := p.httpServer.Close(); err != nil { // which holds nothing any more
 		return fmt.Errorf("close: %w", err)
 	}
 	// The console closes next, and whoever passes an operator's call on to this process would be turned away. It has
--- a/internal/sidecar/socket_budget.go
+++ b/internal/sidecar/socket_budget.go
@@ -5,8 +5,8 @@
 	"milletramp.example/milletramp/internal/config"
 )
 
-// SocketBudget shares out the descriptors that the process may hold. Without any left, accepting fails for all.
-type SocketBudget struct {
+// socketBudget shares out the descriptors that the process may hold. Without any left, accepting fails for all.
+type socketBudget struct {
 	Requests       int // held at once; each has a connection of its client
 	ClientConns    int // connections from clients
 	KeepAliveConns int // of these, that clients hold before they are asked to close them
@@ -22,7 +22,7 @@
 // keepAliveShare of the connections that clients can hold with a request leaves the rest for bursts.
 const keepAliveShare = 0.75
 
-func NewSocketBudget(c *config.Config) SocketBudget {
+func newSocketBudget(c *config.Config) socketBudget {
 	all := c.Sockets - reservedDescriptors
 	if c.Console != "" {
 		all -= adminDescriptors
@@ -33,5 +33,5 @@
 	if c.Limits.MostHeld > 0 {
 		requests = min(held, c.Limits.MostHeld)
 	}
-	return SocketBudget{Requests: requests, ClientConns: clients, KeepAliveConns: max(int(keepAliveShare*float64(held)), 1), UpstreamConns: all - clients}
+	return socketBudget{Requests: requests, ClientConns: clients, KeepAliveConns: max(int(keepAliveShare*float64(held)), 1), UpstreamConns: all - clients}
 }
--- a/internal/sidecar/stop_test.go
+++ b/internal/sidecar/stop_test.go
@@ -78,7 +78,7 @@
 // accepted waits until the program holds n connections.
 func (p *program) accepted(n int) {
 	p.T.Helper()
-	for end := time.Now().Add(testserver.Timeout); p.staff.serving.Load().conns.Counts().Open < n; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testserver.Timeout); p.staff.server.Load().conns.Counts().Open < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			p.T.Fatalf("not %d connections accepted", n)
 		}
@@ -213,7 +213,7 @@
 	}
 	p.hangup(strings.ReplaceAll(strings.ReplaceAll(text, `"deadline_s":60.0`, `"deadline_s":0.3`), `"aim_s":20.0`, `"aim_s":0.2`))
 	p.figuresAre("loads", "1", "load_errors", "0")
-	if longest := p.staff.serving.Load().handler.LongestDeadline(); longest != 300*time.Millisecond {
+	if longest := p.staff.server.Load().handler.LongestDeadline(); longest != 300*time.Millisecond {
 		t.Errorf("the platform kills by a deadline of 300ms, the process goes by %v", longest)
 	}
 	p.stop()
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -65,7 +65,7 @@
 				go func() { answers <- oneAnswer(c, fmt.Sprint("waits-", i), "read") }()
 			}
 			p.stop()
-			for end := time.Now().Add(testserver.Timeout); !p.staff.serving.Load().handler.IsDraining(); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(testserver.Timeout); !p.staff.server.Load().handler.IsDraining(); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal("it does not drain")
 				}
