--- a/cmd/milletramp/fleet_table.go
+++ b/cmd/milletramp/fleet_table.go
@@ -124,7 +124,8 @@
 
 // describeReport words what one sidecar reported of a server.
 func describeReport(r fleet.RowStatus) string {
-	text := fmt.Sprintf("%s %.1f s ago: %d silent, %d late, %d refused", r.Reporter, r.AgeSeconds, r.Unresponsive, r.Late, r.Refused)
+	text := fmt.Sprintf("%s %.1f s ago: %d silent, %d late, %d refused",
+		r.Reporter, r.AgeSeconds, r.Unresponsive, r.Late, r.Refused)
 	if r.LastGoodSeconds >= 0 {
 		text += fmt.Sprintf(", answered %.1f s before", r.LastGoodSeconds)
 	}
--- a/deploy/names_test.go
+++ b/deploy/names_test.go
@@ -213,6 +213,7 @@
 		"internal/proxy",
 		"internal/quota",
 		"internal/retrybudget",
+		"internal/sidecar",
 		"internal/upstream",
 		"internal/wire",
 	}
--- a/internal/sidecar/attempts_test.go
+++ b/internal/sidecar/attempts_test.go
@@ -12,8 +12,8 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestQueueOfOneWhoLeft has a client send many requests on a connection and end its sending while the first is out. The others stand
-// before the end that net/http waits for, more of them than it reads ahead, and none of them is sent on.
+// TestQueueOfOneWhoLeft has a client send many requests on a connection and end its sending while the first is out. The
+// others stand before the end that net/http waits for, more of them than it reads ahead, and none of them is sent on.
 func TestQueueOfOneWhoLeft(t *testing.T) {
 	gate := make(chan struct{})
 	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestGoneWhileConnecting has a client leave while the connection for its request comes up, where the settings let no attempt be
-// called off: it is not made, as it has not begun.
+// TestGoneWhileConnecting has a client leave while the connection for its request comes up, where the settings let no
+// attempt be called off: it is not made, as it has not begun.
 func TestGoneWhileConnecting(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	settings := strings.Replace(testserver.Settings, `"cancelling":true`, `"cancelling":false`, 1)
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -157,8 +157,8 @@
 	}
 }
 
-// TestAskOnceAndStay has clients ask once and keep their connections: before these are all that clients may hold, answers
-// end them, so that requests go on being taken. A connection in use before that is kept alive.
+// TestAskOnceAndStay has clients ask once and keep their connections: before these are all that clients may hold,
+// answers end them, so that requests go on being taken. A connection in use before that is kept alive.
 func TestAskOnceAndStay(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	configText := strings.Replace(testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings), `"sockets":1024`, `"sockets":64`, 1)
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -16,8 +16,8 @@
 	"milletramp.example/milletramp/internal/upstream"
 )
 
-// TestResetIsNoEnd: an answer of untold length whose connection is reset is not whole, also where its first bytes were passed on. One
-// whose connection ends in order is.
+// TestResetIsNoEnd: an answer of untold length whose connection is reset is not whole, also where its first bytes were
+// passed on. One whose connection ends in order is.
 func TestResetIsNoEnd(t *testing.T) {
 	for _, reset := range []bool{true, false} {
 		passed := make(chan struct{})
@@ -40,7 +40,8 @@
 	}
 }
 
-// TestStopWhileABodyComes has the process told to stop while a request's body comes: it is served, and its answer ends the connection.
+// TestStopWhileABodyComes has the process told to stop while a request's body comes: it is served, and its answer ends
+// the connection.
 func TestStopWhileABodyComes(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
@@ -68,8 +69,8 @@
 	}
 }
 
-// TestStopWhileAnAnswerPasses has the process told to stop, and to read its file again, while a long answer is passed on: it ends with
-// the answer, which is whole.
+// TestStopWhileAnAnswerPasses has the process told to stop, and to read its file again, while a long answer is passed
+// on: it ends with the answer, which is whole.
 func TestStopWhileAnAnswerPasses(t *testing.T) {
 	rest := make(chan struct{})
 	b := testserver.StartBackend(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
@@ -102,8 +103,8 @@
 // connectionRest is more than a connection to a server rests after a response before it is used again.
 const connectionRest = 100 * time.Millisecond
 
-// TestClosedUnderTheRequest has a server close an idle connection while a request is written on it. The request may have run: one that is
-// unsafe to repeat is not made anew, and one that may be repeated is.
+// TestClosedUnderTheRequest has a server close an idle connection while a request is written on it. The request may
+// have run: one that is unsafe to repeat is not made anew, and one that may be repeated is.
 func TestClosedUnderTheRequest(t *testing.T) {
 	for _, tt := range []struct {
 		class  string
@@ -160,8 +161,8 @@
 	}
 }
 
-// TestReadyWhileDiscoveryIsDown: a process that knows a list is ready at once, though discovery says nothing; it serves by that list,
-// and has nobody wait for a server that is gone.
+// TestReadyWhileDiscoveryIsDown: a process that knows a list is ready at once, though discovery says nothing; it serves
+// by that list, and has nobody wait for a server that is gone.
 func TestReadyWhileDiscoveryIsDown(t *testing.T) {
 	gone := testserver.Listen(t)
 	address := gone.Addr().String()
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -6,10 +6,8 @@
 	"fmt"
 	"io"
 	"log/slog"
-	"net/http"
 	"time"
 
-	"milletramp.example/milletramp/balance"
 	"milletramp.example/milletramp/internal/admin"
 	"milletramp.example/milletramp/internal/config"
 	"milletramp.example/milletramp/internal/discovery"
@@ -17,161 +15,141 @@
 	"milletramp.example/milletramp/internal/proxy"
 )
 
-// fleetQueryTimeout bounds how long the fleet's part may take for a question that it answers from memory.
+// fleetQueryTimeout bounds a question that the part in the fleet answers from memory.
 const fleetQueryTimeout = 200 * time.Millisecond
 
-// FleetEnvironment names the operator's file in the environment. Without it no sidecar has a part in a fleet.
-const FleetEnvironment = "MILLETRAMP_FLEET"
-
-// JoinFunc begins a sidecar's part in the fleet that the operator's file names. It returns nil, and no error, where none is named. before
-// are the addresses at which the sidecar's other processes have theirs.
-type JoinFunc func(c *config.Config, before []string, log *slog.Logger, told Callbacks) (Participant, error)
-
-// Participant is a sidecar's part in a fleet. Package member has it; a program that is built without that package has none of
-// the fleet's code.
-type Participant interface {
-	// Address is where other sidecars, and this one's next process, reach the part.
-	Address() string
-	// CaughtUp is closed once the part knows what the fleet holds, or has tried for long enough.
-	CaughtUp() <-chan struct{}
-	// Ready tells whether it knows now, and what it is at.
-	Ready(ctx context.Context) (ready bool, phase string)
-	// Listed says which servers the own list has. It does not wait.
-	UpdateServers(servers []ListedServer)
-	// Observe implements balance.Observer. It does not wait.
-	Observe(endpoint string, s balance.Observation)
-	// Knows tells whether the staff has ever said anything of a server.
-	KnowsServer(ctx context.Context, server string) (bool, error)
-	// TakeOut passes on a call of the staff. Where confirm says so it waits for others to hold it, and returns how many of those
-	// that were asked do by then.
-	SetAdminDown(ctx context.Context, server string, out, confirm bool) (held, asked int, err error)
-	// Status is what is held of the fleet, as JSON.
-	Status(ctx context.Context) ([]byte, error)
-	// Figures writes the fleet's figures as the console gives them.
-	WriteMetrics(ctx context.Context, w io.Writer) error
-	// Policy is the fleet's; nil: it has none.
-	Policy() proxy.Policy
-	// Close says farewell and waits for all that was begun.
-	Close() error
-}
-
-// Callbacks is what a part tells its sidecar. None of it waits for the sidecar.
-type Callbacks struct {
-	OnAdminDown  func(servers []string)   // that are out by hand, all of them, each time that they change
-	OnSuspicions func(doubts []Suspicion) // in place of those before
-	// Check reads a policy whole, with the code that would run it, and says what is wrong with it; "": nothing, and then this
-	// sidecar can run it under its number.
-	CheckPolicy func(number uint64, text []byte) (fault string)
-}
-
-// ListedServer is an entry of the own list.
-type ListedServer struct {
-	ID        string
-	StartedAt time.Time // its last start; zero: long ago
-}
-
-// Suspicion is a server that does not do its work, by the word of other sidecars.
-type Suspicion struct {
-	ID  string
-	Age time.Duration // of the youngest word
-}
-
-// ErrSuperseded says that this process does not speak for its sidecar in the fleet any more: another one does, as in an upgrade, or
-// it is about to end.
-var ErrSuperseded = errors.New("this process does not speak for its sidecar any more")
-
 // joinFleet begins this sidecar's part in the fleet, where the operator's file names one, and waits until it has caught
 // up, or has tried for long enough. leave ends it.
-func (o *operator) joinFleet(stop context.Context, c *config.Config, log *slog.Logger, join JoinFunc) (leave func(), err error) {
+func (o *operator) joinFleet(stop context.Context, c *config.Config, log *slog.Logger,
+	join JoinFunc) (leave func(), err error) {
+	nothing := func() {}
 	if join == nil {
-		if file := c.Getenv(FleetEnvironment); file != "" {
-			return nil, fmt.Errorf("%s names %s, and this program is built without a part in a fleet: fleetsidecar has one", FleetEnvironment, file)
-		}
-		return func() {}, nil
+		return nothing, checkNoFleet(c)
 	}
 	o.adminDownChanged = make(chan struct{}, 1)
-	var before []string
-	for _, s := range o.group.member.Others() {
-		if s.FleetAddress != "" {
-			before = append(before, s.FleetAddress)
-		}
-	}
 	gate := proxy.NewPolicyGate(o.loop, c)
-	part, err := join(c, before, log, Callbacks{OnAdminDown: o.applyAdminDown, OnSuspicions: o.applySuspicions, CheckPolicy: func(number uint64, text []byte) string {
-		return gate.Check(number, text)
-	}})
-	if err != nil || part == nil {
-		return func() {}, err
+	participant, err := join(c, o.group.fleetAddresses(), log, Callbacks{
+		OnAdminDown:  o.applyAdminDown,
+		OnSuspicions: o.applySuspicions,
+		CheckPolicy:  gate.Check,
+	})
+	if err != nil || participant == nil {
+		return nothing, err
 	}
-	if err := o.group.member.Update(func(s *hotrestart.State) { s.FleetAddress = part.Address() }); err != nil {
+	err = o.group.member.Update(func(s *hotrestart.State) { s.FleetAddress = participant.Address() })
+	if err != nil {
 		log.Warn("the next process will not ask this one what the fleet holds", "err", err)
 	}
-	if policy := part.Policy(); policy != nil {
+	if policy := participant.Policy(); policy != nil {
 		gate.SetPolicy(policy)
 		if err := o.loop.Do(stop, func() { o.loop.SetPolicyGate(gate) }); err != nil {
-			return func() {}, errors.Join(err, part.Close())
+			return nothing, errors.Join(err, participant.Close())
 		}
 		o.gate = gate
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan struct{})
-	go func() {
-		defer close(over)
+	publishing := make(chan struct{})
+	go func() { // ends with ctx
+		defer close(publishing)
 		o.publishChanges(ctx, log)
 	}()
-	o.participant.Store(&part)
-	o.loop.Post(func() {
-		o.loop.SetObserver(part)
-		o.loop.SetListObserver(func(endpoints []discovery.Endpoint) { part.UpdateServers(listed(endpoints)) })
-	})
+	o.connect(participant)
 	select {
-	case <-part.CaughtUp():
+	case <-participant.CaughtUp():
 	case <-stop.Done():
 	}
 	return func() {
 		cancel()
-		o.loop.Post(func() {
-			o.loop.SetObserver(nil)
-			o.loop.SetSuspected(nil)
+		o.disconnect(participant, log)
+		<-publishing
+	}, nil
+}
+
+// checkNoFleet returns an error where the operator names a fleet and this program cannot take part in one.
+func checkNoFleet(c *config.Config) error {
+	file := c.Getenv(FleetEnvironment)
+	if file == "" {
+		return nil
+	}
+	return fmt.Errorf("%s names %s, and this program is built without a part in a fleet: fleetsidecar has one",
+		FleetEnvironment, file)
+}
+
+// connect has the event loop report to the part in the fleet.
+func (o *operator) connect(participant Participant) {
+	o.participant.Store(&participant)
+	o.loop.Post(func() {
+		o.loop.SetObserver(participant)
+		o.loop.SetListObserver(func(endpoints []discovery.Endpoint) {
+			participant.UpdateServers(listedServers(endpoints))
 		})
-		if err := part.Close(); err != nil {
-			log.Warn("leaving the fleet", "err", err)
+	})
+}
+
+// listedServers returns endpoints as servers of the own list.
+func listedServers(endpoints []discovery.Endpoint) []ListedServer {
+	servers := make([]ListedServer, 0, len(endpoints))
+	for _, e := range endpoints {
+		servers = append(servers, ListedServer{e.ID, e.StartedAt})
+	}
+	return servers
+}
+
+// disconnect ends the part in the fleet.
+func (o *operator) disconnect(participant Participant, log *slog.Logger) {
+	o.loop.Post(func() {
+		o.loop.SetObserver(nil)
+		o.loop.SetSuspected(nil)
+	})
+	if err := participant.Close(); err != nil {
+		log.Warn("leaving the fleet", "err", err)
+	}
+}
+
+// publishChanges publishes what is administratively down each time that the fleet has changed it, until ctx ends.
+func (o *operator) publishChanges(ctx context.Context, log *slog.Logger) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-o.adminDownChanged:
+			if err := o.publishAdminDown(ctx); err != nil && ctx.Err() == nil {
+				log.Warn("the next process will not know what is out by hand", "err", err)
+			}
 		}
-		<-over
-	}, nil
+	}
 }
 
-// fleet is the part in the fleet; nil: there is none.
+// fleet returns the part in the fleet; nil: there is none.
 func (o *operator) fleet() Participant {
-	if p := o.participant.Load(); p != nil {
-		return *p
+	participant := o.participant.Load()
+	if participant == nil {
+		return nil
 	}
-	return nil
+	return *participant
 }
 
-// applyAdminDown takes in which servers the fleet has out by hand. It does not wait. A peer's word may take out what the own
-// list names, and put back what the fleet has had out; it ends no drain, as that is the list's.
-func (o *operator) applyAdminDown(out []string) {
+// applyAdminDown takes in which servers are administratively down in the fleet. A peer's call may take down what the
+// own list names, and bring up what the fleet has had down; it ends no drain, which is the list's.
+func (o *operator) applyAdminDown(ids []string) {
 	o.loop.Post(func() {
-		now, here := map[string]bool{}, map[string]bool{}
-		for _, id := range o.loop.AdminDown() {
-			here[id] = true
-		}
-		var news []string
-		for _, id := range out {
-			if now[id] = true; !here[id] {
-				news = append(news, id)
+		wasDown := set(o.loop.AdminDown())
+		isDown := set(ids)
+		var added []string
+		for _, id := range ids {
+			if !wasDown[id] {
+				added = append(added, id)
 			}
 		}
-		if len(news) > 0 {
-			o.loop.AdoptAdminDown(news)
+		if len(added) > 0 {
+			o.loop.AdoptAdminDown(added)
 		}
 		for id := range o.fleetAdminDown {
-			if !now[id] && here[id] {
+			if !isDown[id] && wasDown[id] {
 				o.loop.SetAdminDown(id, false)
 			}
 		}
-		o.fleetAdminDown = now
+		o.fleetAdminDown = isDown
 		select {
 		case o.adminDownChanged <- struct{}{}:
 		default:
@@ -179,68 +157,82 @@
 	})
 }
 
-// applySuspicions takes in which servers the fleet doubts. It does not wait.
-func (o *operator) applySuspicions(doubts []Suspicion) {
+// set returns ids as a set.
+func set(ids []string) map[string]bool {
+	members := make(map[string]bool, len(ids))
+	for _, id := range ids {
+		members[id] = true
+	}
+	return members
+}
+
+// applySuspicions takes in which servers the fleet suspects.
+func (o *operator) applySuspicions(suspicions []Suspicion) {
 	o.loop.Post(func() {
-		servers := make([]proxy.SuspectedServer, 0, len(doubts))
-		for _, d := range doubts {
-			servers = append(servers, proxy.SuspectedServer(d))
+		servers := make([]proxy.SuspectedServer, 0, len(suspicions))
+		for _, s := range suspicions {
+			servers = append(servers, proxy.SuspectedServer(s))
 		}
 		o.loop.SetSuspected(servers)
 	})
 }
 
-// publishChanges writes down what is out each time that the fleet has changed it, until ctx ends.
-func (o *operator) publishChanges(ctx context.Context, log *slog.Logger) {
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-o.adminDownChanged:
-			if err := o.publishAdminDown(ctx); err != nil && ctx.Err() == nil {
-				log.Warn("the next process will not know what is out by hand", "err", err)
-			}
-		}
-	}
-}
-
-// publishToFleet passes a call of the staff on to the fleet. known tells whether this sidecar, or its other process, has the
-// server. One that the other process has passed on waits for nobody: that process has its own caller waiting.
-func (o *operator) publishToFleet(ctx context.Context, id string, out, known, passed bool) (note string, err error) {
-	part := o.fleet()
-	if part != nil && !known { // on no list here, but it may be out all the same
-		if known, err = part.KnowsServer(ctx, id); err != nil {
+// publishToFleet replicates an operator's call in the fleet, and returns a note for the operator. known says whether
+// this sidecar, or its other process, knows the server. A forwarded call waits for nobody: the process that forwarded
+// it has its own caller waiting.
+func (o *operator) publishToFleet(ctx context.Context, id string, down, known, forwarded bool) (string, error) {
+	fleet := o.fleet()
+	if fleet != nil && !known { // on no list here, but it may be down all the same
+		var err error
+		known, err = fleet.KnowsServer(ctx, id)
+		if err != nil {
 			return "", err
 		}
 	}
-	switch {
-	case !known:
+	if !known {
 		return "", admin.ErrUnknownServer
-	case part == nil:
-		return "", nil
 	}
-	held, asked, err := part.SetAdminDown(ctx, id, out, !passed)
-	switch {
-	case errors.Is(err, ErrSuperseded) && len(o.group.member.Others()) > 0: // the other process of an upgrade was told
+	if fleet == nil {
 		return "", nil
-	case errors.Is(err, ErrSuperseded):
-		return "", errors.New("it holds here alone: this process ends, or another sidecar bears its name in the fleet; call at another console")
-	case err != nil:
-		return "", fmt.Errorf("it holds here, and the fleet may not know: %w", err)
-	case passed:
+	}
+	held, asked, err := fleet.SetAdminDown(ctx, id, down, !forwarded)
+	if err != nil {
+		return "", o.replicationError(err)
+	}
+	if forwarded {
 		return "", nil
+	}
+	return replicationNote(held, asked), nil
+}
+
+// replicationError returns an operator's error for a call that was not replicated. In an upgrade the other process,
+// which speaks for the sidecar, has the call too.
+func (o *operator) replicationError(err error) error {
+	switch {
+	case !errors.Is(err, ErrSuperseded):
+		return fmt.Errorf("it holds here, and the fleet may not know: %w", err)
+	case o.group.hasOthers():
+		return nil
+	}
+	return errors.New("it holds here alone: this process ends, or another sidecar bears its name in the fleet; " +
+		"call at another console")
+}
+
+// replicationNote says how many of the sidecars that were asked hold a call.
+func replicationNote(held, asked int) string {
+	switch {
 	case asked == 0:
-		return "there is no other sidecar to know of it", nil
+		return "there is no other sidecar to know of it"
 	case held == 0:
-		return "no other sidecar has answered: this one is cut off, and tells them when it can", nil
+		return "no other sidecar has answered: this one is cut off, and tells them when it can"
 	}
-	return fmt.Sprintf("%d other sidecars hold it and tell the rest", held), nil
+	return fmt.Sprintf("%d other sidecars hold it and tell the rest", held)
 }
 
-// fleetReady tells whether the part in the fleet is ready.
+// fleetReady reports whether the part in the fleet is ready, and if not, why.
 func (o *operator) fleetReady() (ready bool, why string) {
-	part := o.fleet()
-	if part == nil {
+	fleet := o.fleet()
+	if fleet == nil {
 		return true, ""
 	}
 	if o.gate != nil && !o.gate.Enter(context.Background(), fleetQueryTimeout) {
@@ -248,43 +240,18 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), fleetQueryTimeout)
 	defer cancel()
-	if ready, phase := part.Ready(ctx); !ready {
+	ready, phase := fleet.Ready(ctx)
+	if !ready {
 		return false, "fleet: " + phase
 	}
 	return true, ""
 }
 
-// PolicyHandler implements console.Sidecar.
-func (o *operator) PolicyHandler() http.Handler {
-	if o.fleet() == nil || o.gate == nil {
-		return nil
-	}
-	return o.gate.Policy().Handler()
-}
-
-// FleetStatus implements console.Sidecar.
-func (o *operator) FleetStatus(ctx context.Context) ([]byte, error) {
-	part := o.fleet()
-	if part == nil {
-		return nil, admin.ErrNoFleet
-	}
-	return part.Status(ctx)
-}
-
-// writeFleetMetrics writes the fleet's figures behind the others.
+// writeFleetMetrics writes the fleet's metrics, where there is a fleet.
 func (o *operator) writeFleetMetrics(ctx context.Context, w io.Writer) error {
-	part := o.fleet()
-	if part == nil {
+	fleet := o.fleet()
+	if fleet == nil {
 		return nil
 	}
-	return part.WriteMetrics(ctx, w)
-}
-
-// listed returns endpoints as entries of the own list.
-func listed(endpoints []discovery.Endpoint) []ListedServer {
-	servers := make([]ListedServer, 0, len(endpoints))
-	for _, e := range endpoints {
-		servers = append(servers, ListedServer{e.ID, e.StartedAt})
-	}
-	return servers
+	return fleet.WriteMetrics(ctx, w)
 }
--- a/internal/sidecar/gone_test.go
+++ b/internal/sidecar/gone_test.go
@@ -12,8 +12,8 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestGoneBeforeItsRequestIsWhole has a client leave while its request is read, or waits for a policy with more requests
-// behind it: nothing is sent on.
+// TestGoneBeforeItsRequestIsWhole has a client leave while its request is read, or waits for a policy with more
+// requests behind it: nothing is sent on.
 func TestGoneBeforeItsRequestIsWhole(t *testing.T) {
 	b, f := testserver.StartBackend(t, testserver.Respond(200, "", "ok")), &fakePart{}
 	p := startIn(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings), drainTimes{quietPeriod: time.Millisecond}, f.join)
--- a/internal/sidecar/hooks.go
+++ b/internal/sidecar/hooks.go
@@ -9,26 +9,26 @@
 	"milletramp.example/milletramp/internal/netretry"
 )
 
-// listenTimeout bounds how long listening is tried where this machine is short of something. A process has to be ready
-// within 10 s, and listens at two addresses.
+// listenTimeout bounds how long listening is retried while this machine is short of descriptors or memory. A process
+// has to be ready within 10 s, and listens at two addresses.
 const listenTimeout = 4 * time.Second
 
-// hooks let a test see and replace what a process does with the system; zero: nothing is.
+// listenFunc opens a listener.
+type listenFunc func() (*net.TCPListener, error)
+
+// hooks let a test observe and replace the system calls of a process. A nil one but started is not called.
 type hooks struct {
-	started func(*operator) // gets what the console asks, once the process listens
+	started func(*operator) // is called once the process listens for clients
 	listen  func(open listenFunc) (*net.TCPListener, error)
 	accept  func(*net.TCPListener) (net.Conn, error)
 	dial    discovery.DialFunc // to servers
 }
 
-// listenFunc opens a listener.
-type listenFunc func() (*net.TCPListener, error)
-
-// listenWithRetry has open tried for listenWithin, or until stop is done.
+// listenWithRetry opens a listener, and retries shortages of this machine for listenTimeout, or until stop is done.
 func (h *hooks) listenWithRetry(stop context.Context, open listenFunc) (*net.TCPListener, error) {
-	within, cancel := context.WithTimeout(stop, listenTimeout)
+	ctx, cancel := context.WithTimeout(stop, listenTimeout)
 	defer cancel()
-	return netretry.Open(within, func() (*net.TCPListener, error) {
+	return netretry.Open(ctx, func() (*net.TCPListener, error) {
 		if h.listen != nil {
 			return h.listen(open)
 		}
--- a/internal/sidecar/linger_test.go
+++ b/internal/sidecar/linger_test.go
@@ -11,7 +11,8 @@
 	"milletramp.example/milletramp/internal/proxy"
 )
 
-// TestLastAnswerBeforeUnreadBytes: bytes that nobody reads do not cost the answer that goes before them, and are no request.
+// TestLastAnswerBeforeUnreadBytes: bytes that nobody reads do not cost the answer that goes before them, and are no
+// request.
 func TestLastAnswerBeforeUnreadBytes(t *testing.T) {
 	t.Run("too large a body", func(t *testing.T) {
 		b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
--- a/internal/sidecar/main.go
+++ b/internal/sidecar/main.go
@@ -12,10 +12,10 @@
 	"milletramp.example/milletramp/internal/config"
 )
 
-// Main is a program that is a sidecar: it takes its configuration from the environment, reads its file again at SIGHUP, and
-// ends on SIGTERM once it has finished what it has taken. It returns the exit status.
+// Main is the main function of a sidecar program. It reads the configuration that the environment names, reads it again
+// at SIGHUP, and drains and ends at SIGTERM. It returns the exit status.
 func Main(join JoinFunc) (status int) {
-	// Until it is caught, SIGHUP ends the process. One that comes meanwhile is kept.
+	// SIGHUP ends a process that does not catch it. One that comes during the start is kept.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
--- /dev/null
+++ b/internal/sidecar/operator.go
@@ -0,0 +1,155 @@
+package sidecar
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"net/http"
+	"sync"
+	"sync/atomic"
+
+	"milletramp.example/milletramp/internal/admin"
+	"milletramp.example/milletramp/internal/downstream"
+	"milletramp.example/milletramp/internal/hotrestart"
+	"milletramp.example/milletramp/internal/metrics"
+	"milletramp.example/milletramp/internal/proxy"
+)
+
+// operator does what operators ask for by the admin server, and what the fleet and other processes say of servers that
+// are administratively down. It implements admin.Sidecar.
+type operator struct {
+	loop             *proxy.EventLoop
+	metrics          *metrics.Counters
+	group            *processGroup
+	server           atomic.Pointer[clientServer] // nil: the process does not listen for clients yet
+	announced        atomic.Bool                  // other processes can see that this one is ready
+	participant      atomic.Pointer[Participant]  // in a fleet; nil: there is none
+	gate             *proxy.PolicyGate            // set before clients are served; nil: the fleet has no policy
+	adminDownChanged chan struct{}                // gets a value when the fleet has taken servers down or up
+
+	publishing sync.Mutex // held by publishAdminDown
+
+	fleetAdminDown map[string]bool // what the fleet last had down; of the loop's goroutine
+}
+
+// clientServer is what serves clients.
+type clientServer struct {
+	handler *proxy.Handler
+	conns   *downstream.Listener
+}
+
+// newOperator returns an operator of a process that does not listen yet and is in no fleet.
+func newOperator(loop *proxy.EventLoop, group *processGroup) *operator {
+	return &operator{loop: loop, metrics: loop.Metrics(), group: group}
+}
+
+// Ready implements admin.Sidecar.
+func (o *operator) Ready() (ready bool, why string) {
+	server := o.server.Load()
+	switch {
+	case server == nil:
+		return false, "not listening yet"
+	case server.handler.IsDraining():
+		return false, "told to stop"
+	}
+	select {
+	case <-o.loop.Ready():
+	default:
+		return false, "no list of servers yet"
+	}
+	if !o.announced.Load() {
+		return false, "starting"
+	}
+	return o.fleetReady()
+}
+
+// Metrics implements admin.Sidecar.
+func (o *operator) Metrics(ctx context.Context) ([]byte, error) {
+	var gauges metrics.Gauges
+	err := o.loop.Do(ctx, func() { gauges.ListedServers, gauges.AvoidedServers = o.loop.CountEndpoints() })
+	if err != nil {
+		return nil, err
+	}
+	if server := o.server.Load(); server != nil {
+		gauges.InFlight = server.handler.InFlight()
+	}
+	var text bytes.Buffer
+	if err := o.metrics.Write(&text, gauges); err != nil {
+		return nil, err
+	}
+	err = o.writeFleetMetrics(ctx, &text)
+	return text.Bytes(), err
+}
+
+// PolicyHandler implements admin.Sidecar.
+func (o *operator) PolicyHandler() http.Handler {
+	if o.fleet() == nil || o.gate == nil {
+		return nil
+	}
+	return o.gate.Policy().Handler()
+}
+
+// FleetStatus implements admin.Sidecar.
+func (o *operator) FleetStatus(ctx context.Context) ([]byte, error) {
+	fleet := o.fleet()
+	if fleet == nil {
+		return nil, admin.ErrNoFleet
+	}
+	return fleet.Status(ctx)
+}
+
+// SetAdminDown implements admin.Sidecar. In an upgrade it takes effect in both processes before it returns: one that is
+// just starting reads what is published, and one that has started gets the forwarded call. So what is published first
+// and forwarded then misses neither.
+func (o *operator) SetAdminDown(ctx context.Context, id string, down, forwarded bool) (note string, err error) {
+	known := false
+	if err := o.loop.Do(ctx, func() { known = o.loop.SetAdminDown(id, down) }); err != nil {
+		return "", err
+	}
+	if known {
+		if err := o.publishAdminDown(ctx); err != nil {
+			return "", err
+		}
+	}
+	knownElsewhere := forwarded // the other process has it, and the list here is about to
+	if !forwarded {
+		knownElsewhere, err = o.group.forwardAdminDown(ctx, id, down)
+		if err != nil {
+			return "", err
+		}
+	}
+	if knownElsewhere && !known && down {
+		if err := o.adoptAdminDown(ctx, []string{id}); err != nil {
+			return "", err
+		}
+		known = true
+	}
+	return o.publishToFleet(ctx, id, down, known || knownElsewhere && !forwarded, forwarded)
+}
+
+// inherit takes over which servers are administratively down for other processes.
+func (o *operator) inherit(ctx context.Context) error {
+	ids := o.group.adminDown()
+	if len(ids) == 0 {
+		return nil
+	}
+	return o.adoptAdminDown(ctx, ids)
+}
+
+// adoptAdminDown takes servers administratively down, whether or not they are known here.
+func (o *operator) adoptAdminDown(ctx context.Context, ids []string) error {
+	err := o.loop.Do(ctx, func() { o.loop.AdoptAdminDown(ids) })
+	return errors.Join(err, o.publishAdminDown(ctx))
+}
+
+// publishAdminDown writes which servers are administratively down for other processes. One call at a time does: of two
+// that overlapped, the one that read the older list could write last, after both operators were answered.
+func (o *operator) publishAdminDown(ctx context.Context) error {
+	o.publishing.Lock()
+	defer o.publishing.Unlock()
+	var ids []string
+	if err := o.loop.Do(ctx, func() { ids = o.loop.AdminDown() }); err != nil {
+		return err
+	}
+	return o.group.member.Update(func(s *hotrestart.State) { s.AdminDown = ids })
+}
--- a/internal/sidecar/policy_test.go
+++ b/internal/sidecar/policy_test.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// TestGate: requests are taken under the policy in force alone, wait for the next where that is soon, and are refused where there is
-// no promise.
+// TestGate: requests are taken under the policy in force alone, wait for the next where that is soon, and are refused
+// where there is no promise.
 func TestGate(t *testing.T) {
 	b, f := testserver.StartBackend(t, testserver.Respond(200, "", "ok")), &fakePart{}
 	p := startIn(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings), drainTimes{quietPeriod: time.Millisecond}, f.join)
--- a/internal/sidecar/family_fault_test.go
+++ b/internal/sidecar/process_group_fault_test.go
@@ -13,9 +13,9 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestFolderFailsInService has the folder for upgrades be away for a while: the sidecar goes on serving, answers no call
-// of the operators with yes that the next process would not see, and once the folder is there again that process sees
-// what was called, without a further call.
+// TestFolderFailsInService has the folder for upgrades be away for a while: the sidecar goes on serving, answers no
+// call of the operators with yes that the next process would not see, and once the folder is there again that process
+// sees what was called, without a further call.
 func TestFolderFailsInService(t *testing.T) {
 	dir := t.TempDir()
 	one, two := testserver.StartBackend(t, testserver.Respond(200, "", "one")), testserver.StartBackend(t, testserver.Respond(200, "", "two"))
--- a/internal/sidecar/family_test.go
+++ b/internal/sidecar/process_group_test.go
@@ -10,8 +10,8 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestBesideAnother has a process start beside another of its sidecar with no list of servers: it does not listen before
-// it has one. Danger: it would refuse what the other one serves. It takes over what is out by hand.
+// TestBesideAnother has a process start beside another of its sidecar with no list of servers: it does not listen
+// before it has one. Danger: it would refuse what the other one serves. It takes over what is out by hand.
 func TestBesideAnother(t *testing.T) {
 	dir := t.TempDir()
 	other, err := hotrestart.Join(dir, hotrestart.State{Name: "n0", ListenAddress: "127.0.0.1:0", Started: time.Now(),
@@ -40,8 +40,8 @@
 	}
 	w.Lines <- testserver.ServingList(1, b, b)
 	staff := testserver.Receive(t, started, "listening with a list")
-	if staff.group.shares.Load() != 2 {
-		t.Errorf("the sidecar's limits are parted into %d", staff.group.shares.Load())
+	if staff.group.processes.Load() != 2 {
+		t.Errorf("the sidecar's limits are parted into %d", staff.group.processes.Load())
 	}
 	listed, avoided := 0, 0
 	if err := staff.loop.Do(context.Background(), func() { listed, avoided = staff.loop.CountEndpoints() }); err != nil {
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -2,17 +2,31 @@
 
 import (
 	"context"
+	"os"
 
 	"milletramp.example/milletramp/internal/config"
 )
 
-// reload reads the configuration again and takes what it may change. It returns the configuration that is in use then: a
+// reloadEach reads the configuration again at each signal, until ctx ends.
+func (p *process) reloadEach(ctx context.Context, signals <-chan os.Signal) {
+	inUse := p.config
+	for {
+		select {
+		case <-signals:
+			inUse = p.reload(ctx, inUse)
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// reload reads the configuration again and takes what may change in it. It returns the configuration in use then: a
 // file with any fault is refused whole.
 func (p *process) reload(ctx context.Context, inUse *config.Config) *config.Config {
 	metrics := p.loop.Metrics()
 	fresh, err := inUse.Reload()
 	if err == nil {
-		if ended := p.loop.Do(ctx, func() { err = p.loop.Reconfigure(fresh) }); ended != nil {
+		if loopErr := p.loop.Do(ctx, func() { err = p.loop.Reconfigure(fresh) }); loopErr != nil {
 			return inUse // the process ends
 		}
 	}
--- a/internal/sidecar/socket_budget.go
+++ b/internal/sidecar/socket_budget.go
@@ -5,33 +5,42 @@
 	"milletramp.example/milletramp/internal/config"
 )
 
-// socketBudget shares out the descriptors that the process may hold. Without any left, accepting fails for all.
+const (
+	// adminDescriptors are for the admin server: its listener, its connections, and one that is being accepted.
+	adminDescriptors = admin.MaxConnections + 2
+	// reservedDescriptors are for the listener, discovery's watches, a connection that is being closed, and the
+	// runtime.
+	reservedDescriptors = 20
+	// requestShare is the part of all descriptors, as its divisor, that clients may hold for requests.
+	requestShare = 3
+	// keepAliveShare is the part of the connections with requests that clients may keep open. The rest is for bursts.
+	keepAliveShare = 0.75
+)
+
+// socketBudget shares out the descriptors that a process may hold.
 type socketBudget struct {
-	Requests       int // held at once; each has a connection of its client
-	ClientConns    int // connections from clients
-	KeepAliveConns int // of these, that clients hold before they are asked to close them
-	UpstreamConns  int // connections to servers, with a request or idle
+	Requests       int // in flight; each has a client connection
+	ClientConns    int // open
+	KeepAliveConns int // that have had a request, from which on responses end their connections
+	UpstreamConns  int // open to servers
 }
 
-// adminDescriptors are set aside for the console: its listener, its callers, and one that is being taken.
-const adminDescriptors = admin.MaxConnections + 2
-
-// reservedDescriptors are for the listener, discovery's watches, a connection that is about to be closed, and the runtime.
-const reservedDescriptors = 20
-
-// keepAliveShare of the connections that clients can hold with a request leaves the rest for bursts.
-const keepAliveShare = 0.75
-
+// newSocketBudget returns the budget of a process that is alone.
 func newSocketBudget(c *config.Config) socketBudget {
-	all := c.Sockets - reservedDescriptors
+	available := c.Sockets - reservedDescriptors
 	if c.Console != "" {
-		all -= adminDescriptors
+		available -= adminDescriptors
+	}
+	clientConns := available / 2
+	requests := min(c.Sockets/requestShare, clientConns-clientConns/8)
+	budget := socketBudget{
+		Requests:       requests,
+		ClientConns:    clientConns,
+		KeepAliveConns: max(int(keepAliveShare*float64(requests)), 1),
+		UpstreamConns:  available - clientConns,
 	}
-	clients := all / 2
-	held := min(c.Sockets/3, clients-clients/8) // clients hold a third of the descriptors at most for requests
-	requests := held
 	if c.Limits.MostHeld > 0 {
-		requests = min(held, c.Limits.MostHeld)
+		budget.Requests = min(requests, c.Limits.MostHeld)
 	}
-	return socketBudget{Requests: requests, ClientConns: clients, KeepAliveConns: max(int(keepAliveShare*float64(held)), 1), UpstreamConns: all - clients}
+	return budget
 }
--- a/internal/sidecar/stop_test.go
+++ b/internal/sidecar/stop_test.go
@@ -24,8 +24,8 @@
 
 var stopRounds = flag.Int("stop.rounds", 40, "rounds of TestStopUnderLoad")
 
-// TestStopTakesWhatComes has a client open a connection, and send its request only when the process has long been told to
-// stop and is waiting for another answer: that request is answered too.
+// TestStopTakesWhatComes has a client open a connection, and send its request only when the process has long been told
+// to stop and is waiting for another answer: that request is answered too.
 func TestStopTakesWhatComes(t *testing.T) {
 	gate := make(chan bool)
 	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -118,8 +118,8 @@
 	return info.State == closeWait
 }
 
-// TestStopUnderLoad stops the process again and again while clients ask on connections that they keep. A request that was
-// read has its answer; one that was not finds its connection reset.
+// TestStopUnderLoad stops the process again and again while clients ask on connections that they keep. A request that
+// was read has its answer; one that was not finds its connection reset.
 func TestStopUnderLoad(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	go func() {
@@ -191,9 +191,9 @@
 	}
 }
 
-// TestStopUnderNewSettings stops a process whose settings were replaced by ones with shorter deadlines, while requests of the old ones
-// are out at a server that hangs: the platform kills it by the new ones, and before that each has its answer. One that may be repeated
-// is refused, one that is unsafe to repeat and may have run is not.
+// TestStopUnderNewSettings stops a process whose settings were replaced by ones with shorter deadlines, while requests
+// of the old ones are out at a server that hangs: the platform kills it by the new ones, and before that each has its
+// answer. One that may be repeated is refused, one that is unsafe to repeat and may have run is not.
 func TestStopUnderNewSettings(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.NeverRespond)
 	text := testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings)
--- a/internal/sidecar/swallow_test.go
+++ b/internal/sidecar/swallow_test.go
@@ -12,8 +12,8 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestSwallowedRequests has some requests at every server swallowed while it answers all others at once: their time-outs
-// must not make the servers look slow, and so turn away what they would serve.
+// TestSwallowedRequests has some requests at every server swallowed while it answers all others at once: their
+// time-outs must not make the servers look slow, and so turn away what they would serve.
 func TestSwallowedRequests(t *testing.T) {
 	const each = 3
 	var backends []*testserver.Backend
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -127,8 +127,8 @@
 	}
 }
 
-// TestNobodyIsEjected has no connection come up for a lack of descriptors, many times: no server is ejected for that, and
-// all are used once it has passed.
+// TestNobodyIsEjected has no connection come up for a lack of descriptors, many times: no server is ejected for that,
+// and all are used once it has passed.
 func TestNobodyIsEjected(t *testing.T) {
 	var backends []*testserver.Backend
 	for range 4 {
