--- a/cmd/fleetsidecar/main.go
+++ b/cmd/fleetsidecar/main.go
@@ -5,8 +5,8 @@
 import (
 	"os"
 
-	"milletramp.example/milletramp/internal/member"
+	"milletramp.example/milletramp/internal/fleetadapter"
 	"milletramp.example/milletramp/internal/sidecar"
 )
 
-func main() { os.Exit(sidecar.Main(member.Join)) }
+func main() { os.Exit(sidecar.Main(fleetadapter.Join)) }
--- a/cmd/milletramp/policy_change.go
+++ b/cmd/milletramp/policy_change.go
@@ -11,12 +11,12 @@
 	"os/user"
 	"strings"
 
-	"milletramp.example/milletramp/internal/member"
+	"milletramp.example/milletramp/internal/fleetadapter"
 )
 
 // propose proposes a change and waits for its outcome. It fills in what the proposal lacks: the policy that it follows,
 // an id and the author.
-func (p policyConsole) propose(ctx context.Context, proposal member.Proposal) error {
+func (p policyConsole) propose(ctx context.Context, proposal fleetadapter.Proposal) error {
 	ctx, cancel := p.withTimeout(ctx)
 	defer cancel()
 	if proposal.Follows == 0 {
@@ -34,7 +34,7 @@
 	}
 	fmt.Fprintln(os.Stderr, "change", proposal.ID)
 	c := change{policyConsole: p, proposal: &proposal}
-	c.outcome = member.Outcome{ID: proposal.ID, State: stateUnknown}
+	c.outcome = fleetadapter.Outcome{ID: proposal.ID, State: stateUnknown}
 	if err := p.post(ctx, "/ops/policy/propose", proposal, &c.outcome); err != nil {
 		return err
 	}
@@ -44,9 +44,9 @@
 // change follows a change until its outcome is final.
 type change struct {
 	policyConsole
-	outcome  member.Outcome
-	proposal *member.Proposal // nil: of a change that another command has proposed
-	printed  string           // the last progress line
+	outcome  fleetadapter.Outcome
+	proposal *fleetadapter.Proposal // nil: of a change that another command has proposed
+	printed  string                 // the last progress line
 }
 
 // await polls the outcome until it is final or ctx ends, and prints it.
@@ -69,7 +69,7 @@
 // poll fetches the outcome. A change that no voter knows, as there was no leader when it was proposed, is proposed
 // again; its id keeps it from taking effect twice. Calls that fail are left to the next poll.
 func (c *change) poll(ctx context.Context) {
-	var latest member.Outcome
+	var latest fleetadapter.Outcome
 	var err error
 	if c.outcome.State == stateUnknown && c.proposal != nil {
 		err = c.post(ctx, "/ops/policy/propose", c.proposal, &latest)
--- a/cmd/milletramp/policy_console.go
+++ b/cmd/milletramp/policy_console.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"milletramp.example/milletramp/internal/fleet/policyagent"
-	"milletramp.example/milletramp/internal/member"
+	"milletramp.example/milletramp/internal/fleetadapter"
 )
 
 // pollInterval is the time between two calls of a command that waits.
@@ -83,12 +83,12 @@
 }
 
 // document fetches a document by its number, or the one in force for number 0.
-func (p policyConsole) document(ctx context.Context, number uint64) (member.Document, error) {
+func (p policyConsole) document(ctx context.Context, number uint64) (fleetadapter.Document, error) {
 	path := "/ops/policy/document"
 	if number > 0 {
 		path += fmt.Sprintf("?number=%d", number)
 	}
-	var document member.Document
+	var document fleetadapter.Document
 	err := p.get(ctx, path, &document)
 	return document, err
 }
--- a/cmd/milletramp/policy_outcome.go
+++ b/cmd/milletramp/policy_outcome.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"milletramp.example/milletramp/internal/member"
+	"milletramp.example/milletramp/internal/fleetadapter"
 )
 
 type policyOutcome struct {
@@ -19,6 +19,6 @@
 func (c policyOutcome) Run(ctx context.Context) error {
 	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
-	proposed := change{policyConsole: c.policyConsole, outcome: member.Outcome{ID: c.ID, State: stateUnknown}}
+	proposed := change{policyConsole: c.policyConsole, outcome: fleetadapter.Outcome{ID: c.ID, State: stateUnknown}}
 	return proposed.await(ctx)
 }
--- a/cmd/milletramp/policy_propose.go
+++ b/cmd/milletramp/policy_propose.go
@@ -4,7 +4,7 @@
 	"context"
 	"os"
 
-	"milletramp.example/milletramp/internal/member"
+	"milletramp.example/milletramp/internal/fleetadapter"
 )
 
 type policyPropose struct {
@@ -25,5 +25,5 @@
 	if err != nil {
 		return err
 	}
-	return c.propose(ctx, member.Proposal{ID: c.ID, Author: c.Author, Follows: c.Follows, Text: text})
+	return c.propose(ctx, fleetadapter.Proposal{ID: c.ID, Author: c.Author, Follows: c.Follows, Text: text})
 }
--- a/cmd/milletramp/policy_replace.go
+++ b/cmd/milletramp/policy_replace.go
@@ -8,7 +8,7 @@
 	"strings"
 
 	"milletramp.example/milletramp/internal/fleet/policyagent"
-	"milletramp.example/milletramp/internal/member"
+	"milletramp.example/milletramp/internal/fleetadapter"
 )
 
 type policyReplace struct {
@@ -29,8 +29,8 @@
 func (c policyReplace) Run(ctx context.Context) error {
 	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
-	replacement := member.Replacement{Out: c.OldVoter, In: c.NewVoter}
-	if err := c.post(ctx, "/ops/policy/replace", replacement, &member.Replacement{}); err != nil {
+	replacement := fleetadapter.Replacement{Out: c.OldVoter, In: c.NewVoter}
+	if err := c.post(ctx, "/ops/policy/replace", replacement, &fleetadapter.Replacement{}); err != nil {
 		return err
 	}
 	for {
--- a/cmd/milletramp/policy_revert.go
+++ b/cmd/milletramp/policy_revert.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"milletramp.example/milletramp/internal/member"
+	"milletramp.example/milletramp/internal/fleetadapter"
 )
 
 type policyRevert struct {
@@ -21,5 +21,5 @@
 	if err != nil {
 		return err
 	}
-	return c.propose(ctx, member.Proposal{Text: document.Text})
+	return c.propose(ctx, fleetadapter.Proposal{Text: document.Text})
 }
--- a/deploy/fleet_test.go
+++ b/deploy/fleet_test.go
@@ -100,7 +100,7 @@
 	for _, path := range strings.Fields(string(out)) {
 		name, own := strings.CutPrefix(path, house)
 		switch {
-		case strings.HasPrefix(name, "internal/fleet") || strings.HasPrefix(name, "internal/member"):
+		case strings.HasPrefix(name, "internal/fleet") || strings.HasPrefix(name, "internal/fleetadapter"):
 			t.Errorf("%s is linked into the program in service", path)
 		case own && name != "balance":
 			used[name] = true
--- a/deploy/names_test.go
+++ b/deploy/names_test.go
@@ -112,7 +112,7 @@
 	}
 	distinct := regexp.MustCompile(`\b(` + strings.Join(names, "|") + `)\b`)
 	d, files := read(t), 0
-	for _, folder := range append([]string{"balance", "cmd/adapter", "cmd/fleetsidecar", "internal/member", "internal/fleet"}, d.Node...) {
+	for _, folder := range append([]string{"balance", "cmd/adapter", "cmd/fleetsidecar", "internal/fleetadapter", "internal/fleet"}, d.Node...) {
 		err := filepath.WalkDir(filepath.Join(root, folder), func(path string, _ os.DirEntry, err error) error {
 			if err == nil && strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go") {
 				files++
--- a/deploy/policy_test.go
+++ b/deploy/policy_test.go
@@ -18,8 +18,8 @@
 	"github.com/cespare/xxhash/v2"
 
 	"milletramp.example/milletramp/internal/fleet/policyagent"
+	"milletramp.example/milletramp/internal/fleetadapter"
 	"milletramp.example/milletramp/internal/lab/testrun"
-	"milletramp.example/milletramp/internal/member"
 )
 
 // document is a policy for the sites of these tests, with these classes.
@@ -70,9 +70,9 @@
 }
 
 // change proposes a policy at a console, and waits for the answer.
-func (p *process) change(id string, follows uint64, text string) (o member.Outcome) {
+func (p *process) change(id string, follows uint64, text string) (o fleetadapter.Outcome) {
 	p.site.t.Helper()
-	body, err := json.Marshal(member.Proposal{ID: id, Author: "test", Follows: follows, Text: json.RawMessage(text)})
+	body, err := json.Marshal(fleetadapter.Proposal{ID: id, Author: "test", Follows: follows, Text: json.RawMessage(text)})
 	if err != nil {
 		p.site.t.Fatal(err)
 	}
--- a/internal/member/member.go
+++ b/internal/fleetadapter/participant.go
@@ -1,6 +1,6 @@
 // Package member gives a sidecar its part in the fleet: it passes on what each of the two has for the other, and decides
 // nothing. It is apart from package sidecar so that a program without a fleet has none of the fleet's code.
-package member
+package fleetadapter
 
 import (
 	"context"
--- a/internal/member/policy.go
+++ b/internal/fleetadapter/policy_handler.go
@@ -1,4 +1,4 @@
-package member
+package fleetadapter
 
 import (
 	"context"
