--- a/internal/fleetadapter/participant.go
+++ b/internal/fleetadapter/participant.go
@@ -1,5 +1,8 @@
-// Package member gives a sidecar its part in the fleet: it passes on what each of the two has for the other, and decides
-// nothing. It is apart from package sidecar so that a program without a fleet has none of the fleet's code.
+// Package fleetadapter gives a sidecar its part in a fleet. It translates between package sidecar and package fleet and
+// decides nothing. It stands apart from both so that a program without a fleet links none of the fleet's code.
+//
+// It starts no goroutine. Its errors are those of the fleet, but for sidecar.ErrSuperseded, which stands for a fleet
+// that this process does not speak in any more.
 package fleetadapter
 
 import (
@@ -19,89 +22,121 @@
 	"milletramp.example/milletramp/internal/wallclock"
 )
 
-// part implements sidecar.Part.
-type part struct{ *fleet.Fleet }
+// participant implements sidecar.Participant.
+type participant struct{ *fleet.Fleet }
 
-// Join begins a sidecar's part in the fleet that the operator's file names. It is a sidecar.Join.
-func Join(c *config.Config, before []string, log *slog.Logger, told sidecar.Callbacks) (sidecar.Participant, error) {
-	named, err := fleet.FromEnvironment(c.Getenv)
-	if err != nil || named == nil {
+// Join begins a sidecar's part in the fleet that the operator's file names. It is a sidecar.JoinFunc.
+func Join(c *config.Config, peers []string, log *slog.Logger,
+	callbacks sidecar.Callbacks) (sidecar.Participant, error) {
+	fleetConfig, err := fleet.FromEnvironment(c.Getenv)
+	if err != nil || fleetConfig == nil {
 		return nil, err
 	}
-	f, err := fleet.Start(named, c.Name, before, log, fleet.Callbacks{OnAdminDown: told.OnAdminDown, OnSuspicions: func(doubts []fleet.Suspicion) {
-		words := make([]sidecar.Suspicion, 0, len(doubts))
-		for _, d := range doubts {
-			words = append(words, sidecar.Suspicion(d))
-		}
-		told.OnSuspicions(words)
-	}, CheckPolicy: told.CheckPolicy})
+	f, err := fleet.Start(fleetConfig, c.Name, peers, log, fleet.Callbacks{
+		OnAdminDown:  callbacks.OnAdminDown,
+		OnSuspicions: func(s []fleet.Suspicion) { callbacks.OnSuspicions(suspicions(s)) },
+		CheckPolicy:  callbacks.CheckPolicy,
+	})
 	if err != nil {
 		return nil, err
 	}
-	return part{f}, nil
+	return participant{f}, nil
 }
 
-// Policy implements sidecar.Part.
-func (p part) Policy() proxy.Policy {
-	if c := p.Fleet.Policy(); c != nil {
-		return newCalls(c)
+// suspicions returns the fleet's suspicions as the sidecar's.
+func suspicions(ofFleet []fleet.Suspicion) []sidecar.Suspicion {
+	list := make([]sidecar.Suspicion, 0, len(ofFleet))
+	for _, s := range ofFleet {
+		list = append(list, sidecar.Suspicion(s))
 	}
-	return nil
+	return list
+}
+
+// Policy implements sidecar.Participant.
+func (p participant) Policy() proxy.Policy {
+	agent := p.Fleet.Policy()
+	if agent == nil {
+		return nil
+	}
+	return newPolicyHandler(agent)
 }
 
-// UpdateServers implements sidecar.Part.
-func (p part) UpdateServers(servers []sidecar.ListedServer) {
+// UpdateServers implements sidecar.Participant.
+func (p participant) UpdateServers(servers []sidecar.ListedServer) {
 	list := make([]fleet.Server, 0, len(servers))
 	for _, s := range servers {
-		o := fleet.Server{ID: s.ID}
+		server := fleet.Server{ID: s.ID}
 		if !s.StartedAt.IsZero() {
-			o.Boot = wallclock.Milliseconds(s.StartedAt)
+			server.Boot = wallclock.Milliseconds(s.StartedAt)
 		}
-		list = append(list, o)
+		list = append(list, server)
 	}
 	p.Fleet.SetServers(list)
 }
 
-// ends are the Balancer's sights as the fleet calls them.
-var ends = [...]failuredetector.Outcome{balance.ObservedAnswer: failuredetector.Answered, balance.ObservedLate: failuredetector.Late, balance.ObservedSilence: failuredetector.Silent,
-	balance.ObservedFailure: failuredetector.Failed, balance.ObservedRefusal: failuredetector.Refused}
+// outcomes are the Balancer's observations as the fleet's failure detector names them.
+var outcomes = [...]failuredetector.Outcome{
+	balance.ObservedAnswer:  failuredetector.Answered,
+	balance.ObservedLate:    failuredetector.Late,
+	balance.ObservedSilence: failuredetector.Silent,
+	balance.ObservedFailure: failuredetector.Failed,
+	balance.ObservedRefusal: failuredetector.Refused,
+}
 
 // Observe implements balance.Observer.
-func (p part) Observe(endpoint string, s balance.Observation) { p.Fleet.Observe(endpoint, ends[s]) }
+func (p participant) Observe(endpoint string, observation balance.Observation) {
+	p.Fleet.Observe(endpoint, outcomes[observation])
+}
 
-// SetAdminDown implements sidecar.Part.
-func (p part) SetAdminDown(ctx context.Context, server string, out, confirm bool) (held, asked int, err error) {
-	if held, asked, err = p.Fleet.SetAdminDown(ctx, server, out, confirm); errors.Is(err, fleet.ErrSuperseded) || errors.Is(err, fleet.ErrClosed) {
+// SetAdminDown implements sidecar.Participant.
+func (p participant) SetAdminDown(ctx context.Context, server string,
+	down, confirm bool) (held, asked int, err error) {
+	held, asked, err = p.Fleet.SetAdminDown(ctx, server, down, confirm)
+	if errors.Is(err, fleet.ErrSuperseded) || errors.Is(err, fleet.ErrClosed) {
 		return 0, 0, sidecar.ErrSuperseded
 	}
 	return held, asked, err
 }
 
-// Status implements sidecar.Part.
-func (p part) Status(ctx context.Context) ([]byte, error) {
-	s, err := p.Fleet.Status(ctx)
+// Status implements sidecar.Participant.
+func (p participant) Status(ctx context.Context) ([]byte, error) {
+	status, err := p.Fleet.Status(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return json.MarshalIndent(s, "", "  ")
+	return json.MarshalIndent(status, "", "  ")
 }
 
-// WriteMetrics implements sidecar.Part.
-func (p part) WriteMetrics(ctx context.Context, w io.Writer) error {
-	s, err := p.Fleet.Status(ctx)
+// WriteMetrics implements sidecar.Participant.
+func (p participant) WriteMetrics(ctx context.Context, w io.Writer) error {
+	status, err := p.Fleet.Status(ctx)
 	if err != nil {
 		return err
 	}
-	alone, doubts := 0, 0
-	for _, d := range s.Suspicions {
-		if d.Suspected && d.Listed {
-			doubts++
+	alone := 0
+	if status.Phase == "alone" {
+		alone = 1
+	}
+	suspected := 0
+	for _, s := range status.Suspicions {
+		if s.Suspected && s.Listed {
+			suspected++
 		}
 	}
-	if s.Phase == "alone" {
-		alone = 1
+	for _, metric := range []struct {
+		name  string
+		value any
+	}{
+		{"members", status.NumPresent},
+		{"alone", alone},
+		{"own_trouble", status.LocalHealth},
+		{"packets", status.Figures.Packets},
+		{"bytes", status.Figures.Bytes},
+		{"in_doubt", suspected},
+	} {
+		if _, err := fmt.Fprintf(w, "sidecar.fleet.%s=%d\n", metric.name, metric.value); err != nil {
+			return err
+		}
 	}
-	_, err = fmt.Fprintf(w, "sidecar.fleet.members=%d\nsidecar.fleet.alone=%d\nsidecar.fleet.own_trouble=%d\nsidecar.fleet.packets=%d\nsidecar.fleet.bytes=%d\nsidecar.fleet.in_doubt=%d\n",
-		s.NumPresent, alone, s.LocalHealth, s.Figures.Packets, s.Figures.Bytes, doubts)
-	return err
+	return nil
 }
--- a/internal/fleetadapter/policy_handler.go
+++ b/internal/fleetadapter/policy_handler.go
@@ -14,71 +14,92 @@
 )
 
 const (
-	answerWithin = 700 * time.Millisecond // the staff is owed an answer in 1 s
-	mostCall     = 2*policy.MaxDocumentBytes + 4096
+	// callTimeout bounds a call, which operators expect to be answered within 1 s.
+	callTimeout = 700 * time.Millisecond
+	// maxProposalBytes bounds a proposal: its document, which JSON may write longer, and the rest.
+	maxProposalBytes = 2*policy.MaxDocumentBytes + 4096
+	// maxReplacementBytes bounds the body of a call to replace a voter.
+	maxReplacementBytes = 4096
+	// maxProposalID bounds the id of a proposal, in bytes.
+	maxProposalID = 64
 )
 
-// calls implements sidecar.Policy: it answers the staff's calls on the policy.
-type calls struct {
+// policyHandler answers operators' calls on the policy. It implements proxy.Policy.
+type policyHandler struct {
 	*policyagent.Agent
-	mux   *http.ServeMux
-	large chan struct{} // has one while a proposal is read. Danger: many at once would take all memory
+	mux     *http.ServeMux
+	reading chan struct{} // has a value while a proposal is read; many at once could take all memory
 }
 
-func newCalls(c *policyagent.Agent) *calls {
-	p := &calls{Agent: c, mux: http.NewServeMux(), large: make(chan struct{}, 1)}
-	p.mux.HandleFunc("GET /ops/policy/status", p.status)
-	p.mux.HandleFunc("GET /ops/policy/document", p.document)
-	p.mux.HandleFunc("GET /ops/policy/outcome", p.outcome)
-	p.mux.HandleFunc("POST /ops/policy/propose", p.propose)
-	p.mux.HandleFunc("POST /ops/policy/replace", p.replace)
-	return p
+// newPolicyHandler returns a handler of calls on the policy of an agent.
+func newPolicyHandler(agent *policyagent.Agent) *policyHandler {
+	h := &policyHandler{Agent: agent, mux: http.NewServeMux(), reading: make(chan struct{}, 1)}
+	h.mux.HandleFunc("GET /ops/policy/status", h.serveStatus)
+	h.mux.HandleFunc("GET /ops/policy/document", h.serveDocument)
+	h.mux.HandleFunc("GET /ops/policy/outcome", h.serveOutcome)
+	h.mux.HandleFunc("POST /ops/policy/propose", h.servePropose)
+	h.mux.HandleFunc("POST /ops/policy/replace", h.serveReplace)
+	return h
 }
 
-// Handler implements sidecar.Policy.
-func (p *calls) Handler() http.Handler { return p.mux }
+// Handler implements proxy.Policy.
+func (h *policyHandler) Handler() http.Handler { return h.mux }
 
-func (p *calls) status(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
+// serveStatus answers with the state of the policy.
+func (h *policyHandler) serveStatus(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
-	write(w, p.Status(ctx))
+	writeJSON(w, h.Status(ctx))
 }
 
-// Document is a policy as the console gives it.
+// Document is a policy as the admin server gives it.
 type Document struct {
 	Number uint64          `json:"number"`
 	Digest string          `json:"digest"`
 	Text   json.RawMessage `json:"text"`
 }
 
-func (p *calls) document(w http.ResponseWriter, r *http.Request) {
-	number := uint64(0) // in force
+// serveDocument answers with the policy of a number, or the one in force.
+func (h *policyHandler) serveDocument(w http.ResponseWriter, r *http.Request) {
+	number := uint64(0) // the one in force
 	if text := r.FormValue("number"); text != "" {
 		var err error
-		if number, err = strconv.ParseUint(text, 10, 64); err != nil {
+		number, err = strconv.ParseUint(text, 10, 64)
+		if err != nil {
 			http.Error(w, "number: "+err.Error(), http.StatusBadRequest)
 			return
 		}
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
+	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
-	d, err := p.Document(ctx, number)
+	document, err := h.Document(ctx, number)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusNotFound)
 		return
 	}
-	write(w, Document{d.Number, d.Digest.String(), d.Text})
+	writeJSON(w, Document{document.Number, document.Digest.String(), document.Text})
 }
 
-// Proposal is a change as the console takes it.
+// Proposal is a change of the policy as the admin server takes it.
 type Proposal struct {
-	ID      string          `json:"id"` // by which the answer is asked for again
+	ID      string          `json:"id"` // by which its outcome can be asked for
 	Author  string          `json:"author"`
-	Follows uint64          `json:"follows"` // the policy that is to be in force until then
+	Follows uint64          `json:"follows"` // the number of the policy that it replaces
 	Text    json.RawMessage `json:"text"`
 }
 
-// Outcome is how far a change has come.
+// check returns what a proposal lacks.
+func (p *Proposal) check() error {
+	hasID := p.ID != "" && len(p.ID) <= maxProposalID
+	hasText := len(p.Text) > 0 && len(p.Text) <= policy.MaxDocumentBytes
+	if hasID && hasText && p.Follows != 0 {
+		return nil
+	}
+	return fmt.Errorf("an id of 1 to %d bytes, the number that it follows, and a text of 1 to %d bytes are needed",
+		maxProposalID, policy.MaxDocumentBytes)
+}
+
+// Outcome is how far a proposal has come.
 type Outcome struct {
 	ID     string `json:"id"`
 	Number uint64 `json:"number,omitempty"`
@@ -86,67 +107,84 @@
 	Reason string `json:"reason,omitempty"`
 }
 
-func outcomeOf(o policy.Outcome) Outcome {
+// newOutcome returns an outcome as the admin server gives it.
+func newOutcome(o policy.Outcome) Outcome {
 	return Outcome{o.ID, o.Number, o.State.String(), o.Reason}
 }
 
-func (p *calls) propose(w http.ResponseWriter, r *http.Request) {
+// servePropose proposes a change and answers with its outcome so far.
+func (h *policyHandler) servePropose(w http.ResponseWriter, r *http.Request) {
 	select {
-	case p.large <- struct{}{}:
-		defer func() { <-p.large }()
+	case h.reading <- struct{}{}:
+		defer func() { <-h.reading }()
 	default:
 		http.Error(w, "another proposal is being read; again in a moment", http.StatusServiceUnavailable)
 		return
 	}
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, mostCall))
+	proposal, err := readProposal(w, r)
 	if err != nil {
 		http.Error(w, "proposal: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	var c Proposal
-	switch err := json.Unmarshal(text, &c); {
-	case err != nil:
-		http.Error(w, "proposal: "+err.Error(), http.StatusBadRequest)
-		return
-	case c.ID == "" || len(c.ID) > 64 || c.Follows == 0 || len(c.Text) == 0 || len(c.Text) > policy.MaxDocumentBytes:
-		http.Error(w, fmt.Sprintf("proposal: an id of 1 to 64 bytes, the number that it follows, and a text of 1 to %d bytes are needed", policy.MaxDocumentBytes), http.StatusBadRequest)
-		return
-	}
-	ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
+	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
-	write(w, outcomeOf(p.Propose(ctx, policy.Proposal{ID: c.ID, Author: c.Author, Follows: c.Follows, Text: c.Text})))
+	outcome := h.Propose(ctx, policy.Proposal{
+		ID:      proposal.ID,
+		Author:  proposal.Author,
+		Follows: proposal.Follows,
+		Text:    proposal.Text,
+	})
+	writeJSON(w, newOutcome(outcome))
+}
+
+// readProposal reads and checks the proposal of a call.
+func readProposal(w http.ResponseWriter, r *http.Request) (*Proposal, error) {
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxProposalBytes))
+	if err != nil {
+		return nil, err
+	}
+	var proposal Proposal
+	if err := json.Unmarshal(text, &proposal); err != nil {
+		return nil, err
+	}
+	return &proposal, proposal.check()
 }
 
-// Replacement asks for one that waits for a place to take that of a decider.
+// Replacement asks for a waiting sidecar to take the place of a voter.
 type Replacement struct {
 	Out string `json:"out"`
 	In  string `json:"in"`
 }
 
-func (p *calls) replace(w http.ResponseWriter, r *http.Request) {
-	var c Replacement
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 4096)).Decode(&c); err != nil || c.Out == "" || c.In == "" {
-		http.Error(w, "replace: the names of a decider that goes (out) and of one that comes (in) are needed", http.StatusBadRequest)
+// serveReplace replaces a voter.
+func (h *policyHandler) serveReplace(w http.ResponseWriter, r *http.Request) {
+	var replacement Replacement
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxReplacementBytes)).Decode(&replacement)
+	if err != nil || replacement.Out == "" || replacement.In == "" {
+		http.Error(w, "replace: the names of a decider that goes (out) and of one that comes (in) are needed",
+			http.StatusBadRequest)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
+	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
-	if err := p.Replace(ctx, c.Out, c.In); err != nil {
+	if err := h.Replace(ctx, replacement.Out, replacement.In); err != nil {
 		http.Error(w, err.Error(), http.StatusConflict)
 		return
 	}
-	write(w, c)
+	writeJSON(w, replacement)
 }
 
-func (p *calls) outcome(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
+// serveOutcome answers with how far a proposal has come.
+func (h *policyHandler) serveOutcome(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
-	write(w, outcomeOf(p.Outcome(ctx, r.FormValue("id"))))
+	writeJSON(w, newOutcome(h.Outcome(ctx, r.FormValue("id"))))
 }
 
-func write(w http.ResponseWriter, v any) {
+// writeJSON writes a value as indented JSON.
+func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
-	e := json.NewEncoder(w)
-	e.SetIndent("", "  ")
-	_ = e.Encode(v) // a caller that is gone needs none
+	encoder := json.NewEncoder(w)
+	encoder.SetIndent("", "  ")
+	_ = encoder.Encode(value) // a caller that has gone needs no response
 }
