--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -1,6 +1,8 @@
 package upstream
 
 import (
+	"context"
+	"errors"
 	"fmt"
 	"net"
 	"net/http"
@@ -184,3 +186,70 @@
 	sendRequest(client, "s-0", newGetRequest())
 	testserver.Receive(t, closed, "end of the idle connection")
 }
+
+// acquireConns acquires n connections to s-0.
+func acquireConns(t *testing.T, client *Client, n int) (conns []*serverConn) {
+	t.Helper()
+	for range n {
+		conn, err := client.pool.acquire(context.Background(), client.servers["s-0"])
+		if err != nil {
+			t.Fatal(err)
+		}
+		conns = append(conns, conn)
+	}
+	return conns
+}
+
+// isClosed reports whether this side has closed a connection.
+func isClosed(conn *serverConn) bool {
+	return errors.Is(conn.Conn.SetReadDeadline(time.Time{}), net.ErrClosed)
+}
+
+// expectOneIdleConn fails the test unless one connection is open, and idle.
+func expectOneIdleConn(t *testing.T, client *Client) {
+	t.Helper()
+	if open, idle := client.pool.openConns, client.pool.idleConns.Len(); open != 1 || idle != 1 {
+		t.Errorf("%d open, %d idle, want one", open, idle)
+	}
+}
+
+// TestLowerConnLimitClosesLongestIdle: a limit below the number of idle connections closes the longest idle ones at
+// once.
+func TestLowerConnLimitClosesLongestIdle(t *testing.T) {
+	client := newTestClient(t, testserver.StartBackend(t, testserver.NeverRespond))
+	conns := acquireConns(t, client, 3)
+	for _, i := range []int{1, 0, 2} {
+		client.pool.release(conns[i], true)
+	}
+	for _, tt := range []struct {
+		maxConns int
+		closed   []bool
+	}{
+		{2, []bool{false, true, false}},
+		{1, []bool{true, true, false}},
+	} {
+		client.pool.setMaxConns(tt.maxConns)
+		for i, want := range tt.closed {
+			if got := isClosed(conns[i]); got != want {
+				t.Errorf("limit %d: connection %d is closed: %v, want %v", tt.maxConns, i, got, want)
+			}
+		}
+	}
+	expectOneIdleConn(t, client)
+}
+
+// TestLowerConnLimitClosesAcquiredConnsOnRelease: an acquired connection outlives a lower limit until it is released.
+func TestLowerConnLimitClosesAcquiredConnsOnRelease(t *testing.T) {
+	client := newTestClient(t, testserver.StartBackend(t, testserver.NeverRespond))
+	conns := acquireConns(t, client, 2)
+	client.pool.setMaxConns(1)
+	if isClosed(conns[0]) || isClosed(conns[1]) {
+		t.Fatal("an acquired connection is closed")
+	}
+	client.pool.release(conns[0], true)
+	client.pool.release(conns[1], true)
+	if beyond, within := isClosed(conns[0]), isClosed(conns[1]); !beyond || within {
+		t.Errorf("released beyond the limit: closed %v; released within it: closed %v", beyond, within)
+	}
+	expectOneIdleConn(t, client)
+}
--- a/internal/upstream/request_test.go
+++ b/internal/upstream/request_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"milletramp.example/milletramp/balance"
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
@@ -58,3 +59,19 @@
 			timeoutMS, err, connectTime, testserver.Timeout)
 	}
 }
+
+// TestContentTypeIsForwarded: a request's Content-Type reaches the server, and the Response has that of the server.
+func TestContentTypeIsForwarded(t *testing.T) {
+	respond := testserver.Respond(200, "Content-Type: application/x-slot\r\n", "slot")
+	backend := testserver.StartBackend(t, respond)
+	message := newPostRequest("k")
+	message.ContentType = "text/x-booking"
+	r := sendRequest(newTestClient(t, backend), "s-0", message)
+	if r.Outcome != balance.Served || r.ContentType != "application/x-slot" {
+		t.Errorf("outcome %d, Content-Type %q of the response", r.Outcome, r.ContentType)
+	}
+	received := testserver.Receive(t, backend.Requests, "request").Header.Get("Content-Type")
+	if received != message.ContentType {
+		t.Errorf("Content-Type %q of the request at the server", received)
+	}
+}
