--- /dev/null
+++ b/internal/discovery/list_test.go
@@ -0,0 +1,58 @@
+package discovery
+
+import (
+	"strings"
+	"testing"
+
+	"milletramp.example/milletramp/internal/lab/testserver"
+)
+
+// TestParseListRefusesFaults: a list with one fault is refused as a whole, and the error names the fault.
+func TestParseListRefusesFaults(t *testing.T) {
+	good := testserver.EndpointEntry("s-0", "127.0.0.1:9", "SERVING", 0)
+	negativeWeight := `{"uid":"s-1","endpoint":"127.0.0.1:9","state":"SERVING","capacity_hint":-0.5}`
+	unknownState := testserver.EndpointEntry("s-1", "127.0.0.1:9", "RESTING", 0)
+	withoutID := testserver.EndpointEntry("", "127.0.0.1:9", "SERVING", 0)
+	for _, tt := range []struct{ name, text, want string }{
+		{"no rev", `{"all":true,"targets":[` + good + `]}`, "list has no rev"},
+		{"negative capacity_hint", testserver.ListText(1, true, good, negativeWeight),
+			`target 1, "s-1": capacity_hint -0.5 is negative`},
+		{"unknown state", testserver.ListText(1, true, good, unknownState), `target 1, "s-1": unknown state "RESTING"`},
+		{"no uid", testserver.ListText(1, true, good, withoutID), "target 1 has no uid"},
+		{"no JSON", `{"rev":1,"targets":[`, "list: unexpected end of JSON input"},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			list, err := ParseList([]byte(tt.text))
+			if err == nil || !strings.Contains(err.Error(), tt.want) {
+				t.Errorf("error %v, want %q", err, tt.want)
+			}
+			if len(list.Endpoints) > 0 {
+				t.Errorf("%d endpoints of a list that is refused", len(list.Endpoints))
+			}
+		})
+	}
+}
+
+// TestMissingCapacityHintMeansWeightOne: an endpoint without capacity_hint has the weight 1, and one with it the weight
+// that it says, also 0.
+func TestMissingCapacityHintMeansWeightOne(t *testing.T) {
+	for _, tt := range []struct {
+		name, hint string
+		want       float64
+	}{
+		{"missing", "", 1},
+		{"zero", `,"capacity_hint":0`, 0},
+		{"given", `,"capacity_hint":2.5`, 2.5},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			entry := `{"uid":"s-0","endpoint":"127.0.0.1:9","state":"SERVING"` + tt.hint + `}`
+			list, err := ParseList([]byte(testserver.ListText(1, true, entry)))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got := list.Endpoints[0].Weight; got != tt.want {
+				t.Errorf("weight %v, want %v", got, tt.want)
+			}
+		})
+	}
+}
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -10,6 +10,8 @@
 	"errors"
 	"fmt"
 	"io"
+	"net/http"
+	"net/http/httptest"
 	"strings"
 	"testing"
 	"testing/synctest"
@@ -112,3 +114,21 @@
 		})
 	}
 }
+
+// TestWatchEndsAtAnotherStatus: a watch whose response has another status than 200 ends with an error that names it,
+// and takes no list from its body.
+func TestWatchEndsAtAnotherStatus(t *testing.T) {
+	web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		w.WriteHeader(http.StatusServiceUnavailable)
+		_, _ = w.Write([]byte(testserver.ListText(1, true)))
+	}))
+	defer web.Close()
+	client := NewClient(web.Listener.Addr().String(), testserver.Timeout, nil)
+	client.firstListTimeout = testserver.Timeout
+	client.silenceTimeout = testserver.Timeout
+	onUpdate := func(list List) { t.Errorf("list %+v", list) }
+	err := client.Watch(context.Background(), wholeList, onUpdate, func() {})
+	if err == nil || !strings.Contains(err.Error(), "status 503") {
+		t.Errorf("error %v, want one that names the status 503", err)
+	}
+}
