--- a/internal/proxy/handler_test.go
+++ b/internal/proxy/handler_test.go
@@ -1,12 +1,15 @@
 package proxy
 
 import (
+	"bufio"
 	"context"
 	"fmt"
+	"io"
 	"log/slog"
 	"net/http"
 	"net/http/httptest"
 	"runtime"
+	"strings"
 	"testing"
 	"time"
 
@@ -156,3 +159,27 @@
 		}
 	}
 }
+
+// TestHTTP10RequestGets505: a request to /api by HTTP/1.0 is refused, and its connection ends.
+func TestHTTP10RequestGets505(t *testing.T) {
+	p := startTestProxy(t, testserver.Respond(200, "", "ok"))
+	conn := p.DialConn()
+	head := strings.Replace(testserver.RequestHead("GET", "old-1", "read"), "HTTP/1.1", "HTTP/1.0", 1)
+	if _, err := io.WriteString(conn, head+"Connection: keep-alive\r\n\r\n"); err != nil {
+		t.Fatal(err)
+	}
+	in := bufio.NewReader(conn)
+	resp, err := http.ReadResponse(in, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if resp.StatusCode != http.StatusHTTPVersionNotSupported {
+		t.Errorf("status %d", resp.StatusCode)
+	}
+	if _, err := io.Copy(io.Discard, in); err != nil { // until the end of the connection
+		t.Errorf("the connection does not end: %v", err)
+	}
+	if n := p.backend.RequestCount(); n != 0 {
+		t.Errorf("%d requests at the server", n)
+	}
+}
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -1,8 +1,16 @@
 package proxy
 
 import (
+	"bufio"
+	"context"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
 	"os"
 	"path/filepath"
+	"strings"
+	"sync"
 	"testing"
 
 	"milletramp.example/milletramp/internal/config"
@@ -29,3 +37,63 @@
 	}
 	return l
 }
+
+// testProxy is a handler that serves client connections, with one server.
+type testProxy struct {
+	testserver.Client
+	loop    *EventLoop
+	handler *Handler
+	backend *testserver.Backend
+}
+
+// startTestProxy serves a handler whose one server responds by respond, until the end of the test.
+func startTestProxy(t *testing.T, respond testserver.Handler) *testProxy {
+	t.Helper()
+	backend := testserver.StartBackend(t, respond)
+	c, err := load(t, testserver.ConfigText("127.0.0.1:9", testserver.ServingList(1, backend), testserver.Settings))
+	if err != nil {
+		t.Fatal(err)
+	}
+	c.Settings.PollDiscovery = true // and so no watch
+	ctx, cancel := context.WithCancel(context.Background())
+	loop, err := NewEventLoop(ctx, c, 1000, slog.New(slog.DiscardHandler), nil)
+	if err != nil {
+		cancel()
+		t.Fatal(err)
+	}
+	var running sync.WaitGroup
+	running.Add(1)
+	go func() {
+		defer running.Done()
+		loop.Run(ctx)
+	}()
+	handler, conns, web := serve(t, c, loop)
+	client := &http.Client{Transport: &http.Transport{}}
+	t.Cleanup(func() {
+		client.CloseIdleConnections()
+		_ = web.Close()
+		cancel()
+		running.Wait()
+	})
+	return &testProxy{
+		Client:  testserver.Client{T: t, Address: conns.Addr().String(), HTTP: client},
+		loop:    loop,
+		handler: handler,
+		backend: backend,
+	}
+}
+
+// readResponse reads the response on a connection, and its body without white space at both ends.
+func readResponse(t *testing.T, conn net.Conn) (status int, body string) {
+	t.Helper()
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	text, err := io.ReadAll(resp.Body)
+	if err != nil {
+		t.Error(err)
+	}
+	return resp.StatusCode, strings.TrimSpace(string(text))
+}
