--- /dev/null
+++ b/internal/sidecar/fleet_admin_test.go
@@ -0,0 +1,177 @@
+package sidecar
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"net/url"
+	"slices"
+	"strings"
+	"testing"
+
+	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/admin"
+	"milletramp.example/milletramp/internal/lab/testserver"
+	"milletramp.example/milletramp/internal/proxy"
+	"milletramp.example/milletramp/internal/upstream"
+)
+
+// expectAdminDown fails the test unless exactly these of s-0, s-1 and s-9 are administratively down: for the Balancer,
+// and for the client that makes the attempts.
+func (p *program) expectAdminDown(want ...string) {
+	p.T.Helper()
+	var down []string
+	if err := p.staff.loop.Do(context.Background(), func() { down = p.staff.loop.AdminDown() }); err != nil {
+		p.T.Fatal(err)
+	}
+	if unavailable := p.unavailableServers(); !slices.Equal(down, want) || !slices.Equal(unavailable, want) {
+		p.T.Errorf("down are %q, unavailable %q, want %q", down, unavailable, want)
+	}
+}
+
+// unavailableServers returns those of s-0, s-1 and s-9 at which no attempt is made. s-9, which is on no list, is listed
+// for the client meanwhile, and for nobody else.
+func (p *program) unavailableServers() (unavailable []string) {
+	p.T.Helper()
+	client := p.staff.loop.Upstream()
+	backend := testserver.StartBackend(p.T, testserver.Respond(200, "", "ok"))
+	list := func(state string) {
+		entry := testserver.EndpointEntry("s-9", backend.Address, state, 0)
+		client.Update(parsed(p.T, testserver.ListText(2, false, entry)))
+	}
+	list("SERVING")
+	defer list("DELETED")
+	for _, id := range []string{"s-0", "s-1", "s-9"} {
+		message := &upstream.Message{Method: http.MethodGet, URL: &url.URL{Path: "/api"}, ID: "id-1"}
+		request := upstream.AttemptRequest{ServerID: id, Message: message}
+		switch r := client.Attempt(context.Background(), request); r.Outcome {
+		case balance.Served:
+		case balance.NotSent:
+			unavailable = append(unavailable, id)
+		default:
+			p.T.Errorf("%s: outcome %d", id, r.Outcome)
+		}
+	}
+	return unavailable
+}
+
+// TestApplyAdminDown: servers that are administratively down in the fleet are so here, listed or not, and up again once
+// they are up in the fleet. One that this sidecar's own operator has set down, and the fleet never had, stays down.
+func TestApplyAdminDown(t *testing.T) {
+	p := startInDir(t, t.TempDir())
+	if _, err := p.staff.SetAdminDown(context.Background(), "s-1", true, false); err != nil {
+		t.Fatal(err)
+	}
+	p.expectAdminDown("s-1")
+	p.staff.applyAdminDown([]string{"s-0", "s-9"})
+	p.expectAdminDown("s-0", "s-1", "s-9")
+	p.staff.applyAdminDown([]string{"s-9"})
+	p.expectAdminDown("s-1", "s-9")
+	p.staff.applyAdminDown(nil)
+	p.expectAdminDown("s-1")
+	p.staff.applyAdminDown([]string{"s-1"}) // the fleet has it too from here on
+	p.expectAdminDown("s-1")
+	p.staff.applyAdminDown(nil)
+	p.expectAdminDown()
+}
+
+// adminDownPart is a part in a fleet without a policy, which answers operators' calls as its test says.
+type adminDownPart struct {
+	fakePart
+	knows       bool
+	knowsErr    error
+	held, asked int
+	err         error
+	calls       []adminDownCall
+}
+
+// adminDownCall is a call that is passed on to the fleet.
+type adminDownCall struct {
+	server        string
+	down, confirm bool
+}
+
+// Policy implements Participant.
+func (*adminDownPart) Policy() proxy.Policy { return nil }
+
+// Knows implements Participant.
+func (p *adminDownPart) Knows(context.Context, string) (bool, error) { return p.knows, p.knowsErr }
+
+// TakeOut implements Participant.
+func (p *adminDownPart) TakeOut(_ context.Context, server string, down, confirm bool) (held, asked int, err error) {
+	p.calls = append(p.calls, adminDownCall{server, down, confirm})
+	return p.held, p.asked, p.err
+}
+
+// publishTest is a call that is passed on to the fleet, with what its operator is answered.
+type publishTest struct {
+	name      string
+	part      *adminDownPart // nil: there is none
+	other     bool           // another process of the sidecar runs
+	known     bool
+	forwarded bool // by the other process
+	note      string
+	err       string // "": none
+	is        error  // that err wraps; nil: any
+	calls     []adminDownCall
+}
+
+// TestPublishToFleet: what an operator is answered to a call that is passed on to the fleet.
+func TestPublishToFleet(t *testing.T) {
+	errDisk := errors.New("disk full")
+	unknownServer := admin.ErrUnknownServer
+	confirmed := []adminDownCall{{"s-0", true, true}}
+	unconfirmed := []adminDownCall{{"s-0", true, false}}
+	for _, tt := range []publishTest{
+		{name: "no fleet", known: true},
+		{name: "no fleet, unknown server", err: unknownServer.Error(), is: unknownServer},
+		{name: "unknown server", part: &adminDownPart{}, err: unknownServer.Error(), is: unknownServer},
+		{name: "unknown here, known to the fleet", part: &adminDownPart{knows: true, held: 1, asked: 1},
+			note: "1 other sidecars hold it", calls: confirmed},
+		{name: "the fleet cannot say whether it knows", part: &adminDownPart{knowsErr: errDisk},
+			err: "disk full", is: errDisk},
+		{name: "held by others", part: &adminDownPart{held: 3, asked: 4}, known: true,
+			note: "3 other sidecars hold it and tell the rest", calls: confirmed},
+		{name: "nobody answered", part: &adminDownPart{asked: 4}, known: true,
+			note: "no other sidecar has answered", calls: confirmed},
+		{name: "no other sidecar", part: &adminDownPart{}, known: true,
+			note: "there is no other sidecar", calls: confirmed},
+		{name: "forwarded by the other process", part: &adminDownPart{held: 3, asked: 4}, known: true, forwarded: true,
+			calls: unconfirmed},
+		{name: "superseded, another process runs", part: &adminDownPart{err: ErrSuperseded}, other: true, known: true,
+			calls: confirmed},
+		{name: "superseded, no other process", part: &adminDownPart{err: ErrSuperseded}, known: true,
+			err: "it holds here alone", calls: confirmed},
+		{name: "the fleet may not know", part: &adminDownPart{err: errDisk}, known: true,
+			err: "it holds here, and the fleet may not know: disk full", is: errDisk, calls: confirmed},
+	} {
+		t.Run(tt.name, func(t *testing.T) { tt.run(t) })
+	}
+}
+
+// run passes the call on and checks the answer.
+func (tt *publishTest) run(t *testing.T) {
+	dir := t.TempDir()
+	p := startInDir(t, dir)
+	if tt.other {
+		joinOtherProcess(t, dir, "")
+	}
+	if tt.part != nil {
+		part := Participant(tt.part)
+		p.staff.participant.Store(&part)
+		defer p.staff.participant.Store(nil)
+	}
+	note, err := p.staff.publishToFleet(context.Background(), "s-0", true, tt.known, tt.forwarded)
+	if (note == "") != (tt.note == "") || !strings.Contains(note, tt.note) {
+		t.Errorf("note %q, want %q", note, tt.note)
+	}
+	if (err == nil) != (tt.err == "") || err != nil && !strings.Contains(err.Error(), tt.err) {
+		t.Errorf("error %v, want %q", err, tt.err)
+	}
+	if tt.is != nil && !errors.Is(err, tt.is) {
+		t.Errorf("error %v, want one that wraps %v", err, tt.is)
+	}
+	if tt.part != nil && !slices.Equal(tt.part.calls, tt.calls) {
+		t.Errorf("calls to the fleet %+v, want %+v", tt.part.calls, tt.calls)
+	}
+}
--- /dev/null
+++ b/internal/sidecar/fleet_suspicions_test.go
@@ -0,0 +1,168 @@
+//go:build go1.25
+
+package sidecar
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"sync"
+	"syscall"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"milletramp.example/milletramp/internal/lab/testserver"
+	"milletramp.example/milletramp/internal/proxy"
+)
+
+// pipeConn is one end of a pipe that passes for a connection with a file descriptor.
+type pipeConn struct{ net.Conn }
+
+// SyscallConn implements syscall.Conn.
+func (pipeConn) SyscallConn() (syscall.RawConn, error) { return unsupportedFD{}, nil }
+
+// unsupportedFD is a file descriptor that cannot be used, so that no connection passes for reusable.
+type unsupportedFD struct{}
+
+// Control implements syscall.RawConn.
+func (unsupportedFD) Control(func(uintptr)) error { return errors.ErrUnsupported }
+
+// Read implements syscall.RawConn.
+func (unsupportedFD) Read(func(uintptr) bool) error { return errors.ErrUnsupported }
+
+// Write implements syscall.RawConn.
+func (unsupportedFD) Write(func(uintptr) bool) error { return errors.ErrUnsupported }
+
+// deadlineRecorder records a response on a connection whose deadlines never pass.
+type deadlineRecorder struct{ *httptest.ResponseRecorder }
+
+// SetReadDeadline is for http.ResponseController.
+func (deadlineRecorder) SetReadDeadline(time.Time) error { return nil }
+
+// SetWriteDeadline is for http.ResponseController.
+func (deadlineRecorder) SetWriteDeadline(time.Time) error { return nil }
+
+// simulatedProxy is an event loop and its handler on a simulated clock, with the servers s-0 and s-1.
+type simulatedProxy struct {
+	t        *testing.T
+	loop     *proxy.EventLoop
+	handler  *proxy.Handler
+	arrivals chan string // gets the address of the server at which each attempt arrives
+	sent     int         // requests
+}
+
+// The addresses of s-0 and s-1.
+const (
+	firstServer  = "127.0.0.1:1"
+	secondServer = "127.0.0.1:2"
+)
+
+// withSimulatedProxy runs play on a simulated clock.
+func withSimulatedProxy(t *testing.T, play func(p *simulatedProxy)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		first := &testserver.Backend{Address: firstServer}
+		second := &testserver.Backend{Address: secondServer}
+		known := testserver.ServingList(1, first, second)
+		c, err := load(t, testserver.ConfigText("127.0.0.1:9", known, testserver.Settings))
+		if err != nil {
+			t.Fatal(err)
+		}
+		ctx, cancel := context.WithCancel(context.Background())
+		defer cancel()
+		dialDiscovery := func(context.Context, string, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED }
+		loop, err := proxy.NewEventLoop(ctx, c, 1000, slog.New(slog.DiscardHandler), dialDiscovery)
+		if err != nil {
+			t.Fatal(err)
+		}
+		p := &simulatedProxy{
+			t:        t,
+			loop:     loop,
+			handler:  proxy.NewHandler(c, loop, 1000),
+			arrivals: make(chan string, 1),
+		}
+		loop.Upstream().SetDial(p.dialServer)
+		var running sync.WaitGroup
+		running.Go(func() { loop.Run(ctx) })
+		defer running.Wait()
+		defer cancel()
+		play(p)
+	})
+}
+
+// dialServer opens a connection to a server, which responds to each request at once.
+func (p *simulatedProxy) dialServer(_ context.Context, _, address string) (net.Conn, error) {
+	clientEnd, serverEnd := net.Pipe()
+	go func() {
+		defer serverEnd.Close()
+		reader := bufio.NewReader(serverEnd)
+		for {
+			r, err := http.ReadRequest(reader)
+			if err != nil {
+				return
+			}
+			_, _ = io.Copy(io.Discard, r.Body)
+			p.arrivals <- address
+			fmt.Fprint(serverEnd, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+		}
+	}()
+	return pipeConn{clientEnd}, nil
+}
+
+// send sends a request and returns the server at which its one attempt arrived.
+func (p *simulatedProxy) send() (server string) {
+	p.t.Helper()
+	p.sent++
+	r := httptest.NewRequest(http.MethodPost, "/api", nil)
+	r.Header.Set("X-Request-ID", fmt.Sprint("id-", p.sent))
+	r.Header.Set("X-Priority-Class", "pay")
+	r.Header.Set("X-Timeout-Ms", "10000")
+	w := deadlineRecorder{httptest.NewRecorder()}
+	p.handler.ServeHTTP(w, r)
+	if w.Code != http.StatusOK {
+		p.t.Fatalf("status %d, %q", w.Code, w.Body)
+	}
+	return <-p.arrivals
+}
+
+// countAtFirstServer sends requests for half a second and returns how many of them arrive at s-0.
+func (p *simulatedProxy) countAtFirstServer() (n int) {
+	p.t.Helper()
+	for range 50 {
+		if p.send() == firstServer {
+			n++
+		}
+		time.Sleep(10 * time.Millisecond) // of the simulated clock
+	}
+	return n
+}
+
+// TestApplySuspicions: a server that the fleet suspects gets no request while another one may have it, until the
+// suspicion is withdrawn. A suspicion that was old when it came counts for nothing.
+func TestApplySuspicions(t *testing.T) {
+	withSimulatedProxy(t, func(p *simulatedProxy) {
+		o := &operator{loop: p.loop}
+		if p.countAtFirstServer() == 0 {
+			p.t.Fatal("the server gets no request before any suspicion")
+		}
+		o.applySuspicions([]Suspicion{{ID: "s-0"}})
+		if n := p.countAtFirstServer(); n != 0 {
+			p.t.Errorf("%d requests at the server that is suspected", n)
+		}
+		o.applySuspicions(nil)
+		if p.countAtFirstServer() == 0 {
+			p.t.Error("no request at the server once the suspicion is withdrawn")
+		}
+		o.applySuspicions([]Suspicion{{ID: "s-0", Age: time.Minute}})
+		if p.countAtFirstServer() == 0 {
+			p.t.Error("no request at the server for a suspicion that is a minute old")
+		}
+	})
+}
--- /dev/null
+++ b/internal/sidecar/forward_test.go
@@ -0,0 +1,130 @@
+package sidecar
+
+import (
+	"context"
+	"encoding/json"
+	"log/slog"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"milletramp.example/milletramp/internal/hotrestart"
+	"milletramp.example/milletramp/internal/lab/testserver"
+)
+
+// joinOtherProcess makes another process of the sidecar known in dir. adminAddress is that of its console; "": none.
+func joinOtherProcess(t *testing.T, dir, adminAddress string) *hotrestart.Member {
+	t.Helper()
+	state := hotrestart.State{
+		Name:          "n0",
+		ListenAddress: "127.0.0.1:0",
+		AdminAddress:  adminAddress,
+		Started:       time.Now(),
+		Phase:         hotrestart.Ready,
+	}
+	other, err := hotrestart.Join(dir, state, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = other.Leave() })
+	return other
+}
+
+// startInDir starts a sidecar that knows of the other processes in dir, and has two servers.
+func startInDir(t *testing.T, dir string) *program {
+	t.Helper()
+	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+	discovery := testserver.StartDiscovery(t).Address
+	text := testserver.ConfigText(discovery, testserver.ServingList(1, b, b), testserver.Settings)
+	return start(t, text, "TMPDIR="+dir)
+}
+
+// startConsole starts a console that responds to each call by respond.
+func startConsole(t *testing.T, respond http.HandlerFunc) (address string) {
+	t.Helper()
+	web := httptest.NewServer(respond)
+	t.Cleanup(web.Close)
+	return web.Listener.Addr().String()
+}
+
+// startConsoleWithStatus returns what starts a console that responds to each call with a status.
+func startConsoleWithStatus(status int) func(t *testing.T) (address string) {
+	return func(t *testing.T) string {
+		return startConsole(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) })
+	}
+}
+
+// TestForwardAdminDownToAnotherProcess: the response of the other process says whether it knows the server, and one
+// that runs and was not notified is an error.
+func TestForwardAdminDownToAnotherProcess(t *testing.T) {
+	unreachable := func(t *testing.T) string {
+		l := testserver.Listen(t)
+		l.Close()
+		return l.Addr().String()
+	}
+	for _, tt := range []struct {
+		name    string
+		console func(t *testing.T) (address string)
+		known   bool
+		fault   string // of the error; "": none
+	}{
+		{"it knows the server", startConsoleWithStatus(http.StatusOK), true, ""},
+		{"it does not know the server", startConsoleWithStatus(http.StatusNotFound), false, ""},
+		{"it fails", startConsoleWithStatus(http.StatusServiceUnavailable), false, "was not told: pass on: status 503"},
+		{"it cannot be reached", unreachable, false, "was not told: pass on: dial"},
+		{"it has no console", func(*testing.T) string { return "" }, false, ""},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			dir, address := t.TempDir(), tt.console(t)
+			p := startInDir(t, dir)
+			joinOtherProcess(t, dir, address)
+			known, err := p.staff.group.forwardAdminDown(context.Background(), "s-0", true)
+			if known != tt.known {
+				t.Errorf("known %v, want %v", known, tt.known)
+			}
+			if (err == nil) != (tt.fault == "") || err != nil && !strings.Contains(err.Error(), address+" "+tt.fault) {
+				t.Errorf("error %v, want one with %q", err, tt.fault)
+			}
+		})
+	}
+}
+
+// TestForwardAdminDownSendsServerAndState: the other process gets the server, and whether it is set down or up.
+func TestForwardAdminDownSendsServerAndState(t *testing.T) {
+	calls := make(chan string, 2)
+	dir := t.TempDir()
+	p := startInDir(t, dir)
+	joinOtherProcess(t, dir, startConsole(t, func(_ http.ResponseWriter, r *http.Request) {
+		var body struct{ Target string }
+		if err := json.NewDecoder(r.Body).Decode(&body); err != nil {
+			t.Error(err)
+		}
+		calls <- r.URL.Path + " " + body.Target
+	}))
+	for down, want := range map[bool]string{true: "/ops/servers/down s-7", false: "/ops/servers/up s-7"} {
+		if _, err := p.staff.group.forwardAdminDown(context.Background(), "s-7", down); err != nil {
+			t.Error(err)
+		}
+		if got := testserver.Receive(t, calls, "call"); got != want {
+			t.Errorf("call %q, want %q", got, want)
+		}
+	}
+}
+
+// TestForwardAdminDownIgnoresProcessThatEnds: a process that ends while it is called is no error, as it serves nobody
+// any more. That another one goes on running changes nothing.
+func TestForwardAdminDownIgnoresProcessThatEnds(t *testing.T) {
+	ending := make(chan *hotrestart.Member, 1)
+	dir := t.TempDir()
+	p := startInDir(t, dir)
+	joinOtherProcess(t, dir, "") // one that goes on running
+	ending <- joinOtherProcess(t, dir, startConsole(t, func(http.ResponseWriter, *http.Request) {
+		_ = (<-ending).Leave()
+		panic(http.ErrAbortHandler)
+	}))
+	if known, err := p.staff.group.forwardAdminDown(context.Background(), "s-0", true); known || err != nil {
+		t.Errorf("known %v, error %v", known, err)
+	}
+}
