--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"milletramp.example/milletramp/internal/config"
+	"milletramp.example/milletramp/internal/discovery"
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
@@ -109,3 +110,13 @@
 	p.Address = testserver.Receive(t, log.address, "address")
 	return p
 }
+
+// parsed returns the list that a text in discovery's form holds.
+func parsed(t *testing.T, text string) discovery.List {
+	t.Helper()
+	l, err := discovery.ParseList([]byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return l
+}
