--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -7,5 +7,6 @@
 //
 // The package starts no goroutine; a timer of the pool closes connections that were idle for too long. An attempt
 // runs in its caller's goroutine and ends with its context, except for a response that is being streamed: that ends
-// when its reader calls Stream.Finish. How an attempt ended is a balance.Outcome; errors stay within the package.
+// when its reader calls Stream.Finish. How an attempt ended is a balance.Outcome; the only errors that leave the
+// package are those of Stream.Read.
 package upstream
--- a/internal/upstream/response_stream.go
+++ b/internal/upstream/response_stream.go
@@ -20,7 +20,8 @@
 	s.reusable <- complete && s.body.isSelfDelimiting() && !s.connectionCloses && s.body.conn.isReusable()
 }
 
-// Read reads what has come of the body, without waiting for more than its next bytes, and returns io.EOF at its end.
+// Read implements io.Reader. It returns what has come of the body, without waiting for more than its next bytes. After
+// any error but io.EOF and an exceeded deadline the rest of the body is lost.
 func (s *Stream) Read(p []byte) (int, error) { return s.body.Read(p) }
 
 // Length returns the declared length of the whole body, or -1 where none is declared.
