--- a/internal/lab/record/record.go
+++ b/internal/lab/record/record.go
@@ -1,5 +1,5 @@
-// Package record is what the lab's parties saw of a day: clients, nodes and discovery, never the sidecar's own word.
-// Both planes write the same events; the referee and the report read them.
+// Package record holds what the lab observes of a run from outside the sidecars: at clients, nodes and discovery. Real
+// sockets and simulated time write the same events; the checker and the report read them. It has no errors.
 package record
 
 import "time"
@@ -7,38 +7,55 @@
 // Kind says what happened.
 type Kind uint8
 
-// The kinds of events. The fields that count are named with each.
+// The kinds of events. The fields of Event that are set are named with each, besides At and Kind.
 const (
-	Requested      Kind = iota // a client's request was taken: Request, First, Sidecar, Class, Tenant, Wait, Work, Effect
-	Answered                   // its client got an answer: Request, Sidecar, Status, Token (served), After
-	ClientLeft                 // its client left: Request
-	Sent                       // an attempt's first byte left the sidecar: Request, Attempt, Sidecar, Node
-	Arrived                    // its last byte reached the node: Request, Attempt, Sidecar, Node, Work, Effect
-	Ran                        // the node took it into work: Request, Attempt, Node
-	Deduplicated               // the node knew the effect and dropped the repeat: Request, Attempt, Node
-	Replied                    // the node made a whole answer: Request, Attempt, Node, Token, Status
-	AttemptEnded               // the sidecar's side of the attempt is over: Request, Attempt, Status
-	Notified                   // discovery told a sidecar of a node: Sidecar, Node, State
-	NodeStarted                // a node started: Node, Capacity, Boot (cold) or not
-	NodeWork                   // a node's life is over: Node, Work done
-	SidecarDown                // a sidecar died: Sidecar; what it held is not owed any more
-	FaultOver                  // the last effect of a trouble ended
-	LossDetected               // a sidecar knows, Wait after the first of Attempt losses there, that a node loses: Sidecar, Node
-	LossUndetected             // a node was mended before the sidecar knew, with the same fields
+	// Requested: a sidecar took a client's request. Request, FirstRequest, Sidecar, Class, Tenant, Wait, Work, Effect.
+	Requested Kind = iota
+	// Answered: the client got a response. Request, Sidecar, Status, Token if served, RetryAfter.
+	Answered
+	// ClientLeft: the client gave up. Request, Sidecar.
+	ClientLeft
+	// Sent: the first byte of an attempt left the sidecar. Request, Attempt, Sidecar, Node.
+	Sent
+	// Arrived: the last byte of an attempt reached the node. Request, Attempt, Sidecar, Node, Work, Effect.
+	Arrived
+	// Ran: the node began work on an attempt. Request, Attempt, Node.
+	Ran
+	// Deduplicated: the node had run the effect before and dropped the attempt. Request, Attempt, Node.
+	Deduplicated
+	// Replied: the node wrote a complete response. Request, Attempt, Node, Token, Status.
+	Replied
+	// AttemptEnded: the sidecar's side of an attempt is over. Request, Attempt, Status.
+	AttemptEnded
+	// Notified: discovery notified a sidecar of a node. Sidecar, Node, State.
+	Notified
+	// NodeStarted: a node started. Node, Capacity, Boot.
+	NodeStarted
+	// NodeWork: the run is over, with the work that a node has done. Node, Work.
+	NodeWork
+	// SidecarDown: a sidecar was killed; its requests need no response any more. Sidecar.
+	SidecarDown
+	// FaultOver: the last effect of a fault ended.
+	FaultOver
+	// LossDetected: a sidecar has detected that a node loses requests. Sidecar, Node, Attempt as the number of its
+	// losses there until then, Wait as the time since the first of them.
+	LossDetected
+	// LossUndetected: a node stopped losing requests before the sidecar detected it. The fields of LossDetected.
+	LossUndetected
 )
 
-// Status is how something ended, as the wire shows it.
+// Status is how a request or an attempt ended, as the network shows it.
 type Status uint8
 
-// The statuses of answers and attempts.
+// The statuses of responses and attempts.
 const (
 	Served     Status = iota
-	Rejected          // to a client: 429 or 503; from a node: turned away, it has not run
-	Failed            // to a client: any other answer; from a node: 500 or one that cannot be read
-	Broken            // the connection ended without a whole answer
-	NotReached        // no connection came up, or it broke before the last byte: it has not run
-	Cancelled         // called off by the sidecar
-	TimedOut          // nothing came
+	Rejected          // to a client: 429 or 503; from a node: rejected before it ran
+	Failed            // to a client: any other response; from a node: 500 or a malformed one
+	Broken            // the connection ended without a complete response
+	NotReached        // the connection was not established, or broke before the last byte: the request has not run
+	Cancelled         // by the sidecar
+	TimedOut          // no response
 )
 
 // State is what discovery says of a node.
@@ -51,7 +68,7 @@
 	Gone
 )
 
-// Event is one thing that happened. IDs are counted from 0 in each run; Token names an answer that a node made, 0 none.
+// Event is one thing that happened. IDs count from 0 in each run.
 type Event struct {
 	At           time.Duration
 	Kind         Kind
@@ -63,31 +80,12 @@
 	Node         int32
 	Tenant       int32
 	Request      uint64
-	FirstRequest uint64 // the request's first try
-	Effect       uint64 // what the request brings about; a repeat has the same
-	Token        uint64
-	Wait         time.Duration // the client's patience
-	RetryAfter   time.Duration // when to come back
-	Boot         time.Duration // 0: long ago
+	FirstRequest uint64        // the request that this one retries, or itself
+	Effect       uint64        // what the request brings about; all its attempts have the same
+	Token        uint64        // of a response that a node wrote; 0: none
+	Wait         time.Duration // the client's timeout
+	RetryAfter   time.Duration
+	Boot         time.Duration // when the node's process started; 0: long ago
 	Work         float64       // seconds on a standard core
-	Capacity     float64       // standard work a second when warm
+	Capacity     float64       // standard work a second once the node is warm
 }
-
-// Sink takes events in the order of their times.
-type Sink interface{ Record(e *Event) }
-
-// Sinks hands each event to several.
-type Sinks []Sink
-
-// Record implements Sink.
-func (s Sinks) Record(e *Event) {
-	for _, sink := range s {
-		sink.Record(e)
-	}
-}
-
-// Tape keeps all events.
-type Tape struct{ Events []Event }
-
-// Record implements Sink.
-func (t *Tape) Record(e *Event) { t.Events = append(t.Events, *e) }
