--- a/deploy/names_test.go
+++ b/deploy/names_test.go
@@ -189,7 +189,8 @@
 		"internal/fleet/consensus", "internal/fleet/failuredetector", "internal/fleet/gossip",
 		"internal/fleet/membership", "internal/fleet/policy", "internal/fleet/policyagent",
 		"internal/fleet/replication", "internal/fleet/transport",
-		"cmd/adapter", "cmd/fleetsidecar", "cmd/sidecar", "internal/lab/workload", "internal/wire",
+		"cmd/adapter", "cmd/fleetsidecar", "cmd/sidecar", "internal/lab/record", "internal/lab/workload",
+		"internal/wire",
 	}
 	houseTerms = regexp.MustCompile(`(?i)\b(danger|staff|told|heard|deciders?|court|owed|doubts?|mayGo|coldRoom|drawTurns)\b`)
 )
