--- a/deploy/names_test.go
+++ b/deploy/names_test.go
@@ -207,6 +207,7 @@
 		"internal/fleet/transport",
 		"internal/fleetadapter",
 		"internal/hotrestart",
+		"internal/lab/record",
 		"internal/lab/workload",
 		"internal/loadlevel",
 		"internal/lossdetect",
--- a/internal/sidecar/fleet_admin_test.go
+++ b/internal/sidecar/fleet_admin_test.go
@@ -94,11 +94,11 @@
 // Policy implements Participant.
 func (*adminDownPart) Policy() proxy.Policy { return nil }
 
-// Knows implements Participant.
-func (p *adminDownPart) Knows(context.Context, string) (bool, error) { return p.knows, p.knowsErr }
+// KnowsServer implements Participant.
+func (p *adminDownPart) KnowsServer(context.Context, string) (bool, error) { return p.knows, p.knowsErr }
 
-// TakeOut implements Participant.
-func (p *adminDownPart) TakeOut(_ context.Context, server string, down, confirm bool) (held, asked int, err error) {
+// SetAdminDown implements Participant.
+func (p *adminDownPart) SetAdminDown(_ context.Context, server string, down, confirm bool) (held, asked int, err error) {
 	p.calls = append(p.calls, adminDownCall{server, down, confirm})
 	return p.held, p.asked, p.err
 }
