--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -39,56 +39,59 @@
 	}
 }
 
+// exchange is a request at a backend that waits to be told how to respond.
+type exchange struct {
+	conn    net.Conn
+	respond chan testserver.Handler
+}
+
 // TestFailureClosesIdleConnections has one attempt fail while another connection is idle: that one must not get a
-// request.
+// request. Each request has a channel of its own: one that timed out may read its instruction after the next one came.
 func TestFailureClosesIdleConnections(t *testing.T) {
+	ok := testserver.Respond(200, "", "")
 	for _, timeout := range []bool{true, false} {
-		conns := make(chan net.Conn, 10)
-		behaviours := make(chan string, 10)
+		exchanges := make(chan exchange, 10)
 		backend := testserver.StartBackend(t, func(conn net.Conn, r *http.Request, body []byte) bool {
-			conns <- conn
-			switch <-behaviours {
-			case "silent":
-				return testserver.NeverRespond(conn, r, body)
-			case "reset":
-				return testserver.ResetConnection(conn, r, body)
-			}
-			return testserver.Respond(200, "", "")(conn, r, body)
+			e := exchange{conn, make(chan testserver.Handler, 1)}
+			exchanges <- e
+			respond := <-e.respond
+			return respond(conn, r, body)
 		})
 		client := newTestClient(t, backend)
 		ended := make(chan Response, 2)
 		for range 2 {
 			go func() { ended <- sendRequest(client, "s-0", newGetRequest()) }()
 		}
-		old := map[net.Conn]bool{}
-		for range 2 {
-			old[testserver.Receive(t, conns, "connection")] = true
-		}
-		for range 2 {
-			behaviours <- "ok"
+		first := testserver.Receive(t, exchanges, "request")
+		second := testserver.Receive(t, exchanges, "request")
+		for _, e := range []exchange{first, second} {
+			e.respond <- ok
 			testserver.Receive(t, ended, "end")
 		}
+		isOld := func(conn net.Conn) bool { return conn == first.conn || conn == second.conn }
 		ctx := newManualDeadline()
 		want := balance.Reset
 		go func() { ended <- sendRequestWithin(ctx, client, "s-0", newGetRequest()) }()
-		if conn := testserver.Receive(t, conns, "connection"); !old[conn] {
+		failing := testserver.Receive(t, exchanges, "request")
+		if !isOld(failing.conn) {
 			t.Fatal("the request did not reuse a connection")
 		}
 		if timeout {
 			want = balance.TimedOut
-			behaviours <- "silent"
+			failing.respond <- testserver.NeverRespond
 			ctx.expire()
 		} else {
-			behaviours <- "reset"
+			failing.respond <- testserver.ResetConnection
 		}
 		if response := testserver.Receive(t, ended, "end"); response.Outcome != want {
 			t.Errorf("outcome %d, want %d", response.Outcome, want)
 		}
 		go func() { ended <- sendRequest(client, "s-0", newGetRequest()) }()
-		if conn := testserver.Receive(t, conns, "connection"); old[conn] {
+		next := testserver.Receive(t, exchanges, "request")
+		if isOld(next.conn) {
 			t.Error("a request went to an idle connection of a server that failed")
 		}
-		behaviours <- "ok"
+		next.respond <- ok
 		testserver.Receive(t, ended, "end")
 	}
 }
