--- a/internal/sidecar/fleet_admin_test.go
+++ b/internal/sidecar/fleet_admin_test.go
@@ -95,7 +95,9 @@
 func (*adminDownPart) Policy() proxy.Policy { return nil }
 
 // KnowsServer implements Participant.
-func (p *adminDownPart) KnowsServer(context.Context, string) (bool, error) { return p.knows, p.knowsErr }
+func (p *adminDownPart) KnowsServer(context.Context, string) (bool, error) {
+	return p.knows, p.knowsErr
+}
 
 // SetAdminDown implements Participant.
 func (p *adminDownPart) SetAdminDown(_ context.Context, server string, down, confirm bool) (held, asked int, err error) {
