--- a/internal/proxy/abandoned_test.go
+++ b/internal/proxy/abandoned_test.go
@@ -13,25 +13,26 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// earn has requests be served, each on the connection of the one before, which then is closed.
-func (b *bubble) earn(requests int) {
-	b.answers = func(int) string {
+// warmUp has requests be served, each on the connection of the one before, which then is closed.
+func (b *simulation) warmUp(requests int) {
+	b.respond = func(int) string {
 		time.Sleep(50 * time.Millisecond)
 		return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	}
 	for range requests {
-		<-b.ask("read", time.Second, nil)
+		<-b.send("read", time.Second, nil)
 		time.Sleep(20 * time.Millisecond) // a connection rests so long before its next request
 	}
 	time.Sleep(10 * time.Second)
-	for len(b.came) > 0 {
-		<-b.came
+	for len(b.arrivals) > 0 {
+		<-b.arrivals
 	}
 }
 
-// TestGoneBeforeAnAttempt has a client leave, so that only a look at its connection tells, while its request has one
-// attempt to come for each reason that there is: that attempt is not made. With a client that stays it is.
-func TestGoneBeforeAnAttempt(t *testing.T) {
+// TestNoAttemptBeginsAfterClientDisconnect has a client leave, which only a look at its connection shows, while its
+// request has one attempt to come for each reason that there is: that attempt is not made. With a client that stays it
+// is.
+func TestNoAttemptBeginsAfterClientDisconnect(t *testing.T) {
 	later := func(text string) func(int) string {
 		return func(int) string { time.Sleep(time.Second); return text }
 	}
@@ -50,34 +51,34 @@
 		name, settings string
 		leaves         time.Duration // after the request
 		dials          func(context.Context, int) error
-		answers        func(int) string
+		respond        func(int) string
 		stays, gone    int // attempts that reach a server
 	}{
-		{"before its turn", testserver.Settings, 0, nil, later(serverError), 2, 0},
-		{"while a connection comes up", testserver.Settings, time.Second / 2, slow, later(serverError), 2, 0},
-		{"no connection", testserver.Settings, time.Second / 2, refused, later(serverError), 1, 0},
-		{"an error", testserver.Settings, time.Second / 2, nil, later(serverError), 2, 1},
-		{"turned away", testserver.Settings, time.Second / 2, nil, later(shut), 2, 1},
-		{"a retry's connection comes up", testserver.Settings, 5 * time.Second / 2, slow, later(serverError), 2, 1},
+		{"before its turn", testserver.Settings, 0, nil, later(errorResponse), 2, 0},
+		{"while a connection comes up", testserver.Settings, time.Second / 2, slow, later(errorResponse), 2, 0},
+		{"no connection", testserver.Settings, time.Second / 2, refused, later(errorResponse), 1, 0},
+		{"an error", testserver.Settings, time.Second / 2, nil, later(errorResponse), 2, 1},
+		{"rejected", testserver.Settings, time.Second / 2, nil, later(shut), 2, 1},
+		{"a retry's connection comes up", testserver.Settings, 5 * time.Second / 2, slow, later(errorResponse), 2, 1},
 		{"given up by a timer", timed, time.Millisecond, nil, lost, 2, 1},
 		{"hedged by a timer", hedged, time.Millisecond, nil, lost, 2, 1},
 	} {
 		for _, leaves := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, leaves %v", tt.name, leaves), func(t *testing.T) {
-				inBubble(t, tt.settings, func(b *bubble) {
+				runSimulation(t, tt.settings, func(b *simulation) {
 					if tt.settings != testserver.Settings {
-						b.earn(1000) // from these it knows when an answer is late
+						b.warmUp(1000) // from these it knows when a response is late
 					}
-					b.dials, b.answers = tt.dials, tt.answers
+					b.dial, b.respond = tt.dials, tt.respond
 					end := time.Now().Add(tt.leaves)
-					answered := b.ask("read", 50*time.Second, func() bool { return leaves && !time.Now().Before(end) })
+					answered := b.send("read", 50*time.Second, func() bool { return leaves && !time.Now().Before(end) })
 					time.Sleep(55 * time.Second)
 					want := tt.stays
 					if leaves {
 						want = tt.gone
 					}
-					if len(b.came) != want || len(answered) != 1 {
-						b.t.Errorf("%d attempts, want %d; %d answers", len(b.came), want, len(answered))
+					if len(b.arrivals) != want || len(answered) != 1 {
+						b.t.Errorf("%d attempts, want %d; %d responses", len(b.arrivals), want, len(answered))
 					}
 				})
 			})
--- a/internal/proxy/buffer_pool_test.go
+++ b/internal/proxy/buffer_pool_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestRoom checks that no more pieces are out than there may be, that those given back are used again, and that none
-// are kept in a quiet time.
-func TestRoom(t *testing.T) {
+// TestBufferPoolLimitsAndReusesBuffers checks that no more buffers are reserved than there may be, that those given
+// back are used again, and that none are kept in a quiet time.
+func TestBufferPoolLimitsAndReusesBuffers(t *testing.T) {
 	r := &bufferPool{maxBuffers: 3}
 	if !r.reserve(2) || r.reserve(2) || !r.reserve(1) || r.reserve(1) {
 		t.Fatal("more is taken than there may be, or less")
@@ -15,10 +15,10 @@
 		t.Fatal("what was given back cannot be taken")
 	}
 	if again := r.buffer(); len(again) != 0 || &again[:1][0] != &used[0] {
-		t.Error("a piece that was given back is not used again, or not empty")
+		t.Error("a buffer that was given back is not used again, or not empty")
 	}
 	r.release(3, [][]byte{used, used})
 	if len(r.free) != 0 || r.reserved != 0 {
-		t.Errorf("%d pieces are kept in a quiet time, %d held", len(r.free), r.reserved)
+		t.Errorf("%d buffers are kept in a quiet time, %d held", len(r.free), r.reserved)
 	}
 }
--- a/internal/proxy/event_loop_test.go
+++ b/internal/proxy/event_loop_test.go
@@ -15,8 +15,8 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-func TestColdServer(t *testing.T) {
-	c, err := load(t, testserver.ConfigText("127.0.0.1:9", "", testserver.Settings))
+func TestBootTimeSetsStartOfServer(t *testing.T) {
+	c, err := loadConfig(t, testserver.ConfigText("127.0.0.1:9", "", testserver.Settings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,10 +38,11 @@
 	}
 }
 
-// TestAnswerBesideALeavingClient has a request get its answer between the moment that its client is seen to leave and
-// the moment that the host hears of it: the answer is there for its handler, which would wait for ever without it.
-func TestAnswerBesideALeavingClient(t *testing.T) {
-	c, err := load(t, testserver.ConfigText("127.0.0.1:9", testserver.ServingList(1, &testserver.Backend{Address: "127.0.0.1:9"}), testserver.Settings))
+// TestCancelledRequestKeepsResponseThatCameFirst has a request get its response between the moment that its client is
+// seen to leave and the moment that the event loop knows of it: the response is there for its handler, which would wait
+// for ever without it.
+func TestCancelledRequestKeepsResponseThatCameFirst(t *testing.T) {
+	c, err := loadConfig(t, testserver.ConfigText("127.0.0.1:9", testserver.ServingList(1, &testserver.Backend{Address: "127.0.0.1:9"}), testserver.Settings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,15 +73,15 @@
 		t.Fatal(err)
 	}
 	if len(request.response) != 1 {
-		t.Error("its handler has no answer to take")
+		t.Error("its handler has no response to take")
 	}
 }
 
-// TestListOfAnyAge has a process begin with a list that the platform wrote down: what the first list of discovery has
-// beyond that may have started long before.
-func TestListOfAnyAge(t *testing.T) {
+// TestFirstListKeepsAgeOfServers has a process begin with a list that the platform wrote down: what the first list of
+// discovery has beyond that may have started long before.
+func TestFirstListKeepsAgeOfServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, err := load(t, testserver.ConfigText("127.0.0.1:9", "", testserver.Settings))
+		c, err := loadConfig(t, testserver.ConfigText("127.0.0.1:9", "", testserver.Settings))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/proxy/handler_test.go
+++ b/internal/proxy/handler_test.go
@@ -17,8 +17,9 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// serve serves a handler of the loop on client connections, as the process does, until the caller closes the server.
-func serve(t *testing.T, c *config.Config, h *EventLoop) (*Handler, *downstream.Listener, *http.Server) {
+// serveHandler serves a handler of the loop on client connections, as the process does, until the caller closes the
+// server.
+func serveHandler(t *testing.T, c *config.Config, h *EventLoop) (*Handler, *downstream.Listener, *http.Server) {
 	t.Helper()
 	handler := NewHandler(c, h, 1000)
 	conns := downstream.NewListener(testserver.Listen(t), 1000, 1000, &h.metrics.UnservedConns)
@@ -28,9 +29,10 @@
 	return handler, conns, web
 }
 
-// TestChurn has thousands of requests come, each with a new id on a connection of its own, while servers are replaced
-// all the time, also at addresses of former ones. Danger: on a long day, what is left behind of each adds up.
-func TestChurn(t *testing.T) {
+// TestNothingIsLeftBehindByManyRequests has thousands of requests come, each with a new id on a connection of its own,
+// while servers are replaced all the time, also at addresses of former ones. What each left behind would add up over a
+// long day.
+func TestNothingIsLeftBehindByManyRequests(t *testing.T) {
 	before := runtime.NumGoroutine()
 	var backends []*testserver.Backend
 	for range 4 {
@@ -41,7 +43,7 @@
 		}()
 		backends = append(backends, b)
 	}
-	c, err := load(t, testserver.ConfigText("127.0.0.1:9", testserver.ServingList(1, backends...), testserver.Settings))
+	c, err := loadConfig(t, testserver.ConfigText("127.0.0.1:9", testserver.ServingList(1, backends...), testserver.Settings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,10 +57,10 @@
 		t.Fatal(err)
 	}
 	go h.Run(ctx)
-	s, conns, web := serve(t, c, h)
+	s, conns, web := serveHandler(t, c, h)
 	p := &testserver.Client{T: t, Address: conns.Addr().String(), HTTP: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 
-	tell := func(l discovery.List) {
+	updateList := func(l discovery.List) {
 		done := make(chan bool)
 		h.Post(func() { h.OnUpdate(balance.ListFull, l); close(done) })
 		testserver.Receive(t, done, "list")
@@ -69,14 +71,14 @@
 		for i, b := range backends {
 			entries = append(entries, testserver.EndpointEntry(fmt.Sprintf("s-%d-%d", (round+i)/2, i), b.Address, "SERVING", int64(round/3)))
 		}
-		tell(parsed(t, testserver.ListText(round+2, true, entries...)))
+		updateList(parseList(t, testserver.ListText(round+2, true, entries...)))
 		for range each {
-			if g := p.Send([]string{"read", "book", "pay"}[round%3]); g.Status != 200 {
-				t.Fatalf("answer %+v in round %d", g, round)
+			if got := p.Send([]string{"read", "book", "pay"}[round%3]); got.Status != 200 {
+				t.Fatalf("response %+v in round %d", got, round)
 			}
 		}
 	}
-	tell(discovery.List{Revision: rounds + 2, Complete: true})
+	updateList(discovery.List{Revision: rounds + 2, Complete: true})
 	if err := web.Close(); err != nil {
 		t.Error(err)
 	}
@@ -107,11 +109,11 @@
 	}
 }
 
-// TestHandlerPanics has a fault of the program end the handler: the request gets an error and its connection ends in
-// order, and the next one is served.
-func TestHandlerPanics(t *testing.T) {
+// TestHandlerPanicIsServerError has a fault of the program end the handler: the request gets an error and its
+// connection ends in order, and the next one is served.
+func TestHandlerPanicIsServerError(t *testing.T) {
 	backend := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
-	c, err := load(t, testserver.ConfigText("127.0.0.1:9", testserver.ServingList(1, backend), testserver.Settings))
+	c, err := loadConfig(t, testserver.ConfigText("127.0.0.1:9", testserver.ServingList(1, backend), testserver.Settings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -123,7 +125,7 @@
 		t.Fatal(err)
 	}
 	go h.Run(ctx)
-	s, conns, web := serve(t, c, h)
+	s, conns, web := serveHandler(t, c, h)
 	defer web.Close()
 	p := &testserver.Client{T: t, Address: conns.Addr().String(), HTTP: &http.Client{Transport: &http.Transport{}}}
 	defer p.HTTP.CloseIdleConnections()
@@ -133,8 +135,8 @@
 	fmt.Fprintf(conn, "%s\r\n", testserver.RequestHead("GET", "first", "read"))
 	testserver.ExpectFinalResponse(t, conn, http.StatusInternalServerError)
 	s.ids = ids
-	if g := p.Send("pay"); g.Status != http.StatusOK {
-		t.Errorf("answer %+v to the next request", g)
+	if got := p.Send("pay"); got.Status != http.StatusOK {
+		t.Errorf("response %+v to the next request", got)
 	}
 }
 
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -10,8 +10,8 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// load reads a configuration as the program does. Each of env is KEY=VALUE.
-func load(t *testing.T, text string, env ...string) (*config.Config, error) {
+// loadConfig reads a configuration as the program does. Each of env is KEY=VALUE.
+func loadConfig(t *testing.T, text string, env ...string) (*config.Config, error) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -20,8 +20,8 @@
 	return config.Load(testserver.Environment(file, env...))
 }
 
-// parsed returns the list that a text in discovery's form holds.
-func parsed(t *testing.T, text string) discovery.List {
+// parseList returns the list that a text in discovery's form holds.
+func parseList(t *testing.T, text string) discovery.List {
 	t.Helper()
 	l, err := discovery.ParseList([]byte(text))
 	if err != nil {
--- a/internal/proxy/inflight_ids_test.go
+++ b/internal/proxy/inflight_ids_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestIDsAreForgotten: what is remembered of requests that are over goes with time.
-func TestIDsAreForgotten(t *testing.T) {
+// TestCompletedIDsExpire: what is remembered of requests that are over goes with time.
+func TestCompletedIDsExpire(t *testing.T) {
 	i := newInflightIDs(1)
 	for n := range 1000 {
 		id := fmt.Sprint(n)
--- a/internal/sidecar/attempts_test.go
+++ b/internal/sidecar/attempts_test.go
@@ -12,9 +12,10 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestQueueOfOneWhoLeft has a client send many requests on a connection and end its sending while the first is out. The
-// others stand before the end that net/http waits for, more of them than it reads ahead, and none of them is sent on.
-func TestQueueOfOneWhoLeft(t *testing.T) {
+// TestPipelinedRequestsOfHalfClosedClientAreNotForwarded has a client send many requests on a connection and end its
+// sending while the first is out. The others stand before the end that net/http waits for, more of them than it reads
+// ahead, and none of them is forwarded.
+func TestPipelinedRequestsOfHalfClosedClientAreNotForwarded(t *testing.T) {
 	gate := make(chan struct{})
 	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		<-gate
@@ -40,17 +41,17 @@
 		}
 	}
 	if n := b.RequestCount(); n != 0 {
-		t.Errorf("%d more requests were sent on for a client that had left", n)
+		t.Errorf("%d more requests were forwarded for a client that had left", n)
 	}
 }
 
-// TestGoneWhileConnecting has a client leave while the connection for its request comes up, where the settings let no
-// attempt be called off: it is not made, as it has not begun.
-func TestGoneWhileConnecting(t *testing.T) {
+// TestNoAttemptAfterDisconnectWhileConnecting has a client leave while the connection for its request comes up, where
+// the settings let no attempt be called off: it is not made, as it has not begun.
+func TestNoAttemptAfterDisconnectWhileConnecting(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	settings := strings.Replace(testserver.Settings, `"cancelling":true`, `"cancelling":false`, 1)
 	p, late := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), settings)), testserver.NewDelayedDialer()
-	u := p.staff.loop.Upstream()
+	u := p.operator.loop.Upstream()
 	u.SetDial(late.Dial)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan testserver.Result, 1)
@@ -58,18 +59,18 @@
 	testserver.Receive(t, late.Connected, "connection")
 	cancel()
 	testserver.Receive(t, ended, "end")
-	p.forgotten()
+	p.waitUntilIdle()
 	late.Release <- struct{}{}
 	u.SetDial(nil)
-	if g := p.Send("pay"); g.Body != "ok" || b.RequestCount() != 1 {
-		t.Errorf("answer %+v, %d requests sent, want the one that somebody waits for", g, b.RequestCount())
+	if got := p.Send("pay"); got.Body != "ok" || b.RequestCount() != 1 {
+		t.Errorf("response %+v, %d requests sent, want the one that somebody waits for", got, b.RequestCount())
 	}
 }
 
-// forgotten waits until the program serves no request.
-func (p *program) forgotten() {
+// waitUntilIdle waits until the program serves no request.
+func (p *program) waitUntilIdle() {
 	p.T.Helper()
-	for end := time.Now().Add(testserver.Timeout); p.staff.server.Load().handler.InFlight() > 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testserver.Timeout); p.operator.server.Load().handler.InFlight() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			p.T.Fatal("a request is held for good")
 		}
--- a/internal/sidecar/beyond_test.go
+++ b/internal/sidecar/beyond_test.go
@@ -13,9 +13,9 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestFiveConfigurations has five files within a second name five addresses of discovery: the last one counts, its list
-// is obeyed, and requests are served all the time.
-func TestFiveConfigurations(t *testing.T) {
+// TestLastOfFiveReloadsWins has five files within a second name five addresses of discovery: the last one counts, its
+// list is followed, and requests are served all the time.
+func TestLastOfFiveReloadsWins(t *testing.T) {
 	one, two := testserver.StartBackend(t, testserver.Respond(200, "", "one")), testserver.StartBackend(t, testserver.Respond(200, "", "two"))
 	was := testserver.StartDiscovery(t)
 	p := start(t, testserver.ConfigText(was.Address, testserver.ServingList(1, one), testserver.Settings))
@@ -24,31 +24,32 @@
 	var next []*testserver.Discovery
 	for range 5 {
 		d := testserver.StartDiscovery(t)
-		p.moveTo(d.Address, address)
+		p.switchDiscovery(d.Address, address)
 		address, next = d.Address, append(next, d)
-		if g := p.Send("read"); g.Body != "one" {
-			t.Errorf("answer %+v between two files", g)
+		if got := p.Send("read"); got.Body != "one" {
+			t.Errorf("response %+v between two files", got)
 		}
 	}
 	w := testserver.Receive(t, next[4].Watches, "watch at the last address")
 	old.Lines <- testserver.ListText(2, false, testserver.EndpointEntry("s-9", one.Address, "SERVING", 0))
 	w.Lines <- testserver.ServingList(1, two)
-	p.until("two")
+	p.sendUntilBody("two")
 	for _, d := range next[:4] { // a late line of an address between
 		for len(d.Watches) > 0 {
 			(<-d.Watches).Lines <- testserver.ServingList(9, one)
 		}
 	}
 	for range 20 {
-		if g := p.Send("read"); g.Body != "two" {
-			t.Errorf("answer %+v, want the last address's server", g)
+		if got := p.Send("read"); got.Body != "two" {
+			t.Errorf("response %+v, want the last address's server", got)
 		}
 	}
 }
 
-// TestRestartAndDrainTogether has a server begin to drain while one process drains and the next one starts with a list
-// that does not say so: neither sends new requests there once told, and what was in hand has its answer.
-func TestRestartAndDrainTogether(t *testing.T) {
+// TestDrainingServerGetsNoNewRequestsOverRestart has a server begin to drain while one process drains and the next one
+// starts with a list that does not say so: neither sends new requests there once it is notified, and what was in flight
+// has its response.
+func TestDrainingServerGetsNoNewRequestsOverRestart(t *testing.T) {
 	gate := make(chan bool)
 	one := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Method == http.MethodPost {
@@ -72,23 +73,23 @@
 	p.stop()
 	drains := testserver.ListText(2, false, testserver.EndpointEntry("s-0", one.Address, "DRAINING", 0), testserver.EndpointEntry("s-1", two.Address, "SERVING", 0))
 	w.Lines <- drains
-	p.listed(2)
+	p.waitForServers(2)
 	next := start(t, text)
 	testserver.Receive(t, d.Watches, "watch of the next process").Lines <- drains
-	next.listed(2)
+	next.waitForServers(2)
 	before := one.RequestCount()
 	for i, c := range kept {
 		fmt.Fprint(c, testserver.RequestHead("GET", fmt.Sprint("kept-", i), "read"), "\r\n")
 		testserver.ExpectFinalResponse(t, c, http.StatusOK)
-		if g := next.Send("read"); g.Body != "two" {
-			t.Errorf("answer %+v of the next process", g)
+		if got := next.Send("read"); got.Body != "two" {
+			t.Errorf("response %+v of the next process", got)
 		}
 	}
 	if n := one.RequestCount() - before; n != 0 {
 		t.Errorf("%d new requests reached the draining server", n)
 	}
 	close(gate)
-	if g := testserver.Receive(t, held, "answer"); g.Body != "one" {
-		t.Errorf("answer %+v to what was in hand", g)
+	if got := testserver.Receive(t, held, "response"); got.Body != "one" {
+		t.Errorf("response %+v to what was in flight", got)
 	}
 }
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -18,11 +18,9 @@
 	"milletramp.example/milletramp/internal/proxy"
 )
 
-// dial connects to the program. What is read on it must come in time.
-
-// TestRawFaults sends what net/http's client would not. Each gets one error or a close, and what stands behind it is
-// never taken for a request.
-func TestRawFaults(t *testing.T) {
+// TestMalformedRequestsGetOneErrorOrClose sends what net/http's client would not. Each gets one error or a close, and
+// what stands behind it is never taken for a request.
+func TestMalformedRequestsGetOneErrorOrClose(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
 	hidden := testserver.RequestHead("GET", "hidden", "read") + "\r\n"
@@ -58,10 +56,10 @@
 			if _, err := io.WriteString(c, tt.text); err != nil {
 				t.Fatal(err)
 			}
-			answers, err := io.ReadAll(c)
-			status := regexp.MustCompile(`HTTP/1\.\d \d+`).FindAllString(string(answers), -1)
+			responses, err := io.ReadAll(c)
+			status := regexp.MustCompile(`HTTP/1\.\d \d+`).FindAllString(string(responses), -1)
 			if len(status) > 1 || tt.status != 0 && (len(status) != 1 || !strings.HasSuffix(status[0], fmt.Sprint(" ", tt.status))) {
-				t.Errorf("answers %q, error %v, want one of status %d", answers, err, tt.status)
+				t.Errorf("responses %q, error %v, want one of status %d", responses, err, tt.status)
 			}
 		})
 	}
@@ -71,13 +69,14 @@
 	if n := b.RequestCount(); n != 0 {
 		t.Errorf("%d requests were passed on, the first %+v", n, <-b.Requests)
 	}
-	if g := p.Send("pay"); g.Status != 200 {
-		t.Errorf("answer %+v to a good request", g)
+	if got := p.Send("pay"); got.Status != 200 {
+		t.Errorf("response %+v to a good request", got)
 	}
 }
 
-// TestIDInHand has a client come with the id of a request that is out, and again once that has its answer.
-func TestIDInHand(t *testing.T) {
+// TestDuplicateRequestIDIsRejected has a client come with the id of a request that is out, and again once that has its
+// response.
+func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	gate := make(chan bool)
 	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		<-gate
@@ -92,24 +91,24 @@
 	first := make(chan testserver.Result, 1)
 	go func() { first <- p.Do(ask()) }()
 	testserver.Receive(t, b.Requests, "attempt")
-	if g := p.Do(ask()); g.Status != 409 || !g.Close {
-		t.Errorf("answer %+v to an id in hand", g)
+	if got := p.Do(ask()); got.Status != 409 || !got.Close {
+		t.Errorf("response %+v to an id in flight", got)
 	}
 	close(gate)
-	if g := testserver.Receive(t, first, "answer"); g.Status != 200 || g.Body != "mine" {
-		t.Errorf("the first one got %+v", g)
+	if got := testserver.Receive(t, first, "response"); got.Status != 200 || got.Body != "mine" {
+		t.Errorf("the first one got %+v", got)
 	}
-	if g := p.Do(ask()); g.Status != 409 {
-		t.Errorf("answer %+v to an id just used", g)
+	if got := p.Do(ask()); got.Status != 409 {
+		t.Errorf("response %+v to an id just used", got)
 	}
 	if n := b.RequestCount(); n != 0 {
 		t.Errorf("%d more attempts", n)
 	}
 }
 
-// TestHoardedConnections has clients hold hundreds of silent connections: those of a request in hand and of new
-// requests are served, and the longest idle are closed.
-func TestHoardedConnections(t *testing.T) {
+// TestIdleConnectionsAreClosedAtLimit has clients hold hundreds of silent connections: those of a request in flight and
+// of new requests are served, and the longest idle are closed.
+func TestIdleConnectionsAreClosedAtLimit(t *testing.T) {
 	gate := make(chan bool)
 	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Header.Get("Idempotency-Key") != "" {
@@ -128,19 +127,19 @@
 		p.DialConn()
 	}
 	if _, err := first.Read(make([]byte, 1)); err == nil {
-		t.Error("the longest idle connection got an answer")
+		t.Error("the longest idle connection got a response")
 	}
-	if g := p.Send("pay"); g.Status != 200 {
-		t.Errorf("answer %+v to a new request", g)
+	if got := p.Send("pay"); got.Status != 200 {
+		t.Errorf("response %+v to a new request", got)
 	}
 	close(gate)
-	if g := testserver.Receive(t, held, "answer"); g.Status != 200 {
-		t.Errorf("answer %+v to the request in hand", g)
+	if got := testserver.Receive(t, held, "response"); got.Status != 200 {
+		t.Errorf("response %+v to the request in flight", got)
 	}
 }
 
-// TestKeepAlive sends good requests one after another on one connection.
-func TestKeepAlive(t *testing.T) {
+// TestConnectionStaysOpenBetweenRequests sends good requests one after another on one connection.
+func TestConnectionStaysOpenBetweenRequests(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
 	c := p.DialConn()
@@ -149,7 +148,7 @@
 		fmt.Fprintf(c, "%s\r\n", testserver.RequestHead("GET", fmt.Sprint("k", i), "read"))
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil || resp.StatusCode != 200 || resp.Close {
-			t.Fatalf("request %d: answer %+v, error %v", i, resp, err)
+			t.Fatalf("request %d: response %+v, error %v", i, resp, err)
 		}
 		if _, err := io.ReadAll(resp.Body); err != nil {
 			t.Fatal(err)
@@ -157,9 +156,10 @@
 	}
 }
 
-// TestAskOnceAndStay has clients ask once and keep their connections: before these are all that clients may hold,
-// answers end them, so that requests go on being taken. A connection in use before that is kept alive.
-func TestAskOnceAndStay(t *testing.T) {
+// TestResponsesCloseConnectionsNearLimit has clients ask once and keep their connections: before these are all that
+// clients may hold, responses end them, so that requests go on being taken. A connection in use before that is kept
+// alive.
+func TestResponsesCloseConnectionsNearLimit(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	configText := strings.Replace(testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings), `"sockets":1024`, `"sockets":64`, 1)
 	p := start(t, configText)
@@ -171,7 +171,7 @@
 		fmt.Fprintf(c, "%s\r\n", testserver.RequestHead("GET", fmt.Sprint("once-", i), "read"))
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil || resp.StatusCode != http.StatusOK {
-			t.Fatalf("connection %d: answer %+v, error %v", i, resp, err)
+			t.Fatalf("connection %d: response %+v, error %v", i, resp, err)
 		}
 		if _, err := io.ReadAll(resp.Body); err != nil {
 			t.Fatal(err)
@@ -182,7 +182,7 @@
 		}
 		ended++
 		if _, err := in.ReadByte(); err != io.EOF {
-			t.Errorf("connection %d: %v behind the last answer, want its end", i, err)
+			t.Errorf("connection %d: %v behind the last response, want its end", i, err)
 		}
 	}
 	if kept == 0 || ended == 0 || kept >= budget.Requests {
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -16,9 +16,9 @@
 	"milletramp.example/milletramp/internal/upstream"
 )
 
-// TestResetIsNoEnd: an answer of untold length whose connection is reset is not whole, also where its first bytes were
-// passed on. One whose connection ends in order is.
-func TestResetIsNoEnd(t *testing.T) {
+// TestResetResponseIsIncomplete: a response of untold length whose connection is reset is not whole, also where its
+// first bytes were passed on. One whose connection ends in order is.
+func TestResetResponseIsIncomplete(t *testing.T) {
 	for _, reset := range []bool{true, false} {
 		passed := make(chan struct{})
 		b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -40,16 +40,16 @@
 	}
 }
 
-// TestStopWhileABodyComes has the process told to stop while a request's body comes: it is served, and its answer ends
+// TestDrainWaitsForRequestBody has the process stop while a request's body comes: it is served, and its response ends
 // the connection.
-func TestStopWhileABodyComes(t *testing.T) {
+func TestDrainWaitsForRequestBody(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
 	c := p.DialConn()
 	fmt.Fprintf(c, "%sContent-Length: 8\r\n\r\nhalf", testserver.RequestHead("POST", "slow", "pay"))
-	p.inUse(1)
+	p.waitForUsedConns(1)
 	p.stop()
-	p.deaf()
+	p.waitUntilNotListening()
 	fmt.Fprint(c, "rest")
 	testserver.ExpectFinalResponse(t, c, http.StatusOK)
 	if err := testserver.Receive(t, p.ended, "end"); err != nil {
@@ -58,10 +58,10 @@
 	p.ended <- nil // for the cleanup
 }
 
-// inUse waits until n connections have brought a request.
-func (p *program) inUse(n int) {
+// waitForUsedConns waits until n connections have brought a request.
+func (p *program) waitForUsedConns(n int) {
 	p.T.Helper()
-	conns := p.staff.server.Load().conns
+	conns := p.operator.server.Load().conns
 	for end := time.Now().Add(testserver.Timeout); conns.Counts().Used < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			p.T.Fatalf("not %d connections in use", n)
@@ -69,9 +69,9 @@
 	}
 }
 
-// TestStopWhileAnAnswerPasses has the process told to stop, and to read its file again, while a long answer is passed
-// on: it ends with the answer, which is whole.
-func TestStopWhileAnAnswerPasses(t *testing.T) {
+// TestDrainWaitsForStreamedResponse has the process stop, and read its file again, while a long response is passed
+// on: it ends with the response, which is whole.
+func TestDrainWaitsForStreamedResponse(t *testing.T) {
 	rest := make(chan struct{})
 	b := testserver.StartBackend(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", upstream.MaxBufferedBody+1)
@@ -87,9 +87,9 @@
 	}
 	defer resp.Body.Close()
 	p.stop()
-	p.deaf()
-	p.hangup(text)
-	p.hangup("no configuration")
+	p.waitUntilNotListening()
+	p.reload(text)
+	p.reload("no configuration")
 	close(rest)
 	if body, err := io.ReadAll(resp.Body); err != nil || len(body) != upstream.MaxBufferedBody+1 {
 		t.Errorf("%d bytes, error %v", len(body), err)
@@ -100,12 +100,12 @@
 	p.ended <- nil // for the cleanup
 }
 
-// connectionRest is more than a connection to a server rests after a response before it is used again.
-const connectionRest = 100 * time.Millisecond
+// connReuseWait is more than a connection to a server rests after a response before it is used again.
+const connReuseWait = 100 * time.Millisecond
 
-// TestClosedUnderTheRequest has a server close an idle connection while a request is written on it. The request may
-// have run: one that is unsafe to repeat is not made anew, and one that may be repeated is.
-func TestClosedUnderTheRequest(t *testing.T) {
+// TestOnlyRepeatableRequestsAreRetriedAfterClose has a server close an idle connection while a request is written on
+// it. The request may have run: one that is unsafe to repeat is not retried, and one that may be repeated is.
+func TestOnlyRepeatableRequestsAreRetriedAfterClose(t *testing.T) {
 	for _, tt := range []struct {
 		class  string
 		status int
@@ -122,25 +122,25 @@
 			other := testserver.StartBackend(t, testserver.Respond(200, "", "other"))
 			d := testserver.StartDiscovery(t)
 			p := start(t, testserver.ConfigText(d.Address, testserver.ServingList(1, b), testserver.Settings))
-			if g := p.Send("read"); g.Body != "first" {
-				t.Fatalf("answer %+v", g)
+			if got := p.Send("read"); got.Body != "first" {
+				t.Fatalf("response %+v", got)
 			}
-			time.Sleep(connectionRest) // and so the next request goes out on the connection
+			time.Sleep(connReuseWait) // and so the next request goes out on the connection
 			w := testserver.Receive(t, d.Watches, "watch")
-			g := make(chan testserver.Result, 1)
+			got := make(chan testserver.Result, 1)
 			w.Lines <- testserver.ListText(2, false, testserver.EndpointEntry("s-1", other.Address, "SERVING", 0))
-			p.listed(2)
+			p.waitForServers(2)
 			for b.RequestCount() > 0 {
 				<-b.Requests
 			}
 			for range 2 { // even turns: one of two goes to the server that closes
-				go func() { g <- p.Do(p.NewRequest(context.Background(), tt.class, "50000")) }()
-				answer := testserver.Receive(t, g, "answer")
+				go func() { got <- p.Do(p.NewRequest(context.Background(), tt.class, "50000")) }()
+				response := testserver.Receive(t, got, "response")
 				if len(closing) == 0 {
 					continue
 				}
-				if answer.Status != tt.status {
-					t.Errorf("answer %+v, want status %d", answer, tt.status)
+				if response.Status != tt.status {
+					t.Errorf("response %+v, want status %d", response, tt.status)
 				}
 				break
 			}
@@ -151,10 +151,10 @@
 	}
 }
 
-// listed waits until the program knows n servers.
-func (p *program) listed(n int) {
+// waitForServers waits until the program knows n servers.
+func (p *program) waitForServers(n int) {
 	p.T.Helper()
-	for end := time.Now().Add(testserver.Timeout); len(p.staff.loop.Upstream().Endpoints()) != n; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testserver.Timeout); len(p.operator.loop.Upstream().Endpoints()) != n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			p.T.Fatalf("not %d servers listed", n)
 		}
@@ -172,21 +172,21 @@
 	p := start(t, testserver.ConfigText(silent.Addr().String(), testserver.ServingList(1, b, &testserver.Backend{Address: address}), testserver.Settings))
 	resp, err := p.HTTP.Get("http://" + p.Address + "/healthz")
 	if err != nil || resp.StatusCode != http.StatusOK {
-		t.Fatalf("answer %+v, error %v, want ready", resp, err)
+		t.Fatalf("response %+v, error %v, want ready", resp, err)
 	}
 	resp.Body.Close()
 	for range 4 {
-		if g := p.Send("pay"); g.Body != "ok" {
-			t.Errorf("answer %+v by an old list", g)
+		if got := p.Send("pay"); got.Body != "ok" {
+			t.Errorf("response %+v by an old list", got)
 		}
 	}
 }
 
-// TestStopBeforeReady has the process told to stop before it knows a server: it ends at once.
-func TestStopBeforeReady(t *testing.T) {
+// TestStopBeforeReadyEndsAtOnce has the process stop before it knows a server: it ends at once.
+func TestStopBeforeReadyEndsAtOnce(t *testing.T) {
 	p := start(t, testserver.ConfigText(testserver.Listen(t).Addr().String(), "", testserver.Settings))
 	c := p.DialConn()
-	p.accepted(1)
+	p.waitForOpenConns(1)
 	p.stop()
 	if err := testserver.Receive(t, p.ended, "end"); err != nil {
 		t.Errorf("it ended with %v", err)
--- a/internal/sidecar/gone_test.go
+++ b/internal/sidecar/gone_test.go
@@ -12,13 +12,13 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestGoneBeforeItsRequestIsWhole has a client leave while its request is read, or waits for a policy with more
-// requests behind it: nothing is sent on.
-func TestGoneBeforeItsRequestIsWhole(t *testing.T) {
-	b, f := testserver.StartBackend(t, testserver.Respond(200, "", "ok")), &fakePart{}
+// TestIncompleteRequestsOfHalfClosedClientAreNotForwarded has a client leave while its request is read, or waits for a
+// policy with more requests behind it: nothing is forwarded.
+func TestIncompleteRequestsOfHalfClosedClientAreNotForwarded(t *testing.T) {
+	b, f := testserver.StartBackend(t, testserver.Respond(200, "", "ok")), &fakeParticipant{}
 	p := startIn(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings), drainTimes{quietPeriod: time.Millisecond}, f.join)
-	f.check(t, 1, f.document(t, ""), "")
-	f.set(1, 0, true)
+	f.expectCheck(t, 1, f.policyDocument(t, ""), "")
+	f.setPolicy(1, 0, true)
 	pay := testserver.RequestHead("POST", "gone", "pay")
 	for _, tt := range []struct {
 		name, text string
@@ -30,25 +30,25 @@
 		{"before a policy", strings.Repeat(pay+"Content-Length: 4\r\n\r\nskip", 50), true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			f.set(1, 20*time.Millisecond, !tt.waits)
+			f.setPolicy(1, 20*time.Millisecond, !tt.waits)
 			c := p.DialConn()
 			if _, err := io.WriteString(c, tt.text); err != nil {
 				t.Fatal(err)
 			}
-			p.inUse(map[bool]int{true: 1}[tt.waits])
+			p.waitForUsedConns(map[bool]int{true: 1}[tt.waits])
 			if err := c.(*net.TCPConn).CloseWrite(); err != nil {
 				t.Fatal(err)
 			}
-			f.set(1, 0, true)
+			f.setPolicy(1, 0, true)
 			if _, err := io.Copy(io.Discard, c); err != nil {
-				t.Errorf("error %v behind the last answer", err)
+				t.Errorf("error %v behind the last response", err)
 			}
 		})
 	}
 	if n := b.RequestCount(); n != 0 {
-		t.Errorf("%d requests were sent on for clients that had left", n)
+		t.Errorf("%d requests were forwarded for clients that had left", n)
 	}
-	if g := p.Send("pay"); g.Status != 200 {
-		t.Errorf("answer %+v to one that stays", g)
+	if got := p.Send("pay"); got.Status != 200 {
+		t.Errorf("response %+v to one that stays", got)
 	}
 }
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -17,35 +17,35 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-func write(t *testing.T, file, text string) {
+func writeFile(t *testing.T, file, text string) {
 	t.Helper()
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// load reads a configuration as the program does. Each of env is KEY=VALUE.
-func load(t *testing.T, text string, env ...string) (*config.Config, error) {
+// loadConfig reads a configuration as the program does. Each of env is KEY=VALUE.
+func loadConfig(t *testing.T, text string, env ...string) (*config.Config, error) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
-	write(t, file, text)
+	writeFile(t, file, text)
 	return config.Load(testserver.Environment(file, env...))
 }
 
-// addressLog is a log that passes on the address served.
-type addressLog struct {
+// startLog is a log that passes on the address served.
+type startLog struct {
 	slog.Handler
-	address chan string
-	ejected *atomic.Int32
+	address   chan string
+	ejections *atomic.Int32
 }
 
 // Enabled implements slog.Handler.
-func (addressLog) Enabled(context.Context, slog.Level) bool { return true }
+func (startLog) Enabled(context.Context, slog.Level) bool { return true }
 
 // Handle implements slog.Handler.
-func (l addressLog) Handle(_ context.Context, r slog.Record) error {
+func (l startLog) Handle(_ context.Context, r slog.Record) error {
 	if strings.HasPrefix(r.Message, "ejected ") {
-		l.ejected.Add(1)
+		l.ejections.Add(1)
 	}
 	r.Attrs(func(a slog.Attr) bool {
 		if a.Key == "address" {
@@ -59,12 +59,12 @@
 // program is a running sidecar.
 type program struct {
 	testserver.Client
-	stop    context.CancelFunc
-	file    string // its configuration
-	hup     chan os.Signal
-	ended   chan error
-	staff   *operator
-	ejected atomic.Int32 // servers
+	stop          context.CancelFunc
+	configFile    string // its configuration
+	reloadSignals chan os.Signal
+	ended         chan error
+	operator      *operator
+	ejections     atomic.Int32 // servers
 }
 
 func start(t *testing.T, configText string, env ...string) *program {
@@ -86,20 +86,20 @@
 // startWith starts a sidecar with hooks of its test.
 func startWith(t *testing.T, configText string, times drainTimes, join JoinFunc, with hooks, env ...string) *program {
 	t.Helper()
-	c, err := load(t, configText, env...)
+	c, err := loadConfig(t, configText, env...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	times.maxDeadline = cmp.Or(times.maxDeadline, testserver.Timeout) // no verdict hangs on how soon a request in hand has to be given up
+	times.maxDeadline = cmp.Or(times.maxDeadline, testserver.Timeout) // no verdict hangs on how soon a request in flight has to be given up
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &program{Client: testserver.Client{T: t, HTTP: &http.Client{Transport: &http.Transport{}}}, stop: cancel, file: c.Getenv("PROXY_CONFIG"), hup: make(chan os.Signal, 1), ended: make(chan error, 1)}
-	with.started = func(o *operator) { p.staff = o }
-	log := addressLog{slog.DiscardHandler, make(chan string, 1), &p.ejected}
+	p := &program{Client: testserver.Client{T: t, HTTP: &http.Client{Transport: &http.Transport{}}}, stop: cancel, configFile: c.Getenv("PROXY_CONFIG"), reloadSignals: make(chan os.Signal, 1), ended: make(chan error, 1)}
+	with.started = func(o *operator) { p.operator = o }
+	log := startLog{slog.DiscardHandler, make(chan string, 1), &p.ejections}
 	var over sync.WaitGroup
 	over.Add(1)
 	go func() {
 		defer over.Done()
-		p.ended <- run(ctx, p.hup, c, slog.New(log), join, times, with)
+		p.ended <- run(ctx, p.reloadSignals, c, slog.New(log), join, times, with)
 	}()
 	t.Cleanup(func() {
 		p.HTTP.CloseIdleConnections()
--- a/internal/sidecar/kill_test.go
+++ b/internal/sidecar/kill_test.go
@@ -18,8 +18,9 @@
 	"milletramp.example/milletramp/internal/upstream"
 )
 
-// heldUp counts by how much the machine holds this test up, until the returned function tells it.
-func heldUp() func() time.Duration {
+// measureStalls counts by how much the machine holds this test up, until the returned function is called, which returns
+// the sum.
+func measureStalls() func() time.Duration {
 	const step = 5 * time.Millisecond
 	var total atomic.Int64
 	ctx, cancel := context.WithCancel(context.Background())
@@ -35,12 +36,12 @@
 	return func() time.Duration { cancel(); return time.Duration(total.Load()) }
 }
 
-// TestKilledUnderHangingServers has all servers hang through the whole of a shutdown, while clients go on sending on
-// every connection that stays open: each request that was read has one answer, and the process its end, before it may
-// be killed. Connections that idle are closed by nothing else here.
-func TestKilledUnderHangingServers(t *testing.T) {
+// TestDrainEndsBeforeKillWithHangingServers has all servers hang through the whole of a shutdown, while clients go on
+// sending on every connection that stays open: each request that was read has one response, and the process its end,
+// before it may be killed. Connections that idle are closed by nothing else here.
+func TestDrainEndsBeforeKillWithHangingServers(t *testing.T) {
 	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		if r.Header.Get("Idempotency-Key") != "" { // a long answer, which stops
+		if r.Header.Get("Idempotency-Key") != "" { // a long response, which stops
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", upstream.MaxBufferedBody+1)
 		}
 		return testserver.NeverRespond(c, r, body)
@@ -56,26 +57,26 @@
 		t.Run(fmt.Sprint("waits for a policy ", gated), func(t *testing.T) {
 			times := drainTimes{acceptFor: 100 * time.Millisecond, quietPeriod: time.Millisecond, idleGrace: testserver.Timeout, unusedGrace: testserver.Timeout}
 			var join JoinFunc
-			f := &fakePart{}
+			f := &fakeParticipant{}
 			if gated {
 				join = f.join
 			}
 			p := startIn(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), settings), times, join)
 			if gated {
-				f.check(t, 1, f.document(t, ""), "")
-				f.set(1, 20*time.Millisecond, true)
+				f.expectCheck(t, 1, f.policyDocument(t, ""), "")
+				f.setPolicy(1, 20*time.Millisecond, true)
 			}
 			used := p.DialConn()
 			fmt.Fprint(used, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 			if resp, err := http.ReadResponse(bufio.NewReader(used), nil); err != nil || resp.StatusCode != 200 {
-				t.Fatalf("answer %+v, error %v", resp, err)
+				t.Fatalf("response %+v, error %v", resp, err)
 			}
 			unused, partial, uploading, late := p.DialConn(), p.DialConn(), p.DialConn(), p.DialConn()
 			fmt.Fprint(partial, testserver.RequestHead("GET", "partial", "read"))
 			fmt.Fprint(uploading, testserver.RequestHead("POST", "uploading", "pay"), "Content-Length: 8\r\n\r\nhalf")
 			long, err := p.HTTP.Do(p.NewRequest(context.Background(), "book", "50000"))
 			if err != nil || long.StatusCode != 200 {
-				t.Fatalf("answer %+v, error %v", long, err)
+				t.Fatalf("response %+v, error %v", long, err)
 			}
 			defer long.Body.Close()
 			var asked atomic.Int64
@@ -89,18 +90,18 @@
 						if err != nil {
 							return // it listens no more
 						}
-						if askOn(t, c, fmt.Sprintf("c-%d-%d", i, n), time.Millisecond, &asked) && readThenDropped(t, c) {
-							t.Errorf("client %d's request was read and has no answer", i)
+						if sendUntilClosed(t, c, fmt.Sprintf("c-%d-%d", i, n), time.Millisecond, &asked) && closedAfterReadingAll(t, c) {
+							t.Errorf("client %d's request was read and has no response", i)
 						}
 						c.Close()
 					}
 				}()
 			}
-			p.inUse(8)
-			f.set(1, 20*time.Millisecond, false) // and it comes no more
-			held, stopped := heldUp(), time.Now()
+			p.waitForUsedConns(8)
+			f.setPolicy(1, 20*time.Millisecond, false) // and it comes no more
+			held, stopped := measureStalls(), time.Now()
 			p.stop()
-			p.deaf()
+			p.waitUntilNotListening()
 			fmt.Fprintf(late, "%s\r\n", testserver.RequestHead("GET", "late", "read"))
 			if err := testserver.Receive(t, p.ended, "end"); err != nil {
 				t.Errorf("it ended with %v", err)
@@ -110,11 +111,11 @@
 			}
 			clients.Wait()
 			if resp, err := http.ReadResponse(bufio.NewReader(late), nil); err != nil || !resp.Close {
-				t.Errorf("answer %+v, error %v to a request that came while draining", resp, err)
+				t.Errorf("response %+v, error %v to a request that came while draining", resp, err)
 			}
 			testserver.ExpectFinalResponse(t, uploading, http.StatusServiceUnavailable)
 			if n, err := io.Copy(io.Discard, long.Body); err == nil {
-				t.Errorf("a long answer that hangs looks whole behind %d bytes", n)
+				t.Errorf("a long response that hangs looks whole behind %d bytes", n)
 			}
 			for _, c := range []net.Conn{used, unused, partial} {
 				if n, err := c.Read(make([]byte, 1)); n != 0 || err != io.EOF {
--- a/internal/sidecar/linger_test.go
+++ b/internal/sidecar/linger_test.go
@@ -11,9 +11,9 @@
 	"milletramp.example/milletramp/internal/proxy"
 )
 
-// TestLastAnswerBeforeUnreadBytes: bytes that nobody reads do not cost the answer that goes before them, and are no
-// request.
-func TestLastAnswerBeforeUnreadBytes(t *testing.T) {
+// TestUnreadBytesDoNotCostFinalResponse: bytes that nobody reads do not cost the response that goes before them, and
+// are no request.
+func TestUnreadBytesDoNotCostFinalResponse(t *testing.T) {
 	t.Run("too large a body", func(t *testing.T) {
 		b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 		p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
@@ -21,7 +21,7 @@
 		fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", testserver.RequestHead("POST", "large", "pay"), 2*proxy.MaxRequestBody, strings.Repeat("x", 300<<10))
 		testserver.ExpectFinalResponse(t, c, http.StatusRequestEntityTooLarge)
 		if n := b.RequestCount(); n != 0 {
-			t.Errorf("%d requests were sent on", n)
+			t.Errorf("%d requests were forwarded", n)
 		}
 	})
 	t.Run("requests behind the last one of a stop", func(t *testing.T) {
@@ -41,11 +41,11 @@
 		}
 		testserver.Receive(t, b.Requests, "first request")
 		p.stop()
-		p.deaf()
+		p.waitUntilNotListening()
 		close(gate)
 		testserver.ExpectFinalResponse(t, c, http.StatusOK)
 		if n := b.RequestCount(); n != 0 {
-			t.Errorf("%d requests were sent on behind the last one", n)
+			t.Errorf("%d requests were forwarded behind the last one", n)
 		}
 		if err := testserver.Receive(t, p.ended, "end"); err != nil {
 			t.Errorf("it ended with %v", err)
--- a/internal/sidecar/process_group_fault_test.go
+++ b/internal/sidecar/process_group_fault_test.go
@@ -13,17 +13,17 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestFolderFailsInService has the folder for upgrades be away for a while: the sidecar goes on serving, answers no
-// call of the operators with yes that the next process would not see, and once the folder is there again that process
-// sees what was called, without a further call.
-func TestFolderFailsInService(t *testing.T) {
+// TestSidecarServesWhileSharedFolderIsMissing has the folder for upgrades be away for a while: the sidecar goes on
+// serving, answers no call of the operators with yes that the next process would not see, and once the folder is there
+// again that process sees what was called, without a further call.
+func TestSidecarServesWhileSharedFolderIsMissing(t *testing.T) {
 	dir := t.TempDir()
 	one, two := testserver.StartBackend(t, testserver.Respond(200, "", "one")), testserver.StartBackend(t, testserver.Respond(200, "", "two"))
 	three := testserver.StartBackend(t, testserver.Respond(200, "", "three"))
 	d := testserver.StartDiscovery(t)
 	p := start(t, testserver.ConfigText(d.Address, testserver.ServingList(1, one, two, three), testserver.Settings), "TMPDIR="+dir)
 	testserver.Receive(t, d.Watches, "watch")
-	p.until("three")
+	p.sendUntilBody("three")
 	next, err := hotrestart.Join(dir, hotrestart.State{Name: "n0", ListenAddress: "127.0.0.1:0", Started: time.Now(),
 		Phase: hotrestart.Starting}, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -31,7 +31,7 @@
 	}
 	defer func() { _ = next.Leave() }()
 	sees := func() []string { return next.Others()[0].AdminDown }
-	if _, err := p.staff.SetAdminDown(context.Background(), "s-0", true, false); err != nil || !slices.Equal(sees(), []string{"s-0"}) {
+	if _, err := p.operator.SetAdminDown(context.Background(), "s-0", true, false); err != nil || !slices.Equal(sees(), []string{"s-0"}) {
 		t.Fatalf("error %v, the next process sees %v", err, sees())
 	}
 	folders, err := filepath.Glob(filepath.Join(dir, "milletramp-*"))
@@ -41,12 +41,12 @@
 	if err := os.Rename(folders[0], folders[0]+"-away"); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := p.staff.SetAdminDown(context.Background(), "s-1", true, false); err == nil {
+	if _, err := p.operator.SetAdminDown(context.Background(), "s-1", true, false); err == nil {
 		t.Error("a call that the next process would not see is answered with yes")
 	}
 	for range 20 {
-		if g := p.Send("read"); g.Status != 200 || g.Body != "three" {
-			t.Fatalf("answer %+v while the folder is away", g)
+		if got := p.Send("read"); got.Status != 200 || got.Body != "three" {
+			t.Fatalf("response %+v while the folder is away", got)
 		}
 	}
 	if err := os.Rename(folders[0]+"-away", folders[0]); err != nil {
--- a/internal/sidecar/process_group_test.go
+++ b/internal/sidecar/process_group_test.go
@@ -10,9 +10,10 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestBesideAnother has a process start beside another of its sidecar with no list of servers: it does not listen
-// before it has one. Danger: it would refuse what the other one serves. It takes over what is out by hand.
-func TestBesideAnother(t *testing.T) {
+// TestSecondProcessListensOnceItHasAList has a process start beside another of its sidecar with no list of servers: it
+// does not listen before it has one. Otherwise it would reject what the other one serves. It takes over what is
+// administratively down.
+func TestSecondProcessListensOnceItHasAList(t *testing.T) {
 	dir := t.TempDir()
 	other, err := hotrestart.Join(dir, hotrestart.State{Name: "n0", ListenAddress: "127.0.0.1:0", Started: time.Now(),
 		Phase: hotrestart.Ready, AdminDown: []string{"s-0"}}, slog.New(slog.DiscardHandler))
@@ -22,7 +23,7 @@
 	defer func() { _ = other.Leave() }()
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	d := testserver.StartDiscovery(t)
-	c, err := load(t, testserver.ConfigText(d.Address, "", testserver.Settings), "TMPDIR="+dir)
+	c, err := loadConfig(t, testserver.ConfigText(d.Address, "", testserver.Settings), "TMPDIR="+dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,12 +40,12 @@
 	case <-time.After(50 * time.Millisecond): // without the wait it listens at once
 	}
 	w.Lines <- testserver.ServingList(1, b, b)
-	staff := testserver.Receive(t, started, "listening with a list")
-	if staff.group.processes.Load() != 2 {
-		t.Errorf("the sidecar's limits are parted into %d", staff.group.processes.Load())
+	op := testserver.Receive(t, started, "listening with a list")
+	if op.group.processes.Load() != 2 {
+		t.Errorf("the sidecar's limits are parted into %d", op.group.processes.Load())
 	}
 	listed, avoided := 0, 0
-	if err := staff.loop.Do(context.Background(), func() { listed, avoided = staff.loop.CountEndpoints() }); err != nil {
+	if err := op.loop.Do(context.Background(), func() { listed, avoided = op.loop.CountEndpoints() }); err != nil {
 		t.Fatal(err)
 	}
 	if listed != 2 || avoided != 1 {
--- a/internal/sidecar/readahead_test.go
+++ b/internal/sidecar/readahead_test.go
@@ -14,10 +14,10 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestBadBehindARequest has a client send a good request and, behind it, one that cannot be read, whole or but for its
-// last byte, which net/http reads ahead while the first is out at its server. The first is served, and the second gets
-// an error or the end.
-func TestBadBehindARequest(t *testing.T) {
+// TestMalformedPipelinedRequestDoesNotCostFirstResponse has a client send a good request and, behind it, one that
+// cannot be read, whole or but for its last byte, which net/http reads ahead while the first is out at its server. The
+// first is served, and the second gets an error or the end.
+func TestMalformedPipelinedRequestDoesNotCostFirstResponse(t *testing.T) {
 	unread := testserver.RequestHead("GET", "bad", "read") + "Content-Length: 0\r\n"
 	for name, bad := range map[string]string{
 		"two lengths":       unread + "Content-Length: 0\r\n",
@@ -43,13 +43,13 @@
 			in := bufio.NewReader(c)
 			resp, err := http.ReadResponse(in, nil)
 			if err != nil || resp.StatusCode != http.StatusOK {
-				t.Errorf("%s, %d bytes later: answer %+v, error %v to the first", name, later, resp, err)
+				t.Errorf("%s, %d bytes later: response %+v, error %v to the first", name, later, resp, err)
 				continue
 			}
 			_, _ = io.Copy(io.Discard, resp.Body)
 			if resp, err = http.ReadResponse(in, nil); err == nil && resp.StatusCode != http.StatusBadRequest ||
 				err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
-				t.Errorf("%s, %d bytes later: answer %+v, error %v to the second", name, later, resp, err)
+				t.Errorf("%s, %d bytes later: response %+v, error %v to the second", name, later, resp, err)
 			}
 		}
 	}
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -13,33 +13,34 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// moveTo has the program reload a file that names another discovery.
-func (p *program) moveTo(address, was string) {
+// switchDiscovery has the program reload a file that names another discovery.
+func (p *program) switchDiscovery(address, was string) {
 	p.T.Helper()
-	text, err := os.ReadFile(p.file)
+	text, err := os.ReadFile(p.configFile)
 	if err != nil {
 		p.T.Fatal(err)
 	}
-	write(p.T, p.file, strings.ReplaceAll(string(text), was, address))
-	p.hup <- syscall.SIGHUP
+	writeFile(p.T, p.configFile, strings.ReplaceAll(string(text), was, address))
+	p.reloadSignals <- syscall.SIGHUP
 }
 
-// until asks until an answer comes from the server that says so.
-func (p *program) until(want string) {
+// sendUntilBody asks until a response comes from the server that says so.
+func (p *program) sendUntilBody(want string) {
 	p.T.Helper()
 	for end := time.Now().Add(testserver.Timeout); ; {
-		g := p.Send("read")
-		if g.Body == want {
+		got := p.Send("read")
+		if got.Body == want {
 			return
 		}
 		if time.Now().After(end) {
-			p.T.Fatalf("answer %+v, want %q", g, want)
+			p.T.Fatalf("response %+v, want %q", got, want)
 		}
 	}
 }
 
-// TestReload moves discovery twice, the second time to an address that is not up at first, and once more in a drain.
-func TestReload(t *testing.T) {
+// TestReloadSwitchesDiscovery moves discovery twice, the second time to an address that is not up at first, and once
+// more in a drain.
+func TestReloadSwitchesDiscovery(t *testing.T) {
 	gate := make(chan bool)
 	one := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Method == http.MethodPost {
@@ -51,21 +52,21 @@
 	a, b := testserver.StartDiscovery(t), testserver.StartDiscovery(t)
 	p := start(t, testserver.ConfigText(a.Address, testserver.ServingList(41, one), testserver.Settings))
 	first := testserver.Receive(t, a.Watches, "watch")
-	p.moveTo(b.Address, a.Address)
+	p.switchDiscovery(b.Address, a.Address)
 	second := testserver.Receive(t, b.Watches, "watch at the new address")
 	if second.Query != "watch=1" {
 		t.Errorf("query %q at the new address, want the whole list", second.Query)
 	}
 	first.Lines <- testserver.ListText(42, false, testserver.EndpointEntry("s-0", two.Address, "SERVING", 0))
-	p.until("two") // the old address tells until the new one has answered
+	p.sendUntilBody("two") // the old address counts until the new one has answered
 	close(first.Lines)
 	second.Lines <- testserver.ListText(7, true, testserver.EndpointEntry("s-0", three.Address, "SERVING", 0))
-	p.until("three")
+	p.sendUntilBody("three")
 
 	late := testserver.Listen(t)
 	address := late.Addr().String()
 	late.Close()
-	p.moveTo(address, b.Address)
+	p.switchDiscovery(address, b.Address)
 	inner, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -73,7 +74,7 @@
 	c := testserver.ServeDiscovery(t, inner)
 	third := testserver.Receive(t, c.Watches, "watch at an address that comes up late")
 	third.Lines <- testserver.ListText(1, true, testserver.EndpointEntry("s-0", one.Address, "SERVING", 0))
-	p.until("one")
+	p.sendUntilBody("one")
 	if len(a.Watches) != 0 || len(b.Watches) != 0 {
 		t.Error("a former address was asked again")
 	}
@@ -87,29 +88,30 @@
 	for r := testserver.Receive(t, one.Requests, "request"); r.Method != http.MethodPost; r = testserver.Receive(t, one.Requests, "request") {
 	}
 	p.stop()
-	p.moveTo(b.Address, address)
+	p.switchDiscovery(b.Address, address)
 	testserver.Receive(t, b.Watches, "watch while draining")
 	close(gate)
-	if g := testserver.Receive(t, held, "answer"); g.Body != "one" {
-		t.Errorf("answer %+v while draining", g)
+	if got := testserver.Receive(t, held, "response"); got.Body != "one" {
+		t.Errorf("response %+v while draining", got)
 	}
 }
 
-// TestReloadKeepsWhatRuns reloads a file that is no configuration, and one that is the same as before.
-func TestReloadKeepsWhatRuns(t *testing.T) {
+// TestReloadOfInvalidOrSameFileChangesNothing reloads a file that is no configuration, and one that is the same as
+// before.
+func TestReloadOfInvalidOrSameFileChangesNothing(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	d, other := testserver.StartDiscovery(t), testserver.StartDiscovery(t)
 	text := testserver.ConfigText(d.Address, testserver.ServingList(1, b), testserver.Settings)
 	p := start(t, text)
 	w := testserver.Receive(t, d.Watches, "watch")
 	for _, bad := range []string{"{", strings.Replace(text, d.Address, "nowhere", 1), text} {
-		write(t, p.file, bad)
-		p.hup <- syscall.SIGHUP
+		writeFile(t, p.configFile, bad)
+		p.reloadSignals <- syscall.SIGHUP
 	}
 	w.Lines <- testserver.ListText(2, false)
-	p.moveTo(other.Address, d.Address)
+	p.switchDiscovery(other.Address, d.Address)
 	testserver.Receive(t, other.Watches, "watch after a good file")
-	if g := p.Send("pay"); g.Body != "ok" || len(d.Watches) != 0 {
-		t.Errorf("answer %+v, %d new watches at the old address", g, len(d.Watches))
+	if got := p.Send("pay"); got.Body != "ok" || len(d.Watches) != 0 {
+		t.Errorf("response %+v, %d new watches at the old address", got, len(d.Watches))
 	}
 }
--- a/internal/sidecar/settings_test.go
+++ b/internal/sidecar/settings_test.go
@@ -14,13 +14,13 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// hangup writes a configuration, has it read, and waits until one more was taken or turned down.
-func (p *program) hangup(text string) {
+// reload writes a configuration, has it read, and waits until it was taken or rejected.
+func (p *program) reload(text string) {
 	p.T.Helper()
-	f := p.staff.metrics
+	f := p.operator.metrics
 	before := f.Reloads.Load() + f.ReloadErrors.Load()
-	write(p.T, p.file, text)
-	p.hup <- syscall.SIGHUP
+	writeFile(p.T, p.configFile, text)
+	p.reloadSignals <- syscall.SIGHUP
 	for end := time.Now().Add(testserver.Timeout); f.Reloads.Load()+f.ReloadErrors.Load() == before; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			p.T.Fatalf("no reload within %v", testserver.Timeout)
@@ -28,10 +28,10 @@
 	}
 }
 
-// figure reads one figure as the staff does.
-func (p *program) figure(name string) string {
+// metric returns one figure as operators read it.
+func (p *program) metric(name string) string {
 	p.T.Helper()
-	text, err := p.staff.Metrics(context.Background())
+	text, err := p.operator.Metrics(context.Background())
 	if err != nil {
 		p.T.Fatal(err)
 	}
@@ -43,18 +43,18 @@
 	return "none"
 }
 
-func (p *program) figuresAre(want ...string) {
+func (p *program) expectMetrics(want ...string) {
 	p.T.Helper()
 	for i := 0; i < len(want); i += 2 {
-		if got := p.figure(want[i]); got != want[i+1] {
+		if got := p.metric(want[i]); got != want[i+1] {
 			p.T.Errorf("%s is %s, want %s", want[i], got, want[i+1])
 		}
 	}
 }
 
-// TestBadFilesAreTurnedDown reloads files with one fault each. Each would also move discovery and drop a class: nothing
-// of it may be used.
-func TestBadFilesAreTurnedDown(t *testing.T) {
+// TestInvalidFilesAreRejected reloads files with one fault each. Each would also move discovery and drop a class:
+// nothing of it may be used.
+func TestInvalidFilesAreRejected(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	d, decoy := testserver.StartDiscovery(t), testserver.StartDiscovery(t)
 	good := testserver.ConfigText(d.Address, testserver.ServingList(1, b), testserver.Settings)
@@ -100,23 +100,23 @@
 		if bad == fresh {
 			t.Fatalf("%s: nothing is changed", tt.name)
 		}
-		p.hangup(bad)
-		if errors := p.staff.metrics.ReloadErrors.Load(); errors != int64(i+1) {
-			t.Fatalf("%s: %d files turned down, want %d", tt.name, errors, i+1)
+		p.reload(bad)
+		if errors := p.operator.metrics.ReloadErrors.Load(); errors != int64(i+1) {
+			t.Fatalf("%s: %d files rejected, want %d", tt.name, errors, i+1)
 		}
 	}
-	if g := p.Send("pay"); g.Status != 200 || len(decoy.Watches) != 0 {
-		t.Errorf("answer %+v, %d watches at the address of a bad file", g, len(decoy.Watches))
+	if got := p.Send("pay"); got.Status != 200 || len(decoy.Watches) != 0 {
+		t.Errorf("response %+v, %d watches at the address of a bad file", got, len(decoy.Watches))
 	}
-	p.figuresAre("loads", "0", "load_errors", "33")
-	p.hangup(fresh)
+	p.expectMetrics("loads", "0", "load_errors", "33")
+	p.reload(fresh)
 	testserver.Receive(t, decoy.Watches, "watch at the address of the good file")
-	p.figuresAre("loads", "1", "load_errors", "33")
+	p.expectMetrics("loads", "1", "load_errors", "33")
 }
 
-// TestClassesComeAndGo has a class dropped, added, changed, and added again, with one of its requests open over all
-// that. Danger: an open request that is repeated by the new class's terms takes effect twice.
-func TestClassesComeAndGo(t *testing.T) {
+// TestOpenRequestKeepsSettingsOfItsClass has a class dropped, added, changed, and added again, with one of its requests
+// open over all that. An open request that is repeated by the new settings would take effect twice.
+func TestOpenRequestKeepsSettingsOfItsClass(t *testing.T) {
 	gate := make(chan bool)
 	var pays atomic.Int64
 	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -133,70 +133,71 @@
 	held := make(chan testserver.Result, 1)
 	go func() { held <- p.Do(p.NewRequest(context.Background(), "pay", "50000")) }()
 	testserver.Receive(t, b.Requests, "request")
-	p.figuresAre("in_progress", "1", "known_servers", "2")
+	p.expectMetrics("in_progress", "1", "known_servers", "2")
 
 	dropped := strings.Replace(old, `"name":"pay"`, `"name":"tip"`, 1)
-	p.hangup(dropped)
-	if g := p.Send("pay"); g.Status != http.StatusBadRequest {
-		t.Errorf("a dropped class got %+v", g)
+	p.reload(dropped)
+	if got := p.Send("pay"); got.Status != http.StatusBadRequest {
+		t.Errorf("a dropped class got %+v", got)
 	}
 	// Added again, it may be repeated now.
 	changed := strings.Replace(dropped, `"name":"read"`, `"name":"pay"`, 1)
-	p.hangup(changed)
-	if g := p.Do(p.safe("pay")); g.Status != 200 {
-		t.Errorf("the class with its new effect got %+v", g)
+	p.reload(changed)
+	if got := p.Do(p.newIdempotentRequest("pay")); got.Status != 200 {
+		t.Errorf("the class with its new effect got %+v", got)
 	}
 	close(gate)
-	if g := testserver.Receive(t, held, "answer"); g.Status != http.StatusBadGateway || pays.Load() != 1 {
-		t.Errorf("the open request got %+v after %d attempts, want a failure after 1", g, pays.Load())
+	if got := testserver.Receive(t, held, "response"); got.Status != http.StatusBadGateway || pays.Load() != 1 {
+		t.Errorf("the open request got %+v after %d attempts, want a failure after 1", got, pays.Load())
 	}
-	p.figuresAre("passed.pay", "1", "bad_gateway.pay", "1", "in_progress", "0", "passed.read", "0", "passed.tip", "0",
+	p.expectMetrics("passed.pay", "1", "bad_gateway.pay", "1", "in_progress", "0", "passed.read", "0", "passed.tip", "0",
 		"upstream_tries", "2", "loads", "2")
-	p.hangup(old)
-	if g := p.Do(p.safe("read")); g.Status != 200 {
-		t.Errorf("the class added again got %+v", g)
+	p.reload(old)
+	if got := p.Do(p.newIdempotentRequest("read")); got.Status != 200 {
+		t.Errorf("the class added again got %+v", got)
 	}
 }
 
-// safe makes a request of a class whose requests may be repeated.
-func (p *program) safe(class string) *http.Request {
+// newIdempotentRequest makes a request of a class whose requests may be repeated.
+func (p *program) newIdempotentRequest(class string) *http.Request {
 	r := p.NewRequest(context.Background(), "read", "50000")
 	r.Header.Set("X-Priority-Class", class)
 	return r
 }
 
-// TestTakenOutByCall takes a server out by a call, over a list and a reload, and puts it back.
-func TestTakenOutByCall(t *testing.T) {
+// TestAdminDownHoldsOverListsAndReloads takes a server down by an operator's call, over a list and a reload, and puts
+// it back.
+func TestAdminDownHoldsOverListsAndReloads(t *testing.T) {
 	one, two := testserver.StartBackend(t, testserver.Respond(200, "", "one")), testserver.StartBackend(t, testserver.Respond(200, "", "two"))
 	d := testserver.StartDiscovery(t)
 	text := testserver.ConfigText(d.Address, testserver.ServingList(1, one, two), testserver.Settings)
 	p := start(t, text)
 	w := testserver.Receive(t, d.Watches, "watch")
-	p.until("one")
-	call := func(id string, out bool, want error) {
+	p.sendUntilBody("one")
+	call := func(id string, down bool, want error) {
 		t.Helper()
-		if _, err := p.staff.SetAdminDown(context.Background(), id, out, false); err != want {
-			t.Fatalf("call for %s, out %v: %v, want %v", id, out, err, want)
+		if _, err := p.operator.SetAdminDown(context.Background(), id, down, false); err != want {
+			t.Fatalf("call for %s, down %v: %v, want %v", id, down, err, want)
 		}
 	}
 	call("s-9", true, admin.ErrUnknownServer)
 	call("s-0", true, nil)
-	p.figuresAre("known_servers", "2", "skipped_servers", "1")
+	p.expectMetrics("known_servers", "2", "skipped_servers", "1")
 	w.Lines <- testserver.ListText(2, false, testserver.EndpointEntry("s-0", one.Address, "DRAINING", 0))
 	w.Lines <- testserver.ServingList(3, one, two)
-	p.hangup(strings.Replace(text, `"try_limit":3`, `"try_limit":2`, 1))
+	p.reload(strings.Replace(text, `"try_limit":3`, `"try_limit":2`, 1))
 	for range 50 {
-		if g := p.Send("read"); g.Body != "two" {
-			t.Fatalf("answer %+v while the server is out", g)
+		if got := p.Send("read"); got.Body != "two" {
+			t.Fatalf("response %+v while the server is administratively down", got)
 		}
 	}
 	call("s-1", true, nil)
-	if g := p.Send("read"); g.Status != http.StatusServiceUnavailable {
-		t.Errorf("answer %+v with all servers out", g)
+	if got := p.Send("read"); got.Status != http.StatusServiceUnavailable {
+		t.Errorf("response %+v with all servers down", got)
 	}
-	p.figuresAre("skipped_servers", "2", "dropped.read", "1")
+	p.expectMetrics("skipped_servers", "2", "dropped.read", "1")
 	call("s-0", false, nil)
-	p.until("one")
+	p.sendUntilBody("one")
 	call("s-1", false, nil)
-	p.figuresAre("skipped_servers", "0")
+	p.expectMetrics("skipped_servers", "0")
 }
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -17,8 +17,9 @@
 	"milletramp.example/milletramp/internal/upstream"
 )
 
-// TestEffects has the first attempt of each class end in each way, and sees whether the class is tried again.
-func TestEffects(t *testing.T) {
+// TestRetriesFollowEffectOfClass has the first attempt of each class end in each way, and sees whether the class is
+// tried again.
+func TestRetriesFollowEffectOfClass(t *testing.T) {
 	full := testserver.Respond(503, "X-Not-Processed: 1\r\n", "")
 	for _, tt := range []struct {
 		name     string
@@ -27,15 +28,15 @@
 		status   int
 		attempts int
 	}{
-		{"safe after an error", "read", testserver.Respond(500, "", ""), 200, 2},
-		{"safe after a reset", "read", testserver.ResetConnection, 200, 2},
-		{"safe, turned away", "read", full, 200, 2},
-		{"keyed after an error", "book", testserver.Respond(500, "", ""), 200, 2},
-		{"keyed after a reset", "book", testserver.ResetConnection, 200, 2},
-		{"keyed, turned away", "book", full, 200, 2},
-		{"unsafe after an error", "pay", testserver.Respond(500, "", ""), 502, 1},
-		{"unsafe after a reset", "pay", testserver.ResetConnection, 502, 1},
-		{"unsafe, turned away", "pay", full, 200, 2},
+		{"idempotent after an error", "read", testserver.Respond(500, "", ""), 200, 2},
+		{"idempotent after a reset", "read", testserver.ResetConnection, 200, 2},
+		{"idempotent, rejected", "read", full, 200, 2},
+		{"with a key after an error", "book", testserver.Respond(500, "", ""), 200, 2},
+		{"with a key after a reset", "book", testserver.ResetConnection, 200, 2},
+		{"with a key, rejected", "book", full, 200, 2},
+		{"not idempotent, after an error", "pay", testserver.Respond(500, "", ""), 502, 1},
+		{"not idempotent, after a reset", "pay", testserver.ResetConnection, 502, 1},
+		{"not idempotent, rejected", "pay", full, 200, 2},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			faults := make(chan bool, 1)
@@ -51,12 +52,12 @@
 				}
 			}
 			p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, testserver.StartBackend(t, do), testserver.StartBackend(t, do)), testserver.Settings))
-			g := p.Send(tt.class)
-			if g.Status != tt.status || len(came) != tt.attempts {
-				t.Fatalf("status %d after %d attempts, want %d after %d", g.Status, len(came), tt.status, tt.attempts)
+			got := p.Send(tt.class)
+			if got.Status != tt.status || len(came) != tt.attempts {
+				t.Fatalf("status %d after %d attempts, want %d after %d", got.Status, len(came), tt.status, tt.attempts)
 			}
-			if g.Status == 200 && g.Body != "done" {
-				t.Errorf("body %q", g.Body)
+			if got.Status == 200 && got.Body != "done" {
+				t.Errorf("body %q", got.Body)
 			}
 			first := <-came
 			for len(came) > 0 {
@@ -68,42 +69,43 @@
 	}
 }
 
-// TestNoServer has every server refuse connections: nothing ran, so the refusal comes at once, for every class.
-func TestNoServer(t *testing.T) {
+// TestRefusedConnectionsMeanRejection has every server refuse connections: nothing ran, so the rejection comes at once,
+// for every class.
+func TestRefusedConnectionsMeanRejection(t *testing.T) {
 	l := testserver.Listen(t)
 	l.Close()
 	gone := &testserver.Backend{Address: l.Addr().String()}
 	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, gone), testserver.Settings))
 	for _, class := range []string{"read", "book", "pay"} {
-		if g := p.Send(class); g.Status != 503 {
-			t.Errorf("%s: status %d, want a refusal", class, g.Status)
+		if got := p.Send(class); got.Status != 503 {
+			t.Errorf("%s: status %d, want a refusal", class, got.Status)
 		}
 	}
 }
 
-func TestDeadline(t *testing.T) {
+func TestRequestsAreAnsweredAtTheirDeadline(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.NeverRespond)
 	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
 	for _, tt := range []struct {
 		class  string
 		status int
 	}{{"pay", 502}, {"read", 503}} {
-		g := p.Do(p.NewRequest(context.Background(), tt.class, "1500"))
+		got := p.Do(p.NewRequest(context.Background(), tt.class, "1500"))
 		testserver.Receive(t, b.Requests, "attempt")
-		if g.Err != nil || g.Status != tt.status {
-			t.Errorf("%s: status %d, error %v, want %d", tt.class, g.Status, g.Err, tt.status)
+		if got.Err != nil || got.Status != tt.status {
+			t.Errorf("%s: status %d, error %v, want %d", tt.class, got.Status, got.Err, tt.status)
 		}
 	}
 	if n := b.RequestCount(); n != 0 {
 		t.Errorf("%d attempts too many", n)
 	}
 	// What has no time left is not sent at all.
-	if g := p.Do(p.NewRequest(context.Background(), "pay", "0")); g.Status != 503 || b.RequestCount() != 0 {
-		t.Errorf("status %d, %d attempts", g.Status, b.RequestCount())
+	if got := p.Do(p.NewRequest(context.Background(), "pay", "0")); got.Status != 503 || b.RequestCount() != 0 {
+		t.Errorf("status %d, %d attempts", got.Status, b.RequestCount())
 	}
 }
 
-func TestClientGone(t *testing.T) {
+func TestDisconnectCancelsAttempt(t *testing.T) {
 	closed := make(chan bool, 1)
 	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		testserver.NeverRespond(c, r, body)
@@ -123,9 +125,9 @@
 	}
 }
 
-// TestNoAnswerToOneWhoLeft has a client close its sending while its request is out: it has left, and must not be told
-// that it was served.
-func TestNoAnswerToOneWhoLeft(t *testing.T) {
+// TestHalfClosedClientGetsNoResponse has a client close its sending while its request is out: it has left, and must not
+// learn that it was served.
+func TestHalfClosedClientGetsNoResponse(t *testing.T) {
 	gate := make(chan bool)
 	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		<-gate
@@ -140,12 +142,12 @@
 		t.Fatal(err)
 	}
 	if got, err := io.ReadAll(c); err != nil || len(got) > 0 {
-		t.Errorf("answer %q, error %v to a client that left", got, err)
+		t.Errorf("response %q, error %v to a client that left", got, err)
 	}
 }
 
-// TestWatch follows the list through a drain, a bad line and a break.
-func TestWatch(t *testing.T) {
+// TestWatchFollowsListAndSurvivesBadLines follows the list through a drain, a bad line and a break.
+func TestWatchFollowsListAndSurvivesBadLines(t *testing.T) {
 	kept, drained := testserver.StartBackend(t, testserver.Respond(200, "", "kept")), testserver.StartBackend(t, testserver.Respond(200, "", "drained"))
 	d := testserver.StartDiscovery(t)
 	p := start(t, testserver.ConfigText(d.Address, testserver.ServingList(41, drained), testserver.Settings))
@@ -153,15 +155,15 @@
 	if first.Query != "watch=1&from=41" {
 		t.Errorf("query %q", first.Query)
 	}
-	if g := p.Send("pay"); g.Body != "drained" {
-		t.Errorf("answer %+v", g)
+	if got := p.Send("pay"); got.Body != "drained" {
+		t.Errorf("response %+v", got)
 	}
 	first.Lines <- "" // a heartbeat
 	first.Lines <- testserver.ListText(42, false, testserver.EndpointEntry("s-0", drained.Address, "DRAINING", 0), testserver.EndpointEntry("s-1", kept.Address, "SERVING", 0))
-	p.until("kept")
+	p.sendUntilBody("kept")
 	for range 20 {
-		if g := p.Send("pay"); g.Body != "kept" {
-			t.Fatalf("a request went to a server that drains: %+v", g)
+		if got := p.Send("pay"); got.Body != "kept" {
+			t.Fatalf("a request went to a server that drains: %+v", got)
 		}
 	}
 	first.Lines <- `{"rev":43,"targets":[{"uid":"s-1","endpoint":"nowhere","state":"SERVING"}]}`
@@ -169,19 +171,19 @@
 	if second.Query != "watch=1&from=42" {
 		t.Errorf("query %q after a bad line", second.Query)
 	}
-	if g := p.Send("pay"); g.Body != "kept" {
-		t.Errorf("a bad line cost the list: %+v", g)
+	if got := p.Send("pay"); got.Body != "kept" {
+		t.Errorf("a bad line cost the list: %+v", got)
 	}
 	close(second.Lines)
 	third := testserver.Receive(t, d.Watches, "watch after a break")
-	if g := p.Send("pay"); g.Body != "kept" {
-		t.Errorf("a break cost the list: %+v", g)
+	if got := p.Send("pay"); got.Body != "kept" {
+		t.Errorf("a break cost the list: %+v", got)
 	}
 	third.Lines <- testserver.ListText(44, true, testserver.EndpointEntry("s-0", drained.Address, "SERVING", 0))
-	p.until("drained")
+	p.sendUntilBody("drained")
 }
 
-func TestReady(t *testing.T) {
+func TestReadyOnceAServerIsKnown(t *testing.T) {
 	d := testserver.StartDiscovery(t)
 	p := start(t, testserver.ConfigText(d.Address, "", testserver.Settings))
 	health := func() int {
@@ -197,7 +199,7 @@
 	}
 	w := testserver.Receive(t, d.Watches, "watch")
 	if w.Query != "watch=1" {
-		t.Errorf("query %q with no list in hand", w.Query)
+		t.Errorf("query %q with no known list", w.Query)
 	}
 	w.Lines <- testserver.ServingList(1, testserver.StartBackend(t, testserver.NeverRespond))
 	for end := time.Now().Add(testserver.Timeout); health() != 200; {
@@ -207,9 +209,7 @@
 	}
 }
 
-// TestColdServer has a sidecar start beside a server that started just before it.
-
-func TestBadInput(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
 	ask := func(class string, change func(*http.Request)) *http.Request {
@@ -242,10 +242,10 @@
 		{"negative time", with("read", "X-Timeout-Ms", "-1"), 400},
 		{"endless time", with("read", "X-Timeout-Ms", "99999999999999999999"), 400},
 		{"no key", without("book", "Idempotency-Key"), 400},
-		{"unsafe GET", method("pay", "GET"), 405},
-		{"safe POST", method("read", "POST"), 405},
-		{"key of an unsafe class", with("pay", "Idempotency-Key", "k"), 400},
-		{"key of a safe class", with("read", "Idempotency-Key", "k"), 400},
+		{"GET of a class that is not idempotent", method("pay", "GET"), 405},
+		{"idempotent POST", method("read", "POST"), 405},
+		{"key of a class without keys", with("pay", "Idempotency-Key", "k"), 400},
+		{"key of an idempotent class", with("read", "Idempotency-Key", "k"), 400},
 		{"two ids", ask("pay", func(r *http.Request) { r.Header.Add("X-Request-ID", "id-2") }), 400},
 		{"two classes", ask("pay", func(r *http.Request) { r.Header.Add("X-Priority-Class", "read") }), 400},
 		{"method", method("read", "DELETE"), 405},
@@ -259,20 +259,20 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			came := b.RequestCount()
-			if g := p.Do(tt.r); g.Err != nil || g.Status != tt.status {
-				t.Errorf("status %d, error %v, want %d", g.Status, g.Err, tt.status)
+			if got := p.Do(tt.r); got.Err != nil || got.Status != tt.status {
+				t.Errorf("status %d, error %v, want %d", got.Status, got.Err, tt.status)
 			}
 			if sent := b.RequestCount() > came; sent != (tt.status == 200) {
 				t.Errorf("sent to a server: %v", sent)
 			}
-			if g := p.Send("pay"); g.Status != 200 {
-				t.Errorf("the next request: %+v", g)
+			if got := p.Send("pay"); got.Status != 200 {
+				t.Errorf("the next request: %+v", got)
 			}
 		})
 	}
 }
 
-func TestMostHeld(t *testing.T) {
+func TestRequestsOverLimitAreRejected(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.NeverRespond)
 	settings := strings.Replace(testserver.Settings, `"most_held":20000`, `"most_held":1`, 1)
 	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), settings))
@@ -280,15 +280,16 @@
 	ended := make(chan testserver.Result, 1)
 	go func() { ended <- p.Do(p.NewRequest(ctx, "pay", "50000")) }()
 	testserver.Receive(t, b.Requests, "attempt")
-	if g := p.Send("pay"); g.Status != 503 || b.RequestCount() != 0 {
-		t.Errorf("status %d, %d attempts", g.Status, b.RequestCount())
+	if got := p.Send("pay"); got.Status != 503 || b.RequestCount() != 0 {
+		t.Errorf("status %d, %d attempts", got.Status, b.RequestCount())
 	}
 	cancel()
 	testserver.Receive(t, ended, "end")
 }
 
-// TestDrain has SIGTERM come while one request is out, and others go on coming on new connections and old ones.
-func TestDrain(t *testing.T) {
+// TestDrainServesNewAndOpenConnections has SIGTERM come while one request is out, and others go on coming on new
+// connections and old ones.
+func TestDrainServesNewAndOpenConnections(t *testing.T) {
 	gate := make(chan bool)
 	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Header.Get("Idempotency-Key") != "" {
@@ -303,11 +304,11 @@
 	testserver.Receive(t, b.Requests, "attempt")
 	p.stop()
 	for closing := false; !closing; {
-		g := p.Send("pay")
-		if g.Status != 200 {
-			t.Fatalf("answer %+v while draining", g)
+		got := p.Send("pay")
+		if got.Status != 200 {
+			t.Fatalf("response %+v while draining", got)
 		}
-		closing = g.Close
+		closing = got.Close
 	}
 	time.Sleep(200 * time.Millisecond) // long past the quiet that ends the accepting, well within its time
 	fresh, err := net.Dial("tcp", p.Address)
@@ -320,7 +321,7 @@
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(fresh), nil)
 	if err != nil || resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("answer %+v, error %v on a new connection", resp, err)
+		t.Errorf("response %+v, error %v on a new connection", resp, err)
 	}
 	for end := time.Now().Add(testserver.Timeout); ; {
 		c, err := net.Dial("tcp", p.Address)
@@ -338,17 +339,17 @@
 	default:
 	}
 	close(gate)
-	if g := testserver.Receive(t, slow, "answer"); g.Status != 200 || g.Body != "ok" {
-		t.Errorf("answer %+v to what was taken", g)
+	if got := testserver.Receive(t, slow, "response"); got.Status != 200 || got.Body != "ok" {
+		t.Errorf("response %+v to what was taken", got)
 	}
 	if err := testserver.Receive(t, p.ended, "end"); err != nil {
 		t.Errorf("it ended with %v", err)
 	}
 }
 
-func TestAddressInUse(t *testing.T) {
+func TestRunFailsWhenAddressIsInUse(t *testing.T) {
 	l := testserver.Listen(t)
-	c, err := load(t, testserver.ConfigText("127.0.0.1:9", "", testserver.Settings), "PROXY_LISTEN="+l.Addr().String())
+	c, err := loadConfig(t, testserver.ConfigText("127.0.0.1:9", "", testserver.Settings), "PROXY_LISTEN="+l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -357,8 +358,9 @@
 	}
 }
 
-// TestEndlessBody has a client send half a body and no more: its connection ends with its time, and others are served.
-func TestEndlessBody(t *testing.T) {
+// TestStalledRequestBodyTimesOut has a client send half a body and no more: its connection ends with its time, and
+// others are served.
+func TestStalledRequestBodyTimesOut(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
 	c, err := net.Dial("tcp", p.Address)
@@ -378,7 +380,7 @@
 		t.Errorf("%d attempts for half a request", n)
 	}
 	// A connection whose body's time is over still serves what takes longer.
-	if g := p.Send("pay"); g.Status != 200 {
-		t.Errorf("answer %+v", g)
+	if got := p.Send("pay"); got.Status != 200 {
+		t.Errorf("response %+v", got)
 	}
 }
--- a/internal/sidecar/stop_test.go
+++ b/internal/sidecar/stop_test.go
@@ -22,11 +22,11 @@
 	"milletramp.example/milletramp/internal/metrics"
 )
 
-var stopRounds = flag.Int("stop.rounds", 40, "rounds of TestStopUnderLoad")
+var drainRounds = flag.Int("stop.rounds", 40, "rounds of TestDrainUnderLoadAnswersEachRequestRead")
 
-// TestStopTakesWhatComes has a client open a connection, and send its request only when the process has long been told
-// to stop and is waiting for another answer: that request is answered too.
-func TestStopTakesWhatComes(t *testing.T) {
+// TestDrainServesRequestsOnOpenConnections has a client open a connection, and send its request only when the process
+// has long begun to drain and is waiting for another response: that request is answered too.
+func TestDrainServesRequestsOnOpenConnections(t *testing.T) {
 	gate := make(chan bool)
 	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Header.Get("Idempotency-Key") != "" {
@@ -40,29 +40,30 @@
 	go func() { held <- p.Do(p.NewRequest(context.Background(), "book", "50000")) }()
 	testserver.Receive(t, b.Requests, "attempt")
 	late := p.DialConn()
-	p.accepted(2)
+	p.waitForOpenConns(2)
 	p.stop()
-	p.deaf()
+	p.waitUntilNotListening()
 	fmt.Fprintf(late, "%s\r\n", testserver.RequestHead("GET", "late", "read"))
 	resp, err := http.ReadResponse(bufio.NewReader(late), nil)
 	if err != nil || resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("answer %+v, error %v to a request that came after the word to stop", resp, err)
+		t.Errorf("response %+v, error %v to a request that came after the drain began", resp, err)
 	}
 	close(gate)
-	if g := testserver.Receive(t, held, "answer"); g.Status != 200 {
-		t.Errorf("answer %+v to what was taken", g)
+	if got := testserver.Receive(t, held, "response"); got.Status != 200 {
+		t.Errorf("response %+v to what was taken", got)
 	}
 	if err := testserver.Receive(t, p.ended, "end"); err != nil {
 		t.Errorf("it ended with %v", err)
 	}
 }
 
-// TestStopEndsUnused has a connection never bring a request: it holds the end up for its time and no longer.
-func TestStopEndsUnused(t *testing.T) {
+// TestDrainClosesUnusedConnectionsAfterGrace has a connection never bring a request: it holds the end up for its time
+// and no longer.
+func TestDrainClosesUnusedConnectionsAfterGrace(t *testing.T) {
 	p := startDraining(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, testserver.StartBackend(t, testserver.Respond(200, "", "ok"))), testserver.Settings),
 		drainTimes{quietPeriod: time.Millisecond, unusedGrace: 10 * time.Millisecond})
 	c := p.DialConn()
-	p.accepted(1)
+	p.waitForOpenConns(1)
 	p.stop()
 	if err := testserver.Receive(t, p.ended, "end"); err != nil {
 		t.Errorf("it ended with %v", err)
@@ -70,23 +71,23 @@
 	if n, err := c.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 		t.Errorf("%d bytes, error %v on a connection without a request, want its end", n, err)
 	}
-	if n := p.staff.metrics.UnservedConns[metrics.ShuttingDown].Load(); n != 1 {
+	if n := p.operator.metrics.UnservedConns[metrics.ShuttingDown].Load(); n != 1 {
 		t.Errorf("%d connections ended unserved by the stop, want 1", n)
 	}
 }
 
-// accepted waits until the program holds n connections.
-func (p *program) accepted(n int) {
+// waitForOpenConns waits until the program holds n connections.
+func (p *program) waitForOpenConns(n int) {
 	p.T.Helper()
-	for end := time.Now().Add(testserver.Timeout); p.staff.server.Load().conns.Counts().Open < n; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testserver.Timeout); p.operator.server.Load().conns.Counts().Open < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			p.T.Fatalf("not %d connections accepted", n)
 		}
 	}
 }
 
-// deaf waits until the program listens no more.
-func (p *program) deaf() {
+// waitUntilNotListening waits until the program listens no more.
+func (p *program) waitUntilNotListening() {
 	p.T.Helper()
 	for end := time.Now().Add(testserver.Timeout); ; time.Sleep(time.Millisecond) {
 		c, err := net.Dial("tcp", p.Address)
@@ -100,9 +101,9 @@
 	}
 }
 
-// readThenDropped tells whether the other side has read all that came on c before it ended the connection. Where
-// something was left, or came later, it has reset the connection.
-func readThenDropped(t *testing.T, c net.Conn) bool {
+// closedAfterReadingAll reports whether the other side has read all that came on c before it ended the connection.
+// Where something was left, or came later, it has reset the connection.
+func closedAfterReadingAll(t *testing.T, c net.Conn) bool {
 	t.Helper()
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -118,9 +119,9 @@
 	return info.State == closeWait
 }
 
-// TestStopUnderLoad stops the process again and again while clients ask on connections that they keep. A request that
-// was read has its answer; one that was not finds its connection reset.
-func TestStopUnderLoad(t *testing.T) {
+// TestDrainUnderLoadAnswersEachRequestRead stops the process again and again while clients ask on connections that they
+// keep. A request that was read has its response; one that was not finds its connection reset.
+func TestDrainUnderLoadAnswersEachRequestRead(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	go func() {
 		for range b.Requests {
@@ -128,7 +129,7 @@
 	}()
 	configText := testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings)
 	var asked, unread atomic.Int64
-	for round := range *stopRounds {
+	for round := range *drainRounds {
 		random := rand.New(rand.NewPCG(uint64(round), 1))
 		p := startDraining(t, configText, drainTimes{acceptFor: time.Duration(random.IntN(3)) * time.Millisecond,
 			quietPeriod: time.Millisecond, unusedGrace: time.Duration(random.IntN(4)) * time.Millisecond})
@@ -143,9 +144,9 @@
 					if err != nil {
 						return // it listens no more
 					}
-					dropped := askOn(t, c, fmt.Sprintf("c%d-%d-%d", round, i, n), pause, &asked)
-					if dropped && readThenDropped(t, c) {
-						t.Errorf("round %d: client %d's request was read and has no answer", round, i)
+					dropped := sendUntilClosed(t, c, fmt.Sprintf("c%d-%d-%d", round, i, n), pause, &asked)
+					if dropped && closedAfterReadingAll(t, c) {
+						t.Errorf("round %d: client %d's request was read and has no response", round, i)
 					} else if dropped {
 						unread.Add(1)
 					}
@@ -166,8 +167,9 @@
 	t.Logf("%d requests, %d connections ended with one unread", asked.Load(), unread.Load())
 }
 
-// askOn asks one request after another on a connection until an answer ends it, and tells whether it ended under one.
-func askOn(t *testing.T, c net.Conn, id string, pause time.Duration, asked *atomic.Int64) (dropped bool) {
+// sendUntilClosed asks one request after another on a connection until a response ends it, and reports whether it ended
+// while one was open.
+func sendUntilClosed(t *testing.T, c net.Conn, id string, pause time.Duration, asked *atomic.Int64) (dropped bool) {
 	in := bufio.NewReader(c)
 	_ = c.SetDeadline(time.Now().Add(testserver.Timeout))
 	for n := 0; ; n++ {
@@ -179,7 +181,7 @@
 		if err != nil {
 			var timeout net.Error
 			if errors.As(err, &timeout) && timeout.Timeout() {
-				t.Errorf("%s: no answer within %v", id, testserver.Timeout)
+				t.Errorf("%s: no response within %v", id, testserver.Timeout)
 			}
 			return true
 		}
@@ -191,10 +193,10 @@
 	}
 }
 
-// TestStopUnderNewSettings stops a process whose settings were replaced by ones with shorter deadlines, while requests
-// of the old ones are out at a server that hangs: the platform kills it by the new ones, and before that each has its
-// answer. One that may be repeated is refused, one that is unsafe to repeat and may have run is not.
-func TestStopUnderNewSettings(t *testing.T) {
+// TestDrainKeepsToReloadedDeadlines stops a process whose settings were replaced by ones with shorter deadlines, while
+// requests of the old ones are out at a server that hangs: the platform kills it by the new ones, and before that each
+// has its response. One that may be repeated is rejected, one that is unsafe to repeat and may have run is not.
+func TestDrainKeepsToReloadedDeadlines(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.NeverRespond)
 	text := testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings)
 	p := start(t, text)
@@ -211,14 +213,14 @@
 		}()
 		testserver.Receive(t, b.Requests, "attempt")
 	}
-	p.hangup(strings.ReplaceAll(strings.ReplaceAll(text, `"deadline_s":60.0`, `"deadline_s":0.3`), `"aim_s":20.0`, `"aim_s":0.2`))
-	p.figuresAre("loads", "1", "load_errors", "0")
-	if longest := p.staff.server.Load().handler.LongestDeadline(); longest != 300*time.Millisecond {
+	p.reload(strings.ReplaceAll(strings.ReplaceAll(text, `"deadline_s":60.0`, `"deadline_s":0.3`), `"aim_s":20.0`, `"aim_s":0.2`))
+	p.expectMetrics("loads", "1", "load_errors", "0")
+	if longest := p.operator.server.Load().handler.LongestDeadline(); longest != 300*time.Millisecond {
 		t.Errorf("the platform kills by a deadline of 300ms, the process goes by %v", longest)
 	}
 	p.stop()
 	for class, want := range map[string]string{"pay": "502 ", "read": "503 0.200", "book": "503 0.200"} {
-		resp := testserver.Receive(t, held[class], "answer")
+		resp := testserver.Receive(t, held[class], "response")
 		if resp == nil {
 			continue
 		}
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -16,10 +16,10 @@
 	"milletramp.example/milletramp/internal/upstream"
 )
 
-// TestAnswersThatStop: an answer of untold length that stops is cut soon after its client's time, so that the client
-// can tell that it is not whole. One that its server is still giving, bit by bit, and a long one that pauses for as
-// long are passed on to their ends.
-func TestAnswersThatStop(t *testing.T) {
+// TestStalledResponsesAreCut: a response of untold length that stops is cut soon after its client's time, so that the
+// client can tell that it is not whole. One that its server is still giving, bit by bit, and a long one that pauses for
+// as long are passed on to their ends.
+func TestStalledResponsesAreCut(t *testing.T) {
 	const begin = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhal\r\n"
 	stop := make(chan struct{})
 	defer close(stop)
--- a/internal/sidecar/swallow_test.go
+++ b/internal/sidecar/swallow_test.go
@@ -12,9 +12,9 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestSwallowedRequests has some requests at every server swallowed while it answers all others at once: their
-// time-outs must not make the servers look slow, and so turn away what they would serve.
-func TestSwallowedRequests(t *testing.T) {
+// TestTimeoutsOfLostRequestsShedNoOthers has some requests at every server lost while it answers all others at once:
+// their time-outs must not make the servers look slow, and so reject what they would serve.
+func TestTimeoutsOfLostRequestsShedNoOthers(t *testing.T) {
 	const each = 3
 	var backends []*testserver.Backend
 	came := make(chan bool, 100)
@@ -27,7 +27,7 @@
 			return testserver.Respond(200, "", "ok")(c, r, body)
 		}))
 	}
-	// What is swallowed is out for four aims.
+	// A lost request is in flight for four latency objectives.
 	settings := strings.ReplaceAll(testserver.Settings, `"aim_s":20.0`, `"aim_s":1.0`)
 	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, backends...), settings))
 	ended := make(chan testserver.Result, each*len(backends))
@@ -36,31 +36,31 @@
 		go func() { ended <- p.Do(r) }()
 	}
 	for range cap(ended) {
-		testserver.Receive(t, came, "attempt that is swallowed")
+		testserver.Receive(t, came, "attempt that is lost")
 	}
 	answered := func(when string) {
 		for range each * len(backends) {
-			if g := p.Send("read"); g.Status != http.StatusOK {
-				t.Fatalf("answer %+v %s", g, when)
+			if got := p.Send("read"); got.Status != http.StatusOK {
+				t.Fatalf("response %+v %s", got, when)
 			}
 		}
 	}
 	answered("while others are out")
 	for range cap(ended) {
-		if g := testserver.Receive(t, ended, "answer"); g.Status == http.StatusOK {
-			t.Errorf("answer %+v to what was swallowed", g)
+		if got := testserver.Receive(t, ended, "response"); got.Status == http.StatusOK {
+			t.Errorf("response %+v to what was lost", got)
 		}
 	}
 	answered("after the time-outs")
 }
 
-// TestSwallowedIsMadeAnew has payments swallowed, each once, and then requests that may be repeated: they are made anew
-// at other servers, long before their clients would give up. No payment comes to a server twice.
-func TestSwallowedIsMadeAnew(t *testing.T) {
+// TestLostRequestsAreRetriedIfRepeatable has payments lost, each once, and then requests that may be repeated: they are
+// retried at other servers, long before their clients would give up. No payment comes to a server twice.
+func TestLostRequestsAreRetriedIfRepeatable(t *testing.T) {
 	const payments = 12
 	var backends []*testserver.Backend
 	var mu sync.Mutex
-	lost := map[string]int{} // arrivals of what is swallowed the first time
+	lost := map[string]int{} // arrivals of what is lost the first time
 	came := make(chan bool, 100)
 	for range 4 {
 		backends = append(backends, testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -82,8 +82,8 @@
 	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, backends...), settings))
 	ask := func(n int) {
 		for range n {
-			if g := p.Send("read"); g.Status != http.StatusOK {
-				t.Fatalf("answer %+v", g)
+			if got := p.Send("read"); got.Status != http.StatusOK {
+				t.Fatalf("response %+v", got)
 			}
 		}
 	}
@@ -91,9 +91,9 @@
 		r := p.NewRequest(context.Background(), class, timeout)
 		r.Header.Set("X-Request-ID", id)
 		go func() { ended <- p.Do(r) }()
-		testserver.Receive(t, came, "attempt that is swallowed")
+		testserver.Receive(t, came, "attempt that is lost")
 	}
-	ask(40) // and so it is known how long answers take
+	ask(40) // and so it is known how long responses take
 	ended := make(chan testserver.Result, payments)
 	for i := range payments {
 		begin("pay", fmt.Sprint("lost-pay-", i), "500", ended)
@@ -108,8 +108,8 @@
 	}
 	ask(24)
 	for range backends {
-		if g := testserver.Receive(t, again, "answer to what was swallowed"); g.Status != http.StatusOK {
-			t.Errorf("answer %+v to what was swallowed at first", g)
+		if got := testserver.Receive(t, again, "response to what was lost"); got.Status != http.StatusOK {
+			t.Errorf("response %+v to what was lost at first", got)
 		}
 	}
 	mu.Lock()
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -45,8 +45,9 @@
 	}
 }
 
-// TestAcceptFails has accepting fail in service and while draining, with each error: who waits is answered.
-func TestAcceptFails(t *testing.T) {
+// TestAcceptErrorsLoseNoRequest has accepting fail in service and while draining, with each error: who waits is
+// answered.
+func TestAcceptErrorsLoseNoRequest(t *testing.T) {
 	for _, errno := range testserver.AcceptErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
 			f, d, b := &testserver.Failures{}, testserver.StartDiscovery(t), testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
@@ -54,25 +55,25 @@
 			f.Set("accept", once, once)
 			p := startWith(t, testserver.ConfigText(d.Address, testserver.ServingList(1, b), testserver.Settings),
 				drainTimes{quietPeriod: time.Millisecond, unusedGrace: testserver.Timeout}, nil, failureHooks(f))
-			if g := p.Send("read"); g.Status != 200 {
-				t.Errorf("answer %+v in service", g)
+			if got := p.Send("read"); got.Status != 200 {
+				t.Errorf("response %+v in service", got)
 			}
 			p.HTTP.CloseIdleConnections()
 			f.Set("accept", slices.Repeat([]testserver.Failure{once}, 1000)...)
-			answers := make(chan error, 2)
+			responses := make(chan error, 2)
 			for i := range 2 { // the call that is out takes the first
 				c := p.DialConn()
-				go func() { answers <- oneAnswer(c, fmt.Sprint("waits-", i), "read") }()
+				go func() { responses <- checkSingleResponse(c, fmt.Sprint("waits-", i), "read") }()
 			}
 			p.stop()
-			for end := time.Now().Add(testserver.Timeout); !p.staff.server.Load().handler.IsDraining(); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(testserver.Timeout); !p.operator.server.Load().handler.IsDraining(); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal("it does not drain")
 				}
 			}
 			f.Set("accept", once, once)
 			for range 2 {
-				if err := testserver.Receive(t, answers, "answer"); err != nil {
+				if err := testserver.Receive(t, responses, "response"); err != nil {
 					t.Errorf("while draining: %v", err)
 				}
 			}
@@ -83,8 +84,8 @@
 	}
 }
 
-// TestListenFails has listening fail at the start.
-func TestListenFails(t *testing.T) {
+// TestListenIsRetriedInAShortage has listening fail at the start.
+func TestListenIsRetriedInAShortage(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
 		errno  syscall.Errno
@@ -107,12 +108,12 @@
 				}
 				f.Set("listen", slices.Repeat([]testserver.Failure{{Errno: tt.errno}}, tt.times)...)
 				if tt.starts {
-					if g := startWith(t, text, drainTimes{quietPeriod: time.Millisecond}, nil, failureHooks(f)).Send("read"); g.Status != 200 {
-						t.Errorf("answer %+v", g)
+					if got := startWith(t, text, drainTimes{quietPeriod: time.Millisecond}, nil, failureHooks(f)).Send("read"); got.Status != 200 {
+						t.Errorf("response %+v", got)
 					}
 					return
 				}
-				c, err := load(t, text)
+				c, err := loadConfig(t, text)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -127,9 +128,9 @@
 	}
 }
 
-// TestNobodyIsEjected has no connection come up for a lack of descriptors, many times: no server is ejected for that,
-// and all are used once it has passed.
-func TestNobodyIsEjected(t *testing.T) {
+// TestShortageOfDescriptorsEjectsNoServer has no connection come up for a lack of descriptors, many times: no server is
+// ejected for that, and all are used once it has passed.
+func TestShortageOfDescriptorsEjectsNoServer(t *testing.T) {
 	var backends []*testserver.Backend
 	for range 4 {
 		backends = append(backends, testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -148,8 +149,8 @@
 			go func() {
 				defer clients.Done()
 				for range 10 {
-					if g := p.Do(p.NewRequest(context.Background(), "read", "50000")); g.Status != want {
-						t.Errorf("answer %+v, want %d", g, want)
+					if got := p.Do(p.NewRequest(context.Background(), "read", "50000")); got.Status != want {
+						t.Errorf("response %+v, want %d", got, want)
 					}
 				}
 			}()
@@ -161,7 +162,7 @@
 	ask(503)
 	f.Set("connect")
 	ask(200)
-	if n := p.ejected.Load(); n != 0 {
+	if n := p.ejections.Load(); n != 0 {
 		t.Errorf("%d servers ejected", n)
 	}
 }
@@ -177,10 +178,10 @@
 	}), 0, most).Draw(t, call)
 }
 
-// TestFailuresBreakNoRule draws failures of this machine at the start, in service and while draining. Each request that
-// was read gets one final answer, none that may run once only runs twice, nobody is ejected, and the process ends when
-// it is told to and not before.
-func TestFailuresBreakNoRule(t *testing.T) {
+// TestLocalFailuresKeepRequestGuarantees draws failures of this machine at the start, in service and while draining.
+// Each request that was read gets one final response, none that may run once only runs twice, nobody is ejected, and
+// the process ends when it is asked to and not before.
+func TestLocalFailuresKeepRequestGuarantees(t *testing.T) {
 	d := testserver.StartDiscovery(t)
 	var mu sync.Mutex
 	ran := map[string]int{}
@@ -220,7 +221,7 @@
 				clients.Add(1)
 				go func() {
 					defer clients.Done()
-					if err := oneAnswer(c, id, class); err != nil {
+					if err := checkSingleResponse(c, id, class); err != nil {
 						rt.Errorf("%s, %s: %v", id, class, err)
 					}
 					mu.Lock()
@@ -241,14 +242,14 @@
 		if err := testserver.Receive(t, p.ended, "end"); err != nil {
 			rt.Errorf("it ended with %v", err)
 		}
-		if n := p.ejected.Load(); n > 0 {
+		if n := p.ejections.Load(); n > 0 {
 			rt.Errorf("%d servers ejected", n)
 		}
 	})
 }
 
-// oneAnswer asks for a class on a connection, and tells what is wrong with what comes back.
-func oneAnswer(c net.Conn, id, class string) error {
+// checkSingleResponse asks for a class on a connection, and returns what is wrong with the response.
+func checkSingleResponse(c net.Conn, id, class string) error {
 	defer c.Close()
 	text := testserver.RequestHead("GET", id, class) + "Connection: close\r\n\r\n"
 	switch class {
@@ -274,7 +275,7 @@
 		return fmt.Errorf("status %d, %q", resp.StatusCode, body)
 	}
 	if n, err := in.Read(make([]byte, 1)); n != 0 || err != io.EOF {
-		return fmt.Errorf("%d bytes, error %v behind the answer", n, err)
+		return fmt.Errorf("%d bytes, error %v behind the response", n, err)
 	}
 	return nil
 }
