--- a/internal/proxy/abandoned_test.go
+++ b/internal/proxy/client_disconnect_test.go
@@ -13,22 +13,6 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// warmUp has requests be served, each on the connection of the one before, which then is closed.
-func (b *simulation) warmUp(requests int) {
-	b.respond = func(int) string {
-		time.Sleep(50 * time.Millisecond)
-		return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-	}
-	for range requests {
-		<-b.send("read", time.Second, nil)
-		time.Sleep(20 * time.Millisecond) // a connection rests so long before its next request
-	}
-	time.Sleep(10 * time.Second)
-	for len(b.arrivals) > 0 {
-		<-b.arrivals
-	}
-}
-
 // TestNoAttemptBeginsAfterClientDisconnect has a client leave, which only a look at its connection shows, while its
 // request has one attempt to come for each reason that there is: that attempt is not made. With a client that stays it
 // is.
--- a/internal/proxy/long_run_test.go
+++ b/internal/proxy/long_run_test.go
@@ -10,9 +10,6 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// respondAlways has each attempt get the same response.
-func respondAlways(text string) func(int) string { return func(int) string { return text } }
-
 // TestSilentServerIsAvoidedAfterTenQuietMinutes has one of two servers fall silent after ten minutes without trouble,
 // in which discovery is down as well: requests that may be repeated are served by the other one in time.
 func TestSilentServerIsAvoidedAfterTenQuietMinutes(t *testing.T) {
@@ -103,5 +100,3 @@
 		}
 	})
 }
-
-const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
--- a/internal/proxy/stalled_test.go
+++ b/internal/proxy/simulation_test.go
@@ -11,14 +11,12 @@
 	"net"
 	"net/http"
 	"net/url"
-	"strings"
 	"sync"
 	"syscall"
 	"testing"
 	"testing/synctest"
 	"time"
 
-	"milletramp.example/milletramp/balance"
 	"milletramp.example/milletramp/internal/lab/testserver"
 	"milletramp.example/milletramp/internal/upstream"
 )
@@ -46,9 +44,11 @@
 // silentRawConn is a socket on which nothing ever comes, in the place of the pipe's.
 type silentRawConn struct{ fd int }
 
-func (q silentRawConn) Control(f func(uintptr)) error   { f(uintptr(q.fd)); return nil }
+func (q silentRawConn) Control(f func(uintptr)) error { f(uintptr(q.fd)); return nil }
+
 func (q silentRawConn) Read(f func(uintptr) bool) error { f(uintptr(q.fd)); return nil }
-func (silentRawConn) Write(func(uintptr) bool) error    { return syscall.ENOTSUP }
+
+func (silentRawConn) Write(func(uintptr) bool) error { return syscall.ENOTSUP }
 
 // arrival is an attempt's whole request at its server.
 type arrival struct {
@@ -160,84 +160,25 @@
 	return answered
 }
 
-const errorResponse = "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"
-
-// TestStalledRetryArrivesWithinWindow has a repeat of a request with an idempotency key be checked in the last moment
-// for it, and be held up before it is written: it arrives before the time is over for which repeats of the first
-// attempt are dropped.
-func TestStalledRetryArrivesWithinWindow(t *testing.T) {
-	const window = 5 * time.Second
-	runSimulation(t, strings.Replace(testserver.Settings, `"window_s":60.0`, `"window_s":5.0`, 1), func(b *simulation) {
-		b.respond = func(int) string { return errorResponse }
-		b.dial = func(ctx context.Context, n int) error {
-			if end, bounded := ctx.Deadline(); n > 0 && bounded {
-				time.Sleep(time.Until(end) - time.Millisecond)
-				b.writeDelay = balance.SchedulingStall
-			}
-			return nil
-		}
-		<-b.send("book", 50*time.Second, nil)
-		if len(b.arrivals) != 2 {
-			b.t.Fatalf("%d attempts, want two", len(b.arrivals))
-		}
-		first, repeat := <-b.arrivals, <-b.arrivals
-		if took := repeat.at.Sub(first.at); took > window || took < window-200*time.Millisecond {
-			b.t.Errorf("the repeat arrived after %v, want it in the end of %v", took, window)
-		}
-	})
-}
-
-// TestStalledAttemptSendsTimeoutWithinSlack has an attempt be held up after it has read how much time is left: the
-// timeout that it sends is at most the slack of the rule more than what is left where it arrives.
-func TestStalledAttemptSendsTimeoutWithinSlack(t *testing.T) {
-	const slack, way = 150 * time.Millisecond, 2 * time.Millisecond
-	for _, wait := range []time.Duration{200 * time.Millisecond, 3 * time.Second} {
-		runSimulation(t, testserver.Settings, func(b *simulation) {
-			b.writeDelay = balance.SchedulingStall + way
-			began := time.Now()
-			b.send("pay", wait, nil)
-			if a := <-b.arrivals; a.timeout > time.Until(began.Add(wait))+slack {
-				b.t.Errorf("the server is sent %v, %v are left of %v", a.timeout, time.Until(began.Add(wait)), wait)
-			}
-			time.Sleep(wait)
-		})
+// warmUp has requests be served, each on the connection of the one before, which then is closed.
+func (b *simulation) warmUp(requests int) {
+	b.respond = func(int) string {
+		time.Sleep(50 * time.Millisecond)
+		return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	}
-}
-
-// TestStalledAttemptDoesNotReachDrainedServer has servers be listed as draining while an attempt's connection comes up.
-// The list is taken in late, as the process is held up, and each write is held up too: nothing reaches them after their
-// grace.
-func TestStalledAttemptDoesNotReachDrainedServer(t *testing.T) {
-	const grace = time.Second
-	for _, up := range []time.Duration{0, balance.SchedulingStall - 1, balance.SchedulingStall, grace - 1} {
-		runSimulation(t, testserver.Settings, func(b *simulation) {
-			b.writeDelay = balance.SchedulingStall
-			var notified time.Time
-			b.dial = func(_ context.Context, n int) error {
-				if n > 0 {
-					return nil
-				}
-				notified = time.Now()
-				time.AfterFunc(balance.SchedulingStall, func() {
-					b.loop.Post(func() {
-						b.loop.OnUpdate(balance.ListChanges, parseList(t, testserver.ListText(2, false,
-							testserver.EndpointEntry("s-0", "127.0.0.1:1", "DRAINING", 0), testserver.EndpointEntry("s-1", "127.0.0.1:2", "DRAINING", 0))))
-					})
-				})
-				time.Sleep(up)
-				return nil
-			}
-			b.send("read", 50*time.Second, nil)
-			time.Sleep(5 * time.Second)
-			for len(b.arrivals) > 0 {
-				if late := (<-b.arrivals).at.Sub(notified); late > grace {
-					b.t.Errorf("an attempt whose connection was up after %v reached a draining server after %v", up, late)
-				}
-			}
-			if up == 0 && notified.IsZero() {
-				b.t.Error("no attempt was made")
-			}
-			time.Sleep(time.Minute)
-		})
+	for range requests {
+		<-b.send("read", time.Second, nil)
+		time.Sleep(20 * time.Millisecond) // a connection rests so long before its next request
+	}
+	time.Sleep(10 * time.Second)
+	for len(b.arrivals) > 0 {
+		<-b.arrivals
 	}
 }
+
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+
+const errorResponse = "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"
+
+// respondAlways has each attempt get the same response.
+func respondAlways(text string) func(int) string { return func(int) string { return text } }
--- /dev/null
+++ b/internal/sidecar/client_errors_test.go
@@ -0,0 +1,255 @@
+package sidecar
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"milletramp.example/milletramp/internal/downstream"
+	"milletramp.example/milletramp/internal/lab/testserver"
+	"milletramp.example/milletramp/internal/proxy"
+	"milletramp.example/milletramp/internal/upstream"
+)
+
+// TestMalformedRequestsGetOneErrorOrClose sends what net/http's client would not. Each gets one error or a close, and
+// what stands behind it is never taken for a request.
+func TestMalformedRequestsGetOneErrorOrClose(t *testing.T) {
+	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
+	hidden := testserver.RequestHead("GET", "hidden", "read") + "\r\n"
+	pay := testserver.RequestHead("POST", "i", "pay")
+	for _, tt := range []struct {
+		name, text string
+		status     int // 0: a close will do
+	}{
+		{"both lengths", pay + fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", len(hidden)+5) + hidden, 400},
+		{"both, the other way round", pay + "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n" + hidden, 400},
+		{"both at another path", "POST /healthz HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n" + hidden, 400},
+		{"a bad chunk", pay + "Transfer-Encoding: chunked\r\n\r\n4x\r\nskip\r\n0\r\n\r\n" + hidden, 400},
+		{"a folded line", pay + "X-A: 1\r\n 2\r\nContent-Length: 4\r\n\r\nskip" + hidden, 400},
+		{"the same length twice", pay + "Content-Length: 4\r\nContent-Length: 4\r\n\r\nskip" + hidden, 400},
+		{"unknown coding", pay + "Transfer-Encoding: gzip\r\nContent-Length: 4\r\n\r\nskip" + hidden, 400},
+		{"both in HTTP/1.0", strings.Replace(pay, "1.1", "1.0", 1) + "Connection: keep-alive\r\nTransfer-Encoding: chunked\r\nContent-Length: 0\r\n\r\n" + hidden, 400},
+		{"health in HTTP/1.0", "GET /healthz HTTP/1.0\r\nConnection: keep-alive\r\nTransfer-Encoding: chunked\r\n\r\n" + hidden, 200},
+		{"two lengths", pay + "Content-Length: 4\r\nContent-Length: 5\r\n\r\nskip" + hidden, 400},
+		{"negative length", pay + "Content-Length: -1\r\n\r\n" + hidden, 400},
+		{"no number", pay + "Content-Length: four\r\n\r\nskip" + hidden, 400},
+		{"huge length", pay + "Content-Length: 60000000\r\n\r\n" + hidden, 413},
+		{"length beyond numbers", pay + "Content-Length: 99999999999999999999\r\n\r\n" + hidden, 400},
+		{"body on GET", testserver.RequestHead("GET", "i", "read") + "Content-Length: 4\r\n\r\nskip" + hidden, 400},
+		{"no HTTP", "hello\r\n\r\n" + hidden, 400},
+		{"no end of the head", pay, 0},
+		{"head too long", pay + "X: " + strings.Repeat("x", 2*(16<<10)), 431},
+		{"half a body", pay + "Content-Length: 400\r\n\r\nhalf", 408},
+		{"nothing", "", 0},
+		{"faults in a row", strings.Repeat(testserver.RequestHead("GET", "i", "sing")+"\r\n", 20) + hidden, 400},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			c := p.DialConn()
+			if _, err := io.WriteString(c, tt.text); err != nil {
+				t.Fatal(err)
+			}
+			responses, err := io.ReadAll(c)
+			status := regexp.MustCompile(`HTTP/1\.\d \d+`).FindAllString(string(responses), -1)
+			if len(status) > 1 || tt.status != 0 && (len(status) != 1 || !strings.HasSuffix(status[0], fmt.Sprint(" ", tt.status))) {
+				t.Errorf("responses %q, error %v, want one of status %d", responses, err, tt.status)
+			}
+		})
+	}
+	if most := max(downstream.HeadTimeout, proxy.BodyStartTimeout, downstream.HeadTimeout+proxy.BodyGrace); most > 2800*time.Millisecond || downstream.HeadTimeout < 2200*time.Millisecond {
+		t.Errorf("a head may take %v, a peer without a request is held for %v; 2 s are a client's right, 3 s owed", downstream.HeadTimeout, most)
+	}
+	if n := b.RequestCount(); n != 0 {
+		t.Errorf("%d requests were passed on, the first %+v", n, <-b.Requests)
+	}
+	if got := p.Send("pay"); got.Status != 200 {
+		t.Errorf("response %+v to a good request", got)
+	}
+}
+
+// TestMalformedPipelinedRequestDoesNotCostFirstResponse has a client send a good request and, behind it, one that
+// cannot be read, whole or but for its last byte, which net/http reads ahead while the first is out at its server. The
+// first is served, and the second gets an error or the end.
+func TestMalformedPipelinedRequestDoesNotCostFirstResponse(t *testing.T) {
+	unread := testserver.RequestHead("GET", "bad", "read") + "Content-Length: 0\r\n"
+	for name, bad := range map[string]string{
+		"two lengths":       unread + "Content-Length: 0\r\n",
+		"length and chunks": unread + "Transfer-Encoding: chunked\r\n\r\n",
+	} {
+		for later := range 2 {
+			gate := make(chan struct{})
+			b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+				<-gate
+				return testserver.Respond(200, "", "ok")(c, r, body)
+			})
+			p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
+			c := p.DialConn()
+			fmt.Fprintf(c, "%s\r\n%s", testserver.RequestHead("GET", "good", "read"), bad[:len(bad)-later])
+			testserver.Receive(t, b.Requests, "first request")
+			fmt.Fprint(c, bad[len(bad)-later:])
+			_ = c.SetReadDeadline(time.Now().Add(100 * time.Millisecond)) // nothing may come, however long this is
+			if n, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
+				t.Errorf("%s, %d bytes later: %d bytes, error %v while the first request is out", name, later, n, err)
+			}
+			close(gate)
+			_ = c.SetReadDeadline(time.Now().Add(testserver.Timeout))
+			in := bufio.NewReader(c)
+			resp, err := http.ReadResponse(in, nil)
+			if err != nil || resp.StatusCode != http.StatusOK {
+				t.Errorf("%s, %d bytes later: response %+v, error %v to the first", name, later, resp, err)
+				continue
+			}
+			_, _ = io.Copy(io.Discard, resp.Body)
+			if resp, err = http.ReadResponse(in, nil); err == nil && resp.StatusCode != http.StatusBadRequest ||
+				err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
+				t.Errorf("%s, %d bytes later: response %+v, error %v to the second", name, later, resp, err)
+			}
+		}
+	}
+}
+
+func TestInvalidRequestsAreRejected(t *testing.T) {
+	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
+	ask := func(class string, change func(*http.Request)) *http.Request {
+		r := p.NewRequest(context.Background(), class, "50000")
+		change(r)
+		return r
+	}
+	without := func(class, header string) *http.Request {
+		return ask(class, func(r *http.Request) { r.Header.Del(header) })
+	}
+	with := func(class, header, value string) *http.Request {
+		return ask(class, func(r *http.Request) { r.Header.Set(header, value) })
+	}
+	method := func(class, m string) *http.Request { return ask(class, func(r *http.Request) { r.Method = m }) }
+	sized := func(n int) *http.Request {
+		return ask("pay", func(r *http.Request) {
+			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", n))), int64(n)
+		})
+	}
+	for _, tt := range []struct {
+		name   string
+		r      *http.Request
+		status int
+	}{
+		{"no id", without("read", "X-Request-ID"), 400},
+		{"no class", without("read", "X-Priority-Class"), 400},
+		{"unknown class", with("read", "X-Priority-Class", "sing"), 400},
+		{"no time", without("read", "X-Timeout-Ms"), 400},
+		{"bad time", with("read", "X-Timeout-Ms", "soon"), 400},
+		{"negative time", with("read", "X-Timeout-Ms", "-1"), 400},
+		{"endless time", with("read", "X-Timeout-Ms", "99999999999999999999"), 400},
+		{"no key", without("book", "Idempotency-Key"), 400},
+		{"GET of a class that is not idempotent", method("pay", "GET"), 405},
+		{"idempotent POST", method("read", "POST"), 405},
+		{"key of a class without keys", with("pay", "Idempotency-Key", "k"), 400},
+		{"key of an idempotent class", with("read", "Idempotency-Key", "k"), 400},
+		{"two ids", ask("pay", func(r *http.Request) { r.Header.Add("X-Request-ID", "id-2") }), 400},
+		{"two classes", ask("pay", func(r *http.Request) { r.Header.Add("X-Priority-Class", "read") }), 400},
+		{"method", method("read", "DELETE"), 405},
+		{"path", ask("read", func(r *http.Request) { r.URL.Path = "/apis" }), 404},
+		{"health method", ask("read", func(r *http.Request) { r.URL.Path, r.Method = "/healthz", "PUT" }), 405},
+		{"long body", sized(proxy.MaxRequestBody + 1), 413},
+		{"longest body held in any case", sized(upstream.MaxBufferedBody), 200},
+		{"longer body", sized(10 * upstream.MaxBufferedBody), 200},
+		{"unknown tenant", with("read", "X-Tenant-Id", "nobody"), 200},
+		{"no tenant", without("pay", "X-Tenant-Id"), 200},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			came := b.RequestCount()
+			if got := p.Do(tt.r); got.Err != nil || got.Status != tt.status {
+				t.Errorf("status %d, error %v, want %d", got.Status, got.Err, tt.status)
+			}
+			if sent := b.RequestCount() > came; sent != (tt.status == 200) {
+				t.Errorf("sent to a server: %v", sent)
+			}
+			if got := p.Send("pay"); got.Status != 200 {
+				t.Errorf("the next request: %+v", got)
+			}
+		})
+	}
+}
+
+// TestDuplicateRequestIDIsRejected has a client come with the id of a request that is out, and again once that has its
+// response.
+func TestDuplicateRequestIDIsRejected(t *testing.T) {
+	gate := make(chan bool)
+	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+		<-gate
+		return testserver.Respond(200, "", "mine")(c, r, body)
+	})
+	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
+	ask := func() *http.Request {
+		r := p.NewRequest(context.Background(), "pay", "50000")
+		r.Header.Set("X-Request-ID", "same")
+		return r
+	}
+	first := make(chan testserver.Result, 1)
+	go func() { first <- p.Do(ask()) }()
+	testserver.Receive(t, b.Requests, "attempt")
+	if got := p.Do(ask()); got.Status != 409 || !got.Close {
+		t.Errorf("response %+v to an id in flight", got)
+	}
+	close(gate)
+	if got := testserver.Receive(t, first, "response"); got.Status != 200 || got.Body != "mine" {
+		t.Errorf("the first one got %+v", got)
+	}
+	if got := p.Do(ask()); got.Status != 409 {
+		t.Errorf("response %+v to an id just used", got)
+	}
+	if n := b.RequestCount(); n != 0 {
+		t.Errorf("%d more attempts", n)
+	}
+}
+
+func TestRequestsOverLimitAreRejected(t *testing.T) {
+	b := testserver.StartBackend(t, testserver.NeverRespond)
+	settings := strings.Replace(testserver.Settings, `"most_held":20000`, `"most_held":1`, 1)
+	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), settings))
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan testserver.Result, 1)
+	go func() { ended <- p.Do(p.NewRequest(ctx, "pay", "50000")) }()
+	testserver.Receive(t, b.Requests, "attempt")
+	if got := p.Send("pay"); got.Status != 503 || b.RequestCount() != 0 {
+		t.Errorf("status %d, %d attempts", got.Status, b.RequestCount())
+	}
+	cancel()
+	testserver.Receive(t, ended, "end")
+}
+
+// TestStalledRequestBodyTimesOut has a client send half a body and no more: its connection ends with its time, and
+// others are served.
+func TestStalledRequestBodyTimesOut(t *testing.T) {
+	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
+	c, err := net.Dial("tcp", p.Address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	fmt.Fprint(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 300\r\n"+
+		"Content-Length: 10\r\n\r\nhalf")
+	if err := c.SetReadDeadline(time.Now().Add(testserver.Timeout)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := io.ReadAll(c); err != nil {
+		t.Errorf("the connection did not end: %v", err)
+	}
+	if n := b.RequestCount(); n != 0 {
+		t.Errorf("%d attempts for half a request", n)
+	}
+	// A connection whose body's time is over still serves what takes longer.
+	if got := p.Send("pay"); got.Status != 200 {
+		t.Errorf("response %+v", got)
+	}
+}
--- a/internal/sidecar/kill_test.go
+++ b/internal/sidecar/drain_load_test.go
@@ -3,8 +3,11 @@
 import (
 	"bufio"
 	"context"
+	"errors"
+	"flag"
 	"fmt"
 	"io"
+	"math/rand/v2"
 	"net"
 	"net/http"
 	"strings"
@@ -13,27 +16,61 @@
 	"testing"
 	"time"
 
+	"golang.org/x/sys/unix"
+
 	"milletramp.example/milletramp/internal/lab/testserver"
 	"milletramp.example/milletramp/internal/proxy"
 	"milletramp.example/milletramp/internal/upstream"
 )
 
-// measureStalls counts by how much the machine holds this test up, until the returned function is called, which returns
-// the sum.
-func measureStalls() func() time.Duration {
-	const step = 5 * time.Millisecond
-	var total atomic.Int64
-	ctx, cancel := context.WithCancel(context.Background())
+var drainRounds = flag.Int("stop.rounds", 40, "rounds of TestDrainUnderLoadAnswersEachRequestRead")
+
+// TestDrainUnderLoadAnswersEachRequestRead stops the process again and again while clients ask on connections that they
+// keep. A request that was read has its response; one that was not finds its connection reset.
+func TestDrainUnderLoadAnswersEachRequestRead(t *testing.T) {
+	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	go func() {
-		for ctx.Err() == nil {
-			began := time.Now()
-			time.Sleep(step)
-			if over := time.Since(began) - 2*step; over > 0 {
-				total.Add(int64(over))
-			}
+		for range b.Requests {
 		}
 	}()
-	return func() time.Duration { cancel(); return time.Duration(total.Load()) }
+	configText := testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings)
+	var asked, unread atomic.Int64
+	for round := range *drainRounds {
+		random := rand.New(rand.NewPCG(uint64(round), 1))
+		p := startDraining(t, configText, drainTimes{acceptFor: time.Duration(random.IntN(3)) * time.Millisecond,
+			quietPeriod: time.Millisecond, unusedGrace: time.Duration(random.IntN(4)) * time.Millisecond})
+		var clients sync.WaitGroup
+		for i := range 16 {
+			clients.Add(1)
+			pause := time.Duration(random.IntN(400)) * time.Microsecond
+			go func() {
+				defer clients.Done()
+				for n := 0; ; n++ {
+					c, err := net.Dial("tcp", p.Address)
+					if err != nil {
+						return // it listens no more
+					}
+					dropped := sendUntilClosed(t, c, fmt.Sprintf("c%d-%d-%d", round, i, n), pause, &asked)
+					if dropped && closedAfterReadingAll(t, c) {
+						t.Errorf("round %d: client %d's request was read and has no response", round, i)
+					} else if dropped {
+						unread.Add(1)
+					}
+					c.Close()
+				}
+			}()
+		}
+		for asked.Load() < int64(round+1)*50 {
+			time.Sleep(100 * time.Microsecond)
+		}
+		p.stop()
+		if err := testserver.Receive(t, p.ended, "end"); err != nil {
+			t.Errorf("round %d: it ended with %v", round, err)
+		}
+		p.ended <- nil // for the cleanup
+		clients.Wait()
+	}
+	t.Logf("%d requests, %d connections ended with one unread", asked.Load(), unread.Load())
 }
 
 // TestDrainEndsBeforeKillWithHangingServers has all servers hang through the whole of a shutdown, while clients go on
@@ -125,3 +162,65 @@
 		})
 	}
 }
+
+// measureStalls counts by how much the machine holds this test up, until the returned function is called, which returns
+// the sum.
+func measureStalls() func() time.Duration {
+	const step = 5 * time.Millisecond
+	var total atomic.Int64
+	ctx, cancel := context.WithCancel(context.Background())
+	go func() {
+		for ctx.Err() == nil {
+			began := time.Now()
+			time.Sleep(step)
+			if over := time.Since(began) - 2*step; over > 0 {
+				total.Add(int64(over))
+			}
+		}
+	}()
+	return func() time.Duration { cancel(); return time.Duration(total.Load()) }
+}
+
+// sendUntilClosed asks one request after another on a connection until a response ends it, and reports whether it ended
+// while one was open.
+func sendUntilClosed(t *testing.T, c net.Conn, id string, pause time.Duration, asked *atomic.Int64) (dropped bool) {
+	in := bufio.NewReader(c)
+	_ = c.SetDeadline(time.Now().Add(testserver.Timeout))
+	for n := 0; ; n++ {
+		time.Sleep(pause)
+		if _, err := fmt.Fprintf(c, "%s\r\n", testserver.RequestHead("GET", fmt.Sprint(id, "-", n), "read")); err != nil {
+			return true
+		}
+		resp, err := http.ReadResponse(in, nil)
+		if err != nil {
+			var timeout net.Error
+			if errors.As(err, &timeout) && timeout.Timeout() {
+				t.Errorf("%s: no response within %v", id, testserver.Timeout)
+			}
+			return true
+		}
+		_, _ = io.Copy(io.Discard, resp.Body)
+		asked.Add(1)
+		if resp.Close {
+			return false
+		}
+	}
+}
+
+// closedAfterReadingAll reports whether the other side has read all that came on c before it ended the connection.
+// Where something was left, or came later, it has reset the connection.
+func closedAfterReadingAll(t *testing.T, c net.Conn) bool {
+	t.Helper()
+	raw, err := c.(*net.TCPConn).SyscallConn()
+	if err != nil {
+		t.Error(err)
+		return false
+	}
+	var info *unix.TCPInfo
+	if failed := raw.Control(func(fd uintptr) { info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) }); errors.Join(failed, err) != nil {
+		t.Error(failed, err)
+		return false
+	}
+	const closeWait = 8 // the other side has ended its sending, and nothing else
+	return info.State == closeWait
+}
--- a/internal/sidecar/stop_test.go
+++ b/internal/sidecar/drain_test.go
@@ -3,26 +3,78 @@
 import (
 	"bufio"
 	"context"
-	"errors"
-	"flag"
 	"fmt"
 	"io"
-	"math/rand/v2"
 	"net"
 	"net/http"
 	"strings"
-	"sync"
-	"sync/atomic"
 	"testing"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"milletramp.example/milletramp/internal/lab/testserver"
 	"milletramp.example/milletramp/internal/metrics"
+	"milletramp.example/milletramp/internal/upstream"
 )
 
-var drainRounds = flag.Int("stop.rounds", 40, "rounds of TestDrainUnderLoadAnswersEachRequestRead")
+// TestDrainServesNewAndOpenConnections has SIGTERM come while one request is out, and others go on coming on new
+// connections and old ones.
+func TestDrainServesNewAndOpenConnections(t *testing.T) {
+	gate := make(chan bool)
+	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+		if r.Header.Get("Idempotency-Key") != "" {
+			<-gate
+		}
+		return testserver.Respond(200, "", "ok")(c, r, body)
+	})
+	p := startDraining(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings),
+		drainTimes{acceptFor: 4 * time.Second, quietPeriod: 10 * time.Millisecond, idleGrace: 2 * time.Second})
+	slow := make(chan testserver.Result, 1)
+	go func() { slow <- p.Do(p.NewRequest(context.Background(), "book", "50000")) }()
+	testserver.Receive(t, b.Requests, "attempt")
+	p.stop()
+	for closing := false; !closing; {
+		got := p.Send("pay")
+		if got.Status != 200 {
+			t.Fatalf("response %+v while draining", got)
+		}
+		closing = got.Close
+	}
+	time.Sleep(200 * time.Millisecond) // long past the quiet that ends the accepting, well within its time
+	fresh, err := net.Dial("tcp", p.Address)
+	if err != nil {
+		t.Fatalf("no new connections while draining: %v", err)
+	}
+	defer fresh.Close()
+	if err := p.NewRequest(context.Background(), "pay", "50000").Write(fresh); err != nil {
+		t.Fatal(err)
+	}
+	resp, err := http.ReadResponse(bufio.NewReader(fresh), nil)
+	if err != nil || resp.StatusCode != 200 || !resp.Close {
+		t.Errorf("response %+v, error %v on a new connection", resp, err)
+	}
+	for end := time.Now().Add(testserver.Timeout); ; {
+		c, err := net.Dial("tcp", p.Address)
+		if err != nil {
+			break
+		}
+		c.Close()
+		if time.Now().After(end) {
+			t.Fatal("it never stopped listening")
+		}
+	}
+	select {
+	case err := <-p.ended:
+		t.Fatalf("it ended with %v and a request out", err)
+	default:
+	}
+	close(gate)
+	if got := testserver.Receive(t, slow, "response"); got.Status != 200 || got.Body != "ok" {
+		t.Errorf("response %+v to what was taken", got)
+	}
+	if err := testserver.Receive(t, p.ended, "end"); err != nil {
+		t.Errorf("it ended with %v", err)
+	}
+}
 
 // TestDrainServesRequestsOnOpenConnections has a client open a connection, and send its request only when the process
 // has long begun to drain and is waiting for another response: that request is answered too.
@@ -76,121 +128,53 @@
 	}
 }
 
-// waitForOpenConns waits until the program holds n connections.
-func (p *program) waitForOpenConns(n int) {
-	p.T.Helper()
-	for end := time.Now().Add(testserver.Timeout); p.operator.server.Load().conns.Counts().Open < n; time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			p.T.Fatalf("not %d connections accepted", n)
-		}
-	}
-}
-
-// waitUntilNotListening waits until the program listens no more.
-func (p *program) waitUntilNotListening() {
-	p.T.Helper()
-	for end := time.Now().Add(testserver.Timeout); ; time.Sleep(time.Millisecond) {
-		c, err := net.Dial("tcp", p.Address)
-		if err != nil {
-			return
-		}
-		c.Close()
-		if time.Now().After(end) {
-			p.T.Fatal("it never stopped listening")
-		}
+// TestDrainWaitsForRequestBody has the process stop while a request's body comes: it is served, and its response ends
+// the connection.
+func TestDrainWaitsForRequestBody(t *testing.T) {
+	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
+	c := p.DialConn()
+	fmt.Fprintf(c, "%sContent-Length: 8\r\n\r\nhalf", testserver.RequestHead("POST", "slow", "pay"))
+	p.waitForUsedConns(1)
+	p.stop()
+	p.waitUntilNotListening()
+	fmt.Fprint(c, "rest")
+	testserver.ExpectFinalResponse(t, c, http.StatusOK)
+	if err := testserver.Receive(t, p.ended, "end"); err != nil {
+		t.Errorf("it ended with %v", err)
 	}
+	p.ended <- nil // for the cleanup
 }
 
-// closedAfterReadingAll reports whether the other side has read all that came on c before it ended the connection.
-// Where something was left, or came later, it has reset the connection.
-func closedAfterReadingAll(t *testing.T, c net.Conn) bool {
-	t.Helper()
-	raw, err := c.(*net.TCPConn).SyscallConn()
+// TestDrainWaitsForStreamedResponse has the process stop, and read its file again, while a long response is passed
+// on: it ends with the response, which is whole.
+func TestDrainWaitsForStreamedResponse(t *testing.T) {
+	rest := make(chan struct{})
+	b := testserver.StartBackend(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", upstream.MaxBufferedBody+1)
+		<-rest
+		fmt.Fprint(c, strings.Repeat("x", upstream.MaxBufferedBody))
+		return true
+	})
+	text := testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings)
+	p := start(t, text)
+	resp, err := p.HTTP.Do(p.NewRequest(context.Background(), "pay", "50000"))
 	if err != nil {
-		t.Error(err)
-		return false
+		t.Fatal(err)
 	}
-	var info *unix.TCPInfo
-	if failed := raw.Control(func(fd uintptr) { info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) }); errors.Join(failed, err) != nil {
-		t.Error(failed, err)
-		return false
-	}
-	const closeWait = 8 // the other side has ended its sending, and nothing else
-	return info.State == closeWait
-}
-
-// TestDrainUnderLoadAnswersEachRequestRead stops the process again and again while clients ask on connections that they
-// keep. A request that was read has its response; one that was not finds its connection reset.
-func TestDrainUnderLoadAnswersEachRequestRead(t *testing.T) {
-	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
-	go func() {
-		for range b.Requests {
-		}
-	}()
-	configText := testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings)
-	var asked, unread atomic.Int64
-	for round := range *drainRounds {
-		random := rand.New(rand.NewPCG(uint64(round), 1))
-		p := startDraining(t, configText, drainTimes{acceptFor: time.Duration(random.IntN(3)) * time.Millisecond,
-			quietPeriod: time.Millisecond, unusedGrace: time.Duration(random.IntN(4)) * time.Millisecond})
-		var clients sync.WaitGroup
-		for i := range 16 {
-			clients.Add(1)
-			pause := time.Duration(random.IntN(400)) * time.Microsecond
-			go func() {
-				defer clients.Done()
-				for n := 0; ; n++ {
-					c, err := net.Dial("tcp", p.Address)
-					if err != nil {
-						return // it listens no more
-					}
-					dropped := sendUntilClosed(t, c, fmt.Sprintf("c%d-%d-%d", round, i, n), pause, &asked)
-					if dropped && closedAfterReadingAll(t, c) {
-						t.Errorf("round %d: client %d's request was read and has no response", round, i)
-					} else if dropped {
-						unread.Add(1)
-					}
-					c.Close()
-				}
-			}()
-		}
-		for asked.Load() < int64(round+1)*50 {
-			time.Sleep(100 * time.Microsecond)
-		}
-		p.stop()
-		if err := testserver.Receive(t, p.ended, "end"); err != nil {
-			t.Errorf("round %d: it ended with %v", round, err)
-		}
-		p.ended <- nil // for the cleanup
-		clients.Wait()
+	defer resp.Body.Close()
+	p.stop()
+	p.waitUntilNotListening()
+	p.reload(text)
+	p.reload("no configuration")
+	close(rest)
+	if body, err := io.ReadAll(resp.Body); err != nil || len(body) != upstream.MaxBufferedBody+1 {
+		t.Errorf("%d bytes, error %v", len(body), err)
 	}
-	t.Logf("%d requests, %d connections ended with one unread", asked.Load(), unread.Load())
-}
-
-// sendUntilClosed asks one request after another on a connection until a response ends it, and reports whether it ended
-// while one was open.
-func sendUntilClosed(t *testing.T, c net.Conn, id string, pause time.Duration, asked *atomic.Int64) (dropped bool) {
-	in := bufio.NewReader(c)
-	_ = c.SetDeadline(time.Now().Add(testserver.Timeout))
-	for n := 0; ; n++ {
-		time.Sleep(pause)
-		if _, err := fmt.Fprintf(c, "%s\r\n", testserver.RequestHead("GET", fmt.Sprint(id, "-", n), "read")); err != nil {
-			return true
-		}
-		resp, err := http.ReadResponse(in, nil)
-		if err != nil {
-			var timeout net.Error
-			if errors.As(err, &timeout) && timeout.Timeout() {
-				t.Errorf("%s: no response within %v", id, testserver.Timeout)
-			}
-			return true
-		}
-		_, _ = io.Copy(io.Discard, resp.Body)
-		asked.Add(1)
-		if resp.Close {
-			return false
-		}
+	if err := testserver.Receive(t, p.ended, "end"); err != nil {
+		t.Errorf("it ended with %v", err)
 	}
+	p.ended <- nil // for the cleanup
 }
 
 // TestDrainKeepsToReloadedDeadlines stops a process whose settings were replaced by ones with shorter deadlines, while
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -4,12 +4,14 @@
 	"cmp"
 	"context"
 	"log/slog"
+	"net"
 	"net/http"
 	"os"
 	"path/filepath"
 	"strings"
 	"sync"
 	"sync/atomic"
+	"syscall"
 	"testing"
 	"time"
 
@@ -109,3 +111,129 @@
 	p.Address = testserver.Receive(t, log.address, "address")
 	return p
 }
+
+// waitForOpenConns waits until the program holds n connections.
+func (p *program) waitForOpenConns(n int) {
+	p.T.Helper()
+	for end := time.Now().Add(testserver.Timeout); p.operator.server.Load().conns.Counts().Open < n; time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			p.T.Fatalf("not %d connections accepted", n)
+		}
+	}
+}
+
+// waitForUsedConns waits until n connections have brought a request.
+func (p *program) waitForUsedConns(n int) {
+	p.T.Helper()
+	conns := p.operator.server.Load().conns
+	for end := time.Now().Add(testserver.Timeout); conns.Counts().Used < n; time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			p.T.Fatalf("not %d connections in use", n)
+		}
+	}
+}
+
+// waitUntilNotListening waits until the program listens no more.
+func (p *program) waitUntilNotListening() {
+	p.T.Helper()
+	for end := time.Now().Add(testserver.Timeout); ; time.Sleep(time.Millisecond) {
+		c, err := net.Dial("tcp", p.Address)
+		if err != nil {
+			return
+		}
+		c.Close()
+		if time.Now().After(end) {
+			p.T.Fatal("it never stopped listening")
+		}
+	}
+}
+
+// waitForServers waits until the program knows n servers.
+func (p *program) waitForServers(n int) {
+	p.T.Helper()
+	for end := time.Now().Add(testserver.Timeout); len(p.operator.loop.Upstream().Endpoints()) != n; time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			p.T.Fatalf("not %d servers listed", n)
+		}
+	}
+}
+
+// waitUntilIdle waits until the program serves no request.
+func (p *program) waitUntilIdle() {
+	p.T.Helper()
+	for end := time.Now().Add(testserver.Timeout); p.operator.server.Load().handler.InFlight() > 0; time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			p.T.Fatal("a request is held for good")
+		}
+	}
+}
+
+// switchDiscovery has the program reload a file that names another discovery.
+func (p *program) switchDiscovery(address, was string) {
+	p.T.Helper()
+	text, err := os.ReadFile(p.configFile)
+	if err != nil {
+		p.T.Fatal(err)
+	}
+	writeFile(p.T, p.configFile, strings.ReplaceAll(string(text), was, address))
+	p.reloadSignals <- syscall.SIGHUP
+}
+
+// sendUntilBody asks until a response comes from the server that says so.
+func (p *program) sendUntilBody(want string) {
+	p.T.Helper()
+	for end := time.Now().Add(testserver.Timeout); ; {
+		got := p.Send("read")
+		if got.Body == want {
+			return
+		}
+		if time.Now().After(end) {
+			p.T.Fatalf("response %+v, want %q", got, want)
+		}
+	}
+}
+
+// reload writes a configuration, has it read, and waits until it was taken or rejected.
+func (p *program) reload(text string) {
+	p.T.Helper()
+	f := p.operator.metrics
+	before := f.Reloads.Load() + f.ReloadErrors.Load()
+	writeFile(p.T, p.configFile, text)
+	p.reloadSignals <- syscall.SIGHUP
+	for end := time.Now().Add(testserver.Timeout); f.Reloads.Load()+f.ReloadErrors.Load() == before; time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			p.T.Fatalf("no reload within %v", testserver.Timeout)
+		}
+	}
+}
+
+// metric returns one figure as operators read it.
+func (p *program) metric(name string) string {
+	p.T.Helper()
+	text, err := p.operator.Metrics(context.Background())
+	if err != nil {
+		p.T.Fatal(err)
+	}
+	for _, line := range strings.Split(string(text), "\n") {
+		if value, ok := strings.CutPrefix(line, "sidecar."+name+"="); ok {
+			return value
+		}
+	}
+	return "none"
+}
+
+func (p *program) expectMetrics(want ...string) {
+	p.T.Helper()
+	for i := 0; i < len(want); i += 2 {
+		if got := p.metric(want[i]); got != want[i+1] {
+			p.T.Errorf("%s is %s, want %s", want[i], got, want[i+1])
+		}
+	}
+}
+
+// newIdempotentRequest makes a request of a class whose requests may be repeated.
+func (p *program) newIdempotentRequest(class string) *http.Request {
+	r := p.NewRequest(context.Background(), "read", "50000")
+	r.Header.Set("X-Priority-Class", class)
+	return r
+}
--- a/internal/sidecar/settings_test.go
+++ b/internal/sidecar/reload_settings_test.go
@@ -6,52 +6,11 @@
 	"net/http"
 	"strings"
 	"sync/atomic"
-	"syscall"
 	"testing"
-	"time"
 
-	"milletramp.example/milletramp/internal/admin"
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// reload writes a configuration, has it read, and waits until it was taken or rejected.
-func (p *program) reload(text string) {
-	p.T.Helper()
-	f := p.operator.metrics
-	before := f.Reloads.Load() + f.ReloadErrors.Load()
-	writeFile(p.T, p.configFile, text)
-	p.reloadSignals <- syscall.SIGHUP
-	for end := time.Now().Add(testserver.Timeout); f.Reloads.Load()+f.ReloadErrors.Load() == before; time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			p.T.Fatalf("no reload within %v", testserver.Timeout)
-		}
-	}
-}
-
-// metric returns one figure as operators read it.
-func (p *program) metric(name string) string {
-	p.T.Helper()
-	text, err := p.operator.Metrics(context.Background())
-	if err != nil {
-		p.T.Fatal(err)
-	}
-	for _, line := range strings.Split(string(text), "\n") {
-		if value, ok := strings.CutPrefix(line, "sidecar."+name+"="); ok {
-			return value
-		}
-	}
-	return "none"
-}
-
-func (p *program) expectMetrics(want ...string) {
-	p.T.Helper()
-	for i := 0; i < len(want); i += 2 {
-		if got := p.metric(want[i]); got != want[i+1] {
-			p.T.Errorf("%s is %s, want %s", want[i], got, want[i+1])
-		}
-	}
-}
-
 // TestInvalidFilesAreRejected reloads files with one fault each. Each would also move discovery and drop a class:
 // nothing of it may be used.
 func TestInvalidFilesAreRejected(t *testing.T) {
@@ -157,47 +116,3 @@
 		t.Errorf("the class added again got %+v", got)
 	}
 }
-
-// newIdempotentRequest makes a request of a class whose requests may be repeated.
-func (p *program) newIdempotentRequest(class string) *http.Request {
-	r := p.NewRequest(context.Background(), "read", "50000")
-	r.Header.Set("X-Priority-Class", class)
-	return r
-}
-
-// TestAdminDownHoldsOverListsAndReloads takes a server down by an operator's call, over a list and a reload, and puts
-// it back.
-func TestAdminDownHoldsOverListsAndReloads(t *testing.T) {
-	one, two := testserver.StartBackend(t, testserver.Respond(200, "", "one")), testserver.StartBackend(t, testserver.Respond(200, "", "two"))
-	d := testserver.StartDiscovery(t)
-	text := testserver.ConfigText(d.Address, testserver.ServingList(1, one, two), testserver.Settings)
-	p := start(t, text)
-	w := testserver.Receive(t, d.Watches, "watch")
-	p.sendUntilBody("one")
-	call := func(id string, down bool, want error) {
-		t.Helper()
-		if _, err := p.operator.SetAdminDown(context.Background(), id, down, false); err != want {
-			t.Fatalf("call for %s, down %v: %v, want %v", id, down, err, want)
-		}
-	}
-	call("s-9", true, admin.ErrUnknownServer)
-	call("s-0", true, nil)
-	p.expectMetrics("known_servers", "2", "skipped_servers", "1")
-	w.Lines <- testserver.ListText(2, false, testserver.EndpointEntry("s-0", one.Address, "DRAINING", 0))
-	w.Lines <- testserver.ServingList(3, one, two)
-	p.reload(strings.Replace(text, `"try_limit":3`, `"try_limit":2`, 1))
-	for range 50 {
-		if got := p.Send("read"); got.Body != "two" {
-			t.Fatalf("response %+v while the server is administratively down", got)
-		}
-	}
-	call("s-1", true, nil)
-	if got := p.Send("read"); got.Status != http.StatusServiceUnavailable {
-		t.Errorf("response %+v with all servers down", got)
-	}
-	p.expectMetrics("skipped_servers", "2", "dropped.read", "1")
-	call("s-0", false, nil)
-	p.sendUntilBody("one")
-	call("s-1", false, nil)
-	p.expectMetrics("skipped_servers", "0")
-}
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -4,40 +4,13 @@
 	"context"
 	"net"
 	"net/http"
-	"os"
 	"strings"
 	"syscall"
 	"testing"
-	"time"
 
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// switchDiscovery has the program reload a file that names another discovery.
-func (p *program) switchDiscovery(address, was string) {
-	p.T.Helper()
-	text, err := os.ReadFile(p.configFile)
-	if err != nil {
-		p.T.Fatal(err)
-	}
-	writeFile(p.T, p.configFile, strings.ReplaceAll(string(text), was, address))
-	p.reloadSignals <- syscall.SIGHUP
-}
-
-// sendUntilBody asks until a response comes from the server that says so.
-func (p *program) sendUntilBody(want string) {
-	p.T.Helper()
-	for end := time.Now().Add(testserver.Timeout); ; {
-		got := p.Send("read")
-		if got.Body == want {
-			return
-		}
-		if time.Now().After(end) {
-			p.T.Fatalf("response %+v, want %q", got, want)
-		}
-	}
-}
-
 // TestReloadSwitchesDiscovery moves discovery twice, the second time to an address that is not up at first, and once
 // more in a drain.
 func TestReloadSwitchesDiscovery(t *testing.T) {
@@ -115,3 +88,36 @@
 		t.Errorf("response %+v, %d new watches at the old address", got, len(d.Watches))
 	}
 }
+
+// TestLastOfFiveReloadsWins has five files within a second name five addresses of discovery: the last one counts, its
+// list is followed, and requests are served all the time.
+func TestLastOfFiveReloadsWins(t *testing.T) {
+	one, two := testserver.StartBackend(t, testserver.Respond(200, "", "one")), testserver.StartBackend(t, testserver.Respond(200, "", "two"))
+	was := testserver.StartDiscovery(t)
+	p := start(t, testserver.ConfigText(was.Address, testserver.ServingList(1, one), testserver.Settings))
+	old := testserver.Receive(t, was.Watches, "watch")
+	address := was.Address
+	var next []*testserver.Discovery
+	for range 5 {
+		d := testserver.StartDiscovery(t)
+		p.switchDiscovery(d.Address, address)
+		address, next = d.Address, append(next, d)
+		if got := p.Send("read"); got.Body != "one" {
+			t.Errorf("response %+v between two files", got)
+		}
+	}
+	w := testserver.Receive(t, next[4].Watches, "watch at the last address")
+	old.Lines <- testserver.ListText(2, false, testserver.EndpointEntry("s-9", one.Address, "SERVING", 0))
+	w.Lines <- testserver.ServingList(1, two)
+	p.sendUntilBody("two")
+	for _, d := range next[:4] { // a late line of an address between
+		for len(d.Watches) > 0 {
+			(<-d.Watches).Lines <- testserver.ServingList(9, one)
+		}
+	}
+	for range 20 {
+		if got := p.Send("read"); got.Body != "two" {
+			t.Errorf("response %+v, want the last address's server", got)
+		}
+	}
+}
--- /dev/null
+++ b/internal/sidecar/retry_test.go
@@ -0,0 +1,150 @@
+package sidecar
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"milletramp.example/milletramp/internal/lab/testserver"
+)
+
+// TestRetriesFollowEffectOfClass has the first attempt of each class end in each way, and sees whether the class is
+// tried again.
+func TestRetriesFollowEffectOfClass(t *testing.T) {
+	full := testserver.Respond(503, "X-Not-Processed: 1\r\n", "")
+	for _, tt := range []struct {
+		name     string
+		class    string
+		fault    func(net.Conn, *http.Request, []byte) bool
+		status   int
+		attempts int
+	}{
+		{"idempotent after an error", "read", testserver.Respond(500, "", ""), 200, 2},
+		{"idempotent after a reset", "read", testserver.ResetConnection, 200, 2},
+		{"idempotent, rejected", "read", full, 200, 2},
+		{"with a key after an error", "book", testserver.Respond(500, "", ""), 200, 2},
+		{"with a key after a reset", "book", testserver.ResetConnection, 200, 2},
+		{"with a key, rejected", "book", full, 200, 2},
+		{"not idempotent, after an error", "pay", testserver.Respond(500, "", ""), 502, 1},
+		{"not idempotent, after a reset", "pay", testserver.ResetConnection, 502, 1},
+		{"not idempotent, rejected", "pay", full, 200, 2},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			faults := make(chan bool, 1)
+			faults <- true
+			came := make(chan string, 10)
+			do := func(c net.Conn, r *http.Request, body []byte) bool {
+				came <- r.Header.Get("X-Request-ID") + " " + r.Header.Get("Idempotency-Key") + " " + string(body)
+				select {
+				case <-faults:
+					return tt.fault(c, r, body)
+				default:
+					return testserver.Respond(200, "", "done")(c, r, body)
+				}
+			}
+			p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, testserver.StartBackend(t, do), testserver.StartBackend(t, do)), testserver.Settings))
+			got := p.Send(tt.class)
+			if got.Status != tt.status || len(came) != tt.attempts {
+				t.Fatalf("status %d after %d attempts, want %d after %d", got.Status, len(came), tt.status, tt.attempts)
+			}
+			if got.Status == 200 && got.Body != "done" {
+				t.Errorf("body %q", got.Body)
+			}
+			first := <-came
+			for len(came) > 0 {
+				if again := <-came; again != first {
+					t.Errorf("attempts %q and %q differ", first, again)
+				}
+			}
+		})
+	}
+}
+
+// TestRefusedConnectionsMeanRejection has every server refuse connections: nothing ran, so the rejection comes at once,
+// for every class.
+func TestRefusedConnectionsMeanRejection(t *testing.T) {
+	l := testserver.Listen(t)
+	l.Close()
+	gone := &testserver.Backend{Address: l.Addr().String()}
+	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, gone), testserver.Settings))
+	for _, class := range []string{"read", "book", "pay"} {
+		if got := p.Send(class); got.Status != 503 {
+			t.Errorf("%s: status %d, want a refusal", class, got.Status)
+		}
+	}
+}
+
+func TestRequestsAreAnsweredAtTheirDeadline(t *testing.T) {
+	b := testserver.StartBackend(t, testserver.NeverRespond)
+	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
+	for _, tt := range []struct {
+		class  string
+		status int
+	}{{"pay", 502}, {"read", 503}} {
+		got := p.Do(p.NewRequest(context.Background(), tt.class, "1500"))
+		testserver.Receive(t, b.Requests, "attempt")
+		if got.Err != nil || got.Status != tt.status {
+			t.Errorf("%s: status %d, error %v, want %d", tt.class, got.Status, got.Err, tt.status)
+		}
+	}
+	if n := b.RequestCount(); n != 0 {
+		t.Errorf("%d attempts too many", n)
+	}
+	// What has no time left is not sent at all.
+	if got := p.Do(p.NewRequest(context.Background(), "pay", "0")); got.Status != 503 || b.RequestCount() != 0 {
+		t.Errorf("status %d, %d attempts", got.Status, b.RequestCount())
+	}
+}
+
+// connReuseWait is more than a connection to a server rests after a response before it is used again.
+const connReuseWait = 100 * time.Millisecond
+
+// TestOnlyRepeatableRequestsAreRetriedAfterClose has a server close an idle connection while a request is written on
+// it. The request may have run: one that is unsafe to repeat is not retried, and one that may be repeated is.
+func TestOnlyRepeatableRequestsAreRetriedAfterClose(t *testing.T) {
+	for _, tt := range []struct {
+		class  string
+		status int
+	}{{"pay", http.StatusBadGateway}, {"read", http.StatusOK}, {"book", http.StatusOK}} {
+		t.Run(tt.class, func(t *testing.T) {
+			answered, closing := 0, make(chan struct{}, 1)
+			b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+				if answered++; answered == 1 {
+					return testserver.Respond(200, "", "first")(c, r, body)
+				}
+				closing <- struct{}{}
+				return testserver.ResetConnection(c, r, body)
+			})
+			other := testserver.StartBackend(t, testserver.Respond(200, "", "other"))
+			d := testserver.StartDiscovery(t)
+			p := start(t, testserver.ConfigText(d.Address, testserver.ServingList(1, b), testserver.Settings))
+			if got := p.Send("read"); got.Body != "first" {
+				t.Fatalf("response %+v", got)
+			}
+			time.Sleep(connReuseWait) // and so the next request goes out on the connection
+			w := testserver.Receive(t, d.Watches, "watch")
+			got := make(chan testserver.Result, 1)
+			w.Lines <- testserver.ListText(2, false, testserver.EndpointEntry("s-1", other.Address, "SERVING", 0))
+			p.waitForServers(2)
+			for b.RequestCount() > 0 {
+				<-b.Requests
+			}
+			for range 2 { // even turns: one of two goes to the server that closes
+				go func() { got <- p.Do(p.NewRequest(context.Background(), tt.class, "50000")) }()
+				response := testserver.Receive(t, got, "response")
+				if len(closing) == 0 {
+					continue
+				}
+				if response.Status != tt.status {
+					t.Errorf("response %+v, want status %d", response, tt.status)
+				}
+				break
+			}
+			if len(closing) != 1 {
+				t.Errorf("%d requests met the close, want one", len(closing))
+			}
+		})
+	}
+}
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -79,3 +79,27 @@
 		})
 	}
 }
+
+// TestResetResponseIsIncomplete: a response of untold length whose connection is reset is not whole, also where its
+// first bytes were passed on. One whose connection ends in order is.
+func TestResetResponseIsIncomplete(t *testing.T) {
+	for _, reset := range []bool{true, false} {
+		passed := make(chan struct{})
+		b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhal")
+			<-passed
+			return reset && testserver.ResetConnection(c, r, body)
+		})
+		p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
+		resp, err := p.HTTP.Do(p.NewRequest(context.Background(), "pay", "50000"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		close(passed) // the client has its head, and so the first bytes
+		body, err := io.ReadAll(resp.Body)
+		resp.Body.Close()
+		if reset != (err != nil) || !reset && string(body) != "hal" {
+			t.Errorf("reset %v: body %q, error %v", reset, body, err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/sidecar/watch_test.go
@@ -0,0 +1,44 @@
+package sidecar
+
+import (
+	"testing"
+
+	"milletramp.example/milletramp/internal/lab/testserver"
+)
+
+// TestWatchFollowsListAndSurvivesBadLines follows the list through a drain, a bad line and a break.
+func TestWatchFollowsListAndSurvivesBadLines(t *testing.T) {
+	kept, drained := testserver.StartBackend(t, testserver.Respond(200, "", "kept")), testserver.StartBackend(t, testserver.Respond(200, "", "drained"))
+	d := testserver.StartDiscovery(t)
+	p := start(t, testserver.ConfigText(d.Address, testserver.ServingList(41, drained), testserver.Settings))
+	first := testserver.Receive(t, d.Watches, "watch")
+	if first.Query != "watch=1&from=41" {
+		t.Errorf("query %q", first.Query)
+	}
+	if got := p.Send("pay"); got.Body != "drained" {
+		t.Errorf("response %+v", got)
+	}
+	first.Lines <- "" // a heartbeat
+	first.Lines <- testserver.ListText(42, false, testserver.EndpointEntry("s-0", drained.Address, "DRAINING", 0), testserver.EndpointEntry("s-1", kept.Address, "SERVING", 0))
+	p.sendUntilBody("kept")
+	for range 20 {
+		if got := p.Send("pay"); got.Body != "kept" {
+			t.Fatalf("a request went to a server that drains: %+v", got)
+		}
+	}
+	first.Lines <- `{"rev":43,"targets":[{"uid":"s-1","endpoint":"nowhere","state":"SERVING"}]}`
+	second := testserver.Receive(t, d.Watches, "watch after a bad line")
+	if second.Query != "watch=1&from=42" {
+		t.Errorf("query %q after a bad line", second.Query)
+	}
+	if got := p.Send("pay"); got.Body != "kept" {
+		t.Errorf("a bad line cost the list: %+v", got)
+	}
+	close(second.Lines)
+	third := testserver.Receive(t, d.Watches, "watch after a break")
+	if got := p.Send("pay"); got.Body != "kept" {
+		t.Errorf("a break cost the list: %+v", got)
+	}
+	third.Lines <- testserver.ListText(44, true, testserver.EndpointEntry("s-0", drained.Address, "SERVING", 0))
+	p.sendUntilBody("drained")
+}
