--- a/internal/sidecar/admin_down_test.go
+++ b/internal/sidecar/admin_down_test.go
@@ -13,7 +13,7 @@
 // TestAdminDownHoldsOverListsAndReloads takes a server down by an operator's call, over a list and a reload, and puts
 // it back.
 func TestAdminDownHoldsOverListsAndReloads(t *testing.T) {
-	one, two := testserver.StartBackend(t, testserver.Respond(200, "", "one")), testserver.StartBackend(t, testserver.Respond(200, "", "two"))
+	one, two := startBackend(t, "one"), startBackend(t, "two")
 	d := testserver.StartDiscovery(t)
 	text := testserver.ConfigText(d.Address, testserver.ServingList(1, one, two), testserver.Settings)
 	p := start(t, text)
--- a/internal/sidecar/client_conns_test.go
+++ b/internal/sidecar/client_conns_test.go
@@ -5,7 +5,6 @@
 	"context"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"strings"
 	"testing"
@@ -17,12 +16,11 @@
 
 // TestConnectionStaysOpenBetweenRequests sends good requests one after another on one connection.
 func TestConnectionStaysOpenBetweenRequests(t *testing.T) {
-	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
-	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
+	p := startServing(t, startBackend(t, "ok"))
 	c := p.DialConn()
 	in := bufio.NewReader(c)
 	for i := range 3 {
-		fmt.Fprintf(c, "%s\r\n", testserver.RequestHead("GET", fmt.Sprint("k", i), "read"))
+		sendHead(c, fmt.Sprint("k", i))
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil || resp.StatusCode != 200 || resp.Close {
 			t.Fatalf("request %d: response %+v, error %v", i, resp, err)
@@ -36,17 +34,10 @@
 // TestIdleConnectionsAreClosedAtLimit has clients hold hundreds of silent connections: those of a request in flight and
 // of new requests are served, and the longest idle are closed.
 func TestIdleConnectionsAreClosedAtLimit(t *testing.T) {
-	gate := make(chan bool)
-	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		if r.Header.Get("Idempotency-Key") != "" {
-			<-gate
-		}
-		return testserver.Respond(200, "", "ok")(c, r, body)
-	})
-	configText := strings.Replace(testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings), `"sockets":1024`, `"sockets":64`, 1)
-	p := start(t, configText)
-	held := make(chan testserver.Result, 1)
-	go func() { held <- p.Do(p.NewRequest(context.Background(), "book", "50000")) }()
+	release := make(chan struct{})
+	b := startHoldingBackend(t, release, hasIdempotencyKey, "ok")
+	p := start(t, strings.Replace(configFor(t, b), `"sockets":1024`, `"sockets":64`, 1))
+	held := p.sendAsync(context.Background(), "book")
 	testserver.Receive(t, b.Requests, "attempt")
 	most := newSocketBudget(&config.Config{Sockets: 64}).ClientConns
 	first := p.DialConn()
@@ -59,7 +50,7 @@
 	if got := p.Send("pay"); got.Status != 200 {
 		t.Errorf("response %+v to a new request", got)
 	}
-	close(gate)
+	close(release)
 	if got := testserver.Receive(t, held, "response"); got.Status != 200 {
 		t.Errorf("response %+v to the request in flight", got)
 	}
@@ -69,15 +60,13 @@
 // clients may hold, responses end them, so that requests go on being taken. A connection in use before that is kept
 // alive.
 func TestResponsesCloseConnectionsNearLimit(t *testing.T) {
-	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
-	configText := strings.Replace(testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings), `"sockets":1024`, `"sockets":64`, 1)
-	p := start(t, configText)
+	p := start(t, strings.Replace(configFor(t, startBackend(t, "ok")), `"sockets":1024`, `"sockets":64`, 1))
 	budget := newSocketBudget(&config.Config{Sockets: 64})
 	kept, ended := 0, 0
 	for i := range 3 * budget.ClientConns {
 		c := p.DialConn() // stays open to the end
 		in := bufio.NewReader(c)
-		fmt.Fprintf(c, "%s\r\n", testserver.RequestHead("GET", fmt.Sprint("once-", i), "read"))
+		sendHead(c, fmt.Sprint("once-", i))
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil || resp.StatusCode != http.StatusOK {
 			t.Fatalf("connection %d: response %+v, error %v", i, resp, err)
@@ -103,41 +92,30 @@
 // are no request.
 func TestUnreadBytesDoNotCostFinalResponse(t *testing.T) {
 	t.Run("too large a body", func(t *testing.T) {
-		b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
-		p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
+		b := startBackend(t, "ok")
+		p := startServing(t, b)
 		c := p.DialConn()
-		fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", testserver.RequestHead("POST", "large", "pay"), 2*proxy.MaxRequestBody, strings.Repeat("x", 300<<10))
+		head := testserver.RequestHead("POST", "large", "pay")
+		fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", head, 2*proxy.MaxRequestBody, strings.Repeat("x", 300<<10))
 		testserver.ExpectFinalResponse(t, c, http.StatusRequestEntityTooLarge)
 		if n := b.RequestCount(); n != 0 {
 			t.Errorf("%d requests were forwarded", n)
 		}
 	})
 	t.Run("requests behind the last one of a stop", func(t *testing.T) {
-		gate := make(chan struct{})
-		b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-			<-gate
-			return testserver.Respond(200, "", "ok")(c, r, body)
-		})
-		p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
+		release := make(chan struct{})
+		b := startHoldingBackend(t, release, anyRequest, "ok")
+		p := startServing(t, b)
 		c := p.DialConn()
-		var queue strings.Builder
-		for i := range 200 { // more than net/http reads ahead
-			fmt.Fprintf(&queue, "%s\r\n", testserver.RequestHead("GET", fmt.Sprint("queued-", i), "read"))
-		}
-		if _, err := c.Write([]byte(queue.String())); err != nil {
-			t.Fatal(err)
-		}
+		pipelineRequests(t, c, 200) // more than net/http reads ahead
 		testserver.Receive(t, b.Requests, "first request")
 		p.stop()
 		p.waitUntilNotListening()
-		close(gate)
+		close(release)
 		testserver.ExpectFinalResponse(t, c, http.StatusOK)
 		if n := b.RequestCount(); n != 0 {
 			t.Errorf("%d requests were forwarded behind the last one", n)
 		}
-		if err := testserver.Receive(t, p.ended, "end"); err != nil {
-			t.Errorf("it ended with %v", err)
-		}
-		p.ended <- nil // for the cleanup
+		p.expectEnd()
 	})
 }
--- a/internal/sidecar/client_disconnect_test.go
+++ b/internal/sidecar/client_disconnect_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -13,6 +12,8 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
+// TestDisconnectCancelsAttempt has a client leave while its attempt is in flight: the attempt ends, and no other is
+// made.
 func TestDisconnectCancelsAttempt(t *testing.T) {
 	closed := make(chan bool, 1)
 	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -20,10 +21,9 @@
 		closed <- true
 		return false
 	})
-	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
+	p := startServing(t, b)
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan testserver.Result, 1)
-	go func() { ended <- p.Do(p.NewRequest(ctx, "read", "50000")) }()
+	ended := p.sendAsync(ctx, "read")
 	testserver.Receive(t, b.Requests, "attempt")
 	cancel()
 	testserver.Receive(t, ended, "end")
@@ -36,19 +36,14 @@
 // TestHalfClosedClientGetsNoResponse has a client close its sending while its request is out: it has left, and must not
 // learn that it was served.
 func TestHalfClosedClientGetsNoResponse(t *testing.T) {
-	gate := make(chan bool)
-	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		<-gate
-		return testserver.Respond(200, "", "ok")(c, r, body)
-	})
-	defer close(gate)
-	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
+	release := make(chan struct{})
+	b := startHoldingBackend(t, release, anyRequest, "ok")
+	defer close(release)
+	p := startServing(t, b)
 	c := p.DialConn()
-	fmt.Fprintf(c, "%s\r\n", testserver.RequestHead("GET", "leaves", "read"))
+	sendHead(c, "leaves")
 	testserver.Receive(t, b.Requests, "attempt")
-	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
-		t.Fatal(err)
-	}
+	closeWrite(t, c)
 	if got, err := io.ReadAll(c); err != nil || len(got) > 0 {
 		t.Errorf("response %q, error %v to a client that left", got, err)
 	}
@@ -58,25 +53,14 @@
 // sending while the first is out. The others stand before the end that net/http waits for, more of them than it reads
 // ahead, and none of them is forwarded.
 func TestPipelinedRequestsOfHalfClosedClientAreNotForwarded(t *testing.T) {
-	gate := make(chan struct{})
-	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		<-gate
-		return testserver.Respond(200, "", "ok")(c, r, body)
-	})
-	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
+	release := make(chan struct{})
+	b := startHoldingBackend(t, release, anyRequest, "ok")
+	p := startServing(t, b)
 	c := p.DialConn()
-	var queue strings.Builder
-	for i := range 100 {
-		fmt.Fprintf(&queue, "%s\r\n", testserver.RequestHead("GET", fmt.Sprint("queued-", i), "read"))
-	}
-	if _, err := c.Write([]byte(queue.String())); err != nil {
-		t.Fatal(err)
-	}
+	pipelineRequests(t, c, 100)
 	testserver.Receive(t, b.Requests, "first request")
-	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
-		t.Fatal(err)
-	}
-	close(gate)
+	closeWrite(t, c)
+	close(release)
 	for buffer := make([]byte, 4096); ; {
 		if _, err := c.Read(buffer); err != nil {
 			break // all is answered, or the connection ended
@@ -90,8 +74,8 @@
 // TestIncompleteRequestsOfHalfClosedClientAreNotForwarded has a client leave while its request is read, or waits for a
 // policy with more requests behind it: nothing is forwarded.
 func TestIncompleteRequestsOfHalfClosedClientAreNotForwarded(t *testing.T) {
-	b, f := testserver.StartBackend(t, testserver.Respond(200, "", "ok")), &fakeParticipant{}
-	p := startIn(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings), drainTimes{quietPeriod: time.Millisecond}, f.join)
+	b, f := startBackend(t, "ok"), &fakeParticipant{}
+	p := startWith(t, configFor(t, b), startOptions{join: f.join})
 	f.expectCheck(t, 1, f.policyDocument(t, ""), "")
 	f.setPolicy(1, 0, true)
 	pay := testserver.RequestHead("POST", "gone", "pay")
@@ -111,9 +95,7 @@
 				t.Fatal(err)
 			}
 			p.waitForUsedConns(map[bool]int{true: 1}[tt.waits])
-			if err := c.(*net.TCPConn).CloseWrite(); err != nil {
-				t.Fatal(err)
-			}
+			closeWrite(t, c)
 			f.setPolicy(1, 0, true)
 			if _, err := io.Copy(io.Discard, c); err != nil {
 				t.Errorf("error %v behind the last response", err)
@@ -131,14 +113,13 @@
 // TestNoAttemptAfterDisconnectWhileConnecting has a client leave while the connection for its request comes up, where
 // the settings let no attempt be called off: it is not made, as it has not begun.
 func TestNoAttemptAfterDisconnectWhileConnecting(t *testing.T) {
-	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
-	settings := strings.Replace(testserver.Settings, `"cancelling":true`, `"cancelling":false`, 1)
-	p, late := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), settings)), testserver.NewDelayedDialer()
+	b := startBackend(t, "ok")
+	p := start(t, strings.Replace(configFor(t, b), `"cancelling":true`, `"cancelling":false`, 1))
+	late := testserver.NewDelayedDialer()
 	u := p.operator.loop.Upstream()
 	u.SetDial(late.Dial)
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan testserver.Result, 1)
-	go func() { ended <- p.Do(p.NewRequest(ctx, "pay", "50000")) }()
+	ended := p.sendAsync(ctx, "pay")
 	testserver.Receive(t, late.Connected, "connection")
 	cancel()
 	testserver.Receive(t, ended, "end")
--- a/internal/sidecar/client_errors_test.go
+++ b/internal/sidecar/client_errors_test.go
@@ -23,8 +23,8 @@
 // TestMalformedRequestsGetOneErrorOrClose sends what net/http's client would not. Each gets one error or a close, and
 // what stands behind it is never taken for a request.
 func TestMalformedRequestsGetOneErrorOrClose(t *testing.T) {
-	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
-	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
+	b := startBackend(t, "ok")
+	p := startServing(t, b)
 	hidden := testserver.RequestHead("GET", "hidden", "read") + "\r\n"
 	pay := testserver.RequestHead("POST", "i", "pay")
 	for _, tt := range []struct {
@@ -86,12 +86,9 @@
 		"length and chunks": unread + "Transfer-Encoding: chunked\r\n\r\n",
 	} {
 		for later := range 2 {
-			gate := make(chan struct{})
-			b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-				<-gate
-				return testserver.Respond(200, "", "ok")(c, r, body)
-			})
-			p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
+			release := make(chan struct{})
+			b := startHoldingBackend(t, release, anyRequest, "ok")
+			p := startServing(t, b)
 			c := p.DialConn()
 			fmt.Fprintf(c, "%s\r\n%s", testserver.RequestHead("GET", "good", "read"), bad[:len(bad)-later])
 			testserver.Receive(t, b.Requests, "first request")
@@ -100,7 +97,7 @@
 			if n, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Errorf("%s, %d bytes later: %d bytes, error %v while the first request is out", name, later, n, err)
 			}
-			close(gate)
+			close(release)
 			_ = c.SetReadDeadline(time.Now().Add(testserver.Timeout))
 			in := bufio.NewReader(c)
 			resp, err := http.ReadResponse(in, nil)
@@ -118,8 +115,8 @@
 }
 
 func TestInvalidRequestsAreRejected(t *testing.T) {
-	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
-	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
+	b := startBackend(t, "ok")
+	p := startServing(t, b)
 	ask := func(class string, change func(*http.Request)) *http.Request {
 		r := p.NewRequest(context.Background(), class, "50000")
 		change(r)
@@ -183,12 +180,9 @@
 // TestDuplicateRequestIDIsRejected has a client come with the id of a request that is out, and again once that has its
 // response.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
-	gate := make(chan bool)
-	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		<-gate
-		return testserver.Respond(200, "", "mine")(c, r, body)
-	})
-	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
+	release := make(chan struct{})
+	b := startHoldingBackend(t, release, anyRequest, "mine")
+	p := startServing(t, b)
 	ask := func() *http.Request {
 		r := p.NewRequest(context.Background(), "pay", "50000")
 		r.Header.Set("X-Request-ID", "same")
@@ -200,7 +194,7 @@
 	if got := p.Do(ask()); got.Status != 409 || !got.Close {
 		t.Errorf("response %+v to an id in flight", got)
 	}
-	close(gate)
+	close(release)
 	if got := testserver.Receive(t, first, "response"); got.Status != 200 || got.Body != "mine" {
 		t.Errorf("the first one got %+v", got)
 	}
@@ -217,8 +211,7 @@
 	settings := strings.Replace(testserver.Settings, `"most_held":20000`, `"most_held":1`, 1)
 	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), settings))
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan testserver.Result, 1)
-	go func() { ended <- p.Do(p.NewRequest(ctx, "pay", "50000")) }()
+	ended := p.sendAsync(ctx, "pay")
 	testserver.Receive(t, b.Requests, "attempt")
 	if got := p.Send("pay"); got.Status != 503 || b.RequestCount() != 0 {
 		t.Errorf("status %d, %d attempts", got.Status, b.RequestCount())
@@ -230,8 +223,8 @@
 // TestStalledRequestBodyTimesOut has a client send half a body and no more: its connection ends with its time, and
 // others are served.
 func TestStalledRequestBodyTimesOut(t *testing.T) {
-	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
-	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
+	b := startBackend(t, "ok")
+	p := startServing(t, b)
 	c, err := net.Dial("tcp", p.Address)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/drain_load_test.go
+++ b/internal/sidecar/drain_load_test.go
@@ -10,7 +10,6 @@
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
@@ -28,17 +27,16 @@
 // TestDrainUnderLoadAnswersEachRequestRead stops the process again and again while clients ask on connections that they
 // keep. A request that was read has its response; one that was not finds its connection reset.
 func TestDrainUnderLoadAnswersEachRequestRead(t *testing.T) {
-	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
-	go func() {
-		for range b.Requests {
-		}
-	}()
-	configText := testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings)
+	b := startBackend(t, "ok")
+	discardRequests(b)
+	configText := configFor(t, b)
 	var asked, unread atomic.Int64
 	for round := range *drainRounds {
 		random := rand.New(rand.NewPCG(uint64(round), 1))
-		p := startDraining(t, configText, drainTimes{acceptFor: time.Duration(random.IntN(3)) * time.Millisecond,
-			quietPeriod: time.Millisecond, unusedGrace: time.Duration(random.IntN(4)) * time.Millisecond})
+		p := startWith(t, configText, startOptions{times: drainTimes{
+			acceptFor:   time.Duration(random.IntN(3)) * time.Millisecond,
+			unusedGrace: time.Duration(random.IntN(4)) * time.Millisecond,
+		}})
 		var clients sync.WaitGroup
 		for i := range 16 {
 			clients.Add(1)
@@ -67,7 +65,6 @@
 		if err := testserver.Receive(t, p.ended, "end"); err != nil {
 			t.Errorf("round %d: it ended with %v", round, err)
 		}
-		p.ended <- nil // for the cleanup
 		clients.Wait()
 	}
 	t.Logf("%d requests, %d connections ended with one unread", asked.Load(), unread.Load())
@@ -78,27 +75,25 @@
 // before it may be killed. Connections that idle are closed by nothing else here.
 func TestDrainEndsBeforeKillWithHangingServers(t *testing.T) {
 	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		if r.Header.Get("Idempotency-Key") != "" { // a long response, which stops
+		if hasIdempotencyKey(r) { // a long response, which stops
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", upstream.MaxBufferedBody+1)
 		}
 		return testserver.NeverRespond(c, r, body)
 	})
-	go func() {
-		for range b.Requests {
-		}
-	}()
+	discardRequests(b)
 	const deadline = 300 * time.Millisecond
-	short := strings.NewReplacer(`"deadline_s":60.0`, `"deadline_s":0.3`, `"aim_s":20.0`, `"aim_s":0.2`)
-	settings := short.Replace(testserver.Settings)
 	for _, gated := range []bool{false, true} {
 		t.Run(fmt.Sprint("waits for a policy ", gated), func(t *testing.T) {
-			times := drainTimes{acceptFor: 100 * time.Millisecond, quietPeriod: time.Millisecond, idleGrace: testserver.Timeout, unusedGrace: testserver.Timeout}
-			var join JoinFunc
+			options := startOptions{times: drainTimes{
+				acceptFor:   100 * time.Millisecond,
+				idleGrace:   testserver.Timeout,
+				unusedGrace: testserver.Timeout,
+			}}
 			f := &fakeParticipant{}
 			if gated {
-				join = f.join
+				options.join = f.join
 			}
-			p := startIn(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), settings), times, join)
+			p := startWith(t, shortDeadlines.Replace(configFor(t, b)), options)
 			if gated {
 				f.expectCheck(t, 1, f.policyDocument(t, ""), "")
 				f.setPolicy(1, 20*time.Millisecond, true)
@@ -127,7 +122,8 @@
 						if err != nil {
 							return // it listens no more
 						}
-						if sendUntilClosed(t, c, fmt.Sprintf("c-%d-%d", i, n), time.Millisecond, &asked) && closedAfterReadingAll(t, c) {
+						dropped := sendUntilClosed(t, c, fmt.Sprintf("c-%d-%d", i, n), time.Millisecond, &asked)
+						if dropped && closedAfterReadingAll(t, c) {
 							t.Errorf("client %d's request was read and has no response", i)
 						}
 						c.Close()
@@ -139,10 +135,8 @@
 			held, stopped := measureStalls(), time.Now()
 			p.stop()
 			p.waitUntilNotListening()
-			fmt.Fprintf(late, "%s\r\n", testserver.RequestHead("GET", "late", "read"))
-			if err := testserver.Receive(t, p.ended, "end"); err != nil {
-				t.Errorf("it ended with %v", err)
-			}
+			sendHead(late, "late")
+			p.expectEnd()
 			if took, kill := time.Since(stopped), deadline+proxy.KillDelay; took > kill+held() {
 				t.Errorf("it ended after %v, and may be killed after %v", took, kill)
 			}
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -19,17 +19,14 @@
 // TestDrainServesNewAndOpenConnections has SIGTERM come while one request is out, and others go on coming on new
 // connections and old ones.
 func TestDrainServesNewAndOpenConnections(t *testing.T) {
-	gate := make(chan bool)
-	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		if r.Header.Get("Idempotency-Key") != "" {
-			<-gate
-		}
-		return testserver.Respond(200, "", "ok")(c, r, body)
-	})
-	p := startDraining(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings),
-		drainTimes{acceptFor: 4 * time.Second, quietPeriod: 10 * time.Millisecond, idleGrace: 2 * time.Second})
-	slow := make(chan testserver.Result, 1)
-	go func() { slow <- p.Do(p.NewRequest(context.Background(), "book", "50000")) }()
+	release := make(chan struct{})
+	b := startHoldingBackend(t, release, hasIdempotencyKey, "ok")
+	p := startWith(t, configFor(t, b), startOptions{times: drainTimes{
+		acceptFor:   4 * time.Second,
+		quietPeriod: 10 * time.Millisecond,
+		idleGrace:   2 * time.Second,
+	}})
+	slow := p.sendAsync(context.Background(), "book")
 	testserver.Receive(t, b.Requests, "attempt")
 	p.stop()
 	for closing := false; !closing; {
@@ -52,74 +49,52 @@
 	if err != nil || resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("response %+v, error %v on a new connection", resp, err)
 	}
-	for end := time.Now().Add(testserver.Timeout); ; {
-		c, err := net.Dial("tcp", p.Address)
-		if err != nil {
-			break
-		}
-		c.Close()
-		if time.Now().After(end) {
-			t.Fatal("it never stopped listening")
-		}
-	}
+	p.waitUntilNotListening()
 	select {
 	case err := <-p.ended:
 		t.Fatalf("it ended with %v and a request out", err)
 	default:
 	}
-	close(gate)
+	close(release)
 	if got := testserver.Receive(t, slow, "response"); got.Status != 200 || got.Body != "ok" {
 		t.Errorf("response %+v to what was taken", got)
 	}
-	if err := testserver.Receive(t, p.ended, "end"); err != nil {
-		t.Errorf("it ended with %v", err)
-	}
+	p.expectEnd()
 }
 
 // TestDrainServesRequestsOnOpenConnections has a client open a connection, and send its request only when the process
 // has long begun to drain and is waiting for another response: that request is answered too.
 func TestDrainServesRequestsOnOpenConnections(t *testing.T) {
-	gate := make(chan bool)
-	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		if r.Header.Get("Idempotency-Key") != "" {
-			<-gate
-		}
-		return testserver.Respond(200, "", "ok")(c, r, body)
-	})
-	p := startDraining(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings),
-		drainTimes{quietPeriod: time.Millisecond, unusedGrace: testserver.Timeout})
-	held := make(chan testserver.Result, 1)
-	go func() { held <- p.Do(p.NewRequest(context.Background(), "book", "50000")) }()
+	release := make(chan struct{})
+	b := startHoldingBackend(t, release, hasIdempotencyKey, "ok")
+	p := startWith(t, configFor(t, b), startOptions{times: drainTimes{unusedGrace: testserver.Timeout}})
+	held := p.sendAsync(context.Background(), "book")
 	testserver.Receive(t, b.Requests, "attempt")
 	late := p.DialConn()
 	p.waitForOpenConns(2)
 	p.stop()
 	p.waitUntilNotListening()
-	fmt.Fprintf(late, "%s\r\n", testserver.RequestHead("GET", "late", "read"))
+	sendHead(late, "late")
 	resp, err := http.ReadResponse(bufio.NewReader(late), nil)
 	if err != nil || resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("response %+v, error %v to a request that came after the drain began", resp, err)
 	}
-	close(gate)
+	close(release)
 	if got := testserver.Receive(t, held, "response"); got.Status != 200 {
 		t.Errorf("response %+v to what was taken", got)
 	}
-	if err := testserver.Receive(t, p.ended, "end"); err != nil {
-		t.Errorf("it ended with %v", err)
-	}
+	p.expectEnd()
 }
 
 // TestDrainClosesUnusedConnectionsAfterGrace has a connection never bring a request: it holds the end up for its time
 // and no longer.
 func TestDrainClosesUnusedConnectionsAfterGrace(t *testing.T) {
-	p := startDraining(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, testserver.StartBackend(t, testserver.Respond(200, "", "ok"))), testserver.Settings),
-		drainTimes{quietPeriod: time.Millisecond, unusedGrace: 10 * time.Millisecond})
+	times := drainTimes{unusedGrace: 10 * time.Millisecond}
+	p := startWith(t, configFor(t, startBackend(t, "ok")), startOptions{times: times})
 	c := p.DialConn()
 	p.waitForOpenConns(1)
 	p.stop()
-	if err := testserver.Receive(t, p.ended, "end"); err != nil {
-		t.Errorf("it ended with %v", err)
-	}
+	p.expectEnd()
 	if n, err := c.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 		t.Errorf("%d bytes, error %v on a connection without a request, want its end", n, err)
 	}
@@ -131,8 +106,7 @@
 // TestDrainWaitsForRequestBody has the process stop while a request's body comes: it is served, and its response ends
 // the connection.
 func TestDrainWaitsForRequestBody(t *testing.T) {
-	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
-	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
+	p := startServing(t, startBackend(t, "ok"))
 	c := p.DialConn()
 	fmt.Fprintf(c, "%sContent-Length: 8\r\n\r\nhalf", testserver.RequestHead("POST", "slow", "pay"))
 	p.waitForUsedConns(1)
@@ -140,10 +114,7 @@
 	p.waitUntilNotListening()
 	fmt.Fprint(c, "rest")
 	testserver.ExpectFinalResponse(t, c, http.StatusOK)
-	if err := testserver.Receive(t, p.ended, "end"); err != nil {
-		t.Errorf("it ended with %v", err)
-	}
-	p.ended <- nil // for the cleanup
+	p.expectEnd()
 }
 
 // TestDrainWaitsForStreamedResponse has the process stop, and read its file again, while a long response is passed
@@ -156,7 +127,7 @@
 		fmt.Fprint(c, strings.Repeat("x", upstream.MaxBufferedBody))
 		return true
 	})
-	text := testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings)
+	text := configFor(t, b)
 	p := start(t, text)
 	resp, err := p.HTTP.Do(p.NewRequest(context.Background(), "pay", "50000"))
 	if err != nil {
@@ -171,22 +142,23 @@
 	if body, err := io.ReadAll(resp.Body); err != nil || len(body) != upstream.MaxBufferedBody+1 {
 		t.Errorf("%d bytes, error %v", len(body), err)
 	}
-	if err := testserver.Receive(t, p.ended, "end"); err != nil {
-		t.Errorf("it ended with %v", err)
-	}
-	p.ended <- nil // for the cleanup
+	p.expectEnd()
 }
 
+// shortDeadlines replaces the deadlines of testserver.Settings by 300 ms.
+var shortDeadlines = strings.NewReplacer(`"deadline_s":60.0`, `"deadline_s":0.3`, `"aim_s":20.0`, `"aim_s":0.2`)
+
 // TestDrainKeepsToReloadedDeadlines stops a process whose settings were replaced by ones with shorter deadlines, while
 // requests of the old ones are out at a server that hangs: the platform kills it by the new ones, and before that each
 // has its response. One that may be repeated is rejected, one that is unsafe to repeat and may have run is not.
 func TestDrainKeepsToReloadedDeadlines(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.NeverRespond)
-	text := testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings)
+	text := configFor(t, b)
 	p := start(t, text)
 	held := map[string]chan *http.Response{"pay": nil, "read": nil, "book": nil}
 	for class := range held {
-		answered, r := make(chan *http.Response, 1), p.NewRequest(context.Background(), class, "50000")
+		answered := make(chan *http.Response, 1)
+		r := p.NewRequest(context.Background(), class, "50000")
 		held[class] = answered
 		go func() {
 			resp, err := p.HTTP.Do(r)
@@ -197,7 +169,7 @@
 		}()
 		testserver.Receive(t, b.Requests, "attempt")
 	}
-	p.reload(strings.ReplaceAll(strings.ReplaceAll(text, `"deadline_s":60.0`, `"deadline_s":0.3`), `"aim_s":20.0`, `"aim_s":0.2`))
+	p.reload(shortDeadlines.Replace(text))
 	p.expectMetrics("loads", "1", "load_errors", "0")
 	if longest := p.operator.server.Load().handler.LongestDeadline(); longest != 300*time.Millisecond {
 		t.Errorf("the platform kills by a deadline of 300ms, the process goes by %v", longest)
@@ -213,8 +185,5 @@
 			t.Errorf("%s: status and Retry-After %q at the kill, want %q", class, got, want)
 		}
 	}
-	if err := testserver.Receive(t, p.ended, "end"); err != nil {
-		t.Errorf("it ended with %v", err)
-	}
-	p.ended <- nil // for the cleanup
+	p.expectEnd()
 }
--- a/internal/sidecar/local_failures_test.go
+++ b/internal/sidecar/local_failures_test.go
@@ -14,7 +14,6 @@
 	"sync"
 	"syscall"
 	"testing"
-	"time"
 
 	"golang.org/x/sys/unix"
 	"pgregory.net/rapid"
@@ -50,11 +49,10 @@
 func TestAcceptErrorsLoseNoRequest(t *testing.T) {
 	for _, errno := range testserver.AcceptErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
-			f, d, b := &testserver.Failures{}, testserver.StartDiscovery(t), testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+			f, d, b := &testserver.Failures{}, testserver.StartDiscovery(t), startBackend(t, "ok")
 			once := testserver.Failure{Errno: errno}
 			f.Set("accept", once, once)
-			p := startWith(t, testserver.ConfigText(d.Address, testserver.ServingList(1, b), testserver.Settings),
-				drainTimes{quietPeriod: time.Millisecond, unusedGrace: testserver.Timeout}, nil, failureHooks(f))
+			p := startWith(t, testserver.ConfigText(d.Address, testserver.ServingList(1, b), testserver.Settings), startOptions{hooks: failureHooks(f), times: drainTimes{unusedGrace: testserver.Timeout}})
 			if got := p.Send("read"); got.Status != 200 {
 				t.Errorf("response %+v in service", got)
 			}
@@ -66,20 +64,14 @@
 				go func() { responses <- checkSingleResponse(c, fmt.Sprint("waits-", i), "read") }()
 			}
 			p.stop()
-			for end := time.Now().Add(testserver.Timeout); !p.operator.server.Load().handler.IsDraining(); time.Sleep(time.Millisecond) {
-				if time.Now().After(end) {
-					t.Fatal("it does not drain")
-				}
-			}
+			p.waitUntilDraining()
 			f.Set("accept", once, once)
 			for range 2 {
 				if err := testserver.Receive(t, responses, "response"); err != nil {
 					t.Errorf("while draining: %v", err)
 				}
 			}
-			if err := testserver.Receive(t, p.ended, "end"); err != nil {
-				t.Errorf("it ended with %v", err)
-			}
+			p.expectEnd()
 		})
 	}
 }
@@ -101,14 +93,14 @@
 	} {
 		for _, at := range []string{"console", "clients"} {
 			t.Run(at+", "+tt.name, func(t *testing.T) {
-				f, d, b := &testserver.Failures{}, testserver.StartDiscovery(t), testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+				f, d, b := &testserver.Failures{}, testserver.StartDiscovery(t), startBackend(t, "ok")
 				text := testserver.ConfigText(d.Address, testserver.ServingList(1, b), testserver.Settings)
 				if at == "console" {
 					text = strings.Replace(text, `"new":1`, `"new":1,"console":"127.0.0.1:0"`, 1)
 				}
 				f.Set("listen", slices.Repeat([]testserver.Failure{{Errno: tt.errno}}, tt.times)...)
 				if tt.starts {
-					if got := startWith(t, text, drainTimes{quietPeriod: time.Millisecond}, nil, failureHooks(f)).Send("read"); got.Status != 200 {
+					if got := startWith(t, text, startOptions{hooks: failureHooks(f)}).Send("read"); got.Status != 200 {
 						t.Errorf("response %+v", got)
 					}
 					return
@@ -139,8 +131,7 @@
 		}))
 	}
 	f := &testserver.Failures{}
-	p := startWith(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, backends...), testserver.Settings),
-		drainTimes{quietPeriod: time.Millisecond}, nil, failureHooks(f))
+	p := startWith(t, configFor(t, backends...), startOptions{hooks: failureHooks(f)})
 	ask := func(want int) {
 		t.Helper()
 		var clients sync.WaitGroup
@@ -191,10 +182,7 @@
 		mu.Unlock()
 		return testserver.Respond(200, "", strings.Repeat("ok", 100))(c, r, body)
 	})
-	go func() {
-		for range b.Requests {
-		}
-	}()
+	discardRequests(b)
 	configText, asked := testserver.ConfigText(d.Address, testserver.ServingList(1, b, b), testserver.Settings), 0
 	rapid.Check(t, func(rt *rapid.T) {
 		f := &testserver.Failures{}
@@ -207,7 +195,7 @@
 			f.Set("client write", drawFailures(rt, "client write", 6, testserver.StreamErrnos)...)
 		}
 		f.Set("listen", drawFailures(rt, "listen", 5, []syscall.Errno{unix.EMFILE, unix.ENOBUFS, unix.ENOMEM})...)
-		p := startWith(t, configText, drainTimes{quietPeriod: time.Millisecond, unusedGrace: testserver.Timeout}, nil, failureHooks(f))
+		p := startWith(t, configText, startOptions{hooks: failureHooks(f), times: drainTimes{unusedGrace: testserver.Timeout}})
 		ask := func(classes []string, between func()) {
 			var clients sync.WaitGroup
 			var conns []net.Conn
--- a/internal/sidecar/lost_requests_test.go
+++ b/internal/sidecar/lost_requests_test.go
@@ -20,7 +20,7 @@
 	came := make(chan bool, 100)
 	for range 4 {
 		backends = append(backends, testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-			if r.Header.Get("Idempotency-Key") != "" {
+			if hasIdempotencyKey(r) {
 				came <- true
 				return testserver.NeverRespond(c, r, body)
 			}
@@ -28,8 +28,7 @@
 		}))
 	}
 	// A lost request is in flight for four latency objectives.
-	settings := strings.ReplaceAll(testserver.Settings, `"aim_s":20.0`, `"aim_s":1.0`)
-	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, backends...), settings))
+	p := start(t, strings.ReplaceAll(configFor(t, backends...), `"aim_s":20.0`, `"aim_s":1.0`))
 	ended := make(chan testserver.Result, each*len(backends))
 	for range cap(ended) {
 		r := p.NewRequest(context.Background(), "book", "4000")
@@ -78,8 +77,7 @@
 			return testserver.Respond(200, "", "ok")(c, r, body)
 		}))
 	}
-	settings := strings.ReplaceAll(testserver.Settings, `"aim_s":20.0`, `"aim_s":1.0`)
-	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, backends...), settings))
+	p := start(t, strings.ReplaceAll(configFor(t, backends...), `"aim_s":20.0`, `"aim_s":1.0`))
 	ask := func(n int) {
 		for range n {
 			if got := p.Send("read"); got.Status != http.StatusOK {
--- a/internal/sidecar/policy_test.go
+++ b/internal/sidecar/policy_test.go
@@ -15,8 +15,8 @@
 // TestRequestsAreTakenUnderPolicyInForceOnly: requests are taken under the policy in force alone, wait for the next
 // where that is soon, and are rejected where there is no lease.
 func TestRequestsAreTakenUnderPolicyInForceOnly(t *testing.T) {
-	b, f := testserver.StartBackend(t, testserver.Respond(200, "", "ok")), &fakeParticipant{}
-	p := startIn(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings), drainTimes{quietPeriod: time.Millisecond}, f.join)
+	b, f := startBackend(t, "ok"), &fakeParticipant{}
+	p := startWith(t, configFor(t, b), startOptions{join: f.join})
 	ask := func(class string, status int, policy string) {
 		t.Helper()
 		resp, err := p.HTTP.Do(p.NewRequest(context.Background(), class, "2000"))
@@ -25,10 +25,11 @@
 		}
 		resp.Body.Close()
 		if resp.StatusCode != status || resp.Header.Get(proxy.PolicyHeader) != policy {
-			t.Errorf("%s: status %d under %q, want %d under %q", class, resp.StatusCode, resp.Header.Get(proxy.PolicyHeader), status, policy)
+			t.Errorf("%s: status %d under %q, want %d under %q",
+				class, resp.StatusCode, resp.Header.Get(proxy.PolicyHeader), status, policy)
 		}
 	}
-	ask("read", 503, "") // nobody has promised anything
+	ask("read", 503, "") // there is no lease
 	if ready, why := p.operator.Ready(); ready || !strings.Contains(why, "policy") {
 		t.Errorf("ready %v: %s", ready, why)
 	}
@@ -64,8 +65,8 @@
 
 // TestRequestOfRemovedClassIsRejectedAfterItsBody: a request whose class is gone when its body is there is not taken.
 func TestRequestOfRemovedClassIsRejectedAfterItsBody(t *testing.T) {
-	b, f := testserver.StartBackend(t, testserver.Respond(200, "", "ok")), &fakeParticipant{}
-	p := startIn(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings), drainTimes{quietPeriod: time.Millisecond}, f.join)
+	b, f := startBackend(t, "ok"), &fakeParticipant{}
+	p := startWith(t, configFor(t, b), startOptions{join: f.join})
 	f.expectCheck(t, 1, f.policyDocument(t, ""), "")
 	f.expectCheck(t, 2, f.policyDocument(t, "pay"), "")
 	f.setPolicy(1, 0, true)
@@ -74,20 +75,19 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if _, err := io.WriteString(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: q-1\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 5000\r\nContent-Length: 2\r\n\r\na"); err != nil {
+	const start = "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: q-1\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 5000\r\n" +
+		"Content-Length: 2\r\n\r\na"
+	if _, err := io.WriteString(c, start); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(testserver.Timeout); ; time.Sleep(time.Millisecond) { // until its head has been read
+	testserver.Eventually(t, func() string {
 		f.mu.Lock()
-		read := f.reads > 0 && p.operator.loop.PolicyNumber() == 1
-		f.mu.Unlock()
-		if read {
-			break
+		defer f.mu.Unlock()
+		if f.reads == 0 || p.operator.loop.PolicyNumber() != 1 {
+			return "the head was never read"
 		}
-		if time.Now().After(end) {
-			t.Fatal("the head was never read")
-		}
-	}
+		return ""
+	})
 	f.setPolicy(2, 0, true)
 	if _, err := io.WriteString(c, "b"); err != nil {
 		t.Fatal(err)
@@ -104,9 +104,9 @@
 // TestReloadMustMatchPolicyInForce: a file whose settings are not the policy's is rejected, and one whose are may move
 // discovery.
 func TestReloadMustMatchPolicyInForce(t *testing.T) {
-	b, f, d := testserver.StartBackend(t, testserver.Respond(200, "", "ok")), &fakeParticipant{}, testserver.StartDiscovery(t)
+	b, f, d := startBackend(t, "ok"), &fakeParticipant{}, testserver.StartDiscovery(t)
 	good := testserver.ConfigText(d.Address, testserver.ServingList(1, b), testserver.Settings)
-	p := startIn(t, good, drainTimes{quietPeriod: time.Millisecond}, f.join)
+	p := startWith(t, good, startOptions{join: f.join})
 	f.expectCheck(t, 1, f.policyDocument(t, ""), "")
 	f.expectCheck(t, 2, f.policyDocument(t, "pay"), "")
 	f.setPolicy(1, 0, true)
--- a/internal/sidecar/process_group_test.go
+++ b/internal/sidecar/process_group_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = other.Leave() }()
-	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+	b := startBackend(t, "ok")
 	d := testserver.StartDiscovery(t)
 	c, err := loadConfig(t, testserver.ConfigText(d.Address, "", testserver.Settings), "TMPDIR="+dir)
 	if err != nil {
@@ -68,10 +68,11 @@
 // again that process sees what was called, without a further call.
 func TestSidecarServesWhileSharedFolderIsMissing(t *testing.T) {
 	dir := t.TempDir()
-	one, two := testserver.StartBackend(t, testserver.Respond(200, "", "one")), testserver.StartBackend(t, testserver.Respond(200, "", "two"))
-	three := testserver.StartBackend(t, testserver.Respond(200, "", "three"))
+	one, two := startBackend(t, "one"), startBackend(t, "two")
+	three := startBackend(t, "three")
 	d := testserver.StartDiscovery(t)
-	p := start(t, testserver.ConfigText(d.Address, testserver.ServingList(1, one, two, three), testserver.Settings), "TMPDIR="+dir)
+	text := testserver.ConfigText(d.Address, testserver.ServingList(1, one, two, three), testserver.Settings)
+	p := startWith(t, text, startOptions{env: []string{"TMPDIR=" + dir}})
 	testserver.Receive(t, d.Watches, "watch")
 	p.sendUntilBody("three")
 	next, err := hotrestart.Join(dir, hotrestart.State{Name: "n0", ListenAddress: "127.0.0.1:0", Started: time.Now(),
@@ -81,7 +82,8 @@
 	}
 	defer func() { _ = next.Leave() }()
 	sees := func() []string { return next.Others()[0].AdminDown }
-	if _, err := p.operator.SetAdminDown(context.Background(), "s-0", true, false); err != nil || !slices.Equal(sees(), []string{"s-0"}) {
+	_, err = p.operator.SetAdminDown(context.Background(), "s-0", true, false)
+	if err != nil || !slices.Equal(sees(), []string{"s-0"}) {
 		t.Fatalf("error %v, the next process sees %v", err, sees())
 	}
 	folders, err := filepath.Glob(filepath.Join(dir, "milletramp-*"))
@@ -102,39 +104,38 @@
 	if err := os.Rename(folders[0]+"-away", folders[0]); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(testserver.Timeout); !slices.Equal(sees(), []string{"s-0", "s-1"}); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("the next process sees %v", sees())
+	testserver.Eventually(t, func() string {
+		if down := sees(); !slices.Equal(down, []string{"s-0", "s-1"}) {
+			return fmt.Sprintf("the next process sees %v", down)
 		}
-	}
+		return ""
+	})
 }
 
 // TestDrainingServerGetsNoNewRequestsOverRestart has a server begin to drain while one process drains and the next one
 // starts with a list that does not say so: neither sends new requests there once it is notified, and what was in flight
 // has its response.
 func TestDrainingServerGetsNoNewRequestsOverRestart(t *testing.T) {
-	gate := make(chan bool)
-	one := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		if r.Method == http.MethodPost {
-			<-gate
-		}
-		return testserver.Respond(200, "", "one")(c, r, body)
-	})
-	two := testserver.StartBackend(t, testserver.Respond(200, "", "two"))
+	release := make(chan struct{})
+	one := startHoldingBackend(t, release, isPost, "one")
+	two := startBackend(t, "two")
 	d := testserver.StartDiscovery(t)
 	text := testserver.ConfigText(d.Address, testserver.ServingList(1, one), testserver.Settings)
-	p := startDraining(t, text, drainTimes{acceptFor: 100 * time.Millisecond, quietPeriod: time.Millisecond,
-		idleGrace: testserver.Timeout, unusedGrace: testserver.Timeout})
+	p := startWith(t, text, startOptions{times: drainTimes{
+		acceptFor:   100 * time.Millisecond,
+		idleGrace:   testserver.Timeout,
+		unusedGrace: testserver.Timeout,
+	}})
 	w := testserver.Receive(t, d.Watches, "watch")
 	kept := make([]net.Conn, 8)
 	for i := range kept {
 		kept[i] = p.DialConn()
 	}
-	held := make(chan testserver.Result, 1)
-	go func() { held <- p.Do(p.NewRequest(context.Background(), "pay", "50000")) }()
+	held := p.sendAsync(context.Background(), "pay")
 	testserver.Receive(t, one.Requests, "request")
 	p.stop()
-	drains := testserver.ListText(2, false, testserver.EndpointEntry("s-0", one.Address, "DRAINING", 0), testserver.EndpointEntry("s-1", two.Address, "SERVING", 0))
+	drains := testserver.ListText(2, false, testserver.EndpointEntry("s-0", one.Address, "DRAINING", 0),
+		testserver.EndpointEntry("s-1", two.Address, "SERVING", 0))
 	w.Lines <- drains
 	p.waitForServers(2)
 	next := start(t, text)
@@ -142,7 +143,7 @@
 	next.waitForServers(2)
 	before := one.RequestCount()
 	for i, c := range kept {
-		fmt.Fprint(c, testserver.RequestHead("GET", fmt.Sprint("kept-", i), "read"), "\r\n")
+		sendHead(c, fmt.Sprint("kept-", i))
 		testserver.ExpectFinalResponse(t, c, http.StatusOK)
 		if got := next.Send("read"); got.Body != "two" {
 			t.Errorf("response %+v of the next process", got)
@@ -151,7 +152,7 @@
 	if n := one.RequestCount() - before; n != 0 {
 		t.Errorf("%d new requests reached the draining server", n)
 	}
-	close(gate)
+	close(release)
 	if got := testserver.Receive(t, held, "response"); got.Body != "one" {
 		t.Errorf("response %+v to what was in flight", got)
 	}
--- a/internal/sidecar/ready_test.go
+++ b/internal/sidecar/ready_test.go
@@ -4,16 +4,17 @@
 	"bufio"
 	"context"
 	"errors"
+	"fmt"
 	"io"
 	"log/slog"
 	"net/http"
 	"strings"
 	"testing"
-	"time"
 
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
+// TestReadyOnceAServerIsKnown has a process start with no list: it is ready once discovery has sent one.
 func TestReadyOnceAServerIsKnown(t *testing.T) {
 	d := testserver.StartDiscovery(t)
 	p := start(t, testserver.ConfigText(d.Address, "", testserver.Settings))
@@ -33,22 +34,21 @@
 		t.Errorf("query %q with no known list", w.Query)
 	}
 	w.Lines <- testserver.ServingList(1, testserver.StartBackend(t, testserver.NeverRespond))
-	for end := time.Now().Add(testserver.Timeout); health() != 200; {
-		if time.Now().After(end) {
-			t.Fatal("never ready")
+	testserver.Eventually(t, func() string {
+		if status := health(); status != 200 {
+			return fmt.Sprintf("status %d, want ready", status)
 		}
-	}
+		return ""
+	})
 }
 
 // TestReadyWhileDiscoveryIsDown: a process that knows a list is ready at once, though discovery says nothing; it serves
 // by that list, and has nobody wait for a server that is gone.
 func TestReadyWhileDiscoveryIsDown(t *testing.T) {
-	gone := testserver.Listen(t)
-	address := gone.Addr().String()
-	gone.Close()
-	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+	b, gone := startBackend(t, "ok"), &testserver.Backend{Address: unusedAddress(t)}
 	silent := testserver.Listen(t) // takes calls, and answers none
-	p := start(t, testserver.ConfigText(silent.Addr().String(), testserver.ServingList(1, b, &testserver.Backend{Address: address}), testserver.Settings))
+	known := testserver.ServingList(1, b, gone)
+	p := start(t, testserver.ConfigText(silent.Addr().String(), known, testserver.Settings))
 	resp, err := p.HTTP.Get("http://" + p.Address + "/healthz")
 	if err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatalf("response %+v, error %v, want ready", resp, err)
@@ -67,22 +67,22 @@
 	c := p.DialConn()
 	p.waitForOpenConns(1)
 	p.stop()
-	if err := testserver.Receive(t, p.ended, "end"); err != nil {
-		t.Errorf("it ended with %v", err)
-	}
-	p.ended <- nil // for the cleanup
+	p.expectEnd()
 	if _, err := bufio.NewReader(c).ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("error %v on a connection without a request, want its end", err)
 	}
 }
 
+// TestRunFailsWhenAddressIsInUse has another listen at the address for clients.
 func TestRunFailsWhenAddressIsInUse(t *testing.T) {
 	l := testserver.Listen(t)
-	c, err := loadConfig(t, testserver.ConfigText("127.0.0.1:9", "", testserver.Settings), "PROXY_LISTEN="+l.Addr().String())
+	text := testserver.ConfigText("127.0.0.1:9", "", testserver.Settings)
+	c, err := loadConfig(t, text, "PROXY_LISTEN="+l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := Run(context.Background(), nil, c, slog.New(slog.DiscardHandler), nil); err == nil || !strings.Contains(err.Error(), "listen") {
+	err = Run(context.Background(), nil, c, slog.New(slog.DiscardHandler), nil)
+	if err == nil || !strings.Contains(err.Error(), "listen") {
 		t.Errorf("error %v", err)
 	}
 }
--- a/internal/sidecar/reload_settings_test.go
+++ b/internal/sidecar/reload_settings_test.go
@@ -14,7 +14,7 @@
 // TestInvalidFilesAreRejected reloads files with one fault each. Each would also move discovery and drop a class:
 // nothing of it may be used.
 func TestInvalidFilesAreRejected(t *testing.T) {
-	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+	b := startBackend(t, "ok")
 	d, decoy := testserver.StartDiscovery(t), testserver.StartDiscovery(t)
 	good := testserver.ConfigText(d.Address, testserver.ServingList(1, b), testserver.Settings)
 	p := start(t, good)
@@ -76,12 +76,12 @@
 // TestOpenRequestKeepsSettingsOfItsClass has a class dropped, added, changed, and added again, with one of its requests
 // open over all that. An open request that is repeated by the new settings would take effect twice.
 func TestOpenRequestKeepsSettingsOfItsClass(t *testing.T) {
-	gate := make(chan bool)
+	release := make(chan struct{})
 	var pays atomic.Int64
 	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Method == http.MethodPost {
 			pays.Add(1)
-			<-gate
+			<-release
 			return testserver.ResetConnection(c, r, body)
 		}
 		return testserver.Respond(200, "", "ok")(c, r, body)
@@ -89,8 +89,7 @@
 	d := testserver.StartDiscovery(t)
 	old := testserver.ConfigText(d.Address, testserver.ServingList(1, b, b), testserver.Settings)
 	p := start(t, old)
-	held := make(chan testserver.Result, 1)
-	go func() { held <- p.Do(p.NewRequest(context.Background(), "pay", "50000")) }()
+	held := p.sendAsync(context.Background(), "pay")
 	testserver.Receive(t, b.Requests, "request")
 	p.expectMetrics("in_progress", "1", "known_servers", "2")
 
@@ -105,7 +104,7 @@
 	if got := p.Do(p.newIdempotentRequest("pay")); got.Status != 200 {
 		t.Errorf("the class with its new effect got %+v", got)
 	}
-	close(gate)
+	close(release)
 	if got := testserver.Receive(t, held, "response"); got.Status != http.StatusBadGateway || pays.Load() != 1 {
 		t.Errorf("the open request got %+v after %d attempts, want a failure after 1", got, pays.Load())
 	}
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"net"
-	"net/http"
 	"strings"
 	"syscall"
 	"testing"
@@ -14,14 +13,9 @@
 // TestReloadSwitchesDiscovery moves discovery twice, the second time to an address that is not up at first, and once
 // more in a drain.
 func TestReloadSwitchesDiscovery(t *testing.T) {
-	gate := make(chan bool)
-	one := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		if r.Method == http.MethodPost {
-			<-gate
-		}
-		return testserver.Respond(200, "", "one")(c, r, body)
-	})
-	two, three := testserver.StartBackend(t, testserver.Respond(200, "", "two")), testserver.StartBackend(t, testserver.Respond(200, "", "three"))
+	release := make(chan struct{})
+	one := startHoldingBackend(t, release, isPost, "one")
+	two, three := startBackend(t, "two"), startBackend(t, "three")
 	a, b := testserver.StartDiscovery(t), testserver.StartDiscovery(t)
 	p := start(t, testserver.ConfigText(a.Address, testserver.ServingList(41, one), testserver.Settings))
 	first := testserver.Receive(t, a.Watches, "watch")
@@ -36,9 +30,7 @@
 	second.Lines <- testserver.ListText(7, true, testserver.EndpointEntry("s-0", three.Address, "SERVING", 0))
 	p.sendUntilBody("three")
 
-	late := testserver.Listen(t)
-	address := late.Addr().String()
-	late.Close()
+	address := unusedAddress(t)
 	p.switchDiscovery(address, b.Address)
 	inner, err := net.Listen("tcp", address)
 	if err != nil {
@@ -56,14 +48,13 @@
 		t.Errorf("query %q after the end of a watch", again.Query)
 	}
 
-	held := make(chan testserver.Result, 1)
-	go func() { held <- p.Do(p.NewRequest(context.Background(), "book", "50000")) }()
-	for r := testserver.Receive(t, one.Requests, "request"); r.Method != http.MethodPost; r = testserver.Receive(t, one.Requests, "request") {
+	held := p.sendAsync(context.Background(), "book")
+	for !isPost(testserver.Receive(t, one.Requests, "request")) { // those that came before it
 	}
 	p.stop()
 	p.switchDiscovery(b.Address, address)
 	testserver.Receive(t, b.Watches, "watch while draining")
-	close(gate)
+	close(release)
 	if got := testserver.Receive(t, held, "response"); got.Body != "one" {
 		t.Errorf("response %+v while draining", got)
 	}
@@ -72,7 +63,7 @@
 // TestReloadOfInvalidOrSameFileChangesNothing reloads a file that is no configuration, and one that is the same as
 // before.
 func TestReloadOfInvalidOrSameFileChangesNothing(t *testing.T) {
-	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+	b := startBackend(t, "ok")
 	d, other := testserver.StartDiscovery(t), testserver.StartDiscovery(t)
 	text := testserver.ConfigText(d.Address, testserver.ServingList(1, b), testserver.Settings)
 	p := start(t, text)
@@ -92,7 +83,7 @@
 // TestLastOfFiveReloadsWins has five files within a second name five addresses of discovery: the last one counts, its
 // list is followed, and requests are served all the time.
 func TestLastOfFiveReloadsWins(t *testing.T) {
-	one, two := testserver.StartBackend(t, testserver.Respond(200, "", "one")), testserver.StartBackend(t, testserver.Respond(200, "", "two"))
+	one, two := startBackend(t, "one"), startBackend(t, "two")
 	was := testserver.StartDiscovery(t)
 	p := start(t, testserver.ConfigText(was.Address, testserver.ServingList(1, one), testserver.Settings))
 	old := testserver.Receive(t, was.Watches, "watch")
--- a/internal/sidecar/retry_test.go
+++ b/internal/sidecar/retry_test.go
@@ -17,7 +17,7 @@
 	for _, tt := range []struct {
 		name     string
 		class    string
-		fault    func(net.Conn, *http.Request, []byte) bool
+		fault    testserver.Handler
 		status   int
 		attempts int
 	}{
@@ -44,7 +44,7 @@
 					return testserver.Respond(200, "", "done")(c, r, body)
 				}
 			}
-			p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, testserver.StartBackend(t, do), testserver.StartBackend(t, do)), testserver.Settings))
+			p := startServing(t, testserver.StartBackend(t, do), testserver.StartBackend(t, do))
 			got := p.Send(tt.class)
 			if got.Status != tt.status || len(came) != tt.attempts {
 				t.Fatalf("status %d after %d attempts, want %d after %d", got.Status, len(came), tt.status, tt.attempts)
@@ -65,20 +65,19 @@
 // TestRefusedConnectionsMeanRejection has every server refuse connections: nothing ran, so the rejection comes at once,
 // for every class.
 func TestRefusedConnectionsMeanRejection(t *testing.T) {
-	l := testserver.Listen(t)
-	l.Close()
-	gone := &testserver.Backend{Address: l.Addr().String()}
-	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, gone), testserver.Settings))
+	p := startServing(t, &testserver.Backend{Address: unusedAddress(t)})
 	for _, class := range []string{"read", "book", "pay"} {
 		if got := p.Send(class); got.Status != 503 {
-			t.Errorf("%s: status %d, want a refusal", class, got.Status)
+			t.Errorf("%s: status %d, want a rejection", class, got.Status)
 		}
 	}
 }
 
+// TestRequestsAreAnsweredAtTheirDeadline has a server respond to nothing: a request that is unsafe to repeat fails, and
+// one that may be repeated is rejected.
 func TestRequestsAreAnsweredAtTheirDeadline(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.NeverRespond)
-	p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
+	p := startServing(t, b)
 	for _, tt := range []struct {
 		class  string
 		status int
@@ -117,7 +116,7 @@
 				closing <- struct{}{}
 				return testserver.ResetConnection(c, r, body)
 			})
-			other := testserver.StartBackend(t, testserver.Respond(200, "", "other"))
+			other := startBackend(t, "other")
 			d := testserver.StartDiscovery(t)
 			p := start(t, testserver.ConfigText(d.Address, testserver.ServingList(1, b), testserver.Settings))
 			if got := p.Send("read"); got.Body != "first" {
@@ -125,20 +124,18 @@
 			}
 			time.Sleep(connReuseWait) // and so the next request goes out on the connection
 			w := testserver.Receive(t, d.Watches, "watch")
-			got := make(chan testserver.Result, 1)
 			w.Lines <- testserver.ListText(2, false, testserver.EndpointEntry("s-1", other.Address, "SERVING", 0))
 			p.waitForServers(2)
 			for b.RequestCount() > 0 {
 				<-b.Requests
 			}
 			for range 2 { // even turns: one of two goes to the server that closes
-				go func() { got <- p.Do(p.NewRequest(context.Background(), tt.class, "50000")) }()
-				response := testserver.Receive(t, got, "response")
+				got := testserver.Receive(t, p.sendAsync(context.Background(), tt.class), "response")
 				if len(closing) == 0 {
 					continue
 				}
-				if response.Status != tt.status {
-					t.Errorf("response %+v, want status %d", response, tt.status)
+				if got.Status != tt.status {
+					t.Errorf("response %+v, want status %d", got, tt.status)
 				}
 				break
 			}
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -26,7 +26,7 @@
 	rest := make(chan struct{})
 	for _, tt := range []struct {
 		name string
-		do   func(net.Conn, *http.Request, []byte) bool
+		do   testserver.Handler
 		cut  bool
 		long bool
 	}{
@@ -59,7 +59,7 @@
 		}, false, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, testserver.StartBackend(t, tt.do)), testserver.Settings))
+			p := startServing(t, testserver.StartBackend(t, tt.do))
 			resp, err := p.HTTP.Do(p.NewRequest(context.Background(), "pay", "600"))
 			if err != nil {
 				t.Fatal(err)
@@ -90,7 +90,7 @@
 			<-passed
 			return reset && testserver.ResetConnection(c, r, body)
 		})
-		p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, b), testserver.Settings))
+		p := startServing(t, b)
 		resp, err := p.HTTP.Do(p.NewRequest(context.Background(), "pay", "50000"))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -8,7 +8,7 @@
 
 // TestWatchFollowsListAndSurvivesBadLines follows the list through a drain, a bad line and a break.
 func TestWatchFollowsListAndSurvivesBadLines(t *testing.T) {
-	kept, drained := testserver.StartBackend(t, testserver.Respond(200, "", "kept")), testserver.StartBackend(t, testserver.Respond(200, "", "drained"))
+	kept, drained := startBackend(t, "kept"), startBackend(t, "drained")
 	d := testserver.StartDiscovery(t)
 	p := start(t, testserver.ConfigText(d.Address, testserver.ServingList(41, drained), testserver.Settings))
 	first := testserver.Receive(t, d.Watches, "watch")
