--- a/internal/sidecar/client_errors_test.go
+++ b/internal/sidecar/client_errors_test.go
@@ -6,7 +6,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"os"
 	"regexp"
@@ -27,19 +26,23 @@
 	p := startServing(t, b)
 	hidden := testserver.RequestHead("GET", "hidden", "read") + "\r\n"
 	pay := testserver.RequestHead("POST", "i", "pay")
+	const chunked = "Transfer-Encoding: chunked\r\n"
+	http10 := strings.Replace(pay, "1.1", "1.0", 1) + "Connection: keep-alive\r\n"
+	beyondHidden := fmt.Sprintf("Content-Length: %d\r\n", len("0\r\n\r\n")+len(hidden))
 	for _, tt := range []struct {
 		name, text string
 		status     int // 0: a close will do
 	}{
-		{"both lengths", pay + fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", len(hidden)+5) + hidden, 400},
-		{"both, the other way round", pay + "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n" + hidden, 400},
-		{"both at another path", "POST /healthz HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n" + hidden, 400},
-		{"a bad chunk", pay + "Transfer-Encoding: chunked\r\n\r\n4x\r\nskip\r\n0\r\n\r\n" + hidden, 400},
+		{"both lengths", pay + beyondHidden + chunked + "\r\n0\r\n\r\n" + hidden, 400},
+		{"both, the other way round", pay + chunked + "Content-Length: 4\r\n\r\n0\r\n\r\n" + hidden, 400},
+		{"both at another path", "POST /healthz HTTP/1.1\r\nHost: x\r\n" + chunked +
+			"Content-Length: 4\r\n\r\n0\r\n\r\n" + hidden, 400},
+		{"a bad chunk", pay + chunked + "\r\n4x\r\nskip\r\n0\r\n\r\n" + hidden, 400},
 		{"a folded line", pay + "X-A: 1\r\n 2\r\nContent-Length: 4\r\n\r\nskip" + hidden, 400},
 		{"the same length twice", pay + "Content-Length: 4\r\nContent-Length: 4\r\n\r\nskip" + hidden, 400},
 		{"unknown coding", pay + "Transfer-Encoding: gzip\r\nContent-Length: 4\r\n\r\nskip" + hidden, 400},
-		{"both in HTTP/1.0", strings.Replace(pay, "1.1", "1.0", 1) + "Connection: keep-alive\r\nTransfer-Encoding: chunked\r\nContent-Length: 0\r\n\r\n" + hidden, 400},
-		{"health in HTTP/1.0", "GET /healthz HTTP/1.0\r\nConnection: keep-alive\r\nTransfer-Encoding: chunked\r\n\r\n" + hidden, 200},
+		{"both in HTTP/1.0", http10 + chunked + "Content-Length: 0\r\n\r\n" + hidden, 400},
+		{"health in HTTP/1.0", "GET /healthz HTTP/1.0\r\nConnection: keep-alive\r\n" + chunked + "\r\n" + hidden, 200},
 		{"two lengths", pay + "Content-Length: 4\r\nContent-Length: 5\r\n\r\nskip" + hidden, 400},
 		{"negative length", pay + "Content-Length: -1\r\n\r\n" + hidden, 400},
 		{"no number", pay + "Content-Length: four\r\n\r\nskip" + hidden, 400},
@@ -60,16 +63,19 @@
 			}
 			responses, err := io.ReadAll(c)
 			status := regexp.MustCompile(`HTTP/1\.\d \d+`).FindAllString(string(responses), -1)
-			if len(status) > 1 || tt.status != 0 && (len(status) != 1 || !strings.HasSuffix(status[0], fmt.Sprint(" ", tt.status))) {
+			suffix := fmt.Sprint(" ", tt.status)
+			if len(status) > 1 || tt.status != 0 && (len(status) != 1 || !strings.HasSuffix(status[0], suffix)) {
 				t.Errorf("responses %q, error %v, want one of status %d", responses, err, tt.status)
 			}
 		})
 	}
-	if most := max(downstream.HeadTimeout, proxy.BodyStartTimeout, downstream.HeadTimeout+proxy.BodyGrace); most > 2800*time.Millisecond || downstream.HeadTimeout < 2200*time.Millisecond {
-		t.Errorf("a head may take %v, a peer without a request is held for %v; 2 s are a client's right, 3 s owed", downstream.HeadTimeout, most)
+	longest := max(downstream.HeadTimeout, proxy.BodyStartTimeout, downstream.HeadTimeout+proxy.BodyGrace)
+	if longest > 2800*time.Millisecond || downstream.HeadTimeout < 2200*time.Millisecond {
+		t.Errorf("a head may take %v, a peer without a request is kept for %v, want over 2 s and under 3 s",
+			downstream.HeadTimeout, longest)
 	}
 	if n := b.RequestCount(); n != 0 {
-		t.Errorf("%d requests were passed on, the first %+v", n, <-b.Requests)
+		t.Errorf("%d requests were forwarded, the first %+v", n, <-b.Requests)
 	}
 	if got := p.Send("pay"); got.Status != 200 {
 		t.Errorf("response %+v to a good request", got)
@@ -85,7 +91,7 @@
 		"two lengths":       unread + "Content-Length: 0\r\n",
 		"length and chunks": unread + "Transfer-Encoding: chunked\r\n\r\n",
 	} {
-		for later := range 2 {
+		for later := range 2 { // bytes that come while the first is in flight
 			release := make(chan struct{})
 			b := startHoldingBackend(t, release, anyRequest, "ok")
 			p := startServing(t, b)
@@ -114,6 +120,8 @@
 	}
 }
 
+// TestInvalidRequestsAreRejected sends requests with one fault each: none of them is forwarded, and the next one is
+// served.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	b := startBackend(t, "ok")
 	p := startServing(t, b)
@@ -206,6 +214,7 @@
 	}
 }
 
+// TestRequestsOverLimitAreRejected has one request in flight where the settings allow one.
 func TestRequestsOverLimitAreRejected(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.NeverRespond)
 	settings := strings.Replace(testserver.Settings, `"most_held":20000`, `"most_held":1`, 1)
@@ -225,16 +234,9 @@
 func TestStalledRequestBodyTimesOut(t *testing.T) {
 	b := startBackend(t, "ok")
 	p := startServing(t, b)
-	c, err := net.Dial("tcp", p.Address)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
+	c := p.DialConn()
 	fmt.Fprint(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 300\r\n"+
 		"Content-Length: 10\r\n\r\nhalf")
-	if err := c.SetReadDeadline(time.Now().Add(testserver.Timeout)); err != nil {
-		t.Fatal(err)
-	}
 	if _, err := io.ReadAll(c); err != nil {
 		t.Errorf("the connection did not end: %v", err)
 	}
--- a/internal/sidecar/drain_load_test.go
+++ b/internal/sidecar/drain_load_test.go
@@ -182,7 +182,8 @@
 	_ = c.SetDeadline(time.Now().Add(testserver.Timeout))
 	for n := 0; ; n++ {
 		time.Sleep(pause)
-		if _, err := fmt.Fprintf(c, "%s\r\n", testserver.RequestHead("GET", fmt.Sprint(id, "-", n), "read")); err != nil {
+		head := testserver.RequestHead("GET", fmt.Sprint(id, "-", n), "read")
+		if _, err := fmt.Fprintf(c, "%s\r\n", head); err != nil {
 			return true
 		}
 		resp, err := http.ReadResponse(in, nil)
@@ -211,7 +212,10 @@
 		return false
 	}
 	var info *unix.TCPInfo
-	if failed := raw.Control(func(fd uintptr) { info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) }); errors.Join(failed, err) != nil {
+	failed := raw.Control(func(fd uintptr) {
+		info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
+	})
+	if errors.Join(failed, err) != nil {
 		t.Error(failed, err)
 		return false
 	}
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -96,7 +96,7 @@
 	}
 	times := options.times
 	times.quietPeriod = cmp.Or(times.quietPeriod, time.Millisecond)
-	times.maxDeadline = cmp.Or(times.maxDeadline, testserver.Timeout) // no test depends on how soon a request is given up
+	times.maxDeadline = cmp.Or(times.maxDeadline, testserver.Timeout) // no test depends on how soon a request expires
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &program{
 		Client:        testserver.Client{T: t, HTTP: &http.Client{Transport: &http.Transport{}}},
--- a/internal/sidecar/local_failures_test.go
+++ b/internal/sidecar/local_failures_test.go
@@ -44,15 +44,21 @@
 	}
 }
 
+// failing are the options of a sidecar whose calls fail as planned by f, and whose drain waits for connections on which
+// no request has come.
+func failing(f *testserver.Failures) startOptions {
+	return startOptions{hooks: failureHooks(f), times: drainTimes{unusedGrace: testserver.Timeout}}
+}
+
 // TestAcceptErrorsLoseNoRequest has accepting fail in service and while draining, with each error: who waits is
 // answered.
 func TestAcceptErrorsLoseNoRequest(t *testing.T) {
 	for _, errno := range testserver.AcceptErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
-			f, d, b := &testserver.Failures{}, testserver.StartDiscovery(t), startBackend(t, "ok")
+			f := &testserver.Failures{}
 			once := testserver.Failure{Errno: errno}
 			f.Set("accept", once, once)
-			p := startWith(t, testserver.ConfigText(d.Address, testserver.ServingList(1, b), testserver.Settings), startOptions{hooks: failureHooks(f), times: drainTimes{unusedGrace: testserver.Timeout}})
+			p := startWith(t, configFor(t, startBackend(t, "ok")), failing(f))
 			if got := p.Send("read"); got.Status != 200 {
 				t.Errorf("response %+v in service", got)
 			}
@@ -93,14 +99,15 @@
 	} {
 		for _, at := range []string{"console", "clients"} {
 			t.Run(at+", "+tt.name, func(t *testing.T) {
-				f, d, b := &testserver.Failures{}, testserver.StartDiscovery(t), startBackend(t, "ok")
-				text := testserver.ConfigText(d.Address, testserver.ServingList(1, b), testserver.Settings)
+				f := &testserver.Failures{}
+				text := configFor(t, startBackend(t, "ok"))
 				if at == "console" {
 					text = strings.Replace(text, `"new":1`, `"new":1,"console":"127.0.0.1:0"`, 1)
 				}
 				f.Set("listen", slices.Repeat([]testserver.Failure{{Errno: tt.errno}}, tt.times)...)
 				if tt.starts {
-					if got := startWith(t, text, startOptions{hooks: failureHooks(f)}).Send("read"); got.Status != 200 {
+					p := startWith(t, text, startOptions{hooks: failureHooks(f)})
+					if got := p.Send("read"); got.Status != 200 {
 						t.Errorf("response %+v", got)
 					}
 					return
@@ -173,7 +180,6 @@
 // Each request that was read gets one final response, none that may run once only runs twice, nobody is ejected, and
 // the process ends when it is asked to and not before.
 func TestLocalFailuresKeepRequestGuarantees(t *testing.T) {
-	d := testserver.StartDiscovery(t)
 	var mu sync.Mutex
 	ran := map[string]int{}
 	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -183,7 +189,7 @@
 		return testserver.Respond(200, "", strings.Repeat("ok", 100))(c, r, body)
 	})
 	discardRequests(b)
-	configText, asked := testserver.ConfigText(d.Address, testserver.ServingList(1, b, b), testserver.Settings), 0
+	configText, asked := configFor(t, b, b), 0
 	rapid.Check(t, func(rt *rapid.T) {
 		f := &testserver.Failures{}
 		draw := func() { // at listeners and clients fewer in a row than it tries again
@@ -195,7 +201,7 @@
 			f.Set("client write", drawFailures(rt, "client write", 6, testserver.StreamErrnos)...)
 		}
 		f.Set("listen", drawFailures(rt, "listen", 5, []syscall.Errno{unix.EMFILE, unix.ENOBUFS, unix.ENOMEM})...)
-		p := startWith(t, configText, startOptions{hooks: failureHooks(f), times: drainTimes{unusedGrace: testserver.Timeout}})
+		p := startWith(t, configText, failing(f))
 		ask := func(classes []string, between func()) {
 			var clients sync.WaitGroup
 			var conns []net.Conn
@@ -239,12 +245,13 @@
 // checkSingleResponse asks for a class on a connection, and returns what is wrong with the response.
 func checkSingleResponse(c net.Conn, id, class string) error {
 	defer c.Close()
+	const lastBody = "Content-Length: 4\r\nConnection: close\r\n\r\nskip"
 	text := testserver.RequestHead("GET", id, class) + "Connection: close\r\n\r\n"
 	switch class {
 	case "book":
-		text = testserver.RequestHead("POST", id, class) + "Idempotency-Key: " + id + "\r\nContent-Length: 4\r\nConnection: close\r\n\r\nskip"
+		text = testserver.RequestHead("POST", id, class) + "Idempotency-Key: " + id + "\r\n" + lastBody
 	case "pay":
-		text = testserver.RequestHead("POST", id, class) + "Content-Length: 4\r\nConnection: close\r\n\r\nskip"
+		text = testserver.RequestHead("POST", id, class) + lastBody
 	}
 	if _, err := io.WriteString(c, text); err != nil {
 		return err
--- a/internal/sidecar/participant_test.go
+++ b/internal/sidecar/participant_test.go
@@ -92,7 +92,9 @@
 	t.Helper()
 	tree := maps.Clone(f.settings)
 	classes := slices.Clone(tree["request_classes"].([]any))
-	tree["request_classes"] = slices.DeleteFunc(classes, func(c any) bool { return c.(map[string]any)["name"] == without })
+	tree["request_classes"] = slices.DeleteFunc(classes, func(class any) bool {
+		return class.(map[string]any)["name"] == without
+	})
 	text, err := json.Marshal(tree)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/policy_test.go
+++ b/internal/sidecar/policy_test.go
@@ -75,8 +75,8 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	const start = "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: q-1\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 5000\r\n" +
-		"Content-Length: 2\r\n\r\na"
+	const start = "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: q-1\r\nX-Priority-Class: pay\r\n" +
+		"X-Timeout-Ms: 5000\r\nContent-Length: 2\r\n\r\na"
 	if _, err := io.WriteString(c, start); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/reload_settings_test.go
+++ b/internal/sidecar/reload_settings_test.go
@@ -108,8 +108,8 @@
 	if got := testserver.Receive(t, held, "response"); got.Status != http.StatusBadGateway || pays.Load() != 1 {
 		t.Errorf("the open request got %+v after %d attempts, want a failure after 1", got, pays.Load())
 	}
-	p.expectMetrics("passed.pay", "1", "bad_gateway.pay", "1", "in_progress", "0", "passed.read", "0", "passed.tip", "0",
-		"upstream_tries", "2", "loads", "2")
+	p.expectMetrics("passed.pay", "1", "bad_gateway.pay", "1", "in_progress", "0", "passed.read", "0",
+		"passed.tip", "0", "upstream_tries", "2", "loads", "2")
 	p.reload(old)
 	if got := p.Do(p.newIdempotentRequest("read")); got.Status != 200 {
 		t.Errorf("the class added again got %+v", got)
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -19,7 +19,8 @@
 		t.Errorf("response %+v", got)
 	}
 	first.Lines <- "" // a heartbeat
-	first.Lines <- testserver.ListText(42, false, testserver.EndpointEntry("s-0", drained.Address, "DRAINING", 0), testserver.EndpointEntry("s-1", kept.Address, "SERVING", 0))
+	first.Lines <- testserver.ListText(42, false, testserver.EndpointEntry("s-0", drained.Address, "DRAINING", 0),
+		testserver.EndpointEntry("s-1", kept.Address, "SERVING", 0))
 	p.sendUntilBody("kept")
 	for range 20 {
 		if got := p.Send("pay"); got.Body != "kept" {
