--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -18,8 +18,8 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// load reads a configuration as the program does. Each of env is KEY=VALUE.
-func load(t *testing.T, text string, env ...string) (*config.Config, error) {
+// loadConfig reads a configuration as the program does. Each of env is KEY=VALUE.
+func loadConfig(t *testing.T, text string, env ...string) (*config.Config, error) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -28,8 +28,8 @@
 	return config.Load(testserver.Environment(file, env...))
 }
 
-// parsed returns the list that a text in discovery's form holds.
-func parsed(t *testing.T, text string) discovery.List {
+// parseList returns the list that a text in discovery's form holds.
+func parseList(t *testing.T, text string) discovery.List {
 	t.Helper()
 	l, err := discovery.ParseList([]byte(text))
 	if err != nil {
@@ -50,7 +50,7 @@
 func startTestProxy(t *testing.T, respond testserver.Handler) *testProxy {
 	t.Helper()
 	backend := testserver.StartBackend(t, respond)
-	c, err := load(t, testserver.ConfigText("127.0.0.1:9", testserver.ServingList(1, backend), testserver.Settings))
+	c, err := loadConfig(t, testserver.ConfigText("127.0.0.1:9", testserver.ServingList(1, backend), testserver.Settings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +67,7 @@
 		defer running.Done()
 		loop.Run(ctx)
 	}()
-	handler, conns, web := serve(t, c, loop)
+	handler, conns, web := serveHandler(t, c, loop)
 	client := &http.Client{Transport: &http.Transport{}}
 	t.Cleanup(func() {
 		client.CloseIdleConnections()
--- a/internal/proxy/policy_gate_test.go
+++ b/internal/proxy/policy_gate_test.go
@@ -11,7 +11,7 @@
 
 // TestCheckPolicy: a policy has all settings but those of a sidecar's own place, and is checked as it would run.
 func TestCheckPolicy(t *testing.T) {
-	c, err := load(t, testserver.ConfigText("127.0.0.1:9", "", testserver.Settings))
+	c, err := loadConfig(t, testserver.ConfigText("127.0.0.1:9", "", testserver.Settings))
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/proxy/simulation_test.go
@@ -0,0 +1,184 @@
+//go:build go1.25
+
+package proxy
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"net/url"
+	"sync"
+	"syscall"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"milletramp.example/milletramp/internal/lab/testserver"
+	"milletramp.example/milletramp/internal/upstream"
+)
+
+// pipeConn is a connection of a simulation whose first write is delayed, after whatever its writer has checked.
+type pipeConn struct {
+	net.Conn
+	raw        silentRawConn
+	writeDelay time.Duration
+}
+
+// Write implements net.Conn.
+func (c *pipeConn) Write(p []byte) (int, error) {
+	time.Sleep(c.writeDelay)
+	c.writeDelay = 0
+	return c.Conn.Write(p)
+}
+
+// SetWriteDeadline implements net.Conn. What is held up inside the system call passes its deadline unseen.
+func (c *pipeConn) SetWriteDeadline(time.Time) error { return nil }
+
+// SyscallConn implements syscall.Conn.
+func (c *pipeConn) SyscallConn() (syscall.RawConn, error) { return c.raw, nil }
+
+// silentRawConn is a socket on which nothing ever comes, in the place of the pipe's.
+type silentRawConn struct{ fd int }
+
+func (q silentRawConn) Control(f func(uintptr)) error { f(uintptr(q.fd)); return nil }
+
+func (q silentRawConn) Read(f func(uintptr) bool) error { f(uintptr(q.fd)); return nil }
+
+func (silentRawConn) Write(func(uintptr) bool) error { return syscall.ENOTSUP }
+
+// arrival is an attempt's whole request at its server.
+type arrival struct {
+	at      time.Time
+	server  string
+	timeout time.Duration // for which the client waits
+}
+
+// simulation is an event loop in a synctest bubble, with two servers.
+type simulation struct {
+	t        *testing.T
+	loop     *EventLoop
+	arrivals chan arrival
+	// dial has connections to servers come up; nil: at once. respond returns what the nth attempt gets; "": nothing.
+	dial    func(ctx context.Context, n int) error
+	respond func(n int) string
+	// drop has a server drop what comes on a connection that was idle for so long, without a word; nil: none does.
+	drop       func(server string, idle time.Duration) bool
+	writeDelay time.Duration
+}
+
+// runSimulation runs play with an event loop of these settings.
+func runSimulation(t *testing.T, settings string, play func(b *simulation)) {
+	pair, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer syscall.Close(pair[1])
+	defer syscall.Close(pair[0])
+	synctest.Test(t, func(t *testing.T) {
+		known := testserver.ServingList(1, &testserver.Backend{Address: "127.0.0.1:1"}, &testserver.Backend{Address: "127.0.0.1:2"})
+		c, err := loadConfig(t, testserver.ConfigText("127.0.0.1:9", known, settings))
+		if err != nil {
+			t.Fatal(err)
+		}
+		ctx, cancel := context.WithCancel(context.Background())
+		h, err := NewEventLoop(ctx, c, 1000, slog.New(slog.DiscardHandler), func(context.Context, string, string) (net.Conn, error) {
+			return nil, syscall.ECONNREFUSED // discovery is down
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+		b := &simulation{t: t, loop: h, arrivals: make(chan arrival, 2000), respond: func(int) string { return "" }}
+		var mu sync.Mutex
+		dialled, arrived := 0, 0
+		h.upstream.SetDial(func(dialing context.Context, _, address string) (net.Conn, error) {
+			mu.Lock()
+			n := dialled
+			dialled++
+			mu.Unlock()
+			if b.dial != nil {
+				if err := b.dial(dialing, n); err != nil {
+					return nil, err
+				}
+			}
+			near, far := net.Pipe()
+			context.AfterFunc(ctx, func() { far.Close() })
+			go func() {
+				in := bufio.NewReader(far)
+				for last := time.Now(); ; last = time.Now() {
+					r, err := http.ReadRequest(in)
+					if err != nil {
+						return
+					}
+					_, _ = io.Copy(io.Discard, r.Body)
+					wait, err := time.ParseDuration(r.Header.Get("X-Timeout-Ms") + "ms")
+					if err != nil {
+						t.Error(err)
+					}
+					mu.Lock()
+					n := arrived
+					arrived++
+					mu.Unlock()
+					b.arrivals <- arrival{time.Now(), address, wait}
+					if b.drop != nil && b.drop(address, time.Since(last)) {
+						continue
+					}
+					if text := b.respond(n); text != "" {
+						fmt.Fprint(far, text)
+					}
+				}
+			}()
+			return &pipeConn{Conn: near, raw: silentRawConn{pair[0]}, writeDelay: b.writeDelay}, nil
+		})
+		var over sync.WaitGroup
+		over.Go(func() { h.Run(ctx) })
+		play(b)
+		cancel()
+		over.Wait()
+	})
+}
+
+// send serves a request whose client waits so long, and returns a channel that gets its response.
+func (b *simulation) send(class string, wait time.Duration, left func() bool) chan finalResponse {
+	method, key := http.MethodPost, ""
+	switch class {
+	case "read":
+		method = http.MethodGet
+	case "book":
+		key = "k-1"
+	}
+	c := &inflightRequest{Message: upstream.Message{Method: method, URL: &url.URL{Path: "/api"}, ID: "id-1", IdempotencyKey: key}, tenant: -1,
+		classSettings: b.loop.settings.Load().classes[class], deadline: time.Now().Add(wait - answerMargin), peerClosed: left}
+	answered := make(chan finalResponse, 1)
+	go func() {
+		a, _ := b.loop.serve(context.Background(), c)
+		answered <- a
+	}()
+	return answered
+}
+
+// warmUp has requests be served, each on the connection of the one before, which then is closed.
+func (b *simulation) warmUp(requests int) {
+	b.respond = func(int) string {
+		time.Sleep(50 * time.Millisecond)
+		return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+	}
+	for range requests {
+		<-b.send("read", time.Second, nil)
+		time.Sleep(20 * time.Millisecond) // a connection rests so long before its next request
+	}
+	time.Sleep(10 * time.Second)
+	for len(b.arrivals) > 0 {
+		<-b.arrivals
+	}
+}
+
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+
+const errorResponse = "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"
+
+// respondAlways has each attempt get the same response.
+func respondAlways(text string) func(int) string { return func(int) string { return text } }
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -55,7 +55,7 @@
 // newTestLoop returns an event loop that knows the backends, and that does not run.
 func newTestLoop(ctx context.Context, t *testing.T, backends ...*testserver.Backend) *EventLoop {
 	t.Helper()
-	c, err := load(t, testserver.ConfigText("127.0.0.1:9", testserver.ServingList(1, backends...), testserver.Settings))
+	c, err := loadConfig(t, testserver.ConfigText("127.0.0.1:9", testserver.ServingList(1, backends...), testserver.Settings))
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/sidecar/drain_load_test.go
@@ -0,0 +1,224 @@
+package sidecar
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"flag"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"milletramp.example/milletramp/internal/lab/testserver"
+	"milletramp.example/milletramp/internal/proxy"
+	"milletramp.example/milletramp/internal/upstream"
+)
+
+var drainRounds = flag.Int("stop.rounds", 40, "rounds of TestDrainUnderLoadAnswersEachRequestRead")
+
+// TestDrainUnderLoadAnswersEachRequestRead stops the process again and again while clients ask on connections that they
+// keep. A request that was read has its response; one that was not finds its connection reset.
+func TestDrainUnderLoadAnswersEachRequestRead(t *testing.T) {
+	b := startBackend(t, "ok")
+	discardRequests(b)
+	configText := configFor(t, b)
+	var asked, unread atomic.Int64
+	for round := range *drainRounds {
+		random := rand.New(rand.NewPCG(uint64(round), 1))
+		p := startWith(t, configText, startOptions{times: drainTimes{
+			acceptFor:   time.Duration(random.IntN(3)) * time.Millisecond,
+			unusedGrace: time.Duration(random.IntN(4)) * time.Millisecond,
+		}})
+		var clients sync.WaitGroup
+		for i := range 16 {
+			clients.Add(1)
+			pause := time.Duration(random.IntN(400)) * time.Microsecond
+			go func() {
+				defer clients.Done()
+				for n := 0; ; n++ {
+					c, err := net.Dial("tcp", p.Address)
+					if err != nil {
+						return // it listens no more
+					}
+					dropped := sendUntilClosed(t, c, fmt.Sprintf("c%d-%d-%d", round, i, n), pause, &asked)
+					if dropped && closedAfterReadingAll(t, c) {
+						t.Errorf("round %d: client %d's request was read and has no response", round, i)
+					} else if dropped {
+						unread.Add(1)
+					}
+					c.Close()
+				}
+			}()
+		}
+		for asked.Load() < int64(round+1)*50 {
+			time.Sleep(100 * time.Microsecond)
+		}
+		p.stop()
+		if err := testserver.Receive(t, p.ended, "end"); err != nil {
+			t.Errorf("round %d: it ended with %v", round, err)
+		}
+		clients.Wait()
+	}
+	t.Logf("%d requests, %d connections ended with one unread", asked.Load(), unread.Load())
+}
+
+// TestDrainEndsBeforeKillWithHangingServers has all servers hang through the whole of a shutdown, while clients go on
+// sending on every connection that stays open: each request that was read has one response, and the process its end,
+// before it may be killed. Connections that idle are closed by nothing else here.
+func TestDrainEndsBeforeKillWithHangingServers(t *testing.T) {
+	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+		if hasIdempotencyKey(r) { // a long response, which stops
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", upstream.MaxBufferedBody+1)
+		}
+		return testserver.NeverRespond(c, r, body)
+	})
+	discardRequests(b)
+	const deadline = 300 * time.Millisecond
+	for _, gated := range []bool{false, true} {
+		t.Run(fmt.Sprint("waits for a policy ", gated), func(t *testing.T) {
+			options := startOptions{times: drainTimes{
+				acceptFor:   100 * time.Millisecond,
+				idleGrace:   testserver.Timeout,
+				unusedGrace: testserver.Timeout,
+			}}
+			f := &fakeParticipant{}
+			if gated {
+				options.join = f.join
+			}
+			p := startWith(t, shortDeadlines.Replace(configFor(t, b)), options)
+			if gated {
+				f.expectCheck(t, 1, f.policyDocument(t, ""), "")
+				f.setPolicy(1, 20*time.Millisecond, true)
+			}
+			used := p.DialConn()
+			fmt.Fprint(used, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+			if resp, err := http.ReadResponse(bufio.NewReader(used), nil); err != nil || resp.StatusCode != 200 {
+				t.Fatalf("response %+v, error %v", resp, err)
+			}
+			unused, partial, uploading, late := p.DialConn(), p.DialConn(), p.DialConn(), p.DialConn()
+			fmt.Fprint(partial, testserver.RequestHead("GET", "partial", "read"))
+			fmt.Fprint(uploading, testserver.RequestHead("POST", "uploading", "pay"), "Content-Length: 8\r\n\r\nhalf")
+			long, err := p.HTTP.Do(p.NewRequest(context.Background(), "book", "50000"))
+			if err != nil || long.StatusCode != 200 {
+				t.Fatalf("response %+v, error %v", long, err)
+			}
+			defer long.Body.Close()
+			var asked atomic.Int64
+			var clients sync.WaitGroup
+			for i := range 8 {
+				clients.Add(1)
+				go func() {
+					defer clients.Done()
+					for n := 0; ; n++ {
+						c, err := net.Dial("tcp", p.Address)
+						if err != nil {
+							return // it listens no more
+						}
+						dropped := sendUntilClosed(t, c, fmt.Sprintf("c-%d-%d", i, n), time.Millisecond, &asked)
+						if dropped && closedAfterReadingAll(t, c) {
+							t.Errorf("client %d's request was read and has no response", i)
+						}
+						c.Close()
+					}
+				}()
+			}
+			p.waitForUsedConns(8)
+			f.setPolicy(1, 20*time.Millisecond, false) // and it comes no more
+			held, stopped := measureStalls(), time.Now()
+			p.stop()
+			p.waitUntilNotListening()
+			sendHead(late, "late")
+			p.expectEnd()
+			if took, kill := time.Since(stopped), deadline+proxy.KillDelay; took > kill+held() {
+				t.Errorf("it ended after %v, and may be killed after %v", took, kill)
+			}
+			clients.Wait()
+			if resp, err := http.ReadResponse(bufio.NewReader(late), nil); err != nil || !resp.Close {
+				t.Errorf("response %+v, error %v to a request that came while draining", resp, err)
+			}
+			testserver.ExpectFinalResponse(t, uploading, http.StatusServiceUnavailable)
+			if n, err := io.Copy(io.Discard, long.Body); err == nil {
+				t.Errorf("a long response that hangs looks whole behind %d bytes", n)
+			}
+			for _, c := range []net.Conn{used, unused, partial} {
+				if n, err := c.Read(make([]byte, 1)); n != 0 || err != io.EOF {
+					t.Errorf("%d bytes, error %v on a connection without a request, want its end", n, err)
+				}
+			}
+		})
+	}
+}
+
+// measureStalls counts by how much the machine holds this test up, until the returned function is called, which returns
+// the sum.
+func measureStalls() func() time.Duration {
+	const step = 5 * time.Millisecond
+	var total atomic.Int64
+	ctx, cancel := context.WithCancel(context.Background())
+	go func() {
+		for ctx.Err() == nil {
+			began := time.Now()
+			time.Sleep(step)
+			if over := time.Since(began) - 2*step; over > 0 {
+				total.Add(int64(over))
+			}
+		}
+	}()
+	return func() time.Duration { cancel(); return time.Duration(total.Load()) }
+}
+
+// sendUntilClosed asks one request after another on a connection until a response ends it, and reports whether it ended
+// while one was open.
+func sendUntilClosed(t *testing.T, c net.Conn, id string, pause time.Duration, asked *atomic.Int64) (dropped bool) {
+	in := bufio.NewReader(c)
+	_ = c.SetDeadline(time.Now().Add(testserver.Timeout))
+	for n := 0; ; n++ {
+		time.Sleep(pause)
+		head := testserver.RequestHead("GET", fmt.Sprint(id, "-", n), "read")
+		if _, err := fmt.Fprintf(c, "%s\r\n", head); err != nil {
+			return true
+		}
+		resp, err := http.ReadResponse(in, nil)
+		if err != nil {
+			var timeout net.Error
+			if errors.As(err, &timeout) && timeout.Timeout() {
+				t.Errorf("%s: no response within %v", id, testserver.Timeout)
+			}
+			return true
+		}
+		_, _ = io.Copy(io.Discard, resp.Body)
+		asked.Add(1)
+		if resp.Close {
+			return false
+		}
+	}
+}
+
+// closedAfterReadingAll reports whether the other side has read all that came on c before it ended the connection.
+// Where something was left, or came later, it has reset the connection.
+func closedAfterReadingAll(t *testing.T, c net.Conn) bool {
+	t.Helper()
+	raw, err := c.(*net.TCPConn).SyscallConn()
+	if err != nil {
+		t.Error(err)
+		return false
+	}
+	var info *unix.TCPInfo
+	failed := raw.Control(func(fd uintptr) {
+		info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
+	})
+	if errors.Join(failed, err) != nil {
+		t.Error(failed, err)
+		return false
+	}
+	const closeWait = 8 // the other side has ended its sending, and nothing else
+	return info.State == closeWait
+}
--- /dev/null
+++ b/internal/sidecar/drain_test.go
@@ -0,0 +1,189 @@
+package sidecar
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"milletramp.example/milletramp/internal/lab/testserver"
+	"milletramp.example/milletramp/internal/metrics"
+	"milletramp.example/milletramp/internal/upstream"
+)
+
+// TestDrainServesNewAndOpenConnections has SIGTERM come while one request is out, and others go on coming on new
+// connections and old ones.
+func TestDrainServesNewAndOpenConnections(t *testing.T) {
+	release := make(chan struct{})
+	b := startHoldingBackend(t, release, hasIdempotencyKey, "ok")
+	p := startWith(t, configFor(t, b), startOptions{times: drainTimes{
+		acceptFor:   4 * time.Second,
+		quietPeriod: 10 * time.Millisecond,
+		idleGrace:   2 * time.Second,
+	}})
+	slow := p.sendAsync(context.Background(), "book")
+	testserver.Receive(t, b.Requests, "attempt")
+	p.stop()
+	for closing := false; !closing; {
+		got := p.Send("pay")
+		if got.Status != 200 {
+			t.Fatalf("response %+v while draining", got)
+		}
+		closing = got.Close
+	}
+	time.Sleep(200 * time.Millisecond) // long past the quiet that ends the accepting, well within its time
+	fresh, err := net.Dial("tcp", p.Address)
+	if err != nil {
+		t.Fatalf("no new connections while draining: %v", err)
+	}
+	defer fresh.Close()
+	if err := p.NewRequest(context.Background(), "pay", "50000").Write(fresh); err != nil {
+		t.Fatal(err)
+	}
+	resp, err := http.ReadResponse(bufio.NewReader(fresh), nil)
+	if err != nil || resp.StatusCode != 200 || !resp.Close {
+		t.Errorf("response %+v, error %v on a new connection", resp, err)
+	}
+	p.waitUntilNotListening()
+	select {
+	case err := <-p.ended:
+		t.Fatalf("it ended with %v and a request out", err)
+	default:
+	}
+	close(release)
+	if got := testserver.Receive(t, slow, "response"); got.Status != 200 || got.Body != "ok" {
+		t.Errorf("response %+v to what was taken", got)
+	}
+	p.expectEnd()
+}
+
+// TestDrainServesRequestsOnOpenConnections has a client open a connection, and send its request only when the process
+// has long begun to drain and is waiting for another response: that request is answered too.
+func TestDrainServesRequestsOnOpenConnections(t *testing.T) {
+	release := make(chan struct{})
+	b := startHoldingBackend(t, release, hasIdempotencyKey, "ok")
+	p := startWith(t, configFor(t, b), startOptions{times: drainTimes{unusedGrace: testserver.Timeout}})
+	held := p.sendAsync(context.Background(), "book")
+	testserver.Receive(t, b.Requests, "attempt")
+	late := p.DialConn()
+	p.waitForOpenConns(2)
+	p.stop()
+	p.waitUntilNotListening()
+	sendHead(late, "late")
+	resp, err := http.ReadResponse(bufio.NewReader(late), nil)
+	if err != nil || resp.StatusCode != 200 || !resp.Close {
+		t.Errorf("response %+v, error %v to a request that came after the drain began", resp, err)
+	}
+	close(release)
+	if got := testserver.Receive(t, held, "response"); got.Status != 200 {
+		t.Errorf("response %+v to what was taken", got)
+	}
+	p.expectEnd()
+}
+
+// TestDrainClosesUnusedConnectionsAfterGrace has a connection never bring a request: it holds the end up for its time
+// and no longer.
+func TestDrainClosesUnusedConnectionsAfterGrace(t *testing.T) {
+	times := drainTimes{unusedGrace: 10 * time.Millisecond}
+	p := startWith(t, configFor(t, startBackend(t, "ok")), startOptions{times: times})
+	c := p.DialConn()
+	p.waitForOpenConns(1)
+	p.stop()
+	p.expectEnd()
+	if n, err := c.Read(make([]byte, 1)); n != 0 || err != io.EOF {
+		t.Errorf("%d bytes, error %v on a connection without a request, want its end", n, err)
+	}
+	if n := p.operator.metrics.UnservedConns[metrics.ShuttingDown].Load(); n != 1 {
+		t.Errorf("%d connections ended unserved by the stop, want 1", n)
+	}
+}
+
+// TestDrainWaitsForRequestBody has the process stop while a request's body comes: it is served, and its response ends
+// the connection.
+func TestDrainWaitsForRequestBody(t *testing.T) {
+	p := startServing(t, startBackend(t, "ok"))
+	c := p.DialConn()
+	fmt.Fprintf(c, "%sContent-Length: 8\r\n\r\nhalf", testserver.RequestHead("POST", "slow", "pay"))
+	p.waitForUsedConns(1)
+	p.stop()
+	p.waitUntilNotListening()
+	fmt.Fprint(c, "rest")
+	testserver.ExpectFinalResponse(t, c, http.StatusOK)
+	p.expectEnd()
+}
+
+// TestDrainWaitsForStreamedResponse has the process stop, and read its file again, while a long response is passed
+// on: it ends with the response, which is whole.
+func TestDrainWaitsForStreamedResponse(t *testing.T) {
+	rest := make(chan struct{})
+	b := testserver.StartBackend(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", upstream.MaxBufferedBody+1)
+		<-rest
+		fmt.Fprint(c, strings.Repeat("x", upstream.MaxBufferedBody))
+		return true
+	})
+	text := configFor(t, b)
+	p := start(t, text)
+	resp, err := p.HTTP.Do(p.NewRequest(context.Background(), "pay", "50000"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	p.stop()
+	p.waitUntilNotListening()
+	p.reload(text)
+	p.reload("no configuration")
+	close(rest)
+	if body, err := io.ReadAll(resp.Body); err != nil || len(body) != upstream.MaxBufferedBody+1 {
+		t.Errorf("%d bytes, error %v", len(body), err)
+	}
+	p.expectEnd()
+}
+
+// shortDeadlines replaces the deadlines of testserver.Settings by 300 ms.
+var shortDeadlines = strings.NewReplacer(`"deadline_s":60.0`, `"deadline_s":0.3`, `"aim_s":20.0`, `"aim_s":0.2`)
+
+// TestDrainKeepsToReloadedDeadlines stops a process whose settings were replaced by ones with shorter deadlines, while
+// requests of the old ones are out at a server that hangs: the platform kills it by the new ones, and before that each
+// has its response. One that may be repeated is rejected, one that is unsafe to repeat and may have run is not.
+func TestDrainKeepsToReloadedDeadlines(t *testing.T) {
+	b := testserver.StartBackend(t, testserver.NeverRespond)
+	text := configFor(t, b)
+	p := start(t, text)
+	held := map[string]chan *http.Response{"pay": nil, "read": nil, "book": nil}
+	for class := range held {
+		answered := make(chan *http.Response, 1)
+		r := p.NewRequest(context.Background(), class, "50000")
+		held[class] = answered
+		go func() {
+			resp, err := p.HTTP.Do(r)
+			if err != nil {
+				t.Error(err)
+			}
+			answered <- resp
+		}()
+		testserver.Receive(t, b.Requests, "attempt")
+	}
+	p.reload(shortDeadlines.Replace(text))
+	p.expectMetrics("loads", "1", "load_errors", "0")
+	if longest := p.operator.server.Load().handler.LongestDeadline(); longest != 300*time.Millisecond {
+		t.Errorf("the platform kills by a deadline of 300ms, the process goes by %v", longest)
+	}
+	p.stop()
+	for class, want := range map[string]string{"pay": "502 ", "read": "503 0.200", "book": "503 0.200"} {
+		resp := testserver.Receive(t, held[class], "response")
+		if resp == nil {
+			continue
+		}
+		resp.Body.Close()
+		if got := fmt.Sprint(resp.StatusCode, " ", resp.Header.Get("Retry-After")); got != want {
+			t.Errorf("%s: status and Retry-After %q at the kill, want %q", class, got, want)
+		}
+	}
+	p.expectEnd()
+}
--- a/internal/sidecar/fleet_admin_test.go
+++ b/internal/sidecar/fleet_admin_test.go
@@ -21,7 +21,7 @@
 func (p *program) expectAdminDown(want ...string) {
 	p.T.Helper()
 	var down []string
-	if err := p.staff.loop.Do(context.Background(), func() { down = p.staff.loop.AdminDown() }); err != nil {
+	if err := p.operator.loop.Do(context.Background(), func() { down = p.operator.loop.AdminDown() }); err != nil {
 		p.T.Fatal(err)
 	}
 	if unavailable := p.unavailableServers(); !slices.Equal(down, want) || !slices.Equal(unavailable, want) {
@@ -33,11 +33,11 @@
 // for the client meanwhile, and for nobody else.
 func (p *program) unavailableServers() (unavailable []string) {
 	p.T.Helper()
-	client := p.staff.loop.Upstream()
+	client := p.operator.loop.Upstream()
 	backend := testserver.StartBackend(p.T, testserver.Respond(200, "", "ok"))
 	list := func(state string) {
 		entry := testserver.EndpointEntry("s-9", backend.Address, state, 0)
-		client.Update(parsed(p.T, testserver.ListText(2, false, entry)))
+		client.Update(parseList(p.T, testserver.ListText(2, false, entry)))
 	}
 	list("SERVING")
 	defer list("DELETED")
@@ -59,25 +59,25 @@
 // they are up in the fleet. One that this sidecar's own operator has set down, and the fleet never had, stays down.
 func TestApplyAdminDown(t *testing.T) {
 	p := startInDir(t, t.TempDir())
-	if _, err := p.staff.SetAdminDown(context.Background(), "s-1", true, false); err != nil {
+	if _, err := p.operator.SetAdminDown(context.Background(), "s-1", true, false); err != nil {
 		t.Fatal(err)
 	}
 	p.expectAdminDown("s-1")
-	p.staff.applyAdminDown([]string{"s-0", "s-9"})
+	p.operator.applyAdminDown([]string{"s-0", "s-9"})
 	p.expectAdminDown("s-0", "s-1", "s-9")
-	p.staff.applyAdminDown([]string{"s-9"})
+	p.operator.applyAdminDown([]string{"s-9"})
 	p.expectAdminDown("s-1", "s-9")
-	p.staff.applyAdminDown(nil)
+	p.operator.applyAdminDown(nil)
 	p.expectAdminDown("s-1")
-	p.staff.applyAdminDown([]string{"s-1"}) // the fleet has it too from here on
+	p.operator.applyAdminDown([]string{"s-1"}) // the fleet has it too from here on
 	p.expectAdminDown("s-1")
-	p.staff.applyAdminDown(nil)
+	p.operator.applyAdminDown(nil)
 	p.expectAdminDown()
 }
 
 // adminDownPart is a part in a fleet without a policy, which answers operators' calls as its test says.
 type adminDownPart struct {
-	fakePart
+	fakeParticipant
 	knows       bool
 	knowsErr    error
 	held, asked int
@@ -160,10 +160,10 @@
 	}
 	if tt.part != nil {
 		part := Participant(tt.part)
-		p.staff.participant.Store(&part)
-		defer p.staff.participant.Store(nil)
+		p.operator.participant.Store(&part)
+		defer p.operator.participant.Store(nil)
 	}
-	note, err := p.staff.publishToFleet(context.Background(), "s-0", true, tt.known, tt.forwarded)
+	note, err := p.operator.publishToFleet(context.Background(), "s-0", true, tt.known, tt.forwarded)
 	if (note == "") != (tt.note == "") || !strings.Contains(note, tt.note) {
 		t.Errorf("note %q, want %q", note, tt.note)
 	}
--- a/internal/sidecar/fleet_suspicions_test.go
+++ b/internal/sidecar/fleet_suspicions_test.go
@@ -71,7 +71,7 @@
 		first := &testserver.Backend{Address: firstServer}
 		second := &testserver.Backend{Address: secondServer}
 		known := testserver.ServingList(1, first, second)
-		c, err := load(t, testserver.ConfigText("127.0.0.1:9", known, testserver.Settings))
+		c, err := loadConfig(t, testserver.ConfigText("127.0.0.1:9", known, testserver.Settings))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/sidecar/forward_test.go
+++ b/internal/sidecar/forward_test.go
@@ -38,7 +38,7 @@
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	discovery := testserver.StartDiscovery(t).Address
 	text := testserver.ConfigText(discovery, testserver.ServingList(1, b, b), testserver.Settings)
-	return start(t, text, "TMPDIR="+dir)
+	return startWith(t, text, startOptions{env: []string{"TMPDIR=" + dir}})
 }
 
 // startConsole starts a console that responds to each call by respond.
@@ -80,7 +80,7 @@
 			dir, address := t.TempDir(), tt.console(t)
 			p := startInDir(t, dir)
 			joinOtherProcess(t, dir, address)
-			known, err := p.staff.group.forwardAdminDown(context.Background(), "s-0", true)
+			known, err := p.operator.group.forwardAdminDown(context.Background(), "s-0", true)
 			if known != tt.known {
 				t.Errorf("known %v, want %v", known, tt.known)
 			}
@@ -104,7 +104,7 @@
 		calls <- r.URL.Path + " " + body.Target
 	}))
 	for down, want := range map[bool]string{true: "/ops/servers/down s-7", false: "/ops/servers/up s-7"} {
-		if _, err := p.staff.group.forwardAdminDown(context.Background(), "s-7", down); err != nil {
+		if _, err := p.operator.group.forwardAdminDown(context.Background(), "s-7", down); err != nil {
 			t.Error(err)
 		}
 		if got := testserver.Receive(t, calls, "call"); got != want {
@@ -124,7 +124,7 @@
 		_ = (<-ending).Leave()
 		panic(http.ErrAbortHandler)
 	}))
-	if known, err := p.staff.group.forwardAdminDown(context.Background(), "s-0", true); known || err != nil {
+	if known, err := p.operator.group.forwardAdminDown(context.Background(), "s-0", true); known || err != nil {
 		t.Errorf("known %v, error %v", known, err)
 	}
 }
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -18,35 +18,35 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-func write(t *testing.T, file, text string) {
+func writeFile(t *testing.T, file, text string) {
 	t.Helper()
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// load reads a configuration as the program does. Each of env is KEY=VALUE.
-func load(t *testing.T, text string, env ...string) (*config.Config, error) {
+// loadConfig reads a configuration as the program does. Each of env is KEY=VALUE.
+func loadConfig(t *testing.T, text string, env ...string) (*config.Config, error) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
-	write(t, file, text)
+	writeFile(t, file, text)
 	return config.Load(testserver.Environment(file, env...))
 }
 
-// addressLog is a log that passes on the address served.
-type addressLog struct {
+// startLog is a log that passes on the address served.
+type startLog struct {
 	slog.Handler
-	address chan string
-	ejected *atomic.Int32
+	address   chan string
+	ejections *atomic.Int32
 }
 
 // Enabled implements slog.Handler.
-func (addressLog) Enabled(context.Context, slog.Level) bool { return true }
+func (startLog) Enabled(context.Context, slog.Level) bool { return true }
 
 // Handle implements slog.Handler.
-func (l addressLog) Handle(_ context.Context, r slog.Record) error {
+func (l startLog) Handle(_ context.Context, r slog.Record) error {
 	if strings.HasPrefix(r.Message, "ejected ") {
-		l.ejected.Add(1)
+		l.ejections.Add(1)
 	}
 	r.Attrs(func(a slog.Attr) bool {
 		if a.Key == "address" {
@@ -60,59 +60,71 @@
 // program is a running sidecar.
 type program struct {
 	testserver.Client
-	stop    context.CancelFunc
-	file    string // its configuration
-	hup     chan os.Signal
-	ended   chan error
-	staff   *operator
-	ejected atomic.Int32 // servers
+	stop          context.CancelFunc
+	configFile    string
+	reloadSignals chan os.Signal
+	ended         chan error // gets what run returns
+	operator      *operator
+	ejections     atomic.Int32 // servers
 }
 
-func start(t *testing.T, configText string, env ...string) *program {
-	t.Helper()
-	return startIn(t, configText, drainTimes{quietPeriod: time.Millisecond}, nil, env...)
+// startOptions are what a test changes about the sidecar that it starts.
+type startOptions struct {
+	times drainTimes // a quietPeriod of 0 means a millisecond, a maxDeadline of 0 testserver.Timeout
+	join  JoinFunc   // nil: the sidecar is in no fleet
+	hooks hooks
+	env   []string // each KEY=VALUE
 }
 
-func startDraining(t *testing.T, configText string, times drainTimes) *program {
+// start starts a sidecar, which ends with the test.
+func start(t *testing.T, configText string) *program {
 	t.Helper()
-	return startIn(t, configText, times, nil)
+	return startWith(t, configText, startOptions{})
 }
 
-// startIn starts a sidecar with a part in a fleet; nil: with none.
-func startIn(t *testing.T, configText string, times drainTimes, join JoinFunc, env ...string) *program {
+// startServing starts a sidecar that knows these servers, and whose discovery sends no list.
+func startServing(t *testing.T, backends ...*testserver.Backend) *program {
 	t.Helper()
-	return startWith(t, configText, times, join, hooks{}, env...)
+	return start(t, configFor(t, backends...))
 }
 
-// startWith starts a sidecar with hooks of its test.
-func startWith(t *testing.T, configText string, times drainTimes, join JoinFunc, with hooks, env ...string) *program {
+// startWith starts a sidecar with options, and returns once it serves. The sidecar ends with the test.
+func startWith(t *testing.T, configText string, options startOptions) *program {
 	t.Helper()
-	c, err := load(t, configText, env...)
+	c, err := loadConfig(t, configText, options.env...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	times.maxDeadline = cmp.Or(times.maxDeadline, testserver.Timeout) // no verdict hangs on how soon a request in hand has to be given up
+	times := options.times
+	times.quietPeriod = cmp.Or(times.quietPeriod, time.Millisecond)
+	times.maxDeadline = cmp.Or(times.maxDeadline, testserver.Timeout) // no test depends on how soon a request expires
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &program{Client: testserver.Client{T: t, HTTP: &http.Client{Transport: &http.Transport{}}}, stop: cancel, file: c.Getenv("PROXY_CONFIG"), hup: make(chan os.Signal, 1), ended: make(chan error, 1)}
-	with.started = func(o *operator) { p.staff = o }
-	log := addressLog{slog.DiscardHandler, make(chan string, 1), &p.ejected}
-	var over sync.WaitGroup
-	over.Add(1)
+	p := &program{
+		Client:        testserver.Client{T: t, HTTP: &http.Client{Transport: &http.Transport{}}},
+		stop:          cancel,
+		configFile:    c.Getenv("PROXY_CONFIG"),
+		reloadSignals: make(chan os.Signal, 1),
+		ended:         make(chan error, 1),
+	}
+	options.hooks.started = func(o *operator) { p.operator = o }
+	log := startLog{slog.DiscardHandler, make(chan string, 1), &p.ejections}
+	var running sync.WaitGroup
+	running.Add(1)
 	go func() {
-		defer over.Done()
-		p.ended <- run(ctx, p.hup, c, slog.New(log), join, times, with)
+		defer running.Done()
+		p.ended <- run(ctx, p.reloadSignals, c, slog.New(log), options.join, times, options.hooks)
 	}()
 	t.Cleanup(func() {
 		p.HTTP.CloseIdleConnections()
 		cancel()
-		over.Wait()
+		running.Wait()
 	})
 	p.Address = testserver.Receive(t, log.address, "address")
 	return p
 }
 
-// parsed returns the list that a text in discovery's form holds.
-func parsed(t *testing.T, text string) discovery.List {
+// parseList returns the list that a text in discovery's form holds.
+func parseList(t *testing.T, text string) discovery.List {
 	t.Helper()
 	l, err := discovery.ParseList([]byte(text))
 	if err != nil {
@@ -120,3 +132,10 @@
 	}
 	return l
 }
+
+// configFor returns a configuration that knows these servers, and a discovery service that sends no list.
+func configFor(t *testing.T, backends ...*testserver.Backend) string {
+	t.Helper()
+	list := testserver.ServingList(1, backends...)
+	return testserver.ConfigText(testserver.StartDiscovery(t).Address, list, testserver.Settings)
+}
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/local_failures_test.go
@@ -14,7 +14,6 @@
 	"sync"
 	"syscall"
 	"testing"
-	"time"
 
 	"golang.org/x/sys/unix"
 	"pgregory.net/rapid"
@@ -45,46 +44,46 @@
 	}
 }
 
-// TestAcceptFails has accepting fail in service and while draining, with each error: who waits is answered.
-func TestAcceptFails(t *testing.T) {
+// failing are the options of a sidecar whose calls fail as planned by f, and whose drain waits for connections on which
+// no request has come.
+func failing(f *testserver.Failures) startOptions {
+	return startOptions{hooks: failureHooks(f), times: drainTimes{unusedGrace: testserver.Timeout}}
+}
+
+// TestAcceptErrorsLoseNoRequest has accepting fail in service and while draining, with each error: who waits is
+// answered.
+func TestAcceptErrorsLoseNoRequest(t *testing.T) {
 	for _, errno := range testserver.AcceptErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
-			f, d, b := &testserver.Failures{}, testserver.StartDiscovery(t), testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+			f := &testserver.Failures{}
 			once := testserver.Failure{Errno: errno}
 			f.Set("accept", once, once)
-			p := startWith(t, testserver.ConfigText(d.Address, testserver.ServingList(1, b), testserver.Settings),
-				drainTimes{quietPeriod: time.Millisecond, unusedGrace: testserver.Timeout}, nil, failureHooks(f))
-			if g := p.Send("read"); g.Status != 200 {
-				t.Errorf("answer %+v in service", g)
+			p := startWith(t, configFor(t, startBackend(t, "ok")), failing(f))
+			if got := p.Send("read"); got.Status != 200 {
+				t.Errorf("response %+v in service", got)
 			}
 			p.HTTP.CloseIdleConnections()
 			f.Set("accept", slices.Repeat([]testserver.Failure{once}, 1000)...)
-			answers := make(chan error, 2)
+			responses := make(chan error, 2)
 			for i := range 2 { // the call that is out takes the first
 				c := p.DialConn()
-				go func() { answers <- oneAnswer(c, fmt.Sprint("waits-", i), "read") }()
+				go func() { responses <- checkSingleResponse(c, fmt.Sprint("waits-", i), "read") }()
 			}
 			p.stop()
-			for end := time.Now().Add(testserver.Timeout); !p.staff.server.Load().handler.IsDraining(); time.Sleep(time.Millisecond) {
-				if time.Now().After(end) {
-					t.Fatal("it does not drain")
-				}
-			}
+			p.waitUntilDraining()
 			f.Set("accept", once, once)
 			for range 2 {
-				if err := testserver.Receive(t, answers, "answer"); err != nil {
+				if err := testserver.Receive(t, responses, "response"); err != nil {
 					t.Errorf("while draining: %v", err)
 				}
 			}
-			if err := testserver.Receive(t, p.ended, "end"); err != nil {
-				t.Errorf("it ended with %v", err)
-			}
+			p.expectEnd()
 		})
 	}
 }
 
-// TestListenFails has listening fail at the start.
-func TestListenFails(t *testing.T) {
+// TestListenIsRetriedInAShortage has listening fail at the start.
+func TestListenIsRetriedInAShortage(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
 		errno  syscall.Errno
@@ -100,19 +99,20 @@
 	} {
 		for _, at := range []string{"console", "clients"} {
 			t.Run(at+", "+tt.name, func(t *testing.T) {
-				f, d, b := &testserver.Failures{}, testserver.StartDiscovery(t), testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
-				text := testserver.ConfigText(d.Address, testserver.ServingList(1, b), testserver.Settings)
+				f := &testserver.Failures{}
+				text := configFor(t, startBackend(t, "ok"))
 				if at == "console" {
 					text = strings.Replace(text, `"new":1`, `"new":1,"console":"127.0.0.1:0"`, 1)
 				}
 				f.Set("listen", slices.Repeat([]testserver.Failure{{Errno: tt.errno}}, tt.times)...)
 				if tt.starts {
-					if g := startWith(t, text, drainTimes{quietPeriod: time.Millisecond}, nil, failureHooks(f)).Send("read"); g.Status != 200 {
-						t.Errorf("answer %+v", g)
+					p := startWith(t, text, startOptions{hooks: failureHooks(f)})
+					if got := p.Send("read"); got.Status != 200 {
+						t.Errorf("response %+v", got)
 					}
 					return
 				}
-				c, err := load(t, text)
+				c, err := loadConfig(t, text)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -127,9 +127,9 @@
 	}
 }
 
-// TestNobodyIsEjected has no connection come up for a lack of descriptors, many times: no server is ejected for that,
-// and all are used once it has passed.
-func TestNobodyIsEjected(t *testing.T) {
+// TestShortageOfDescriptorsEjectsNoServer has no connection come up for a lack of descriptors, many times: no server is
+// ejected for that, and all are used once it has passed.
+func TestShortageOfDescriptorsEjectsNoServer(t *testing.T) {
 	var backends []*testserver.Backend
 	for range 4 {
 		backends = append(backends, testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -138,8 +138,7 @@
 		}))
 	}
 	f := &testserver.Failures{}
-	p := startWith(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, backends...), testserver.Settings),
-		drainTimes{quietPeriod: time.Millisecond}, nil, failureHooks(f))
+	p := startWith(t, configFor(t, backends...), startOptions{hooks: failureHooks(f)})
 	ask := func(want int) {
 		t.Helper()
 		var clients sync.WaitGroup
@@ -148,8 +147,8 @@
 			go func() {
 				defer clients.Done()
 				for range 10 {
-					if g := p.Do(p.NewRequest(context.Background(), "read", "50000")); g.Status != want {
-						t.Errorf("answer %+v, want %d", g, want)
+					if got := p.Do(p.NewRequest(context.Background(), "read", "50000")); got.Status != want {
+						t.Errorf("response %+v, want %d", got, want)
 					}
 				}
 			}()
@@ -161,7 +160,7 @@
 	ask(503)
 	f.Set("connect")
 	ask(200)
-	if n := p.ejected.Load(); n != 0 {
+	if n := p.ejections.Load(); n != 0 {
 		t.Errorf("%d servers ejected", n)
 	}
 }
@@ -177,11 +176,10 @@
 	}), 0, most).Draw(t, call)
 }
 
-// TestFailuresBreakNoRule draws failures of this machine at the start, in service and while draining. Each request that
-// was read gets one final answer, none that may run once only runs twice, nobody is ejected, and the process ends when
-// it is told to and not before.
-func TestFailuresBreakNoRule(t *testing.T) {
-	d := testserver.StartDiscovery(t)
+// TestLocalFailuresKeepRequestGuarantees draws failures of this machine at the start, in service and while draining.
+// Each request that was read gets one final response, none that may run once only runs twice, nobody is ejected, and
+// the process ends when it is asked to and not before.
+func TestLocalFailuresKeepRequestGuarantees(t *testing.T) {
 	var mu sync.Mutex
 	ran := map[string]int{}
 	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -190,11 +188,8 @@
 		mu.Unlock()
 		return testserver.Respond(200, "", strings.Repeat("ok", 100))(c, r, body)
 	})
-	go func() {
-		for range b.Requests {
-		}
-	}()
-	configText, asked := testserver.ConfigText(d.Address, testserver.ServingList(1, b, b), testserver.Settings), 0
+	discardRequests(b)
+	configText, asked := configFor(t, b, b), 0
 	rapid.Check(t, func(rt *rapid.T) {
 		f := &testserver.Failures{}
 		draw := func() { // at listeners and clients fewer in a row than it tries again
@@ -206,7 +201,7 @@
 			f.Set("client write", drawFailures(rt, "client write", 6, testserver.StreamErrnos)...)
 		}
 		f.Set("listen", drawFailures(rt, "listen", 5, []syscall.Errno{unix.EMFILE, unix.ENOBUFS, unix.ENOMEM})...)
-		p := startWith(t, configText, drainTimes{quietPeriod: time.Millisecond, unusedGrace: testserver.Timeout}, nil, failureHooks(f))
+		p := startWith(t, configText, failing(f))
 		ask := func(classes []string, between func()) {
 			var clients sync.WaitGroup
 			var conns []net.Conn
@@ -220,7 +215,7 @@
 				clients.Add(1)
 				go func() {
 					defer clients.Done()
-					if err := oneAnswer(c, id, class); err != nil {
+					if err := checkSingleResponse(c, id, class); err != nil {
 						rt.Errorf("%s, %s: %v", id, class, err)
 					}
 					mu.Lock()
@@ -241,21 +236,22 @@
 		if err := testserver.Receive(t, p.ended, "end"); err != nil {
 			rt.Errorf("it ended with %v", err)
 		}
-		if n := p.ejected.Load(); n > 0 {
+		if n := p.ejections.Load(); n > 0 {
 			rt.Errorf("%d servers ejected", n)
 		}
 	})
 }
 
-// oneAnswer asks for a class on a connection, and tells what is wrong with what comes back.
-func oneAnswer(c net.Conn, id, class string) error {
+// checkSingleResponse asks for a class on a connection, and returns what is wrong with the response.
+func checkSingleResponse(c net.Conn, id, class string) error {
 	defer c.Close()
+	const lastBody = "Content-Length: 4\r\nConnection: close\r\n\r\nskip"
 	text := testserver.RequestHead("GET", id, class) + "Connection: close\r\n\r\n"
 	switch class {
 	case "book":
-		text = testserver.RequestHead("POST", id, class) + "Idempotency-Key: " + id + "\r\nContent-Length: 4\r\nConnection: close\r\n\r\nskip"
+		text = testserver.RequestHead("POST", id, class) + "Idempotency-Key: " + id + "\r\n" + lastBody
 	case "pay":
-		text = testserver.RequestHead("POST", id, class) + "Content-Length: 4\r\nConnection: close\r\n\r\nskip"
+		text = testserver.RequestHead("POST", id, class) + lastBody
 	}
 	if _, err := io.WriteString(c, text); err != nil {
 		return err
@@ -274,7 +270,7 @@
 		return fmt.Errorf("status %d, %q", resp.StatusCode, body)
 	}
 	if n, err := in.Read(make([]byte, 1)); n != 0 || err != io.EOF {
-		return fmt.Errorf("%d bytes, error %v behind the answer", n, err)
+		return fmt.Errorf("%d bytes, error %v behind the response", n, err)
 	}
 	return nil
 }
--- a/internal/sidecar/process_group_test.go
+++ b/internal/sidecar/process_group_test.go
@@ -2,7 +2,13 @@
 
 import (
 	"context"
+	"fmt"
 	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"slices"
 	"testing"
 	"time"
 
@@ -10,9 +16,10 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestBesideAnother has a process start beside another of its sidecar with no list of servers: it does not listen
-// before it has one. Danger: it would refuse what the other one serves. It takes over what is out by hand.
-func TestBesideAnother(t *testing.T) {
+// TestSecondProcessListensOnceItHasAList has a process start beside another of its sidecar with no list of servers: it
+// does not listen before it has one. Otherwise it would reject what the other one serves. It takes over what is
+// administratively down.
+func TestSecondProcessListensOnceItHasAList(t *testing.T) {
 	dir := t.TempDir()
 	other, err := hotrestart.Join(dir, hotrestart.State{Name: "n0", ListenAddress: "127.0.0.1:0", Started: time.Now(),
 		Phase: hotrestart.Ready, AdminDown: []string{"s-0"}}, slog.New(slog.DiscardHandler))
@@ -20,9 +27,9 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = other.Leave() }()
-	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
+	b := startBackend(t, "ok")
 	d := testserver.StartDiscovery(t)
-	c, err := load(t, testserver.ConfigText(d.Address, "", testserver.Settings), "TMPDIR="+dir)
+	c, err := loadConfig(t, testserver.ConfigText(d.Address, "", testserver.Settings), "TMPDIR="+dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,12 +46,12 @@
 	case <-time.After(50 * time.Millisecond): // without the wait it listens at once
 	}
 	w.Lines <- testserver.ServingList(1, b, b)
-	staff := testserver.Receive(t, started, "listening with a list")
-	if staff.group.processes.Load() != 2 {
-		t.Errorf("the sidecar's limits are parted into %d", staff.group.processes.Load())
+	op := testserver.Receive(t, started, "listening with a list")
+	if op.group.processes.Load() != 2 {
+		t.Errorf("the sidecar's limits are parted into %d", op.group.processes.Load())
 	}
 	listed, avoided := 0, 0
-	if err := staff.loop.Do(context.Background(), func() { listed, avoided = staff.loop.CountEndpoints() }); err != nil {
+	if err := op.loop.Do(context.Background(), func() { listed, avoided = op.loop.CountEndpoints() }); err != nil {
 		t.Fatal(err)
 	}
 	if listed != 2 || avoided != 1 {
@@ -55,3 +62,98 @@
 		t.Error(err)
 	}
 }
+
+// TestSidecarServesWhileSharedFolderIsMissing has the folder for upgrades be away for a while: the sidecar goes on
+// serving, answers no call of the operators with yes that the next process would not see, and once the folder is there
+// again that process sees what was called, without a further call.
+func TestSidecarServesWhileSharedFolderIsMissing(t *testing.T) {
+	dir := t.TempDir()
+	one, two := startBackend(t, "one"), startBackend(t, "two")
+	three := startBackend(t, "three")
+	d := testserver.StartDiscovery(t)
+	text := testserver.ConfigText(d.Address, testserver.ServingList(1, one, two, three), testserver.Settings)
+	p := startWith(t, text, startOptions{env: []string{"TMPDIR=" + dir}})
+	testserver.Receive(t, d.Watches, "watch")
+	p.sendUntilBody("three")
+	next, err := hotrestart.Join(dir, hotrestart.State{Name: "n0", ListenAddress: "127.0.0.1:0", Started: time.Now(),
+		Phase: hotrestart.Starting}, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = next.Leave() }()
+	sees := func() []string { return next.Others()[0].AdminDown }
+	_, err = p.operator.SetAdminDown(context.Background(), "s-0", true, false)
+	if err != nil || !slices.Equal(sees(), []string{"s-0"}) {
+		t.Fatalf("error %v, the next process sees %v", err, sees())
+	}
+	folders, err := filepath.Glob(filepath.Join(dir, "milletramp-*"))
+	if err != nil || len(folders) != 1 {
+		t.Fatalf("folders %v, error %v", folders, err)
+	}
+	if err := os.Rename(folders[0], folders[0]+"-away"); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := p.operator.SetAdminDown(context.Background(), "s-1", true, false); err == nil {
+		t.Error("a call that the next process would not see is answered with yes")
+	}
+	for range 20 {
+		if got := p.Send("read"); got.Status != 200 || got.Body != "three" {
+			t.Fatalf("response %+v while the folder is away", got)
+		}
+	}
+	if err := os.Rename(folders[0]+"-away", folders[0]); err != nil {
+		t.Fatal(err)
+	}
+	testserver.Eventually(t, func() string {
+		if down := sees(); !slices.Equal(down, []string{"s-0", "s-1"}) {
+			return fmt.Sprintf("the next process sees %v", down)
+		}
+		return ""
+	})
+}
+
+// TestDrainingServerGetsNoNewRequestsOverRestart has a server begin to drain while one process drains and the next one
+// starts with a list that does not say so: neither sends new requests there once it is notified, and what was in flight
+// has its response.
+func TestDrainingServerGetsNoNewRequestsOverRestart(t *testing.T) {
+	release := make(chan struct{})
+	one := startHoldingBackend(t, release, isPost, "one")
+	two := startBackend(t, "two")
+	d := testserver.StartDiscovery(t)
+	text := testserver.ConfigText(d.Address, testserver.ServingList(1, one), testserver.Settings)
+	p := startWith(t, text, startOptions{times: drainTimes{
+		acceptFor:   100 * time.Millisecond,
+		idleGrace:   testserver.Timeout,
+		unusedGrace: testserver.Timeout,
+	}})
+	w := testserver.Receive(t, d.Watches, "watch")
+	kept := make([]net.Conn, 8)
+	for i := range kept {
+		kept[i] = p.DialConn()
+	}
+	held := p.sendAsync(context.Background(), "pay")
+	testserver.Receive(t, one.Requests, "request")
+	p.stop()
+	drains := testserver.ListText(2, false, testserver.EndpointEntry("s-0", one.Address, "DRAINING", 0),
+		testserver.EndpointEntry("s-1", two.Address, "SERVING", 0))
+	w.Lines <- drains
+	p.waitForServers(2)
+	next := start(t, text)
+	testserver.Receive(t, d.Watches, "watch of the next process").Lines <- drains
+	next.waitForServers(2)
+	before := one.RequestCount()
+	for i, c := range kept {
+		sendHead(c, fmt.Sprint("kept-", i))
+		testserver.ExpectFinalResponse(t, c, http.StatusOK)
+		if got := next.Send("read"); got.Body != "two" {
+			t.Errorf("response %+v of the next process", got)
+		}
+	}
+	if n := one.RequestCount() - before; n != 0 {
+		t.Errorf("%d new requests reached the draining server", n)
+	}
+	close(release)
+	if got := testserver.Receive(t, held, "response"); got.Body != "one" {
+		t.Errorf("response %+v to what was in flight", got)
+	}
+}
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -16,17 +16,17 @@
 	"milletramp.example/milletramp/internal/upstream"
 )
 
-// TestAnswersThatStop: an answer of untold length that stops is cut soon after its client's time, so that the client
-// can tell that it is not whole. One that its server is still giving, bit by bit, and a long one that pauses for as
-// long are passed on to their ends.
-func TestAnswersThatStop(t *testing.T) {
+// TestStalledResponsesAreCut: a response of untold length that stops is cut soon after its client's time, so that the
+// client can tell that it is not whole. One that its server is still giving, bit by bit, and a long one that pauses for
+// as long are passed on to their ends.
+func TestStalledResponsesAreCut(t *testing.T) {
 	const begin = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhal\r\n"
 	stop := make(chan struct{})
 	defer close(stop)
 	rest := make(chan struct{})
 	for _, tt := range []struct {
 		name string
-		do   func(net.Conn, *http.Request, []byte) bool
+		do   testserver.Handler
 		cut  bool
 		long bool
 	}{
@@ -59,7 +59,7 @@
 		}, false, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			p := start(t, testserver.ConfigText(testserver.StartDiscovery(t).Address, testserver.ServingList(1, testserver.StartBackend(t, tt.do)), testserver.Settings))
+			p := startServing(t, testserver.StartBackend(t, tt.do))
 			resp, err := p.HTTP.Do(p.NewRequest(context.Background(), "pay", "600"))
 			if err != nil {
 				t.Fatal(err)
@@ -79,3 +79,27 @@
 		})
 	}
 }
+
+// TestResetResponseIsIncomplete: a response of untold length whose connection is reset is not whole, also where its
+// first bytes were passed on. One whose connection ends in order is.
+func TestResetResponseIsIncomplete(t *testing.T) {
+	for _, reset := range []bool{true, false} {
+		passed := make(chan struct{})
+		b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhal")
+			<-passed
+			return reset && testserver.ResetConnection(c, r, body)
+		})
+		p := startServing(t, b)
+		resp, err := p.HTTP.Do(p.NewRequest(context.Background(), "pay", "50000"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		close(passed) // the client has its head, and so the first bytes
+		body, err := io.ReadAll(resp.Body)
+		resp.Body.Close()
+		if reset != (err != nil) || !reset && string(body) != "hal" {
+			t.Errorf("reset %v: body %q, error %v", reset, body, err)
+		}
+	}
+}
