--- a/internal/proxy/client_disconnect_test.go
+++ b/internal/proxy/client_disconnect_test.go
@@ -49,20 +49,21 @@
 	} {
 		for _, leaves := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, leaves %v", tt.name, leaves), func(t *testing.T) {
-				runSimulation(t, tt.settings, func(b *simulation) {
+				runSimulation(t, tt.settings, func(sim *simulation) {
 					if tt.settings != testserver.Settings {
-						b.warmUp(1000) // from these it knows when a response is late
+						sim.warmUp(1000) // from these it knows when a response is late
 					}
-					b.dial, b.respond = tt.dials, tt.respond
+					sim.dial, sim.respond = tt.dials, tt.respond
 					end := time.Now().Add(tt.leaves)
-					answered := b.send("read", 50*time.Second, func() bool { return leaves && !time.Now().Before(end) })
+					peerClosed := func() bool { return leaves && !time.Now().Before(end) }
+					answered := sim.send("read", 50*time.Second, peerClosed)
 					time.Sleep(55 * time.Second)
 					want := tt.stays
 					if leaves {
 						want = tt.gone
 					}
-					if len(b.arrivals) != want || len(answered) != 1 {
-						b.t.Errorf("%d attempts, want %d; %d responses", len(b.arrivals), want, len(answered))
+					if len(sim.arrivals) != want || len(answered) != 1 {
+						sim.t.Errorf("%d attempts, want %d; %d responses", len(sim.arrivals), want, len(answered))
 					}
 				})
 			})
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -4,7 +4,6 @@
 
 import (
 	"context"
-	"log/slog"
 	"sync"
 	"sync/atomic"
 	"testing"
@@ -18,25 +17,19 @@
 
 // runWithAgent runs play in a synctest bubble, with an agent, an event loop that follows it, and the times at which the
 // loop gets a list.
-func runWithAgent(t *testing.T, play func(t *testing.T, a *testserver.Agent, h *EventLoop, updates chan time.Time)) {
+func runWithAgent(t *testing.T, play func(t *testing.T, a *testserver.Agent, loop *EventLoop, updates chan time.Time)) {
 	synctest.Test(t, func(t *testing.T) {
 		a := &testserver.Agent{}
-		c, err := loadConfig(t, testserver.ConfigText("127.0.0.1:9", testserver.ServingList(1, &testserver.Backend{Address: "127.0.0.1:9"}), testserver.Settings))
-		if err != nil {
-			t.Fatal(err)
-		}
+		c := loadConfig(t, testserver.ServingList(1, &testserver.Backend{Address: silentAddress}), testserver.Settings)
 		ctx, cancel := context.WithCancel(context.Background())
-		h, err := NewEventLoop(ctx, c, 1000, slog.New(slog.DiscardHandler), a.Dial)
-		if err != nil {
-			t.Fatal(err)
-		}
+		loop := newEventLoop(ctx, t, c, a.Dial)
 		updates := make(chan time.Time, 1000)
-		h.onList = func([]discovery.Endpoint) { updates <- time.Now() }
-		var over sync.WaitGroup
-		over.Go(func() { h.Run(ctx) })
-		play(t, a, h, updates)
+		loop.onList = func([]discovery.Endpoint) { updates <- time.Now() }
+		var running sync.WaitGroup
+		running.Go(func() { loop.Run(ctx) })
+		play(t, a, loop, updates)
 		cancel()
-		over.Wait()
+		running.Wait()
 	})
 }
 
@@ -55,12 +48,13 @@
 				a.Silence(false, inVain)
 				silent := time.Now()
 				if took := (<-updates).Sub(silent); took > discovery.MaxUpdateDelay {
-					t.Errorf("list came %v after the watch fell silent at %v of a heartbeat, %d calls in vain", took, phase, inVain)
+					t.Errorf("silent from %v of a heartbeat, %d calls in vain: list came after %v", phase, inVain, took)
 				}
 			})
 		}
 	}
-	const longest = discovery.FirstListTimeout + balance.MaxDiscoveryBackoff // a call begun just before the return, and the wait behind it
+	// A call may begin just before discovery returns, and a pause follows it.
+	const longest = discovery.FirstListTimeout + balance.MaxDiscoveryBackoff
 	for outage := 100 * time.Millisecond; outage < 30*time.Second; outage += 370 * time.Millisecond {
 		runWithAgent(t, func(t *testing.T, a *testserver.Agent, _ *EventLoop, updates chan time.Time) {
 			<-updates
@@ -100,12 +94,12 @@
 // response: the list is there less than 4 s after it was read.
 func TestListArrivesInTimeAfterAddressSwitch(t *testing.T) {
 	for inVain := range 3 {
-		runWithAgent(t, func(t *testing.T, a *testserver.Agent, h *EventLoop, updates chan time.Time) {
+		runWithAgent(t, func(t *testing.T, a *testserver.Agent, loop *EventLoop, updates chan time.Time) {
 			<-updates
 			time.Sleep(10 * time.Second)
 			a.Silence(false, inVain) // the former address says nothing more
 			moved := time.Now()
-			h.Post(func() { h.subscriptions.SwitchAddress("127.0.0.1:8") })
+			loop.Post(func() { loop.subscriptions.SwitchAddress("127.0.0.1:8") })
 			if took := (<-updates).Sub(moved); took >= 4*time.Second {
 				t.Errorf("list came %v after the move, %d calls in vain", took, inVain)
 			}
@@ -138,9 +132,13 @@
 		name    string
 		after   time.Duration
 		refuses int // of one more
-	}{{"after a second", time.Second, 0}, {"after two seconds", 2 * time.Second, 0}, {"refuses most", 0, 4},
-		{"refuses some, answers late", 700 * time.Millisecond, 1}} {
-		runWithAgent(t, func(t *testing.T, a *testserver.Agent, h *EventLoop, updates chan time.Time) {
+	}{
+		{"after a second", time.Second, 0},
+		{"after two seconds", 2 * time.Second, 0},
+		{"refuses most", 0, 4},
+		{"refuses some, answers late", 700 * time.Millisecond, 1},
+	} {
+		runWithAgent(t, func(t *testing.T, a *testserver.Agent, loop *EventLoop, updates chan time.Time) {
 			<-updates
 			var calls atomic.Int64
 			a.SetDelay(tt.after)
@@ -156,7 +154,7 @@
 			case <-time.After(time.Minute):
 				t.Errorf("%s: no list within a minute, %d calls", tt.name, calls.Load())
 			}
-			h.Post(func() { h.subscriptions.SwitchAddress("127.0.0.1:8") })
+			loop.Post(func() { loop.subscriptions.SwitchAddress("127.0.0.1:8") })
 			moved := time.Now()
 			select {
 			case at := <-updates:
--- a/internal/proxy/handler_test.go
+++ b/internal/proxy/handler_test.go
@@ -19,10 +19,10 @@
 
 // serveHandler serves a handler of the loop on client connections, as the process does, until the caller closes the
 // server.
-func serveHandler(t *testing.T, c *config.Config, h *EventLoop) (*Handler, *downstream.Listener, *http.Server) {
+func serveHandler(t *testing.T, c *config.Config, loop *EventLoop) (*Handler, *downstream.Listener, *http.Server) {
 	t.Helper()
-	handler := NewHandler(c, h, 1000)
-	conns := downstream.NewListener(testserver.Listen(t), 1000, 1000, &h.metrics.UnservedConns)
+	handler := NewHandler(c, loop, 1000)
+	conns := downstream.NewListener(testserver.Listen(t), 1000, 1000, &loop.metrics.UnservedConns)
 	web := conns.HTTPServer(handler, slog.New(slog.DiscardHandler))
 	web.ConnContext = ConnContext
 	go func() { _ = web.Serve(conns) }()
@@ -43,33 +43,28 @@
 		}()
 		backends = append(backends, b)
 	}
-	c, err := loadConfig(t, testserver.ConfigText("127.0.0.1:9", testserver.ServingList(1, backends...), testserver.Settings))
-	if err != nil {
-		t.Fatal(err)
-	}
+	c := loadConfig(t, testserver.ServingList(1, backends...), testserver.Settings)
 	c.Settings.PollDiscovery = true  // and so no watch but that of this test
 	c.Settings.SlowStartCapacity = 1 // all servers start over and over, and are to serve at once
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	log := slog.New(slog.DiscardHandler)
-	h, err := NewEventLoop(ctx, c, 1000, log, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	go h.Run(ctx)
-	s, conns, web := serveHandler(t, c, h)
-	p := &testserver.Client{T: t, Address: conns.Addr().String(), HTTP: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
+	loop := newEventLoop(ctx, t, c, nil)
+	go loop.Run(ctx)
+	s, conns, web := serveHandler(t, c, loop)
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+	p := &testserver.Client{T: t, Address: conns.Addr().String(), HTTP: client}
 
 	updateList := func(l discovery.List) {
 		done := make(chan bool)
-		h.Post(func() { h.OnUpdate(balance.ListFull, l); close(done) })
+		loop.Post(func() { loop.OnUpdate(balance.ListFull, l); close(done) })
 		testserver.Receive(t, done, "list")
 	}
 	const rounds, each = 300, 10
 	for round := range rounds {
 		var entries []string
 		for i, b := range backends {
-			entries = append(entries, testserver.EndpointEntry(fmt.Sprintf("s-%d-%d", (round+i)/2, i), b.Address, "SERVING", int64(round/3)))
+			id := fmt.Sprintf("s-%d-%d", (round+i)/2, i)
+			entries = append(entries, testserver.EndpointEntry(id, b.Address, "SERVING", int64(round/3)))
 		}
 		updateList(parseList(t, testserver.ListText(round+2, true, entries...)))
 		for range each {
@@ -82,50 +77,42 @@
 	if err := web.Close(); err != nil {
 		t.Error(err)
 	}
+	const nothingLeft = "requests 0, servers 0, connections to servers 0 open 0 idle, from clients 0 open 0 idle, ids 0"
 	left := make(chan string, 1)
-	for end := time.Now().Add(testserver.Timeout); ; {
-		h.Post(func() {
-			openConns, idleConns := h.upstream.ConnCounts()
-			left <- fmt.Sprintf("calls %d, targets %d, connections to servers %d open %d idle, from clients %d open %d idle, ids %d",
-				len(h.inflight), len(h.upstream.Endpoints()), openConns, idleConns, conns.Counts().Open,
-				conns.Counts().Idle, len(s.ids.inFlight))
+	testserver.Eventually(t, func() string {
+		loop.Post(func() {
+			open, idle := loop.upstream.ConnCounts()
+			clients := conns.Counts()
+			left <- fmt.Sprintf("requests %d, servers %d, connections to servers %d open %d idle, "+
+				"from clients %d open %d idle, ids %d", len(loop.inflight), len(loop.upstream.Endpoints()),
+				open, idle, clients.Open, clients.Idle, len(s.ids.inFlight))
 		})
-		got := testserver.Receive(t, left, "count")
-		if got == "calls 0, targets 0, connections to servers 0 open 0 idle, from clients 0 open 0 idle, ids 0" {
-			break
-		}
-		if time.Now().After(end) {
-			t.Fatalf("after %d requests: %s", rounds*each, got)
+		if got := testserver.Receive(t, left, "count"); got != nothingLeft {
+			return fmt.Sprintf("%d requests were served: %s", rounds*each, got)
 		}
-		time.Sleep(time.Millisecond)
-	}
+		return ""
+	})
 	cancel()
-	// The backends' accepting and noting, and this test's server, stay.
-	for end := time.Now().Add(testserver.Timeout); runtime.NumGoroutine() > before+2*len(backends)+10; {
-		if time.Now().After(end) {
-			t.Fatalf("%d goroutines, %d before", runtime.NumGoroutine(), before)
+	most := before + 2*len(backends) + 10 // the backends' accepting and discarding, and this test's server, stay
+	testserver.Eventually(t, func() string {
+		if n := runtime.NumGoroutine(); n > most {
+			return fmt.Sprintf("%d goroutines, %d before", n, before)
 		}
-		time.Sleep(time.Millisecond)
-	}
+		return ""
+	})
 }
 
 // TestHandlerPanicIsServerError has a fault of the program end the handler: the request gets an error and its
 // connection ends in order, and the next one is served.
 func TestHandlerPanicIsServerError(t *testing.T) {
 	backend := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
-	c, err := loadConfig(t, testserver.ConfigText("127.0.0.1:9", testserver.ServingList(1, backend), testserver.Settings))
-	if err != nil {
-		t.Fatal(err)
-	}
+	c := loadConfig(t, testserver.ServingList(1, backend), testserver.Settings)
 	c.Settings.PollDiscovery = true // and so no watch in this test
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	h, err := NewEventLoop(ctx, c, 1000, slog.New(slog.DiscardHandler), nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	go h.Run(ctx)
-	s, conns, web := serveHandler(t, c, h)
+	loop := newEventLoop(ctx, t, c, nil)
+	go loop.Run(ctx)
+	s, conns, web := serveHandler(t, c, loop)
 	defer web.Close()
 	p := &testserver.Client{T: t, Address: conns.Addr().String(), HTTP: &http.Client{Transport: &http.Transport{}}}
 	defer p.HTTP.CloseIdleConnections()
@@ -143,18 +130,21 @@
 // TestRejectionSaysWhenToRetry holds the status and Retry-After of final responses without a body.
 func TestRejectionSaysWhenToRetry(t *testing.T) {
 	for _, tt := range []struct {
-		a      finalResponse
-		status int
-		header string
+		name       string
+		response   finalResponse
+		status     int
+		retryAfter string
 	}{
-		{finalResponse{kind: rejected, retryAfter: 250 * time.Millisecond}, 503, "0.250"},
-		{finalResponse{kind: rejected}, 503, ""},
-		{finalResponse{kind: badGateway}, 502, ""},
+		{"rejected for a time", finalResponse{kind: rejected, retryAfter: 250 * time.Millisecond}, 503, "0.250"},
+		{"rejected", finalResponse{kind: rejected}, 503, ""},
+		{"bad gateway", finalResponse{kind: badGateway}, 502, ""},
 	} {
-		w := httptest.NewRecorder()
-		tt.a.write(w)
-		if w.Code != tt.status || w.Header().Get("Retry-After") != tt.header {
-			t.Errorf("%+v: status %d, header %v", tt.a, w.Code, w.Header())
-		}
+		t.Run(tt.name, func(t *testing.T) {
+			w := httptest.NewRecorder()
+			tt.response.write(w)
+			if w.Code != tt.status || w.Header().Get("Retry-After") != tt.retryAfter {
+				t.Errorf("status %d, header %v, want %d and %q", w.Code, w.Header(), tt.status, tt.retryAfter)
+			}
+		})
 	}
 }
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -1,6 +1,8 @@
 package proxy
 
 import (
+	"context"
+	"log/slog"
 	"os"
 	"path/filepath"
 	"testing"
@@ -10,14 +12,32 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// loadConfig reads a configuration as the program does. Each of env is KEY=VALUE.
-func loadConfig(t *testing.T, text string, env ...string) (*config.Config, error) {
+// silentAddress is an address that tests put where nothing is to be reached.
+const silentAddress = "127.0.0.1:9"
+
+// loadConfig reads a configuration as the program does. known is its last list of endpoints, "" for none.
+func loadConfig(t *testing.T, known, settings string) *config.Config {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
+	text := testserver.ConfigText(silentAddress, known, settings)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return config.Load(testserver.Environment(file, env...))
+	c, err := config.Load(testserver.Environment(file))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return c
+}
+
+// newEventLoop returns an event loop that calls discovery by dial; nil: over TCP.
+func newEventLoop(ctx context.Context, t *testing.T, c *config.Config, dial discovery.DialFunc) *EventLoop {
+	t.Helper()
+	loop, err := NewEventLoop(ctx, c, 1000, slog.New(slog.DiscardHandler), dial)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return loop
 }
 
 // parseList returns the list that a text in discovery's form holds.
--- a/internal/proxy/simulation_test.go
+++ b/internal/proxy/simulation_test.go
@@ -7,7 +7,6 @@
 	"context"
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"net/http"
 	"net/url"
@@ -61,6 +60,8 @@
 type simulation struct {
 	t        *testing.T
 	loop     *EventLoop
+	ended    context.Context // done: the servers close their connections
+	fd       int             // of a socket on which nothing ever comes
 	arrivals chan arrival
 	// dial has connections to servers come up; nil: at once. respond returns what the nth attempt gets; "": nothing.
 	dial    func(ctx context.Context, n int) error
@@ -68,10 +69,14 @@
 	// drop has a server drop what comes on a connection that was idle for so long, without a word; nil: none does.
 	drop       func(server string, idle time.Duration) bool
 	writeDelay time.Duration
+
+	mu       sync.Mutex
+	dialled  int
+	attempts int
 }
 
-// runSimulation runs play with an event loop of these settings.
-func runSimulation(t *testing.T, settings string, play func(b *simulation)) {
+// runSimulation runs play with an event loop of these settings, whose discovery is down.
+func runSimulation(t *testing.T, settings string, play func(sim *simulation)) {
 	pair, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -79,70 +84,73 @@
 	defer syscall.Close(pair[1])
 	defer syscall.Close(pair[0])
 	synctest.Test(t, func(t *testing.T) {
-		known := testserver.ServingList(1, &testserver.Backend{Address: "127.0.0.1:1"}, &testserver.Backend{Address: "127.0.0.1:2"})
-		c, err := loadConfig(t, testserver.ConfigText("127.0.0.1:9", known, settings))
-		if err != nil {
-			t.Fatal(err)
-		}
+		one, two := &testserver.Backend{Address: "127.0.0.1:1"}, &testserver.Backend{Address: "127.0.0.1:2"}
+		c := loadConfig(t, testserver.ServingList(1, one, two), settings)
 		ctx, cancel := context.WithCancel(context.Background())
-		h, err := NewEventLoop(ctx, c, 1000, slog.New(slog.DiscardHandler), func(context.Context, string, string) (net.Conn, error) {
-			return nil, syscall.ECONNREFUSED // discovery is down
-		})
-		if err != nil {
-			t.Fatal(err)
+		refuse := func(context.Context, string, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED }
+		sim := &simulation{
+			t:        t,
+			loop:     newEventLoop(ctx, t, c, refuse),
+			ended:    ctx,
+			fd:       pair[0],
+			arrivals: make(chan arrival, 2000),
+			respond:  func(int) string { return "" },
 		}
-		b := &simulation{t: t, loop: h, arrivals: make(chan arrival, 2000), respond: func(int) string { return "" }}
-		var mu sync.Mutex
-		dialled, arrived := 0, 0
-		h.upstream.SetDial(func(dialing context.Context, _, address string) (net.Conn, error) {
-			mu.Lock()
-			n := dialled
-			dialled++
-			mu.Unlock()
-			if b.dial != nil {
-				if err := b.dial(dialing, n); err != nil {
-					return nil, err
-				}
-			}
-			near, far := net.Pipe()
-			context.AfterFunc(ctx, func() { far.Close() })
-			go func() {
-				in := bufio.NewReader(far)
-				for last := time.Now(); ; last = time.Now() {
-					r, err := http.ReadRequest(in)
-					if err != nil {
-						return
-					}
-					_, _ = io.Copy(io.Discard, r.Body)
-					wait, err := time.ParseDuration(r.Header.Get("X-Timeout-Ms") + "ms")
-					if err != nil {
-						t.Error(err)
-					}
-					mu.Lock()
-					n := arrived
-					arrived++
-					mu.Unlock()
-					b.arrivals <- arrival{time.Now(), address, wait}
-					if b.drop != nil && b.drop(address, time.Since(last)) {
-						continue
-					}
-					if text := b.respond(n); text != "" {
-						fmt.Fprint(far, text)
-					}
-				}
-			}()
-			return &pipeConn{Conn: near, raw: silentRawConn{pair[0]}, writeDelay: b.writeDelay}, nil
-		})
-		var over sync.WaitGroup
-		over.Go(func() { h.Run(ctx) })
-		play(b)
+		sim.loop.upstream.SetDial(sim.dialServer)
+		var running sync.WaitGroup
+		running.Go(func() { sim.loop.Run(ctx) })
+		play(sim)
 		cancel()
-		over.Wait()
+		running.Wait()
 	})
 }
 
+// dialServer returns a connection to a server of the simulation.
+func (sim *simulation) dialServer(ctx context.Context, _, address string) (net.Conn, error) {
+	sim.mu.Lock()
+	n := sim.dialled
+	sim.dialled++
+	sim.mu.Unlock()
+	if sim.dial != nil {
+		if err := sim.dial(ctx, n); err != nil {
+			return nil, err
+		}
+	}
+	near, far := net.Pipe()
+	context.AfterFunc(sim.ended, func() { far.Close() })
+	go sim.serve(far, address)
+	return &pipeConn{Conn: near, raw: silentRawConn{sim.fd}, writeDelay: sim.writeDelay}, nil
+}
+
+// serve reads requests from a connection to a server, and responds to them, until the connection ends.
+func (sim *simulation) serve(c net.Conn, address string) {
+	in := bufio.NewReader(c)
+	for last := time.Now(); ; last = time.Now() {
+		r, err := http.ReadRequest(in)
+		if err != nil {
+			return
+		}
+		_, _ = io.Copy(io.Discard, r.Body)
+		timeout, err := time.ParseDuration(r.Header.Get("X-Timeout-Ms") + "ms")
+		if err != nil {
+			sim.t.Error(err)
+		}
+		sim.mu.Lock()
+		n := sim.attempts
+		sim.attempts++
+		sim.mu.Unlock()
+		sim.arrivals <- arrival{time.Now(), address, timeout}
+		if sim.drop != nil && sim.drop(address, time.Since(last)) {
+			continue
+		}
+		if text := sim.respond(n); text != "" {
+			fmt.Fprint(c, text)
+		}
+	}
+}
+
 // send serves a request whose client waits so long, and returns a channel that gets its response.
-func (b *simulation) send(class string, wait time.Duration, left func() bool) chan finalResponse {
+func (sim *simulation) send(class string, wait time.Duration, left func() bool) chan finalResponse {
 	method, key := http.MethodPost, ""
 	switch class {
 	case "read":
@@ -150,29 +158,39 @@
 	case "book":
 		key = "k-1"
 	}
-	c := &inflightRequest{Message: upstream.Message{Method: method, URL: &url.URL{Path: "/api"}, ID: "id-1", IdempotencyKey: key}, tenant: -1,
-		classSettings: b.loop.settings.Load().classes[class], deadline: time.Now().Add(wait - answerMargin), peerClosed: left}
-	answered := make(chan finalResponse, 1)
+	request := &inflightRequest{
+		Message: upstream.Message{
+			Method:         method,
+			URL:            &url.URL{Path: "/api"},
+			ID:             "id-1",
+			IdempotencyKey: key,
+		},
+		tenant:        -1,
+		classSettings: sim.loop.settings.Load().classes[class],
+		deadline:      time.Now().Add(wait - answerMargin),
+		peerClosed:    left,
+	}
+	result := make(chan finalResponse, 1)
 	go func() {
-		a, _ := b.loop.serve(context.Background(), c)
-		answered <- a
+		response, _ := sim.loop.serve(context.Background(), request)
+		result <- response
 	}()
-	return answered
+	return result
 }
 
 // warmUp has requests be served, each on the connection of the one before, which then is closed.
-func (b *simulation) warmUp(requests int) {
-	b.respond = func(int) string {
+func (sim *simulation) warmUp(requests int) {
+	sim.respond = func(int) string {
 		time.Sleep(50 * time.Millisecond)
 		return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	}
 	for range requests {
-		<-b.send("read", time.Second, nil)
+		<-sim.send("read", time.Second, nil)
 		time.Sleep(20 * time.Millisecond) // a connection rests so long before its next request
 	}
 	time.Sleep(10 * time.Second)
-	for len(b.arrivals) > 0 {
-		<-b.arrivals
+	for len(sim.arrivals) > 0 {
+		<-sim.arrivals
 	}
 }
 
--- a/internal/proxy/stall_test.go
+++ b/internal/proxy/stall_test.go
@@ -17,22 +17,23 @@
 // attempt are dropped.
 func TestStalledRetryArrivesWithinWindow(t *testing.T) {
 	const window = 5 * time.Second
-	runSimulation(t, strings.Replace(testserver.Settings, `"window_s":60.0`, `"window_s":5.0`, 1), func(b *simulation) {
-		b.respond = func(int) string { return errorResponse }
-		b.dial = func(ctx context.Context, n int) error {
+	settings := strings.Replace(testserver.Settings, `"window_s":60.0`, `"window_s":5.0`, 1)
+	runSimulation(t, settings, func(sim *simulation) {
+		sim.respond = func(int) string { return errorResponse }
+		sim.dial = func(ctx context.Context, n int) error {
 			if end, bounded := ctx.Deadline(); n > 0 && bounded {
 				time.Sleep(time.Until(end) - time.Millisecond)
-				b.writeDelay = balance.SchedulingStall
+				sim.writeDelay = balance.SchedulingStall
 			}
 			return nil
 		}
-		<-b.send("book", 50*time.Second, nil)
-		if len(b.arrivals) != 2 {
-			b.t.Fatalf("%d attempts, want two", len(b.arrivals))
+		<-sim.send("book", 50*time.Second, nil)
+		if len(sim.arrivals) != 2 {
+			sim.t.Fatalf("%d attempts, want two", len(sim.arrivals))
 		}
-		first, repeat := <-b.arrivals, <-b.arrivals
+		first, repeat := <-sim.arrivals, <-sim.arrivals
 		if took := repeat.at.Sub(first.at); took > window || took < window-200*time.Millisecond {
-			b.t.Errorf("the repeat arrived after %v, want it in the end of %v", took, window)
+			sim.t.Errorf("the repeat arrived after %v, want it in the end of %v", took, window)
 		}
 	})
 }
@@ -42,12 +43,12 @@
 func TestStalledAttemptSendsTimeoutWithinSlack(t *testing.T) {
 	const slack, way = 150 * time.Millisecond, 2 * time.Millisecond
 	for _, wait := range []time.Duration{200 * time.Millisecond, 3 * time.Second} {
-		runSimulation(t, testserver.Settings, func(b *simulation) {
-			b.writeDelay = balance.SchedulingStall + way
+		runSimulation(t, testserver.Settings, func(sim *simulation) {
+			sim.writeDelay = balance.SchedulingStall + way
 			began := time.Now()
-			b.send("pay", wait, nil)
-			if a := <-b.arrivals; a.timeout > time.Until(began.Add(wait))+slack {
-				b.t.Errorf("the server is sent %v, %v are left of %v", a.timeout, time.Until(began.Add(wait)), wait)
+			sim.send("pay", wait, nil)
+			if a := <-sim.arrivals; a.timeout > time.Until(began.Add(wait))+slack {
+				sim.t.Errorf("the server is sent %v, %v are left of %v", a.timeout, time.Until(began.Add(wait)), wait)
 			}
 			time.Sleep(wait)
 		})
@@ -60,32 +61,33 @@
 func TestStalledAttemptDoesNotReachDrainedServer(t *testing.T) {
 	const grace = time.Second
 	for _, up := range []time.Duration{0, balance.SchedulingStall - 1, balance.SchedulingStall, grace - 1} {
-		runSimulation(t, testserver.Settings, func(b *simulation) {
-			b.writeDelay = balance.SchedulingStall
+		runSimulation(t, testserver.Settings, func(sim *simulation) {
+			sim.writeDelay = balance.SchedulingStall
 			var notified time.Time
-			b.dial = func(_ context.Context, n int) error {
+			sim.dial = func(_ context.Context, n int) error {
 				if n > 0 {
 					return nil
 				}
 				notified = time.Now()
 				time.AfterFunc(balance.SchedulingStall, func() {
-					b.loop.Post(func() {
-						b.loop.OnUpdate(balance.ListChanges, parseList(t, testserver.ListText(2, false,
-							testserver.EndpointEntry("s-0", "127.0.0.1:1", "DRAINING", 0), testserver.EndpointEntry("s-1", "127.0.0.1:2", "DRAINING", 0))))
+					sim.loop.Post(func() {
+						sim.loop.OnUpdate(balance.ListChanges, parseList(t, testserver.ListText(2, false,
+							testserver.EndpointEntry("s-0", "127.0.0.1:1", "DRAINING", 0),
+							testserver.EndpointEntry("s-1", "127.0.0.1:2", "DRAINING", 0))))
 					})
 				})
 				time.Sleep(up)
 				return nil
 			}
-			b.send("read", 50*time.Second, nil)
+			sim.send("read", 50*time.Second, nil)
 			time.Sleep(5 * time.Second)
-			for len(b.arrivals) > 0 {
-				if late := (<-b.arrivals).at.Sub(notified); late > grace {
-					b.t.Errorf("an attempt whose connection was up after %v reached a draining server after %v", up, late)
+			for len(sim.arrivals) > 0 {
+				if late := (<-sim.arrivals).at.Sub(notified); late > grace {
+					sim.t.Errorf("connected after %v: an attempt reached a draining server after %v", up, late)
 				}
 			}
 			if up == 0 && notified.IsZero() {
-				b.t.Error("no attempt was made")
+				sim.t.Error("no attempt was made")
 			}
 			time.Sleep(time.Minute)
 		})
