--- a/internal/proxy/policy_gate_test.go
+++ b/internal/proxy/policy_gate_test.go
@@ -11,10 +11,7 @@
 
 // TestCheckPolicy: a policy has all settings but those of a sidecar's own place, and is checked as it would run.
 func TestCheckPolicy(t *testing.T) {
-	c, err := loadConfig(t, testserver.ConfigText("127.0.0.1:9", "", testserver.Settings))
-	if err != nil {
-		t.Fatal(err)
-	}
+	c := loadConfig(t, "", testserver.Settings)
 	document := maps.Clone(c.SettingsDocument())
 	for _, key := range OwnSettingKeys {
 		delete(document, key)
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -5,7 +5,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"net/http"
 	"net/url"
@@ -55,17 +54,11 @@
 // newTestLoop returns an event loop that knows the backends, and that does not run.
 func newTestLoop(ctx context.Context, t *testing.T, backends ...*testserver.Backend) *EventLoop {
 	t.Helper()
-	c, err := loadConfig(t, testserver.ConfigText("127.0.0.1:9", testserver.ServingList(1, backends...), testserver.Settings))
-	if err != nil {
-		t.Fatal(err)
-	}
+	c := loadConfig(t, testserver.ServingList(1, backends...), testserver.Settings)
 	dialDiscovery := func(context.Context, string, string) (net.Conn, error) {
 		return nil, errors.New("discovery is down")
 	}
-	loop, err := NewEventLoop(ctx, c, 1000, slog.New(slog.DiscardHandler), dialDiscovery)
-	if err != nil {
-		t.Fatal(err)
-	}
+	loop := newEventLoop(ctx, t, c, dialDiscovery)
 	t.Cleanup(func() { loop.upstream.Update(discovery.List{Complete: true}) })
 	return loop
 }
