--- /dev/null
+++ b/internal/lab/sim/main_test.go
@@ -0,0 +1,11 @@
+package sim_test
+
+import (
+	"os"
+	"testing"
+
+	"milletramp.example/milletramp/internal/lab/testrun"
+)
+
+// TestMain runs these tests, which ask no clock, in a slot for packages that only compute.
+func TestMain(m *testing.M) { os.Exit(testrun.Compute(m)) }
