--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -30,129 +30,129 @@
 type Time = time.Duration
 
 const (
-	fleetTick  = 50 * time.Millisecond // between two steps of a sidecar's part in the fleet
-	fetchLasts = time.Second           // a snapshot is waited for
-	bootOrigin = 1_700_000_000_000     // the clock of day at a run's start, Unix milliseconds
-	namedPeers = 5                     // sidecars that each is told of from the start
+	fleetTick       = 50 * time.Millisecond // between two steps of a sidecar's part in the fleet
+	snapshotTimeout = time.Second           // a snapshot is waited for
+	bootOrigin      = 1_700_000_000_000     // the clock of day at a run's start, Unix milliseconds
+	seedPeers       = 5                     // sidecars that each is told of from the start
 )
 
 // member is a sidecar's part in the fleet.
 type member struct {
-	c        *sidecar
-	machine  *gossip.Machine
-	recorder *failuredetector.Recorder
-	rng      *rand.Rand
-	life     int32
-	doubted  map[string]bool // by the fleet's word, as the decider was told
+	sidecar     *sidecar
+	machine     *gossip.Machine
+	recorder    *failuredetector.Recorder
+	random      *rand.Rand
+	incarnation int32
+	suspected   map[string]bool // by the fleet's word, as the decider was told
 }
 
-// hearer is a decider that takes the fleet's word, and says what it sees.
-type hearer interface {
+// sharingPolicy is a decider that takes the fleet's word, and says what it sees.
+type sharingPolicy interface {
 	SetObserver(o balance.Observer)
 	SetSuspected(reports []balance.PeerReport)
 }
 
 func sidecarAddress(i int32) string { return fmt.Sprintf("a%d", i) }
 
-// join begins the part of a sidecar that has just started.
-func (c *sidecar) join() {
-	f := c.w.opt.Fleet
+// joinFleet begins the part of a sidecar that has just started.
+func (c *sidecar) joinFleet() {
+	f := c.simulation.options.Fleet
 	if f == nil {
 		return
 	}
 	var peers []string
-	for i := range min(namedPeers, c.w.p.Scenario.Fleet.Sidecars) {
+	for i := range min(seedPeers, c.simulation.plan.Scenario.Fleet.Sidecars) {
 		peers = append(peers, sidecarAddress(int32(i)))
 	}
-	rng := rand.New(rand.NewPCG(c.w.p.Seed, uint64(c.i)<<32|uint64(c.life)))
+	rng := rand.New(rand.NewPCG(c.simulation.plan.Seed, uint64(c.index)<<32|uint64(c.incarnation)))
 	now := c.fleetNow()
-	m := &member{c: c, recorder: failuredetector.New(rng.Uint64()), rng: rng, life: c.life, doubted: map[string]bool{}}
-	m.machine = gossip.New(now, gossip.Settings{Label: "lab", Membership: membership.Settings{Name: fmt.Sprintf("n%d", c.i),
-		Address: sidecarAddress(c.i), Peers: peers, Seed: rng.Uint64(), LifeNonce: rng.Uint64() | 1, LifeNumber: uint64(now.Wall)}}, nil)
+	m := &member{sidecar: c, recorder: failuredetector.New(rng.Uint64()), random: rng, incarnation: c.incarnation, suspected: map[string]bool{}}
+	m.machine = gossip.New(now, gossip.Settings{Label: "lab", Membership: membership.Settings{Name: fmt.Sprintf("n%d", c.index),
+		Address: sidecarAddress(c.index), Peers: peers, Seed: rng.Uint64(), LifeNonce: rng.Uint64() | 1, LifeNumber: uint64(now.Wall)}}, nil)
 	c.member = m
-	if h, ok := c.decider.(hearer); ok {
+	if h, ok := c.policy.(sharingPolicy); ok {
 		h.SetObserver(m)
 	}
-	c.w.after(time.Duration(rng.Int64N(int64(fleetTick))), m.tick)
+	c.simulation.after(time.Duration(rng.Int64N(int64(fleetTick))), m.tick)
 }
 
 func (c *sidecar) fleetNow() replication.Now {
-	return replication.Now{Time: c.w.now + epoch, Wall: bootOrigin + c.w.now.Milliseconds()}
+	return replication.Now{Time: c.simulation.now + epoch, Wall: bootOrigin + c.simulation.now.Milliseconds()}
 }
 
 // after has something be done later.
-func (w *world) after(wait time.Duration, do func()) {
-	w.q.push(event{at: w.now + wait, kind: evDo, do: do})
+func (w *simulation) after(wait time.Duration, do func()) {
+	w.queue.push(event{at: w.now + wait, kind: evDo, do: do})
 }
 
-// alive tells whether the part's sidecar still lives the life that it began in.
-func (m *member) alive() bool { return !m.c.down && m.c.life == m.life }
+// isCurrent tells whether the part's sidecar still lives the life that it began in.
+func (m *member) isCurrent() bool { return !m.sidecar.down && m.sidecar.incarnation == m.incarnation }
 
 func (m *member) tick() {
-	if !m.alive() {
+	if !m.isCurrent() {
 		return
 	}
-	m.machine.Tick(m.c.fleetNow())
-	m.write()
-	m.act()
-	m.tell()
-	m.c.w.after(fleetTick, m.tick)
+	m.machine.Tick(m.sidecar.fleetNow())
+	m.publishObservations()
+	m.performActions()
+	m.applySuspicions()
+	m.sidecar.simulation.after(fleetTick, m.tick)
 }
 
 // Observe implements balance.Observer.
 func (m *member) Observe(endpoint string, s balance.Observation) {
-	note, due := m.recorder.Observe(m.c.w.now+epoch, endpoint, failuredetector.Outcome(s))
+	note, due := m.recorder.Observe(m.sidecar.simulation.now+epoch, endpoint, failuredetector.Outcome(s))
 	if due {
-		m.machine.SendNote(m.c.w.now+epoch, note)
+		m.machine.SendNote(m.sidecar.simulation.now+epoch, note)
 	}
 	if s == balance.ObservedSilence || s == balance.ObservedRefusal {
-		m.write()
+		m.publishObservations()
 	}
-	m.act()
+	m.performActions()
 }
 
-// write has the fleet know what this sidecar has seen.
-func (m *member) write() {
-	now, w := m.c.fleetNow(), m.c.w
+// publishObservations has the fleet know what this sidecar has seen.
+func (m *member) publishObservations() {
+	now, w := m.sidecar.fleetNow(), m.sidecar.simulation
 	entries := m.recorder.DueRows(now.Time, m.machine.Members.NumPresent())
-	if lies := w.opt.Fleet.Lies; lies != nil && lies(w.now, int(m.c.i)) {
+	if lies := w.options.Fleet.Lies; lies != nil && lies(w.now, int(m.sidecar.index)) {
 		entries = nil
-		for i, n := range w.nodes {
-			if n.listed && w.now%(500*time.Millisecond) < fleetTick && i%max(w.opt.Fleet.Part, 1) == 0 {
+		for i, n := range w.servers {
+			if n.listed && w.now%(500*time.Millisecond) < fleetTick && i%max(w.options.Fleet.Part, 1) == 0 {
 				entries = append(entries, failuredetector.Row{Server: n.ID, Evidence: replication.Evidence{Tries: 9, Silent: 9}})
 			}
 		}
 	}
 	for _, e := range entries {
-		n := w.byID[e.Server]
-		key, err := m.machine.Store.WriteRow(now, e.Server, m.boot(n), e.Evidence)
+		n := w.serverByID[e.Server]
+		key, err := m.machine.Store.WriteRow(now, e.Server, m.bootTime(n), e.Evidence)
 		if err == nil {
 			m.machine.BroadcastUrgent(now, key)
 		}
 	}
 }
 
-// boot is the start of a node's process as this sidecar's list has it.
-func (m *member) boot(n int32) int64 {
-	if started := m.c.list[n].Started; started > 0 {
+// bootTime is the start of a node's process as this sidecar's list has it.
+func (m *member) bootTime(n int32) int64 {
+	if started := m.sidecar.endpoints[n].Started; started > 0 {
 		return bootOrigin + (started - epoch).Milliseconds()
 	}
 	return 0
 }
 
-// tell has the decider know what the fleet says.
-func (m *member) tell() {
-	h, ok := m.c.decider.(hearer)
+// applySuspicions has the decider know what the fleet says.
+func (m *member) applySuspicions() {
+	h, ok := m.sidecar.policy.(sharingPolicy)
 	if !ok {
 		return
 	}
-	w, now := m.c.w, m.c.fleetNow()
-	doubts := m.machine.Suspicions(now, len(m.c.list))
+	w, now := m.sidecar.simulation, m.sidecar.fleetNow()
+	doubts := m.machine.Suspicions(now, len(m.sidecar.endpoints))
 	var words []balance.PeerReport
 	said := map[string]bool{}
 	for _, d := range doubts {
-		n, known := w.byID[d.Server]
-		if known && d.Boot == m.boot(n) {
+		n, known := w.serverByID[d.Server]
+		if known && d.Boot == m.bootTime(n) {
 			words = append(words, balance.PeerReport{ID: d.Server, WrittenAt: d.Newest})
 			said[d.Server] = true
 		}
@@ -163,43 +163,43 @@
 		since[word.ID] = word.WrittenAt
 	}
 	m.recorder.SetSuspected(now.Time, since)
-	m.doubted = said
-	m.c.learn()
+	m.suspected = said
+	m.sidecar.detectLosses()
 }
 
-// act carries out what the machine asks for.
-func (m *member) act() {
-	w := m.c.w
+// performActions carries out what the machine asks for.
+func (m *member) performActions() {
+	w := m.sidecar.simulation
 	out := m.machine.TakeActions()
 	for _, d := range out.Send {
-		w.opt.Fleet.Sent.Messages++
-		w.opt.Fleet.Sent.Bytes += uint64(len(d.Payload))
-		if to := w.member(d.To); to != nil && m.passes(to) {
-			w.after(m.way(to), func() {
-				if to.alive() {
-					_ = to.machine.Receive(to.c.fleetNow(), sidecarAddress(m.c.i), d.Payload) // what it thinks of it is in its figures
-					to.act()
+		w.options.Fleet.Sent.Messages++
+		w.options.Fleet.Sent.Bytes += uint64(len(d.Payload))
+		if to := w.memberAt(d.To); to != nil && m.isDelivered(to) {
+			w.after(m.drawDelay(to), func() {
+				if to.isCurrent() {
+					_ = to.machine.Receive(to.sidecar.fleetNow(), sidecarAddress(m.sidecar.index), d.Payload) // what it thinks of it is in its figures
+					to.performActions()
 				}
 			})
 		}
 	}
 	for _, from := range out.Fetch {
-		m.fetch(from)
+		m.fetchSnapshot(from)
 	}
 	if len(out.ReportServers) > 0 {
 		for _, server := range out.ReportServers {
 			m.recorder.RequestReport(w.now+epoch, server)
 		}
-		m.write()
-		m.act()
+		m.publishObservations()
+		m.performActions()
 	}
 	if slices.ContainsFunc(out.Updated, func(k replication.Key) bool { return k.Kind == replication.KindRow }) {
-		m.tell()
+		m.applySuspicions()
 	}
 }
 
-// member is the part at an address, nil where none lives.
-func (w *world) member(address string) *member {
+// memberAt is the part at an address, nil where none lives.
+func (w *simulation) memberAt(address string) *member {
 	i, err := strconv.Atoi(strings.TrimPrefix(address, "a"))
 	if err != nil || i < 0 || i >= len(w.sidecars) || w.sidecars[i].down {
 		return nil
@@ -207,47 +207,47 @@
 	return w.sidecars[i].member
 }
 
-// passes tells whether a message gets from one part to another.
-func (m *member) passes(to *member) bool {
-	w, f := m.c.w, m.c.w.opt.Fleet
-	cut := m.c.zone != to.c.zone && (w.cut[m.c.zone] || w.cut[to.c.zone])
+// isDelivered tells whether a message gets from one part to another.
+func (m *member) isDelivered(to *member) bool {
+	w, f := m.sidecar.simulation, m.sidecar.simulation.options.Fleet
+	cut := m.sidecar.zone != to.sidecar.zone && (w.zoneCut[m.sidecar.zone] || w.zoneCut[to.sidecar.zone])
 	if f.Cut != nil {
-		cut = f.Cut(w.now, int(m.c.i), int(to.c.i))
+		cut = f.Cut(w.now, int(m.sidecar.index), int(to.sidecar.index))
 	}
-	return !cut && m.rng.Float64() >= f.Drop
+	return !cut && m.random.Float64() >= f.Drop
 }
 
-// way draws the time of a message.
-func (m *member) way(to *member) time.Duration {
-	net := m.c.w.p.Scenario.Network
+// drawDelay draws the time of a message.
+func (m *member) drawDelay(to *member) time.Duration {
+	net := m.sidecar.simulation.plan.Scenario.Network
 	base := net.Same
-	if m.c.zone != to.c.zone {
+	if m.sidecar.zone != to.sidecar.zone {
 		base = net.Cross
 	}
-	return time.Duration(float64(base) * (1 + net.Jitter*(2*m.rng.Float64()-1)))
+	return time.Duration(float64(base) * (1 + net.Jitter*(2*m.random.Float64()-1)))
 }
 
-// fetch gets a snapshot from an address.
-func (m *member) fetch(from string) {
-	w, done := m.c.w, false
+// fetchSnapshot gets a snapshot from an address.
+func (m *member) fetchSnapshot(from string) {
+	w, done := m.sidecar.simulation, false
 	finish := func(text []byte, failed error) {
-		if !done && m.alive() {
+		if !done && m.isCurrent() {
 			done = true
-			_ = m.machine.ReceiveSnapshot(m.c.fleetNow(), from, text, failed) // as above
-			m.act()
+			_ = m.machine.ReceiveSnapshot(m.sidecar.fleetNow(), from, text, failed) // as above
+			m.performActions()
 		}
 	}
-	w.after(fetchLasts, func() { finish(nil, errors.New("no answer")) })
-	to := w.member(from)
-	if to == nil || !m.passes(to) {
+	w.after(snapshotTimeout, func() { finish(nil, errors.New("no answer")) })
+	to := w.memberAt(from)
+	if to == nil || !m.isDelivered(to) {
 		return
 	}
-	w.after(m.way(to), func() {
-		if !to.alive() {
+	w.after(m.drawDelay(to), func() {
+		if !to.isCurrent() {
 			return
 		}
-		if text, err := to.machine.EncodeSnapshot(to.c.fleetNow()); err == nil && to.passes(m) {
-			w.after(m.way(to), func() { finish(text, nil) })
+		if text, err := to.machine.EncodeSnapshot(to.sidecar.fleetNow()); err == nil && to.isDelivered(m) {
+			w.after(m.drawDelay(to), func() { finish(text, nil) })
 		}
 	})
 }
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -69,104 +69,104 @@
 }
 
 const (
-	epoch        = 24 * time.Hour         // of the module's clock, which takes times up to 0 for long ago
-	answerMargin = 5 * time.Millisecond   // kept free before the client's deadline, as the real sidecar does
-	restartTime  = 300 * time.Millisecond // of a sidecar
+	epoch              = 24 * time.Hour         // of the module's clock, which takes times up to 0 for long ago
+	deadlineMargin     = 5 * time.Millisecond   // kept free before the client's deadline, as the real sidecar does
+	sidecarRestartTime = 300 * time.Millisecond // of a sidecar
 )
 
-type world struct {
-	p    *plan.Plan
-	opt  Options
-	rng  *rand.Rand // of the network
-	q    queue
-	now  time.Duration
-	res  Result
-	open int
-
-	sidecars []*sidecar
-	nodes    []*machine
-	byID     map[string]int32
-	pods     map[int]*node.Pod
-	cut      []bool // by zone
-	silent   bool   // discovery
-	requests uint64
-	tokens   uint64
-	rec      record.Event
-	counts   struct{ refusals, answers int }
-}
-
-type machine struct {
+type simulation struct {
+	plan         *plan.Plan
+	options      Options
+	random       *rand.Rand // of the network
+	queue        queue
+	now          time.Duration
+	result       Result
+	openRequests int
+
+	sidecars        []*sidecar
+	servers         []*server
+	serverByID      map[string]int32
+	pods            map[int]*node.Pod
+	zoneCut         []bool // by zone
+	discoverySilent bool   // discovery
+	requestCount    uint64
+	tokens          uint64
+	recorded        record.Event
+	counts          struct{ refusals, answers int }
+}
+
+type server struct {
 	*node.Server
 	plan.Machine
-	down   bool
-	mute   bool
-	life   int32 // counts its processes
-	conns  int
-	wakeAt time.Duration // when evNode is due; -1: not
-	state  balance.State // as discovery has it
-	boot   time.Duration
-	listed bool
-	worked float64 // by its former processes
-	cutAsk float64 // share of requests behind which its links break
-	cutAns float64 // share of answers in which they break
+	down                bool
+	vanished            bool
+	incarnation         int32 // counts its processes
+	connections         int
+	wakeAt              time.Duration // when evNode is due; -1: not
+	listedState         balance.State // as discovery has it
+	startedAt           time.Duration
+	listed              bool
+	earlierWork         float64 // by its former processes
+	brokenRequestShare  float64 // share of requests behind which its links break
+	brokenResponseShare float64 // share of answers in which they break
 }
 
 type sidecar struct {
-	w        *world
-	i        int32
-	zone     int
-	life     int32
-	down     bool
-	decider  Decider
-	source   *workload.Source
-	next     workload.Request
-	clients  *rand.Rand
-	requests map[balance.RequestID]*request
-	idle     [][]idleConn // by node
-	heard    []time.Duration
-	told     []change // from discovery, not yet heard
-	list     map[int32]balance.Endpoint
-	lastTold time.Duration
-	losses   []loss // at nodes that lose now
-	member   *member
-}
-
-type idleConn struct {
-	since time.Duration
-	life  int32
-}
-
-type change struct {
-	at    time.Duration
-	node  int32
-	entry balance.Endpoint
+	simulation       *simulation
+	index            int32
+	zone             int
+	incarnation      int32
+	down             bool
+	policy           Decider
+	source           *workload.Source
+	nextRequest      workload.Request
+	clientRandom     *rand.Rand
+	requests         map[balance.RequestID]*request
+	idle             [][]idleConnection // by node
+	lastResponse     []time.Duration
+	notifications    []notification // from discovery, not yet heard
+	endpoints        map[int32]balance.Endpoint
+	lastNotification time.Duration
+	losses           []loss // at nodes that lose now
+	member           *member
+}
+
+type idleConnection struct {
+	since       time.Duration
+	incarnation int32
+}
+
+type notification struct {
+	at       time.Duration
+	server   int32
+	endpoint balance.Endpoint
 }
 
 type request struct {
-	ask      workload.Request
-	id       uint64
-	first    uint64
-	side     *sidecar
-	life     int32
-	deadline time.Duration // the final answer is due
-	over     bool
-	out      int
-	attempts []*attempt
+	workload         workload.Request
+	id               uint64
+	firstID          uint64
+	sidecar          *sidecar
+	incarnation      int32
+	deadline         time.Duration // the final answer is due
+	completed        bool
+	attemptsInFlight int
+	attempts         []*attempt
 }
 
 type attempt struct {
 	node.Job
-	req    *request
-	to     int32
-	n      uint8
-	ended  bool // for its sidecar
-	fresh  bool // on a new connection
-	life   int32
-	sent   time.Duration
-	begun  time.Duration // first byte
-	over   time.Duration // ended at
-	known  bool
-	atNode bool
+	request           *request
+	server            int32
+	number            uint8
+	ended             bool // for its sidecar
+	newConnection     bool // on a new connection
+	serverIncarnation int32
+	startedAt         time.Duration
+	firstByteAt       time.Duration // first byte
+	endedAt           time.Duration // ended at
+	known             bool
+	atServer          bool
 }
 
 // Run plays a plan to its end, or until ctx is done.
@@ -177,396 +177,396 @@
 	if opt.Sink == nil {
 		opt.Sink = record.Sinks{}
 	}
-	w := &world{p: p, opt: opt, rng: rand.New(rand.NewPCG(p.Seed, 0x0e7)), byID: map[string]int32{}, pods: map[int]*node.Pod{},
-		cut: make([]bool, len(p.Scenario.Fleet.Zones))}
+	w := &simulation{plan: p, options: opt, random: rand.New(rand.NewPCG(p.Seed, 0x0e7)), serverByID: map[string]int32{}, pods: map[int]*node.Pod{},
+		zoneCut: make([]bool, len(p.Scenario.Fleet.Zones))}
 	if err := w.build(); err != nil {
-		return w.res, err
+		return w.result, err
 	}
 	most := p.Scenario.Length.Std()
 	for _, c := range p.Scenario.Classes {
 		most = max(most, p.Scenario.Length.Std()+c.Deadline.Std()+time.Second)
 	}
 	second := time.Duration(0)
-	for len(w.q.heap) > 0 {
-		e := w.q.pop()
-		if e.at > most || e.at >= p.Scenario.Length.Std() && w.open == 0 && e.at >= p.Last {
+	for len(w.queue.heap) > 0 {
+		e := w.queue.pop()
+		if e.at > most || e.at >= p.Scenario.Length.Std() && w.openRequests == 0 && e.at >= p.Last {
 			break
 		}
 		w.now = e.at
 		if w.now >= second {
 			if ctx.Err() != nil {
-				return w.res, fmt.Errorf("interrupted at %v of %v: %w", w.now, p.Scenario.Length.Std(), context.Cause(ctx))
+				return w.result, fmt.Errorf("interrupted at %v of %v: %w", w.now, p.Scenario.Length.Std(), context.Cause(ctx))
 			}
 			if opt.Progress != nil {
 				opt.Progress(w.now)
 			}
 			second += time.Second
 		}
-		w.res.Events++
+		w.result.Events++
 		w.handle(&e)
 	}
-	for i, m := range w.nodes {
-		w.emit(record.Event{Kind: record.NodeWork, Node: int32(i), Work: m.worked + m.Done()})
+	for i, m := range w.servers {
+		w.record(record.Event{Kind: record.NodeWork, Node: int32(i), Work: m.earlierWork + m.Done()})
 	}
-	return w.res, nil
+	return w.result, nil
 }
 
-func (w *world) build() error {
-	s := w.p.Scenario
-	for i, m := range w.p.Machines {
-		w.byID[m.ID] = int32(i)
-		n := &machine{Machine: m, wakeAt: -1, state: balance.Ready, down: m.Born > 0, listed: m.Born == 0}
-		w.nodes = append(w.nodes, n)
-		w.raise(n, 0)
+func (w *simulation) build() error {
+	s := w.plan.Scenario
+	for i, m := range w.plan.Machines {
+		w.serverByID[m.ID] = int32(i)
+		n := &server{Machine: m, wakeAt: -1, listedState: balance.Ready, down: m.Born > 0, listed: m.Born == 0}
+		w.servers = append(w.servers, n)
+		w.startProcess(n, 0)
 		if m.Born == 0 {
-			w.emit(record.Event{Kind: record.NodeStarted, Node: int32(i), Capacity: float64(m.Spec.Cores) * m.Spec.Speed})
+			w.record(record.Event{Kind: record.NodeStarted, Node: int32(i), Capacity: float64(m.Spec.Cores) * m.Spec.Speed})
 		}
 	}
 	keys := workload.NewZipf(s.Load.Keys, s.Load.Zipf)
 	for i := range s.Fleet.Sidecars {
-		c := &sidecar{w: w, i: int32(i), zone: i % len(s.Fleet.Zones), source: workload.NewSource(s, i, w.p.Seed, keys),
-			clients: rand.New(rand.NewPCG(w.p.Seed, uint64(i)+0xc11e47)), list: map[int32]balance.Endpoint{}}
+		c := &sidecar{simulation: w, index: int32(i), zone: i % len(s.Fleet.Zones), source: workload.NewSource(s, i, w.plan.Seed, keys),
+			clientRandom: rand.New(rand.NewPCG(w.plan.Seed, uint64(i)+0xc11e47)), endpoints: map[int32]balance.Endpoint{}}
 		w.sidecars = append(w.sidecars, c)
-		for n, m := range w.nodes {
+		for n, m := range w.servers {
 			if m.listed {
-				c.list[int32(n)] = w.entry(int32(n))
+				c.endpoints[int32(n)] = w.endpoint(int32(n))
 			}
 		}
 		if err := c.start(); err != nil {
 			return fmt.Errorf("sidecar %d: %w", i, err)
 		}
-		c.ask()
+		c.scheduleArrival()
 	}
-	for i := range w.p.Acts {
-		w.q.push(event{at: w.p.Acts[i].At, kind: evAct, a: int32(i)})
+	for i := range w.plan.Acts {
+		w.queue.push(event{at: w.plan.Acts[i].At, kind: evAct, a: int32(i)})
 	}
 	return nil
 }
 
-// raise gives a machine a new process.
-func (w *world) raise(m *machine, started time.Duration) {
-	s := w.p.Scenario.Fleet
+// startProcess gives a machine a new process.
+func (w *simulation) startProcess(m *server, started time.Duration) {
+	s := w.plan.Scenario.Fleet
 	spec := m.Spec
 	spec.Started = started
-	m.boot = started
+	m.startedAt = started
 	pod := w.pods[m.Cell]
 	if pod == nil {
-		pod = node.NewPod(w.p.Window())
+		pod = node.NewPod(w.plan.Window())
 		w.pods[m.Cell] = pod
 	}
 	old := m.Server
 	m.Server = node.NewServer(node.New(spec, w.now), pod, s.KeyGain, s.KeyFor.Std(), s.KeysPerCore*spec.Cores,
-		rand.New(rand.NewPCG(w.p.Seed, uint64(len(w.nodes))<<20+uint64(m.life))))
+		rand.New(rand.NewPCG(w.plan.Seed, uint64(len(w.servers))<<20+uint64(m.incarnation))))
 	if old != nil { // what is wrong with a machine outlives its process
 		m.Server.Faults = old.Faults
-		m.worked += old.Done()
+		m.earlierWork += old.Done()
 	}
-	m.life++
-	m.conns = 0
+	m.incarnation++
+	m.connections = 0
 }
 
-func (w *world) entry(n int32) balance.Endpoint {
-	m := w.nodes[n]
-	e := balance.Endpoint{ID: m.ID, Zone: w.p.Scenario.Fleet.Zones[m.Zone], Kind: m.Kind, PodGroup: m.Cell, State: m.state,
+func (w *simulation) endpoint(n int32) balance.Endpoint {
+	m := w.servers[n]
+	e := balance.Endpoint{ID: m.ID, Zone: w.plan.Scenario.Fleet.Zones[m.Zone], Kind: m.Kind, PodGroup: m.Cell, State: m.listedState,
 		Weight: m.Size}
-	if m.boot > 0 {
-		e.Started = m.boot + epoch
+	if m.startedAt > 0 {
+		e.Started = m.startedAt + epoch
 	}
 	return e
 }
 
-func (w *world) emit(e record.Event) {
+func (w *simulation) record(e record.Event) {
 	if e.At == 0 {
 		e.At = w.now
 	}
-	w.rec = e
-	w.opt.Sink.Record(&w.rec)
+	w.recorded = e
+	w.options.Sink.Record(&w.recorded)
 }
 
-// way draws the time between a sidecar and a node, one way.
-func (w *world) way(c *sidecar, n int32) time.Duration {
-	net := w.p.Scenario.Network
+// drawDelay draws the time between a sidecar and a node, one way.
+func (w *simulation) drawDelay(c *sidecar, n int32) time.Duration {
+	net := w.plan.Scenario.Network
 	base := net.Same
-	if c.zone != w.nodes[n].Zone {
+	if c.zone != w.servers[n].Zone {
 		base = net.Cross
 	}
-	return time.Duration(float64(base) * (1 + net.Jitter*(2*w.rng.Float64()-1)))
+	return time.Duration(float64(base) * (1 + net.Jitter*(2*w.random.Float64()-1)))
 }
 
-// mute tells whether nothing passes between a sidecar and a node.
-func (w *world) mute(c *sidecar, n int32) bool {
-	m := w.nodes[n]
-	return m.mute || c.zone != m.Zone && (w.cut[c.zone] || w.cut[m.Zone])
+// isCutOff tells whether nothing passes between a sidecar and a node.
+func (w *simulation) isCutOff(c *sidecar, n int32) bool {
+	m := w.servers[n]
+	return m.vanished || c.zone != m.Zone && (w.zoneCut[c.zone] || w.zoneCut[m.Zone])
 }
 
-func (w *world) handle(e *event) {
+func (w *simulation) handle(e *event) {
 	switch e.kind {
 	case evAsk:
 		c := w.sidecars[e.a]
-		w.request(c, c.next, 0)
-		c.ask()
+		w.receiveRequest(c, c.nextRequest, 0)
+		c.scheduleArrival()
 	case evAgain:
-		w.request(e.req.side, e.req.ask, e.req.first)
-		w.open--
+		w.receiveRequest(e.req.sidecar, e.req.workload, e.req.firstID)
+		w.openRequests--
 	case evDeadline:
-		w.deadline(e.req)
+		w.expire(e.req)
 	case evLeave:
-		w.leave(e.req)
+		w.abandon(e.req)
 	case evTimer:
-		if c := w.sidecars[e.a]; !c.down && c.life == e.b {
-			c.decider.Timer(w.now+epoch, e.token)
-			c.learn()
+		if c := w.sidecars[e.a]; !c.down && c.incarnation == e.b {
+			c.policy.Timer(w.now+epoch, e.token)
+			c.detectLosses()
 		}
 	case evReach:
-		w.reach(e.att)
+		w.arriveAtServer(e.att)
 	case evBack:
-		w.back(e.att, record.Status(e.status), e.token)
+		w.completeAttempt(e.att, record.Status(e.status), e.token)
 	case evCancel:
-		w.cancelled(e.att)
+		w.cancelAtServer(e.att)
 	case evNode:
-		w.nodes[e.a].wakeAt = -1
-		w.step(e.a)
+		w.servers[e.a].wakeAt = -1
+		w.advanceServer(e.a)
 	case evTold:
-		w.sidecars[e.a].hear()
+		w.sidecars[e.a].receiveNotifications()
 	case evAct:
-		w.act(&w.p.Acts[e.a])
+		w.applyAct(&w.plan.Acts[e.a])
 	case evUp:
 		c := w.sidecars[e.a]
 		if err := c.start(); err != nil {
 			panic(fmt.Sprintf("sim: sidecar %d does not start again: %v", e.a, err)) // its settings were good before
 		}
 	case evNote:
-		w.emit(record.Event{Kind: record.Notified, Sidecar: e.a, Node: e.b, State: record.State(e.status)})
+		w.record(record.Event{Kind: record.Notified, Sidecar: e.a, Node: e.b, State: record.State(e.status)})
 	case evDo:
 		e.do()
 	case evLate:
-		e.req.side.answer(e.req, record.Status(e.status), 0, 0)
+		e.req.sidecar.respond(e.req, record.Status(e.status), 0, 0)
 	}
 }
 
-// ask has the sidecar's next arrival come.
-func (c *sidecar) ask() {
+// scheduleArrival has the sidecar's next arrival come.
+func (c *sidecar) scheduleArrival() {
 	if a, ok := c.source.Next(); ok {
-		c.next = a
-		c.w.q.push(event{at: a.At, kind: evAsk, a: c.i})
+		c.nextRequest = a
+		c.simulation.queue.push(event{at: a.At, kind: evAsk, a: c.index})
 	}
 }
 
 // start begins a life of the sidecar, with the list as it last had it.
 func (c *sidecar) start() error {
-	w := c.w
+	w := c.simulation
 	c.down = false
-	c.life++
+	c.incarnation++
 	c.requests = map[balance.RequestID]*request{}
-	c.idle, c.losses = make([][]idleConn, len(w.nodes)), nil
-	c.heard = make([]time.Duration, len(w.nodes))
-	set := w.p.Settings(int(c.i))
-	set.Seed += uint64(c.life) << 32
+	c.idle, c.losses = make([][]idleConnection, len(w.servers)), nil
+	c.lastResponse = make([]time.Duration, len(w.servers))
+	set := w.plan.Settings(int(c.index))
+	set.Seed += uint64(c.incarnation) << 32
 	var err error
-	if c.decider, err = w.opt.Make(set, c, w); err != nil {
+	if c.policy, err = w.options.Make(set, c, w); err != nil {
 		return err
 	}
-	c.join()
+	c.joinFleet()
 	var list []balance.Endpoint
-	for n := range w.nodes {
-		if e, ok := c.list[int32(n)]; ok {
+	for n := range w.servers {
+		if e, ok := c.endpoints[int32(n)]; ok {
 			list = append(list, e)
 		}
 	}
-	c.decider.Endpoints(w.now+epoch, balance.ListRemembered, list)
+	c.policy.Endpoints(w.now+epoch, balance.ListRemembered, list)
 	return nil
 }
 
-// request is a client's try.
-func (w *world) request(c *sidecar, a workload.Request, first uint64) {
-	w.requests++
-	w.res.Requests++
-	r := &request{ask: a, id: w.requests, first: first, side: c, life: c.life}
+// receiveRequest is a client's try.
+func (w *simulation) receiveRequest(c *sidecar, a workload.Request, first uint64) {
+	w.requestCount++
+	w.result.Requests++
+	r := &request{workload: a, id: w.requestCount, firstID: first, sidecar: c, incarnation: c.incarnation}
 	if first == 0 {
-		r.first = r.id
+		r.firstID = r.id
 	}
-	r.deadline = w.now + a.Timeout - answerMargin
-	w.emit(record.Event{Kind: record.Requested, Request: r.id, FirstRequest: r.first, Sidecar: c.i,
+	r.deadline = w.now + a.Timeout - deadlineMargin
+	w.record(record.Event{Kind: record.Requested, Request: r.id, FirstRequest: r.firstID, Sidecar: c.index,
 		Class: uint8(a.Class), Tenant: int32(a.Tenant), Wait: a.Timeout, Work: a.Work, Effect: r.id})
 	if c.down {
-		w.emit(record.Event{Kind: record.Answered, Request: r.id, Sidecar: c.i, Status: record.NotReached})
-		r.over = true
-		w.again(r, workload.Unreachable, 0)
+		w.record(record.Event{Kind: record.Answered, Request: r.id, Sidecar: c.index, Status: record.NotReached})
+		r.completed = true
+		w.retryLater(r, workload.Unreachable, 0)
 		return
 	}
-	w.open++
+	w.openRequests++
 	c.requests[balance.RequestID(r.id)] = r
-	w.q.push(event{at: r.deadline, kind: evDeadline, req: r})
+	w.queue.push(event{at: r.deadline, kind: evDeadline, req: r})
 	if a.LeavesAfter > 0 {
-		w.q.push(event{at: w.now + a.LeavesAfter, kind: evLeave, req: r})
+		w.queue.push(event{at: w.now + a.LeavesAfter, kind: evLeave, req: r})
 	}
-	c.decider.Request(w.now+epoch, balance.Request{ID: balance.RequestID(r.id), Class: a.Class, Tenant: a.Tenant,
-		Timeout: a.Timeout - answerMargin, Retry: a.RetriesMade > 0})
+	c.policy.Request(w.now+epoch, balance.Request{ID: balance.RequestID(r.id), Class: a.Class, Tenant: a.Tenant,
+		Timeout: a.Timeout - deadlineMargin, Retry: a.RetriesMade > 0})
 }
 
-// again has a client make its next try, where it does.
-func (w *world) again(r *request, how workload.Outcome, after time.Duration) {
-	if next, ok := workload.Retry(w.p.Scenario, r.ask, w.now, how, after, r.side.clients); ok {
-		w.open++ // a try that is to come keeps the day open
-		w.q.push(event{at: next.At, kind: evAgain, req: &request{ask: next, first: r.first, side: r.side}})
+// retryLater has a client make its next try, where it does.
+func (w *simulation) retryLater(r *request, how workload.Outcome, after time.Duration) {
+	if next, ok := workload.Retry(w.plan.Scenario, r.workload, w.now, how, after, r.sidecar.clientRandom); ok {
+		w.openRequests++ // a try that is to come keeps the day open
+		w.queue.push(event{at: next.At, kind: evAgain, req: &request{workload: next, firstID: r.firstID, sidecar: r.sidecar}})
 	}
 }
 
-// deadline ends what is out for a request, and answers for a decider that left it without.
-func (w *world) deadline(r *request) {
-	if r.life != r.side.life || r.side.down {
+// expire ends what is out for a request, and answers for a decider that left it without.
+func (w *simulation) expire(r *request) {
+	if r.incarnation != r.sidecar.incarnation || r.sidecar.down {
 		return
 	}
 	for _, a := range r.attempts {
 		if !a.ended {
-			w.stop(a, record.TimedOut)
+			w.cutShort(a, record.TimedOut)
 		}
 	}
-	if !r.over && w.opt.Host.Late == 0 {
-		r.side.answer(r, record.Failed, 0, 0)
-		r.side.decider.ClientGone(w.now+epoch, balance.RequestID(r.id))
+	if !r.completed && w.options.Host.Late == 0 {
+		r.sidecar.respond(r, record.Failed, 0, 0)
+		r.sidecar.policy.ClientGone(w.now+epoch, balance.RequestID(r.id))
 	}
-	r.side.forget(r)
+	r.sidecar.releaseIfDone(r)
 }
 
-func (w *world) leave(r *request) {
-	if r.over || r.life != r.side.life || r.side.down {
+func (w *simulation) abandon(r *request) {
+	if r.completed || r.incarnation != r.sidecar.incarnation || r.sidecar.down {
 		return
 	}
-	r.over = true
-	w.open--
-	w.emit(record.Event{Kind: record.ClientLeft, Request: r.id, Sidecar: r.side.i})
-	r.side.decider.ClientGone(w.now+epoch, balance.RequestID(r.id))
+	r.completed = true
+	w.openRequests--
+	w.record(record.Event{Kind: record.ClientLeft, Request: r.id, Sidecar: r.sidecar.index})
+	r.sidecar.policy.ClientGone(w.now+epoch, balance.RequestID(r.id))
 	for _, a := range r.attempts {
 		if !a.ended {
-			r.side.Cancel(balance.RequestID(r.id), int(a.n))
+			r.sidecar.Cancel(balance.RequestID(r.id), int(a.number))
 		}
 	}
-	r.side.forget(r)
-	w.again(r, workload.Failed, 0)
+	r.sidecar.releaseIfDone(r)
+	w.retryLater(r, workload.Failed, 0)
 }
 
-// answer gives a request its final answer. The first counts.
-func (c *sidecar) answer(r *request, s record.Status, token uint64, after time.Duration) {
-	w := c.w
-	if r.over {
+// respond gives a request its final answer. The first counts.
+func (c *sidecar) respond(r *request, s record.Status, token uint64, after time.Duration) {
+	w := c.simulation
+	if r.completed {
 		return
 	}
 	w.counts.answers++
-	host := &w.opt.Host
+	host := &w.options.Host
 	if host.Lose > 0 && w.counts.answers%host.Lose == 0 {
-		r.over = true
-		w.open--
+		r.completed = true
+		w.openRequests--
 		return
 	}
-	r.over = true
-	w.open--
-	w.emit(record.Event{Kind: record.Answered, Request: r.id, Sidecar: c.i, Status: s, Token: token, RetryAfter: after})
+	r.completed = true
+	w.openRequests--
+	w.record(record.Event{Kind: record.Answered, Request: r.id, Sidecar: c.index, Status: s, Token: token, RetryAfter: after})
 	if host.Twice > 0 && w.counts.answers%host.Twice == 0 {
-		w.emit(record.Event{Kind: record.Answered, Request: r.id, Sidecar: c.i, Status: record.Failed})
+		w.record(record.Event{Kind: record.Answered, Request: r.id, Sidecar: c.index, Status: record.Failed})
 	}
 	switch s {
 	case record.Rejected:
-		w.again(r, workload.Rejected, after)
+		w.retryLater(r, workload.Rejected, after)
 	case record.Failed:
-		w.again(r, workload.Failed, 0)
+		w.retryLater(r, workload.Failed, 0)
 	}
 }
 
-// final is an answer that the decider words itself.
-func (c *sidecar) final(id balance.RequestID, s record.Status, after time.Duration) {
+// reject is an answer that the decider words itself.
+func (c *sidecar) reject(id balance.RequestID, s record.Status, after time.Duration) {
 	r := c.requests[id]
-	if r == nil || r.over {
+	if r == nil || r.completed {
 		return
 	}
-	host := &c.w.opt.Host
-	c.w.counts.refusals++
+	host := &c.simulation.options.Host
+	c.simulation.counts.refusals++
 	switch {
-	case host.Invent > 0 && c.w.counts.refusals%host.Invent == 0:
-		c.answer(r, record.Served, 1<<63, 0)
+	case host.Invent > 0 && c.simulation.counts.refusals%host.Invent == 0:
+		c.respond(r, record.Served, 1<<63, 0)
 	case host.HoldBack:
-		c.w.q.push(event{at: max(c.w.now, r.deadline-answerMargin), kind: evLate, req: r, status: uint8(s)})
+		c.simulation.queue.push(event{at: max(c.simulation.now, r.deadline-deadlineMargin), kind: evLate, req: r, status: uint8(s)})
 		return
 	case host.Late > 0:
-		c.w.q.push(event{at: r.deadline + answerMargin + host.Late, kind: evLate, req: r, status: uint8(s)})
+		c.simulation.queue.push(event{at: r.deadline + deadlineMargin + host.Late, kind: evLate, req: r, status: uint8(s)})
 		return
 	default:
-		c.answer(r, s, 0, after)
+		c.respond(r, s, 0, after)
 	}
-	c.forget(r)
+	c.releaseIfDone(r)
 }
 
-func (c *sidecar) forget(r *request) {
-	if r.over && r.out == 0 {
+func (c *sidecar) releaseIfDone(r *request) {
+	if r.completed && r.attemptsInFlight == 0 {
 		delete(c.requests, balance.RequestID(r.id))
 	}
 }
 
 // Send implements balance.Actions, as do the methods after it.
 func (c *sidecar) Send(id balance.RequestID, endpoint string, within time.Duration) {
-	w := c.w
+	w := c.simulation
 	r := c.requests[id]
 	if r == nil {
 		return
 	}
-	a := &attempt{req: r, to: w.byID[endpoint], n: uint8(len(r.attempts)), sent: w.now, begun: -1}
+	a := &attempt{request: r, server: w.serverByID[endpoint], number: uint8(len(r.attempts)), startedAt: w.now, firstByteAt: -1}
 	r.attempts = append(r.attempts, a)
-	r.out++
-	m := w.nodes[a.to]
-	way := w.way(c, a.to)
-	a.life = m.life
+	r.attemptsInFlight++
+	m := w.servers[a.server]
+	way := w.drawDelay(c, a.server)
+	a.serverIncarnation = m.incarnation
 	end := r.deadline
-	if r.over || w.now >= end {
-		w.q.push(event{at: w.now, kind: evBack, att: a, status: uint8(record.Cancelled)})
+	if r.completed || w.now >= end {
+		w.queue.push(event{at: w.now, kind: evBack, att: a, status: uint8(record.Cancelled)})
 		return
 	}
-	if c.takeIdle(a.to) {
-		a.begun = w.now
-		w.q.push(event{at: w.now + way, kind: evReach, att: a})
+	if c.acquireIdle(a.server) {
+		a.firstByteAt = w.now
+		w.queue.push(event{at: w.now + way, kind: evReach, att: a})
 		return
 	}
-	a.fresh = true
-	up := time.Duration(w.p.Scenario.Fleet.HandshakeRTTs * 2 * float64(way))
-	switch connect := w.p.Scenario.Network.Connect.Std(); {
+	a.newConnection = true
+	up := time.Duration(w.plan.Scenario.Fleet.HandshakeRTTs * 2 * float64(way))
+	switch connect := w.plan.Scenario.Network.Connect.Std(); {
 	case within > 0 && up > within:
-		w.q.push(event{at: w.now + within, kind: evBack, att: a, status: uint8(record.Cancelled)})
-	case w.mute(c, a.to):
-		c.lost(a.to, r.ask.Class)
-		w.q.push(event{at: w.now + connect, kind: evBack, att: a, status: uint8(record.NotReached)})
-	case m.down || m.conns >= w.p.Scenario.Fleet.ConnCap:
-		w.q.push(event{at: w.now + 2*way, kind: evBack, att: a, status: uint8(record.NotReached)})
+		w.queue.push(event{at: w.now + within, kind: evBack, att: a, status: uint8(record.Cancelled)})
+	case w.isCutOff(c, a.server):
+		c.noteLoss(a.server, r.workload.Class)
+		w.queue.push(event{at: w.now + connect, kind: evBack, att: a, status: uint8(record.NotReached)})
+	case m.down || m.connections >= w.plan.Scenario.Fleet.ConnCap:
+		w.queue.push(event{at: w.now + 2*way, kind: evBack, att: a, status: uint8(record.NotReached)})
 	default:
-		m.conns++
-		a.begun = w.now + up
-		w.q.push(event{at: w.now + up + way, kind: evReach, att: a})
+		m.connections++
+		a.firstByteAt = w.now + up
+		w.queue.push(event{at: w.now + up + way, kind: evReach, att: a})
 	}
 }
 
-// takeIdle takes the longest idle connection to a node that is still good, as the real pool does.
-func (c *sidecar) takeIdle(n int32) bool {
-	m, rest := c.w.nodes[n], c.w.p.Scenario.Fleet.IdleClose.Std()/2
+// acquireIdle takes the longest idle connection to a node that is still good, as the real pool does.
+func (c *sidecar) acquireIdle(n int32) bool {
+	m, rest := c.simulation.servers[n], c.simulation.plan.Scenario.Fleet.IdleClose.Std()/2
 	idle := c.idle[n]
 	for len(idle) > 0 {
 		k := idle[0]
 		idle = idle[1:]
-		if k.life == m.life && !m.down || c.w.mute(c, n) && k.life == m.life {
-			if c.w.now-k.since < rest {
+		if k.incarnation == m.incarnation && !m.down || c.simulation.isCutOff(c, n) && k.incarnation == m.incarnation {
+			if c.simulation.now-k.since < rest {
 				c.idle[n] = idle
 				return true
 			}
-			m.conns--
+			m.connections--
 		}
 	}
 	c.idle[n] = idle
 	return false
 }
 
-// dropIdle closes a node's idle connections.
-func (c *sidecar) dropIdle(n int32) {
-	m := c.w.nodes[n]
+// closeIdle closes a node's idle connections.
+func (c *sidecar) closeIdle(n int32) {
+	m := c.simulation.servers[n]
 	for _, k := range c.idle[n] {
-		if k.life == m.life {
-			m.conns--
+		if k.incarnation == m.incarnation {
+			m.connections--
 		}
 	}
 	c.idle[n] = c.idle[n][:0]
@@ -578,20 +578,20 @@
 	if r == nil || n < 0 || n >= len(r.attempts) || r.attempts[n].ended {
 		return
 	}
-	c.w.q.push(event{at: c.w.now, kind: evBack, att: r.attempts[n], status: uint8(record.Cancelled)})
+	c.simulation.queue.push(event{at: c.simulation.now, kind: evBack, att: r.attempts[n], status: uint8(record.Cancelled)})
 }
 
 // Reject answers that a retry does no harm.
 func (c *sidecar) Reject(id balance.RequestID, after time.Duration) {
-	c.final(id, record.Rejected, after)
+	c.reject(id, record.Rejected, after)
 }
 
 // Fail answers without a promise.
-func (c *sidecar) Fail(id balance.RequestID) { c.final(id, record.Failed, 0) }
+func (c *sidecar) Fail(id balance.RequestID) { c.reject(id, record.Failed, 0) }
 
 // Timer asks for a Timer event.
 func (c *sidecar) Timer(after time.Duration, token uint64) {
-	c.w.q.push(event{at: c.w.now + max(after, time.Microsecond), kind: evTimer, a: c.i, b: c.life, token: token})
+	c.simulation.queue.push(event{at: c.simulation.now + max(after, time.Microsecond), kind: evTimer, a: c.index, b: c.incarnation, token: token})
 }
 
 // Subscribe does nothing: discovery pushes.
@@ -599,194 +599,194 @@
 
 // Log passes a line on.
 func (c *sidecar) Log(text string) {
-	if c.w.opt.Log != nil {
-		c.w.opt.Log(c.w.now, int(c.i), text)
+	if c.simulation.options.Log != nil {
+		c.simulation.options.Log(c.simulation.now, int(c.index), text)
 	}
 }
 
-// reach is the arrival of an attempt's last byte at its node.
-func (w *world) reach(a *attempt) {
-	c := a.req.side
-	m := w.nodes[a.to]
-	if a.life != m.life || m.down { // its process has ended meanwhile
-		if !a.ended && !w.mute(c, a.to) {
+// arriveAtServer is the arrival of an attempt's last byte at its node.
+func (w *simulation) arriveAtServer(a *attempt) {
+	c := a.request.sidecar
+	m := w.servers[a.server]
+	if a.serverIncarnation != m.incarnation || m.down { // its process has ended meanwhile
+		if !a.ended && !w.isCutOff(c, a.server) {
 			s := record.Broken
-			if a.fresh {
+			if a.newConnection {
 				s = record.NotReached
 			}
-			w.q.push(event{at: w.now + w.way(c, a.to), kind: evBack, att: a, status: uint8(s)})
+			w.queue.push(event{at: w.now + w.drawDelay(c, a.server), kind: evBack, att: a, status: uint8(s)})
 		}
 		return
 	}
-	if w.mute(c, a.to) {
-		c.lost(a.to, a.req.ask.Class)
+	if w.isCutOff(c, a.server) {
+		c.noteLoss(a.server, a.request.workload.Class)
 	}
-	if w.mute(c, a.to) || a.ended && a.over <= a.begun && a.fresh { // given up before the connection was there
+	if w.isCutOff(c, a.server) || a.ended && a.endedAt <= a.firstByteAt && a.newConnection { // given up before the connection was there
 		return
 	}
-	w.emit(record.Event{At: a.begun, Kind: record.Sent, Request: a.req.id, Attempt: a.n, Sidecar: c.i, Node: a.to})
-	a.Work = a.req.ask.Work
+	w.record(record.Event{At: a.firstByteAt, Kind: record.Sent, Request: a.request.id, Attempt: a.number, Sidecar: c.index, Node: a.server})
+	a.Work = a.request.workload.Work
 	extra := 0.0
-	if a.fresh {
-		extra = w.p.Scenario.Fleet.HandshakeWork.Std().Seconds()
+	if a.newConnection {
+		extra = w.plan.Scenario.Fleet.HandshakeWork.Std().Seconds()
 	}
-	w.emit(record.Event{Kind: record.Arrived, Request: a.req.id, Attempt: a.n, Sidecar: c.i, Node: a.to, Work: a.Work,
-		Effect: a.req.id})
+	w.record(record.Event{Kind: record.Arrived, Request: a.request.id, Attempt: a.number, Sidecar: c.index, Node: a.server, Work: a.Work,
+		Effect: a.request.id})
 	if a.ended { // called off on the way
 		return
 	}
 	effect := uint64(0)
-	if w.p.Scenario.Classes[a.req.ask.Class].Effect == "deduplicated" {
-		effect = a.req.id
+	if w.plan.Scenario.Classes[a.request.workload.Class].Effect == "deduplicated" {
+		effect = a.request.id
 	}
 	a.Owner = a
-	switch m.Arrive(w.now, &a.Job, a.req.ask.Class, a.req.ask.Key, effect, extra) {
+	switch m.Arrive(w.now, &a.Job, a.request.workload.Class, a.request.workload.Key, effect, extra) {
 	case node.TurnedAway:
-		w.emit(record.Event{Kind: record.Replied, Request: a.req.id, Attempt: a.n, Node: a.to, Status: record.Rejected})
-		w.q.push(event{at: w.now + w.way(c, a.to), kind: evBack, att: a, status: uint8(record.Rejected)})
+		w.record(record.Event{Kind: record.Replied, Request: a.request.id, Attempt: a.number, Node: a.server, Status: record.Rejected})
+		w.queue.push(event{at: w.now + w.drawDelay(c, a.server), kind: evBack, att: a, status: uint8(record.Rejected)})
 	case node.Swallowed:
-		c.lost(a.to, a.req.ask.Class)
+		c.noteLoss(a.server, a.request.workload.Class)
 	case node.Known:
-		a.atNode, a.known = true, true
-		w.emit(record.Event{Kind: record.Deduplicated, Request: a.req.id, Attempt: a.n, Node: a.to})
+		a.atServer, a.known = true, true
+		w.record(record.Event{Kind: record.Deduplicated, Request: a.request.id, Attempt: a.number, Node: a.server})
 	default:
-		a.atNode = true
-		w.emit(record.Event{Kind: record.Ran, Request: a.req.id, Attempt: a.n, Sidecar: c.i, Node: a.to})
+		a.atServer = true
+		w.record(record.Event{Kind: record.Ran, Request: a.request.id, Attempt: a.number, Sidecar: c.index, Node: a.server})
 	}
-	if m.cutAsk > 0 && w.rng.Float64() < m.cutAsk {
-		w.q.push(event{at: w.now + w.way(c, a.to), kind: evBack, att: a, status: uint8(record.Broken)})
-		w.cancelled(a)
+	if m.brokenRequestShare > 0 && w.random.Float64() < m.brokenRequestShare {
+		w.queue.push(event{at: w.now + w.drawDelay(c, a.server), kind: evBack, att: a, status: uint8(record.Broken)})
+		w.cancelAtServer(a)
 		return
 	}
-	w.step(a.to)
+	w.advanceServer(a.server)
 }
 
-// step has a node do what is due and asks for its next time.
-func (w *world) step(n int32) {
-	m := w.nodes[n]
+// advanceServer has a node do what is due and asks for its next time.
+func (w *simulation) advanceServer(n int32) {
+	m := w.servers[n]
 	for _, j := range m.Step(w.now) {
 		a := j.Owner.(*attempt)
-		a.atNode = false
+		a.atServer = false
 		w.tokens++
 		s, ending := record.Served, m.Ending()
 		if ending != node.Answered {
 			s = record.Failed
 		}
-		w.emit(record.Event{Kind: record.Replied, Request: a.req.id, Attempt: a.n, Node: n, Status: s, Token: w.tokens,
+		w.record(record.Event{Kind: record.Replied, Request: a.request.id, Attempt: a.number, Node: n, Status: s, Token: w.tokens,
 			Work: j.Work})
-		if m.cutAns > 0 && w.rng.Float64() < m.cutAns {
+		if m.brokenResponseShare > 0 && w.random.Float64() < m.brokenResponseShare {
 			s = record.Broken
 		}
-		if !w.mute(a.req.side, n) {
-			w.q.push(event{at: w.now + w.way(a.req.side, n), kind: evBack, att: a, status: uint8(s), token: w.tokens})
+		if !w.isCutOff(a.request.sidecar, n) {
+			w.queue.push(event{at: w.now + w.drawDelay(a.request.sidecar, n), kind: evBack, att: a, status: uint8(s), token: w.tokens})
 		}
 	}
 	if next := m.Next(); next >= 0 && (m.wakeAt < 0 || next < m.wakeAt) {
 		m.wakeAt = max(next, w.now+1)
-		w.q.push(event{at: m.wakeAt, kind: evNode, a: n})
+		w.queue.push(event{at: m.wakeAt, kind: evNode, a: n})
 	}
 }
 
-// stop ends an attempt from the sidecar's side.
-func (w *world) stop(a *attempt, s record.Status) { w.back(a, s, 0) }
+// cutShort ends an attempt from the sidecar's side.
+func (w *simulation) cutShort(a *attempt, s record.Status) { w.completeAttempt(a, s, 0) }
 
-// back is the end of an attempt for its sidecar.
-func (w *world) back(a *attempt, s record.Status, token uint64) {
-	c := a.req.side
-	if a.ended || a.req.life != c.life || c.down {
+// completeAttempt is the end of an attempt for its sidecar.
+func (w *simulation) completeAttempt(a *attempt, s record.Status, token uint64) {
+	c := a.request.sidecar
+	if a.ended || a.request.incarnation != c.incarnation || c.down {
 		return
 	}
-	a.ended, a.over = true, w.now
-	r := a.req
-	r.out--
-	m := w.nodes[a.to]
-	alive := a.life == m.life && !m.down
+	a.ended, a.endedAt = true, w.now
+	r := a.request
+	r.attemptsInFlight--
+	m := w.servers[a.server]
+	alive := a.serverIncarnation == m.incarnation && !m.down
 	outcome := balance.Served
 	switch s {
 	case record.Served:
-		c.heard[a.to] = w.now
-		c.answer(r, record.Served, token, 0)
+		c.lastResponse[a.server] = w.now
+		c.respond(r, record.Served, token, 0)
 	case record.Rejected:
 		outcome = balance.Saturated
-		c.heard[a.to] = w.now
+		c.lastResponse[a.server] = w.now
 	case record.Failed:
 		outcome = balance.Errored
-		c.heard[a.to] = w.now
+		c.lastResponse[a.server] = w.now
 	case record.Broken:
 		outcome = balance.Reset
-		c.dropIdle(a.to)
+		c.closeIdle(a.server)
 	case record.NotReached:
 		outcome = balance.ConnectFailed
-		c.dropIdle(a.to)
+		c.closeIdle(a.server)
 	case record.Cancelled:
 		outcome = balance.Cancelled
 	case record.TimedOut:
 		outcome = balance.TimedOut
-		if c.heard[a.to] < a.sent {
-			c.dropIdle(a.to)
+		if c.lastResponse[a.server] < a.startedAt {
+			c.closeIdle(a.server)
 		}
 	}
 	switch {
 	case s == record.Served || s == record.Rejected || s == record.Failed:
 		if alive {
-			c.idle[a.to] = append(c.idle[a.to], idleConn{w.now, a.life})
+			c.idle[a.server] = append(c.idle[a.server], idleConnection{w.now, a.serverIncarnation})
 		}
 	case s == record.Broken:
 		if alive {
-			m.conns--
+			m.connections--
 		}
 	case s == record.Cancelled || s == record.TimedOut:
-		if alive && a.begun >= 0 {
-			m.conns--
+		if alive && a.firstByteAt >= 0 {
+			m.connections--
 		}
-		w.q.push(event{at: w.now + w.way(c, a.to), kind: evCancel, att: a})
+		w.queue.push(event{at: w.now + w.drawDelay(c, a.server), kind: evCancel, att: a})
 	}
-	if (s == record.Cancelled || s == record.TimedOut) && (a.begun < 0 || a.begun > w.now) {
+	if (s == record.Cancelled || s == record.TimedOut) && (a.firstByteAt < 0 || a.firstByteAt > w.now) {
 		// Not a byte of it was written: the real sidecar tells these apart.
 		if outcome = balance.ConnectFailed; s == record.Cancelled {
 			outcome = balance.NotSent
 		}
 	}
-	w.emit(record.Event{Kind: record.AttemptEnded, Request: r.id, Attempt: a.n, Sidecar: c.i, Node: a.to, Status: s})
-	c.decider.Result(w.now+epoch, balance.Result{ID: balance.RequestID(r.id), Attempt: int(a.n), Endpoint: m.ID,
-		Outcome: outcome, Took: w.now - a.sent, Finished: r.over})
-	c.learn()
-	c.forget(r)
+	w.record(record.Event{Kind: record.AttemptEnded, Request: r.id, Attempt: a.number, Sidecar: c.index, Node: a.server, Status: s})
+	c.policy.Result(w.now+epoch, balance.Result{ID: balance.RequestID(r.id), Attempt: int(a.number), Endpoint: m.ID,
+		Outcome: outcome, Took: w.now - a.startedAt, Finished: r.completed})
+	c.detectLosses()
+	c.releaseIfDone(r)
 }
 
-// cancelled is a node that learns that its answer is not wanted any more.
-func (w *world) cancelled(a *attempt) {
-	m := w.nodes[a.to]
-	if !a.atNode || a.life != m.life || !w.p.Scenario.Fleet.StopsWork || w.mute(a.req.side, a.to) {
+// cancelAtServer is a node that learns that its answer is not wanted any more.
+func (w *simulation) cancelAtServer(a *attempt) {
+	m := w.servers[a.server]
+	if !a.atServer || a.serverIncarnation != m.incarnation || !w.plan.Scenario.Fleet.StopsWork || w.isCutOff(a.request.sidecar, a.server) {
 		return
 	}
-	a.atNode = false
+	a.atServer = false
 	m.Cancel(w.now, &a.Job)
-	w.step(a.to)
+	w.advanceServer(a.server)
 }
 
-// hear takes in what discovery has told.
-func (c *sidecar) hear() {
-	w := c.w
-	if w.silent || c.down {
+// receiveNotifications takes in what discovery has told.
+func (c *sidecar) receiveNotifications() {
+	w := c.simulation
+	if w.discoverySilent || c.down {
 		return
 	}
 	var list []balance.Endpoint
-	for len(c.told) > 0 && c.told[0].at <= w.now {
-		t := c.told[0]
-		c.told = c.told[1:]
-		c.list[t.node] = t.entry
-		if t.entry.State == balance.Removed {
-			delete(c.list, t.node)
-			c.dropIdle(t.node)
+	for len(c.notifications) > 0 && c.notifications[0].at <= w.now {
+		t := c.notifications[0]
+		c.notifications = c.notifications[1:]
+		c.endpoints[t.server] = t.endpoint
+		if t.endpoint.State == balance.Removed {
+			delete(c.endpoints, t.server)
+			c.closeIdle(t.server)
 		}
-		list = append(list, t.entry)
-		if w.opt.Host.StaleList == 0 {
-			w.emit(record.Event{Kind: record.Notified, Sidecar: c.i, Node: t.node, State: stateOf(t.entry.State)})
+		list = append(list, t.endpoint)
+		if w.options.Host.StaleList == 0 {
+			w.record(record.Event{Kind: record.Notified, Sidecar: c.index, Node: t.server, State: stateOf(t.endpoint.State)})
 		}
 	}
 	if len(list) > 0 {
-		c.decider.Endpoints(w.now+epoch, balance.ListChanges, list)
+		c.policy.Endpoints(w.now+epoch, balance.ListChanges, list)
 	}
 }
 
@@ -795,32 +795,32 @@
 		balance.Removed: record.Gone}[s]
 }
 
-// tell has discovery tell all sidecars of a node.
-func (w *world) tell(n int32, s balance.State) {
-	w.nodes[n].state = s
-	notice := w.p.Scenario.Notice
+// notify has discovery tell all sidecars of a node.
+func (w *simulation) notify(n int32, s balance.State) {
+	w.servers[n].listedState = s
+	notice := w.plan.Scenario.Notice
 	for _, c := range w.sidecars {
-		at := w.now + notice.From.Std() + time.Duration(w.rng.Float64()*float64(notice.To-notice.From))
-		c.lastTold = max(c.lastTold, at)
-		c.told = append(c.told, change{c.lastTold, n, w.entry(n)})
-		w.q.push(event{at: c.lastTold + w.opt.Host.StaleList, kind: evTold, a: c.i})
-		if w.opt.Host.StaleList > 0 { // the sidecar is told now, whatever it does with it
-			w.q.push(event{at: c.lastTold, kind: evNote, a: c.i, b: n, status: uint8(stateOf(s))})
+		at := w.now + notice.From.Std() + time.Duration(w.random.Float64()*float64(notice.To-notice.From))
+		c.lastNotification = max(c.lastNotification, at)
+		c.notifications = append(c.notifications, notification{c.lastNotification, n, w.endpoint(n)})
+		w.queue.push(event{at: c.lastNotification + w.options.Host.StaleList, kind: evTold, a: c.index})
+		if w.options.Host.StaleList > 0 { // the sidecar is told now, whatever it does with it
+			w.queue.push(event{at: c.lastNotification, kind: evNote, a: c.index, b: n, status: uint8(stateOf(s))})
 		}
 	}
 }
 
-// act does an act of the plan.
-func (w *world) act(a *plan.Act) {
+// applyAct does an act of the plan.
+func (w *simulation) applyAct(a *plan.Act) {
 	n := int32(a.Node)
 	switch a.Op {
 	case plan.CutZone:
-		w.cut[a.Node] = a.On
+		w.zoneCut[a.Node] = a.On
 		return
 	case plan.Silence:
-		if w.silent = a.On; !a.On {
+		if w.discoverySilent = a.On; !a.On {
 			for _, c := range w.sidecars {
-				w.q.push(event{at: w.now + w.p.Scenario.Notice.From.Std(), kind: evTold, a: c.i})
+				w.queue.push(event{at: w.now + w.plan.Scenario.Notice.From.Std(), kind: evTold, a: c.index})
 			}
 		}
 		return
@@ -828,32 +828,32 @@
 		// What the sidecar hears is the same: its network part sees to that, and the socket plane shows it.
 		return
 	case plan.RestartSidecar:
-		w.kill(w.sidecars[n])
+		w.crashSidecar(w.sidecars[n])
 		return
 	case plan.Over:
-		w.emit(record.Event{Kind: record.FaultOver})
+		w.record(record.Event{Kind: record.FaultOver})
 		return
 	}
-	m := w.nodes[n]
+	m := w.servers[n]
 	switch a.Op {
 	case plan.Start, plan.Restart:
-		w.raise(m, max(w.now, 1))
+		w.startProcess(m, max(w.now, 1))
 		m.down, m.listed = false, true
-		w.emit(record.Event{Kind: record.NodeStarted, Node: n,
-			Capacity: float64(m.Spec.Cores) * m.Spec.Speed, Boot: m.boot})
-		w.tell(n, balance.Ready)
+		w.record(record.Event{Kind: record.NodeStarted, Node: n,
+			Capacity: float64(m.Spec.Cores) * m.Spec.Speed, Boot: m.startedAt})
+		w.notify(n, balance.Ready)
 	case plan.Drain:
-		w.tell(n, balance.Draining)
+		w.notify(n, balance.Draining)
 	case plan.Remove:
-		w.end(n)
-		w.tell(n, balance.Removed)
+		w.stopProcess(n)
+		w.notify(n, balance.Removed)
 	case plan.Crash:
-		w.end(n)
+		w.stopProcess(n)
 	case plan.Vanish:
-		m.mute = a.On
+		m.vanished = a.On
 	case plan.Slow:
 		m.Node.Slow(w.now, a.Value)
-		w.step(n)
+		w.advanceServer(n)
 	case plan.Swallow:
 		m.Faults.Swallow[a.Class] = a.On
 	case plan.TurnAway:
@@ -865,38 +865,38 @@
 	case plan.Garble:
 		m.Faults.Garble = a.Value
 	case plan.CutRequests:
-		m.cutAsk = a.Value
+		m.brokenRequestShare = a.Value
 	case plan.CutAnswers:
-		m.cutAns = a.Value
+		m.brokenResponseShare = a.Value
 	}
 }
 
-// end ends a node's process: its connections break.
-func (w *world) end(n int32) {
-	m := w.nodes[n]
+// stopProcess ends a node's process: its connections break.
+func (w *simulation) stopProcess(n int32) {
+	m := w.servers[n]
 	if m.down {
 		return
 	}
 	for _, j := range m.Drop(w.now) {
 		a := j.Owner.(*attempt)
-		a.atNode = false
-		if !w.mute(a.req.side, n) {
-			w.q.push(event{at: w.now + w.way(a.req.side, n), kind: evBack, att: a, status: uint8(record.Broken)})
+		a.atServer = false
+		if !w.isCutOff(a.request.sidecar, n) {
+			w.queue.push(event{at: w.now + w.drawDelay(a.request.sidecar, n), kind: evBack, att: a, status: uint8(record.Broken)})
 		}
 	}
 	m.down = true
-	m.conns = 0
+	m.connections = 0
 }
 
-// kill ends a sidecar with all it holds, and starts it again.
-func (w *world) kill(c *sidecar) {
+// crashSidecar ends a sidecar with all it holds, and starts it again.
+func (w *simulation) crashSidecar(c *sidecar) {
 	if c.down {
 		return
 	}
 	c.down = true
-	w.emit(record.Event{Kind: record.SidecarDown, Sidecar: c.i})
-	for n := range w.nodes {
-		c.dropIdle(int32(n))
+	w.record(record.Event{Kind: record.SidecarDown, Sidecar: c.index})
+	for n := range w.servers {
+		c.closeIdle(int32(n))
 	}
 	held := c.requests
 	c.requests = map[balance.RequestID]*request{}
@@ -905,31 +905,31 @@
 		for _, a := range r.attempts {
 			if !a.ended {
 				a.ended = true
-				if m := w.nodes[a.to]; a.life == m.life && !m.down && a.begun >= 0 {
-					m.conns--
+				if m := w.servers[a.server]; a.serverIncarnation == m.incarnation && !m.down && a.firstByteAt >= 0 {
+					m.connections--
 				}
-				w.q.push(event{at: w.now + w.way(c, a.to), kind: evCancel, att: a})
+				w.queue.push(event{at: w.now + w.drawDelay(c, a.server), kind: evCancel, att: a})
 			}
 		}
-		if !r.over {
-			r.over = true
-			w.open--
-			w.again(r, workload.Failed, 0)
+		if !r.completed {
+			r.completed = true
+			w.openRequests--
+			w.retryLater(r, workload.Failed, 0)
 		}
 	}
-	w.q.push(event{at: w.now + restartTime, kind: evUp, a: c.i})
+	w.queue.push(event{at: w.now + sidecarRestartTime, kind: evUp, a: c.index})
 }
 
 // Wait implements View.
-func (w *world) Wait(sidecar int, endpoint string, class int, work float64) float64 {
-	n := w.byID[endpoint]
-	m, c := w.nodes[n], w.sidecars[sidecar]
-	if m.down || w.mute(c, n) || m.Faults.Swallow[class] || m.Faults.TurnAway[class] || m.state != balance.Ready {
+func (w *simulation) Wait(sidecar int, endpoint string, class int, work float64) float64 {
+	n := w.serverByID[endpoint]
+	m, c := w.servers[n], w.sidecars[sidecar]
+	if m.down || w.isCutOff(c, n) || m.Faults.Swallow[class] || m.Faults.TurnAway[class] || m.listedState != balance.Ready {
 		return math.Inf(1)
 	}
-	net := w.p.Scenario.Network.Same.Std()
+	net := w.plan.Scenario.Network.Same.Std()
 	if c.zone != m.Zone {
-		net = w.p.Scenario.Network.Cross.Std()
+		net = w.plan.Scenario.Network.Cross.Std()
 	}
 	return m.Backlog(work) + 2*net.Seconds()
 }
