--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -19,14 +19,14 @@
 var Names = []string{"random", "round-robin", "least-requests", "two-choices", "oracle"}
 
 // New returns the maker of a policy: a baseline policy, or the decision module itself as "module".
-func New(name string) (sim.Maker, error) {
+func New(name string) (sim.NewPolicyFunc, error) {
 	if name == "module" || name == "" {
-		return sim.Module, nil
+		return sim.NewModule, nil
 	}
 	if !slices.Contains(Names, name) {
 		return nil, fmt.Errorf("unknown policy %q, known are module, %s", name, strings.Join(Names, ", "))
 	}
-	return func(set balance.Settings, act balance.Actions, view sim.View) (sim.Decider, error) {
+	return func(set balance.Settings, act balance.Actions, view sim.View) (sim.Policy, error) {
 		return &baseline{name: name, set: set, act: act, view: view, rng: rand.New(rand.NewPCG(set.Seed, 0x217a1)),
 			requests: map[balance.RequestID]*request{}, out: map[string]int{}}, nil
 	}, nil
@@ -62,7 +62,7 @@
 	mayRun bool
 }
 
-// Request implements sim.Decider, as do the methods after it.
+// Request implements sim.Policy, as do the methods after it.
 func (b *baseline) Request(now balance.Time, r balance.Request) {
 	q := &request{Request: r, deadline: now + r.Timeout}
 	b.requests[r.ID] = q
@@ -117,7 +117,7 @@
 		return x
 	case "oracle":
 		return least(func(e balance.Endpoint) float64 {
-			return b.view.Wait(b.set.Ordinal, e.ID, q.Class, b.set.Classes[q.Class].LatencyObjective.Seconds()/4)
+			return b.view.ResponseTime(b.set.Ordinal, e.ID, q.Class, b.set.Classes[q.Class].LatencyObjective.Seconds()/4)
 		})
 	}
 	return b.rng.IntN(len(may))
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -111,35 +111,35 @@
 
 // chaser is a module that sends all to the node that started last.
 type chaser struct {
-	sim.Decider
+	sim.Policy
 	newest  string
 	started balance.Time
 }
 
-// Endpoints implements sim.Decider.
+// Endpoints implements sim.Policy.
 func (c *chaser) Endpoints(now balance.Time, kind balance.ListKind, list []balance.Endpoint) {
 	for _, e := range list {
 		if e.Started > c.started && e.State == balance.Ready {
 			c.newest, c.started = e.ID, e.Started
 		}
 	}
-	c.Decider.Endpoints(now, kind, list)
+	c.Policy.Endpoints(now, kind, list)
 }
 
 // deaf is a module that does not hear of draining and removed nodes.
-type deaf struct{ sim.Decider }
+type deaf struct{ sim.Policy }
 
-// Endpoints implements sim.Decider.
+// Endpoints implements sim.Policy.
 func (d deaf) Endpoints(now balance.Time, kind balance.ListKind, list []balance.Endpoint) {
-	d.Decider.Endpoints(now, kind, slices.DeleteFunc(slices.Clone(list), func(e balance.Endpoint) bool { return e.State != balance.Ready }))
+	d.Policy.Endpoints(now, kind, slices.DeleteFunc(slices.Clone(list), func(e balance.Endpoint) bool { return e.State != balance.Ready }))
 }
 
 // told returns a maker of the module with other settings than the true ones.
-func told(change func(s *balance.Settings)) sim.Maker {
-	return func(set balance.Settings, act balance.Actions, view sim.View) (sim.Decider, error) {
+func told(change func(s *balance.Settings)) sim.NewPolicyFunc {
+	return func(set balance.Settings, act balance.Actions, view sim.View) (sim.Policy, error) {
 		set.Classes = slices.Clone(set.Classes)
 		change(&set)
-		return sim.Module(set, act, view)
+		return sim.NewModule(set, act, view)
 	}
 }
 
@@ -161,33 +161,33 @@
 		rule      referee.Rule
 		opt       sim.Options
 	}{
-		{"an answer is never given", "errors", referee.Answer, sim.Options{Host: sim.Host{Lose: 97}}},
-		{"an answer is given twice", "errors", referee.Answer, sim.Options{Host: sim.Host{Twice: 97}}},
-		{"answers come after the client's time", "overload", referee.Answer, sim.Options{Host: sim.Host{Late: 60 * time.Millisecond}}},
-		{"what was given up is held back", "overload", referee.Prompt, sim.Options{Host: sim.Host{HoldBack: true}}},
-		{"an answer that no node made", "overload", referee.Genuine, sim.Options{Host: sim.Host{Invent: 50}}},
-		{"delivery records repeated anywhere", "errors", referee.Effect, sim.Options{Make: told(every(balance.Idempotent))}},
-		{"delivery records repeated outside their pod", "errors", referee.Effect, sim.Options{Make: told(func(s *balance.Settings) {
+		{"an answer is never given", "errors", referee.Answer, sim.Options{Defects: sim.Defects{LoseEvery: 97}}},
+		{"an answer is given twice", "errors", referee.Answer, sim.Options{Defects: sim.Defects{DuplicateEvery: 97}}},
+		{"answers come after the client's time", "overload", referee.Answer, sim.Options{Defects: sim.Defects{Delay: 60 * time.Millisecond}}},
+		{"what was given up is held back", "overload", referee.Prompt, sim.Options{Defects: sim.Defects{HoldBack: true}}},
+		{"an answer that no node made", "overload", referee.Genuine, sim.Options{Defects: sim.Defects{InventEvery: 50}}},
+		{"delivery records repeated anywhere", "errors", referee.Effect, sim.Options{NewPolicy: told(every(balance.Idempotent))}},
+		{"delivery records repeated outside their pod", "errors", referee.Effect, sim.Options{NewPolicy: told(func(s *balance.Settings) {
 			for i := range s.Classes {
 				s.Classes[i].Scope = balance.ScopeAll
 			}
 		})}},
-		{"delivery records repeated too late", "errors", referee.Effect, sim.Options{Make: told(func(s *balance.Settings) {
+		{"delivery records repeated too late", "errors", referee.Effect, sim.Options{NewPolicy: told(func(s *balance.Settings) {
 			for i := range s.Classes {
 				s.Classes[i].DedupeWindow = time.Minute
 			}
 		})}},
 		{"a draining node goes on getting requests", "release", referee.Drain, sim.Options{
-			Make: func(set balance.Settings, act balance.Actions, view sim.View) (sim.Decider, error) {
-				d, err := sim.Module(set, act, view)
+			NewPolicy: func(set balance.Settings, act balance.Actions, view sim.View) (sim.Policy, error) {
+				d, err := sim.NewModule(set, act, view)
 				return deaf{d}, err
 			}}},
-		{"the list reaches the module 3 s late", "release", referee.Drain, sim.Options{Host: sim.Host{StaleList: 3 * time.Second}}},
+		{"the list reaches the module 3 s late", "release", referee.Drain, sim.Options{Defects: sim.Defects{ListDelay: 3 * time.Second}}},
 		{"a cold node is pushed over", "release", referee.Cold, sim.Options{
-			Make: func(set balance.Settings, act balance.Actions, view sim.View) (sim.Decider, error) {
+			NewPolicy: func(set balance.Settings, act balance.Actions, view sim.View) (sim.Policy, error) {
 				c := &chaser{}
 				var err error
-				c.Decider, err = sim.Module(set, &meddler{act, func() string { return c.newest }}, view)
+				c.Policy, err = sim.NewModule(set, &meddler{act, func() string { return c.newest }}, view)
 				return c, err
 			}}},
 	} {
@@ -276,7 +276,7 @@
 			want := erlangC(tt.cores, s.Rate(), 10) + 0.1
 			var stays, little []float64
 			for seed := range uint64(12) {
-				f := play(t, s, seed+1, sim.Options{Make: random}).Figures
+				f := play(t, s, seed+1, sim.Options{NewPolicy: random}).Figures
 				stays = append(stays, f.Stay)
 				little = append(little, f.Held/(f.Asked/(s.Length-s.Warmup).Std().Seconds())/f.Stay)
 			}
@@ -305,7 +305,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d := play(t, s, 2, sim.Options{Make: make})
+		d := play(t, s, 2, sim.Options{NewPolicy: make})
 		if !d.Verdict.Clean() {
 			t.Errorf("%s broke a rule: %v", name, d.Verdict.Breaches)
 		}
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -19,16 +19,13 @@
 // Fleet has the sidecars of a run hold in common what they see of nodes. Their messages go over the emulated network: what
 // cuts a zone off cuts them too.
 type Fleet struct {
-	Drop float64                         // share of messages that are lost
-	Cut  func(at Time, a, b int) bool    // whether nothing passes between two sidecars; nil: as the zones' links are
-	Part int                             // one node in so many is lied about; 0: all are
-	Lies func(at Time, sidecar int) bool // whether a sidecar says that every node fails, whatever it sees; nil: none does
-	Sent struct{ Messages, Bytes uint64 }
+	DropShare    float64                                  // share of messages that are lost
+	LinkCut      func(at time.Duration, a, b int) bool    // whether nothing passes between two sidecars; nil: as the zones' links are
+	FalseEvery   int                                      // one node in so many is lied about; 0: all are
+	FalseReports func(at time.Duration, sidecar int) bool // whether a sidecar says that every node fails, whatever it sees; nil: none does
+	Sent         struct{ Messages, Bytes uint64 }
 }
 
-// Time is a time of the run.
-type Time = time.Duration
-
 const (
 	fleetTick       = 50 * time.Millisecond // between two steps of a sidecar's part in the fleet
 	snapshotTimeout = time.Second           // a snapshot is waited for
@@ -115,10 +112,10 @@
 func (m *member) publishObservations() {
 	now, w := m.sidecar.fleetNow(), m.sidecar.simulation
 	entries := m.recorder.DueRows(now.Time, m.machine.Members.NumPresent())
-	if lies := w.options.Fleet.Lies; lies != nil && lies(w.now, int(m.sidecar.index)) {
+	if lies := w.options.Fleet.FalseReports; lies != nil && lies(w.now, int(m.sidecar.index)) {
 		entries = nil
 		for i, n := range w.servers {
-			if n.listed && w.now%(500*time.Millisecond) < fleetTick && i%max(w.options.Fleet.Part, 1) == 0 {
+			if n.listed && w.now%(500*time.Millisecond) < fleetTick && i%max(w.options.Fleet.FalseEvery, 1) == 0 {
 				entries = append(entries, failuredetector.Row{Server: n.ID, Evidence: replication.Evidence{Tries: 9, Silent: 9}})
 			}
 		}
@@ -158,7 +155,7 @@
 		}
 	}
 	h.SetSuspected(words)
-	since := map[string]Time{}
+	since := map[string]time.Duration{}
 	for _, word := range words {
 		since[word.ID] = word.WrittenAt
 	}
@@ -211,10 +208,10 @@
 func (m *member) isDelivered(to *member) bool {
 	w, f := m.sidecar.simulation, m.sidecar.simulation.options.Fleet
 	cut := m.sidecar.zone != to.sidecar.zone && (w.zoneCut[m.sidecar.zone] || w.zoneCut[to.sidecar.zone])
-	if f.Cut != nil {
-		cut = f.Cut(w.now, int(m.sidecar.index), int(to.sidecar.index))
+	if f.LinkCut != nil {
+		cut = f.LinkCut(w.now, int(m.sidecar.index), int(to.sidecar.index))
 	}
-	return !cut && m.random.Float64() >= f.Drop
+	return !cut && m.random.Float64() >= f.DropShare
 }
 
 // drawDelay draws the time of a message.
--- a/internal/lab/sim/known.go
+++ b/internal/lab/sim/known.go
@@ -8,15 +8,15 @@
 	"milletramp.example/milletramp/internal/lab/record"
 )
 
-// Believer is a decider that says which share of a class's attempts it takes a node to lose.
-type Believer interface {
+// LossEstimator is a decider that says which share of a class's attempts it takes a node to lose.
+type LossEstimator interface {
 	LossShare(now balance.Time, endpoint string, class int) float64
 }
 
 // The module is told of observations and asked for its beliefs by interfaces: a method that is renamed must not pass
 // for one that is not there.
 var (
-	_ Believer      = (*balance.Balancer)(nil)
+	_ LossEstimator = (*balance.Balancer)(nil)
 	_ sharingPolicy = (*balance.Balancer)(nil)
 )
 
@@ -45,7 +45,7 @@
 // noteLoss has a sidecar's request be lost at a node. The first one there starts the clock.
 func (c *sidecar) noteLoss(n int32, class int) {
 	share := c.simulation.trueLossShare(c, n, class)
-	if _, ok := c.policy.(Believer); !ok || share == 0 {
+	if _, ok := c.policy.(LossEstimator); !ok || share == 0 {
 		return
 	}
 	for i := range c.losses {
@@ -73,7 +73,7 @@
 		case mended:
 			kind = record.LossUndetected
 			fallthrough
-		case c.member != nil && c.member.suspected[w.servers[l.server].ID], c.policy.(Believer).LossShare(w.now+epoch, w.servers[l.server].ID, l.class) >= detectionShare*l.share:
+		case c.member != nil && c.member.suspected[w.servers[l.server].ID], c.policy.(LossEstimator).LossShare(w.now+epoch, w.servers[l.server].ID, l.class) >= detectionShare*l.share:
 			l.detected = true
 			w.record(record.Event{Kind: kind, Sidecar: c.index, Node: l.server, Wait: w.now - l.since, Attempt: l.attempts})
 		}
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -19,8 +19,8 @@
 	"milletramp.example/milletramp/internal/lab/workload"
 )
 
-// Decider is what decides for one sidecar: the decision module, or a baseline policy.
-type Decider interface {
+// Policy is what decides for one sidecar: the decision module, or a baseline policy.
+type Policy interface {
 	Request(now balance.Time, r balance.Request)
 	Result(now balance.Time, r balance.Result)
 	ClientGone(now balance.Time, id balance.RequestID)
@@ -30,36 +30,36 @@
 
 // View is the true state of the world, for baseline policies that cheat.
 type View interface {
-	// Wait is how long a request of some work would take at a node now, in seconds, infinite where it cannot be served.
-	Wait(sidecar int, endpoint string, class int, work float64) float64
+	// ResponseTime is how long a request of some work would take at a node now, in seconds, infinite where it cannot be served.
+	ResponseTime(sidecar int, endpoint string, class int, work float64) float64
 }
 
-// Maker makes the decider of a sidecar.
-type Maker func(set balance.Settings, act balance.Actions, view View) (Decider, error)
+// NewPolicyFunc makes the decider of a sidecar.
+type NewPolicyFunc func(set balance.Settings, act balance.Actions, view View) (Policy, error)
 
-// Module is the decision module itself.
-func Module(set balance.Settings, act balance.Actions, _ View) (Decider, error) {
+// NewModule is the decision module itself.
+func NewModule(set balance.Settings, act balance.Actions, _ View) (Policy, error) {
 	return balance.New(set, act)
 }
 
-// Host says how a sidecar's network part is broken, for mutants; the zero value is whole.
-type Host struct {
-	Lose      int           // one answer in so many is never given
-	Twice     int           // one in so many is given twice
-	Invent    int           // one refusal in so many is turned into an answer that no node made
-	HoldBack  bool          // refusals and failures are given only just before the client's time is over
-	Late      time.Duration // refusals and failures come so much after the deadline
-	StaleList time.Duration // the list is told to the module so much later than discovery told it
+// Defects says how a sidecar's network part is broken, for mutants; the zero value is whole.
+type Defects struct {
+	LoseEvery      int           // one answer in so many is never given
+	DuplicateEvery int           // one in so many is given twice
+	InventEvery    int           // one refusal in so many is turned into an answer that no node made
+	HoldBack       bool          // refusals and failures are given only just before the client's time is over
+	Delay          time.Duration // refusals and failures come so much after the deadline
+	ListDelay      time.Duration // the list is told to the module so much later than discovery told it
 }
 
 // Options are the parts of a run.
 type Options struct {
-	Make     Maker // nil: Module
-	Sink     record.Sink
-	Host     Host
-	Fleet    *Fleet                                           // nil: each sidecar is alone
-	Progress func(at time.Duration)                           // each simulated second; may be nil
-	Log      func(at time.Duration, sidecar int, line string) // what the module says; may be nil
+	NewPolicy NewPolicyFunc // nil: Module
+	Sink      record.Sink
+	Defects   Defects
+	Fleet     *Fleet                                           // nil: each sidecar is alone
+	Progress  func(at time.Duration)                           // each simulated second; may be nil
+	Log       func(at time.Duration, sidecar int, line string) // what the module says; may be nil
 }
 
 // Result is what a run tells of itself; everything else goes to the sink.
@@ -117,7 +117,7 @@
 	zone             int
 	incarnation      int32
 	down             bool
-	policy           Decider
+	policy           Policy
 	source           *workload.Source
 	nextRequest      workload.Request
 	clientRandom     *rand.Rand
@@ -171,8 +171,8 @@
 
 // Run plays a plan to its end, or until ctx is done.
 func Run(ctx context.Context, p *plan.Plan, opt Options) (Result, error) {
-	if opt.Make == nil {
-		opt.Make = Module
+	if opt.NewPolicy == nil {
+		opt.NewPolicy = NewModule
 	}
 	if opt.Sink == nil {
 		opt.Sink = record.Sinks{}
@@ -363,7 +363,7 @@
 	set := w.plan.Settings(int(c.index))
 	set.Seed += uint64(c.incarnation) << 32
 	var err error
-	if c.policy, err = w.options.Make(set, c, w); err != nil {
+	if c.policy, err = w.options.NewPolicy(set, c, w); err != nil {
 		return err
 	}
 	c.joinFleet()
@@ -422,7 +422,7 @@
 			w.cutShort(a, record.TimedOut)
 		}
 	}
-	if !r.completed && w.options.Host.Late == 0 {
+	if !r.completed && w.options.Defects.Delay == 0 {
 		r.sidecar.respond(r, record.Failed, 0, 0)
 		r.sidecar.policy.ClientGone(w.now+epoch, balance.RequestID(r.id))
 	}
@@ -453,8 +453,8 @@
 		return
 	}
 	w.counts.answers++
-	host := &w.options.Host
-	if host.Lose > 0 && w.counts.answers%host.Lose == 0 {
+	host := &w.options.Defects
+	if host.LoseEvery > 0 && w.counts.answers%host.LoseEvery == 0 {
 		r.completed = true
 		w.openRequests--
 		return
@@ -462,7 +462,7 @@
 	r.completed = true
 	w.openRequests--
 	w.record(record.Event{Kind: record.Answered, Request: r.id, Sidecar: c.index, Status: s, Token: token, RetryAfter: after})
-	if host.Twice > 0 && w.counts.answers%host.Twice == 0 {
+	if host.DuplicateEvery > 0 && w.counts.answers%host.DuplicateEvery == 0 {
 		w.record(record.Event{Kind: record.Answered, Request: r.id, Sidecar: c.index, Status: record.Failed})
 	}
 	switch s {
@@ -479,16 +479,16 @@
 	if r == nil || r.completed {
 		return
 	}
-	host := &c.simulation.options.Host
+	host := &c.simulation.options.Defects
 	c.simulation.counts.refusals++
 	switch {
-	case host.Invent > 0 && c.simulation.counts.refusals%host.Invent == 0:
+	case host.InventEvery > 0 && c.simulation.counts.refusals%host.InventEvery == 0:
 		c.respond(r, record.Served, 1<<63, 0)
 	case host.HoldBack:
 		c.simulation.queue.push(event{at: max(c.simulation.now, r.deadline-deadlineMargin), kind: evLate, req: r, status: uint8(s)})
 		return
-	case host.Late > 0:
-		c.simulation.queue.push(event{at: r.deadline + deadlineMargin + host.Late, kind: evLate, req: r, status: uint8(s)})
+	case host.Delay > 0:
+		c.simulation.queue.push(event{at: r.deadline + deadlineMargin + host.Delay, kind: evLate, req: r, status: uint8(s)})
 		return
 	default:
 		c.respond(r, s, 0, after)
@@ -781,7 +781,7 @@
 			c.closeIdle(t.server)
 		}
 		list = append(list, t.endpoint)
-		if w.options.Host.StaleList == 0 {
+		if w.options.Defects.ListDelay == 0 {
 			w.record(record.Event{Kind: record.Notified, Sidecar: c.index, Node: t.server, State: stateOf(t.endpoint.State)})
 		}
 	}
@@ -803,8 +803,8 @@
 		at := w.now + notice.From.Std() + time.Duration(w.random.Float64()*float64(notice.To-notice.From))
 		c.lastNotification = max(c.lastNotification, at)
 		c.notifications = append(c.notifications, notification{c.lastNotification, n, w.endpoint(n)})
-		w.queue.push(event{at: c.lastNotification + w.options.Host.StaleList, kind: evTold, a: c.index})
-		if w.options.Host.StaleList > 0 { // the sidecar is told now, whatever it does with it
+		w.queue.push(event{at: c.lastNotification + w.options.Defects.ListDelay, kind: evTold, a: c.index})
+		if w.options.Defects.ListDelay > 0 { // the sidecar is told now, whatever it does with it
 			w.queue.push(event{at: c.lastNotification, kind: evNote, a: c.index, b: n, status: uint8(stateOf(s))})
 		}
 	}
@@ -920,8 +920,8 @@
 	w.queue.push(event{at: w.now + sidecarRestartTime, kind: evUp, a: c.index})
 }
 
-// Wait implements View.
-func (w *simulation) Wait(sidecar int, endpoint string, class int, work float64) float64 {
+// ResponseTime implements View.
+func (w *simulation) ResponseTime(sidecar int, endpoint string, class int, work float64) float64 {
 	n := w.serverByID[endpoint]
 	m, c := w.servers[n], w.sidecars[sidecar]
 	if m.down || w.isCutOff(c, n) || m.Faults.Swallow[class] || m.Faults.TurnAway[class] || m.listedState != balance.Ready {
--- a/internal/lab/variants.go
+++ b/internal/lab/variants.go
@@ -17,19 +17,19 @@
 // module takes it, and what is wrong between them.
 var fleets = map[string]func(s *scenario.Scenario) *sim.Fleet{
 	"fleet":       func(*scenario.Scenario) *sim.Fleet { return &sim.Fleet{} },
-	"fleet-lossy": func(*scenario.Scenario) *sim.Fleet { return &sim.Fleet{Drop: 0.2} },
+	"fleet-lossy": func(*scenario.Scenario) *sim.Fleet { return &sim.Fleet{DropShare: 0.2} },
 	"fleet-cut": func(s *scenario.Scenario) *sim.Fleet { // into two halves, across zones
 		half := s.Fleet.Sidecars / 2
-		return &sim.Fleet{Cut: func(at sim.Time, a, b int) bool { return at >= cutAt && (a < half) != (b < half) }}
+		return &sim.Fleet{LinkCut: func(at time.Duration, a, b int) bool { return at >= cutAt && (a < half) != (b < half) }}
 	},
 	"fleet-ones": func(*scenario.Scenario) *sim.Fleet {
-		return &sim.Fleet{Cut: func(at sim.Time, _, _ int) bool { return at >= cutAt }}
+		return &sim.Fleet{LinkCut: func(at time.Duration, _, _ int) bool { return at >= cutAt }}
 	},
 	"fleet-liar": func(*scenario.Scenario) *sim.Fleet { // one says that every node fails
-		return &sim.Fleet{Lies: func(at sim.Time, sidecar int) bool { return at >= cutAt && sidecar == 0 }}
+		return &sim.Fleet{FalseReports: func(at time.Duration, sidecar int) bool { return at >= cutAt && sidecar == 0 }}
 	},
 	"fleet-liars": func(*scenario.Scenario) *sim.Fleet { // a tenth of the sidecars says that the same third of all nodes fails
-		return &sim.Fleet{Part: 3, Lies: func(at sim.Time, sidecar int) bool { return at >= cutAt && sidecar%10 == 0 }}
+		return &sim.Fleet{FalseEvery: 3, FalseReports: func(at time.Duration, sidecar int) bool { return at >= cutAt && sidecar%10 == 0 }}
 	},
 }
 
@@ -42,5 +42,5 @@
 	if err != nil && strings.HasPrefix(policy, "fleet") {
 		err = fmt.Errorf("unknown policy %q: of a fleet there are fleet, fleet-lossy, fleet-cut, fleet-ones, fleet-liar, fleet-liars", policy)
 	}
-	return sim.Options{Make: maker}, err
+	return sim.Options{NewPolicy: maker}, err
 }
