--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -79,7 +79,7 @@
 
 // after has something be done later.
 func (w *simulation) after(wait time.Duration, do func()) {
-	w.queue.push(event{at: w.now + wait, kind: evDo, do: do})
+	w.scheduleAfter(wait, callbackDue{do})
 }
 
 // isCurrent tells whether the part's sidecar still lives the life that it began in.
--- /dev/null
+++ b/internal/lab/sim/scheduler.go
@@ -0,0 +1,110 @@
+package sim
+
+import "time"
+
+// event is something that happens at its time. Each kind of event is a type, declared beside what it changes.
+type event interface {
+	// happen carries the event out at the simulation's present time.
+	happen(s *simulation)
+}
+
+// scheduler owns the clock and the queue of events. Nothing else moves the clock.
+type scheduler struct {
+	now   time.Duration // since the start of the run
+	queue eventQueue
+}
+
+// scheduleAt has an event happen at a time.
+func (s *scheduler) scheduleAt(at time.Duration, e event) { s.queue.push(at, e) }
+
+// scheduleAfter has an event happen after a delay.
+func (s *scheduler) scheduleAfter(delay time.Duration, e event) { s.queue.push(s.now+delay, e) }
+
+// nextTime returns the time of the next event, and whether there is one.
+func (s *scheduler) nextTime() (time.Duration, bool) {
+	if len(s.queue.heap) == 0 {
+		return 0, false
+	}
+	return s.queue.heap[0].at, true
+}
+
+// advance moves the clock to the next event and returns it. There must be one.
+func (s *scheduler) advance() event {
+	next := s.queue.pop()
+	s.now = next.at
+	return next.event
+}
+
+// scheduledEvent is an event in the queue.
+type scheduledEvent struct {
+	at       time.Duration
+	sequence uint64 // keeps events of one time in the order in which they were scheduled
+	event    event
+}
+
+func (e *scheduledEvent) isBefore(other *scheduledEvent) bool {
+	return e.at < other.at || e.at == other.at && e.sequence < other.sequence
+}
+
+// heapArity is the number of children of a node of the heap. With four it is half as deep as with two.
+const heapArity = 4
+
+// eventQueue is a heap of events by time, then in the order in which they were scheduled.
+type eventQueue struct {
+	heap         []scheduledEvent
+	lastSequence uint64
+}
+
+func (q *eventQueue) push(at time.Duration, e event) {
+	q.lastSequence++
+	pushed := scheduledEvent{at: at, sequence: q.lastSequence, event: e}
+	q.heap = append(q.heap, pushed)
+	i := len(q.heap) - 1
+	for i > 0 {
+		parent := (i - 1) / heapArity
+		if !pushed.isBefore(&q.heap[parent]) {
+			break
+		}
+		q.heap[i] = q.heap[parent]
+		i = parent
+	}
+	q.heap[i] = pushed
+}
+
+func (q *eventQueue) pop() scheduledEvent {
+	first := q.heap[0]
+	last := len(q.heap) - 1
+	moved := q.heap[last]
+	q.heap[last] = scheduledEvent{} // lets go of the event
+	q.heap = q.heap[:last]
+	if last > 0 {
+		q.siftDown(moved)
+	}
+	return first
+}
+
+// siftDown puts an event in the place of the root, and then below all that come before it.
+func (q *eventQueue) siftDown(moved scheduledEvent) {
+	i := 0
+	for {
+		child := q.firstChild(i)
+		if child < 0 || !q.heap[child].isBefore(&moved) {
+			break
+		}
+		q.heap[i] = q.heap[child]
+		i = child
+	}
+	q.heap[i] = moved
+}
+
+// firstChild returns the child of a node that comes before its other children, or -1 if it has none.
+func (q *eventQueue) firstChild(parent int) int {
+	first := -1
+	firstIndex := heapArity*parent + 1
+	for i := firstIndex; i < firstIndex+heapArity && i < len(q.heap); i++ {
+		if first < 0 || q.heap[i].isBefore(&q.heap[first]) {
+			first = i
+		}
+	}
+	return first
+}
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -75,11 +75,10 @@
 )
 
 type simulation struct {
+	scheduler
 	plan         *plan.Plan
 	options      Options
 	random       *rand.Rand // of the network
-	queue        queue
-	now          time.Duration
 	result       Result
 	openRequests int
 
@@ -187,12 +186,12 @@
 		most = max(most, p.Scenario.Length.Std()+c.Deadline.Std()+time.Second)
 	}
 	second := time.Duration(0)
-	for len(w.queue.heap) > 0 {
-		e := w.queue.pop()
-		if e.at > most || e.at >= p.Scenario.Length.Std() && w.openRequests == 0 && e.at >= p.Last {
+	for {
+		at, ok := w.nextTime()
+		if !ok || at > most || at >= p.Scenario.Length.Std() && w.openRequests == 0 && at >= p.Last {
 			break
 		}
-		w.now = e.at
+		next := w.advance()
 		if w.now >= second {
 			if ctx.Err() != nil {
 				return w.result, fmt.Errorf("interrupted at %v of %v: %w", w.now, p.Scenario.Length.Std(), context.Cause(ctx))
@@ -203,7 +202,7 @@
 			second += time.Second
 		}
 		w.result.Events++
-		w.handle(&e)
+		next.happen(w)
 	}
 	for i, m := range w.servers {
 		w.record(record.Event{Kind: record.NodeWork, Node: int32(i), Work: m.earlierWork + m.Done()})
@@ -238,7 +237,7 @@
 		c.scheduleArrival()
 	}
 	for i := range w.plan.Acts {
-		w.queue.push(event{at: w.plan.Acts[i].At, kind: evAct, a: int32(i)})
+		w.scheduleAt(w.plan.Acts[i].At, planActDue{&w.plan.Acts[i]})
 	}
 	return nil
 }
@@ -299,56 +298,129 @@
 	return m.vanished || c.zone != m.Zone && (w.zoneCut[c.zone] || w.zoneCut[m.Zone])
 }
 
-func (w *simulation) handle(e *event) {
-	switch e.kind {
-	case evAsk:
-		c := w.sidecars[e.a]
-		w.receiveRequest(c, c.nextRequest, 0)
-		c.scheduleArrival()
-	case evAgain:
-		w.receiveRequest(e.req.sidecar, e.req.workload, e.req.firstID)
-		w.openRequests--
-	case evDeadline:
-		w.expire(e.req)
-	case evLeave:
-		w.abandon(e.req)
-	case evTimer:
-		if c := w.sidecars[e.a]; !c.down && c.incarnation == e.b {
-			c.policy.Timer(w.now+epoch, e.token)
-			c.detectLosses()
-		}
-	case evReach:
-		w.arriveAtServer(e.att)
-	case evBack:
-		w.completeAttempt(e.att, record.Status(e.status), e.token)
-	case evCancel:
-		w.cancelAtServer(e.att)
-	case evNode:
-		w.servers[e.a].wakeAt = -1
-		w.advanceServer(e.a)
-	case evTold:
-		w.sidecars[e.a].receiveNotifications()
-	case evAct:
-		w.applyAct(&w.plan.Acts[e.a])
-	case evUp:
-		c := w.sidecars[e.a]
-		if err := c.start(); err != nil {
-			panic(fmt.Sprintf("sim: sidecar %d does not start again: %v", e.a, err)) // its settings were good before
-		}
-	case evNote:
-		w.record(record.Event{Kind: record.Notified, Sidecar: e.a, Node: e.b, State: record.State(e.status)})
-	case evDo:
-		e.do()
-	case evLate:
-		e.req.sidecar.respond(e.req, record.Status(e.status), 0, 0)
+// The events of the simulation.
+type (
+	// clientArrived is the next arrival at a sidecar.
+	clientArrived struct{ sidecar *sidecar }
+
+	// retryDue is a client's retry.
+	retryDue struct {
+		sidecar  *sidecar
+		workload workload.Request
+		firstID  uint64
+	}
+
+	// deadlineExpired is the end of the time for a request's final response.
+	deadlineExpired struct{ request *request }
+
+	// clientLeft is a client that no longer waits for its response.
+	clientLeft struct{ request *request }
+
+	// timerFired is the end of a policy's timer.
+	timerFired struct {
+		sidecar     *sidecar
+		incarnation int32
+		token       uint64
+	}
+
+	// attemptArrived is the arrival of an attempt's last byte at its server.
+	attemptArrived struct{ attempt *attempt }
+
+	// attemptEnded is the end of an attempt for its sidecar.
+	attemptEnded struct {
+		attempt *attempt
+		status  record.Status
+		token   uint64 // names the response; 0 without one
+	}
+
+	// cancelArrived is a server's notice that a response is no longer wanted.
+	cancelArrived struct{ attempt *attempt }
+
+	// serverDue is a time at which a server has something to do.
+	serverDue struct{ server int32 }
+
+	// notificationArrived is a notification of discovery that reaches a sidecar.
+	notificationArrived struct{ sidecar *sidecar }
+
+	// notificationRecorded is the notification of a sidecar whose policy is notified later.
+	notificationRecorded struct {
+		sidecar *sidecar
+		server  int32
+		state   record.State
 	}
+
+	// planActDue is an act of the plan.
+	planActDue struct{ act *plan.Act }
+
+	// sidecarRestarted is the start of a crashed sidecar's next process.
+	sidecarRestarted struct{ sidecar *sidecar }
+
+	// delayedResponse is a final response that a seeded defect has delayed.
+	delayedResponse struct {
+		request *request
+		status  record.Status
+	}
+
+	// callbackDue is a call that was scheduled.
+	callbackDue struct{ call func() }
+)
+
+func (e clientArrived) happen(s *simulation) {
+	s.receiveRequest(e.sidecar, e.sidecar.nextRequest, 0)
+	e.sidecar.scheduleArrival()
+}
+
+func (e retryDue) happen(s *simulation) {
+	s.receiveRequest(e.sidecar, e.workload, e.firstID)
+	s.openRequests--
+}
+
+func (e deadlineExpired) happen(s *simulation) { s.expire(e.request) }
+
+func (e clientLeft) happen(s *simulation) { s.abandon(e.request) }
+
+func (e timerFired) happen(s *simulation) {
+	if e.sidecar.down || e.sidecar.incarnation != e.incarnation {
+		return
+	}
+	e.sidecar.policy.Timer(s.now+epoch, e.token)
+	e.sidecar.detectLosses()
 }
 
+func (e attemptArrived) happen(s *simulation) { s.arriveAtServer(e.attempt) }
+
+func (e attemptEnded) happen(s *simulation) { s.completeAttempt(e.attempt, e.status, e.token) }
+
+func (e cancelArrived) happen(s *simulation) { s.cancelAtServer(e.attempt) }
+
+func (e serverDue) happen(s *simulation) {
+	s.servers[e.server].wakeAt = -1
+	s.advanceServer(e.server)
+}
+
+func (e notificationArrived) happen(*simulation) { e.sidecar.receiveNotifications() }
+
+func (e notificationRecorded) happen(s *simulation) {
+	s.record(record.Event{Kind: record.Notified, Sidecar: e.sidecar.index, Node: e.server, State: e.state})
+}
+
+func (e planActDue) happen(s *simulation) { s.applyAct(e.act) }
+
+func (e sidecarRestarted) happen(*simulation) {
+	if err := e.sidecar.start(); err != nil {
+		panic(fmt.Sprintf("sim: sidecar %d does not start again: %v", e.sidecar.index, err)) // its settings were good before
+	}
+}
+
+func (e delayedResponse) happen(*simulation) { e.request.sidecar.respond(e.request, e.status, 0, 0) }
+
+func (e callbackDue) happen(*simulation) { e.call() }
+
 // scheduleArrival has the sidecar's next arrival come.
 func (c *sidecar) scheduleArrival() {
 	if a, ok := c.source.Next(); ok {
 		c.nextRequest = a
-		c.simulation.queue.push(event{at: a.At, kind: evAsk, a: c.index})
+		c.simulation.scheduleAt(a.At, clientArrived{c})
 	}
 }
 
@@ -396,9 +468,9 @@
 	}
 	w.openRequests++
 	c.requests[balance.RequestID(r.id)] = r
-	w.queue.push(event{at: r.deadline, kind: evDeadline, req: r})
+	w.scheduleAt(r.deadline, deadlineExpired{r})
 	if a.LeavesAfter > 0 {
-		w.queue.push(event{at: w.now + a.LeavesAfter, kind: evLeave, req: r})
+		w.scheduleAfter(a.LeavesAfter, clientLeft{r})
 	}
 	c.policy.Request(w.now+epoch, balance.Request{ID: balance.RequestID(r.id), Class: a.Class, Tenant: a.Tenant,
 		Timeout: a.Timeout - deadlineMargin, Retry: a.RetriesMade > 0})
@@ -408,7 +480,7 @@
 func (w *simulation) retryLater(r *request, how workload.Outcome, after time.Duration) {
 	if next, ok := workload.Retry(w.plan.Scenario, r.workload, w.now, how, after, r.sidecar.clientRandom); ok {
 		w.openRequests++ // a try that is to come keeps the day open
-		w.queue.push(event{at: next.At, kind: evAgain, req: &request{workload: next, firstID: r.firstID, sidecar: r.sidecar}})
+		w.scheduleAt(next.At, retryDue{r.sidecar, next, r.firstID})
 	}
 }
 
@@ -485,10 +557,10 @@
 	case host.InventEvery > 0 && c.simulation.counts.refusals%host.InventEvery == 0:
 		c.respond(r, record.Served, 1<<63, 0)
 	case host.HoldBack:
-		c.simulation.queue.push(event{at: max(c.simulation.now, r.deadline-deadlineMargin), kind: evLate, req: r, status: uint8(s)})
+		c.simulation.scheduleAt(max(c.simulation.now, r.deadline-deadlineMargin), delayedResponse{r, s})
 		return
 	case host.Delay > 0:
-		c.simulation.queue.push(event{at: r.deadline + deadlineMargin + host.Delay, kind: evLate, req: r, status: uint8(s)})
+		c.simulation.scheduleAt(r.deadline+deadlineMargin+host.Delay, delayedResponse{r, s})
 		return
 	default:
 		c.respond(r, s, 0, after)
@@ -517,28 +589,28 @@
 	a.serverIncarnation = m.incarnation
 	end := r.deadline
 	if r.completed || w.now >= end {
-		w.queue.push(event{at: w.now, kind: evBack, att: a, status: uint8(record.Cancelled)})
+		w.scheduleAfter(0, attemptEnded{attempt: a, status: record.Cancelled})
 		return
 	}
 	if c.acquireIdle(a.server) {
 		a.firstByteAt = w.now
-		w.queue.push(event{at: w.now + way, kind: evReach, att: a})
+		w.scheduleAfter(way, attemptArrived{a})
 		return
 	}
 	a.newConnection = true
 	up := time.Duration(w.plan.Scenario.Fleet.HandshakeRTTs * 2 * float64(way))
 	switch connect := w.plan.Scenario.Network.Connect.Std(); {
 	case within > 0 && up > within:
-		w.queue.push(event{at: w.now + within, kind: evBack, att: a, status: uint8(record.Cancelled)})
+		w.scheduleAfter(within, attemptEnded{attempt: a, status: record.Cancelled})
 	case w.isCutOff(c, a.server):
 		c.noteLoss(a.server, r.workload.Class)
-		w.queue.push(event{at: w.now + connect, kind: evBack, att: a, status: uint8(record.NotReached)})
+		w.scheduleAfter(connect, attemptEnded{attempt: a, status: record.NotReached})
 	case m.down || m.connections >= w.plan.Scenario.Fleet.ConnCap:
-		w.queue.push(event{at: w.now + 2*way, kind: evBack, att: a, status: uint8(record.NotReached)})
+		w.scheduleAfter(2*way, attemptEnded{attempt: a, status: record.NotReached})
 	default:
 		m.connections++
 		a.firstByteAt = w.now + up
-		w.queue.push(event{at: w.now + up + way, kind: evReach, att: a})
+		w.scheduleAfter(up+way, attemptArrived{a})
 	}
 }
 
@@ -578,7 +650,7 @@
 	if r == nil || n < 0 || n >= len(r.attempts) || r.attempts[n].ended {
 		return
 	}
-	c.simulation.queue.push(event{at: c.simulation.now, kind: evBack, att: r.attempts[n], status: uint8(record.Cancelled)})
+	c.simulation.scheduleAfter(0, attemptEnded{attempt: r.attempts[n], status: record.Cancelled})
 }
 
 // Reject answers that a retry does no harm.
@@ -591,7 +663,7 @@
 
 // Timer asks for a Timer event.
 func (c *sidecar) Timer(after time.Duration, token uint64) {
-	c.simulation.queue.push(event{at: c.simulation.now + max(after, time.Microsecond), kind: evTimer, a: c.index, b: c.incarnation, token: token})
+	c.simulation.scheduleAfter(max(after, time.Microsecond), timerFired{c, c.incarnation, token})
 }
 
 // Subscribe does nothing: discovery pushes.
@@ -614,7 +686,7 @@
 			if a.newConnection {
 				s = record.NotReached
 			}
-			w.queue.push(event{at: w.now + w.drawDelay(c, a.server), kind: evBack, att: a, status: uint8(s)})
+			w.scheduleAfter(w.drawDelay(c, a.server), attemptEnded{attempt: a, status: s})
 		}
 		return
 	}
@@ -643,7 +715,7 @@
 	switch m.Arrive(w.now, &a.Job, a.request.workload.Class, a.request.workload.Key, effect, extra) {
 	case node.TurnedAway:
 		w.record(record.Event{Kind: record.Replied, Request: a.request.id, Attempt: a.number, Node: a.server, Status: record.Rejected})
-		w.queue.push(event{at: w.now + w.drawDelay(c, a.server), kind: evBack, att: a, status: uint8(record.Rejected)})
+		w.scheduleAfter(w.drawDelay(c, a.server), attemptEnded{attempt: a, status: record.Rejected})
 	case node.Swallowed:
 		c.noteLoss(a.server, a.request.workload.Class)
 	case node.Known:
@@ -654,7 +726,7 @@
 		w.record(record.Event{Kind: record.Ran, Request: a.request.id, Attempt: a.number, Sidecar: c.index, Node: a.server})
 	}
 	if m.brokenRequestShare > 0 && w.random.Float64() < m.brokenRequestShare {
-		w.queue.push(event{at: w.now + w.drawDelay(c, a.server), kind: evBack, att: a, status: uint8(record.Broken)})
+		w.scheduleAfter(w.drawDelay(c, a.server), attemptEnded{attempt: a, status: record.Broken})
 		w.cancelAtServer(a)
 		return
 	}
@@ -678,12 +750,12 @@
 			s = record.Broken
 		}
 		if !w.isCutOff(a.request.sidecar, n) {
-			w.queue.push(event{at: w.now + w.drawDelay(a.request.sidecar, n), kind: evBack, att: a, status: uint8(s), token: w.tokens})
+			w.scheduleAfter(w.drawDelay(a.request.sidecar, n), attemptEnded{attempt: a, status: s, token: w.tokens})
 		}
 	}
 	if next := m.Next(); next >= 0 && (m.wakeAt < 0 || next < m.wakeAt) {
 		m.wakeAt = max(next, w.now+1)
-		w.queue.push(event{at: m.wakeAt, kind: evNode, a: n})
+		w.scheduleAt(m.wakeAt, serverDue{n})
 	}
 }
 
@@ -739,7 +811,7 @@
 		if alive && a.firstByteAt >= 0 {
 			m.connections--
 		}
-		w.queue.push(event{at: w.now + w.drawDelay(c, a.server), kind: evCancel, att: a})
+		w.scheduleAfter(w.drawDelay(c, a.server), cancelArrived{a})
 	}
 	if (s == record.Cancelled || s == record.TimedOut) && (a.firstByteAt < 0 || a.firstByteAt > w.now) {
 		// Not a byte of it was written: the real sidecar tells these apart.
@@ -803,9 +875,9 @@
 		at := w.now + notice.From.Std() + time.Duration(w.random.Float64()*float64(notice.To-notice.From))
 		c.lastNotification = max(c.lastNotification, at)
 		c.notifications = append(c.notifications, notification{c.lastNotification, n, w.endpoint(n)})
-		w.queue.push(event{at: c.lastNotification + w.options.Defects.ListDelay, kind: evTold, a: c.index})
+		w.scheduleAt(c.lastNotification+w.options.Defects.ListDelay, notificationArrived{c})
 		if w.options.Defects.ListDelay > 0 { // the sidecar is told now, whatever it does with it
-			w.queue.push(event{at: c.lastNotification, kind: evNote, a: c.index, b: n, status: uint8(stateOf(s))})
+			w.scheduleAt(c.lastNotification, notificationRecorded{c, n, stateOf(s)})
 		}
 	}
 }
@@ -820,7 +892,7 @@
 	case plan.Silence:
 		if w.discoverySilent = a.On; !a.On {
 			for _, c := range w.sidecars {
-				w.queue.push(event{at: w.now + w.plan.Scenario.Notice.From.Std(), kind: evTold, a: c.index})
+				w.scheduleAfter(w.plan.Scenario.Notice.From.Std(), notificationArrived{c})
 			}
 		}
 		return
@@ -881,7 +953,7 @@
 		a := j.Owner.(*attempt)
 		a.atServer = false
 		if !w.isCutOff(a.request.sidecar, n) {
-			w.queue.push(event{at: w.now + w.drawDelay(a.request.sidecar, n), kind: evBack, att: a, status: uint8(record.Broken)})
+			w.scheduleAfter(w.drawDelay(a.request.sidecar, n), attemptEnded{attempt: a, status: record.Broken})
 		}
 	}
 	m.down = true
@@ -908,7 +980,7 @@
 				if m := w.servers[a.server]; a.serverIncarnation == m.incarnation && !m.down && a.firstByteAt >= 0 {
 					m.connections--
 				}
-				w.queue.push(event{at: w.now + w.drawDelay(c, a.server), kind: evCancel, att: a})
+				w.scheduleAfter(w.drawDelay(c, a.server), cancelArrived{a})
 			}
 		}
 		if !r.completed {
@@ -917,7 +989,7 @@
 			w.retryLater(r, workload.Failed, 0)
 		}
 	}
-	w.queue.push(event{at: w.now + sidecarRestartTime, kind: evUp, a: c.index})
+	w.scheduleAfter(sidecarRestartTime, sidecarRestarted{c})
 }
 
 // ResponseTime implements View.
