--- a/internal/lab/sim/attempt.go
+++ b/internal/lab/sim/attempt.go
@@ -8,133 +8,206 @@
 	"milletramp.example/milletramp/internal/lab/record"
 )
 
+// neverSent is the firstByteAt of an attempt without a connection.
+const neverSent time.Duration = -1
+
+// attempt is one try of a sidecar to have a request served by a server.
 type attempt struct {
-	node.Job
+	node.Job          // at the server
 	request           *request
-	server            int32
-	number            uint8
-	ended             bool // for its sidecar
-	newConnection     bool // on a new connection
-	serverIncarnation int32
+	number            uint8 // among the request's attempts, from 0
+	server            *server
+	serverIncarnation int32 // of the server when the attempt started
+	newConnection     bool  // not one that was idle
 	startedAt         time.Duration
-	firstByteAt       time.Duration // first byte
-	endedAt           time.Duration // ended at
-	known             bool
-	atServer          bool
+	firstByteAt       time.Duration // when its first byte is written, or neverSent
+	ended             bool          // for its sidecar
+	endedAt           time.Duration
+	atServer          bool // the server holds its job
 }
 
-// Send implements balance.Actions, as do the methods after it.
-func (c *sidecar) Send(id balance.RequestID, endpoint string, within time.Duration) {
-	w := c.simulation
-	r := c.requests[id]
+// Send implements balance.Actions.
+func (sc *sidecar) Send(id balance.RequestID, endpoint string, within time.Duration) {
+	s := sc.simulation
+	r := sc.requests[id]
 	if r == nil {
 		return
 	}
-	a := &attempt{request: r, server: w.serverByID[endpoint], number: uint8(len(r.attempts)), startedAt: w.now, firstByteAt: -1}
+	a := r.newAttempt(s.serverByID[endpoint])
+	delay := a.drawDelay()
+	switch {
+	case r.completed || s.now >= r.deadline:
+		a.endAfter(0, record.Cancelled)
+	case sc.acquireIdle(a.server):
+		a.firstByteAt = s.now
+		s.scheduleAfter(delay, attemptArrived{a})
+	default:
+		a.connect(delay, within)
+	}
+}
+
+func (r *request) newAttempt(srv *server) *attempt {
+	a := &attempt{
+		request:           r,
+		number:            uint8(len(r.attempts)),
+		server:            srv,
+		serverIncarnation: srv.incarnation,
+		startedAt:         r.sidecar.simulation.now,
+		firstByteAt:       neverSent,
+	}
 	r.attempts = append(r.attempts, a)
 	r.attemptsInFlight++
-	m := w.servers[a.server]
-	way := w.drawDelay(c, a.server)
-	a.serverIncarnation = m.incarnation
-	end := r.deadline
-	if r.completed || w.now >= end {
-		w.scheduleAfter(0, attemptEnded{attempt: a, status: record.Cancelled})
+	return a
+}
+
+// connect sends the attempt on a new connection. It ends unsent if that takes longer than within; 0 is no limit.
+func (a *attempt) connect(delay, within time.Duration) {
+	s := a.request.sidecar.simulation
+	scenario := s.plan.Scenario
+	a.newConnection = true
+	handshake := time.Duration(scenario.Fleet.HandshakeRTTs * 2 * float64(delay))
+	switch {
+	case within > 0 && handshake > within:
+		a.endAfter(within, record.Cancelled)
+	case a.isCutOff():
+		a.noteLoss()
+		a.endAfter(scenario.Network.Connect.Std(), record.NotReached)
+	case a.server.down || a.server.connections >= scenario.Fleet.ConnCap:
+		a.endAfter(2*delay, record.NotReached)
+	default:
+		a.server.connections++
+		a.firstByteAt = s.now + handshake
+		s.scheduleAfter(handshake+delay, attemptArrived{a})
+	}
+}
+
+// drawDelay draws a one-way delay between the attempt's sidecar and server.
+func (a *attempt) drawDelay() time.Duration {
+	return a.request.sidecar.simulation.drawDelay(a.request.sidecar, a.server)
+}
+
+// isCutOff reports whether nothing passes between the attempt's sidecar and server.
+func (a *attempt) isCutOff() bool {
+	return a.request.sidecar.simulation.isCutOff(a.request.sidecar, a.server)
+}
+
+// isServerAlive reports whether the process to which the attempt was sent still runs.
+func (a *attempt) isServerAlive() bool {
+	return a.serverIncarnation == a.server.incarnation && !a.server.down
+}
+
+func (a *attempt) noteLoss() {
+	a.request.sidecar.noteLoss(a.server, a.request.workload.Class)
+}
+
+// endAfter has the attempt end without a response that has a token.
+func (a *attempt) endAfter(delay time.Duration, status record.Status) {
+	a.request.sidecar.simulation.scheduleAfter(delay, attemptEnded{attempt: a, status: status})
+}
+
+// attemptArrived is the arrival of an attempt's last byte at its server.
+type attemptArrived struct{ attempt *attempt }
+
+func (e attemptArrived) happen(*simulation) {
+	a := e.attempt
+	if !a.isServerAlive() {
+		a.resetByServer()
 		return
 	}
-	if c.acquireIdle(a.server) {
-		a.firstByteAt = w.now
-		w.scheduleAfter(way, attemptArrived{a})
+	if a.isCutOff() {
+		a.noteLoss()
 		return
 	}
-	a.newConnection = true
-	up := time.Duration(w.plan.Scenario.Fleet.HandshakeRTTs * 2 * float64(way))
-	switch connect := w.plan.Scenario.Network.Connect.Std(); {
-	case within > 0 && up > within:
-		w.scheduleAfter(within, attemptEnded{attempt: a, status: record.Cancelled})
-	case w.isCutOff(c, a.server):
-		c.noteLoss(a.server, r.workload.Class)
-		w.scheduleAfter(connect, attemptEnded{attempt: a, status: record.NotReached})
-	case m.down || m.connections >= w.plan.Scenario.Fleet.ConnCap:
-		w.scheduleAfter(2*way, attemptEnded{attempt: a, status: record.NotReached})
-	default:
-		m.connections++
-		a.firstByteAt = w.now + up
-		w.scheduleAfter(up+way, attemptArrived{a})
+	if a.ended && a.newConnection && a.endedAt <= a.firstByteAt { // given up before it had a connection
+		return
+	}
+	a.recordArrival()
+	if !a.ended {
+		a.server.receive(a)
 	}
 }
 
+// resetByServer ends an attempt whose server's process has ended on its way.
+func (a *attempt) resetByServer() {
+	if a.ended || a.isCutOff() {
+		return
+	}
+	status := record.Broken
+	if a.newConnection {
+		status = record.NotReached
+	}
+	a.endAfter(a.drawDelay(), status)
+}
+
+func (a *attempt) recordArrival() {
+	r := a.request
+	s := r.sidecar.simulation
+	a.Work = r.workload.Work
+	s.record(record.Event{At: a.firstByteAt, Kind: record.Sent, Request: r.id, Attempt: a.number,
+		Sidecar: r.sidecar.index, Node: a.server.index})
+	s.record(record.Event{Kind: record.Arrived, Request: r.id, Attempt: a.number, Sidecar: r.sidecar.index,
+		Node: a.server.index, Work: a.Work, Effect: r.id})
+}
+
 // attemptEnded is the end of an attempt for its sidecar.
 type attemptEnded struct {
 	attempt *attempt
 	status  record.Status
-	token   uint64 // names the response; 0 without one
+	token   uint64 // names the server's response; 0: there is none
 }
 
-func (e attemptEnded) happen(s *simulation) { s.completeAttempt(e.attempt, e.status, e.token) }
-
-// cutShort ends an attempt from the sidecar's side.
-func (w *simulation) cutShort(a *attempt, s record.Status) { w.completeAttempt(a, s, 0) }
+func (e attemptEnded) happen(*simulation) { e.attempt.end(e.status, e.token) }
 
-// completeAttempt is the end of an attempt for its sidecar.
-func (w *simulation) completeAttempt(a *attempt, s record.Status, token uint64) {
-	c := a.request.sidecar
-	if a.ended || a.request.incarnation != c.incarnation || c.down {
+// end ends the attempt for its sidecar, unless it has ended.
+func (a *attempt) end(status record.Status, token uint64) {
+	r := a.request
+	if a.ended || !r.isCurrent() {
 		return
 	}
-	a.ended, a.endedAt = true, w.now
-	r := a.request
+	sc, s := r.sidecar, r.sidecar.simulation
+	a.ended, a.endedAt = true, s.now
 	r.attemptsInFlight--
-	m := w.servers[a.server]
-	alive := a.serverIncarnation == m.incarnation && !m.down
-	outcome := balance.Served
-	switch s {
-	case record.Served:
-		c.lastResponse[a.server] = w.now
-		c.respond(r, record.Served, token, 0)
-	case record.Rejected:
-		outcome = balance.Saturated
-		c.lastResponse[a.server] = w.now
-	case record.Failed:
-		outcome = balance.Errored
-		c.lastResponse[a.server] = w.now
-	case record.Broken:
-		outcome = balance.Reset
-		c.closeIdle(a.server)
-	case record.NotReached:
-		outcome = balance.ConnectFailed
-		c.closeIdle(a.server)
-	case record.Cancelled:
-		outcome = balance.Cancelled
-	case record.TimedOut:
-		outcome = balance.TimedOut
-		if c.lastResponse[a.server] < a.startedAt {
-			c.closeIdle(a.server)
-		}
+	if status == record.Served {
+		r.respond(record.Served, token, 0)
 	}
-	switch {
-	case s == record.Served || s == record.Rejected || s == record.Failed:
-		if alive {
-			c.idle[a.server] = append(c.idle[a.server], idleConnection{w.now, a.serverIncarnation})
-		}
-	case s == record.Broken:
-		if alive {
-			m.connections--
-		}
-	case s == record.Cancelled || s == record.TimedOut:
-		if alive && a.firstByteAt >= 0 {
-			m.connections--
-		}
-		w.scheduleAfter(w.drawDelay(c, a.server), cancelArrived{a})
+	a.releaseConnection(status)
+	s.record(record.Event{Kind: record.AttemptEnded, Request: r.id, Attempt: a.number, Sidecar: sc.index,
+		Node: a.server.index, Status: status})
+	sc.policy.Result(s.policyNow(), balance.Result{
+		ID:       balance.RequestID(r.id),
+		Attempt:  int(a.number),
+		Endpoint: a.server.ID,
+		Outcome:  a.outcome(status),
+		Took:     s.now - a.startedAt,
+		Finished: r.completed,
+	})
+	sc.detectLosses()
+	r.releaseIfDone()
+}
+
+// outcomes are the policies' words for how an attempt ended.
+var outcomes = [...]balance.Outcome{
+	record.Served:     balance.Served,
+	record.Rejected:   balance.Saturated,
+	record.Failed:     balance.Errored,
+	record.Broken:     balance.Reset,
+	record.NotReached: balance.ConnectFailed,
+	record.Cancelled:  balance.Cancelled,
+	record.TimedOut:   balance.TimedOut,
+}
+
+// outcome returns the policies' word for the attempt's end. As in the real sidecar, an attempt of which no byte was
+// written has outcomes of its own.
+func (a *attempt) outcome(status record.Status) balance.Outcome {
+	if a.firstByteAt >= 0 && a.firstByteAt <= a.request.sidecar.simulation.now {
+		return outcomes[status]
 	}
-	if (s == record.Cancelled || s == record.TimedOut) && (a.firstByteAt < 0 || a.firstByteAt > w.now) {
-		// Not a byte of it was written: the real sidecar tells these apart.
-		if outcome = balance.ConnectFailed; s == record.Cancelled {
-			outcome = balance.NotSent
-		}
+	switch status {
+	case record.Cancelled:
+		return balance.NotSent
+	case record.TimedOut:
+		return balance.ConnectFailed
+	default:
+		return outcomes[status]
 	}
-	w.record(record.Event{Kind: record.AttemptEnded, Request: r.id, Attempt: a.number, Sidecar: c.index, Node: a.server, Status: s})
-	c.policy.Result(w.now+epoch, balance.Result{ID: balance.RequestID(r.id), Attempt: int(a.number), Endpoint: m.ID,
-		Outcome: outcome, Took: w.now - a.startedAt, Finished: r.completed})
-	c.detectLosses()
-	c.releaseIfDone(r)
 }
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -8,87 +8,111 @@
 	"milletramp.example/milletramp/internal/lab/workload"
 )
 
-// scheduleArrival has the sidecar's next arrival come.
-func (c *sidecar) scheduleArrival() {
-	if a, ok := c.source.Next(); ok {
-		c.nextRequest = a
-		c.simulation.scheduleAt(a.At, clientArrived{c})
+// clientSeedSalt keeps the draws of clients' retries apart from what else is drawn with the plan's seed.
+const clientSeedSalt = 0xc11e47
+
+// notRetry is the first request's id of a request that is no retry.
+const notRetry = 0
+
+// scheduleArrival draws the sidecar's next arrival.
+func (sc *sidecar) scheduleArrival() {
+	if next, ok := sc.source.Next(); ok {
+		sc.nextRequest = next
+		sc.simulation.scheduleAt(next.At, clientArrived{sc})
 	}
 }
 
 // clientArrived is the next arrival at a sidecar.
 type clientArrived struct{ sidecar *sidecar }
 
-func (e clientArrived) happen(s *simulation) {
-	s.receiveRequest(e.sidecar, e.sidecar.nextRequest, 0)
+func (e clientArrived) happen(*simulation) {
+	e.sidecar.receive(e.sidecar.nextRequest, notRetry)
 	e.sidecar.scheduleArrival()
 }
 
-// receiveRequest is a client's try.
-func (w *simulation) receiveRequest(c *sidecar, a workload.Request, first uint64) {
-	w.requestCount++
-	w.result.Requests++
-	r := &request{workload: a, id: w.requestCount, firstID: first, sidecar: c, incarnation: c.incarnation}
-	if first == 0 {
+// retryDue is the time of a client's retry.
+type retryDue struct {
+	sidecar  *sidecar
+	workload workload.Request
+	firstID  uint64
+}
+
+func (e retryDue) happen(s *simulation) {
+	e.sidecar.receive(e.workload, e.firstID)
+	s.openRequests-- // the retry is no longer to come
+}
+
+// receive takes in a client's request.
+func (sc *sidecar) receive(requested workload.Request, firstID uint64) {
+	s := sc.simulation
+	s.result.Requests++
+	r := &request{
+		id:          s.result.Requests,
+		firstID:     firstID,
+		workload:    requested,
+		sidecar:     sc,
+		incarnation: sc.incarnation,
+		deadline:    s.now + requested.Timeout - deadlineMargin,
+	}
+	if firstID == notRetry {
 		r.firstID = r.id
 	}
-	r.deadline = w.now + a.Timeout - deadlineMargin
-	w.record(record.Event{Kind: record.Requested, Request: r.id, FirstRequest: r.firstID, Sidecar: c.index,
-		Class: uint8(a.Class), Tenant: int32(a.Tenant), Wait: a.Timeout, Work: a.Work, Effect: r.id})
-	if c.down {
-		w.record(record.Event{Kind: record.Answered, Request: r.id, Sidecar: c.index, Status: record.NotReached})
+	s.record(record.Event{Kind: record.Requested, Request: r.id, FirstRequest: r.firstID, Sidecar: sc.index,
+		Class: uint8(requested.Class), Tenant: int32(requested.Tenant), Wait: requested.Timeout, Work: requested.Work,
+		Effect: r.id})
+	if sc.down {
+		s.record(record.Event{Kind: record.Answered, Request: r.id, Sidecar: sc.index, Status: record.NotReached})
 		r.completed = true
-		w.retryLater(r, workload.Unreachable, 0)
+		r.scheduleRetry(workload.Unreachable, 0)
 		return
 	}
-	w.openRequests++
-	c.requests[balance.RequestID(r.id)] = r
-	w.scheduleAt(r.deadline, deadlineExpired{r})
-	if a.LeavesAfter > 0 {
-		w.scheduleAfter(a.LeavesAfter, clientLeft{r})
-	}
-	c.policy.Request(w.now+epoch, balance.Request{ID: balance.RequestID(r.id), Class: a.Class, Tenant: a.Tenant,
-		Timeout: a.Timeout - deadlineMargin, Retry: a.RetriesMade > 0})
+	r.start()
 }
 
-// retryLater has a client make its next try, where it does.
-func (w *simulation) retryLater(r *request, how workload.Outcome, after time.Duration) {
-	if next, ok := workload.Retry(w.plan.Scenario, r.workload, w.now, how, after, r.sidecar.clientRandom); ok {
-		w.openRequests++ // a try that is to come keeps the day open
-		w.scheduleAt(next.At, retryDue{r.sidecar, next, r.firstID})
+// start hands the request to the policy.
+func (r *request) start() {
+	sc, s := r.sidecar, r.sidecar.simulation
+	id := balance.RequestID(r.id)
+	s.openRequests++
+	sc.requests[id] = r
+	s.scheduleAt(r.deadline, deadlineExpired{r})
+	if r.workload.LeavesAfter > 0 {
+		s.scheduleAfter(r.workload.LeavesAfter, clientLeft{r})
 	}
+	sc.policy.Request(s.policyNow(), balance.Request{
+		ID:      id,
+		Class:   r.workload.Class,
+		Tenant:  r.workload.Tenant,
+		Timeout: r.workload.Timeout - deadlineMargin,
+		Retry:   r.workload.RetriesMade > 0,
+	})
 }
 
-// retryDue is a client's retry.
-type retryDue struct {
-	sidecar  *sidecar
-	workload workload.Request
-	firstID  uint64
-}
-
-func (e retryDue) happen(s *simulation) {
-	s.receiveRequest(e.sidecar, e.workload, e.firstID)
-	s.openRequests--
+// scheduleRetry schedules the client's retry of a request that has ended, if it makes one.
+func (r *request) scheduleRetry(outcome workload.Outcome, retryAfter time.Duration) {
+	s := r.sidecar.simulation
+	retry, ok := workload.Retry(s.plan.Scenario, r.workload, s.now, outcome, retryAfter, r.sidecar.clientRandom)
+	if !ok {
+		return
+	}
+	s.openRequests++ // a retry to come keeps the run going
+	s.scheduleAt(retry.At, retryDue{r.sidecar, retry, r.firstID})
 }
 
 // clientLeft is a client that no longer waits for its response.
 type clientLeft struct{ request *request }
 
-func (e clientLeft) happen(s *simulation) { s.abandon(e.request) }
-
-func (w *simulation) abandon(r *request) {
-	if r.completed || r.incarnation != r.sidecar.incarnation || r.sidecar.down {
+func (e clientLeft) happen(s *simulation) {
+	r, sc := e.request, e.request.sidecar
+	if r.completed || !r.isCurrent() {
 		return
 	}
-	r.completed = true
-	w.openRequests--
-	w.record(record.Event{Kind: record.ClientLeft, Request: r.id, Sidecar: r.sidecar.index})
-	r.sidecar.policy.ClientGone(w.now+epoch, balance.RequestID(r.id))
+	r.complete()
+	s.record(record.Event{Kind: record.ClientLeft, Request: r.id, Sidecar: sc.index})
+	sc.policy.ClientGone(s.policyNow(), balance.RequestID(r.id))
 	for _, a := range r.attempts {
-		if !a.ended {
-			r.sidecar.Cancel(balance.RequestID(r.id), int(a.number))
-		}
+		sc.Cancel(balance.RequestID(r.id), int(a.number))
 	}
-	r.sidecar.releaseIfDone(r)
-	w.retryLater(r, workload.Failed, 0)
+	r.releaseIfDone()
+	r.scheduleRetry(workload.Failed, 0)
 }
--- a/internal/lab/sim/defects.go
+++ b/internal/lab/sim/defects.go
@@ -6,20 +6,33 @@
 	"milletramp.example/milletramp/internal/lab/record"
 )
 
-// Defects says how a sidecar's network part is broken, for mutants; the zero value is whole.
+// inventedToken names a response that no server made.
+const inventedToken = 1 << 63
+
+// Defects are seeded defects of the sidecars' network part, which the lab's rules have to find. The zero value has
+// none.
 type Defects struct {
-	LoseEvery      int           // one answer in so many is never given
+	LoseEvery      int           // one response in so many is never given
 	DuplicateEvery int           // one in so many is given twice
-	InventEvery    int           // one refusal in so many is turned into an answer that no node made
-	HoldBack       bool          // refusals and failures are given only just before the client's time is over
-	Delay          time.Duration // refusals and failures come so much after the deadline
-	ListDelay      time.Duration // the list is told to the module so much later than discovery told it
+	InventEvery    int           // one rejection or failure in so many becomes a response that no server made
+	HoldBack       bool          // rejections and failures are given only just before the client's timeout
+	Delay          time.Duration // rejections and failures come so long after the client's timeout
+	ListDelay      time.Duration // the policy gets the endpoint list so long after discovery's notification
+}
+
+// defectCounts count what the defects take one in so many of.
+type defectCounts struct {
+	responses      int
+	localResponses int // rejections and failures that policies decided on
 }
 
-// delayedResponse is a final response that a seeded defect has delayed.
+// isEvery reports whether a defect in one of n cases is due in the case of this count. For 0 it never is.
+func isEvery(n, count int) bool { return n > 0 && count%n == 0 }
+
+// delayedResponse is a final response that a defect has delayed.
 type delayedResponse struct {
 	request *request
 	status  record.Status
 }
 
-func (e delayedResponse) happen(*simulation) { e.request.sidecar.respond(e.request, e.status, 0, 0) }
+func (e delayedResponse) happen(*simulation) { e.request.respond(e.status, 0, 0) }
--- a/internal/lab/sim/discovery.go
+++ b/internal/lab/sim/discovery.go
@@ -7,69 +7,106 @@
 	"milletramp.example/milletramp/internal/lab/record"
 )
 
+// recordedStates are the recorded events' words for the states of an endpoint.
+var recordedStates = map[balance.State]record.State{
+	balance.Ready:    record.Serving,
+	balance.Draining: record.Draining,
+	balance.Removed:  record.Gone,
+}
+
+// notification is a change of the endpoint list on its way to a sidecar.
 type notification struct {
-	at       time.Duration
-	server   int32
-	endpoint balance.Endpoint
+	arrivesAt time.Duration
+	server    *server
+	endpoint  balance.Endpoint
 }
 
-// notify has discovery tell all sidecars of a node.
-func (w *simulation) notify(n int32, s balance.State) {
-	w.servers[n].listedState = s
-	notice := w.plan.Scenario.Notice
-	for _, c := range w.sidecars {
-		at := w.now + notice.From.Std() + time.Duration(w.random.Float64()*float64(notice.To-notice.From))
-		c.lastNotification = max(c.lastNotification, at)
-		c.notifications = append(c.notifications, notification{c.lastNotification, n, w.endpoint(n)})
-		w.scheduleAt(c.lastNotification+w.options.Defects.ListDelay, notificationArrived{c})
-		if w.options.Defects.ListDelay > 0 { // the sidecar is told now, whatever it does with it
-			w.scheduleAt(c.lastNotification, notificationRecorded{c, n, stateOf(s)})
+// endpoint returns the server as discovery has it.
+func (srv *server) endpoint() balance.Endpoint {
+	endpoint := balance.Endpoint{
+		ID:       srv.ID,
+		Zone:     srv.simulation.plan.Scenario.Fleet.Zones[srv.Zone],
+		Kind:     srv.Kind,
+		PodGroup: srv.Cell,
+		State:    srv.listedState,
+		Weight:   srv.Size,
+	}
+	if srv.startedAt > 0 {
+		endpoint.Started = srv.startedAt + epoch
+	}
+	return endpoint
+}
+
+// notifyAll has discovery notify each sidecar of a server's new state, after a delay of its own and in order.
+func (s *simulation) notifyAll(srv *server, state balance.State) {
+	srv.listedState = state
+	delays := s.plan.Scenario.Notice
+	listDelay := s.options.Defects.ListDelay
+	for _, sc := range s.sidecars {
+		spread := time.Duration(s.network.random.Float64() * float64(delays.To-delays.From))
+		arrivesAt := max(sc.lastNotification, s.now+delays.From.Std()+spread)
+		sc.lastNotification = arrivesAt
+		sc.notifications = append(sc.notifications, notification{arrivesAt, srv, srv.endpoint()})
+		s.scheduleAt(arrivesAt+listDelay, notificationsDue{sc})
+		if listDelay > 0 { // the sidecar has been notified even if its policy gets the list later
+			s.scheduleAt(arrivesAt, notificationDelayed{sc, srv, state})
 		}
 	}
 }
 
-// notificationArrived is a notification of discovery that reaches a sidecar.
-type notificationArrived struct{ sidecar *sidecar }
+// pauseDiscovery stops discovery's notifications, or delivers those that were stopped.
+func (s *simulation) pauseDiscovery(paused bool) {
+	s.discoveryPaused = paused
+	if paused {
+		return
+	}
+	for _, sc := range s.sidecars {
+		s.scheduleAfter(s.plan.Scenario.Notice.From.Std(), notificationsDue{sc})
+	}
+}
 
-func (e notificationArrived) happen(*simulation) { e.sidecar.receiveNotifications() }
+// notificationsDue is a time at which notifications reach a sidecar's policy.
+type notificationsDue struct{ sidecar *sidecar }
 
-// receiveNotifications takes in what discovery has told.
-func (c *sidecar) receiveNotifications() {
-	w := c.simulation
-	if w.discoverySilent || c.down {
+func (e notificationsDue) happen(s *simulation) {
+	sc := e.sidecar
+	if s.discoveryPaused || sc.down {
 		return
 	}
-	var list []balance.Endpoint
-	for len(c.notifications) > 0 && c.notifications[0].at <= w.now {
-		t := c.notifications[0]
-		c.notifications = c.notifications[1:]
-		c.endpoints[t.server] = t.endpoint
-		if t.endpoint.State == balance.Removed {
-			delete(c.endpoints, t.server)
-			c.closeIdle(t.server)
-		}
-		list = append(list, t.endpoint)
-		if w.options.Defects.ListDelay == 0 {
-			w.record(record.Event{Kind: record.Notified, Sidecar: c.index, Node: t.server, State: stateOf(t.endpoint.State)})
-		}
+	var changes []balance.Endpoint
+	for len(sc.notifications) > 0 && sc.notifications[0].arrivesAt <= s.now {
+		changes = append(changes, sc.notifications[0].endpoint)
+		sc.applyNotification(sc.notifications[0])
+		sc.notifications = sc.notifications[1:]
 	}
-	if len(list) > 0 {
-		c.policy.Endpoints(w.now+epoch, balance.ListChanges, list)
+	if len(changes) > 0 {
+		sc.policy.Endpoints(s.policyNow(), balance.ListChanges, changes)
 	}
 }
 
-// notificationRecorded is the notification of a sidecar whose policy is notified later.
-type notificationRecorded struct {
-	sidecar *sidecar
-	server  int32
-	state   record.State
+// applyNotification changes the sidecar's list of endpoints.
+func (sc *sidecar) applyNotification(n notification) {
+	if n.endpoint.State == balance.Removed {
+		delete(sc.endpoints, n.server)
+		sc.closeIdle(n.server)
+	} else {
+		sc.endpoints[n.server] = n.endpoint
+	}
+	if sc.simulation.options.Defects.ListDelay == 0 {
+		sc.recordNotified(n.server, n.endpoint.State)
+	}
 }
 
-func (e notificationRecorded) happen(s *simulation) {
-	s.record(record.Event{Kind: record.Notified, Sidecar: e.sidecar.index, Node: e.server, State: e.state})
+func (sc *sidecar) recordNotified(srv *server, state balance.State) {
+	sc.simulation.record(record.Event{Kind: record.Notified, Sidecar: sc.index, Node: srv.index,
+		State: recordedStates[state]})
 }
 
-func stateOf(s balance.State) record.State {
-	return map[balance.State]record.State{balance.Ready: record.Serving, balance.Draining: record.Draining,
-		balance.Removed: record.Gone}[s]
+// notificationDelayed is a notification of a sidecar whose policy gets it later, as a defect has it.
+type notificationDelayed struct {
+	sidecar *sidecar
+	server  *server
+	state   balance.State
 }
+
+func (e notificationDelayed) happen(*simulation) { e.sidecar.recordNotified(e.server, e.state) }
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -9,65 +9,54 @@
 // planActDue is an act of the plan.
 type planActDue struct{ act *plan.Act }
 
-func (e planActDue) happen(s *simulation) { s.applyAct(e.act) }
-
-// applyAct does an act of the plan.
-func (w *simulation) applyAct(a *plan.Act) {
-	n := int32(a.Node)
-	switch a.Op {
+func (e planActDue) happen(s *simulation) {
+	switch act := e.act; act.Op {
 	case plan.CutZone:
-		w.zoneCut[a.Node] = a.On
-		return
+		s.network.zoneCut[act.Node] = act.On
 	case plan.Silence:
-		if w.discoverySilent = a.On; !a.On {
-			for _, c := range w.sidecars {
-				w.scheduleAfter(w.plan.Scenario.Notice.From.Std(), notificationArrived{c})
-			}
-		}
-		return
+		s.pauseDiscovery(act.On)
 	case plan.CutWatch, plan.BackWatch, plan.MoveWatch:
-		// What the sidecar hears is the same: its network part sees to that, and the socket plane shows it.
-		return
+		// A sidecar's network part hides these from its policy. The socket backend plays them.
 	case plan.RestartSidecar:
-		w.crashSidecar(w.sidecars[n])
-		return
+		s.sidecars[act.Node].crash()
 	case plan.Over:
-		w.record(record.Event{Kind: record.FaultOver})
-		return
+		s.record(record.Event{Kind: record.FaultOver})
+	default:
+		s.servers[act.Node].apply(act)
 	}
-	m := w.servers[n]
-	switch a.Op {
+}
+
+// apply does an act that concerns the server: a change of its process, or the begin or end of a fault.
+func (srv *server) apply(act *plan.Act) {
+	s := srv.simulation
+	switch act.Op {
 	case plan.Start, plan.Restart:
-		w.startProcess(m, max(w.now, 1))
-		m.down, m.listed = false, true
-		w.record(record.Event{Kind: record.NodeStarted, Node: n,
-			Capacity: float64(m.Spec.Cores) * m.Spec.Speed, Boot: m.startedAt})
-		w.notify(n, balance.Ready)
+		srv.startProcess()
 	case plan.Drain:
-		w.notify(n, balance.Draining)
+		s.notifyAll(srv, balance.Draining)
 	case plan.Remove:
-		w.stopProcess(n)
-		w.notify(n, balance.Removed)
+		srv.stopProcess()
+		s.notifyAll(srv, balance.Removed)
 	case plan.Crash:
-		w.stopProcess(n)
+		srv.stopProcess()
 	case plan.Vanish:
-		m.vanished = a.On
+		srv.vanished = act.On
 	case plan.Slow:
-		m.Node.Slow(w.now, a.Value)
-		w.advanceServer(n)
+		srv.Slow(s.now, act.Value)
+		srv.completeDueJobs()
 	case plan.Swallow:
-		m.Faults.Swallow[a.Class] = a.On
+		srv.Faults.Swallow[act.Class] = act.On
 	case plan.TurnAway:
-		m.Faults.TurnAway[a.Class] = a.On
+		srv.Faults.TurnAway[act.Class] = act.On
 	case plan.Stray:
-		m.Faults.Stray = a.Value
+		srv.Faults.Stray = act.Value
 	case plan.Errors:
-		m.Faults.Errors = a.Value
+		srv.Faults.Errors = act.Value
 	case plan.Garble:
-		m.Faults.Garble = a.Value
+		srv.Faults.Garble = act.Value
 	case plan.CutRequests:
-		m.brokenRequestShare = a.Value
+		srv.brokenRequestShare = act.Value
 	case plan.CutAnswers:
-		m.brokenResponseShare = a.Value
+		srv.brokenResponseShare = act.Value
 	}
 }
--- a/internal/lab/sim/gossip.go
+++ b/internal/lab/sim/gossip.go
@@ -1,12 +1,9 @@
 package sim
 
 import (
-	"errors"
 	"fmt"
 	"math/rand/v2"
 	"slices"
-	"strconv"
-	"strings"
 	"time"
 
 	"milletramp.example/milletramp/balance"
@@ -16,235 +13,216 @@
 	"milletramp.example/milletramp/internal/fleet/replication"
 )
 
-// Fleet has the sidecars of a run hold in common what they see of nodes. Their messages go over the emulated network: what
-// cuts a zone off cuts them too.
+// Fleet has the sidecars of a run share their observations of servers by gossip. The messages go over the simulated
+// network, where a zone that is cut off loses them too.
 type Fleet struct {
-	DropShare    float64                                  // share of messages that are lost
-	LinkCut      func(at time.Duration, a, b int) bool    // whether nothing passes between two sidecars; nil: as the zones' links are
-	FalseEvery   int                                      // one node in so many is lied about; 0: all are
-	FalseReports func(at time.Duration, sidecar int) bool // whether a sidecar says that every node fails, whatever it sees; nil: none does
-	Sent         struct{ Messages, Bytes uint64 }
+	// DropShare is the share of messages that are lost.
+	DropShare float64
+
+	// LinkCut reports whether nothing passes between two sidecars. If it is nil, zones that are cut off decide.
+	LinkCut func(at time.Duration, a, b int) bool
+
+	// FalseReports reports whether a sidecar reports that servers fail, whatever it observes. If it is nil, none does.
+	FalseReports func(at time.Duration, sidecar int) bool
+
+	// FalseEvery limits false reports to one server in so many. For 0 they concern all.
+	FalseEvery int
+
+	// Sent counts the messages of all sidecars.
+	Sent struct{ Messages, Bytes uint64 }
 }
 
 const (
-	fleetTick       = 50 * time.Millisecond // between two steps of a sidecar's part in the fleet
-	snapshotTimeout = time.Second           // a snapshot is waited for
-	bootOrigin      = 1_700_000_000_000     // the clock of day at a run's start, Unix milliseconds
-	seedPeers       = 5                     // sidecars that each is told of from the start
+	gossipInterval  = 50 * time.Millisecond // between two ticks of a member
+	seedPeers       = 5                     // sidecars that each knows from the start
+	wallClockAtZero = 1_700_000_000_000     // Unix milliseconds at the start of a run
+
+	falseReportInterval = 500 * time.Millisecond // between two false reports of a sidecar
+	falseReportTries    = 9                      // that a false report claims
 )
 
-// member is a sidecar's part in the fleet.
+// sharingPolicy is a policy that hands out its observations and takes in which servers the fleet suspects.
+type sharingPolicy interface {
+	SetObserver(o balance.Observer)
+	SetSuspected(reports []balance.PeerReport)
+}
+
+// member is the part of a sidecar's process in the fleet.
 type member struct {
 	sidecar     *sidecar
+	incarnation int32 // of the sidecar
 	machine     *gossip.Machine
 	recorder    *failuredetector.Recorder
 	random      *rand.Rand
-	incarnation int32
-	suspected   map[string]bool // by the fleet's word, as the decider was told
-}
-
-// sharingPolicy is a decider that takes the fleet's word, and says what it sees.
-type sharingPolicy interface {
-	SetObserver(o balance.Observer)
-	SetSuspected(reports []balance.PeerReport)
+	suspected   map[string]bool // servers, by the policy's latest update
 }
 
-func sidecarAddress(i int32) string { return fmt.Sprintf("a%d", i) }
-
-// joinFleet begins the part of a sidecar that has just started.
-func (c *sidecar) joinFleet() {
-	f := c.simulation.options.Fleet
-	if f == nil {
+// joinFleet makes the member of a process that has just started, if there is a fleet.
+func (sc *sidecar) joinFleet() {
+	s := sc.simulation
+	if s.options.Fleet == nil {
 		return
 	}
-	var peers []string
-	for i := range min(seedPeers, c.simulation.plan.Scenario.Fleet.Sidecars) {
-		peers = append(peers, sidecarAddress(int32(i)))
-	}
-	rng := rand.New(rand.NewPCG(c.simulation.plan.Seed, uint64(c.index)<<32|uint64(c.incarnation)))
-	now := c.fleetNow()
-	m := &member{sidecar: c, recorder: failuredetector.New(rng.Uint64()), random: rng, incarnation: c.incarnation, suspected: map[string]bool{}}
-	m.machine = gossip.New(now, gossip.Settings{Label: "lab", Membership: membership.Settings{Name: fmt.Sprintf("n%d", c.index),
-		Address: sidecarAddress(c.index), Peers: peers, Seed: rng.Uint64(), LifeNonce: rng.Uint64() | 1, LifeNumber: uint64(now.Wall)}}, nil)
-	c.member = m
-	if h, ok := c.policy.(sharingPolicy); ok {
-		h.SetObserver(m)
-	}
-	c.simulation.after(time.Duration(rng.Int64N(int64(fleetTick))), m.tick)
-}
-
-func (c *sidecar) fleetNow() replication.Now {
-	return replication.Now{Time: c.simulation.now + epoch, Wall: bootOrigin + c.simulation.now.Milliseconds()}
-}
-
-// after has something be done later.
-func (w *simulation) after(wait time.Duration, do func()) {
-	w.scheduleAfter(wait, callbackDue{do})
-}
-
-// isCurrent tells whether the part's sidecar still lives the life that it began in.
+	random := rand.New(rand.NewPCG(s.plan.Seed, uint64(sc.index)<<32|uint64(sc.incarnation)))
+	m := &member{
+		sidecar:     sc,
+		incarnation: sc.incarnation,
+		recorder:    failuredetector.New(random.Uint64()),
+		random:      random,
+		suspected:   map[string]bool{},
+	}
+	now := m.now()
+	m.machine = gossip.New(now, gossip.Settings{
+		Label: "lab",
+		Membership: membership.Settings{
+			Name:       fmt.Sprintf("n%d", sc.index),
+			Address:    memberAddress(sc.index),
+			Peers:      s.seedAddresses(),
+			Seed:       random.Uint64(),
+			LifeNonce:  random.Uint64() | 1, // 0 is not valid
+			LifeNumber: uint64(now.Wall),
+		},
+	}, nil)
+	sc.member = m
+	if policy, ok := sc.policy.(sharingPolicy); ok {
+		policy.SetObserver(m)
+	}
+	firstTick := time.Duration(random.Int64N(int64(gossipInterval)))
+	s.scheduleAfter(firstTick, gossipTicked{m})
+}
+
+// seedAddresses returns the addresses that each member knows from the start.
+func (s *simulation) seedAddresses() []string {
+	var addresses []string
+	for i := range min(seedPeers, s.plan.Scenario.Fleet.Sidecars) {
+		addresses = append(addresses, memberAddress(int32(i)))
+	}
+	return addresses
+}
+
+// now is the present time on the fleet's clocks.
+func (m *member) now() replication.Now {
+	s := m.sidecar.simulation
+	return replication.Now{Time: s.policyNow(), Wall: wallClockAtZero + s.now.Milliseconds()}
+}
+
+// isCurrent reports whether the process that the member belongs to still runs.
 func (m *member) isCurrent() bool { return !m.sidecar.down && m.sidecar.incarnation == m.incarnation }
 
-func (m *member) tick() {
+// gossipTicked is the time of a member's next tick.
+type gossipTicked struct{ member *member }
+
+func (e gossipTicked) happen(s *simulation) {
+	m := e.member
 	if !m.isCurrent() {
 		return
 	}
-	m.machine.Tick(m.sidecar.fleetNow())
+	m.machine.Tick(m.now())
 	m.publishObservations()
 	m.performActions()
-	m.applySuspicions()
-	m.sidecar.simulation.after(fleetTick, m.tick)
+	m.updatePolicy()
+	s.scheduleAfter(gossipInterval, gossipTicked{m})
 }
 
 // Observe implements balance.Observer.
-func (m *member) Observe(endpoint string, s balance.Observation) {
-	note, due := m.recorder.Observe(m.sidecar.simulation.now+epoch, endpoint, failuredetector.Outcome(s))
+func (m *member) Observe(endpoint string, observation balance.Observation) {
+	now := m.now().Time
+	note, due := m.recorder.Observe(now, endpoint, failuredetector.Outcome(observation))
 	if due {
-		m.machine.SendNote(m.sidecar.simulation.now+epoch, note)
+		m.machine.SendNote(now, note)
 	}
-	if s == balance.ObservedSilence || s == balance.ObservedRefusal {
+	if observation == balance.ObservedSilence || observation == balance.ObservedRefusal {
 		m.publishObservations()
 	}
 	m.performActions()
 }
 
-// publishObservations has the fleet know what this sidecar has seen.
+// publishObservations writes what the sidecar has observed to the store that members replicate.
 func (m *member) publishObservations() {
-	now, w := m.sidecar.fleetNow(), m.sidecar.simulation
-	entries := m.recorder.DueRows(now.Time, m.machine.Members.NumPresent())
-	if lies := w.options.Fleet.FalseReports; lies != nil && lies(w.now, int(m.sidecar.index)) {
-		entries = nil
-		for i, n := range w.servers {
-			if n.listed && w.now%(500*time.Millisecond) < fleetTick && i%max(w.options.Fleet.FalseEvery, 1) == 0 {
-				entries = append(entries, failuredetector.Row{Server: n.ID, Evidence: replication.Evidence{Tries: 9, Silent: 9}})
-			}
-		}
-	}
-	for _, e := range entries {
-		n := w.serverByID[e.Server]
-		key, err := m.machine.Store.WriteRow(now, e.Server, m.bootTime(n), e.Evidence)
+	s, now := m.sidecar.simulation, m.now()
+	rows := m.recorder.DueRows(now.Time, m.machine.Members.NumPresent())
+	if reportsFalsely := s.options.Fleet.FalseReports; reportsFalsely != nil &&
+		reportsFalsely(s.now, int(m.sidecar.index)) {
+		rows = s.falseRows()
+	}
+	for _, row := range rows {
+		boot := m.bootTime(s.serverByID[row.Server])
+		key, err := m.machine.Store.WriteRow(now, row.Server, boot, row.Evidence)
 		if err == nil {
 			m.machine.BroadcastUrgent(now, key)
 		}
 	}
 }
 
-// bootTime is the start of a node's process as this sidecar's list has it.
-func (m *member) bootTime(n int32) int64 {
-	if started := m.sidecar.endpoints[n].Started; started > 0 {
-		return bootOrigin + (started - epoch).Milliseconds()
+// falseRows returns reports of failing servers for a sidecar that reports falsely, at the intervals for them.
+func (s *simulation) falseRows() []failuredetector.Row {
+	if s.now%falseReportInterval >= gossipInterval {
+		return nil
+	}
+	every := max(s.options.Fleet.FalseEvery, 1)
+	evidence := replication.Evidence{Tries: falseReportTries, Silent: falseReportTries}
+	var rows []failuredetector.Row
+	for i, srv := range s.servers {
+		if srv.listed && i%every == 0 {
+			rows = append(rows, failuredetector.Row{Server: srv.ID, Evidence: evidence})
+		}
+	}
+	return rows
+}
+
+// bootTime returns the start of a server's process by the sidecar's endpoint list, in Unix milliseconds, or 0.
+func (m *member) bootTime(srv *server) int64 {
+	started := m.sidecar.endpoints[srv].Started
+	if started <= 0 {
+		return 0
 	}
-	return 0
+	return wallClockAtZero + (started - epoch).Milliseconds()
 }
 
-// applySuspicions has the decider know what the fleet says.
-func (m *member) applySuspicions() {
-	h, ok := m.sidecar.policy.(sharingPolicy)
+// updatePolicy hands the servers that the fleet suspects to the policy and the recorder.
+func (m *member) updatePolicy() {
+	policy, ok := m.sidecar.policy.(sharingPolicy)
 	if !ok {
 		return
 	}
-	w, now := m.sidecar.simulation, m.sidecar.fleetNow()
-	doubts := m.machine.Suspicions(now, len(m.sidecar.endpoints))
-	var words []balance.PeerReport
-	said := map[string]bool{}
-	for _, d := range doubts {
-		n, known := w.serverByID[d.Server]
-		if known && d.Boot == m.bootTime(n) {
-			words = append(words, balance.PeerReport{ID: d.Server, WrittenAt: d.Newest})
-			said[d.Server] = true
+	now := m.now()
+	var reports []balance.PeerReport
+	suspected := map[string]bool{}
+	suspectedSince := map[string]replication.Time{}
+	for _, suspicion := range m.machine.Suspicions(now, len(m.sidecar.endpoints)) {
+		srv, known := m.sidecar.simulation.serverByID[suspicion.Server]
+		if !known || suspicion.Boot != m.bootTime(srv) { // it concerns an earlier process
+			continue
 		}
+		reports = append(reports, balance.PeerReport{ID: srv.ID, WrittenAt: suspicion.Newest})
+		suspected[srv.ID] = true
+		suspectedSince[srv.ID] = suspicion.Newest
 	}
-	h.SetSuspected(words)
-	since := map[string]time.Duration{}
-	for _, word := range words {
-		since[word.ID] = word.WrittenAt
-	}
-	m.recorder.SetSuspected(now.Time, since)
-	m.suspected = said
+	policy.SetSuspected(reports)
+	m.recorder.SetSuspected(now.Time, suspectedSince)
+	m.suspected = suspected
 	m.sidecar.detectLosses()
 }
 
-// performActions carries out what the machine asks for.
+// performActions carries out what the gossip machine asks for.
 func (m *member) performActions() {
-	w := m.sidecar.simulation
-	out := m.machine.TakeActions()
-	for _, d := range out.Send {
-		w.options.Fleet.Sent.Messages++
-		w.options.Fleet.Sent.Bytes += uint64(len(d.Payload))
-		if to := w.memberAt(d.To); to != nil && m.isDelivered(to) {
-			w.after(m.drawDelay(to), func() {
-				if to.isCurrent() {
-					_ = to.machine.Receive(to.sidecar.fleetNow(), sidecarAddress(m.sidecar.index), d.Payload) // what it thinks of it is in its figures
-					to.performActions()
-				}
-			})
-		}
+	actions := m.machine.TakeActions()
+	for _, datagram := range actions.Send {
+		m.send(datagram)
 	}
-	for _, from := range out.Fetch {
-		m.fetchSnapshot(from)
+	for _, address := range actions.Fetch {
+		m.fetchSnapshot(address)
 	}
-	if len(out.ReportServers) > 0 {
-		for _, server := range out.ReportServers {
-			m.recorder.RequestReport(w.now+epoch, server)
+	if len(actions.ReportServers) > 0 {
+		for _, srv := range actions.ReportServers {
+			m.recorder.RequestReport(m.now().Time, srv)
 		}
 		m.publishObservations()
 		m.performActions()
 	}
-	if slices.ContainsFunc(out.Updated, func(k replication.Key) bool { return k.Kind == replication.KindRow }) {
-		m.applySuspicions()
-	}
-}
-
-// memberAt is the part at an address, nil where none lives.
-func (w *simulation) memberAt(address string) *member {
-	i, err := strconv.Atoi(strings.TrimPrefix(address, "a"))
-	if err != nil || i < 0 || i >= len(w.sidecars) || w.sidecars[i].down {
-		return nil
-	}
-	return w.sidecars[i].member
-}
-
-// isDelivered tells whether a message gets from one part to another.
-func (m *member) isDelivered(to *member) bool {
-	w, f := m.sidecar.simulation, m.sidecar.simulation.options.Fleet
-	cut := m.sidecar.zone != to.sidecar.zone && (w.zoneCut[m.sidecar.zone] || w.zoneCut[to.sidecar.zone])
-	if f.LinkCut != nil {
-		cut = f.LinkCut(w.now, int(m.sidecar.index), int(to.sidecar.index))
+	if slices.ContainsFunc(actions.Updated, isRow) {
+		m.updatePolicy()
 	}
-	return !cut && m.random.Float64() >= f.DropShare
 }
 
-// drawDelay draws the time of a message.
-func (m *member) drawDelay(to *member) time.Duration {
-	net := m.sidecar.simulation.plan.Scenario.Network
-	base := net.Same
-	if m.sidecar.zone != to.sidecar.zone {
-		base = net.Cross
-	}
-	return time.Duration(float64(base) * (1 + net.Jitter*(2*m.random.Float64()-1)))
-}
-
-// fetchSnapshot gets a snapshot from an address.
-func (m *member) fetchSnapshot(from string) {
-	w, done := m.sidecar.simulation, false
-	finish := func(text []byte, failed error) {
-		if !done && m.isCurrent() {
-			done = true
-			_ = m.machine.ReceiveSnapshot(m.sidecar.fleetNow(), from, text, failed) // as above
-			m.performActions()
-		}
-	}
-	w.after(snapshotTimeout, func() { finish(nil, errors.New("no answer")) })
-	to := w.memberAt(from)
-	if to == nil || !m.isDelivered(to) {
-		return
-	}
-	w.after(m.drawDelay(to), func() {
-		if !to.isCurrent() {
-			return
-		}
-		if text, err := to.machine.EncodeSnapshot(to.sidecar.fleetNow()); err == nil && to.isDelivered(m) {
-			w.after(m.drawDelay(to), func() { finish(text, nil) })
-		}
-	})
-}
+func isRow(key replication.Key) bool { return key.Kind == replication.KindRow }
--- /dev/null
+++ b/internal/lab/sim/gossipnetwork.go
@@ -0,0 +1,130 @@
+package sim
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+
+	"milletramp.example/milletramp/internal/fleet/gossip"
+)
+
+// addressPrefix precedes a sidecar's index in its address.
+const addressPrefix = "a"
+
+// snapshotTimeout is the time after which a fetch of a snapshot has failed.
+const snapshotTimeout = time.Second
+
+var errNoSnapshot = errors.New("no answer")
+
+func memberAddress(index int32) string { return fmt.Sprintf("%s%d", addressPrefix, index) }
+
+// memberAt returns the member at an address, or nil if none runs there.
+func (s *simulation) memberAt(address string) *member {
+	i, err := strconv.Atoi(strings.TrimPrefix(address, addressPrefix))
+	if err != nil || i < 0 || i >= len(s.sidecars) || s.sidecars[i].down {
+		return nil
+	}
+	return s.sidecars[i].member
+}
+
+// send sends a datagram, which the network may lose.
+func (m *member) send(datagram gossip.Datagram) {
+	s := m.sidecar.simulation
+	sent := &s.options.Fleet.Sent
+	sent.Messages++
+	sent.Bytes += uint64(len(datagram.Payload))
+	if to := s.memberAt(datagram.To); to != nil && m.reaches(to) {
+		s.scheduleAfter(m.drawDelay(to), datagramArrived{from: m, to: to, payload: datagram.Payload})
+	}
+}
+
+// datagramArrived is the arrival of a datagram at a member.
+type datagramArrived struct {
+	from, to *member
+	payload  []byte
+}
+
+// happen ignores the error of Receive, as the machine counts what it cannot read.
+func (e datagramArrived) happen(*simulation) {
+	if !e.to.isCurrent() {
+		return
+	}
+	_ = e.to.machine.Receive(e.to.now(), memberAddress(e.from.sidecar.index), e.payload)
+	e.to.performActions()
+}
+
+// reaches draws whether a message from one member reaches another.
+func (m *member) reaches(to *member) bool {
+	s, fleet := m.sidecar.simulation, m.sidecar.simulation.options.Fleet
+	cut := s.network.isCut(m.sidecar.zone, to.sidecar.zone)
+	if fleet.LinkCut != nil {
+		cut = fleet.LinkCut(s.now, int(m.sidecar.index), int(to.sidecar.index))
+	}
+	return !cut && m.random.Float64() >= fleet.DropShare
+}
+
+// drawDelay draws the one-way delay of a message to another member.
+func (m *member) drawDelay(to *member) time.Duration {
+	return m.sidecar.simulation.network.drawDelay(m.sidecar.zone, to.sidecar.zone, m.random)
+}
+
+// snapshotFetch is a member's request of a snapshot from another.
+type snapshotFetch struct {
+	member   *member
+	address  string // of the other
+	finished bool
+}
+
+// fetchSnapshot requests the snapshot of the member at an address.
+func (m *member) fetchSnapshot(address string) {
+	s := m.sidecar.simulation
+	fetch := &snapshotFetch{member: m, address: address}
+	s.scheduleAfter(snapshotTimeout, snapshotTimedOut{fetch})
+	if from := s.memberAt(address); from != nil && m.reaches(from) {
+		s.scheduleAfter(m.drawDelay(from), snapshotRequested{fetch, from})
+	}
+}
+
+// finish hands the snapshot or the error to the gossip machine, unless the fetch has finished. The error of
+// ReceiveSnapshot is ignored, as the machine counts what it cannot read.
+func (f *snapshotFetch) finish(encoded []byte, fetchErr error) {
+	m := f.member
+	if f.finished || !m.isCurrent() {
+		return
+	}
+	f.finished = true
+	_ = m.machine.ReceiveSnapshot(m.now(), f.address, encoded, fetchErr)
+	m.performActions()
+}
+
+// snapshotTimedOut is the end of the time for a snapshot.
+type snapshotTimedOut struct{ fetch *snapshotFetch }
+
+func (e snapshotTimedOut) happen(*simulation) { e.fetch.finish(nil, errNoSnapshot) }
+
+// snapshotRequested is the arrival of the request at the member that has the snapshot.
+type snapshotRequested struct {
+	fetch *snapshotFetch
+	from  *member
+}
+
+func (e snapshotRequested) happen(s *simulation) {
+	if !e.from.isCurrent() {
+		return
+	}
+	encoded, err := e.from.machine.EncodeSnapshot(e.from.now())
+	if err != nil || !e.from.reaches(e.fetch.member) {
+		return
+	}
+	s.scheduleAfter(e.fetch.member.drawDelay(e.from), snapshotArrived{e.fetch, encoded})
+}
+
+// snapshotArrived is the arrival of the snapshot.
+type snapshotArrived struct {
+	fetch   *snapshotFetch
+	encoded []byte
+}
+
+func (e snapshotArrived) happen(*simulation) { e.fetch.finish(e.encoded, nil) }
--- a/internal/lab/sim/lossdetection.go
+++ b/internal/lab/sim/lossdetection.go
@@ -8,78 +8,93 @@
 	"milletramp.example/milletramp/internal/lab/record"
 )
 
-// LossEstimator is a decider that says which share of a class's attempts it takes a node to lose.
+// detectionShare is the part of a server's true share of losses that a policy's estimate has to reach to count as
+// detection.
+const detectionShare = 0.5
+
+// LossEstimator is a policy that estimates which share of a class's attempts a server loses.
 type LossEstimator interface {
 	LossShare(now balance.Time, endpoint string, class int) float64
 }
 
-// The module is told of observations and asked for its beliefs by interfaces: a method that is renamed must not pass
-// for one that is not there.
+// Policies are asked for these interfaces at run time. A method of the decision module that is renamed fails to
+// compile here.
 var (
 	_ LossEstimator = (*balance.Balancer)(nil)
 	_ sharingPolicy = (*balance.Balancer)(nil)
 )
 
-// detectionShare is the part of a node's true share of losses from which on a sidecar that believes it knows of them.
-const detectionShare = 0.5
-
-// loss is what a sidecar may know of a node: requests of its are lost there.
+// loss is a server that loses requests of a sidecar.
 type loss struct {
-	server   int32
-	class    int
-	share    float64 // truly lost
+	server   *server
+	class    int     // of the first request that was lost
+	share    float64 // truly lost of that class
 	since    time.Duration
-	attempts uint8 // that something was lost
+	attempts uint8 // that were lost, at most what the type can hold
 	detected bool
 }
 
-// trueLossShare is the share of a class's requests that a node loses now.
-func (w *simulation) trueLossShare(c *sidecar, n int32, class int) float64 {
-	m := w.servers[n]
-	if w.isCutOff(c, n) || m.Faults.Swallow[class] {
+// trueLossShare returns the share of a class's requests from a sidecar that a server loses now.
+func (s *simulation) trueLossShare(sc *sidecar, srv *server, class int) float64 {
+	if s.isCutOff(sc, srv) || srv.Faults.Swallow[class] {
 		return 1
 	}
-	return m.Faults.Stray
+	return srv.Faults.Stray
 }
 
-// noteLoss has a sidecar's request be lost at a node. The first one there starts the clock.
-func (c *sidecar) noteLoss(n int32, class int) {
-	share := c.simulation.trueLossShare(c, n, class)
-	if _, ok := c.policy.(LossEstimator); !ok || share == 0 {
+// noteLoss notes that a request of the sidecar is lost at a server. The time until detection counts from the first.
+func (sc *sidecar) noteLoss(srv *server, class int) {
+	share := sc.simulation.trueLossShare(sc, srv, class)
+	if _, ok := sc.policy.(LossEstimator); !ok || share == 0 {
 		return
 	}
-	for i := range c.losses {
-		if l := &c.losses[i]; l.server == n {
-			if l.attempts < math.MaxUint8 {
-				l.attempts++
-			}
-			return
+	for i := range sc.losses {
+		l := &sc.losses[i]
+		if l.server != srv {
+			continue
+		}
+		if l.attempts < math.MaxUint8 {
+			l.attempts++
 		}
+		return
 	}
-	c.losses = append(c.losses, loss{server: n, class: class, share: share, since: c.simulation.now, attempts: 1})
+	sc.losses = append(sc.losses, loss{server: srv, class: class, share: share, since: sc.simulation.now, attempts: 1})
 }
 
-// detectLosses looks whether the sidecar knows by now what it loses, and forgets what is mended.
-func (c *sidecar) detectLosses() {
-	if len(c.losses) == 0 || c.down {
+// detectLosses records which losses the sidecar detects by now, and drops those of servers that have recovered.
+func (sc *sidecar) detectLosses() {
+	if len(sc.losses) == 0 || sc.down {
 		return
 	}
-	w, left := c.simulation, c.losses[:0]
-	for _, l := range c.losses {
-		mended := w.trueLossShare(c, l.server, l.class) == 0
-		kind := record.LossDetected
+	remaining := sc.losses[:0]
+	for _, l := range sc.losses {
+		recovered := sc.simulation.trueLossShare(sc, l.server, l.class) == 0
 		switch {
-		case l.detected: // it stays, so that it is counted once
-		case mended:
-			kind = record.LossUndetected
-			fallthrough
-		case c.member != nil && c.member.suspected[w.servers[l.server].ID], c.policy.(LossEstimator).LossShare(w.now+epoch, w.servers[l.server].ID, l.class) >= detectionShare*l.share:
+		case l.detected: // recorded before
+		case recovered:
+			sc.recordLoss(record.LossUndetected, &l)
+		case sc.detects(&l):
 			l.detected = true
-			w.record(record.Event{Kind: kind, Sidecar: c.index, Node: l.server, Wait: w.now - l.since, Attempt: l.attempts})
+			sc.recordLoss(record.LossDetected, &l)
 		}
-		if !mended {
-			left = append(left, l)
+		if !recovered {
+			remaining = append(remaining, l)
 		}
 	}
-	c.losses = left
+	sc.losses = remaining
+}
+
+// detects reports whether the fleet suspects the server of a loss, or the sidecar's policy estimates enough of it.
+func (sc *sidecar) detects(l *loss) bool {
+	if sc.member != nil && sc.member.suspected[l.server.ID] {
+		return true
+	}
+	estimate := sc.policy.(LossEstimator).LossShare(sc.simulation.policyNow(), l.server.ID, l.class)
+	return estimate >= detectionShare*l.share
+}
+
+func (sc *sidecar) recordLoss(kind record.Kind, l *loss) {
+	s := sc.simulation
+	s.record(record.Event{Kind: kind, Sidecar: sc.index, Node: l.server.index, Wait: s.now - l.since,
+		Attempt: l.attempts})
 }
--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -1,21 +1,43 @@
 package sim
 
 import (
+	"math/rand/v2"
 	"time"
+
+	"milletramp.example/milletramp/internal/lab/scenario"
 )
 
-// drawDelay draws the time between a sidecar and a node, one way.
-func (w *simulation) drawDelay(c *sidecar, n int32) time.Duration {
-	net := w.plan.Scenario.Network
-	base := net.Same
-	if c.zone != w.servers[n].Zone {
-		base = net.Cross
+// network is what lies between the zones of the service.
+type network struct {
+	settings scenario.Network
+	zoneCut  []bool     // whether a zone is cut off from the others
+	random   *rand.Rand // also draws discovery's delays and which connections break
+}
+
+// meanDelay returns the mean one-way delay between two zones.
+func (n *network) meanDelay(a, b int) scenario.Duration {
+	if a != b {
+		return n.settings.Cross
 	}
-	return time.Duration(float64(base) * (1 + net.Jitter*(2*w.random.Float64()-1)))
+	return n.settings.Same
+}
+
+// drawDelay draws a one-way delay between two zones.
+func (n *network) drawDelay(a, b int, random *rand.Rand) time.Duration {
+	return time.Duration(float64(n.meanDelay(a, b)) * (1 + n.settings.Jitter*(2*random.Float64()-1)))
+}
+
+// isCut reports whether nothing passes between two zones.
+func (n *network) isCut(a, b int) bool {
+	return a != b && (n.zoneCut[a] || n.zoneCut[b])
+}
+
+// drawDelay draws the one-way delay between a sidecar and a server.
+func (s *simulation) drawDelay(sc *sidecar, srv *server) time.Duration {
+	return s.network.drawDelay(sc.zone, srv.Zone, s.network.random)
 }
 
-// isCutOff tells whether nothing passes between a sidecar and a node.
-func (w *simulation) isCutOff(c *sidecar, n int32) bool {
-	m := w.servers[n]
-	return m.vanished || c.zone != m.Zone && (w.zoneCut[c.zone] || w.zoneCut[m.Zone])
+// isCutOff reports whether nothing passes between a sidecar and a server.
+func (s *simulation) isCutOff(sc *sidecar, srv *server) bool {
+	return srv.vanished || s.network.isCut(sc.zone, srv.Zone)
 }
--- a/internal/lab/sim/policy.go
+++ b/internal/lab/sim/policy.go
@@ -2,11 +2,12 @@
 
 import (
 	"math"
+	"time"
 
 	"milletramp.example/milletramp/balance"
 )
 
-// Policy is what decides for one sidecar: the decision module, or a baseline policy.
+// Policy balances the requests of one sidecar: the decision module, or a baseline policy.
 type Policy interface {
 	Request(now balance.Time, r balance.Request)
 	Result(now balance.Time, r balance.Result)
@@ -15,30 +16,32 @@
 	Timer(now balance.Time, token uint64)
 }
 
-// View is the true state of the world, for baseline policies that cheat.
+// View is the true state of the servers, for baseline policies that are to know it.
 type View interface {
-	// ResponseTime is how long a request of some work would take at a node now, in seconds, infinite where it cannot be served.
+	// ResponseTime returns how long a request of some work would take at a server now, in seconds, infinite where it
+	// cannot be served.
 	ResponseTime(sidecar int, endpoint string, class int, work float64) float64
 }
 
-// NewPolicyFunc makes the decider of a sidecar.
-type NewPolicyFunc func(set balance.Settings, act balance.Actions, view View) (Policy, error)
+// NewPolicyFunc makes the policy of a sidecar.
+type NewPolicyFunc func(settings balance.Settings, actions balance.Actions, view View) (Policy, error)
 
-// NewModule is the decision module itself.
-func NewModule(set balance.Settings, act balance.Actions, _ View) (Policy, error) {
-	return balance.New(set, act)
+// NewModule returns the decision module. It is a NewPolicyFunc.
+func NewModule(settings balance.Settings, actions balance.Actions, _ View) (Policy, error) {
+	return balance.New(settings, actions)
 }
 
 // ResponseTime implements View.
-func (w *simulation) ResponseTime(sidecar int, endpoint string, class int, work float64) float64 {
-	n := w.serverByID[endpoint]
-	m, c := w.servers[n], w.sidecars[sidecar]
-	if m.down || w.isCutOff(c, n) || m.Faults.Swallow[class] || m.Faults.TurnAway[class] || m.listedState != balance.Ready {
+func (s *simulation) ResponseTime(sidecar int, endpoint string, class int, work float64) float64 {
+	srv, sc := s.serverByID[endpoint], s.sidecars[sidecar]
+	if srv.listedState != balance.Ready || !s.canServe(sc, srv, class) {
 		return math.Inf(1)
 	}
-	net := w.plan.Scenario.Network.Same.Std()
-	if c.zone != m.Zone {
-		net = w.plan.Scenario.Network.Cross.Std()
-	}
-	return m.Backlog(work) + 2*net.Seconds()
+	delay := time.Duration(s.network.meanDelay(sc.zone, srv.Zone))
+	return srv.Backlog(work) + 2*delay.Seconds()
+}
+
+// canServe reports whether a request of a class that a sidecar sends to a server now is served.
+func (s *simulation) canServe(sc *sidecar, srv *server, class int) bool {
+	return !srv.down && !s.isCutOff(sc, srv) && !srv.Faults.Swallow[class] && !srv.Faults.TurnAway[class]
 }
--- a/internal/lab/sim/pool.go
+++ b/internal/lab/sim/pool.go
@@ -2,39 +2,77 @@
 
 import (
 	"time"
+
+	"milletramp.example/milletramp/internal/lab/record"
 )
 
+// idleConnection is a connection of a sidecar that no attempt uses.
 type idleConnection struct {
 	since       time.Duration
-	incarnation int32
+	incarnation int32 // of the server
 }
 
-// acquireIdle takes the longest idle connection to a node that is still good, as the real pool does.
-func (c *sidecar) acquireIdle(n int32) bool {
-	m, rest := c.simulation.servers[n], c.simulation.plan.Scenario.Fleet.IdleClose.Std()/2
-	idle := c.idle[n]
-	for len(idle) > 0 {
-		k := idle[0]
-		idle = idle[1:]
-		if k.incarnation == m.incarnation && !m.down || c.simulation.isCutOff(c, n) && k.incarnation == m.incarnation {
-			if c.simulation.now-k.since < rest {
-				c.idle[n] = idle
-				return true
-			}
-			m.connections--
+// acquireIdle takes the longest idle connection to a server that is still good, as the real pool does, and reports
+// whether there is one. Connections are good for half the time after which a server closes them.
+func (sc *sidecar) acquireIdle(srv *server) bool {
+	s := sc.simulation
+	idleTimeout := s.plan.Scenario.Fleet.IdleClose.Std() / 2
+	for len(sc.idle[srv.index]) > 0 {
+		oldest := sc.idle[srv.index][0]
+		sc.idle[srv.index] = sc.idle[srv.index][1:]
+		if oldest.incarnation != srv.incarnation || srv.down && !s.isCutOff(sc, srv) {
+			continue
+		}
+		if s.now-oldest.since < idleTimeout {
+			return true
 		}
+		srv.connections--
 	}
-	c.idle[n] = idle
 	return false
 }
 
-// closeIdle closes a node's idle connections.
-func (c *sidecar) closeIdle(n int32) {
-	m := c.simulation.servers[n]
-	for _, k := range c.idle[n] {
-		if k.incarnation == m.incarnation {
-			m.connections--
+// closeIdle closes the sidecar's idle connections to a server.
+func (sc *sidecar) closeIdle(srv *server) {
+	for _, idle := range sc.idle[srv.index] {
+		if idle.incarnation == srv.incarnation {
+			srv.connections--
+		}
+	}
+	sc.idle[srv.index] = sc.idle[srv.index][:0]
+}
+
+// releaseConnection returns the connection of an ended attempt to the pool, or closes it. Where it failed, the idle
+// ones to the server are closed too.
+func (a *attempt) releaseConnection(status record.Status) {
+	sc, srv := a.request.sidecar, a.server
+	switch status {
+	case record.Served, record.Rejected, record.Failed:
+		sc.lastResponse[srv.index] = sc.simulation.now
+		if a.isServerAlive() {
+			idle := idleConnection{since: sc.simulation.now, incarnation: a.serverIncarnation}
+			sc.idle[srv.index] = append(sc.idle[srv.index], idle)
 		}
+	case record.NotReached:
+		sc.closeIdle(srv)
+	case record.Broken:
+		sc.closeIdle(srv)
+		if a.isServerAlive() {
+			srv.connections--
+		}
+	case record.TimedOut:
+		if sc.lastResponse[srv.index] < a.startedAt {
+			sc.closeIdle(srv)
+		}
+		a.closeConnection()
+	case record.Cancelled:
+		a.closeConnection()
+	}
+}
+
+// closeConnection closes the attempt's connection, of which the server learns later.
+func (a *attempt) closeConnection() {
+	if a.isServerAlive() && a.firstByteAt >= 0 {
+		a.server.connections--
 	}
-	c.idle[n] = c.idle[n][:0]
+	a.request.sidecar.simulation.scheduleAfter(a.drawDelay(), cancelArrived{a})
 }
--- a/internal/lab/sim/request.go
+++ b/internal/lab/sim/request.go
@@ -8,92 +8,104 @@
 	"milletramp.example/milletramp/internal/lab/workload"
 )
 
+// deadlineMargin is kept free before the client's timeout, as in the real sidecar.
+const deadlineMargin = 5 * time.Millisecond
+
+// request is a client's request at its sidecar.
 type request struct {
-	workload         workload.Request
 	id               uint64
-	firstID          uint64
+	firstID          uint64 // of the request that it is a retry of; its own if it is none
+	workload         workload.Request
 	sidecar          *sidecar
-	incarnation      int32
-	deadline         time.Duration // the final answer is due
-	completed        bool
-	attemptsInFlight int
+	incarnation      int32         // of the sidecar when it received the request
+	deadline         time.Duration // for the final response
+	completed        bool          // it has its final response, or its client has left
 	attempts         []*attempt
+	attemptsInFlight int
 }
 
-// deadlineExpired is the end of the time for a request's final response.
-type deadlineExpired struct{ request *request }
+// isCurrent reports whether the sidecar's process that received the request still runs.
+func (r *request) isCurrent() bool {
+	return r.incarnation == r.sidecar.incarnation && !r.sidecar.down
+}
 
-func (e deadlineExpired) happen(s *simulation) { s.expire(e.request) }
+// complete closes the request. It gets no response after it.
+func (r *request) complete() {
+	r.completed = true
+	r.sidecar.simulation.openRequests--
+}
 
-// expire ends what is out for a request, and answers for a decider that left it without.
-func (w *simulation) expire(r *request) {
-	if r.incarnation != r.sidecar.incarnation || r.sidecar.down {
-		return
-	}
-	for _, a := range r.attempts {
-		if !a.ended {
-			w.cutShort(a, record.TimedOut)
-		}
-	}
-	if !r.completed && w.options.Defects.Delay == 0 {
-		r.sidecar.respond(r, record.Failed, 0, 0)
-		r.sidecar.policy.ClientGone(w.now+epoch, balance.RequestID(r.id))
+// releaseIfDone has the sidecar forget a completed request of which no attempt is in flight.
+func (r *request) releaseIfDone() {
+	if r.completed && r.attemptsInFlight == 0 {
+		delete(r.sidecar.requests, balance.RequestID(r.id))
 	}
-	r.sidecar.releaseIfDone(r)
 }
 
-// respond gives a request its final answer. The first counts.
-func (c *sidecar) respond(r *request, s record.Status, token uint64, after time.Duration) {
-	w := c.simulation
+// respond gives the request its final response, unless it is completed.
+func (r *request) respond(status record.Status, token uint64, retryAfter time.Duration) {
 	if r.completed {
 		return
 	}
-	w.counts.answers++
-	host := &w.options.Defects
-	if host.LoseEvery > 0 && w.counts.answers%host.LoseEvery == 0 {
-		r.completed = true
-		w.openRequests--
+	r.complete()
+	s := r.sidecar.simulation
+	defects := &s.options.Defects
+	s.defectCounts.responses++
+	if isEvery(defects.LoseEvery, s.defectCounts.responses) {
 		return
 	}
-	r.completed = true
-	w.openRequests--
-	w.record(record.Event{Kind: record.Answered, Request: r.id, Sidecar: c.index, Status: s, Token: token, RetryAfter: after})
-	if host.DuplicateEvery > 0 && w.counts.answers%host.DuplicateEvery == 0 {
-		w.record(record.Event{Kind: record.Answered, Request: r.id, Sidecar: c.index, Status: record.Failed})
+	s.record(record.Event{Kind: record.Answered, Request: r.id, Sidecar: r.sidecar.index, Status: status,
+		Token: token, RetryAfter: retryAfter})
+	if isEvery(defects.DuplicateEvery, s.defectCounts.responses) {
+		s.record(record.Event{Kind: record.Answered, Request: r.id, Sidecar: r.sidecar.index, Status: record.Failed})
 	}
-	switch s {
+	switch status {
 	case record.Rejected:
-		w.retryLater(r, workload.Rejected, after)
+		r.scheduleRetry(workload.Rejected, retryAfter)
 	case record.Failed:
-		w.retryLater(r, workload.Failed, 0)
+		r.scheduleRetry(workload.Failed, 0)
 	}
 }
 
-// reject is an answer that the decider words itself.
-func (c *sidecar) reject(id balance.RequestID, s record.Status, after time.Duration) {
-	r := c.requests[id]
+// respondLocally gives a request the final response that its policy decided on, without one from a server.
+func (sc *sidecar) respondLocally(id balance.RequestID, status record.Status, retryAfter time.Duration) {
+	r := sc.requests[id]
 	if r == nil || r.completed {
 		return
 	}
-	host := &c.simulation.options.Defects
-	c.simulation.counts.refusals++
+	s := sc.simulation
+	defects := &s.options.Defects
+	s.defectCounts.localResponses++
 	switch {
-	case host.InventEvery > 0 && c.simulation.counts.refusals%host.InventEvery == 0:
-		c.respond(r, record.Served, 1<<63, 0)
-	case host.HoldBack:
-		c.simulation.scheduleAt(max(c.simulation.now, r.deadline-deadlineMargin), delayedResponse{r, s})
+	case isEvery(defects.InventEvery, s.defectCounts.localResponses):
+		r.respond(record.Served, inventedToken, 0)
+	case defects.HoldBack:
+		s.scheduleAt(max(s.now, r.deadline-deadlineMargin), delayedResponse{r, status})
 		return
-	case host.Delay > 0:
-		c.simulation.scheduleAt(r.deadline+deadlineMargin+host.Delay, delayedResponse{r, s})
+	case defects.Delay > 0:
+		s.scheduleAt(r.deadline+deadlineMargin+defects.Delay, delayedResponse{r, status})
 		return
 	default:
-		c.respond(r, s, 0, after)
+		r.respond(status, 0, retryAfter)
 	}
-	c.releaseIfDone(r)
+	r.releaseIfDone()
 }
 
-func (c *sidecar) releaseIfDone(r *request) {
-	if r.completed && r.attemptsInFlight == 0 {
-		delete(c.requests, balance.RequestID(r.id))
+// deadlineExpired is the end of the time for a request's final response.
+type deadlineExpired struct{ request *request }
+
+// happen ends the attempts in flight, and fails the request if the policy has left it without a response.
+func (e deadlineExpired) happen(s *simulation) {
+	r := e.request
+	if !r.isCurrent() {
+		return
+	}
+	for _, a := range r.attempts {
+		a.end(record.TimedOut, 0)
+	}
+	if !r.completed && s.options.Defects.Delay == 0 {
+		r.respond(record.Failed, 0, 0)
+		r.sidecar.policy.ClientGone(s.policyNow(), balance.RequestID(r.id))
 	}
+	r.releaseIfDone()
 }
--- a/internal/lab/sim/scheduler.go
+++ b/internal/lab/sim/scheduler.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// event is something that happens at its time. Each kind of event is a type, declared beside what it changes.
+// event is something that happens at its time. Each kind of event is a type, declared in the file of what it changes.
 type event interface {
 	// happen carries the event out at the simulation's present time.
 	happen(s *simulation)
--- a/internal/lab/sim/server.go
+++ b/internal/lab/sim/server.go
@@ -10,179 +10,208 @@
 	"milletramp.example/milletramp/internal/lab/record"
 )
 
+// notScheduled is the wakeAt of a server that has nothing to do.
+const notScheduled time.Duration = -1
+
+// deduplicated is the effect of classes whose repeats a pod recognizes, in a scenario's words.
+const deduplicated = "deduplicated"
+
+// server is a machine of the plan with the process that runs on it.
 type server struct {
-	*node.Server
+	*node.Server // of the process that runs, or ran last
 	plan.Machine
-	down                bool
-	vanished            bool
-	incarnation         int32 // counts its processes
-	connections         int
-	wakeAt              time.Duration // when evNode is due; -1: not
+	simulation          *simulation
+	index               int32
+	incarnation         int32         // counts its processes
+	startedAt           time.Duration // of its process; 0: long ago
+	down                bool          // no process runs
+	vanished            bool          // nothing passes to or from its machine
+	listed              bool          // discovery has had it on its list
 	listedState         balance.State // as discovery has it
-	startedAt           time.Duration
-	listed              bool
-	earlierWork         float64 // by its former processes
-	brokenRequestShare  float64 // share of requests behind which its links break
-	brokenResponseShare float64 // share of answers in which they break
+	connections         int           // open ones, of all sidecars
+	wakeAt              time.Duration // when its next serverDue happens, or notScheduled
+	earlierWork         float64       // of its earlier processes, in seconds on a standard core
+	brokenRequestShare  float64       // of requests after which the connection breaks
+	brokenResponseShare float64       // of responses in which it breaks
 }
 
-// startProcess gives a machine a new process.
-func (w *simulation) startProcess(m *server, started time.Duration) {
-	s := w.plan.Scenario.Fleet
-	spec := m.Spec
-	spec.Started = started
-	m.startedAt = started
-	pod := w.pods[m.Cell]
-	if pod == nil {
-		pod = node.NewPod(w.plan.Window())
-		w.pods[m.Cell] = pod
-	}
-	old := m.Server
-	m.Server = node.NewServer(node.New(spec, w.now), pod, s.KeyGain, s.KeyFor.Std(), s.KeysPerCore*spec.Cores,
-		rand.New(rand.NewPCG(w.plan.Seed, uint64(len(w.servers))<<20+uint64(m.incarnation))))
-	if old != nil { // what is wrong with a machine outlives its process
-		m.Server.Faults = old.Faults
-		m.earlierWork += old.Done()
-	}
-	m.incarnation++
-	m.connections = 0
+// addServer adds a machine. Its process runs from the start unless it is born later.
+func (s *simulation) addServer(machine plan.Machine) {
+	fromStart := machine.Born == 0
+	srv := &server{
+		Machine:     machine,
+		simulation:  s,
+		index:       int32(len(s.servers)),
+		down:        !fromStart,
+		listed:      fromStart,
+		listedState: balance.Ready,
+		wakeAt:      notScheduled,
+	}
+	s.servers = append(s.servers, srv)
+	s.serverByID[machine.ID] = srv
+	srv.newProcess(0)
+	if fromStart {
+		srv.recordStart()
+	}
 }
 
-func (w *simulation) endpoint(n int32) balance.Endpoint {
-	m := w.servers[n]
-	e := balance.Endpoint{ID: m.ID, Zone: w.plan.Scenario.Fleet.Zones[m.Zone], Kind: m.Kind, PodGroup: m.Cell, State: m.listedState,
-		Weight: m.Size}
-	if m.startedAt > 0 {
-		e.Started = m.startedAt + epoch
-	}
-	return e
+// newProcess replaces the server's process by an empty one. The machine's faults stay.
+func (srv *server) newProcess(startedAt time.Duration) {
+	s := srv.simulation
+	fleet := &s.plan.Scenario.Fleet
+	srv.startedAt = startedAt
+	spec := srv.Spec
+	spec.Started = startedAt
+	stream := uint64(len(s.servers))<<20 + uint64(srv.incarnation)
+	random := rand.New(rand.NewPCG(s.plan.Seed, stream))
+	previous := srv.Server
+	srv.Server = node.NewServer(node.New(spec, s.now), s.pod(srv.Cell), fleet.KeyGain, fleet.KeyFor.Std(),
+		fleet.KeysPerCore*spec.Cores, random)
+	if previous != nil {
+		srv.Faults = previous.Faults
+		srv.earlierWork += previous.Done()
+	}
+	srv.incarnation++
+	srv.connections = 0
 }
 
-// attemptArrived is the arrival of an attempt's last byte at its server.
-type attemptArrived struct{ attempt *attempt }
-
-func (e attemptArrived) happen(s *simulation) { s.arriveAtServer(e.attempt) }
-
-// arriveAtServer is the arrival of an attempt's last byte at its node.
-func (w *simulation) arriveAtServer(a *attempt) {
-	c := a.request.sidecar
-	m := w.servers[a.server]
-	if a.serverIncarnation != m.incarnation || m.down { // its process has ended meanwhile
-		if !a.ended && !w.isCutOff(c, a.server) {
-			s := record.Broken
-			if a.newConnection {
-				s = record.NotReached
-			}
-			w.scheduleAfter(w.drawDelay(c, a.server), attemptEnded{attempt: a, status: s})
-		}
-		return
-	}
-	if w.isCutOff(c, a.server) {
-		c.noteLoss(a.server, a.request.workload.Class)
-	}
-	if w.isCutOff(c, a.server) || a.ended && a.endedAt <= a.firstByteAt && a.newConnection { // given up before the connection was there
-		return
-	}
-	w.record(record.Event{At: a.firstByteAt, Kind: record.Sent, Request: a.request.id, Attempt: a.number, Sidecar: c.index, Node: a.server})
-	a.Work = a.request.workload.Work
-	extra := 0.0
-	if a.newConnection {
-		extra = w.plan.Scenario.Fleet.HandshakeWork.Std().Seconds()
+// pod returns what the servers of a pod group share.
+func (s *simulation) pod(group int) *node.Pod {
+	pod := s.pods[group]
+	if pod == nil {
+		pod = node.NewPod(s.plan.Window())
+		s.pods[group] = pod
 	}
-	w.record(record.Event{Kind: record.Arrived, Request: a.request.id, Attempt: a.number, Sidecar: c.index, Node: a.server, Work: a.Work,
-		Effect: a.request.id})
-	if a.ended { // called off on the way
+	return pod
+}
+
+func (srv *server) recordStart() {
+	capacity := float64(srv.Spec.Cores) * srv.Spec.Speed
+	srv.simulation.record(record.Event{Kind: record.NodeStarted, Node: srv.index, Capacity: capacity,
+		Boot: srv.startedAt})
+}
+
+// startProcess starts a new process and has discovery list it.
+func (srv *server) startProcess() {
+	srv.newProcess(max(srv.simulation.now, 1)) // 0 would be long ago
+	srv.down, srv.listed = false, true
+	srv.recordStart()
+	srv.simulation.notifyAll(srv, balance.Ready)
+}
+
+// stopProcess ends the server's process. Its connections break.
+func (srv *server) stopProcess() {
+	if srv.down {
 		return
 	}
-	effect := uint64(0)
-	if w.plan.Scenario.Classes[a.request.workload.Class].Effect == "deduplicated" {
-		effect = a.request.id
+	s := srv.simulation
+	for _, job := range srv.Drop(s.now) {
+		a := job.Owner.(*attempt)
+		a.atServer = false
+		if !a.isCutOff() {
+			a.endAfter(a.drawDelay(), record.Broken)
+		}
 	}
+	srv.down = true
+	srv.connections = 0
+}
+
+// receive takes in an attempt whose last byte has arrived.
+func (srv *server) receive(a *attempt) {
+	s := srv.simulation
 	a.Owner = a
-	switch m.Arrive(w.now, &a.Job, a.request.workload.Class, a.request.workload.Key, effect, extra) {
+	switch srv.offer(a) {
 	case node.TurnedAway:
-		w.record(record.Event{Kind: record.Replied, Request: a.request.id, Attempt: a.number, Node: a.server, Status: record.Rejected})
-		w.scheduleAfter(w.drawDelay(c, a.server), attemptEnded{attempt: a, status: record.Rejected})
+		s.record(record.Event{Kind: record.Replied, Request: a.request.id, Attempt: a.number, Node: srv.index,
+			Status: record.Rejected})
+		a.endAfter(a.drawDelay(), record.Rejected)
 	case node.Swallowed:
-		c.noteLoss(a.server, a.request.workload.Class)
+		a.noteLoss()
 	case node.Known:
-		a.atServer, a.known = true, true
-		w.record(record.Event{Kind: record.Deduplicated, Request: a.request.id, Attempt: a.number, Node: a.server})
+		a.atServer = true
+		s.record(record.Event{Kind: record.Deduplicated, Request: a.request.id, Attempt: a.number, Node: srv.index})
 	default:
 		a.atServer = true
-		w.record(record.Event{Kind: record.Ran, Request: a.request.id, Attempt: a.number, Sidecar: c.index, Node: a.server})
+		s.record(record.Event{Kind: record.Ran, Request: a.request.id, Attempt: a.number,
+			Sidecar: a.request.sidecar.index, Node: srv.index})
 	}
-	if m.brokenRequestShare > 0 && w.random.Float64() < m.brokenRequestShare {
-		w.scheduleAfter(w.drawDelay(c, a.server), attemptEnded{attempt: a, status: record.Broken})
-		w.cancelAtServer(a)
+	if srv.brokenRequestShare > 0 && s.network.random.Float64() < srv.brokenRequestShare {
+		a.endAfter(a.drawDelay(), record.Broken)
+		srv.cancel(a)
 		return
 	}
-	w.advanceServer(a.server)
+	srv.completeDueJobs()
 }
 
-// serverDue is a time at which a server has something to do.
-type serverDue struct{ server int32 }
+// offer hands an attempt's job to the model of the server.
+func (srv *server) offer(a *attempt) node.Verdict {
+	scenario := srv.simulation.plan.Scenario
+	requested := &a.request.workload
+	handshakeWork := 0.0
+	if a.newConnection {
+		handshakeWork = scenario.Fleet.HandshakeWork.Std().Seconds()
+	}
+	effect := uint64(0)
+	if scenario.Classes[requested.Class].Effect == deduplicated {
+		effect = a.request.id
+	}
+	return srv.Arrive(srv.simulation.now, &a.Job, requested.Class, requested.Key, effect, handshakeWork)
+}
 
-func (e serverDue) happen(s *simulation) {
-	s.servers[e.server].wakeAt = -1
-	s.advanceServer(e.server)
+// serverDue is a time at which a server may have jobs to complete.
+type serverDue struct{ server *server }
+
+func (e serverDue) happen(*simulation) {
+	e.server.wakeAt = notScheduled
+	e.server.completeDueJobs()
 }
 
-// advanceServer has a node do what is due and asks for its next time.
-func (w *simulation) advanceServer(n int32) {
-	m := w.servers[n]
-	for _, j := range m.Step(w.now) {
-		a := j.Owner.(*attempt)
-		a.atServer = false
-		w.tokens++
-		s, ending := record.Served, m.Ending()
-		if ending != node.Answered {
-			s = record.Failed
-		}
-		w.record(record.Event{Kind: record.Replied, Request: a.request.id, Attempt: a.number, Node: n, Status: s, Token: w.tokens,
-			Work: j.Work})
-		if m.brokenResponseShare > 0 && w.random.Float64() < m.brokenResponseShare {
-			s = record.Broken
-		}
-		if !w.isCutOff(a.request.sidecar, n) {
-			w.scheduleAfter(w.drawDelay(a.request.sidecar, n), attemptEnded{attempt: a, status: s, token: w.tokens})
-		}
+// completeDueJobs responds to what is done by now and schedules when the server is due next.
+func (srv *server) completeDueJobs() {
+	s := srv.simulation
+	for _, job := range srv.Step(s.now) {
+		srv.reply(job.Owner.(*attempt))
 	}
-	if next := m.Next(); next >= 0 && (m.wakeAt < 0 || next < m.wakeAt) {
-		m.wakeAt = max(next, w.now+1)
-		w.scheduleAt(m.wakeAt, serverDue{n})
+	next := srv.Next()
+	if next >= 0 && (srv.wakeAt == notScheduled || next < srv.wakeAt) {
+		srv.wakeAt = max(next, s.now+1)
+		s.scheduleAt(srv.wakeAt, serverDue{srv})
 	}
 }
 
-// cancelArrived is a server's notice that a response is no longer wanted.
+// reply sends the response to an attempt whose job is done.
+func (srv *server) reply(a *attempt) {
+	s := srv.simulation
+	a.atServer = false
+	s.lastToken++
+	token := s.lastToken
+	status := record.Served
+	if srv.Ending() != node.Answered {
+		status = record.Failed
+	}
+	s.record(record.Event{Kind: record.Replied, Request: a.request.id, Attempt: a.number, Node: srv.index,
+		Status: status, Token: token, Work: a.Work})
+	if srv.brokenResponseShare > 0 && s.network.random.Float64() < srv.brokenResponseShare {
+		status = record.Broken
+	}
+	if !a.isCutOff() {
+		s.scheduleAfter(a.drawDelay(), attemptEnded{a, status, token})
+	}
+}
+
+// cancelArrived is a server's notice that the response to an attempt is no longer wanted.
 type cancelArrived struct{ attempt *attempt }
 
-func (e cancelArrived) happen(s *simulation) { s.cancelAtServer(e.attempt) }
+func (e cancelArrived) happen(*simulation) { e.attempt.server.cancel(e.attempt) }
 
-// cancelAtServer is a node that learns that its answer is not wanted any more.
-func (w *simulation) cancelAtServer(a *attempt) {
-	m := w.servers[a.server]
-	if !a.atServer || a.serverIncarnation != m.incarnation || !w.plan.Scenario.Fleet.StopsWork || w.isCutOff(a.request.sidecar, a.server) {
+// cancel lets go of an attempt's job, where the scenario's servers stop cancelled work.
+func (srv *server) cancel(a *attempt) {
+	s := srv.simulation
+	stops := s.plan.Scenario.Fleet.StopsWork
+	if !a.atServer || a.serverIncarnation != srv.incarnation || !stops || a.isCutOff() {
 		return
 	}
 	a.atServer = false
-	m.Cancel(w.now, &a.Job)
-	w.advanceServer(a.server)
-}
-
-// stopProcess ends a node's process: its connections break.
-func (w *simulation) stopProcess(n int32) {
-	m := w.servers[n]
-	if m.down {
-		return
-	}
-	for _, j := range m.Drop(w.now) {
-		a := j.Owner.(*attempt)
-		a.atServer = false
-		if !w.isCutOff(a.request.sidecar, n) {
-			w.scheduleAfter(w.drawDelay(a.request.sidecar, n), attemptEnded{attempt: a, status: record.Broken})
-		}
-	}
-	m.down = true
-	m.connections = 0
+	srv.Cancel(s.now, &a.Job)
+	srv.completeDueJobs()
 }
--- a/internal/lab/sim/sidecar.go
+++ b/internal/lab/sim/sidecar.go
@@ -12,118 +12,161 @@
 	"milletramp.example/milletramp/internal/lab/workload"
 )
 
+const (
+	sidecarRestartTime = 300 * time.Millisecond // from a crash until the next process runs
+	minTimer           = time.Microsecond
+)
+
+// sidecar is a sidecar with its clients. It drives its policy and implements balance.Actions for it.
 type sidecar struct {
-	simulation       *simulation
-	index            int32
-	zone             int
-	incarnation      int32
-	down             bool
-	policy           Policy
-	source           *workload.Source
-	nextRequest      workload.Request
-	clientRandom     *rand.Rand
-	requests         map[balance.RequestID]*request
-	idle             [][]idleConnection // by node
-	lastResponse     []time.Duration
-	notifications    []notification // from discovery, not yet heard
-	endpoints        map[int32]balance.Endpoint
-	lastNotification time.Duration
-	losses           []loss // at nodes that lose now
-	member           *member
+	simulation  *simulation
+	index       int32
+	zone        int
+	incarnation int32 // counts its processes
+	down        bool  // no process runs
+	policy      Policy
+
+	source       *workload.Source
+	nextRequest  workload.Request // the arrival that is scheduled
+	clientRandom *rand.Rand
+
+	requests     map[balance.RequestID]*request
+	idle         [][]idleConnection // by server
+	lastResponse []time.Duration    // by server
+
+	endpoints        map[*server]balance.Endpoint // the list, as last notified
+	notifications    []notification               // on their way from discovery
+	lastNotification time.Duration                // when the latest of them arrives
+
+	losses []loss  // at servers that lose requests now
+	member *member // nil: it shares no observations
 }
 
-// start begins a life of the sidecar, with the list as it last had it.
-func (c *sidecar) start() error {
-	w := c.simulation
-	c.down = false
-	c.incarnation++
-	c.requests = map[balance.RequestID]*request{}
-	c.idle, c.losses = make([][]idleConnection, len(w.servers)), nil
-	c.lastResponse = make([]time.Duration, len(w.servers))
-	set := w.plan.Settings(int(c.index))
-	set.Seed += uint64(c.incarnation) << 32
-	var err error
-	if c.policy, err = w.options.NewPolicy(set, c, w); err != nil {
+// addSidecar adds a sidecar, starts it and schedules its first arrival.
+func (s *simulation) addSidecar(index int, keys *workload.Zipf) error {
+	scenario, seed := s.plan.Scenario, s.plan.Seed
+	sc := &sidecar{
+		simulation:   s,
+		index:        int32(index),
+		zone:         index % len(scenario.Fleet.Zones),
+		source:       workload.NewSource(scenario, index, seed, keys),
+		clientRandom: rand.New(rand.NewPCG(seed, uint64(index)+clientSeedSalt)),
+		endpoints:    map[*server]balance.Endpoint{},
+	}
+	s.sidecars = append(s.sidecars, sc)
+	for _, srv := range s.servers {
+		if srv.listed {
+			sc.endpoints[srv] = srv.endpoint()
+		}
+	}
+	if err := sc.start(); err != nil {
 		return err
 	}
-	c.joinFleet()
+	sc.scheduleArrival()
+	return nil
+}
+
+// start starts a process of the sidecar with the endpoint list as it was last notified.
+func (sc *sidecar) start() error {
+	s := sc.simulation
+	sc.down = false
+	sc.incarnation++
+	sc.requests = map[balance.RequestID]*request{}
+	sc.idle = make([][]idleConnection, len(s.servers))
+	sc.lastResponse = make([]time.Duration, len(s.servers))
+	sc.losses = nil
+	settings := s.plan.Settings(int(sc.index))
+	settings.Seed += uint64(sc.incarnation) << 32
+	policy, err := s.options.NewPolicy(settings, sc, s)
+	if err != nil {
+		return err
+	}
+	sc.policy = policy
+	sc.joinFleet()
+	sc.policy.Endpoints(s.policyNow(), balance.ListRemembered, sc.endpointList())
+	return nil
+}
+
+// endpointList returns the endpoints in the order of the servers.
+func (sc *sidecar) endpointList() []balance.Endpoint {
 	var list []balance.Endpoint
-	for n := range w.servers {
-		if e, ok := c.endpoints[int32(n)]; ok {
-			list = append(list, e)
+	for _, srv := range sc.simulation.servers {
+		if endpoint, ok := sc.endpoints[srv]; ok {
+			list = append(list, endpoint)
 		}
 	}
-	c.policy.Endpoints(w.now+epoch, balance.ListRemembered, list)
-	return nil
+	return list
 }
 
-// crashSidecar ends a sidecar with all it holds, and starts it again.
-func (w *simulation) crashSidecar(c *sidecar) {
-	if c.down {
+// crash ends the sidecar's process with all its requests. The next one starts after a while.
+func (sc *sidecar) crash() {
+	if sc.down {
 		return
 	}
-	c.down = true
-	w.record(record.Event{Kind: record.SidecarDown, Sidecar: c.index})
-	for n := range w.servers {
-		c.closeIdle(int32(n))
+	s := sc.simulation
+	sc.down = true
+	s.record(record.Event{Kind: record.SidecarDown, Sidecar: sc.index})
+	for _, srv := range s.servers {
+		sc.closeIdle(srv)
 	}
-	held := c.requests
-	c.requests = map[balance.RequestID]*request{}
-	for _, id := range slices.Sorted(maps.Keys(held)) { // in order: maps have none
-		r := held[id]
-		for _, a := range r.attempts {
-			if !a.ended {
-				a.ended = true
-				if m := w.servers[a.server]; a.serverIncarnation == m.incarnation && !m.down && a.firstByteAt >= 0 {
-					m.connections--
-				}
-				w.scheduleAfter(w.drawDelay(c, a.server), cancelArrived{a})
-			}
-		}
-		if !r.completed {
-			r.completed = true
-			w.openRequests--
-			w.retryLater(r, workload.Failed, 0)
+	lost := sc.requests
+	sc.requests = map[balance.RequestID]*request{}
+	for _, id := range slices.Sorted(maps.Keys(lost)) { // sorted, as a map has no order
+		lost[id].abort()
+	}
+	s.scheduleAfter(sidecarRestartTime, sidecarRestarted{sc})
+}
+
+// abort ends a request whose sidecar has crashed.
+func (r *request) abort() {
+	for _, a := range r.attempts {
+		if !a.ended {
+			a.ended = true
+			a.closeConnection()
 		}
 	}
-	w.scheduleAfter(sidecarRestartTime, sidecarRestarted{c})
+	if !r.completed {
+		r.complete()
+		r.scheduleRetry(workload.Failed, 0)
+	}
 }
 
-// sidecarRestarted is the start of a crashed sidecar's next process.
+// sidecarRestarted is the start of the next process of a crashed sidecar.
 type sidecarRestarted struct{ sidecar *sidecar }
 
+// happen panics if the policy rejects its settings, as it accepted them at the first start.
 func (e sidecarRestarted) happen(*simulation) {
 	if err := e.sidecar.start(); err != nil {
-		panic(fmt.Sprintf("sim: sidecar %d does not start again: %v", e.sidecar.index, err)) // its settings were good before
+		panic(fmt.Sprintf("sim: sidecar %d does not start again: %v", e.sidecar.index, err))
 	}
 }
 
-// Cancel calls an attempt off.
-func (c *sidecar) Cancel(id balance.RequestID, n int) {
-	r := c.requests[id]
-	if r == nil || n < 0 || n >= len(r.attempts) || r.attempts[n].ended {
+// Cancel implements balance.Actions.
+func (sc *sidecar) Cancel(id balance.RequestID, number int) {
+	r := sc.requests[id]
+	if r == nil || number < 0 || number >= len(r.attempts) || r.attempts[number].ended {
 		return
 	}
-	c.simulation.scheduleAfter(0, attemptEnded{attempt: r.attempts[n], status: record.Cancelled})
+	r.attempts[number].endAfter(0, record.Cancelled)
 }
 
-// Reject answers that a retry does no harm.
-func (c *sidecar) Reject(id balance.RequestID, after time.Duration) {
-	c.reject(id, record.Rejected, after)
+// Reject implements balance.Actions.
+func (sc *sidecar) Reject(id balance.RequestID, retryAfter time.Duration) {
+	sc.respondLocally(id, record.Rejected, retryAfter)
 }
 
-// Fail answers without a promise.
-func (c *sidecar) Fail(id balance.RequestID) { c.reject(id, record.Failed, 0) }
+// Fail implements balance.Actions.
+func (sc *sidecar) Fail(id balance.RequestID) { sc.respondLocally(id, record.Failed, 0) }
 
-// Timer asks for a Timer event.
-func (c *sidecar) Timer(after time.Duration, token uint64) {
-	c.simulation.scheduleAfter(max(after, time.Microsecond), timerFired{c, c.incarnation, token})
+// Timer implements balance.Actions.
+func (sc *sidecar) Timer(after time.Duration, token uint64) {
+	sc.simulation.scheduleAfter(max(after, minTimer), timerFired{sc, sc.incarnation, token})
 }
 
-// timerFired is the end of a policy's timer.
+// timerFired is the end of a timer that a policy has set.
 type timerFired struct {
 	sidecar     *sidecar
-	incarnation int32
+	incarnation int32 // of the sidecar when it was set
 	token       uint64
 }
 
@@ -131,16 +174,16 @@
 	if e.sidecar.down || e.sidecar.incarnation != e.incarnation {
 		return
 	}
-	e.sidecar.policy.Timer(s.now+epoch, e.token)
+	e.sidecar.policy.Timer(s.policyNow(), e.token)
 	e.sidecar.detectLosses()
 }
 
-// Subscribe does nothing: discovery pushes.
-func (c *sidecar) Subscribe() {}
+// Subscribe implements balance.Actions. Every sidecar is notified, whether it has subscribed or not.
+func (sc *sidecar) Subscribe() {}
 
-// Log passes a line on.
-func (c *sidecar) Log(text string) {
-	if c.simulation.options.Log != nil {
-		c.simulation.options.Log(c.simulation.now, int(c.index), text)
+// Log implements balance.Actions.
+func (sc *sidecar) Log(text string) {
+	if log := sc.simulation.options.Log; log != nil {
+		log(sc.simulation.now, int(sc.index), text)
 	}
 }
--- a/internal/lab/sim/simulation.go
+++ b/internal/lab/sim/simulation.go
@@ -13,131 +13,155 @@
 	"milletramp.example/milletramp/internal/lab/workload"
 )
 
-// Options are the parts of a run.
+const (
+	// epoch is the policies' time at the start of a run. They take times up to 0 for long ago.
+	epoch = 24 * time.Hour
+
+	// progressInterval is the simulated time between two reports of progress and checks of the context.
+	progressInterval = time.Second
+
+	// lateEventsTime is how long after the last deadline events still happen, such as delayed responses.
+	lateEventsTime = time.Second
+)
+
+// networkSeedSalt keeps the draws of the network and of discovery apart from what else is drawn with the plan's seed.
+const networkSeedSalt = 0x0e7
+
+// Options are the parts of a run. The zero value plays the decision module.
 type Options struct {
-	NewPolicy NewPolicyFunc // nil: Module
-	Sink      record.Sink
-	Defects   Defects
-	Fleet     *Fleet                                           // nil: each sidecar is alone
-	Progress  func(at time.Duration)                           // each simulated second; may be nil
-	Log       func(at time.Duration, sidecar int, line string) // what the module says; may be nil
+	NewPolicy NewPolicyFunc                                    // nil: NewModule
+	Sink      record.Sink                                      // nil: the events are dropped
+	Defects   Defects                                          // of the sidecars' network part
+	Fleet     *Fleet                                           // nil: sidecars share no observations
+	Progress  func(at time.Duration)                           // called each simulated second; may be nil
+	Log       func(at time.Duration, sidecar int, line string) // takes the policies' lines; may be nil
 }
 
-// Result is what a run tells of itself; everything else goes to the sink.
+// Result counts what a run did. What happened in it goes to the sink.
 type Result struct {
-	Events   uint64 // handled
-	Requests uint64
+	Events   uint64 // that the scheduler handled
+	Requests uint64 // of clients, retries included
 }
 
-const (
-	epoch              = 24 * time.Hour         // of the module's clock, which takes times up to 0 for long ago
-	deadlineMargin     = 5 * time.Millisecond   // kept free before the client's deadline, as the real sidecar does
-	sidecarRestartTime = 300 * time.Millisecond // of a sidecar
-)
-
+// simulation is the state of a run.
 type simulation struct {
 	scheduler
-	plan         *plan.Plan
-	options      Options
-	random       *rand.Rand // of the network
-	result       Result
-	openRequests int
-
-	sidecars        []*sidecar
+	network         network
+	plan            *plan.Plan
+	options         Options
 	servers         []*server
-	serverByID      map[string]int32
-	pods            map[int]*node.Pod
-	zoneCut         []bool // by zone
-	discoverySilent bool   // discovery
-	requestCount    uint64
-	tokens          uint64
-	recorded        record.Event
-	counts          struct{ refusals, answers int }
+	serverByID      map[string]*server
+	pods            map[int]*node.Pod // by pod group
+	sidecars        []*sidecar
+	discoveryPaused bool
+	openRequests    int    // requests without a final response, and retries to come
+	lastToken       uint64 // of a server's response
+	result          Result
+	defectCounts    defectCounts
+	recorded        record.Event // reused, so that recording an event allocates nothing
 }
 
 // Run plays a plan to its end, or until ctx is done.
-func Run(ctx context.Context, p *plan.Plan, opt Options) (Result, error) {
-	if opt.NewPolicy == nil {
-		opt.NewPolicy = NewModule
+func Run(ctx context.Context, p *plan.Plan, options Options) (Result, error) {
+	s := newSimulation(p, options)
+	if err := s.build(); err != nil {
+		return s.result, err
 	}
-	if opt.Sink == nil {
-		opt.Sink = record.Sinks{}
+	if err := s.handleEvents(ctx); err != nil {
+		return s.result, err
 	}
-	w := &simulation{plan: p, options: opt, random: rand.New(rand.NewPCG(p.Seed, 0x0e7)), serverByID: map[string]int32{}, pods: map[int]*node.Pod{},
-		zoneCut: make([]bool, len(p.Scenario.Fleet.Zones))}
-	if err := w.build(); err != nil {
-		return w.result, err
+	for _, srv := range s.servers {
+		s.record(record.Event{Kind: record.NodeWork, Node: srv.index, Work: srv.earlierWork + srv.Done()})
 	}
-	most := p.Scenario.Length.Std()
-	for _, c := range p.Scenario.Classes {
-		most = max(most, p.Scenario.Length.Std()+c.Deadline.Std()+time.Second)
+	return s.result, nil
+}
+
+func newSimulation(p *plan.Plan, options Options) *simulation {
+	if options.NewPolicy == nil {
+		options.NewPolicy = NewModule
 	}
-	second := time.Duration(0)
-	for {
-		at, ok := w.nextTime()
-		if !ok || at > most || at >= p.Scenario.Length.Std() && w.openRequests == 0 && at >= p.Last {
-			break
-		}
-		next := w.advance()
-		if w.now >= second {
-			if ctx.Err() != nil {
-				return w.result, fmt.Errorf("interrupted at %v of %v: %w", w.now, p.Scenario.Length.Std(), context.Cause(ctx))
-			}
-			if opt.Progress != nil {
-				opt.Progress(w.now)
-			}
-			second += time.Second
-		}
-		w.result.Events++
-		next.happen(w)
+	if options.Sink == nil {
+		options.Sink = record.Sinks{}
 	}
-	for i, m := range w.servers {
-		w.record(record.Event{Kind: record.NodeWork, Node: int32(i), Work: m.earlierWork + m.Done()})
+	return &simulation{
+		plan:    p,
+		options: options,
+		network: network{
+			settings: p.Scenario.Network,
+			zoneCut:  make([]bool, len(p.Scenario.Fleet.Zones)),
+			random:   rand.New(rand.NewPCG(p.Seed, networkSeedSalt)),
+		},
+		serverByID: map[string]*server{},
+		pods:       map[int]*node.Pod{},
 	}
-	return w.result, nil
 }
 
-func (w *simulation) build() error {
-	s := w.plan.Scenario
-	for i, m := range w.plan.Machines {
-		w.serverByID[m.ID] = int32(i)
-		n := &server{Machine: m, wakeAt: -1, listedState: balance.Ready, down: m.Born > 0, listed: m.Born == 0}
-		w.servers = append(w.servers, n)
-		w.startProcess(n, 0)
-		if m.Born == 0 {
-			w.record(record.Event{Kind: record.NodeStarted, Node: int32(i), Capacity: float64(m.Spec.Cores) * m.Spec.Speed})
-		}
+// build makes the servers and sidecars, and schedules the first arrivals and the acts of the plan.
+func (s *simulation) build() error {
+	for _, machine := range s.plan.Machines {
+		s.addServer(machine)
 	}
-	keys := workload.NewZipf(s.Load.Keys, s.Load.Zipf)
-	for i := range s.Fleet.Sidecars {
-		c := &sidecar{simulation: w, index: int32(i), zone: i % len(s.Fleet.Zones), source: workload.NewSource(s, i, w.plan.Seed, keys),
-			clientRandom: rand.New(rand.NewPCG(w.plan.Seed, uint64(i)+0xc11e47)), endpoints: map[int32]balance.Endpoint{}}
-		w.sidecars = append(w.sidecars, c)
-		for n, m := range w.servers {
-			if m.listed {
-				c.endpoints[int32(n)] = w.endpoint(int32(n))
-			}
-		}
-		if err := c.start(); err != nil {
+	fleet := &s.plan.Scenario.Fleet
+	keys := workload.NewZipf(s.plan.Scenario.Load.Keys, s.plan.Scenario.Load.Zipf)
+	for i := range fleet.Sidecars {
+		if err := s.addSidecar(i, keys); err != nil {
 			return fmt.Errorf("sidecar %d: %w", i, err)
 		}
-		c.scheduleArrival()
 	}
-	for i := range w.plan.Acts {
-		w.scheduleAt(w.plan.Acts[i].At, planActDue{&w.plan.Acts[i]})
+	for i := range s.plan.Acts {
+		act := &s.plan.Acts[i]
+		s.scheduleAt(act.At, planActDue{act})
 	}
 	return nil
 }
 
-func (w *simulation) record(e record.Event) {
-	if e.At == 0 {
-		e.At = w.now
+// handleEvents has all events of the run happen.
+func (s *simulation) handleEvents(ctx context.Context) error {
+	length, limit := s.plan.Scenario.Length.Std(), s.timeLimit()
+	nextProgress := time.Duration(0)
+	for {
+		at, ok := s.nextTime()
+		if !ok || at > limit || s.isIdleAt(at) {
+			return nil
+		}
+		next := s.advance()
+		if s.now >= nextProgress {
+			if ctx.Err() != nil {
+				return fmt.Errorf("interrupted at %v of %v: %w", s.now, length, context.Cause(ctx))
+			}
+			if s.options.Progress != nil {
+				s.options.Progress(s.now)
+			}
+			nextProgress += progressInterval
+		}
+		s.result.Events++
+		next.happen(s)
 	}
-	w.recorded = e
-	w.options.Sink.Record(&w.recorded)
 }
 
-// callbackDue is a call that was scheduled.
-type callbackDue struct{ call func() }
+// timeLimit returns the time after which no event happens.
+func (s *simulation) timeLimit() time.Duration {
+	length := s.plan.Scenario.Length.Std()
+	limit := length
+	for _, class := range s.plan.Scenario.Classes {
+		limit = max(limit, length+class.Deadline.Std()+lateEventsTime)
+	}
+	return limit
+}
+
+// isIdleAt reports whether at a time the scenario and its faults are over and no request waits for a response.
+func (s *simulation) isIdleAt(at time.Duration) bool {
+	return at >= s.plan.Scenario.Length.Std() && at >= s.plan.Last && s.openRequests == 0
+}
 
-func (e callbackDue) happen(*simulation) { e.call() }
+// policyNow is the present time on the policies' clock.
+func (s *simulation) policyNow() balance.Time { return s.now + epoch }
+
+// record hands an event to the sink. One without a time gets the present time.
+func (s *simulation) record(e record.Event) {
+	if e.At == 0 {
+		e.At = s.now
+	}
+	s.recorded = e
+	s.options.Sink.Record(&s.recorded)
+}
