--- a/internal/lab/sim/events_test.go
+++ b/internal/lab/sim/events_test.go
@@ -78,7 +78,7 @@
 		{name: "baseline policy", scenario: "short-faults", length: "9s", seed: 11,
 			want: "5398e8e42ee84d71", options: sim.Options{NewPolicy: oracle}},
 		{name: "responses lost, doubled, invented", scenario: "overload", length: "6s", seed: 12,
-			want: "f7e3329606e4be96",
+			want:    "f7e3329606e4be96",
 			options: sim.Options{Defects: sim.Defects{LoseEvery: 97, DuplicateEvery: 89, InventEvery: 50}}},
 		{name: "responses held back", scenario: "overload", length: "6s", seed: 13,
 			want: "17647f0f6df5929d", options: sim.Options{Defects: sim.Defects{HoldBack: true}}},
