--- a/internal/lab/sim/attempt.go
+++ b/internal/lab/sim/attempt.go
@@ -156,10 +156,10 @@
 	token   uint64 // names the server's response; 0: there is none
 }
 
-func (e attemptEnded) happen(*simulation) { e.attempt.end(e.status, e.token) }
+func (e attemptEnded) happen(*simulation) { e.attempt.finish(e.status, e.token) }
 
-// end ends the attempt for its sidecar, unless it has ended.
-func (a *attempt) end(status record.Status, token uint64) {
+// finish ends the attempt for its sidecar, unless it has ended.
+func (a *attempt) finish(status record.Status, token uint64) {
 	r := a.request
 	if a.ended || !r.isCurrent() {
 		return
--- a/internal/lab/sim/request.go
+++ b/internal/lab/sim/request.go
@@ -101,7 +101,7 @@
 		return
 	}
 	for _, a := range r.attempts {
-		a.end(record.TimedOut, 0)
+		a.finish(record.TimedOut, 0)
 	}
 	if !r.completed && s.options.Defects.Delay == 0 {
 		r.respond(record.Failed, 0, 0)
