--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
-	"milletramp.example/milletramp/internal/lab/node"
 	"milletramp.example/milletramp/internal/lab/scenario"
+	"milletramp.example/milletramp/internal/lab/servermodel"
 )
 
 // Machine is a node as it is planned.
@@ -21,9 +21,9 @@
 	Zone int
 	Kind string
 	Cell int
-	Size float64       // registered, for discovery
-	Spec node.Spec     // Started is set when it starts
-	Born time.Duration // 0: it is there from the start
+	Size float64          // registered, for discovery
+	Spec servermodel.Spec // Started is set when it starts
+	Born time.Duration    // 0: it is there from the start
 }
 
 // Op is what an act does.
@@ -102,7 +102,7 @@
 	p.Machines = append(p.Machines, Machine{
 		ID: fmt.Sprintf("s-%04x%04x", rng.IntN(1<<16), len(p.Machines)), Zone: zone, Kind: k.Name,
 		Size: float64(k.Cores) * k.Speed, Born: born,
-		Spec: node.Spec{Cores: k.Cores, Speed: speed,
+		Spec: servermodel.Spec{Cores: k.Cores, Speed: speed,
 			Slots: max(int(f.SlotsPerCore*float64(k.Cores)), 1), Room: int(f.QueuePerCore * float64(k.Cores)),
 			ColdFrom: f.ColdFrom, Cold: f.Cold.Std(), CrowdAt: f.CrowdAt, Crowd: f.Crowd,
 			ChokeAt: f.ChokeAt, ChokeOver: f.ChokeOver.Std(), ChokeSlower: f.ChokeSlower, ChokeBelow: f.ChokeBelow,
--- a/internal/lab/node/node.go
+++ b/internal/lab/servermodel/node.go
@@ -1,11 +1,11 @@
-// Package node models one tracking node of the emulated service: how long its requests take, given what it holds. It
+// Package servermodel models one tracking node of the emulated service: how long its requests take, given what it holds. It
 // is a pure state machine on a clock that its owner moves: the simulated plane moves it by events, a stand-in on real
 // sockets by the machine's clock, so both planes serve the same world.
 //
 // Requests in service share the node's cores evenly (processor sharing, at most a core each); what finds no slot waits
 // in order, and what finds no room is turned away. With one slot for each core this is a queue with c servers in order
 // of arrival (M/M/c where arrivals and work are exponential).
-package node
+package servermodel
 
 import (
 	"container/heap"
--- a/internal/lab/node/server.go
+++ b/internal/lab/servermodel/server.go
@@ -1,4 +1,4 @@
-package node
+package servermodel
 
 import (
 	"container/list"
--- a/internal/lab/sim/attempt.go
+++ b/internal/lab/sim/attempt.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
-	"milletramp.example/milletramp/internal/lab/node"
 	"milletramp.example/milletramp/internal/lab/record"
+	"milletramp.example/milletramp/internal/lab/servermodel"
 )
 
 // neverSent is the firstByteAt of an attempt without a connection.
@@ -13,7 +13,7 @@
 
 // attempt is one try of a sidecar to have a request served by a server.
 type attempt struct {
-	node.Job          // at the server
+	servermodel.Job   // at the server
 	request           *request
 	number            uint8 // among the request's attempts, from 0
 	server            *server
--- a/internal/lab/sim/server.go
+++ b/internal/lab/sim/server.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
-	"milletramp.example/milletramp/internal/lab/node"
 	"milletramp.example/milletramp/internal/lab/plan"
 	"milletramp.example/milletramp/internal/lab/record"
+	"milletramp.example/milletramp/internal/lab/servermodel"
 )
 
 // notScheduled is the wakeAt of a server that has nothing to do.
@@ -18,7 +18,7 @@
 
 // server is a machine of the plan with the process that runs on it.
 type server struct {
-	*node.Server // of the process that runs, or ran last
+	*servermodel.Server // of the process that runs, or ran last
 	plan.Machine
 	simulation          *simulation
 	index               int32
@@ -65,7 +65,7 @@
 	stream := uint64(len(s.servers))<<20 + uint64(srv.incarnation)
 	random := rand.New(rand.NewPCG(s.plan.Seed, stream))
 	previous := srv.Server
-	srv.Server = node.NewServer(node.New(spec, s.now), s.pod(srv.Cell), fleet.KeyGain, fleet.KeyFor.Std(),
+	srv.Server = servermodel.NewServer(servermodel.New(spec, s.now), s.pod(srv.Cell), fleet.KeyGain, fleet.KeyFor.Std(),
 		fleet.KeysPerCore*spec.Cores, random)
 	if previous != nil {
 		srv.Faults = previous.Faults
@@ -76,10 +76,10 @@
 }
 
 // pod returns what the servers of a pod group share.
-func (s *simulation) pod(group int) *node.Pod {
+func (s *simulation) pod(group int) *servermodel.Pod {
 	pod := s.pods[group]
 	if pod == nil {
-		pod = node.NewPod(s.plan.Window())
+		pod = servermodel.NewPod(s.plan.Window())
 		s.pods[group] = pod
 	}
 	return pod
@@ -121,13 +121,13 @@
 	s := srv.simulation
 	a.Owner = a
 	switch srv.offer(a) {
-	case node.TurnedAway:
+	case servermodel.TurnedAway:
 		s.record(record.Event{Kind: record.Replied, Request: a.request.id, Attempt: a.number, Node: srv.index,
 			Status: record.Rejected})
 		a.endAfter(a.drawDelay(), record.Rejected)
-	case node.Swallowed:
+	case servermodel.Swallowed:
 		a.noteLoss()
-	case node.Known:
+	case servermodel.Known:
 		a.atServer = true
 		s.record(record.Event{Kind: record.Deduplicated, Request: a.request.id, Attempt: a.number, Node: srv.index})
 	default:
@@ -144,7 +144,7 @@
 }
 
 // offer hands an attempt's job to the model of the server.
-func (srv *server) offer(a *attempt) node.Verdict {
+func (srv *server) offer(a *attempt) servermodel.Verdict {
 	scenario := srv.simulation.plan.Scenario
 	requested := &a.request.workload
 	handshakeWork := 0.0
@@ -186,7 +186,7 @@
 	s.lastToken++
 	token := s.lastToken
 	status := record.Served
-	if srv.Ending() != node.Answered {
+	if srv.Ending() != servermodel.Answered {
 		status = record.Failed
 	}
 	s.record(record.Event{Kind: record.Replied, Request: a.request.id, Attempt: a.number, Node: srv.index,
--- a/internal/lab/sim/simulation.go
+++ b/internal/lab/sim/simulation.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
-	"milletramp.example/milletramp/internal/lab/node"
 	"milletramp.example/milletramp/internal/lab/plan"
 	"milletramp.example/milletramp/internal/lab/record"
+	"milletramp.example/milletramp/internal/lab/servermodel"
 	"milletramp.example/milletramp/internal/lab/workload"
 )
 
@@ -51,7 +51,7 @@
 	options         Options
 	servers         []*server
 	serverByID      map[string]*server
-	pods            map[int]*node.Pod // by pod group
+	pods            map[int]*servermodel.Pod // by pod group
 	sidecars        []*sidecar
 	discoveryPaused bool
 	openRequests    int    // requests without a final response, and retries to come
@@ -92,7 +92,7 @@
 			random:   rand.New(rand.NewPCG(p.Seed, networkSeedSalt)),
 		},
 		serverByID: map[string]*server{},
-		pods:       map[int]*node.Pod{},
+		pods:       map[int]*servermodel.Pod{},
 	}
 }
 
--- a/internal/lab/sockets/sockets.go
+++ b/internal/lab/sockets/sockets.go
@@ -19,9 +19,9 @@
 	"syscall"
 	"time"
 
-	"milletramp.example/milletramp/internal/lab/node"
 	"milletramp.example/milletramp/internal/lab/plan"
 	"milletramp.example/milletramp/internal/lab/record"
+	"milletramp.example/milletramp/internal/lab/servermodel"
 	"milletramp.example/milletramp/internal/lab/workload"
 	"milletramp.example/milletramp/internal/standin"
 )
@@ -64,7 +64,7 @@
 	listen   []net.Listener // of nodes that have not begun
 	addr     []string       // of nodes, kept over restarts
 	starts   []time.Duration
-	pods     map[int]*node.Pod
+	pods     map[int]*servermodel.Pod
 	lives    []int
 	links    [][]*standin.Link // by sidecar and node
 	cut      []bool
@@ -89,7 +89,7 @@
 	}
 	defer os.RemoveAll(dir)
 	w := &world{p: p, opt: opt, log: standin.NewLog(), book: standin.NewBook(), dir: dir,
-		rng: rand.New(rand.NewPCG(p.Seed, 0x50c7)), pods: map[int]*node.Pod{}, cut: make([]bool, len(p.Scenario.Fleet.Zones)),
+		rng: rand.New(rand.NewPCG(p.Seed, 0x50c7)), pods: map[int]*servermodel.Pod{}, cut: make([]bool, len(p.Scenario.Fleet.Zones)),
 		mute: make([]bool, len(p.Machines)), cutAsk: make([]float64, len(p.Machines)), cutAns: make([]float64, len(p.Machines)), lives: make([]int, len(p.Machines)), starts: make([]time.Duration, len(p.Machines)),
 		told: make([]time.Duration, p.Scenario.Fleet.Sidecars)}
 	defer w.close()
@@ -233,12 +233,12 @@
 	spec.Started = started
 	pod := w.pods[m.Cell]
 	if pod == nil {
-		pod = node.NewPod(w.p.Window())
+		pod = servermodel.NewPod(w.p.Window())
 		w.pods[m.Cell] = pod
 	}
 	w.starts[n] = started
 	w.lives[n]++
-	w.nodes[n].Start(l, node.NewServer(node.New(spec, w.log.Now()), pod, f.KeyGain, f.KeyFor.Std(), f.KeysPerCore*spec.Cores,
+	w.nodes[n].Start(l, servermodel.NewServer(servermodel.New(spec, w.log.Now()), pod, f.KeyGain, f.KeyFor.Std(), f.KeysPerCore*spec.Cores,
 		rand.New(rand.NewPCG(w.p.Seed, uint64(n)<<20+uint64(w.lives[n])))))
 	w.log.Add(record.Event{Kind: record.NodeStarted, Node: int32(n), Capacity: float64(spec.Cores) * spec.Speed, Boot: started})
 }
@@ -418,7 +418,7 @@
 
 func (w *world) act(ctx context.Context, a plan.Act, fail context.CancelCauseFunc) error {
 	n := a.Node
-	change := func(do func(s *node.Server, now time.Duration)) { w.nodes[n].Change(do) }
+	change := func(do func(s *servermodel.Server, now time.Duration)) { w.nodes[n].Change(do) }
 	switch a.Op {
 	case plan.Over:
 		w.log.Add(record.Event{Kind: record.FaultOver})
@@ -471,17 +471,17 @@
 	case plan.Crash:
 		w.nodes[n].Stop()
 	case plan.Slow:
-		change(func(s *node.Server, now time.Duration) { s.Slow(now, a.Value) })
+		change(func(s *servermodel.Server, now time.Duration) { s.Slow(now, a.Value) })
 	case plan.Swallow:
-		change(func(s *node.Server, _ time.Duration) { s.Faults.Swallow[a.Class] = a.On })
+		change(func(s *servermodel.Server, _ time.Duration) { s.Faults.Swallow[a.Class] = a.On })
 	case plan.TurnAway:
-		change(func(s *node.Server, _ time.Duration) { s.Faults.TurnAway[a.Class] = a.On })
+		change(func(s *servermodel.Server, _ time.Duration) { s.Faults.TurnAway[a.Class] = a.On })
 	case plan.Stray:
-		change(func(s *node.Server, _ time.Duration) { s.Faults.Stray = a.Value })
+		change(func(s *servermodel.Server, _ time.Duration) { s.Faults.Stray = a.Value })
 	case plan.Errors:
-		change(func(s *node.Server, _ time.Duration) { s.Faults.Errors = a.Value })
+		change(func(s *servermodel.Server, _ time.Duration) { s.Faults.Errors = a.Value })
 	case plan.Garble:
-		change(func(s *node.Server, _ time.Duration) { s.Faults.Garble = a.Value })
+		change(func(s *servermodel.Server, _ time.Duration) { s.Faults.Garble = a.Value })
 	}
 	return nil
 }
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"milletramp.example/milletramp/internal/lab/node"
 	"milletramp.example/milletramp/internal/lab/record"
+	"milletramp.example/milletramp/internal/lab/servermodel"
 )
 
 // Known is what a node looks up about a request: the sidecar need not pass it on.
@@ -67,7 +67,7 @@
 	stops  bool          // work stops when its request is cancelled
 
 	mu     sync.Mutex
-	server *node.Server
+	server *servermodel.Server
 	wake   *time.Timer
 	http   *http.Server
 	conns  map[net.Conn]*conn
@@ -100,7 +100,7 @@
 }
 
 // Start begins a process of the node that serves on l, with a model whose clock is the log's.
-func (n *Node) Start(l net.Listener, s *node.Server) {
+func (n *Node) Start(l net.Listener, s *servermodel.Server) {
 	n.mu.Lock()
 	if n.server != nil {
 		s.Faults = n.server.Faults
@@ -134,7 +134,7 @@
 }
 
 // Change changes the node's troubles or speed.
-func (n *Node) Change(change func(s *node.Server, now time.Duration)) {
+func (n *Node) Change(change func(s *servermodel.Server, now time.Duration)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	change(n.server, n.log.Now())
@@ -201,8 +201,8 @@
 
 // serve has the model decide on a request and answers it.
 func (n *Node) serve(w http.ResponseWriter, r *http.Request, id uint64, attempt uint8, known Known, fresh bool) {
-	job := &node.Job{Work: known.Work}
-	done := make(chan node.Ending, 1)
+	job := &servermodel.Job{Work: known.Work}
+	done := make(chan servermodel.Ending, 1)
 	job.Owner = done
 	extra := 0.0
 	if fresh {
@@ -217,17 +217,17 @@
 	n.step()
 	n.mu.Unlock()
 	switch verdict {
-	case node.TurnedAway:
+	case servermodel.TurnedAway:
 		n.log.Add(record.Event{Kind: record.Replied, Request: id, Attempt: attempt, Node: n.Number, Status: record.Rejected})
 		end(record.Rejected)
 		w.Header().Set("X-Not-Processed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case node.Swallowed:
+	case servermodel.Swallowed:
 		<-r.Context().Done()
 		end(record.Cancelled)
 		panic(http.ErrAbortHandler)
-	case node.Known:
+	case servermodel.Known:
 		n.log.Add(record.Event{Kind: record.Deduplicated, Request: id, Attempt: attempt, Node: n.Number})
 	default:
 		n.log.Add(record.Event{Kind: record.Ran, Request: id, Attempt: attempt, Node: n.Number})
@@ -235,7 +235,7 @@
 	select {
 	case ending := <-done:
 		s, token := record.Served, n.book.Token()
-		if ending != node.Answered {
+		if ending != servermodel.Answered {
 			s = record.Failed
 		}
 		n.log.Add(record.Event{Kind: record.Replied, Request: id, Attempt: attempt, Node: n.Number, Status: s, Token: token,
@@ -255,11 +255,11 @@
 }
 
 // reply writes the answer.
-func (n *Node) reply(w http.ResponseWriter, ending node.Ending, token uint64) {
+func (n *Node) reply(w http.ResponseWriter, ending servermodel.Ending, token uint64) {
 	switch ending {
-	case node.Errored:
+	case servermodel.Errored:
 		http.Error(w, "error", http.StatusInternalServerError)
-	case node.Garbled:
+	case servermodel.Garbled:
 		if h, ok := w.(http.Hijacker); ok {
 			if c, _, err := h.Hijack(); err == nil {
 				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 7\r\n\r\nspoilt")
@@ -279,7 +279,7 @@
 		return
 	}
 	for _, j := range n.server.Step(n.log.Now()) {
-		j.Owner.(chan node.Ending) <- n.server.Ending()
+		j.Owner.(chan servermodel.Ending) <- n.server.Ending()
 	}
 	next := n.server.Next()
 	if n.wake != nil {
