--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -103,10 +103,10 @@
 		ID: fmt.Sprintf("s-%04x%04x", rng.IntN(1<<16), len(p.Machines)), Zone: zone, Kind: k.Name,
 		Size: float64(k.Cores) * k.Speed, Born: born,
 		Spec: servermodel.Spec{Cores: k.Cores, Speed: speed,
-			Slots: max(int(f.SlotsPerCore*float64(k.Cores)), 1), Room: int(f.QueuePerCore * float64(k.Cores)),
-			ColdFrom: f.ColdFrom, Cold: f.Cold.Std(), CrowdAt: f.CrowdAt, Crowd: f.Crowd,
-			ChokeAt: f.ChokeAt, ChokeOver: f.ChokeOver.Std(), ChokeSlower: f.ChokeSlower, ChokeBelow: f.ChokeBelow,
-			ChokeRest: f.ChokeRest.Std(), ChokeMost: f.ChokeMost.Std()}})
+			Slots: max(int(f.SlotsPerCore*float64(k.Cores)), 1), QueueLimit: int(f.QueuePerCore * float64(k.Cores)),
+			WarmUpShare: f.ColdFrom, WarmUp: f.Cold.Std(), ContentionAt: f.CrowdAt, ContentionCost: f.Crowd,
+			CollapseAt: f.ChokeAt, CollapseAfter: f.ChokeOver.Std(), CollapseSlowdown: f.ChokeSlower, RecoverBelow: f.ChokeBelow,
+			RecoverAfter: f.ChokeRest.Std(), MaxCollapse: f.ChokeMost.Std()}})
 	return len(p.Machines) - 1
 }
 
--- a/internal/lab/servermodel/node.go
+++ b/internal/lab/servermodel/node.go
@@ -18,23 +18,23 @@
 
 // Spec is what a node is made of.
 type Spec struct {
-	Cores    int
-	Speed    float64 // of a core against a standard one
-	Slots    int     // requests in service at once
-	Room     int     // requests that may wait
-	ColdFrom float64 // share of the speed at the start
-	Cold     Time    // from the start until the full speed is there, evenly
-	Started  Time    // when it started; 0: long ago
-
-	CrowdAt float64 // requests in service for each core above which each takes more work
-	Crowd   float64 // this share more for each doubling
-
-	ChokeAt     float64 // waiting for each core: more of them for ChokeOver and the node chokes; 0: never
-	ChokeOver   Time
-	ChokeSlower float64 // it is slower by this factor
-	ChokeBelow  float64 // until it holds fewer for each core
-	ChokeRest   Time    // for this time,
-	ChokeMost   Time    // or for this time in any case
+	Cores       int
+	Speed       float64 // of a core against a standard one
+	Slots       int     // requests in service at once
+	QueueLimit  int     // requests that may wait
+	WarmUpShare float64 // share of the speed at the start
+	WarmUp      Time    // from the start until the full speed is there, evenly
+	StartedAt   Time    // when it started; 0: long ago
+
+	ContentionAt   float64 // requests in service for each core above which each takes more work
+	ContentionCost float64 // this share more for each doubling
+
+	CollapseAt       float64 // waiting for each core: more of them for ChokeOver and the node chokes; 0: never
+	CollapseAfter    Time
+	CollapseSlowdown float64 // it is slower by this factor
+	RecoverBelow     float64 // until it holds fewer for each core
+	RecoverAfter     Time    // for this time,
+	MaxCollapse      Time    // or for this time in any case
 }
 
 // Job is a request that a node holds. Its owner may embed it.
@@ -42,289 +42,289 @@
 	Work  float64 // seconds on a standard core
 	Owner any
 
-	end   float64 // attained service at which it is done
-	place int     // in the heap, or -1
-	state jobState
+	finishAt  float64 // attained service at which it is done
+	heapIndex int     // in the heap, or -1
+	state     jobState
 }
 
 type jobState int
 
 const (
-	out jobState = iota
-	waiting
-	serving
+	jobIdle jobState = iota
+	jobWaiting
+	jobInService
 )
 
-// reviewEvery is how often the speed of a cold or crowded node is taken anew.
-const reviewEvery = 50 * time.Millisecond
-
-// Node is one node.
-type Node struct {
-	spec     Spec
-	at       Time    // the state is that of this time
-	served   float64 // attained service of a request that has been in service all along
-	rate     float64 // at which it grows, each second
-	inWork   jobs    // by end
-	queue    []*Job  // in order; cancelled ones are out
-	waits    int     // of those, still waiting
-	slow     float64 // factor of a trouble
-	over     Time    // more than ChokeAt wait since; -1: not
-	choked   Time    // since; -1: not
-	rested   Time    // fewer than ChokeBelow are held since; -1: not
-	done     float64 // standard work done
-	finished []*Job
+// updateInterval is how often the speed of a cold or crowded node is taken anew.
+const updateInterval = 50 * time.Millisecond
+
+// Processor is one node.
+type Processor struct {
+	spec            Spec
+	now             Time    // the state is that of this time
+	attainedService float64 // attained service of a request that has been in service all along
+	serviceRate     float64 // at which it grows, each second
+	inService       jobHeap // by end
+	queue           []*Job  // in order; cancelled ones are out
+	waiting         int     // of those, still waiting
+	slowdown        float64 // factor of a trouble
+	overloadedSince Time    // more than ChokeAt wait since; -1: not
+	collapsedSince  Time    // since; -1: not
+	recoveringSince Time    // fewer than ChokeBelow are held since; -1: not
+	completedWork   float64 // standard work done
+	completed       []*Job
 }
 
-// New returns an empty node.
-func New(spec Spec, now Time) *Node {
-	n := &Node{spec: spec, at: now, slow: 1, over: -1, choked: -1, rested: -1}
-	n.review()
+// NewProcessor returns an empty node.
+func NewProcessor(spec Spec, now Time) *Processor {
+	n := &Processor{spec: spec, now: now, slowdown: 1, overloadedSince: -1, collapsedSince: -1, recoveringSince: -1}
+	n.updateRate()
 	return n
 }
 
 // Offer hands a request to the node. It is false if there is no room.
-func (n *Node) Offer(now Time, j *Job) bool {
-	n.advance(now)
-	j.place = -1
+func (n *Processor) Offer(now Time, j *Job) bool {
+	n.moveTo(now)
+	j.heapIndex = -1
 	switch {
-	case len(n.inWork) < n.spec.Slots:
-		n.begin(j)
-	case n.waits < n.spec.Room:
-		j.state = waiting
+	case len(n.inService) < n.spec.Slots:
+		n.startService(j)
+	case n.waiting < n.spec.QueueLimit:
+		j.state = jobWaiting
 		n.queue = append(n.queue, j)
-		n.waits++
+		n.waiting++
 	default:
 		return false
 	}
-	n.review()
+	n.updateRate()
 	return true
 }
 
-func (n *Node) begin(j *Job) {
-	j.state, j.end = serving, n.served+j.Work
-	heap.Push(&n.inWork, j)
+func (n *Processor) startService(j *Job) {
+	j.state, j.finishAt = jobInService, n.attainedService+j.Work
+	heap.Push(&n.inService, j)
 }
 
 // Cancel has the node let go of a request, if it holds it.
-func (n *Node) Cancel(now Time, j *Job) {
-	n.advance(now)
+func (n *Processor) Cancel(now Time, j *Job) {
+	n.moveTo(now)
 	switch j.state {
-	case waiting:
-		n.waits--
-	case serving:
-		if j.place >= 0 {
-			n.done += j.Work - (j.end - n.served) // what was done so far
-			heap.Remove(&n.inWork, j.place)
+	case jobWaiting:
+		n.waiting--
+	case jobInService:
+		if j.heapIndex >= 0 {
+			n.completedWork += j.Work - (j.finishAt - n.attainedService) // what was done so far
+			heap.Remove(&n.inService, j.heapIndex)
 		}
 	}
-	j.state = out
-	n.fill()
-	n.review()
+	j.state = jobIdle
+	n.admitWaiting()
+	n.updateRate()
 }
 
-// Step moves the clock and returns the requests that are done by then, in order. The slice is valid until the next call.
-func (n *Node) Step(now Time) []*Job {
-	n.finished = n.finished[:0]
-	n.advance(now)
-	n.review()
-	return n.finished
+// Advance moves the clock and returns the requests that are done by then, in order. The slice is valid until the next call.
+func (n *Processor) Advance(now Time) []*Job {
+	n.completed = n.completed[:0]
+	n.moveTo(now)
+	n.updateRate()
+	return n.completed
 }
 
-// Next is when Step has something to do, or -1.
-func (n *Node) Next() Time {
+// NextEvent is when Step has something to do, or -1.
+func (n *Processor) NextEvent() Time {
 	next := Time(-1)
-	if len(n.inWork) > 0 && n.rate > 0 {
+	if len(n.inService) > 0 && n.serviceRate > 0 {
 		// Danger: what is left may round to nothing; a time that does not move on would be asked for for ever.
-		next = n.at + max(Time(math.Ceil((n.inWork[0].end-n.served)/n.rate*1e9)), 1)
+		next = n.now + max(Time(math.Ceil((n.inService[0].finishAt-n.attainedService)/n.serviceRate*1e9)), 1)
 	}
-	if n.restless() && (next < 0 || next > n.at+reviewEvery) {
-		next = n.at + reviewEvery
+	if n.speedChanges() && (next < 0 || next > n.now+updateInterval) {
+		next = n.now + updateInterval
 	}
 	return next
 }
 
-// restless tells whether the speed changes with time alone.
-func (n *Node) restless() bool {
-	return (len(n.inWork) > 0 && (n.Warmth(n.at) < 1 || n.over >= 0)) || n.choked >= 0
+// speedChanges tells whether the speed changes with time alone.
+func (n *Processor) speedChanges() bool {
+	return (len(n.inService) > 0 && (n.SpeedShare(n.now) < 1 || n.overloadedSince >= 0)) || n.collapsedSince >= 0
 }
 
-// Slow makes the node slower by a factor; 1 ends it.
-func (n *Node) Slow(now Time, factor float64) {
-	n.advance(now)
-	n.slow = factor
-	n.review()
+// SetSlowdown makes the node slower by a factor; 1 ends it.
+func (n *Processor) SetSlowdown(now Time, factor float64) {
+	n.moveTo(now)
+	n.slowdown = factor
+	n.updateRate()
 }
 
-// Held is how many requests the node holds.
-func (n *Node) Held() int { return len(n.inWork) + n.waits }
+// InFlight is how many requests the node holds.
+func (n *Processor) InFlight() int { return len(n.inService) + n.waiting }
 
-// Done is the work done so far, in seconds on a standard core.
-func (n *Node) Done() float64 {
-	sum := n.done
-	for _, j := range n.inWork {
-		sum += j.Work - (j.end - n.served)
+// CompletedWork is the work done so far, in seconds on a standard core.
+func (n *Processor) CompletedWork() float64 {
+	sum := n.completedWork
+	for _, j := range n.inService {
+		sum += j.Work - (j.finishAt - n.attainedService)
 	}
 	return sum
 }
 
-// Drop empties the node, as when its process dies, and returns what it held.
-func (n *Node) Drop(now Time) []*Job {
-	n.advance(now)
-	held := make([]*Job, 0, n.Held())
-	for _, j := range n.inWork {
-		n.done += j.Work - (j.end - n.served)
+// Abort empties the node, as when its process dies, and returns what it held.
+func (n *Processor) Abort(now Time) []*Job {
+	n.moveTo(now)
+	held := make([]*Job, 0, n.InFlight())
+	for _, j := range n.inService {
+		n.completedWork += j.Work - (j.finishAt - n.attainedService)
 		held = append(held, j)
 	}
 	for _, j := range n.queue {
-		if j.state == waiting {
+		if j.state == jobWaiting {
 			held = append(held, j)
 		}
 	}
 	for _, j := range held {
-		j.state = out
+		j.state = jobIdle
 	}
-	n.inWork, n.queue, n.waits = nil, nil, 0
-	n.review()
+	n.inService, n.queue, n.waiting = nil, nil, 0
+	n.updateRate()
 	return held
 }
 
-// Warmth is the share of its speed that the node has.
-func (n *Node) Warmth(now Time) float64 {
-	age := now - n.spec.Started
-	if n.spec.Started <= 0 || age >= n.spec.Cold {
+// SpeedShare is the share of its speed that the node has.
+func (n *Processor) SpeedShare(now Time) float64 {
+	age := now - n.spec.StartedAt
+	if n.spec.StartedAt <= 0 || age >= n.spec.WarmUp {
 		return 1
 	}
-	return n.spec.ColdFrom + (1-n.spec.ColdFrom)*age.Seconds()/n.spec.Cold.Seconds()
+	return n.spec.WarmUpShare + (1-n.spec.WarmUpShare)*age.Seconds()/n.spec.WarmUp.Seconds()
 }
 
 // Capacity is the standard work that the node can do each second now, troubles of its speed left out.
-func (n *Node) Capacity(now Time) float64 {
-	return float64(n.spec.Cores) * n.spec.Speed * n.Warmth(now)
+func (n *Processor) Capacity(now Time) float64 {
+	return float64(n.spec.Cores) * n.spec.Speed * n.SpeedShare(now)
 }
 
-// Choked tells whether the node is choked.
-func (n *Node) Choked() bool { return n.choked >= 0 }
+// Collapsed tells whether the node is choked.
+func (n *Processor) Collapsed() bool { return n.collapsedSince >= 0 }
 
-// advance moves the state to now.
-func (n *Node) advance(now Time) {
-	for now > n.at {
+// moveTo moves the state to now.
+func (n *Processor) moveTo(now Time) {
+	for now > n.now {
 		to := now
-		if n.restless() {
-			to = min(to, n.at+reviewEvery)
+		if n.speedChanges() {
+			to = min(to, n.now+updateInterval)
 		}
-		if len(n.inWork) > 0 && n.rate > 0 {
-			first := n.inWork[0]
-			if end := n.at + Time(math.Ceil(math.Max(first.end-n.served, 0)/n.rate*1e9)); end <= to {
-				n.at, n.served = end, first.end
-				heap.Pop(&n.inWork)
-				first.state = out
-				n.done += first.Work
-				n.finished = append(n.finished, first)
-				n.fill()
-				n.review()
+		if len(n.inService) > 0 && n.serviceRate > 0 {
+			first := n.inService[0]
+			if end := n.now + Time(math.Ceil(math.Max(first.finishAt-n.attainedService, 0)/n.serviceRate*1e9)); end <= to {
+				n.now, n.attainedService = end, first.finishAt
+				heap.Pop(&n.inService)
+				first.state = jobIdle
+				n.completedWork += first.Work
+				n.completed = append(n.completed, first)
+				n.admitWaiting()
+				n.updateRate()
 				continue
 			}
-			n.served += n.rate * (to - n.at).Seconds()
+			n.attainedService += n.serviceRate * (to - n.now).Seconds()
 		}
-		n.at = to
-		n.review()
+		n.now = to
+		n.updateRate()
 	}
 }
 
-// fill takes what waits into service.
-func (n *Node) fill() {
-	for len(n.queue) > 0 && (len(n.inWork) < n.spec.Slots || n.queue[0].state != waiting) {
+// admitWaiting takes what waits into service.
+func (n *Processor) admitWaiting() {
+	for len(n.queue) > 0 && (len(n.inService) < n.spec.Slots || n.queue[0].state != jobWaiting) {
 		j := n.queue[0]
 		n.queue[0] = nil
 		n.queue = n.queue[1:]
-		if j.state == waiting {
-			n.waits--
-			n.begin(j)
+		if j.state == jobWaiting {
+			n.waiting--
+			n.startService(j)
 		}
 	}
 }
 
-// review takes the speed anew, and whether the node chokes.
-func (n *Node) review() {
-	cores, in := float64(n.spec.Cores), float64(len(n.inWork))
-	if n.spec.ChokeAt > 0 {
-		n.choke(cores)
+// updateRate takes the speed anew, and whether the node chokes.
+func (n *Processor) updateRate() {
+	cores, in := float64(n.spec.Cores), float64(len(n.inService))
+	if n.spec.CollapseAt > 0 {
+		n.updateCollapse(cores)
 	}
-	rate := n.spec.Speed * n.Warmth(n.at) / n.slow
+	rate := n.spec.Speed * n.SpeedShare(n.now) / n.slowdown
 	if in > cores {
 		rate *= cores / in
 	}
-	if per := in / cores; n.spec.CrowdAt > 0 && per > n.spec.CrowdAt {
-		rate /= 1 + n.spec.Crowd*math.Log2(per/n.spec.CrowdAt)
+	if per := in / cores; n.spec.ContentionAt > 0 && per > n.spec.ContentionAt {
+		rate /= 1 + n.spec.ContentionCost*math.Log2(per/n.spec.ContentionAt)
 	}
-	if n.choked >= 0 {
-		rate /= n.spec.ChokeSlower
+	if n.collapsedSince >= 0 {
+		rate /= n.spec.CollapseSlowdown
 	}
-	n.rate = rate
+	n.serviceRate = rate
 }
 
-func (n *Node) choke(cores float64) {
+func (n *Processor) updateCollapse(cores float64) {
 	// What has no core waits, be it in a slot or in the waiting room.
-	held := float64(n.Held())
-	if n.choked < 0 {
+	held := float64(n.InFlight())
+	if n.collapsedSince < 0 {
 		switch {
-		case held-cores <= n.spec.ChokeAt*cores:
-			n.over = -1
-		case n.over < 0:
-			n.over = n.at
-		case n.at-n.over >= n.spec.ChokeOver:
-			n.choked, n.over, n.rested = n.at, -1, -1
+		case held-cores <= n.spec.CollapseAt*cores:
+			n.overloadedSince = -1
+		case n.overloadedSince < 0:
+			n.overloadedSince = n.now
+		case n.now-n.overloadedSince >= n.spec.CollapseAfter:
+			n.collapsedSince, n.overloadedSince, n.recoveringSince = n.now, -1, -1
 		}
 		return
 	}
 	switch {
-	case held > n.spec.ChokeBelow*cores:
-		n.rested = -1
-	case n.rested < 0:
-		n.rested = n.at
+	case held > n.spec.RecoverBelow*cores:
+		n.recoveringSince = -1
+	case n.recoveringSince < 0:
+		n.recoveringSince = n.now
 	}
-	if n.at-n.choked >= n.spec.ChokeMost || n.rested >= 0 && n.at-n.rested >= n.spec.ChokeRest {
-		n.choked = -1
+	if n.now-n.collapsedSince >= n.spec.MaxCollapse || n.recoveringSince >= 0 && n.now-n.recoveringSince >= n.spec.RecoverAfter {
+		n.collapsedSince = -1
 	}
 }
 
-// jobs is a heap by end.
-type jobs []*Job
+// jobHeap is a heap by end.
+type jobHeap []*Job
 
-func (h jobs) Len() int           { return len(h) }
-func (h jobs) Less(i, j int) bool { return h[i].end < h[j].end }
-func (h jobs) Swap(i, j int) {
+func (h jobHeap) Len() int           { return len(h) }
+func (h jobHeap) Less(i, j int) bool { return h[i].finishAt < h[j].finishAt }
+func (h jobHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place, h[j].place = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
-func (h *jobs) Push(x any) {
+func (h *jobHeap) Push(x any) {
 	j := x.(*Job)
-	j.place = len(*h)
+	j.heapIndex = len(*h)
 	*h = append(*h, j)
 }
-func (h *jobs) Pop() any {
+func (h *jobHeap) Pop() any {
 	old := *h
 	j := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	j.place = -1
+	j.heapIndex = -1
 	return j
 }
 
 // Backlog is how long, in seconds, a request of some work would take if it came now and nothing after it.
-func (n *Node) Backlog(work float64) float64 {
+func (n *Processor) Backlog(work float64) float64 {
 	left := work
-	for _, j := range n.inWork {
-		left += math.Max(j.end-n.served, 0)
+	for _, j := range n.inService {
+		left += math.Max(j.finishAt-n.attainedService, 0)
 	}
 	for _, j := range n.queue {
-		if j.state == waiting {
+		if j.state == jobWaiting {
 			left += j.Work
 		}
 	}
-	speed := n.spec.Speed * n.Warmth(n.at) / n.slow
-	if n.choked >= 0 {
-		speed /= n.spec.ChokeSlower
+	speed := n.spec.Speed * n.SpeedShare(n.now) / n.slowdown
+	if n.collapsedSince >= 0 {
+		speed /= n.spec.CollapseSlowdown
 	}
 	return math.Max(work/speed, left/(speed*float64(n.spec.Cores)))
 }
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -42,18 +42,18 @@
 	case plan.Vanish:
 		srv.vanished = act.On
 	case plan.Slow:
-		srv.Slow(s.now, act.Value)
+		srv.SetSlowdown(s.now, act.Value)
 		srv.completeDueJobs()
 	case plan.Swallow:
-		srv.Faults.Swallow[act.Class] = act.On
+		srv.Faults.SwallowedClasses[act.Class] = act.On
 	case plan.TurnAway:
-		srv.Faults.TurnAway[act.Class] = act.On
+		srv.Faults.RejectedClasses[act.Class] = act.On
 	case plan.Stray:
-		srv.Faults.Stray = act.Value
+		srv.Faults.LossShare = act.Value
 	case plan.Errors:
-		srv.Faults.Errors = act.Value
+		srv.Faults.ErrorShare = act.Value
 	case plan.Garble:
-		srv.Faults.Garble = act.Value
+		srv.Faults.MalformedShare = act.Value
 	case plan.CutRequests:
 		srv.brokenRequestShare = act.Value
 	case plan.CutAnswers:
--- a/internal/lab/sim/lossdetection.go
+++ b/internal/lab/sim/lossdetection.go
@@ -36,10 +36,10 @@
 
 // trueLossShare returns the share of a class's requests from a sidecar that a server loses now.
 func (s *simulation) trueLossShare(sc *sidecar, srv *server, class int) float64 {
-	if s.isCutOff(sc, srv) || srv.Faults.Swallow[class] {
+	if s.isCutOff(sc, srv) || srv.Faults.SwallowedClasses[class] {
 		return 1
 	}
-	return srv.Faults.Stray
+	return srv.Faults.LossShare
 }
 
 // noteLoss notes that a request of the sidecar is lost at a server. The time until detection counts from the first.
--- a/internal/lab/sim/policy.go
+++ b/internal/lab/sim/policy.go
@@ -43,5 +43,5 @@
 
 // canServe reports whether a request of a class that a sidecar sends to a server now is served.
 func (s *simulation) canServe(sc *sidecar, srv *server, class int) bool {
-	return !srv.down && !s.isCutOff(sc, srv) && !srv.Faults.Swallow[class] && !srv.Faults.TurnAway[class]
+	return !srv.down && !s.isCutOff(sc, srv) && !srv.Faults.SwallowedClasses[class] && !srv.Faults.RejectedClasses[class]
 }
--- a/internal/lab/sim/server.go
+++ b/internal/lab/sim/server.go
@@ -61,15 +61,15 @@
 	fleet := &s.plan.Scenario.Fleet
 	srv.startedAt = startedAt
 	spec := srv.Spec
-	spec.Started = startedAt
+	spec.StartedAt = startedAt
 	stream := uint64(len(s.servers))<<20 + uint64(srv.incarnation)
 	random := rand.New(rand.NewPCG(s.plan.Seed, stream))
 	previous := srv.Server
-	srv.Server = servermodel.NewServer(servermodel.New(spec, s.now), s.pod(srv.Cell), fleet.KeyGain, fleet.KeyFor.Std(),
+	srv.Server = servermodel.NewServer(servermodel.NewProcessor(spec, s.now), s.pod(srv.Cell), fleet.KeyGain, fleet.KeyFor.Std(),
 		fleet.KeysPerCore*spec.Cores, random)
 	if previous != nil {
 		srv.Faults = previous.Faults
-		srv.earlierWork += previous.Done()
+		srv.earlierWork += previous.CompletedWork()
 	}
 	srv.incarnation++
 	srv.connections = 0
@@ -105,7 +105,7 @@
 		return
 	}
 	s := srv.simulation
-	for _, job := range srv.Drop(s.now) {
+	for _, job := range srv.Abort(s.now) {
 		a := job.Owner.(*attempt)
 		a.atServer = false
 		if !a.isCutOff() {
@@ -121,13 +121,13 @@
 	s := srv.simulation
 	a.Owner = a
 	switch srv.offer(a) {
-	case servermodel.TurnedAway:
+	case servermodel.Rejected:
 		s.record(record.Event{Kind: record.Replied, Request: a.request.id, Attempt: a.number, Node: srv.index,
 			Status: record.Rejected})
 		a.endAfter(a.drawDelay(), record.Rejected)
 	case servermodel.Swallowed:
 		a.noteLoss()
-	case servermodel.Known:
+	case servermodel.Deduplicated:
 		a.atServer = true
 		s.record(record.Event{Kind: record.Deduplicated, Request: a.request.id, Attempt: a.number, Node: srv.index})
 	default:
@@ -144,7 +144,7 @@
 }
 
 // offer hands an attempt's job to the model of the server.
-func (srv *server) offer(a *attempt) servermodel.Verdict {
+func (srv *server) offer(a *attempt) servermodel.Admission {
 	scenario := srv.simulation.plan.Scenario
 	requested := &a.request.workload
 	handshakeWork := 0.0
@@ -169,10 +169,10 @@
 // completeDueJobs responds to what is done by now and schedules when the server is due next.
 func (srv *server) completeDueJobs() {
 	s := srv.simulation
-	for _, job := range srv.Step(s.now) {
+	for _, job := range srv.Advance(s.now) {
 		srv.reply(job.Owner.(*attempt))
 	}
-	next := srv.Next()
+	next := srv.NextEvent()
 	if next >= 0 && (srv.wakeAt == notScheduled || next < srv.wakeAt) {
 		srv.wakeAt = max(next, s.now+1)
 		s.scheduleAt(srv.wakeAt, serverDue{srv})
@@ -186,7 +186,7 @@
 	s.lastToken++
 	token := s.lastToken
 	status := record.Served
-	if srv.Ending() != servermodel.Answered {
+	if srv.DrawOutcome() != servermodel.Succeeded {
 		status = record.Failed
 	}
 	s.record(record.Event{Kind: record.Replied, Request: a.request.id, Attempt: a.number, Node: srv.index,
--- a/internal/lab/sim/simulation.go
+++ b/internal/lab/sim/simulation.go
@@ -71,7 +71,7 @@
 		return s.result, err
 	}
 	for _, srv := range s.servers {
-		s.record(record.Event{Kind: record.NodeWork, Node: srv.index, Work: srv.earlierWork + srv.Done()})
+		s.record(record.Event{Kind: record.NodeWork, Node: srv.index, Work: srv.earlierWork + srv.CompletedWork()})
 	}
 	return s.result, nil
 }
--- a/internal/lab/sockets/sockets.go
+++ b/internal/lab/sockets/sockets.go
@@ -230,7 +230,7 @@
 func (w *world) raise(n int, l net.Listener, started time.Duration) {
 	m, f := w.p.Machines[n], w.p.Scenario.Fleet
 	spec := m.Spec
-	spec.Started = started
+	spec.StartedAt = started
 	pod := w.pods[m.Cell]
 	if pod == nil {
 		pod = servermodel.NewPod(w.p.Window())
@@ -238,7 +238,7 @@
 	}
 	w.starts[n] = started
 	w.lives[n]++
-	w.nodes[n].Start(l, servermodel.NewServer(servermodel.New(spec, w.log.Now()), pod, f.KeyGain, f.KeyFor.Std(), f.KeysPerCore*spec.Cores,
+	w.nodes[n].Start(l, servermodel.NewServer(servermodel.NewProcessor(spec, w.log.Now()), pod, f.KeyGain, f.KeyFor.Std(), f.KeysPerCore*spec.Cores,
 		rand.New(rand.NewPCG(w.p.Seed, uint64(n)<<20+uint64(w.lives[n])))))
 	w.log.Add(record.Event{Kind: record.NodeStarted, Node: int32(n), Capacity: float64(spec.Cores) * spec.Speed, Boot: started})
 }
@@ -471,17 +471,17 @@
 	case plan.Crash:
 		w.nodes[n].Stop()
 	case plan.Slow:
-		change(func(s *servermodel.Server, now time.Duration) { s.Slow(now, a.Value) })
+		change(func(s *servermodel.Server, now time.Duration) { s.SetSlowdown(now, a.Value) })
 	case plan.Swallow:
-		change(func(s *servermodel.Server, _ time.Duration) { s.Faults.Swallow[a.Class] = a.On })
+		change(func(s *servermodel.Server, _ time.Duration) { s.Faults.SwallowedClasses[a.Class] = a.On })
 	case plan.TurnAway:
-		change(func(s *servermodel.Server, _ time.Duration) { s.Faults.TurnAway[a.Class] = a.On })
+		change(func(s *servermodel.Server, _ time.Duration) { s.Faults.RejectedClasses[a.Class] = a.On })
 	case plan.Stray:
-		change(func(s *servermodel.Server, _ time.Duration) { s.Faults.Stray = a.Value })
+		change(func(s *servermodel.Server, _ time.Duration) { s.Faults.LossShare = a.Value })
 	case plan.Errors:
-		change(func(s *servermodel.Server, _ time.Duration) { s.Faults.Errors = a.Value })
+		change(func(s *servermodel.Server, _ time.Duration) { s.Faults.ErrorShare = a.Value })
 	case plan.Garble:
-		change(func(s *servermodel.Server, _ time.Duration) { s.Faults.Garble = a.Value })
+		change(func(s *servermodel.Server, _ time.Duration) { s.Faults.MalformedShare = a.Value })
 	}
 	return nil
 }
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -104,7 +104,7 @@
 	n.mu.Lock()
 	if n.server != nil {
 		s.Faults = n.server.Faults
-		n.worked += n.server.Done()
+		n.worked += n.server.CompletedWork()
 	}
 	n.server, n.dead, n.conns = s, false, map[net.Conn]*conn{}
 	n.http = &http.Server{Handler: n, IdleTimeout: n.idle, ConnState: n.state,
@@ -122,7 +122,7 @@
 		return
 	}
 	n.dead = true
-	n.server.Drop(n.log.Now())
+	n.server.Abort(n.log.Now())
 	web := n.http
 	for c := range n.conns { // a process that dies resets its connections
 		if tcp, ok := c.(*net.TCPConn); ok {
@@ -148,7 +148,7 @@
 	if n.server == nil {
 		return 0
 	}
-	return n.worked + n.server.Done()
+	return n.worked + n.server.CompletedWork()
 }
 
 func (n *Node) state(c net.Conn, s http.ConnState) {
@@ -202,7 +202,7 @@
 // serve has the model decide on a request and answers it.
 func (n *Node) serve(w http.ResponseWriter, r *http.Request, id uint64, attempt uint8, known Known, fresh bool) {
 	job := &servermodel.Job{Work: known.Work}
-	done := make(chan servermodel.Ending, 1)
+	done := make(chan servermodel.Outcome, 1)
 	job.Owner = done
 	extra := 0.0
 	if fresh {
@@ -217,7 +217,7 @@
 	n.step()
 	n.mu.Unlock()
 	switch verdict {
-	case servermodel.TurnedAway:
+	case servermodel.Rejected:
 		n.log.Add(record.Event{Kind: record.Replied, Request: id, Attempt: attempt, Node: n.Number, Status: record.Rejected})
 		end(record.Rejected)
 		w.Header().Set("X-Not-Processed", "1")
@@ -227,7 +227,7 @@
 		<-r.Context().Done()
 		end(record.Cancelled)
 		panic(http.ErrAbortHandler)
-	case servermodel.Known:
+	case servermodel.Deduplicated:
 		n.log.Add(record.Event{Kind: record.Deduplicated, Request: id, Attempt: attempt, Node: n.Number})
 	default:
 		n.log.Add(record.Event{Kind: record.Ran, Request: id, Attempt: attempt, Node: n.Number})
@@ -235,7 +235,7 @@
 	select {
 	case ending := <-done:
 		s, token := record.Served, n.book.Token()
-		if ending != servermodel.Answered {
+		if ending != servermodel.Succeeded {
 			s = record.Failed
 		}
 		n.log.Add(record.Event{Kind: record.Replied, Request: id, Attempt: attempt, Node: n.Number, Status: s, Token: token,
@@ -255,11 +255,11 @@
 }
 
 // reply writes the answer.
-func (n *Node) reply(w http.ResponseWriter, ending servermodel.Ending, token uint64) {
+func (n *Node) reply(w http.ResponseWriter, ending servermodel.Outcome, token uint64) {
 	switch ending {
-	case servermodel.Errored:
+	case servermodel.Failed:
 		http.Error(w, "error", http.StatusInternalServerError)
-	case servermodel.Garbled:
+	case servermodel.Malformed:
 		if h, ok := w.(http.Hijacker); ok {
 			if c, _, err := h.Hijack(); err == nil {
 				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 7\r\n\r\nspoilt")
@@ -278,10 +278,10 @@
 	if n.dead {
 		return
 	}
-	for _, j := range n.server.Step(n.log.Now()) {
-		j.Owner.(chan servermodel.Ending) <- n.server.Ending()
+	for _, j := range n.server.Advance(n.log.Now()) {
+		j.Owner.(chan servermodel.Outcome) <- n.server.DrawOutcome()
 	}
-	next := n.server.Next()
+	next := n.server.NextEvent()
 	if n.wake != nil {
 		n.wake.Stop()
 		n.wake = nil
