--- a/internal/lab/sim/server.go
+++ b/internal/lab/sim/server.go
@@ -65,8 +65,13 @@
 	stream := uint64(len(s.servers))<<20 + uint64(srv.incarnation)
 	random := rand.New(rand.NewPCG(s.plan.Seed, stream))
 	previous := srv.Server
-	srv.Server = servermodel.NewServer(servermodel.NewProcessor(spec, s.now), s.pod(srv.Cell), fleet.KeyGain, fleet.KeyFor.Std(),
-		fleet.KeysPerCore*spec.Cores, random)
+	processor := servermodel.NewProcessor(spec, s.now)
+	keys := servermodel.KeySettings{
+		Saving:   fleet.KeyGain,
+		Lifetime: fleet.KeyFor.Std(),
+		Max:      fleet.KeysPerCore * spec.Cores,
+	}
+	srv.Server = servermodel.NewServer(processor, s.pod(srv.Cell), keys, random)
 	if previous != nil {
 		srv.Faults = previous.Faults
 		srv.earlierWork += previous.CompletedWork()
@@ -147,15 +152,14 @@
 func (srv *server) offer(a *attempt) servermodel.Admission {
 	scenario := srv.simulation.plan.Scenario
 	requested := &a.request.workload
-	handshakeWork := 0.0
+	arrival := servermodel.Arrival{Class: requested.Class, Key: requested.Key}
 	if a.newConnection {
-		handshakeWork = scenario.Fleet.HandshakeWork.Std().Seconds()
+		arrival.HandshakeWork = scenario.Fleet.HandshakeWork.Std().Seconds()
 	}
-	effect := uint64(0)
 	if scenario.Classes[requested.Class].Effect == deduplicated {
-		effect = a.request.id
+		arrival.Effect = a.request.id
 	}
-	return srv.Arrive(srv.simulation.now, &a.Job, requested.Class, requested.Key, effect, handshakeWork)
+	return srv.Arrive(srv.simulation.now, &a.Job, arrival)
 }
 
 // serverDue is a time at which a server may have jobs to complete.
--- a/internal/lab/sockets/sockets.go
+++ b/internal/lab/sockets/sockets.go
@@ -238,7 +238,8 @@
 	}
 	w.starts[n] = started
 	w.lives[n]++
-	w.nodes[n].Start(l, servermodel.NewServer(servermodel.NewProcessor(spec, w.log.Now()), pod, f.KeyGain, f.KeyFor.Std(), f.KeysPerCore*spec.Cores,
+	keys := servermodel.KeySettings{Saving: f.KeyGain, Lifetime: f.KeyFor.Std(), Max: f.KeysPerCore * spec.Cores}
+	w.nodes[n].Start(l, servermodel.NewServer(servermodel.NewProcessor(spec, w.log.Now()), pod, keys,
 		rand.New(rand.NewPCG(w.p.Seed, uint64(n)<<20+uint64(w.lives[n])))))
 	w.log.Add(record.Event{Kind: record.NodeStarted, Node: int32(n), Capacity: float64(spec.Cores) * spec.Speed, Boot: started})
 }
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -204,15 +204,15 @@
 	job := &servermodel.Job{Work: known.Work}
 	done := make(chan servermodel.Outcome, 1)
 	job.Owner = done
-	extra := 0.0
+	arrival := servermodel.Arrival{Class: known.Class, Key: known.Key, Effect: known.Effect}
 	if fresh {
-		extra = n.hand
+		arrival.HandshakeWork = n.hand
 	}
 	end := func(s record.Status) {
 		n.log.Add(record.Event{Kind: record.AttemptEnded, Request: id, Attempt: attempt, Node: n.Number, Status: s})
 	}
 	n.mu.Lock()
-	verdict := n.server.Arrive(n.log.Now(), job, known.Class, known.Key, known.Effect, extra)
+	verdict := n.server.Arrive(n.log.Now(), job, arrival)
 	server := n.server
 	n.step()
 	n.mu.Unlock()
