--- a/internal/lab/servermodel/processor_test.go
+++ b/internal/lab/servermodel/processor_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"slices"
 	"testing"
 	"time"
 
@@ -73,3 +74,41 @@
 		}
 	})
 }
+
+// TestAbort has a processor let go of what is in service and what waits, but not of what was cancelled, and keep the
+// work that was done.
+func TestAbort(t *testing.T) {
+	p := NewProcessor(Spec{Cores: 1, Speed: 1, Slots: 1, QueueLimit: 2}, 0)
+	inService, cancelled, waiting := &Job{Work: 1}, &Job{Work: 1}, &Job{Work: 1}
+	for _, job := range []*Job{inService, cancelled, waiting} {
+		if !p.Offer(0, job) {
+			t.Fatal("a job was not taken")
+		}
+	}
+	p.Cancel(0, cancelled)
+	aborted := p.Abort(250 * time.Millisecond)
+	if !slices.Equal(aborted, []*Job{inService, waiting}) || p.InFlight() != 0 || p.NextEvent() >= 0 {
+		t.Errorf("%d jobs aborted, %d in flight, next event at %v", len(aborted), p.InFlight(), p.NextEvent())
+	}
+	if got := p.CompletedWork(); math.Abs(got-0.25) > 1e-9 {
+		t.Errorf("%v s of work done, want 0.25", got)
+	}
+}
+
+// TestBacklog compares the backlog with what it takes to complete a request that comes after all others.
+func TestBacklog(t *testing.T) {
+	p := NewProcessor(Spec{Cores: 2, Speed: 0.5, Slots: 2, QueueLimit: 9}, 0)
+	if got := p.Backlog(0.1); math.Abs(got-0.2) > 1e-9 {
+		t.Errorf("idle, a request of 0.1 s takes %v s, want 0.2 on one core at half speed", got)
+	}
+	for range 3 {
+		p.Offer(0, &Job{Work: 0.3})
+	}
+	if got := p.Backlog(0.1); math.Abs(got-1.0) > 1e-9 {
+		t.Errorf("behind 0.9 s of work, a request of 0.1 s takes %v s, want 1 on two cores at half speed", got)
+	}
+	p.SetSlowdown(0, 3)
+	if got := p.Backlog(0.1); math.Abs(got-3.0) > 1e-9 {
+		t.Errorf("three times slower, it takes %v s, want 3", got)
+	}
+}
--- a/internal/lab/servermodel/server_test.go
+++ b/internal/lab/servermodel/server_test.go
@@ -49,3 +49,23 @@
 		t.Errorf("verdict %v of a class that is swallowed", v)
 	}
 }
+
+// TestDrawOutcome has a server fail and spoil the shares of responses that its faults say.
+func TestDrawOutcome(t *testing.T) {
+	const draws, tolerance = 10_000, 0.02
+	processor := NewProcessor(Spec{Cores: 1, Speed: 1, Slots: 1}, 0)
+	s := NewServer(processor, NewPod(time.Second), KeySettings{}, rand.New(rand.NewPCG(1, 2)))
+	if got := s.DrawOutcome(); got != Succeeded {
+		t.Errorf("outcome %v without faults", got)
+	}
+	s.Faults.ErrorShare, s.Faults.MalformedShare = 0.3, 0.2
+	var counts [3]int
+	for range draws {
+		counts[s.DrawOutcome()]++
+	}
+	for outcome, want := range map[Outcome]float64{Succeeded: 0.5, Failed: 0.3, Malformed: 0.2} {
+		if got := float64(counts[outcome]) / draws; math.Abs(got-want) > tolerance {
+			t.Errorf("outcome %v in %.3f of responses, want %.3f", outcome, got, want)
+		}
+	}
+}
