--- a/deploy/names_test.go
+++ b/deploy/names_test.go
@@ -208,6 +208,7 @@
 		"internal/fleetadapter",
 		"internal/hotrestart",
 		"internal/lab/record",
+		"internal/lab/sim",
 		"internal/lab/workload",
 		"internal/loadlevel",
 		"internal/lossdetect",
--- /dev/null
+++ b/internal/lab/sim/client.go
@@ -0,0 +1,118 @@
+package sim
+
+import (
+	"time"
+
+	"milletramp.example/milletramp/balance"
+	"milletramp.example/milletramp/internal/lab/record"
+	"milletramp.example/milletramp/internal/lab/workload"
+)
+
+// clientSeedSalt keeps the draws of clients' retries apart from what else is drawn with the plan's seed.
+const clientSeedSalt = 0xc11e47
+
+// notRetry is the first request's id of a request that is no retry.
+const notRetry = 0
+
+// scheduleArrival draws the sidecar's next arrival.
+func (sc *sidecar) scheduleArrival() {
+	if next, ok := sc.source.Next(); ok {
+		sc.nextRequest = next
+		sc.simulation.scheduleAt(next.At, clientArrived{sc})
+	}
+}
+
+// clientArrived is the next arrival at a sidecar.
+type clientArrived struct{ sidecar *sidecar }
+
+func (e clientArrived) happen(*simulation) {
+	e.sidecar.receive(e.sidecar.nextRequest, notRetry)
+	e.sidecar.scheduleArrival()
+}
+
+// retryDue is the time of a client's retry.
+type retryDue struct {
+	sidecar  *sidecar
+	workload workload.Request
+	firstID  uint64
+}
+
+func (e retryDue) happen(s *simulation) {
+	e.sidecar.receive(e.workload, e.firstID)
+	s.openRequests-- // the retry is no longer to come
+}
+
+// receive takes in a client's request.
+func (sc *sidecar) receive(requested workload.Request, firstID uint64) {
+	s := sc.simulation
+	s.result.Requests++
+	r := &request{
+		id:          s.result.Requests,
+		firstID:     firstID,
+		workload:    requested,
+		sidecar:     sc,
+		incarnation: sc.incarnation,
+		deadline:    s.now + requested.Timeout - deadlineMargin,
+	}
+	if firstID == notRetry {
+		r.firstID = r.id
+	}
+	s.record(record.Event{Kind: record.Requested, Request: r.id, FirstRequest: r.firstID, Sidecar: sc.index,
+		Class: uint8(requested.Class), Tenant: int32(requested.Tenant), Wait: requested.Timeout, Work: requested.Work,
+		Effect: r.id})
+	if sc.down {
+		s.record(record.Event{Kind: record.Answered, Request: r.id, Sidecar: sc.index, Status: record.NotReached})
+		r.completed = true
+		r.scheduleRetry(workload.Unreachable, 0)
+		return
+	}
+	r.start()
+}
+
+// start hands the request to the policy.
+func (r *request) start() {
+	sc, s := r.sidecar, r.sidecar.simulation
+	id := balance.RequestID(r.id)
+	s.openRequests++
+	sc.requests[id] = r
+	s.scheduleAt(r.deadline, deadlineExpired{r})
+	if r.workload.LeavesAfter > 0 {
+		s.scheduleAfter(r.workload.LeavesAfter, clientLeft{r})
+	}
+	sc.policy.Request(s.policyNow(), balance.Request{
+		ID:      id,
+		Class:   r.workload.Class,
+		Tenant:  r.workload.Tenant,
+		Timeout: r.workload.Timeout - deadlineMargin,
+		Retry:   r.workload.RetriesMade > 0,
+	})
+}
+
+// scheduleRetry schedules the client's retry of a request that has ended, if it makes one.
+func (r *request) scheduleRetry(outcome workload.Outcome, retryAfter time.Duration) {
+	s := r.sidecar.simulation
+	retry, ok := workload.Retry(s.plan.Scenario, r.workload, s.now, outcome, retryAfter, r.sidecar.clientRandom)
+	if !ok {
+		return
+	}
+	s.openRequests++ // a retry to come keeps the run going
+	s.scheduleAt(retry.At, retryDue{r.sidecar, retry, r.firstID})
+}
+
+// clientLeft is a client that no longer waits for its response.
+type clientLeft struct{ request *request }
+
+func (e clientLeft) happen(s *simulation) {
+	r, sc := e.request, e.request.sidecar
+	if r.completed || !r.isCurrent() {
+		return
+	}
+	r.complete()
+	s.record(record.Event{Kind: record.ClientLeft, Request: r.id, Sidecar: sc.index})
+	sc.policy.ClientGone(s.policyNow(), balance.RequestID(r.id))
+	for _, a := range r.attempts {
+		sc.Cancel(balance.RequestID(r.id), int(a.number))
+	}
+	r.releaseIfDone()
+	r.scheduleRetry(workload.Failed, 0)
+}
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"milletramp.example/milletramp/internal/lab/node"
 	"milletramp.example/milletramp/internal/lab/record"
+	"milletramp.example/milletramp/internal/lab/servermodel"
 )
 
 // Known is what a node looks up about a request: the sidecar need not pass it on.
@@ -67,7 +67,7 @@
 	stops  bool          // work stops when its request is cancelled
 
 	mu     sync.Mutex
-	server *node.Server
+	server *servermodel.Server
 	wake   *time.Timer
 	http   *http.Server
 	conns  map[net.Conn]*conn
@@ -100,11 +100,11 @@
 }
 
 // Start begins a process of the node that serves on l, with a model whose clock is the log's.
-func (n *Node) Start(l net.Listener, s *node.Server) {
+func (n *Node) Start(l net.Listener, s *servermodel.Server) {
 	n.mu.Lock()
 	if n.server != nil {
 		s.Faults = n.server.Faults
-		n.worked += n.server.Done()
+		n.worked += n.server.CompletedWork()
 	}
 	n.server, n.dead, n.conns = s, false, map[net.Conn]*conn{}
 	n.http = &http.Server{Handler: n, IdleTimeout: n.idle, ConnState: n.state,
@@ -122,7 +122,7 @@
 		return
 	}
 	n.dead = true
-	n.server.Drop(n.log.Now())
+	n.server.Abort(n.log.Now())
 	web := n.http
 	for c := range n.conns { // a process that dies resets its connections
 		if tcp, ok := c.(*net.TCPConn); ok {
@@ -134,7 +134,7 @@
 }
 
 // Change changes the node's troubles or speed.
-func (n *Node) Change(change func(s *node.Server, now time.Duration)) {
+func (n *Node) Change(change func(s *servermodel.Server, now time.Duration)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	change(n.server, n.log.Now())
@@ -148,7 +148,7 @@
 	if n.server == nil {
 		return 0
 	}
-	return n.worked + n.server.Done()
+	return n.worked + n.server.CompletedWork()
 }
 
 func (n *Node) state(c net.Conn, s http.ConnState) {
@@ -201,33 +201,33 @@
 
 // serve has the model decide on a request and answers it.
 func (n *Node) serve(w http.ResponseWriter, r *http.Request, id uint64, attempt uint8, known Known, fresh bool) {
-	job := &node.Job{Work: known.Work}
-	done := make(chan node.Ending, 1)
+	job := &servermodel.Job{Work: known.Work}
+	done := make(chan servermodel.Outcome, 1)
 	job.Owner = done
-	extra := 0.0
+	arrival := servermodel.Arrival{Class: known.Class, Key: known.Key, Effect: known.Effect}
 	if fresh {
-		extra = n.hand
+		arrival.HandshakeWork = n.hand
 	}
 	end := func(s record.Status) {
 		n.log.Add(record.Event{Kind: record.AttemptEnded, Request: id, Attempt: attempt, Node: n.Number, Status: s})
 	}
 	n.mu.Lock()
-	verdict := n.server.Arrive(n.log.Now(), job, known.Class, known.Key, known.Effect, extra)
+	verdict := n.server.Arrive(n.log.Now(), job, arrival)
 	server := n.server
 	n.step()
 	n.mu.Unlock()
 	switch verdict {
-	case node.TurnedAway:
+	case servermodel.Rejected:
 		n.log.Add(record.Event{Kind: record.Replied, Request: id, Attempt: attempt, Node: n.Number, Status: record.Rejected})
 		end(record.Rejected)
 		w.Header().Set("X-Not-Processed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case node.Swallowed:
+	case servermodel.Swallowed:
 		<-r.Context().Done()
 		end(record.Cancelled)
 		panic(http.ErrAbortHandler)
-	case node.Known:
+	case servermodel.Deduplicated:
 		n.log.Add(record.Event{Kind: record.Deduplicated, Request: id, Attempt: attempt, Node: n.Number})
 	default:
 		n.log.Add(record.Event{Kind: record.Ran, Request: id, Attempt: attempt, Node: n.Number})
@@ -235,7 +235,7 @@
 	select {
 	case ending := <-done:
 		s, token := record.Served, n.book.Token()
-		if ending != node.Answered {
+		if ending != servermodel.Succeeded {
 			s = record.Failed
 		}
 		n.log.Add(record.Event{Kind: record.Replied, Request: id, Attempt: attempt, Node: n.Number, Status: s, Token: token,
@@ -255,11 +255,11 @@
 }
 
 // reply writes the answer.
-func (n *Node) reply(w http.ResponseWriter, ending node.Ending, token uint64) {
+func (n *Node) reply(w http.ResponseWriter, ending servermodel.Outcome, token uint64) {
 	switch ending {
-	case node.Errored:
+	case servermodel.Failed:
 		http.Error(w, "error", http.StatusInternalServerError)
-	case node.Garbled:
+	case servermodel.Malformed:
 		if h, ok := w.(http.Hijacker); ok {
 			if c, _, err := h.Hijack(); err == nil {
 				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 7\r\n\r\nspoilt")
@@ -278,10 +278,10 @@
 	if n.dead {
 		return
 	}
-	for _, j := range n.server.Step(n.log.Now()) {
-		j.Owner.(chan node.Ending) <- n.server.Ending()
+	for _, j := range n.server.Advance(n.log.Now()) {
+		j.Owner.(chan servermodel.Outcome) <- n.server.DrawOutcome()
 	}
-	next := n.server.Next()
+	next := n.server.NextEvent()
 	if n.wake != nil {
 		n.wake.Stop()
 		n.wake = nil
