--- a/internal/lab/fleet/procs/procs_test.go
+++ b/internal/lab/fleet/procs/procs_test.go
@@ -21,24 +21,24 @@
 )
 
 var (
-	plans    = flag.Int("fleet.plans", 4, "plans that TestDrawnPlans draws")
-	first    = flag.Uint64("fleet.seed", 1, "the first of their seeds")
-	sidecars = flag.Int("fleet.sidecars", 8, "sidecars of each")
-	logs     = flag.String("fleet.logs", "", "folder for the sidecars' logs")
+	plansFlag     = flag.Int("fleet.plans", 4, "plans that TestDrawnPlans draws")
+	firstSeedFlag = flag.Uint64("fleet.seed", 1, "the first of their seeds")
+	sidecarsFlag  = flag.Int("fleet.sidecars", 8, "sidecars of each")
+	logsFlag      = flag.String("fleet.logs", "", "folder for the sidecars' logs")
 )
 
-// settle is as in the simulated play, but that no evidence has to fade.
-const settle = 25 * time.Second
+// settleTime is as in the simulated play, but that no evidence has to fade.
+const settleTime = 25 * time.Second
 
-var command []string
+var sidecarCommand []string
 
 func TestMain(m *testing.M) {
 	flag.Parse()
 	dir, err := os.MkdirTemp("", "procs")
 	if err == nil {
-		command = []string{filepath.Join(dir, "fleetsidecar")}
+		sidecarCommand = []string{filepath.Join(dir, "fleetsidecar")}
 		var out []byte
-		if out, err = exec.Command("go", "build", "-o", command[0], "../../../../cmd/fleetsidecar").CombinedOutput(); err != nil {
+		if out, err = exec.Command("go", "build", "-o", sidecarCommand[0], "../../../../cmd/fleetsidecar").CombinedOutput(); err != nil {
 			err = fmt.Errorf("%w\n%s", err, out)
 		}
 	}
@@ -56,18 +56,18 @@
 	os.Exit(status)
 }
 
-func play(t *testing.T, p plan.Plan) referee.Record { return playWith(t, p, Options{}) }
+func playPlan(t *testing.T, p plan.Plan) referee.Record { return playPlanWith(t, p, Options{}) }
 
-func playWith(t *testing.T, p plan.Plan, set Options) referee.Record {
+func playPlanWith(t *testing.T, p plan.Plan, set Options) referee.Record {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), p.End()+p.Length+settle+time.Minute)
+	ctx, cancel := context.WithTimeout(context.Background(), p.End()+p.Length+settleTime+time.Minute)
 	defer cancel()
-	set.Sidecar, set.Dir = command, t.TempDir()
-	if set.Settle == 0 {
-		set.Settle = settle
+	set.Command, set.Dir = sidecarCommand, t.TempDir()
+	if set.SettleTime == 0 {
+		set.SettleTime = settleTime
 	}
-	if *logs != "" {
-		f, err := os.Create(filepath.Join(*logs, fmt.Sprintf("%d.log", p.Seed)))
+	if *logsFlag != "" {
+		f, err := os.Create(filepath.Join(*logsFlag, fmt.Sprintf("%d.log", p.Seed)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -83,46 +83,46 @@
 
 // TestDrawnPlans plays drawn plans with processes. A failure prints the seed and the plan.
 func TestDrawnPlans(t *testing.T) {
-	drawn(t, *plans, func(seed uint64) plan.Plan { return plan.Draw(seed, *sidecars, 12*time.Second) })
+	playDrawn(t, *plansFlag, func(seed uint64) plan.Plan { return plan.Draw(seed, *sidecarsFlag, 12*time.Second) })
 }
 
 // TestServersFallSilent plays plans in which servers fall silent or are slow while sidecars hear each other badly.
 func TestServersFallSilent(t *testing.T) {
-	drawn(t, max(1, *plans/4), func(seed uint64) plan.Plan { return plan.DrawServers(seed, *sidecars, 16*time.Second) })
+	playDrawn(t, max(1, *plansFlag/4), func(seed uint64) plan.Plan { return plan.DrawServers(seed, *sidecarsFlag, 16*time.Second) })
 }
 
 // TestUpgrades plays plans in which sidecars are upgraded, some while they are cut off. What the staff said at one shortly before
 // outlasts it.
 func TestUpgrades(t *testing.T) {
-	drawn(t, max(1, *plans/4), func(seed uint64) plan.Plan { return plan.DrawUpgrades(seed, *sidecars, 16*time.Second) })
+	playDrawn(t, max(1, *plansFlag/4), func(seed uint64) plan.Plan { return plan.DrawUpgrades(seed, *sidecarsFlag, 16*time.Second) })
 }
 
-func drawn(t *testing.T, plans int, draw func(seed uint64) plan.Plan) {
+func playDrawn(t *testing.T, plans int, draw func(seed uint64) plan.Plan) {
 	t.Parallel()
 	for i := range plans {
-		seed := *first + uint64(i)
+		seed := *firstSeedFlag + uint64(i)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			p := draw(seed)
-			r := play(t, p)
+			r := playPlan(t, p)
 			for _, b := range referee.Judge(r) {
 				t.Errorf("%v", b)
 			}
 			if t.Failed() {
 				t.Logf("by\n%v", p)
 			}
-			if len(r.Shows) < *sidecars || len(r.Sends) == 0 {
+			if len(r.Shows) < *sidecarsFlag || len(r.Sends) == 0 {
 				t.Errorf("%d shows and %d sends on record", len(r.Shows), len(r.Sends))
 			}
 		})
 	}
 }
 
-// hard plays a plan of some sidecars' own in which something is out of the ordinary, and returns what each showed last.
-func hard(t *testing.T, p plan.Plan, set Options) map[string]referee.Show {
+// playSmallFleet plays a plan of some sidecars' own in which something is out of the ordinary, and returns what each showed last.
+func playSmallFleet(t *testing.T, p plan.Plan, set Options) map[string]referee.Show {
 	t.Parallel()
-	set.Settle = 10 * time.Second
-	r := playWith(t, p, set)
+	set.SettleTime = 10 * time.Second
+	r := playPlanWith(t, p, set)
 	for _, b := range referee.Judge(r) {
 		t.Errorf("%v", b)
 	}
@@ -139,9 +139,9 @@
 // TestAllKilledWithFolders has all sidecars be killed at once: with a folder each, the fleet still holds what the staff said.
 func TestAllKilledWithFolders(t *testing.T) {
 	all := []int{0, 1, 2, 3}
-	last := hard(t, plan.Plan{Seed: 7, Sidecars: 4, Servers: 2, Length: 8 * time.Second,
+	last := playSmallFleet(t, plan.Plan{Seed: 7, Sidecars: 4, Servers: 2, Length: 8 * time.Second,
 		Calls:  []plan.Call{{At: time.Second, Sidecar: 1, Server: 0, Out: true}, {At: 2 * time.Second, Sidecar: 2, Server: 1, Out: true}, {At: 3 * time.Second, Sidecar: 0, Server: 1}},
-		Faults: []plan.Fault{{Kind: plan.Kill, At: 6 * time.Second, For: time.Second, From: all}}}, Options{Folder: true})
+		Faults: []plan.Fault{{Kind: plan.Kill, At: 6 * time.Second, For: time.Second, From: all}}}, Options{PersistState: true})
 	for name, s := range last {
 		if !slices.Equal(s.Out, []string{serverName(0)}) {
 			t.Errorf("%s has %v out", name, s.Out)
@@ -193,9 +193,9 @@
 			}
 		}
 	}
-	last := hard(t, plan.Plan{Seed: 8, Sidecars: 4, Servers: 8, Length: 12 * time.Second,
+	last := playSmallFleet(t, plan.Plan{Seed: 8, Sidecars: 4, Servers: 8, Length: 12 * time.Second,
 		Calls:  []plan.Call{{At: time.Second, Sidecar: 1, Server: 0, Out: true}, {At: 2 * time.Second, Sidecar: 2, Server: 1, Out: true}, {At: 4 * time.Second, Sidecar: 0, Server: 1}},
-		Faults: []plan.Fault{{Kind: plan.Mute, At: 5 * time.Second, For: 7 * time.Second, From: []int{4}}}}, Options{Rubbish: rubbish})
+		Faults: []plan.Fault{{Kind: plan.Mute, At: 5 * time.Second, For: 7 * time.Second, From: []int{4}}}}, Options{SendGarbage: rubbish})
 	for name, s := range last {
 		if !slices.Equal(s.Out, []string{serverName(0)}) {
 			t.Errorf("%s has %v out", name, s.Out)
