--- /dev/null
+++ b/internal/lab/fleet/procs/log.go
@@ -0,0 +1,48 @@
+package procs
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"regexp"
+	"strings"
+
+	"milletramp.example/milletramp/internal/lab/fleet/referee"
+)
+
+// operatorCallLine is the log line with which a sidecar says that it took an operator's call.
+var operatorCallLine = regexp.MustCompile(`msg="by hand".* server=(\S+) out=(\S+) call=(\S+) replaces=(\S*)`)
+
+// readLog reads a process's log to its end, and records the operators' calls that it names.
+func (s *sidecar) readLog(log io.Reader) {
+	lines := bufio.NewScanner(log)
+	for lines.Scan() {
+		line := lines.Text()
+		if s.run.options.Log != nil {
+			fmt.Fprintf(s.run.options.Log, "%7.2f %s %s\n", s.run.clock.now().Seconds(), s.name, line)
+		}
+		if call, ok := parseOperatorCall(line); ok {
+			s.run.recorder.addOperatorCall(call)
+		}
+	}
+}
+
+// parseOperatorCall returns the operator's call that a log line names, without a time.
+func parseOperatorCall(line string) (call referee.Ack, ok bool) {
+	fields := operatorCallLine.FindStringSubmatch(line)
+	if fields == nil {
+		return call, false
+	}
+	server, out, id, replaced := fields[1], fields[2], fields[3], strings.Trim(fields[4], `"`)
+	call = referee.Ack{Server: server, Out: out == "true", ID: callID(server, id)}
+	if replaced == "" {
+		return call, true
+	}
+	for _, id := range strings.Split(replaced, ",") {
+		call.Knew = append(call.Knew, callID(server, id))
+	}
+	return call, true
+}
+
+// callID makes a call's id unique: an incarnation numbers its calls for each server apart.
+func callID(server, id string) string { return server + "/" + id }
--- /dev/null
+++ b/internal/lab/fleet/procs/policy_author.go
@@ -0,0 +1,148 @@
+package procs
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"net/url"
+	"slices"
+	"time"
+
+	"milletramp.example/milletramp/internal/lab/fleet/plan"
+)
+
+const (
+	leaseLength         = 1500 * time.Millisecond
+	outcomePollInterval = 100 * time.Millisecond
+	outcomeTimeout      = 20 * time.Second // until an author asks no more
+	finalChangeDelay    = 3 * time.Second  // from the end of the plan to the last change
+)
+
+// policyAuthor proposes one change of policy and follows what becomes of it.
+type policyAuthor struct {
+	run      *fleetRun
+	proposal Proposal
+	accepted bool // a sidecar has taken the proposal
+}
+
+// proposalRequest is the body of a call that proposes a document.
+type proposalRequest struct {
+	Author  string          `json:"author"`
+	Follows uint64          `json:"follows"` // the number of the policy that it replaces
+	ID      string          `json:"id"`
+	Text    json.RawMessage `json:"text"`
+}
+
+// proposalOutcome is an admin server's response about a proposal.
+type proposalOutcome struct {
+	State  ProposalState `json:"state"`
+	Reason string        `json:"reason"`
+}
+
+// policyStatus is the part of an admin server's response that an author needs.
+type policyStatus struct {
+	Voters []struct {
+		InForce uint64 `json:"in_force"`
+	} `json:"deciders"`
+}
+
+// proposeChanges proposes what the plan says, one after another, and a last one after the last fault.
+func (r *fleetRun) proposeChanges(ctx context.Context) {
+	last := plan.Change{At: r.calmFrom() + finalChangeDelay, Sidecar: r.plan.Sidecars - 1}
+	for i, change := range append(slices.Clone(r.plan.Changes), last) {
+		select {
+		case <-time.After(change.At - r.clock.now()):
+		case <-ctx.Done():
+			return
+		}
+		r.propose(ctx, i+1, change.Sidecar)
+	}
+}
+
+// propose proposes a document at a sidecar, or the next one that responds, and records what became of it.
+func (r *fleetRun) propose(ctx context.Context, document, sidecarIndex int) {
+	author := policyAuthor{run: r, proposal: Proposal{
+		ID:         fmt.Sprint("change-", document),
+		Document:   document,
+		ProposedAt: r.clock.now(),
+		State:      StateNotSent,
+	}}
+	author.follow(ctx, sidecarIndex)
+	if !author.proposal.State.IsFinal() {
+		author.proposal.DecidedAt = 0
+	}
+	r.recorder.addProposal(author.proposal)
+}
+
+// follow asks one sidecar after another until the state is final, or for outcomeTimeout.
+func (a *policyAuthor) follow(ctx context.Context, sidecarIndex int) {
+	deadline := a.run.clock.now() + outcomeTimeout
+	for a.run.clock.now() < deadline && ctx.Err() == nil {
+		s := a.run.sidecars[sidecarIndex%len(a.run.sidecars)]
+		sidecarIndex++
+		if a.accepted {
+			a.note(s.callAdmin(http.MethodGet, policyOutcomePath+"?id="+url.QueryEscape(a.proposal.ID), ""))
+		} else if err := a.proposeAt(s); err != nil {
+			a.run.recorder.addFailure("%v", err)
+			return
+		}
+		if a.proposal.State.IsFinal() {
+			return
+		}
+		time.Sleep(outcomePollInterval)
+	}
+}
+
+// proposeAt sends the proposal to a sidecar, always with the same id. It sends nothing while the sidecar names no
+// policy in force.
+func (a *policyAuthor) proposeAt(s *sidecar) error {
+	follows := s.policyInForce()
+	if follows == 0 {
+		return nil
+	}
+	body, err := json.Marshal(proposalRequest{
+		Author:  "play",
+		Follows: follows,
+		ID:      a.proposal.ID,
+		Text:    policyDocument(a.proposal.Document),
+	})
+	if err != nil {
+		return err
+	}
+	a.accepted = a.note(s.callAdmin(http.MethodPost, policyProposePath, string(body)))
+	if a.proposal.State == StateNotSent {
+		a.proposal.State = StateSent
+	}
+	return nil
+}
+
+// note takes in a response about the proposal; ok says whether it was one.
+func (a *policyAuthor) note(response adminResponse) (ok bool) {
+	var outcome proposalOutcome
+	if response.status != http.StatusOK || json.Unmarshal([]byte(response.body), &outcome) != nil {
+		return false
+	}
+	if a.proposal.State.IsFinal() && outcome.State.IsFinal() && outcome.State != a.proposal.State {
+		a.run.recorder.addContradiction(a.proposal.ID)
+	}
+	if outcome.State != StateUnknown {
+		a.proposal.State = outcome.State
+		a.proposal.Reason = outcome.Reason
+		a.proposal.DecidedAt = a.run.clock.now()
+	}
+	return true
+}
+
+// policyInForce is the number of the policy that the sidecar's voters have in force; 0: it names none.
+func (s *sidecar) policyInForce() (number uint64) {
+	response := s.callAdmin(http.MethodGet, policyStatusPath, "")
+	var status policyStatus
+	if response.status != http.StatusOK || json.Unmarshal([]byte(response.body), &status) != nil {
+		return 0
+	}
+	for _, voter := range status.Voters {
+		number = max(number, voter.InForce)
+	}
+	return number
+}
--- /dev/null
+++ b/internal/lab/fleet/procs/policy_client.go
@@ -0,0 +1,37 @@
+package procs
+
+import (
+	"context"
+	"net/http"
+	"time"
+)
+
+const policyRequestInterval = 10 * time.Millisecond
+
+// sendPolicyRequests sends requests of the class of one document after another until the context ends, and records
+// those that are served. That each request has a response is seen to by sendRequests.
+func (s *sidecar) sendPolicyRequests(ctx context.Context) {
+	client := newHTTPClient()
+	defer client.CloseIdleConnections()
+	ticker := time.NewTicker(policyRequestInterval)
+	defer ticker.Stop()
+	documents := len(s.run.plan.Changes) + 2 // with the first one, and the one that is proposed after the last fault
+	for i := 0; ; i++ {
+		select {
+		case <-ticker.C:
+		case <-ctx.Done():
+			return
+		}
+		document := i % documents
+		request, err := s.newRequest(documentClass(document))
+		if err != nil {
+			s.run.recorder.addFailure("%v", err)
+			return
+		}
+		sent := s.run.clock.now()
+		status, err := roundTrip(client, request)
+		if err == nil && status == http.StatusOK {
+			s.run.recorder.addServed(ServedRequest{Sidecar: s.name, Document: document, Sent: sent})
+		}
+	}
+}
--- /dev/null
+++ b/internal/lab/fleet/procs/process.go
@@ -0,0 +1,88 @@
+package procs
+
+import (
+	"fmt"
+	"io"
+	"os"
+	"os/exec"
+	"runtime"
+	"syscall"
+	"time"
+)
+
+// process is one process of a sidecar.
+type process struct {
+	command *exec.Cmd
+	exited  chan struct{} // closed when it has ended and its log is read
+}
+
+// launch starts a process in a slot. The lock is held.
+func (s *sidecar) launch(slot int) (*process, error) {
+	command := exec.Command(s.run.options.Command[0], s.run.options.Command[1:]...)
+	command.Env = append(os.Environ(), s.environment(slot)...)
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no sidecar outlives the run
+	log, err := command.StderrPipe()
+	if err != nil {
+		return nil, err
+	}
+	p := &process{command: command, exited: make(chan struct{})}
+	started := make(chan error, 1)
+	go s.supervise(p, s.incarnationNumber, log, started) // ends with the process
+	return p, <-started
+}
+
+func (s *sidecar) environment(slot int) []string {
+	place := s.index + slot*s.run.plan.Sidecars // in the mesh
+	return []string{
+		"PROXY_CONFIG=" + s.configFile,
+		"PROXY_CONSOLE=" + s.adminAddresses[slot],
+		"TMPDIR=" + s.dir,
+		"MILLETRAMP_FLEET=" + s.run.fleetFile(),
+		"MILLETRAMP_FLEET_ADDRESS=" + s.run.mesh.Inside(place),
+		"MILLETRAMP_FLEET_ADVERTISE=" + s.run.mesh.Outside(place),
+		fmt.Sprintf("MILLETRAMP_FLEET_CLOCK_S=%g", s.clockOffset()),
+	}
+}
+
+// supervise starts a process, reads its log and waits for its exit. It keeps the thread: Pdeathsig is sent when the
+// thread ends that started the process.
+func (s *sidecar) supervise(p *process, number uint64, log io.Reader, started chan<- error) {
+	runtime.LockOSThread()
+	defer runtime.UnlockOSThread()
+	defer close(p.exited)
+	if err := p.command.Start(); err != nil {
+		started <- err
+		return
+	}
+	started <- nil
+	s.readLog(log)
+	err := p.command.Wait()
+	if s.isInUse(p) {
+		s.run.recorder.addFailure("%s ended by itself in life %d: %v", s.name, number, err)
+	}
+}
+
+// isInUse says whether a process is to run: nobody has killed or replaced it.
+func (s *sidecar) isInUse(p *process) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.current == p || s.next == p
+}
+
+// kill ends the process and waits for its exit.
+func (p *process) kill() {
+	_ = p.command.Process.Kill()
+	<-p.exited
+}
+
+func (p *process) signal(signal syscall.Signal) { _ = p.command.Process.Signal(signal) }
+
+// waitExit says whether the process ends within a time.
+func (p *process) waitExit(timeout time.Duration) bool {
+	select {
+	case <-p.exited:
+		return true
+	case <-time.After(timeout):
+		return false
+	}
+}
--- a/internal/lab/fleet/procs/procs_test.go
+++ b/internal/lab/fleet/procs/procs_test.go
@@ -152,7 +152,7 @@
 // TestRubbish has a stranger send bytes of all kinds to all sidecars, 10 MB over TCP among them, while servers are taken out
 // and back and fall silent: nothing is believed, and nothing held up.
 func TestRubbish(t *testing.T) {
-	rubbish := func(address string, until context.Context) {
+	rubbish := func(until context.Context, address string) {
 		rng := rand.New(rand.NewPCG(1, 2))
 		bytes := make([]byte, 1<<20)
 		for i := range bytes {
--- /dev/null
+++ b/internal/lab/fleet/procs/result.go
@@ -0,0 +1,108 @@
+package procs
+
+import (
+	"slices"
+	"sort"
+	"time"
+
+	"milletramp.example/milletramp/internal/lab/fleet/plan"
+	"milletramp.example/milletramp/internal/lab/fleet/referee"
+)
+
+const (
+	recoveryTime    = 3 * time.Second // until a sidecar that was cut off or stopped takes part in the fleet again
+	propagationTime = 3 * time.Second // until an operator's call has reached all sidecars where there is no fault
+	// heavyLoss is the share of lost messages above which a sidecar counts as isolated.
+	heavyLoss = 0.4
+)
+
+// result returns what was seen, completed with what the plan says about it.
+func (r *fleetRun) result() (record referee.Record, history PolicyHistory, err error) {
+	c := r.recorder
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.failures) > 0 {
+		return record, history, &FailuresError{Failures: c.failures}
+	}
+	record = c.record
+	for _, s := range r.sidecars {
+		record.Sidecars = append(record.Sidecars, s.name)
+	}
+	record.Calm = r.calmFrom()
+	record.Within = r.options.SettleTime
+	record.Every = showsPerGap * r.options.PollInterval
+	sort.SliceStable(record.Shows, func(i, j int) bool { return record.Shows[i].At < record.Shows[j].At })
+	sort.SliceStable(record.Acks, func(i, j int) bool { return record.Acks[i].At < record.Acks[j].At })
+	record.Silent = r.silences()
+	record.Could = r.couldKnowSince
+	record.Apart = r.isolatedBetween
+	return record, c.policy, nil
+}
+
+// couldKnowSince says when the incarnation that a sidecar had at a time could have known of a call: when it showed the
+// call, or propagationTime after the call where no fault was near.
+func (r *fleetRun) couldKnowSince(call referee.Ack, sidecarName string, at time.Duration) (time.Duration, bool) {
+	current, started := r.incarnationAt(sidecarName, at)
+	if shown, ok := r.recorder.firstShownBy(call.ID, current); ok {
+		return shown, true
+	}
+	if started > call.At {
+		return 0, false
+	}
+	nearCall := func(f plan.Fault) bool {
+		return f.Kind != plan.Clock && f.At < call.At+propagationTime && f.At+f.For+propagationTime > call.At
+	}
+	if slices.ContainsFunc(r.plan.Faults, nearCall) {
+		return 0, false
+	}
+	return call.At + propagationTime, true
+}
+
+// incarnationAt is the last incarnation that a sidecar had at a time, and when it started.
+func (r *fleetRun) incarnationAt(sidecarName string, at time.Duration) (last incarnation, started time.Duration) {
+	i := r.sidecarIndex(sidecarName)
+	if i < 0 {
+		return incarnation{sidecar: sidecarName}, 0
+	}
+	return r.sidecars[i].incarnationAt(at)
+}
+
+// sidecarIndex is a sidecar's place in the plan; -1: there is none of that name.
+func (r *fleetRun) sidecarIndex(name string) int {
+	return slices.IndexFunc(r.sidecars, func(s *sidecar) bool { return s.name == name })
+}
+
+// isolatedBetween says whether the plan has a sidecar cut off, killed or stopped between two times, or has it lose
+// most of its messages.
+func (r *fleetRun) isolatedBetween(sidecarName string, from, to time.Duration) bool {
+	index := r.sidecarIndex(sidecarName)
+	return slices.ContainsFunc(r.plan.Faults, func(f plan.Fault) bool {
+		overlaps := from < f.At+f.For+recoveryTime && to > f.At
+		concerns := slices.Contains(f.From, index) || f.Kind != plan.Cut && slices.Contains(f.To, index)
+		return isolates(f) && overlaps && concerns
+	})
+}
+
+func isolates(f plan.Fault) bool {
+	switch f.Kind {
+	case plan.Cut, plan.Kill, plan.Stop, plan.Narrow:
+		return true
+	case plan.Drop:
+		return f.Amount > heavyLoss
+	default:
+		return false
+	}
+}
+
+// silences are the spans in which the plan has backends without a response.
+func (r *fleetRun) silences() (spans []referee.Silence) {
+	for _, f := range r.plan.Faults {
+		if f.Kind != plan.Mute {
+			continue
+		}
+		for _, i := range f.From {
+			spans = append(spans, referee.Silence{Server: serverName(i), From: f.At, To: f.At + f.For})
+		}
+	}
+	return spans
+}
--- /dev/null
+++ b/internal/lab/fleet/procs/run.go
@@ -0,0 +1,150 @@
+package procs
+
+import (
+	"context"
+	"errors"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"milletramp.example/milletramp/internal/lab/fleet/plan"
+	"milletramp.example/milletramp/internal/lab/fleet/referee"
+	"milletramp.example/milletramp/internal/standin/mesh"
+)
+
+const (
+	startTimeout      = 30 * time.Second // until all sidecars are ready
+	startPollInterval = 20 * time.Millisecond
+	finalPollTimeout  = 10 * time.Second // until all sidecars show equal copies
+	// showsPerGap is how many poll intervals may pass between two shows of a sidecar that runs.
+	showsPerGap = 4
+)
+
+// fleetRun is one run of a plan. Its fields, but for the recorder and the clock, do not change once the fleet is ready.
+type fleetRun struct {
+	plan       plan.Plan
+	options    Options
+	clock      *planClock
+	recorder   *recorder
+	mesh       *mesh.Mesh
+	sidecars   []*sidecar
+	webServers []*http.Server
+}
+
+// Run runs a plan.
+func Run(ctx context.Context, p plan.Plan, options Options) (referee.Record, error) {
+	record, _, err := runPlan(ctx, p, options)
+	return record, err
+}
+
+// RunWithPolicy runs a plan with a fleet that has a policy, and also returns what was seen of that.
+func RunWithPolicy(ctx context.Context, p plan.Plan, options Options) (referee.Record, PolicyHistory, error) {
+	options.WithPolicy = true
+	return runPlan(ctx, p, options)
+}
+
+func runPlan(ctx context.Context, p plan.Plan, options Options) (
+	record referee.Record, history PolicyHistory, err error) {
+	clock := &planClock{}
+	clock.restart()
+	r := &fleetRun{plan: p, options: options.withDefaults(), clock: clock, recorder: newRecorder(clock)}
+	r.mesh, err = mesh.New(processesPerSidecar*p.Sidecars, p.Seed, r.linkConditions)
+	if err != nil {
+		return record, history, err
+	}
+	defer func() { err = errors.Join(err, r.mesh.Close()) }()
+	defer r.stopAll()
+	if err := r.startAll(); err != nil {
+		return record, history, err
+	}
+	started := r.recorder.restart()
+	r.playUntil(ctx, started.Add(r.calmFrom()+r.options.SettleTime))
+	if ctx.Err() != nil {
+		return record, history, context.Cause(ctx)
+	}
+	r.awaitConvergence()
+	return r.result()
+}
+
+// calmFrom is when the last fault and call of the plan are over.
+func (r *fleetRun) calmFrom() time.Duration { return max(r.plan.End(), r.plan.Length) }
+
+// playUntil carries out the plan, with requests and polls all the time, and returns when all of that has ended.
+func (r *fleetRun) playUntil(ctx context.Context, end time.Time) {
+	ctx, cancel := context.WithDeadline(ctx, end)
+	defer cancel()
+	var running sync.WaitGroup
+	defer running.Wait()
+	start := func(task func(ctx context.Context)) {
+		running.Add(1)
+		go func() {
+			defer running.Done()
+			task(ctx)
+		}()
+	}
+	for _, s := range r.sidecars {
+		start(s.sendRequests)
+		start(s.pollStatus)
+		if r.options.WithPolicy {
+			start(s.sendPolicyRequests)
+		}
+		if r.options.SendGarbage != nil {
+			start(func(ctx context.Context) { r.options.SendGarbage(ctx, r.mesh.Inside(s.index)) })
+		}
+	}
+	if r.options.WithPolicy {
+		start(r.proposeChanges)
+	}
+	r.runScript(ctx)
+}
+
+// awaitConvergence polls all sidecars until they show equal copies, or for finalPollTimeout. On a busy machine backends
+// are late, and evidence about them may be on its way at any one moment.
+func (r *fleetRun) awaitConvergence() {
+	deadline := time.Now().Add(finalPollTimeout)
+	for {
+		sums := map[string]bool{}
+		for _, s := range r.sidecars {
+			sums[s.observe()] = true
+		}
+		if len(sums) == 1 || time.Now().After(deadline) {
+			return
+		}
+		time.Sleep(r.options.PollInterval)
+	}
+}
+
+// linkConditions is what a relay does now. An upgrade's second process has its sidecar's links.
+func (r *fleetRun) linkConditions(from, to int) mesh.Conditions {
+	link := r.plan.Link(r.clock.now(), from%r.plan.Sidecars, to%r.plan.Sidecars)
+	return mesh.Conditions{
+		Cut:       link.Cut,
+		Drop:      link.Drop,
+		Duplicate: link.Duplicate,
+		Delay:     link.Delay,
+		Rate:      link.Rate,
+	}
+}
+
+// serve has a handler respond on loopback until stopAll.
+func (r *fleetRun) serve(handler http.Handler) (address string, err error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return "", err
+	}
+	server := &http.Server{Handler: handler}
+	r.webServers = append(r.webServers, server)
+	go func() { _ = server.Serve(listener) }() // ends with stopAll
+	return listener.Addr().String(), nil
+}
+
+// stopAll ends all processes and servers.
+func (r *fleetRun) stopAll() {
+	for _, s := range r.sidecars {
+		s.kill()
+	}
+	for _, server := range r.webServers {
+		_ = server.Close()
+	}
+}
--- /dev/null
+++ b/internal/lab/fleet/procs/script.go
@@ -0,0 +1,75 @@
+package procs
+
+import (
+	"context"
+	"sort"
+	"sync"
+	"time"
+
+	"milletramp.example/milletramp/internal/lab/fleet/plan"
+)
+
+// scriptEvent is something that the run does to a sidecar at a time of the plan.
+type scriptEvent struct {
+	at  time.Duration
+	run func()
+}
+
+// runScript carries out the plan's events, each at its time, until the context ends. It waits for those that it began.
+func (r *fleetRun) runScript(ctx context.Context) {
+	var running sync.WaitGroup
+	defer running.Wait()
+	for _, event := range r.script() {
+		select {
+		case <-time.After(event.at - r.clock.now()):
+		case <-ctx.Done():
+			return
+		}
+		running.Add(1)
+		go func() {
+			defer running.Done()
+			event.run()
+		}()
+	}
+	<-ctx.Done()
+}
+
+// script returns the events of the plan in the order of time. Faults of links, clocks and backends are none: those are
+// looked up when they are needed.
+func (r *fleetRun) script() (events []scriptEvent) {
+	for _, f := range r.plan.Faults {
+		for _, i := range f.From {
+			events = append(events, r.faultEvents(f, i)...)
+		}
+	}
+	for _, c := range r.plan.Calls {
+		s := r.sidecars[c.Sidecar]
+		events = append(events, scriptEvent{c.At, func() { s.setAdminDown(serverName(c.Server), c.Out) }})
+	}
+	sort.SliceStable(events, func(i, j int) bool { return events[i].at < events[j].at })
+	return events
+}
+
+// faultEvents returns what a fault does to one of those that it names, which is a sidecar for these kinds alone.
+func (r *fleetRun) faultEvents(f plan.Fault, index int) []scriptEvent {
+	end := f.At + f.For
+	switch f.Kind {
+	case plan.Kill:
+		s := r.sidecars[index]
+		return []scriptEvent{{f.At, s.kill}, {end, s.restart}}
+	case plan.Upgrade:
+		return []scriptEvent{{f.At, r.sidecars[index].upgrade}}
+	case plan.Stop:
+		s := r.sidecars[index]
+		return []scriptEvent{{f.At, s.suspend}, {end, s.resume}}
+	default:
+		return nil
+	}
+}
+
+// restart starts the incarnation after a kill.
+func (s *sidecar) restart() {
+	if err := s.start(); err != nil {
+		s.run.recorder.addFailure("%s does not start again: %v", s.name, err)
+	}
+}
--- /dev/null
+++ b/internal/lab/fleet/procs/status.go
@@ -0,0 +1,117 @@
+package procs
+
+import (
+	"context"
+	"encoding/json"
+	"net/http"
+	"slices"
+	"strings"
+	"time"
+
+	"milletramp.example/milletramp/internal/lab/fleet/referee"
+)
+
+// The phases, as an admin server names them, in which a sidecar vouches for holding what the fleet holds.
+const (
+	phaseSynced       = "whole"
+	phaseBootstrapped = "fresh"
+)
+
+// fleetStatus is what a sidecar's admin server shows of the fleet, as far as the referee needs it. It shares no type
+// with the sidecar.
+type fleetStatus struct {
+	Phase       string            `json:"phase"`
+	MembersHere int               `json:"members_here"`
+	Sums        map[string]string `json:"sums"` // by kind of row
+	Servers     []struct {
+		ID    string `json:"id"`
+		Out   bool   `json:"out"`
+		Calls []struct {
+			ID  string `json:"id"`
+			Out bool   `json:"out"`
+		} `json:"calls"`
+	} `json:"by_hand"`
+	Suspicions []struct {
+		ID        string  `json:"id"`
+		Suspected bool    `json:"in_doubt"`
+		Seconds   float64 `json:"for_s"`
+		Listed    bool    `json:"listed"`
+	} `json:"in_doubt"`
+}
+
+func (s *sidecar) fleetStatus() (status fleetStatus, ok bool) {
+	response := s.callAdmin(http.MethodGet, fleetPath, "")
+	if response.status != http.StatusOK {
+		return status, false
+	}
+	return status, json.Unmarshal([]byte(response.body), &status) == nil
+}
+
+// pollStatus records what the sidecar shows at each interval until the context ends.
+func (s *sidecar) pollStatus(ctx context.Context) {
+	ticker := time.NewTicker(s.run.options.PollInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ticker.C:
+			s.observe()
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// observe records what the sidecar shows, and returns the sum of its copy; "": it shows nothing.
+func (s *sidecar) observe() (sum string) {
+	before, running := s.currentIncarnation()
+	if !running {
+		return ""
+	}
+	status, ok := s.fleetStatus()
+	at := s.run.clock.now() // not before: a suspended process shows what it holds when it is resumed
+	after, running := s.currentIncarnation()
+	if !ok || !running || after != before {
+		return ""
+	}
+	show := status.show()
+	show.At = at
+	show.Sidecar = s.name
+	show.Life = before.number
+	s.run.recorder.addShow(before, show)
+	return show.Sum
+}
+
+// show is the status in the referee's terms.
+func (f fleetStatus) show() referee.Show {
+	show := referee.Show{
+		Ready:  f.Phase == phaseSynced || f.Phase == phaseBootstrapped,
+		Sum:    f.sum(),
+		Calls:  map[string][]referee.Standing{},
+		Doubts: map[string]time.Duration{},
+	}
+	for _, server := range f.Servers {
+		if server.Out {
+			show.Out = append(show.Out, server.ID)
+		}
+		for _, call := range server.Calls {
+			standing := referee.Standing{ID: callID(server.ID, call.ID), Out: call.Out}
+			show.Calls[server.ID] = append(show.Calls[server.ID], standing)
+		}
+	}
+	for _, suspicion := range f.Suspicions {
+		if suspicion.Suspected && suspicion.Listed {
+			show.Doubts[suspicion.ID] = time.Duration(suspicion.Seconds * float64(time.Second))
+		}
+	}
+	return show
+}
+
+// sum is the same for equal copies.
+func (f fleetStatus) sum() string {
+	parts := make([]string, 0, len(f.Sums))
+	for kind, sum := range f.Sums {
+		parts = append(parts, kind+" "+sum)
+	}
+	slices.Sort(parts)
+	return strings.Join(parts, ", ")
+}
