--- a/internal/lab/fleet/mutants/mutants_test.go
+++ b/internal/lab/fleet/mutants/mutants_test.go
@@ -27,15 +27,15 @@
 
 var mutants = []mutant{
 	{name: "the fleet's word ignored", file: "../sidecar/fleet.go", from: "if now[id] = true; !here[id] {", to: "if now[id] = true; false {",
-		rule: "nothing new to a server out by hand", play: "procs TestDrawnPlans"},
+		rule: "nothing new to a server out by hand", play: "processes TestDrawnPlans"},
 	{"evidence kept to oneself", "evidence.go",
 		"range f.evidence.recorder.DueRows(now.Time, f.machine.Members.NumPresent()) {",
 		"range f.evidence.recorder.DueRows(now.Time, f.machine.Members.NumPresent())[:0] {",
-		"silent servers known to all", "procs TestServersFallSilent"},
+		"silent servers known to all", "processes TestServersFallSilent"},
 	{"words that stand for good", "failuredetector/recorder.go",
 		"s.row.Bad = uint32((now - bad) / time.Millisecond)",
 		"s.lastBad, s.row.Bad = now, uint32((now-max(bad, now))/time.Millisecond)",
-		"no doubt that lasts without silence", "procs TestServersFallSilent"},
+		"no doubt that lasts without silence", "processes TestServersFallSilent"},
 	{"merge by arrival", "replication/store.go",
 		"	merged := mergeAdminStates(former, h)\n", "	merged := h\n", "nothing acknowledged forgotten", ""},
 	{"up wins", "replication/admin.go",
@@ -117,7 +117,7 @@
 			t.Parallel()
 			where, test, _ := strings.Cut(cmp.Or(m.play, "sim TestDrawnPlans"), " ")
 			flags := []string{"-fleet.plans=40", "-fleet.shrink=false"}
-			if where == "procs" {
+			if where == "processes" {
 				flags = []string{"-fleet.plans=1", "-fleet.sidecars=6"}
 			}
 			out, err := goTest("../"+where, test, flags, overlay(t, m.file, m.from, m.to)).CombinedOutput()
--- a/internal/lab/fleet/procs/incarnation.go
+++ b/internal/lab/fleet/processes/incarnation.go
@@ -1,4 +1,4 @@
-package procs
+package processes
 
 // incarnation is a sidecar from a start to the next kill. A process and the one that replaces it in an upgrade are one.
 type incarnation struct {
--- a/internal/lab/fleet/procs/procs_test.go
+++ b/internal/lab/fleet/processes/run_test.go
@@ -1,4 +1,4 @@
-package procs
+package processes
 
 import (
 	"context"
@@ -34,7 +34,7 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	dir, err := os.MkdirTemp("", "procs")
+	dir, err := os.MkdirTemp("", "processes")
 	if err == nil {
 		sidecarCommand = []string{filepath.Join(dir, "fleetsidecar")}
 		var out []byte
--- a/internal/lab/fleet/procs/sidecar.go
+++ b/internal/lab/fleet/processes/sidecar.go
@@ -1,4 +1,4 @@
-package procs
+package processes
 
 import (
 	"fmt"
