--- a/internal/lab/fleet/processes/status.go
+++ b/internal/lab/fleet/processes/status.go
@@ -84,10 +84,10 @@
 // show is the status in the referee's terms.
 func (f fleetStatus) show() referee.Show {
 	show := referee.Show{
-		Ready:  f.Phase == phaseSynced || f.Phase == phaseBootstrapped,
-		Sum:    f.sum(),
-		Calls:  map[string][]referee.Standing{},
-		Doubts: map[string]time.Duration{},
+		Ready:      f.Phase == phaseSynced || f.Phase == phaseBootstrapped,
+		Sum:        f.sum(),
+		Calls:      map[string][]referee.Standing{},
+		Suspicions: map[string]time.Duration{},
 	}
 	for _, server := range f.Servers {
 		if server.Out {
@@ -100,7 +100,7 @@
 	}
 	for _, suspicion := range f.Suspicions {
 		if suspicion.Suspected && suspicion.Listed {
-			show.Doubts[suspicion.ID] = time.Duration(suspicion.Seconds * float64(time.Second))
+			show.Suspicions[suspicion.ID] = time.Duration(suspicion.Seconds * float64(time.Second))
 		}
 	}
 	return show
--- a/internal/lab/fleet/referee/referee.go
+++ b/internal/lab/fleet/referee/referee.go
@@ -35,15 +35,15 @@
 
 // Show is what one sidecar showed at a time.
 type Show struct {
-	At      time.Duration
-	Sidecar string
-	Life    uint64
-	Ready   bool                  // it vouches for holding what the fleet holds
-	Calls   map[string][]Standing // by server
-	Out     []string
-	Rows    []Row
-	Doubts  map[string]time.Duration // servers that it puts behind all others by the word of others, and for how long without a break
-	Sum     string                   // of its copy, in any form that is the same for equal copies
+	At         time.Duration
+	Sidecar    string
+	Life       uint64
+	Ready      bool                  // it vouches for holding what the fleet holds
+	Calls      map[string][]Standing // by server
+	Out        []string
+	Rows       []Row
+	Suspicions map[string]time.Duration // servers that it puts behind all others by the word of others, and for how long without a break
+	Sum        string                   // of its copy, in any form that is the same for equal copies
 }
 
 // Send is a first try that a sidecar sent to a server.
@@ -330,7 +330,7 @@
 }
 
 func doubts(s Show, server string) bool {
-	_, is := s.Doubts[server]
+	_, is := s.Suspicions[server]
 	return is
 }
 
@@ -341,7 +341,7 @@
 	type place struct{ sidecar, server string }
 	said := map[place]bool{}
 	for _, s := range r.Shows {
-		for server, lasts := range s.Doubts {
+		for server, lasts := range s.Suspicions {
 			p, begun := place{s.Sidecar, server}, s.At-lasts
 			silent := slices.ContainsFunc(r.Silent, func(x Silence) bool {
 				return x.Server == server && s.At >= x.From && s.At <= x.To+Lingers
--- a/internal/lab/fleet/referee/referee_test.go
+++ b/internal/lab/fleet/referee/referee_test.go
@@ -27,7 +27,7 @@
 // doubt has a show a doubt of a server that lasts so long by then, of a server that was tried without an answer lately, or not.
 func doubt(lasts time.Duration, tried bool, ends ...End) func(*Record) {
 	return func(r *Record) {
-		r.Shows[2].Doubts = map[string]time.Duration{"r": lasts}
+		r.Shows[2].Suspicions = map[string]time.Duration{"r": lasts}
 		if r.Ends = ends; tried {
 			r.Ends = append(r.Ends, End{8 * time.Second, "b", "r", false})
 		}
