--- a/internal/lab/fleet/processes/doc.go
+++ b/internal/lab/fleet/processes/doc.go
@@ -1,4 +1,5 @@
-// Package processes runs a fault plan against processes of the real sidecar and records what the referee needs to judge it.
+// Package processes runs a fault plan against processes of the real sidecar and records what the referee needs to
+// judge it.
 //
 // A run owns everything that it starts, all of it on loopback:
 //
