--- a/internal/lab/fleet/processes/policy_author.go
+++ b/internal/lab/fleet/processes/policy_author.go
@@ -68,21 +68,21 @@
 		ProposedAt: r.clock.now(),
 		State:      StateNotSent,
 	}}
-	author.follow(ctx, sidecarIndex)
+	author.followOutcome(ctx, sidecarIndex)
 	if !author.proposal.State.IsFinal() {
 		author.proposal.DecidedAt = 0
 	}
 	r.recorder.addProposal(author.proposal)
 }
 
-// follow asks one sidecar after another until the state is final, or for outcomeTimeout.
-func (a *policyAuthor) follow(ctx context.Context, sidecarIndex int) {
+// followOutcome asks one sidecar after another until the state is final, or for outcomeTimeout.
+func (a *policyAuthor) followOutcome(ctx context.Context, sidecarIndex int) {
 	deadline := a.run.clock.now() + outcomeTimeout
 	for a.run.clock.now() < deadline && ctx.Err() == nil {
 		s := a.run.sidecars[sidecarIndex%len(a.run.sidecars)]
 		sidecarIndex++
 		if a.accepted {
-			a.note(s.callAdmin(http.MethodGet, policyOutcomePath+"?id="+url.QueryEscape(a.proposal.ID), ""))
+			a.noteOutcome(s.callAdmin(http.MethodGet, policyOutcomePath+"?id="+url.QueryEscape(a.proposal.ID), ""))
 		} else if err := a.proposeAt(s); err != nil {
 			a.run.recorder.addFailure("%v", err)
 			return
@@ -110,15 +110,15 @@
 	if err != nil {
 		return err
 	}
-	a.accepted = a.note(s.callAdmin(http.MethodPost, policyProposePath, string(body)))
+	a.accepted = a.noteOutcome(s.callAdmin(http.MethodPost, policyProposePath, string(body)))
 	if a.proposal.State == StateNotSent {
 		a.proposal.State = StateSent
 	}
 	return nil
 }
 
-// note takes in a response about the proposal; ok says whether it was one.
-func (a *policyAuthor) note(response adminResponse) (ok bool) {
+// noteOutcome takes in a response about the proposal; ok says whether it was one.
+func (a *policyAuthor) noteOutcome(response adminResponse) (ok bool) {
 	var outcome proposalOutcome
 	if response.status != http.StatusOK || json.Unmarshal([]byte(response.body), &outcome) != nil {
 		return false
--- a/internal/lab/fleet/processes/status.go
+++ b/internal/lab/fleet/processes/status.go
@@ -73,7 +73,7 @@
 	if !ok || !running || after != before {
 		return ""
 	}
-	show := status.show()
+	show := status.asShow()
 	show.At = at
 	show.Sidecar = s.name
 	show.Life = before.number
@@ -81,11 +81,11 @@
 	return show.Sum
 }
 
-// show is the status in the referee's terms.
-func (f fleetStatus) show() referee.Show {
+// asShow is the status in the referee's terms.
+func (f fleetStatus) asShow() referee.Show {
 	show := referee.Show{
 		Ready:      f.Phase == phaseSynced || f.Phase == phaseBootstrapped,
-		Sum:        f.sum(),
+		Sum:        f.copySum(),
 		Calls:      map[string][]referee.Standing{},
 		Suspicions: map[string]time.Duration{},
 	}
@@ -106,8 +106,8 @@
 	return show
 }
 
-// sum is the same for equal copies.
-func (f fleetStatus) sum() string {
+// copySum is the same for equal copies.
+func (f fleetStatus) copySum() string {
 	parts := make([]string, 0, len(f.Sums))
 	for kind, sum := range f.Sums {
 		parts = append(parts, kind+" "+sum)
