--- a/internal/lab/fleet/plan/plan_test.go
+++ b/internal/lab/fleet/plan/plan_test.go
@@ -1,6 +1,8 @@
 package plan
 
 import (
+	"crypto/sha256"
+	"fmt"
 	"slices"
 	"strings"
 	"testing"
@@ -74,3 +76,19 @@
 		t.Errorf("left is\n%v", got)
 	}
 }
+
+// TestSeedsStay: a seed gives the plan that it gave before the drawing was last restructured, so that seeds named on the
+// pages and in reports still show what they showed.
+func TestSeedsStay(t *testing.T) {
+	const want = "e2e809f7d6e5b5d1cab09f4e0a70992530cfc70484da66b98f6c12f54dd718ba"
+	hash := sha256.New()
+	for seed := range uint64(500) {
+		sidecars := 4 + int(seed%9)
+		length := time.Duration(12+seed%19) * time.Second
+		fmt.Fprint(hash, Draw(seed, sidecars, length), DrawServers(seed, sidecars, length),
+			DrawUpgrades(seed, sidecars, length), DrawChanges(seed, sidecars, length))
+	}
+	if got := fmt.Sprintf("%x", hash.Sum(nil)); got != want {
+		t.Errorf("the drawn plans hash to %s, want %s", got, want)
+	}
+}
