--- /dev/null
+++ b/internal/lab/fleet/plan/condition.go
@@ -0,0 +1,74 @@
+package plan
+
+import (
+	"slices"
+	"time"
+)
+
+// Link is what a directed pair of sidecars does to messages at one moment.
+type Link struct {
+	Cut       bool
+	Drop      float64       // share
+	Duplicate float64       // share
+	Delay     time.Duration // upper bound: each message's is drawn evenly from 0 to this
+	Rate      float64       // bytes a second; 0: no bound
+}
+
+// Link is what a directed pair does at a time.
+func (p Plan) Link(at time.Duration, from, to int) (link Link) {
+	if from == to { // two processes of one sidecar are on one machine
+		return Link{}
+	}
+	for _, f := range p.Faults {
+		if f.concerns(at, from) && slices.Contains(f.To, to) {
+			link.addFault(f)
+		}
+	}
+	return link
+}
+
+// addFault adds a fault's effect. Of several faults of one kind the worst counts.
+func (l *Link) addFault(f Fault) {
+	switch f.Kind {
+	case Cut:
+		l.Cut = true
+	case Drop:
+		l.Drop = max(l.Drop, f.Amount)
+	case Duplicate:
+		l.Duplicate = max(l.Duplicate, f.Amount)
+	case Delay:
+		l.Delay = max(l.Delay, seconds(f.Amount))
+	case Narrow:
+		if l.Rate == 0 || f.Amount < l.Rate {
+			l.Rate = f.Amount
+		}
+	}
+}
+
+// Clock is by how much a sidecar's time of day is off at a time.
+func (p Plan) Clock(at time.Duration, sidecar int) (offset time.Duration) {
+	for _, f := range p.Faults {
+		if f.Kind == Clock && f.concerns(at, sidecar) {
+			offset += seconds(f.Amount)
+		}
+	}
+	return offset
+}
+
+// Server says whether a server responds at a time, and how late.
+func (p Plan) Server(at time.Duration, server int) (mute bool, delay time.Duration) {
+	for _, f := range p.Faults {
+		if !f.concerns(at, server) {
+			continue
+		}
+		switch f.Kind {
+		case Mute:
+			mute = true
+		case Slow:
+			delay += seconds(f.Amount)
+		}
+	}
+	return mute, delay
+}
+
+func seconds(amount float64) time.Duration { return time.Duration(amount * float64(time.Second)) }
--- a/internal/lab/fleet/plan/plan_test.go
+++ b/internal/lab/fleet/plan/plan_test.go
@@ -62,6 +62,32 @@
 	}
 }
 
+// TestServer adds up what concerns a server in its time, and nothing of the others.
+func TestServer(t *testing.T) {
+	p := Plan{Faults: []Fault{
+		{Kind: Mute, At: time.Second, For: time.Second, From: []int{0}},
+		{Kind: Slow, At: time.Second, For: time.Second, From: []int{0, 1}, Amount: 0.25},
+		{Kind: Slow, At: time.Second, For: 2 * time.Second, From: []int{1}, Amount: 0.5},
+	}}
+	for _, c := range []struct {
+		at     time.Duration
+		server int
+		mute   bool
+		delay  time.Duration
+	}{
+		{1500 * time.Millisecond, 0, true, 250 * time.Millisecond},
+		{1500 * time.Millisecond, 1, false, 750 * time.Millisecond},
+		{1500 * time.Millisecond, 2, false, 0},
+		{2 * time.Second, 0, false, 0},
+		{2 * time.Second, 1, false, 500 * time.Millisecond},
+		{999 * time.Millisecond, 0, false, 0},
+	} {
+		if mute, delay := p.Server(c.at, c.server); mute != c.mute || delay != c.delay {
+			t.Errorf("at %v server %d: mute %v, %v late, want %v, %v", c.at, c.server, mute, delay, c.mute, c.delay)
+		}
+	}
+}
+
 // TestShrink leaves what is needed for a plan to be bad, and nothing else.
 func TestShrink(t *testing.T) {
 	p := Draw(3, 8, 30*time.Second)
