--- a/internal/lab/fleet/plan/choices.go
+++ b/internal/lab/fleet/plan/choices.go
@@ -67,9 +67,9 @@
 	}
 }
 
-// stopOne suspends one sidecar.
-func stopOne(d *drawer, f Fault) {
-	f.Kind = Stop
+// suspendOne suspends one sidecar.
+func suspendOne(d *drawer, f Fault) {
+	f.Kind = Suspend
 	f.From = []int{d.drawSidecar()}
 	d.addFault(f)
 }
@@ -83,7 +83,7 @@
 		f.Kind = Clock
 		f.From = d.drawSidecars(most)
 		f.Amount = float64(d.random.IntN(2*maxClockOffset) - maxClockOffset)
-		f.For = d.plan.Length
+		f.Duration = d.plan.Length
 		d.addFault(f)
 	}
 }
--- a/internal/lab/fleet/plan/condition.go
+++ b/internal/lab/fleet/plan/condition.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Link is what a directed pair of sidecars does to messages at one moment.
-type Link struct {
+// LinkCondition is what a directed pair of sidecars does to messages at one moment.
+type LinkCondition struct {
 	Cut       bool
 	Drop      float64       // share
 	Duplicate float64       // share
@@ -14,10 +14,10 @@
 	Rate      float64       // bytes a second; 0: no bound
 }
 
-// Link is what a directed pair does at a time.
-func (p Plan) Link(at time.Duration, from, to int) (link Link) {
+// LinkCondition is what a directed pair does at a time.
+func (p Plan) LinkCondition(at time.Duration, from, to int) (link LinkCondition) {
 	if from == to { // two processes of one sidecar are on one machine
-		return Link{}
+		return LinkCondition{}
 	}
 	for _, f := range p.Faults {
 		if f.concerns(at, from) && slices.Contains(f.To, to) {
@@ -28,7 +28,7 @@
 }
 
 // addFault adds a fault's effect. Of several faults of one kind the worst counts.
-func (l *Link) addFault(f Fault) {
+func (l *LinkCondition) addFault(f Fault) {
 	switch f.Kind {
 	case Cut:
 		l.Cut = true
@@ -38,15 +38,15 @@
 		l.Duplicate = max(l.Duplicate, f.Amount)
 	case Delay:
 		l.Delay = max(l.Delay, seconds(f.Amount))
-	case Narrow:
+	case Throttle:
 		if l.Rate == 0 || f.Amount < l.Rate {
 			l.Rate = f.Amount
 		}
 	}
 }
 
-// Clock is by how much a sidecar's time of day is off at a time.
-func (p Plan) Clock(at time.Duration, sidecar int) (offset time.Duration) {
+// ClockOffset is by how much a sidecar's time of day is off at a time.
+func (p Plan) ClockOffset(at time.Duration, sidecar int) (offset time.Duration) {
 	for _, f := range p.Faults {
 		if f.Kind == Clock && f.concerns(at, sidecar) {
 			offset += seconds(f.Amount)
@@ -55,14 +55,14 @@
 	return offset
 }
 
-// Server says whether a server responds at a time, and how late.
-func (p Plan) Server(at time.Duration, server int) (mute bool, delay time.Duration) {
+// ServerCondition says whether a server responds at a time, and how late.
+func (p Plan) ServerCondition(at time.Duration, server int) (mute bool, delay time.Duration) {
 	for _, f := range p.Faults {
 		if !f.concerns(at, server) {
 			continue
 		}
 		switch f.Kind {
-		case Mute:
+		case Unresponsive:
 			mute = true
 		case Slow:
 			delay += seconds(f.Amount)
--- a/internal/lab/fleet/plan/draw.go
+++ b/internal/lab/fleet/plan/draw.go
@@ -13,16 +13,16 @@
 		onAllLinks(Drop, 0.1, 0.5),
 		onLinksFrom(sidecars, Delay, 0.1, 1),
 		onAllLinks(Duplicate, 0, 0.5),
-		onLinksFrom(sidecars, Narrow, 500, 4000),
+		onLinksFrom(sidecars, Throttle, 500, 4000),
 		cutOneWay(2),
 		split(sidecars - 1),
 		onSidecars(Kill, sidecars),
-		onSidecars(Stop, sidecars/2),
+		onSidecars(Suspend, sidecars/2),
 		clocksOff(2),
 	}
 	for range d.drawNumber(1, 4) {
 		f := Fault{At: d.drawTimeAfterQuiet()}
-		f.For = length/30 + d.drawTime(length/2)
+		f.Duration = length/30 + d.drawTime(length/2)
 		d.addOneOf(f, choices)
 	}
 	for range d.drawNumber(2, 7) {
@@ -38,7 +38,7 @@
 	d := newDrawer(serversStream, Plan{Seed: seed, Sidecars: sidecars, Servers: 8, Length: length})
 	order := d.random.Perm(d.plan.Servers)
 	mute := order[:d.drawNumber(1, 2)]
-	d.addServerFault(Mute, mute, 0)
+	d.addServerFault(Unresponsive, mute, 0)
 	slow := order[2:d.drawNumber(3, 4)]
 	d.addServerFault(Slow, slow, d.drawAmount(0.3, 0.5))
 	choices := []choice{
@@ -46,10 +46,10 @@
 		onAllLinks(Delay, 0.1, 0.2),
 		onAllLinks(Duplicate, 0, 0.5),
 		splitOne,
-		stopOne,
+		suspendOne,
 	}
 	for range d.drawNumber(1, 3) {
-		d.addOneOf(Fault{At: d.drawTime(length), For: length / 4}, choices)
+		d.addOneOf(Fault{At: d.drawTime(length), Duration: length / 4}, choices)
 	}
 	return d.finish()
 }
@@ -58,7 +58,7 @@
 func (d *drawer) addServerFault(kind Kind, servers []int, amount float64) {
 	half := d.plan.Length / 2
 	at := d.quietTime() + d.drawTime(d.plan.Length-d.quietTime()-half)
-	d.addFault(Fault{Kind: kind, At: at, For: half, From: servers, Amount: amount})
+	d.addFault(Fault{Kind: kind, At: at, Duration: half, From: servers, Amount: amount})
 }
 
 // DrawChanges draws a plan, quiet at first, in which the policy is changed some times while messages are lost and late,
@@ -71,14 +71,14 @@
 		cutOneWay(2),
 		split(sidecars / 2),
 		onSidecars(Kill, 2),
-		onSidecars(Stop, 2),
+		onSidecars(Suspend, 2),
 		onSidecars(Upgrade, 1),
 	}
 	for range 3 {
 		at := d.quietTime() + d.drawTime(length*2/3)
 		d.plan.Changes = append(d.plan.Changes, Change{At: at, Sidecar: d.drawSidecar()})
 		f := Fault{At: max(at-length/20+d.drawTime(length/10), d.quietTime())}
-		f.For = length/20 + d.drawTime(length/4)
+		f.Duration = length/20 + d.drawTime(length/4)
 		d.addOneOf(f, choices)
 	}
 	return d.finish()
@@ -106,7 +106,7 @@
 			d.addCall(at-length/12+d.drawTime(length/6), upgraded, 3)
 		}
 	}
-	d.addOneOf(Fault{At: d.quietTime() + d.drawTime(length/3), For: length / 2}, []choice{
+	d.addOneOf(Fault{At: d.quietTime() + d.drawTime(length/3), Duration: length / 2}, []choice{
 		onAllLinks(Drop, 0.1, 0.2),
 		onAllLinks(Delay, 0.1, 0.2),
 		onAllLinks(Duplicate, 0, 0.5),
@@ -121,7 +121,7 @@
 
 func (d *drawer) addUpgrade(at time.Duration, sidecar int) {
 	overlap := 500*time.Millisecond + d.drawTime(time.Second)
-	d.addFault(Fault{Kind: Upgrade, At: at, For: overlap, From: []int{sidecar}})
+	d.addFault(Fault{Kind: Upgrade, At: at, Duration: overlap, From: []int{sidecar}})
 }
 
 // addCutAround cuts some sidecars off from before a time until after it: both ways, or only what they send.
@@ -131,8 +131,8 @@
 	begin := max(at-length/6-d.drawTime(length/12), d.quietTime())
 	end := at + length/6 + d.drawTime(length/6)
 	others := d.otherSidecars(side)
-	d.addFault(Fault{Kind: Cut, At: begin, For: end - begin, From: side, To: others})
+	d.addFault(Fault{Kind: Cut, At: begin, Duration: end - begin, From: side, To: others})
 	if !d.drawOneIn(3) {
-		d.addFault(Fault{Kind: Cut, At: begin, For: end - begin, From: others, To: side})
+		d.addFault(Fault{Kind: Cut, At: begin, Duration: end - begin, From: others, To: side})
 	}
 }
--- a/internal/lab/fleet/plan/drawer.go
+++ b/internal/lab/fleet/plan/drawer.go
@@ -86,6 +86,6 @@
 // addCall adds an operator's call on a server that is drawn. It is a call that takes the server up once in odds draws.
 func (d *drawer) addCall(at time.Duration, sidecar, odds int) {
 	call := Call{At: at, Sidecar: sidecar, Server: d.random.IntN(d.plan.Servers)}
-	call.Out = !d.drawOneIn(odds)
+	call.Down = !d.drawOneIn(odds)
 	d.plan.Calls = append(d.plan.Calls, call)
 }
--- a/internal/lab/fleet/plan/fault.go
+++ b/internal/lab/fleet/plan/fault.go
@@ -15,31 +15,31 @@
 	Drop      Kind = "drop"      // a share of the messages is lost
 	Delay     Kind = "delay"     // messages are late, unevenly, and so also out of order
 	Duplicate Kind = "duplicate" // a share arrives twice
-	Narrow    Kind = "narrow"    // so many bytes a second pass
+	Throttle  Kind = "narrow"    // so many bytes a second pass
 	Cut       Kind = "cut"       // nothing passes; one way unless another fault cuts the other
 
 	Kill    Kind = "kill"    // the processes in From end at once; they start after the fault, from nothing
-	Stop    Kind = "stop"    // they are suspended; what arrives for them waits
+	Suspend Kind = "stop"    // they are suspended; what arrives for them waits
 	Upgrade Kind = "upgrade" // another process replaces each in From; the two overlap for a time
 	Clock   Kind = "clock"   // their time of day is off by Amount seconds
 
-	Mute Kind = "mute" // the servers in From take requests and do not respond
-	Slow Kind = "slow" // they respond Amount seconds late
+	Unresponsive Kind = "mute" // the servers in From take requests and do not respond
+	Slow         Kind = "slow" // they respond Amount seconds late
 )
 
 // Fault is one fault for some time.
 type Fault struct {
-	Kind   Kind
-	At     time.Duration
-	For    time.Duration
-	From   []int // sidecars; Mute and Slow: servers
-	To     []int // Drop to Cut: sidecars
-	Amount float64
+	Kind     Kind
+	At       time.Duration
+	Duration time.Duration
+	From     []int // sidecars; Unresponsive and Slow: servers
+	To       []int // Drop to Cut: sidecars
+	Amount   float64
 }
 
 // String implements fmt.Stringer.
 func (f Fault) String() string {
-	text := fmt.Sprintf("%8v for %7v  %-9s", f.At, f.For, f.Kind)
+	text := fmt.Sprintf("%8v for %7v  %-9s", f.At, f.Duration, f.Kind)
 	if f.Amount != 0 {
 		text += fmt.Sprintf(" %g", f.Amount)
 	}
@@ -69,7 +69,7 @@
 }
 
 // end is when the fault is over.
-func (f Fault) end() time.Duration { return f.At + f.For }
+func (f Fault) end() time.Duration { return f.At + f.Duration }
 
 // concerns says whether the fault lasts at a time and names a sidecar or server in From.
 func (f Fault) concerns(at time.Duration, index int) bool {
--- a/internal/lab/fleet/plan/plan.go
+++ b/internal/lab/fleet/plan/plan.go
@@ -22,13 +22,13 @@
 	At      time.Duration
 	Sidecar int
 	Server  int
-	Out     bool
+	Down    bool
 }
 
 // String implements fmt.Stringer.
 func (c Call) String() string {
 	state := "back"
-	if c.Out {
+	if c.Down {
 		state = "out"
 	}
 	return fmt.Sprintf("%8v sidecar %d: server %d %s", c.At, c.Sidecar, c.Server, state)
--- a/internal/lab/fleet/plan/plan_test.go
+++ b/internal/lab/fleet/plan/plan_test.go
@@ -22,8 +22,8 @@
 		}
 		for _, f := range p.Faults {
 			kinds[f.Kind]++
-			link := slices.Contains([]Kind{Drop, Delay, Duplicate, Narrow, Cut}, f.Kind)
-			if len(f.From) == 0 || link && len(f.To) == 0 || f.At < 5*time.Second || f.For <= 0 {
+			link := slices.Contains([]Kind{Drop, Delay, Duplicate, Throttle, Cut}, f.Kind)
+			if len(f.From) == 0 || link && len(f.To) == 0 || f.At < 5*time.Second || f.Duration <= 0 {
 				t.Errorf("plan %d has the fault %v", seed, f)
 			}
 		}
@@ -36,25 +36,25 @@
 // TestLink adds up what hits a pair, one way and in its time.
 func TestLink(t *testing.T) {
 	p := Plan{Faults: []Fault{
-		{Kind: Drop, At: time.Second, For: time.Second, From: []int{0, 1}, To: []int{1, 2}, Amount: 0.2},
-		{Kind: Drop, At: time.Second, For: time.Second, From: []int{0}, To: []int{1}, Amount: 0.5},
-		{Kind: Cut, At: time.Second, For: time.Second, From: []int{2}, To: []int{0}},
-		{Kind: Clock, At: time.Second, For: time.Second, From: []int{1}, Amount: -2},
+		{Kind: Drop, At: time.Second, Duration: time.Second, From: []int{0, 1}, To: []int{1, 2}, Amount: 0.2},
+		{Kind: Drop, At: time.Second, Duration: time.Second, From: []int{0}, To: []int{1}, Amount: 0.5},
+		{Kind: Cut, At: time.Second, Duration: time.Second, From: []int{2}, To: []int{0}},
+		{Kind: Clock, At: time.Second, Duration: time.Second, From: []int{1}, Amount: -2},
 	}}
 	at := 1500 * time.Millisecond
-	if got := p.Link(at, 0, 1); got != (Link{Drop: 0.5}) {
+	if got := p.LinkCondition(at, 0, 1); got != (LinkCondition{Drop: 0.5}) {
 		t.Errorf("%+v", got)
 	}
-	if got := p.Link(at, 2, 0); !got.Cut {
+	if got := p.LinkCondition(at, 2, 0); !got.Cut {
 		t.Errorf("%+v through a cut", got)
 	}
-	if got := p.Link(at, 0, 2); got != (Link{Drop: 0.2}) {
+	if got := p.LinkCondition(at, 0, 2); got != (LinkCondition{Drop: 0.2}) {
 		t.Errorf("%+v the other way", got)
 	}
-	if got := p.Link(2*time.Second, 2, 0); got != (Link{}) {
+	if got := p.LinkCondition(2*time.Second, 2, 0); got != (LinkCondition{}) {
 		t.Errorf("%+v behind its time", got)
 	}
-	if got := p.Clock(at, 1); got != -2*time.Second || p.Clock(at, 0) != 0 {
+	if got := p.ClockOffset(at, 1); got != -2*time.Second || p.ClockOffset(at, 0) != 0 {
 		t.Errorf("the clock is off by %v", got)
 	}
 	if p.End() != 2*time.Second {
@@ -65,9 +65,9 @@
 // TestServer adds up what concerns a server in its time, and nothing of the others.
 func TestServer(t *testing.T) {
 	p := Plan{Faults: []Fault{
-		{Kind: Mute, At: time.Second, For: time.Second, From: []int{0}},
-		{Kind: Slow, At: time.Second, For: time.Second, From: []int{0, 1}, Amount: 0.25},
-		{Kind: Slow, At: time.Second, For: 2 * time.Second, From: []int{1}, Amount: 0.5},
+		{Kind: Unresponsive, At: time.Second, Duration: time.Second, From: []int{0}},
+		{Kind: Slow, At: time.Second, Duration: time.Second, From: []int{0, 1}, Amount: 0.25},
+		{Kind: Slow, At: time.Second, Duration: 2 * time.Second, From: []int{1}, Amount: 0.5},
 	}}
 	for _, c := range []struct {
 		at     time.Duration
@@ -82,7 +82,7 @@
 		{2 * time.Second, 1, false, 500 * time.Millisecond},
 		{999 * time.Millisecond, 0, false, 0},
 	} {
-		if mute, delay := p.Server(c.at, c.server); mute != c.mute || delay != c.delay {
+		if mute, delay := p.ServerCondition(c.at, c.server); mute != c.mute || delay != c.delay {
 			t.Errorf("at %v server %d: mute %v, %v late, want %v, %v", c.at, c.server, mute, delay, c.mute, c.delay)
 		}
 	}
@@ -91,7 +91,7 @@
 // TestShrink leaves what is needed for a plan to be bad, and nothing else.
 func TestShrink(t *testing.T) {
 	p := Draw(3, 8, 30*time.Second)
-	p.Faults = append(p.Faults, Fault{Kind: Kill, At: 9 * time.Second, For: time.Second, From: []int{0, 1, 2, 5}})
+	p.Faults = append(p.Faults, Fault{Kind: Kill, At: 9 * time.Second, Duration: time.Second, From: []int{0, 1, 2, 5}})
 	bad := func(p Plan) bool {
 		return strings.Contains(p.String(), "kill      0-2,5") && len(p.Calls) > 0
 	}
--- a/internal/lab/fleet/processes/backend.go
+++ b/internal/lab/fleet/processes/backend.go
@@ -74,5 +74,5 @@
 
 // condition is what the plan has the backend do now.
 func (b *backend) condition() (mute bool, delay time.Duration) {
-	return b.run.plan.Server(b.run.clock.now(), b.index)
+	return b.run.plan.ServerCondition(b.run.clock.now(), b.index)
 }
--- a/internal/lab/fleet/processes/result.go
+++ b/internal/lab/fleet/processes/result.go
@@ -50,7 +50,7 @@
 		return 0, false
 	}
 	nearCall := func(f plan.Fault) bool {
-		return f.Kind != plan.Clock && f.At < call.At+propagationTime && f.At+f.For+propagationTime > call.At
+		return f.Kind != plan.Clock && f.At < call.At+propagationTime && f.At+f.Duration+propagationTime > call.At
 	}
 	if slices.ContainsFunc(r.plan.Faults, nearCall) {
 		return 0, false
@@ -77,7 +77,7 @@
 func (r *fleetRun) isolatedBetween(sidecarName string, from, to time.Duration) bool {
 	index := r.sidecarIndex(sidecarName)
 	return slices.ContainsFunc(r.plan.Faults, func(f plan.Fault) bool {
-		overlaps := from < f.At+f.For+recoveryTime && to > f.At
+		overlaps := from < f.At+f.Duration+recoveryTime && to > f.At
 		concerns := slices.Contains(f.From, index) || f.Kind != plan.Cut && slices.Contains(f.To, index)
 		return isolates(f) && overlaps && concerns
 	})
@@ -85,7 +85,7 @@
 
 func isolates(f plan.Fault) bool {
 	switch f.Kind {
-	case plan.Cut, plan.Kill, plan.Stop, plan.Narrow:
+	case plan.Cut, plan.Kill, plan.Suspend, plan.Throttle:
 		return true
 	case plan.Drop:
 		return f.Amount > heavyLoss
@@ -97,11 +97,11 @@
 // silences are the spans in which the plan has backends without a response.
 func (r *fleetRun) silences() (spans []referee.Silence) {
 	for _, f := range r.plan.Faults {
-		if f.Kind != plan.Mute {
+		if f.Kind != plan.Unresponsive {
 			continue
 		}
 		for _, i := range f.From {
-			spans = append(spans, referee.Silence{Server: serverName(i), From: f.At, To: f.At + f.For})
+			spans = append(spans, referee.Silence{Server: serverName(i), From: f.At, To: f.At + f.Duration})
 		}
 	}
 	return spans
--- a/internal/lab/fleet/processes/run.go
+++ b/internal/lab/fleet/processes/run.go
@@ -117,7 +117,7 @@
 
 // linkConditions is what a relay does now. An upgrade's second process has its sidecar's links.
 func (r *fleetRun) linkConditions(from, to int) mesh.Conditions {
-	link := r.plan.Link(r.clock.now(), from%r.plan.Sidecars, to%r.plan.Sidecars)
+	link := r.plan.LinkCondition(r.clock.now(), from%r.plan.Sidecars, to%r.plan.Sidecars)
 	return mesh.Conditions{
 		Cut:       link.Cut,
 		Drop:      link.Drop,
--- a/internal/lab/fleet/processes/run_test.go
+++ b/internal/lab/fleet/processes/run_test.go
@@ -140,8 +140,8 @@
 func TestAllKilledWithFolders(t *testing.T) {
 	all := []int{0, 1, 2, 3}
 	last := playSmallFleet(t, plan.Plan{Seed: 7, Sidecars: 4, Servers: 2, Length: 8 * time.Second,
-		Calls:  []plan.Call{{At: time.Second, Sidecar: 1, Server: 0, Out: true}, {At: 2 * time.Second, Sidecar: 2, Server: 1, Out: true}, {At: 3 * time.Second, Sidecar: 0, Server: 1}},
-		Faults: []plan.Fault{{Kind: plan.Kill, At: 6 * time.Second, For: time.Second, From: all}}}, Options{PersistState: true})
+		Calls:  []plan.Call{{At: time.Second, Sidecar: 1, Server: 0, Down: true}, {At: 2 * time.Second, Sidecar: 2, Server: 1, Down: true}, {At: 3 * time.Second, Sidecar: 0, Server: 1}},
+		Faults: []plan.Fault{{Kind: plan.Kill, At: 6 * time.Second, Duration: time.Second, From: all}}}, Options{PersistState: true})
 	for name, s := range last {
 		if !slices.Equal(s.Out, []string{serverName(0)}) {
 			t.Errorf("%s has %v out", name, s.Out)
@@ -194,8 +194,8 @@
 		}
 	}
 	last := playSmallFleet(t, plan.Plan{Seed: 8, Sidecars: 4, Servers: 8, Length: 12 * time.Second,
-		Calls:  []plan.Call{{At: time.Second, Sidecar: 1, Server: 0, Out: true}, {At: 2 * time.Second, Sidecar: 2, Server: 1, Out: true}, {At: 4 * time.Second, Sidecar: 0, Server: 1}},
-		Faults: []plan.Fault{{Kind: plan.Mute, At: 5 * time.Second, For: 7 * time.Second, From: []int{4}}}}, Options{SendGarbage: rubbish})
+		Calls:  []plan.Call{{At: time.Second, Sidecar: 1, Server: 0, Down: true}, {At: 2 * time.Second, Sidecar: 2, Server: 1, Down: true}, {At: 4 * time.Second, Sidecar: 0, Server: 1}},
+		Faults: []plan.Fault{{Kind: plan.Unresponsive, At: 5 * time.Second, Duration: 7 * time.Second, From: []int{4}}}}, Options{SendGarbage: rubbish})
 	for name, s := range last {
 		if !slices.Equal(s.Out, []string{serverName(0)}) {
 			t.Errorf("%s has %v out", name, s.Out)
--- a/internal/lab/fleet/processes/script.go
+++ b/internal/lab/fleet/processes/script.go
@@ -44,7 +44,7 @@
 	}
 	for _, c := range r.plan.Calls {
 		s := r.sidecars[c.Sidecar]
-		events = append(events, scriptEvent{c.At, func() { s.setAdminDown(serverName(c.Server), c.Out) }})
+		events = append(events, scriptEvent{c.At, func() { s.setAdminDown(serverName(c.Server), c.Down) }})
 	}
 	sort.SliceStable(events, func(i, j int) bool { return events[i].at < events[j].at })
 	return events
@@ -52,14 +52,14 @@
 
 // faultEvents returns what a fault does to one of those that it names, which is a sidecar for these kinds alone.
 func (r *fleetRun) faultEvents(f plan.Fault, index int) []scriptEvent {
-	end := f.At + f.For
+	end := f.At + f.Duration
 	switch f.Kind {
 	case plan.Kill:
 		s := r.sidecars[index]
 		return []scriptEvent{{f.At, s.kill}, {end, s.restart}}
 	case plan.Upgrade:
 		return []scriptEvent{{f.At, r.sidecars[index].upgrade}}
-	case plan.Stop:
+	case plan.Suspend:
 		s := r.sidecars[index]
 		return []scriptEvent{{f.At, s.suspend}, {end, s.resume}}
 	default:
--- a/internal/lab/fleet/processes/sidecar.go
+++ b/internal/lab/fleet/processes/sidecar.go
@@ -75,7 +75,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	killed := slices.ContainsFunc(s.run.plan.Faults, func(f plan.Fault) bool {
-		return f.Kind == plan.Kill && slices.Contains(f.From, s.index) && now >= f.At && now < f.At+f.For-killOverlap
+		return f.Kind == plan.Kill && slices.Contains(f.From, s.index) && now >= f.At && now < f.At+f.Duration-killOverlap
 	})
 	if s.current != nil || killed && s.incarnationNumber > 0 {
 		return nil
@@ -165,8 +165,8 @@
 // expectedDown says whether the plan has the sidecar killed or suspended at any time between two.
 func (s *sidecar) expectedDown(from, to time.Duration) bool {
 	return slices.ContainsFunc(s.run.plan.Faults, func(f plan.Fault) bool {
-		stops := f.Kind == plan.Kill || f.Kind == plan.Stop
-		overlaps := from < f.At+f.For+restartGrace && to > f.At
+		stops := f.Kind == plan.Kill || f.Kind == plan.Suspend
+		overlaps := from < f.At+f.Duration+restartGrace && to > f.At
 		return stops && overlaps && slices.Contains(f.From, s.index)
 	})
 }
--- a/internal/lab/fleet/sim/cost_test.go
+++ b/internal/lab/fleet/sim/cost_test.go
@@ -35,7 +35,7 @@
 	}
 	half, other := all[:n/2], all[n/2:]
 	of := func(k plan.Kind, amount float64, from, to []int) plan.Fault {
-		return plan.Fault{Kind: k, At: warm, For: span, From: from, To: to, Amount: amount}
+		return plan.Fault{Kind: k, At: warm, Duration: span, From: from, To: to, Amount: amount}
 	}
 	return map[string][]plan.Fault{
 		"a fifth lost":      {of(plan.Drop, 0.2, all, all)},
@@ -43,7 +43,7 @@
 		"0.3 s late":        {of(plan.Delay, 0.3, all, all)},
 		"cut into halves":   {of(plan.Cut, 0, half, other), of(plan.Cut, 0, other, half)},
 		"heard by the half": {of(plan.Cut, 0, half, other)},
-		"a tenth stopped":   {of(plan.Stop, 0, all[:max(n/10, 1)], nil)},
+		"a tenth stopped":   {of(plan.Suspend, 0, all[:max(n/10, 1)], nil)},
 	}
 }
 
--- a/internal/lab/fleet/sim/sim.go
+++ b/internal/lab/fleet/sim/sim.go
@@ -112,16 +112,16 @@
 			switch f.Kind {
 			case plan.Kill:
 				w.at(f.At, s.kill)
-				w.at(f.At+f.For, s.start)
-			case plan.Stop:
-				w.at(f.At+f.For, s.wake)
+				w.at(f.At+f.Duration, s.start)
+			case plan.Suspend:
+				w.at(f.At+f.Duration, s.wake)
 			case plan.Upgrade:
-				w.at(f.At, func() { s.upgrade(f.For) })
+				w.at(f.At, func() { s.upgrade(f.Duration) })
 			}
 		}
 	}
 	for _, c := range p.Calls {
-		w.at(c.At, func() { w.Sidecars[c.Sidecar].call(server(c.Server), c.Out) })
+		w.at(c.At, func() { w.Sidecars[c.Sidecar].call(server(c.Server), c.Down) })
 	}
 	return w
 }
@@ -167,21 +167,21 @@
 // stopped tells whether a process stands still.
 func (s *Sidecar) stopped() bool {
 	return slices.ContainsFunc(s.world.Plan.Faults, func(f plan.Fault) bool {
-		return f.Kind == plan.Stop && s.world.now >= f.At && s.world.now < f.At+f.For && slices.Contains(f.From, s.Index)
+		return f.Kind == plan.Suspend && s.world.now >= f.At && s.world.now < f.At+f.Duration && slices.Contains(f.From, s.Index)
 	})
 }
 
 // killed tells whether a process is down by the plan.
 func (s *Sidecar) killed() bool {
 	return slices.ContainsFunc(s.world.Plan.Faults, func(f plan.Fault) bool {
-		return f.Kind == plan.Kill && s.world.now >= f.At && s.world.now < f.At+f.For && slices.Contains(f.From, s.Index)
+		return f.Kind == plan.Kill && s.world.now >= f.At && s.world.now < f.At+f.Duration && slices.Contains(f.From, s.Index)
 	})
 }
 
 // Clock is the sidecar's time.
 func (s *Sidecar) Clock() replication.Now {
 	now := s.world.now
-	return replication.Now{Time: monoOrigin + now, Wall: wallOrigin + (now + s.world.Plan.Clock(now, s.Index)).Milliseconds()}
+	return replication.Now{Time: monoOrigin + now, Wall: wallOrigin + (now + s.world.Plan.ClockOffset(now, s.Index)).Milliseconds()}
 }
 
 func (s *Sidecar) start() {
@@ -305,7 +305,7 @@
 		if to == nil {
 			continue
 		}
-		l := w.Plan.Link(w.now, s.Index, to.Index)
+		l := w.Plan.LinkCondition(w.now, s.Index, to.Index)
 		w.Sent++
 		if l.Cut || w.rng.Float64() < l.Drop {
 			w.Lost++
@@ -328,11 +328,11 @@
 }
 
 // way is how long a message takes.
-func (w *World) way(l plan.Link) time.Duration {
+func (w *World) way(l plan.LinkCondition) time.Duration {
 	return time.Duration(w.rng.Int64N(int64(wayMost))) + time.Duration(w.rng.Float64()*float64(l.Delay))
 }
 
-func (w *World) carry(from, to *Sidecar, l plan.Link, text []byte) {
+func (w *World) carry(from, to *Sidecar, l plan.LinkCondition, text []byte) {
 	at, sender := w.now+w.way(l), from.address
 	if l.Rate > 0 {
 		pair := [2]int{from.Index, to.Index}
@@ -369,14 +369,14 @@
 		return
 	}
 	// A connection outlasts lost packets; cut links it does not.
-	there, back := w.Plan.Link(w.now, s.Index, o.Index), w.Plan.Link(w.now, o.Index, s.Index)
+	there, back := w.Plan.LinkCondition(w.now, s.Index, o.Index), w.Plan.LinkCondition(w.now, o.Index, s.Index)
 	if there.Cut || back.Cut {
 		return
 	}
 	w.at(w.now+w.way(there), func() {
 		o.run(func() {
 			text, err := o.Machine.EncodeSnapshot(o.Clock())
-			if err == nil && !w.Plan.Link(w.now, o.Index, s.Index).Cut {
+			if err == nil && !w.Plan.LinkCondition(w.now, o.Index, s.Index).Cut {
 				w.at(w.now+w.way(back), func() { finish(text, nil) })
 			}
 		})
