--- a/internal/lab/fleet/plan/choices.go
+++ b/internal/lab/fleet/faultplan/choices.go
@@ -1,4 +1,4 @@
-package plan
+package faultplan
 
 // choice is a fault that may be drawn. It completes and adds a fault whose times are given.
 type choice func(d *drawer, f Fault)
--- a/internal/lab/fleet/plan/plan.go
+++ b/internal/lab/fleet/faultplan/plan.go
@@ -1,4 +1,4 @@
-package plan
+package faultplan
 
 import (
 	"fmt"
--- a/internal/lab/fleet/processes/policy_author.go
+++ b/internal/lab/fleet/processes/policy_author.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"milletramp.example/milletramp/internal/lab/fleet/plan"
+	"milletramp.example/milletramp/internal/lab/fleet/faultplan"
 )
 
 const (
@@ -49,7 +49,7 @@
 
 // proposeChanges proposes what the plan says, one after another, and a last one after the last fault.
 func (r *fleetRun) proposeChanges(ctx context.Context) {
-	last := plan.Change{At: r.calmFrom() + finalChangeDelay, Sidecar: r.plan.Sidecars - 1}
+	last := faultplan.Change{At: r.calmFrom() + finalChangeDelay, Sidecar: r.plan.Sidecars - 1}
 	for i, change := range append(slices.Clone(r.plan.Changes), last) {
 		select {
 		case <-time.After(change.At - r.clock.now()):
--- a/internal/lab/fleet/processes/policy_test.go
+++ b/internal/lab/fleet/processes/policy_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"milletramp.example/milletramp/internal/lab/fleet/plan"
+	"milletramp.example/milletramp/internal/lab/fleet/faultplan"
 	"milletramp.example/milletramp/internal/lab/testrun"
 )
 
@@ -67,7 +67,7 @@
 		seed := *firstSeedFlag + uint64(i)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			p := plan.DrawChanges(seed, 7, 15*time.Second)
+			p := faultplan.DrawChanges(seed, 7, 15*time.Second)
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 			defer cancel()
 			_, seen, err := RunWithPolicy(ctx, p, Options{Command: sidecarCommand, Dir: testrun.MemoryDir(t), SettleTime: 28 * time.Second})
--- a/internal/lab/fleet/processes/result.go
+++ b/internal/lab/fleet/processes/result.go
@@ -5,7 +5,7 @@
 	"sort"
 	"time"
 
-	"milletramp.example/milletramp/internal/lab/fleet/plan"
+	"milletramp.example/milletramp/internal/lab/fleet/faultplan"
 	"milletramp.example/milletramp/internal/lab/fleet/referee"
 )
 
@@ -49,8 +49,8 @@
 	if started > call.At {
 		return 0, false
 	}
-	nearCall := func(f plan.Fault) bool {
-		return f.Kind != plan.Clock && f.At < call.At+propagationTime && f.At+f.Duration+propagationTime > call.At
+	nearCall := func(f faultplan.Fault) bool {
+		return f.Kind != faultplan.Clock && f.At < call.At+propagationTime && f.At+f.Duration+propagationTime > call.At
 	}
 	if slices.ContainsFunc(r.plan.Faults, nearCall) {
 		return 0, false
@@ -76,18 +76,18 @@
 // most of its messages.
 func (r *fleetRun) isolatedBetween(sidecarName string, from, to time.Duration) bool {
 	index := r.sidecarIndex(sidecarName)
-	return slices.ContainsFunc(r.plan.Faults, func(f plan.Fault) bool {
+	return slices.ContainsFunc(r.plan.Faults, func(f faultplan.Fault) bool {
 		overlaps := from < f.At+f.Duration+recoveryTime && to > f.At
-		concerns := slices.Contains(f.From, index) || f.Kind != plan.Cut && slices.Contains(f.To, index)
+		concerns := slices.Contains(f.From, index) || f.Kind != faultplan.Cut && slices.Contains(f.To, index)
 		return isolates(f) && overlaps && concerns
 	})
 }
 
-func isolates(f plan.Fault) bool {
+func isolates(f faultplan.Fault) bool {
 	switch f.Kind {
-	case plan.Cut, plan.Kill, plan.Suspend, plan.Throttle:
+	case faultplan.Cut, faultplan.Kill, faultplan.Suspend, faultplan.Throttle:
 		return true
-	case plan.Drop:
+	case faultplan.Drop:
 		return f.Amount > heavyLoss
 	default:
 		return false
@@ -97,7 +97,7 @@
 // silences are the spans in which the plan has backends without a response.
 func (r *fleetRun) silences() (spans []referee.Silence) {
 	for _, f := range r.plan.Faults {
-		if f.Kind != plan.Unresponsive {
+		if f.Kind != faultplan.Unresponsive {
 			continue
 		}
 		for _, i := range f.From {
--- a/internal/lab/fleet/processes/run.go
+++ b/internal/lab/fleet/processes/run.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"milletramp.example/milletramp/internal/lab/fleet/plan"
+	"milletramp.example/milletramp/internal/lab/fleet/faultplan"
 	"milletramp.example/milletramp/internal/lab/fleet/referee"
 	"milletramp.example/milletramp/internal/standin/mesh"
 )
@@ -23,7 +23,7 @@
 
 // fleetRun is one run of a plan. Its fields, but for the recorder and the clock, do not change once the fleet is ready.
 type fleetRun struct {
-	plan       plan.Plan
+	plan       faultplan.Plan
 	options    Options
 	clock      *planClock
 	recorder   *recorder
@@ -33,18 +33,18 @@
 }
 
 // Run runs a plan.
-func Run(ctx context.Context, p plan.Plan, options Options) (referee.Record, error) {
+func Run(ctx context.Context, p faultplan.Plan, options Options) (referee.Record, error) {
 	record, _, err := runPlan(ctx, p, options)
 	return record, err
 }
 
 // RunWithPolicy runs a plan with a fleet that has a policy, and also returns what was seen of that.
-func RunWithPolicy(ctx context.Context, p plan.Plan, options Options) (referee.Record, PolicyHistory, error) {
+func RunWithPolicy(ctx context.Context, p faultplan.Plan, options Options) (referee.Record, PolicyHistory, error) {
 	options.WithPolicy = true
 	return runPlan(ctx, p, options)
 }
 
-func runPlan(ctx context.Context, p plan.Plan, options Options) (
+func runPlan(ctx context.Context, p faultplan.Plan, options Options) (
 	record referee.Record, history PolicyHistory, err error) {
 	clock := &planClock{}
 	clock.restart()
--- a/internal/lab/fleet/processes/run_test.go
+++ b/internal/lab/fleet/processes/run_test.go
@@ -15,7 +15,7 @@
 
 	"milletramp.example/milletramp/internal/fleet/gossip"
 	"milletramp.example/milletramp/internal/fleet/membership"
-	"milletramp.example/milletramp/internal/lab/fleet/plan"
+	"milletramp.example/milletramp/internal/lab/fleet/faultplan"
 	"milletramp.example/milletramp/internal/lab/fleet/referee"
 	"milletramp.example/milletramp/internal/lab/testrun"
 )
@@ -56,9 +56,9 @@
 	os.Exit(status)
 }
 
-func playPlan(t *testing.T, p plan.Plan) referee.Record { return playPlanWith(t, p, Options{}) }
+func playPlan(t *testing.T, p faultplan.Plan) referee.Record { return playPlanWith(t, p, Options{}) }
 
-func playPlanWith(t *testing.T, p plan.Plan, set Options) referee.Record {
+func playPlanWith(t *testing.T, p faultplan.Plan, set Options) referee.Record {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), p.End()+p.Length+settleTime+time.Minute)
 	defer cancel()
@@ -83,21 +83,21 @@
 
 // TestDrawnPlans plays drawn plans with processes. A failure prints the seed and the plan.
 func TestDrawnPlans(t *testing.T) {
-	playDrawn(t, *plansFlag, func(seed uint64) plan.Plan { return plan.Draw(seed, *sidecarsFlag, 12*time.Second) })
+	playDrawn(t, *plansFlag, func(seed uint64) faultplan.Plan { return faultplan.Draw(seed, *sidecarsFlag, 12*time.Second) })
 }
 
 // TestServersFallSilent plays plans in which servers fall silent or are slow while sidecars hear each other badly.
 func TestServersFallSilent(t *testing.T) {
-	playDrawn(t, max(1, *plansFlag/4), func(seed uint64) plan.Plan { return plan.DrawServers(seed, *sidecarsFlag, 16*time.Second) })
+	playDrawn(t, max(1, *plansFlag/4), func(seed uint64) faultplan.Plan { return faultplan.DrawServers(seed, *sidecarsFlag, 16*time.Second) })
 }
 
 // TestUpgrades plays plans in which sidecars are upgraded, some while they are cut off. What the staff said at one shortly before
 // outlasts it.
 func TestUpgrades(t *testing.T) {
-	playDrawn(t, max(1, *plansFlag/4), func(seed uint64) plan.Plan { return plan.DrawUpgrades(seed, *sidecarsFlag, 16*time.Second) })
+	playDrawn(t, max(1, *plansFlag/4), func(seed uint64) faultplan.Plan { return faultplan.DrawUpgrades(seed, *sidecarsFlag, 16*time.Second) })
 }
 
-func playDrawn(t *testing.T, plans int, draw func(seed uint64) plan.Plan) {
+func playDrawn(t *testing.T, plans int, draw func(seed uint64) faultplan.Plan) {
 	t.Parallel()
 	for i := range plans {
 		seed := *firstSeedFlag + uint64(i)
@@ -119,7 +119,7 @@
 }
 
 // playSmallFleet plays a plan of some sidecars' own in which something is out of the ordinary, and returns what each showed last.
-func playSmallFleet(t *testing.T, p plan.Plan, set Options) map[string]referee.Show {
+func playSmallFleet(t *testing.T, p faultplan.Plan, set Options) map[string]referee.Show {
 	t.Parallel()
 	set.SettleTime = 10 * time.Second
 	r := playPlanWith(t, p, set)
@@ -139,9 +139,9 @@
 // TestAllKilledWithFolders has all sidecars be killed at once: with a folder each, the fleet still holds what the staff said.
 func TestAllKilledWithFolders(t *testing.T) {
 	all := []int{0, 1, 2, 3}
-	last := playSmallFleet(t, plan.Plan{Seed: 7, Sidecars: 4, Servers: 2, Length: 8 * time.Second,
-		Calls:  []plan.Call{{At: time.Second, Sidecar: 1, Server: 0, Down: true}, {At: 2 * time.Second, Sidecar: 2, Server: 1, Down: true}, {At: 3 * time.Second, Sidecar: 0, Server: 1}},
-		Faults: []plan.Fault{{Kind: plan.Kill, At: 6 * time.Second, Duration: time.Second, From: all}}}, Options{PersistState: true})
+	last := playSmallFleet(t, faultplan.Plan{Seed: 7, Sidecars: 4, Servers: 2, Length: 8 * time.Second,
+		Calls:  []faultplan.Call{{At: time.Second, Sidecar: 1, Server: 0, Down: true}, {At: 2 * time.Second, Sidecar: 2, Server: 1, Down: true}, {At: 3 * time.Second, Sidecar: 0, Server: 1}},
+		Faults: []faultplan.Fault{{Kind: faultplan.Kill, At: 6 * time.Second, Duration: time.Second, From: all}}}, Options{PersistState: true})
 	for name, s := range last {
 		if !slices.Equal(s.Out, []string{serverName(0)}) {
 			t.Errorf("%s has %v out", name, s.Out)
@@ -193,9 +193,9 @@
 			}
 		}
 	}
-	last := playSmallFleet(t, plan.Plan{Seed: 8, Sidecars: 4, Servers: 8, Length: 12 * time.Second,
-		Calls:  []plan.Call{{At: time.Second, Sidecar: 1, Server: 0, Down: true}, {At: 2 * time.Second, Sidecar: 2, Server: 1, Down: true}, {At: 4 * time.Second, Sidecar: 0, Server: 1}},
-		Faults: []plan.Fault{{Kind: plan.Unresponsive, At: 5 * time.Second, Duration: 7 * time.Second, From: []int{4}}}}, Options{SendGarbage: rubbish})
+	last := playSmallFleet(t, faultplan.Plan{Seed: 8, Sidecars: 4, Servers: 8, Length: 12 * time.Second,
+		Calls:  []faultplan.Call{{At: time.Second, Sidecar: 1, Server: 0, Down: true}, {At: 2 * time.Second, Sidecar: 2, Server: 1, Down: true}, {At: 4 * time.Second, Sidecar: 0, Server: 1}},
+		Faults: []faultplan.Fault{{Kind: faultplan.Unresponsive, At: 5 * time.Second, Duration: 7 * time.Second, From: []int{4}}}}, Options{SendGarbage: rubbish})
 	for name, s := range last {
 		if !slices.Equal(s.Out, []string{serverName(0)}) {
 			t.Errorf("%s has %v out", name, s.Out)
--- a/internal/lab/fleet/processes/script.go
+++ b/internal/lab/fleet/processes/script.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"milletramp.example/milletramp/internal/lab/fleet/plan"
+	"milletramp.example/milletramp/internal/lab/fleet/faultplan"
 )
 
 // scriptEvent is something that the run does to a sidecar at a time of the plan.
@@ -51,15 +51,15 @@
 }
 
 // faultEvents returns what a fault does to one of those that it names, which is a sidecar for these kinds alone.
-func (r *fleetRun) faultEvents(f plan.Fault, index int) []scriptEvent {
+func (r *fleetRun) faultEvents(f faultplan.Fault, index int) []scriptEvent {
 	end := f.At + f.Duration
 	switch f.Kind {
-	case plan.Kill:
+	case faultplan.Kill:
 		s := r.sidecars[index]
 		return []scriptEvent{{f.At, s.kill}, {end, s.restart}}
-	case plan.Upgrade:
+	case faultplan.Upgrade:
 		return []scriptEvent{{f.At, r.sidecars[index].upgrade}}
-	case plan.Suspend:
+	case faultplan.Suspend:
 		s := r.sidecars[index]
 		return []scriptEvent{{f.At, s.suspend}, {end, s.resume}}
 	default:
--- a/internal/lab/fleet/processes/sidecar.go
+++ b/internal/lab/fleet/processes/sidecar.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"milletramp.example/milletramp/internal/lab/fleet/plan"
+	"milletramp.example/milletramp/internal/lab/fleet/faultplan"
 )
 
 const (
@@ -74,8 +74,8 @@
 	now := s.run.clock.now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	killed := slices.ContainsFunc(s.run.plan.Faults, func(f plan.Fault) bool {
-		return f.Kind == plan.Kill && slices.Contains(f.From, s.index) && now >= f.At && now < f.At+f.Duration-killOverlap
+	killed := slices.ContainsFunc(s.run.plan.Faults, func(f faultplan.Fault) bool {
+		return f.Kind == faultplan.Kill && slices.Contains(f.From, s.index) && now >= f.At && now < f.At+f.Duration-killOverlap
 	})
 	if s.current != nil || killed && s.incarnationNumber > 0 {
 		return nil
@@ -164,8 +164,8 @@
 
 // expectedDown says whether the plan has the sidecar killed or suspended at any time between two.
 func (s *sidecar) expectedDown(from, to time.Duration) bool {
-	return slices.ContainsFunc(s.run.plan.Faults, func(f plan.Fault) bool {
-		stops := f.Kind == plan.Kill || f.Kind == plan.Suspend
+	return slices.ContainsFunc(s.run.plan.Faults, func(f faultplan.Fault) bool {
+		stops := f.Kind == faultplan.Kill || f.Kind == faultplan.Suspend
 		overlaps := from < f.At+f.Duration+restartGrace && to > f.At
 		return stops && overlaps && slices.Contains(f.From, s.index)
 	})
@@ -174,7 +174,7 @@
 // clockOffset is by how many seconds the plan has the sidecar's clock off, at any time.
 func (s *sidecar) clockOffset() (seconds float64) {
 	for _, f := range s.run.plan.Faults {
-		if f.Kind == plan.Clock && slices.Contains(f.From, s.index) {
+		if f.Kind == faultplan.Clock && slices.Contains(f.From, s.index) {
 			seconds += f.Amount
 		}
 	}
--- a/internal/lab/fleet/sim/cost_test.go
+++ b/internal/lab/fleet/sim/cost_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"milletramp.example/milletramp/internal/fleet/gossip"
-	"milletramp.example/milletramp/internal/lab/fleet/plan"
+	"milletramp.example/milletramp/internal/lab/fleet/faultplan"
 	"milletramp.example/milletramp/internal/lab/testrun"
 )
 
@@ -28,22 +28,22 @@
 const warm, span = 20 * time.Second, 10 * time.Second
 
 // troubles are what is wrong between n sidecars while costs are taken.
-func troubles(n int) map[string][]plan.Fault {
+func troubles(n int) map[string][]faultplan.Fault {
 	all := make([]int, n)
 	for i := range all {
 		all[i] = i
 	}
 	half, other := all[:n/2], all[n/2:]
-	of := func(k plan.Kind, amount float64, from, to []int) plan.Fault {
-		return plan.Fault{Kind: k, At: warm, Duration: span, From: from, To: to, Amount: amount}
+	of := func(k faultplan.Kind, amount float64, from, to []int) faultplan.Fault {
+		return faultplan.Fault{Kind: k, At: warm, Duration: span, From: from, To: to, Amount: amount}
 	}
-	return map[string][]plan.Fault{
-		"a fifth lost":      {of(plan.Drop, 0.2, all, all)},
-		"half lost":         {of(plan.Drop, 0.5, all, all)},
-		"0.3 s late":        {of(plan.Delay, 0.3, all, all)},
-		"cut into halves":   {of(plan.Cut, 0, half, other), of(plan.Cut, 0, other, half)},
-		"heard by the half": {of(plan.Cut, 0, half, other)},
-		"a tenth stopped":   {of(plan.Suspend, 0, all[:max(n/10, 1)], nil)},
+	return map[string][]faultplan.Fault{
+		"a fifth lost":      {of(faultplan.Drop, 0.2, all, all)},
+		"half lost":         {of(faultplan.Drop, 0.5, all, all)},
+		"0.3 s late":        {of(faultplan.Delay, 0.3, all, all)},
+		"cut into halves":   {of(faultplan.Cut, 0, half, other), of(faultplan.Cut, 0, other, half)},
+		"heard by the half": {of(faultplan.Cut, 0, half, other)},
+		"a tenth stopped":   {of(faultplan.Suspend, 0, all[:max(n/10, 1)], nil)},
 	}
 }
 
@@ -67,8 +67,8 @@
 
 // cost plays a fleet that is calm, or of which each sidecar writes of a server each 500 ms, and returns what a sidecar sends
 // in a second.
-func cost(n int, evidence time.Duration, faults ...plan.Fault) (bytes, packets float64, busy time.Duration) {
-	w := New(plan.Plan{Seed: 1, Sidecars: n, Servers: 60, Length: time.Minute, Faults: faults}, Options{Peers: 5, Evidence: evidence})
+func cost(n int, evidence time.Duration, faults ...faultplan.Fault) (bytes, packets float64, busy time.Duration) {
+	w := New(faultplan.Plan{Seed: 1, Sidecars: n, Servers: 60, Length: time.Minute, Faults: faults}, Options{Peers: 5, Evidence: evidence})
 	w.RunUntil(warm)
 	b0, p0 := w.sent()
 	begun := time.Now()
--- a/internal/lab/fleet/sim/sim.go
+++ b/internal/lab/fleet/sim/sim.go
@@ -14,7 +14,7 @@
 	"milletramp.example/milletramp/internal/fleet/gossip"
 	"milletramp.example/milletramp/internal/fleet/membership"
 	"milletramp.example/milletramp/internal/fleet/replication"
-	"milletramp.example/milletramp/internal/lab/fleet/plan"
+	"milletramp.example/milletramp/internal/lab/fleet/faultplan"
 	"milletramp.example/milletramp/internal/lab/fleet/referee"
 )
 
@@ -52,7 +52,7 @@
 
 // World is a fleet under a plan.
 type World struct {
-	Plan     plan.Plan
+	Plan     faultplan.Plan
 	Sidecars []*Sidecar
 	Record   referee.Record
 	// Lost and Sent count datagrams.
@@ -90,7 +90,7 @@
 }
 
 // New returns a fleet that has not begun.
-func New(p plan.Plan, set Options) *World {
+func New(p faultplan.Plan, set Options) *World {
 	w := &World{Plan: p, set: set, rng: rand.New(rand.NewPCG(p.Seed, 0x776f726c64)), widths: map[[2]int]time.Duration{},
 		reached: map[string]map[string]time.Duration{}, dots: map[string]replication.Dot{}, processes: map[string]*Sidecar{}}
 	w.Record.Lost = map[string]bool{}
@@ -110,12 +110,12 @@
 		for _, i := range f.From {
 			s := w.Sidecars[i]
 			switch f.Kind {
-			case plan.Kill:
+			case faultplan.Kill:
 				w.at(f.At, s.kill)
 				w.at(f.At+f.Duration, s.start)
-			case plan.Suspend:
+			case faultplan.Suspend:
 				w.at(f.At+f.Duration, s.wake)
-			case plan.Upgrade:
+			case faultplan.Upgrade:
 				w.at(f.At, func() { s.upgrade(f.Duration) })
 			}
 		}
@@ -166,15 +166,15 @@
 
 // stopped tells whether a process stands still.
 func (s *Sidecar) stopped() bool {
-	return slices.ContainsFunc(s.world.Plan.Faults, func(f plan.Fault) bool {
-		return f.Kind == plan.Suspend && s.world.now >= f.At && s.world.now < f.At+f.Duration && slices.Contains(f.From, s.Index)
+	return slices.ContainsFunc(s.world.Plan.Faults, func(f faultplan.Fault) bool {
+		return f.Kind == faultplan.Suspend && s.world.now >= f.At && s.world.now < f.At+f.Duration && slices.Contains(f.From, s.Index)
 	})
 }
 
 // killed tells whether a process is down by the plan.
 func (s *Sidecar) killed() bool {
-	return slices.ContainsFunc(s.world.Plan.Faults, func(f plan.Fault) bool {
-		return f.Kind == plan.Kill && s.world.now >= f.At && s.world.now < f.At+f.Duration && slices.Contains(f.From, s.Index)
+	return slices.ContainsFunc(s.world.Plan.Faults, func(f faultplan.Fault) bool {
+		return f.Kind == faultplan.Kill && s.world.now >= f.At && s.world.now < f.At+f.Duration && slices.Contains(f.From, s.Index)
 	})
 }
 
@@ -328,11 +328,11 @@
 }
 
 // way is how long a message takes.
-func (w *World) way(l plan.LinkCondition) time.Duration {
+func (w *World) way(l faultplan.LinkCondition) time.Duration {
 	return time.Duration(w.rng.Int64N(int64(wayMost))) + time.Duration(w.rng.Float64()*float64(l.Delay))
 }
 
-func (w *World) carry(from, to *Sidecar, l plan.LinkCondition, text []byte) {
+func (w *World) carry(from, to *Sidecar, l faultplan.LinkCondition, text []byte) {
 	at, sender := w.now+w.way(l), from.address
 	if l.Rate > 0 {
 		pair := [2]int{from.Index, to.Index}
--- a/internal/lab/fleet/sim/sim_test.go
+++ b/internal/lab/fleet/sim/sim_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"milletramp.example/milletramp/internal/lab/fleet/plan"
+	"milletramp.example/milletramp/internal/lab/fleet/faultplan"
 	"milletramp.example/milletramp/internal/lab/fleet/referee"
 	"milletramp.example/milletramp/internal/lab/testrun"
 )
@@ -26,7 +26,7 @@
 )
 
 // judge plays a plan with sidecars whose file names all of them.
-func judge(p plan.Plan) []referee.Breach {
+func judge(p faultplan.Plan) []referee.Breach {
 	return referee.Judge(New(p, Options{Peers: p.Sidecars, Settle: settle, Show: 500 * time.Millisecond, Evidence: 700 * time.Millisecond}).Run())
 }
 
@@ -44,15 +44,15 @@
 
 // TestDrawnPlans plays drawn plans and fails with the seed of each that shows a breach, and the shortest plan that does.
 func TestDrawnPlans(t *testing.T) {
-	drawn(t, func(seed uint64) plan.Plan { return plan.Draw(seed, 3+int(seed%8), length) })
+	drawn(t, func(seed uint64) faultplan.Plan { return faultplan.Draw(seed, 3+int(seed%8), length) })
 }
 
 // TestUpgrades plays plans in which sidecars are upgraded, some while they are cut off.
 func TestUpgrades(t *testing.T) {
-	drawn(t, func(seed uint64) plan.Plan { return plan.DrawUpgrades(seed, 4+int(seed%5), length) })
+	drawn(t, func(seed uint64) faultplan.Plan { return faultplan.DrawUpgrades(seed, 4+int(seed%5), length) })
 }
 
-func drawn(t *testing.T, draw func(seed uint64) plan.Plan) {
+func drawn(t *testing.T, draw func(seed uint64) faultplan.Plan) {
 	for i := range *plans {
 		seed := *first + uint64(i)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -63,7 +63,7 @@
 				return
 			}
 			if *shrink {
-				p = plan.Shrink(p, func(p plan.Plan) bool { return len(judge(p)) > 0 })
+				p = faultplan.Shrink(p, func(p faultplan.Plan) bool { return len(judge(p)) > 0 })
 			}
 			t.Errorf("%sby\n%v", byRule(judge(p)), p)
 		})
@@ -75,7 +75,7 @@
 	for _, n := range []int{3, 30, *large} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			t.Parallel()
-			p := plan.Draw(*first+uint64(n), n, length)
+			p := faultplan.Draw(*first+uint64(n), n, length)
 			r := New(p, Options{Peers: 5, Settle: settle}).Run()
 			for _, b := range referee.Judge(r) {
 				if b.Rule == referee.Equal || b.Rule == referee.Remembered {
@@ -88,7 +88,7 @@
 
 // TestPlayedTwice: a plan and its seed give the same record.
 func TestPlayedTwice(t *testing.T) {
-	p := plan.Draw(11, 6, length)
+	p := faultplan.Draw(11, 6, length)
 	set := Options{Peers: 2, Settle: settle, Show: time.Second, Evidence: time.Second}
 	a, b := New(p, set).Run(), New(p, set).Run()
 	if x, y := fmt.Sprint(a.Shows, a.Acks), fmt.Sprint(b.Shows, b.Acks); x != y {
