--- a/deploy/sites/main.go
+++ b/deploy/sites/main.go
@@ -1,5 +1,5 @@
-// Command sites lays what a play of the variants of the site needs beside them: the files of names of the operators' kit, which do not
-// go into the repository. It checks the variants first.
+// Command sites lays what a play of the variants of the site needs beside them: the files of names of the operators'
+// kit, which do not go into the repository. It checks the variants first.
 //
 //	go run ./deploy/sites [-kit FOLDER] [-to FOLDER]
 package main
@@ -21,7 +21,8 @@
 // kitFiles are those that have to lie beside a variant.
 var kitFiles = []string{"real.json", "wire.json", "unlock.txt"}
 
-// knownKeys are the keys of each table of a site's file. A key that no table has would be passed over in silence, or end a play midway.
+// knownKeys are the keys of each table of a site's file. A key that no table has would be passed over in silence, or
+// end a play midway.
 var knownKeys = map[string]string{
 	"":            "name family wire",
 	"day":         "length_s tick_ms max_requests troubles in_step start_spread_ms",
@@ -39,7 +40,8 @@
 	"tier.report": "how fields period_ms delay_ms noise",
 	"tier.conn":   "streams handshake_rtts handshake_us idle_s connect_timeout_ms cap_per_core full_tax",
 	"tier.probe":  "work_us cap_per_core deep timeout_ms",
-	"tier.kind": "name share cores speed speed_cv slots_per_core queue_per_core thrash thrash_at cold_from cold_s warm_by " +
+	"tier.kind": "name share cores speed speed_cv slots_per_core queue_per_core thrash thrash_at " +
+		"cold_from cold_s warm_by " +
 		"pause_every_s pause_ms pause_grow error_rate cancel drops_expired",
 	"tier.choke": "share at over_s slower rest_s below most_s price",
 	"class":      "name share work_ms dist cv attempt_noise aim_ms deadline_ms worth late_worth effect group window_ms",
--- a/internal/lab/testrun/norace.go
+++ b/internal/lab/testrun/norace.go
@@ -2,5 +2,6 @@
 
 package testrun
 
-// RaceEnabled tells whether the race detector is built in. Code that only computes takes about ten times as long with it.
+// RaceEnabled tells whether the race detector is built in. Code that only computes takes about ten times as long with
+// it.
 const RaceEnabled = false
--- a/internal/lab/testserver/agent.go
+++ b/internal/lab/testserver/agent.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Agent is a discovery service on net.Pipe connections, for tests in a synctest bubble. Each call gets a complete list with
-// one endpoint, and then a heartbeat every heartbeatPeriod.
+// Agent is a discovery service on net.Pipe connections, for tests in a synctest bubble. Each call gets a complete list
+// with one endpoint, and then a heartbeat every heartbeatPeriod.
 type Agent struct {
 	mu         sync.Mutex
 	calls      int
@@ -119,6 +119,9 @@
 	return a.epoch == epoch
 }
 
+// holdPollPeriod is how often a call that is held looks whether the agent is up.
+const holdPollPeriod = 10 * time.Millisecond
+
 // serve answers the call on a connection, and then keeps it open until the caller closes it.
 func (a *Agent) serve(c net.Conn) {
 	defer c.Close()
@@ -126,40 +129,47 @@
 		return
 	}
 	ended := make(chan struct{})
-	go func() {
+	go func() { // ends when the caller closes the connection
 		_, _ = io.Copy(io.Discard, c)
 		close(ended)
 	}()
 	number, epoch, answered := a.startCall()
 	for !answered && a.isHolding() {
-		select {
-		case <-time.After(10 * time.Millisecond):
-		case <-ended:
+		if !sleep(holdPollPeriod, ended) {
 			return
 		}
 		answered = a.isUp()
 	}
-	if !answered {
-		<-ended
-		return
+	if answered {
+		a.writeWatch(c, number, epoch, ended)
 	}
-	select {
-	case <-time.After(a.firstListDelay()):
-	case <-ended:
+	<-ended
+}
+
+// writeWatch writes a list, and then a heartbeat each heartbeatPeriod while watches of the epoch get any.
+func (a *Agent) writeWatch(c net.Conn, number, epoch int, ended <-chan struct{}) {
+	if !sleep(a.firstListDelay(), ended) {
 		return
 	}
-	text := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" // and then the list, and a heartbeat at a time
+	head := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" // ahead of the list
 	line := ListText(number, true, EndpointEntry("s-0", "127.0.0.1:9", "SERVING", 0))
 	for a.isCurrent(epoch) {
-		if _, err := fmt.Fprintf(c, "%s%x\r\n%s\n\r\n", text, len(line)+1, line); err != nil {
+		if _, err := fmt.Fprintf(c, "%s%x\r\n%s\n\r\n", head, len(line)+1, line); err != nil {
 			return
 		}
-		text, line = "", ""
-		select {
-		case <-time.After(heartbeatPeriod):
-		case <-ended:
+		head, line = "", ""
+		if !sleep(heartbeatPeriod, ended) {
 			return
 		}
 	}
-	<-ended
+}
+
+// sleep waits for a time, or until ended is closed, and reports whether the time is over.
+func sleep(d time.Duration, ended <-chan struct{}) bool {
+	select {
+	case <-time.After(d):
+		return true
+	case <-ended:
+		return false
+	}
 }
--- a/internal/lab/testserver/client.go
+++ b/internal/lab/testserver/client.go
@@ -89,8 +89,8 @@
 
 // RequestHead returns the head of a request without the empty line that ends it.
 func RequestHead(method, id, class string) string {
-	return fmt.Sprintf("%s /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\nX-Timeout-Ms: 50000\r\n",
-		method, id, class)
+	return fmt.Sprintf("%s /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: %s\r\n"+
+		"X-Priority-Class: %s\r\nX-Timeout-Ms: 50000\r\n", method, id, class)
 }
 
 // ExpectFinalResponse reads one response from a connection, and fails the test if its status is another one or the
--- a/internal/lab/testserver/testserver.go
+++ b/internal/lab/testserver/testserver.go
@@ -1,6 +1,6 @@
-// Package testserver has the peers of a sidecar that its tests need: raw HTTP/1.1 backends whose responses a test writes
-// byte by byte, a discovery service, and the texts of a configuration and of endpoint lists. All listen on loopback and
-// end with their test. Only tests import it.
+// Package testserver has the peers of a sidecar that its tests need: raw HTTP/1.1 backends whose responses a test
+// writes byte by byte, a discovery service, and the texts of a configuration and of endpoint lists. All listen on
+// loopback and end with their test. Only tests import it.
 package testserver
 
 import (
@@ -52,37 +52,41 @@
 func StartBackend(t *testing.T, handle Handler) *Backend {
 	t.Helper()
 	l := Listen(t)
-	b := &Backend{Address: l.Addr().String(), Requests: make(chan *http.Request, 1000)}
-	go func() {
+	b := &Backend{Address: l.Addr().String(), Requests: make(chan *http.Request, maxRecordedRequests)}
+	go func() { // ends when the test closes l
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
 			t.Cleanup(func() { c.Close() })
-			go func() {
-				defer c.Close()
-				in := bufio.NewReader(c)
-				for {
-					r, err := http.ReadRequest(in)
-					if err != nil {
-						return
-					}
-					body, err := io.ReadAll(r.Body)
-					if err != nil {
-						return
-					}
-					b.Requests <- r
-					if !handle(c, r, body) {
-						return
-					}
-				}
-			}()
+			go b.serve(c, handle)
 		}
 	}()
 	return b
 }
 
+// maxRecordedRequests is how many requests a Backend receives before the test has to take them from Requests.
+const maxRecordedRequests = 1000
+
+// serve answers the requests that come on a connection until it ends.
+func (b *Backend) serve(c net.Conn, handle Handler) {
+	defer c.Close()
+	in := bufio.NewReader(c)
+	for keepOpen := true; keepOpen; {
+		r, err := http.ReadRequest(in)
+		if err != nil {
+			return
+		}
+		body, err := io.ReadAll(r.Body)
+		if err != nil {
+			return
+		}
+		b.Requests <- r
+		keepOpen = handle(c, r, body)
+	}
+}
+
 // Respond returns a handler that sends a status, a header line or "", and a body, and keeps the connection open.
 func Respond(status int, header, body string) Handler {
 	return func(c net.Conn, _ *http.Request, _ []byte) bool {
@@ -124,30 +128,35 @@
 // ServeDiscovery starts a discovery service at l until the end of the test.
 func ServeDiscovery(t *testing.T, l net.Listener) *Discovery {
 	t.Helper()
-	r := &Discovery{Address: l.Addr().String(), Watches: make(chan Watch, 100)}
-	web := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		me := Watch{q.URL.RawQuery, make(chan string, 100)}
-		_ = http.NewResponseController(w).Flush()
-		r.Watches <- me
-		for {
-			select {
-			case line, ok := <-me.Lines:
-				if !ok {
-					return
-				}
-				fmt.Fprintln(w, line)
-				_ = http.NewResponseController(w).Flush()
-			case <-q.Context().Done():
+	d := &Discovery{Address: l.Addr().String(), Watches: make(chan Watch, 100)}
+	web := &http.Server{Handler: http.HandlerFunc(d.serveWatch)}
+	go func() { _ = web.Serve(l) }()
+	t.Cleanup(func() { web.Close() })
+	return d
+}
+
+// serveWatch answers a watch call with what the test sends.
+func (d *Discovery) serveWatch(w http.ResponseWriter, r *http.Request) {
+	watch := Watch{r.URL.RawQuery, make(chan string, 100)}
+	controller := http.NewResponseController(w)
+	_ = controller.Flush()
+	d.Watches <- watch
+	for {
+		select {
+		case line, ok := <-watch.Lines:
+			if !ok {
 				return
 			}
+			fmt.Fprintln(w, line)
+			_ = controller.Flush()
+		case <-r.Context().Done():
+			return
 		}
-	})}
-	go func() { _ = web.Serve(l) }()
-	t.Cleanup(func() { web.Close() })
-	return r
+	}
 }
 
-// EndpointEntry returns one endpoint in discovery's JSON form. bootMS is its start in milliseconds since the epoch; 0: unknown.
+// EndpointEntry returns one endpoint in discovery's JSON form. bootMS is its start in milliseconds since the epoch; 0:
+// unknown.
 func EndpointEntry(id, address, state string, bootMS int64) string {
 	return fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":"a","model":"m","pod_group":0,`+
 		`"state":%q,"capacity_hint":1.0,"boot_ms":%d}`, id, address, state, bootMS)
