--- a/deploy/names_test.go
+++ b/deploy/names_test.go
@@ -205,6 +205,7 @@
 		"internal/fleet/replication",
 		"internal/fleet/transport",
 		"internal/hotrestart",
+		"internal/lab/servermodel",
 		"internal/lab/sim",
 		"internal/lab/workload",
 		"internal/loadlevel",
