--- a/deploy/names_test.go
+++ b/deploy/names_test.go
@@ -209,6 +209,7 @@
 		"internal/hotrestart",
 		"internal/lab/fleet/processes",
 		"internal/lab/record",
+		"internal/lab/servermodel",
 		"internal/lab/sim",
 		"internal/lab/workload",
 		"internal/loadlevel",
