--- a/internal/sidecar/client_errors_test.go
+++ b/internal/sidecar/client_errors_test.go
@@ -92,30 +92,32 @@
 		"length and chunks": unread + "Transfer-Encoding: chunked\r\n\r\n",
 	} {
 		for later := range 2 { // bytes that come while the first is in flight
-			release := make(chan struct{})
-			b := startHoldingBackend(t, release, anyRequest, "ok")
-			p := startServing(t, b)
-			c := p.DialConn()
-			fmt.Fprintf(c, "%s\r\n%s", testserver.RequestHead("GET", "good", "read"), bad[:len(bad)-later])
-			testserver.Receive(t, b.Requests, "first request")
-			fmt.Fprint(c, bad[len(bad)-later:])
-			_ = c.SetReadDeadline(time.Now().Add(100 * time.Millisecond)) // nothing may come, however long this is
-			if n, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Errorf("%s, %d bytes later: %d bytes, error %v while the first request is out", name, later, n, err)
-			}
-			close(release)
-			_ = c.SetReadDeadline(time.Now().Add(testserver.Timeout))
-			in := bufio.NewReader(c)
-			resp, err := http.ReadResponse(in, nil)
-			if err != nil || resp.StatusCode != http.StatusOK {
-				t.Errorf("%s, %d bytes later: response %+v, error %v to the first", name, later, resp, err)
-				continue
-			}
-			_, _ = io.Copy(io.Discard, resp.Body)
-			if resp, err = http.ReadResponse(in, nil); err == nil && resp.StatusCode != http.StatusBadRequest ||
-				err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
-				t.Errorf("%s, %d bytes later: response %+v, error %v to the second", name, later, resp, err)
-			}
+			t.Run(fmt.Sprintf("%s, %d bytes later", name, later), func(t *testing.T) {
+				release := make(chan struct{})
+				b := startHoldingBackend(t, release, anyRequest, "ok")
+				p := startServing(t, b)
+				c := p.DialConn()
+				fmt.Fprintf(c, "%s\r\n%s", testserver.RequestHead("GET", "good", "read"), bad[:len(bad)-later])
+				testserver.Receive(t, b.Requests, "first request")
+				fmt.Fprint(c, bad[len(bad)-later:])
+				_ = c.SetReadDeadline(time.Now().Add(100 * time.Millisecond)) // nothing may come, however long this is
+				if n, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
+					t.Errorf("%d bytes, error %v while the first request is out", n, err)
+				}
+				close(release)
+				_ = c.SetReadDeadline(time.Now().Add(testserver.Timeout))
+				in := bufio.NewReader(c)
+				resp, err := http.ReadResponse(in, nil)
+				if err != nil || resp.StatusCode != http.StatusOK {
+					t.Errorf("response %+v, error %v to the first", resp, err)
+					return
+				}
+				_, _ = io.Copy(io.Discard, resp.Body)
+				if resp, err = http.ReadResponse(in, nil); err == nil && resp.StatusCode != http.StatusBadRequest ||
+					err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
+					t.Errorf("response %+v, error %v to the second", resp, err)
+				}
+			})
 		}
 	}
 }
--- a/internal/sidecar/drain_load_test.go
+++ b/internal/sidecar/drain_load_test.go
@@ -30,44 +30,27 @@
 	b := startBackend(t, "ok")
 	discardRequests(b)
 	configText := configFor(t, b)
-	var asked, unread atomic.Int64
+	var clients loadClients
 	for round := range *drainRounds {
 		random := rand.New(rand.NewPCG(uint64(round), 1))
 		p := startWith(t, configText, startOptions{times: drainTimes{
 			acceptFor:   time.Duration(random.IntN(3)) * time.Millisecond,
 			unusedGrace: time.Duration(random.IntN(4)) * time.Millisecond,
 		}})
-		var clients sync.WaitGroup
 		for i := range 16 {
-			clients.Add(1)
 			pause := time.Duration(random.IntN(400)) * time.Microsecond
-			go func() {
-				defer clients.Done()
-				for n := 0; ; n++ {
-					c, err := net.Dial("tcp", p.Address)
-					if err != nil {
-						return // it listens no more
-					}
-					dropped := sendUntilClosed(t, c, fmt.Sprintf("c%d-%d-%d", round, i, n), pause, &asked)
-					if dropped && closedAfterReadingAll(t, c) {
-						t.Errorf("round %d: client %d's request was read and has no response", round, i)
-					} else if dropped {
-						unread.Add(1)
-					}
-					c.Close()
-				}
-			}()
+			clients.start(p, fmt.Sprintf("c%d-%d", round, i), pause)
 		}
-		for asked.Load() < int64(round+1)*50 {
+		for clients.answered.Load() < int64(round+1)*50 {
 			time.Sleep(100 * time.Microsecond)
 		}
 		p.stop()
 		if err := testserver.Receive(t, p.ended, "end"); err != nil {
 			t.Errorf("round %d: it ended with %v", round, err)
 		}
-		clients.Wait()
+		clients.running.Wait()
 	}
-	t.Logf("%d requests, %d connections ended with one unread", asked.Load(), unread.Load())
+	t.Logf("%d requests, %d connections ended with one unread", clients.answered.Load(), clients.unread.Load())
 }
 
 // TestDrainEndsBeforeKillWithHangingServers has all servers hang through the whole of a shutdown, while clients go on
@@ -111,24 +94,9 @@
 				t.Fatalf("response %+v, error %v", long, err)
 			}
 			defer long.Body.Close()
-			var asked atomic.Int64
-			var clients sync.WaitGroup
+			var clients loadClients
 			for i := range 8 {
-				clients.Add(1)
-				go func() {
-					defer clients.Done()
-					for n := 0; ; n++ {
-						c, err := net.Dial("tcp", p.Address)
-						if err != nil {
-							return // it listens no more
-						}
-						dropped := sendUntilClosed(t, c, fmt.Sprintf("c-%d-%d", i, n), time.Millisecond, &asked)
-						if dropped && closedAfterReadingAll(t, c) {
-							t.Errorf("client %d's request was read and has no response", i)
-						}
-						c.Close()
-					}
-				}()
+				clients.start(p, fmt.Sprint("c-", i), time.Millisecond)
 			}
 			p.waitForUsedConns(8)
 			f.setPolicy(1, 20*time.Millisecond, false) // and it comes no more
@@ -140,7 +108,7 @@
 			if took, kill := time.Since(stopped), deadline+proxy.KillDelay; took > kill+held() {
 				t.Errorf("it ended after %v, and may be killed after %v", took, kill)
 			}
-			clients.Wait()
+			clients.running.Wait()
 			if resp, err := http.ReadResponse(bufio.NewReader(late), nil); err != nil || !resp.Close {
 				t.Errorf("response %+v, error %v to a request that came while draining", resp, err)
 			}
@@ -175,9 +143,38 @@
 	return func() time.Duration { cancel(); return time.Duration(total.Load()) }
 }
 
-// sendUntilClosed asks one request after another on a connection until a response ends it, and reports whether it ended
-// while one was open.
-func sendUntilClosed(t *testing.T, c net.Conn, id string, pause time.Duration, asked *atomic.Int64) (dropped bool) {
+// loadClients are clients that send requests on connections that they keep, and open new ones until none is accepted.
+// A request that was read and has no response fails the test.
+type loadClients struct {
+	running  sync.WaitGroup
+	answered atomic.Int64 // requests
+	unread   atomic.Int64 // requests whose connections ended before they were read
+}
+
+// start starts one client. It pauses before each request.
+func (l *loadClients) start(p *program, name string, pause time.Duration) {
+	l.running.Add(1)
+	go func() {
+		defer l.running.Done()
+		for n := 0; ; n++ {
+			c, err := net.Dial("tcp", p.Address)
+			if err != nil {
+				return // it listens no more
+			}
+			dropped := l.sendUntilClosed(p.T, c, fmt.Sprint(name, "-", n), pause)
+			if dropped && closedAfterReadingAll(p.T, c) {
+				p.T.Errorf("client %s's request was read and has no response", name)
+			} else if dropped {
+				l.unread.Add(1)
+			}
+			c.Close()
+		}
+	}()
+}
+
+// sendUntilClosed sends one request after another on a connection until a response ends it, and reports whether it
+// ended without one.
+func (l *loadClients) sendUntilClosed(t *testing.T, c net.Conn, id string, pause time.Duration) (dropped bool) {
 	in := bufio.NewReader(c)
 	_ = c.SetDeadline(time.Now().Add(testserver.Timeout))
 	for n := 0; ; n++ {
@@ -195,7 +192,7 @@
 			return true
 		}
 		_, _ = io.Copy(io.Discard, resp.Body)
-		asked.Add(1)
+		l.answered.Add(1)
 		if resp.Close {
 			return false
 		}
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -84,22 +84,24 @@
 // first bytes were passed on. One whose connection ends in order is.
 func TestResetResponseIsIncomplete(t *testing.T) {
 	for _, reset := range []bool{true, false} {
-		passed := make(chan struct{})
-		b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhal")
-			<-passed
-			return reset && testserver.ResetConnection(c, r, body)
+		t.Run(fmt.Sprint("reset ", reset), func(t *testing.T) {
+			passed := make(chan struct{})
+			b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+				fmt.Fprint(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhal")
+				<-passed
+				return reset && testserver.ResetConnection(c, r, body)
+			})
+			p := startServing(t, b)
+			resp, err := p.HTTP.Do(p.NewRequest(context.Background(), "pay", "50000"))
+			if err != nil {
+				t.Fatal(err)
+			}
+			close(passed) // the client has its head, and so the first bytes
+			body, err := io.ReadAll(resp.Body)
+			resp.Body.Close()
+			if reset != (err != nil) || !reset && string(body) != "hal" {
+				t.Errorf("body %q, error %v", body, err)
+			}
 		})
-		p := startServing(t, b)
-		resp, err := p.HTTP.Do(p.NewRequest(context.Background(), "pay", "50000"))
-		if err != nil {
-			t.Fatal(err)
-		}
-		close(passed) // the client has its head, and so the first bytes
-		body, err := io.ReadAll(resp.Body)
-		resp.Body.Close()
-		if reset != (err != nil) || !reset && string(body) != "hal" {
-			t.Errorf("reset %v: body %q, error %v", reset, body, err)
-		}
 	}
 }
