--- a/internal/lab/fleet/procs/procs.go
+++ b/internal/lab/fleet/procs/procs.go
@@ -309,7 +309,7 @@
 			return err
 		}
 		for _, a := range []*string{&s.listen, &s.consoles[0], &s.consoles[1]} {
-			if *a, err = freeAddress(p.mesh.Beside(i)); err != nil {
+			if *a, err = freeAddress(p.mesh.AuxiliaryIP(i)); err != nil {
 				return err
 			}
 		}
--- a/internal/standin/mesh/mesh.go
+++ b/internal/standin/mesh/mesh.go
@@ -148,8 +148,8 @@
 // Outside is what it tells the others.
 func (m *Mesh) Outside(i int) string { return netip.AddrPortFrom(m.host(outside, i), m.port).String() }
 
-// Beside is an IP address of sidecar i for whatever else it listens at.
-func (m *Mesh) Beside(i int) string { return m.host(beside, i).String() }
+// AuxiliaryIP is an IP address of sidecar i for whatever else it listens at.
+func (m *Mesh) AuxiliaryIP(i int) string { return m.host(beside, i).String() }
 
 // Lost counts datagrams that did not get through.
 func (m *Mesh) Lost() int {
