--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -256,7 +256,7 @@
 		gone := d.live[at]
 		d.live[at] = fresh
 		gone.entry.State = "DELETED"
-		d.discovery.Tell(gone.entry, fresh.entry)
+		d.discovery.Publish(gone.entry, fresh.entry)
 		_ = gone.listener.Close()
 	}
 	return nil
@@ -314,7 +314,7 @@
 	}
 	text, err := json.Marshal(object{
 		"name": "n" + strconv.Itoa(ordinal), "listen": d.address, "discovery": d.discovery.Address(), "seed": "8c1f30d27a5be964",
-		"limits": object{"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": d.discovery.Known(),
+		"limits": object{"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": d.discovery.Snapshot(),
 		"settings": object{"areas": zones, "models": models, "my_zone": zones[0], "ordinal": ordinal, "peers_total": d.peers,
 			"discovery": "pushed", "tier": 0, "tiers": []string{"scale"}, "weight_source": "nominal", "worth_by": "work",
 			"request_classes": []object{{"name": "read", "effect": "idempotent", "group": "all", "aim_s": 0.5,
--- a/internal/lab/sockets/sockets.go
+++ b/internal/lab/sockets/sockets.go
@@ -56,7 +56,7 @@
 	p    *plan.Plan
 	opt  Options
 	log  *standin.Log
-	book *standin.Book
+	book *standin.RequestRegistry
 	rng  *rand.Rand
 	dir  string
 
@@ -88,7 +88,7 @@
 		return res, fmt.Errorf("lab: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	w := &world{p: p, opt: opt, log: standin.NewLog(), book: standin.NewBook(), dir: dir,
+	w := &world{p: p, opt: opt, log: standin.NewLog(), book: standin.NewRequestRegistry(), dir: dir,
 		rng: rand.New(rand.NewPCG(p.Seed, 0x50c7)), pods: map[int]*node.Pod{}, cut: make([]bool, len(p.Scenario.Fleet.Zones)),
 		mute: make([]bool, len(p.Machines)), cutAsk: make([]float64, len(p.Machines)), cutAns: make([]float64, len(p.Machines)), lives: make([]int, len(p.Machines)), starts: make([]time.Duration, len(p.Machines)),
 		told: make([]time.Duration, p.Scenario.Fleet.Sidecars)}
@@ -125,8 +125,8 @@
 func (w *world) build(ctx context.Context) error {
 	s := w.p.Scenario
 	for i, m := range w.p.Machines {
-		n := standin.NewNode(standin.NodeOptions{Number: int32(i), Book: w.book, Log: w.log, ConnCap: s.Fleet.ConnCap,
-			Handshake: s.Fleet.HandshakeWork.Std(), IdleClose: s.Fleet.IdleClose.Std(), Stops: s.Fleet.StopsWork})
+		n := standin.NewNode(standin.NodeOptions{Number: int32(i), Requests: w.book, Log: w.log, ConnCap: s.Fleet.ConnCap,
+			Handshake: s.Fleet.HandshakeWork.Std(), IdleTimeout: s.Fleet.IdleClose.Std(), StopsOnCancel: s.Fleet.StopsWork})
 		// Each node has an IP address of its own, so that no outgoing connection takes its port while it is down.
 		l, err := net.Listen("tcp", host(nodeNet, i))
 		if err != nil {
@@ -145,7 +145,7 @@
 	for i := range s.Fleet.Sidecars {
 		var links []*standin.Link
 		for n := range w.p.Machines {
-			k, err := standin.NewLink(standin.SideAddress(i), w.addr[n], w.way(i, n), w.p.Seed+uint64(i*1000+n))
+			k, err := standin.NewLink(standin.SidecarIP(i), w.addr[n], w.way(i, n), w.p.Seed+uint64(i*1000+n))
 			if err != nil {
 				return err
 			}
@@ -189,11 +189,11 @@
 }
 
 // way is the condition of the link between a sidecar and a node as things stand.
-func (w *world) way(i, n int) standin.Way {
+func (w *world) way(i, n int) standin.LinkCondition {
 	net := w.p.Scenario.Network
 	zone, at := i%len(w.p.Scenario.Fleet.Zones), w.p.Machines[n].Zone
-	way := standin.Way{ResetAfter: w.cutAsk[n], Truncate: w.cutAns[n], Delay: net.Same.Std(), Jitter: net.Jitter, Handshake: w.p.Scenario.Fleet.HandshakeRTTs,
-		Silent: w.mute[n] || zone != at && (w.cut[zone] || w.cut[at])}
+	way := standin.LinkCondition{ResetAfter: w.cutAsk[n], Truncate: w.cutAns[n], Delay: net.Same.Std(), JitterFraction: net.Jitter, HandshakeRoundTrips: w.p.Scenario.Fleet.HandshakeRTTs,
+		Blackhole: w.mute[n] || zone != at && (w.cut[zone] || w.cut[at])}
 	if zone != at {
 		way.Delay = net.Cross.Std()
 	}
@@ -209,7 +209,7 @@
 			all.Add(1)
 			go func() {
 				defer all.Done()
-				w.links[i][n].Set(way)
+				w.links[i][n].SetCondition(way)
 			}()
 		}
 	}
@@ -246,7 +246,7 @@
 // start starts a sidecar and waits until it is ready.
 func (w *world) start(ctx context.Context, i int) error {
 	p := w.side[i]
-	if err := p.start(config(w.p, i, p.address, w.disc[i].Address(), w.disc[i].Known())); err != nil {
+	if err := p.start(config(w.p, i, p.address, w.disc[i].Address(), w.disc[i].Snapshot())); err != nil {
 		return fmt.Errorf("sidecar %s: %w", p.name, err)
 	}
 	if err := p.ready(ctx, p.address); err != nil {
@@ -258,14 +258,14 @@
 // restart kills a sidecar and starts it again. Its clients hold back meanwhile, as a request to a process that is not
 // there is not taken; what crosses the end on a connection goes down with it.
 func (w *world) restart(ctx context.Context, i int) error {
-	w.clients[i].Aim("")
+	w.clients[i].SetAddress("")
 	w.side[i].kill()
 	w.log.Add(record.Event{Kind: record.SidecarDown, Sidecar: int32(i)})
 	if err := w.start(ctx, i); err != nil {
 		return err
 	}
 	w.log.Add(record.Event{Kind: record.SidecarDown, Sidecar: int32(i)})
-	w.clients[i].Aim(w.side[i].address)
+	w.clients[i].SetAddress(w.side[i].address)
 	return nil
 }
 
@@ -277,9 +277,9 @@
 	keys := workload.NewZipf(s.Load.Keys, s.Load.Zipf)
 	var ids atomic.Uint64
 	for i := range w.side {
-		c := standin.NewClients(standin.ClientOptions{Sidecar: int32(i), Scenario: s, Book: w.book, Log: w.log, IDs: &ids,
-			Patience: patience}, w.p.Seed)
-		c.Aim(w.side[i].address)
+		c := standin.NewClients(standin.ClientOptions{Sidecar: int32(i), Scenario: s, Requests: w.book, Log: w.log, IDs: &ids,
+			ResponseGrace: patience}, w.p.Seed)
+		c.SetAddress(w.side[i].address)
 		w.clients = append(w.clients, c)
 	}
 	w.log.Begin() // the day begins now, and with it the nodes' clocks
@@ -367,7 +367,7 @@
 		d.Close()
 	}
 	for _, n := range w.nodes {
-		n.Stop()
+		n.Kill()
 	}
 	for _, l := range w.listen {
 		if l != nil {
@@ -436,15 +436,15 @@
 		w.rewire()
 	case plan.Silence:
 		for _, d := range w.disc {
-			d.Silence(a.On)
+			d.SetStalled(a.On)
 		}
 	case plan.CutWatch:
 		for _, d := range w.disc {
-			d.Cut()
+			d.TruncateNext()
 		}
 	case plan.BackWatch:
 		for _, d := range w.disc {
-			d.Back()
+			d.Rollback()
 		}
 	case plan.MoveWatch:
 		return w.move()
@@ -466,10 +466,10 @@
 	case plan.Drain:
 		w.tell(n, record.Draining)
 	case plan.Remove:
-		w.nodes[n].Stop()
+		w.nodes[n].Kill()
 		w.tell(n, record.Gone)
 	case plan.Crash:
-		w.nodes[n].Stop()
+		w.nodes[n].Kill()
 	case plan.Slow:
 		change(func(s *node.Server, now time.Duration) { s.Slow(now, a.Value) })
 	case plan.Swallow:
@@ -496,7 +496,7 @@
 			return err
 		}
 		p := w.side[i]
-		if err := p.reload(config(w.p, i, p.address, d.Address(), d.Known())); err != nil {
+		if err := p.reload(config(w.p, i, p.address, d.Address(), d.Snapshot())); err != nil {
 			return fmt.Errorf("sidecar %s: %w", p.name, err)
 		}
 	}
@@ -510,7 +510,7 @@
 		at := w.log.Now() + notice.From.Std() + time.Duration(w.rng.Float64()*float64(notice.To-notice.From))
 		w.told[i] = max(w.told[i]+time.Millisecond, at)
 		e := w.entry(i, n, state)
-		time.AfterFunc(w.told[i]-w.log.Now(), func() { d.Tell(e) })
+		time.AfterFunc(w.told[i]-w.log.Now(), func() { d.Publish(e) })
 	}
 }
 
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -34,12 +34,12 @@
 
 // ClientOptions are what clients are made with.
 type ClientOptions struct {
-	Sidecar  int32
-	Scenario *scenario.Scenario
-	Book     *Book
-	Log      *Log
-	IDs      *atomic.Uint64
-	Patience time.Duration // beyond a request's time, for an answer that is late
+	Sidecar       int32
+	Scenario      *scenario.Scenario
+	Requests      *RequestRegistry
+	Log           *Log
+	IDs           *atomic.Uint64
+	ResponseGrace time.Duration // beyond a request's time, for an answer that is late
 }
 
 // NewClients returns the clients of a sidecar.
@@ -50,8 +50,8 @@
 	return c
 }
 
-// Aim says where the sidecar listens; "" says that it is not there.
-func (c *Clients) Aim(address string) {
+// SetAddress says where the sidecar listens; "" says that it is not there.
+func (c *Clients) SetAddress(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.address = address
@@ -119,12 +119,12 @@
 // try makes one try and tells how it ended.
 func (c *Clients) try(ctx context.Context, a workload.Request, id, first uint64) (workload.Outcome, time.Duration) {
 	class := c.Scenario.Classes[a.Class]
-	known := Known{Class: a.Class, Work: a.Work, Key: a.Key}
+	known := RequestInfo{Class: a.Class, Work: a.Work, Key: a.Key}
 	if class.Effect == "deduplicated" {
 		known.Effect = id
 	}
-	c.Book.Note(id, known)
-	most := a.Timeout + c.Patience
+	c.Requests.Register(id, known)
+	most := a.Timeout + c.ResponseGrace
 	if a.LeavesAfter > 0 {
 		most = a.LeavesAfter
 	}
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// Tell has it tell of changed entries. While it is silent they are kept.
-func (d *Discovery) Tell(changed ...Entry) {
+// Publish has it tell of changed entries. While it is silent they are kept.
+func (d *Discovery) Publish(changed ...Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, e := range changed {
@@ -130,8 +130,8 @@
 	d.wake()
 }
 
-// Back has it go back to an older version: it counts its versions anew and tells the whole list.
-func (d *Discovery) Back() {
+// Rollback has it go back to an older version: it counts its versions anew and tells the whole list.
+func (d *Discovery) Rollback() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.rev, d.changes = 1, nil
@@ -139,16 +139,16 @@
 	d.wake()
 }
 
-// Silence has it say nothing, not even that nothing has changed, or speak again.
-func (d *Discovery) Silence(on bool) {
+// SetStalled has it say nothing, not even that nothing has changed, or speak again.
+func (d *Discovery) SetStalled(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.silent = on
 	d.wake()
 }
 
-// Cut has the next line end midway, together with its connection.
-func (d *Discovery) Cut() {
+// TruncateNext has the next line end midway, together with its connection.
+func (d *Discovery) TruncateNext() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.cut = true
@@ -159,8 +159,8 @@
 	d.changed = make(chan struct{})
 }
 
-// Known is the whole list.
-func (d *Discovery) Known() List {
+// Snapshot is the whole list.
+func (d *Discovery) Snapshot() List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return List{Rev: d.rev, All: true, Targets: append([]Entry(nil), d.entries...)}
@@ -173,7 +173,7 @@
 		return
 	}
 	if r.URL.Query().Get("watch") == "" {
-		l := d.Known()
+		l := d.Snapshot()
 		d.told(l.Targets)
 		_ = json.NewEncoder(w).Encode(l)
 		return
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -12,13 +12,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// Way is the condition of a link. Shares are of requests, each of which is hit by one trouble at most.
-type Way struct {
-	Delay     time.Duration // one way
-	Jitter    float64       // share of Delay by which it varies
-	Handshake float64       // round trips more for the first bytes of a connection
-	Rate      int           // bytes a second in each direction; 0: unbounded
-	Silent    bool          // nothing passes, new connections do not come up; when it ends, the old ones are reset
+// LinkCondition is the condition of a link. Shares are of requests, each of which is hit by one trouble at most.
+type LinkCondition struct {
+	Delay               time.Duration // one way
+	JitterFraction      float64       // share of Delay by which it varies
+	HandshakeRoundTrips float64       // round trips more for the first bytes of a connection
+	BytesPerSecond      int           // bytes a second in each direction; 0: unbounded
+	Blackhole           bool          // nothing passes, new connections do not come up; when it ends, the old ones are reset
 
 	ResetBefore float64 // before a byte of the request has passed
 	ResetWithin float64 // after half of it
@@ -46,7 +46,7 @@
 
 	mu     sync.Mutex
 	cond   *sync.Cond // the way changes
-	way    Way
+	way    LinkCondition
 	ended  bool
 	held   bool // a connection has been accepted and waits until the link is not silent: none behind it is accepted
 	conns  map[*relayed]bool
@@ -59,11 +59,11 @@
 // relayed is one connection through a link.
 type relayed struct {
 	client, server *net.TCPConn
-	fate           chan Way // what the request in hand meets; the answer's direction reads it
+	fate           chan LinkCondition // what the request in hand meets; the answer's direction reads it
 }
 
 // NewLink returns a link that listens on loopback and leads to a node's address.
-func NewLink(from net.IP, to string, way Way, seed uint64) (*Link, error) {
+func NewLink(from net.IP, to string, way LinkCondition, seed uint64) (*Link, error) {
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return nil, fmt.Errorf("link to %s: %w", to, err)
@@ -96,17 +96,17 @@
 	k.owned.Wait()
 }
 
-// Set changes the way.
-func (k *Link) Set(way Way) {
+// SetCondition changes the way.
+func (k *Link) SetCondition(way LinkCondition) {
 	k.mu.Lock()
-	was := k.way.Silent
+	was := k.way.Blackhole
 	k.way = way
 	switch {
-	case way.Silent && !was:
+	case way.Blackhole && !was:
 		k.mu.Unlock()
 		k.silence()
 		return
-	case !way.Silent && was:
+	case !way.Blackhole && was:
 		for c := range k.conns { // what was cut off is reset once it is back
 			c.end(true)
 		}
@@ -151,10 +151,10 @@
 			continue // another connection is where this one would be, or the link has ended
 		}
 		k.mu.Lock()
-		for !k.held && k.way.Silent && !k.ended { // c is there to be taken, or another is
+		for !k.held && k.way.Blackhole && !k.ended { // c is there to be taken, or another is
 			k.cond.Wait()
 		}
-		over := !k.way.Silent || k.ended
+		over := !k.way.Blackhole || k.ended
 		if !over {
 			k.fill = append(k.fill, c)
 		}
@@ -192,10 +192,10 @@
 }
 
 // speaking waits until the link is not silent, and returns the way; false once it has ended.
-func (k *Link) speaking() (Way, bool) {
+func (k *Link) speaking() (LinkCondition, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for k.way.Silent && !k.ended {
+	for k.way.Blackhole && !k.ended {
 		k.cond.Wait()
 	}
 	return k.way, !k.ended
@@ -209,7 +209,7 @@
 			return
 		}
 		k.mu.Lock()
-		for k.way.Silent && !k.ended { // none is accepted while the link is silent
+		for k.way.Blackhole && !k.ended { // none is accepted while the link is silent
 			k.held = true
 			k.cond.Broadcast()
 			k.cond.Wait()
@@ -227,7 +227,7 @@
 }
 
 // relay carries one connection.
-func (k *Link) relay(client *net.TCPConn, way Way) {
+func (k *Link) relay(client *net.TCPConn, way LinkCondition) {
 	defer k.owned.Done()
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: k.from}}
 	inner, err := d.DialContext(k.ctx, "tcp", k.to)
@@ -236,7 +236,7 @@
 		_ = client.Close()
 		return
 	}
-	c := &relayed{client: client, server: inner.(*net.TCPConn), fate: make(chan Way, 64)}
+	c := &relayed{client: client, server: inner.(*net.TCPConn), fate: make(chan LinkCondition, 64)}
 	k.mu.Lock()
 	k.conns[c] = true
 	if k.ended {
@@ -247,7 +247,7 @@
 	both.Add(2)
 	go func() {
 		defer both.Done()
-		k.carry(c, c.client, c.server, true, way.Handshake)
+		k.carry(c, c.client, c.server, true, way.HandshakeRoundTrips)
 	}()
 	go func() {
 		defer both.Done()
@@ -289,7 +289,7 @@
 	}()
 	defer writing.Wait()
 	defer close(under)
-	fate := Way{}
+	fate := LinkCondition{}
 	for {
 		buf := make([]byte, piece)
 		n, err := from.Read(buf)
@@ -298,7 +298,7 @@
 			if !ok {
 				return
 			}
-			x := chunk{bytes: buf[:n], rate: way.Rate}
+			x := chunk{bytes: buf[:n], rate: way.BytesPerSecond}
 			if request {
 				fate = k.draw(way)
 				x.hit(fate)
@@ -312,7 +312,7 @@
 				default:
 				}
 				x.mangle(fate, k)
-				fate = Way{}
+				fate = LinkCondition{}
 			}
 			x.due = time.Now().Add(k.delay(way, handshake))
 			handshake = 0
@@ -326,41 +326,41 @@
 }
 
 // now is the way as it stands.
-func (k *Link) now() Way {
+func (k *Link) now() LinkCondition {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.way
 }
 
-func (k *Link) delay(way Way, handshake float64) time.Duration {
+func (k *Link) delay(way LinkCondition, handshake float64) time.Duration {
 	k.mu.Lock()
 	u := k.rng.Float64()
 	k.mu.Unlock()
-	one := float64(way.Delay) * (1 + way.Jitter*(2*u-1))
+	one := float64(way.Delay) * (1 + way.JitterFraction*(2*u-1))
 	return time.Duration(one * (1 + 2*handshake))
 }
 
 // draw tells which trouble a request meets: a Way with one share at 1, or none.
-func (k *Link) draw(way Way) Way {
+func (k *Link) draw(way LinkCondition) LinkCondition {
 	k.mu.Lock()
 	u := k.rng.Float64()
 	k.mu.Unlock()
 	for _, t := range []struct {
 		share float64
-		is    Way
-	}{{way.ResetBefore, Way{ResetBefore: 1}}, {way.ResetWithin, Way{ResetWithin: 1}}, {way.ResetAfter, Way{ResetAfter: 1}},
-		{way.HalfClose, Way{HalfClose: 1}}, {way.Garbage, Way{Garbage: 1}}, {way.Truncate, Way{Truncate: 1}},
-		{way.Trickle, Way{Trickle: 1}}} {
+		is    LinkCondition
+	}{{way.ResetBefore, LinkCondition{ResetBefore: 1}}, {way.ResetWithin, LinkCondition{ResetWithin: 1}}, {way.ResetAfter, LinkCondition{ResetAfter: 1}},
+		{way.HalfClose, LinkCondition{HalfClose: 1}}, {way.Garbage, LinkCondition{Garbage: 1}}, {way.Truncate, LinkCondition{Truncate: 1}},
+		{way.Trickle, LinkCondition{Trickle: 1}}} {
 		if u < t.share {
 			return t.is
 		}
 		u -= t.share
 	}
-	return Way{}
+	return LinkCondition{}
 }
 
 // hit does to a request what its fate says.
-func (x *chunk) hit(f Way) {
+func (x *chunk) hit(f LinkCondition) {
 	switch {
 	case f.ResetBefore > 0:
 		x.bytes, x.then = nil, "reset"
@@ -374,7 +374,7 @@
 }
 
 // mangle does to an answer what its request's fate says.
-func (x *chunk) mangle(f Way, k *Link) {
+func (x *chunk) mangle(f LinkCondition, k *Link) {
 	switch {
 	case f.Garbage > 0:
 		k.mu.Lock()
--- a/internal/standin/link_test.go
+++ b/internal/standin/link_test.go
@@ -79,40 +79,40 @@
 	reset := func(_ string, err error) bool { return errors.Is(err, syscall.ECONNRESET) }
 	for _, tt := range []struct {
 		name   string
-		way    Way
+		way    LinkCondition
 		within time.Duration
 		good   func(text string, err error) bool
 	}{
-		{"nothing wrong", Way{}, patience, func(s string, err error) bool { return s == "got hello there\n" && err == nil }},
-		{"delayed", Way{Delay: 5 * time.Millisecond, Handshake: 1, Jitter: 0.2}, patience, func(s string, err error) bool { return s == "got hello there\n" && err == nil }},
-		{"reset before", Way{ResetBefore: 1}, patience, reset},
-		{"reset within", Way{ResetWithin: 1}, patience, reset},
-		{"reset after", Way{ResetAfter: 1, Delay: time.Millisecond}, patience, reset},
-		{"half closed", Way{HalfClose: 1}, patience, func(s string, err error) bool { return err == nil || errors.Is(err, io.EOF) }},
-		{"garbage", Way{Garbage: 1}, patience, func(s string, err error) bool { return !strings.Contains(s, "got") }},
-		{"truncated", Way{Truncate: 1}, patience, func(s string, err error) bool { return s == "got hell" && errors.Is(err, io.EOF) }},
-		{"trickled", Way{Trickle: 1}, 600 * time.Millisecond, func(s string, err error) bool {
+		{"nothing wrong", LinkCondition{}, patience, func(s string, err error) bool { return s == "got hello there\n" && err == nil }},
+		{"delayed", LinkCondition{Delay: 5 * time.Millisecond, HandshakeRoundTrips: 1, JitterFraction: 0.2}, patience, func(s string, err error) bool { return s == "got hello there\n" && err == nil }},
+		{"reset before", LinkCondition{ResetBefore: 1}, patience, reset},
+		{"reset within", LinkCondition{ResetWithin: 1}, patience, reset},
+		{"reset after", LinkCondition{ResetAfter: 1, Delay: time.Millisecond}, patience, reset},
+		{"half closed", LinkCondition{HalfClose: 1}, patience, func(s string, err error) bool { return err == nil || errors.Is(err, io.EOF) }},
+		{"garbage", LinkCondition{Garbage: 1}, patience, func(s string, err error) bool { return !strings.Contains(s, "got") }},
+		{"truncated", LinkCondition{Truncate: 1}, patience, func(s string, err error) bool { return s == "got hell" && errors.Is(err, io.EOF) }},
+		{"trickled", LinkCondition{Trickle: 1}, 600 * time.Millisecond, func(s string, err error) bool {
 			return len(s) > 0 && len(s) < 8 && errors.Is(err, os.ErrDeadlineExceeded)
 		}},
-		{"narrow", Way{Rate: 10}, 500 * time.Millisecond, func(s string, err error) bool {
+		{"narrow", LinkCondition{BytesPerSecond: 10}, 500 * time.Millisecond, func(s string, err error) bool {
 			return len(s) < 12 && errors.Is(err, os.ErrDeadlineExceeded)
 		}},
-		{"silent", Way{Silent: true}, 200 * time.Millisecond, func(_ string, err error) bool {
+		{"silent", LinkCondition{Blackhole: true}, 200 * time.Millisecond, func(_ string, err error) bool {
 			var late net.Error // the connection never comes up
 			return errors.As(err, &late) && late.Timeout() && strings.Contains(err.Error(), "dial")
 		}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			k, err := NewLink(SideAddress(0), to, Way{}, 1)
+			k, err := NewLink(SidecarIP(0), to, LinkCondition{}, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer k.Close()
-			k.Set(tt.way)
+			k.SetCondition(tt.way)
 			if text, err := ask(t, k, tt.within); !tt.good(text, err) {
 				t.Errorf("got %q, %v", text, err)
 			}
-			k.Set(Way{})
+			k.SetCondition(LinkCondition{})
 			if text, err := ask(t, k, patience); text != "got hello there\n" || err != nil {
 				t.Errorf("once it is over: %q, %v", text, err)
 			}
@@ -138,11 +138,11 @@
 	defer quiet.Store(true)
 	to := answering(t)
 	for round := range 20 {
-		k, err := NewLink(SideAddress(0), to, Way{}, uint64(round))
+		k, err := NewLink(SidecarIP(0), to, LinkCondition{}, uint64(round))
 		if err != nil {
 			t.Fatal(err)
 		}
-		k.Set(Way{Silent: true})
+		k.SetCondition(LinkCondition{Blackhole: true})
 		for range 2 {
 			runtime.Gosched() // the accepting goroutine takes what it can have
 		}
@@ -155,7 +155,7 @@
 
 // TestSilenceResets has connections that were open when a link fell silent say nothing, and be reset once it is back.
 func TestSilenceResets(t *testing.T) {
-	k, err := NewLink(SideAddress(3), answering(t), Way{}, 1)
+	k, err := NewLink(SidecarIP(3), answering(t), LinkCondition{}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -172,7 +172,7 @@
 	if line, err := in.ReadString('\n'); line != "got one\n" {
 		t.Fatalf("%q, %v", line, err)
 	}
-	k.Set(Way{Silent: true})
+	k.SetCondition(LinkCondition{Blackhole: true})
 	if _, err := io.WriteString(c, "two\n"); err != nil {
 		t.Fatal(err)
 	}
@@ -180,7 +180,7 @@
 	if line, err := in.ReadString('\n'); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("while silent: %q, %v", line, err)
 	}
-	k.Set(Way{})
+	k.SetCondition(LinkCondition{})
 	_ = c.SetReadDeadline(time.Now().Add(patience))
 	if line, err := in.ReadString('\n'); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("once it is back: %q, %v, want a reset", line, err)
@@ -218,18 +218,18 @@
 	}
 	in, body := watch()
 	next(in, `"rev":1,"all":true,"targets":[{"uid":"a"`)
-	d.Tell(Entry{UID: "a", State: "DRAINING"})
+	d.Publish(Entry{UID: "a", State: "DRAINING"})
 	next(in, `"rev":2,"all":false,"targets":[{"uid":"a","endpoint":"","az":"","model":"","pod_group":0,"state":"DRAINING"`)
-	d.Silence(true)
-	d.Tell(Entry{UID: "a", State: "DELETED"})
-	d.Tell(Entry{UID: "c", State: "SERVING"})
-	d.Silence(false)
+	d.SetStalled(true)
+	d.Publish(Entry{UID: "a", State: "DELETED"})
+	d.Publish(Entry{UID: "c", State: "SERVING"})
+	d.SetStalled(false)
 	next(in, `"state":"DELETED"`)
 	next(in, `"uid":"c"`)
-	d.Back()
+	d.Rollback()
 	next(in, `"rev":1,"all":true,"targets":[{"uid":"b"`)
-	d.Cut()
-	d.Tell(Entry{UID: "d", State: "SERVING"})
+	d.TruncateNext()
+	d.Publish(Entry{UID: "d", State: "SERVING"})
 	if text, err := io.ReadAll(in); err == nil || strings.HasSuffix(string(text), "}\n") || !strings.Contains(string(text), `{"rev":2`) {
 		t.Errorf("cut in the middle: %q, %v", text, err)
 	}
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -14,42 +14,44 @@
 	"milletramp.example/milletramp/internal/lab/record"
 )
 
-// Known is what a node looks up about a request: the sidecar need not pass it on.
-type Known struct {
+// RequestInfo is what a node looks up about a request: the sidecar need not pass it on.
+type RequestInfo struct {
 	Class  int
 	Work   float64 // seconds on a standard core
 	Key    uint64
 	Effect uint64 // 0: repeats are not dropped
 }
 
-// Book is where clients note their requests, for nodes to look up.
-type Book struct {
+// RequestRegistry is where clients note their requests, for nodes to look up.
+type RequestRegistry struct {
 	mu       sync.Mutex
-	requests map[uint64]Known
+	requests map[uint64]RequestInfo
 	tokens   uint64
 	tries    map[uint64]uint8
 }
 
-// NewBook returns an empty book.
-func NewBook() *Book { return &Book{requests: map[uint64]Known{}, tries: map[uint64]uint8{}} }
+// NewRequestRegistry returns an empty book.
+func NewRequestRegistry() *RequestRegistry {
+	return &RequestRegistry{requests: map[uint64]RequestInfo{}, tries: map[uint64]uint8{}}
+}
 
-// Note notes a request.
-func (b *Book) Note(id uint64, k Known) {
+// Register notes a request.
+func (b *RequestRegistry) Register(id uint64, k RequestInfo) {
 	b.mu.Lock()
 	b.requests[id] = k
 	b.mu.Unlock()
 }
 
-// Look looks a request up.
-func (b *Book) Look(id uint64) (Known, bool) {
+// Lookup looks a request up.
+func (b *RequestRegistry) Lookup(id uint64) (RequestInfo, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k, ok := b.requests[id]
 	return k, ok
 }
 
-// Token names an answer.
-func (b *Book) Token() uint64 {
+// NextToken names an answer.
+func (b *RequestRegistry) NextToken() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens++
@@ -59,7 +61,7 @@
 // Node is one tracking node: an HTTP server around the model of one.
 type Node struct {
 	Number int32
-	book   *Book
+	book   *RequestRegistry
 	log    *Log
 	cap    int           // connections
 	hand   float64       // work of a handshake, seconds on a standard core
@@ -84,19 +86,19 @@
 
 // NodeOptions are what a node is started with.
 type NodeOptions struct {
-	Number    int32
-	Book      *Book
-	Log       *Log
-	ConnCap   int
-	Handshake time.Duration
-	IdleClose time.Duration
-	Stops     bool
+	Number        int32
+	Requests      *RequestRegistry
+	Log           *Log
+	ConnCap       int
+	Handshake     time.Duration
+	IdleTimeout   time.Duration
+	StopsOnCancel bool
 }
 
 // NewNode returns a node that does not listen yet.
 func NewNode(o NodeOptions) *Node {
-	return &Node{Number: o.Number, book: o.Book, log: o.Log, cap: o.ConnCap, hand: o.Handshake.Seconds(), idle: o.IdleClose,
-		stops: o.Stops, dead: true}
+	return &Node{Number: o.Number, book: o.Requests, log: o.Log, cap: o.ConnCap, hand: o.Handshake.Seconds(), idle: o.IdleTimeout,
+		stops: o.StopsOnCancel, dead: true}
 }
 
 // Start begins a process of the node that serves on l, with a model whose clock is the log's.
@@ -111,11 +113,11 @@
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }}
 	web := n.http
 	n.mu.Unlock()
-	go func() { _ = web.Serve(l) }() // it ends with Stop
+	go func() { _ = web.Serve(l) }() // it ends with Kill
 }
 
-// Stop ends the process: its connections break, new ones are refused, what it held is gone.
-func (n *Node) Stop() {
+// Kill ends the process: its connections break, new ones are refused, what it held is gone.
+func (n *Node) Kill() {
 	n.mu.Lock()
 	if n.dead {
 		n.mu.Unlock()
@@ -175,7 +177,7 @@
 		return
 	}
 	id, err := strconv.ParseUint(r.Header.Get("X-Request-ID"), 16, 64)
-	known, ok := n.book.Look(id)
+	known, ok := n.book.Lookup(id)
 	c, _ := r.Context().Value(connKey{}).(net.Conn)
 	side := sideOf(r)
 	n.mu.Lock()
@@ -200,7 +202,7 @@
 }
 
 // serve has the model decide on a request and answers it.
-func (n *Node) serve(w http.ResponseWriter, r *http.Request, id uint64, attempt uint8, known Known, fresh bool) {
+func (n *Node) serve(w http.ResponseWriter, r *http.Request, id uint64, attempt uint8, known RequestInfo, fresh bool) {
 	job := &node.Job{Work: known.Work}
 	done := make(chan node.Ending, 1)
 	job.Owner = done
@@ -234,7 +236,7 @@
 	}
 	select {
 	case ending := <-done:
-		s, token := record.Served, n.book.Token()
+		s, token := record.Served, n.book.NextToken()
 		if ending != node.Answered {
 			s = record.Failed
 		}
@@ -296,15 +298,15 @@
 }
 
 // attempt numbers a request's attempts as they reach nodes.
-func (b *Book) attempt(id uint64) uint8 {
+func (b *RequestRegistry) attempt(id uint64) uint8 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tries[id]++
 	return b.tries[id] - 1
 }
 
-// SideAddress is where the links of a sidecar call from, so that nodes can tell whose they are.
-func SideAddress(sidecar int) net.IP {
+// SidecarIP is where the links of a sidecar call from, so that nodes can tell whose they are.
+func SidecarIP(sidecar int) net.IP {
 	return net.IPv4(127, 0, byte(1+sidecar/200), byte(1+sidecar%200))
 }
 
