--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -25,11 +25,11 @@
 type Clients struct {
 	ClientOptions
 
-	mu      sync.Mutex
-	address string
-	rng     *rand.Rand
-	web     *http.Client
-	late    time.Duration // the latest that a request was sent behind its time
+	mu           sync.Mutex
+	address      string
+	rng          *rand.Rand
+	httpClient   *http.Client
+	maxSendDelay time.Duration // the latest that a request was sent behind its time
 }
 
 // ClientOptions are what clients are made with.
@@ -45,7 +45,7 @@
 // NewClients returns the clients of a sidecar.
 func NewClients(o ClientOptions, seed uint64) *Clients {
 	c := &Clients{ClientOptions: o, rng: rand.New(rand.NewPCG(seed, uint64(o.Sidecar)+0xc11e47))}
-	c.web = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: 30 * time.Second,
+	c.httpClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: 30 * time.Second,
 		DisableCompression: true, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
 	return c
 }
@@ -61,26 +61,26 @@
 // the latest request was sent behind its time.
 func (c *Clients) Run(ctx context.Context, s *workload.Source) time.Duration {
 	var out sync.WaitGroup
-	defer c.web.CloseIdleConnections()
+	defer c.httpClient.CloseIdleConnections()
 	for {
 		a, ok := s.Next()
-		if !ok || !wait(ctx, a.At-c.Log.Now()) {
+		if !ok || !sleepContext(ctx, a.At-c.Log.Now()) {
 			break
 		}
 		out.Add(1)
 		go func() {
 			defer out.Done()
-			c.request(ctx, a)
+			c.sendWithRetries(ctx, a)
 		}()
 	}
 	out.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.late
+	return c.maxSendDelay
 }
 
-// wait waits; false if ctx ends first.
-func wait(ctx context.Context, d time.Duration) bool {
+// sleepContext waits; false if ctx ends first.
+func sleepContext(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
@@ -94,8 +94,8 @@
 	}
 }
 
-// request makes a request, with its further tries.
-func (c *Clients) request(ctx context.Context, a workload.Request) {
+// sendWithRetries makes a request, with its further tries.
+func (c *Clients) sendWithRetries(ctx context.Context, a workload.Request) {
 	first := uint64(0)
 	for {
 		id := c.IDs.Add(1)
@@ -103,21 +103,21 @@
 			first = id
 		}
 		c.mu.Lock()
-		c.late = max(c.late, c.Log.Now()-a.At)
+		c.maxSendDelay = max(c.maxSendDelay, c.Log.Now()-a.At)
 		c.mu.Unlock()
-		how, after := c.try(ctx, a, id, first)
+		how, after := c.attempt(ctx, a, id, first)
 		c.mu.Lock()
 		next, ok := workload.Retry(c.Scenario, a, c.Log.Now(), how, after, c.rng)
 		c.mu.Unlock()
-		if !ok || !wait(ctx, next.At-c.Log.Now()) {
+		if !ok || !sleepContext(ctx, next.At-c.Log.Now()) {
 			return
 		}
 		a = next
 	}
 }
 
-// try makes one try and tells how it ended.
-func (c *Clients) try(ctx context.Context, a workload.Request, id, first uint64) (workload.Outcome, time.Duration) {
+// attempt makes one try and tells how it ended.
+func (c *Clients) attempt(ctx context.Context, a workload.Request, id, first uint64) (workload.Outcome, time.Duration) {
 	class := c.Scenario.Classes[a.Class]
 	known := RequestInfo{Class: a.Class, Work: a.Work, Key: a.Key}
 	if class.Effect == "deduplicated" {
@@ -155,11 +155,11 @@
 			asked()
 		}
 	}})
-	r, err := c.build(ctx, a, class, id, address)
+	r, err := c.newHTTPRequest(ctx, a, class, id, address)
 	if err != nil {
 		panic(fmt.Sprintf("standin: a request that cannot be built: %v", err))
 	}
-	resp, err := c.web.Do(r)
+	resp, err := c.httpClient.Do(r)
 	var body []byte
 	if err == nil {
 		body, err = io.ReadAll(resp.Body)
@@ -194,7 +194,7 @@
 	return workload.Failed, 0
 }
 
-func (c *Clients) build(ctx context.Context, a workload.Request, class scenario.Class, id uint64, address string) (*http.Request, error) {
+func (c *Clients) newHTTPRequest(ctx context.Context, a workload.Request, class scenario.Class, id uint64, address string) (*http.Request, error) {
 	method, body := http.MethodPost, io.Reader(strings.NewReader("bags: 12"))
 	if class.Effect == "idempotent" {
 		method, body = http.MethodGet, nil
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -34,45 +34,45 @@
 	Targets []Entry `json:"targets"`
 }
 
-// heartbeat is how often a watch says that nothing has changed.
-const heartbeat = 2 * time.Second
+// heartbeatInterval is how often a watch says that nothing has changed.
+const heartbeatInterval = 2 * time.Second
 
 // Discovery is the agent of one sidecar: what it has been sent counts as told.
 type Discovery struct {
-	sidecar int32
-	log     *Log
-	number  func(uid string) int32
-	written atomic.Int64 // bytes of lists
-
-	mu       sync.Mutex
-	rev      int64
-	entries  []Entry // present, in order of coming
-	changes  []List  // one a version
-	silent   bool
-	cut      bool // the next line ends midway, with its connection
-	changed  chan struct{}
-	listener net.Listener
-	http     *http.Server
+	sidecar      int32
+	log          *Log
+	nodeNumber   func(uid string) int32
+	bytesWritten atomic.Int64 // bytes of lists
+
+	mu           sync.Mutex
+	revision     int64
+	entries      []Entry // present, in order of coming
+	changes      []List  // one a version
+	stalled      bool
+	truncateNext bool // the next line ends midway, with its connection
+	changed      chan struct{}
+	listener     net.Listener
+	server       *http.Server
 }
 
 // NewDiscovery returns the agent of a sidecar, with a first list that counts as told. number names nodes in the log.
 func NewDiscovery(sidecar int32, first []Entry, log *Log, number func(uid string) int32) (*Discovery, error) {
-	d := &Discovery{sidecar: sidecar, log: log, number: number, rev: 1, entries: append([]Entry(nil), first...),
+	d := &Discovery{sidecar: sidecar, log: log, nodeNumber: number, revision: 1, entries: append([]Entry(nil), first...),
 		changed: make(chan struct{})}
-	if err := d.open(); err != nil {
+	if err := d.listen(); err != nil {
 		return nil, err
 	}
 	return d, nil
 }
 
-// open listens at a new address.
-func (d *Discovery) open() error {
+// listen listens at a new address.
+func (d *Discovery) listen() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return fmt.Errorf("discovery: %w", err)
 	}
-	d.listener, d.http = l, &http.Server{Handler: d}
-	web := d.http
+	d.listener, d.server = l, &http.Server{Handler: d}
+	web := d.server
 	go func() { _ = web.Serve(l) }() // it ends with Close or Move
 	return nil
 }
@@ -85,16 +85,16 @@
 }
 
 // Written is how many bytes of lists watches have been sent.
-func (d *Discovery) Written() int { return int(d.written.Load()) }
+func (d *Discovery) Written() int { return int(d.bytesWritten.Load()) }
 
 // Close ends it and its watches.
-func (d *Discovery) Close() { _ = d.http.Close() }
+func (d *Discovery) Close() { _ = d.server.Close() }
 
 // Move has it listen at a new address; the old one takes no new connections and closes its open ones after a time.
 func (d *Discovery) Move(after time.Duration) error {
 	d.mu.Lock()
-	old, listener := d.http, d.listener
-	err := d.open()
+	old, listener := d.server, d.listener
+	err := d.listen()
 	d.mu.Unlock()
 	if err != nil {
 		return err
@@ -125,36 +125,36 @@
 			d.entries = append(d.entries, e)
 		}
 	}
-	d.rev++
-	d.changes = append(d.changes, List{Rev: d.rev, Targets: changed})
-	d.wake()
+	d.revision++
+	d.changes = append(d.changes, List{Rev: d.revision, Targets: changed})
+	d.notifyWatches()
 }
 
 // Rollback has it go back to an older version: it counts its versions anew and tells the whole list.
 func (d *Discovery) Rollback() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.rev, d.changes = 1, nil
+	d.revision, d.changes = 1, nil
 	d.changes = append(d.changes, List{Rev: 1, All: true, Targets: append([]Entry(nil), d.entries...)})
-	d.wake()
+	d.notifyWatches()
 }
 
 // SetStalled has it say nothing, not even that nothing has changed, or speak again.
 func (d *Discovery) SetStalled(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.silent = on
-	d.wake()
+	d.stalled = on
+	d.notifyWatches()
 }
 
 // TruncateNext has the next line end midway, together with its connection.
 func (d *Discovery) TruncateNext() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.cut = true
+	d.truncateNext = true
 }
 
-func (d *Discovery) wake() {
+func (d *Discovery) notifyWatches() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
@@ -163,7 +163,7 @@
 func (d *Discovery) Snapshot() List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return List{Rev: d.rev, All: true, Targets: append([]Entry(nil), d.entries...)}
+	return List{Rev: d.revision, All: true, Targets: append([]Entry(nil), d.entries...)}
 }
 
 // ServeHTTP implements http.Handler.
@@ -174,7 +174,7 @@
 	}
 	if r.URL.Query().Get("watch") == "" {
 		l := d.Snapshot()
-		d.told(l.Targets)
+		d.recordNotified(l.Targets)
 		_ = json.NewEncoder(w).Encode(l)
 		return
 	}
@@ -183,18 +183,18 @@
 
 // watch tells of changes until the connection ends. Its first line always holds the whole list, as it may.
 func (d *Discovery) watch(w http.ResponseWriter, r *http.Request) {
-	beat := time.NewTicker(heartbeat)
+	beat := time.NewTicker(heartbeatInterval)
 	defer beat.Stop()
 	whole := true
 	var next int // of changes
 	for {
 		d.mu.Lock()
-		changed, silent, cut := d.changed, d.silent, d.cut
+		changed, silent, cut := d.changed, d.stalled, d.truncateNext
 		var lines []List
 		switch {
 		case silent:
 		case whole:
-			lines = []List{{Rev: d.rev, All: true, Targets: append([]Entry(nil), d.entries...)}}
+			lines = []List{{Rev: d.revision, All: true, Targets: append([]Entry(nil), d.entries...)}}
 			next, whole = len(d.changes), false
 		case next > len(d.changes): // it went back
 			next = 0
@@ -204,7 +204,7 @@
 			next = len(d.changes)
 		}
 		if len(lines) > 0 && cut {
-			d.cut = false
+			d.truncateNext = false
 		}
 		d.mu.Unlock()
 		for _, l := range lines {
@@ -217,8 +217,8 @@
 				_ = http.NewResponseController(w).Flush()
 				panic(http.ErrAbortHandler)
 			}
-			d.told(l.Targets)
-			d.written.Add(int64(len(text) + 1))
+			d.recordNotified(l.Targets)
+			d.bytesWritten.Add(int64(len(text) + 1))
 			if _, err := w.Write(append(text, '\n')); err != nil {
 				return
 			}
@@ -241,12 +241,12 @@
 	}
 }
 
-// told notes what the sidecar has been told.
-func (d *Discovery) told(list []Entry) {
+// recordNotified notes what the sidecar has been told.
+func (d *Discovery) recordNotified(list []Entry) {
 	for _, e := range list {
 		for state, word := range States {
 			if word == e.State {
-				d.log.Add(record.Event{Kind: record.Notified, Sidecar: d.sidecar, Node: d.number(e.UID), State: state})
+				d.log.Add(record.Event{Kind: record.Notified, Sidecar: d.sidecar, Node: d.nodeNumber(e.UID), State: state})
 			}
 		}
 	}
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -30,36 +30,36 @@
 }
 
 const (
-	trickleRate  = 4        // bytes a second
-	piece        = 16 << 10 // bytes that a link takes up at once
-	normalQueue  = 128      // connections that wait to be accepted
-	silentProbes = 8
-	fillTime     = 250 * time.Millisecond // until a connection that fills the queue has come up
+	trickleBytesPerSecond = 4        // bytes a second
+	readBufferBytes       = 16 << 10 // bytes that a link takes up at once
+	normalBacklog         = 128      // connections that wait to be accepted
+	maxFillAttempts       = 8
+	fillTimeout           = 250 * time.Millisecond // until a connection that fills the queue has come up
 )
 
 // Link is a TCP relay between a sidecar and a node.
 type Link struct {
 	listener *net.TCPListener
-	from     net.IP // it calls the node from there
-	to       string
+	source   net.IP // it calls the node from there
+	target   string
 	rng      *rand.Rand
 
-	mu     sync.Mutex
-	cond   *sync.Cond // the way changes
-	way    LinkCondition
-	ended  bool
-	held   bool // a connection has been accepted and waits until the link is not silent: none behind it is accepted
-	conns  map[*relayed]bool
-	fill   []net.Conn // they fill the listener's queue while the link is silent
-	owned  sync.WaitGroup
-	cancel context.CancelFunc
-	ctx    context.Context
+	mu         sync.Mutex
+	changed    *sync.Cond // the way changes
+	condition  LinkCondition
+	closed     bool
+	holding    bool // a connection has been accepted and waits until the link is not silent: none behind it is accepted
+	conns      map[*relayedConn]bool
+	fillers    []net.Conn // they fill the listener's queue while the link is silent
+	goroutines sync.WaitGroup
+	cancel     context.CancelFunc
+	ctx        context.Context
 }
 
-// relayed is one connection through a link.
-type relayed struct {
+// relayedConn is one connection through a link.
+type relayedConn struct {
 	client, server *net.TCPConn
-	fate           chan LinkCondition // what the request in hand meets; the answer's direction reads it
+	faults         chan LinkCondition // what the request in hand meets; the answer's direction reads it
 }
 
 // NewLink returns a link that listens on loopback and leads to a node's address.
@@ -68,10 +68,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("link to %s: %w", to, err)
 	}
-	k := &Link{listener: l, from: from, to: to, rng: rand.New(rand.NewPCG(seed, 0x117c)), way: way, conns: map[*relayed]bool{}}
-	k.cond = sync.NewCond(&k.mu)
+	k := &Link{listener: l, source: from, target: to, rng: rand.New(rand.NewPCG(seed, 0x117c)), condition: way, conns: map[*relayedConn]bool{}}
+	k.changed = sync.NewCond(&k.mu)
 	k.ctx, k.cancel = context.WithCancel(context.Background())
-	k.owned.Add(1)
+	k.goroutines.Add(1)
 	go k.accept()
 	return k, nil
 }
@@ -84,44 +84,44 @@
 	k.cancel()
 	_ = k.listener.Close()
 	k.mu.Lock()
-	k.ended = true
-	k.cond.Broadcast()
+	k.closed = true
+	k.changed.Broadcast()
 	for c := range k.conns {
-		c.end(false)
+		c.close(false)
 	}
-	for _, c := range k.fill {
+	for _, c := range k.fillers {
 		_ = c.Close()
 	}
 	k.mu.Unlock()
-	k.owned.Wait()
+	k.goroutines.Wait()
 }
 
 // SetCondition changes the way.
 func (k *Link) SetCondition(way LinkCondition) {
 	k.mu.Lock()
-	was := k.way.Blackhole
-	k.way = way
+	was := k.condition.Blackhole
+	k.condition = way
 	switch {
 	case way.Blackhole && !was:
 		k.mu.Unlock()
-		k.silence()
+		k.fillBacklog()
 		return
 	case !way.Blackhole && was:
 		for c := range k.conns { // what was cut off is reset once it is back
-			c.end(true)
+			c.close(true)
 		}
-		for _, c := range k.fill {
+		for _, c := range k.fillers {
 			_ = c.Close()
 		}
-		k.fill = nil
-		_ = k.queue(normalQueue)
+		k.fillers = nil
+		_ = k.setBacklog(normalBacklog)
 	}
-	k.cond.Broadcast()
+	k.changed.Broadcast()
 	k.mu.Unlock()
 }
 
-// queue sets how many connections may wait to be accepted. Linux takes a second listen(2) for that.
-func (k *Link) queue(n int) error {
+// setBacklog sets how many connections may wait to be accepted. Linux takes a second listen(2) for that.
+func (k *Link) setBacklog(n int) error {
 	raw, err := k.listener.SyscallConn()
 	if err != nil {
 		return err
@@ -134,29 +134,29 @@
 	return err
 }
 
-// silence fills the listener's queue, so that further connections never come up, as with a machine that is gone. Danger: what is
+// fillBacklog fills the listener's queue, so that further connections never come up, as with a machine that is gone. Danger: what is
 // filled while the accepting goroutine still has a turn to come is taken out of the queue again, and one more connection comes up; so
 // one connection is held by it first, and what counts is what the kernel says of the queue, not how long a call took.
-func (k *Link) silence() {
-	if k.queue(0) != nil {
+func (k *Link) fillBacklog() {
+	if k.setBacklog(0) != nil {
 		return // connections then come up and stay silent
 	}
-	for range silentProbes {
-		if waiting, err := k.waiting(); err != nil || waiting > 0 && k.holds() {
+	for range maxFillAttempts {
+		if waiting, err := k.backlogLength(); err != nil || waiting > 0 && k.isHolding() {
 			return
 		}
-		d := net.Dialer{Timeout: fillTime}
+		d := net.Dialer{Timeout: fillTimeout}
 		c, err := d.DialContext(k.ctx, "tcp", k.Address())
 		if err != nil {
 			continue // another connection is where this one would be, or the link has ended
 		}
 		k.mu.Lock()
-		for !k.held && k.way.Blackhole && !k.ended { // c is there to be taken, or another is
-			k.cond.Wait()
+		for !k.holding && k.condition.Blackhole && !k.closed { // c is there to be taken, or another is
+			k.changed.Wait()
 		}
-		over := !k.way.Blackhole || k.ended
+		over := !k.condition.Blackhole || k.closed
 		if !over {
-			k.fill = append(k.fill, c)
+			k.fillers = append(k.fillers, c)
 		}
 		k.mu.Unlock()
 		if over {
@@ -166,16 +166,16 @@
 	}
 }
 
-// holds tells whether a connection has been accepted and waits for the link to speak.
-func (k *Link) holds() bool {
+// isHolding tells whether a connection has been accepted and waits for the link to speak.
+func (k *Link) isHolding() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.held
+	return k.holding
 }
 
-// waiting is how many connections have come up and wait to be accepted. For a socket that listens tcp_info has that in place of the
+// backlogLength is how many connections have come up and wait to be accepted. For a socket that listens tcp_info has that in place of the
 // segments that are out (tcp_diag(7), tcp_get_info).
-func (k *Link) waiting() (int, error) {
+func (k *Link) backlogLength() (int, error) {
 	raw, err := k.listener.SyscallConn()
 	if err != nil {
 		return 0, err
@@ -191,77 +191,77 @@
 	return int(info.Unacked), nil
 }
 
-// speaking waits until the link is not silent, and returns the way; false once it has ended.
-func (k *Link) speaking() (LinkCondition, bool) {
+// awaitOpen waits until the link is not silent, and returns the way; false once it has ended.
+func (k *Link) awaitOpen() (LinkCondition, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for k.way.Blackhole && !k.ended {
-		k.cond.Wait()
+	for k.condition.Blackhole && !k.closed {
+		k.changed.Wait()
 	}
-	return k.way, !k.ended
+	return k.condition, !k.closed
 }
 
 func (k *Link) accept() {
-	defer k.owned.Done()
+	defer k.goroutines.Done()
 	for {
 		c, err := k.listener.AcceptTCP()
 		if err != nil {
 			return
 		}
 		k.mu.Lock()
-		for k.way.Blackhole && !k.ended { // none is accepted while the link is silent
-			k.held = true
-			k.cond.Broadcast()
-			k.cond.Wait()
+		for k.condition.Blackhole && !k.closed { // none is accepted while the link is silent
+			k.holding = true
+			k.changed.Broadcast()
+			k.changed.Wait()
 		}
-		k.held = false
-		way, ok := k.way, !k.ended
+		k.holding = false
+		way, ok := k.condition, !k.closed
 		k.mu.Unlock()
 		if !ok {
 			_ = c.Close()
 			return
 		}
-		k.owned.Add(1)
+		k.goroutines.Add(1)
 		go k.relay(c, way)
 	}
 }
 
 // relay carries one connection.
 func (k *Link) relay(client *net.TCPConn, way LinkCondition) {
-	defer k.owned.Done()
-	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: k.from}}
-	inner, err := d.DialContext(k.ctx, "tcp", k.to)
+	defer k.goroutines.Done()
+	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: k.source}}
+	inner, err := d.DialContext(k.ctx, "tcp", k.target)
 	if err != nil { // as if the connection had been refused: nothing of the request has passed
 		_ = client.SetLinger(0)
 		_ = client.Close()
 		return
 	}
-	c := &relayed{client: client, server: inner.(*net.TCPConn), fate: make(chan LinkCondition, 64)}
+	c := &relayedConn{client: client, server: inner.(*net.TCPConn), faults: make(chan LinkCondition, 64)}
 	k.mu.Lock()
 	k.conns[c] = true
-	if k.ended {
-		c.end(false)
+	if k.closed {
+		c.close(false)
 	}
 	k.mu.Unlock()
 	var both sync.WaitGroup
 	both.Add(2)
 	go func() {
 		defer both.Done()
-		k.carry(c, c.client, c.server, true, way.HandshakeRoundTrips)
+		k.forward(c, c.client, c.server, true, way.HandshakeRoundTrips)
 	}()
 	go func() {
 		defer both.Done()
-		k.carry(c, c.server, c.client, false, 0)
+		k.forward(c, c.server, c.client, false, 0)
 	}()
 	both.Wait()
-	c.end(false)
+	c.close(false)
 	k.mu.Lock()
 	delete(k.conns, c)
 	k.mu.Unlock()
 }
 
-// end ends both sides.
-func (c *relayed) end(reset bool) {
+// close ends both sides.
+func (c *relayedConn) close(reset bool) {
 	if reset {
 		_ = c.client.SetLinger(0)
 		_ = c.server.SetLinger(0)
@@ -272,67 +272,67 @@
 
 // chunk is what passes at once.
 type chunk struct {
-	bytes []byte
-	due   time.Time
-	rate  int
-	then  string // after it: "", "reset", "close", "half"
+	bytes          []byte
+	due            time.Time
+	bytesPerSecond int
+	then           string // after it: "", "reset", "close", "half"
 }
 
-// carry passes one direction on. Reading goes on while earlier bytes are under way, so a delay does not bound the rate.
-func (k *Link) carry(c *relayed, from, to *net.TCPConn, request bool, handshake float64) {
+// forward passes one direction on. Reading goes on while earlier bytes are under way, so a delay does not bound the rate.
+func (k *Link) forward(c *relayedConn, from, to *net.TCPConn, request bool, handshake float64) {
 	under := make(chan chunk, 256)
 	var writing sync.WaitGroup
 	writing.Add(1)
 	go func() {
 		defer writing.Done()
-		k.write(c, to, under)
+		k.deliver(c, to, under)
 	}()
 	defer writing.Wait()
 	defer close(under)
 	fate := LinkCondition{}
 	for {
-		buf := make([]byte, piece)
+		buf := make([]byte, readBufferBytes)
 		n, err := from.Read(buf)
 		if n > 0 {
-			way, ok := k.speaking()
+			way, ok := k.awaitOpen()
 			if !ok {
 				return
 			}
-			x := chunk{bytes: buf[:n], rate: way.BytesPerSecond}
+			x := chunk{bytes: buf[:n], bytesPerSecond: way.BytesPerSecond}
 			if request {
-				fate = k.draw(way)
-				x.hit(fate)
+				fate = k.drawFault(way)
+				x.applyToRequest(fate)
 				select {
-				case c.fate <- fate:
+				case c.faults <- fate:
 				default:
 				}
 			} else {
 				select { // the answer to the request drawn for last
-				case fate = <-c.fate:
+				case fate = <-c.faults:
 				default:
 				}
-				x.mangle(fate, k)
+				x.applyToResponse(fate, k)
 				fate = LinkCondition{}
 			}
-			x.due = time.Now().Add(k.delay(way, handshake))
+			x.due = time.Now().Add(k.drawDelay(way, handshake))
 			handshake = 0
 			under <- x
 		}
 		if err != nil {
-			under <- chunk{due: time.Now().Add(k.now().Delay), then: "half"}
+			under <- chunk{due: time.Now().Add(k.currentCondition().Delay), then: "half"}
 			return
 		}
 	}
 }
 
-// now is the way as it stands.
-func (k *Link) now() LinkCondition {
+// currentCondition is the way as it stands.
+func (k *Link) currentCondition() LinkCondition {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.way
+	return k.condition
 }
 
-func (k *Link) delay(way LinkCondition, handshake float64) time.Duration {
+func (k *Link) drawDelay(way LinkCondition, handshake float64) time.Duration {
 	k.mu.Lock()
 	u := k.rng.Float64()
 	k.mu.Unlock()
@@ -340,8 +340,8 @@
 	return time.Duration(one * (1 + 2*handshake))
 }
 
-// draw tells which trouble a request meets: a Way with one share at 1, or none.
-func (k *Link) draw(way LinkCondition) LinkCondition {
+// drawFault tells which trouble a request meets: a Way with one share at 1, or none.
+func (k *Link) drawFault(way LinkCondition) LinkCondition {
 	k.mu.Lock()
 	u := k.rng.Float64()
 	k.mu.Unlock()
@@ -359,8 +359,8 @@
 	return LinkCondition{}
 }
 
-// hit does to a request what its fate says.
-func (x *chunk) hit(f LinkCondition) {
+// applyToRequest does to a request what its fate says.
+func (x *chunk) applyToRequest(f LinkCondition) {
 	switch {
 	case f.ResetBefore > 0:
 		x.bytes, x.then = nil, "reset"
@@ -373,8 +373,8 @@
 	}
 }
 
-// mangle does to an answer what its request's fate says.
-func (x *chunk) mangle(f LinkCondition, k *Link) {
+// applyToResponse does to an answer what its request's fate says.
+func (x *chunk) applyToResponse(f LinkCondition, k *Link) {
 	switch {
 	case f.Garbage > 0:
 		k.mu.Lock()
@@ -386,12 +386,12 @@
 	case f.Truncate > 0:
 		x.bytes, x.then = x.bytes[:len(x.bytes)/2], "close"
 	case f.Trickle > 0:
-		x.rate = trickleRate
+		x.bytesPerSecond = trickleBytesPerSecond
 	}
 }
 
-// write writes what is due.
-func (k *Link) write(c *relayed, to *net.TCPConn, under <-chan chunk) {
+// deliver writes what is due.
+func (k *Link) deliver(c *relayedConn, to *net.TCPConn, under <-chan chunk) {
 	broken := false
 	for x := range under {
 		if broken {
@@ -401,28 +401,28 @@
 			broken = true
 			continue
 		}
-		if _, ok := k.speaking(); !ok {
+		if _, ok := k.awaitOpen(); !ok {
 			broken = true
 			continue
 		}
 		for len(x.bytes) > 0 && !broken {
 			n := len(x.bytes)
-			if x.rate > 0 {
-				n = min(n, max(x.rate/20, 1))
+			if x.bytesPerSecond > 0 {
+				n = min(n, max(x.bytesPerSecond/20, 1))
 			}
 			if _, err := to.Write(x.bytes[:n]); err != nil {
 				broken = true
 			}
 			x.bytes = x.bytes[n:]
-			if x.rate > 0 && !k.sleep(time.Duration(float64(n)/float64(x.rate)*1e9)) {
+			if x.bytesPerSecond > 0 && !k.sleep(time.Duration(float64(n)/float64(x.bytesPerSecond)*1e9)) {
 				broken = true
 			}
 		}
 		switch x.then {
 		case "reset":
-			c.end(true)
+			c.close(true)
 		case "close":
-			c.end(false)
+			c.close(false)
 		case "half":
 			if to.CloseWrite() != nil {
 				broken = true
@@ -430,7 +430,7 @@
 		}
 	}
 	if broken {
-		c.end(false)
+		c.close(false)
 	}
 }
 
--- a/internal/standin/link_test.go
+++ b/internal/standin/link_test.go
@@ -146,8 +146,8 @@
 		for range 2 {
 			runtime.Gosched() // the accepting goroutine takes what it can have
 		}
-		if n, err := k.waiting(); n != 1 || err != nil || !k.holds() {
-			t.Errorf("round %d: %d connections wait, held %v, error %v; want one that waits behind one that is held", round, n, k.holds(), err)
+		if n, err := k.backlogLength(); n != 1 || err != nil || !k.isHolding() {
+			t.Errorf("round %d: %d connections wait, held %v, error %v; want one that waits behind one that is held", round, n, k.isHolding(), err)
 		}
 		k.Close()
 	}
--- a/internal/standin/mesh/mesh.go
+++ b/internal/standin/mesh/mesh.go
@@ -28,38 +28,38 @@
 }
 
 const (
-	mostWaiting = 4096             // datagrams that are delayed at a time
-	mostQueue   = time.Second      // that a narrow pair's queue is long
-	dialWithin  = 2 * time.Second  // of a connection
-	connLife    = 10 * time.Second // at the most
-	mostText    = 64 << 10         // bytes of a datagram
+	maxDelayed       = 4096             // datagrams that are delayed at a time
+	maxQueueDelay    = time.Second      // that a narrow pair's queue is long
+	dialTimeout      = 2 * time.Second  // of a connection
+	maxConnDuration  = 10 * time.Second // at the most
+	maxDatagramBytes = 64 << 10         // bytes of a datagram
 )
 
 // Mesh is the relays of a fleet.
 type Mesh struct {
-	n     int
-	block byte
-	port  uint16
-	at    func(from, to int) Conditions
+	sidecars   int
+	block      byte
+	port       uint16
+	conditions func(from, to int) Conditions
 
-	packets []*net.UDPConn
-	calls   []*net.TCPListener
-	over    sync.WaitGroup
-	done    chan struct{}
+	datagramSockets []*net.UDPConn
+	listeners       []*net.TCPListener
+	goroutines      sync.WaitGroup
+	done            chan struct{}
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	waiting int
-	free    map[[2]int]time.Time // when a narrow pair's queue is empty
-	last    []netip.AddrPort     // where each sidecar last sent from
-	lost    int
+	mu           sync.Mutex
+	rng          *rand.Rand
+	delayed      int
+	queueEmptyAt map[[2]int]time.Time // when a narrow pair's queue is empty
+	lastSource   []netip.AddrPort     // where each sidecar last sent from
+	lost         int
 }
 
 // The second bytes of the addresses, and how many sidecars there may be to a block, which is the third byte.
 const (
-	inside, outside, beside = 101, 102, 103
-	most                    = 250
-	blocks                  = 250
+	inside, outside, auxiliary = 101, 102, 103
+	maxSidecars                = 250
+	blocks                     = 250
 )
 
 // block numbers the meshes of this process: each has addresses of its own, so that no port is another one's. It begins where the
@@ -68,33 +68,33 @@
 
 func init() { block.Store(uint32(os.Getpid())) }
 
-func (m *Mesh) host(side, i int) netip.Addr {
+func (m *Mesh) address(side, i int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, byte(side), m.block, byte(i + 1)})
 }
 
 // New returns a mesh for n sidecars. at tells what a pair does now; it is called from many goroutines.
 func New(n int, seed uint64, at func(from, to int) Conditions) (*Mesh, error) {
-	if n > most {
-		return nil, fmt.Errorf("mesh: %d sidecars, %d at most", n, most)
+	if n > maxSidecars {
+		return nil, fmt.Errorf("mesh: %d sidecars, %d at most", n, maxSidecars)
 	}
 	for range 20 { // a port that is free at all addresses
 		m, err := open(n, seed, at)
 		if err == nil {
 			return m, nil
 		}
-		if !errors.Is(err, errTaken) {
+		if !errors.Is(err, errPortTaken) {
 			return nil, err
 		}
 	}
 	return nil, errors.New("mesh: no port is free at all addresses")
 }
 
-var errTaken = errors.New("taken")
+var errPortTaken = errors.New("taken")
 
 func open(n int, seed uint64, at func(from, to int) Conditions) (*Mesh, error) {
-	m := &Mesh{n: n, block: byte(block.Add(1) % blocks), at: at, done: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 0x6d657368)),
-		free: map[[2]int]time.Time{}}
-	probe, err := net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(netip.AddrPortFrom(m.host(inside, 0), 0)))
+	m := &Mesh{sidecars: n, block: byte(block.Add(1) % blocks), conditions: at, done: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 0x6d657368)),
+		queueEmptyAt: map[[2]int]time.Time{}}
+	probe, err := net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(netip.AddrPortFrom(m.address(inside, 0), 0)))
 	if err != nil {
 		return nil, fmt.Errorf("mesh: %w", err)
 	}
@@ -103,34 +103,34 @@
 		return nil, fmt.Errorf("mesh: %w", err)
 	}
 	for i := range n { // where sidecars are to listen: nothing is held there until they do
-		if err := free(netip.AddrPortFrom(m.host(inside, i), m.port)); err != nil {
-			return nil, errors.Join(errTaken, err)
+		if err := checkFree(netip.AddrPortFrom(m.address(inside, i), m.port)); err != nil {
+			return nil, errors.Join(errPortTaken, err)
 		}
 	}
 	for i := range n {
-		address := netip.AddrPortFrom(m.host(outside, i), m.port)
+		address := netip.AddrPortFrom(m.address(outside, i), m.port)
 		p, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 		if err != nil {
-			return nil, errors.Join(errTaken, err, m.closeAll())
+			return nil, errors.Join(errPortTaken, err, m.closeSockets())
 		}
-		m.packets = append(m.packets, p)
+		m.datagramSockets = append(m.datagramSockets, p)
 		l, err := net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(address))
 		if err != nil {
-			return nil, errors.Join(errTaken, err, m.closeAll())
+			return nil, errors.Join(errPortTaken, err, m.closeSockets())
 		}
-		m.calls = append(m.calls, l)
-		m.last = append(m.last, netip.AddrPortFrom(m.host(inside, i), m.port))
+		m.listeners = append(m.listeners, l)
+		m.lastSource = append(m.lastSource, netip.AddrPortFrom(m.address(inside, i), m.port))
 	}
 	for i := range n {
-		m.over.Add(2)
-		go func() { defer m.over.Done(); m.datagrams(i) }()
-		go func() { defer m.over.Done(); m.connections(i) }()
+		m.goroutines.Add(2)
+		go func() { defer m.goroutines.Done(); m.relayDatagrams(i) }()
+		go func() { defer m.goroutines.Done(); m.acceptConns(i) }()
 	}
 	return m, nil
 }
 
-// free says why an address is not free.
-func free(a netip.AddrPort) error {
+// checkFree says why an address is not free.
+func checkFree(a netip.AddrPort) error {
 	p, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(a))
 	if err != nil {
 		return err
@@ -143,13 +143,15 @@
 }
 
 // Inside is where sidecar i listens.
-func (m *Mesh) Inside(i int) string { return netip.AddrPortFrom(m.host(inside, i), m.port).String() }
+func (m *Mesh) Inside(i int) string { return netip.AddrPortFrom(m.address(inside, i), m.port).String() }
 
 // Outside is what it tells the others.
-func (m *Mesh) Outside(i int) string { return netip.AddrPortFrom(m.host(outside, i), m.port).String() }
+func (m *Mesh) Outside(i int) string {
+	return netip.AddrPortFrom(m.address(outside, i), m.port).String()
+}
 
 // AuxiliaryIP is an IP address of sidecar i for whatever else it listens at.
-func (m *Mesh) AuxiliaryIP(i int) string { return m.host(beside, i).String() }
+func (m *Mesh) AuxiliaryIP(i int) string { return m.address(auxiliary, i).String() }
 
 // Lost counts datagrams that did not get through.
 func (m *Mesh) Lost() int {
@@ -162,17 +164,17 @@
 func (m *Mesh) index(a netip.Addr) int {
 	b := a.Unmap().As4()
 	i := int(b[3]) - 1
-	if b[1] != inside || b[2] != m.block || i < 0 || i >= m.n {
+	if b[1] != inside || b[2] != m.block || i < 0 || i >= m.sidecars {
 		return -1
 	}
 	return i
 }
 
-// datagrams passes on what comes for a sidecar.
-func (m *Mesh) datagrams(to int) {
-	buffer := make([]byte, mostText)
+// relayDatagrams passes on what comes for a sidecar.
+func (m *Mesh) relayDatagrams(to int) {
+	buffer := make([]byte, maxDatagramBytes)
 	for {
-		n, from, err := m.packets[to].ReadFromUDPAddrPort(buffer)
+		n, from, err := m.datagramSockets[to].ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -183,28 +185,28 @@
 		if i < 0 {
 			continue
 		}
-		c := m.at(i, to)
+		c := m.conditions(i, to)
 		m.mu.Lock()
-		m.last[i] = netip.AddrPortFrom(m.host(inside, i), from.Port()) // a successor has another port
-		copies, wait, ok := m.fate(i, to, n, c)
+		m.lastSource[i] = netip.AddrPortFrom(m.address(inside, i), from.Port()) // a successor has another port
+		copies, wait, ok := m.drawFate(i, to, n, c)
 		m.mu.Unlock()
 		if !ok {
 			continue
 		}
 		text := append([]byte(nil), buffer[:n]...)
 		for range copies {
-			m.later(wait(), func() {
+			m.schedule(wait(), func() {
 				m.mu.Lock()
-				address := m.last[to]
+				address := m.lastSource[to]
 				m.mu.Unlock()
-				_, _ = m.packets[i].WriteToUDPAddrPort(text, address) // a sidecar that is down hears nothing
+				_, _ = m.datagramSockets[i].WriteToUDPAddrPort(text, address) // a sidecar that is down hears nothing
 			})
 		}
 	}
 }
 
-// fate draws what becomes of a datagram. The lock is held; wait takes it again.
-func (m *Mesh) fate(from, to, size int, c Conditions) (copies int, wait func() time.Duration, ok bool) {
+// drawFate draws what becomes of a datagram. The lock is held; wait takes it again.
+func (m *Mesh) drawFate(from, to, size int, c Conditions) (copies int, wait func() time.Duration, ok bool) {
 	if c.Cut || m.rng.Float64() < c.Drop {
 		m.lost++
 		return 0, nil, false
@@ -212,15 +214,15 @@
 	queue := time.Duration(0)
 	if c.Rate > 0 {
 		pair, now := [2]int{from, to}, time.Now()
-		free := m.free[pair]
+		free := m.queueEmptyAt[pair]
 		if free.Before(now) {
 			free = now
 		}
-		if queue = free.Sub(now); queue > mostQueue {
+		if queue = free.Sub(now); queue > maxQueueDelay {
 			m.lost++
 			return 0, nil, false
 		}
-		m.free[pair] = free.Add(time.Duration(float64(size) / c.Rate * float64(time.Second)))
+		m.queueEmptyAt[pair] = free.Add(time.Duration(float64(size) / c.Rate * float64(time.Second)))
 	}
 	copies = 1
 	if m.rng.Float64() < c.Duplicate {
@@ -233,26 +235,26 @@
 	}, true
 }
 
-// later does something after a time, or at once. Close waits for it.
-func (m *Mesh) later(wait time.Duration, do func()) {
+// schedule does something after a time, or at once. Close waits for it.
+func (m *Mesh) schedule(wait time.Duration, do func()) {
 	if wait <= 0 {
 		do()
 		return
 	}
 	m.mu.Lock()
-	full := m.waiting >= mostWaiting
+	full := m.delayed >= maxDelayed
 	if full {
 		m.lost++
 	} else {
-		m.waiting++
+		m.delayed++
 	}
 	m.mu.Unlock()
 	if full {
 		return
 	}
-	m.over.Add(1)
+	m.goroutines.Add(1)
 	go func() {
-		defer m.over.Done()
+		defer m.goroutines.Done()
 		t := time.NewTimer(wait)
 		defer t.Stop()
 		select {
@@ -261,15 +263,15 @@
 		case <-m.done:
 		}
 		m.mu.Lock()
-		m.waiting--
+		m.delayed--
 		m.mu.Unlock()
 	}()
 }
 
-// connections passes on connections for a sidecar.
-func (m *Mesh) connections(to int) {
+// acceptConns passes on connections for a sidecar.
+func (m *Mesh) acceptConns(to int) {
 	for {
-		c, err := m.calls[to].AcceptTCP()
+		c, err := m.listeners[to].AcceptTCP()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -277,39 +279,39 @@
 			continue
 		}
 		i := m.index(c.RemoteAddr().(*net.TCPAddr).AddrPort().Addr())
-		m.over.Add(1)
+		m.goroutines.Add(1)
 		go func() {
-			defer m.over.Done()
+			defer m.goroutines.Done()
 			defer c.Close()
 			if i >= 0 {
-				m.connection(c, i, to)
+				m.relayConn(c, i, to)
 			}
 		}()
 	}
 }
 
-// connection joins a caller to the sidecar that it calls.
-func (m *Mesh) connection(c *net.TCPConn, from, to int) {
-	stop := time.AfterFunc(connLife, func() { c.Close() })
+// relayConn joins a caller to the sidecar that it calls.
+func (m *Mesh) relayConn(c *net.TCPConn, from, to int) {
+	stop := time.AfterFunc(maxConnDuration, func() { c.Close() })
 	defer stop.Stop()
 	ended := make(chan struct{})
 	defer close(ended)
-	m.over.Add(1)
+	m.goroutines.Add(1)
 	go func() {
-		defer m.over.Done()
+		defer m.goroutines.Done()
 		select {
 		case <-m.done:
 			c.Close()
 		case <-ended:
 		}
 	}()
-	if m.at(from, to).Cut || m.at(to, from).Cut { // it never comes up
+	if m.conditions(from, to).Cut || m.conditions(to, from).Cut { // it never comes up
 		_, _ = io.Copy(io.Discard, c)
 		return
 	}
-	d := net.Dialer{Timeout: dialWithin, LocalAddr: &net.TCPAddr{IP: m.host(outside, from).AsSlice()}}
+	d := net.Dialer{Timeout: dialTimeout, LocalAddr: &net.TCPAddr{IP: m.address(outside, from).AsSlice()}}
 	m.mu.Lock()
-	address := m.last[to]
+	address := m.lastSource[to]
 	m.mu.Unlock()
 	inner, err := d.Dial("tcp4", address.String())
 	if err != nil {
@@ -322,13 +324,13 @@
 		buffer := make([]byte, 16<<10)
 		for {
 			n, err := src.Read(buffer)
-			l := m.at(a, b)
+			l := m.conditions(a, b)
 			if n > 0 && !l.Cut {
 				wait := l.Delay / 2
 				if l.Rate > 0 {
 					wait += time.Duration(float64(n) / l.Rate * float64(time.Second))
 				}
-				time.Sleep(min(wait, connLife))
+				time.Sleep(min(wait, maxConnDuration))
 				if _, err := dst.Write(buffer[:n]); err != nil {
 					return
 				}
@@ -338,17 +340,17 @@
 			}
 		}
 	}
-	m.over.Add(2)
-	go func() { defer m.over.Done(); pipe(inner, c, from, to) }()
-	go func() { defer m.over.Done(); pipe(c, inner, to, from) }()
+	m.goroutines.Add(2)
+	go func() { defer m.goroutines.Done(); pipe(inner, c, from, to) }()
+	go func() { defer m.goroutines.Done(); pipe(c, inner, to, from) }()
 	<-both // whichever ends first ends the connection
 }
 
-func (m *Mesh) closeAll() (err error) {
-	for _, p := range m.packets {
+func (m *Mesh) closeSockets() (err error) {
+	for _, p := range m.datagramSockets {
 		err = errors.Join(err, p.Close())
 	}
-	for _, l := range m.calls {
+	for _, l := range m.listeners {
 		err = errors.Join(err, l.Close())
 	}
 	return err
@@ -357,7 +359,7 @@
 // Close ends all relays.
 func (m *Mesh) Close() error {
 	close(m.done)
-	err := m.closeAll()
-	m.over.Wait()
+	err := m.closeSockets()
+	m.goroutines.Wait()
 	return err
 }
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -27,12 +27,12 @@
 	mu       sync.Mutex
 	requests map[uint64]RequestInfo
 	tokens   uint64
-	tries    map[uint64]uint8
+	attempts map[uint64]uint8
 }
 
 // NewRequestRegistry returns an empty book.
 func NewRequestRegistry() *RequestRegistry {
-	return &RequestRegistry{requests: map[uint64]RequestInfo{}, tries: map[uint64]uint8{}}
+	return &RequestRegistry{requests: map[uint64]RequestInfo{}, attempts: map[uint64]uint8{}}
 }
 
 // Register notes a request.
@@ -60,29 +60,29 @@
 
 // Node is one tracking node: an HTTP server around the model of one.
 type Node struct {
-	Number int32
-	book   *RequestRegistry
-	log    *Log
-	cap    int           // connections
-	hand   float64       // work of a handshake, seconds on a standard core
-	idle   time.Duration // after which connections are closed
-	stops  bool          // work stops when its request is cancelled
+	Number        int32
+	requests      *RequestRegistry
+	log           *Log
+	maxConns      int           // connections
+	handshakeWork float64       // work of a handshake, seconds on a standard core
+	idleTimeout   time.Duration // after which connections are closed
+	stopsOnCancel bool          // work stops when its request is cancelled
 
-	mu     sync.Mutex
-	server *node.Server
-	wake   *time.Timer
-	http   *http.Server
-	conns  map[net.Conn]*conn
-	dead   bool
-	worked float64 // by former processes
+	mu         sync.Mutex
+	model      *node.Server
+	stepTimer  *time.Timer
+	httpServer *http.Server
+	conns      map[net.Conn]*trackedConn
+	killed     bool
+	formerWork float64 // by former processes
 }
 
-type conn struct {
-	fresh bool
-	begun time.Duration // first byte of the request in hand
+type trackedConn struct {
+	fresh        bool
+	requestBegan time.Duration // first byte of the request in hand
 }
 
-type connKey struct{}
+type connContextKey struct{}
 
 // NodeOptions are what a node is started with.
 type NodeOptions struct {
@@ -97,21 +97,23 @@
 
 // NewNode returns a node that does not listen yet.
 func NewNode(o NodeOptions) *Node {
-	return &Node{Number: o.Number, book: o.Requests, log: o.Log, cap: o.ConnCap, hand: o.Handshake.Seconds(), idle: o.IdleTimeout,
-		stops: o.StopsOnCancel, dead: true}
+	return &Node{Number: o.Number, requests: o.Requests, log: o.Log, maxConns: o.ConnCap, handshakeWork: o.Handshake.Seconds(), idleTimeout: o.IdleTimeout,
+		stopsOnCancel: o.StopsOnCancel, killed: true}
 }
 
 // Start begins a process of the node that serves on l, with a model whose clock is the log's.
 func (n *Node) Start(l net.Listener, s *node.Server) {
 	n.mu.Lock()
-	if n.server != nil {
-		s.Faults = n.server.Faults
-		n.worked += n.server.Done()
+	if n.model != nil {
+		s.Faults = n.model.Faults
+		n.formerWork += n.model.Done()
 	}
-	n.server, n.dead, n.conns = s, false, map[net.Conn]*conn{}
-	n.http = &http.Server{Handler: n, IdleTimeout: n.idle, ConnState: n.state,
-		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }}
-	web := n.http
+	n.model, n.killed, n.conns = s, false, map[net.Conn]*trackedConn{}
+	n.httpServer = &http.Server{Handler: n, IdleTimeout: n.idleTimeout, ConnState: n.trackConn,
+		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
+			return context.WithValue(ctx, connContextKey{}, c)
+		}}
+	web := n.httpServer
 	n.mu.Unlock()
 	go func() { _ = web.Serve(l) }() // it ends with Kill
 }
@@ -119,13 +121,13 @@
 // Kill ends the process: its connections break, new ones are refused, what it held is gone.
 func (n *Node) Kill() {
 	n.mu.Lock()
-	if n.dead {
+	if n.killed {
 		n.mu.Unlock()
 		return
 	}
-	n.dead = true
-	n.server.Drop(n.log.Now())
-	web := n.http
+	n.killed = true
+	n.model.Drop(n.log.Now())
+	web := n.httpServer
 	for c := range n.conns { // a process that dies resets its connections
 		if tcp, ok := c.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
@@ -139,31 +141,31 @@
 func (n *Node) Change(change func(s *node.Server, now time.Duration)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	change(n.server, n.log.Now())
-	n.step()
+	change(n.model, n.log.Now())
+	n.advance()
 }
 
 // Worked is the work done by all processes of the node so far.
 func (n *Node) Worked() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.server == nil {
+	if n.model == nil {
 		return 0
 	}
-	return n.worked + n.server.Done()
+	return n.formerWork + n.model.Done()
 }
 
-func (n *Node) state(c net.Conn, s http.ConnState) {
+func (n *Node) trackConn(c net.Conn, s http.ConnState) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch s {
 	case http.StateNew:
-		if n.conns[c] = (&conn{fresh: true}); len(n.conns) > n.cap {
+		if n.conns[c] = (&trackedConn{fresh: true}); len(n.conns) > n.maxConns {
 			_ = c.Close()
 		}
 	case http.StateActive:
 		if k := n.conns[c]; k != nil {
-			k.begun = n.log.Now()
+			k.requestBegan = n.log.Now()
 		}
 	case http.StateClosed, http.StateHijacked:
 		delete(n.conns, c)
@@ -177,20 +179,20 @@
 		return
 	}
 	id, err := strconv.ParseUint(r.Header.Get("X-Request-ID"), 16, 64)
-	known, ok := n.book.Lookup(id)
-	c, _ := r.Context().Value(connKey{}).(net.Conn)
-	side := sideOf(r)
+	known, ok := n.requests.Lookup(id)
+	c, _ := r.Context().Value(connContextKey{}).(net.Conn)
+	side := sidecarOf(r)
 	n.mu.Lock()
 	k := n.conns[c]
-	if k == nil || n.dead {
+	if k == nil || n.killed {
 		n.mu.Unlock()
 		panic(http.ErrAbortHandler)
 	}
 	fresh := k.fresh
 	k.fresh = false
-	begun := k.begun
+	begun := k.requestBegan
 	n.mu.Unlock()
-	attempt := n.book.attempt(id)
+	attempt := n.requests.nextAttempt(id)
 	n.log.Add(record.Event{At: begun, Kind: record.Sent, Request: id, Attempt: attempt, Sidecar: side, Node: n.Number})
 	n.log.Add(record.Event{Kind: record.Arrived, Request: id, Attempt: attempt, Sidecar: side, Node: n.Number, Work: known.Work,
 		Effect: id})
@@ -208,15 +210,15 @@
 	job.Owner = done
 	extra := 0.0
 	if fresh {
-		extra = n.hand
+		extra = n.handshakeWork
 	}
 	end := func(s record.Status) {
 		n.log.Add(record.Event{Kind: record.AttemptEnded, Request: id, Attempt: attempt, Node: n.Number, Status: s})
 	}
 	n.mu.Lock()
-	verdict := n.server.Arrive(n.log.Now(), job, known.Class, known.Key, known.Effect, extra)
-	server := n.server
-	n.step()
+	verdict := n.model.Arrive(n.log.Now(), job, known.Class, known.Key, known.Effect, extra)
+	server := n.model
+	n.advance()
 	n.mu.Unlock()
 	switch verdict {
 	case node.TurnedAway:
@@ -236,7 +238,7 @@
 	}
 	select {
 	case ending := <-done:
-		s, token := record.Served, n.book.NextToken()
+		s, token := record.Served, n.requests.NextToken()
 		if ending != node.Answered {
 			s = record.Failed
 		}
@@ -246,9 +248,9 @@
 		end(s)
 	case <-r.Context().Done():
 		n.mu.Lock()
-		if n.stops && n.server == server {
+		if n.stopsOnCancel && n.model == server {
 			server.Cancel(n.log.Now(), job)
-			n.step()
+			n.advance()
 		}
 		n.mu.Unlock()
 		end(record.Cancelled)
@@ -275,34 +277,34 @@
 	}
 }
 
-// step has the model do what is due, and asks for its next time. The lock is held.
-func (n *Node) step() {
-	if n.dead {
+// advance has the model do what is due, and asks for its next time. The lock is held.
+func (n *Node) advance() {
+	if n.killed {
 		return
 	}
-	for _, j := range n.server.Step(n.log.Now()) {
-		j.Owner.(chan node.Ending) <- n.server.Ending()
+	for _, j := range n.model.Step(n.log.Now()) {
+		j.Owner.(chan node.Ending) <- n.model.Ending()
 	}
-	next := n.server.Next()
-	if n.wake != nil {
-		n.wake.Stop()
-		n.wake = nil
+	next := n.model.Next()
+	if n.stepTimer != nil {
+		n.stepTimer.Stop()
+		n.stepTimer = nil
 	}
 	if next >= 0 {
-		n.wake = time.AfterFunc(max(next-n.log.Now(), 0), func() {
+		n.stepTimer = time.AfterFunc(max(next-n.log.Now(), 0), func() {
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			n.step()
+			n.advance()
 		})
 	}
 }
 
-// attempt numbers a request's attempts as they reach nodes.
-func (b *RequestRegistry) attempt(id uint64) uint8 {
+// nextAttempt numbers a request's attempts as they reach nodes.
+func (b *RequestRegistry) nextAttempt(id uint64) uint8 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tries[id]++
-	return b.tries[id] - 1
+	b.attempts[id]++
+	return b.attempts[id] - 1
 }
 
 // SidecarIP is where the links of a sidecar call from, so that nodes can tell whose they are.
@@ -310,8 +312,8 @@
 	return net.IPv4(127, 0, byte(1+sidecar/200), byte(1+sidecar%200))
 }
 
-// sideOf tells which sidecar a request came through, or -1.
-func sideOf(r *http.Request) int32 {
+// sidecarOf tells which sidecar a request came through, or -1.
+func sidecarOf(r *http.Request) int32 {
 	host, _, _ := net.SplitHostPort(r.RemoteAddr)
 	ip := net.ParseIP(host).To4()
 	if ip == nil || ip[2] == 0 {
--- a/internal/standin/origin.go
+++ b/internal/standin/origin.go
@@ -11,7 +11,7 @@
 
 // Origins are many plain servers, each on an address of its own, that answer every request alike. They count what reaches them.
 type Origins struct {
-	web         *http.Server
+	server      *http.Server
 	connections atomic.Int64
 	requests    atomic.Int64
 }
@@ -19,7 +19,7 @@
 // NewOrigins returns servers that answer after some time.
 func NewOrigins(answer time.Duration) *Origins {
 	o := &Origins{}
-	o.web = &http.Server{
+	o.server = &http.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			o.requests.Add(1)
 			time.Sleep(answer)
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("origin: %w", err)
 	}
-	go func() { _ = o.web.Serve(l) }() // it ends with the listener
+	go func() { _ = o.server.Serve(l) }() // it ends with the listener
 	return l, nil
 }
 
@@ -51,4 +51,4 @@
 func (o *Origins) Requests() int { return int(o.requests.Load()) }
 
 // Close ends all servers and their connections.
-func (o *Origins) Close() { _ = o.web.Close() }
+func (o *Origins) Close() { _ = o.server.Close() }
