--- a/internal/standin/chunk.go
+++ b/internal/standin/chunk.go
@@ -72,7 +72,8 @@
 	}
 }
 
-// deliverChunk writes one chunk once it is due and the link is no blackhole. It returns false if the direction is broken.
+// deliverChunk writes one chunk once it is due and the link is no blackhole. It returns false if the direction is
+// broken.
 func (l *Link) deliverChunk(c *relayedConn, to *net.TCPConn, x *chunk) bool {
 	if !l.sleep(time.Until(x.due)) {
 		return false
--- a/internal/standin/client_attempt.go
+++ b/internal/standin/client_attempt.go
@@ -39,7 +39,13 @@
 
 // newAttempt returns an attempt that servers can look up.
 func (c *Clients) newAttempt(request workload.Request, id, firstID uint64) *clientAttempt {
-	a := &clientAttempt{Clients: c, request: request, class: c.Scenario.Classes[request.Class], id: id, firstID: firstID}
+	a := &clientAttempt{
+		Clients: c,
+		request: request,
+		class:   c.Scenario.Classes[request.Class],
+		id:      id,
+		firstID: firstID,
+	}
 	info := RequestInfo{Class: request.Class, Work: request.Work, Key: request.Key}
 	if a.class.Effect == effectDeduplicated {
 		info.Effect = id
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"net"
 	"net/http"
+	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -12,242 +13,167 @@
 	"milletramp.example/milletramp/internal/lab/record"
 )
 
-// Entry is one server of discovery's list, as the platform words it.
-type Entry struct {
-	UID      string  `json:"uid"`
-	Endpoint string  `json:"endpoint"`
-	AZ       string  `json:"az"`
-	Model    string  `json:"model"`
-	PodGroup int     `json:"pod_group"`
-	State    string  `json:"state"`
-	Capacity float64 `json:"capacity_hint"`
-	BootMS   int64   `json:"boot_ms"`
-}
-
-// States are the platform's words.
-var States = map[record.State]string{record.Serving: "SERVING", record.Draining: "DRAINING", record.Gone: "DELETED"}
-
-// List is what discovery says at once.
-type List struct {
-	Rev     int64   `json:"rev"`
-	All     bool    `json:"all"`
-	Targets []Entry `json:"targets"`
-}
-
-// heartbeatInterval is how often a watch says that nothing has changed.
-const heartbeatInterval = 2 * time.Second
+const serversPath = "/v1/servers" // with the parameter "watch" for a watch
 
-// Discovery is the agent of one sidecar: what it has been sent counts as told.
+// Discovery is the discovery agent of one sidecar. A sidecar counts as notified of what has been sent to it.
 type Discovery struct {
 	sidecar      int32
 	log          *Log
 	nodeNumber   func(uid string) int32
-	bytesWritten atomic.Int64 // bytes of lists
+	bytesWritten atomic.Int64 // to watches
 
 	mu           sync.Mutex
 	revision     int64
-	entries      []Entry // present, in order of coming
-	changes      []List  // one a version
-	stalled      bool
-	truncateNext bool // the next line ends midway, with its connection
-	changed      chan struct{}
+	entries      []Entry       // present servers, in the order in which they were added
+	changes      []List        // one a revision, since the start or the latest rollback
+	stalled      bool          // watches send nothing
+	truncateNext bool          // the next message breaks off, with its connection
+	changed      chan struct{} // closed and replaced at each change
 	listener     net.Listener
 	server       *http.Server
 }
 
-// NewDiscovery returns the agent of a sidecar, with a first list that counts as told. number names nodes in the log.
-func NewDiscovery(sidecar int32, first []Entry, log *Log, number func(uid string) int32) (*Discovery, error) {
-	d := &Discovery{sidecar: sidecar, log: log, nodeNumber: number, revision: 1, entries: append([]Entry(nil), first...),
-		changed: make(chan struct{})}
+// NewDiscovery returns the agent of a sidecar, with a first list. nodeNumber returns the number of a server in the log.
+func NewDiscovery(sidecar int32, first []Entry, log *Log, nodeNumber func(uid string) int32) (*Discovery, error) {
+	d := &Discovery{
+		sidecar:    sidecar,
+		log:        log,
+		nodeNumber: nodeNumber,
+		revision:   1,
+		entries:    slices.Clone(first),
+		changed:    make(chan struct{}),
+	}
 	if err := d.listen(); err != nil {
 		return nil, err
 	}
 	return d, nil
 }
 
-// listen listens at a new address.
+// listen starts a server at a new address. The lock is held, or the agent is not in use yet.
 func (d *Discovery) listen() error {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return fmt.Errorf("discovery: %w", err)
 	}
-	d.listener, d.server = l, &http.Server{Handler: d}
-	web := d.server
-	go func() { _ = web.Serve(l) }() // it ends with Close or Move
+	server := &http.Server{Handler: d}
+	d.listener = listener
+	d.server = server
+	go func() { _ = server.Serve(listener) }() // it ends with Close, or some time after Move
 	return nil
 }
 
-// Address is where it listens.
+// Address returns where the agent listens.
 func (d *Discovery) Address() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.listener.Addr().String()
 }
 
-// Written is how many bytes of lists watches have been sent.
+// Written returns how many bytes of messages watches have been sent.
 func (d *Discovery) Written() int { return int(d.bytesWritten.Load()) }
 
-// Close ends it and its watches.
+// Close ends the agent and its watches.
 func (d *Discovery) Close() { _ = d.server.Close() }
 
-// Move has it listen at a new address; the old one takes no new connections and closes its open ones after a time.
+// Move makes the agent listen at a new address. The old one takes no new connections, and its open ones are closed
+// after a time.
 func (d *Discovery) Move(after time.Duration) error {
 	d.mu.Lock()
-	old, listener := d.server, d.listener
+	oldServer := d.server
+	oldListener := d.listener
 	err := d.listen()
 	d.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	_ = listener.Close()
-	time.AfterFunc(after, func() { _ = old.Close() })
+	_ = oldListener.Close()
+	time.AfterFunc(after, func() { _ = oldServer.Close() })
 	return nil
 }
 
-// Publish has it tell of changed entries. While it is silent they are kept.
+// Publish sends changed entries to all watches. While the agent is stalled they are held back.
 func (d *Discovery) Publish(changed ...Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, e := range changed {
-		at := -1
-		for i := range d.entries {
-			if d.entries[i].UID == e.UID {
-				at = i
-			}
-		}
-		switch {
-		case e.State == "DELETED" && at >= 0:
-			d.entries = append(d.entries[:at], d.entries[at+1:]...)
-		case e.State == "DELETED":
-		case at >= 0:
-			d.entries[at] = e
-		default:
-			d.entries = append(d.entries, e)
-		}
+	for _, entry := range changed {
+		d.entries = applyChange(d.entries, entry)
 	}
 	d.revision++
 	d.changes = append(d.changes, List{Rev: d.revision, Targets: changed})
 	d.notifyWatches()
 }
 
-// Rollback has it go back to an older version: it counts its versions anew and tells the whole list.
+// Rollback returns to an older revision: revisions are counted anew, and watches are sent the whole list.
 func (d *Discovery) Rollback() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.revision, d.changes = 1, nil
-	d.changes = append(d.changes, List{Rev: 1, All: true, Targets: append([]Entry(nil), d.entries...)})
+	d.revision = 1
+	d.changes = []List{d.snapshot()}
 	d.notifyWatches()
 }
 
-// SetStalled has it say nothing, not even that nothing has changed, or speak again.
-func (d *Discovery) SetStalled(on bool) {
+// SetStalled makes all watches send nothing, not even heartbeats, or send again.
+func (d *Discovery) SetStalled(stalled bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.stalled = on
+	d.stalled = stalled
 	d.notifyWatches()
 }
 
-// TruncateNext has the next line end midway, together with its connection.
+// TruncateNext makes the next message to a watch break off in the middle, together with its connection.
 func (d *Discovery) TruncateNext() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.truncateNext = true
 }
 
+// notifyWatches lets all watches look for changes. The lock is held.
 func (d *Discovery) notifyWatches() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// Snapshot is the whole list.
+// Snapshot returns the whole list.
 func (d *Discovery) Snapshot() List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
+	return d.snapshot()
+}
+
+// snapshot is Snapshot with the lock held.
+func (d *Discovery) snapshot() List {
 	return List{Rev: d.revision, All: true, Targets: append([]Entry(nil), d.entries...)}
 }
 
 // ServeHTTP implements http.Handler.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path != "/v1/servers" {
+	if r.URL.Path != serversPath {
 		http.NotFound(w, r)
 		return
 	}
-	if r.URL.Query().Get("watch") == "" {
-		l := d.Snapshot()
-		d.recordNotified(l.Targets)
-		_ = json.NewEncoder(w).Encode(l)
+	if r.URL.Query().Get("watch") != "" {
+		watch := &discoveryWatch{discovery: d, writer: w}
+		watch.run(r.Context())
 		return
 	}
-	d.watch(w, r)
+	list := d.Snapshot()
+	d.recordNotified(list.Targets)
+	_ = json.NewEncoder(w).Encode(list)
 }
 
-// watch tells of changes until the connection ends. Its first line always holds the whole list, as it may.
-func (d *Discovery) watch(w http.ResponseWriter, r *http.Request) {
-	beat := time.NewTicker(heartbeatInterval)
-	defer beat.Stop()
-	whole := true
-	var next int // of changes
-	for {
-		d.mu.Lock()
-		changed, silent, cut := d.changed, d.stalled, d.truncateNext
-		var lines []List
-		switch {
-		case silent:
-		case whole:
-			lines = []List{{Rev: d.revision, All: true, Targets: append([]Entry(nil), d.entries...)}}
-			next, whole = len(d.changes), false
-		case next > len(d.changes): // it went back
-			next = 0
-			fallthrough
-		default:
-			lines = append(lines, d.changes[next:]...)
-			next = len(d.changes)
-		}
-		if len(lines) > 0 && cut {
-			d.truncateNext = false
-		}
-		d.mu.Unlock()
-		for _, l := range lines {
-			text, err := json.Marshal(l)
-			if err != nil {
-				return
-			}
-			if cut {
-				_, _ = w.Write(text[:len(text)/2])
-				_ = http.NewResponseController(w).Flush()
-				panic(http.ErrAbortHandler)
-			}
-			d.recordNotified(l.Targets)
-			d.bytesWritten.Add(int64(len(text) + 1))
-			if _, err := w.Write(append(text, '\n')); err != nil {
-				return
-			}
-		}
-		if len(lines) > 0 && http.NewResponseController(w).Flush() != nil {
-			return
-		}
-		select {
-		case <-changed:
-		case <-beat.C:
-			if silent {
+// recordNotified records what the sidecar is sent.
+func (d *Discovery) recordNotified(entries []Entry) {
+	for _, entry := range entries {
+		for state, name := range States {
+			if name != entry.State {
 				continue
 			}
-			if _, err := w.Write([]byte("\n")); err != nil || http.NewResponseController(w).Flush() != nil {
-				return
-			}
-		case <-r.Context().Done():
-			return
-		}
-	}
-}
-
-// recordNotified notes what the sidecar has been told.
-func (d *Discovery) recordNotified(list []Entry) {
-	for _, e := range list {
-		for state, word := range States {
-			if word == e.State {
-				d.log.Add(record.Event{Kind: record.Notified, Sidecar: d.sidecar, Node: d.nodeNumber(e.UID), State: state})
-			}
+			d.log.Add(record.Event{
+				Kind:    record.Notified,
+				Sidecar: d.sidecar,
+				Node:    d.nodeNumber(entry.UID),
+				State:   state,
+			})
 		}
 	}
 }
--- a/internal/standin/link_condition.go
+++ b/internal/standin/link_condition.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// LinkCondition is the state of a link: its delay and bandwidth, and how often each fault hits a request. The faults are
-// shares of all requests, from 0 to 1. A request meets at most one of them, so their sum should not exceed 1.
+// LinkCondition is the state of a link: its delay and bandwidth, and how often each fault hits a request. The faults
+// are shares of all requests, from 0 to 1. A request meets at most one of them, so their sum should not exceed 1.
 type LinkCondition struct {
 	Delay               time.Duration // one way
 	JitterFraction      float64       // share of Delay by which it varies
