--- a/internal/standin/clients_test.go
+++ b/internal/standin/clients_test.go
@@ -26,7 +26,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := NewNode(NodeOptions{Number: 7, Requests: requests, Log: log, ConnCap: 4, IdleTimeout: time.Minute, StopsOnCancel: true})
+	n := NewNode(NodeOptions{
+		Number:        7,
+		Requests:      requests,
+		Log:           log,
+		ConnCap:       4,
+		IdleTimeout:   time.Minute,
+		StopsOnCancel: true,
+	})
 	spec := node.Spec{Cores: 2, Speed: 1, Slots: 2, Room: 2, ColdFrom: 1}
 	random := rand.New(rand.NewPCG(1, 1))
 	n.Start(listener, node.NewServer(node.New(spec, log.Now()), node.NewPod(time.Minute), 0, 0, 0, random))
@@ -50,8 +57,10 @@
 		time.Sleep(time.Millisecond)
 	}
 	for _, e := range log.Events() {
-		found = append(found, fmt.Sprintf("%s status=%d request=%d first=%d sidecar=%d node=%d tenant=%d effect=%d token=%d retry=%v",
-			names[e.Kind], e.Status, e.Request, e.FirstRequest, e.Sidecar, e.Node, e.Tenant, e.Effect, e.Token, e.RetryAfter))
+		found = append(found, fmt.Sprintf(
+			"%s status=%d request=%d first=%d sidecar=%d node=%d tenant=%d effect=%d token=%d retry=%v",
+			names[e.Kind], e.Status, e.Request, e.FirstRequest,
+			e.Sidecar, e.Node, e.Tenant, e.Effect, e.Token, e.RetryAfter))
 	}
 	slices.Sort(found)
 	return found
@@ -66,13 +75,16 @@
 		ran       = "ran status=0 request=1 first=0 sidecar=0 node=7 tenant=0 effect=0 token=0 retry=0s"
 	)
 	replied := func(status record.Status, token int) string {
-		return fmt.Sprintf("replied status=%d request=1 first=0 sidecar=0 node=7 tenant=0 effect=0 token=%d retry=0s", status, token)
+		return fmt.Sprintf("replied status=%d request=1 first=0 sidecar=0 node=7 tenant=0 effect=0 token=%d retry=0s",
+			status, token)
 	}
 	ended := func(status record.Status) string {
-		return fmt.Sprintf("ended status=%d request=1 first=0 sidecar=0 node=7 tenant=0 effect=0 token=0 retry=0s", status)
+		return fmt.Sprintf("ended status=%d request=1 first=0 sidecar=0 node=7 tenant=0 effect=0 token=0 retry=0s",
+			status)
 	}
 	answered := func(status record.Status, token int) string {
-		return fmt.Sprintf("answered status=%d request=1 first=0 sidecar=203 node=0 tenant=0 effect=0 token=%d retry=0s", status, token)
+		return fmt.Sprintf("answered status=%d request=1 first=0 sidecar=203 node=0 tenant=0 effect=0 token=%d retry=0s",
+			status, token)
 	}
 	left := "left status=0 request=1 first=0 sidecar=203 node=0 tenant=0 effect=0 token=0 retry=0s"
 	for _, tt := range []struct {
@@ -82,11 +94,20 @@
 		want    []string
 	}{
 		{"served", node.Faults{}, nil,
-			[]string{requested, sent, arrived, ran, replied(record.Served, 1), ended(record.Served), answered(record.Served, 1)}},
+			[]string{
+				requested, sent, arrived, ran,
+				replied(record.Served, 1), ended(record.Served), answered(record.Served, 1),
+			}},
 		{"rejected", node.Faults{TurnAway: map[int]bool{0: true}}, nil,
-			[]string{requested, sent, arrived, replied(record.Rejected, 0), ended(record.Rejected), answered(record.Rejected, 0)}},
+			[]string{
+				requested, sent, arrived,
+				replied(record.Rejected, 0), ended(record.Rejected), answered(record.Rejected, 0),
+			}},
 		{"error", node.Faults{Errors: 1}, nil,
-			[]string{requested, sent, arrived, ran, replied(record.Failed, 1), ended(record.Failed), answered(record.Failed, 0)}},
+			[]string{
+				requested, sent, arrived, ran,
+				replied(record.Failed, 1), ended(record.Failed), answered(record.Failed, 0),
+			}},
 		{"malformed response", node.Faults{Garble: 1}, nil,
 			[]string{requested, sent, arrived, ran, replied(record.Failed, 1), ended(record.Failed)}},
 		{"no response", node.Faults{Stray: 1}, nil,
@@ -108,8 +129,14 @@
 			n, link := startNode(t, log, requests)
 			n.Change(func(s *node.Server, _ time.Duration) { s.Faults = tt.faults })
 			classes := []scenario.Class{{Name: "one", Effect: "deduplicated"}}
-			c := NewClients(ClientOptions{Sidecar: testSidecar, Scenario: &scenario.Scenario{Classes: classes}, Requests: requests,
-				Log: log, IDs: &atomic.Uint64{}, ResponseGrace: 100 * time.Millisecond}, 1)
+			c := NewClients(ClientOptions{
+				Sidecar:       testSidecar,
+				Scenario:      &scenario.Scenario{Classes: classes},
+				Requests:      requests,
+				Log:           log,
+				IDs:           &atomic.Uint64{},
+				ResponseGrace: 100 * time.Millisecond,
+			}, 1)
 			defer c.httpClient.CloseIdleConnections()
 			c.SetAddress(link.Address())
 			request := workload.Request{Tenant: -1, Work: 0.001, Timeout: 200 * time.Millisecond}
--- a/internal/standin/link_test.go
+++ b/internal/standin/link_test.go
@@ -72,25 +72,32 @@
 	return bufio.NewReader(c).ReadString('\n')
 }
 
-// TestLinkFaults has a link do each of the troubles that it knows.
+// TestLinkFaults applies each condition of a link to a request, and then none.
 func TestLinkFaults(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	to := answering(t)
 	reset := func(_ string, err error) bool { return errors.Is(err, syscall.ECONNRESET) }
+	whole := func(s string, err error) bool { return s == "got hello there\n" && err == nil }
 	for _, tt := range []struct {
-		name   string
-		way    LinkCondition
-		within time.Duration
-		good   func(text string, err error) bool
+		name      string
+		condition LinkCondition
+		within    time.Duration
+		good      func(text string, err error) bool
 	}{
-		{"nothing wrong", LinkCondition{}, patience, func(s string, err error) bool { return s == "got hello there\n" && err == nil }},
-		{"delayed", LinkCondition{Delay: 5 * time.Millisecond, HandshakeRoundTrips: 1, JitterFraction: 0.2}, patience, func(s string, err error) bool { return s == "got hello there\n" && err == nil }},
+		{"nothing wrong", LinkCondition{}, patience, whole},
+		{"delayed", LinkCondition{Delay: 5 * time.Millisecond, HandshakeRoundTrips: 1, JitterFraction: 0.2}, patience, whole},
 		{"reset before", LinkCondition{ResetBefore: 1}, patience, reset},
 		{"reset within", LinkCondition{ResetWithin: 1}, patience, reset},
 		{"reset after", LinkCondition{ResetAfter: 1, Delay: time.Millisecond}, patience, reset},
-		{"half closed", LinkCondition{HalfClose: 1}, patience, func(s string, err error) bool { return err == nil || errors.Is(err, io.EOF) }},
-		{"garbage", LinkCondition{Garbage: 1}, patience, func(s string, err error) bool { return !strings.Contains(s, "got") }},
-		{"truncated", LinkCondition{Truncate: 1}, patience, func(s string, err error) bool { return s == "got hell" && errors.Is(err, io.EOF) }},
+		{"half closed", LinkCondition{HalfClose: 1}, patience, func(_ string, err error) bool {
+			return err == nil || errors.Is(err, io.EOF)
+		}},
+		{"garbage", LinkCondition{Garbage: 1}, patience, func(s string, _ error) bool {
+			return !strings.Contains(s, "got")
+		}},
+		{"truncated", LinkCondition{Truncate: 1}, patience, func(s string, err error) bool {
+			return s == "got hell" && errors.Is(err, io.EOF)
+		}},
 		{"trickled", LinkCondition{Trickle: 1}, 600 * time.Millisecond, func(s string, err error) bool {
 			return len(s) > 0 && len(s) < 8 && errors.Is(err, os.ErrDeadlineExceeded)
 		}},
@@ -108,7 +115,7 @@
 				t.Fatal(err)
 			}
 			defer k.Close()
-			k.SetCondition(tt.way)
+			k.SetCondition(tt.condition)
 			if text, err := ask(t, k, tt.within); !tt.good(text, err) {
 				t.Errorf("got %q, %v", text, err)
 			}
@@ -120,21 +127,21 @@
 	}
 }
 
-// TestSilenceFills: once a link has been told to be silent, one connection is held and the listener's queue is full, also where the
-// accepting goroutine has its turn late.
-func TestSilenceFills(t *testing.T) {
+// TestBlackholeFillsBacklog: once a link is a blackhole, one connection is held and the listener's backlog is full, even
+// if the accepting goroutine is scheduled late.
+func TestBlackholeFillsBacklog(t *testing.T) {
 	var quiet atomic.Bool
-	var beside sync.WaitGroup
+	var spinners sync.WaitGroup
 	for range 2 * runtime.GOMAXPROCS(0) {
-		beside.Add(1)
+		spinners.Add(1)
 		go func() {
-			defer beside.Done()
+			defer spinners.Done()
 			for !quiet.Load() {
 				continue
 			}
 		}()
 	}
-	defer beside.Wait()
+	defer spinners.Wait()
 	defer quiet.Store(true)
 	to := answering(t)
 	for round := range 20 {
@@ -144,17 +151,18 @@
 		}
 		k.SetCondition(LinkCondition{Blackhole: true})
 		for range 2 {
-			runtime.Gosched() // the accepting goroutine takes what it can have
+			runtime.Gosched() // the accepting goroutine takes what it can
 		}
 		if n, err := k.backlogLength(); n != 1 || err != nil || !k.isHolding() {
-			t.Errorf("round %d: %d connections wait, held %v, error %v; want one that waits behind one that is held", round, n, k.isHolding(), err)
+			t.Errorf("round %d: %d connections wait, held %v, error %v; want one that waits behind one that is held",
+				round, n, k.isHolding(), err)
 		}
 		k.Close()
 	}
 }
 
-// TestSilenceResets has connections that were open when a link fell silent say nothing, and be reset once it is back.
-func TestSilenceResets(t *testing.T) {
+// TestBlackholeResets: a connection that was open when a blackhole began passes nothing, and is reset when it ends.
+func TestBlackholeResets(t *testing.T) {
 	k, err := NewLink(SidecarIP(3), answering(t), LinkCondition{}, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -187,7 +195,7 @@
 	}
 }
 
-// TestDiscovery reads a watch through what a discovery can do to it.
+// TestDiscovery reads a watch through all that the agent can do to it.
 func TestDiscovery(t *testing.T) {
 	first := []Entry{{UID: "a", State: "SERVING"}, {UID: "b", State: "SERVING"}}
 	d, err := NewDiscovery(0, first, NewLog(), func(string) int32 { return 0 })
@@ -219,7 +227,8 @@
 	in, body := watch()
 	next(in, `"rev":1,"all":true,"targets":[{"uid":"a"`)
 	d.Publish(Entry{UID: "a", State: "DRAINING"})
-	next(in, `"rev":2,"all":false,"targets":[{"uid":"a","endpoint":"","az":"","model":"","pod_group":0,"state":"DRAINING"`)
+	next(in, `"rev":2,"all":false,"targets":[`+
+		`{"uid":"a","endpoint":"","az":"","model":"","pod_group":0,"state":"DRAINING"`)
 	d.SetStalled(true)
 	d.Publish(Entry{UID: "a", State: "DELETED"})
 	d.Publish(Entry{UID: "c", State: "SERVING"})
@@ -230,7 +239,8 @@
 	next(in, `"rev":1,"all":true,"targets":[{"uid":"b"`)
 	d.TruncateNext()
 	d.Publish(Entry{UID: "d", State: "SERVING"})
-	if text, err := io.ReadAll(in); err == nil || strings.HasSuffix(string(text), "}\n") || !strings.Contains(string(text), `{"rev":2`) {
+	text, err := io.ReadAll(in)
+	if err == nil || strings.HasSuffix(string(text), "}\n") || !strings.Contains(string(text), `{"rev":2`) {
 		t.Errorf("cut in the middle: %q, %v", text, err)
 	}
 	_ = body.Close()
