--- a/internal/lab/fleet/processes/sidecar.go
+++ b/internal/lab/fleet/processes/sidecar.go
@@ -50,7 +50,7 @@
 	}
 	s := &sidecar{run: r, index: index, name: name, dir: dir, configFile: filepath.Join(dir, configFileName)}
 	for _, address := range []*string{&s.listenAddress, &s.adminAddresses[0], &s.adminAddresses[1]} {
-		free, err := freeAddress(r.mesh.Beside(index))
+		free, err := freeAddress(r.mesh.AuxiliaryIP(index))
 		if err != nil {
 			return nil, err
 		}
--- a/internal/standin/link_test.go
+++ b/internal/standin/link_test.go
@@ -72,47 +72,54 @@
 	return bufio.NewReader(c).ReadString('\n')
 }
 
-// TestLinkFaults has a link do each of the troubles that it knows.
+// TestLinkFaults applies each condition of a link to a request, and then none.
 func TestLinkFaults(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	to := answering(t)
 	reset := func(_ string, err error) bool { return errors.Is(err, syscall.ECONNRESET) }
+	whole := func(s string, err error) bool { return s == "got hello there\n" && err == nil }
 	for _, tt := range []struct {
-		name   string
-		way    Way
-		within time.Duration
-		good   func(text string, err error) bool
+		name      string
+		condition LinkCondition
+		within    time.Duration
+		good      func(text string, err error) bool
 	}{
-		{"nothing wrong", Way{}, patience, func(s string, err error) bool { return s == "got hello there\n" && err == nil }},
-		{"delayed", Way{Delay: 5 * time.Millisecond, Handshake: 1, Jitter: 0.2}, patience, func(s string, err error) bool { return s == "got hello there\n" && err == nil }},
-		{"reset before", Way{ResetBefore: 1}, patience, reset},
-		{"reset within", Way{ResetWithin: 1}, patience, reset},
-		{"reset after", Way{ResetAfter: 1, Delay: time.Millisecond}, patience, reset},
-		{"half closed", Way{HalfClose: 1}, patience, func(s string, err error) bool { return err == nil || errors.Is(err, io.EOF) }},
-		{"garbage", Way{Garbage: 1}, patience, func(s string, err error) bool { return !strings.Contains(s, "got") }},
-		{"truncated", Way{Truncate: 1}, patience, func(s string, err error) bool { return s == "got hell" && errors.Is(err, io.EOF) }},
-		{"trickled", Way{Trickle: 1}, 600 * time.Millisecond, func(s string, err error) bool {
+		{"nothing wrong", LinkCondition{}, patience, whole},
+		{"delayed", LinkCondition{Delay: 5 * time.Millisecond, HandshakeRoundTrips: 1, JitterFraction: 0.2}, patience, whole},
+		{"reset before", LinkCondition{ResetBefore: 1}, patience, reset},
+		{"reset within", LinkCondition{ResetWithin: 1}, patience, reset},
+		{"reset after", LinkCondition{ResetAfter: 1, Delay: time.Millisecond}, patience, reset},
+		{"half closed", LinkCondition{HalfClose: 1}, patience, func(_ string, err error) bool {
+			return err == nil || errors.Is(err, io.EOF)
+		}},
+		{"garbage", LinkCondition{Garbage: 1}, patience, func(s string, _ error) bool {
+			return !strings.Contains(s, "got")
+		}},
+		{"truncated", LinkCondition{Truncate: 1}, patience, func(s string, err error) bool {
+			return s == "got hell" && errors.Is(err, io.EOF)
+		}},
+		{"trickled", LinkCondition{Trickle: 1}, 600 * time.Millisecond, func(s string, err error) bool {
 			return len(s) > 0 && len(s) < 8 && errors.Is(err, os.ErrDeadlineExceeded)
 		}},
-		{"narrow", Way{Rate: 10}, 500 * time.Millisecond, func(s string, err error) bool {
+		{"narrow", LinkCondition{BytesPerSecond: 10}, 500 * time.Millisecond, func(s string, err error) bool {
 			return len(s) < 12 && errors.Is(err, os.ErrDeadlineExceeded)
 		}},
-		{"silent", Way{Silent: true}, 200 * time.Millisecond, func(_ string, err error) bool {
+		{"silent", LinkCondition{Blackhole: true}, 200 * time.Millisecond, func(_ string, err error) bool {
 			var late net.Error // the connection never comes up
 			return errors.As(err, &late) && late.Timeout() && strings.Contains(err.Error(), "dial")
 		}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			k, err := NewLink(SideAddress(0), to, Way{}, 1)
+			k, err := NewLink(SidecarIP(0), to, LinkCondition{}, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer k.Close()
-			k.Set(tt.way)
+			k.SetCondition(tt.condition)
 			if text, err := ask(t, k, tt.within); !tt.good(text, err) {
 				t.Errorf("got %q, %v", text, err)
 			}
-			k.Set(Way{})
+			k.SetCondition(LinkCondition{})
 			if text, err := ask(t, k, patience); text != "got hello there\n" || err != nil {
 				t.Errorf("once it is over: %q, %v", text, err)
 			}
@@ -120,42 +127,43 @@
 	}
 }
 
-// TestSilenceFills: once a link has been told to be silent, one connection is held and the listener's queue is full, also where the
-// accepting goroutine has its turn late.
-func TestSilenceFills(t *testing.T) {
+// TestBlackholeFillsBacklog: once a link is a blackhole, one connection is held and the listener's backlog is full, even
+// if the accepting goroutine is scheduled late.
+func TestBlackholeFillsBacklog(t *testing.T) {
 	var quiet atomic.Bool
-	var beside sync.WaitGroup
+	var spinners sync.WaitGroup
 	for range 2 * runtime.GOMAXPROCS(0) {
-		beside.Add(1)
+		spinners.Add(1)
 		go func() {
-			defer beside.Done()
+			defer spinners.Done()
 			for !quiet.Load() {
 				continue
 			}
 		}()
 	}
-	defer beside.Wait()
+	defer spinners.Wait()
 	defer quiet.Store(true)
 	to := answering(t)
 	for round := range 20 {
-		k, err := NewLink(SideAddress(0), to, Way{}, uint64(round))
+		k, err := NewLink(SidecarIP(0), to, LinkCondition{}, uint64(round))
 		if err != nil {
 			t.Fatal(err)
 		}
-		k.Set(Way{Silent: true})
+		k.SetCondition(LinkCondition{Blackhole: true})
 		for range 2 {
-			runtime.Gosched() // the accepting goroutine takes what it can have
+			runtime.Gosched() // the accepting goroutine takes what it can
 		}
-		if n, err := k.waiting(); n != 1 || err != nil || !k.holds() {
-			t.Errorf("round %d: %d connections wait, held %v, error %v; want one that waits behind one that is held", round, n, k.holds(), err)
+		if n, err := k.backlogLength(); n != 1 || err != nil || !k.isHolding() {
+			t.Errorf("round %d: %d connections wait, held %v, error %v; want one that waits behind one that is held",
+				round, n, k.isHolding(), err)
 		}
 		k.Close()
 	}
 }
 
-// TestSilenceResets has connections that were open when a link fell silent say nothing, and be reset once it is back.
-func TestSilenceResets(t *testing.T) {
-	k, err := NewLink(SideAddress(3), answering(t), Way{}, 1)
+// TestBlackholeResets: a connection that was open when a blackhole began passes nothing, and is reset when it ends.
+func TestBlackholeResets(t *testing.T) {
+	k, err := NewLink(SidecarIP(3), answering(t), LinkCondition{}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -172,7 +180,7 @@
 	if line, err := in.ReadString('\n'); line != "got one\n" {
 		t.Fatalf("%q, %v", line, err)
 	}
-	k.Set(Way{Silent: true})
+	k.SetCondition(LinkCondition{Blackhole: true})
 	if _, err := io.WriteString(c, "two\n"); err != nil {
 		t.Fatal(err)
 	}
@@ -180,14 +188,14 @@
 	if line, err := in.ReadString('\n'); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("while silent: %q, %v", line, err)
 	}
-	k.Set(Way{})
+	k.SetCondition(LinkCondition{})
 	_ = c.SetReadDeadline(time.Now().Add(patience))
 	if line, err := in.ReadString('\n'); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("once it is back: %q, %v, want a reset", line, err)
 	}
 }
 
-// TestDiscovery reads a watch through what a discovery can do to it.
+// TestDiscovery reads a watch through all that the agent can do to it.
 func TestDiscovery(t *testing.T) {
 	first := []Entry{{UID: "a", State: "SERVING"}, {UID: "b", State: "SERVING"}}
 	d, err := NewDiscovery(0, first, NewLog(), func(string) int32 { return 0 })
@@ -218,19 +226,21 @@
 	}
 	in, body := watch()
 	next(in, `"rev":1,"all":true,"targets":[{"uid":"a"`)
-	d.Tell(Entry{UID: "a", State: "DRAINING"})
-	next(in, `"rev":2,"all":false,"targets":[{"uid":"a","endpoint":"","az":"","model":"","pod_group":0,"state":"DRAINING"`)
-	d.Silence(true)
-	d.Tell(Entry{UID: "a", State: "DELETED"})
-	d.Tell(Entry{UID: "c", State: "SERVING"})
-	d.Silence(false)
+	d.Publish(Entry{UID: "a", State: "DRAINING"})
+	next(in, `"rev":2,"all":false,"targets":[`+
+		`{"uid":"a","endpoint":"","az":"","model":"","pod_group":0,"state":"DRAINING"`)
+	d.SetStalled(true)
+	d.Publish(Entry{UID: "a", State: "DELETED"})
+	d.Publish(Entry{UID: "c", State: "SERVING"})
+	d.SetStalled(false)
 	next(in, `"state":"DELETED"`)
 	next(in, `"uid":"c"`)
-	d.Back()
+	d.Rollback()
 	next(in, `"rev":1,"all":true,"targets":[{"uid":"b"`)
-	d.Cut()
-	d.Tell(Entry{UID: "d", State: "SERVING"})
-	if text, err := io.ReadAll(in); err == nil || strings.HasSuffix(string(text), "}\n") || !strings.Contains(string(text), `{"rev":2`) {
+	d.TruncateNext()
+	d.Publish(Entry{UID: "d", State: "SERVING"})
+	text, err := io.ReadAll(in)
+	if err == nil || strings.HasSuffix(string(text), "}\n") || !strings.Contains(string(text), `{"rev":2`) {
 		t.Errorf("cut in the middle: %q, %v", text, err)
 	}
 	_ = body.Close()
