--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,4 +1,4 @@
-// Package lab plays scenarios of the emulated service and judges them: it puts the plan, a plane, the referee and the
+// Package lab plays scenarios of the emulated service and judges them: it puts the plan, a plane, the checker and the
 // meter together.
 package lab
 
@@ -13,9 +13,9 @@
 	"strings"
 	"time"
 
+	"milletramp.example/milletramp/internal/lab/checker"
 	"milletramp.example/milletramp/internal/lab/plan"
 	"milletramp.example/milletramp/internal/lab/record"
-	"milletramp.example/milletramp/internal/lab/referee"
 	"milletramp.example/milletramp/internal/lab/report"
 	"milletramp.example/milletramp/internal/lab/scenario"
 	"milletramp.example/milletramp/internal/lab/sim"
@@ -25,7 +25,7 @@
 func Simulated(ctx context.Context, s *scenario.Scenario, seed uint64, opt sim.Options) (*report.Day, error) {
 	began := time.Now()
 	p := plan.New(s, seed)
-	meter, judge := report.NewMeter(p), referee.New(Terms(p, 20*time.Millisecond))
+	meter, judge := report.NewMeter(p), checker.New(Terms(p, 20*time.Millisecond))
 	sinks := record.Sinks{meter, judge}
 	if opt.Sink != nil {
 		sinks = append(sinks, opt.Sink)
@@ -41,7 +41,7 @@
 }
 
 // Judge ends a day.
-func Judge(p *plan.Plan, meter *report.Meter, judge *referee.Referee) *report.Day {
+func Judge(p *plan.Plan, meter *report.Meter, judge *checker.Checker) *report.Day {
 	d := &report.Day{Scenario: p.Scenario.Name, About: p.Scenario.About, Seed: p.Seed, Figures: meter.Figures(),
 		Verdict: judge.Verdict(24 * time.Hour), First: p.First.Seconds(), Last: p.Last.Seconds()}
 	d.Missed = Missed(p.Scenario.Expect, d.Figures)
@@ -72,23 +72,23 @@
 	return missed
 }
 
-// Terms are what the referee goes by for a plan, with a slack for the plane's own lateness.
-func Terms(p *plan.Plan, slack time.Duration) referee.Terms {
+// Terms are what the checker goes by for a plan, with a slack for the plane's own lateness.
+func Terms(p *plan.Plan, slack time.Duration) checker.Limits {
 	s := p.Scenario
-	t := referee.Terms{Slack: slack, DrainWithin: time.Second + slack, PromptWithin: 50 * time.Millisecond, OnTheWay: time.Millisecond,
-		FallMultiple: s.Fleet.FallMultiple, Fall: s.Fleet.Fall.Std(), FallSlack: 8 * s.MeanWork(), ColdFrom: s.Fleet.ColdFrom,
-		Cold: s.Fleet.Cold.Std()}
+	t := checker.Limits{ResponseSlack: slack, DrainGrace: time.Second + slack, GiveUpGrace: 50 * time.Millisecond, SendGrace: time.Millisecond,
+		OverloadMultiple: s.Fleet.FallMultiple, OverloadWindow: s.Fleet.Fall.Std(), OverloadSlack: 8 * s.MeanWork(), SlowStartCapacity: s.Fleet.ColdFrom,
+		SlowStartWindow: s.Fleet.Cold.Std()}
 	for _, c := range s.Classes {
-		r := referee.Repeats{Anywhere: c.Effect == "idempotent", Inside: c.Effect == "deduplicated", Window: c.Window.Std()}
+		r := checker.RetryRules{Idempotent: c.Effect == "idempotent", Deduplicated: c.Effect == "deduplicated", DedupeWindow: c.Window.Std()}
 		switch c.Scope {
 		case "zone":
-			r.Group = func(n int32) int { return p.Machines[n].Zone }
+			r.PodGroup = func(n int32) int { return p.Machines[n].Zone }
 		case "cell":
-			r.Group = func(n int32) int { return p.Machines[n].Cell }
+			r.PodGroup = func(n int32) int { return p.Machines[n].Cell }
 		default:
-			r.Group = func(int32) int { return 0 }
+			r.PodGroup = func(int32) int { return 0 }
 		}
-		r.Refuse = r.Anywhere || r.Inside && c.Scope == "all"
+		r.MayReject = r.Idempotent || r.Deduplicated && c.Scope == "all"
 		t.Classes = append(t.Classes, r)
 	}
 	return t
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -15,8 +15,8 @@
 
 	"milletramp.example/milletramp/balance"
 	"milletramp.example/milletramp/internal/lab/baseline"
+	"milletramp.example/milletramp/internal/lab/checker"
 	"milletramp.example/milletramp/internal/lab/record"
-	"milletramp.example/milletramp/internal/lab/referee"
 	"milletramp.example/milletramp/internal/lab/report"
 	"milletramp.example/milletramp/internal/lab/scenario"
 	"milletramp.example/milletramp/internal/lab/sim"
@@ -65,7 +65,7 @@
 				t.Errorf("its file is named otherwise than it is: %q", s.Name)
 			}
 			if d := play(t, s, s.Seed, sim.Options{}); !d.Good() {
-				t.Errorf("breaches %v, missed %v\n%v", d.Verdict.Counts, d.Missed, d.Verdict.Breaches)
+				t.Errorf("breaches %v, missed %v\n%v", d.Verdict.Counts, d.Missed, d.Verdict.Violations)
 			}
 		})
 	}
@@ -143,7 +143,7 @@
 	}
 }
 
-// TestMutants has the referee judge sidecars that are each broken in one rule: it names that rule, and clears the whole
+// TestMutants has the checker judge sidecars that are each broken in one rule: it names that rule, and clears the whole
 // one on the same day.
 func TestMutants(t *testing.T) {
 	if testrun.RaceEnabled {
@@ -158,32 +158,32 @@
 	}
 	for _, tt := range []struct {
 		name, day string
-		rule      referee.Rule
+		rule      checker.Rule
 		opt       sim.Options
 	}{
-		{"an answer is never given", "errors", referee.Answer, sim.Options{Defects: sim.Defects{LoseEvery: 97}}},
-		{"an answer is given twice", "errors", referee.Answer, sim.Options{Defects: sim.Defects{DuplicateEvery: 97}}},
-		{"answers come after the client's time", "overload", referee.Answer, sim.Options{Defects: sim.Defects{Delay: 60 * time.Millisecond}}},
-		{"what was given up is held back", "overload", referee.Prompt, sim.Options{Defects: sim.Defects{HoldBack: true}}},
-		{"an answer that no node made", "overload", referee.Genuine, sim.Options{Defects: sim.Defects{InventEvery: 50}}},
-		{"delivery records repeated anywhere", "errors", referee.Effect, sim.Options{NewPolicy: told(every(balance.Idempotent))}},
-		{"delivery records repeated outside their pod", "errors", referee.Effect, sim.Options{NewPolicy: told(func(s *balance.Settings) {
+		{"an answer is never given", "errors", checker.RuleResponse, sim.Options{Defects: sim.Defects{LoseEvery: 97}}},
+		{"an answer is given twice", "errors", checker.RuleResponse, sim.Options{Defects: sim.Defects{DuplicateEvery: 97}}},
+		{"answers come after the client's time", "overload", checker.RuleResponse, sim.Options{Defects: sim.Defects{Delay: 60 * time.Millisecond}}},
+		{"what was given up is held back", "overload", checker.RulePrompt, sim.Options{Defects: sim.Defects{HoldBack: true}}},
+		{"an answer that no node made", "overload", checker.RuleGenuine, sim.Options{Defects: sim.Defects{InventEvery: 50}}},
+		{"delivery records repeated anywhere", "errors", checker.RuleEffect, sim.Options{NewPolicy: told(every(balance.Idempotent))}},
+		{"delivery records repeated outside their pod", "errors", checker.RuleEffect, sim.Options{NewPolicy: told(func(s *balance.Settings) {
 			for i := range s.Classes {
 				s.Classes[i].Scope = balance.ScopeAll
 			}
 		})}},
-		{"delivery records repeated too late", "errors", referee.Effect, sim.Options{NewPolicy: told(func(s *balance.Settings) {
+		{"delivery records repeated too late", "errors", checker.RuleEffect, sim.Options{NewPolicy: told(func(s *balance.Settings) {
 			for i := range s.Classes {
 				s.Classes[i].DedupeWindow = time.Minute
 			}
 		})}},
-		{"a draining node goes on getting requests", "release", referee.Drain, sim.Options{
+		{"a draining node goes on getting requests", "release", checker.RuleDrain, sim.Options{
 			NewPolicy: func(set balance.Settings, act balance.Actions, view sim.View) (sim.Policy, error) {
 				d, err := sim.NewModule(set, act, view)
 				return deaf{d}, err
 			}}},
-		{"the list reaches the module 3 s late", "release", referee.Drain, sim.Options{Defects: sim.Defects{ListDelay: 3 * time.Second}}},
-		{"a cold node is pushed over", "release", referee.Cold, sim.Options{
+		{"the list reaches the module 3 s late", "release", checker.RuleDrain, sim.Options{Defects: sim.Defects{ListDelay: 3 * time.Second}}},
+		{"a cold node is pushed over", "release", checker.RuleSlowStart, sim.Options{
 			NewPolicy: func(set balance.Settings, act balance.Actions, view sim.View) (sim.Policy, error) {
 				c := &chaser{}
 				var err error
@@ -214,7 +214,7 @@
 					seen++
 				}
 				if d := play(t, s, seed, sim.Options{}); !d.Verdict.Clean() {
-					t.Errorf("seed %d: the whole sidecar is found broken: %v %v", seed, d.Verdict.Counts, d.Verdict.Breaches)
+					t.Errorf("seed %d: the whole sidecar is found broken: %v %v", seed, d.Verdict.Counts, d.Verdict.Violations)
 				}
 			}
 			if seen < least {
@@ -307,7 +307,7 @@
 		}
 		d := play(t, s, 2, sim.Options{NewPolicy: make})
 		if !d.Verdict.Clean() {
-			t.Errorf("%s broke a rule: %v", name, d.Verdict.Breaches)
+			t.Errorf("%s broke a rule: %v", name, d.Verdict.Violations)
 		}
 		worth[name] = d.Figures.Worth
 	}
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -6,9 +6,9 @@
 	"io"
 	"time"
 
+	"milletramp.example/milletramp/internal/lab/checker"
 	"milletramp.example/milletramp/internal/lab/plan"
 	"milletramp.example/milletramp/internal/lab/record"
-	"milletramp.example/milletramp/internal/lab/referee"
 	"milletramp.example/milletramp/internal/lab/report"
 	"milletramp.example/milletramp/internal/lab/scenario"
 	"milletramp.example/milletramp/internal/lab/sockets"
@@ -71,7 +71,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", s.Name, err)
 	}
-	judge := referee.New(socketTerms(drawn, res.Late))
+	judge := checker.New(socketTerms(drawn, res.Late))
 	for i := range tape.Events {
 		judge.Record(&tape.Events[i])
 	}
@@ -87,17 +87,17 @@
 
 // socketTerms are the terms of a play in real time. The clients' own lateness, the most by which a request was sent behind its time, is
 // how exactly this machine tells times that day: a sidecar beside them that answers as late was stood still with them.
-func socketTerms(drawn *plan.Plan, late time.Duration) referee.Terms {
+func socketTerms(drawn *plan.Plan, late time.Duration) checker.Limits {
 	s := drawn.Scenario
 	late = min(late, mostExcused)
 	terms := Terms(drawn, sockets.Slack+late)
 	// Where connections never come up, the wire shows no attempt while the sidecar waits for one; elsewhere an answer has
 	// to follow what was last out within the way there and the lateness of a machine that does all parts at once.
-	terms.OnTheWay = s.Network.Connect.Std() + 4*s.Network.Cross.Std() // nodes are seen, not the sidecars' sending
-	terms.PromptWithin = s.Network.Connect.Std() + 4*s.Network.Cross.Std() + 100*time.Millisecond + late
+	terms.SendGrace = s.Network.Connect.Std() + 4*s.Network.Cross.Std() // nodes are seen, not the sidecars' sending
+	terms.GiveUpGrace = s.Network.Connect.Std() + 4*s.Network.Cross.Std() + 100*time.Millisecond + late
 	for _, a := range drawn.Acts {
 		if a.Op == plan.Vanish || a.Op == plan.CutZone {
-			terms.PromptWithin = time.Hour
+			terms.GiveUpGrace = time.Hour
 		}
 	}
 	return terms
--- a/internal/lab/report/day.go
+++ b/internal/lab/report/day.go
@@ -6,7 +6,7 @@
 	"strings"
 	"text/tabwriter"
 
-	"milletramp.example/milletramp/internal/lab/referee"
+	"milletramp.example/milletramp/internal/lab/checker"
 )
 
 // Day is one played and judged scenario.
@@ -21,7 +21,7 @@
 	First    float64         `json:"first_trouble_s"`
 	Last     float64         `json:"last_trouble_s"`
 	Figures  Figures         `json:"figures"`
-	Verdict  referee.Verdict `json:"verdict"`
+	Verdict  checker.Verdict `json:"verdict"`
 	Missed   []string        `json:"missed"`                // expectations
 	Late     float64         `json:"late_s,omitempty"`      // of the socket plane: the latest request was sent so much late
 	RSS      int             `json:"sidecar_kb,omitempty"`  // resident memory of the largest sidecar at the end
@@ -91,17 +91,17 @@
 	return fmt.Sprintf("%.0f s", s)
 }
 
-// verdict prints what the referee found and which expectations were missed.
+// verdict prints what the checker found and which expectations were missed.
 func (d *Day) verdict(b *strings.Builder) {
 	if d.Verdict.Clean() {
-		fmt.Fprintf(b, "rules: all kept (%d requests seen)\n", d.Verdict.Asked)
+		fmt.Fprintf(b, "rules: all kept (%d requests seen)\n", d.Verdict.Requests)
 	}
-	for _, r := range referee.Rules {
+	for _, r := range checker.Rules {
 		if n := d.Verdict.Counts[r]; n > 0 {
 			fmt.Fprintf(b, "rules: %s BROKEN %d times\n", r, n)
 		}
 	}
-	for _, x := range d.Verdict.Breaches {
+	for _, x := range d.Verdict.Violations {
 		fmt.Fprintf(b, "  %s\n", x)
 	}
 	for _, m := range d.Missed {
--- a/internal/lab/report/meter.go
+++ b/internal/lab/report/meter.go
@@ -156,7 +156,7 @@
 	case record.Answered, record.ClientLeft:
 		first, ok := m.tries[e.Request]
 		if !ok {
-			return // the referee has a word for it
+			return // the checker reports it
 		}
 		delete(m.tries, e.Request)
 		m.hold(e.At, -1)
--- a/internal/lab/sockets/days_test.go
+++ b/internal/lab/sockets/days_test.go
@@ -44,7 +44,7 @@
 				}
 				t.Logf("worth in time %.3f, sent %.3f s late at most", d.Figures.Worth, d.Late)
 				if !d.Good() {
-					t.Errorf("breaches %v, missed %v", d.Verdict.Breaches, d.Missed)
+					t.Errorf("breaches %v, missed %v", d.Verdict.Violations, d.Missed)
 				}
 			})
 		}
--- a/internal/lab/sockets/sockets.go
+++ b/internal/lab/sockets/sockets.go
@@ -48,7 +48,7 @@
 	lateMost    = 50 * time.Millisecond // answers later than this after the client's time are breaches
 )
 
-// Slack is how late an answer may be on this plane before the referee calls it late.
+// Slack is how late an answer may be on this plane before the checker calls it late.
 const Slack = lateMost
 
 // world is a running day.
--- a/internal/lab/terms_test.go
+++ b/internal/lab/terms_test.go
@@ -13,12 +13,12 @@
 func TestSocketTerms(t *testing.T) {
 	drawn := plan.New(load(t, "short-calm"), 1)
 	calm := socketTerms(drawn, 0)
-	if calm.Slack != sockets.Slack {
-		t.Errorf("with nothing late the slack is %v, want %v", calm.Slack, sockets.Slack)
+	if calm.ResponseSlack != sockets.Slack {
+		t.Errorf("with nothing late the slack is %v, want %v", calm.ResponseSlack, sockets.Slack)
 	}
 	for _, tt := range []struct{ late, excused time.Duration }{{52 * time.Millisecond, 52 * time.Millisecond}, {5 * time.Second, mostExcused}} {
 		got := socketTerms(drawn, tt.late)
-		if got.Slack != calm.Slack+tt.excused || got.PromptWithin != calm.PromptWithin+tt.excused || got.DrainWithin != calm.DrainWithin+tt.excused {
+		if got.ResponseSlack != calm.ResponseSlack+tt.excused || got.GiveUpGrace != calm.GiveUpGrace+tt.excused || got.DrainGrace != calm.DrainGrace+tt.excused {
 			t.Errorf("sent %v late: %+v", tt.late, got)
 		}
 	}
