--- a/deploy/names_test.go
+++ b/deploy/names_test.go
@@ -207,6 +207,7 @@
 		"internal/fleet/transport",
 		"internal/fleetadapter",
 		"internal/hotrestart",
+		"internal/lab/checker",
 		"internal/lab/record",
 		"internal/lab/sim",
 		"internal/lab/workload",
