--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"milletramp.example/milletramp/internal/lab/checker"
-	"milletramp.example/milletramp/internal/lab/plan"
 	"milletramp.example/milletramp/internal/lab/record"
 	"milletramp.example/milletramp/internal/lab/report"
+	"milletramp.example/milletramp/internal/lab/runplan"
 	"milletramp.example/milletramp/internal/lab/scenario"
 	"milletramp.example/milletramp/internal/lab/sim"
 )
@@ -24,7 +24,7 @@
 // Simulated plays a scenario in simulated time.
 func Simulated(ctx context.Context, s *scenario.Scenario, seed uint64, opt sim.Options) (*report.Day, error) {
 	began := time.Now()
-	p := plan.New(s, seed)
+	p := runplan.Draw(s, seed)
 	meter, judge := report.NewMeter(p), checker.New(Terms(p, 20*time.Millisecond))
 	sinks := record.Sinks{meter, judge}
 	if opt.Sink != nil {
@@ -41,9 +41,9 @@
 }
 
 // Judge ends a day.
-func Judge(p *plan.Plan, meter *report.Meter, judge *checker.Checker) *report.Day {
+func Judge(p *runplan.Plan, meter *report.Meter, judge *checker.Checker) *report.Day {
 	d := &report.Day{Scenario: p.Scenario.Name, About: p.Scenario.About, Seed: p.Seed, Figures: meter.Figures(),
-		Verdict: judge.Verdict(24 * time.Hour), First: p.First.Seconds(), Last: p.Last.Seconds()}
+		Verdict: judge.Verdict(24 * time.Hour), First: p.FirstFault.Seconds(), Last: p.LastFaultEnd.Seconds()}
 	d.Missed = Missed(p.Scenario.Expect, d.Figures)
 	return d
 }
@@ -73,7 +73,7 @@
 }
 
 // Terms are what the checker goes by for a plan, with a slack for the plane's own lateness.
-func Terms(p *plan.Plan, slack time.Duration) checker.Limits {
+func Terms(p *runplan.Plan, slack time.Duration) checker.Limits {
 	s := p.Scenario
 	t := checker.Limits{ResponseSlack: slack, DrainGrace: time.Second + slack, GiveUpGrace: 50 * time.Millisecond, SendGrace: time.Millisecond,
 		OverloadMultiple: s.Fleet.FallMultiple, OverloadWindow: s.Fleet.Fall.Std(), OverloadSlack: 8 * s.MeanWork(), SlowStartCapacity: s.Fleet.ColdFrom,
@@ -84,7 +84,7 @@
 		case "zone":
 			r.PodGroup = func(n int32) int { return p.Machines[n].Zone }
 		case "cell":
-			r.PodGroup = func(n int32) int { return p.Machines[n].Cell }
+			r.PodGroup = func(n int32) int { return p.Machines[n].PodGroup }
 		default:
 			r.PodGroup = func(int32) int { return 0 }
 		}
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"milletramp.example/milletramp/internal/lab/checker"
-	"milletramp.example/milletramp/internal/lab/plan"
 	"milletramp.example/milletramp/internal/lab/record"
 	"milletramp.example/milletramp/internal/lab/report"
+	"milletramp.example/milletramp/internal/lab/runplan"
 	"milletramp.example/milletramp/internal/lab/scenario"
 	"milletramp.example/milletramp/internal/lab/sockets"
 )
@@ -64,7 +64,7 @@
 
 func (p Player) onSockets(ctx context.Context, s *scenario.Scenario, seed uint64, progress func(time.Duration)) (*report.Day, error) {
 	began := time.Now()
-	drawn := plan.New(s, seed)
+	drawn := runplan.Draw(s, seed)
 	meter, tape := report.NewMeter(drawn), &record.Tape{}
 	res, err := sockets.Run(ctx, drawn, sockets.Options{Command: p.Sidecar, Sink: record.Sinks{meter, tape}, Progress: progress,
 		Sidecars: p.Log})
@@ -87,7 +87,7 @@
 
 // socketTerms are the terms of a play in real time. The clients' own lateness, the most by which a request was sent behind its time, is
 // how exactly this machine tells times that day: a sidecar beside them that answers as late was stood still with them.
-func socketTerms(drawn *plan.Plan, late time.Duration) checker.Limits {
+func socketTerms(drawn *runplan.Plan, late time.Duration) checker.Limits {
 	s := drawn.Scenario
 	late = min(late, mostExcused)
 	terms := Terms(drawn, sockets.Slack+late)
@@ -95,8 +95,8 @@
 	// to follow what was last out within the way there and the lateness of a machine that does all parts at once.
 	terms.SendGrace = s.Network.Connect.Std() + 4*s.Network.Cross.Std() // nodes are seen, not the sidecars' sending
 	terms.GiveUpGrace = s.Network.Connect.Std() + 4*s.Network.Cross.Std() + 100*time.Millisecond + late
-	for _, a := range drawn.Acts {
-		if a.Op == plan.Vanish || a.Op == plan.CutZone {
+	for _, a := range drawn.Actions {
+		if a.Kind == runplan.IsolateNode || a.Kind == runplan.CutZone {
 			terms.GiveUpGrace = time.Hour
 		}
 	}
--- a/internal/lab/report/meter.go
+++ b/internal/lab/report/meter.go
@@ -8,8 +8,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"milletramp.example/milletramp/internal/lab/plan"
 	"milletramp.example/milletramp/internal/lab/record"
+	"milletramp.example/milletramp/internal/lab/runplan"
 )
 
 // fate is how a first try stands, its further tries included.
@@ -41,7 +41,7 @@
 
 // Meter counts a day. It is a record.Sink.
 type Meter struct {
-	p       *plan.Plan
+	p       *runplan.Plan
 	warmup  time.Duration
 	aims    []time.Duration
 	worths  []float64
@@ -85,7 +85,7 @@
 }
 
 // NewMeter returns a meter for a plan.
-func NewMeter(p *plan.Plan) *Meter {
+func NewMeter(p *runplan.Plan) *Meter {
 	m := &Meter{p: p, warmup: p.Scenario.Warmup.Std(), chains: map[uint64]*chain{}, tries: map[uint64]uint64{},
 		made: map[uint64]float64{}}
 	for _, c := range p.Scenario.Classes {
@@ -320,7 +320,7 @@
 	length := m.p.Scenario.Length.Std().Seconds()
 	for i := range f.Nodes {
 		k := m.p.Machines[i]
-		f.Nodes[i].Use = f.Nodes[i].Work / (float64(k.Spec.Cores) * k.Spec.Speed * math.Max(length-k.Born.Seconds(), 1))
+		f.Nodes[i].Use = f.Nodes[i].Work / (float64(k.Spec.Cores) * k.Spec.Speed * math.Max(length-k.StartsAt.Seconds(), 1))
 	}
 	return f
 }
@@ -340,9 +340,9 @@
 
 // recovery tells how long service takes to be back after the last trouble. Windows of 2 s smooth over chance.
 func (f *Figures) recovery(m *Meter, from int) {
-	first, last := int(m.p.First.Seconds()), int(math.Ceil(m.p.Last.Seconds()))
+	first, last := int(m.p.FirstFault.Seconds()), int(math.Ceil(m.p.LastFaultEnd.Seconds()))
 	f.Before, f.Healed = 1, true
-	if m.p.Last == 0 {
+	if m.p.LastFaultEnd == 0 {
 		return
 	}
 	if first > from {
--- a/internal/lab/report/meter_test.go
+++ b/internal/lab/report/meter_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"milletramp.example/milletramp/internal/lab/plan"
 	"milletramp.example/milletramp/internal/lab/record"
+	"milletramp.example/milletramp/internal/lab/runplan"
 	"milletramp.example/milletramp/internal/lab/scenario"
 )
 
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := NewMeter(plan.New(s, 1))
+	m := NewMeter(runplan.Draw(s, 1))
 	id := uint64(0)
 	try := func(at, took time.Duration, first uint64, status record.Status) uint64 {
 		id++
--- a/internal/lab/sim/discovery.go
+++ b/internal/lab/sim/discovery.go
@@ -27,9 +27,9 @@
 		ID:       srv.ID,
 		Zone:     srv.simulation.plan.Scenario.Fleet.Zones[srv.Zone],
 		Kind:     srv.Kind,
-		PodGroup: srv.Cell,
+		PodGroup: srv.PodGroup,
 		State:    srv.listedState,
-		Weight:   srv.Size,
+		Weight:   srv.Weight,
 	}
 	if srv.startedAt > 0 {
 		endpoint.Started = srv.startedAt + epoch
--- a/internal/lab/sim/events_test.go
+++ b/internal/lab/sim/events_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"milletramp.example/milletramp/internal/lab/baseline"
-	"milletramp.example/milletramp/internal/lab/plan"
 	"milletramp.example/milletramp/internal/lab/record"
+	"milletramp.example/milletramp/internal/lab/runplan"
 	"milletramp.example/milletramp/internal/lab/scenario"
 	"milletramp.example/milletramp/internal/lab/sim"
 )
@@ -98,7 +98,7 @@
 			}
 			sink := &hashSink{t: t, hash: sha256.New()}
 			tt.options.Sink = sink
-			result, err := sim.Run(context.Background(), plan.New(s, tt.seed), tt.options)
+			result, err := sim.Run(context.Background(), runplan.Draw(s, tt.seed), tt.options)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -2,24 +2,24 @@
 
 import (
 	"milletramp.example/milletramp/balance"
-	"milletramp.example/milletramp/internal/lab/plan"
 	"milletramp.example/milletramp/internal/lab/record"
+	"milletramp.example/milletramp/internal/lab/runplan"
 )
 
 // planActDue is an act of the plan.
-type planActDue struct{ act *plan.Act }
+type planActDue struct{ act *runplan.Action }
 
 func (e planActDue) happen(s *simulation) {
-	switch act := e.act; act.Op {
-	case plan.CutZone:
+	switch act := e.act; act.Kind {
+	case runplan.CutZone:
 		s.network.zoneCut[act.Node] = act.On
-	case plan.Silence:
+	case runplan.SilenceDiscovery:
 		s.pauseDiscovery(act.On)
-	case plan.CutWatch, plan.BackWatch, plan.MoveWatch:
+	case runplan.CutWatch, runplan.RewindWatch, runplan.MoveWatch:
 		// A sidecar's network part hides these from its policy. The socket backend plays them.
-	case plan.RestartSidecar:
+	case runplan.RestartSidecar:
 		s.sidecars[act.Node].crash()
-	case plan.Over:
+	case runplan.FaultOver:
 		s.record(record.Event{Kind: record.FaultOver})
 	default:
 		s.servers[act.Node].apply(act)
@@ -27,36 +27,36 @@
 }
 
 // apply does an act that concerns the server: a change of its process, or the begin or end of a fault.
-func (srv *server) apply(act *plan.Act) {
+func (srv *server) apply(act *runplan.Action) {
 	s := srv.simulation
-	switch act.Op {
-	case plan.Start, plan.Restart:
+	switch act.Kind {
+	case runplan.StartNode, runplan.RestartNode:
 		srv.startProcess()
-	case plan.Drain:
+	case runplan.DrainNode:
 		s.notifyAll(srv, balance.Draining)
-	case plan.Remove:
+	case runplan.RemoveNode:
 		srv.stopProcess()
 		s.notifyAll(srv, balance.Removed)
-	case plan.Crash:
+	case runplan.CrashNode:
 		srv.stopProcess()
-	case plan.Vanish:
+	case runplan.IsolateNode:
 		srv.vanished = act.On
-	case plan.Slow:
+	case runplan.SlowNode:
 		srv.SetSlowdown(s.now, act.Value)
 		srv.completeDueJobs()
-	case plan.Swallow:
+	case runplan.LoseClass:
 		srv.Faults.SwallowedClasses[act.Class] = act.On
-	case plan.TurnAway:
+	case runplan.RejectClass:
 		srv.Faults.RejectedClasses[act.Class] = act.On
-	case plan.Stray:
+	case runplan.LoseShare:
 		srv.Faults.LossShare = act.Value
-	case plan.Errors:
+	case runplan.ErrorShare:
 		srv.Faults.ErrorShare = act.Value
-	case plan.Garble:
+	case runplan.GarbleShare:
 		srv.Faults.MalformedShare = act.Value
-	case plan.CutRequests:
+	case runplan.CutRequestShare:
 		srv.brokenRequestShare = act.Value
-	case plan.CutAnswers:
+	case runplan.CutResponseShare:
 		srv.brokenResponseShare = act.Value
 	}
 }
--- a/internal/lab/sim/server.go
+++ b/internal/lab/sim/server.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
-	"milletramp.example/milletramp/internal/lab/plan"
 	"milletramp.example/milletramp/internal/lab/record"
+	"milletramp.example/milletramp/internal/lab/runplan"
 	"milletramp.example/milletramp/internal/lab/servermodel"
 )
 
@@ -19,7 +19,7 @@
 // server is a machine of the plan with the process that runs on it.
 type server struct {
 	*servermodel.Server // of the process that runs, or ran last
-	plan.Machine
+	runplan.Machine
 	simulation          *simulation
 	index               int32
 	incarnation         int32         // counts its processes
@@ -36,8 +36,8 @@
 }
 
 // addServer adds a machine. Its process runs from the start unless it is born later.
-func (s *simulation) addServer(machine plan.Machine) {
-	fromStart := machine.Born == 0
+func (s *simulation) addServer(machine runplan.Machine) {
+	fromStart := machine.StartsAt == 0
 	srv := &server{
 		Machine:     machine,
 		simulation:  s,
@@ -71,7 +71,7 @@
 		Lifetime: fleet.KeyFor.Std(),
 		Max:      fleet.KeysPerCore * spec.Cores,
 	}
-	srv.Server = servermodel.NewServer(processor, s.pod(srv.Cell), keys, random)
+	srv.Server = servermodel.NewServer(processor, s.pod(srv.PodGroup), keys, random)
 	if previous != nil {
 		srv.Faults = previous.Faults
 		srv.earlierWork += previous.CompletedWork()
@@ -84,7 +84,7 @@
 func (s *simulation) pod(group int) *servermodel.Pod {
 	pod := s.pods[group]
 	if pod == nil {
-		pod = servermodel.NewPod(s.plan.Window())
+		pod = servermodel.NewPod(s.plan.DedupeWindow())
 		s.pods[group] = pod
 	}
 	return pod
--- a/internal/lab/sim/simulation.go
+++ b/internal/lab/sim/simulation.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
-	"milletramp.example/milletramp/internal/lab/plan"
 	"milletramp.example/milletramp/internal/lab/record"
+	"milletramp.example/milletramp/internal/lab/runplan"
 	"milletramp.example/milletramp/internal/lab/servermodel"
 	"milletramp.example/milletramp/internal/lab/workload"
 )
@@ -47,7 +47,7 @@
 type simulation struct {
 	scheduler
 	network         network
-	plan            *plan.Plan
+	plan            *runplan.Plan
 	options         Options
 	servers         []*server
 	serverByID      map[string]*server
@@ -62,7 +62,7 @@
 }
 
 // Run plays a plan to its end, or until ctx is done.
-func Run(ctx context.Context, p *plan.Plan, options Options) (Result, error) {
+func Run(ctx context.Context, p *runplan.Plan, options Options) (Result, error) {
 	s := newSimulation(p, options)
 	if err := s.build(); err != nil {
 		return s.result, err
@@ -76,7 +76,7 @@
 	return s.result, nil
 }
 
-func newSimulation(p *plan.Plan, options Options) *simulation {
+func newSimulation(p *runplan.Plan, options Options) *simulation {
 	if options.NewPolicy == nil {
 		options.NewPolicy = NewModule
 	}
@@ -108,8 +108,8 @@
 			return fmt.Errorf("sidecar %d: %w", i, err)
 		}
 	}
-	for i := range s.plan.Acts {
-		act := &s.plan.Acts[i]
+	for i := range s.plan.Actions {
+		act := &s.plan.Actions[i]
 		s.scheduleAt(act.At, planActDue{act})
 	}
 	return nil
@@ -151,7 +151,7 @@
 
 // isIdleAt reports whether at a time the scenario and its faults are over and no request waits for a response.
 func (s *simulation) isIdleAt(at time.Duration) bool {
-	return at >= s.plan.Scenario.Length.Std() && at >= s.plan.Last && s.openRequests == 0
+	return at >= s.plan.Scenario.Length.Std() && at >= s.plan.LastFaultEnd && s.openRequests == 0
 }
 
 // policyNow is the present time on the policies' clock.
--- a/internal/lab/sim/simulation_test.go
+++ b/internal/lab/sim/simulation_test.go
@@ -7,18 +7,18 @@
 	"time"
 
 	"milletramp.example/milletramp/balance"
-	"milletramp.example/milletramp/internal/lab/plan"
+	"milletramp.example/milletramp/internal/lab/runplan"
 	"milletramp.example/milletramp/internal/lab/scenario"
 	"milletramp.example/milletramp/internal/lab/sim"
 )
 
-func calmPlan(t *testing.T) *plan.Plan {
+func calmPlan(t *testing.T) *runplan.Plan {
 	t.Helper()
 	s, err := scenario.Read("../../../lab/short-calm.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return plan.New(s, 1)
+	return runplan.Draw(s, 1)
 }
 
 // TestRunEndsWithItsContext holds that a run whose context is done ends with the cause, at most a simulated second
--- a/internal/lab/sockets/process.go
+++ b/internal/lab/sockets/process.go
@@ -17,7 +17,7 @@
 	"syscall"
 	"time"
 
-	"milletramp.example/milletramp/internal/lab/plan"
+	"milletramp.example/milletramp/internal/lab/runplan"
 	"milletramp.example/milletramp/internal/standin"
 )
 
@@ -211,7 +211,7 @@
 }
 
 // config is what a sidecar is told, in the platform's form.
-func config(p *plan.Plan, i int, listen, discovery string, known standin.List) []byte {
+func config(p *runplan.Plan, i int, listen, discovery string, known standin.List) []byte {
 	s := p.Scenario
 	type object = map[string]any
 	var classes, tenants []object
--- a/internal/lab/sockets/sockets.go
+++ b/internal/lab/sockets/sockets.go
@@ -19,8 +19,8 @@
 	"syscall"
 	"time"
 
-	"milletramp.example/milletramp/internal/lab/plan"
 	"milletramp.example/milletramp/internal/lab/record"
+	"milletramp.example/milletramp/internal/lab/runplan"
 	"milletramp.example/milletramp/internal/lab/servermodel"
 	"milletramp.example/milletramp/internal/lab/workload"
 	"milletramp.example/milletramp/internal/standin"
@@ -53,7 +53,7 @@
 
 // world is a running day.
 type world struct {
-	p    *plan.Plan
+	p    *runplan.Plan
 	opt  Options
 	log  *standin.Log
 	book *standin.Book
@@ -79,7 +79,7 @@
 }
 
 // Run plays a plan to its end. What it started has ended when it returns, also after an error.
-func Run(ctx context.Context, p *plan.Plan, opt Options) (res Result, err error) {
+func Run(ctx context.Context, p *runplan.Plan, opt Options) (res Result, err error) {
 	if err := enough(p); err != nil {
 		return res, err
 	}
@@ -104,7 +104,7 @@
 }
 
 // enough says whether the machine allows as many descriptors as the plan needs.
-func enough(p *plan.Plan) error {
+func enough(p *runplan.Plan) error {
 	f := p.Scenario.Fleet
 	need := uint64(len(p.Machines)*(f.Sidecars+1)*2 + f.Sidecars*600 + int(p.Scenario.Rate()*2))
 	var limit syscall.Rlimit
@@ -133,14 +133,14 @@
 			return fmt.Errorf("node %d: %w", i, err)
 		}
 		w.nodes, w.addr = append(w.nodes, n), append(w.addr, l.Addr().String())
-		if m.Born > 0 {
+		if m.StartsAt > 0 {
 			_ = l.Close()
 			l = nil
 		}
 		w.listen = append(w.listen, l)
 	}
 	number := func(uid string) int32 {
-		return int32(slices.IndexFunc(w.p.Machines, func(m plan.Machine) bool { return m.ID == uid }))
+		return int32(slices.IndexFunc(w.p.Machines, func(m runplan.Machine) bool { return m.ID == uid }))
 	}
 	for i := range s.Fleet.Sidecars {
 		var links []*standin.Link
@@ -154,7 +154,7 @@
 		w.links = append(w.links, links)
 		var first []standin.Entry
 		for n, m := range w.p.Machines {
-			if m.Born == 0 {
+			if m.StartsAt == 0 {
 				first = append(first, w.entry(i, n, record.Serving))
 			}
 		}
@@ -219,7 +219,7 @@
 func (w *world) entry(i, n int, state record.State) standin.Entry {
 	m := w.p.Machines[n]
 	e := standin.Entry{UID: m.ID, Endpoint: w.links[min(i, len(w.links)-1)][n].Address(), AZ: w.p.Scenario.Fleet.Zones[m.Zone],
-		Model: m.Kind, PodGroup: m.Cell, State: standin.States[state], Capacity: m.Size}
+		Model: m.Kind, PodGroup: m.PodGroup, State: standin.States[state], Capacity: m.Weight}
 	if w.starts[n] > 0 {
 		e.BootMS = w.log.Start().Add(w.starts[n]).UnixMilli()
 	}
@@ -231,10 +231,10 @@
 	m, f := w.p.Machines[n], w.p.Scenario.Fleet
 	spec := m.Spec
 	spec.StartedAt = started
-	pod := w.pods[m.Cell]
+	pod := w.pods[m.PodGroup]
 	if pod == nil {
-		pod = servermodel.NewPod(w.p.Window())
-		w.pods[m.Cell] = pod
+		pod = servermodel.NewPod(w.p.DedupeWindow())
+		w.pods[m.PodGroup] = pod
 	}
 	w.starts[n] = started
 	w.lives[n]++
@@ -402,7 +402,7 @@
 
 // acts does the plan's acts in their time.
 func (w *world) acts(ctx context.Context, fail context.CancelCauseFunc) {
-	for _, a := range w.p.Acts {
+	for _, a := range w.p.Actions {
 		t := time.NewTimer(max(a.At-w.log.Now(), 0))
 		select {
 		case <-t.C:
@@ -417,39 +417,39 @@
 	}
 }
 
-func (w *world) act(ctx context.Context, a plan.Act, fail context.CancelCauseFunc) error {
+func (w *world) act(ctx context.Context, a runplan.Action, fail context.CancelCauseFunc) error {
 	n := a.Node
 	change := func(do func(s *servermodel.Server, now time.Duration)) { w.nodes[n].Change(do) }
-	switch a.Op {
-	case plan.Over:
+	switch a.Kind {
+	case runplan.FaultOver:
 		w.log.Add(record.Event{Kind: record.FaultOver})
-	case plan.CutZone:
+	case runplan.CutZone:
 		w.cut[n] = a.On
 		w.rewire()
-	case plan.Vanish:
+	case runplan.IsolateNode:
 		w.mute[n] = a.On
 		w.rewire()
-	case plan.CutRequests:
+	case runplan.CutRequestShare:
 		w.cutAsk[n] = a.Value
 		w.rewire()
-	case plan.CutAnswers:
+	case runplan.CutResponseShare:
 		w.cutAns[n] = a.Value
 		w.rewire()
-	case plan.Silence:
+	case runplan.SilenceDiscovery:
 		for _, d := range w.disc {
 			d.Silence(a.On)
 		}
-	case plan.CutWatch:
+	case runplan.CutWatch:
 		for _, d := range w.disc {
 			d.Cut()
 		}
-	case plan.BackWatch:
+	case runplan.RewindWatch:
 		for _, d := range w.disc {
 			d.Back()
 		}
-	case plan.MoveWatch:
+	case runplan.MoveWatch:
 		return w.move()
-	case plan.RestartSidecar:
+	case runplan.RestartSidecar:
 		w.restarts.Add(1)
 		go func() { // acts of this moment are not to wait for it
 			defer w.restarts.Done()
@@ -457,31 +457,31 @@
 				fail(err)
 			}
 		}()
-	case plan.Start, plan.Restart:
+	case runplan.StartNode, runplan.RestartNode:
 		l, err := net.Listen("tcp", w.addr[n])
 		if err != nil {
 			return fmt.Errorf("node %d: %w", n, err)
 		}
 		w.raise(n, l, max(w.log.Now(), 1))
 		w.tell(n, record.Serving)
-	case plan.Drain:
+	case runplan.DrainNode:
 		w.tell(n, record.Draining)
-	case plan.Remove:
+	case runplan.RemoveNode:
 		w.nodes[n].Stop()
 		w.tell(n, record.Gone)
-	case plan.Crash:
+	case runplan.CrashNode:
 		w.nodes[n].Stop()
-	case plan.Slow:
+	case runplan.SlowNode:
 		change(func(s *servermodel.Server, now time.Duration) { s.SetSlowdown(now, a.Value) })
-	case plan.Swallow:
+	case runplan.LoseClass:
 		change(func(s *servermodel.Server, _ time.Duration) { s.Faults.SwallowedClasses[a.Class] = a.On })
-	case plan.TurnAway:
+	case runplan.RejectClass:
 		change(func(s *servermodel.Server, _ time.Duration) { s.Faults.RejectedClasses[a.Class] = a.On })
-	case plan.Stray:
+	case runplan.LoseShare:
 		change(func(s *servermodel.Server, _ time.Duration) { s.Faults.LossShare = a.Value })
-	case plan.Errors:
+	case runplan.ErrorShare:
 		change(func(s *servermodel.Server, _ time.Duration) { s.Faults.ErrorShare = a.Value })
-	case plan.Garble:
+	case runplan.GarbleShare:
 		change(func(s *servermodel.Server, _ time.Duration) { s.Faults.MalformedShare = a.Value })
 	}
 	return nil
--- a/internal/lab/terms_test.go
+++ b/internal/lab/terms_test.go
@@ -4,14 +4,14 @@
 	"testing"
 	"time"
 
-	"milletramp.example/milletramp/internal/lab/plan"
+	"milletramp.example/milletramp/internal/lab/runplan"
 	"milletramp.example/milletramp/internal/lab/sockets"
 )
 
 // TestSocketTerms: a machine on which requests are sent late excuses answers as late as that, and none that are later or than are
 // excused at the most.
 func TestSocketTerms(t *testing.T) {
-	drawn := plan.New(load(t, "short-calm"), 1)
+	drawn := runplan.Draw(load(t, "short-calm"), 1)
 	calm := socketTerms(drawn, 0)
 	if calm.ResponseSlack != sockets.Slack {
 		t.Errorf("with nothing late the slack is %v, want %v", calm.ResponseSlack, sockets.Slack)
