--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -329,10 +329,10 @@
 }
 
 func (c *checker) trouble(s *Scenario, t Trouble, at string) {
-	n, ok := kinds[t.Kind]
+	n, ok := faultKinds[t.Kind]
 	if !ok {
-		names := make([]string, 0, len(kinds))
-		for k := range kinds {
+		names := make([]string, 0, len(faultKinds))
+		for k := range faultKinds {
 			names = append(names, k)
 		}
 		slices.Sort(names)
@@ -358,7 +358,7 @@
 	}
 	if n.size {
 		high := 1000.0
-		if slices.Contains([]string{"hot_key", "stray", "errors", "garble", "cut_requests", "cut_answers"}, t.Kind) {
+		if slices.Contains(sizedByShare, t.Kind) {
 			high = 1 // a share
 		}
 		c.number(at+"size", t.Size, 0.0001, high)
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -166,35 +166,6 @@
 	Useful   float64  `toml:"useful"`    // least share of the work done that served an answer
 }
 
-// Need tells what a trouble of a kind takes.
-type need struct{ part, size, class, zone, lasts, drain bool }
-
-// kinds are the troubles that the lab knows. What is not needed must be absent.
-var kinds = map[string]need{
-	"slow":             {part: true, size: true, lasts: true},
-	"burst":            {size: true, lasts: true},
-	"hot_key":          {size: true, lasts: true},
-	"release":          {part: true, lasts: true, drain: true},
-	"shrink":           {part: true, lasts: true, drain: true},
-	"swallow":          {part: true, class: true, lasts: true},
-	"turn_away":        {part: true, class: true, lasts: true},
-	"stray":            {part: true, size: true, lasts: true},
-	"errors":           {part: true, size: true, lasts: true},
-	"garble":           {part: true, size: true, lasts: true},
-	"cut_requests":     {part: true, size: true, lasts: true}, // the link breaks once a request has passed
-	"cut_answers":      {part: true, size: true, lasts: true}, // the link breaks in the middle of an answer
-	"vanish":           {part: true, lasts: true},
-	"crash":            {part: true, lasts: true},
-	"zone_cut":         {zone: true, lasts: true},
-	"discovery_silent": {lasts: true},
-	"discovery_cut":    {}, // the next line of every watch ends midway, with its connection
-	"discovery_back":   {}, // it counts its versions anew and tells the whole list
-	"discovery_moves":  {}, // to a new address, told by a reload
-	"sidecars_restart": {part: true},
-	"power_cut":        {lasts: true},
-	"flood":            {part: true, size: true, lasts: true},
-}
-
 // Capacity is what the fleet can do when all of it is warm, in seconds of standard work a second.
 func (s *Scenario) Capacity() float64 {
 	sum := 0.0
--- a/internal/lab/workload/source.go
+++ b/internal/lab/workload/source.go
@@ -14,13 +14,6 @@
 // seedSalt keeps the arrivals of a seed apart from what else is drawn with it.
 const seedSalt = 0x10ad
 
-// The kinds of a scenario's faults that change the arrivals.
-const (
-	faultBurst  = "burst"
-	faultFlood  = "flood" // a burst at some of the sidecars
-	faultHotKey = "hot_key"
-)
-
 // Request is one request as its client makes it.
 type Request struct {
 	At          time.Duration
@@ -101,14 +94,14 @@
 // addFault adds a fault of the scenario if it changes the sidecar's arrivals.
 func (l *Source) addFault(fault scenario.Trouble, sidecar int) {
 	switch fault.Kind {
-	case faultHotKey:
-	case faultFlood:
+	case scenario.FaultHotKey:
+	case scenario.FaultFlood:
 		flooded := int(math.Ceil(fault.Part * float64(l.scenario.Fleet.Sidecars))) // these are the first ones
 		if sidecar >= flooded {
 			return
 		}
 		l.peakFactor *= math.Max(fault.Size, 1)
-	case faultBurst:
+	case scenario.FaultBurst:
 		l.peakFactor *= math.Max(fault.Size, 1)
 	default:
 		return
@@ -125,7 +118,7 @@
 func (l *Source) rateFactor(at time.Duration) float64 {
 	factor := 1 + l.scenario.Load.Swing*math.Sin(2*math.Pi*at.Seconds()/l.scenario.Load.Wave.Std().Seconds())
 	for _, fault := range l.faults {
-		if fault.activeAt(at, faultBurst) || fault.activeAt(at, faultFlood) {
+		if fault.activeAt(at, scenario.FaultBurst) || fault.activeAt(at, scenario.FaultFlood) {
 			factor *= fault.size
 		}
 	}
@@ -173,7 +166,7 @@
 func (l *Source) drawKey(at time.Duration) uint64 {
 	key := l.keys.Draw(l.random)
 	for _, fault := range l.faults {
-		if fault.activeAt(at, faultHotKey) && l.random.Float64() < fault.size {
+		if fault.activeAt(at, scenario.FaultHotKey) && l.random.Float64() < fault.size {
 			key = uint64(l.scenario.Load.Keys) // the distribution draws smaller ones only
 		}
 	}
