--- a/internal/lab/fleet/mutants/mutants_test.go
+++ b/internal/lab/fleet/mutants/mutants_test.go
@@ -26,7 +26,7 @@
 }
 
 var mutants = []mutant{
-	{name: "the fleet's word ignored", file: "../sidecar/fleet.go", from: "if now[id] = true; !here[id] {", to: "if now[id] = true; false {",
+	{name: "the fleet's word ignored", file: "../sidecar/fleet.go", from: "if !wasDown[id] {", to: "if false {",
 		rule: "nothing new to a server out by hand", play: "processes TestDrawnPlans"},
 	{"evidence kept to oneself", "evidence.go",
 		"range f.evidence.recorder.DueRows(now.Time, f.machine.Members.NumPresent()) {",
@@ -144,8 +144,8 @@
 	{"a cut folder that votes", "consensus/consensus.go", "msg.Commit > last && m.readyInFlight == nil {", "false && msg.Commit > last && m.readyInFlight == nil {", "TestTruncatedFolder"},
 	{"a corrupt record passed over", "raftlog/record.go", "if allZero(data[size:]) {", "if true {", "TestCorruptionBeforeLastRecordIsDetected"},
 	{"appended to after a failed write", "raftlog/raftlog.go", "l.tailUnknown = true\n\t\treturn folderError(err)", "return folderError(err)", "TestFullDiskLosesNoAcknowledgedBatch"},
-	{"a request held against nothing when it is taken", "../sidecar/policy.go", "return ok && now == number && g.host.terms.Load().policy == number", "return ok || now+number > 0", "TestRequestsAreTakenUnderPolicyInForceOnly"},
-	{"a file taken beside the policy", "../sidecar/reload.go", "if how := h.gate.differs(c); how != \"\" {", "if how := \"\"; how != \"\" {", "TestReloadMustMatchPolicyInForce"},
+	{"a request held against nothing when it is taken", "../proxy/policy_gate.go", "return ok && current == number && g.loop.PolicyNumber() == number", "return ok || current+number > 0", "../sidecar TestRequestsAreTakenUnderPolicyInForceOnly"},
+	{"a file taken beside the policy", "../proxy/reconfigure.go", "if difference := l.gate.difference(c); difference != \"\" {", "if difference := \"\"; difference != \"\" {", "../sidecar TestReloadMustMatchPolicyInForce"},
 	{"a place taken with nothing to begin from", "consensus/voters.go", "m.snapshotDue = true // a new", "m.snapshotDue = false // a new", "raftnode TestReplaceVoter"},
 	{"who was replaced goes on", "consensus/advance.go", "m.stop(ErrReplaced)", "_ = ErrReplaced", "raftnode TestReplaceVoter"},
 	{"a place given to who was never heard of", "raftnode/node.go", "if !known || s.expired(now) {", "if s.id |= 1; !known && false {", "raftnode TestReplaceVoter"},
