--- a/deploy/names_test.go
+++ b/deploy/names_test.go
@@ -205,6 +205,7 @@
 		"internal/fleet/replication",
 		"internal/fleet/transport",
 		"internal/hotrestart",
+		"internal/lab/fleet/faultplan",
 		"internal/lab/fleet/processes",
 		"internal/lab/workload",
 		"internal/loadlevel",
--- a/internal/lab/fleet/processes/sidecar.go
+++ b/internal/lab/fleet/processes/sidecar.go
@@ -75,7 +75,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	killed := slices.ContainsFunc(s.run.plan.Faults, func(f faultplan.Fault) bool {
-		return f.Kind == faultplan.Kill && slices.Contains(f.From, s.index) && now >= f.At && now < f.At+f.Duration-killOverlap
+		lasts := now >= f.At && now < f.At+f.Duration-killOverlap
+		return f.Kind == faultplan.Kill && lasts && slices.Contains(f.From, s.index)
 	})
 	if s.current != nil || killed && s.incarnationNumber > 0 {
 		return nil
