--- a/internal/standin/link_test.go
+++ b/internal/standin/link_test.go
@@ -85,7 +85,10 @@
 		good      func(text string, err error) bool
 	}{
 		{"nothing wrong", LinkCondition{}, patience, whole},
-		{"delayed", LinkCondition{Delay: 5 * time.Millisecond, HandshakeRoundTrips: 1, JitterFraction: 0.2}, patience, whole},
+		{
+			"delayed", LinkCondition{Delay: 5 * time.Millisecond, HandshakeRoundTrips: 1, JitterFraction: 0.2},
+			patience, whole,
+		},
 		{"reset before", LinkCondition{ResetBefore: 1}, patience, reset},
 		{"reset within", LinkCondition{ResetWithin: 1}, patience, reset},
 		{"reset after", LinkCondition{ResetAfter: 1, Delay: time.Millisecond}, patience, reset},
@@ -127,8 +130,8 @@
 	}
 }
 
-// TestBlackholeFillsBacklog: once a link is a blackhole, one connection is held and the listener's backlog is full, even
-// if the accepting goroutine is scheduled late.
+// TestBlackholeFillsBacklog: once a link is a blackhole, one connection is held and the listener's backlog is full,
+// even if the accepting goroutine is scheduled late.
 func TestBlackholeFillsBacklog(t *testing.T) {
 	var quiet atomic.Bool
 	var spinners sync.WaitGroup
--- a/internal/standin/mesh/mesh_test.go
+++ b/internal/standin/mesh/mesh_test.go
@@ -12,7 +12,7 @@
 
 const patience = 30 * time.Second
 
-// TestConditions has each condition do to datagrams what it says, one way and not the other.
+// TestConditions: each condition applies to the datagrams of one direction, and not to those of the other.
 func TestConditions(t *testing.T) {
 	var mu sync.Mutex
 	var now Conditions
@@ -30,7 +30,8 @@
 	defer m.Close()
 	var ends [2]*net.UDPConn
 	for i := range ends {
-		if ends[i], err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.MustParseAddrPort(m.Inside(i)))); err != nil {
+		inside := netip.MustParseAddrPort(m.Inside(i))
+		if ends[i], err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(inside)); err != nil {
 			t.Fatal(err)
 		}
 		defer ends[i].Close()
@@ -81,15 +82,16 @@
 	if got, _ := send(0, 200, Conditions{Duplicate: 0.5}, time.Second); got < 240 || got > 360 {
 		t.Errorf("%d of 200 with half of them doubled", got)
 	}
-	if got, took := send(0, 50, Conditions{Delay: 300 * time.Millisecond}, time.Second); got != 50 || took < 100*time.Millisecond {
+	got, took := send(0, 50, Conditions{Delay: 300 * time.Millisecond}, time.Second)
+	if got != 50 || took < 100*time.Millisecond {
 		t.Errorf("%d of 50 within %v with a delay", got, took)
 	}
 	if got, took := send(0, 60, Conditions{Rate: 600}, 2*time.Second); got != 60 || took < 150*time.Millisecond {
-		t.Errorf("%d of 60 within %v through a narrow way", got, took)
+		t.Errorf("%d of 60 within %v at a limited rate", got, took)
 	}
 }
 
-// TestConnections joins a caller to a listener, and not through a cut.
+// TestConnections: a caller is connected to a listener, and not through a cut.
 func TestConnections(t *testing.T) {
 	var cut sync.Map
 	m, err := New(2, 1, func(from, to int) Conditions {
