--- a/deploy/names_test.go
+++ b/deploy/names_test.go
@@ -217,6 +217,8 @@
 		"internal/quota",
 		"internal/retrybudget",
 		"internal/sidecar",
+		"internal/standin",
+		"internal/standin/mesh",
 		"internal/upstream",
 		"internal/wire",
 	}
