--- a/internal/standin/clients_test.go
+++ b/internal/standin/clients_test.go
@@ -84,7 +84,8 @@
 	}
 	answered := func(status record.Status, token int) string {
 		return fmt.Sprintf(
-			"answered status=%d request=1 first=0 sidecar=203 node=0 tenant=0 effect=0 token=%d retry=0s", status, token)
+			"answered status=%d request=1 first=0 sidecar=203 node=0 tenant=0 effect=0 token=%d retry=0s",
+			status, token)
 	}
 	left := "left status=0 request=1 first=0 sidecar=203 node=0 tenant=0 effect=0 token=0 retry=0s"
 	for _, tt := range []struct {
--- a/internal/standin/link_test.go
+++ b/internal/standin/link_test.go
@@ -20,8 +20,8 @@
 
 const patience = 10 * time.Second
 
-// answering is a server that answers each line with "got " and the line.
-func answering(t *testing.T) string {
+// startLineServer starts a server that responds to each line with "got " and the line, and returns its address.
+func startLineServer(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,10 +57,10 @@
 	return l.Addr().String()
 }
 
-// ask sends a line through a link and returns what comes back until the line's end or the connection's.
-func ask(t *testing.T, k *Link, within time.Duration) (string, error) {
+// sendLine sends a line through a link and returns the response, up to the end of the line or of the connection.
+func sendLine(t *testing.T, link *Link, within time.Duration) (string, error) {
 	t.Helper()
-	c, err := net.DialTimeout("tcp", k.Address(), within)
+	c, err := net.DialTimeout("tcp", link.Address(), within)
 	if err != nil {
 		return "", err
 	}
@@ -75,7 +75,7 @@
 // TestLinkFaults applies each condition of a link to a request, and then none.
 func TestLinkFaults(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	to := answering(t)
+	to := startLineServer(t)
 	reset := func(_ string, err error) bool { return errors.Is(err, syscall.ECONNRESET) }
 	whole := func(s string, err error) bool { return s == "got hello there\n" && err == nil }
 	for _, tt := range []struct {
@@ -113,17 +113,17 @@
 		}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			k, err := NewLink(SidecarIP(0), to, LinkCondition{}, 1)
+			link, err := NewLink(SidecarIP(0), to, LinkCondition{}, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer k.Close()
-			k.SetCondition(tt.condition)
-			if text, err := ask(t, k, tt.within); !tt.good(text, err) {
+			defer link.Close()
+			link.SetCondition(tt.condition)
+			if text, err := sendLine(t, link, tt.within); !tt.good(text, err) {
 				t.Errorf("got %q, %v", text, err)
 			}
-			k.SetCondition(LinkCondition{})
-			if text, err := ask(t, k, patience); text != "got hello there\n" || err != nil {
+			link.SetCondition(LinkCondition{})
+			if text, err := sendLine(t, link, patience); text != "got hello there\n" || err != nil {
 				t.Errorf("once it is over: %q, %v", text, err)
 			}
 		})
@@ -146,32 +146,32 @@
 	}
 	defer spinners.Wait()
 	defer quiet.Store(true)
-	to := answering(t)
+	to := startLineServer(t)
 	for round := range 20 {
-		k, err := NewLink(SidecarIP(0), to, LinkCondition{}, uint64(round))
+		link, err := NewLink(SidecarIP(0), to, LinkCondition{}, uint64(round))
 		if err != nil {
 			t.Fatal(err)
 		}
-		k.SetCondition(LinkCondition{Blackhole: true})
+		link.SetCondition(LinkCondition{Blackhole: true})
 		for range 2 {
 			runtime.Gosched() // the accepting goroutine takes what it can
 		}
-		if n, err := k.backlogLength(); n != 1 || err != nil || !k.isHolding() {
+		if n, err := link.backlogLength(); n != 1 || err != nil || !link.isHolding() {
 			t.Errorf("round %d: %d connections wait, held %v, error %v; want one that waits behind one that is held",
-				round, n, k.isHolding(), err)
+				round, n, link.isHolding(), err)
 		}
-		k.Close()
+		link.Close()
 	}
 }
 
 // TestBlackholeResets: a connection that was open when a blackhole began passes nothing, and is reset when it ends.
 func TestBlackholeResets(t *testing.T) {
-	k, err := NewLink(SidecarIP(3), answering(t), LinkCondition{}, 1)
+	link, err := NewLink(SidecarIP(3), startLineServer(t), LinkCondition{}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer k.Close()
-	c, err := net.Dial("tcp", k.Address())
+	defer link.Close()
+	c, err := net.Dial("tcp", link.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -183,7 +183,7 @@
 	if line, err := in.ReadString('\n'); line != "got one\n" {
 		t.Fatalf("%q, %v", line, err)
 	}
-	k.SetCondition(LinkCondition{Blackhole: true})
+	link.SetCondition(LinkCondition{Blackhole: true})
 	if _, err := io.WriteString(c, "two\n"); err != nil {
 		t.Fatal(err)
 	}
@@ -191,7 +191,7 @@
 	if line, err := in.ReadString('\n'); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("while silent: %q, %v", line, err)
 	}
-	k.SetCondition(LinkCondition{})
+	link.SetCondition(LinkCondition{})
 	_ = c.SetReadDeadline(time.Now().Add(patience))
 	if line, err := in.ReadString('\n'); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("once it is back: %q, %v, want a reset", line, err)
