--- a/deploy/names_test.go
+++ b/deploy/names_test.go
@@ -222,6 +222,8 @@
 		"internal/quota",
 		"internal/retrybudget",
 		"internal/sidecar",
+		"internal/standin",
+		"internal/standin/mesh",
 		"internal/upstream",
 		"internal/wire",
 	}
