--- a/cmd/milletramp/lab_run.go
+++ b/cmd/milletramp/lab_run.go
@@ -43,7 +43,7 @@
 		if err != nil {
 			return err
 		}
-		if !day.Good() {
+		if !day.Passed() {
 			failed++
 		}
 	}
@@ -54,7 +54,7 @@
 }
 
 // play runs one scenario and writes its report.
-func (r *labRun) play(ctx context.Context, player lab.Player, s *scenario.Scenario) (*report.Day, error) {
+func (r *labRun) play(ctx context.Context, player lab.Player, s *scenario.Scenario) (*report.Result, error) {
 	player.Progress = newProgressPrinter(s.Name)
 	day, err := player.Play(ctx, s, r.Seed)
 	if err != nil {
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -22,7 +22,7 @@
 )
 
 // Simulated plays a scenario in simulated time.
-func Simulated(ctx context.Context, s *scenario.Scenario, seed uint64, opt sim.Options) (*report.Day, error) {
+func Simulated(ctx context.Context, s *scenario.Scenario, seed uint64, opt sim.Options) (*report.Result, error) {
 	began := time.Now()
 	p := runplan.Draw(s, seed)
 	meter, judge := report.NewMeter(p), checker.New(Terms(p, 20*time.Millisecond))
@@ -36,14 +36,15 @@
 		return nil, fmt.Errorf("%s: %w", s.Name, err)
 	}
 	d := Judge(p, meter, judge)
-	d.Plane, d.Events, d.Took = "simulated", res.Events, time.Since(began).Seconds()
+	d.Backend, d.Events, d.ElapsedSeconds = "simulated", res.Events, time.Since(began).Seconds()
 	return d, nil
 }
 
 // Judge ends a day.
-func Judge(p *runplan.Plan, meter *report.Meter, judge *checker.Checker) *report.Day {
-	d := &report.Day{Scenario: p.Scenario.Name, About: p.Scenario.About, Seed: p.Seed, Figures: meter.Figures(),
-		Verdict: judge.Verdict(24 * time.Hour), First: p.FirstFault.Seconds(), Last: p.LastFaultEnd.Seconds()}
+func Judge(p *runplan.Plan, meter *report.Meter, judge *checker.Checker) *report.Result {
+	d := &report.Result{Scenario: p.Scenario.Name, About: p.Scenario.About, Seed: p.Seed, Figures: meter.Figures(),
+		Verdict: judge.Verdict(24 * time.Hour), FirstFaultSecond: p.FirstFault.Seconds(),
+		LastFaultSecond: p.LastFaultEnd.Seconds()}
 	d.Missed = Missed(p.Scenario.Expect, d.Figures)
 	return d
 }
@@ -59,15 +60,15 @@
 			missed = append(missed, fmt.Sprintf("%s is %.3f, expected %s %.3f", name, got, word, want))
 		}
 	}
-	check("in_time", e.InTime, f.Worth, true)
+	check("in_time", e.InTime, f.InTimePriority, true)
 	check("worst_10s", e.Worst10s, f.Worst10s, true)
 	check("failed", e.Failed, f.Failed, false)
-	check("attempts", e.Attempts, f.Attempts, false)
-	check("useful", e.Useful, f.Useful, true)
-	if e.Recover > 0 && f.Recover < 0 {
+	check("attempts", e.Attempts, f.AttemptsPerRequest, false)
+	check("useful", e.Useful, f.UsefulWork, true)
+	if e.Recover > 0 && f.RecoverSeconds < 0 {
 		missed = append(missed, "recover: service is not back by the end")
 	} else {
-		check("recover", e.Recover.Std().Seconds(), f.Recover, false)
+		check("recover", e.Recover.Std().Seconds(), f.RecoverSeconds, false)
 	}
 	return missed
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -38,7 +38,7 @@
 	return s
 }
 
-func play(t testing.TB, s *scenario.Scenario, seed uint64, opt sim.Options) *report.Day {
+func play(t testing.TB, s *scenario.Scenario, seed uint64, opt sim.Options) *report.Result {
 	t.Helper()
 	d, err := Simulated(context.Background(), s, seed, opt)
 	if err != nil {
@@ -64,7 +64,7 @@
 			if s.Name != name {
 				t.Errorf("its file is named otherwise than it is: %q", s.Name)
 			}
-			if d := play(t, s, s.Seed, sim.Options{}); !d.Good() {
+			if d := play(t, s, s.Seed, sim.Options{}); !d.Passed() {
 				t.Errorf("breaches %v, missed %v\n%v", d.Verdict.Counts, d.Missed, d.Verdict.Violations)
 			}
 		})
@@ -78,7 +78,7 @@
 	var tapes [2]record.Tape
 	for i := range days {
 		d := play(t, s, 7, sim.Options{Sink: &tapes[i]})
-		d.Took = 0
+		d.ElapsedSeconds = 0
 		text, err := json.Marshal(d)
 		if err != nil {
 			t.Fatal(err)
@@ -277,8 +277,8 @@
 			var stays, little []float64
 			for seed := range uint64(12) {
 				f := play(t, s, seed+1, sim.Options{NewPolicy: random}).Figures
-				stays = append(stays, f.Stay)
-				little = append(little, f.Held/(f.Asked/(s.Length-s.Warmup).Std().Seconds())/f.Stay)
+				stays = append(stays, f.MeanStaySeconds)
+				little = append(little, f.MeanInFlight/(f.FirstRequests/(s.Length-s.Warmup).Std().Seconds())/f.MeanStaySeconds)
 			}
 			i, l := IntervalOf(stays), IntervalOf(little)
 			t.Logf("stay %.4f s [%.4f, %.4f], theory %.4f; L/(lambda W) %.4f [%.4f, %.4f]", i.Mean, i.Low, i.High, want, l.Mean,
@@ -309,7 +309,7 @@
 		if !d.Verdict.Clean() {
 			t.Errorf("%s broke a rule: %v", name, d.Verdict.Violations)
 		}
-		worth[name] = d.Figures.Worth
+		worth[name] = d.Figures.InTimePriority
 	}
 	if !(worth["oracle"] > worth["two-choices"] && worth["two-choices"] > worth["random"] && worth["module"] > worth["random"]) {
 		t.Errorf("worth in time is in no sensible order: %v", worth)
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -32,7 +32,7 @@
 }
 
 // Play plays a scenario; a seed of 0 is the scenario's own.
-func (p Player) Play(ctx context.Context, s *scenario.Scenario, seed uint64) (*report.Day, error) {
+func (p Player) Play(ctx context.Context, s *scenario.Scenario, seed uint64) (*report.Result, error) {
 	if seed == 0 {
 		seed = s.Seed
 	}
@@ -62,7 +62,7 @@
 	return d, nil
 }
 
-func (p Player) onSockets(ctx context.Context, s *scenario.Scenario, seed uint64, progress func(time.Duration)) (*report.Day, error) {
+func (p Player) onSockets(ctx context.Context, s *scenario.Scenario, seed uint64, progress func(time.Duration)) (*report.Result, error) {
 	began := time.Now()
 	drawn := runplan.Draw(s, seed)
 	meter, tape := report.NewMeter(drawn), &record.Tape{}
@@ -76,8 +76,8 @@
 		judge.Record(&tape.Events[i])
 	}
 	d := Judge(drawn, meter, judge)
-	d.Plane, d.Policy, d.Took = "socket", p.Name(), time.Since(began).Seconds()
-	d.Late, d.RSS, d.Open = res.Late.Seconds(), res.MostRSS, res.MostOpen
+	d.Backend, d.Policy, d.ElapsedSeconds = "socket", p.Name(), time.Since(began).Seconds()
+	d.MaxSendDelaySeconds, d.MaxSidecarKB, d.MaxSidecarFDs = res.Late.Seconds(), res.MostRSS, res.MostOpen
 	return d, nil
 }
 
@@ -116,16 +116,16 @@
 	Name string
 	Of   func(f report.Figures) float64
 }{
-	{"in_time_worth", func(f report.Figures) float64 { return f.Worth }},
+	{"in_time_worth", func(f report.Figures) float64 { return f.InTimePriority }},
 	{"worst_10s_worth", func(f report.Figures) float64 { return f.Worst10s }},
-	{"useful_work", func(f report.Figures) float64 { return f.Useful }},
-	{"attempts_per_try", func(f report.Figures) float64 { return f.Attempts }},
-	{"refused", func(f report.Figures) float64 { return f.Refused }},
+	{"useful_work", func(f report.Figures) float64 { return f.UsefulWork }},
+	{"attempts_per_try", func(f report.Figures) float64 { return f.AttemptsPerRequest }},
+	{"refused", func(f report.Figures) float64 { return f.Rejected }},
 	{"failed", func(f report.Figures) float64 { return f.Failed }},
-	{"pairs_that_lost", func(f report.Figures) float64 { return float64(f.Known.Losses) }},
-	{"not_known_in_time", func(f report.Figures) float64 { return float64(f.Known.Missed) }},
-	{"known_p50_s", func(f report.Figures) float64 { return f.Known.P50s }},
-	{"known_last_s", func(f report.Figures) float64 { return f.Known.MaxS }},
+	{"pairs_that_lost", func(f report.Figures) float64 { return float64(f.LossDetection.Losses) }},
+	{"not_known_in_time", func(f report.Figures) float64 { return float64(f.LossDetection.Undetected) }},
+	{"known_p50_s", func(f report.Figures) float64 { return f.LossDetection.P50s }},
+	{"known_last_s", func(f report.Figures) float64 { return f.LossDetection.MaxS }},
 }
 
 // Sweep plays a scenario for each value of a knob with some seeds. done is called after each day; it may be nil.
--- a/internal/lab/report/html.go
+++ b/internal/lab/report/html.go
@@ -118,13 +118,13 @@
 }
 
 // HTML writes the day as a self-contained page with plots.
-func (d *Day) HTML(w io.Writer) error {
+func (d *Result) HTML(w io.Writer) error {
 	var x []float64
 	lines := make([]Line, 7)
 	for i, s := range d.Figures.Seconds {
 		x = append(x, float64(i))
-		for k, v := range []float64{ratio(s.InTime, s.Asked), ratio(s.Late, s.Asked), ratio(s.Refused, s.Asked), ratio(s.Failed, s.Asked),
-			ratio(s.Attempts, s.Tries), s.P50ms, s.P99ms} {
+		for k, v := range []float64{ratio(s.InTime, s.FirstRequests), ratio(s.Late, s.FirstRequests), ratio(s.Rejected, s.FirstRequests), ratio(s.Failed, s.FirstRequests),
+			ratio(s.Attempts, s.Requests), s.P50ms, s.P99ms} {
 			lines[k].Y = append(lines[k].Y, v)
 		}
 	}
@@ -134,12 +134,12 @@
 	var names []string
 	var attempts, use []float64
 	for _, n := range d.Figures.Nodes {
-		names, attempts, use = append(names, n.ID), append(attempts, n.Attempts), append(use, n.Use)
+		names, attempts, use = append(names, n.ID), append(attempts, n.Attempts), append(use, n.Utilization)
 	}
 	var charts [][]byte
 	for _, draw := range []func() ([]byte, error){
 		func() ([]byte, error) {
-			return Chart(fmt.Sprintf("Outcomes of first tries (troubles %.0f to %.0f s)", d.First, d.Last), "s", "share", lines[:5]...)
+			return Chart(fmt.Sprintf("Outcomes of first tries (troubles %.0f to %.0f s)", d.FirstFaultSecond, d.LastFaultSecond), "s", "share", lines[:5]...)
 		},
 		func() ([]byte, error) { return Chart("Time to an answer that serves", "s", "ms", lines[5:]...) },
 		func() ([]byte, error) { return Bars("Attempts by node", "attempts", names, attempts) },
--- a/internal/lab/report/meter.go
+++ b/internal/lab/report/meter.go
@@ -12,90 +12,90 @@
 	"milletramp.example/milletramp/internal/lab/runplan"
 )
 
-// fate is how a first try stands, its further tries included.
-type fate uint8
+// outcome is how a first try stands, its further tries included.
+type outcome uint8
 
 const (
-	open fate = iota
-	inTime
-	late
-	refused
-	failed
-	left
+	outcomeOpen outcome = iota
+	outcomeInTime
+	outcomeLate
+	outcomeRejected
+	outcomeFailed
+	outcomeLeft
 )
 
 // Second is one second of a day, by when first tries were made.
 type Second struct {
-	Asked    float64 `json:"asked"`  // first tries
-	Worth    float64 `json:"worth"`  // asked for
-	Earned   float64 `json:"earned"` // answered in time
-	InTime   float64 `json:"in_time"`
-	Late     float64 `json:"late"`
-	Refused  float64 `json:"refused"`
-	Failed   float64 `json:"failed"` // or left, or never answered
-	Tries    float64 `json:"tries"`
-	Attempts float64 `json:"attempts"` // that reached a node, by when
-	P50ms    float64 `json:"p50_ms"`   // of answers that served, by when they came
-	P99ms    float64 `json:"p99_ms"`
+	FirstRequests  float64 `json:"asked"`  // first tries
+	Priority       float64 `json:"worth"`  // asked for
+	EarnedPriority float64 `json:"earned"` // answered in time
+	InTime         float64 `json:"in_time"`
+	Late           float64 `json:"late"`
+	Rejected       float64 `json:"refused"`
+	Failed         float64 `json:"failed"` // or left, or never answered
+	Requests       float64 `json:"tries"`
+	Attempts       float64 `json:"attempts"` // that reached a node, by when
+	P50ms          float64 `json:"p50_ms"`   // of answers that served, by when they came
+	P99ms          float64 `json:"p99_ms"`
 }
 
 // Meter counts a day. It is a record.Sink.
 type Meter struct {
-	p       *runplan.Plan
-	warmup  time.Duration
-	aims    []time.Duration
-	worths  []float64
-	seconds []Second
-	hists   []*hdrhistogram.Histogram // by second, in µs; a nil one had none
-	class   []*hdrhistogram.Histogram
-	chains  map[uint64]*chain
-	tries   map[uint64]uint64 // a request's first try
-	made    map[uint64]float64
-	nodes   []Node
-	done    float64
-	useful  float64
-	held    int64                   // requests in the system, for Little's law
-	heldAt  time.Duration           //
-	area    float64                 // requests held × seconds, after the warm-up
-	stay    float64                 // seconds that requests were held in sum, of those that ended after the warm-up
-	ends    float64                 // and their number
-	known   *hdrhistogram.Histogram // ms from the first loss at a node until a sidecar knew
-	missed  int64                   // losses that a sidecar did not know until they were over
-	unseen  int64                   // and of these those of few requests
+	plan              *runplan.Plan
+	warmup            time.Duration
+	latencyObjectives []time.Duration
+	priorities        []float64
+	seconds           []Second
+	secondLatencies   []*hdrhistogram.Histogram // by second, in µs; a nil one had none
+	classLatencies    []*hdrhistogram.Histogram
+	operations        map[uint64]*operation
+	firstRequests     map[uint64]uint64 // a request's first try
+	responseWork      map[uint64]float64
+	nodes             []Node
+	workDone          float64
+	usefulWork        float64
+	inFlight          int64                   // requests in the system, for Little's law
+	inFlightSince     time.Duration           //
+	inFlightArea      float64                 // requests held × seconds, after the warm-up
+	staySeconds       float64                 // seconds that requests were held in sum, of those that ended after the warm-up
+	stays             float64                 // and their number
+	detectionDelays   *hdrhistogram.Histogram // ms from the first loss at a node until a sidecar knew
+	undetected        int64                   // losses that a sidecar did not know until they were over
+	undetectedFew     int64                   // and of these those of few requests
 }
 
-type chain struct {
-	at     time.Duration
-	class  uint8
-	worth  float64
-	fate   fate
-	second int
+type operation struct {
+	startedAt time.Duration
+	class     uint8
+	priority  float64
+	outcome   outcome
+	second    int
 }
 
 // Node is what one node did.
 type Node struct {
-	ID       string  `json:"id"`
-	Zone     int     `json:"zone"`
-	Kind     string  `json:"kind"`
-	Attempts float64 `json:"attempts"`
-	Turned   float64 `json:"turned_away"`
-	Known    float64 `json:"repeats_dropped"`
-	Work     float64 `json:"work_s"` // standard work done
-	Use      float64 `json:"use"`    // of its capacity over the day
+	ID           string  `json:"id"`
+	Zone         int     `json:"zone"`
+	Kind         string  `json:"kind"`
+	Attempts     float64 `json:"attempts"`
+	Rejected     float64 `json:"turned_away"`
+	Deduplicated float64 `json:"repeats_dropped"`
+	Work         float64 `json:"work_s"` // standard work done
+	Utilization  float64 `json:"use"`    // of its capacity over the day
 }
 
 // NewMeter returns a meter for a plan.
 func NewMeter(p *runplan.Plan) *Meter {
-	m := &Meter{p: p, warmup: p.Scenario.Warmup.Std(), chains: map[uint64]*chain{}, tries: map[uint64]uint64{},
-		made: map[uint64]float64{}}
+	m := &Meter{plan: p, warmup: p.Scenario.Warmup.Std(), operations: map[uint64]*operation{}, firstRequests: map[uint64]uint64{},
+		responseWork: map[uint64]float64{}}
 	for _, c := range p.Scenario.Classes {
-		m.aims = append(m.aims, c.Aim.Std())
-		m.worths = append(m.worths, c.Worth)
-		m.class = append(m.class, histogram())
+		m.latencyObjectives = append(m.latencyObjectives, c.Aim.Std())
+		m.priorities = append(m.priorities, c.Worth)
+		m.classLatencies = append(m.classLatencies, histogram())
 	}
-	m.known = histogram()
+	m.detectionDelays = histogram()
 	n := int(math.Ceil(p.Scenario.Length.Std().Seconds()))
-	m.seconds, m.hists = make([]Second, n), make([]*hdrhistogram.Histogram, n)
+	m.seconds, m.secondLatencies = make([]Second, n), make([]*hdrhistogram.Histogram, n)
 	for _, k := range p.Machines {
 		m.nodes = append(m.nodes, Node{ID: k.ID, Zone: k.Zone, Kind: k.Kind})
 	}
@@ -105,121 +105,121 @@
 // histogram of microseconds, from 1 µs to 10 minutes, three digits.
 func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600e6, 3) }
 
-func (m *Meter) second(at time.Duration) int {
+func (m *Meter) secondOf(at time.Duration) int {
 	return min(int(at.Seconds()), len(m.seconds)-1)
 }
 
-// count moves a first try from one fate to another.
-func (m *Meter) count(c *chain, to fate) {
+// setOutcome moves a first try from one fate to another.
+func (m *Meter) setOutcome(c *operation, to outcome) {
 	s := &m.seconds[c.second]
-	add := func(f fate, by float64) {
+	add := func(f outcome, by float64) {
 		switch f {
-		case inTime:
+		case outcomeInTime:
 			s.InTime += by
-			s.Earned += by * c.worth
-		case late:
+			s.EarnedPriority += by * c.priority
+		case outcomeLate:
 			s.Late += by
-		case refused:
-			s.Refused += by
-		case open, failed, left:
+		case outcomeRejected:
+			s.Rejected += by
+		case outcomeOpen, outcomeFailed, outcomeLeft:
 			s.Failed += by
 		}
 	}
-	add(c.fate, -1)
+	add(c.outcome, -1)
 	add(to, 1)
-	c.fate = to
+	c.outcome = to
 }
 
-// hold follows how many requests are in the system.
-func (m *Meter) hold(at time.Duration, by int64) {
-	if from := max(m.heldAt, m.warmup); at > from {
-		m.area += float64(m.held) * (at - from).Seconds()
+// addInFlight follows how many requests are in the system.
+func (m *Meter) addInFlight(at time.Duration, by int64) {
+	if from := max(m.inFlightSince, m.warmup); at > from {
+		m.inFlightArea += float64(m.inFlight) * (at - from).Seconds()
 	}
-	m.held, m.heldAt = m.held+by, max(at, m.heldAt)
+	m.inFlight, m.inFlightSince = m.inFlight+by, max(at, m.inFlightSince)
 }
 
 // Record implements record.Sink.
 func (m *Meter) Record(e *record.Event) {
 	switch e.Kind {
 	case record.Requested:
-		s := &m.seconds[m.second(e.At)]
-		s.Tries++
+		s := &m.seconds[m.secondOf(e.At)]
+		s.Requests++
 		if e.Request == e.FirstRequest {
-			c := &chain{at: e.At, class: e.Class, worth: m.worths[e.Class] * e.Work, second: m.second(e.At)}
-			m.chains[e.FirstRequest] = c
-			s.Asked++
-			s.Worth += c.worth
+			c := &operation{startedAt: e.At, class: e.Class, priority: m.priorities[e.Class] * e.Work, second: m.secondOf(e.At)}
+			m.operations[e.FirstRequest] = c
+			s.FirstRequests++
+			s.Priority += c.priority
 			s.Failed++ // until something better is known
 		}
-		m.tries[e.Request] = e.FirstRequest
-		m.hold(e.At, 1)
+		m.firstRequests[e.Request] = e.FirstRequest
+		m.addInFlight(e.At, 1)
 	case record.Answered, record.ClientLeft:
-		first, ok := m.tries[e.Request]
+		first, ok := m.firstRequests[e.Request]
 		if !ok {
 			return // the checker reports it
 		}
-		delete(m.tries, e.Request)
-		m.hold(e.At, -1)
-		m.answered(e, first)
+		delete(m.firstRequests, e.Request)
+		m.addInFlight(e.At, -1)
+		m.responded(e, first)
 	case record.Arrived:
-		m.seconds[m.second(e.At)].Attempts++
+		m.seconds[m.secondOf(e.At)].Attempts++
 		m.nodes[e.Node].Attempts++
 	case record.Deduplicated:
-		m.nodes[e.Node].Known++
+		m.nodes[e.Node].Deduplicated++
 	case record.Replied:
 		switch e.Status {
 		case record.Served:
-			m.made[e.Token] = e.Work
+			m.responseWork[e.Token] = e.Work
 		case record.Rejected:
-			m.nodes[e.Node].Turned++
+			m.nodes[e.Node].Rejected++
 		}
 	case record.LossDetected:
-		_ = m.known.RecordValue(max(e.Wait.Microseconds(), 1))
+		_ = m.detectionDelays.RecordValue(max(e.Wait.Microseconds(), 1))
 	case record.LossUndetected:
-		if m.missed++; e.Attempt < fewLosses {
-			m.unseen++
+		if m.undetected++; e.Attempt < minDetectableLosses {
+			m.undetectedFew++
 		}
 	case record.NodeWork:
 		n := &m.nodes[e.Node]
 		n.Work += e.Work
-		m.done += e.Work
+		m.workDone += e.Work
 	}
 }
 
-func (m *Meter) answered(e *record.Event, first uint64) {
-	c := m.chains[first]
+func (m *Meter) responded(e *record.Event, first uint64) {
+	c := m.operations[first]
 	if c == nil {
 		return
 	}
-	to := failed
+	to := outcomeFailed
 	switch {
 	case e.Kind == record.ClientLeft:
-		to = left
+		to = outcomeLeft
 	case e.Status == record.Rejected:
-		to = refused
+		to = outcomeRejected
 	case e.Status == record.Served:
-		took := e.At - c.at
-		if to = late; took <= m.aims[c.class] {
-			to = inTime
-			m.useful += m.made[e.Token]
+		took := e.At - c.startedAt
+		if to = outcomeLate; took <= m.latencyObjectives[c.class] {
+			to = outcomeInTime
+			m.usefulWork += m.responseWork[e.Token]
 		}
-		delete(m.made, e.Token)
-		if c.at >= m.warmup {
-			_ = m.class[c.class].RecordValue(max(took.Microseconds(), 1))
-			m.stay += took.Seconds()
-			m.ends++
+		delete(m.responseWork, e.Token)
+		if c.startedAt >= m.warmup {
+			_ = m.classLatencies[c.class].RecordValue(max(took.Microseconds(), 1))
+			m.staySeconds += took.Seconds()
+			m.stays++
 		}
-		s := m.second(e.At)
-		if m.hists[s] == nil {
-			m.hists[s] = histogram()
+		s := m.secondOf(e.At)
+		if m.secondLatencies[s] == nil {
+			m.secondLatencies[s] = histogram()
 		}
-		_ = m.hists[s].RecordValue(max(took.Microseconds(), 1))
+		_ = m.secondLatencies[s].RecordValue(max(took.Microseconds(), 1))
 	}
-	if c.fate != inTime && c.fate != late {
-		m.count(c, to)
+	if c.outcome != outcomeInTime && c.outcome != outcomeLate {
+		m.setOutcome(c, to)
 	}
-	if to == inTime || to == late {
-		delete(m.chains, first)
+	if to == outcomeInTime || to == outcomeLate {
+		delete(m.operations, first)
 	}
 }
 
@@ -235,40 +235,40 @@
 	MaxMS  float64 `json:"max_ms"`
 }
 
-// fewLosses is the number of lost requests below which nobody can tell.
-const fewLosses = 3
+// minDetectableLosses is the number of lost requests below which nobody can tell.
+const minDetectableLosses = 3
 
-// Known is how long sidecars took to know that a node loses what they send, from the first that was lost there.
-type Known struct {
-	Losses int64   `json:"losses"` // pairs of a sidecar and a node that lost something of it
-	Missed int64   `json:"missed"` // of them, not known until the node was mended
-	Few    int64   `json:"few"`    // and of these, where less than three requests were lost
-	P50s   float64 `json:"p50_s"`
-	P90s   float64 `json:"p90_s"`
-	MaxS   float64 `json:"max_s"`
+// LossDetection is how long sidecars took to know that a node loses what they send, from the first that was lost there.
+type LossDetection struct {
+	Losses        int64   `json:"losses"` // pairs of a sidecar and a node that lost something of it
+	Undetected    int64   `json:"missed"` // of them, not known until the node was mended
+	UndetectedFew int64   `json:"few"`    // and of these, where less than three requests were lost
+	P50s          float64 `json:"p50_s"`
+	P90s          float64 `json:"p90_s"`
+	MaxS          float64 `json:"max_s"`
 }
 
 // Figures are what a day came to, from the end of the warm-up. Shares are of first tries, or of worth where named so.
 type Figures struct {
-	Asked    float64  `json:"asked"`
-	Worth    float64  `json:"in_time_worth"` // share of the worth that was answered in time
-	InTime   float64  `json:"in_time"`
-	Late     float64  `json:"late"`
-	Refused  float64  `json:"refused"`
-	Failed   float64  `json:"failed"`
-	Tries    float64  `json:"tries_per_request"`
-	Attempts float64  `json:"attempts_per_try"`
-	Useful   float64  `json:"useful_work"` // served in time, of the work done
-	Worst10s float64  `json:"worst_10s_worth"`
-	Before   float64  `json:"before_worth"` // in the time before the first trouble
-	Recover  float64  `json:"recover_s"`    // from the last trouble's end until 99% of before; -1: not by the end
-	Healed   bool     `json:"healed"`       // the last 5 s are at 95% of before at least
-	Held     float64  `json:"held_mean"`    // requests in the system on average, after the warm-up
-	Stay     float64  `json:"stay_mean_s"`  // and how long each was there
-	Known    Known    `json:"known"`
-	Classes  []Class  `json:"classes"`
-	Nodes    []Node   `json:"nodes"`
-	Seconds  []Second `json:"seconds"`
+	FirstRequests      float64       `json:"asked"`
+	InTimePriority     float64       `json:"in_time_worth"` // share of the worth that was answered in time
+	InTime             float64       `json:"in_time"`
+	Late               float64       `json:"late"`
+	Rejected           float64       `json:"refused"`
+	Failed             float64       `json:"failed"`
+	RequestsPerFirst   float64       `json:"tries_per_request"`
+	AttemptsPerRequest float64       `json:"attempts_per_try"`
+	UsefulWork         float64       `json:"useful_work"` // served in time, of the work done
+	Worst10s           float64       `json:"worst_10s_worth"`
+	BeforeFaults       float64       `json:"before_worth"` // in the time before the first trouble
+	RecoverSeconds     float64       `json:"recover_s"`    // from the last trouble's end until 99% of before; -1: not by the end
+	Healed             bool          `json:"healed"`       // the last 5 s are at 95% of before at least
+	MeanInFlight       float64       `json:"held_mean"`    // requests in the system on average, after the warm-up
+	MeanStaySeconds    float64       `json:"stay_mean_s"`  // and how long each was there
+	LossDetection      LossDetection `json:"known"`
+	Classes            []Class       `json:"classes"`
+	Nodes              []Node        `json:"nodes"`
+	Seconds            []Second      `json:"seconds"`
 }
 
 // Figures sums the day up. It may be called once, at its end.
@@ -278,59 +278,59 @@
 	var sum Second
 	for i := range m.seconds {
 		s := &m.seconds[i]
-		if h := m.hists[i]; h != nil {
+		if h := m.secondLatencies[i]; h != nil {
 			s.P50ms, s.P99ms = float64(h.ValueAtQuantile(50))/1e3, float64(h.ValueAtQuantile(99))/1e3
 		}
 		if i < from {
 			continue
 		}
-		sum.Asked += s.Asked
-		sum.Worth += s.Worth
-		sum.Earned += s.Earned
+		sum.FirstRequests += s.FirstRequests
+		sum.Priority += s.Priority
+		sum.EarnedPriority += s.EarnedPriority
 		sum.InTime += s.InTime
 		sum.Late += s.Late
-		sum.Refused += s.Refused
+		sum.Rejected += s.Rejected
 		sum.Failed += s.Failed
-		sum.Tries += s.Tries
+		sum.Requests += s.Requests
 		sum.Attempts += s.Attempts
 	}
-	f.Asked = sum.Asked
-	f.Worth, f.InTime, f.Late = ratio(sum.Earned, sum.Worth), ratio(sum.InTime, sum.Asked), ratio(sum.Late, sum.Asked)
-	f.Refused, f.Failed = ratio(sum.Refused, sum.Asked), ratio(sum.Failed, sum.Asked)
-	f.Tries, f.Attempts, f.Useful = ratio(sum.Tries, sum.Asked), ratio(sum.Attempts, sum.Tries), ratio(m.useful, m.done)
+	f.FirstRequests = sum.FirstRequests
+	f.InTimePriority, f.InTime, f.Late = ratio(sum.EarnedPriority, sum.Priority), ratio(sum.InTime, sum.FirstRequests), ratio(sum.Late, sum.FirstRequests)
+	f.Rejected, f.Failed = ratio(sum.Rejected, sum.FirstRequests), ratio(sum.Failed, sum.FirstRequests)
+	f.RequestsPerFirst, f.AttemptsPerRequest, f.UsefulWork = ratio(sum.Requests, sum.FirstRequests), ratio(sum.Attempts, sum.Requests), ratio(m.usefulWork, m.workDone)
 	f.Worst10s = 1
 	for i := from; i+10 <= len(m.seconds); i++ {
-		f.Worst10s = math.Min(f.Worst10s, m.share(i, i+10))
+		f.Worst10s = math.Min(f.Worst10s, m.inTimePriority(i, i+10))
 	}
 	if len(m.seconds)-from < 10 {
-		f.Worst10s = f.Worth
+		f.Worst10s = f.InTimePriority
 	}
-	f.recovery(m, from)
-	if span := (m.heldAt - m.warmup).Seconds(); span > 0 {
-		f.Held = m.area / span
+	f.setRecovery(m, from)
+	if span := (m.inFlightSince - m.warmup).Seconds(); span > 0 {
+		f.MeanInFlight = m.inFlightArea / span
 	}
-	f.Stay = ratio(m.stay, m.ends)
-	s := func(q float64) float64 { return float64(m.known.ValueAtQuantile(q)) / 1e6 }
-	f.Known = Known{m.known.TotalCount() + m.missed, m.missed, m.unseen, s(50), s(90), s(100)}
-	for i, h := range m.class {
+	f.MeanStaySeconds = ratio(m.staySeconds, m.stays)
+	s := func(q float64) float64 { return float64(m.detectionDelays.ValueAtQuantile(q)) / 1e6 }
+	f.LossDetection = LossDetection{m.detectionDelays.TotalCount() + m.undetected, m.undetected, m.undetectedFew, s(50), s(90), s(100)}
+	for i, h := range m.classLatencies {
 		ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1e3 }
-		f.Classes = append(f.Classes, Class{m.p.Scenario.Classes[i].Name, uint64(h.TotalCount()), h.Mean() / 1e3, ms(50), ms(90),
+		f.Classes = append(f.Classes, Class{m.plan.Scenario.Classes[i].Name, uint64(h.TotalCount()), h.Mean() / 1e3, ms(50), ms(90),
 			ms(99), ms(99.9), float64(h.Max()) / 1e3})
 	}
-	length := m.p.Scenario.Length.Std().Seconds()
+	length := m.plan.Scenario.Length.Std().Seconds()
 	for i := range f.Nodes {
-		k := m.p.Machines[i]
-		f.Nodes[i].Use = f.Nodes[i].Work / (float64(k.Spec.Cores) * k.Spec.Speed * math.Max(length-k.StartsAt.Seconds(), 1))
+		k := m.plan.Machines[i]
+		f.Nodes[i].Utilization = f.Nodes[i].Work / (float64(k.Spec.Cores) * k.Spec.Speed * math.Max(length-k.StartsAt.Seconds(), 1))
 	}
 	return f
 }
 
-// share is the share of the worth asked for in some seconds that was answered in time.
-func (m *Meter) share(from, to int) float64 {
+// inTimePriority is the share of the worth asked for in some seconds that was answered in time.
+func (m *Meter) inTimePriority(from, to int) float64 {
 	var earned, worth float64
 	for _, s := range m.seconds[from:min(to, len(m.seconds))] {
-		earned += s.Earned
-		worth += s.Worth
+		earned += s.EarnedPriority
+		worth += s.Priority
 	}
 	if worth == 0 {
 		return 1
@@ -338,25 +338,25 @@
 	return earned / worth
 }
 
-// recovery tells how long service takes to be back after the last trouble. Windows of 2 s smooth over chance.
-func (f *Figures) recovery(m *Meter, from int) {
-	first, last := int(m.p.FirstFault.Seconds()), int(math.Ceil(m.p.LastFaultEnd.Seconds()))
-	f.Before, f.Healed = 1, true
-	if m.p.LastFaultEnd == 0 {
+// setRecovery tells how long service takes to be back after the last trouble. Windows of 2 s smooth over chance.
+func (f *Figures) setRecovery(m *Meter, from int) {
+	first, last := int(m.plan.FirstFault.Seconds()), int(math.Ceil(m.plan.LastFaultEnd.Seconds()))
+	f.BeforeFaults, f.Healed = 1, true
+	if m.plan.LastFaultEnd == 0 {
 		return
 	}
 	if first > from {
-		f.Before = m.share(from, first)
+		f.BeforeFaults = m.inTimePriority(from, first)
 	}
-	f.Recover = -1
+	f.RecoverSeconds = -1
 	for i := last; i+2 <= len(m.seconds); i++ {
-		if m.share(i, i+2) >= 0.99*f.Before {
-			f.Recover = float64(i - last)
+		if m.inTimePriority(i, i+2) >= 0.99*f.BeforeFaults {
+			f.RecoverSeconds = float64(i - last)
 			break
 		}
 	}
 	if n := len(m.seconds); n-5 >= last {
-		f.Healed = m.share(n-5, n) >= 0.95*f.Before
+		f.Healed = m.inTimePriority(n-5, n) >= 0.95*f.BeforeFaults
 	}
 }
 
--- a/internal/lab/report/meter_test.go
+++ b/internal/lab/report/meter_test.go
@@ -84,9 +84,9 @@
 	m.Record(&record.Event{Kind: record.NodeWork, Work: 32})
 	f := m.Figures()
 	for name, v := range map[string][2]float64{
-		"asked": {f.Asked, 20}, "in time": {f.InTime, 16. / 20}, "late": {f.Late, 2. / 20}, "failed": {f.Failed, 2. / 20},
-		"refused": {f.Refused, 0}, "worth": {f.Worth, 0.8}, "tries": {f.Tries, 25. / 20}, "attempts": {f.Attempts, 1},
-		"useful": {f.Useful, 16. / 32}, "worst 10 s": {f.Worst10s, 0.6}, "before": {f.Before, 1}, "recover": {f.Recover, 2},
+		"asked": {f.FirstRequests, 20}, "in time": {f.InTime, 16. / 20}, "late": {f.Late, 2. / 20}, "failed": {f.Failed, 2. / 20},
+		"refused": {f.Rejected, 0}, "worth": {f.InTimePriority, 0.8}, "tries": {f.RequestsPerFirst, 25. / 20}, "attempts": {f.AttemptsPerRequest, 1},
+		"useful": {f.UsefulWork, 16. / 32}, "worst 10 s": {f.Worst10s, 0.6}, "before": {f.BeforeFaults, 1}, "recover": {f.RecoverSeconds, 2},
 		"served": {float64(f.Classes[0].Served), 18},
 	} {
 		if math.Abs(v[0]-v[1]) > 1e-9 {
@@ -99,9 +99,9 @@
 	if p := f.Classes[0].P50ms; p < 99 || p > 101 {
 		t.Errorf("half come within %v ms, want 100", p)
 	}
-	d := Day{Scenario: "x", Figures: f, Missed: []string{"something"}}
+	d := Result{Scenario: "x", Figures: f, Missed: []string{"something"}}
 	var text, page strings.Builder
-	if err := d.Write(&text); err != nil || !strings.Contains(text.String(), "MISSED: something") || d.Good() {
+	if err := d.Write(&text); err != nil || !strings.Contains(text.String(), "MISSED: something") || d.Passed() {
 		t.Errorf("report %q, error %v", text.String(), err)
 	}
 	if err := d.HTML(&page); err != nil || strings.Count(page.String(), "<svg") != 4 {
--- a/internal/lab/sockets/days_test.go
+++ b/internal/lab/sockets/days_test.go
@@ -42,8 +42,8 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				t.Logf("worth in time %.3f, sent %.3f s late at most", d.Figures.Worth, d.Late)
-				if !d.Good() {
+				t.Logf("worth in time %.3f, sent %.3f s late at most", d.Figures.InTimePriority, d.MaxSendDelaySeconds)
+				if !d.Passed() {
 					t.Errorf("breaches %v, missed %v", d.Verdict.Violations, d.Missed)
 				}
 			})
--- a/internal/lab/variants_test.go
+++ b/internal/lab/variants_test.go
@@ -25,7 +25,7 @@
 	return s
 }
 
-func played(t *testing.T, s *scenario.Scenario, policy string, seed uint64) *report.Day {
+func played(t *testing.T, s *scenario.Scenario, policy string, seed uint64) *report.Result {
 	t.Helper()
 	d, err := Player{Policy: policy}.Play(context.Background(), s, seed)
 	if err != nil {
@@ -49,15 +49,15 @@
 	for seed := range uint64(2) {
 		for i, policy := range []string{"module", "fleet"} {
 			f := played(t, s, policy, seed+1).Figures
-			lost[i], missed[i], worth[i] = lost[i]+f.Known.Losses, missed[i]+f.Known.Missed, worth[i]+f.Worth/2
+			lost[i], missed[i], worth[i] = lost[i]+f.LossDetection.Losses, missed[i]+f.LossDetection.Undetected, worth[i]+f.InTimePriority/2
 		}
 	}
 	if 4*missed[1] > missed[0] || lost[1] >= lost[0] || worth[1] < worth[0] {
 		t.Errorf("lost something: %d pairs, with the fleet %d; never knew: %d and %d; worth %.4f and %.4f", lost[0], lost[1], missed[0], missed[1], worth[0], worth[1])
 	}
 	a, b := played(t, s, "fleet", 1).Figures, played(t, s, "fleet", 1).Figures
-	if a.Worth != b.Worth || a.Known != b.Known {
-		t.Errorf("the same day twice: %v and %v", a.Known, b.Known)
+	if a.InTimePriority != b.InTimePriority || a.LossDetection != b.LossDetection {
+		t.Errorf("the same day twice: %v and %v", a.LossDetection, b.LossDetection)
 	}
 }
 
@@ -67,9 +67,9 @@
 		t.Skip("one goroutine: played without the race detector")
 	}
 	s := small(t, "fleet-quiet", "10s")
-	alone := played(t, s, "module", 1).Figures.Worth
+	alone := played(t, s, "module", 1).Figures.InTimePriority
 	for _, policy := range []string{"fleet-liar", "fleet-liars", "fleet-ones", "fleet-lossy", "fleet-cut"} {
-		if got := played(t, s, policy, 1).Figures.Worth; got < alone-0.01 {
+		if got := played(t, s, policy, 1).Figures.InTimePriority; got < alone-0.01 {
 			t.Errorf("%s: worth %.4f, alone %.4f", policy, got, alone)
 		}
 	}
