--- a/deploy/names_test.go
+++ b/deploy/names_test.go
@@ -211,6 +211,7 @@
 		"internal/lab/fleet/faultplan",
 		"internal/lab/fleet/processes",
 		"internal/lab/record",
+		"internal/lab/runplan",
 		"internal/lab/servermodel",
 		"internal/lab/sim",
 		"internal/lab/workload",
