--- a/deploy/names_test.go
+++ b/deploy/names_test.go
@@ -112,7 +112,22 @@
 	}
 	distinct := regexp.MustCompile(`\b(` + strings.Join(names, "|") + `)\b`)
 	d, files := read(t), 0
-	for _, folder := range append([]string{"balance", "cmd/adapter", "cmd/fleetsidecar", "internal/fleetadapter", "internal/fleet"}, d.Node...) {
+	for _, folder := range append([]string{
+		"balance",
+		"cmd/adapter",
+		"cmd/fleetsidecar",
+		"cmd/milletramp",
+		"deploy",
+		"deploy/sites",
+		"internal/fleet",
+		"internal/fleetadapter",
+		"internal/fsys",
+		"internal/fsys/faultfs",
+		"internal/lab/fleet/mutants",
+		"internal/lab/testrun",
+		"internal/lab/testserver",
+		"internal/wallclock",
+	}, d.Node...) {
 		err := filepath.WalkDir(filepath.Join(root, folder), func(path string, _ os.DirEntry, err error) error {
 			if err == nil && strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go") {
 				files++
