--- a/internal/fleet/environment.go
+++ b/internal/fleet/environment.go
@@ -13,8 +13,8 @@
 	addressVariable   = "MILLETRAMP_FLEET_ADDRESS"
 	advertiseVariable = "MILLETRAMP_FLEET_ADVERTISE"
 	// clockOffsetVariable is for tests alone: seconds that are added to the wall clock where the fleet reads it. No
-	// decision rests on that clock: stamps are for people, membership raises the number of a life, and what expires by
-	// the hour is kept for a day after its last listing.
+	// decision rests on that clock: stamps are for people, membership raises the number of an incarnation, and what
+	// expires by the hour is kept for a day after its last listing.
 	clockOffsetVariable = "MILLETRAMP_FLEET_CLOCK_S"
 )
 
--- a/internal/fleet/failuredetector/failuredetector_test.go
+++ b/internal/fleet/failuredetector/failuredetector_test.go
@@ -31,14 +31,14 @@
 		{"late alone is for collectors", []step{late, late}, false, 0, nil},
 		{"late, and a collector asks", []step{late}, true, 0, []replication.Evidence{{Tries: 1, Late: 1, Bad: 300}}},
 		{"late, answered, and a collector asks", []step{late, {1, Answered}}, true, 0, nil},
-		{"silent", []step{late, silent}, false, 0, []replication.Evidence{{Tries: 1, Late: 1, Silent: 1}}},
+		{"silent", []step{late, silent}, false, 0, []replication.Evidence{{Tries: 1, Late: 1, Unanswered: 1}}},
 		{"refused", []step{{1, Refused}}, false, 0, []replication.Evidence{{Tries: 1, Refused: 1}}},
 		{"errors say nothing", []step{{1, Failed}, {1, Failed}}, false, 0, nil},
 		{"silent, and the fleet knows", []step{late, silent}, false, time.Second, nil},
 		{"it answers, and peers suspect it", []step{{1, Answered}}, false, time.Second,
 			[]replication.Evidence{{Good: 300}}},
 		{"taken back", []step{late, silent, {time.Second, Answered}}, false, 0,
-			[]replication.Evidence{{Tries: 1, Late: 1, Silent: 1}, {Good: 1}}},
+			[]replication.Evidence{{Tries: 1, Late: 1, Unanswered: 1}, {Good: 1}}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			b, now := New(1), start
--- a/internal/fleet/failuredetector/recorder.go
+++ b/internal/fleet/failuredetector/recorder.go
@@ -115,7 +115,7 @@
 		return Note{server, NoteLate}, true
 	case Silent: // was counted as a try when it was late
 		record.lastBad = now
-		record.sinceGood.Silent++
+		record.sinceGood.Unanswered++
 		r.pending[server] = true
 	case Refused:
 		record.lastBad = now
@@ -220,7 +220,7 @@
 }
 
 // accuses reports whether a row counts against its server.
-func accuses(row replication.Evidence) bool { return row.Silent+row.Refused+row.Late > 0 }
+func accuses(row replication.Evidence) bool { return row.Unanswered+row.Refused+row.Late > 0 }
 
 // writeRow returns the row that stands for the record from now on.
 func (s *serverRecord) writeRow(now Time) replication.Evidence {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -90,7 +90,7 @@
 			Peers:   slices.Concat(c.Peers, peers),
 		},
 	}
-	lifeNumber := f.createMachine(settings, items)
+	incarnationNumber := f.createMachine(settings, items)
 	f.log.Info("joining", "label", c.Label, "address", sockets.Address(), "peers", len(c.Peers))
 	f.goroutines.Add(1)
 	go func() {
@@ -98,7 +98,7 @@
 		f.run()
 	}()
 	if c.Policy != nil {
-		if err := f.startAgent(c.Policy, name, lifeNumber, log); err != nil {
+		if err := f.startAgent(c.Policy, name, incarnationNumber, log); err != nil {
 			f.stop()
 			f.goroutines.Wait()
 			return nil, errors.Join(err, sockets.Close())
@@ -148,19 +148,19 @@
 }
 
 // createMachine draws this process's identity, and creates the machine with the items of a snapshot file. It returns
-// the number of this process's life in the fleet.
-func (f *Fleet) createMachine(settings gossip.Settings, items []replication.Item) (lifeNumber uint64) {
+// the number of this process's incarnation in the fleet.
+func (f *Fleet) createMachine(settings gossip.Settings, items []replication.Item) (incarnationNumber uint64) {
 	var random [16]byte
 	_, _ = rand.Read(random[:]) // never fails
 	seed := binary.LittleEndian.Uint64(random[:8])
 	now := f.now()
-	lifeNumber = uint64(max(now.Wall, 1))
+	incarnationNumber = uint64(max(now.Wall, 1))
 	settings.Membership.Seed = seed
-	settings.Membership.LifeNonce = binary.LittleEndian.Uint64(random[8:]) | 1
-	settings.Membership.LifeNumber = lifeNumber
+	settings.Membership.IncarnationNonce = binary.LittleEndian.Uint64(random[8:]) | 1
+	settings.Membership.IncarnationNumber = incarnationNumber
 	f.evidence.recorder = failuredetector.New(seed)
 	f.machine = gossip.New(now, settings, items)
-	return lifeNumber
+	return incarnationNumber
 }
 
 func (f *Fleet) now() replication.Now {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -136,8 +136,8 @@
 	})
 }
 
-// TestPolicyAgentFollowsIncarnation has membership rise to a higher number of this process's life, as a former process
-// had a high one: the policy agent gets it.
+// TestPolicyAgentFollowsIncarnation has membership rise to a higher number of this process's incarnation, as a former
+// process had a high one: the policy agent gets it.
 func TestPolicyAgentFollowsIncarnation(t *testing.T) {
 	const formerNumber = 1 << 60
 	c := &Config{
@@ -152,9 +152,9 @@
 	}
 	raised := make(chan uint64, 100)
 	former := membership.Member{
-		Name:    "n0",
-		Address: f.address,
-		Life:    membership.Life{Number: formerNumber, Nonce: 1},
+		Name:               "n0",
+		Address:            f.address,
+		ProcessIncarnation: membership.ProcessIncarnation{Number: formerNumber, Nonce: 1},
 	}
 	f.post(t.Context(), func(now replication.Now) {
 		if f.raiseIncarnation == nil {
--- a/internal/fleet/gossip/catchup_test.go
+++ b/internal/fleet/gossip/catchup_test.go
@@ -86,11 +86,11 @@
 // newSuccessor returns a machine that replaces the one at a0, with a1 for a seed.
 func newSuccessor(now replication.Now, address string, number uint64) *Machine {
 	return New(now, Settings{Label: "test", Predecessors: []string{"a0"}, Membership: membership.Settings{
-		Name:       "n0",
-		Address:    address,
-		Peers:      []string{"a1"},
-		LifeNonce:  number,
-		LifeNumber: number,
+		Name:              "n0",
+		Address:           address,
+		Peers:             []string{"a1"},
+		IncarnationNonce:  number,
+		IncarnationNumber: number,
 	}}, nil)
 }
 
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -18,10 +18,10 @@
 
 func newMachine(now replication.Now, i int, seeds ...string) *Machine {
 	return New(now, Settings{Label: "test", Membership: membership.Settings{
-		Name:      fmt.Sprint("n", i),
-		Address:   fmt.Sprint("a", i),
-		Peers:     seeds,
-		LifeNonce: uint64(i + 1),
+		Name:             fmt.Sprint("n", i),
+		Address:          fmt.Sprint("a", i),
+		Peers:            seeds,
+		IncarnationNonce: uint64(i + 1),
 	}}, nil)
 }
 
@@ -209,7 +209,7 @@
 func TestBadPacketsAreRejected(t *testing.T) {
 	now := start
 	m := newMachine(now, 0)
-	member := membership.Member{Name: "x", Address: "ax", Life: membership.Life{Number: 1, Nonce: 1}}
+	member := membership.Member{Name: "x", Address: "ax", ProcessIncarnation: membership.ProcessIncarnation{Number: 1, Nonce: 1}}
 	for _, tt := range []struct {
 		name    string
 		payload []byte
@@ -262,7 +262,7 @@
 func broadcastRows(t testing.TB, now replication.Now, m *Machine, servers int) {
 	t.Helper()
 	for i := range servers {
-		key, err := m.Store.WriteRow(now, fmt.Sprint("s-", i), 0, replication.Evidence{Tries: 9, Silent: 9})
+		key, err := m.Store.WriteRow(now, fmt.Sprint("s-", i), 0, replication.Evidence{Tries: 9, Unanswered: 9})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -273,7 +273,7 @@
 // FuzzReceive receives arbitrary input as a datagram and as a snapshot: it never panics, and a datagram that is
 // rejected changes nothing.
 func FuzzReceive(f *testing.F) {
-	member := membership.Member{Name: "x", Address: "ax", Life: membership.Life{Number: 1, Nonce: 1}}
+	member := membership.Member{Name: "x", Address: "ax", ProcessIncarnation: membership.ProcessIncarnation{Number: 1, Nonce: 1}}
 	ping := membership.Message{Kind: membership.Ping, Seq: math.MaxUint64}
 	header := Packet{Format: Format, Label: "test", From: member}
 	probe, request := header, header
--- a/internal/fleet/gossip/machine.go
+++ b/internal/fleet/gossip/machine.go
@@ -114,17 +114,18 @@
 	syncedAnswer       bool            // a synced member has answered
 	refutedIncarnation uint32          // least incarnation in which being held for dead is news
 
-	successor   string            // address of the later life that has taken the name; "": none
+	successor   string            // address of the later incarnation that has taken the name; "": none
 	unforwarded []replication.Key // changed since the last packet to the successor
 }
 
-// New returns a machine that is catching up. warm is the state that a former life has left on disk, and may be empty.
+// New returns a machine that is catching up. warm is the state that a former incarnation has left on disk, and may be
+// empty.
 func New(now replication.Now, settings Settings, warm []replication.Item) *Machine {
 	settings.CatchUpTimeout = cmp.Or(settings.CatchUpTimeout, defaultCatchUpTimeout)
 	m := &Machine{
 		Members:      membership.New(now.Time, settings.Membership),
 		settings:     settings,
-		rng:          rand.New(rand.NewPCG(settings.Membership.Seed, ^settings.Membership.LifeNonce)),
+		rng:          rand.New(rand.NewPCG(settings.Membership.Seed, ^settings.Membership.IncarnationNonce)),
 		peers:        map[string]*peerState{},
 		tokens:       maxBurstBytes,
 		tokensAt:     now.Time,
@@ -134,7 +135,7 @@
 		predecessors: slices.Clone(settings.Predecessors),
 	}
 	self, _ := m.Members.Self()
-	m.Store = replication.New(self.Name, self.Life)
+	m.Store = replication.New(self.Name, self.ProcessIncarnation)
 	for _, item := range warm {
 		m.mergeItem(now, item, "")
 	}
@@ -184,7 +185,7 @@
 		return err
 	}
 	m.figures.Received++
-	if self, _ := m.Members.Self(); p.From.Name == self.Name && p.From.Life == self.Life {
+	if self, _ := m.Members.Self(); p.From.Name == self.Name && p.From.ProcessIncarnation == self.ProcessIncarnation {
 		return nil // its own, come back
 	}
 	m.mergeMembers(now, p.From, p.Members)
@@ -211,7 +212,7 @@
 	case p.Probe.Kind == membership.Ack && p.Probe.Seq&confirmSeqBit != 0:
 		m.confirmAcked(p.Probe.Seq, p.From.Name)
 	default:
-		m.Members.Receive(now.Time, from, p.From.Name, p.From.Life, *p.Probe)
+		m.Members.Receive(now.Time, from, p.From.Name, p.From.ProcessIncarnation, *p.Probe)
 	}
 }
 
--- a/internal/fleet/gossip/merge.go
+++ b/internal/fleet/gossip/merge.go
@@ -56,10 +56,11 @@
 		m.figures.Malformed++
 	}
 	if current, bears := m.Members.Self(); bears {
-		m.Store.SetLife(current.Life)
+		m.Store.SetIncarnation(current.ProcessIncarnation)
 	}
 	for _, received := range members {
-		if received.Name != self.Name || received.Life != self.Life || received.State != membership.Dead {
+		isSelf := received.Name == self.Name && received.ProcessIncarnation == self.ProcessIncarnation
+		if !isSelf || received.State != membership.Dead {
 			continue
 		}
 		// Others have held this member for dead: what they changed meanwhile was not sent to it.
@@ -96,12 +97,12 @@
 		m.successor, m.unforwarded = change.Member.Address, m.Store.Keys()
 		return
 	}
-	if change.Previous.Life != change.Member.Life {
-		m.Store.MarkDead(change.Member.Name, change.Previous.Life)
+	if change.Previous.ProcessIncarnation != change.Member.ProcessIncarnation {
+		m.Store.MarkDead(change.Member.Name, change.Previous.ProcessIncarnation)
 	}
 	switch change.Member.State {
 	case membership.Left:
-		m.Store.MarkDead(change.Member.Name, change.Member.Life)
+		m.Store.MarkDead(change.Member.Name, change.Member.ProcessIncarnation)
 		delete(m.peers, change.Member.Name)
 	case membership.Dead:
 		// It may live on, so its rows stay: were they dropped, an older version that another member still passes on
@@ -113,9 +114,9 @@
 // maxForwardPackets is how many packets a socket's default buffer holds.
 const maxForwardPackets = 64
 
-// forwardToSuccessor sends items to the later life that has taken this member's name, if there is one, in at most
-// maxForwardPackets packets. Other members may not know of that life yet and still send to this one: what only this one
-// received, an operator's call for instance, the successor would not obey.
+// forwardToSuccessor sends items to the later incarnation that has taken this member's name, if there is one, in at
+// most maxForwardPackets packets. Other members may not know of that incarnation yet and still send to this one: what
+// only this one received, an operator's call for instance, the successor would not obey.
 func (m *Machine) forwardToSuccessor(now replication.Now, keys []replication.Key) {
 	if m.successor == "" || len(keys) == 0 {
 		return
--- a/internal/fleet/gossip/packet.go
+++ b/internal/fleet/gossip/packet.go
@@ -97,7 +97,7 @@
 		return fmt.Errorf("%w: format %d, this sidecar knows %d", ErrForeign, format, Format)
 	case theirs != ours:
 		return fmt.Errorf("%w: of fleet %.40q, this is %.40q", ErrForeign, theirs, ours)
-	case from.Name == "" || from.Life == membership.Life{}:
+	case from.Name == "" || from.ProcessIncarnation == membership.ProcessIncarnation{}:
 		return fmt.Errorf("%w: no sender", ErrMalformed)
 	}
 	return nil
--- a/internal/fleet/gossip/send.go
+++ b/internal/fleet/gossip/send.go
@@ -28,7 +28,7 @@
 
 func (m *Machine) sendBounded(now Time, to string, p Packet, bounded bool) bool {
 	if _, bears := m.Members.Self(); !bears {
-		return false // a later life sends under the name
+		return false // a later incarnation sends under the name
 	}
 	p.setHeader(m)
 	payload, err := p.Encode()
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -36,11 +36,11 @@
 	}
 }
 
-// followIncarnation passes the number of this process's life to the policy agent. It rises where membership finds that
-// a former process had a higher one.
+// followIncarnation passes the number of this process's incarnation to the policy agent. It rises where membership
+// finds that a former process had a higher one.
 func (f *Fleet) followIncarnation() {
 	if self, ownsName := f.machine.Members.Self(); ownsName && f.raiseIncarnation != nil {
-		f.raiseIncarnation(self.Life.Number)
+		f.raiseIncarnation(self.ProcessIncarnation.Number)
 	}
 }
 
@@ -48,7 +48,7 @@
 	member := change.Member
 	if change.Superseded {
 		f.log.Warn("another process bears this sidecar's name; this one is silent from now on",
-			"at", member.Address, "life", member.Life)
+			"at", member.Address, "life", member.ProcessIncarnation)
 		return
 	}
 	level := slog.LevelInfo
@@ -56,7 +56,7 @@
 		level = slog.LevelDebug
 	}
 	f.log.Log(f.ctx, level, "member", "name", member.Name, "state", member.State.String(),
-		"address", member.Address, "life", member.Life.Number, "incarnation", member.Incarnation)
+		"address", member.Address, "life", member.ProcessIncarnation.Number, "incarnation", member.Incarnation)
 }
 
 // addressOf returns the address of a member that is present; "": there is none of this name.
--- a/internal/fleet/membership/broadcast.go
+++ b/internal/fleet/membership/broadcast.go
@@ -18,8 +18,8 @@
 // Broadcasts returns up to n members whose state is to be sent to a member, and counts each as transmitted once. Those
 // transmitted least come first.
 //
-// Ahead of them goes what is held of the receiver, where it is newer than the receiver's own state: one that is
-// held for dead must know so to refute it, and one that has restarted must know of its former life. The receiver may be
+// Ahead of them goes what is held of the receiver, where it is newer than the receiver's own state: one that is held
+// for dead must know so to refute it, and one that has restarted must know of its former process. The receiver may be
 // the zero Member.
 func (m *Machine) Broadcasts(n int, receiver Member) []Member {
 	list := make([]Member, 0, n)
@@ -87,7 +87,7 @@
 	_, _ = h.WriteString(m.Name) // a Digest never fails
 	_, _ = h.Write([]byte{0, byte(m.State)})
 	_, _ = h.WriteString(m.Address)
-	for _, x := range [...]uint64{m.Life.Number, m.Life.Nonce, uint64(m.Incarnation)} {
+	for _, x := range [...]uint64{m.ProcessIncarnation.Number, m.ProcessIncarnation.Nonce, uint64(m.Incarnation)} {
 		_, _ = h.Write(binary.LittleEndian.AppendUint64(nil, x))
 	}
 	return h.Sum64()
--- a/internal/fleet/membership/machine.go
+++ b/internal/fleet/membership/machine.go
@@ -11,7 +11,7 @@
 type peer struct {
 	Member
 	stateSince  Time
-	lastContact Time // when a message last came from its present life; 0: never
+	lastContact Time // when a message last came from its present process; 0: never
 
 	// While the peer is a suspect:
 	suspectedAt Time
@@ -25,7 +25,7 @@
 	settings   Settings
 	rng        *rand.Rand
 	self       Member
-	superseded bool // a later life has taken the name
+	superseded bool // a later process has taken the name
 	joined     bool // see MarkJoined
 
 	peers    map[string]*peer // by name
@@ -54,13 +54,13 @@
 	settings = settings.withDefaults()
 	m := &Machine{
 		settings: settings,
-		rng:      rand.New(rand.NewPCG(settings.Seed, settings.LifeNonce)),
+		rng:      rand.New(rand.NewPCG(settings.Seed, settings.IncarnationNonce)),
 		peers:    map[string]*peer{},
 		relays:   map[uint64]relay{},
 		self: Member{
-			Name:    settings.Name,
-			Address: settings.Address,
-			Life:    Life{settings.LifeNumber, settings.LifeNonce},
+			Name:               settings.Name,
+			Address:            settings.Address,
+			ProcessIncarnation: ProcessIncarnation{settings.IncarnationNumber, settings.IncarnationNonce},
 		},
 	}
 	// A random phase, so that members that start together do not probe together.
@@ -69,11 +69,11 @@
 	return m
 }
 
-// Self returns this member's own state, and whether it still bears its name: it does until a later life takes it.
+// Self returns this member's own state, and whether it still bears its name: it does until a later process takes it.
 func (m *Machine) Self() (self Member, bears bool) { return m.self, !m.superseded }
 
-// MarkJoined tells the machine that it has received the fleet's state. Until then a higher life under its own name is
-// its former one; from then on it is another process.
+// MarkJoined tells the machine that it has received the fleet's state. Until then a process of a higher number under
+// its own name is its former one; from then on it is another process.
 func (m *Machine) MarkJoined() { m.joined = true }
 
 // Members returns all other members that are kept, dead ones included, sorted by name.
@@ -104,7 +104,7 @@
 // suspicions of this member itself raise it, acks lower it. Timeouts and intervals grow with it.
 func (m *Machine) LocalHealth() int { return m.localHealth }
 
-// LastContact returns when a message last came from a member's present life.
+// LastContact returns when a message last came from a member's present process.
 func (m *Machine) LastContact(name string) (Time, bool) {
 	if p := m.peers[name]; p != nil && p.lastContact > 0 {
 		return p.lastContact, true
--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -5,9 +5,9 @@
 // or goroutine; the same seed and events always give the same actions. A Machine must not be used by two goroutines
 // at once.
 //
-// It differs from what is published in two ways. A member is known by its name, and each life of it has a number above
-// the incarnation, so that a process that restarts is the same member but never its former self. And a message from a
-// suspect itself counts against the suspicion.
+// It differs from what is published in two ways. A member is known by its name, and each process of it has a number
+// above the incarnation, so that a process that restarts is the same member but never its former self. And a message
+// from a suspect itself counts against the suspicion.
 package membership
 
 import (
@@ -20,22 +20,22 @@
 // Time is a reading of the host's monotonic clock, from any origin that the host chooses.
 type Time = time.Duration
 
-// Life is one life of a member, from its process's start to its end. A later one has the higher number; the nonce tells
-// two apart that took the same number unknown to each other.
-type Life struct {
+// ProcessIncarnation identifies one process of a member, from its start to its end. A later one has the higher number;
+// the nonce tells two apart that took the same number unknown to each other.
+type ProcessIncarnation struct {
 	Number uint64 `cbor:"1,keyasint"`
 	Nonce  uint64 `cbor:"2,keyasint"`
 }
 
-// Compare orders lives by number, then by nonce.
-func (l Life) Compare(o Life) int {
+// Compare orders processes by number, then by nonce.
+func (l ProcessIncarnation) Compare(o ProcessIncarnation) int {
 	return cmp.Or(cmp.Compare(l.Number, o.Number), cmp.Compare(l.Nonce, o.Nonce))
 }
 
 // String implements fmt.Stringer.
-func (l Life) String() string { return fmt.Sprintf("%d.%016x", l.Number, l.Nonce) }
+func (l ProcessIncarnation) String() string { return fmt.Sprintf("%d.%016x", l.Number, l.Nonce) }
 
-// State is the state of a member. A later one overrides an earlier one of the same life and incarnation.
+// State is the state of a member. A later one overrides an earlier one of the same process and incarnation.
 type State uint8
 
 // The states of a member.
@@ -57,20 +57,21 @@
 	return fmt.Sprintf("state %d", uint8(s))
 }
 
-// Member is the state of one member, as it is passed on. The zero Life is no valid one.
+// Member is the state of one member, as it is passed on. The zero ProcessIncarnation is no valid one.
 type Member struct {
-	Name        string `cbor:"1,keyasint"`
-	Address     string `cbor:"2,keyasint"` // for messages
-	Life        Life   `cbor:"3,keyasint"`
-	Incarnation uint32 `cbor:"4,keyasint"` // raised by the member alone, to refute what others hold of this life
+	Name               string             `cbor:"1,keyasint"`
+	Address            string             `cbor:"2,keyasint"` // for messages
+	ProcessIncarnation ProcessIncarnation `cbor:"3,keyasint"`
+	// Incarnation is raised by the member alone, to refute what others hold of this process.
+	Incarnation uint32 `cbor:"4,keyasint"`
 	State       State  `cbor:"5,keyasint"`
 }
 
-// Compare orders states of one member: the greater overrides the lesser, whoever sends it and in whatever order they
-// arrive. So machines that have received the same hold the same.
+// Compare orders states of one member: the greater overrides the lesser, no matter who sends it and in whatever order
+// they arrive. So machines that have received the same hold the same.
 func (m Member) Compare(o Member) int {
 	return cmp.Or(
-		m.Life.Compare(o.Life),
+		m.ProcessIncarnation.Compare(o.ProcessIncarnation),
 		cmp.Compare(m.Incarnation, o.Incarnation),
 		cmp.Compare(m.State, o.State),
 		cmp.Compare(m.Address, o.Address),
@@ -105,7 +106,7 @@
 			ErrInvalidMember, m.Name, len(m.Address), maxAddressBytes)
 	case m.State >= numStates:
 		return fmt.Errorf("%w %q: %v is unknown", ErrInvalidMember, m.Name, m.State)
-	case m.Life == Life{}:
+	case m.ProcessIncarnation == ProcessIncarnation{}:
 		return fmt.Errorf("%w %q: no life", ErrInvalidMember, m.Name)
 	}
 	return nil
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -13,11 +13,11 @@
 // drawMember draws a state of member a.
 func drawMember(t *rapid.T) Member {
 	return Member{
-		Name:        "a",
-		Address:     rapid.SampledFrom([]string{"x", "y"}).Draw(t, "address"),
-		Life:        Life{rapid.Uint64Range(1, 2).Draw(t, "life"), rapid.Uint64Range(1, 2).Draw(t, "nonce")},
-		Incarnation: rapid.Uint32Range(0, 2).Draw(t, "incarnation"),
-		State:       State(rapid.IntRange(0, 3).Draw(t, "state")),
+		Name:               "a",
+		Address:            rapid.SampledFrom([]string{"x", "y"}).Draw(t, "address"),
+		ProcessIncarnation: ProcessIncarnation{rapid.Uint64Range(1, 2).Draw(t, "life"), rapid.Uint64Range(1, 2).Draw(t, "nonce")},
+		Incarnation:        rapid.Uint32Range(0, 2).Draw(t, "incarnation"),
+		State:              State(rapid.IntRange(0, 3).Draw(t, "state")),
 	}
 }
 
@@ -46,7 +46,7 @@
 			want = Newer(want, m)
 		}
 		order := rapid.Permutation(received).Draw(t, "order")
-		m := New(0, Settings{Name: "self", Address: "s", LifeNonce: 9})
+		m := New(0, Settings{Name: "self", Address: "s", IncarnationNonce: 9})
 		for i, member := range append(order, received[0]) {
 			if err := m.Merge(time.Duration(i), []Member{member}, "b"); err != nil {
 				t.Fatal(err)
@@ -86,7 +86,7 @@
 
 func (f *testFleet) add(name, address string, nonce, number uint64) *Machine {
 	seeds := []string{"a0", "a1"}
-	settings := Settings{Name: name, Address: address, Peers: seeds, Seed: 7, LifeNonce: nonce, LifeNumber: number}
+	settings := Settings{Name: name, Address: address, Peers: seeds, Seed: 7, IncarnationNonce: nonce, IncarnationNumber: number}
 	m := New(f.now, settings)
 	if f.machines[address] == nil {
 		f.order = append(f.order, address)
@@ -125,7 +125,7 @@
 		if err := to.Merge(f.now, append([]Member{self}, m.Broadcasts(12, to.self)...), self.Name); err != nil {
 			f.t.Error(err)
 		}
-		to.Receive(f.now, a, self.Name, self.Life, s.Message)
+		to.Receive(f.now, a, self.Name, self.ProcessIncarnation, s.Message)
 		f.deliver(s.To)
 	}
 }
@@ -243,28 +243,29 @@
 	f.expectState("n3", Alive)
 }
 
-// TestRestartIsLaterLife restarts a member with a clock that has stepped back: it is the same member in a later life.
-func TestRestartIsLaterLife(t *testing.T) {
+// TestRestartIsLaterIncarnation restarts a member with a clock that has stepped back: it is the same member in a later
+// process.
+func TestRestartIsLaterIncarnation(t *testing.T) {
 	f := newTestFleet(t, 5)
 	f.add("n4", "a4", 5, 1000)
 	f.run(20 * time.Second)
 	before, _ := f.machines["a0"].Member("n4")
-	f.add("n4", "a4", 77, 3) // by its clock it started before its former life
+	f.add("n4", "a4", 77, 3) // by its clock it started before its former process
 	f.run(20 * time.Second)
 	after, _ := f.machines["a0"].Member("n4")
-	if after.State != Alive || after.Life.Compare(before.Life) <= 0 || after.Life.Nonce != 77 {
+	if after.State != Alive || after.ProcessIncarnation.Compare(before.ProcessIncarnation) <= 0 || after.ProcessIncarnation.Nonce != 77 {
 		t.Errorf("it is held as %+v, before as %+v", after, before)
 	}
 	f.machines["a4"].MarkJoined()
 	if err := f.machines["a4"].Merge(f.now, []Member{before}, "n0"); err != nil {
 		t.Fatal(err)
 	}
-	if self, bears := f.machines["a4"].Self(); !bears || self.Life != after.Life {
+	if self, bears := f.machines["a4"].Self(); !bears || self.ProcessIncarnation != after.ProcessIncarnation {
 		t.Errorf("after the merge of its former life it is %+v, bears its name %v", self, bears)
 	}
 }
 
-// TestDuplicateNameSupersedesOlder starts a second process under the name of a running one: the later life takes the
+// TestDuplicateNameSupersedesOlder starts a second process under the name of a running one: the later process takes the
 // name, and the former one reports it and is silent. They do not contend.
 func TestDuplicateNameSupersedesOlder(t *testing.T) {
 	f := newTestFleet(t, 5)
@@ -311,8 +312,8 @@
 	f.Fuzz(func(t *testing.T, name, address string, number, nonce uint64, incarnation uint32, state, kind uint8,
 		target string,
 	) {
-		life := Life{number, nonce}
-		m := New(0, Settings{Name: "self", Address: "s", LifeNonce: 9})
+		life := ProcessIncarnation{number, nonce}
+		m := New(0, Settings{Name: "self", Address: "s", IncarnationNonce: 9})
 		err := m.Merge(1, []Member{{name, address, life, incarnation, State(state)}}, name)
 		if err == nil && (name == "" || state >= uint8(numStates)) {
 			t.Errorf("%q in state %d was accepted", name, state)
@@ -332,11 +333,11 @@
 	})
 }
 
-// TestRestartAfterClockStep restarts a member after a step of the wall clock, and has it receive its former life only
-// after it has joined: that one is over, whatever its number. A life at another address, of a higher number, takes the
-// name.
+// TestRestartAfterClockStep restarts a member after a step of the wall clock, and has it receive its former process
+// only after it has joined: that one is over, whatever its number. A process at another address, of a higher number,
+// takes the name.
 func TestRestartAfterClockStep(t *testing.T) {
-	const began = 10_000_000 // of the former life, in Unix milliseconds
+	const began = 10_000_000 // of the former process, in Unix milliseconds
 	for _, step := range []time.Duration{-time.Hour, -3 * time.Second, 3 * time.Second, time.Hour} {
 		for _, tt := range []struct {
 			name   string
@@ -351,14 +352,14 @@
 		} {
 			t.Run(fmt.Sprintf("%s, %v", tt.name, step), func(t *testing.T) {
 				number := uint64(began + (time.Second + step).Milliseconds())
-				m := New(0, Settings{Name: "n0", Address: "a0", Seed: 7, LifeNonce: 2, LifeNumber: number})
+				m := New(0, Settings{Name: "n0", Address: "a0", Seed: 7, IncarnationNonce: 2, IncarnationNumber: number})
 				m.MarkJoined()
-				tt.former.Name, tt.former.Life = "n0", Life{Number: began, Nonce: 1}
+				tt.former.Name, tt.former.ProcessIncarnation = "n0", ProcessIncarnation{Number: began, Nonce: 1}
 				if err := m.Merge(1, []Member{tt.former}, "n1"); err != nil {
 					t.Fatal(err)
 				}
 				self, bears := m.Self()
-				if bears != tt.bears || bears && self.Life.Compare(tt.former.Life) <= 0 || self.Life.Nonce != 2 {
+				if bears != tt.bears || bears && self.ProcessIncarnation.Compare(tt.former.ProcessIncarnation) <= 0 || self.ProcessIncarnation.Nonce != 2 {
 					t.Errorf("it is %+v, bears its name %v, want %v", self, bears, tt.bears)
 				}
 			})
--- a/internal/fleet/membership/merge.go
+++ b/internal/fleet/membership/merge.go
@@ -24,24 +24,24 @@
 	return err
 }
 
-// mergeSelf takes in what others hold under this member's name. What they hold of its former life must not pass for its
-// own state, and a process that starts while this one runs, as in an upgrade, must not contend with it for ever.
+// mergeSelf takes in what others hold under this member's name. What they hold of its former process must not pass for
+// its own state, and a process that starts while this one runs, as in an upgrade, must not contend with it for ever.
 func (m *Machine) mergeSelf(received Member) {
-	switch order := received.Life.Compare(m.self.Life); {
-	case order < 0: // a former life: this one's state replaces it
+	switch order := received.ProcessIncarnation.Compare(m.self.ProcessIncarnation); {
+	case order < 0: // a former process: this one's state replaces it
 		m.enqueueBroadcast(m.self.Name)
 	case order == 0:
 		m.refute(received)
 	case m.superseded:
-	case !m.joined || m.isFormerLife(received):
-		m.self.Life.Number, m.self.Incarnation = received.Life.Number+1, 0
+	case !m.joined || m.isFormerIncarnation(received):
+		m.self.ProcessIncarnation.Number, m.self.Incarnation = received.ProcessIncarnation.Number+1, 0
 		m.enqueueBroadcast(m.self.Name)
 	default:
 		m.yieldTo(received)
 	}
 }
 
-// refute raises the incarnation where others hold this life in a state that is not its own.
+// refute raises the incarnation where others hold this process in a state that is not its own.
 func (m *Machine) refute(received Member) {
 	if m.superseded || m.self.State == Left {
 		return
@@ -54,7 +54,7 @@
 	m.enqueueBroadcast(m.self.Name)
 }
 
-// yieldTo gives the name up to a later life.
+// yieldTo gives the name up to a later process.
 func (m *Machine) yieldTo(later Member) {
 	m.superseded = true
 	m.version++
@@ -62,9 +62,9 @@
 	m.changes = append(m.changes, Change{Member: later, Previous: m.self, Superseded: true})
 }
 
-// isFormerLife reports whether a life of a higher number under this member's name has ended. Its number may be the
-// higher one where the wall clock has stepped back since. No other process can have this one's address.
-func (m *Machine) isFormerLife(received Member) bool {
+// isFormerIncarnation reports whether a process of a higher number under this member's name has ended. Its number may
+// be the higher one where the wall clock has stepped back since. No other process can have this one's address.
+func (m *Machine) isFormerIncarnation(received Member) bool {
 	return received.Address == m.self.Address || !received.Present()
 }
 
@@ -78,7 +78,7 @@
 		m.peers[received.Name] = p
 	}
 	if p.State == Suspect && received.State == Suspect &&
-		received.Life == p.Life && received.Incarnation == p.Incarnation {
+		received.ProcessIncarnation == p.ProcessIncarnation && received.Incarnation == p.Incarnation {
 		m.confirmSuspicion(p, from)
 	}
 	if p.State != numStates && received.Compare(p.Member) <= 0 {
@@ -86,7 +86,7 @@
 	}
 	previous := p.Member
 	p.Member, p.stateSince = received, now
-	if previous.Life != received.Life {
+	if previous.ProcessIncarnation != received.ProcessIncarnation {
 		p.lastContact = 0
 	}
 	p.suspectedBy = nil
@@ -137,8 +137,8 @@
 	}
 }
 
-// refutedByContact reports whether this member alone suspects a peer that it has received a message from of late.
-// Such a peer lives: it is this member's own messages that get lost, and without this rule it would declare everybody
+// refutedByContact reports whether this member alone suspects a peer that it has received a message from of late. Such
+// a peer is alive: it is this member's own messages that get lost, and without this rule it would declare everybody
 // dead.
 func (m *Machine) refutedByContact(now Time, p *peer) bool {
 	if len(p.suspectedBy) > 1 || !p.suspectedBy[m.self.Name] || p.lastContact == 0 {
--- a/internal/fleet/membership/message.go
+++ b/internal/fleet/membership/message.go
@@ -31,6 +31,6 @@
 type Change struct {
 	Member   Member
 	Previous Member // its State is no valid one where the member was not known
-	// Superseded is set where a later life has taken this member's own name: Member is that life.
+	// Superseded is set where a later process has taken this member's own name: Member is that process.
 	Superseded bool
 }
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -21,9 +21,9 @@
 	nackSent     bool
 }
 
-// Receive takes in a message of a life of a member, from its address.
-func (m *Machine) Receive(now Time, from, name string, life Life, message Message) {
-	if p := m.peers[name]; p != nil && p.Life == life {
+// Receive takes in a message of a process of a member, from its address.
+func (m *Machine) Receive(now Time, from, name string, incarnation ProcessIncarnation, message Message) {
+	if p := m.peers[name]; p != nil && p.ProcessIncarnation == incarnation {
 		p.lastContact = max(now, 1) // 0 stands for never
 	}
 	switch message.Kind {
--- a/internal/fleet/membership/settings.go
+++ b/internal/fleet/membership/settings.go
@@ -12,8 +12,8 @@
 	Peers   []string // addresses of seeds; this member's own may be among them
 	Seed    uint64   // of the random choices
 
-	LifeNonce  uint64 // drawn anew for each life
-	LifeNumber uint64 // least number of this life, such as its start's Unix time; raised above those of former lives
+	IncarnationNonce  uint64 // drawn anew for each process
+	IncarnationNumber uint64 // least one, such as the start's Unix time; raised above those of former processes
 
 	ProbeInterval  time.Duration // between two probes while this member is healthy; default 1 s
 	AckTimeout     time.Duration // for the ack of a direct probe; default 300 ms
@@ -47,7 +47,7 @@
 )
 
 func (s Settings) withDefaults() Settings {
-	s.LifeNumber = max(s.LifeNumber, 1)
+	s.IncarnationNumber = max(s.IncarnationNumber, 1)
 	s.ProbeInterval = cmp.Or(s.ProbeInterval, defaultProbeInterval)
 	s.AckTimeout = cmp.Or(s.AckTimeout, defaultAckTimeout)
 	s.Retention = cmp.Or(s.Retention, defaultRetention)
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -68,10 +68,10 @@
 }
 
 // agentSettings are those of this sidecar's policy agent.
-func (p *PolicyConfig) agentSettings(name string, lifeNumber uint64) policyagent.Settings {
+func (p *PolicyConfig) agentSettings(name string, incarnationNumber uint64) policyagent.Settings {
 	return policyagent.Settings{
 		Name:              name,
-		Incarnation:       lifeNumber,
+		Incarnation:       incarnationNumber,
 		Voters:            p.Voters,
 		InitialPolicy:     p.initialPolicy,
 		Folder:            filepath.Join(p.RaftFolder, fmt.Sprintf(raftFolderFormat, xxhash.Sum64String(name))),
@@ -81,8 +81,8 @@
 }
 
 // startAgent starts this sidecar's policy agent. The loop runs already.
-func (f *Fleet) startAgent(p *PolicyConfig, name string, lifeNumber uint64, log *slog.Logger) (err error) {
-	settings := p.agentSettings(name, lifeNumber)
+func (f *Fleet) startAgent(p *PolicyConfig, name string, incarnationNumber uint64, log *slog.Logger) (err error) {
+	settings := p.agentSettings(name, incarnationNumber)
 	settings.Check = f.callbacks.CheckPolicy
 	if f.agent, err = policyagent.Start(settings, f, log); err != nil {
 		return err
--- a/internal/fleet/replication/admin.go
+++ b/internal/fleet/replication/admin.go
@@ -8,7 +8,7 @@
 )
 
 // Dot names an operator's call, in the sense of dotted version vectors (Preguica et al. 2010): the Count'th that one
-// life of a sidecar took. The nonce alone tells lives apart; the name is for people.
+// incarnation of a sidecar took. The nonce alone tells incarnations apart; the name is for people.
 type Dot struct {
 	By    string `cbor:"1,keyasint"`
 	Nonce uint64 `cbor:"2,keyasint"`
@@ -18,7 +18,7 @@
 // String implements fmt.Stringer.
 func (d Dot) String() string { return fmt.Sprintf("%s.%x.%d", d.By, d.Nonce, d.Count) }
 
-// compare orders dots by life.
+// compare orders dots by incarnation.
 func (d Dot) compare(o Dot) int { return cmp.Compare(d.Nonce, o.Nonce) }
 
 // OperatorCall is a call of an operator that no later one has replaced.
@@ -28,17 +28,17 @@
 	At   Stamp `cbor:"3,keyasint"` // for people; it decides nothing
 }
 
-// compare orders calls by the life that took them.
+// compare orders calls by the incarnation that took them.
 func (c OperatorCall) compare(o OperatorCall) int { return c.Dot.compare(o.Dot) }
 
 // AdminState is what operators have said of one server: the calls that no call made with knowledge of them has
-// replaced, and for each life how many of its calls have been seen. A call replaces those that its sidecar had seen.
-// Two concurrent calls both stand until a third one, and meanwhile the server is down if either says so. No clock
+// replaced, and for each incarnation how many of its calls have been seen. A call replaces those that its sidecar had
+// seen. Two concurrent calls both stand until a third one, and meanwhile the server is down if either says so. No clock
 // decides: a sidecar whose clock is an hour ahead would overrule all others for an hour.
 type AdminState struct {
 	Server   string         `cbor:"1,keyasint"`
-	Standing []OperatorCall `cbor:"2,keyasint"` // by nonce; one of each life at most
-	Seen     []Dot          `cbor:"3,keyasint"` // by nonce; the last one of each life
+	Standing []OperatorCall `cbor:"2,keyasint"` // by nonce; one of each incarnation at most
+	Seen     []Dot          `cbor:"3,keyasint"` // by nonce; the last one of each incarnation
 	// Listed is when some sidecar last had the server in its list, in Unix hours.
 	Listed int64 `cbor:"4,keyasint"`
 }
@@ -58,7 +58,7 @@
 	return h.Down() && slices.ContainsFunc(h.Standing, func(c OperatorCall) bool { return !c.Down })
 }
 
-// seenCount returns how many calls of a life have been seen.
+// seenCount returns how many calls of an incarnation have been seen.
 func (h AdminState) seenCount(nonce uint64) uint64 {
 	if i, ok := slices.BinarySearchFunc(h.Seen, Dot{Nonce: nonce}, Dot.compare); ok {
 		return h.Seen[i].Count
@@ -66,7 +66,7 @@
 	return 0
 }
 
-// standingCall returns the call of a life that stands, if any.
+// standingCall returns the call of an incarnation that stands, if any.
 func (h AdminState) standingCall(nonce uint64) (OperatorCall, bool) {
 	i, ok := slices.BinarySearchFunc(
 		h.Standing,
@@ -113,7 +113,7 @@
 	return out
 }
 
-// laterDot returns the later of two dots of one life. Two of the same count differ only where one was forged.
+// laterDot returns the later of two dots of one incarnation. Two of the same count differ only where one was forged.
 func laterDot(a, b Dot) Dot {
 	if cmp.Or(cmp.Compare(a.Count, b.Count), strings.Compare(a.By, b.By)) < 0 {
 		return b
@@ -135,7 +135,7 @@
 	return a
 }
 
-// withCall returns the state after a further call of a life, which replaces all calls that were seen here.
+// withCall returns the state after a further call of an incarnation, which replaces all calls that were seen here.
 func (h AdminState) withCall(by string, nonce uint64, out bool, at Stamp) AdminState {
 	dot := Dot{by, nonce, h.seenCount(nonce) + 1}
 	own := AdminState{Server: h.Server, Standing: []OperatorCall{{dot, out, at}}, Seen: []Dot{dot}, Listed: h.Listed}
@@ -153,8 +153,8 @@
 	switch {
 	case h.Server == "" || len(h.Server) > maxKeyBytes:
 		return fmt.Errorf("a server's id of %d bytes, 1 to %d are allowed", len(h.Server), maxKeyBytes)
-	case len(h.Seen) == 0 || len(h.Seen) > maxLives:
-		return fmt.Errorf("server %q: calls of %d lives, 1 to %d are allowed", h.Server, len(h.Seen), maxLives)
+	case len(h.Seen) == 0 || len(h.Seen) > maxIncarnations:
+		return fmt.Errorf("server %q: calls of %d lives, 1 to %d are allowed", h.Server, len(h.Seen), maxIncarnations)
 	case !slices.IsSortedFunc(h.Seen, Dot.compare) || !slices.IsSortedFunc(h.Standing, OperatorCall.compare):
 		return fmt.Errorf("server %q: calls out of order", h.Server)
 	case len(h.Standing) == 0:
--- a/internal/fleet/replication/digest.go
+++ b/internal/fleet/replication/digest.go
@@ -58,7 +58,7 @@
 	}
 	for server, rows := range s.rows {
 		for _, r := range rows {
-			add(Key{KindRow, server, r.Owner}, r.Life.Number, r.Life.Nonce, r.Version)
+			add(Key{KindRow, server, r.Owner}, r.Incarnation.Number, r.Incarnation.Nonce, r.Version)
 		}
 	}
 	for server, b := range s.starts {
--- a/internal/fleet/replication/row.go
+++ b/internal/fleet/replication/row.go
@@ -13,38 +13,44 @@
 
 // Evidence is what one sidecar has observed of one server of late, in its own requests alone.
 type Evidence struct {
-	Tries   uint32 `cbor:"1,keyasint,omitempty"` // that ended, or are out for longer than usual
-	Silent  uint32 `cbor:"2,keyasint,omitempty"` // of these, without an answer
-	Failed  uint32 `cbor:"3,keyasint,omitempty"` // answered with an error, or reset
-	Refused uint32 `cbor:"4,keyasint,omitempty"` // connections refused, or that never came up
-	Late    uint32 `cbor:"5,keyasint,omitempty"` // answered late
-	Good    uint32 `cbor:"6,keyasint,omitempty"` // milliseconds since its last good answer; 0: none of late
-	Bad     uint32 `cbor:"7,keyasint,omitempty"` // milliseconds since the last that was silent, late or refused
+	Tries      uint32 `cbor:"1,keyasint,omitempty"` // that ended, or are out for longer than usual
+	Unanswered uint32 `cbor:"2,keyasint,omitempty"` // of these, without an answer
+	Failed     uint32 `cbor:"3,keyasint,omitempty"` // answered with an error, or reset
+	Refused    uint32 `cbor:"4,keyasint,omitempty"` // connections refused, or that never came up
+	Late       uint32 `cbor:"5,keyasint,omitempty"` // answered late
+	Good       uint32 `cbor:"6,keyasint,omitempty"` // milliseconds since its last good answer; 0: none of late
+	Bad        uint32 `cbor:"7,keyasint,omitempty"` // milliseconds since the last that was silent, late or refused
 }
 
 // Row is the evidence of one sidecar on one server. Its owner alone writes it.
 type Row struct {
-	Owner    string          `cbor:"1,keyasint"`
-	Life     membership.Life `cbor:"2,keyasint"`
-	Server   string          `cbor:"3,keyasint"`
-	Boot     int64           `cbor:"4,keyasint,omitempty"` // of the server's process, in Unix milliseconds
-	Version  uint64          `cbor:"5,keyasint"`
-	Age      uint32          `cbor:"6,keyasint,omitempty"` // milliseconds since it was written, as sent
-	Evidence Evidence        `cbor:"7,keyasint"`
+	Owner       string                        `cbor:"1,keyasint"`
+	Incarnation membership.ProcessIncarnation `cbor:"2,keyasint"`
+	Server      string                        `cbor:"3,keyasint"`
+	Boot        int64                         `cbor:"4,keyasint,omitempty"` // of the server, Unix milliseconds
+	Version     uint64                        `cbor:"5,keyasint"`
+	Age         uint32                        `cbor:"6,keyasint,omitempty"` // milliseconds since it was written
+	Evidence    Evidence                      `cbor:"7,keyasint"`
 
 	writtenAt Time // when it was written, by the own clock
 }
 
 // compare orders the versions of one row. Two of one version differ only where one was forged.
 func (r Row) compare(o Row) int {
-	return cmp.Or(r.Life.Compare(o.Life), cmp.Compare(r.Version, o.Version), cmp.Compare(r.Boot, o.Boot),
+	return cmp.Or(r.Incarnation.Compare(o.Incarnation), cmp.Compare(r.Version, o.Version), cmp.Compare(r.Boot, o.Boot),
 		r.Evidence.compare(o.Evidence))
 }
 
 func (e Evidence) compare(o Evidence) int {
-	return cmp.Or(cmp.Compare(e.Tries, o.Tries), cmp.Compare(e.Silent, o.Silent), cmp.Compare(e.Failed, o.Failed),
-		cmp.Compare(e.Refused, o.Refused), cmp.Compare(e.Late, o.Late), cmp.Compare(e.Good, o.Good),
-		cmp.Compare(e.Bad, o.Bad))
+	return cmp.Or(
+		cmp.Compare(e.Tries, o.Tries),
+		cmp.Compare(e.Unanswered, o.Unanswered),
+		cmp.Compare(e.Failed, o.Failed),
+		cmp.Compare(e.Refused, o.Refused),
+		cmp.Compare(e.Late, o.Late),
+		cmp.Compare(e.Good, o.Good),
+		cmp.Compare(e.Bad, o.Bad),
+	)
 }
 
 // laterRow returns the newer of two versions of one row. One version that came two ways is as old as the older of the
@@ -86,7 +92,7 @@
 		return fmt.Errorf("a server's id of %d bytes, 1 to %d are allowed", len(r.Server), maxKeyBytes)
 	case r.Owner == "" || len(r.Owner) > maxKeyBytes:
 		return fmt.Errorf("server %q: an owner of %d bytes, 1 to %d are allowed", r.Server, len(r.Owner), maxKeyBytes)
-	case r.Version == 0 || r.Life == membership.Life{}:
+	case r.Version == 0 || r.Incarnation == membership.ProcessIncarnation{}:
 		return fmt.Errorf("server %q: a row of %q of no life or version", r.Server, r.Owner)
 	}
 	return nil
--- a/internal/fleet/replication/store.go
+++ b/internal/fleet/replication/store.go
@@ -24,14 +24,14 @@
 
 // Bounds of what a Store holds.
 const (
-	maxKeyBytes    = 64   // of a server's id or a sidecar's name
-	maxAdminStates = 1024 // servers of which operators have said anything
-	maxLives       = 256  // lives of sidecars whose calls on one server are distinguished
-	maxObservers   = 16   // sidecars whose evidence on one server is held
-	maxSuspects    = 512  // servers on which evidence is held
-	maxOwners      = 4096 // sidecars whose lives are distinguished
-	maxStarts      = 2048 // servers whose start is held
-	maxTests       = 512  // servers that are tested
+	maxKeyBytes     = 64   // of a server's id or a sidecar's name
+	maxAdminStates  = 1024 // servers of which operators have said anything
+	maxIncarnations = 256  // incarnations of sidecars whose calls on one server are distinguished
+	maxObservers    = 16   // sidecars whose evidence on one server is held
+	maxSuspects     = 512  // servers on which evidence is held
+	maxOwners       = 4096 // sidecars whose incarnations are distinguished
+	maxStarts       = 2048 // servers whose start is held
+	maxTests        = 512  // servers that are tested
 )
 
 // Lifetimes of items that are not written again.
@@ -56,34 +56,37 @@
 // Store is one sidecar's copy of the fleet's state.
 type Store struct {
 	name        string
-	life        membership.Life
+	incarnation membership.ProcessIncarnation
 	clock       clock
 	adminStates map[string]AdminState
 	rows        map[string][]Row // by server, as sampleRows leaves them
 	starts      map[string]Start
 	tests       map[string]Test
-	deadLives   map[string]membership.Life // by owner: rows of this life and earlier ones do not count
-	ownVersions map[string]uint64          // last version of the own row by server, held or not
-	digestCache Digest
-	digestStale bool // the state has changed since digestCache was computed
+	// deadIncarnations has an incarnation for each owner: rows of it and of earlier ones do not count.
+	deadIncarnations map[string]membership.ProcessIncarnation
+	ownVersions      map[string]uint64 // last version of the own row by server, held or not
+	digestCache      Digest
+	digestStale      bool // the state has changed since digestCache was computed
 }
 
 // New returns an empty copy.
-func New(name string, life membership.Life) *Store {
+func New(name string, incarnation membership.ProcessIncarnation) *Store {
 	return &Store{
-		name:        name,
-		life:        life,
-		adminStates: map[string]AdminState{},
-		rows:        map[string][]Row{},
-		starts:      map[string]Start{},
-		tests:       map[string]Test{},
-		deadLives:   map[string]membership.Life{},
-		ownVersions: map[string]uint64{},
+		name:             name,
+		incarnation:      incarnation,
+		adminStates:      map[string]AdminState{},
+		rows:             map[string][]Row{},
+		starts:           map[string]Start{},
+		tests:            map[string]Test{},
+		deadIncarnations: map[string]membership.ProcessIncarnation{},
+		ownVersions:      map[string]uint64{},
 	}
 }
 
-// SetLife sets the life that this sidecar's calls and rows bear from now on.
-func (s *Store) SetLife(life membership.Life) { s.life = life }
+// SetIncarnation sets the incarnation that this sidecar's calls and rows bear from now on.
+func (s *Store) SetIncarnation(incarnation membership.ProcessIncarnation) {
+	s.incarnation = incarnation
+}
 
 // RecordCall records an operator's call to this sidecar and returns the key of the state that it changed.
 func (s *Store) RecordCall(now Now, server string, down bool) (Key, error) {
@@ -96,7 +99,7 @@
 	}
 	h.Server, h.Listed = server, max(h.Listed, wallHours(now.Wall))
 	s.digestStale = true
-	s.adminStates[server] = h.withCall(s.name, s.life.Nonce, down, s.clock.next(now.Wall))
+	s.adminStates[server] = h.withCall(s.name, s.incarnation.Nonce, down, s.clock.next(now.Wall))
 	return Key{KindAdmin, server, ""}, nil
 }
 
@@ -120,13 +123,13 @@
 func (s *Store) WriteRow(now Now, server string, boot int64, e Evidence) (Key, error) {
 	s.ownVersions[server]++
 	r := Row{
-		Owner:     s.name,
-		Life:      s.life,
-		Server:    server,
-		Boot:      boot,
-		Version:   s.ownVersions[server],
-		Evidence:  e,
-		writtenAt: now.Time,
+		Owner:       s.name,
+		Incarnation: s.incarnation,
+		Server:      server,
+		Boot:        boot,
+		Version:     s.ownVersions[server],
+		Evidence:    e,
+		writtenAt:   now.Time,
 	}
 	if err := r.check(); err != nil {
 		return Key{}, err
@@ -170,8 +173,8 @@
 		if err := r.check(); err != nil {
 			return false, err
 		}
-		// Nobody else writes the own rows, not even a former life: the version says which came later.
-		if r.Owner == s.name && r.Life.Compare(s.life) <= 0 {
+		// Nobody else writes the own rows, not even a former incarnation: the version says which came later.
+		if r.Owner == s.name && r.Incarnation.Compare(s.incarnation) <= 0 {
 			return false, nil
 		}
 		r.writtenAt = now.Time - Time(r.Age)*time.Millisecond
@@ -209,18 +212,18 @@
 		return true, nil
 	}
 	merged := mergeAdminStates(former, h)
-	if len(merged.Seen) > maxLives {
-		return false, fmt.Errorf("server %q: calls of more than %d lives: %w", h.Server, maxLives, errFull)
+	if len(merged.Seen) > maxIncarnations {
+		return false, fmt.Errorf("server %q: calls of more than %d lives: %w", h.Server, maxIncarnations, errFull)
 	}
 	s.adminStates[h.Server] = merged
 	return !merged.equal(former), nil
 }
 
 func (s *Store) mergeRow(now Now, r Row) (bool, error) {
-	if now.Time-r.writtenAt >= rowLifetime || r.Life.Compare(s.deadLives[r.Owner]) <= 0 {
+	if now.Time-r.writtenAt >= rowLifetime || r.Incarnation.Compare(s.deadIncarnations[r.Owner]) <= 0 {
 		return false, nil // it has expired, or its owner is dead
 	}
-	s.MarkDead(r.Owner, lifeBefore(r.Life)) // a later life ends the earlier ones
+	s.MarkDead(r.Owner, previousIncarnation(r.Incarnation)) // a later incarnation ends the earlier ones
 	s.digestStale = true
 	rows, known := s.rows[r.Server]
 	if !known && len(s.rows) >= maxSuspects {
@@ -274,23 +277,25 @@
 	return former.compare(t) < 0, nil
 }
 
-// lifeBefore returns the greatest life that is less than l.
-func lifeBefore(l membership.Life) membership.Life {
+// previousIncarnation returns the greatest incarnation that is less than l.
+func previousIncarnation(l membership.ProcessIncarnation) membership.ProcessIncarnation {
 	if l.Nonce == 0 {
-		return membership.Life{Number: l.Number - 1, Nonce: math.MaxUint64}
+		return membership.ProcessIncarnation{Number: l.Number - 1, Nonce: math.MaxUint64}
 	}
-	return membership.Life{Number: l.Number, Nonce: l.Nonce - 1}
+	return membership.ProcessIncarnation{Number: l.Number, Nonce: l.Nonce - 1}
 }
 
-// MarkDead records that an owner's life is over: its rows go, and none of that life or an earlier one comes back.
-func (s *Store) MarkDead(owner string, life membership.Life) {
-	if life.Compare(s.deadLives[owner]) <= 0 {
+// MarkDead records that an owner's incarnation is over: its rows go, and none of that incarnation or an earlier one
+// comes back.
+func (s *Store) MarkDead(owner string, incarnation membership.ProcessIncarnation) {
+	if incarnation.Compare(s.deadIncarnations[owner]) <= 0 {
 		return
 	}
-	s.deadLives[owner], s.digestStale = life, true
+	s.deadIncarnations[owner] = incarnation
+	s.digestStale = true
 	for server, rows := range s.rows {
 		s.setRows(server, slices.DeleteFunc(rows, func(r Row) bool {
-			return r.Owner == owner && r.Life.Compare(life) <= 0
+			return r.Owner == owner && r.Incarnation.Compare(incarnation) <= 0
 		}))
 	}
 }
@@ -309,14 +314,16 @@
 	for server, rows := range s.rows {
 		s.setRows(server, slices.DeleteFunc(rows, func(r Row) bool { return now.Time-r.writtenAt >= rowLifetime }))
 	}
-	if len(s.deadLives) > maxOwners { // made up, most likely; the age of their rows still binds
+	if len(s.deadIncarnations) > maxOwners { // made up, most likely; the age of their rows still binds
 		held := map[string]bool{}
 		for _, rows := range s.rows {
 			for _, r := range rows {
 				held[r.Owner] = true
 			}
 		}
-		maps.DeleteFunc(s.deadLives, func(owner string, _ membership.Life) bool { return !held[owner] })
+		maps.DeleteFunc(s.deadIncarnations, func(owner string, _ membership.ProcessIncarnation) bool {
+			return !held[owner]
+		})
 	}
 	maps.DeleteFunc(s.tests, func(_ string, t Test) bool { return now.Time-t.writtenAt >= testLifetime })
 	maps.DeleteFunc(s.starts, func(_ string, b Start) bool { return now.Wall-b.Boot >= startLifetime.Milliseconds() })
--- a/internal/fleet/replication/store_test.go
+++ b/internal/fleet/replication/store_test.go
@@ -12,7 +12,7 @@
 	"milletramp.example/milletramp/internal/fleet/membership"
 )
 
-var lives = []membership.Life{{Number: 1, Nonce: 1}, {Number: 2, Nonce: 1}, {Number: 2, Nonce: 2}}
+var lives = []membership.ProcessIncarnation{{Number: 1, Nonce: 1}, {Number: 2, Nonce: 1}, {Number: 2, Nonce: 2}}
 
 // drawHand draws what some sidecars' calls on one server may have left: it plays calls and exchanges between three.
 func drawHands(t *rapid.T) [3]AdminState {
@@ -54,13 +54,13 @@
 	t.Run("rows", rapid.MakeCheck(func(t *rapid.T) {
 		draw := func() Row {
 			return Row{
-				Owner:     "n",
-				Server:    "s",
-				Life:      rapid.SampledFrom(lives).Draw(t, "life"),
-				Version:   rapid.Uint64Range(1, 2).Draw(t, "version"),
-				Boot:      rapid.Int64Range(0, 1).Draw(t, "boot"),
-				Evidence:  Evidence{Tries: rapid.Uint32Range(0, 1).Draw(t, "tries")},
-				writtenAt: Time(rapid.Int64Range(0, 2).Draw(t, "born")),
+				Owner:       "n",
+				Server:      "s",
+				Incarnation: rapid.SampledFrom(lives).Draw(t, "life"),
+				Version:     rapid.Uint64Range(1, 2).Draw(t, "version"),
+				Boot:        rapid.Int64Range(0, 1).Draw(t, "boot"),
+				Evidence:    Evidence{Tries: rapid.Uint32Range(0, 1).Draw(t, "tries")},
+				writtenAt:   Time(rapid.Int64Range(0, 2).Draw(t, "born")),
 			}
 		}
 		joins(t, draw(), draw(), draw(), laterRow, func(a, b Row) bool { return a == b })
@@ -108,7 +108,7 @@
 func copies(n int) []*Store {
 	var all []*Store
 	for i := range n {
-		all = append(all, New(fmt.Sprint("n", i), membership.Life{Number: 1, Nonce: uint64(i + 1)}))
+		all = append(all, New(fmt.Sprint("n", i), membership.ProcessIncarnation{Number: 1, Nonce: uint64(i + 1)}))
 	}
 	return all
 }
@@ -147,7 +147,7 @@
 				calls[server] = append(calls[server], call{out, slices.Clone(knows[i][server])})
 				knows[i][server] = append(knows[i][server], len(calls[server])-1)
 			case 1:
-				if _, err := all[i].WriteRow(now, server, 0, Evidence{Tries: 1, Silent: 1}); err != nil {
+				if _, err := all[i].WriteRow(now, server, 0, Evidence{Tries: 1, Unanswered: 1}); err != nil {
 					t.Fatal(err)
 				}
 			case 2:
@@ -243,10 +243,11 @@
 	want(false)
 }
 
-// TestRowsDie: a row fades, dies with its owner, and never comes back from a former life, in whatever order it arrives.
+// TestRowsDie: a row fades, dies with its owner, and never comes back from a former incarnation, in whatever order it
+// arrives.
 func TestRowsDie(t *testing.T) {
 	c, now := copies(2), Now{Time: time.Minute, Wall: 1e12}
-	k, err := c[0].WriteRow(now, "s", 0, Evidence{Tries: 3, Silent: 3})
+	k, err := c[0].WriteRow(now, "s", 0, Evidence{Tries: 3, Unanswered: 3})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -259,14 +260,14 @@
 		}
 	}
 	has(1)
-	c[1].MarkDead("n0", membership.Life{Number: 1, Nonce: 1})
+	c[1].MarkDead("n0", membership.ProcessIncarnation{Number: 1, Nonce: 1})
 	has(0)
 	if news, _ := c[1].Merge(now, former, "n0"); news {
 		t.Error("a dead one's row came back")
 	}
 	has(0)
-	c[0].SetLife(membership.Life{Number: 2, Nonce: 1})
-	if k, err = c[0].WriteRow(now, "s", 0, Evidence{Tries: 3, Silent: 3}); err != nil {
+	c[0].SetIncarnation(membership.ProcessIncarnation{Number: 2, Nonce: 1})
+	if k, err = c[0].WriteRow(now, "s", 0, Evidence{Tries: 3, Unanswered: 3}); err != nil {
 		t.Fatal(err)
 	}
 	give(t, now, c[1], c[0], k)
@@ -286,7 +287,7 @@
 	if news, _ := c[1].Merge(now, Item{Row: &old}, "n0"); news {
 		t.Error("a faded row came back")
 	}
-	mine := Row{Owner: "n1", Life: c[1].life, Server: "s", Version: 99, Evidence: Evidence{Tries: 9, Silent: 9}}
+	mine := Row{Owner: "n1", Incarnation: c[1].incarnation, Server: "s", Version: 99, Evidence: Evidence{Tries: 9, Unanswered: 9}}
 	if news, _ := c[1].Merge(now, Item{Row: &mine}, "n0"); news {
 		t.Error("another one wrote the own row")
 	}
@@ -328,7 +329,7 @@
 	for i := range 100_000 {
 		server := fmt.Sprint("s-", i)
 		for _, item := range []Item{
-			{Row: &Row{Owner: fmt.Sprint("n", i%500), Life: lives[1], Server: server, Version: 1, Evidence: Evidence{Tries: 1, Silent: 1}}},
+			{Row: &Row{Owner: fmt.Sprint("n", i%500), Incarnation: lives[1], Server: server, Version: 1, Evidence: Evidence{Tries: 1, Unanswered: 1}}},
 			{Start: &Start{server, 1e12}}, {Test: &Test{Server: server, Version: 1, Tester: "x"}},
 		} {
 			if _, err := s.Merge(now, item, "peer"); err != nil {
@@ -344,11 +345,11 @@
 	}
 	for i := range 1000 {
 		r := Row{
-			Owner:    fmt.Sprint("n", i),
-			Life:     lives[1],
-			Server:   "s-0",
-			Version:  1,
-			Evidence: Evidence{Tries: 1, Silent: 1},
+			Owner:       fmt.Sprint("n", i),
+			Incarnation: lives[1],
+			Server:      "s-0",
+			Version:     1,
+			Evidence:    Evidence{Tries: 1, Unanswered: 1},
 		}
 		if _, err := s.Merge(now, Item{Row: &r}, "peer"); err != nil {
 			t.Fatal(err)
@@ -372,8 +373,8 @@
 	for name, item := range map[string]Item{
 		"nothing": {}, "two kinds": {Admin: &good, Start: &Start{"s", 1}}, "a life twice": {Admin: &twice},
 		"a call not seen": {Admin: &unseen}, "no call": {Admin: &none}, "no server": {Start: &Start{"", 1}},
-		"a start to come": {Start: &Start{"s", 1e12 + 60_000}}, "a row of nobody": {Row: &Row{Server: "s", Version: 1, Life: lives[0]}},
-		"a row of no version": {Row: &Row{Server: "s", Owner: "x", Life: lives[0]}}, "a test by nobody": {Test: &Test{Server: "s", Version: 1}},
+		"a start to come": {Start: &Start{"s", 1e12 + 60_000}}, "a row of nobody": {Row: &Row{Server: "s", Version: 1, Incarnation: lives[0]}},
+		"a row of no version": {Row: &Row{Server: "s", Owner: "x", Incarnation: lives[0]}}, "a test by nobody": {Test: &Test{Server: "s", Version: 1}},
 	} {
 		s := New("n0", lives[0])
 		if news, err := s.Merge(now, item, "peer"); err == nil || news || s.Digest() != (Digest{}) {
--- a/internal/fleet/replication/suspicion.go
+++ b/internal/fleet/replication/suspicion.go
@@ -25,7 +25,7 @@
 
 // badOutcomes counts what accuses a server since its last good answer. Errors do not: a server that fails some of its
 // requests serves the others. A peer may write counts of any size.
-func (e Evidence) badOutcomes() uint64 { return uint64(max(e.Silent, e.Late)) + uint64(e.Refused) }
+func (e Evidence) badOutcomes() uint64 { return uint64(max(e.Unanswered, e.Late)) + uint64(e.Refused) }
 
 // accuses reports whether a row counts against its server now.
 func (r Row) accuses(now Now) bool {
--- a/internal/fleet/replication/suspicion_test.go
+++ b/internal/fleet/replication/suspicion_test.go
@@ -11,8 +11,8 @@
 )
 
 var (
-	bad  = Evidence{Tries: 4, Silent: 3}
-	once = Evidence{Tries: 1, Silent: 1}
+	bad  = Evidence{Tries: 4, Unanswered: 3}
+	once = Evidence{Tries: 1, Unanswered: 1}
 	good = Evidence{Good: 1}
 )
 
@@ -29,12 +29,12 @@
 	s, now := New("self", lives[0]), Now{Time: time.Hour, Wall: 1e12}
 	for i, w := range words {
 		r := Row{
-			Owner:    w.owner,
-			Life:     lives[0],
-			Server:   w.server,
-			Version:  uint64(i + 1),
-			Evidence: w.evidence,
-			Age:      uint32(w.age.Milliseconds()),
+			Owner:       w.owner,
+			Incarnation: lives[0],
+			Server:      w.server,
+			Version:     uint64(i + 1),
+			Evidence:    w.evidence,
+			Age:         uint32(w.age.Milliseconds()),
 		}
 		if _, err := s.Merge(now, Item{Row: &r}, w.owner); err != nil {
 			t.Fatal(err)
@@ -92,7 +92,7 @@
 		{"the own word is one", []word{three[0], three[1]}, everybody, true},
 		{"the own word alone", nil, everybody, false},
 		{"one bad end of each is too little", []word{{"a", "s", once, 0}, {"b", "s", once, 0}, {"c", "s", once, 0}}, everybody, false},
-		{"one of many brings two ends at most", []word{{"a", "s", Evidence{Tries: 90, Silent: 90}, 0}, {"b", "s", once, 0}}, everybody, false},
+		{"one of many brings two ends at most", []word{{"a", "s", Evidence{Tries: 90, Unanswered: 90}, 0}, {"b", "s", once, 0}}, everybody, false},
 		{"one bad end of each of four", []word{{"a", "s", once, 0}, {"b", "s", once, 0}, {"c", "s", once, 0}, {"d", "s", once, 0}}, everybody, true},
 		{"errors are none", []word{three[0], three[1], {"c", "s", Evidence{Tries: 20, Failed: 20}, 0}}, everybody, false},
 	} {
--- a/internal/fleet/snapshot_test.go
+++ b/internal/fleet/snapshot_test.go
@@ -13,8 +13,8 @@
 	"milletramp.example/milletramp/internal/fsys"
 )
 
-// TestSnapshotFileOutlastsTheWholeFleet restarts the one member of a fleet, with and without a folder: with one it knows
-// the operators' calls.
+// TestSnapshotFileOutlastsTheWholeFleet restarts the one member of a fleet, with and without a folder: with one it
+// knows the operators' calls.
 func TestSnapshotFileOutlastsTheWholeFleet(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -93,7 +93,7 @@
 		t.Fatalf("%d items, peers %v, error %v", len(items), peers, err)
 	}
 	const (
-		nonce  = 0x2f45917ad3e7aa7 // of the sidecar's life
+		nonce  = 0x2f45917ad3e7aa7 // of the sidecar's incarnation
 		listed = 498946            // hours
 	)
 	for i, want := range []struct {
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -11,19 +11,19 @@
 
 // Status is what this sidecar holds of the fleet, for operators. The JSON keys are an interface to them.
 type Status struct {
-	Name         string            `json:"name"`
-	Address      string            `json:"address"`
-	LifeNumber   uint64            `json:"life"`
-	OwnsName     bool              `json:"bears_its_name"` // false: a later process has it, this one sends nothing
-	Phase        string            `json:"phase"`
-	PhaseSeconds float64           `json:"phase_for_s"`
-	NumPresent   int               `json:"members_here"` // this one included
-	LocalHealth  int               `json:"own_trouble"`  // 0: good; up to 8: others' answers do not arrive
-	Digests      map[string]string `json:"sums"`         // of the replicated state, by kind
-	Members      []MemberStatus    `json:"members"`
-	Servers      []ServerStatus    `json:"by_hand"`
-	Suspicions   []SuspicionStatus `json:"in_doubt"`
-	Figures      gossip.Figures    `json:"figures"`
+	Name              string            `json:"name"`
+	Address           string            `json:"address"`
+	IncarnationNumber uint64            `json:"life"`
+	OwnsName          bool              `json:"bears_its_name"` // false: a later process has it, this one sends nothing
+	Phase             string            `json:"phase"`
+	PhaseSeconds      float64           `json:"phase_for_s"`
+	NumPresent        int               `json:"members_here"` // this one included
+	LocalHealth       int               `json:"own_trouble"`  // 0: good; up to 8: others' answers do not arrive
+	Digests           map[string]string `json:"sums"`         // of the replicated state, by kind
+	Members           []MemberStatus    `json:"members"`
+	Servers           []ServerStatus    `json:"by_hand"`
+	Suspicions        []SuspicionStatus `json:"in_doubt"`
+	Figures           gossip.Figures    `json:"figures"`
 }
 
 // SuspicionStatus is a server on which some sidecar has reported.
@@ -50,7 +50,7 @@
 	Name               string   `json:"name"`
 	Address            string   `json:"address"`
 	State              string   `json:"state"`
-	LifeNumber         uint64   `json:"life"`
+	IncarnationNumber  uint64   `json:"life"`
 	Incarnation        uint32   `json:"incarnation"`
 	LastContactSeconds float64  `json:"heard_s_ago"` // -1: never
 	InSync             bool     `json:"same_copy"`   // by the last digest that it sent
@@ -94,19 +94,19 @@
 	self, ownsName := members.Self()
 	phase, since := f.machine.Phase()
 	return Status{
-		Name:         self.Name,
-		Address:      self.Address,
-		LifeNumber:   self.Life.Number,
-		OwnsName:     ownsName,
-		Phase:        phase.String(),
-		PhaseSeconds: seconds(now.Time - since),
-		NumPresent:   members.NumPresent(),
-		LocalHealth:  members.LocalHealth(),
-		Digests:      f.digests(),
-		Members:      f.memberStatus(now),
-		Servers:      f.serverStatus(),
-		Suspicions:   f.suspicionStatus(now),
-		Figures:      f.machine.Figures(),
+		Name:              self.Name,
+		Address:           self.Address,
+		IncarnationNumber: self.ProcessIncarnation.Number,
+		OwnsName:          ownsName,
+		Phase:             phase.String(),
+		PhaseSeconds:      seconds(now.Time - since),
+		NumPresent:        members.NumPresent(),
+		LocalHealth:       members.LocalHealth(),
+		Digests:           f.digests(),
+		Members:           f.memberStatus(now),
+		Servers:           f.serverStatus(),
+		Suspicions:        f.suspicionStatus(now),
+		Figures:           f.machine.Figures(),
 	}
 }
 
@@ -129,7 +129,7 @@
 			Name:               member.Name,
 			Address:            member.Address,
 			State:              member.State.String(),
-			LifeNumber:         member.Life.Number,
+			IncarnationNumber:  member.ProcessIncarnation.Number,
 			Incarnation:        member.Incarnation,
 			LastContactSeconds: -1,
 			InSync:             divergence.Known && divergence.Equal,
@@ -194,7 +194,7 @@
 			Reporter:        row.Owner,
 			AgeSeconds:      fromMilliseconds(row.Age),
 			Late:            row.Evidence.Late,
-			Unresponsive:    row.Evidence.Silent,
+			Unresponsive:    row.Evidence.Unanswered,
 			Refused:         row.Evidence.Refused,
 			LastGoodSeconds: -1,
 		}
--- a/internal/lab/fleet/mutants/mutants_test.go
+++ b/internal/lab/fleet/mutants/mutants_test.go
@@ -48,7 +48,7 @@
 			"	out.Standing = out.Standing[:min(len(out.Standing), 1)]\n",
 		"nothing acknowledged forgotten", ""},
 	{"former life believed", "replication/store.go",
-		"	if now.Time-r.writtenAt >= rowLifetime || r.Life.Compare(s.deadLives[r.Owner]) <= 0 {",
+		"	if now.Time-r.writtenAt >= rowLifetime || r.Incarnation.Compare(s.deadIncarnations[r.Owner]) <= 0 {",
 		"	if now.Time-r.writtenAt >= rowLifetime {", "nothing resurrected", ""},
 	{"another's row written", "replication/store.go", "		return s.mergeRow(now, r)\n	case KindStart:",
 		"		if r.Version++; r.Version%2 == 0 {\n			r.Version++\n		}\n		return s.mergeRow(now, r)\n	case KindStart:",
@@ -80,8 +80,8 @@
 	return command
 }
 
-// overlay has the go command build with a mutant in the place of the file that it changes, and returns the environment for
-// that.
+// overlay has the go command build with a mutant in the place of the file that it changes, and returns the environment
+// for that.
 func overlay(t *testing.T, file, from, to string) []string {
 	t.Helper()
 	fleet, err := filepath.Abs("../../../fleet")
@@ -128,7 +128,8 @@
 	}
 }
 
-// policyMutants break the guarantees on a change of policy, each found by a test of its package, or of the one that is named before it.
+// policyMutants break the guarantees on a change of policy, each found by a test of its package, or of the one that is
+// named before it.
 var policyMutants = []struct{ name, file, from, to, found string }{
 	{"switch before the leases end", "policy/lease_table.go", "t.switchNumber, t.switchAt = p.Number, max(last, now+1)", "t.switchNumber, t.switchAt = p.Number, now+1", "TestOnePolicyAtATime"},
 	{"a leader that does not wait for earlier leaders' leases", "policy/lease_table.go", "earlierLeasesEnd: now + terms.upperBound(terms.Length)", "earlierLeasesEnd: now", "TestOnePolicyAtATime"},
--- a/internal/lab/fleet/sim/sim.go
+++ b/internal/lab/fleet/sim/sim.go
@@ -1,5 +1,5 @@
-// Package sim plays a fault plan with sidecars' parts in the fleet stepped in simulated time, and records what the referee
-// needs. The same plan and seed give the same record.
+// Package sim plays a fault plan with sidecars' parts in the fleet stepped in simulated time, and records what the
+// referee needs. The same plan and seed give the same record.
 package sim
 
 import (
@@ -229,7 +229,7 @@
 	s.rows = map[string]uint64{}
 	now := s.Clock()
 	s.Machine = gossip.New(now, gossip.Settings{Label: "lab", Predecessors: before, Membership: membership.Settings{Name: s.Name, Address: s.address,
-		Peers: peers, Seed: w.Plan.Seed, LifeNonce: w.rng.Uint64() | 1, LifeNumber: uint64(max(now.Wall, 1))}}, nil)
+		Peers: peers, Seed: w.Plan.Seed, IncarnationNonce: w.rng.Uint64() | 1, IncarnationNumber: uint64(max(now.Wall, 1))}}, nil)
 	s.tick(s.epoch)
 }
 
@@ -440,14 +440,14 @@
 			return
 		}
 		on := server(w.rng.IntN(w.Plan.Servers))
-		key, err := s.Machine.Store.WriteRow(s.Clock(), on, 0, replication.Evidence{Tries: 4, Silent: 1})
+		key, err := s.Machine.Store.WriteRow(s.Clock(), on, 0, replication.Evidence{Tries: 4, Unanswered: 1})
 		if err != nil {
 			return
 		}
 		s.Machine.Broadcast(key)
 		s.rows[on]++ // counted here, whatever the sidecar makes of it
 		self, _ := s.Machine.Members.Self()
-		w.Record.Wrote = append(w.Record.Wrote, referee.Row{Owner: s.Name, Life: self.Life.Number, Server: on, Version: s.rows[on]})
+		w.Record.Wrote = append(w.Record.Wrote, referee.Row{Owner: s.Name, Life: self.ProcessIncarnation.Number, Server: on, Version: s.rows[on]})
 	})
 }
 
@@ -483,7 +483,7 @@
 	}
 	for _, suspect := range s.Machine.Store.ServersWithEvidence() {
 		for _, r := range s.Machine.Store.Rows(s.Clock(), suspect) {
-			show.Rows = append(show.Rows, referee.Row{Owner: r.Owner, Life: r.Life.Number, Server: r.Server, Version: r.Version})
+			show.Rows = append(show.Rows, referee.Row{Owner: r.Owner, Life: r.Incarnation.Number, Server: r.Server, Version: r.Version})
 		}
 	}
 	s.world.Record.Shows = append(s.world.Record.Shows, show)
--- a/internal/lab/sim/gossip.go
+++ b/internal/lab/sim/gossip.go
@@ -75,12 +75,12 @@
 	m.machine = gossip.New(now, gossip.Settings{
 		Label: "lab",
 		Membership: membership.Settings{
-			Name:       fmt.Sprintf("n%d", sc.index),
-			Address:    memberAddress(sc.index),
-			Peers:      s.seedAddresses(),
-			Seed:       random.Uint64(),
-			LifeNonce:  random.Uint64() | 1, // 0 is not valid
-			LifeNumber: uint64(now.Wall),
+			Name:              fmt.Sprintf("n%d", sc.index),
+			Address:           memberAddress(sc.index),
+			Peers:             s.seedAddresses(),
+			Seed:              random.Uint64(),
+			IncarnationNonce:  random.Uint64() | 1, // 0 is not valid
+			IncarnationNumber: uint64(now.Wall),
 		},
 	}, nil)
 	sc.member = m
@@ -160,7 +160,7 @@
 		return nil
 	}
 	every := max(s.options.Fleet.FalseEvery, 1)
-	evidence := replication.Evidence{Tries: falseReportTries, Silent: falseReportTries}
+	evidence := replication.Evidence{Tries: falseReportTries, Unanswered: falseReportTries}
 	var rows []failuredetector.Row
 	for i, srv := range s.servers {
 		if srv.listed && i%every == 0 {
