--- a/internal/proxy/event_loop_test.go
+++ b/internal/proxy/event_loop_test.go
@@ -69,7 +69,7 @@
 		return true
 	}
 	if !loop.isCancelled(request) {
-		t.Error("a request whose client has left is not withdrawn")
+		t.Error("a request whose client has left is not cancelled")
 	}
 	if err := loop.Do(ctx, func() {}); err != nil { // what was posted before is done
 		t.Fatal(err)
--- a/internal/proxy/long_run_test.go
+++ b/internal/proxy/long_run_test.go
@@ -35,8 +35,8 @@
 	})
 }
 
-// TestRequestsOnLostIdleConnectionsEndInTime has servers drop, without a word or a reset, what comes on connections
-// that were idle for 2 s. Each request has its response in its time, and one that is unsafe to repeat is sent once.
+// TestRequestsOnLostIdleConnectionsEndInTime has servers drop, without a reset, what comes on connections that were
+// idle for 2 s. Each request has its response in its time, and one that is unsafe to repeat is sent once.
 func TestRequestsOnLostIdleConnectionsEndInTime(t *testing.T) {
 	const requests, wait = 20, 10 * time.Second
 	for _, class := range []string{"read", "book", "pay"} {
@@ -70,7 +70,7 @@
 	}
 }
 
-// TestVeryShortDeadlinesAreKept has servers drop all requests of 5 to 20 ms without a word: each has one response soon
+// TestVeryShortDeadlinesAreKept has servers drop all requests of 5 to 20 ms silently: each has one response soon
 // after its time, no attempt begins behind it, and requests with more time are served right after.
 func TestVeryShortDeadlinesAreKept(t *testing.T) {
 	runSimulation(t, testserver.Settings, func(sim *simulation) {
--- a/internal/proxy/simulation_test.go
+++ b/internal/proxy/simulation_test.go
@@ -66,7 +66,7 @@
 	// dial has connections to servers come up; nil: at once. respond returns what the nth attempt gets; "": nothing.
 	dial    func(ctx context.Context, n int) error
 	respond func(n int) string
-	// drop has a server drop what comes on a connection that was idle for so long, without a word; nil: none does.
+	// drop has a server drop what comes on a connection that was idle for so long, silently; nil: none does.
 	drop       func(server string, idle time.Duration) bool
 	writeDelay time.Duration
 
--- a/internal/sidecar/client_conns_test.go
+++ b/internal/sidecar/client_conns_test.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestResponsesCloseConnectionsNearLimit has clients ask once and keep their connections: before these are all that
-// clients may hold, responses end them, so that requests go on being taken. A connection in use before that is kept
-// alive.
+// TestResponsesCloseConnectionsNearLimit has clients send one request and keep their connections: before these are all
+// that clients may hold, responses end them, so that requests go on being taken. A connection in use before that is
+// kept alive.
 func TestResponsesCloseConnectionsNearLimit(t *testing.T) {
 	p := start(t, strings.Replace(configFor(t, startBackend(t, "ok")), `"sockets":1024`, `"sockets":64`, 1))
 	budget := newSocketBudget(&config.Config{Sockets: 64})
--- a/internal/sidecar/client_disconnect_test.go
+++ b/internal/sidecar/client_disconnect_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// TestHalfClosedClientGetsNoResponse has a client close its sending while its request is out: it has left, and must not
-// learn that it was served.
+// TestHalfClosedClientGetsNoResponse has a client close its sending while its request is in flight: it has left, and
+// must not learn that it was served.
 func TestHalfClosedClientGetsNoResponse(t *testing.T) {
 	release := make(chan struct{})
 	b := startHoldingBackend(t, release, anyRequest, "ok")
@@ -50,8 +50,8 @@
 }
 
 // TestPipelinedRequestsOfHalfClosedClientAreNotForwarded has a client send many requests on a connection and end its
-// sending while the first is out. The others stand before the end that net/http waits for, more of them than it reads
-// ahead, and none of them is forwarded.
+// sending while the first is in flight. The others stand before the end that net/http waits for, more of them than it
+// reads ahead, and none of them is forwarded.
 func TestPipelinedRequestsOfHalfClosedClientAreNotForwarded(t *testing.T) {
 	release := make(chan struct{})
 	b := startHoldingBackend(t, release, anyRequest, "ok")
--- a/internal/sidecar/client_errors_test.go
+++ b/internal/sidecar/client_errors_test.go
@@ -83,8 +83,8 @@
 }
 
 // TestMalformedPipelinedRequestDoesNotCostFirstResponse has a client send a good request and, behind it, one that
-// cannot be read, whole or but for its last byte, which net/http reads ahead while the first is out at its server. The
-// first is served, and the second gets an error or the end.
+// cannot be read, whole or but for its last byte, which net/http reads ahead while the first is in flight at its
+// server. The first is served, and the second gets an error or the end.
 func TestMalformedPipelinedRequestDoesNotCostFirstResponse(t *testing.T) {
 	unread := testserver.RequestHead("GET", "bad", "read") + "Content-Length: 0\r\n"
 	for name, bad := range map[string]string{
@@ -102,7 +102,7 @@
 				fmt.Fprint(c, bad[len(bad)-later:])
 				_ = c.SetReadDeadline(time.Now().Add(100 * time.Millisecond)) // nothing may come, however long this is
 				if n, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-					t.Errorf("%d bytes, error %v while the first request is out", n, err)
+					t.Errorf("%d bytes, error %v while the first request is in flight", n, err)
 				}
 				close(release)
 				_ = c.SetReadDeadline(time.Now().Add(testserver.Timeout))
@@ -187,8 +187,8 @@
 	}
 }
 
-// TestDuplicateRequestIDIsRejected has a client come with the id of a request that is out, and again once that has its
-// response.
+// TestDuplicateRequestIDIsRejected has a client come with the id of a request that is in flight, and again once that
+// has its response.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	release := make(chan struct{})
 	b := startHoldingBackend(t, release, anyRequest, "mine")
--- a/internal/sidecar/drain_load_test.go
+++ b/internal/sidecar/drain_load_test.go
@@ -24,8 +24,8 @@
 
 var drainRounds = flag.Int("stop.rounds", 40, "rounds of TestDrainUnderLoadAnswersEachRequestRead")
 
-// TestDrainUnderLoadAnswersEachRequestRead stops the process again and again while clients ask on connections that they
-// keep. A request that was read has its response; one that was not finds its connection reset.
+// TestDrainUnderLoadAnswersEachRequestRead stops the process again and again while clients send on connections that
+// they keep. A request that was read has its response; one that was not finds its connection reset.
 func TestDrainUnderLoadAnswersEachRequestRead(t *testing.T) {
 	b := startBackend(t, "ok")
 	discardRequests(b)
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -16,7 +16,7 @@
 	"milletramp.example/milletramp/internal/upstream"
 )
 
-// TestDrainServesNewAndOpenConnections has SIGTERM come while one request is out, and others go on coming on new
+// TestDrainServesNewAndOpenConnections has SIGTERM come while one request is in flight, and others go on coming on new
 // connections and old ones.
 func TestDrainServesNewAndOpenConnections(t *testing.T) {
 	release := make(chan struct{})
@@ -52,7 +52,7 @@
 	p.waitUntilNotListening()
 	select {
 	case err := <-p.ended:
-		t.Fatalf("it ended with %v and a request out", err)
+		t.Fatalf("it ended with %v and a request in flight", err)
 	default:
 	}
 	close(release)
@@ -149,8 +149,8 @@
 var shortDeadlines = strings.NewReplacer(`"deadline_s":60.0`, `"deadline_s":0.3`, `"aim_s":20.0`, `"aim_s":0.2`)
 
 // TestDrainKeepsToReloadedDeadlines stops a process whose settings were replaced by ones with shorter deadlines, while
-// requests of the old ones are out at a server that hangs: the platform kills it by the new ones, and before that each
-// has its response. One that may be repeated is rejected, one that is unsafe to repeat and may have run is not.
+// requests of the old ones are in flight at a server that hangs: the platform kills it by the new ones, and before that
+// each has its response. One that may be repeated is rejected, one that is unsafe to repeat and may have run is not.
 func TestDrainKeepsToReloadedDeadlines(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.NeverRespond)
 	text := configFor(t, b)
--- a/internal/sidecar/local_failures_test.go
+++ b/internal/sidecar/local_failures_test.go
@@ -242,7 +242,7 @@
 	})
 }
 
-// checkSingleResponse asks for a class on a connection, and returns what is wrong with the response.
+// checkSingleResponse sends a request of a class on a connection, and returns what is wrong with the response.
 func checkSingleResponse(c net.Conn, id, class string) error {
 	defer c.Close()
 	const lastBody = "Content-Length: 4\r\nConnection: close\r\n\r\nskip"
--- a/internal/sidecar/lost_requests_test.go
+++ b/internal/sidecar/lost_requests_test.go
@@ -44,7 +44,7 @@
 			}
 		}
 	}
-	answered("while others are out")
+	answered("while others are in flight")
 	for range cap(ended) {
 		if got := testserver.Receive(t, ended, "response"); got.Status == http.StatusOK {
 			t.Errorf("response %+v to what was lost", got)
@@ -54,7 +54,7 @@
 }
 
 // TestLostRequestsAreRetriedIfRepeatable has payments lost, each once, and then requests that may be repeated: they are
-// retried at other servers, long before their clients would give up. No payment comes to a server twice.
+// retried at other servers, long before their clients would give up. No payment reaches a server twice.
 func TestLostRequestsAreRetriedIfRepeatable(t *testing.T) {
 	const payments = 12
 	var backends []*testserver.Backend
