--- a/deploy/names_test.go
+++ b/deploy/names_test.go
@@ -209,6 +209,7 @@
 		"internal/hotrestart",
 		"internal/lab/checker",
 		"internal/lab/record",
+		"internal/lab/report",
 		"internal/lab/runplan",
 		"internal/lab/sim",
 		"internal/lab/workload",
