--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -77,10 +77,10 @@
 func Terms(p *runplan.Plan, slack time.Duration) checker.Limits {
 	s := p.Scenario
 	t := checker.Limits{ResponseSlack: slack, DrainGrace: time.Second + slack, GiveUpGrace: 50 * time.Millisecond, SendGrace: time.Millisecond,
-		OverloadMultiple: s.Fleet.FallMultiple, OverloadWindow: s.Fleet.Fall.Std(), OverloadSlack: 8 * s.MeanWork(), SlowStartCapacity: s.Fleet.ColdFrom,
-		SlowStartWindow: s.Fleet.Cold.Std()}
+		OverloadMultiple: s.Fleet.OverloadMultiple, OverloadWindow: s.Fleet.OverloadWindow.Std(), OverloadSlack: 8 * s.MeanWork(), SlowStartCapacity: s.Fleet.SlowStartCapacity,
+		SlowStartWindow: s.Fleet.SlowStartWindow.Std()}
 	for _, c := range s.Classes {
-		r := checker.RetryRules{Idempotent: c.Effect == "idempotent", Deduplicated: c.Effect == "deduplicated", DedupeWindow: c.Window.Std()}
+		r := checker.RetryRules{Idempotent: c.Effect == "idempotent", Deduplicated: c.Effect == "deduplicated", DedupeWindow: c.DedupeWindow.Std()}
 		switch c.Scope {
 		case "zone":
 			r.PodGroup = func(n int32) int { return p.Machines[n].Zone }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -198,13 +198,13 @@
 			if tt.name == "delivery records repeated too late" {
 				// Errors come late on slow nodes of one large pod, beyond a window that is short.
 				s.Fleet.PodSize = 12
-				s.Classes[2].Window = scenario.Duration(500 * time.Millisecond)
-				for i := range s.Trouble {
-					s.Trouble[i].Part = 0.9
+				s.Classes[2].DedupeWindow = scenario.Duration(500 * time.Millisecond)
+				for i := range s.Faults {
+					s.Faults[i].Share = 0.9
 				}
-				slow := s.Trouble[0]
-				slow.Kind, slow.Size, slow.Part = "slow", 8, 0.9
-				s.Trouble = append(s.Trouble, slow)
+				slow := s.Faults[0]
+				slow.Kind, slow.Size, slow.Share = "slow", 8, 0.9
+				s.Faults = append(s.Faults, slow)
 				// Such a repeat is rare: one day may have none.
 				seeds, least = []uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}, 3
 			}
@@ -232,13 +232,13 @@
 	s.Classes = s.Classes[:1]
 	c := &s.Classes[0]
 	c.Share, c.CV, c.Work = 1, 1, scenario.Duration(100*time.Millisecond)
-	c.Aim, c.Deadline = scenario.Duration(10*time.Minute), scenario.Duration(20*time.Minute)
+	c.LatencyObjective, c.Deadline = scenario.Duration(10*time.Minute), scenario.Duration(20*time.Minute)
 	f := &s.Fleet
-	f.Sidecars, f.Nodes, f.Zones, f.Speeds, f.KeyGain, f.ChokeAt, f.CrowdAt = 1, 1, f.Zones[:1], 0, 0, 0, 0
+	f.Sidecars, f.Nodes, f.Zones, f.SpeedCV, f.CacheSaving, f.CollapseAt, f.ContentionAt = 1, 1, f.Zones[:1], 0, 0, 0, 0
 	f.Kinds = []scenario.Kind{{Name: "one", Share: 1, Cores: cores, Speed: 1}}
-	f.SlotsPerCore, f.QueuePerCore, f.HandshakeRTTs, f.HandshakeWork, f.ConnCap = 1, 1e6, 0, 0, 1e6
-	s.Network = scenario.Network{Connect: scenario.Duration(time.Second)}
-	s.Load = scenario.Load{Use: use, Wave: scenario.Duration(time.Minute), Keys: 10}
+	f.SlotsPerCore, f.QueuePerCore, f.HandshakeRTTs, f.HandshakeWork, f.MaxConns = 1, 1e6, 0, 0, 1e6
+	s.Network = scenario.Network{ConnectTimeout: scenario.Duration(time.Second)}
+	s.Load = scenario.Load{Utilization: use, SwingPeriod: scenario.Duration(time.Minute), Keys: 10}
 	s.Clients.Retries = 0
 	return s
 }
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -93,8 +93,8 @@
 	terms := Terms(drawn, sockets.Slack+late)
 	// Where connections never come up, the wire shows no attempt while the sidecar waits for one; elsewhere an answer has
 	// to follow what was last out within the way there and the lateness of a machine that does all parts at once.
-	terms.SendGrace = s.Network.Connect.Std() + 4*s.Network.Cross.Std() // nodes are seen, not the sidecars' sending
-	terms.GiveUpGrace = s.Network.Connect.Std() + 4*s.Network.Cross.Std() + 100*time.Millisecond + late
+	terms.SendGrace = s.Network.ConnectTimeout.Std() + 4*s.Network.CrossZone.Std() // nodes are seen, not the sidecars' sending
+	terms.GiveUpGrace = s.Network.ConnectTimeout.Std() + 4*s.Network.CrossZone.Std() + 100*time.Millisecond + late
 	for _, a := range drawn.Actions {
 		if a.Kind == runplan.IsolateNode || a.Kind == runplan.CutZone {
 			terms.GiveUpGrace = time.Hour
--- a/internal/lab/report/meter.go
+++ b/internal/lab/report/meter.go
@@ -68,8 +68,8 @@
 		detectionDelays: newHistogram(),
 	}
 	for _, class := range plan.Scenario.Classes {
-		m.latencyObjectives = append(m.latencyObjectives, class.Aim.Std())
-		m.priorities = append(m.priorities, class.Worth)
+		m.latencyObjectives = append(m.latencyObjectives, class.LatencyObjective.Std())
+		m.priorities = append(m.priorities, class.Priority)
 		m.classLatencies = append(m.classLatencies, newHistogram())
 	}
 	for _, machine := range plan.Machines {
--- a/internal/lab/runplan/fault.go
+++ b/internal/lab/runplan/fault.go
@@ -14,17 +14,17 @@
 
 // fault is a fault of the scenario with its times and its class resolved.
 type fault struct {
-	scenario.Trouble
+	scenario.Fault
 	from, to time.Duration
 	class    int // index in the scenario's classes; -1: none
 }
 
-func newFault(t scenario.Trouble, s *scenario.Scenario) fault {
+func newFault(t scenario.Fault, s *scenario.Scenario) fault {
 	return fault{
-		Trouble: t,
-		from:    t.At.Std(),
-		to:      t.At.Std() + t.For.Std(),
-		class:   slices.IndexFunc(s.Classes, func(c scenario.Class) bool { return c.Name == t.Class }),
+		Fault: t,
+		from:  t.At.Std(),
+		to:    t.At.Std() + t.Length.Std(),
+		class: slices.IndexFunc(s.Classes, func(c scenario.Class) bool { return c.Name == t.Class }),
 	}
 }
 
@@ -46,9 +46,9 @@
 		zone := slices.Index(p.Scenario.Fleet.Zones, f.Zone)
 		p.addSpan(f, Action{Kind: CutZone, Node: zone, On: true}, Action{Kind: CutZone, Node: zone})
 	case scenario.FaultSidecarsRestart:
-		p.addSidecarRestarts(f.from, countOf(f.Part, p.Scenario.Fleet.Sidecars))
+		p.addSidecarRestarts(f.from, countOf(f.Share, p.Scenario.Fleet.Sidecars))
 	case scenario.FaultPowerCut:
-		f.Part = 1 // all nodes crash
+		f.Share = 1 // all nodes crash
 		p.addSidecarRestarts(f.to, p.Scenario.Fleet.Sidecars)
 		p.addNodeFaults(f, random)
 	default:
@@ -103,7 +103,7 @@
 		}
 	}
 	random.Shuffle(len(present), func(i, j int) { present[i], present[j] = present[j], present[i] })
-	return present[:min(len(present), countOf(f.Part, len(present)))]
+	return present[:min(len(present), countOf(f.Share, len(present)))]
 }
 
 // countOf is a share of a number, at least one.
@@ -113,7 +113,7 @@
 
 // drainStart is when the node of an index among count begins to drain: nodes do so one after the other.
 func (f *fault) drainStart(index, count int) time.Duration {
-	return f.from + time.Duration(float64(f.For.Std()-f.Drain.Std())*float64(index)/float64(count))
+	return f.from + time.Duration(float64(f.Length.Std()-f.Drain.Std())*float64(index)/float64(count))
 }
 
 // addReplacement drains and removes a node; in a release, another takes its place.
@@ -130,11 +130,11 @@
 // off, and another takes its place when the fault ends.
 func (p *Plan) addIsolation(f fault, node int, random *rand.Rand) {
 	p.addActionAt(f.from, Action{Kind: IsolateNode, Node: node, On: true})
-	if f.Heals {
+	if f.Recovers {
 		p.addActionAt(f.to, Action{Kind: IsolateNode, Node: node})
 		return
 	}
-	p.addActionAt(f.from+removalDelay*p.Scenario.Notice.To.Std(), Action{Kind: RemoveNode, Node: node})
+	p.addActionAt(f.from+removalDelay*p.Scenario.DiscoveryDelay.To.Std(), Action{Kind: RemoveNode, Node: node})
 	p.addActionAt(f.to, Action{Kind: StartNode, Node: p.addSuccessor(node, f.to, random)})
 }
 
--- a/internal/lab/runplan/machine.go
+++ b/internal/lab/runplan/machine.go
@@ -42,7 +42,7 @@
 // addMachine adds a machine and returns its index.
 func (p *Plan) addMachine(zone int, kind scenario.Kind, startsAt time.Duration, random *rand.Rand) int {
 	// The speed is drawn before the ID: the order of draws is part of what a seed gives.
-	speed := kind.Speed * math.Max(minSpeedFactor, 1+p.Scenario.Fleet.Speeds*random.NormFloat64())
+	speed := kind.Speed * math.Max(minSpeedFactor, 1+p.Scenario.Fleet.SpeedCV*random.NormFloat64())
 	p.Machines = append(p.Machines, Machine{
 		ID:       fmt.Sprintf("s-%04x%04x", random.IntN(1<<16), len(p.Machines)),
 		Zone:     zone,
@@ -61,16 +61,16 @@
 		Speed:            speed,
 		Slots:            max(int(fleet.SlotsPerCore*float64(cores)), 1),
 		QueueLimit:       int(fleet.QueuePerCore * float64(cores)),
-		WarmUpShare:      fleet.ColdFrom,
-		WarmUp:           fleet.Cold.Std(),
-		ContentionAt:     fleet.CrowdAt,
-		ContentionCost:   fleet.Crowd,
-		CollapseAt:       fleet.ChokeAt,
-		CollapseAfter:    fleet.ChokeOver.Std(),
-		CollapseSlowdown: fleet.ChokeSlower,
-		RecoverBelow:     fleet.ChokeBelow,
-		RecoverAfter:     fleet.ChokeRest.Std(),
-		MaxCollapse:      fleet.ChokeMost.Std(),
+		WarmUpShare:      fleet.SlowStartCapacity,
+		WarmUp:           fleet.SlowStartWindow.Std(),
+		ContentionAt:     fleet.ContentionAt,
+		ContentionCost:   fleet.ContentionCost,
+		CollapseAt:       fleet.CollapseAt,
+		CollapseAfter:    fleet.CollapseAfter.Std(),
+		CollapseSlowdown: fleet.CollapseSlowdown,
+		RecoverBelow:     fleet.RecoverBelow,
+		RecoverAfter:     fleet.RecoverAfter.Std(),
+		MaxCollapse:      fleet.MaxCollapse.Std(),
 	}
 }
 
--- a/internal/lab/runplan/plan.go
+++ b/internal/lab/runplan/plan.go
@@ -34,7 +34,7 @@
 	p := &Plan{Scenario: s, Seed: seed, FirstFault: s.Length.Std()}
 	random := rand.New(rand.NewPCG(seed, planSeed))
 	p.addInitialMachines(random)
-	for _, t := range s.Trouble {
+	for _, t := range s.Faults {
 		p.addFault(newFault(t, s), random)
 	}
 	slices.SortStableFunc(p.Actions, func(a, b Action) int { return cmp.Compare(a.At, b.At) })
@@ -45,7 +45,7 @@
 func (p *Plan) DedupeWindow() time.Duration {
 	window := minDedupeWindow
 	for _, class := range p.Scenario.Classes {
-		window = max(window, class.Window.Std())
+		window = max(window, class.DedupeWindow.Std())
 	}
 	return window
 }
--- a/internal/lab/runplan/settings.go
+++ b/internal/lab/runplan/settings.go
@@ -44,10 +44,10 @@
 		MaxAttempts:       settingsMaxAttempts,
 		CancelAllowed:     true,
 		HedgingAllowed:    true,
-		SlowStartWindow:   s.Fleet.Cold.Std(),
-		SlowStartCapacity: s.Fleet.ColdFrom,
-		OverloadMultiple:  s.Fleet.FallMultiple,
-		OverloadWindow:    s.Fleet.Fall.Std(),
+		SlowStartWindow:   s.Fleet.SlowStartWindow.Std(),
+		SlowStartCapacity: s.Fleet.SlowStartCapacity,
+		OverloadMultiple:  s.Fleet.OverloadMultiple,
+		OverloadWindow:    s.Fleet.OverloadWindow.Std(),
 		CrossZoneCharge:   settingsCrossZoneCharge,
 	}
 	for _, kind := range s.Fleet.Kinds {
@@ -66,10 +66,10 @@
 func classSettings(class *scenario.Class) balance.Class {
 	return balance.Class{
 		Name:             class.Name,
-		LatencyObjective: class.Aim.Std(),
+		LatencyObjective: class.LatencyObjective.Std(),
 		Deadline:         class.Deadline.Std(),
-		Priority:         class.Worth,
-		DedupeWindow:     class.Window.Std(),
+		Priority:         class.Priority,
+		DedupeWindow:     class.DedupeWindow.Std(),
 		Effect:           Effects[class.Effect],
 		Scope:            Scopes[class.Scope],
 	}
--- a/internal/lab/scenario/read_test.go
+++ b/internal/lab/scenario/read_test.go
@@ -96,7 +96,7 @@
 		t.Fatal(err)
 	}
 	if s.Name != "child" || s.Rate() != 7 || s.Fleet.Nodes != 3 || len(s.Fleet.Kinds) != 1 || s.Fleet.Kinds[0].Cores != 8 ||
-		len(s.Trouble) != 0 {
+		len(s.Faults) != 0 {
 		t.Errorf("got %+v", s)
 	}
 	for text, want := range map[string]string{
@@ -123,8 +123,8 @@
 		}
 	}
 	changed, err := s.Set("trouble[0].size", "4")
-	if err != nil || changed.Trouble[0].Size != 4 || s.Trouble[0].Size != 3 {
-		t.Errorf("size %v of the copy and %v of the original, error %v", changed.Trouble[0].Size, s.Trouble[0].Size, err)
+	if err != nil || changed.Faults[0].Size != 4 || s.Faults[0].Size != 3 {
+		t.Errorf("size %v of the copy and %v of the original, error %v", changed.Faults[0].Size, s.Faults[0].Size, err)
 	}
 	for path, want := range map[string]string{"load.speed": "there is no", "trouble[4].size": "has no entry", "name": "cannot be varied",
 		"load.use.x": "nothing is below", "trouble[0].part": "must be from"} {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -33,15 +33,15 @@
 	Warmup  Duration `toml:"warmup"` // not counted, from the start
 	Seed    uint64   `toml:"seed"`   // the default one
 
-	Fleet   Fleet     `toml:"fleet"`
-	Load    Load      `toml:"load"`
-	Clients Clients   `toml:"clients"`
-	Network Network   `toml:"network"`
-	Notice  Notice    `toml:"notice"`
-	Classes []Class   `toml:"class"`
-	Tenants []Tenant  `toml:"tenant"`
-	Trouble []Trouble `toml:"trouble"`
-	Expect  Expect    `toml:"expect"`
+	Fleet          Fleet          `toml:"fleet"`
+	Load           Load           `toml:"load"`
+	Clients        Clients        `toml:"clients"`
+	Network        Network        `toml:"network"`
+	DiscoveryDelay DiscoveryDelay `toml:"notice"`
+	Classes        []Class        `toml:"class"`
+	Tenants        []Tenant       `toml:"tenant"`
+	Faults         []Fault        `toml:"trouble"`
+	Expect         Expect         `toml:"expect"`
 }
 
 // Fleet is the nodes and sidecars.
@@ -52,30 +52,30 @@
 	PodSize  int      `toml:"pod_size"` // nodes of one pod: they drop each other's repeats
 	Kinds    []Kind   `toml:"kind"`
 
-	SlotsPerCore float64  `toml:"slots_per_core"` // requests in work at once, sharing the cores
-	QueuePerCore float64  `toml:"queue_per_core"` // waiting room; beyond it requests are turned away
-	ColdFrom     float64  `toml:"cold_from"`      // share of its capacity that a started node has
-	Cold         Duration `toml:"cold"`           // and is warm after this time, evenly
-	FallMultiple float64  `toml:"fall_multiple"`  // a cold node sent more than this multiple of what it can do
-	Fall         Duration `toml:"fall"`           // for this time falls over
-
-	ConnCap       int      `toml:"conn_cap"`        // connections that a node holds at most
-	HandshakeRTTs float64  `toml:"handshake_rtts"`  // round trips that a connection takes to come up
-	HandshakeWork Duration `toml:"handshake_work"`  // work of a node for each
-	IdleClose     Duration `toml:"idle_close"`      // a node closes connections that idle this long
-	KeyGain       float64  `toml:"key_gain"`        // share of the work that a key met lately saves
-	KeyFor        Duration `toml:"key_for"`         // lately
-	KeysPerCore   int      `toml:"keys_per_core"`   // keys that a node remembers
-	Speeds        float64  `toml:"speed_cv"`        // spread of the nodes' true speeds about their kind's
-	CrowdAt       float64  `toml:"crowd_at"`        // requests in work for each core above which work is less efficient
-	Crowd         float64  `toml:"crowd"`           // work per request grows by this for each doubling beyond it
-	ChokeAt       float64  `toml:"choke_at"`        // waiting for each core: above it for choke_over the node chokes
-	ChokeOver     Duration `toml:"choke_over"`      //
-	ChokeSlower   float64  `toml:"choke_slower"`    // and is slower by this factor
-	ChokeBelow    float64  `toml:"choke_below"`     // until it holds fewer for each core
-	ChokeRest     Duration `toml:"choke_rest"`      // for this time
-	ChokeMost     Duration `toml:"choke_most"`      // or at the latest after this time
-	StopsWork     bool     `toml:"stops_cancelled"` // work stops when its request is cancelled
+	SlotsPerCore      float64  `toml:"slots_per_core"` // requests in work at once, sharing the cores
+	QueuePerCore      float64  `toml:"queue_per_core"` // waiting room; beyond it requests are turned away
+	SlowStartCapacity float64  `toml:"cold_from"`      // share of its capacity that a started node has
+	SlowStartWindow   Duration `toml:"cold"`           // and is warm after this time, evenly
+	OverloadMultiple  float64  `toml:"fall_multiple"`  // a cold node sent more than this multiple of what it can do
+	OverloadWindow    Duration `toml:"fall"`           // for this time falls over
+
+	MaxConns         int      `toml:"conn_cap"`        // connections that a node holds at most
+	HandshakeRTTs    float64  `toml:"handshake_rtts"`  // round trips that a connection takes to come up
+	HandshakeWork    Duration `toml:"handshake_work"`  // work of a node for each
+	IdleClose        Duration `toml:"idle_close"`      // a node closes connections that idle this long
+	CacheSaving      float64  `toml:"key_gain"`        // share of the work that a key met lately saves
+	CacheTTL         Duration `toml:"key_for"`         // lately
+	CacheKeysPerCore int      `toml:"keys_per_core"`   // keys that a node remembers
+	SpeedCV          float64  `toml:"speed_cv"`        // spread of the nodes' true speeds about their kind's
+	ContentionAt     float64  `toml:"crowd_at"`        // requests in work a core above which work is less efficient
+	ContentionCost   float64  `toml:"crowd"`           // work per request grows by this for each doubling beyond it
+	CollapseAt       float64  `toml:"choke_at"`        // waiting for each core: above it for choke_over the node chokes
+	CollapseAfter    Duration `toml:"choke_over"`      //
+	CollapseSlowdown float64  `toml:"choke_slower"`    // and is slower by this factor
+	RecoverBelow     float64  `toml:"choke_below"`     // until it holds fewer for each core
+	RecoverAfter     Duration `toml:"choke_rest"`      // for this time
+	MaxCollapse      Duration `toml:"choke_most"`      // or at the latest after this time
+	StopsCancelled   bool     `toml:"stops_cancelled"` // work stops when its request is cancelled
 }
 
 // Kind is a kind of node.
@@ -88,27 +88,27 @@
 
 // Load is what clients ask for.
 type Load struct {
-	Rate  float64  `toml:"rate"`  // requests a second over all sidecars; or
-	Use   float64  `toml:"use"`   // the share of the fleet's capacity that first tries need
-	Swing float64  `toml:"swing"` // the rate waves by this share
-	Wave  Duration `toml:"wave"`  // over this time
-	Skew  float64  `toml:"skew"`  // sidecar i gets a part in proportion to (i+1)^-skew
-	Keys  int      `toml:"keys"`  // distinct keys
-	Zipf  float64  `toml:"zipf"`  // exponent of their popularity
+	Rate        float64  `toml:"rate"`  // requests a second over all sidecars; or
+	Utilization float64  `toml:"use"`   // the share of the fleet's capacity that first tries need
+	Swing       float64  `toml:"swing"` // the rate waves by this share
+	SwingPeriod Duration `toml:"wave"`  // over this time
+	Skew        float64  `toml:"skew"`  // sidecar i gets a part in proportion to (i+1)^-skew
+	Keys        int      `toml:"keys"`  // distinct keys
+	Zipf        float64  `toml:"zipf"`  // exponent of their popularity
 }
 
 // Class is a class of requests.
 type Class struct {
-	Name     string   `toml:"name"`
-	Share    float64  `toml:"share"`
-	Work     Duration `toml:"work"` // mean, on a standard core
-	CV       float64  `toml:"cv"`   // spread of the work; 1: exponential
-	Aim      Duration `toml:"aim"`
-	Deadline Duration `toml:"deadline"`
-	Worth    float64  `toml:"worth"`
-	Effect   string   `toml:"effect"` // idempotent, deduplicated, at_most_once
-	Scope    string   `toml:"scope"`  // of deduplicated: all, zone, cell
-	Window   Duration `toml:"window"` // of deduplicated
+	Name             string   `toml:"name"`
+	Share            float64  `toml:"share"`
+	Work             Duration `toml:"work"` // mean, on a standard core
+	CV               float64  `toml:"cv"`   // spread of the work; 1: exponential
+	LatencyObjective Duration `toml:"aim"`
+	Deadline         Duration `toml:"deadline"`
+	Priority         float64  `toml:"worth"`
+	Effect           string   `toml:"effect"` // idempotent, deduplicated, at_most_once
+	Scope            string   `toml:"scope"`  // of deduplicated: all, zone, cell
+	DedupeWindow     Duration `toml:"window"` // of deduplicated
 }
 
 // Tenant is a tenant and its part of the demand.
@@ -120,40 +120,40 @@
 
 // Clients say how clients behave.
 type Clients struct {
-	Retries   float64  `toml:"retries"`    // further tries of a request; a fraction is a probability
-	Backoff   Duration `toml:"backoff"`    // mean wait before the first
-	Growth    float64  `toml:"growth"`     // of the wait with each
-	Honour    float64  `toml:"honour"`     // share that heeds Retry-After
-	MostAfter Duration `toml:"most_after"` // and how long at most
-	Impatient float64  `toml:"impatient"`  // share that leaves after half of its time
-	TryShare  float64  `toml:"try_share"`  // of the deadline that a try is given
+	Retries        float64  `toml:"retries"`    // further tries of a request; a fraction is a probability
+	Backoff        Duration `toml:"backoff"`    // mean wait before the first
+	BackoffGrowth  float64  `toml:"growth"`     // of the wait with each
+	HonourShare    float64  `toml:"honour"`     // share that heeds Retry-After
+	MaxRetryAfter  Duration `toml:"most_after"` // and how long at most
+	ImpatientShare float64  `toml:"impatient"`  // share that leaves after half of its time
+	TimeoutShare   float64  `toml:"try_share"`  // of the deadline that a try is given
 }
 
 // Network is the way between sidecars and nodes.
 type Network struct {
-	Same    Duration `toml:"same"`  // one way inside a zone
-	Cross   Duration `toml:"cross"` // one way between zones
-	Jitter  float64  `toml:"jitter"`
-	Connect Duration `toml:"connect"` // a connection not up by then has failed
+	SameZone       Duration `toml:"same"`  // one way inside a zone
+	CrossZone      Duration `toml:"cross"` // one way between zones
+	Jitter         float64  `toml:"jitter"`
+	ConnectTimeout Duration `toml:"connect"` // a connection not up by then has failed
 }
 
-// Notice is how discovery tells of changes.
-type Notice struct {
+// DiscoveryDelay is how discovery tells of changes.
+type DiscoveryDelay struct {
 	From Duration `toml:"from"` // after a change, drawn for each sidecar
 	To   Duration `toml:"to"`
 }
 
-// Trouble is what goes wrong, from At for For.
-type Trouble struct {
-	Kind  string   `toml:"kind"`
-	At    Duration `toml:"at"`
-	For   Duration `toml:"for"`
-	Part  float64  `toml:"part"`  // share of the nodes, or of the sidecars
-	Size  float64  `toml:"size"`  // factor or share, by the kind
-	Class string   `toml:"class"` // of swallow and turn_away
-	Zone  string   `toml:"zone"`  // of zone_cut, or where the nodes are
-	Drain Duration `toml:"drain"` // between being told to drain and the end of a node
-	Heals bool     `toml:"heals"` // machines that vanish come back
+// Fault is what goes wrong, from At for For.
+type Fault struct {
+	Kind     string   `toml:"kind"`
+	At       Duration `toml:"at"`
+	Length   Duration `toml:"for"`
+	Share    float64  `toml:"part"`  // share of the nodes, or of the sidecars
+	Size     float64  `toml:"size"`  // factor or share, by the kind
+	Class    string   `toml:"class"` // of swallow and turn_away
+	Zone     string   `toml:"zone"`  // of zone_cut, or where the nodes are
+	Drain    Duration `toml:"drain"` // between being told to drain and the end of a node
+	Recovers bool     `toml:"heals"` // machines that vanish come back
 }
 
 // Expect is what must hold at the end; zero values are not checked.
@@ -204,8 +204,8 @@
 
 // Rate is the mean rate of first tries a second, over all sidecars.
 func (s *Scenario) Rate() float64 {
-	if s.Load.Use > 0 {
-		return s.Load.Use * s.Capacity() / s.MeanWork()
+	if s.Load.Utilization > 0 {
+		return s.Load.Utilization * s.Capacity() / s.MeanWork()
 	}
 	return s.Load.Rate
 }
--- a/internal/lab/scenario/set.go
+++ b/internal/lab/scenario/set.go
@@ -13,7 +13,7 @@
 // "trouble[1].size", and checks the result. A time takes its unit in text, or is in seconds as a number.
 func (s *Scenario) Set(path, value string) (*Scenario, error) {
 	t := *s
-	t.Classes, t.Tenants, t.Trouble = slices.Clone(s.Classes), slices.Clone(s.Tenants), slices.Clone(s.Trouble)
+	t.Classes, t.Tenants, t.Faults = slices.Clone(s.Classes), slices.Clone(s.Tenants), slices.Clone(s.Faults)
 	t.Fleet.Kinds, t.Fleet.Zones = slices.Clone(s.Fleet.Kinds), slices.Clone(s.Fleet.Zones)
 	v := reflect.ValueOf(&t).Elem()
 	for part := range strings.SplitSeq(path, ".") {
@@ -41,11 +41,11 @@
 	case "load.use":
 		t.Load.Rate = 0
 	case "load.rate":
-		t.Load.Use = 0
+		t.Load.Utilization = 0
 	}
-	c := &checker{file: t.Name + " with " + path + "=" + value}
-	if c.scenario(&t); len(c.faults) > 0 {
-		return nil, c.faults[0]
+	c := &validator{file: t.Name + " with " + path + "=" + value}
+	if c.checkScenario(&t); len(c.problems) > 0 {
+		return nil, c.problems[0]
 	}
 	return &t, nil
 }
--- a/internal/lab/sim/attempt.go
+++ b/internal/lab/sim/attempt.go
@@ -71,8 +71,8 @@
 		a.endAfter(within, record.Cancelled)
 	case a.isCutOff():
 		a.noteLoss()
-		a.endAfter(scenario.Network.Connect.Std(), record.NotReached)
-	case a.server.down || a.server.connections >= scenario.Fleet.ConnCap:
+		a.endAfter(scenario.Network.ConnectTimeout.Std(), record.NotReached)
+	case a.server.down || a.server.connections >= scenario.Fleet.MaxConns:
 		a.endAfter(2*delay, record.NotReached)
 	default:
 		a.server.connections++
--- a/internal/lab/sim/discovery.go
+++ b/internal/lab/sim/discovery.go
@@ -40,7 +40,7 @@
 // notifyAll has discovery notify each sidecar of a server's new state, after a delay of its own and in order.
 func (s *simulation) notifyAll(srv *server, state balance.State) {
 	srv.listedState = state
-	delays := s.plan.Scenario.Notice
+	delays := s.plan.Scenario.DiscoveryDelay
 	listDelay := s.options.Defects.ListDelay
 	for _, sc := range s.sidecars {
 		spread := time.Duration(s.network.random.Float64() * float64(delays.To-delays.From))
@@ -61,7 +61,7 @@
 		return
 	}
 	for _, sc := range s.sidecars {
-		s.scheduleAfter(s.plan.Scenario.Notice.From.Std(), notificationsDue{sc})
+		s.scheduleAfter(s.plan.Scenario.DiscoveryDelay.From.Std(), notificationsDue{sc})
 	}
 }
 
--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -17,9 +17,9 @@
 // meanDelay returns the mean one-way delay between two zones.
 func (n *network) meanDelay(a, b int) scenario.Duration {
 	if a != b {
-		return n.settings.Cross
+		return n.settings.CrossZone
 	}
-	return n.settings.Same
+	return n.settings.SameZone
 }
 
 // drawDelay draws a one-way delay between two zones.
--- a/internal/lab/sim/server.go
+++ b/internal/lab/sim/server.go
@@ -67,9 +67,9 @@
 	previous := srv.Server
 	processor := servermodel.NewProcessor(spec, s.now)
 	keys := servermodel.KeySettings{
-		Saving:   fleet.KeyGain,
-		Lifetime: fleet.KeyFor.Std(),
-		Max:      fleet.KeysPerCore * spec.Cores,
+		Saving:   fleet.CacheSaving,
+		Lifetime: fleet.CacheTTL.Std(),
+		Max:      fleet.CacheKeysPerCore * spec.Cores,
 	}
 	srv.Server = servermodel.NewServer(processor, s.pod(srv.PodGroup), keys, random)
 	if previous != nil {
@@ -211,7 +211,7 @@
 // cancel lets go of an attempt's job, where the scenario's servers stop cancelled work.
 func (srv *server) cancel(a *attempt) {
 	s := srv.simulation
-	stops := s.plan.Scenario.Fleet.StopsWork
+	stops := s.plan.Scenario.Fleet.StopsCancelled
 	if !a.atServer || a.serverIncarnation != srv.incarnation || !stops || a.isCutOff() {
 		return
 	}
--- a/internal/lab/sockets/process.go
+++ b/internal/lab/sockets/process.go
@@ -216,12 +216,12 @@
 	type object = map[string]any
 	var classes, tenants []object
 	for _, c := range s.Classes {
-		scope, window := c.Scope, c.Window.Std()
+		scope, window := c.Scope, c.DedupeWindow.Std()
 		if scope == "" {
 			scope, window = "all", 5*time.Second
 		}
-		classes = append(classes, object{"name": c.Name, "effect": c.Effect, "group": scope, "aim_s": c.Aim.Std().Seconds(),
-			"deadline_s": c.Deadline.Std().Seconds(), "credit": c.Worth, "late_value": 0, "stream": false,
+		classes = append(classes, object{"name": c.Name, "effect": c.Effect, "group": scope, "aim_s": c.LatencyObjective.Std().Seconds(),
+			"deadline_s": c.Deadline.Std().Seconds(), "credit": c.Priority, "late_value": 0, "stream": false,
 			"window_s": window.Seconds()})
 	}
 	for _, t := range s.Tenants {
@@ -235,8 +235,8 @@
 			"peers_total": s.Fleet.Sidecars, "discovery": "pushed", "tier": 0, "tiers": []string{"lab"},
 			"weight_source": "nominal", "worth_by": "work", "request_classes": classes, "tenants": tenants,
 			"charges": object{"cross_zone": set.CrossZoneCharge},
-			"limits": object{"cancelling": true, "connect_timeout_s": s.Network.Connect.Std().Seconds(),
-				"idle_close_s": s.Fleet.IdleClose.Std().Seconds(), "max_retry_after_s": s.Clients.MostAfter.Std().Seconds(),
+			"limits": object{"cancelling": true, "connect_timeout_s": s.Network.ConnectTimeout.Std().Seconds(),
+				"idle_close_s": s.Fleet.IdleClose.Std().Seconds(), "max_retry_after_s": s.Clients.MaxRetryAfter.Std().Seconds(),
 				"most_held": 20000, "probes": true, "retry_after": true, "second_copies": true, "streams_per_conn": 1,
 				"try_limit": set.MaxAttempts},
 			"rules": object{"answer_slack_s": 0.02, "cold_s": set.SlowStartWindow.Seconds(), "start_capacity": set.SlowStartCapacity,
--- a/internal/lab/sockets/sockets.go
+++ b/internal/lab/sockets/sockets.go
@@ -125,8 +125,8 @@
 func (w *world) build(ctx context.Context) error {
 	s := w.p.Scenario
 	for i, m := range w.p.Machines {
-		n := standin.NewNode(standin.NodeOptions{Number: int32(i), Book: w.book, Log: w.log, ConnCap: s.Fleet.ConnCap,
-			Handshake: s.Fleet.HandshakeWork.Std(), IdleClose: s.Fleet.IdleClose.Std(), Stops: s.Fleet.StopsWork})
+		n := standin.NewNode(standin.NodeOptions{Number: int32(i), Book: w.book, Log: w.log, ConnCap: s.Fleet.MaxConns,
+			Handshake: s.Fleet.HandshakeWork.Std(), IdleClose: s.Fleet.IdleClose.Std(), Stops: s.Fleet.StopsCancelled})
 		// Each node has an IP address of its own, so that no outgoing connection takes its port while it is down.
 		l, err := net.Listen("tcp", host(nodeNet, i))
 		if err != nil {
@@ -192,10 +192,10 @@
 func (w *world) way(i, n int) standin.Way {
 	net := w.p.Scenario.Network
 	zone, at := i%len(w.p.Scenario.Fleet.Zones), w.p.Machines[n].Zone
-	way := standin.Way{ResetAfter: w.cutAsk[n], Truncate: w.cutAns[n], Delay: net.Same.Std(), Jitter: net.Jitter, Handshake: w.p.Scenario.Fleet.HandshakeRTTs,
+	way := standin.Way{ResetAfter: w.cutAsk[n], Truncate: w.cutAns[n], Delay: net.SameZone.Std(), Jitter: net.Jitter, Handshake: w.p.Scenario.Fleet.HandshakeRTTs,
 		Silent: w.mute[n] || zone != at && (w.cut[zone] || w.cut[at])}
 	if zone != at {
-		way.Delay = net.Cross.Std()
+		way.Delay = net.CrossZone.Std()
 	}
 	return way
 }
@@ -238,7 +238,7 @@
 	}
 	w.starts[n] = started
 	w.lives[n]++
-	keys := servermodel.KeySettings{Saving: f.KeyGain, Lifetime: f.KeyFor.Std(), Max: f.KeysPerCore * spec.Cores}
+	keys := servermodel.KeySettings{Saving: f.CacheSaving, Lifetime: f.CacheTTL.Std(), Max: f.CacheKeysPerCore * spec.Cores}
 	w.nodes[n].Start(l, servermodel.NewServer(servermodel.NewProcessor(spec, w.log.Now()), pod, keys,
 		rand.New(rand.NewPCG(w.p.Seed, uint64(n)<<20+uint64(w.lives[n])))))
 	w.log.Add(record.Event{Kind: record.NodeStarted, Node: int32(n), Capacity: float64(spec.Cores) * spec.Speed, Boot: started})
@@ -506,7 +506,7 @@
 
 // tell has every sidecar's discovery tell of a node, some time later and in order.
 func (w *world) tell(n int, state record.State) {
-	notice := w.p.Scenario.Notice
+	notice := w.p.Scenario.DiscoveryDelay
 	for i, d := range w.disc {
 		at := w.log.Now() + notice.From.Std() + time.Duration(w.rng.Float64()*float64(notice.To-notice.From))
 		w.told[i] = max(w.told[i]+time.Millisecond, at)
--- a/internal/lab/workload/retry.go
+++ b/internal/lab/workload/retry.go
@@ -58,10 +58,10 @@
 // drawBackoff draws how long a client waits before a retry. Some clients honour Retry-After, up to a limit.
 func drawBackoff(clients *scenario.Clients, retriesMade int, retryAfter time.Duration,
 	random *rand.Rand) time.Duration {
-	growth := math.Pow(clients.Growth, float64(retriesMade))
+	growth := math.Pow(clients.BackoffGrowth, float64(retriesMade))
 	backoff := time.Duration(float64(clients.Backoff.Std()) * growth * (0.5 + random.Float64()))
-	if retryAfter > 0 && random.Float64() < clients.Honour {
-		backoff = max(backoff, min(retryAfter, clients.MostAfter.Std()))
+	if retryAfter > 0 && random.Float64() < clients.HonourShare {
+		backoff = max(backoff, min(retryAfter, clients.MaxRetryAfter.Std()))
 	}
 	return backoff
 }
--- a/internal/lab/workload/source.go
+++ b/internal/lab/workload/source.go
@@ -62,7 +62,7 @@
 		peakFactor: 1 + s.Load.Swing,
 		keys:       keys,
 	}
-	for _, fault := range s.Trouble {
+	for _, fault := range s.Faults {
 		source.addFault(fault, sidecar)
 	}
 	sum := 0.0
@@ -92,11 +92,11 @@
 }
 
 // addFault adds a fault of the scenario if it changes the sidecar's arrivals.
-func (l *Source) addFault(fault scenario.Trouble, sidecar int) {
+func (l *Source) addFault(fault scenario.Fault, sidecar int) {
 	switch fault.Kind {
 	case scenario.FaultHotKey:
 	case scenario.FaultFlood:
-		flooded := int(math.Ceil(fault.Part * float64(l.scenario.Fleet.Sidecars))) // these are the first ones
+		flooded := int(math.Ceil(fault.Share * float64(l.scenario.Fleet.Sidecars))) // these are the first ones
 		if sidecar >= flooded {
 			return
 		}
@@ -109,14 +109,14 @@
 	l.faults = append(l.faults, arrivalFault{
 		kind: fault.Kind,
 		from: fault.At.Std(),
-		to:   fault.At.Std() + fault.For.Std(),
+		to:   fault.At.Std() + fault.Length.Std(),
 		size: fault.Size,
 	})
 }
 
 // rateFactor returns the rate at a time as a multiple of the mean.
 func (l *Source) rateFactor(at time.Duration) float64 {
-	factor := 1 + l.scenario.Load.Swing*math.Sin(2*math.Pi*at.Seconds()/l.scenario.Load.Wave.Std().Seconds())
+	factor := 1 + l.scenario.Load.Swing*math.Sin(2*math.Pi*at.Seconds()/l.scenario.Load.SwingPeriod.Std().Seconds())
 	for _, fault := range l.faults {
 		if fault.activeAt(at, scenario.FaultBurst) || fault.activeAt(at, scenario.FaultFlood) {
 			factor *= fault.size
@@ -154,9 +154,9 @@
 	class := l.scenario.Classes[request.Class]
 	clients := &l.scenario.Clients
 	request.Work = class.Work.Std().Seconds() * drawFactor(l.random, class.CV)
-	request.Timeout = time.Duration(clients.TryShare * float64(class.Deadline.Std()))
+	request.Timeout = time.Duration(clients.TimeoutShare * float64(class.Deadline.Std()))
 	request.RetriesLeft = drawCount(l.random, clients.Retries)
-	if l.random.Float64() < clients.Impatient {
+	if l.random.Float64() < clients.ImpatientShare {
 		request.LeavesAfter = request.Timeout / 2
 	}
 	return request
--- a/internal/lab/workload/source_test.go
+++ b/internal/lab/workload/source_test.go
@@ -17,7 +17,7 @@
 	return &scenario.Scenario{
 		Length: 20 * second,
 		Fleet:  scenario.Fleet{Sidecars: 4},
-		Load:   scenario.Load{Rate: 400, Swing: 0.3, Wave: 7 * second, Skew: 0.8, Keys: 500, Zipf: 0.9},
+		Load:   scenario.Load{Rate: 400, Swing: 0.3, SwingPeriod: 7 * second, Skew: 0.8, Keys: 500, Zipf: 0.9},
 		Classes: []scenario.Class{
 			{Share: 0.5, Work: second / 50, CV: 1, Deadline: 2 * second, Effect: "idempotent"},
 			{Share: 0.2, Work: second / 80, CV: 0.6, Deadline: second, Effect: "deduplicated", Scope: "all"},
@@ -25,13 +25,13 @@
 			{Share: 0.1, Work: second / 20, Deadline: 3 * second, Effect: "at_most_once"},
 		},
 		Tenants: []scenario.Tenant{{Share: 0.7}, {Share: 0.3}},
-		Clients: scenario.Clients{Retries: 2.4, Backoff: second / 10, Growth: 1.7, Honour: 0.6, MostAfter: 2 * second,
-			Impatient: 0.1, TryShare: 0.6},
-		Trouble: []scenario.Trouble{
-			{Kind: "burst", At: 4 * second, For: 2 * second, Size: 1.8},
-			{Kind: "flood", At: 9 * second, For: 3 * second, Size: 4, Part: 0.25},
-			{Kind: "hot_key", At: 14 * second, For: 4 * second, Size: 0.4},
-			{Kind: "crash", At: 5 * second, For: second},
+		Clients: scenario.Clients{Retries: 2.4, Backoff: second / 10, BackoffGrowth: 1.7, HonourShare: 0.6, MaxRetryAfter: 2 * second,
+			ImpatientShare: 0.1, TimeoutShare: 0.6},
+		Faults: []scenario.Fault{
+			{Kind: "burst", At: 4 * second, Length: 2 * second, Size: 1.8},
+			{Kind: "flood", At: 9 * second, Length: 3 * second, Size: 4, Share: 0.25},
+			{Kind: "hot_key", At: 14 * second, Length: 4 * second, Size: 0.4},
+			{Kind: "crash", At: 5 * second, Length: second},
 		},
 	}
 }
