--- /dev/null
+++ b/internal/lab/scenario/lineindex.go
@@ -0,0 +1,51 @@
+package scenario
+
+import (
+	"fmt"
+	"strings"
+)
+
+// lineIndex maps each key and table of a TOML text, by its path with the number of an array's entry in brackets, to its
+// line. It knows tables, arrays of tables and plain keys, which is all that a scenario has.
+func lineIndex(text string) map[string]int {
+	index, counts := map[string]int{}, map[string]int{}
+	table := ""
+	for i, line := range strings.Split(text, "\n") {
+		line = strings.TrimSpace(line)
+		switch {
+		case strings.HasPrefix(line, "[["):
+			name := strings.TrimSpace(strings.TrimPrefix(line[:strings.IndexByte(line+"]", ']')], "[["))
+			if _, ok := index[name]; !ok {
+				index[name] = i + 1
+			}
+			table = fmt.Sprintf("%s[%d]", name, counts[name])
+			counts[name]++
+			index[table] = i + 1
+			table += "."
+		case strings.HasPrefix(line, "["):
+			name := strings.TrimSpace(strings.TrimPrefix(line[:strings.IndexByte(line+"]", ']')], "["))
+			index[name] = i + 1
+			table = name + "."
+		default:
+			key, _, ok := strings.Cut(line, "=")
+			if key = strings.TrimSpace(key); ok && key != "" && key[0] != '#' {
+				index[table+key] = i + 1
+				if plain := unnumbered(table) + key; index[plain] == 0 { // as the decoder names what it does not know
+					index[plain] = i + 1
+				}
+			}
+		}
+	}
+	return index
+}
+
+// unnumbered takes the entries' numbers out of a path.
+func unnumbered(path string) string {
+	for {
+		open := strings.IndexByte(path, '[')
+		if open < 0 {
+			return path
+		}
+		path = path[:open] + path[strings.IndexByte(path, ']')+1:]
+	}
+}
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,6 +1,6 @@
-// Package scenario describes a day that the lab plays: a fleet, a load, a time line of troubles and what is expected
-// of the sidecars at the end. A scenario is a TOML file, read strictly: what cannot be meant is an error with its file,
-// line and reason.
+// Package scenario owns the description of a run that the lab plays: a fleet, a load, faults on a time line, and what
+// is expected of the sidecars at the end. A scenario is a TOML file, read strictly: each thing that is wrong with it is
+// a FileError with its file, line and reason.
 package scenario
 
 import (
@@ -24,12 +24,12 @@
 // Std is the duration in the standard library's type.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// Scenario is one day of the lab.
+// Scenario is one run of the lab.
 type Scenario struct {
-	Extends string   `toml:"extends"` // a scenario beside this one, whose values hold where this one says nothing
+	Extends string   `toml:"extends"` // a scenario of the same folder, whose values hold where this one has none
 	Name    string   `toml:"name"`
 	About   string   `toml:"about"`  // one line for lists
-	Length  Duration `toml:"length"` // arrivals end then; the day ends when all is answered
+	Length  Duration `toml:"length"` // arrivals end then; the run ends when all is answered
 	Warmup  Duration `toml:"warmup"` // not counted, from the start
 	Seed    uint64   `toml:"seed"`   // the default one
 
@@ -49,28 +49,28 @@
 	Sidecars int      `toml:"sidecars"`
 	Nodes    int      `toml:"nodes"`
 	Zones    []string `toml:"zones"`
-	PodSize  int      `toml:"pod_size"` // nodes of one pod: they drop each other's repeats
+	PodSize  int      `toml:"pod_size"` // nodes of one pod: they deduplicate requests together
 	Kinds    []Kind   `toml:"kind"`
 
 	SlotsPerCore      float64  `toml:"slots_per_core"` // requests in work at once, sharing the cores
-	QueuePerCore      float64  `toml:"queue_per_core"` // waiting room; beyond it requests are turned away
+	QueuePerCore      float64  `toml:"queue_per_core"` // requests that wait; more are rejected
 	SlowStartCapacity float64  `toml:"cold_from"`      // share of its capacity that a started node has
 	SlowStartWindow   Duration `toml:"cold"`           // and is warm after this time, evenly
-	OverloadMultiple  float64  `toml:"fall_multiple"`  // a cold node sent more than this multiple of what it can do
-	OverloadWindow    Duration `toml:"fall"`           // for this time falls over
-
-	MaxConns         int      `toml:"conn_cap"`        // connections that a node holds at most
-	HandshakeRTTs    float64  `toml:"handshake_rtts"`  // round trips that a connection takes to come up
-	HandshakeWork    Duration `toml:"handshake_work"`  // work of a node for each
-	IdleClose        Duration `toml:"idle_close"`      // a node closes connections that idle this long
-	CacheSaving      float64  `toml:"key_gain"`        // share of the work that a key met lately saves
-	CacheTTL         Duration `toml:"key_for"`         // lately
-	CacheKeysPerCore int      `toml:"keys_per_core"`   // keys that a node remembers
-	SpeedCV          float64  `toml:"speed_cv"`        // spread of the nodes' true speeds about their kind's
-	ContentionAt     float64  `toml:"crowd_at"`        // requests in work a core above which work is less efficient
-	ContentionCost   float64  `toml:"crowd"`           // work per request grows by this for each doubling beyond it
-	CollapseAt       float64  `toml:"choke_at"`        // waiting for each core: above it for choke_over the node chokes
-	CollapseAfter    Duration `toml:"choke_over"`      //
+	OverloadMultiple  float64  `toml:"fall_multiple"`  // a starting node with more than this times its capacity
+	OverloadWindow    Duration `toml:"fall"`           // within this time is overloaded
+
+	MaxConns         int      `toml:"conn_cap"`       // connections that a node holds at most
+	HandshakeRTTs    float64  `toml:"handshake_rtts"` // round trips that a connection takes to come up
+	HandshakeWork    Duration `toml:"handshake_work"` // work of a node for each
+	IdleClose        Duration `toml:"idle_close"`     // a node closes connections that idle this long
+	CacheSaving      float64  `toml:"key_gain"`       // share of the work that a key met lately saves
+	CacheTTL         Duration `toml:"key_for"`        // lately
+	CacheKeysPerCore int      `toml:"keys_per_core"`  // keys that a node remembers
+	SpeedCV          float64  `toml:"speed_cv"`       // spread of the nodes' true speeds about their kind's
+	ContentionAt     float64  `toml:"crowd_at"`       // requests in work a core; more are less efficient
+	ContentionCost   float64  `toml:"crowd"`          // work per request grows by this for each doubling beyond it
+	CollapseAt       float64  `toml:"choke_at"`       // waiting a core; with more for choke_over, the node collapses
+	CollapseAfter    Duration `toml:"choke_over"`
 	CollapseSlowdown float64  `toml:"choke_slower"`    // and is slower by this factor
 	RecoverBelow     float64  `toml:"choke_below"`     // until it holds fewer for each core
 	RecoverAfter     Duration `toml:"choke_rest"`      // for this time
@@ -89,7 +89,7 @@
 // Load is what clients ask for.
 type Load struct {
 	Rate        float64  `toml:"rate"`  // requests a second over all sidecars; or
-	Utilization float64  `toml:"use"`   // the share of the fleet's capacity that first tries need
+	Utilization float64  `toml:"use"`   // the share of the fleet's capacity that first requests need
 	Swing       float64  `toml:"swing"` // the rate waves by this share
 	SwingPeriod Duration `toml:"wave"`  // over this time
 	Skew        float64  `toml:"skew"`  // sidecar i gets a part in proportion to (i+1)^-skew
@@ -120,13 +120,13 @@
 
 // Clients say how clients behave.
 type Clients struct {
-	Retries        float64  `toml:"retries"`    // further tries of a request; a fraction is a probability
+	Retries        float64  `toml:"retries"`    // of a request; a fraction is a probability
 	Backoff        Duration `toml:"backoff"`    // mean wait before the first
 	BackoffGrowth  float64  `toml:"growth"`     // of the wait with each
 	HonourShare    float64  `toml:"honour"`     // share that heeds Retry-After
 	MaxRetryAfter  Duration `toml:"most_after"` // and how long at most
 	ImpatientShare float64  `toml:"impatient"`  // share that leaves after half of its time
-	TimeoutShare   float64  `toml:"try_share"`  // of the deadline that a try is given
+	TimeoutShare   float64  `toml:"try_share"`  // of the deadline, as the timeout of one request
 }
 
 // Network is the way between sidecars and nodes.
@@ -137,13 +137,13 @@
 	ConnectTimeout Duration `toml:"connect"` // a connection not up by then has failed
 }
 
-// DiscoveryDelay is how discovery tells of changes.
+// DiscoveryDelay is how long discovery takes to notify sidecars of a change.
 type DiscoveryDelay struct {
-	From Duration `toml:"from"` // after a change, drawn for each sidecar
+	From Duration `toml:"from"` // drawn for each sidecar
 	To   Duration `toml:"to"`
 }
 
-// Fault is what goes wrong, from At for For.
+// Fault is what goes wrong, from At on.
 type Fault struct {
 	Kind     string   `toml:"kind"`
 	At       Duration `toml:"at"`
@@ -152,18 +152,18 @@
 	Size     float64  `toml:"size"`  // factor or share, by the kind
 	Class    string   `toml:"class"` // of swallow and turn_away
 	Zone     string   `toml:"zone"`  // of zone_cut, or where the nodes are
-	Drain    Duration `toml:"drain"` // between being told to drain and the end of a node
-	Recovers bool     `toml:"heals"` // machines that vanish come back
+	Drain    Duration `toml:"drain"` // from the notice of a drain to the end of a node
+	Recovers bool     `toml:"heals"` // isolated machines come back
 }
 
 // Expect is what must hold at the end; zero values are not checked.
 type Expect struct {
-	InTime   float64  `toml:"in_time"`   // least share of the worth answered in time
+	InTime   float64  `toml:"in_time"`   // least share of priority served in time
 	Worst10s float64  `toml:"worst_10s"` // least share in the worst 10 s
-	Failed   float64  `toml:"failed"`    // most share of first tries that failed in the end
-	Attempts float64  `toml:"attempts"`  // most attempts for each try
-	Recover  Duration `toml:"recover"`   // most time from the last trouble's end until service is back
-	Useful   float64  `toml:"useful"`    // least share of the work done that served an answer
+	Failed   float64  `toml:"failed"`    // greatest share of first requests that failed in the end
+	Attempts float64  `toml:"attempts"`  // most attempts for each request
+	Recover  Duration `toml:"recover"`   // longest time from the last fault's end until service is back
+	Useful   float64  `toml:"useful"`    // least share of the nodes' work that was served in time
 }
 
 // Capacity is what the fleet can do when all of it is warm, in seconds of standard work a second.
@@ -176,7 +176,7 @@
 	return sum
 }
 
-// KindOf is the kind of node i: kinds are dealt out evenly by their shares, so that every zone has some of each.
+// KindOf is the kind of node i: kinds are distributed evenly by their shares, so that every zone has some of each.
 func (s *Scenario) KindOf(i int) Kind {
 	credit := make([]float64, len(s.Fleet.Kinds))
 	best := 0
@@ -202,7 +202,7 @@
 	return work
 }
 
-// Rate is the mean rate of first tries a second, over all sidecars.
+// Rate is the mean rate of first requests a second, over all sidecars.
 func (s *Scenario) Rate() float64 {
 	if s.Load.Utilization > 0 {
 		return s.Load.Utilization * s.Capacity() / s.MeanWork()
