--- a/internal/lab/fleet/sim/sim_test.go
+++ b/internal/lab/fleet/sim/sim_test.go
@@ -25,9 +25,19 @@
 	length = 30 * time.Second
 )
 
-// judge plays a plan with sidecars whose file names all of them.
+// newFleet returns a fleet whose sidecars each know the addresses of all of them.
+func newFleet(p faultplan.Plan) *World {
+	return New(p, Options{Peers: p.Sidecars, Settle: settle, Show: 500 * time.Millisecond, Evidence: 700 * time.Millisecond})
+}
+
+// judge runs a plan and returns the rules that the run breaks.
 func judge(p faultplan.Plan) []referee.Breach {
-	return referee.Judge(New(p, Options{Peers: p.Sidecars, Settle: settle, Show: 500 * time.Millisecond, Evidence: 700 * time.Millisecond}).Run())
+	return referee.Judge(newFleet(p).Run())
+}
+
+// deliveries returns what a run has counted beside its record: when each call reached each sidecar, and datagrams.
+func deliveries(w *World) string {
+	return fmt.Sprint(w.reached, w.Sent, w.Lost)
 }
 
 // byRule is the first breach of each rule.
