--- a/internal/lab/fleet/sim/sim.go
+++ b/internal/lab/fleet/sim/sim.go
@@ -20,216 +20,216 @@
 
 // Options say how a plan is played.
 type Options struct {
-	Peers  int           // sidecars that each is told of; the others are found
-	Settle time.Duration // behind the last fault, until copies must be equal
-	Show   time.Duration // between two looks at a sidecar; 0: only at the end
+	SeedPeers           int           // sidecars that each is told of; the others are found
+	SettleTime          time.Duration // behind the last fault, until copies must be equal
+	ObservationInterval time.Duration // between two looks at a sidecar; 0: only at the end
 	// Evidence has each sidecar write of a server this often; 0: never.
-	Evidence time.Duration
+	EvidenceInterval time.Duration
 }
 
 const (
-	tickEvery  = 50 * time.Millisecond
-	wayMost    = 2 * time.Millisecond // a message takes on a link that is well
-	fetchMost  = time.Second          // a fetch is waited for
-	wallOrigin = 1_700_000_000_000    // Unix milliseconds at the plan's start
-	monoOrigin = time.Hour            // of the sidecars' monotonic clocks
-	mostQueued = 256                  // datagrams that wait for a process that stands still
+	tickInterval    = 50 * time.Millisecond
+	maxLinkLatency  = 2 * time.Millisecond // a message takes on a link that is well
+	fetchTimeout    = time.Second          // a fetch is waited for
+	wallClockOrigin = 1_700_000_000_000    // Unix milliseconds at the plan's start
+	monotonicOrigin = time.Hour            // of the sidecars' monotonic clocks
+	maxPending      = 256                  // datagrams that wait for a process that stands still
 )
 
 // Sidecar is one sidecar of the played fleet.
 type Sidecar struct {
-	Name    string
-	Index   int
-	Machine *gossip.Machine // nil: killed
-	Life    uint64          // counts up
-	world   *World
-	queued  []func()
-	rows    map[string]uint64 // written in this life, by server
-	epoch   int
-	address string
-	former  *Sidecar // the process that this one replaces, as long as it lives; nil: there is none
-}
-
-// World is a fleet under a plan.
-type World struct {
+	Name        string
+	Index       int
+	Machine     *gossip.Machine // nil: killed
+	Incarnation uint64          // counts up
+	fleet       *Fleet
+	pending     []func()
+	rowVersions map[string]uint64 // written in this life, by server
+	epoch       int
+	address     string
+	predecessor *Sidecar // the process that this one replaces, as long as it lives; nil: there is none
+}
+
+// Fleet is a fleet under a plan.
+type Fleet struct {
 	Plan     faultplan.Plan
 	Sidecars []*Sidecar
 	Record   referee.Record
 	// Lost and Sent count datagrams.
 	Lost, Sent int
 
-	set       Options
-	rng       *rand.Rand
-	now       time.Duration
-	queue     events
-	order     int
-	widths    map[[2]int]time.Duration // when a narrow link is free again
-	reached   map[string]map[string]time.Duration
-	dots      map[string]replication.Dot // by call
-	processes map[string]*Sidecar        // by address
+	options     Options
+	rng         *rand.Rand
+	now         time.Duration
+	events      eventQueue
+	scheduled   int
+	linkFreeAt  map[[2]int]time.Duration // when a narrow link is free again
+	deliveredAt map[string]map[string]time.Duration
+	callDots    map[string]replication.Dot // by call
+	processes   map[string]*Sidecar        // by address
 }
 
 type event struct {
 	at    time.Duration
 	order int
-	do    func()
+	run   func()
 }
 
-type events []event
+type eventQueue []event
 
-func (q events) Len() int { return len(q) }
-func (q events) Less(i, j int) bool {
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
-func (q events) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *events) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *events) Pop() any {
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return last
 }
 
 // New returns a fleet that has not begun.
-func New(p faultplan.Plan, set Options) *World {
-	w := &World{Plan: p, set: set, rng: rand.New(rand.NewPCG(p.Seed, 0x776f726c64)), widths: map[[2]int]time.Duration{},
-		reached: map[string]map[string]time.Duration{}, dots: map[string]replication.Dot{}, processes: map[string]*Sidecar{}}
-	w.Record.Lost = map[string]bool{}
-	for i := range p.Sidecars {
-		s := &Sidecar{Name: fmt.Sprintf("n%d", i), Index: i, world: w, address: address(i)}
-		w.Sidecars = append(w.Sidecars, s)
-		w.processes[s.address] = s
-		w.at(time.Duration(w.rng.Int64N(int64(time.Second))), s.start)
-		if set.Show > 0 {
-			w.at(set.Show, s.look)
+func New(plan faultplan.Plan, options Options) *Fleet {
+	fleet := &Fleet{Plan: plan, options: options, rng: rand.New(rand.NewPCG(plan.Seed, 0x776f726c64)), linkFreeAt: map[[2]int]time.Duration{},
+		deliveredAt: map[string]map[string]time.Duration{}, callDots: map[string]replication.Dot{}, processes: map[string]*Sidecar{}}
+	fleet.Record.Lost = map[string]bool{}
+	for i := range plan.Sidecars {
+		s := &Sidecar{Name: fmt.Sprintf("n%d", i), Index: i, fleet: fleet, address: sidecarAddress(i)}
+		fleet.Sidecars = append(fleet.Sidecars, s)
+		fleet.processes[s.address] = s
+		fleet.schedule(time.Duration(fleet.rng.Int64N(int64(time.Second))), s.start)
+		if options.ObservationInterval > 0 {
+			fleet.schedule(options.ObservationInterval, s.observePeriodically)
 		}
-		if set.Evidence > 0 {
-			w.at(set.Evidence, s.see)
+		if options.EvidenceInterval > 0 {
+			fleet.schedule(options.EvidenceInterval, s.writeEvidence)
 		}
 	}
-	for _, f := range p.Faults {
-		for _, i := range f.From {
-			s := w.Sidecars[i]
-			switch f.Kind {
+	for _, fault := range plan.Faults {
+		for _, i := range fault.From {
+			s := fleet.Sidecars[i]
+			switch fault.Kind {
 			case faultplan.Kill:
-				w.at(f.At, s.kill)
-				w.at(f.At+f.Duration, s.start)
+				fleet.schedule(fault.At, s.kill)
+				fleet.schedule(fault.At+fault.Duration, s.start)
 			case faultplan.Suspend:
-				w.at(f.At+f.Duration, s.wake)
+				fleet.schedule(fault.At+fault.Duration, s.resume)
 			case faultplan.Upgrade:
-				w.at(f.At, func() { s.upgrade(f.Duration) })
+				fleet.schedule(fault.At, func() { s.upgrade(fault.Duration) })
 			}
 		}
 	}
-	for _, c := range p.Calls {
-		w.at(c.At, func() { w.Sidecars[c.Sidecar].call(server(c.Server), c.Down) })
+	for _, call := range plan.Calls {
+		fleet.schedule(call.At, func() { fleet.Sidecars[call.Sidecar].setAdminDown(serverName(call.Server), call.Down) })
 	}
-	return w
+	return fleet
 }
 
-func address(i int) string { return fmt.Sprintf("a%d", i) }
+func sidecarAddress(i int) string { return fmt.Sprintf("a%d", i) }
 
-func server(i int) string { return fmt.Sprintf("s-%d", i) }
+func serverName(i int) string { return fmt.Sprintf("s-%d", i) }
 
-func (w *World) at(when time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.queue, event{when, w.order, do})
+func (f *Fleet) schedule(at time.Duration, run func()) {
+	f.scheduled++
+	heap.Push(&f.events, event{at, f.scheduled, run})
 }
 
 // Run plays to the plan's end and the time to settle behind it, and returns the record.
-func (w *World) Run() referee.Record {
-	end := max(w.Plan.End(), w.Plan.Length) + w.set.Settle
-	w.RunUntil(end)
-	w.Record.Calm, w.Record.Within, w.Record.Every = end-w.set.Settle, w.set.Settle, w.set.Show
-	for _, s := range w.Sidecars {
-		w.Record.Sidecars = append(w.Record.Sidecars, s.Name)
-		s.show()
-	}
-	w.Record.Could = func(a referee.Ack, sidecar string, _ time.Duration) (time.Duration, bool) {
-		at, ok := w.reached[a.ID][sidecar]
+func (f *Fleet) Run() referee.Record {
+	end := max(f.Plan.End(), f.Plan.Length) + f.options.SettleTime
+	f.RunUntil(end)
+	f.Record.Calm, f.Record.Within, f.Record.Every = end-f.options.SettleTime, f.options.SettleTime, f.options.ObservationInterval
+	for _, s := range f.Sidecars {
+		f.Record.Sidecars = append(f.Record.Sidecars, s.Name)
+		s.observe()
+	}
+	f.Record.Could = func(ack referee.Ack, sidecar string, _ time.Duration) (time.Duration, bool) {
+		at, ok := f.deliveredAt[ack.ID][sidecar]
 		return at, ok
 	}
-	return w.Record
+	return f.Record
 }
 
 // RunUntil plays up to a time.
-func (w *World) RunUntil(end time.Duration) {
-	for len(w.queue) > 0 && w.queue[0].at <= end {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
-		e.do()
+func (f *Fleet) RunUntil(end time.Duration) {
+	for len(f.events) > 0 && f.events[0].at <= end {
+		next := heap.Pop(&f.events).(event)
+		f.now = next.at
+		next.run()
 	}
-	w.now = end
+	f.now = end
 }
 
 // Now is the time of the plan.
-func (w *World) Now() time.Duration { return w.now }
+func (f *Fleet) Now() time.Duration { return f.now }
 
-// stopped tells whether a process stands still.
-func (s *Sidecar) stopped() bool {
-	return slices.ContainsFunc(s.world.Plan.Faults, func(f faultplan.Fault) bool {
-		return f.Kind == faultplan.Suspend && s.world.now >= f.At && s.world.now < f.At+f.Duration && slices.Contains(f.From, s.Index)
+// isSuspended tells whether a process stands still.
+func (s *Sidecar) isSuspended() bool {
+	return slices.ContainsFunc(s.fleet.Plan.Faults, func(fault faultplan.Fault) bool {
+		return fault.Kind == faultplan.Suspend && s.fleet.now >= fault.At && s.fleet.now < fault.At+fault.Duration && slices.Contains(fault.From, s.Index)
 	})
 }
 
-// killed tells whether a process is down by the plan.
-func (s *Sidecar) killed() bool {
-	return slices.ContainsFunc(s.world.Plan.Faults, func(f faultplan.Fault) bool {
-		return f.Kind == faultplan.Kill && s.world.now >= f.At && s.world.now < f.At+f.Duration && slices.Contains(f.From, s.Index)
+// isKilled tells whether a process is down by the plan.
+func (s *Sidecar) isKilled() bool {
+	return slices.ContainsFunc(s.fleet.Plan.Faults, func(fault faultplan.Fault) bool {
+		return fault.Kind == faultplan.Kill && s.fleet.now >= fault.At && s.fleet.now < fault.At+fault.Duration && slices.Contains(fault.From, s.Index)
 	})
 }
 
 // Clock is the sidecar's time.
 func (s *Sidecar) Clock() replication.Now {
-	now := s.world.now
-	return replication.Now{Time: monoOrigin + now, Wall: wallOrigin + (now + s.world.Plan.ClockOffset(now, s.Index)).Milliseconds()}
+	now := s.fleet.now
+	return replication.Now{Time: monotonicOrigin + now, Wall: wallClockOrigin + (now + s.fleet.Plan.ClockOffset(now, s.Index)).Milliseconds()}
 }
 
 func (s *Sidecar) start() {
-	if s.Machine != nil || s.killed() {
+	if s.Machine != nil || s.isKilled() {
 		return
 	}
-	s.Life++
-	s.begin(nil)
+	s.Incarnation++
+	s.startProcess(nil)
 }
 
 // upgrade has another process take this one's place. The two overlap for a time.
 func (s *Sidecar) upgrade(overlap time.Duration) {
-	w := s.world
-	if s.Machine == nil || s.former != nil {
+	fleet := s.fleet
+	if s.Machine == nil || s.predecessor != nil {
 		return
 	}
-	former := *s
-	s.former, s.queued = &former, nil
-	w.processes[former.address] = s.former
-	if s.address = address(s.Index); s.address == former.address {
+	predecessor := *s
+	s.predecessor, s.pending = &predecessor, nil
+	fleet.processes[predecessor.address] = s.predecessor
+	if s.address = sidecarAddress(s.Index); s.address == predecessor.address {
 		s.address += "b"
 	}
-	w.processes[s.address] = s
-	s.begin([]string{former.address})
-	s.former.tick(s.former.epoch)
-	w.at(w.now+overlap, func() {
-		if s.former == &former && former.Machine != nil {
-			former.Machine.Leave(former.Clock())
-			former.act()
+	fleet.processes[s.address] = s
+	s.startProcess([]string{predecessor.address})
+	s.predecessor.tick(s.predecessor.epoch)
+	fleet.schedule(fleet.now+overlap, func() {
+		if s.predecessor == &predecessor && predecessor.Machine != nil {
+			predecessor.Machine.Leave(predecessor.Clock())
+			predecessor.performActions()
 		}
-		if former.Machine = nil; s.former == &former {
-			s.former = nil
+		if predecessor.Machine = nil; s.predecessor == &predecessor {
+			s.predecessor = nil
 		}
 	})
 }
 
-// begin starts a process, which takes the place of those at some addresses.
-func (s *Sidecar) begin(before []string) {
-	w := s.world
+// startProcess starts a process, which takes the place of those at some addresses.
+func (s *Sidecar) startProcess(predecessors []string) {
+	fleet := s.fleet
 	var peers []string
-	for i := range min(w.set.Peers, w.Plan.Sidecars) {
-		peers = append(peers, address(i))
+	for i := range min(fleet.options.SeedPeers, fleet.Plan.Sidecars) {
+		peers = append(peers, sidecarAddress(i))
 	}
 	s.epoch++
-	s.rows = map[string]uint64{}
+	s.rowVersions = map[string]uint64{}
 	now := s.Clock()
-	s.Machine = gossip.New(now, gossip.Settings{Label: "lab", Predecessors: before, Membership: membership.Settings{Name: s.Name, Address: s.address,
-		Peers: peers, Seed: w.Plan.Seed, LifeNonce: w.rng.Uint64() | 1, LifeNumber: uint64(max(now.Wall, 1))}}, nil)
+	s.Machine = gossip.New(now, gossip.Settings{Label: "lab", Predecessors: predecessors, Membership: membership.Settings{Name: s.Name, Address: s.address,
+		Peers: peers, Seed: fleet.Plan.Seed, LifeNonce: fleet.rng.Uint64() | 1, LifeNumber: uint64(max(now.Wall, 1))}}, nil)
 	s.tick(s.epoch)
 }
 
@@ -237,254 +237,256 @@
 	if s.Machine == nil {
 		return
 	}
-	s.Machine, s.queued = nil, nil
-	if s.former != nil {
-		s.former.Machine = nil
-		s.former = nil
+	s.Machine, s.pending = nil, nil
+	if s.predecessor != nil {
+		s.predecessor.Machine = nil
+		s.predecessor = nil
 	}
-	for _, a := range s.world.Record.Acks {
-		dot := s.world.dots[a.ID]
-		if !slices.ContainsFunc(s.world.Sidecars, func(o *Sidecar) bool { return o.has(a.Server, dot) }) {
-			s.world.Record.Lost[a.ID] = true
+	for _, ack := range s.fleet.Record.Acks {
+		dot := s.fleet.callDots[ack.ID]
+		if !slices.ContainsFunc(s.fleet.Sidecars, func(other *Sidecar) bool { return other.hasCall(ack.Server, dot) }) {
+			s.fleet.Record.Lost[ack.ID] = true
 		}
 	}
 }
 
-// has tells whether the sidecar has seen a call.
-func (s *Sidecar) has(server string, d replication.Dot) bool {
+// hasCall tells whether the sidecar has seen a call.
+func (s *Sidecar) hasCall(server string, dot replication.Dot) bool {
 	if s.Machine == nil {
 		return false
 	}
-	h, _ := s.Machine.Store.AdminState(server)
-	return slices.ContainsFunc(h.Seen, func(seen replication.Dot) bool { return seen.Nonce == d.Nonce && seen.Count >= d.Count })
+	state, _ := s.Machine.Store.AdminState(server)
+	return slices.ContainsFunc(state.Seen, func(seen replication.Dot) bool { return seen.Nonce == dot.Nonce && seen.Count >= dot.Count })
 }
 
 func (s *Sidecar) tick(epoch int) {
 	if s.Machine == nil || s.epoch != epoch {
 		return
 	}
-	if !s.stopped() {
+	if !s.isSuspended() {
 		s.Machine.Tick(s.Clock())
-		s.act()
+		s.performActions()
 	}
-	s.world.at(s.world.now+tickEvery, func() { s.tick(epoch) })
+	s.fleet.schedule(s.fleet.now+tickInterval, func() { s.tick(epoch) })
 }
 
-// run has the process do something, or once it goes on.
-func (s *Sidecar) run(do func()) {
+// execute has the process do something, or once it goes on.
+func (s *Sidecar) execute(action func()) {
 	switch {
 	case s.Machine == nil:
-	case s.stopped():
-		if len(s.queued) < mostQueued {
-			s.queued = append(s.queued, do)
+	case s.isSuspended():
+		if len(s.pending) < maxPending {
+			s.pending = append(s.pending, action)
 		}
 	default:
-		do()
-		s.act()
+		action()
+		s.performActions()
 	}
 }
 
-// wake goes on with what has waited.
-func (s *Sidecar) wake() {
-	queued := s.queued
-	s.queued = nil
-	for _, do := range queued {
-		s.run(do)
+// resume goes on with what has waited.
+func (s *Sidecar) resume() {
+	pending := s.pending
+	s.pending = nil
+	for _, action := range pending {
+		s.execute(action)
 	}
-	if s.former != nil {
-		s.former.wake()
+	if s.predecessor != nil {
+		s.predecessor.resume()
 	}
 }
 
-// act carries out what the machine asks for.
-func (s *Sidecar) act() {
-	w := s.world
-	out := s.Machine.TakeActions()
-	for _, d := range out.Send {
-		to := w.processes[d.To]
-		if to == nil {
+// performActions carries out what the machine asks for.
+func (s *Sidecar) performActions() {
+	fleet := s.fleet
+	actions := s.Machine.TakeActions()
+	for _, datagram := range actions.Send {
+		receiver := fleet.processes[datagram.To]
+		if receiver == nil {
 			continue
 		}
-		l := w.Plan.LinkCondition(w.now, s.Index, to.Index)
-		w.Sent++
-		if l.Cut || w.rng.Float64() < l.Drop {
-			w.Lost++
+		condition := fleet.Plan.LinkCondition(fleet.now, s.Index, receiver.Index)
+		fleet.Sent++
+		if condition.Cut || fleet.rng.Float64() < condition.Drop {
+			fleet.Lost++
 			continue
 		}
 		copies := 1
-		if w.rng.Float64() < l.Duplicate {
+		if fleet.rng.Float64() < condition.Duplicate {
 			copies = 2
 		}
 		for range copies {
-			w.carry(s, to, l, d.Payload)
+			fleet.transmit(s, receiver, condition, datagram.Payload)
 		}
 	}
-	for _, from := range out.Fetch {
-		s.fetch(from)
+	for _, from := range actions.Fetch {
+		s.fetchSnapshot(from)
 	}
-	if len(out.Updated) > 0 {
-		s.knows()
+	if len(actions.Updated) > 0 {
+		s.recordDeliveries()
 	}
 }
 
-// way is how long a message takes.
-func (w *World) way(l faultplan.LinkCondition) time.Duration {
-	return time.Duration(w.rng.Int64N(int64(wayMost))) + time.Duration(w.rng.Float64()*float64(l.Delay))
+// latency is how long a message takes.
+func (f *Fleet) latency(condition faultplan.LinkCondition) time.Duration {
+	return time.Duration(f.rng.Int64N(int64(maxLinkLatency))) + time.Duration(f.rng.Float64()*float64(condition.Delay))
 }
 
-func (w *World) carry(from, to *Sidecar, l faultplan.LinkCondition, text []byte) {
-	at, sender := w.now+w.way(l), from.address
-	if l.Rate > 0 {
-		pair := [2]int{from.Index, to.Index}
-		free := max(w.widths[pair], w.now)
-		if free-w.now > time.Second { // its queue is full
-			w.Lost++
+func (f *Fleet) transmit(sender, receiver *Sidecar, condition faultplan.LinkCondition, payload []byte) {
+	at, senderAddress := f.now+f.latency(condition), sender.address
+	if condition.Rate > 0 {
+		pair := [2]int{sender.Index, receiver.Index}
+		linkFree := max(f.linkFreeAt[pair], f.now)
+		if linkFree-f.now > time.Second { // its queue is full
+			f.Lost++
 			return
 		}
-		w.widths[pair] = free + time.Duration(float64(len(text))/l.Rate*float64(time.Second))
-		at = max(at, w.widths[pair])
+		f.linkFreeAt[pair] = linkFree + time.Duration(float64(len(payload))/condition.Rate*float64(time.Second))
+		at = max(at, f.linkFreeAt[pair])
 	}
-	w.at(at, func() {
-		to.run(func() {
-			_ = to.Machine.Receive(to.Clock(), sender, text) // what it thinks of it is in its figures
+	f.schedule(at, func() {
+		receiver.execute(func() {
+			_ = receiver.Machine.Receive(receiver.Clock(), senderAddress, payload) // what it thinks of it is in its figures
 		})
 	})
 }
 
-// fetch gets a snapshot from an address, over the links both ways.
-func (s *Sidecar) fetch(from string) {
-	w, epoch, done := s.world, s.epoch, false
-	finish := func(text []byte, failed error) {
+// fetchSnapshot gets a snapshot from an address, over the links both ways.
+func (s *Sidecar) fetchSnapshot(address string) {
+	fleet, epoch, done := s.fleet, s.epoch, false
+	finish := func(snapshot []byte, err error) {
 		if done {
 			return
 		}
 		done = true
 		if s.epoch == epoch {
-			s.run(func() { _ = s.Machine.ReceiveSnapshot(s.Clock(), from, text, failed) })
+			s.execute(func() { _ = s.Machine.ReceiveSnapshot(s.Clock(), address, snapshot, err) })
 		}
 	}
-	w.at(w.now+fetchMost, func() { finish(nil, errors.New("no answer")) })
-	o := w.processes[from]
-	if o == nil {
+	fleet.schedule(fleet.now+fetchTimeout, func() { finish(nil, errors.New("no answer")) })
+	source := fleet.processes[address]
+	if source == nil {
 		return
 	}
 	// A connection outlasts lost packets; cut links it does not.
-	there, back := w.Plan.LinkCondition(w.now, s.Index, o.Index), w.Plan.LinkCondition(w.now, o.Index, s.Index)
-	if there.Cut || back.Cut {
+	request, response := fleet.Plan.LinkCondition(fleet.now, s.Index, source.Index), fleet.Plan.LinkCondition(fleet.now, source.Index, s.Index)
+	if request.Cut || response.Cut {
 		return
 	}
-	w.at(w.now+w.way(there), func() {
-		o.run(func() {
-			text, err := o.Machine.EncodeSnapshot(o.Clock())
-			if err == nil && !w.Plan.LinkCondition(w.now, o.Index, s.Index).Cut {
-				w.at(w.now+w.way(back), func() { finish(text, nil) })
+	fleet.schedule(fleet.now+fleet.latency(request), func() {
+		source.execute(func() {
+			snapshot, err := source.Machine.EncodeSnapshot(source.Clock())
+			if err == nil && !fleet.Plan.LinkCondition(fleet.now, source.Index, s.Index).Cut {
+				fleet.schedule(fleet.now+fleet.latency(response), func() { finish(snapshot, nil) })
 			}
 		})
 	})
 }
 
-// call is the staff's: the sidecar's yes is on record.
-func (s *Sidecar) call(server string, out bool) {
-	s.run(func() {
-		knew := []string{}
-		for _, c := range s.standing(server) {
-			knew = append(knew, c.ID)
+// setAdminDown is the staff's: the sidecar's yes is on record.
+func (s *Sidecar) setAdminDown(server string, down bool) {
+	s.execute(func() {
+		known := []string{}
+		for _, call := range s.standingCalls(server) {
+			known = append(known, call.ID)
 		}
-		key, err := s.Machine.Store.RecordCall(s.Clock(), server, out)
+		key, err := s.Machine.Store.RecordCall(s.Clock(), server, down)
 		if err != nil {
 			return // a no
 		}
 		s.Machine.Broadcast(key)
-		h, _ := s.Machine.Store.AdminState(server)
-		id := callID(server, h.Standing[0])
-		s.world.dots[id] = h.Standing[0].Dot
-		s.world.Record.Acks = append(s.world.Record.Acks, referee.Ack{At: s.world.now, Server: server, ID: id, Out: out, Knew: knew})
-		s.knows()
+		state, _ := s.Machine.Store.AdminState(server)
+		id := callID(server, state.Standing[0])
+		s.fleet.callDots[id] = state.Standing[0].Dot
+		s.fleet.Record.Acks = append(s.fleet.Record.Acks, referee.Ack{At: s.fleet.now, Server: server, ID: id, Out: down, Knew: known})
+		s.recordDeliveries()
 	})
 }
 
 // callID names a call: a life counts its calls for each server apart.
-func callID(server string, c replication.OperatorCall) string { return server + "/" + c.Dot.String() }
+func callID(server string, call replication.OperatorCall) string {
+	return server + "/" + call.Dot.String()
+}
 
-func (s *Sidecar) standing(server string) (calls []referee.Standing) {
-	h, _ := s.Machine.Store.AdminState(server)
-	for _, c := range h.Standing {
-		calls = append(calls, referee.Standing{ID: callID(server, c), Out: c.Down})
+func (s *Sidecar) standingCalls(server string) (calls []referee.Standing) {
+	state, _ := s.Machine.Store.AdminState(server)
+	for _, call := range state.Standing {
+		calls = append(calls, referee.Standing{ID: callID(server, call), Out: call.Down})
 	}
 	return calls
 }
 
-// knows notes which calls have reached this sidecar.
-func (s *Sidecar) knows() {
-	for i := range s.world.Plan.Servers {
-		for _, c := range s.standing(server(i)) {
-			if s.world.reached[c.ID] == nil {
-				s.world.reached[c.ID] = map[string]time.Duration{}
+// recordDeliveries notes which calls have reached this sidecar.
+func (s *Sidecar) recordDeliveries() {
+	for i := range s.fleet.Plan.Servers {
+		for _, call := range s.standingCalls(serverName(i)) {
+			if s.fleet.deliveredAt[call.ID] == nil {
+				s.fleet.deliveredAt[call.ID] = map[string]time.Duration{}
 			}
-			if _, ok := s.world.reached[c.ID][s.Name]; !ok {
-				s.world.reached[c.ID][s.Name] = s.world.now
+			if _, ok := s.fleet.deliveredAt[call.ID][s.Name]; !ok {
+				s.fleet.deliveredAt[call.ID][s.Name] = s.fleet.now
 			}
 		}
 	}
 }
 
-// Reached tells when a call reached each sidecar.
-func (w *World) Reached(id string) map[string]time.Duration { return w.reached[id] }
+// DeliveredAt tells when a call reached each sidecar.
+func (f *Fleet) DeliveredAt(id string) map[string]time.Duration { return f.deliveredAt[id] }
 
-// see has the sidecar write its own row on a server.
-func (s *Sidecar) see() {
-	w := s.world
-	w.at(w.now+w.set.Evidence, s.see)
-	s.run(func() {
-		if _, bears := s.Machine.Members.Self(); !bears || w.now > max(w.Plan.End(), w.Plan.Length) {
+// writeEvidence has the sidecar write its own row on a server.
+func (s *Sidecar) writeEvidence() {
+	fleet := s.fleet
+	fleet.schedule(fleet.now+fleet.options.EvidenceInterval, s.writeEvidence)
+	s.execute(func() {
+		if _, isMember := s.Machine.Members.Self(); !isMember || fleet.now > max(fleet.Plan.End(), fleet.Plan.Length) {
 			return
 		}
-		on := server(w.rng.IntN(w.Plan.Servers))
-		key, err := s.Machine.Store.WriteRow(s.Clock(), on, 0, replication.Evidence{Tries: 4, Silent: 1})
+		server := serverName(fleet.rng.IntN(fleet.Plan.Servers))
+		key, err := s.Machine.Store.WriteRow(s.Clock(), server, 0, replication.Evidence{Tries: 4, Silent: 1})
 		if err != nil {
 			return
 		}
 		s.Machine.Broadcast(key)
-		s.rows[on]++ // counted here, whatever the sidecar makes of it
+		s.rowVersions[server]++ // counted here, whatever the sidecar makes of it
 		self, _ := s.Machine.Members.Self()
-		w.Record.Wrote = append(w.Record.Wrote, referee.Row{Owner: s.Name, Life: self.Life.Number, Server: on, Version: s.rows[on]})
+		fleet.Record.Wrote = append(fleet.Record.Wrote, referee.Row{Owner: s.Name, Life: self.Life.Number, Server: server, Version: s.rowVersions[server]})
 	})
 }
 
-func (s *Sidecar) look() {
-	s.world.at(s.world.now+s.world.set.Show, s.look)
-	if s.Machine != nil && !s.stopped() {
-		s.show()
+func (s *Sidecar) observePeriodically() {
+	s.fleet.schedule(s.fleet.now+s.fleet.options.ObservationInterval, s.observePeriodically)
+	if s.Machine != nil && !s.isSuspended() {
+		s.observe()
 	}
 }
 
-// show puts on record what the sidecar holds.
-func (s *Sidecar) show() {
+// observe puts on record what the sidecar holds.
+func (s *Sidecar) observe() {
 	if s.Machine == nil {
 		return
 	}
 	phase, _ := s.Machine.Phase()
-	if phase == gossip.CatchingUp && s.former != nil { // the staff sees the former one's console until the next one says yes
-		s.former.show()
+	if phase == gossip.CatchingUp && s.predecessor != nil { // the staff sees the former one's console until the next one says yes
+		s.predecessor.observe()
 		return
 	}
-	sums := s.Machine.Store.Digest().PerKind()
-	show := referee.Show{At: s.world.now, Sidecar: s.Name, Life: s.Life, Ready: phase == gossip.Synced || phase == gossip.Bootstrapped,
+	checksumsByKind := s.Machine.Store.Digest().PerKind()
+	observation := referee.Show{At: s.fleet.now, Sidecar: s.Name, Life: s.Incarnation, Ready: phase == gossip.Synced || phase == gossip.Bootstrapped,
 		Calls: map[string][]referee.Standing{}, Out: s.Machine.Store.AdminDown()}
-	var parts []string
-	for k, sum := range sums {
-		parts = append(parts, fmt.Sprintf("%v %x", replication.Kind(k), sum))
-	}
-	show.Sum = strings.Join(parts, ", ")
-	for i := range s.world.Plan.Servers {
-		if calls := s.standing(server(i)); len(calls) > 0 {
-			show.Calls[server(i)] = calls
+	var checksums []string
+	for kind, sum := range checksumsByKind {
+		checksums = append(checksums, fmt.Sprintf("%v %x", replication.Kind(kind), sum))
+	}
+	observation.Sum = strings.Join(checksums, ", ")
+	for i := range s.fleet.Plan.Servers {
+		if calls := s.standingCalls(serverName(i)); len(calls) > 0 {
+			observation.Calls[serverName(i)] = calls
 		}
 	}
-	for _, suspect := range s.Machine.Store.ServersWithEvidence() {
-		for _, r := range s.Machine.Store.Rows(s.Clock(), suspect) {
-			show.Rows = append(show.Rows, referee.Row{Owner: r.Owner, Life: r.Life.Number, Server: r.Server, Version: r.Version})
+	for _, server := range s.Machine.Store.ServersWithEvidence() {
+		for _, row := range s.Machine.Store.Rows(s.Clock(), server) {
+			observation.Rows = append(observation.Rows, referee.Row{Owner: row.Owner, Life: row.Life.Number, Server: row.Server, Version: row.Version})
 		}
 	}
-	s.world.Record.Shows = append(s.world.Record.Shows, show)
+	s.fleet.Record.Shows = append(s.fleet.Record.Shows, observation)
 }
--- a/internal/lab/fleet/sim/sim_test.go
+++ b/internal/lab/fleet/sim/sim_test.go
@@ -12,36 +12,36 @@
 )
 
 var (
-	plans  = flag.Int("fleet.plans", testrun.Draws(30), "plans that TestDrawnPlans draws")
-	large  = flag.Int("fleet.large", map[bool]int{false: 100, true: 30}[testrun.RaceEnabled], "sidecars of the largest fleet that TestConverge plays")
-	shrink = flag.Bool("fleet.shrink", true, "take out of a plan that shows a breach what it can do without")
-	first  = flag.Uint64("fleet.seed", 1, "the first of their seeds")
+	planCount     = flag.Int("fleet.plans", testrun.Draws(30), "plans that TestDrawnPlans draws")
+	maxConverging = flag.Int("fleet.large", map[bool]int{false: 100, true: 30}[testrun.RaceEnabled], "sidecars of the largest fleet that TestConverge plays")
+	shrinkPlans   = flag.Bool("fleet.shrink", true, "take out of a plan that shows a breach what it can do without")
+	firstSeed     = flag.Uint64("fleet.seed", 1, "the first of their seeds")
 )
 
-// settle is the time behind the last fault until copies must be equal: one that was buried is looked for each 5 s, and
+// settleTime is the time behind the last fault until copies must be equal: one that was buried is looked for each 5 s, and
 // rows fade after 10 s.
 const (
-	settle = 40 * time.Second
-	length = 30 * time.Second
+	settleTime = 40 * time.Second
+	length     = 30 * time.Second
 )
 
 // newFleet returns a fleet whose sidecars each know the addresses of all of them.
-func newFleet(p faultplan.Plan) *World {
-	return New(p, Options{Peers: p.Sidecars, Settle: settle, Show: 500 * time.Millisecond, Evidence: 700 * time.Millisecond})
+func newFleet(p faultplan.Plan) *Fleet {
+	return New(p, Options{SeedPeers: p.Sidecars, SettleTime: settleTime, ObservationInterval: 500 * time.Millisecond, EvidenceInterval: 700 * time.Millisecond})
 }
 
-// judge runs a plan and returns the rules that the run breaks.
-func judge(p faultplan.Plan) []referee.Breach {
+// findBreaches runs a plan and returns the rules that the run breaks.
+func findBreaches(p faultplan.Plan) []referee.Breach {
 	return referee.Judge(newFleet(p).Run())
 }
 
 // deliveries returns what a run has counted beside its record: when each call reached each sidecar, and datagrams.
-func deliveries(w *World) string {
-	return fmt.Sprint(w.reached, w.Sent, w.Lost)
+func deliveries(f *Fleet) string {
+	return fmt.Sprint(f.deliveredAt, f.Sent, f.Lost)
 }
 
-// byRule is the first breach of each rule.
-func byRule(breaches []referee.Breach) (text string) {
+// firstByRule is the first breach of each rule.
+func firstByRule(breaches []referee.Breach) (text string) {
 	seen := map[string]bool{}
 	for _, b := range breaches {
 		if !seen[b.Rule] {
@@ -54,39 +54,39 @@
 
 // TestDrawnPlans plays drawn plans and fails with the seed of each that shows a breach, and the shortest plan that does.
 func TestDrawnPlans(t *testing.T) {
-	drawn(t, func(seed uint64) faultplan.Plan { return faultplan.Draw(seed, 3+int(seed%8), length) })
+	checkDrawnPlans(t, func(seed uint64) faultplan.Plan { return faultplan.Draw(seed, 3+int(seed%8), length) })
 }
 
 // TestUpgrades plays plans in which sidecars are upgraded, some while they are cut off.
 func TestUpgrades(t *testing.T) {
-	drawn(t, func(seed uint64) faultplan.Plan { return faultplan.DrawUpgrades(seed, 4+int(seed%5), length) })
+	checkDrawnPlans(t, func(seed uint64) faultplan.Plan { return faultplan.DrawUpgrades(seed, 4+int(seed%5), length) })
 }
 
-func drawn(t *testing.T, draw func(seed uint64) faultplan.Plan) {
-	for i := range *plans {
-		seed := *first + uint64(i)
+func checkDrawnPlans(t *testing.T, draw func(seed uint64) faultplan.Plan) {
+	for i := range *planCount {
+		seed := *firstSeed + uint64(i)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			p := draw(seed)
-			breaches := judge(p)
+			breaches := findBreaches(p)
 			if len(breaches) == 0 {
 				return
 			}
-			if *shrink {
-				p = faultplan.Shrink(p, func(p faultplan.Plan) bool { return len(judge(p)) > 0 })
+			if *shrinkPlans {
+				p = faultplan.Shrink(p, func(p faultplan.Plan) bool { return len(findBreaches(p)) > 0 })
 			}
-			t.Errorf("%sby\n%v", byRule(judge(p)), p)
+			t.Errorf("%sby\n%v", firstByRule(findBreaches(p)), p)
 		})
 	}
 }
 
 // TestConverge has fleets of many sizes hold the same after the faults of a drawn plan.
 func TestConverge(t *testing.T) {
-	for _, n := range []int{3, 30, *large} {
+	for _, n := range []int{3, 30, *maxConverging} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			t.Parallel()
-			p := faultplan.Draw(*first+uint64(n), n, length)
-			r := New(p, Options{Peers: 5, Settle: settle}).Run()
+			p := faultplan.Draw(*firstSeed+uint64(n), n, length)
+			r := New(p, Options{SeedPeers: 5, SettleTime: settleTime}).Run()
 			for _, b := range referee.Judge(r) {
 				if b.Rule == referee.Equal || b.Rule == referee.Remembered {
 					t.Fatalf("%v\nby\n%v", b, p)
@@ -99,7 +99,7 @@
 // TestPlayedTwice: a plan and its seed give the same record.
 func TestPlayedTwice(t *testing.T) {
 	p := faultplan.Draw(11, 6, length)
-	set := Options{Peers: 2, Settle: settle, Show: time.Second, Evidence: time.Second}
+	set := Options{SeedPeers: 2, SettleTime: settleTime, ObservationInterval: time.Second, EvidenceInterval: time.Second}
 	a, b := New(p, set).Run(), New(p, set).Run()
 	if x, y := fmt.Sprint(a.Shows, a.Acks), fmt.Sprint(b.Shows, b.Acks); x != y {
 		t.Error("two plays of one plan differ")
