--- /dev/null
+++ b/internal/lab/fleet/sim/doc.go
@@ -0,0 +1,3 @@
+// Package sim plays a fault plan with sidecars' parts in the fleet stepped in simulated time, and records what the referee
+// needs. The same plan and seed give the same record.
+package sim
