--- /dev/null
+++ b/internal/lab/fleet/referee/calls.go
@@ -0,0 +1,87 @@
+package referee
+
+import (
+	"maps"
+	"slices"
+	"strings"
+	"time"
+)
+
+// checkCallsRemembered requires that, in the end, each acknowledged call is in force or one that knew of it is, and
+// that a server is administratively down if one call in force says so.
+func checkCallsRemembered(r *Record) (violations []Violation) {
+	last := r.lastSnapshots()
+	for _, server := range r.serversWithCalls() {
+		want := r.expectedCalls(server)
+		down := slices.ContainsFunc(want, func(c ActiveCall) bool { return c.Down })
+		for _, name := range r.Sidecars {
+			s := last[name]
+			got := slices.Clone(s.Calls[server])
+			sortByID(got)
+			if !slices.Equal(got, want) {
+				violations = append(violations, newViolation(RuleCallsRemembered, s.At,
+					"%s holds %v of server %s, want %v", name, got, server, want))
+			}
+			if slices.Contains(s.AdminDown, server) != down {
+				violations = append(violations, newViolation(RuleCallsRemembered, s.At,
+					"%s has server %s out %v, want %v", name, server, !down, down))
+			}
+		}
+	}
+	return violations
+}
+
+// serversWithCalls returns the servers on which a call was acknowledged, sorted.
+func (r *Record) serversWithCalls() []string {
+	servers := map[string]bool{}
+	for _, call := range r.OperatorCalls {
+		servers[call.Server] = true
+	}
+	return slices.Sorted(maps.Keys(servers))
+}
+
+// expectedCalls returns the calls on a server that have to be in force in the end, sorted by id: those that no other
+// acknowledged call superseded.
+func (r *Record) expectedCalls(server string) (expected []ActiveCall) {
+	superseded := map[string]bool{}
+	for _, call := range r.OperatorCalls {
+		if call.Server == server && !r.isLost(call.ID) {
+			for _, id := range call.KnownCalls {
+				superseded[id] = true
+			}
+		}
+	}
+	for _, call := range r.OperatorCalls {
+		if call.Server == server && !superseded[call.ID] && !r.isLost(call.ID) {
+			expected = append(expected, ActiveCall{ID: call.ID, Down: call.Down})
+		}
+	}
+	sortByID(expected)
+	return expected
+}
+
+// isLost reports whether a call was lost with all sidecars that held it: none shows it in the end.
+func (r *Record) isLost(id string) bool {
+	if !r.LostCalls[id] {
+		return false
+	}
+	for _, s := range r.lastSnapshots() {
+		for _, calls := range s.Calls {
+			if slices.ContainsFunc(calls, func(c ActiveCall) bool { return c.ID == id }) {
+				return false
+			}
+		}
+	}
+	return true
+}
+
+// isSuperseded reports whether a call that knew of the given one was acknowledged by a time.
+func (r *Record) isSuperseded(id string, by time.Duration) bool {
+	return slices.ContainsFunc(r.OperatorCalls, func(call OperatorCall) bool {
+		return call.At <= by && slices.Contains(call.KnownCalls, id)
+	})
+}
+
+func sortByID(calls []ActiveCall) {
+	slices.SortFunc(calls, func(a, b ActiveCall) int { return strings.Compare(a.ID, b.ID) })
+}
--- a/internal/lab/fleet/referee/referee_test.go
+++ b/internal/lab/fleet/referee/check_test.go
@@ -24,7 +24,8 @@
 	}
 }
 
-// withSuspicion has a show a doubt of a server that lasts so long by then, of a server that was tried without an answer lately, or not.
+// withSuspicion has a show a doubt of a server that lasts so long by then, of a server that was tried without an answer
+// lately, or not.
 func withSuspicion(lasts time.Duration, tried bool, ends ...Outcome) func(*Record) {
 	return func(r *Record) {
 		r.Snapshots[2].Suspicions = map[string]time.Duration{"r": lasts}
@@ -42,7 +43,7 @@
 	last := func(r *Record) *Snapshot { return &r.Snapshots[len(r.Snapshots)-1] }
 	for _, tt := range []struct {
 		name  string
-		rule  string // "": none
+		rule  Rule // "": none
 		spoil func(*Record)
 	}{
 		{"copies differ", RuleCopiesEqual, func(r *Record) { last(r).Checksum = "z" }},
--- /dev/null
+++ b/internal/lab/fleet/referee/convergence.go
@@ -0,0 +1,20 @@
+package referee
+
+// checkCopiesEqual requires that all sidecars show the same copy once the time to converge is over.
+func checkCopiesEqual(r *Record) (violations []Violation) {
+	last := r.lastSnapshots()
+	reference := "" // the sidecar with which all later ones are compared
+	for _, name := range r.Sidecars {
+		s, ok := last[name]
+		switch {
+		case !ok || s.At < r.FaultsEnd+r.ConvergenceTime:
+			violations = append(violations, newViolation(RuleCopiesEqual, s.At, "%s showed nothing any more", name))
+		case reference == "":
+			reference = name
+		case s.Checksum != last[reference].Checksum:
+			violations = append(violations, newViolation(RuleCopiesEqual, s.At,
+				"%s holds %s, %s holds %s", name, s.Checksum, reference, last[reference].Checksum))
+		}
+	}
+	return violations
+}
--- /dev/null
+++ b/internal/lab/fleet/referee/readiness.go
@@ -0,0 +1,72 @@
+package referee
+
+import (
+	"slices"
+	"time"
+)
+
+// minReadyPeers is the number of other ready sidecars from which on their common calls count as the fleet's.
+const minReadyPeers = 2
+
+// checkReadyWhenSynced requires that a sidecar that starts or comes back shows itself ready only with all calls that
+// every other ready sidecar holds, unless they are superseded by then.
+func checkReadyWhenSynced(r *Record) (violations []Violation) {
+	checked := map[string]uint64{} // by sidecar: its incarnation that has been ready
+	last := map[string]Snapshot{}  // by sidecar
+	for _, s := range r.Snapshots {
+		if s.Ready && checked[s.Sidecar] != s.Incarnation {
+			checked[s.Sidecar] = s.Incarnation
+			for server, calls := range commonCalls(last, s, r.SnapshotInterval) {
+				violations = append(violations, r.missingCalls(s, server, calls)...)
+			}
+		}
+		last[s.Sidecar] = s
+	}
+	return violations
+}
+
+// missingCalls returns a violation for each call on a server that the others hold and a snapshot lacks.
+func (r *Record) missingCalls(s Snapshot, server string, held []ActiveCall) (violations []Violation) {
+	for _, call := range held {
+		if !slices.Contains(s.Calls[server], call) && !r.isSuperseded(call.ID, s.At) {
+			violations = append(violations, newViolation(RuleReadyWhenSynced, s.At,
+				"%s is ready without call %s on server %s, which all others hold", s.Sidecar, call.ID, server))
+		}
+	}
+	return violations
+}
+
+// commonCalls returns the calls, by server, that all other running and ready sidecars showed last; none where there are
+// fewer than minReadyPeers of them.
+func commonCalls(last map[string]Snapshot, s Snapshot, interval time.Duration) map[string][]ActiveCall {
+	var common map[string][]ActiveCall
+	peers := 0
+	for name, peer := range last {
+		if name == s.Sidecar || !peer.Ready || s.At-peer.At > interval {
+			continue
+		}
+		peers++
+		if common == nil {
+			common = cloneCalls(peer.Calls)
+			continue
+		}
+		for server := range common {
+			common[server] = slices.DeleteFunc(common[server], func(call ActiveCall) bool {
+				return !slices.Contains(peer.Calls[server], call)
+			})
+		}
+	}
+	if peers < minReadyPeers {
+		return nil
+	}
+	return common
+}
+
+// cloneCalls returns a deep copy.
+func cloneCalls(calls map[string][]ActiveCall) map[string][]ActiveCall {
+	clone := make(map[string][]ActiveCall, len(calls))
+	for server, onServer := range calls {
+		clone[server] = slices.Clone(onServer)
+	}
+	return clone
+}
--- a/internal/lab/fleet/sim/sim_test.go
+++ b/internal/lab/fleet/sim/sim_test.go
@@ -32,7 +32,7 @@
 
 // byRule is the first breach of each rule.
 func byRule(breaches []referee.Violation) (text string) {
-	seen := map[string]bool{}
+	seen := map[referee.Rule]bool{}
 	for _, b := range breaches {
 		if !seen[b.Rule] {
 			seen[b.Rule] = true
