--- a/internal/lab/fleet/referee/check.go
+++ b/internal/lab/fleet/checker/check.go
@@ -1,10 +1,10 @@
-// Package referee checks a record of a fleet of sidecars against the rules that every fleet has to keep: the copies of
+// Package checker checks a record of a fleet of sidecars against the rules that every fleet has to keep: the copies of
 // the shared state converge, no acknowledged operator's call is lost, nothing that was superseded comes back, and no
 // sidecar acts against what it could know.
 //
 // It reads only what was seen from outside: what each sidecar acknowledged, what it showed, and what it sent. It shares
 // no code with the fleet, and works out by itself what each sidecar should have shown.
-package referee
+package checker
 
 import (
 	"fmt"
--- a/internal/lab/fleet/referee/convergence.go
+++ b/internal/lab/fleet/checker/convergence.go
@@ -1,4 +1,4 @@
-package referee
+package checker
 
 // checkCopiesEqual requires that all sidecars show the same copy once the time to converge is over.
 func checkCopiesEqual(r *Record) (violations []Violation) {
--- a/internal/lab/fleet/referee/ownership.go
+++ b/internal/lab/fleet/checker/ownership.go
@@ -1,4 +1,4 @@
-package referee
+package checker
 
 // checkRowsWrittenByOwners requires that no sidecar shows a version of a row that its owner has not written.
 func checkRowsWrittenByOwners(r *Record) (violations []Violation) {
--- a/internal/lab/fleet/referee/readiness.go
+++ b/internal/lab/fleet/checker/readiness.go
@@ -1,4 +1,4 @@
-package referee
+package checker
 
 import (
 	"slices"
--- a/internal/lab/fleet/mutants/mutants_test.go
+++ b/internal/lab/fleet/mutants/mutants_test.go
@@ -1,4 +1,4 @@
-// Package mutants spoils the fleet's deciders one by one and sees that the referee finds each: a rule that no spoilt
+// Package mutants spoils the fleet's deciders one by one and sees that the checker finds each: a rule that no spoilt
 // program breaks shows nothing.
 package mutants
 
@@ -110,7 +110,7 @@
 }
 
 // TestMutantsAreFound builds the simulated fleet with each mutant in the place of the file it changes, and has it play
-// drawn plans: the referee must find the rule broken.
+// drawn plans: the checker must find the rule broken.
 func TestMutantsAreFound(t *testing.T) {
 	for _, m := range mutants {
 		t.Run(m.name, func(t *testing.T) {
--- a/internal/lab/fleet/processes/doc.go
+++ b/internal/lab/fleet/processes/doc.go
@@ -1,4 +1,4 @@
-// Package processes runs a fault plan against processes of the real sidecar and records what the referee needs to
+// Package processes runs a fault plan against processes of the real sidecar and records what the checker needs to
 // judge it.
 //
 // A run owns everything that it starts, all of it on loopback:
@@ -11,6 +11,6 @@
 //     the run's context, and Run waits for them.
 //
 // Run returns a *StartError if the fleet does not become ready, a *FailuresError if a sidecar broke a rule that does
-// not need the referee (such as a client's request without a response), the context's cause if that ends first, and
+// not need the checker (such as a client's request without a response), the context's cause if that ends first, and
 // otherwise the operating system's error.
 package processes
--- a/internal/lab/fleet/processes/errors.go
+++ b/internal/lab/fleet/processes/errors.go
@@ -13,7 +13,7 @@
 	return "the fleet never found itself:\n" + strings.Join(e.Details, "\n")
 }
 
-// FailuresError says that the run itself failed, or that a sidecar broke a rule that needs no referee.
+// FailuresError says that the run itself failed, or that a sidecar broke a rule that needs no checker.
 type FailuresError struct {
 	Failures []string // each with its time in the plan
 }
--- a/internal/lab/fleet/processes/log.go
+++ b/internal/lab/fleet/processes/log.go
@@ -7,7 +7,7 @@
 	"regexp"
 	"strings"
 
-	"milletramp.example/milletramp/internal/lab/fleet/referee"
+	"milletramp.example/milletramp/internal/lab/fleet/checker"
 )
 
 // operatorCallLine is the log line with which a sidecar says that it took an operator's call.
@@ -28,13 +28,13 @@
 }
 
 // parseOperatorCall returns the operator's call that a log line names, without a time.
-func parseOperatorCall(line string) (call referee.OperatorCall, ok bool) {
+func parseOperatorCall(line string) (call checker.OperatorCall, ok bool) {
 	fields := operatorCallLine.FindStringSubmatch(line)
 	if fields == nil {
 		return call, false
 	}
 	server, out, id, replaced := fields[1], fields[2], fields[3], strings.Trim(fields[4], `"`)
-	call = referee.OperatorCall{Server: server, Down: out == "true", ID: callID(server, id)}
+	call = checker.OperatorCall{Server: server, Down: out == "true", ID: callID(server, id)}
 	if replaced == "" {
 		return call, true
 	}
--- a/internal/lab/fleet/processes/recorder.go
+++ b/internal/lab/fleet/processes/recorder.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"milletramp.example/milletramp/internal/lab/fleet/referee"
+	"milletramp.example/milletramp/internal/lab/fleet/checker"
 )
 
 // maxFailures bounds what one cause can fill the report with.
@@ -18,7 +18,7 @@
 	clock *planClock
 
 	mu         sync.Mutex
-	record     referee.Record
+	record     checker.Record
 	policy     PolicyHistory
 	firstShown map[string]map[incarnation]time.Duration // by id of an operator's call
 	failures   []string
@@ -32,14 +32,14 @@
 func (c *recorder) restart() (started time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.record = referee.Record{}
+	c.record = checker.Record{}
 	return c.clock.restart()
 }
 
 func (c *recorder) addSend(sidecarName, server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	attempt := referee.Attempt{At: c.clock.now(), Sidecar: sidecarName, Server: server}
+	attempt := checker.Attempt{At: c.clock.now(), Sidecar: sidecarName, Server: server}
 	c.record.Attempts = append(c.record.Attempts, attempt)
 }
 
@@ -47,13 +47,13 @@
 func (c *recorder) addEnd(sidecarName, server string, answered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	end := referee.Outcome{At: c.clock.now(), Sidecar: sidecarName, Server: server, Answered: answered}
+	end := checker.Outcome{At: c.clock.now(), Sidecar: sidecarName, Server: server, Answered: answered}
 	c.record.Outcomes = append(c.record.Outcomes, end)
 }
 
 // addOperatorCall notes a call that a sidecar has taken. It counts as acknowledged from here on: the calls that it
 // replaces are gone, whether the operator gets the response or not.
-func (c *recorder) addOperatorCall(call referee.OperatorCall) {
+func (c *recorder) addOperatorCall(call checker.OperatorCall) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	call.At = c.clock.now()
@@ -61,7 +61,7 @@
 }
 
 // addShow notes what an incarnation showed.
-func (c *recorder) addShow(by incarnation, show referee.Snapshot) {
+func (c *recorder) addShow(by incarnation, show checker.Snapshot) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, calls := range show.Calls {
@@ -113,7 +113,7 @@
 	}
 }
 
-// addFailure notes a failure of the run itself, or of a sidecar against a rule that needs no referee.
+// addFailure notes a failure of the run itself, or of a sidecar against a rule that needs no checker.
 func (c *recorder) addFailure(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/fleet/processes/result.go
+++ b/internal/lab/fleet/processes/result.go
@@ -5,8 +5,8 @@
 	"sort"
 	"time"
 
+	"milletramp.example/milletramp/internal/lab/fleet/checker"
 	"milletramp.example/milletramp/internal/lab/fleet/faultplan"
-	"milletramp.example/milletramp/internal/lab/fleet/referee"
 )
 
 const (
@@ -17,7 +17,7 @@
 )
 
 // result returns what was seen, completed with what the plan says about it.
-func (r *fleetRun) result() (record referee.Record, history PolicyHistory, err error) {
+func (r *fleetRun) result() (record checker.Record, history PolicyHistory, err error) {
 	c := r.recorder
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -43,7 +43,7 @@
 
 // couldKnowSince says when the incarnation that a sidecar had at a time could have known of a call: when it showed the
 // call, or propagationTime after the call where no fault was near.
-func (r *fleetRun) couldKnowSince(call referee.OperatorCall, sidecarName string, at time.Duration) (
+func (r *fleetRun) couldKnowSince(call checker.OperatorCall, sidecarName string, at time.Duration) (
 	time.Duration, bool,
 ) {
 	current, started := r.incarnationAt(sidecarName, at)
@@ -99,13 +99,13 @@
 }
 
 // silences are the spans in which the plan has backends without a response.
-func (r *fleetRun) silences() (spans []referee.Outage) {
+func (r *fleetRun) silences() (spans []checker.Outage) {
 	for _, f := range r.plan.Faults {
 		if f.Kind != faultplan.Unresponsive {
 			continue
 		}
 		for _, i := range f.From {
-			spans = append(spans, referee.Outage{Server: serverName(i), From: f.At, To: f.At + f.Duration})
+			spans = append(spans, checker.Outage{Server: serverName(i), From: f.At, To: f.At + f.Duration})
 		}
 	}
 	return spans
--- a/internal/lab/fleet/processes/run.go
+++ b/internal/lab/fleet/processes/run.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
+	"milletramp.example/milletramp/internal/lab/fleet/checker"
 	"milletramp.example/milletramp/internal/lab/fleet/faultplan"
-	"milletramp.example/milletramp/internal/lab/fleet/referee"
 	"milletramp.example/milletramp/internal/standin/mesh"
 )
 
@@ -33,19 +33,19 @@
 }
 
 // Run runs a plan.
-func Run(ctx context.Context, p faultplan.Plan, options Options) (referee.Record, error) {
+func Run(ctx context.Context, p faultplan.Plan, options Options) (checker.Record, error) {
 	record, _, err := runPlan(ctx, p, options)
 	return record, err
 }
 
 // RunWithPolicy runs a plan with a fleet that has a policy, and also returns what was seen of that.
-func RunWithPolicy(ctx context.Context, p faultplan.Plan, options Options) (referee.Record, PolicyHistory, error) {
+func RunWithPolicy(ctx context.Context, p faultplan.Plan, options Options) (checker.Record, PolicyHistory, error) {
 	options.WithPolicy = true
 	return runPlan(ctx, p, options)
 }
 
 func runPlan(ctx context.Context, p faultplan.Plan, options Options) (
-	record referee.Record, history PolicyHistory, err error) {
+	record checker.Record, history PolicyHistory, err error) {
 	clock := &planClock{}
 	clock.restart()
 	r := &fleetRun{plan: p, options: options.withDefaults(), clock: clock, recorder: newRecorder(clock)}
--- a/internal/lab/fleet/processes/run_test.go
+++ b/internal/lab/fleet/processes/run_test.go
@@ -15,8 +15,8 @@
 
 	"milletramp.example/milletramp/internal/fleet/gossip"
 	"milletramp.example/milletramp/internal/fleet/membership"
+	"milletramp.example/milletramp/internal/lab/fleet/checker"
 	"milletramp.example/milletramp/internal/lab/fleet/faultplan"
-	"milletramp.example/milletramp/internal/lab/fleet/referee"
 	"milletramp.example/milletramp/internal/lab/testrun"
 )
 
@@ -56,9 +56,9 @@
 	os.Exit(status)
 }
 
-func playPlan(t *testing.T, p faultplan.Plan) referee.Record { return playPlanWith(t, p, Options{}) }
+func playPlan(t *testing.T, p faultplan.Plan) checker.Record { return playPlanWith(t, p, Options{}) }
 
-func playPlanWith(t *testing.T, p faultplan.Plan, set Options) referee.Record {
+func playPlanWith(t *testing.T, p faultplan.Plan, set Options) checker.Record {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), p.End()+p.Length+settleTime+time.Minute)
 	defer cancel()
@@ -105,7 +105,7 @@
 			t.Parallel()
 			p := draw(seed)
 			r := playPlan(t, p)
-			for _, b := range referee.Check(r) {
+			for _, b := range checker.Check(r) {
 				t.Errorf("%v", b)
 			}
 			if t.Failed() {
@@ -119,14 +119,14 @@
 }
 
 // playSmallFleet plays a plan of some sidecars' own in which something is out of the ordinary, and returns what each showed last.
-func playSmallFleet(t *testing.T, p faultplan.Plan, set Options) map[string]referee.Snapshot {
+func playSmallFleet(t *testing.T, p faultplan.Plan, set Options) map[string]checker.Snapshot {
 	t.Parallel()
 	set.SettleTime = 10 * time.Second
 	r := playPlanWith(t, p, set)
-	for _, b := range referee.Check(r) {
+	for _, b := range checker.Check(r) {
 		t.Errorf("%v", b)
 	}
-	last := map[string]referee.Snapshot{}
+	last := map[string]checker.Snapshot{}
 	for _, s := range r.Snapshots {
 		last[s.Sidecar] = s
 	}
--- a/internal/lab/fleet/processes/status.go
+++ b/internal/lab/fleet/processes/status.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"milletramp.example/milletramp/internal/lab/fleet/referee"
+	"milletramp.example/milletramp/internal/lab/fleet/checker"
 )
 
 // The phases, as an admin server names them, in which a sidecar vouches for holding what the fleet holds.
@@ -17,7 +17,7 @@
 	phaseBootstrapped = "fresh"
 )
 
-// fleetStatus is what a sidecar's admin server shows of the fleet, as far as the referee needs it. It shares no type
+// fleetStatus is what a sidecar's admin server shows of the fleet, as far as the checker needs it. It shares no type
 // with the sidecar.
 type fleetStatus struct {
 	Phase       string            `json:"phase"`
@@ -81,12 +81,12 @@
 	return show.Checksum
 }
 
-// asShow is the status in the referee's terms.
-func (f fleetStatus) asShow() referee.Snapshot {
-	show := referee.Snapshot{
+// asShow is the status in the checker's terms.
+func (f fleetStatus) asShow() checker.Snapshot {
+	show := checker.Snapshot{
 		Ready:      f.Phase == phaseSynced || f.Phase == phaseBootstrapped,
 		Checksum:   f.copySum(),
-		Calls:      map[string][]referee.ActiveCall{},
+		Calls:      map[string][]checker.ActiveCall{},
 		Suspicions: map[string]time.Duration{},
 	}
 	for _, server := range f.Servers {
@@ -94,7 +94,7 @@
 			show.AdminDown = append(show.AdminDown, server.ID)
 		}
 		for _, call := range server.Calls {
-			standing := referee.ActiveCall{ID: callID(server.ID, call.ID), Down: call.Out}
+			standing := checker.ActiveCall{ID: callID(server.ID, call.ID), Down: call.Out}
 			show.Calls[server.ID] = append(show.Calls[server.ID], standing)
 		}
 	}
--- a/internal/lab/fleet/sim/sim.go
+++ b/internal/lab/fleet/sim/sim.go
@@ -1,4 +1,4 @@
-// Package sim plays a fault plan with sidecars' parts in the fleet stepped in simulated time, and records what the referee
+// Package sim plays a fault plan with sidecars' parts in the fleet stepped in simulated time, and records what the checker
 // needs. The same plan and seed give the same record.
 package sim
 
@@ -14,8 +14,8 @@
 	"milletramp.example/milletramp/internal/fleet/gossip"
 	"milletramp.example/milletramp/internal/fleet/membership"
 	"milletramp.example/milletramp/internal/fleet/replication"
+	"milletramp.example/milletramp/internal/lab/fleet/checker"
 	"milletramp.example/milletramp/internal/lab/fleet/faultplan"
-	"milletramp.example/milletramp/internal/lab/fleet/referee"
 )
 
 // Options say how a plan is played.
@@ -54,7 +54,7 @@
 type World struct {
 	Plan     faultplan.Plan
 	Sidecars []*Sidecar
-	Record   referee.Record
+	Record   checker.Record
 	// Lost and Sent count datagrams.
 	Lost, Sent int
 
@@ -136,7 +136,7 @@
 }
 
 // Run plays to the plan's end and the time to settle behind it, and returns the record.
-func (w *World) Run() referee.Record {
+func (w *World) Run() checker.Record {
 	end := max(w.Plan.End(), w.Plan.Length) + w.set.Settle
 	w.RunUntil(end)
 	w.Record.FaultsEnd, w.Record.ConvergenceTime, w.Record.SnapshotInterval = end-w.set.Settle, w.set.Settle, w.set.Show
@@ -144,7 +144,7 @@
 		w.Record.Sidecars = append(w.Record.Sidecars, s.Name)
 		s.show()
 	}
-	w.Record.KnownSince = func(a referee.OperatorCall, sidecar string, _ time.Duration) (time.Duration, bool) {
+	w.Record.KnownSince = func(a checker.OperatorCall, sidecar string, _ time.Duration) (time.Duration, bool) {
 		at, ok := w.reached[a.ID][sidecar]
 		return at, ok
 	}
@@ -398,7 +398,7 @@
 		h, _ := s.Machine.Store.AdminState(server)
 		id := callID(server, h.Standing[0])
 		s.world.dots[id] = h.Standing[0].Dot
-		s.world.Record.OperatorCalls = append(s.world.Record.OperatorCalls, referee.OperatorCall{At: s.world.now, Server: server, ID: id, Down: out, KnownCalls: knew})
+		s.world.Record.OperatorCalls = append(s.world.Record.OperatorCalls, checker.OperatorCall{At: s.world.now, Server: server, ID: id, Down: out, KnownCalls: knew})
 		s.knows()
 	})
 }
@@ -406,10 +406,10 @@
 // callID names a call: a life counts its calls for each server apart.
 func callID(server string, c replication.OperatorCall) string { return server + "/" + c.Dot.String() }
 
-func (s *Sidecar) standing(server string) (calls []referee.ActiveCall) {
+func (s *Sidecar) standing(server string) (calls []checker.ActiveCall) {
 	h, _ := s.Machine.Store.AdminState(server)
 	for _, c := range h.Standing {
-		calls = append(calls, referee.ActiveCall{ID: callID(server, c), Down: c.Down})
+		calls = append(calls, checker.ActiveCall{ID: callID(server, c), Down: c.Down})
 	}
 	return calls
 }
@@ -447,7 +447,7 @@
 		s.Machine.Broadcast(key)
 		s.rows[on]++ // counted here, whatever the sidecar makes of it
 		self, _ := s.Machine.Members.Self()
-		w.Record.WrittenRows = append(w.Record.WrittenRows, referee.Row{Owner: s.Name, Incarnation: self.Life.Number, Server: on, Version: s.rows[on]})
+		w.Record.WrittenRows = append(w.Record.WrittenRows, checker.Row{Owner: s.Name, Incarnation: self.Life.Number, Server: on, Version: s.rows[on]})
 	})
 }
 
@@ -469,8 +469,8 @@
 		return
 	}
 	sums := s.Machine.Store.Digest().PerKind()
-	show := referee.Snapshot{At: s.world.now, Sidecar: s.Name, Incarnation: s.Life, Ready: phase == gossip.Synced || phase == gossip.Bootstrapped,
-		Calls: map[string][]referee.ActiveCall{}, AdminDown: s.Machine.Store.AdminDown()}
+	show := checker.Snapshot{At: s.world.now, Sidecar: s.Name, Incarnation: s.Life, Ready: phase == gossip.Synced || phase == gossip.Bootstrapped,
+		Calls: map[string][]checker.ActiveCall{}, AdminDown: s.Machine.Store.AdminDown()}
 	var parts []string
 	for k, sum := range sums {
 		parts = append(parts, fmt.Sprintf("%v %x", replication.Kind(k), sum))
@@ -483,7 +483,7 @@
 	}
 	for _, suspect := range s.Machine.Store.ServersWithEvidence() {
 		for _, r := range s.Machine.Store.Rows(s.Clock(), suspect) {
-			show.Rows = append(show.Rows, referee.Row{Owner: r.Owner, Incarnation: r.Life.Number, Server: r.Server, Version: r.Version})
+			show.Rows = append(show.Rows, checker.Row{Owner: r.Owner, Incarnation: r.Life.Number, Server: r.Server, Version: r.Version})
 		}
 	}
 	s.world.Record.Snapshots = append(s.world.Record.Snapshots, show)
--- a/internal/lab/fleet/sim/sim_test.go
+++ b/internal/lab/fleet/sim/sim_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"milletramp.example/milletramp/internal/lab/fleet/checker"
 	"milletramp.example/milletramp/internal/lab/fleet/faultplan"
-	"milletramp.example/milletramp/internal/lab/fleet/referee"
 	"milletramp.example/milletramp/internal/lab/testrun"
 )
 
@@ -26,13 +26,13 @@
 )
 
 // judge plays a plan with sidecars whose file names all of them.
-func judge(p faultplan.Plan) []referee.Violation {
-	return referee.Check(New(p, Options{Peers: p.Sidecars, Settle: settle, Show: 500 * time.Millisecond, Evidence: 700 * time.Millisecond}).Run())
+func judge(p faultplan.Plan) []checker.Violation {
+	return checker.Check(New(p, Options{Peers: p.Sidecars, Settle: settle, Show: 500 * time.Millisecond, Evidence: 700 * time.Millisecond}).Run())
 }
 
 // byRule is the first breach of each rule.
-func byRule(breaches []referee.Violation) (text string) {
-	seen := map[referee.Rule]bool{}
+func byRule(breaches []checker.Violation) (text string) {
+	seen := map[checker.Rule]bool{}
 	for _, b := range breaches {
 		if !seen[b.Rule] {
 			seen[b.Rule] = true
@@ -77,8 +77,8 @@
 			t.Parallel()
 			p := faultplan.Draw(*first+uint64(n), n, length)
 			r := New(p, Options{Peers: 5, Settle: settle}).Run()
-			for _, b := range referee.Check(r) {
-				if b.Rule == referee.RuleCopiesEqual || b.Rule == referee.RuleCallsRemembered {
+			for _, b := range checker.Check(r) {
+				if b.Rule == checker.RuleCopiesEqual || b.Rule == checker.RuleCallsRemembered {
 					t.Fatalf("%v\nby\n%v", b, p)
 				}
 			}
