--- a/deploy/names_test.go
+++ b/deploy/names_test.go
@@ -223,6 +223,7 @@
 		"internal/fleetadapter",
 		"internal/hotrestart",
 		"internal/lab/checker",
+		"internal/lab/fleet/checker",
 		"internal/lab/fleet/faultplan",
 		"internal/lab/fleet/processes",
 		"internal/lab/record",
