--- a/internal/lab/fleet/sim/fleet.go
+++ b/internal/lab/fleet/sim/fleet.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"milletramp.example/milletramp/internal/fleet/replication"
+	"milletramp.example/milletramp/internal/lab/fleet/checker"
 	"milletramp.example/milletramp/internal/lab/fleet/faultplan"
-	"milletramp.example/milletramp/internal/lab/fleet/referee"
 )
 
 // Options say how a plan is played.
@@ -24,7 +24,7 @@
 type Fleet struct {
 	Plan     faultplan.Plan
 	Sidecars []*Sidecar
-	Record   referee.Record
+	Record   checker.Record
 	// Lost and Sent count datagrams.
 	Lost, Sent int
 
@@ -43,7 +43,7 @@
 func New(plan faultplan.Plan, options Options) *Fleet {
 	fleet := &Fleet{Plan: plan, options: options, rng: rand.New(rand.NewPCG(plan.Seed, 0x776f726c64)), linkFreeAt: map[[2]int]time.Duration{},
 		deliveredAt: map[string]map[string]time.Duration{}, callDots: map[string]replication.Dot{}, processes: map[string]*Sidecar{}}
-	fleet.Record.Lost = map[string]bool{}
+	fleet.Record.LostCalls = map[string]bool{}
 	for i := range plan.Sidecars {
 		s := &Sidecar{Name: fmt.Sprintf("n%d", i), Index: i, fleet: fleet, address: sidecarAddress(i)}
 		fleet.Sidecars = append(fleet.Sidecars, s)
@@ -77,15 +77,15 @@
 }
 
 // Run plays to the plan's end and the time to settle behind it, and returns the record.
-func (f *Fleet) Run() referee.Record {
+func (f *Fleet) Run() checker.Record {
 	end := max(f.Plan.End(), f.Plan.Length) + f.options.SettleTime
 	f.RunUntil(end)
-	f.Record.Calm, f.Record.Within, f.Record.Every = end-f.options.SettleTime, f.options.SettleTime, f.options.ObservationInterval
+	f.Record.FaultsEnd, f.Record.ConvergenceTime, f.Record.SnapshotInterval = end-f.options.SettleTime, f.options.SettleTime, f.options.ObservationInterval
 	for _, s := range f.Sidecars {
 		f.Record.Sidecars = append(f.Record.Sidecars, s.Name)
 		s.observe()
 	}
-	f.Record.Could = func(ack referee.Ack, sidecar string, _ time.Duration) (time.Duration, bool) {
+	f.Record.KnownSince = func(ack checker.OperatorCall, sidecar string, _ time.Duration) (time.Duration, bool) {
 		at, ok := f.deliveredAt[ack.ID][sidecar]
 		return at, ok
 	}
--- a/internal/lab/fleet/sim/observation.go
+++ b/internal/lab/fleet/sim/observation.go
@@ -6,7 +6,7 @@
 
 	"milletramp.example/milletramp/internal/fleet/gossip"
 	"milletramp.example/milletramp/internal/fleet/replication"
-	"milletramp.example/milletramp/internal/lab/fleet/referee"
+	"milletramp.example/milletramp/internal/lab/fleet/checker"
 )
 
 // writeEvidence has the sidecar write its own row on a server.
@@ -25,7 +25,7 @@
 		s.Machine.Broadcast(key)
 		s.rowVersions[server]++ // counted here, whatever the sidecar makes of it
 		self, _ := s.Machine.Members.Self()
-		fleet.Record.Wrote = append(fleet.Record.Wrote, referee.Row{Owner: s.Name, Life: self.ProcessIncarnation.Number, Server: server, Version: s.rowVersions[server]})
+		fleet.Record.WrittenRows = append(fleet.Record.WrittenRows, checker.Row{Owner: s.Name, Incarnation: self.ProcessIncarnation.Number, Server: server, Version: s.rowVersions[server]})
 	})
 }
 
@@ -47,13 +47,13 @@
 		return
 	}
 	checksumsByKind := s.Machine.Store.Digest().PerKind()
-	observation := referee.Show{At: s.fleet.now, Sidecar: s.Name, Life: s.Incarnation, Ready: phase == gossip.Synced || phase == gossip.Bootstrapped,
-		Calls: map[string][]referee.Standing{}, Out: s.Machine.Store.AdminDown()}
+	observation := checker.Snapshot{At: s.fleet.now, Sidecar: s.Name, Incarnation: s.Incarnation, Ready: phase == gossip.Synced || phase == gossip.Bootstrapped,
+		Calls: map[string][]checker.ActiveCall{}, AdminDown: s.Machine.Store.AdminDown()}
 	var checksums []string
 	for kind, sum := range checksumsByKind {
 		checksums = append(checksums, fmt.Sprintf("%v %x", replication.Kind(kind), sum))
 	}
-	observation.Sum = strings.Join(checksums, ", ")
+	observation.Checksum = strings.Join(checksums, ", ")
 	for i := range s.fleet.Plan.Servers {
 		if calls := s.standingCalls(serverName(i)); len(calls) > 0 {
 			observation.Calls[serverName(i)] = calls
@@ -61,8 +61,8 @@
 	}
 	for _, server := range s.Machine.Store.ServersWithEvidence() {
 		for _, row := range s.Machine.Store.Rows(s.Clock(), server) {
-			observation.Rows = append(observation.Rows, referee.Row{Owner: row.Owner, Life: row.Incarnation.Number, Server: row.Server, Version: row.Version})
+			observation.Rows = append(observation.Rows, checker.Row{Owner: row.Owner, Incarnation: row.Incarnation.Number, Server: row.Server, Version: row.Version})
 		}
 	}
-	s.fleet.Record.Shows = append(s.fleet.Record.Shows, observation)
+	s.fleet.Record.Snapshots = append(s.fleet.Record.Snapshots, observation)
 }
--- a/internal/lab/fleet/sim/operators.go
+++ b/internal/lab/fleet/sim/operators.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"milletramp.example/milletramp/internal/fleet/replication"
-	"milletramp.example/milletramp/internal/lab/fleet/referee"
+	"milletramp.example/milletramp/internal/lab/fleet/checker"
 )
 
 func serverName(i int) string { return fmt.Sprintf("s-%d", i) }
@@ -20,7 +20,7 @@
 	return slices.ContainsFunc(state.Seen, func(seen replication.Dot) bool { return seen.Nonce == dot.Nonce && seen.Count >= dot.Count })
 }
 
-// setAdminDown is the staff's: the sidecar's yes is on record.
+// setAdminDown is an operator's call: the acknowledgement of the sidecar is recorded.
 func (s *Sidecar) setAdminDown(server string, down bool) {
 	s.execute(func() {
 		known := []string{}
@@ -35,7 +35,7 @@
 		state, _ := s.Machine.Store.AdminState(server)
 		id := callID(server, state.Standing[0])
 		s.fleet.callDots[id] = state.Standing[0].Dot
-		s.fleet.Record.Acks = append(s.fleet.Record.Acks, referee.Ack{At: s.fleet.now, Server: server, ID: id, Out: down, Knew: known})
+		s.fleet.Record.OperatorCalls = append(s.fleet.Record.OperatorCalls, checker.OperatorCall{At: s.fleet.now, Server: server, ID: id, Down: down, KnownCalls: known})
 		s.recordDeliveries()
 	})
 }
@@ -45,10 +45,10 @@
 	return server + "/" + call.Dot.String()
 }
 
-func (s *Sidecar) standingCalls(server string) (calls []referee.Standing) {
+func (s *Sidecar) standingCalls(server string) (calls []checker.ActiveCall) {
 	state, _ := s.Machine.Store.AdminState(server)
 	for _, call := range state.Standing {
-		calls = append(calls, referee.Standing{ID: callID(server, call), Out: call.Down})
+		calls = append(calls, checker.ActiveCall{ID: callID(server, call), Down: call.Down})
 	}
 	return calls
 }
--- a/internal/lab/fleet/sim/sidecar.go
+++ b/internal/lab/fleet/sim/sidecar.go
@@ -112,10 +112,10 @@
 		s.predecessor.Machine = nil
 		s.predecessor = nil
 	}
-	for _, ack := range s.fleet.Record.Acks {
+	for _, ack := range s.fleet.Record.OperatorCalls {
 		dot := s.fleet.callDots[ack.ID]
 		if !slices.ContainsFunc(s.fleet.Sidecars, func(other *Sidecar) bool { return other.hasCall(ack.Server, dot) }) {
-			s.fleet.Record.Lost[ack.ID] = true
+			s.fleet.Record.LostCalls[ack.ID] = true
 		}
 	}
 }
--- a/internal/lab/fleet/sim/sim_test.go
+++ b/internal/lab/fleet/sim/sim_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"milletramp.example/milletramp/internal/lab/fleet/checker"
 	"milletramp.example/milletramp/internal/lab/fleet/faultplan"
-	"milletramp.example/milletramp/internal/lab/fleet/referee"
 	"milletramp.example/milletramp/internal/lab/testrun"
 )
 
@@ -31,8 +31,8 @@
 }
 
 // findBreaches runs a plan and returns the rules that the run breaks.
-func findBreaches(p faultplan.Plan) []referee.Breach {
-	return referee.Judge(newFleet(p).Run())
+func findBreaches(p faultplan.Plan) []checker.Violation {
+	return checker.Check(newFleet(p).Run())
 }
 
 // deliveries returns what a run has counted beside its record: when each call reached each sidecar, and datagrams.
@@ -41,8 +41,8 @@
 }
 
 // firstByRule is the first breach of each rule.
-func firstByRule(breaches []referee.Breach) (text string) {
-	seen := map[string]bool{}
+func firstByRule(breaches []checker.Violation) (text string) {
+	seen := map[checker.Rule]bool{}
 	for _, b := range breaches {
 		if !seen[b.Rule] {
 			seen[b.Rule] = true
@@ -87,8 +87,8 @@
 			t.Parallel()
 			p := faultplan.Draw(*firstSeed+uint64(n), n, length)
 			r := New(p, Options{SeedPeers: 5, SettleTime: settleTime}).Run()
-			for _, b := range referee.Judge(r) {
-				if b.Rule == referee.Equal || b.Rule == referee.Remembered {
+			for _, b := range checker.Check(r) {
+				if b.Rule == checker.RuleCopiesEqual || b.Rule == checker.RuleCallsRemembered {
 					t.Fatalf("%v\nby\n%v", b, p)
 				}
 			}
@@ -101,7 +101,7 @@
 	p := faultplan.Draw(11, 6, length)
 	set := Options{SeedPeers: 2, SettleTime: settleTime, ObservationInterval: time.Second, EvidenceInterval: time.Second}
 	a, b := New(p, set).Run(), New(p, set).Run()
-	if x, y := fmt.Sprint(a.Shows, a.Acks), fmt.Sprint(b.Shows, b.Acks); x != y {
+	if x, y := fmt.Sprint(a.Snapshots, a.OperatorCalls), fmt.Sprint(b.Snapshots, b.OperatorCalls); x != y {
 		t.Error("two plays of one plan differ")
 	}
 }
