--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -40,7 +40,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			d := &day{opt: opt, number: i, servers: opt.Cases[i].Servers, peers: opt.Cases[i].Peers,
+			d := &measurement{opt: opt, number: i, servers: opt.Cases[i].Servers, peers: opt.Cases[i].Peers,
 				rng: rand.New(rand.NewPCG(1, uint64(i))), origins: standin.NewOrigins(answerTime)}
 			if err := d.run(ctx); err != nil {
 				failed[i] = fmt.Errorf("%d servers, %d sidecars: %w", d.servers, d.peers, err)
@@ -58,8 +58,8 @@
 	listener net.Listener
 }
 
-// day is the measurement of one case.
-type day struct {
+// measurement is the measurement of one case.
+type measurement struct {
 	opt            Options
 	number         int
 	servers, peers int
@@ -72,7 +72,7 @@
 	figures        Figures
 }
 
-func (d *day) run(ctx context.Context) error {
+func (d *measurement) run(ctx context.Context) error {
 	defer d.close()
 	for range d.servers {
 		s, err := d.start(0)
@@ -99,7 +99,7 @@
 }
 
 // start starts a server, whose entry says when it booted; 0: long ago.
-func (d *day) start(boot int64) (server, error) {
+func (d *measurement) start(boot int64) (server, error) {
 	n := d.started
 	d.started++
 	l, err := d.origins.Listen(fmt.Sprintf("127.%d.%d.%d:0", 40+d.number, n/200, 1+n%200))
@@ -114,7 +114,7 @@
 func zoneName(i int) string { return "zone-" + strconv.Itoa(i) }
 func kindName(i int) string { return "kind-" + strconv.Itoa(i) }
 
-func (d *day) close() {
+func (d *measurement) close() {
 	d.origins.Close()
 	if d.discovery != nil {
 		d.discovery.Close()
@@ -122,7 +122,7 @@
 }
 
 // measure runs a sidecar while requests come and servers are replaced.
-func (d *day) measure(ctx context.Context, dir string) error {
+func (d *measurement) measure(ctx context.Context, dir string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
@@ -174,7 +174,7 @@
 }
 
 // ready waits until the sidecar says that it is.
-func (d *day) ready(ctx context.Context) error {
+func (d *measurement) ready(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyWithin)
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
@@ -210,7 +210,7 @@
 }
 
 // load makes the requests and returns the share of them that was served.
-func (d *day) load(ctx context.Context) float64 {
+func (d *measurement) load(ctx context.Context) float64 {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 10}, Timeout: 3 * time.Second}
 	defer client.CloseIdleConnections()
 	every := time.NewTicker(time.Duration(float64(time.Second) / d.opt.Rate))
@@ -239,7 +239,7 @@
 }
 
 // replace replaces half of the servers, one by one and in random order, and has discovery tell each replacement in one message.
-func (d *day) replace(ctx context.Context) error {
+func (d *measurement) replace(ctx context.Context) error {
 	order := d.rng.Perm(len(d.live))[:len(d.live)/2]
 	begun := time.Now()
 	for i, at := range order {
@@ -263,7 +263,7 @@
 }
 
 // sample counts the process's open descriptors from time to time. The function returned ends that, and returns the most seen.
-func (d *day) sample(pid int) func() int {
+func (d *measurement) sample(pid int) func() int {
 	end, most := make(chan struct{}), make(chan int)
 	go func() {
 		every := time.NewTicker(sampleEvery)
@@ -303,7 +303,7 @@
 }
 
 // config is what the sidecar is told at its start, in the platform's form.
-func (d *day) config() []byte {
+func (d *measurement) config() []byte {
 	type object = map[string]any
 	var zones, models []string
 	for i := range d.opt.Zones {
