--- a/deploy/names_test.go
+++ b/deploy/names_test.go
@@ -211,6 +211,7 @@
 		"internal/lab/record",
 		"internal/lab/report",
 		"internal/lab/runplan",
+		"internal/lab/scale",
 		"internal/lab/scenario",
 		"internal/lab/sim",
 		"internal/lab/workload",
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -29,6 +29,8 @@
 	sampleEvery = 100 * time.Millisecond
 	kinds       = 2
 	ordinal     = 7 // of the sidecar among its peers
+
+	bytesPerKB = 1000
 )
 
 // Run measures all cases side by side: each has servers, discovery and a sidecar of its own.
@@ -107,8 +109,16 @@
 		return server{}, err
 	}
 	zone, kind := n%d.opt.Zones, n/d.opt.Zones%kinds
-	return server{listener: l, entry: standin.Entry{UID: fmt.Sprintf("server-%05d", n), Endpoint: l.Addr().String(),
-		AZ: zoneName(zone), Model: kindName(kind), PodGroup: zone, State: "SERVING", Capacity: 1, BootMS: boot}}, nil
+	return server{listener: l, entry: standin.Entry{
+		UID:      fmt.Sprintf("server-%05d", n),
+		Endpoint: l.Addr().String(),
+		AZ:       zoneName(zone),
+		Model:    kindName(kind),
+		PodGroup: zone,
+		State:    "SERVING",
+		Capacity: 1,
+		BootMS:   boot,
+	}}, nil
 }
 
 func zoneName(i int) string { return "zone-" + strconv.Itoa(i) }
@@ -125,51 +135,74 @@
 func (d *measurement) measure(ctx context.Context, dir string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
+	sidecar, err := d.startSidecar(ctx, dir)
+	if err != nil {
+		return err
+	}
+	defer func() { cancel(); _ = sidecar.Wait() }() // where it has not been waited for
+	if err := d.ready(ctx); err != nil {
+		return err
+	}
+	if err := d.observe(ctx, sidecar.Process.Pid); err != nil {
+		return err
+	}
+	if err := stopSidecar(sidecar, cancel); err != nil {
+		return err
+	}
+	d.figures.CPU = (sidecar.ProcessState.UserTime() + sidecar.ProcessState.SystemTime()).Seconds()
+	d.figures.Connections = float64(d.origins.Connections())
+	d.figures.Lists = float64(d.discovery.Written()) / bytesPerKB
+	return nil
+}
+
+// startSidecar starts the sidecar on a free address, with its configuration in a folder.
+func (d *measurement) startSidecar(ctx context.Context, dir string) (*exec.Cmd, error) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return fmt.Errorf("address: %w", err)
+		return nil, fmt.Errorf("address: %w", err)
 	}
 	d.address = free.Addr().String()
 	_ = free.Close()
 	file := filepath.Join(dir, "config.json")
 	if err := os.WriteFile(file, d.config(), 0o600); err != nil {
-		return fmt.Errorf("configuration: %w", err)
+		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	cmd := exec.CommandContext(ctx, d.opt.Command[0], d.opt.Command[1:]...)
-	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+file)
-	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("sidecar: %w", err)
-	}
-	defer func() { cancel(); _ = cmd.Wait() }() // where it has not been waited for
-	if err := d.ready(ctx); err != nil {
-		return err
+	sidecar := exec.CommandContext(ctx, d.opt.Command[0], d.opt.Command[1:]...)
+	sidecar.Env = append(os.Environ(), "PROXY_CONFIG="+file)
+	if err := sidecar.Start(); err != nil {
+		return nil, fmt.Errorf("sidecar: %w", err)
 	}
-	sampled := d.sample(cmd.Process.Pid)
-	var parts sync.WaitGroup
+	return sidecar, nil
+}
+
+// observe makes the requests and replaces servers, and measures the sidecar's process meanwhile.
+func (d *measurement) observe(ctx context.Context, pid int) error {
+	sampled := d.sample(pid)
+	var replacing sync.WaitGroup
 	var replaced error
-	parts.Add(1)
+	replacing.Add(1)
 	go func() {
-		defer parts.Done()
+		defer replacing.Done()
 		replaced = d.replace(ctx)
 	}()
 	d.figures.Served = d.load(ctx)
-	parts.Wait()
+	replacing.Wait()
 	d.figures.Descriptors = float64(sampled())
-	d.figures.Memory, err = peakMemory(cmd.Process.Pid)
-	if err := errors.Join(replaced, err, ctx.Err()); err != nil {
-		return err
-	}
-	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
+	memory, err := peakMemory(pid)
+	d.figures.Memory = memory
+	return errors.Join(replaced, err, ctx.Err())
+}
+
+// stopSidecar ends a sidecar by SIGTERM, or by cancelling its context if it takes too long.
+func stopSidecar(sidecar *exec.Cmd, cancel context.CancelFunc) error {
+	if err := sidecar.Process.Signal(syscall.SIGTERM); err != nil {
 		return fmt.Errorf("sidecar: %w", err)
 	}
-	late := time.AfterFunc(stopWithin, cancel)
-	defer late.Stop()
-	if err := cmd.Wait(); err != nil {
+	kill := time.AfterFunc(stopWithin, cancel)
+	defer kill.Stop()
+	if err := sidecar.Wait(); err != nil {
 		return fmt.Errorf("sidecar after SIGTERM: %w", err)
 	}
-	d.figures.CPU = (cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Seconds()
-	d.figures.Connections = float64(d.origins.Connections())
-	d.figures.Lists = float64(d.discovery.Written()) / 1000
 	return nil
 }
 
@@ -238,7 +271,8 @@
 	return float64(served.Load()) / float64(n)
 }
 
-// replace replaces half of the servers, one by one and in random order, and has discovery tell each replacement in one message.
+// replace replaces half of the servers, one by one and in random order. Discovery publishes each replacement in one
+// message.
 func (d *measurement) replace(ctx context.Context) error {
 	order := d.rng.Perm(len(d.live))[:len(d.live)/2]
 	begun := time.Now()
@@ -262,7 +296,8 @@
 	return nil
 }
 
-// sample counts the process's open descriptors from time to time. The function returned ends that, and returns the most seen.
+// sample counts the process's open descriptors from time to time. The function returned ends that, and returns the
+// greatest count.
 func (d *measurement) sample(pid int) func() int {
 	end, most := make(chan struct{}), make(chan int)
 	go func() {
@@ -302,7 +337,7 @@
 	return 0, errors.New("memory: the kernel tells no peak")
 }
 
-// config is what the sidecar is told at its start, in the platform's form.
+// config is the sidecar's configuration, in the platform's form.
 func (d *measurement) config() []byte {
 	type object = map[string]any
 	var zones, models []string
@@ -313,18 +348,46 @@
 		models = append(models, kindName(i))
 	}
 	text, err := json.Marshal(object{
-		"name": "n" + strconv.Itoa(ordinal), "listen": d.address, "discovery": d.discovery.Address(), "seed": "8c1f30d27a5be964",
-		"limits": object{"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": d.discovery.Known(),
-		"settings": object{"areas": zones, "models": models, "my_zone": zones[0], "ordinal": ordinal, "peers_total": d.peers,
-			"discovery": "pushed", "tier": 0, "tiers": []string{"scale"}, "weight_source": "nominal", "worth_by": "work",
-			"request_classes": []object{{"name": "read", "effect": "idempotent", "group": "all", "aim_s": 0.5,
-				"deadline_s": 2.0, "credit": 1.0, "window_s": 5.0}},
-			"tenants": []object{}, "charges": object{"cross_zone": 0.03},
-			"limits": object{"cancelling": true, "connect_timeout_s": 0.25, "idle_close_s": 15.0, "most_held": 20000,
-				"second_copies": true, "streams_per_conn": 1, "try_limit": 3},
-			"rules": object{"cold_s": 9.0, "start_capacity": 0.3, "fall_multiple": 4.0, "fall_s": 1.5, "must_ask_in_s": 10}}})
+		"name":      "n" + strconv.Itoa(ordinal),
+		"listen":    d.address,
+		"discovery": d.discovery.Address(),
+		"seed":      "8c1f30d27a5be964",
+		"limits":    object{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+		"known":     d.discovery.Known(),
+		"settings":  d.settings(zones, models),
+	})
 	if err != nil {
 		panic(fmt.Sprintf("scale: a configuration that cannot be written: %v", err)) // it holds plain values only
 	}
 	return text
 }
+
+// settings are the balancer's settings in the configuration.
+func (d *measurement) settings(zones, models []string) map[string]any {
+	type object = map[string]any
+	return object{
+		"areas":         zones,
+		"models":        models,
+		"my_zone":       zones[0],
+		"ordinal":       ordinal,
+		"peers_total":   d.peers,
+		"discovery":     "pushed",
+		"tier":          0,
+		"tiers":         []string{"scale"},
+		"weight_source": "nominal",
+		"worth_by":      "work",
+		"request_classes": []object{{
+			"name": "read", "effect": "idempotent", "group": "all", "aim_s": 0.5,
+			"deadline_s": 2.0, "credit": 1.0, "window_s": 5.0,
+		}},
+		"tenants": []object{},
+		"charges": object{"cross_zone": 0.03},
+		"limits": object{
+			"cancelling": true, "connect_timeout_s": 0.25, "idle_close_s": 15.0, "most_held": 20000,
+			"second_copies": true, "streams_per_conn": 1, "try_limit": 3,
+		},
+		"rules": object{
+			"cold_s": 9.0, "start_capacity": 0.3, "fall_multiple": 4.0, "fall_s": 1.5, "must_ask_in_s": 10,
+		},
+	}
+}
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -1,5 +1,6 @@
-// Package scale measures what one sidecar needs in fleets of different sizes while half of the servers are replaced, and holds the
-// larger fleets against the operators' limits on growth.
+// Package scale measures what one sidecar needs in fleets of different sizes while half of the servers are replaced,
+// and checks the larger fleets against the operators' limits on growth. It owns the servers, the discovery and the
+// sidecar's process of each case. Run fails with the errors of all cases, each with its case's size.
 package scale
 
 import (
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -67,3 +67,14 @@
 	}
 	t.Log("\n" + table.String())
 }
+
+// TestRunFailsWithoutSidecar: the error names the case and the program that does not start.
+func TestRunFailsWithoutSidecar(t *testing.T) {
+	missing := filepath.Join(t.TempDir(), "missing")
+	_, err := Run(context.Background(), Options{Command: []string{missing}, Zones: 1, Rate: 1, Length: time.Second,
+		Replace: time.Second, Cases: []Case{{2, 3, 0}}})
+	if err == nil || !strings.Contains(err.Error(), "2 servers, 3 sidecars: sidecar: ") ||
+		!strings.Contains(err.Error(), missing) {
+		t.Errorf("error %v", err)
+	}
+}
