--- a/deploy/names_test.go
+++ b/deploy/names_test.go
@@ -229,6 +229,7 @@
 		"internal/lab/record",
 		"internal/lab/report",
 		"internal/lab/runplan",
+		"internal/lab/scale",
 		"internal/lab/scenario",
 		"internal/lab/servermodel",
 		"internal/lab/sim",
