--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -67,17 +67,17 @@
 	drawn := runplan.Draw(s, seed)
 	meter, tape := report.NewMeter(drawn), &record.Tape{}
 	res, err := sockets.Run(ctx, drawn, sockets.Options{Command: p.Sidecar, Sink: record.Sinks{meter, tape}, Progress: progress,
-		Sidecars: p.Log})
+		SidecarLog: p.Log})
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", s.Name, err)
 	}
-	judge := checker.New(socketTerms(drawn, res.Late))
+	judge := checker.New(socketTerms(drawn, res.MaxSendDelay))
 	for i := range tape.Events {
 		judge.Record(&tape.Events[i])
 	}
 	d := Judge(drawn, meter, judge)
 	d.Backend, d.Policy, d.ElapsedSeconds = "socket", p.Name(), time.Since(began).Seconds()
-	d.MaxSendDelaySeconds, d.MaxSidecarKB, d.MaxSidecarFDs = res.Late.Seconds(), res.MostRSS, res.MostOpen
+	d.MaxSendDelaySeconds, d.MaxSidecarKB, d.MaxSidecarFDs = res.MaxSendDelay.Seconds(), res.MaxRSS, res.MaxDescriptors
 	return d, nil
 }
 
@@ -90,7 +90,7 @@
 func socketTerms(drawn *runplan.Plan, late time.Duration) checker.Limits {
 	s := drawn.Scenario
 	late = min(late, mostExcused)
-	terms := Terms(drawn, sockets.Slack+late)
+	terms := Terms(drawn, sockets.ResponseSlack+late)
 	// Where connections never come up, the wire shows no attempt while the sidecar waits for one; elsewhere an answer has
 	// to follow what was last out within the way there and the lateness of a machine that does all parts at once.
 	terms.SendGrace = s.Network.Connect.Std() + 4*s.Network.Cross.Std() // nodes are seen, not the sidecars' sending
--- a/internal/lab/sockets/process.go
+++ b/internal/lab/sockets/process.go
@@ -21,38 +21,38 @@
 	"milletramp.example/milletramp/internal/standin"
 )
 
-// process is one sidecar, over its lives.
+// process is one sidecar, over its restarts.
 type process struct {
-	name    string
-	command []string
-	file    string // its configuration
-	log     io.Writer
-	address string
+	name       string
+	command    []string
+	configFile string // its configuration
+	log        io.Writer
+	address    string
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	ended   chan struct{}
-	err     error
-	last    string // line of its log
-	wanted  bool   // its end is: it was killed or told to finish
-	onEnded func(error)
+	mu               sync.Mutex
+	cmd              *exec.Cmd
+	exited           chan struct{}
+	exitErr          error
+	lastLogLine      string // line of its log
+	stopRequested    bool   // its end is: it was killed or told to finish
+	onUnexpectedExit func(error)
 }
 
 // start starts a life.
 func (p *process) start(config []byte) error {
-	if err := os.WriteFile(p.file, config, 0o600); err != nil {
+	if err := os.WriteFile(p.configFile, config, 0o600); err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
 	cmd := exec.Command(p.command[0], p.command[1:]...)
-	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+p.file)
+	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+p.configFile)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no sidecar outlives the lab
 	out, err := cmd.StderrPipe()
 	if err != nil {
 		return fmt.Errorf("log: %w", err)
 	}
 	p.mu.Lock()
-	p.cmd, p.ended, p.wanted, p.err = cmd, make(chan struct{}), false, nil
-	ended := p.ended
+	p.cmd, p.exited, p.stopRequested, p.exitErr = cmd, make(chan struct{}), false, nil
+	exited := p.exited
 	p.mu.Unlock()
 	started := make(chan error, 1)
 	go func() {
@@ -61,44 +61,44 @@
 		defer runtime.UnlockOSThread()
 		if err := cmd.Start(); err != nil {
 			started <- fmt.Errorf("start %s: %w", p.command[0], err)
-			close(ended)
+			close(exited)
 			return
 		}
 		started <- nil
 		last := copyLines(p.log, out, p.name)
 		err := cmd.Wait()
 		p.mu.Lock()
-		p.last, p.err = last, err
-		wanted, tell := p.wanted, p.onEnded
+		p.lastLogLine, p.exitErr = last, err
+		stopRequested, notify := p.stopRequested, p.onUnexpectedExit
 		p.mu.Unlock()
-		close(ended)
-		if !wanted && tell != nil {
-			tell(p.why())
+		close(exited)
+		if !stopRequested && notify != nil {
+			notify(p.exitReason())
 		}
 	}()
 	return <-started
 }
 
-// why words the end of a process that was not wanted.
-func (p *process) why() error {
+// exitReason returns the error of a process that exited without a request to stop.
+func (p *process) exitReason() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.err == nil {
-		return fmt.Errorf("it exited by itself; its last line: %q", p.last)
+	if p.exitErr == nil {
+		return fmt.Errorf("it exited by itself; its last line: %q", p.lastLogLine)
 	}
-	return fmt.Errorf("%w; its last line: %q", p.err, p.last)
+	return fmt.Errorf("%w; its last line: %q", p.exitErr, p.lastLogLine)
 }
 
-// watch has ended be called when the process ends unwanted.
-func (p *process) watch(ended func(error)) {
+// notifyUnexpectedExit has exited called when the process exits without a request to stop.
+func (p *process) notifyUnexpectedExit(exited func(error)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.onEnded = ended
+	p.onUnexpectedExit = exited
 }
 
-// ready waits until the sidecar answers that it is.
-func (p *process) ready(ctx context.Context, address string) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+// waitReady waits until the sidecar answers that it is.
+func (p *process) waitReady(ctx context.Context, address string) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	pause := time.NewTicker(10 * time.Millisecond)
@@ -115,44 +115,44 @@
 			}
 		}
 		select {
-		case <-p.ended:
-			return fmt.Errorf("it does not start: %w", p.why())
+		case <-p.exited:
+			return fmt.Errorf("it does not start: %w", p.exitReason())
 		case <-ctx.Done():
-			return fmt.Errorf("not ready within %v: %w", readyWithin, context.Cause(ctx))
+			return fmt.Errorf("not ready within %v: %w", readyTimeout, context.Cause(ctx))
 		case <-pause.C:
 		}
 	}
 }
 
 // signal sends a signal to a running process and says whether there is one.
-func (p *process) signal(s syscall.Signal) (ended <-chan struct{}, ok bool) {
+func (p *process) signal(s syscall.Signal) (exited <-chan struct{}, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil || p.cmd.Process == nil {
 		return nil, false
 	}
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return nil, false
 	default:
 	}
-	p.wanted = true
-	return p.ended, p.cmd.Process.Signal(s) == nil
+	p.stopRequested = true
+	return p.exited, p.cmd.Process.Signal(s) == nil
 }
 
 // reload has the process read a new configuration, which takes the old one's place at once.
 func (p *process) reload(config []byte) error {
-	fresh := p.file + ".new"
+	fresh := p.configFile + ".new"
 	if err := os.WriteFile(fresh, config, 0o600); err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
-	if err := os.Rename(fresh, p.file); err != nil {
+	if err := os.Rename(fresh, p.configFile); err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return nil // it starts with the new one
 	default:
 		return p.cmd.Process.Signal(syscall.SIGHUP)
@@ -161,36 +161,36 @@
 
 // kill ends the process at once.
 func (p *process) kill() {
-	if ended, ok := p.signal(syscall.SIGKILL); ok {
-		<-ended
+	if exited, ok := p.signal(syscall.SIGKILL); ok {
+		<-exited
 	}
 }
 
-// finish has the process end by itself.
-func (p *process) finish(within time.Duration) error {
-	ended, ok := p.signal(syscall.SIGTERM)
+// shutdown has the process end by itself.
+func (p *process) shutdown(within time.Duration) error {
+	exited, ok := p.signal(syscall.SIGTERM)
 	if !ok {
 		return errors.New("it had ended before it was told to")
 	}
 	t := time.NewTimer(within)
 	defer t.Stop()
 	select {
-	case <-ended:
+	case <-exited:
 	case <-t.C:
 		p.kill()
 		return fmt.Errorf("still there %v after SIGTERM", within)
 	}
 	p.mu.Lock()
-	err := p.err
+	err := p.exitErr
 	p.mu.Unlock()
 	if err != nil {
-		return fmt.Errorf("after SIGTERM: %w", p.why())
+		return fmt.Errorf("after SIGTERM: %w", p.exitReason())
 	}
 	return nil
 }
 
-// size is the process's resident memory in kB and its open descriptors; 0 where they cannot be read.
-func (p *process) size() (rss, open int) {
+// resourceUsage is the process's resident memory in kB and its open descriptors; 0 where they cannot be read.
+func (p *process) resourceUsage() (rss, open int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil || p.cmd.Process == nil {
@@ -210,8 +210,8 @@
 	return rss, len(fds)
 }
 
-// config is what a sidecar is told, in the platform's form.
-func config(p *runplan.Plan, i int, listen, discovery string, known standin.List) []byte {
+// sidecarConfig is what a sidecar is told, in the platform's form.
+func sidecarConfig(p *runplan.Plan, i int, listen, discovery string, known standin.List) []byte {
 	s := p.Scenario
 	type object = map[string]any
 	var classes, tenants []object
--- a/internal/lab/sockets/sockets.go
+++ b/internal/lab/sockets/sockets.go
@@ -28,59 +28,59 @@
 
 // Options are the parts of a run.
 type Options struct {
-	Command  []string // of one sidecar, which reads PROXY_CONFIG
-	Sink     record.Sink
-	Progress func(at time.Duration) // about each second; may be nil
-	Sidecars io.Writer              // what sidecars log; may be nil
+	Command    []string // of one sidecar, which reads PROXY_CONFIG
+	Sink       record.Sink
+	Progress   func(at time.Duration) // about each second; may be nil
+	SidecarLog io.Writer              // what sidecars log; may be nil
 }
 
 // Result is what a run tells of itself.
 type Result struct {
-	Late     time.Duration // the latest request was sent so much behind its time
-	MostRSS  int           // kB resident of the largest sidecar at the end
-	MostOpen int           // descriptors of the one with most at the end
+	MaxSendDelay   time.Duration // the latest request was sent so much behind its time
+	MaxRSS         int           // kB resident of the largest sidecar at the end
+	MaxDescriptors int           // descriptors of the one with most at the end
 }
 
 const (
-	readyWithin = 10 * time.Second
-	endWithin   = 8 * time.Second // from SIGTERM to the end of a sidecar
-	patience    = 250 * time.Millisecond
-	lateMost    = 50 * time.Millisecond // answers later than this after the client's time are breaches
+	readyTimeout     = 10 * time.Second
+	shutdownTimeout  = 8 * time.Second // from SIGTERM to the end of a sidecar
+	responseGrace    = 250 * time.Millisecond
+	maxResponseDelay = 50 * time.Millisecond // answers later than this after the client's time are breaches
 )
 
-// Slack is how late an answer may be on this plane before the checker calls it late.
-const Slack = lateMost
+// ResponseSlack is how late an answer may be on this plane before the checker calls it late.
+const ResponseSlack = maxResponseDelay
 
-// world is a running day.
-type world struct {
-	p    *runplan.Plan
-	opt  Options
-	log  *standin.Log
-	book *standin.RequestRegistry
-	rng  *rand.Rand
-	dir  string
+// run is a running day.
+type run struct {
+	plan      *runplan.Plan
+	options   Options
+	log       *standin.Log
+	requests  *standin.RequestRegistry
+	rng       *rand.Rand
+	directory string
 
-	nodes    []*standin.Node
-	listen   []net.Listener // of nodes that have not begun
-	addr     []string       // of nodes, kept over restarts
-	starts   []time.Duration
-	pods     map[int]*servermodel.Pod
-	lives    []int
-	links    [][]*standin.Link // by sidecar and node
-	cut      []bool
-	mute     []bool
-	cutAsk   []float64 // by node
-	cutAns   []float64
-	disc     []*standin.Discovery
-	side     []*process
-	clients  []*standin.Clients
-	told     []time.Duration
-	restarts sync.WaitGroup
+	servers           []*standin.Node
+	listeners         []net.Listener // of nodes that have not begun
+	serverAddresses   []string       // of nodes, kept over restarts
+	startTimes        []time.Duration
+	pods              map[int]*servermodel.Pod
+	incarnations      []int
+	links             [][]*standin.Link // by sidecar and node
+	isolatedZones     []bool
+	isolatedServers   []bool
+	requestCutShares  []float64 // by node
+	responseCutShares []float64
+	discoveries       []*standin.Discovery
+	sidecars          []*process
+	clients           []*standin.Clients
+	lastNotices       []time.Duration
+	restarts          sync.WaitGroup
 }
 
 // Run plays a plan to its end. What it started has ended when it returns, also after an error.
 func Run(ctx context.Context, p *runplan.Plan, opt Options) (res Result, err error) {
-	if err := enough(p); err != nil {
+	if err := checkDescriptorLimit(p); err != nil {
 		return res, err
 	}
 	dir, err := os.MkdirTemp("", "milletramp-lab-")
@@ -88,23 +88,23 @@
 		return res, fmt.Errorf("lab: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	w := &world{p: p, opt: opt, log: standin.NewLog(), book: standin.NewRequestRegistry(), dir: dir,
-		rng: rand.New(rand.NewPCG(p.Seed, 0x50c7)), pods: map[int]*servermodel.Pod{}, cut: make([]bool, len(p.Scenario.Fleet.Zones)),
-		mute: make([]bool, len(p.Machines)), cutAsk: make([]float64, len(p.Machines)), cutAns: make([]float64, len(p.Machines)), lives: make([]int, len(p.Machines)), starts: make([]time.Duration, len(p.Machines)),
-		told: make([]time.Duration, p.Scenario.Fleet.Sidecars)}
-	defer w.close()
-	if err := w.build(ctx); err != nil {
+	r := &run{plan: p, options: opt, log: standin.NewLog(), requests: standin.NewRequestRegistry(), directory: dir,
+		rng: rand.New(rand.NewPCG(p.Seed, 0x50c7)), pods: map[int]*servermodel.Pod{}, isolatedZones: make([]bool, len(p.Scenario.Fleet.Zones)),
+		isolatedServers: make([]bool, len(p.Machines)), requestCutShares: make([]float64, len(p.Machines)), responseCutShares: make([]float64, len(p.Machines)), incarnations: make([]int, len(p.Machines)), startTimes: make([]time.Duration, len(p.Machines)),
+		lastNotices: make([]time.Duration, p.Scenario.Fleet.Sidecars)}
+	defer r.close()
+	if err := r.build(ctx); err != nil {
 		return res, err
 	}
-	if err := w.play(ctx, &res); err != nil {
+	if err := r.play(ctx, &res); err != nil {
 		return res, err
 	}
-	w.report()
+	r.recordEvents()
 	return res, nil
 }
 
-// enough says whether the machine allows as many descriptors as the plan needs.
-func enough(p *runplan.Plan) error {
+// checkDescriptorLimit says whether the machine allows as many descriptors as the plan needs.
+func checkDescriptorLimit(p *runplan.Plan) error {
 	f := p.Scenario.Fleet
 	need := uint64(len(p.Machines)*(f.Sidecars+1)*2 + f.Sidecars*600 + int(p.Scenario.Rate()*2))
 	var limit syscall.Rlimit
@@ -122,407 +122,409 @@
 	return nil
 }
 
-func (w *world) build(ctx context.Context) error {
-	s := w.p.Scenario
-	for i, m := range w.p.Machines {
-		n := standin.NewNode(standin.NodeOptions{Number: int32(i), Requests: w.book, Log: w.log, ConnCap: s.Fleet.ConnCap,
+func (r *run) build(ctx context.Context) error {
+	s := r.plan.Scenario
+	for i, m := range r.plan.Machines {
+		n := standin.NewNode(standin.NodeOptions{Number: int32(i), Requests: r.requests, Log: r.log, ConnCap: s.Fleet.ConnCap,
 			Handshake: s.Fleet.HandshakeWork.Std(), IdleTimeout: s.Fleet.IdleClose.Std(), StopsOnCancel: s.Fleet.StopsWork})
 		// Each node has an IP address of its own, so that no outgoing connection takes its port while it is down.
-		l, err := net.Listen("tcp", host(nodeNet, i))
+		l, err := net.Listen("tcp", loopbackAddress(serverNetwork, i))
 		if err != nil {
 			return fmt.Errorf("node %d: %w", i, err)
 		}
-		w.nodes, w.addr = append(w.nodes, n), append(w.addr, l.Addr().String())
+		r.servers, r.serverAddresses = append(r.servers, n), append(r.serverAddresses, l.Addr().String())
 		if m.StartsAt > 0 {
 			_ = l.Close()
 			l = nil
 		}
-		w.listen = append(w.listen, l)
+		r.listeners = append(r.listeners, l)
 	}
-	number := func(uid string) int32 {
-		return int32(slices.IndexFunc(w.p.Machines, func(m runplan.Machine) bool { return m.ID == uid }))
+	serverIndex := func(uid string) int32 {
+		return int32(slices.IndexFunc(r.plan.Machines, func(m runplan.Machine) bool { return m.ID == uid }))
 	}
 	for i := range s.Fleet.Sidecars {
 		var links []*standin.Link
-		for n := range w.p.Machines {
-			k, err := standin.NewLink(standin.SidecarIP(i), w.addr[n], w.way(i, n), w.p.Seed+uint64(i*1000+n))
+		for n := range r.plan.Machines {
+			k, err := standin.NewLink(standin.SidecarIP(i), r.serverAddresses[n], r.linkCondition(i, n), r.plan.Seed+uint64(i*1000+n))
 			if err != nil {
 				return err
 			}
 			links = append(links, k)
 		}
-		w.links = append(w.links, links)
+		r.links = append(r.links, links)
 		var first []standin.Entry
-		for n, m := range w.p.Machines {
+		for n, m := range r.plan.Machines {
 			if m.StartsAt == 0 {
-				first = append(first, w.entry(i, n, record.Serving))
+				first = append(first, r.entry(i, n, record.Serving))
 			}
 		}
-		d, err := standin.NewDiscovery(int32(i), first, w.log, number)
+		d, err := standin.NewDiscovery(int32(i), first, r.log, serverIndex)
 		if err != nil {
 			return err
 		}
-		w.disc = append(w.disc, d)
-		address, err := free(host(sideNet, i))
+		r.discoveries = append(r.discoveries, d)
+		address, err := reservePort(loopbackAddress(sidecarNetwork, i))
 		if err != nil {
 			return fmt.Errorf("sidecar %d: %w", i, err)
 		}
-		w.side = append(w.side, &process{address: address, name: fmt.Sprintf("n%d", i), command: w.opt.Command, log: w.opt.Sidecars,
-			file: filepath.Join(w.dir, fmt.Sprintf("n%d.json", i))})
+		r.sidecars = append(r.sidecars, &process{address: address, name: fmt.Sprintf("n%d", i), command: r.options.Command, log: r.options.SidecarLog,
+			configFile: filepath.Join(r.directory, fmt.Sprintf("n%d.json", i))})
 	}
 	var starting sync.WaitGroup
-	failures := make(chan error, len(w.side))
-	for i := range w.side {
+	errs := make(chan error, len(r.sidecars))
+	for i := range r.sidecars {
 		starting.Add(1)
 		go func() {
 			defer starting.Done()
-			failures <- w.start(ctx, i)
+			errs <- r.startSidecar(ctx, i)
 		}()
 	}
 	starting.Wait()
-	close(failures)
-	var all error
-	for err := range failures {
-		all = errors.Join(all, err)
+	close(errs)
+	var joined error
+	for err := range errs {
+		joined = errors.Join(joined, err)
 	}
-	return all
+	return joined
 }
 
-// way is the condition of the link between a sidecar and a node as things stand.
-func (w *world) way(i, n int) standin.LinkCondition {
-	net := w.p.Scenario.Network
-	zone, at := i%len(w.p.Scenario.Fleet.Zones), w.p.Machines[n].Zone
-	way := standin.LinkCondition{ResetAfter: w.cutAsk[n], Truncate: w.cutAns[n], Delay: net.Same.Std(), JitterFraction: net.Jitter, HandshakeRoundTrips: w.p.Scenario.Fleet.HandshakeRTTs,
-		Blackhole: w.mute[n] || zone != at && (w.cut[zone] || w.cut[at])}
+// linkCondition is the condition of the link between a sidecar and a node as things stand.
+func (r *run) linkCondition(i, n int) standin.LinkCondition {
+	net := r.plan.Scenario.Network
+	zone, at := i%len(r.plan.Scenario.Fleet.Zones), r.plan.Machines[n].Zone
+	condition := standin.LinkCondition{ResetAfter: r.requestCutShares[n], Truncate: r.responseCutShares[n], Delay: net.Same.Std(), JitterFraction: net.Jitter, HandshakeRoundTrips: r.plan.Scenario.Fleet.HandshakeRTTs,
+		Blackhole: r.isolatedServers[n] || zone != at && (r.isolatedZones[zone] || r.isolatedZones[at])}
 	if zone != at {
-		way.Delay = net.Cross.Std()
+		condition.Delay = net.Cross.Std()
 	}
-	return way
+	return condition
 }
 
-// rewire sets all links anew. Each may take some time.
-func (w *world) rewire() {
-	var all sync.WaitGroup
-	for i := range w.links {
-		for n := range w.links[i] {
-			way := w.way(i, n)
-			all.Add(1)
+// updateLinks sets all links anew. Each may take some time.
+func (r *run) updateLinks() {
+	var updates sync.WaitGroup
+	for i := range r.links {
+		for n := range r.links[i] {
+			condition := r.linkCondition(i, n)
+			updates.Add(1)
 			go func() {
-				defer all.Done()
-				w.links[i][n].SetCondition(way)
+				defer updates.Done()
+				r.links[i][n].SetCondition(condition)
 			}()
 		}
 	}
-	all.Wait()
+	updates.Wait()
 }
 
-func (w *world) entry(i, n int, state record.State) standin.Entry {
-	m := w.p.Machines[n]
-	e := standin.Entry{UID: m.ID, Endpoint: w.links[min(i, len(w.links)-1)][n].Address(), AZ: w.p.Scenario.Fleet.Zones[m.Zone],
+func (r *run) entry(i, n int, state record.State) standin.Entry {
+	m := r.plan.Machines[n]
+	e := standin.Entry{UID: m.ID, Endpoint: r.links[min(i, len(r.links)-1)][n].Address(), AZ: r.plan.Scenario.Fleet.Zones[m.Zone],
 		Model: m.Kind, PodGroup: m.PodGroup, State: standin.States[state], Capacity: m.Weight}
-	if w.starts[n] > 0 {
-		e.BootMS = w.log.Start().Add(w.starts[n]).UnixMilli()
+	if r.startTimes[n] > 0 {
+		e.BootMS = r.log.Start().Add(r.startTimes[n]).UnixMilli()
 	}
 	return e
 }
 
-// raise begins a process of a node.
-func (w *world) raise(n int, l net.Listener, started time.Duration) {
-	m, f := w.p.Machines[n], w.p.Scenario.Fleet
+// startServer begins a process of a node.
+func (r *run) startServer(n int, l net.Listener, started time.Duration) {
+	m, f := r.plan.Machines[n], r.plan.Scenario.Fleet
 	spec := m.Spec
 	spec.StartedAt = started
-	pod := w.pods[m.PodGroup]
+	pod := r.pods[m.PodGroup]
 	if pod == nil {
-		pod = servermodel.NewPod(w.p.DedupeWindow())
-		w.pods[m.PodGroup] = pod
+		pod = servermodel.NewPod(r.plan.DedupeWindow())
+		r.pods[m.PodGroup] = pod
 	}
-	w.starts[n] = started
-	w.lives[n]++
+	r.startTimes[n] = started
+	r.incarnations[n]++
 	keys := servermodel.KeySettings{Saving: f.KeyGain, Lifetime: f.KeyFor.Std(), Max: f.KeysPerCore * spec.Cores}
-	w.nodes[n].Start(l, servermodel.NewServer(servermodel.NewProcessor(spec, w.log.Now()), pod, keys,
-		rand.New(rand.NewPCG(w.p.Seed, uint64(n)<<20+uint64(w.lives[n])))))
-	w.log.Add(record.Event{Kind: record.NodeStarted, Node: int32(n), Capacity: float64(spec.Cores) * spec.Speed, Boot: started})
+	r.servers[n].Start(l, servermodel.NewServer(servermodel.NewProcessor(spec, r.log.Now()), pod, keys,
+		rand.New(rand.NewPCG(r.plan.Seed, uint64(n)<<20+uint64(r.incarnations[n])))))
+	r.log.Add(record.Event{Kind: record.NodeStarted, Node: int32(n), Capacity: float64(spec.Cores) * spec.Speed, Boot: started})
 }
 
-// start starts a sidecar and waits until it is ready.
-func (w *world) start(ctx context.Context, i int) error {
-	p := w.side[i]
-	if err := p.start(config(w.p, i, p.address, w.disc[i].Address(), w.disc[i].Snapshot())); err != nil {
+// startSidecar starts a sidecar and waits until it is ready.
+func (r *run) startSidecar(ctx context.Context, i int) error {
+	p := r.sidecars[i]
+	if err := p.start(sidecarConfig(r.plan, i, p.address, r.discoveries[i].Address(), r.discoveries[i].Snapshot())); err != nil {
 		return fmt.Errorf("sidecar %s: %w", p.name, err)
 	}
-	if err := p.ready(ctx, p.address); err != nil {
+	if err := p.waitReady(ctx, p.address); err != nil {
 		return fmt.Errorf("sidecar %s: %w", p.name, err)
 	}
 	return nil
 }
 
-// restart kills a sidecar and starts it again. Its clients hold back meanwhile, as a request to a process that is not
+// restartSidecar kills a sidecar and starts it again. Its clients hold back meanwhile, as a request to a process that is not
 // there is not taken; what crosses the end on a connection goes down with it.
-func (w *world) restart(ctx context.Context, i int) error {
-	w.clients[i].SetAddress("")
-	w.side[i].kill()
-	w.log.Add(record.Event{Kind: record.SidecarDown, Sidecar: int32(i)})
-	if err := w.start(ctx, i); err != nil {
+func (r *run) restartSidecar(ctx context.Context, i int) error {
+	r.clients[i].SetAddress("")
+	r.sidecars[i].kill()
+	r.log.Add(record.Event{Kind: record.SidecarDown, Sidecar: int32(i)})
+	if err := r.startSidecar(ctx, i); err != nil {
 		return err
 	}
-	w.log.Add(record.Event{Kind: record.SidecarDown, Sidecar: int32(i)})
-	w.clients[i].SetAddress(w.side[i].address)
+	r.log.Add(record.Event{Kind: record.SidecarDown, Sidecar: int32(i)})
+	r.clients[i].SetAddress(r.sidecars[i].address)
 	return nil
 }
 
 // play runs the day.
-func (w *world) play(ctx context.Context, res *Result) error {
-	s := w.p.Scenario
+func (r *run) play(ctx context.Context, res *Result) error {
+	s := r.plan.Scenario
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	keys := workload.NewZipf(s.Load.Keys, s.Load.Zipf)
 	var ids atomic.Uint64
-	for i := range w.side {
-		c := standin.NewClients(standin.ClientOptions{Sidecar: int32(i), Scenario: s, Requests: w.book, Log: w.log, IDs: &ids,
-			ResponseGrace: patience}, w.p.Seed)
-		c.SetAddress(w.side[i].address)
-		w.clients = append(w.clients, c)
-	}
-	w.log.Begin() // the day begins now, and with it the nodes' clocks
-	for i, l := range w.listen {
+	for i := range r.sidecars {
+		c := standin.NewClients(standin.ClientOptions{Sidecar: int32(i), Scenario: s, Requests: r.requests, Log: r.log, IDs: &ids,
+			ResponseGrace: responseGrace}, r.plan.Seed)
+		c.SetAddress(r.sidecars[i].address)
+		r.clients = append(r.clients, c)
+	}
+	r.log.Begin() // the day begins now, and with it the nodes' clocks
+	for i, l := range r.listeners {
 		if l != nil {
-			w.raise(i, l, 0)
+			r.startServer(i, l, 0)
 		}
 	}
-	w.listen = nil
-	for i := range w.side {
-		w.side[i].watch(func(err error) { cancel(fmt.Errorf("sidecar n%d ended: %w", i, err)) })
+	r.listeners = nil
+	for i := range r.sidecars {
+		r.sidecars[i].notifyUnexpectedExit(func(err error) { cancel(fmt.Errorf("sidecar n%d ended: %w", i, err)) })
 	}
 	var running sync.WaitGroup
-	late := make([]time.Duration, len(w.clients))
-	for i, c := range w.clients {
+	delays := make([]time.Duration, len(r.clients))
+	for i, c := range r.clients {
 		running.Add(1)
 		go func() {
 			defer running.Done()
-			late[i] = c.Run(ctx, workload.NewSource(s, i, w.p.Seed, keys))
+			delays[i] = c.Run(ctx, workload.NewSource(s, i, r.plan.Seed, keys))
 		}()
 	}
-	acting := make(chan struct{})
+	actionsDone := make(chan struct{})
 	go func() {
-		defer close(acting)
-		w.acts(ctx, cancel)
+		defer close(actionsDone)
+		r.runActions(ctx, cancel)
 	}()
-	over := make(chan struct{})
+	clientsDone := make(chan struct{})
 	go func() {
 		running.Wait()
-		close(over)
+		close(clientsDone)
 	}()
-	beat := time.NewTicker(time.Second)
-	defer beat.Stop()
+	progressTicker := time.NewTicker(time.Second)
+	defer progressTicker.Stop()
 	for done := false; !done; {
 		select {
-		case <-over:
+		case <-clientsDone:
 			done = true
-		case <-beat.C:
-			if w.opt.Progress != nil {
-				w.opt.Progress(w.log.Now())
+		case <-progressTicker.C:
+			if r.options.Progress != nil {
+				r.options.Progress(r.log.Now())
 			}
 		}
 	}
-	<-acting
-	w.restarts.Wait()
+	<-actionsDone
+	r.restarts.Wait()
 	if err := context.Cause(ctx); err != nil {
-		return fmt.Errorf("interrupted at %v of %v: %w", w.log.Now().Round(time.Millisecond), s.Length.Std(), err)
+		return fmt.Errorf("interrupted at %v of %v: %w", r.log.Now().Round(time.Millisecond), s.Length.Std(), err)
 	}
-	for _, l := range late {
-		res.Late = max(res.Late, l)
+	for _, l := range delays {
+		res.MaxSendDelay = max(res.MaxSendDelay, l)
 	}
-	for _, p := range w.side {
-		rss, open := p.size()
-		res.MostRSS, res.MostOpen = max(res.MostRSS, rss), max(res.MostOpen, open)
+	for _, p := range r.sidecars {
+		rss, open := p.resourceUsage()
+		res.MaxRSS, res.MaxDescriptors = max(res.MaxRSS, rss), max(res.MaxDescriptors, open)
 	}
-	return w.stop()
+	return r.stopSidecars()
 }
 
-// stop ends the sidecars as a planned restart would, and has them finish.
-func (w *world) stop() error {
-	var all error
-	var ending sync.WaitGroup
+// stopSidecars ends the sidecars as a planned restart would, and has them finish.
+func (r *run) stopSidecars() error {
+	var joined error
+	var stopping sync.WaitGroup
 	var mu sync.Mutex
-	for _, p := range w.side {
-		ending.Add(1)
+	for _, p := range r.sidecars {
+		stopping.Add(1)
 		go func() {
-			defer ending.Done()
-			if err := p.finish(endWithin); err != nil {
+			defer stopping.Done()
+			if err := p.shutdown(shutdownTimeout); err != nil {
 				mu.Lock()
-				all = errors.Join(all, fmt.Errorf("sidecar %s: %w", p.name, err))
+				joined = errors.Join(joined, fmt.Errorf("sidecar %s: %w", p.name, err))
 				mu.Unlock()
 			}
 		}()
 	}
-	ending.Wait()
-	return all
+	stopping.Wait()
+	return joined
 }
 
 // close ends whatever is left.
-func (w *world) close() {
-	for _, p := range w.side {
+func (r *run) close() {
+	for _, p := range r.sidecars {
 		p.kill()
 	}
-	for _, d := range w.disc {
+	for _, d := range r.discoveries {
 		d.Close()
 	}
-	for _, n := range w.nodes {
+	for _, n := range r.servers {
 		n.Kill()
 	}
-	for _, l := range w.listen {
+	for _, l := range r.listeners {
 		if l != nil {
 			_ = l.Close()
 		}
 	}
-	var all sync.WaitGroup
-	for _, links := range w.links {
+	var closing sync.WaitGroup
+	for _, links := range r.links {
 		for _, k := range links {
-			all.Add(1)
+			closing.Add(1)
 			go func() {
-				defer all.Done()
+				defer closing.Done()
 				k.Close()
 			}()
 		}
 	}
-	all.Wait()
+	closing.Wait()
 }
 
-// report hands the record to the sink, in the order of time.
-func (w *world) report() {
-	events := w.log.Events()
+// recordEvents hands the record to the sink, in the order of time.
+func (r *run) recordEvents() {
+	events := r.log.Events()
 	slices.SortStableFunc(events, func(a, b record.Event) int { return cmp.Compare(a.At, b.At) })
 	for i := range events {
-		w.opt.Sink.Record(&events[i])
+		r.options.Sink.Record(&events[i])
 	}
-	for i, n := range w.nodes {
-		w.opt.Sink.Record(&record.Event{At: w.log.Now(), Kind: record.NodeWork, Node: int32(i), Work: n.Worked()})
+	for i, n := range r.servers {
+		r.options.Sink.Record(&record.Event{At: r.log.Now(), Kind: record.NodeWork, Node: int32(i), Work: n.Worked()})
 	}
 }
 
-// acts does the plan's acts in their time.
-func (w *world) acts(ctx context.Context, fail context.CancelCauseFunc) {
-	for _, a := range w.p.Actions {
-		t := time.NewTimer(max(a.At-w.log.Now(), 0))
+// runActions does the plan's acts in their time.
+func (r *run) runActions(ctx context.Context, fail context.CancelCauseFunc) {
+	for _, a := range r.plan.Actions {
+		t := time.NewTimer(max(a.At-r.log.Now(), 0))
 		select {
 		case <-t.C:
 		case <-ctx.Done():
 			t.Stop()
 			return
 		}
-		if err := w.act(ctx, a, fail); err != nil {
+		if err := r.apply(ctx, a, fail); err != nil {
 			fail(err)
 			return
 		}
 	}
 }
 
-func (w *world) act(ctx context.Context, a runplan.Action, fail context.CancelCauseFunc) error {
+func (r *run) apply(ctx context.Context, a runplan.Action, fail context.CancelCauseFunc) error {
 	n := a.Node
-	change := func(do func(s *servermodel.Server, now time.Duration)) { w.nodes[n].Change(do) }
+	changeServer := func(do func(s *servermodel.Server, now time.Duration)) { r.servers[n].Change(do) }
 	switch a.Kind {
 	case runplan.FaultOver:
-		w.log.Add(record.Event{Kind: record.FaultOver})
+		r.log.Add(record.Event{Kind: record.FaultOver})
 	case runplan.CutZone:
-		w.cut[n] = a.On
-		w.rewire()
+		r.isolatedZones[n] = a.On
+		r.updateLinks()
 	case runplan.IsolateNode:
-		w.mute[n] = a.On
-		w.rewire()
+		r.isolatedServers[n] = a.On
+		r.updateLinks()
 	case runplan.CutRequestShare:
-		w.cutAsk[n] = a.Value
-		w.rewire()
+		r.requestCutShares[n] = a.Value
+		r.updateLinks()
 	case runplan.CutResponseShare:
-		w.cutAns[n] = a.Value
-		w.rewire()
+		r.responseCutShares[n] = a.Value
+		r.updateLinks()
 	case runplan.SilenceDiscovery:
-		for _, d := range w.disc {
+		for _, d := range r.discoveries {
 			d.SetStalled(a.On)
 		}
 	case runplan.CutWatch:
-		for _, d := range w.disc {
+		for _, d := range r.discoveries {
 			d.TruncateNext()
 		}
 	case runplan.RewindWatch:
-		for _, d := range w.disc {
+		for _, d := range r.discoveries {
 			d.Rollback()
 		}
 	case runplan.MoveWatch:
-		return w.move()
+		return r.moveDiscovery()
 	case runplan.RestartSidecar:
-		w.restarts.Add(1)
+		r.restarts.Add(1)
 		go func() { // acts of this moment are not to wait for it
-			defer w.restarts.Done()
-			if err := w.restart(ctx, n); err != nil {
+			defer r.restarts.Done()
+			if err := r.restartSidecar(ctx, n); err != nil {
 				fail(err)
 			}
 		}()
 	case runplan.StartNode, runplan.RestartNode:
-		l, err := net.Listen("tcp", w.addr[n])
+		l, err := net.Listen("tcp", r.serverAddresses[n])
 		if err != nil {
 			return fmt.Errorf("node %d: %w", n, err)
 		}
-		w.raise(n, l, max(w.log.Now(), 1))
-		w.tell(n, record.Serving)
+		r.startServer(n, l, max(r.log.Now(), 1))
+		r.notify(n, record.Serving)
 	case runplan.DrainNode:
-		w.tell(n, record.Draining)
+		r.notify(n, record.Draining)
 	case runplan.RemoveNode:
-		w.nodes[n].Kill()
-		w.tell(n, record.Gone)
+		r.servers[n].Kill()
+		r.notify(n, record.Gone)
 	case runplan.CrashNode:
-		w.nodes[n].Kill()
+		r.servers[n].Kill()
 	case runplan.SlowNode:
-		change(func(s *servermodel.Server, now time.Duration) { s.SetSlowdown(now, a.Value) })
+		changeServer(func(s *servermodel.Server, now time.Duration) { s.SetSlowdown(now, a.Value) })
 	case runplan.LoseClass:
-		change(func(s *servermodel.Server, _ time.Duration) { s.Faults.SwallowedClasses[a.Class] = a.On })
+		changeServer(func(s *servermodel.Server, _ time.Duration) { s.Faults.SwallowedClasses[a.Class] = a.On })
 	case runplan.RejectClass:
-		change(func(s *servermodel.Server, _ time.Duration) { s.Faults.RejectedClasses[a.Class] = a.On })
+		changeServer(func(s *servermodel.Server, _ time.Duration) { s.Faults.RejectedClasses[a.Class] = a.On })
 	case runplan.LoseShare:
-		change(func(s *servermodel.Server, _ time.Duration) { s.Faults.LossShare = a.Value })
+		changeServer(func(s *servermodel.Server, _ time.Duration) { s.Faults.LossShare = a.Value })
 	case runplan.ErrorShare:
-		change(func(s *servermodel.Server, _ time.Duration) { s.Faults.ErrorShare = a.Value })
+		changeServer(func(s *servermodel.Server, _ time.Duration) { s.Faults.ErrorShare = a.Value })
 	case runplan.GarbleShare:
-		change(func(s *servermodel.Server, _ time.Duration) { s.Faults.MalformedShare = a.Value })
+		changeServer(func(s *servermodel.Server, _ time.Duration) { s.Faults.MalformedShare = a.Value })
 	}
 	return nil
 }
 
-// oldWatches is how long a discovery that has moved leaves its old connections open.
-const oldWatches = 1500 * time.Millisecond
+// oldWatchLifetime is how long a discovery that has moved leaves its old connections open.
+const oldWatchLifetime = 1500 * time.Millisecond
 
-// move has every discovery move, and tells the sidecars by a reload.
-func (w *world) move() error {
-	for i, d := range w.disc {
-		if err := d.Move(oldWatches); err != nil {
+// moveDiscovery has every discovery move, and tells the sidecars by a reload.
+func (r *run) moveDiscovery() error {
+	for i, d := range r.discoveries {
+		if err := d.Move(oldWatchLifetime); err != nil {
 			return err
 		}
-		p := w.side[i]
-		if err := p.reload(config(w.p, i, p.address, d.Address(), d.Snapshot())); err != nil {
+		p := r.sidecars[i]
+		if err := p.reload(sidecarConfig(r.plan, i, p.address, d.Address(), d.Snapshot())); err != nil {
 			return fmt.Errorf("sidecar %s: %w", p.name, err)
 		}
 	}
 	return nil
 }
 
-// tell has every sidecar's discovery tell of a node, some time later and in order.
-func (w *world) tell(n int, state record.State) {
-	notice := w.p.Scenario.Notice
-	for i, d := range w.disc {
-		at := w.log.Now() + notice.From.Std() + time.Duration(w.rng.Float64()*float64(notice.To-notice.From))
-		w.told[i] = max(w.told[i]+time.Millisecond, at)
-		e := w.entry(i, n, state)
-		time.AfterFunc(w.told[i]-w.log.Now(), func() { d.Publish(e) })
+// notify has every sidecar's discovery tell of a node, some time later and in order.
+func (r *run) notify(n int, state record.State) {
+	notice := r.plan.Scenario.Notice
+	for i, d := range r.discoveries {
+		at := r.log.Now() + notice.From.Std() + time.Duration(r.rng.Float64()*float64(notice.To-notice.From))
+		r.lastNotices[i] = max(r.lastNotices[i]+time.Millisecond, at)
+		e := r.entry(i, n, state)
+		time.AfterFunc(r.lastNotices[i]-r.log.Now(), func() { d.Publish(e) })
 	}
 }
 
 // The second numbers of the loopback addresses of nodes and sidecars.
-const nodeNet, sideNet = 10, 20
+const serverNetwork, sidecarNetwork = 10, 20
 
-// host is an address on loopback of its own, with any port.
-func host(network, i int) string { return fmt.Sprintf("127.%d.%d.%d:0", network, i/200, 1+i%200) }
+// loopbackAddress is an address on loopback of its own, with any port.
+func loopbackAddress(network, i int) string {
+	return fmt.Sprintf("127.%d.%d.%d:0", network, i/200, 1+i%200)
+}
 
-// free finds a port at an address that nobody listens at.
-func free(address string) (string, error) {
+// reservePort finds a port at an address that nobody listens at.
+func reservePort(address string) (string, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return "", err
--- a/internal/lab/terms_test.go
+++ b/internal/lab/terms_test.go
@@ -13,8 +13,8 @@
 func TestSocketTerms(t *testing.T) {
 	drawn := runplan.Draw(load(t, "short-calm"), 1)
 	calm := socketTerms(drawn, 0)
-	if calm.ResponseSlack != sockets.Slack {
-		t.Errorf("with nothing late the slack is %v, want %v", calm.ResponseSlack, sockets.Slack)
+	if calm.ResponseSlack != sockets.ResponseSlack {
+		t.Errorf("with nothing late the slack is %v, want %v", calm.ResponseSlack, sockets.ResponseSlack)
 	}
 	for _, tt := range []struct{ late, excused time.Duration }{{52 * time.Millisecond, 52 * time.Millisecond}, {5 * time.Second, mostExcused}} {
 		got := socketTerms(drawn, tt.late)
