--- a/internal/lab/sockets/process.go
+++ b/internal/lab/sockets/process.go
@@ -1,8 +1,8 @@
 package sockets
 
 import (
+	"bufio"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -16,29 +16,32 @@
 	"sync"
 	"syscall"
 	"time"
+)
 
-	"milletramp.example/milletramp/internal/lab/runplan"
-	"milletramp.example/milletramp/internal/standin"
+const (
+	readyTimeout    = 10 * time.Second
+	readyInterval   = 10 * time.Millisecond // between two health checks
+	shutdownTimeout = 8 * time.Second       // from SIGTERM to the exit of a sidecar
 )
 
-// process is one sidecar, over its restarts.
+// process is the process of one sidecar, over its restarts.
 type process struct {
 	name       string
 	command    []string
-	configFile string // its configuration
-	log        io.Writer
+	configFile string
+	log        io.Writer // receives the log of the process; may be nil
 	address    string
 
 	mu               sync.Mutex
 	cmd              *exec.Cmd
 	exited           chan struct{}
 	exitErr          error
-	lastLogLine      string // line of its log
-	stopRequested    bool   // its end is: it was killed or told to finish
+	lastLogLine      string
+	stopRequested    bool // a signal to stop was sent
 	onUnexpectedExit func(error)
 }
 
-// start starts a life.
+// start writes the configuration and starts the process.
 func (p *process) start(config []byte) error {
 	if err := os.WriteFile(p.configFile, config, 0o600); err != nil {
 		return fmt.Errorf("configuration: %w", err)
@@ -55,30 +58,34 @@
 	exited := p.exited
 	p.mu.Unlock()
 	started := make(chan error, 1)
-	go func() {
-		// The kernel sends the signal above when the thread ends that started the process.
-		runtime.LockOSThread()
-		defer runtime.UnlockOSThread()
-		if err := cmd.Start(); err != nil {
-			started <- fmt.Errorf("start %s: %w", p.command[0], err)
-			close(exited)
-			return
-		}
-		started <- nil
-		last := copyLines(p.log, out, p.name)
-		err := cmd.Wait()
-		p.mu.Lock()
-		p.lastLogLine, p.exitErr = last, err
-		stopRequested, notify := p.stopRequested, p.onUnexpectedExit
-		p.mu.Unlock()
-		close(exited)
-		if !stopRequested && notify != nil {
-			notify(p.exitReason())
-		}
-	}()
+	go p.supervise(cmd, out, started, exited)
 	return <-started
 }
 
+// supervise starts a command, copies its log and waits for its exit. It sends the result of the start to started and
+// closes exited at the end.
+func (p *process) supervise(cmd *exec.Cmd, out io.Reader, started chan<- error, exited chan<- struct{}) {
+	// The kernel sends the parent-death signal when the thread exits that started the process.
+	runtime.LockOSThread()
+	defer runtime.UnlockOSThread()
+	if err := cmd.Start(); err != nil {
+		started <- fmt.Errorf("start %s: %w", p.command[0], err)
+		close(exited)
+		return
+	}
+	started <- nil
+	last := copyLines(p.log, out, p.name)
+	err := cmd.Wait()
+	p.mu.Lock()
+	p.lastLogLine, p.exitErr = last, err
+	stopRequested, notify := p.stopRequested, p.onUnexpectedExit
+	p.mu.Unlock()
+	close(exited)
+	if !stopRequested && notify != nil {
+		notify(p.exitReason())
+	}
+}
+
 // exitReason returns the error of a process that exited without a request to stop.
 func (p *process) exitReason() error {
 	p.mu.Lock()
@@ -89,19 +96,19 @@
 	return fmt.Errorf("%w; its last line: %q", p.exitErr, p.lastLogLine)
 }
 
-// notifyUnexpectedExit has exited called when the process exits without a request to stop.
-func (p *process) notifyUnexpectedExit(exited func(error)) {
+// notifyUnexpectedExit registers a callback for an exit without a request to stop.
+func (p *process) notifyUnexpectedExit(callback func(error)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.onUnexpectedExit = exited
+	p.onUnexpectedExit = callback
 }
 
-// waitReady waits until the sidecar answers that it is.
+// waitReady waits until the health check of the sidecar succeeds.
 func (p *process) waitReady(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	pause := time.NewTicker(10 * time.Millisecond)
+	pause := time.NewTicker(readyInterval)
 	defer pause.Stop()
 	for {
 		r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/healthz", nil)
@@ -124,7 +131,8 @@
 	}
 }
 
-// signal sends a signal to a running process and says whether there is one.
+// signal sends a signal to the process and reports whether it was running. exited is closed when the process has
+// exited.
 func (p *process) signal(s syscall.Signal) (exited <-chan struct{}, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -140,7 +148,7 @@
 	return p.exited, p.cmd.Process.Signal(s) == nil
 }
 
-// reload has the process read a new configuration, which takes the old one's place at once.
+// reload replaces the configuration atomically and has the process read it.
 func (p *process) reload(config []byte) error {
 	fresh := p.configFile + ".new"
 	if err := os.WriteFile(fresh, config, 0o600); err != nil {
@@ -153,30 +161,30 @@
 	defer p.mu.Unlock()
 	select {
 	case <-p.exited:
-		return nil // it starts with the new one
+		return nil // it starts with the new configuration
 	default:
 		return p.cmd.Process.Signal(syscall.SIGHUP)
 	}
 }
 
-// kill ends the process at once.
+// kill kills the process and waits for its exit.
 func (p *process) kill() {
 	if exited, ok := p.signal(syscall.SIGKILL); ok {
 		<-exited
 	}
 }
 
-// shutdown has the process end by itself.
+// shutdown asks the process to exit and kills it if it does not do so in time.
 func (p *process) shutdown(within time.Duration) error {
 	exited, ok := p.signal(syscall.SIGTERM)
 	if !ok {
 		return errors.New("it had ended before it was told to")
 	}
-	t := time.NewTimer(within)
-	defer t.Stop()
+	timer := time.NewTimer(within)
+	defer timer.Stop()
 	select {
 	case <-exited:
-	case <-t.C:
+	case <-timer.C:
 		p.kill()
 		return fmt.Errorf("still there %v after SIGTERM", within)
 	}
@@ -189,8 +197,8 @@
 	return nil
 }
 
-// resourceUsage is the process's resident memory in kB and its open descriptors; 0 where they cannot be read.
-func (p *process) resourceUsage() (rss, open int) {
+// resourceUsage returns the resident memory of the process in kB and its open descriptors, or 0 if they cannot be read.
+func (p *process) resourceUsage() (rss, descriptors int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil || p.cmd.Process == nil {
@@ -210,40 +218,14 @@
 	return rss, len(fds)
 }
 
-// sidecarConfig is what a sidecar is told, in the platform's form.
-func sidecarConfig(p *runplan.Plan, i int, listen, discovery string, known standin.List) []byte {
-	s := p.Scenario
-	type object = map[string]any
-	var classes, tenants []object
-	for _, c := range s.Classes {
-		scope, window := c.Scope, c.Window.Std()
-		if scope == "" {
-			scope, window = "all", 5*time.Second
+// copyLines copies a sidecar's log line by line, each after the sidecar's name, and returns the last line.
+func copyLines(to io.Writer, from io.Reader, name string) (last string) {
+	lines := bufio.NewScanner(from)
+	for lines.Scan() {
+		last = lines.Text()
+		if to != nil {
+			fmt.Fprintf(to, "%s %s\n", name, last)
 		}
-		classes = append(classes, object{"name": c.Name, "effect": c.Effect, "group": scope, "aim_s": c.Aim.Std().Seconds(),
-			"deadline_s": c.Deadline.Std().Seconds(), "credit": c.Worth, "late_value": 0, "stream": false,
-			"window_s": window.Seconds()})
-	}
-	for _, t := range s.Tenants {
-		tenants = append(tenants, object{"name": t.Name, "allowance_per_s": t.Allowance, "share": t.Share})
-	}
-	set := p.Settings(i)
-	text, err := json.Marshal(object{
-		"name": fmt.Sprintf("n%d", i), "listen": listen, "discovery": discovery, "seed": fmt.Sprintf("%016x", set.Seed),
-		"limits": object{"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": known,
-		"settings": object{"areas": s.Fleet.Zones, "models": set.Kinds, "my_zone": set.Zone, "ordinal": i,
-			"peers_total": s.Fleet.Sidecars, "discovery": "pushed", "tier": 0, "tiers": []string{"lab"},
-			"weight_source": "nominal", "worth_by": "work", "request_classes": classes, "tenants": tenants,
-			"charges": object{"cross_zone": set.CrossZoneCharge},
-			"limits": object{"cancelling": true, "connect_timeout_s": s.Network.Connect.Std().Seconds(),
-				"idle_close_s": s.Fleet.IdleClose.Std().Seconds(), "max_retry_after_s": s.Clients.MostAfter.Std().Seconds(),
-				"most_held": 20000, "probes": true, "retry_after": true, "second_copies": true, "streams_per_conn": 1,
-				"try_limit": set.MaxAttempts},
-			"rules": object{"answer_slack_s": 0.02, "cold_s": set.SlowStartWindow.Seconds(), "start_capacity": set.SlowStartCapacity,
-				"fall_multiple": set.OverloadMultiple, "fall_s": set.OverloadWindow.Seconds(), "must_ask_in_s": 10,
-				"stop_sending_within_s": 1}}})
-	if err != nil {
-		panic(fmt.Sprintf("sockets: a configuration that cannot be written: %v", err)) // it holds plain values only
 	}
-	return text
+	return last
 }
