--- a/internal/lab/sockets/days_test.go
+++ b/internal/lab/loopback/days_test.go
@@ -1,4 +1,4 @@
-package sockets_test
+package loopback_test
 
 import (
 	"context"
--- a/internal/lab/sockets/links.go
+++ b/internal/lab/loopback/links.go
@@ -1,4 +1,4 @@
-package sockets
+package loopback
 
 import (
 	"sync"
--- a/internal/lab/sockets/run.go
+++ b/internal/lab/loopback/run.go
@@ -1,6 +1,6 @@
-// Package sockets runs a plan in real time on loopback: real sidecar processes between simulated clients, servers,
+// Package loopback runs a plan in real time on loopback: real sidecar processes between simulated clients, servers,
 // discovery services and links. It knows nothing of how a sidecar decides.
-package sockets
+package loopback
 
 import (
 	"context"
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -7,11 +7,11 @@
 	"time"
 
 	"milletramp.example/milletramp/internal/lab/checker"
+	"milletramp.example/milletramp/internal/lab/loopback"
 	"milletramp.example/milletramp/internal/lab/record"
 	"milletramp.example/milletramp/internal/lab/report"
 	"milletramp.example/milletramp/internal/lab/runplan"
 	"milletramp.example/milletramp/internal/lab/scenario"
-	"milletramp.example/milletramp/internal/lab/sockets"
 )
 
 // Player says how scenarios are played.
@@ -66,7 +66,7 @@
 	began := time.Now()
 	drawn := runplan.Draw(s, seed)
 	meter, tape := report.NewMeter(drawn), &record.Tape{}
-	res, err := sockets.Run(ctx, drawn, sockets.Options{Command: p.Sidecar, Sink: record.Sinks{meter, tape}, Progress: progress,
+	res, err := loopback.Run(ctx, drawn, loopback.Options{Command: p.Sidecar, Sink: record.Sinks{meter, tape}, Progress: progress,
 		SidecarLog: p.Log})
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", s.Name, err)
@@ -90,7 +90,7 @@
 func socketTerms(drawn *runplan.Plan, late time.Duration) checker.Limits {
 	s := drawn.Scenario
 	late = min(late, mostExcused)
-	terms := Terms(drawn, sockets.ResponseSlack+late)
+	terms := Terms(drawn, loopback.ResponseSlack+late)
 	// Where connections never come up, the wire shows no attempt while the sidecar waits for one; elsewhere an answer has
 	// to follow what was last out within the way there and the lateness of a machine that does all parts at once.
 	terms.SendGrace = s.Network.Connect.Std() + 4*s.Network.Cross.Std() // nodes are seen, not the sidecars' sending
