--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -7,11 +7,11 @@
 	"time"
 
 	"milletramp.example/milletramp/internal/lab/checker"
+	"milletramp.example/milletramp/internal/lab/loopback"
 	"milletramp.example/milletramp/internal/lab/record"
 	"milletramp.example/milletramp/internal/lab/report"
 	"milletramp.example/milletramp/internal/lab/runplan"
 	"milletramp.example/milletramp/internal/lab/scenario"
-	"milletramp.example/milletramp/internal/lab/sockets"
 )
 
 // Player says how scenarios are played.
@@ -66,18 +66,18 @@
 	began := time.Now()
 	drawn := runplan.Draw(s, seed)
 	meter, tape := report.NewMeter(drawn), &record.Tape{}
-	res, err := sockets.Run(ctx, drawn, sockets.Options{Command: p.Sidecar, Sink: record.Sinks{meter, tape}, Progress: progress,
-		Sidecars: p.Log})
+	res, err := loopback.Run(ctx, drawn, loopback.Options{Command: p.Sidecar, Sink: record.Sinks{meter, tape}, Progress: progress,
+		SidecarLog: p.Log})
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", s.Name, err)
 	}
-	judge := checker.New(socketTerms(drawn, res.Late))
+	judge := checker.New(socketTerms(drawn, res.MaxSendDelay))
 	for i := range tape.Events {
 		judge.Record(&tape.Events[i])
 	}
 	d := Judge(drawn, meter, judge)
 	d.Backend, d.Policy, d.ElapsedSeconds = "socket", p.Name(), time.Since(began).Seconds()
-	d.MaxSendDelaySeconds, d.MaxSidecarKB, d.MaxSidecarFDs = res.Late.Seconds(), res.MostRSS, res.MostOpen
+	d.MaxSendDelaySeconds, d.MaxSidecarKB, d.MaxSidecarFDs = res.MaxSendDelay.Seconds(), res.MaxRSS, res.MaxDescriptors
 	return d, nil
 }
 
@@ -90,7 +90,7 @@
 func socketTerms(drawn *runplan.Plan, late time.Duration) checker.Limits {
 	s := drawn.Scenario
 	late = min(late, mostExcused)
-	terms := Terms(drawn, sockets.Slack+late)
+	terms := Terms(drawn, loopback.ResponseSlack+late)
 	// Where connections never come up, the wire shows no attempt while the sidecar waits for one; elsewhere an answer has
 	// to follow what was last out within the way there and the lateness of a machine that does all parts at once.
 	terms.SendGrace = s.Network.ConnectTimeout.Std() + 4*s.Network.CrossZone.Std() // nodes are seen, not the sidecars' sending
