--- a/cmd/milletramp/lab_scale.go
+++ b/cmd/milletramp/lab_scale.go
@@ -40,7 +40,7 @@
 			return err
 		}
 	}
-	if over := result.Over(); len(over) > 0 {
+	if over := result.Exceeded(); len(over) > 0 {
 		return fmt.Errorf("%d figures are over their limits", len(over))
 	}
 	return nil
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -77,7 +77,7 @@
 func (d *measurement) run(ctx context.Context) error {
 	defer d.close()
 	for range d.servers {
-		s, err := d.start(0)
+		s, err := d.startServer(0)
 		if err != nil {
 			return err
 		}
@@ -100,8 +100,8 @@
 	return d.measure(ctx, dir)
 }
 
-// start starts a server, whose entry says when it booted; 0: long ago.
-func (d *measurement) start(boot int64) (server, error) {
+// startServer starts a server, whose entry says when it booted; 0: long ago.
+func (d *measurement) startServer(boot int64) (server, error) {
 	n := d.started
 	d.started++
 	l, err := d.origins.Listen(fmt.Sprintf("127.%d.%d.%d:0", 40+d.number, n/200, 1+n%200))
@@ -140,7 +140,7 @@
 		return err
 	}
 	defer func() { cancel(); _ = sidecar.Wait() }() // where it has not been waited for
-	if err := d.ready(ctx); err != nil {
+	if err := d.waitReady(ctx); err != nil {
 		return err
 	}
 	if err := d.observe(ctx, sidecar.Process.Pid); err != nil {
@@ -177,15 +177,15 @@
 
 // observe makes the requests and replaces servers, and measures the sidecar's process meanwhile.
 func (d *measurement) observe(ctx context.Context, pid int) error {
-	sampled := d.sample(pid)
+	sampled := d.sampleDescriptors(pid)
 	var replacing sync.WaitGroup
 	var replaced error
 	replacing.Add(1)
 	go func() {
 		defer replacing.Done()
-		replaced = d.replace(ctx)
+		replaced = d.replaceServers(ctx)
 	}()
-	d.figures.Served = d.load(ctx)
+	d.figures.Served = d.sendRequests(ctx)
 	replacing.Wait()
 	d.figures.Descriptors = float64(sampled())
 	memory, err := peakMemory(pid)
@@ -206,8 +206,8 @@
 	return nil
 }
 
-// ready waits until the sidecar says that it is.
-func (d *measurement) ready(ctx context.Context) error {
+// waitReady waits until the sidecar says that it is.
+func (d *measurement) waitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyWithin)
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
@@ -242,8 +242,8 @@
 	return resp.StatusCode, errors.Join(err, resp.Body.Close())
 }
 
-// load makes the requests and returns the share of them that was served.
-func (d *measurement) load(ctx context.Context) float64 {
+// sendRequests makes the requests and returns the share of them that was served.
+func (d *measurement) sendRequests(ctx context.Context) float64 {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 10}, Timeout: 3 * time.Second}
 	defer client.CloseIdleConnections()
 	every := time.NewTicker(time.Duration(float64(time.Second) / d.opt.Rate))
@@ -271,9 +271,9 @@
 	return float64(served.Load()) / float64(n)
 }
 
-// replace replaces half of the servers, one by one and in random order. Discovery publishes each replacement in one
-// message.
-func (d *measurement) replace(ctx context.Context) error {
+// replaceServers replaces half of the servers, one by one and in random order. Discovery publishes each replacement in
+// one message.
+func (d *measurement) replaceServers(ctx context.Context) error {
 	order := d.rng.Perm(len(d.live))[:len(d.live)/2]
 	begun := time.Now()
 	for i, at := range order {
@@ -283,7 +283,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		fresh, err := d.start(time.Now().UnixMilli())
+		fresh, err := d.startServer(time.Now().UnixMilli())
 		if err != nil {
 			return err
 		}
@@ -296,9 +296,9 @@
 	return nil
 }
 
-// sample counts the process's open descriptors from time to time. The function returned ends that, and returns the
-// greatest count.
-func (d *measurement) sample(pid int) func() int {
+// sampleDescriptors counts the process's open descriptors from time to time. The function returned ends that, and
+// returns the greatest count.
+func (d *measurement) sampleDescriptors(pid int) func() int {
 	end, most := make(chan struct{}), make(chan int)
 	go func() {
 		every := time.NewTicker(sampleEvery)
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -86,8 +86,8 @@
 	Limited bool
 }
 
-// Over tells whether the figure is beyond its limit.
-func (f Figure) Over() bool {
+// ExceedsLimit tells whether the figure is beyond its limit.
+func (f Figure) ExceedsLimit() bool {
 	return f.Limited && (f.Measure.Least && f.Value < f.Limit || !f.Measure.Least && f.Value > f.Limit)
 }
 
@@ -105,10 +105,10 @@
 	return all
 }
 
-// Over lists the figures that are beyond their limits.
-func (r Result) Over() (over []Figure) {
+// Exceeded lists the figures that are beyond their limits.
+func (r Result) Exceeded() (over []Figure) {
 	for _, f := range r.All() {
-		if f.Over() {
+		if f.ExceedsLimit() {
 			over = append(over, f)
 		}
 	}
@@ -121,7 +121,7 @@
 	if f.Limited {
 		limit, verdict = strconv.FormatFloat(f.Limit, 'f', 2, 64), "within"
 	}
-	if f.Over() {
+	if f.ExceedsLimit() {
 		verdict = "OVER"
 	}
 	return []string{strconv.Itoa(f.Case.Servers), strconv.Itoa(f.Case.Peers), f.Measure.Name,
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -31,7 +31,7 @@
 			tt.set(&large)
 			r := Result{Cases: []Case{{200, 300, 0}, {3200, 900, 0}}, Figures: []Figures{usual, large}}
 			var over []string
-			for _, f := range r.Over() {
+			for _, f := range r.Exceeded() {
 				over = append(over, f.Measure.Name)
 			}
 			if got := strings.Join(over, ", "); got != tt.over {
@@ -57,7 +57,7 @@
 		t.Fatal(err)
 	}
 	for _, f := range res.All() {
-		if !f.Measure.Timed && (f.Over() || f.Value == 0) {
+		if !f.Measure.Timed && (f.ExceedsLimit() || f.Value == 0) {
 			t.Errorf("%d servers, %s: %.2f, limit %.2f", f.Case.Servers, f.Measure.Name, f.Value, f.Limit)
 		}
 	}
