--- a/internal/lab/fleet/sim/cost_test.go
+++ b/internal/lab/fleet/sim/cost_test.go
@@ -47,7 +47,8 @@
 	}
 }
 
-// TestCostUnderFaults: with anything wrong between sidecars each keeps to its bound, whether they have much to say or nothing.
+// TestCostUnderFaults: with anything wrong between sidecars each keeps to its bound, whether they have much to say or
+// nothing.
 func TestCostUnderFaults(t *testing.T) {
 	if testrun.RaceEnabled {
 		t.Skip("one goroutine: played without the race detector")
@@ -65,10 +66,11 @@
 	}
 }
 
-// measureCost plays a fleet that is calm, or of which each sidecar writes of a server each 500 ms, and returns what a sidecar sends
-// in a second.
+// measureCost plays a fleet that is calm, or of which each sidecar writes of a server each 500 ms, and returns what a
+// sidecar sends in a second.
 func measureCost(n int, evidence time.Duration, faults ...faultplan.Fault) (bytes, packets float64, busy time.Duration) {
-	f := New(faultplan.Plan{Seed: 1, Sidecars: n, Servers: 60, Length: time.Minute, Faults: faults}, Options{SeedPeers: 5, EvidenceInterval: evidence})
+	plan := faultplan.Plan{Seed: 1, Sidecars: n, Servers: 60, Length: time.Minute, Faults: faults}
+	f := New(plan, Options{SeedPeers: 5, EvidenceInterval: evidence})
 	f.RunUntil(warmUp)
 	b0, p0 := f.totalSent()
 	begun := time.Now()
@@ -87,14 +89,16 @@
 	calm, packets, _ := measureCost(10, 0)
 	many, manyPackets, _ := measureCost(*maxSidecars, 0)
 	if many > 1.5*calm || manyPackets > 1.5*packets {
-		t.Errorf("calm: %.0f bytes in %.1f packets a second at 10 sidecars, %.0f in %.1f at %d", calm, packets, many, manyPackets, *maxSidecars)
+		t.Errorf("calm: %.0f bytes in %.1f packets a second at 10 sidecars, %.0f in %.1f at %d",
+			calm, packets, many, manyPackets, *maxSidecars)
 	}
 	loud, loudPackets, _ := measureCost(30, 500*time.Millisecond)
 	// Probes and their answers go beyond the bound: five or so of at most a packet's size.
 	if bound := float64(gossip.MaxBytesPerSecond + 6*gossip.MaxPacketBytes); loud > bound {
 		t.Errorf("%.0f bytes in %.1f packets a second where all write, %.0f are allowed", loud, loudPackets, bound)
 	}
-	t.Logf("bytes and packets a second and sidecar: calm %.0f, %.1f at 10 and %.0f, %.1f at %d; all write of a server twice a second: %.0f, %.1f at 30",
+	t.Logf("bytes and packets a second and sidecar: calm %.0f, %.1f at 10 and %.0f, %.1f at %d; "+
+		"all write of a server twice a second: %.0f, %.1f at 30",
 		calm, packets, many, manyPackets, *maxSidecars, loud, loudPackets)
 }
 
--- a/internal/lab/fleet/sim/fleet.go
+++ b/internal/lab/fleet/sim/fleet.go
@@ -1,8 +1,6 @@
 package sim
 
 import (
-	"container/heap"
-	"fmt"
 	"math/rand/v2"
 	"time"
 
@@ -11,16 +9,22 @@
 	"milletramp.example/milletramp/internal/lab/fleet/referee"
 )
 
-// Options say how a plan is played.
+const (
+	// randomStream selects the generator's stream, so that it differs from those that draw the plan.
+	randomStream = 0x776f726c64
+	// maxStartDelay bounds the time at which a sidecar first starts.
+	maxStartDelay = time.Second
+)
+
+// Options are the settings of a run that the plan does not give.
 type Options struct {
-	SeedPeers           int           // sidecars that each is told of; the others are found
-	SettleTime          time.Duration // behind the last fault, until copies must be equal
-	ObservationInterval time.Duration // between two looks at a sidecar; 0: only at the end
-	// Evidence has each sidecar write of a server this often; 0: never.
-	EvidenceInterval time.Duration
+	SeedPeers           int           // sidecars whose addresses each is configured with; it discovers the others
+	SettleTime          time.Duration // from the last fault until all copies must be equal
+	ObservationInterval time.Duration // between two observations of a sidecar; 0: only at the end
+	EvidenceInterval    time.Duration // between two rows of evidence that a sidecar writes; 0: it writes none
 }
 
-// Fleet is a fleet under a plan.
+// Fleet is a fleet of sidecars that runs a plan in simulated time. It is not safe for concurrent use.
 type Fleet struct {
 	Plan     faultplan.Plan
 	Sidecars []*Sidecar
@@ -30,57 +34,80 @@
 
 	options     Options
 	rng         *rand.Rand
-	now         time.Duration
-	events      eventQueue
-	scheduled   int
-	linkFreeAt  map[[2]int]time.Duration // when a narrow link is free again
-	deliveredAt map[string]map[string]time.Duration
-	callDots    map[string]replication.Dot // by call
-	processes   map[string]*Sidecar        // by address
+	scheduler   scheduler
+	linkFreeAt  map[link]time.Duration              // when a link with a bounded rate has sent what is queued
+	deliveredAt map[string]map[string]time.Duration // by call and sidecar
+	callDots    map[string]replication.Dot          // by call
+	processes   map[string]*Sidecar                 // by address
 }
 
-// New returns a fleet that has not begun.
+// New returns a fleet that is ready to run a plan from its start.
 func New(plan faultplan.Plan, options Options) *Fleet {
-	fleet := &Fleet{Plan: plan, options: options, rng: rand.New(rand.NewPCG(plan.Seed, 0x776f726c64)), linkFreeAt: map[[2]int]time.Duration{},
-		deliveredAt: map[string]map[string]time.Duration{}, callDots: map[string]replication.Dot{}, processes: map[string]*Sidecar{}}
-	fleet.Record.Lost = map[string]bool{}
+	f := &Fleet{
+		Plan:        plan,
+		options:     options,
+		rng:         rand.New(rand.NewPCG(plan.Seed, randomStream)),
+		linkFreeAt:  map[link]time.Duration{},
+		deliveredAt: map[string]map[string]time.Duration{},
+		callDots:    map[string]replication.Dot{},
+		processes:   map[string]*Sidecar{},
+	}
+	f.Record.Lost = map[string]bool{}
 	for i := range plan.Sidecars {
-		s := &Sidecar{Name: fmt.Sprintf("n%d", i), Index: i, fleet: fleet, address: sidecarAddress(i)}
-		fleet.Sidecars = append(fleet.Sidecars, s)
-		fleet.processes[s.address] = s
-		fleet.schedule(time.Duration(fleet.rng.Int64N(int64(time.Second))), s.start)
-		if options.ObservationInterval > 0 {
-			fleet.schedule(options.ObservationInterval, s.observePeriodically)
-		}
-		if options.EvidenceInterval > 0 {
-			fleet.schedule(options.EvidenceInterval, s.writeEvidence)
-		}
+		f.addSidecar(i)
 	}
 	for _, fault := range plan.Faults {
 		for _, i := range fault.From {
-			s := fleet.Sidecars[i]
-			switch fault.Kind {
-			case faultplan.Kill:
-				fleet.schedule(fault.At, s.kill)
-				fleet.schedule(fault.At+fault.Duration, s.start)
-			case faultplan.Suspend:
-				fleet.schedule(fault.At+fault.Duration, s.resume)
-			case faultplan.Upgrade:
-				fleet.schedule(fault.At, func() { s.upgrade(fault.Duration) })
-			}
+			f.scheduleFault(fault, f.Sidecars[i])
 		}
 	}
 	for _, call := range plan.Calls {
-		fleet.schedule(call.At, func() { fleet.Sidecars[call.Sidecar].setAdminDown(serverName(call.Server), call.Down) })
+		s := f.Sidecars[call.Sidecar]
+		f.scheduler.at(call.At, func() { s.setAdminDown(serverName(call.Server), call.Down) })
+	}
+	return f
+}
+
+// addSidecar adds a sidecar and schedules its start and its periodic events.
+func (f *Fleet) addSidecar(index int) {
+	s := &Sidecar{Name: sidecarName(index), Index: index, fleet: f, address: sidecarAddress(index)}
+	f.Sidecars = append(f.Sidecars, s)
+	f.processes[s.address] = s
+	f.scheduler.at(time.Duration(f.rng.Int64N(int64(maxStartDelay))), s.start)
+	if f.options.ObservationInterval > 0 {
+		f.scheduler.at(f.options.ObservationInterval, s.observePeriodically)
+	}
+	if f.options.EvidenceInterval > 0 {
+		f.scheduler.at(f.options.EvidenceInterval, s.writeEvidencePeriodically)
+	}
+}
+
+// scheduleFault schedules what a fault does to one sidecar's processes. Faults of links are looked up in the plan as
+// messages are sent.
+func (f *Fleet) scheduleFault(fault faultplan.Fault, s *Sidecar) {
+	end := fault.At + fault.Duration
+	switch fault.Kind {
+	case faultplan.Kill:
+		f.scheduler.at(fault.At, s.kill)
+		f.scheduler.at(end, s.start)
+	case faultplan.Suspend:
+		f.scheduler.at(end, s.resume)
+	case faultplan.Upgrade:
+		f.scheduler.at(fault.At, func() { s.upgrade(fault.Duration) })
 	}
-	return fleet
 }
 
-// Run plays to the plan's end and the time to settle behind it, and returns the record.
+// planEnd returns when the plan's faults and its length are over.
+func (f *Fleet) planEnd() time.Duration {
+	return max(f.Plan.End(), f.Plan.Length)
+}
+
+// Run runs to the plan's end and for the time to settle after it, and returns the record.
 func (f *Fleet) Run() referee.Record {
-	end := max(f.Plan.End(), f.Plan.Length) + f.options.SettleTime
-	f.RunUntil(end)
-	f.Record.Calm, f.Record.Within, f.Record.Every = end-f.options.SettleTime, f.options.SettleTime, f.options.ObservationInterval
+	f.RunUntil(f.planEnd() + f.options.SettleTime)
+	f.Record.Calm = f.planEnd()
+	f.Record.Within = f.options.SettleTime
+	f.Record.Every = f.options.ObservationInterval
 	for _, s := range f.Sidecars {
 		f.Record.Sidecars = append(f.Record.Sidecars, s.Name)
 		s.observe()
@@ -92,15 +119,8 @@
 	return f.Record
 }
 
-// RunUntil plays up to a time.
-func (f *Fleet) RunUntil(end time.Duration) {
-	for len(f.events) > 0 && f.events[0].at <= end {
-		next := heap.Pop(&f.events).(event)
-		f.now = next.at
-		next.run()
-	}
-	f.now = end
-}
+// RunUntil runs up to a time of the plan.
+func (f *Fleet) RunUntil(end time.Duration) { f.scheduler.runUntil(end) }
 
-// Now is the time of the plan.
-func (f *Fleet) Now() time.Duration { return f.now }
+// Now returns the time since the plan's start.
+func (f *Fleet) Now() time.Duration { return f.scheduler.now }
--- a/internal/lab/fleet/sim/network.go
+++ b/internal/lab/fleet/sim/network.go
@@ -4,66 +4,127 @@
 	"errors"
 	"time"
 
+	"milletramp.example/milletramp/internal/fleet/gossip"
 	"milletramp.example/milletramp/internal/lab/fleet/faultplan"
 )
 
 const (
-	maxLinkLatency = 2 * time.Millisecond // a message takes on a link that is well
-	fetchTimeout   = time.Second          // a fetch is waited for
+	maxLinkLatency  = 2 * time.Millisecond // of a message on a link without a fault
+	maxLinkQueueing = time.Second          // that a datagram waits on a link with a bounded rate before it is dropped
+	fetchTimeout    = time.Second
 )
 
-// latency is how long a message takes.
-func (f *Fleet) latency(condition faultplan.LinkCondition) time.Duration {
-	return time.Duration(f.rng.Int64N(int64(maxLinkLatency))) + time.Duration(f.rng.Float64()*float64(condition.Delay))
+// errFetchTimeout ends the fetch of a snapshot that was not answered in time.
+var errFetchTimeout = errors.New("no answer")
+
+// link is a directed pair of sidecars, by their indexes.
+type link struct{ from, to int }
+
+// linkCondition returns what the plan does now to messages from one sidecar to another.
+func (f *Fleet) linkCondition(from, to *Sidecar) faultplan.LinkCondition {
+	return f.Plan.LinkCondition(f.Now(), from.Index, to.Index)
+}
+
+// drawLatency draws the time that a message takes on a link.
+func (f *Fleet) drawLatency(condition faultplan.LinkCondition) time.Duration {
+	base := time.Duration(f.rng.Int64N(int64(maxLinkLatency)))
+	added := time.Duration(f.rng.Float64() * float64(condition.Delay))
+	return base + added
 }
 
+// sendDatagram sends a datagram over a link, which may drop or duplicate it.
+func (f *Fleet) sendDatagram(sender *Sidecar, datagram gossip.Datagram) {
+	receiver := f.processes[datagram.To]
+	if receiver == nil {
+		return
+	}
+	condition := f.linkCondition(sender, receiver)
+	f.Sent++
+	if condition.Cut || f.rng.Float64() < condition.Drop {
+		f.Lost++
+		return
+	}
+	copies := 1
+	if f.rng.Float64() < condition.Duplicate {
+		copies = 2
+	}
+	for range copies {
+		f.transmit(sender, receiver, condition, datagram.Payload)
+	}
+}
+
+// transmit schedules the arrival of one copy of a datagram. A link with a bounded rate drops it when its queue is full.
 func (f *Fleet) transmit(sender, receiver *Sidecar, condition faultplan.LinkCondition, payload []byte) {
-	at, senderAddress := f.now+f.latency(condition), sender.address
+	arrival := f.Now() + f.drawLatency(condition)
+	senderAddress := sender.address
 	if condition.Rate > 0 {
-		pair := [2]int{sender.Index, receiver.Index}
-		linkFree := max(f.linkFreeAt[pair], f.now)
-		if linkFree-f.now > time.Second { // its queue is full
+		pair := link{from: sender.Index, to: receiver.Index}
+		freeAt := max(f.linkFreeAt[pair], f.Now())
+		if freeAt-f.Now() > maxLinkQueueing {
 			f.Lost++
 			return
 		}
-		f.linkFreeAt[pair] = linkFree + time.Duration(float64(len(payload))/condition.Rate*float64(time.Second))
-		at = max(at, f.linkFreeAt[pair])
+		f.linkFreeAt[pair] = freeAt + time.Duration(float64(len(payload))/condition.Rate*float64(time.Second))
+		arrival = max(arrival, f.linkFreeAt[pair])
 	}
-	f.schedule(at, func() {
+	f.scheduler.at(arrival, func() {
 		receiver.execute(func() {
-			_ = receiver.Machine.Receive(receiver.Clock(), senderAddress, payload) // what it thinks of it is in its figures
+			// The machine counts the datagrams that it rejects in its figures.
+			_ = receiver.Machine.Receive(receiver.Clock(), senderAddress, payload)
 		})
 	})
 }
 
-// fetchSnapshot gets a snapshot from an address, over the links both ways.
+// snapshotFetch is one fetch of a snapshot by one process of a sidecar.
+type snapshotFetch struct {
+	sidecar *Sidecar
+	epoch   int // of the process that fetches
+	address string
+	done    bool
+}
+
+// fetchSnapshot fetches a snapshot from an address over a connection: lost packets are sent again, but a cut link in
+// either direction fails the fetch.
 func (s *Sidecar) fetchSnapshot(address string) {
-	fleet, epoch, done := s.fleet, s.epoch, false
-	finish := func(snapshot []byte, err error) {
-		if done {
-			return
-		}
-		done = true
-		if s.epoch == epoch {
-			s.execute(func() { _ = s.Machine.ReceiveSnapshot(s.Clock(), address, snapshot, err) })
-		}
-	}
-	fleet.schedule(fleet.now+fetchTimeout, func() { finish(nil, errors.New("no answer")) })
-	source := fleet.processes[address]
+	f := s.fleet
+	fetch := &snapshotFetch{sidecar: s, epoch: s.epoch, address: address}
+	f.scheduler.after(fetchTimeout, func() { fetch.finish(nil, errFetchTimeout) })
+	source := f.processes[address]
 	if source == nil {
 		return
 	}
-	// A connection outlasts lost packets; cut links it does not.
-	request, response := fleet.Plan.LinkCondition(fleet.now, s.Index, source.Index), fleet.Plan.LinkCondition(fleet.now, source.Index, s.Index)
+	request := f.linkCondition(s, source)
+	response := f.linkCondition(source, s)
 	if request.Cut || response.Cut {
 		return
 	}
-	fleet.schedule(fleet.now+fleet.latency(request), func() {
-		source.execute(func() {
-			snapshot, err := source.Machine.EncodeSnapshot(source.Clock())
-			if err == nil && !fleet.Plan.LinkCondition(fleet.now, source.Index, s.Index).Cut {
-				fleet.schedule(fleet.now+fleet.latency(response), func() { finish(snapshot, nil) })
-			}
-		})
+	f.scheduler.after(f.drawLatency(request), func() {
+		source.execute(func() { fetch.respond(source, response) })
+	})
+}
+
+// respond has the source encode its snapshot and schedules the response's arrival.
+func (t *snapshotFetch) respond(source *Sidecar, response faultplan.LinkCondition) {
+	f := source.fleet
+	snapshot, err := source.Machine.EncodeSnapshot(source.Clock())
+	if err != nil || f.linkCondition(source, t.sidecar).Cut {
+		return
+	}
+	f.scheduler.after(f.drawLatency(response), func() { t.finish(snapshot, nil) })
+}
+
+// finish gives the machine the result of the fetch, once, if the process that began it is still there.
+func (t *snapshotFetch) finish(snapshot []byte, err error) {
+	if t.done {
+		return
+	}
+	t.done = true
+	s := t.sidecar
+	if s.epoch != t.epoch {
+		return
+	}
+	s.execute(func() {
+		// The error is that of the fetch, or counted in the machine's figures.
+		_ = s.Machine.ReceiveSnapshot(s.Clock(), t.address, snapshot, err)
 	})
 }
--- a/internal/lab/fleet/sim/observation.go
+++ b/internal/lab/fleet/sim/observation.go
@@ -9,60 +9,71 @@
 	"milletramp.example/milletramp/internal/lab/fleet/referee"
 )
 
-// writeEvidence has the sidecar write its own row on a server.
-func (s *Sidecar) writeEvidence() {
-	fleet := s.fleet
-	fleet.schedule(fleet.now+fleet.options.EvidenceInterval, s.writeEvidence)
-	s.execute(func() {
-		if _, isMember := s.Machine.Members.Self(); !isMember || fleet.now > max(fleet.Plan.End(), fleet.Plan.Length) {
-			return
-		}
-		server := serverName(fleet.rng.IntN(fleet.Plan.Servers))
-		key, err := s.Machine.Store.WriteRow(s.Clock(), server, 0, replication.Evidence{Tries: 4, Silent: 1})
-		if err != nil {
-			return
-		}
-		s.Machine.Broadcast(key)
-		s.rowVersions[server]++ // counted here, whatever the sidecar makes of it
-		self, _ := s.Machine.Members.Self()
-		fleet.Record.Wrote = append(fleet.Record.Wrote, referee.Row{Owner: s.Name, Life: self.Life.Number, Server: server, Version: s.rowVersions[server]})
-	})
-}
-
+// observePeriodically records what the sidecar shows each ObservationInterval.
 func (s *Sidecar) observePeriodically() {
-	s.fleet.schedule(s.fleet.now+s.fleet.options.ObservationInterval, s.observePeriodically)
+	s.fleet.scheduler.after(s.fleet.options.ObservationInterval, s.observePeriodically)
 	if s.Machine != nil && !s.isSuspended() {
 		s.observe()
 	}
 }
 
-// observe puts on record what the sidecar holds.
+// observe records what the sidecar shows. While an upgrade's new process is catching up, operators still see its
+// predecessor.
 func (s *Sidecar) observe() {
 	if s.Machine == nil {
 		return
 	}
 	phase, _ := s.Machine.Phase()
-	if phase == gossip.CatchingUp && s.predecessor != nil { // the staff sees the former one's console until the next one says yes
+	if phase == gossip.CatchingUp && s.predecessor != nil {
 		s.predecessor.observe()
 		return
 	}
-	checksumsByKind := s.Machine.Store.Digest().PerKind()
-	observation := referee.Show{At: s.fleet.now, Sidecar: s.Name, Life: s.Incarnation, Ready: phase == gossip.Synced || phase == gossip.Bootstrapped,
-		Calls: map[string][]referee.Standing{}, Out: s.Machine.Store.AdminDown()}
-	var checksums []string
-	for kind, sum := range checksumsByKind {
-		checksums = append(checksums, fmt.Sprintf("%v %x", replication.Kind(kind), sum))
+	observation := referee.Show{
+		At:      s.fleet.Now(),
+		Sidecar: s.Name,
+		Life:    s.Incarnation,
+		Ready:   phase == gossip.Synced || phase == gossip.Bootstrapped,
+		Calls:   s.standingCallsByServer(),
+		Out:     s.Machine.Store.AdminDown(),
+		Rows:    s.evidenceRows(),
+		Sum:     s.checksum(),
 	}
-	observation.Sum = strings.Join(checksums, ", ")
+	s.fleet.Record.Shows = append(s.fleet.Record.Shows, observation)
+}
+
+// standingCallsByServer returns the calls in force at this sidecar, for the servers that have any.
+func (s *Sidecar) standingCallsByServer() map[string][]referee.Standing {
+	byServer := map[string][]referee.Standing{}
 	for i := range s.fleet.Plan.Servers {
-		if calls := s.standingCalls(serverName(i)); len(calls) > 0 {
-			observation.Calls[serverName(i)] = calls
+		server := serverName(i)
+		if calls := s.standingCalls(server); len(calls) > 0 {
+			byServer[server] = calls
 		}
 	}
-	for _, server := range s.Machine.Store.ServersWithEvidence() {
-		for _, row := range s.Machine.Store.Rows(s.Clock(), server) {
-			observation.Rows = append(observation.Rows, referee.Row{Owner: row.Owner, Life: row.Life.Number, Server: row.Server, Version: row.Version})
+	return byServer
+}
+
+// evidenceRows returns the evidence that the sidecar has on all servers.
+func (s *Sidecar) evidenceRows() (rows []referee.Row) {
+	store := s.Machine.Store
+	for _, server := range store.ServersWithEvidence() {
+		for _, row := range store.Rows(s.Clock(), server) {
+			rows = append(rows, referee.Row{
+				Owner:   row.Owner,
+				Life:    row.Life.Number,
+				Server:  row.Server,
+				Version: row.Version,
+			})
 		}
 	}
-	s.fleet.Record.Shows = append(s.fleet.Record.Shows, observation)
+	return rows
+}
+
+// checksum returns a text that is the same for equal copies of the replicated state.
+func (s *Sidecar) checksum() string {
+	var checksums []string
+	for kind, sum := range s.Machine.Store.Digest().PerKind() {
+		checksums = append(checksums, fmt.Sprintf("%v %x", replication.Kind(kind), sum))
+	}
+	return strings.Join(checksums, ", ")
 }
--- a/internal/lab/fleet/sim/operators.go
+++ b/internal/lab/fleet/sim/operators.go
@@ -9,18 +9,16 @@
 	"milletramp.example/milletramp/internal/lab/fleet/referee"
 )
 
-func serverName(i int) string { return fmt.Sprintf("s-%d", i) }
+// serverName returns the name of the plan's server with an index.
+func serverName(index int) string { return fmt.Sprintf("s-%d", index) }
 
-// hasCall tells whether the sidecar has seen a call.
-func (s *Sidecar) hasCall(server string, dot replication.Dot) bool {
-	if s.Machine == nil {
-		return false
-	}
-	state, _ := s.Machine.Store.AdminState(server)
-	return slices.ContainsFunc(state.Seen, func(seen replication.Dot) bool { return seen.Nonce == dot.Nonce && seen.Count >= dot.Count })
+// callID returns the identifier of an operator's call. Each incarnation numbers its calls separately for each server.
+func callID(server string, call replication.OperatorCall) string {
+	return server + "/" + call.Dot.String()
 }
 
-// setAdminDown is the staff's: the sidecar's yes is on record.
+// setAdminDown is an operator's call that sets a server administratively down or up at this sidecar. The call is
+// recorded if the sidecar acknowledges it.
 func (s *Sidecar) setAdminDown(server string, down bool) {
 	s.execute(func() {
 		known := []string{}
@@ -29,22 +27,26 @@
 		}
 		key, err := s.Machine.Store.RecordCall(s.Clock(), server, down)
 		if err != nil {
-			return // a no
+			return // refused
 		}
 		s.Machine.Broadcast(key)
-		state, _ := s.Machine.Store.AdminState(server)
-		id := callID(server, state.Standing[0])
-		s.fleet.callDots[id] = state.Standing[0].Dot
-		s.fleet.Record.Acks = append(s.fleet.Record.Acks, referee.Ack{At: s.fleet.now, Server: server, ID: id, Out: down, Knew: known})
+		s.recordAck(server, down, known)
 		s.recordDeliveries()
 	})
 }
 
-// callID names a call: a life counts its calls for each server apart.
-func callID(server string, call replication.OperatorCall) string {
-	return server + "/" + call.Dot.String()
+// recordAck records the acknowledgement of the call that was just made.
+func (s *Sidecar) recordAck(server string, down bool, known []string) {
+	state, _ := s.Machine.Store.AdminState(server)
+	call := state.Standing[0]
+	id := callID(server, call)
+	f := s.fleet
+	f.callDots[id] = call.Dot
+	ack := referee.Ack{At: f.Now(), Server: server, ID: id, Out: down, Knew: known}
+	f.Record.Acks = append(f.Record.Acks, ack)
 }
 
+// standingCalls returns the calls on a server that are in force at this sidecar.
 func (s *Sidecar) standingCalls(server string) (calls []referee.Standing) {
 	state, _ := s.Machine.Store.AdminState(server)
 	for _, call := range state.Standing {
@@ -53,19 +55,46 @@
 	return calls
 }
 
-// recordDeliveries notes which calls have reached this sidecar.
+// hasCall reports whether the sidecar has received a call.
+func (s *Sidecar) hasCall(server string, dot replication.Dot) bool {
+	if s.Machine == nil {
+		return false
+	}
+	state, _ := s.Machine.Store.AdminState(server)
+	return slices.ContainsFunc(state.Seen, func(seen replication.Dot) bool {
+		return seen.Nonce == dot.Nonce && seen.Count >= dot.Count
+	})
+}
+
+// recordDeliveries records the calls that this sidecar has now and did not have before.
 func (s *Sidecar) recordDeliveries() {
 	for i := range s.fleet.Plan.Servers {
 		for _, call := range s.standingCalls(serverName(i)) {
-			if s.fleet.deliveredAt[call.ID] == nil {
-				s.fleet.deliveredAt[call.ID] = map[string]time.Duration{}
-			}
-			if _, ok := s.fleet.deliveredAt[call.ID][s.Name]; !ok {
-				s.fleet.deliveredAt[call.ID][s.Name] = s.fleet.now
-			}
+			s.fleet.recordDelivery(call.ID, s.Name)
+		}
+	}
+}
+
+// recordDelivery records the first delivery of a call to a sidecar.
+func (f *Fleet) recordDelivery(id, sidecar string) {
+	if f.deliveredAt[id] == nil {
+		f.deliveredAt[id] = map[string]time.Duration{}
+	}
+	if _, delivered := f.deliveredAt[id][sidecar]; !delivered {
+		f.deliveredAt[id][sidecar] = f.Now()
+	}
+}
+
+// recordLostCalls records the acknowledged calls that no process of the fleet has any more.
+func (f *Fleet) recordLostCalls() {
+	for _, ack := range f.Record.Acks {
+		dot := f.callDots[ack.ID]
+		hasCall := func(s *Sidecar) bool { return s.hasCall(ack.Server, dot) }
+		if !slices.ContainsFunc(f.Sidecars, hasCall) {
+			f.Record.Lost[ack.ID] = true
 		}
 	}
 }
 
-// DeliveredAt tells when a call reached each sidecar.
+// DeliveredAt returns when a call first reached each sidecar, by the sidecar's name.
 func (f *Fleet) DeliveredAt(id string) map[string]time.Duration { return f.deliveredAt[id] }
--- a/internal/lab/fleet/sim/sidecar.go
+++ b/internal/lab/fleet/sim/sidecar.go
@@ -2,58 +2,39 @@
 
 import (
 	"fmt"
-	"slices"
 	"time"
 
 	"milletramp.example/milletramp/internal/fleet/gossip"
 	"milletramp.example/milletramp/internal/fleet/membership"
-	"milletramp.example/milletramp/internal/fleet/replication"
-	"milletramp.example/milletramp/internal/lab/fleet/faultplan"
 )
 
 const (
-	tickInterval    = 50 * time.Millisecond
-	wallClockOrigin = 1_700_000_000_000 // Unix milliseconds at the plan's start
-	monotonicOrigin = time.Hour         // of the sidecars' monotonic clocks
-	maxPending      = 256               // datagrams that wait for a process that stands still
+	fleetLabel = "lab"
+	// upgradedSuffix is appended to a sidecar's first address to form its second. Upgrades alternate between the two.
+	upgradedSuffix = "b"
 )
 
-// Sidecar is one sidecar of the played fleet.
+// Sidecar is one sidecar of the fleet: its current process and, while an upgrade overlaps, the one that this replaces.
 type Sidecar struct {
 	Name        string
 	Index       int
-	Machine     *gossip.Machine // nil: killed
-	Incarnation uint64          // counts up
+	Machine     *gossip.Machine // nil: no process runs
+	Incarnation uint64          // starts so far; an upgrade does not count
 	fleet       *Fleet
-	pending     []func()
-	rowVersions map[string]uint64 // written in this life, by server
-	epoch       int
+	pending     []func()          // actions that wait for a suspended process
+	rowVersions map[string]uint64 // of the rows that this process has written, by server
+	epoch       int               // processes so far
 	address     string
-	predecessor *Sidecar // the process that this one replaces, as long as it lives; nil: there is none
+	predecessor *Sidecar // the process that this one replaces, while both run; else nil
 }
 
-func sidecarAddress(i int) string { return fmt.Sprintf("a%d", i) }
+// sidecarName returns the name of the plan's sidecar with an index.
+func sidecarName(index int) string { return fmt.Sprintf("n%d", index) }
 
-// isSuspended tells whether a process stands still.
-func (s *Sidecar) isSuspended() bool {
-	return slices.ContainsFunc(s.fleet.Plan.Faults, func(fault faultplan.Fault) bool {
-		return fault.Kind == faultplan.Suspend && s.fleet.now >= fault.At && s.fleet.now < fault.At+fault.Duration && slices.Contains(fault.From, s.Index)
-	})
-}
-
-// isKilled tells whether a process is down by the plan.
-func (s *Sidecar) isKilled() bool {
-	return slices.ContainsFunc(s.fleet.Plan.Faults, func(fault faultplan.Fault) bool {
-		return fault.Kind == faultplan.Kill && s.fleet.now >= fault.At && s.fleet.now < fault.At+fault.Duration && slices.Contains(fault.From, s.Index)
-	})
-}
-
-// Clock is the sidecar's time.
-func (s *Sidecar) Clock() replication.Now {
-	now := s.fleet.now
-	return replication.Now{Time: monotonicOrigin + now, Wall: wallClockOrigin + (now + s.fleet.Plan.ClockOffset(now, s.Index)).Milliseconds()}
-}
+// sidecarAddress returns the first address of the plan's sidecar with an index.
+func sidecarAddress(index int) string { return fmt.Sprintf("a%d", index) }
 
+// start starts a new incarnation, unless one runs or the plan has the sidecar down.
 func (s *Sidecar) start() {
 	if s.Machine != nil || s.isKilled() {
 		return
@@ -62,128 +43,84 @@
 	s.startProcess(nil)
 }
 
-// upgrade has another process take this one's place. The two overlap for a time.
-func (s *Sidecar) upgrade(overlap time.Duration) {
-	fleet := s.fleet
-	if s.Machine == nil || s.predecessor != nil {
-		return
-	}
-	predecessor := *s
-	s.predecessor, s.pending = &predecessor, nil
-	fleet.processes[predecessor.address] = s.predecessor
-	if s.address = sidecarAddress(s.Index); s.address == predecessor.address {
-		s.address += "b"
-	}
-	fleet.processes[s.address] = s
-	s.startProcess([]string{predecessor.address})
-	s.predecessor.tick(s.predecessor.epoch)
-	fleet.schedule(fleet.now+overlap, func() {
-		if s.predecessor == &predecessor && predecessor.Machine != nil {
-			predecessor.Machine.Leave(predecessor.Clock())
-			predecessor.performActions()
-		}
-		if predecessor.Machine = nil; s.predecessor == &predecessor {
-			s.predecessor = nil
-		}
-	})
-}
-
-// startProcess starts a process, which takes the place of those at some addresses.
-func (s *Sidecar) startProcess(predecessors []string) {
-	fleet := s.fleet
-	var peers []string
-	for i := range min(fleet.options.SeedPeers, fleet.Plan.Sidecars) {
-		peers = append(peers, sidecarAddress(i))
-	}
-	s.epoch++
-	s.rowVersions = map[string]uint64{}
-	now := s.Clock()
-	s.Machine = gossip.New(now, gossip.Settings{Label: "lab", Predecessors: predecessors, Membership: membership.Settings{Name: s.Name, Address: s.address,
-		Peers: peers, Seed: fleet.Plan.Seed, LifeNonce: fleet.rng.Uint64() | 1, LifeNumber: uint64(max(now.Wall, 1))}}, nil)
-	s.tick(s.epoch)
-}
-
+// kill ends the sidecar's processes without notice.
 func (s *Sidecar) kill() {
 	if s.Machine == nil {
 		return
 	}
-	s.Machine, s.pending = nil, nil
+	s.Machine = nil
+	s.pending = nil
 	if s.predecessor != nil {
 		s.predecessor.Machine = nil
 		s.predecessor = nil
 	}
-	for _, ack := range s.fleet.Record.Acks {
-		dot := s.fleet.callDots[ack.ID]
-		if !slices.ContainsFunc(s.fleet.Sidecars, func(other *Sidecar) bool { return other.hasCall(ack.Server, dot) }) {
-			s.fleet.Record.Lost[ack.ID] = true
-		}
-	}
+	s.fleet.recordLostCalls()
 }
 
-func (s *Sidecar) tick(epoch int) {
-	if s.Machine == nil || s.epoch != epoch {
+// upgrade replaces the process with a new one. Both run until the overlap is over, when the predecessor leaves.
+func (s *Sidecar) upgrade(overlap time.Duration) {
+	if s.Machine == nil || s.predecessor != nil {
 		return
 	}
-	if !s.isSuspended() {
-		s.Machine.Tick(s.Clock())
-		s.performActions()
-	}
-	s.fleet.schedule(s.fleet.now+tickInterval, func() { s.tick(epoch) })
+	replaced := *s
+	predecessor := &replaced
+	s.predecessor = predecessor
+	s.pending = nil
+	s.fleet.processes[predecessor.address] = predecessor
+	s.address = s.otherAddress()
+	s.fleet.processes[s.address] = s
+	s.startProcess([]string{predecessor.address})
+	predecessor.tick(predecessor.epoch)
+	s.fleet.scheduler.after(overlap, func() { s.endUpgrade(predecessor) })
 }
 
-// execute has the process do something, or once it goes on.
-func (s *Sidecar) execute(action func()) {
-	switch {
-	case s.Machine == nil:
-	case s.isSuspended():
-		if len(s.pending) < maxPending {
-			s.pending = append(s.pending, action)
-		}
-	default:
-		action()
-		s.performActions()
+// endUpgrade has the predecessor leave and ends it.
+func (s *Sidecar) endUpgrade(predecessor *Sidecar) {
+	overlaps := s.predecessor == predecessor
+	if overlaps && predecessor.Machine != nil {
+		predecessor.Machine.Leave(predecessor.Clock())
+		predecessor.performActions()
+	}
+	predecessor.Machine = nil
+	if overlaps {
+		s.predecessor = nil
 	}
 }
 
-// resume goes on with what has waited.
-func (s *Sidecar) resume() {
-	pending := s.pending
-	s.pending = nil
-	for _, action := range pending {
-		s.execute(action)
-	}
-	if s.predecessor != nil {
-		s.predecessor.resume()
+// otherAddress returns the one of the sidecar's two addresses that its process does not have.
+func (s *Sidecar) otherAddress() string {
+	first := sidecarAddress(s.Index)
+	if s.address == first {
+		return first + upgradedSuffix
 	}
+	return first
 }
 
-// performActions carries out what the machine asks for.
-func (s *Sidecar) performActions() {
-	fleet := s.fleet
-	actions := s.Machine.TakeActions()
-	for _, datagram := range actions.Send {
-		receiver := fleet.processes[datagram.To]
-		if receiver == nil {
-			continue
-		}
-		condition := fleet.Plan.LinkCondition(fleet.now, s.Index, receiver.Index)
-		fleet.Sent++
-		if condition.Cut || fleet.rng.Float64() < condition.Drop {
-			fleet.Lost++
-			continue
-		}
-		copies := 1
-		if fleet.rng.Float64() < condition.Duplicate {
-			copies = 2
-		}
-		for range copies {
-			fleet.transmit(s, receiver, condition, datagram.Payload)
-		}
-	}
-	for _, from := range actions.Fetch {
-		s.fetchSnapshot(from)
+// startProcess starts a process that replaces those at the predecessors' addresses.
+func (s *Sidecar) startProcess(predecessors []string) {
+	s.epoch++
+	s.rowVersions = map[string]uint64{}
+	now := s.Clock()
+	settings := gossip.Settings{
+		Label:        fleetLabel,
+		Predecessors: predecessors,
+		Membership: membership.Settings{
+			Name:       s.Name,
+			Address:    s.address,
+			Peers:      s.fleet.seedAddresses(),
+			Seed:       s.fleet.Plan.Seed,
+			LifeNonce:  s.fleet.rng.Uint64() | 1, // never 0
+			LifeNumber: uint64(max(now.Wall, 1)),
+		},
 	}
-	if len(actions.Updated) > 0 {
-		s.recordDeliveries()
+	s.Machine = gossip.New(now, settings, nil)
+	s.tick(s.epoch)
+}
+
+// seedAddresses returns the addresses that each sidecar is configured with.
+func (f *Fleet) seedAddresses() (addresses []string) {
+	for i := range min(f.options.SeedPeers, f.Plan.Sidecars) {
+		addresses = append(addresses, sidecarAddress(i))
 	}
+	return addresses
 }
--- a/internal/lab/fleet/sim/sim_test.go
+++ b/internal/lab/fleet/sim/sim_test.go
@@ -13,13 +13,14 @@
 
 var (
 	planCount     = flag.Int("fleet.plans", testrun.Draws(30), "plans that TestDrawnPlans draws")
-	maxConverging = flag.Int("fleet.large", map[bool]int{false: 100, true: 30}[testrun.RaceEnabled], "sidecars of the largest fleet that TestConverge plays")
-	shrinkPlans   = flag.Bool("fleet.shrink", true, "take out of a plan that shows a breach what it can do without")
-	firstSeed     = flag.Uint64("fleet.seed", 1, "the first of their seeds")
+	maxConverging = flag.Int("fleet.large", map[bool]int{false: 100, true: 30}[testrun.RaceEnabled],
+		"sidecars of the largest fleet that TestConverge plays")
+	shrinkPlans = flag.Bool("fleet.shrink", true, "take out of a plan that shows a breach what it can do without")
+	firstSeed   = flag.Uint64("fleet.seed", 1, "the first of their seeds")
 )
 
-// settleTime is the time behind the last fault until copies must be equal: one that was buried is looked for each 5 s, and
-// rows fade after 10 s.
+// settleTime is the time behind the last fault until copies must be equal: one that was buried is looked for each 5 s,
+// and rows fade after 10 s.
 const (
 	settleTime = 40 * time.Second
 	length     = 30 * time.Second
@@ -27,7 +28,12 @@
 
 // newFleet returns a fleet whose sidecars each know the addresses of all of them.
 func newFleet(p faultplan.Plan) *Fleet {
-	return New(p, Options{SeedPeers: p.Sidecars, SettleTime: settleTime, ObservationInterval: 500 * time.Millisecond, EvidenceInterval: 700 * time.Millisecond})
+	return New(p, Options{
+		SeedPeers:           p.Sidecars,
+		SettleTime:          settleTime,
+		ObservationInterval: 500 * time.Millisecond,
+		EvidenceInterval:    700 * time.Millisecond,
+	})
 }
 
 // findBreaches runs a plan and returns the rules that the run breaks.
@@ -52,7 +58,8 @@
 	return text
 }
 
-// TestDrawnPlans plays drawn plans and fails with the seed of each that shows a breach, and the shortest plan that does.
+// TestDrawnPlans plays drawn plans and fails with the seed of each that shows a breach, and the shortest plan that
+// does.
 func TestDrawnPlans(t *testing.T) {
 	checkDrawnPlans(t, func(seed uint64) faultplan.Plan { return faultplan.Draw(seed, 3+int(seed%8), length) })
 }
