--- a/deploy/names_test.go
+++ b/deploy/names_test.go
@@ -226,6 +226,7 @@
 		"internal/lab/fleet/checker",
 		"internal/lab/fleet/faultplan",
 		"internal/lab/fleet/processes",
+		"internal/lab/fleet/sim",
 		"internal/lab/record",
 		"internal/lab/report",
 		"internal/lab/runplan",
