--- a/internal/lab/fleet/sim/observation.go
+++ b/internal/lab/fleet/sim/observation.go
@@ -36,7 +36,7 @@
 		Calls:       s.standingCallsByServer(),
 		AdminDown:   s.Machine.Store.AdminDown(),
 		Rows:        s.evidenceRows(),
-		Sum:         s.checksum(),
+		Checksum:    s.checksum(),
 	}
 	s.fleet.Record.Snapshots = append(s.fleet.Record.Snapshots, observation)
 }
