--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -1,6 +1,6 @@
-// Package baseline has other ways to choose a node, to compare the decision module with: what a user would get from a plain
-// load balancer. They keep the same rules on repeats and drains, retry up to two times, and refuse nothing of themselves.
-// They exist in the simulated plane alone.
+// Package baseline has other ways to choose a node, to compare the decision module with: what a user would get from a
+// plain load balancer. They keep the same rules on repeats and drains, retry up to two times, and refuse nothing of
+// themselves. They exist in simulated time alone.
 package baseline
 
 import (
@@ -27,13 +27,22 @@
 		return nil, fmt.Errorf("unknown policy %q, known are module, %s", name, strings.Join(Names, ", "))
 	}
 	return func(set balance.Settings, act balance.Actions, view sim.View) (sim.Policy, error) {
-		return &baseline{name: name, set: set, act: act, view: view, rng: rand.New(rand.NewPCG(set.Seed, 0x217a1)),
-			requests: map[balance.RequestID]*request{}, out: map[string]int{}}, nil
+		return &baseline{
+			name:     name,
+			set:      set,
+			act:      act,
+			view:     view,
+			rng:      rand.New(rand.NewPCG(set.Seed, 0x217a1)),
+			requests: map[balance.RequestID]*request{},
+			inFlight: map[string]int{},
+		}, nil
 	}, nil
 }
 
-const mostAttempts = 3
+// maxAttempts is how many attempts a request has.
+const maxAttempts = 3
 
+// baseline is one of the policies of Names, for one sidecar.
 type baseline struct {
 	name     string
 	set      balance.Settings
@@ -43,23 +52,23 @@
 	list     []balance.Endpoint // by id
 	ready    []balance.Endpoint
 	next     int
-	out      map[string]int // attempts of this sidecar in flight
+	inFlight map[string]int // attempts of this sidecar, by endpoint
 	requests map[balance.RequestID]*request
 }
 
 type request struct {
 	balance.Request
 	deadline balance.Time
-	over     bool
+	finished bool
 	attempts []attempt
-	out      int
+	inFlight int
 }
 
 type attempt struct {
 	to     balance.Endpoint
 	sent   balance.Time
 	done   bool
-	mayRun bool
+	mayRun bool // it may have run, or run yet
 }
 
 // Request implements sim.Policy, as do the methods after it.
@@ -69,61 +78,64 @@
 	b.try(now, q)
 }
 
+// try makes a further attempt at a request, or ends it if none is allowed.
 func (b *baseline) try(now balance.Time, q *request) {
-	var may []balance.Endpoint
-	if len(q.attempts) < mostAttempts && now < q.deadline {
+	var allowed []balance.Endpoint
+	if len(q.attempts) < maxAttempts && now < q.deadline {
 		for _, e := range b.ready {
-			if b.mayGo(now, q, e) {
-				may = append(may, e)
+			if b.isAllowed(now, q, e) {
+				allowed = append(allowed, e)
 			}
 		}
 	}
-	if len(may) == 0 {
+	if len(allowed) == 0 {
 		b.finish(q)
 		return
 	}
-	to := may[b.choose(q, may)]
+	to := allowed[b.choose(q, allowed)]
 	q.attempts = append(q.attempts, attempt{to: to, sent: now})
-	q.out++
-	b.out[to.ID]++
+	q.inFlight++
+	b.inFlight[to.ID]++
 	b.act.Send(q.ID, to.ID, 0)
 }
 
 // choose picks one of the nodes that the request may go to.
-func (b *baseline) choose(q *request, may []balance.Endpoint) int {
+func (b *baseline) choose(q *request, allowed []balance.Endpoint) int {
 	least := func(cost func(e balance.Endpoint) float64) int {
 		best, lowest := 0, math.Inf(1)
-		from := b.rng.IntN(len(may)) // ties go to anyone
-		for i := range may {
-			k := (from + i) % len(may)
-			if c := cost(may[k]); c < lowest {
+		from := b.rng.IntN(len(allowed)) // ties go to anyone
+		for i := range allowed {
+			k := (from + i) % len(allowed)
+			if c := cost(allowed[k]); c < lowest {
 				best, lowest = k, c
 			}
 		}
 		return best
 	}
-	held := func(e balance.Endpoint) float64 { return float64(b.out[e.ID]) }
+	inFlight := func(e balance.Endpoint) float64 { return float64(b.inFlight[e.ID]) }
 	switch b.name {
 	case "round-robin":
 		b.next++
-		return b.next % len(may)
+		return b.next % len(allowed)
 	case "least-requests":
-		return least(held)
+		return least(inFlight)
 	case "two-choices": // Mitzenmacher, 2001
-		x, y := b.rng.IntN(len(may)), b.rng.IntN(len(may))
-		if held(may[y]) < held(may[x]) {
+		x, y := b.rng.IntN(len(allowed)), b.rng.IntN(len(allowed))
+		if inFlight(allowed[y]) < inFlight(allowed[x]) {
 			return y
 		}
 		return x
 	case "oracle":
 		return least(func(e balance.Endpoint) float64 {
-			return b.view.ResponseTime(b.set.Ordinal, e.ID, q.Class, b.set.Classes[q.Class].LatencyObjective.Seconds()/4)
+			work := b.set.Classes[q.Class].LatencyObjective.Seconds() / 4
+			return b.view.ResponseTime(b.set.Ordinal, e.ID, q.Class, work)
 		})
 	}
-	return b.rng.IntN(len(may))
+	return b.rng.IntN(len(allowed))
 }
 
-func (b *baseline) mayGo(now balance.Time, q *request, e balance.Endpoint) bool {
+// isAllowed reports whether a request may be sent to an endpoint, after the attempts that it has had.
+func (b *baseline) isAllowed(now balance.Time, q *request, e balance.Endpoint) bool {
 	c := b.set.Classes[q.Class]
 	for _, a := range q.attempts {
 		switch {
@@ -131,13 +143,16 @@
 			return false
 		case a.done && !a.mayRun || c.Effect == balance.Idempotent:
 		case c.Effect == balance.AtMostOnce, now-a.sent > c.DedupeWindow-time.Second/2,
-			c.Scope == balance.ScopeZone && a.to.Zone != e.Zone, c.Scope == balance.ScopePodGroup && a.to.PodGroup != e.PodGroup:
+			c.Scope == balance.ScopeZone && a.to.Zone != e.Zone,
+			c.Scope == balance.ScopePodGroup && a.to.PodGroup != e.PodGroup:
 			return false
 		}
 	}
 	return true
 }
 
+// finish gives a request that is not served its response: a rejection if it cannot have had an effect, or may be
+// repeated.
 func (b *baseline) finish(q *request) {
 	c := b.set.Classes[q.Class]
 	if c.Effect == balance.Idempotent || c.Effect == balance.Deduplicated && c.Scope == balance.ScopeAll ||
@@ -149,13 +164,14 @@
 	b.end(q)
 }
 
+// end cancels the attempts of a request that are in flight.
 func (b *baseline) end(q *request) {
 	for i := range q.attempts {
-		if !q.attempts[i].done && !q.over {
+		if !q.attempts[i].done && !q.finished {
 			b.act.Cancel(q.ID, i)
 		}
 	}
-	if q.over = true; q.out == 0 {
+	if q.finished = true; q.inFlight == 0 {
 		delete(b.requests, q.ID)
 	}
 }
@@ -169,24 +185,24 @@
 	a := &q.attempts[r.Attempt]
 	a.done = true
 	a.mayRun = r.Outcome != balance.Saturated && r.Outcome != balance.ConnectFailed && r.Outcome != balance.NotSent
-	q.out--
-	b.out[a.to.ID]--
+	q.inFlight--
+	b.inFlight[a.to.ID]--
 	switch {
-	case r.Finished || q.over:
+	case r.Finished || q.finished:
 		b.end(q)
-	case q.out == 0:
+	case q.inFlight == 0:
 		b.try(now, q)
 	}
 }
 
 // ClientGone takes in that the client has left.
 func (b *baseline) ClientGone(_ balance.Time, id balance.RequestID) {
-	if q := b.requests[id]; q != nil && !q.over {
+	if q := b.requests[id]; q != nil && !q.finished {
 		b.end(q)
 	}
 }
 
-// Endpoints takes in discovery's news.
+// Endpoints takes in an update of the endpoint list.
 func (b *baseline) Endpoints(_ balance.Time, kind balance.ListKind, list []balance.Endpoint) {
 	if kind == balance.ListRefused {
 		return
@@ -195,7 +211,7 @@
 		b.list = nil
 	}
 	for _, e := range list {
-		at, ok := slices.BinarySearchFunc(b.list, e.ID, func(x balance.Endpoint, id string) int { return strings.Compare(x.ID, id) })
+		at, ok := slices.BinarySearchFunc(b.list, e.ID, compareID)
 		if ok {
 			b.list[at] = e
 		} else {
@@ -210,5 +226,7 @@
 	}
 }
 
+func compareID(e balance.Endpoint, id string) int { return strings.Compare(e.ID, id) }
+
 // Timer does nothing: no baseline policy asks for one.
 func (b *baseline) Timer(balance.Time, uint64) {}
--- a/internal/lab/fleet/mutants/mutants_test.go
+++ b/internal/lab/fleet/mutants/mutants_test.go
@@ -122,7 +122,7 @@
 			}
 			out, err := goTest("../"+where, test, flags, overlay(t, m.file, m.from, m.to)).CombinedOutput()
 			if err == nil || !strings.Contains(string(out), m.rule+" at ") {
-				t.Errorf("the referee did not find %q broken: %v\n%.2000s", m.rule, err, out)
+				t.Errorf("the checker did not find %q broken: %v\n%.2000s", m.rule, err, out)
 			}
 		})
 	}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,4 +1,4 @@
-// Package lab plays scenarios of the emulated service and judges them: it puts the plan, a plane, the checker and the
+// Package lab plays scenarios of the emulated service and judges them: it puts the plan, a backend, the checker and the
 // meter together.
 package lab
 
@@ -73,26 +73,43 @@
 	return missed
 }
 
-// Terms are what the checker goes by for a plan, with a slack for the plane's own lateness.
+// Terms are what the checker goes by for a plan, with a slack for the backend's own lateness.
 func Terms(p *runplan.Plan, slack time.Duration) checker.Limits {
 	s := p.Scenario
-	t := checker.Limits{ResponseSlack: slack, DrainGrace: time.Second + slack, GiveUpGrace: 50 * time.Millisecond, SendGrace: time.Millisecond,
-		OverloadMultiple: s.Fleet.OverloadMultiple, OverloadWindow: s.Fleet.OverloadWindow.Std(), OverloadSlack: 8 * s.MeanWork(), SlowStartCapacity: s.Fleet.SlowStartCapacity,
-		SlowStartWindow: s.Fleet.SlowStartWindow.Std()}
-	for _, c := range s.Classes {
-		r := checker.RetryRules{Idempotent: c.Effect == "idempotent", Deduplicated: c.Effect == "deduplicated", DedupeWindow: c.DedupeWindow.Std()}
-		switch c.Scope {
-		case "zone":
-			r.PodGroup = func(n int32) int { return p.Machines[n].Zone }
-		case "cell":
-			r.PodGroup = func(n int32) int { return p.Machines[n].PodGroup }
-		default:
-			r.PodGroup = func(int32) int { return 0 }
-		}
-		r.MayReject = r.Idempotent || r.Deduplicated && c.Scope == "all"
-		t.Classes = append(t.Classes, r)
+	limits := checker.Limits{
+		ResponseSlack:     slack,
+		DrainGrace:        time.Second + slack,
+		GiveUpGrace:       50 * time.Millisecond,
+		SendGrace:         time.Millisecond,
+		OverloadMultiple:  s.Fleet.OverloadMultiple,
+		OverloadWindow:    s.Fleet.OverloadWindow.Std(),
+		OverloadSlack:     8 * s.MeanWork(),
+		SlowStartCapacity: s.Fleet.SlowStartCapacity,
+		SlowStartWindow:   s.Fleet.SlowStartWindow.Std(),
+	}
+	for _, class := range s.Classes {
+		limits.Classes = append(limits.Classes, retryRules(p, class))
+	}
+	return limits
+}
+
+// retryRules returns what the checker goes by for the retries of a class.
+func retryRules(p *runplan.Plan, class scenario.Class) checker.RetryRules {
+	rules := checker.RetryRules{
+		Idempotent:   class.Effect == "idempotent",
+		Deduplicated: class.Effect == "deduplicated",
+		DedupeWindow: class.DedupeWindow.Std(),
+	}
+	rules.MayReject = rules.Idempotent || rules.Deduplicated && class.Scope == "all"
+	switch class.Scope {
+	case "zone":
+		rules.PodGroup = func(node int32) int { return p.Machines[node].Zone }
+	case "cell":
+		rules.PodGroup = func(node int32) int { return p.Machines[node].PodGroup }
+	default:
+		rules.PodGroup = func(int32) int { return 0 }
 	}
-	return t
+	return rules
 }
 
 // Find returns the file of a scenario: a path, or a name under dir.
--- a/internal/lab/stats.go
+++ b/internal/lab/stats.go
@@ -24,7 +24,8 @@
 	mean, sd := stat.MeanStdDev(values, nil)
 	i.Mean = mean
 	if len(values) > 1 {
-		half := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(values) - 1)}.Quantile(0.975) * sd / math.Sqrt(float64(len(values)))
+		n := float64(len(values))
+		half := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975) * sd / math.Sqrt(n)
 		i.Low, i.High = mean-half, mean+half
 	}
 	return i
