--- a/deploy/names_test.go
+++ b/deploy/names_test.go
@@ -225,6 +225,7 @@
 		"internal/lab/checker",
 		"internal/lab/fleet/faultplan",
 		"internal/lab/fleet/processes",
+		"internal/lab/loopback",
 		"internal/lab/record",
 		"internal/lab/runplan",
 		"internal/lab/servermodel",
