--- a/deploy/names_test.go
+++ b/deploy/names_test.go
@@ -245,7 +245,9 @@
 		"internal/wallclock",
 		"internal/wire",
 	}
-	houseTerms = regexp.MustCompile(`(?i)\b(danger|staff|told|heard|deciders?|court|owed|doubts?|mayGo|coldRoom|drawTurns)\b`)
+	houseTerms = regexp.MustCompile(`(?i)\b(danger|staff|told|heard|deciders?|court|owed|doubts?|mayGo|coldRoom|drawTurns|` +
+		`turned away|sent on|out by hand|second cop(y|ies)|further tr(y|ies)|thrown out|fail-back|` +
+		`whoever|beside|news|referees?|witness(es)?|warmth)\b`)
 )
 
 // houseTermsIn returns the withdrawn words in the comments and names of a Go file. Texts stay: some are on the wire.
@@ -288,11 +290,11 @@
 // TestHouseTermsAreFound: the check itself finds a withdrawn word in a comment and as a name, and not in a text.
 func TestHouseTermsAreFound(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "x.go")
-	text := "package x\n\n// Danger: it was told.\nvar heard = \"staff\"\n"
+	text := "package x\n\n// Danger: it was told, and turned away.\nvar heard = \"staff\"\n"
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if found := strings.Join(houseTermsIn(t, file), " "); found != "Danger told heard" {
+	if found := strings.Join(houseTermsIn(t, file), " "); found != "Danger told turned away heard" {
 		t.Errorf("found %q", found)
 	}
 }
--- a/deploy/sites/main.go
+++ b/deploy/sites/main.go
@@ -1,4 +1,4 @@
-// Command sites lays what a play of the variants of the site needs beside them: the files of names of the operators'
+// Command sites lays what a play of the variants of the site needs next to them: the files of names of the operators'
 // kit, which do not go into the repository. It checks the variants first.
 //
 //	go run ./deploy/sites [-kit FOLDER] [-to FOLDER]
@@ -18,7 +18,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// kitFiles are those that have to lie beside a variant.
+// kitFiles are those that have to lie next to a variant.
 var kitFiles = []string{"real.json", "wire.json", "unlock.txt"}
 
 // knownKeys are the keys of each table of a site's file. A key that no table has would be passed over in silence, or
@@ -64,7 +64,7 @@
 	}
 }
 
-// lay checks all variants in a folder and copies the kit's files beside them. With an error, nothing was copied.
+// lay checks all variants in a folder and copies the kit's files next to them. With an error, nothing was copied.
 func lay(kit, to string) error {
 	variants, err := filepath.Glob(filepath.Join(to, "*.toml"))
 	if err != nil {
--- a/internal/downstream/framing.go
+++ b/internal/downstream/framing.go
@@ -15,9 +15,9 @@
 // maxHeadBytes bounds the head of a request. It is well above what net/http takes, which answers such a head itself.
 const maxHeadBytes = 4 * maxHeaderBytes
 
-// requestFraming follows the bytes that a client sends and refuses what net/http would mend: a length beside chunks, a
-// length given twice, and folded lines. Another reader of such a message would see another one. The zero value is at
-// the start of a connection.
+// requestFraming follows the bytes that a client sends and refuses what net/http would mend: a length together with
+// chunks, a length given twice, and folded lines. Another reader of such a message would see another one. The zero
+// value is at the start of a connection.
 type requestFraming struct {
 	requests       int // whose heads have come whole
 	inBody         bool
@@ -139,7 +139,7 @@
 	*f = requestFraming{requests: f.requests, line: f.line[:0]}
 	switch {
 	case isChunked && contentLength != nil:
-		return fmt.Errorf("%w: a length beside chunks", errFraming)
+		return fmt.Errorf("%w: a length together with chunks", errFraming)
 	case isChunked:
 		f.inBody = true
 		f.decoder = &chunked.Decoder{}
--- a/internal/fleet/failuredetector/quorum.go
+++ b/internal/fleet/failuredetector/quorum.go
@@ -133,7 +133,7 @@
 }
 
 // Clear drops the notes on a server, as a late answer has come after all: a slow server is not silent, and its answer
-// speaks against all notes that were written before it, whoever wrote them.
+// speaks against all notes that were written before it, no matter who wrote them.
 func (q *ReportQuorum) Clear(server string) {
 	clear(q.notes[server])
 }
--- a/internal/fleet/failuredetector/recorder.go
+++ b/internal/fleet/failuredetector/recorder.go
@@ -253,7 +253,7 @@
 	case s.lastGood >= bad: // retract the own row, or refute the peers' suspicion
 		return s.lastGood > s.rowWritten && (standing || s.refutes(now))
 	case bad > s.rowWritten:
-		// What the fleet knows already is not repeated by everybody: the rate of rows is needed for news.
+		// What the fleet knows already is not repeated by everybody: the rate of rows is needed for what is new.
 		return s.suspectedAt == 0 || standing
 	}
 	return standing && now-bad < renewFor && now-s.rowWritten >= renewInterval
--- a/internal/fleet/gossip/machine.go
+++ b/internal/fleet/gossip/machine.go
@@ -77,8 +77,8 @@
 // Machine is one member's state machine. Its owner passes in datagrams (Receive), snapshots (ReceiveSnapshot) and the
 // time (Tick), and carries out what TakeActions returns. It must not be used by two goroutines at once.
 type Machine struct {
-	// Members and Store are to be read alone. Whoever writes an item of this sidecar's own to the Store passes its key
-	// to Broadcast or BroadcastUrgent.
+	// Members and Store are to be read alone. A caller that writes an item of this sidecar's own to the Store passes
+	// its key to Broadcast or BroadcastUrgent.
 	Members *membership.Machine
 	Store   *replication.Store
 
@@ -112,7 +112,7 @@
 	unsynced           map[string]bool // addresses that have answered: true where they are not synced themselves
 	predecessors       []string        // that are still waited for
 	syncedAnswer       bool            // a synced member has answered
-	refutedIncarnation uint32          // least incarnation in which being held for dead is news
+	refutedIncarnation uint32          // least incarnation in which being held for dead is not known yet
 
 	successor   string            // address of the later incarnation that has taken the name; "": none
 	unforwarded []replication.Key // changed since the last packet to the successor
--- a/internal/fleet/membership/message.go
+++ b/internal/fleet/membership/message.go
@@ -15,7 +15,7 @@
 type Message struct {
 	Kind MessageKind `cbor:"1,keyasint"`
 	Seq  uint64      `cbor:"2,keyasint"`
-	// Target is the name of the member that a Ping is for, or that a PingReq asks to be pinged. Whoever is at the
+	// Target is the name of the member that a Ping is for, or that a PingReq asks to be pinged. The member at the
 	// address answers a Ping without one.
 	Target        string `cbor:"3,keyasint,omitempty"`
 	TargetAddress string `cbor:"4,keyasint,omitempty"` // PingReq only
--- a/internal/fleet/policyagent/messages.go
+++ b/internal/fleet/policyagent/messages.go
@@ -100,7 +100,7 @@
 	return resp, nil
 }
 
-// do calls a voter, and makes a fault in its response a FaultError. The response is valid beside that.
+// do calls a voter, and makes a fault in its response a FaultError. The response is valid all the same.
 func (a *Agent) do(ctx context.Context, voter string, req request) (response, error) {
 	resp, err := a.call(ctx, voter, req)
 	if err == nil && resp.Fault != "" {
--- a/internal/fleet/replication/store.go
+++ b/internal/fleet/replication/store.go
@@ -138,7 +138,7 @@
 	return Key{KindRow, server, s.name}, err
 }
 
-// RecordStart records a server's start, in Unix milliseconds, and reports whether it was news.
+// RecordStart records a server's start, in Unix milliseconds, and reports whether it was new.
 func (s *Store) RecordStart(now Now, server string, boot int64) (Key, bool) {
 	changed, err := s.Merge(now, Item{Start: &Start{server, boot}}, "")
 	return Key{KindStart, server, ""}, changed && err == nil
@@ -158,7 +158,7 @@
 	return Key{KindTest, server, ""}, err
 }
 
-// Merge merges an item of a peer and reports whether it was news. An item that cannot be valid is an error and changes
+// Merge merges an item of a peer and reports whether it was new. An item that cannot be valid is an error and changes
 // nothing.
 func (s *Store) Merge(now Now, item Item, from string) (changed bool, err error) {
 	key, err := item.Key()
@@ -235,9 +235,9 @@
 		s.rows[r.Server] = rows
 		return slices.ContainsFunc(rows, func(o Row) bool { return o.Owner == r.Owner }), nil
 	}
-	news := rows[i].compare(r) < 0
+	isNewer := rows[i].compare(r) < 0
 	rows[i] = laterRow(rows[i], r)
-	return news, nil
+	return isNewer, nil
 }
 
 func (s *Store) mergeStart(now Now, b Start) (bool, error) {
--- a/internal/fleet/transport/transport.go
+++ b/internal/fleet/transport/transport.go
@@ -60,7 +60,7 @@
 	datagrams   *net.UDPConn
 	listener    *net.TCPListener
 	maxSnapshot int         // bytes
-	callHandler CallHandler // nil: calls are turned away
+	callHandler CallHandler // nil: calls are rejected
 
 	ctx        context.Context // ends with Close, and with it all connections
 	stop       context.CancelFunc
--- a/internal/fsys/faultfs/faultfs.go
+++ b/internal/fsys/faultfs/faultfs.go
@@ -16,7 +16,7 @@
 // ErrKilled is what every operation returns from the moment of the kill on. None of them has an effect any more.
 var ErrKilled = errors.New("faultfs: the process was killed")
 
-// FS fails as its fields say. It implements fsys.FS.
+// FS fails where a test has set it to. It implements fsys.FS.
 type FS struct {
 	fsys.OS
 	mu       sync.Mutex
--- a/internal/fsys/fsys.go
+++ b/internal/fsys/fsys.go
@@ -51,7 +51,7 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// Replace has a file hold new content: whoever reads it, after whatever failure, finds the former or the new content
+// Replace has a file hold new content: a reader finds, after any failure, the former or the new content
 // whole. The content is written under the name temp first, which must be in the same directory. Where sync is set, the
 // new content has reached the disk before it gets its name.
 func Replace(fs FS, temp, path string, content []byte, sync bool) error {
@@ -67,7 +67,7 @@
 		err = fs.Rename(temp, path)
 	}
 	if err != nil {
-		_ = fs.Remove(temp) // a full disk may need its room
+		_ = fs.Remove(temp) // a full disk may need its space
 	}
 	return err
 }
--- a/internal/lab/testrun/compute.go
+++ b/internal/lab/testrun/compute.go
@@ -1,5 +1,5 @@
 // Package testrun keeps the project's tests out of each other's way. `go test ./...` runs packages side by side, and a
-// test that judges processes by tenths of a second fails beside a dozen packages that draw a million steps each.
+// test that judges processes by tenths of a second fails next to a dozen packages that draw a million steps each.
 //
 // Two kinds of packages ask for their part of the machine here. A package whose tests measure time holds all other
 // such packages off (Exclusive). A package whose tests only compute runs through Compute, which lets few of them run
@@ -54,7 +54,7 @@
 }
 
 // takeSlot waits for a slot and restricts this process to the processors that come with it. Where nothing measures
-// time beside it, or a test that holds a slot started it, it takes none.
+// time next to it, or a test that holds a slot started it, it takes none.
 func takeSlot() (release func(), err error) {
 	if os.Getenv(sharedVariable) != "" {
 		return func() {}, nil
--- a/internal/lab/testrun/exclusive.go
+++ b/internal/lab/testrun/exclusive.go
@@ -8,7 +8,7 @@
 const sharedVariable = "MILLETRAMP_TEST_SHARES_MACHINE"
 
 // Shared is added to the environment of test processes that need no part of the machine of their own: another test
-// started them and holds it, or nothing that measures time runs beside them.
+// started them and holds it, or nothing that measures time runs next to them.
 const Shared = sharedVariable + "=1"
 
 // Exclusive waits until no other package that measures time has the machine, and keeps it until release is called or
--- a/internal/lossdetect/access.go
+++ b/internal/lossdetect/access.go
@@ -35,10 +35,10 @@
 }
 
 // Eject ejects the endpoint for the class until a time, and reports whether it was admitted before.
-func (a *Access) Eject(until time.Duration) (news bool) {
-	news = a.ejectedUntil == 0
+func (a *Access) Eject(until time.Duration) (isNew bool) {
+	isNew = a.ejectedUntil == 0
 	a.ejectedUntil = until
-	return news
+	return isNew
 }
 
 // Unanswered records an attempt that has been out for so long that a share survival of answers takes longer. It returns
