--- a/deploy/ops_test.go
+++ b/deploy/ops_test.go
@@ -203,7 +203,7 @@
 func (s *site) run(line string) *process {
 	s.t.Helper()
 	p := &process{site: s, console: freeAddress(s.t), ended: make(chan error, 1)}
-	p.cmd = exec.Command("/bin/sh", "-c", line)
+	p.cmd = exec.Command("/bin/sh", "-c", programLine(line))
 	p.cmd.Dir = root
 	p.cmd.Env = append(append(os.Environ(), s.env...), "PROXY_CONFIG="+s.file, "PROXY_CONSOLE="+p.console, "TMPDIR="+s.dir)
 	p.cmd.Stderr = &p.log
--- a/deploy/policy_test.go
+++ b/deploy/policy_test.go
@@ -285,7 +285,7 @@
 // tool runs the operators' tool, which is to end with this status and say that.
 func tool(t *testing.T, status int, want string, args ...string) {
 	t.Helper()
-	cmd := exec.Command(filepath.Join(root, "bin", "milletramp"), append([]string{"policy"}, args...)...)
+	cmd := exec.Command(filepath.Join(toolFolder(filepath.Join(root, "bin")), "milletramp"), append([]string{"policy"}, args...)...)
 	out, err := cmd.CombinedOutput()
 	got := 0
 	if exit := (*exec.ExitError)(nil); errors.As(err, &exit) {
--- a/internal/lab/fleet/processes/run_test.go
+++ b/internal/lab/fleet/processes/run_test.go
@@ -25,6 +25,7 @@
 	firstSeedFlag = flag.Uint64("fleet.seed", 1, "the first of their seeds")
 	sidecarsFlag  = flag.Int("fleet.sidecars", 8, "sidecars of each")
 	logsFlag      = flag.String("fleet.logs", "", "folder for the sidecars' logs")
+	formerFlag    = flag.String("fleet.former", "", "an earlier build of fleetsidecar, which every second process runs")
 )
 
 // settleTime is as in the simulated play, but that no evidence has to fade.
@@ -42,6 +43,9 @@
 			err = fmt.Errorf("%w\n%s", err, out)
 		}
 	}
+	if err == nil && *formerFlag != "" {
+		sidecarCommand, err = alternating(dir, *formerFlag, sidecarCommand[0])
+	}
 	release := func() {}
 	if err == nil {
 		release, err = testrun.Exclusive()
@@ -56,6 +60,23 @@
 	os.Exit(status)
 }
 
+// alternating returns a command that runs two programs in turn. It counts its starts by files in a folder.
+func alternating(dir, first, second string) (command []string, err error) {
+	count, script := filepath.Join(dir, "starts"), filepath.Join(dir, "alternating")
+	if err := os.Mkdir(count, 0o700); err != nil {
+		return nil, err
+	}
+	text := fmt.Sprintf(`#!/bin/sh
+mktemp %[1]q/XXXXXXXX >/dev/null
+starts=$(ls %[1]q | wc -l)
+if [ $((starts %% 2)) = 1 ]; then
+	exec %[2]q
+fi
+exec %[3]q
+`, count, first, second)
+	return []string{script}, os.WriteFile(script, []byte(text), 0o700)
+}
+
 func playPlan(t *testing.T, p faultplan.Plan) checker.Record { return playPlanWith(t, p, Options{}) }
 
 func playPlanWith(t *testing.T, p faultplan.Plan, set Options) checker.Record {
