--- a/cmd/adapter/recorded_test.go
+++ b/cmd/adapter/recorded_test.go
@@ -17,10 +17,14 @@
 	"testing"
 )
 
-// record has TestRecordedReplies play its scenarios anew, write their events to testdata and the hashes of the replies
-// beside them. It is for changes that are meant to change decisions, and for those alone.
+// record makes TestRecordedReplies play its scenarios anew and write their events and both hashes of the replies to
+// testdata. Use it only for changes that are meant to change decisions.
 var record = flag.Bool("record", false, "record the events and the hashes of the replies anew")
 
+// recordLogs makes TestRecordedReplies write the hash of the log texts to testdata, if the decisions are unchanged. Use
+// it for changes that are meant to change log texts and no decisions.
+var recordLogs = flag.Bool("record-logs", false, "record only the hash of the log texts anew")
+
 // scenario is a deployment, and what happens to it while its events are recorded.
 type scenario struct {
 	name     string
@@ -86,12 +90,12 @@
 		}},
 }
 
-// TestRecordedReplies feeds the adapter recorded events, over several settings: its replies are byte for byte what they
-// were when the events were recorded.
+// TestRecordedReplies replays recorded events against the adapter, for several deployments: the replies are byte for
+// byte those of the recording. The decisions and the texts of the log lines are compared separately.
 func TestRecordedReplies(t *testing.T) {
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			events, hash := filepath.Join("testdata", s.name+".events"), filepath.Join("testdata", s.name+".sha256")
+			events := filepath.Join("testdata", s.name+".events")
 			if *record {
 				writeFile(t, events, recordEvents(t, s))
 			}
@@ -99,21 +103,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			replies := sha256.New()
-			if err := run(bytes.NewReader(input), replies); err != nil {
-				t.Fatal(err)
-			}
-			got := hex.EncodeToString(replies.Sum(nil)) + "\n"
-			if *record {
-				writeFile(t, hash, []byte(got))
-			}
-			want, err := os.ReadFile(hash)
-			if err != nil {
+			var replies bytes.Buffer // complete before it is split into lines, as run may write parts of lines
+			if err := run(bytes.NewReader(input), &replies); err != nil {
 				t.Fatal(err)
 			}
-			if got != string(want) {
-				t.Errorf("the replies hash to %s, want %s", got, want)
-			}
+			decisions, logs := splitReplies(replies.Bytes())
+			compareHash(t, "decisions", filepath.Join("testdata", s.name+".decisions.sha256"), decisions, *record)
+			compareHash(t, "log texts", filepath.Join("testdata", s.name+".logs.sha256"), logs,
+				*record || *recordLogs && !t.Failed())
 			if lines := bytes.Count(input, []byte("YOUR_TURN\n")); lines < 1000 {
 				t.Errorf("%d batches of events, want 1000 or more", lines)
 			}
@@ -121,6 +118,47 @@
 	}
 }
 
+// logPrefix begins the line of a log action. The log text follows.
+const logPrefix = "JOURNAL_LINE\t"
+
+// splitReplies separates the texts of the log lines from the rest of the replies. The decisions are the replies byte
+// for byte, but with empty log texts: the count, the place and the order of the log lines remain. The logs are the
+// texts in their order, each followed by a newline. Together they determine the replies.
+func splitReplies(replies []byte) (decisions, logs []byte) {
+	for line := range bytes.Lines(replies) {
+		text, isLog := bytes.CutPrefix(line, []byte(logPrefix))
+		if !isLog {
+			decisions = append(decisions, line...)
+			continue
+		}
+		decisions = append(decisions, logPrefix...)
+		text, ended := bytes.CutSuffix(text, []byte("\n"))
+		if ended {
+			decisions = append(decisions, '\n')
+		}
+		logs = append(append(logs, text...), '\n')
+	}
+	return decisions, logs
+}
+
+// compareHash reports an error if the hash of the content differs from the one in the file. With write, it
+// first writes the file.
+func compareHash(t *testing.T, name, file string, content []byte, write bool) {
+	t.Helper()
+	sum := sha256.Sum256(content)
+	got := hex.EncodeToString(sum[:]) + "\n"
+	if write {
+		writeFile(t, file, []byte(got))
+	}
+	want, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("the %s of the replies hash to %s, want %s", name, strings.TrimSpace(got), want)
+	}
+}
+
 func writeFile(t *testing.T, name string, text []byte) {
 	t.Helper()
 	if err := os.WriteFile(name, text, 0o644); err != nil {
