--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -47,14 +47,14 @@
 	loadLevel         loadlevel.Meter // of answers just now, against those of the seconds before
 	zoneTimes         [2]group        // what answers took in the own zone and in the others
 	requests          map[RequestID]*request
-	tenants           []quota.Meter     // of this sidecar's parts of their allowances
-	meanTime          []float64         // mean answer time in seconds, by class
-	timeDeviation     []float64         // mean distance of answer times from it, by class
-	meanTimeOfAll     float64           // mean answer time in seconds, of all classes
-	endedAttempts     float64           // decaying count of attempts that ended
-	failedAttempts    float64           // and of those that failed
-	answerTimes       *lossdetect.Shape // distribution of answer times
-	fleetLosses       lossdetect.Record // of attempts at all endpoints
+	tenants           []quota.Meter                   // of this sidecar's parts of their allowances
+	meanTime          []float64                       // mean answer time in seconds, by class
+	timeDeviation     []float64                       // mean distance of answer times from it, by class
+	meanTimeOfAll     float64                         // mean answer time in seconds, of all classes
+	endedAttempts     float64                         // decaying count of attempts that ended
+	failedAttempts    float64                         // and of those that failed
+	answerTimes       *lossdetect.LatencyDistribution // distribution of answer times
+	fleetLosses       lossdetect.Record               // of attempts at all endpoints
 	retryBudget       retrybudget.Budget
 	objective         float64       // the shortest latency objective, in seconds
 	removedClasses    []bool        // by class: it is not in the settings any more
@@ -91,7 +91,7 @@
 		requests:    map[RequestID]*request{},
 		tenants:     make([]quota.Meter, len(set.Tenants)),
 		zoneWeight:  [2]float64{1, minZoneWeight},
-		answerTimes: lossdetect.NewShape(),
+		answerTimes: lossdetect.NewLatencyDistribution(),
 		retryBudget: retrybudget.New(len(set.Classes), retryBudgetRatio, retryBudgetMax),
 	}
 	b.applyClasses()
--- a/internal/lossdetect/lossdetect.go
+++ b/internal/lossdetect/lossdetect.go
@@ -36,18 +36,18 @@
 	recordWeight = 8.0
 )
 
-// Shape is how long answers take, as multiples of the time expected, from a decaying record of them. What it tells is
+// LatencyDistribution is how long answers take, as multiples of the time expected, from a decaying record of them. What it tells is
 // of the last Decay: sums that all questions share are taken there.
-type Shape struct {
+type LatencyDistribution struct {
 	mass   [bins]float64
 	total  float64
 	longer [bins + 1]float64 // mass of the bins from this one on
 }
 
-// NewShape returns the shape that is taken until answers tell: exponential with the expected time as its mean, which
+// NewLatencyDistribution returns the shape that is taken until answers tell: exponential with the expected time as its mean, which
 // is wider than most, counted as some answers' evidence.
-func NewShape() *Shape {
-	s := &Shape{}
+func NewLatencyDistribution() *LatencyDistribution {
+	s := &LatencyDistribution{}
 	below := 0.0
 	for i := range s.mass {
 		up := 1 - math.Exp(-binEnds[i])
@@ -60,7 +60,7 @@
 }
 
 // sumTails computes the mass of the tails that questions share.
-func (s *Shape) sumTails() {
+func (s *LatencyDistribution) sumTails() {
 	for i := bins - 1; i >= 0; i-- {
 		s.longer[i] = s.longer[i+1] + s.mass[i]
 	}
@@ -86,13 +86,13 @@
 }
 
 // Answered records an answer.
-func (s *Shape) Answered(multiple float64) {
+func (s *LatencyDistribution) Answered(multiple float64) {
 	s.mass[binOf(multiple)]++
 	s.total++
 }
 
 // CalledOff records an attempt that had no answer by then and would have had one with the given probability.
-func (s *Shape) CalledOff(multiple, answered float64) {
+func (s *LatencyDistribution) CalledOff(multiple, answered float64) {
 	at, tail := binOf(multiple), 0.0
 	for _, m := range s.mass[at:] {
 		tail += m
@@ -107,7 +107,7 @@
 }
 
 // Decay keeps a share of the record, but for a part that stays until answers replace it.
-func (s *Shape) Decay(keep float64) {
+func (s *LatencyDistribution) Decay(keep float64) {
 	if keep = max(keep, min(minShapeAnswers/s.total, 1)); keep < 1 {
 		s.total = 0
 		for i := range s.mass {
@@ -119,7 +119,7 @@
 }
 
 // Survival is the share of answers that take longer. It is never 0: what has not been seen may still come.
-func (s *Shape) Survival(multiple float64) float64 {
+func (s *LatencyDistribution) Survival(multiple float64) float64 {
 	at := binOf(multiple)
 	longer := s.longer[at+1]
 	if at < bins-1 { // evenly within the bin
@@ -129,9 +129,9 @@
 	return (longer + 0.25) / (s.longer[0] + 0.5)
 }
 
-// Beyond is the least multiple at which the share of answers that take longer is at most survival, or +Inf if the
+// InverseSurvival is the least multiple at which the share of answers that take longer is at most survival, or +Inf if the
 // record is too small to tell.
-func (s *Shape) Beyond(survival float64) float64 {
+func (s *LatencyDistribution) InverseSurvival(survival float64) float64 {
 	allowed := survival*(s.longer[0]+0.5) - 0.25
 	if !(allowed >= 0) || s.longer[bins-1] > allowed {
 		return math.Inf(1)
--- a/internal/lossdetect/lossdetect_test.go
+++ b/internal/lossdetect/lossdetect_test.go
@@ -13,7 +13,7 @@
 func TestLostAmongLate(t *testing.T) {
 	for _, share := range []float64{0, 0.02, 0.1, 0.25, 0.5} {
 		rng := rand.New(rand.NewPCG(1, 2))
-		s := NewShape()
+		s := NewLatencyDistribution()
 		var r Record
 		var sum, off float64
 		const n = 20_000
@@ -22,7 +22,7 @@
 			if s.Decay(0.9995); i >= n/2 {
 				sum += p
 			}
-			end := s.Beyond(Until(p, 0.5))
+			end := s.InverseSurvival(Until(p, 0.5))
 			lost := i > n/4 && rng.Float64() < share
 			if takes := math.Exp(rng.NormFloat64() * 0.5); !lost && takes < end {
 				if r.Add(0, 0.998); p < 0.03 {
@@ -51,7 +51,7 @@
 // TestShape has any answers and calls keep the survival a falling share, with Beyond as its inverse.
 func TestShape(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := NewShape()
+		s := NewLatencyDistribution()
 		multiple := rapid.OneOf(rapid.Float64Range(0, 50), rapid.Float64())
 		for range rapid.IntRange(0, 300).Draw(t, "events") {
 			switch at := multiple.Draw(t, "at"); rapid.IntRange(0, 5).Draw(t, "event") {
@@ -71,7 +71,7 @@
 				t.Fatalf("survival %v at %v after %v before it", v, x, last)
 			}
 			last = v
-			if at := s.Beyond(v); x > firstBinEnd && x < lastBinStart/2 && v < s.Survival(firstBinEnd) &&
+			if at := s.InverseSurvival(v); x > firstBinEnd && x < lastBinStart/2 && v < s.Survival(firstBinEnd) &&
 				math.Abs(s.Survival(at)-v) > 1e-6 {
 				t.Fatalf("survival %v at %v, but %v where Beyond puts it, at %v", v, x, s.Survival(at), at)
 			}
@@ -155,13 +155,13 @@
 }
 
 func BenchmarkLost(b *testing.B) {
-	s := NewShape()
+	s := NewLatencyDistribution()
 	var r Record
 	b.ReportAllocs()
 	for i := range b.N {
 		x := float64(i%64) / 16
 		s.Answered(x)
 		r.Add(Lost(r.Share(0.001), s.Survival(x)), 0.85)
-		_ = s.Beyond(Until(r.Share(0.001), 0.5))
+		_ = s.InverseSurvival(Until(r.Share(0.001), 0.5))
 	}
 }
