--- a/balance/hedge_test.go
+++ b/balance/hedge_test.go
@@ -128,7 +128,7 @@
 		e := b.known[ask(b, h, 1)]
 		look := h.timers[0]
 		for range 10 {
-			e.slowdown.Answered(tt.others)
+			e.slowdown.Add(tt.others)
 			e.classes[0].Loss.Add(1, 1)
 		}
 		h.now += usual * 5 / 4
--- a/balance/hedging.go
+++ b/balance/hedging.go
@@ -109,7 +109,7 @@
 	if a.endpoint.lastResponse < a.sent {
 		share = max(share, usualLoss)
 	}
-	return a.expectedNow * b.answerTimes.InverseSurvival(lossdetect.Until(share, hedgeProbability))
+	return a.expectedNow * b.answerTimes.InverseSurvival(lossdetect.SurvivalForLoss(share, hedgeProbability))
 }
 
 // lateThreshold is the time in seconds after which an answer of the class is late.
--- a/balance/late_test.go
+++ b/balance/late_test.go
@@ -225,7 +225,7 @@
 				h.now += tt.noticed
 			}
 			a := attempt{endpoint: e, sent: sent, expectedNow: 0.02}
-			b.recordUnanswered(0, &a, survival, lossdetect.Lost(usualLoss, survival), h.now)
+			b.recordUnanswered(0, &a, survival, lossdetect.LossProbability(usualLoss, survival), h.now)
 		}
 		if ejected := h.now < e.ejectedUntil; ejected != tt.ejected {
 			t.Errorf("%s: ejected %v, want %v", tt.name, ejected, tt.ejected)
--- a/balance/losses.go
+++ b/balance/losses.go
@@ -66,7 +66,7 @@
 		q.Class,
 		a,
 		survival,
-		lossdetect.Lost(b.classLossShare(a.endpoint, q.Class), survival),
+		lossdetect.LossProbability(b.classLossShare(a.endpoint, q.Class), survival),
 		now,
 	)
 }
@@ -77,11 +77,11 @@
 	switch {
 	case r.Outcome == Served:
 		if share < learnMaxLoss {
-			b.answerTimes.Answered(out)
+			b.answerTimes.Add(out)
 		}
 		e.silenceAlarm = 0
 		if a.expectedAtSend > 0 {
-			e.slowdown.Answered(r.Took.Seconds() / a.expectedAtSend)
+			e.slowdown.Add(r.Took.Seconds() / a.expectedAtSend)
 		}
 		e.classes[q.Class].Served(b.usualLossShare(e), totalLossShare)
 		b.recordLoss(q.Class, a, 0)
@@ -90,9 +90,9 @@
 			share = max(share, minTimeoutLoss)
 		}
 		survival := b.answerTimes.Survival(out)
-		lost := lossdetect.Lost(share, survival)
+		lost := lossdetect.LossProbability(share, survival)
 		if share < learnMaxLoss {
-			b.answerTimes.CalledOff(out, 1-lost)
+			b.answerTimes.AddCancelled(out, 1-lost)
 		}
 		b.recordUnanswered(q.Class, a, survival, lost, now)
 	case a.lossProbability > 0:
--- a/internal/lossdetect/lossdetect.go
+++ b/internal/lossdetect/lossdetect.go
@@ -85,14 +85,14 @@
 	return int(math.Float64bits(multiple/firstBinEnd)>>(52-binsPerOctaveLog)) - 1023<<binsPerOctaveLog + 1
 }
 
-// Answered records an answer.
-func (s *LatencyDistribution) Answered(multiple float64) {
+// Add records an answer.
+func (s *LatencyDistribution) Add(multiple float64) {
 	s.mass[binOf(multiple)]++
 	s.total++
 }
 
-// CalledOff records an attempt that had no answer by then and would have had one with the given probability.
-func (s *LatencyDistribution) CalledOff(multiple, answered float64) {
+// AddCancelled records an attempt that had no answer by then and would have had one with the given probability.
+func (s *LatencyDistribution) AddCancelled(multiple, answered float64) {
 	at, tail := binOf(multiple), 0.0
 	for _, m := range s.mass[at:] {
 		tail += m
@@ -159,14 +159,14 @@
 	return from, binEnds[bin]
 }
 
-// Lost is the probability that an attempt will never be answered, given the share of attempts that are not and the
+// LossProbability is the probability that an attempt will never be answered, given the share of attempts that are not and the
 // share of answers that take longer than it has been out.
-func Lost(share, survival float64) float64 {
+func LossProbability(share, survival float64) float64 {
 	return share / max(share+(1-share)*survival, math.SmallestNonzeroFloat64)
 }
 
-// Until is the survival at which Lost reaches the given probability, which is above 0 and under 1.
-func Until(share, lost float64) float64 {
+// SurvivalForLoss is the survival at which Lost reaches the given probability, which is above 0 and under 1.
+func SurvivalForLoss(share, lost float64) float64 {
 	return share * (1 - lost) / max((1-share)*lost, math.SmallestNonzeroFloat64)
 }
 
--- a/internal/lossdetect/lossdetect_test.go
+++ b/internal/lossdetect/lossdetect_test.go
@@ -22,18 +22,18 @@
 			if s.Decay(0.9995); i >= n/2 {
 				sum += p
 			}
-			end := s.InverseSurvival(Until(p, 0.5))
+			end := s.InverseSurvival(SurvivalForLoss(p, 0.5))
 			lost := i > n/4 && rng.Float64() < share
 			if takes := math.Exp(rng.NormFloat64() * 0.5); !lost && takes < end {
 				if r.Add(0, 0.998); p < 0.03 {
-					s.Answered(takes)
+					s.Add(takes)
 				}
 				continue
 			}
 			end = min(end, 20) // the client's patience
-			l := Lost(p, s.Survival(end))
+			l := LossProbability(p, s.Survival(end))
 			if r.Add(l, 0.998); p < 0.03 {
-				s.CalledOff(end, 1-l)
+				s.AddCancelled(end, 1-l)
 			}
 			if !lost {
 				off++
@@ -56,11 +56,11 @@
 		for range rapid.IntRange(0, 300).Draw(t, "events") {
 			switch at := multiple.Draw(t, "at"); rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
-				s.CalledOff(at, rapid.Float64Range(0, 1).Draw(t, "answered"))
+				s.AddCancelled(at, rapid.Float64Range(0, 1).Draw(t, "answered"))
 			case 1:
 				s.Decay(0.9)
 			default:
-				s.Answered(at)
+				s.Add(at)
 			}
 		}
 		s.Decay(1)
@@ -84,11 +84,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0.0001, 0.9999).Draw(t, "share")
 		lost := rapid.Float64Range(0.01, 0.99).Draw(t, "lost")
-		if got := Lost(share, Until(share, lost)); math.Abs(got-lost) > 1e-6 {
+		if got := LossProbability(share, SurvivalForLoss(share, lost)); math.Abs(got-lost) > 1e-6 {
 			t.Fatalf("lost with %v where Until says %v", got, lost)
 		}
-		if v := rapid.Float64Range(0, 1).Draw(t, "survival"); Lost(share, v) < Lost(share, 1)-1e-9 ||
-			Lost(share, 1) < share-1e-9 {
+		if v := rapid.Float64Range(0, 1).Draw(t, "survival"); LossProbability(share, v) < LossProbability(share, 1)-1e-9 ||
+			LossProbability(share, 1) < share-1e-9 {
 			t.Fatal("an attempt that has been out is less likely lost than one just sent")
 		}
 	})
@@ -130,20 +130,20 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var s Slowdown
 		for _, m := range rapid.SliceOfN(rapid.Float64Range(0, 1000), 0, 50).Draw(t, "answers") {
-			if s.Answered(m); s.Factor() < 1 || s.Factor() > maxSlowdown {
+			if s.Add(m); s.Factor() < 1 || s.Factor() > maxSlowdown {
 				t.Fatalf("factor %v", s.Factor())
 			}
 		}
 		s.Decay(0)
 		for range 30 {
-			s.Answered(1)
+			s.Add(1)
 		}
-		if s.Answered(1000); s.Factor() < 1 || s.Factor() > 1.6 {
+		if s.Add(1000); s.Factor() < 1 || s.Factor() > 1.6 {
 			t.Fatalf("factor %v after one outlier", s.Factor())
 		}
 		slower := rapid.Float64Range(1, maxSlowdown).Draw(t, "slower")
 		for range 4 {
-			s.Answered(slower)
+			s.Add(slower)
 		}
 		if got := s.Factor(); got < 1+(slower-1)/2 {
 			t.Fatalf("factor %v after four answers slower by %v", got, slower)
@@ -160,8 +160,8 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		x := float64(i%64) / 16
-		s.Answered(x)
-		r.Add(Lost(r.Share(0.001), s.Survival(x)), 0.85)
-		_ = s.InverseSurvival(Until(r.Share(0.001), 0.5))
+		s.Add(x)
+		r.Add(LossProbability(r.Share(0.001), s.Survival(x)), 0.85)
+		_ = s.InverseSurvival(SurvivalForLoss(r.Share(0.001), 0.5))
 	}
 }
--- a/internal/lossdetect/slowdown.go
+++ b/internal/lossdetect/slowdown.go
@@ -12,8 +12,8 @@
 // The zero value is a factor of 1.
 type Slowdown struct{ answers, multiples float64 }
 
-// Answered records an answer by its time as a multiple of the time that was expected at the sending.
-func (s *Slowdown) Answered(multiple float64) {
+// Add records an answer by its time as a multiple of the time that was expected at the sending.
+func (s *Slowdown) Add(multiple float64) {
 	s.answers = s.answers*slowdownKeep + 1
 	s.multiples = s.multiples*slowdownKeep + min(multiple, maxSlowdown)
 }
