--- a/balance/losses.go
+++ b/balance/losses.go
@@ -139,9 +139,9 @@
 			e.lastSilence = now
 		}
 		b.notifyObserver(e, ObservedSilence)
-		e.silenceAlarm.Bad(survival, max(b.usualLossShare(e), partialLossShare), totalLossShare, 0)
+		e.silenceAlarm.RecordFailure(survival, max(b.usualLossShare(e), partialLossShare), totalLossShare, 0)
 	}
-	if e.silenceAlarm.Rings() && a.sent >= e.ejectedUntil {
+	if e.silenceAlarm.Raised() && a.sent >= e.ejectedUntil {
 		b.eject(e, now)
 	}
 }
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -90,7 +90,7 @@
 	switch r.Outcome {
 	case Served:
 		e.lastResponse = now
-		e.failureAlarm.Good(usual, ejectFailureShare)
+		e.failureAlarm.RecordSuccess(usual, ejectFailureShare)
 		b.notifyObserver(e, ObservedAnswer)
 		return
 	case ConnectFailed:
@@ -106,8 +106,8 @@
 		return
 	}
 	e.lastFailure = now
-	e.failureAlarm.Bad(0, usual, ejectFailureShare, 0)
-	if e.failureAlarm.Rings() {
+	e.failureAlarm.RecordFailure(0, usual, ejectFailureShare, 0)
+	if e.failureAlarm.Raised() {
 		b.eject(e, now)
 	}
 }
--- a/internal/lossdetect/access.go
+++ b/internal/lossdetect/access.go
@@ -31,7 +31,7 @@
 // Served records an answer, which readmits the class. The shares are those of Alarm.Good.
 func (a *Access) Served(usual, alarming float64) {
 	a.ejectedUntil, a.failedTries = 0, 0
-	a.lossAlarm.Good(usual, alarming)
+	a.lossAlarm.RecordSuccess(usual, alarming)
 }
 
 // Eject ejects the endpoint for the class until a time, and reports whether it was admitted before.
@@ -49,8 +49,8 @@
 	sent, now, first time.Duration,
 	survival, usual, alarming, before float64,
 ) (weighs float64, wait time.Duration) {
-	weighs = a.lossAlarm.Bad(survival, usual, alarming, before)
-	if a.lossAlarm.Rings() && sent >= a.lastTry {
+	weighs = a.lossAlarm.RecordFailure(survival, usual, alarming, before)
+	if a.lossAlarm.Raised() && sent >= a.lastTry {
 		wait = first << min(a.failedTries, maxBackoffDoublings)
 		a.failedTries++
 		a.lastTry = now
--- a/internal/lossdetect/lossdetect.go
+++ b/internal/lossdetect/lossdetect.go
@@ -194,17 +194,17 @@
 // below. It asks for the more evidence the more is usual.
 type Alarm float64
 
-// Good records an answer, where one share is usual and another calls for the alarm.
-func (a *Alarm) Good(usual, alarming float64) {
+// RecordSuccess records an answer, where one share is usual and another calls for the alarm.
+func (a *Alarm) RecordSuccess(usual, alarming float64) {
 	if *a > 0 { // it can but fall
 		*a = max(*a+Alarm(math.Log((1-alarming)/(1-clampUsual(usual, alarming)))), 0)
 	}
 }
 
-// Bad records a failure, or, with a survival above 0, that an attempt has been out for so long that such a share of
+// RecordFailure records a failure, or, with a survival above 0, that an attempt has been out for so long that such a share of
 // answers takes longer. It returns the weight of that evidence; the one returned for the same attempt before, or 0,
 // is given to replace it.
-func (a *Alarm) Bad(survival, usual, alarming, before float64) float64 {
+func (a *Alarm) RecordFailure(survival, usual, alarming, before float64) float64 {
 	usual = clampUsual(usual, alarming)
 	weighs := math.Log((alarming + (1-alarming)*survival) / (usual + (1-usual)*survival))
 	*a = max(*a+Alarm(weighs-before), 0)
@@ -218,5 +218,5 @@
 // Rearm has the alarm ring at the next bad sign: one that rang before has to be disproved.
 func (a *Alarm) Rearm() { *a = alarmThreshold - 1 }
 
-// Rings reports whether the evidence suffices.
-func (a Alarm) Rings() bool { return a >= alarmThreshold }
+// Raised reports whether the evidence suffices.
+func (a Alarm) Raised() bool { return a >= alarmThreshold }
