--- a/balance/admission.go
+++ b/balance/admission.go
@@ -144,7 +144,7 @@
 		return false
 	}
 	part := math.Max(1/float64(b.settings.Peers), b.arrivals/memory.Seconds()/math.Max(b.allowances, 1e-9))
-	return b.tenants[i].Over(now, b.settings.Tenants[i].Allowance*part, memory)
+	return b.tenants[i].Exceeds(now, b.settings.Tenants[i].Allowance*part, memory)
 }
 
 // MayReject reports whether the host may reject a request that has no final answer yet: as its class allows
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -54,7 +54,7 @@
 	endedAttempts     float64                         // decaying count of attempts that ended
 	failedAttempts    float64                         // and of those that failed
 	answerTimes       *lossdetect.LatencyDistribution // distribution of answer times
-	fleetLosses       lossdetect.Record               // of attempts at all endpoints
+	fleetLosses       lossdetect.LossRate             // of attempts at all endpoints
 	retryBudget       retrybudget.Budget
 	objective         float64       // the shortest latency objective, in seconds
 	removedClasses    []bool        // by class: it is not in the settings any more
--- a/balance/configure.go
+++ b/balance/configure.go
@@ -32,7 +32,7 @@
 	}
 	b.retryBudget.Grow(len(b.settings.Classes))
 	for _, e := range b.known {
-		e.classes = append(e.classes, make([]lossdetect.Access, len(b.settings.Classes)-len(e.classes))...)
+		e.classes = append(e.classes, make([]lossdetect.ClassState, len(b.settings.Classes)-len(e.classes))...)
 	}
 }
 
--- a/balance/losses.go
+++ b/balance/losses.go
@@ -149,7 +149,7 @@
 // recordLoss counts an attempt as lost by a probability, in place of the one that it counted with before.
 func (b *Balancer) recordLoss(class int, a *attempt, lost float64) {
 	for _, r := range []struct {
-		record *lossdetect.Record
+		record *lossdetect.LossRate
 		keep   float64
 	}{
 		{&a.endpoint.classes[class].Loss, classKeep},
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -21,24 +21,24 @@
 
 // observations is what the sidecar has observed of an endpoint's process.
 type observations struct {
-	answerSeconds  float64             // decaying sum of the seconds that answers took
-	answerInFlight float64             // and of the requests that were in flight then
-	lastSample     Time                // when an attempt last showed how fast it is
-	endedAttempts  float64             // decaying count of attempts that ended
-	failedAttempts float64             // and of those that failed
-	failureAlarm   lossdetect.Alarm    // rings if it fails much more than the others
-	lastFailure    Time                // when a failure last counted
-	ejectedUntil   Time                // 0: never ejected
-	losses         lossdetect.Record   // of attempts while it answered others
-	silenceAlarm   lossdetect.Alarm    // rings if it loses everything
-	lastSilence    Time                // when a silence last counted
-	slowdown       lossdetect.Slowdown // of its latest answers, against what was expected of them
-	classes        []lossdetect.Access // by class
+	answerSeconds  float64                 // decaying sum of the seconds that answers took
+	answerInFlight float64                 // and of the requests that were in flight then
+	lastSample     Time                    // when an attempt last showed how fast it is
+	endedAttempts  float64                 // decaying count of attempts that ended
+	failedAttempts float64                 // and of those that failed
+	failureAlarm   lossdetect.Alarm        // rings if it fails much more than the others
+	lastFailure    Time                    // when a failure last counted
+	ejectedUntil   Time                    // 0: never ejected
+	losses         lossdetect.LossRate     // of attempts while it answered others
+	silenceAlarm   lossdetect.Alarm        // rings if it loses everything
+	lastSilence    Time                    // when a silence last counted
+	slowdown       lossdetect.Slowdown     // of its latest answers, against what was expected of them
+	classes        []lossdetect.ClassState // by class
 }
 
 // newObservations returns those of a process of which nothing is known.
 func (b *Balancer) newObservations(now Time) observations {
-	return observations{lastSample: now, classes: make([]lossdetect.Access, len(b.settings.Classes))}
+	return observations{lastSample: now, classes: make([]lossdetect.ClassState, len(b.settings.Classes))}
 }
 
 // recordOutcome records what the end of an attempt tells of its endpoint. Where some connections are dead
--- a/internal/lossdetect/lossdetect.go
+++ b/internal/lossdetect/lossdetect.go
@@ -170,22 +170,22 @@
 	return share * (1 - lost) / max((1-share)*lost, math.SmallestNonzeroFloat64)
 }
 
-// Record is a decaying count of attempts and of those lost among them. The counts are not whole: an attempt whose end
+// LossRate is a decaying count of attempts and of those lost among them. The counts are not whole: an attempt whose end
 // is not known counts as lost by its probability. It fades with time and with what comes in: what is lost now must
 // not take long to outweigh what was answered before.
-type Record struct{ ended, lost float64 }
+type LossRate struct{ ended, lost float64 }
 
 // Add counts an attempt that is lost with the given probability, and keeps that share of the record before it.
-func (r *Record) Add(lost, keep float64) { r.ended, r.lost = r.ended*keep+1, r.lost*keep+lost }
+func (r *LossRate) Add(lost, keep float64) { r.ended, r.lost = r.ended*keep+1, r.lost*keep+lost }
 
 // Correct has an attempt that was counted as lost with one probability count with another.
-func (r *Record) Correct(from, to float64) { r.lost = min(max(r.lost+to-from, 0), r.ended) }
+func (r *LossRate) Correct(from, to float64) { r.lost = min(max(r.lost+to-from, 0), r.ended) }
 
 // Decay keeps a share of the record.
-func (r *Record) Decay(keep float64) { r.ended, r.lost = r.ended*keep, r.lost*keep }
+func (r *LossRate) Decay(keep float64) { r.ended, r.lost = r.ended*keep, r.lost*keep }
 
 // Share is the share of attempts lost, where usual is what is expected of one without a record.
-func (r *Record) Share(usual float64) float64 {
+func (r *LossRate) Share(usual float64) float64 {
 	return (r.lost + recordWeight*usual) / (r.ended + recordWeight)
 }
 
--- a/internal/lossdetect/lossdetect_test.go
+++ b/internal/lossdetect/lossdetect_test.go
@@ -14,7 +14,7 @@
 	for _, share := range []float64{0, 0.02, 0.1, 0.25, 0.5} {
 		rng := rand.New(rand.NewPCG(1, 2))
 		s := NewLatencyDistribution()
-		var r Record
+		var r LossRate
 		var sum, off float64
 		const n = 20_000
 		for i := range n {
@@ -97,7 +97,7 @@
 // TestRecord has corrections and fading keep a share between 0 and 1, and a correction undo what it corrects.
 func TestRecord(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var r Record
+		var r LossRate
 		probability := rapid.Float64Range(0, 1)
 		for range rapid.IntRange(0, 50).Draw(t, "events") {
 			switch p := probability.Draw(t, "lost"); rapid.IntRange(0, 2).Draw(t, "event") {
@@ -156,7 +156,7 @@
 
 func BenchmarkLost(b *testing.B) {
 	s := NewLatencyDistribution()
-	var r Record
+	var r LossRate
 	b.ReportAllocs()
 	for i := range b.N {
 		x := float64(i%64) / 16
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -11,9 +11,9 @@
 	updated time.Duration
 }
 
-// Over counts one event at a time and reports whether it is beyond the allowed rate, in events a second. The bucket
+// Exceeds counts one event at a time and reports whether it is beyond the allowed rate, in events a second. The bucket
 // holds one event and what the rate brings within burst. An event that is over takes no token.
-func (m *Meter) Over(now time.Duration, rate float64, burst time.Duration) bool {
+func (m *Meter) Exceeds(now time.Duration, rate float64, burst time.Duration) bool {
 	earned := rate * (now - m.updated).Seconds()
 	capacity := 1 + rate*burst.Seconds()
 	m.tokens = min(m.tokens+earned, capacity)
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -17,7 +17,7 @@
 		start, passed := now, 0.0
 		for _, ms := range rapid.SliceOfN(rapid.IntRange(0, 3000), 1, 200).Draw(t, "waits in ms") {
 			now += time.Duration(ms) * time.Millisecond
-			if !m.Over(now, rate, burst) {
+			if !m.Exceeds(now, rate, burst) {
 				passed++
 			}
 			if most := 1 + rate*(burst+now-start).Seconds() + 1e-6; passed > most {
@@ -26,7 +26,7 @@
 		}
 		for range 50 {
 			now += time.Duration(1.01 / rate * float64(time.Second))
-			if m.Over(now, rate, burst) {
+			if m.Exceeds(now, rate, burst) {
 				t.Fatal("an event within the rate is over")
 			}
 		}
