--- a/internal/loadlevel/loadlevel.go
+++ b/internal/loadlevel/loadlevel.go
@@ -1,67 +1,69 @@
-// Package loadlevel estimates how full the servers are from how long answers take now, as a multiple of how long they
-// took in the seconds before.
+// Package loadlevel estimates the load of the servers from response times: the level is the present response time as a
+// multiple of the response time of the preceding seconds.
 //
-// It is pure: no clock, no randomness, no I/O and no allocation. Records decay when their owner says so. Either time is
-// estimated by Little's law, as the time that attempts spent waiting over the answers that came of it. The time for
-// which answers are outstanding counts too: attempts that have ended are the ones that a jam did not hold up, and would
-// tell of it late.
+// The package is pure: no clock, no randomness, no I/O and no allocation. Records decay only when the caller calls
+// Decay. By Little's law, a response time is the total time that attempts were in flight divided by the number of
+// responses. The time that attempts still in flight have waited so far is included: the attempts that have ended are
+// those that congestion did not delay, so they alone would show it late.
 //
-// A Meter must not be used by two goroutines at once.
+// A Meter is not safe for concurrent use.
 package loadlevel
 
-// priorAnswers is the count of answers at the former times that is added to those at the present ones, so that few
-// answers do not make a level; it is also the least that former times are derived from.
-const priorAnswers = 2
+// priorResponses is the number of responses with the former response time that are added to the recent ones, so that
+// few responses do not change the level much. It is also the minimum number of former responses: with fewer, the level
+// is 1.
+const priorResponses = 2
 
-// leastSeconds keeps a ratio of times finite where former answers took no time at all.
-const leastSeconds = 1e-9
+// minSeconds is the lower bound of the former response time. It keeps the level finite if the former responses took no
+// time.
+const minSeconds = 1e-9
 
 // record is a decaying record of attempts that have ended.
 type record struct {
-	waited  float64 // seconds spent on them
-	answers float64 // how many were answered
+	waited    float64 // total time in flight, in seconds
+	responses float64 // number of attempts with a response
 }
 
-// add counts an attempt that was out for so many seconds.
-func (r *record) add(seconds float64, answered bool) {
+// add counts an attempt that ended after the given seconds in flight, with or without a response.
+func (r *record) add(seconds float64, responded bool) {
 	r.waited += seconds
-	if answered {
-		r.answers++
+	if responded {
+		r.responses++
 	}
 }
 
-// decay keeps a share of the record.
+// decay multiplies the record by keep.
 func (r *record) decay(keep float64) {
 	r.waited *= keep
-	r.answers *= keep
+	r.responses *= keep
 }
 
-// Meter measures the load level from one sidecar's attempts. The zero value knows of none.
+// Meter measures the load level from the attempts of one sidecar. The zero value has no attempts and level 1.
 type Meter struct {
 	recent, former record
-	excess         float64 // level above 1
+	excess         float64 // level minus 1
 }
 
-// Ended counts an attempt that was out for so many seconds, and whether it was answered.
-func (m *Meter) Ended(seconds float64, answered bool) {
-	m.recent.add(seconds, answered)
-	m.former.add(seconds, answered)
+// Ended counts an attempt that ended after the given seconds in flight, with or without a response.
+func (m *Meter) Ended(seconds float64, responded bool) {
+	m.recent.add(seconds, responded)
+	m.former.add(seconds, responded)
 }
 
-// Decay keeps the given shares, from 0 to 1, of the recent and the former record, and computes the level anew.
-// outstanding is the sum of the seconds for which attempts that are expected to be answered have been out.
+// Decay multiplies the recent and the former record by the given factors, from 0 to 1, and recomputes the level.
+// outstanding is the total time, in seconds, that attempts in flight have waited, without those presumed lost.
 func (m *Meter) Decay(keepRecent, keepFormer, outstanding float64) {
 	m.recent.decay(keepRecent)
 	m.former.decay(keepFormer)
 	m.excess = 0
-	if m.former.answers < priorAnswers {
+	if m.former.responses < priorResponses {
 		return
 	}
-	former := (m.former.waited + outstanding) / m.former.answers
-	present := (m.recent.waited + outstanding + priorAnswers*former) / (m.recent.answers + priorAnswers)
-	m.excess = max(present/max(former, leastSeconds)-1, 0)
+	former := (m.former.waited + outstanding) / m.former.responses
+	present := (m.recent.waited + outstanding + priorResponses*former) / (m.recent.responses + priorResponses)
+	m.excess = max(present/max(former, minSeconds)-1, 0)
 }
 
-// Level returns the multiple, 1 or more. Answers that come sooner than before show in the answer times themselves, and
-// waiting for that does no harm, so a level under 1 is not reported.
+// Level returns the load level, 1 or more. A level below 1 is not reported: the response times themselves show that
+// responses have become faster, and a delay until they do is harmless.
 func (m *Meter) Level() float64 { return 1 + m.excess }
