--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -1,41 +1,41 @@
-// Package retrybudget keeps the budget from which further attempts at requests are paid: retries and hedged requests.
+// Package retrybudget limits additional attempts, which are retries and hedged requests, to a share of the successes.
 //
-// A share of each success is saved up, as in the retry budgets of Finagle, so that further attempts dry up with the
-// successes. The package is pure: no clock, no randomness, no I/O.
+// Each success adds a fraction of an attempt to the budget, as in the retry budgets of Finagle, so that additional
+// attempts cease when successes cease. The package is pure: no clock, no randomness, no I/O.
 package retrybudget
 
-// Budget has one account for each class and one for all, in attempts, and an attempt is paid for by both: no class
-// lives on what the others earn, and all together spend no more than one would. It must not be used by two goroutines
-// at once.
+// Budget holds a balance for each class and a total balance, both in attempts. An additional attempt is deducted from
+// both: a class cannot use what other classes earned, and all classes together have the burst of a single one. A Budget
+// is not safe for concurrent use.
 type Budget struct {
 	total    float64
 	classes  []float64
-	ratio    float64 // that a success earns
-	capacity float64 // of each account
+	ratio    float64 // attempts added by a success
+	capacity float64 // maximum of each balance, in attempts
 }
 
-// New returns a full budget for so many classes. Each success earns ratio of an attempt, and each account holds at most
-// capacity attempts.
+// New returns a full budget for the given number of classes. Each success adds ratio attempts to its balances, and each
+// balance is at most capacity attempts.
 func New(classes int, ratio, capacity float64) Budget {
 	b := Budget{total: capacity, ratio: ratio, capacity: capacity}
 	b.Grow(classes)
 	return b
 }
 
-// Grow adds full accounts until there are so many classes.
+// Grow adds full balances until the budget has the given number of classes.
 func (b *Budget) Grow(classes int) {
 	for len(b.classes) < classes {
 		b.classes = append(b.classes, b.capacity)
 	}
 }
 
-// Earn records a success of a class.
+// Earn records a success of a class: it adds ratio attempts to the balance of the class and to the total.
 func (b *Budget) Earn(class int) {
 	b.total = min(b.total+b.ratio, b.capacity)
 	b.classes[class] = min(b.classes[class]+b.ratio, b.capacity)
 }
 
-// Spend pays for a further attempt of a class. It returns false and takes nothing if either account has less than one.
+// Spend deducts an additional attempt of a class. It returns false and deducts nothing if either balance is below one.
 func (b *Budget) Spend(class int) bool {
 	if b.total < 1 || b.classes[class] < 1 {
 		return false
@@ -45,8 +45,8 @@
 	return true
 }
 
-// Charge takes what a client's own retry costs, as far as it is there: such a retry is served in any case, and leaves
-// less for others.
+// Charge deducts the cost of a retry that a client made itself, down to a balance of 0. Such a retry is served in any
+// case, and leaves less budget for additional attempts.
 func (b *Budget) Charge(class int) {
 	b.total = max(b.total-1, 0)
 	b.classes[class] = max(b.classes[class]-1, 0)
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -6,12 +6,12 @@
 	"pgregory.net/rapid"
 )
 
-// TestBudget has no order of successes, further attempts and clients' retries spend more than was put by at the start
-// and earned, in a class or in all.
+// TestBudget checks that in any order of successes, additional attempts and clients' own retries, neither a class nor
+// all classes together spend more than the initial budget plus what they earned.
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(2, 0.2, 20)
-		var earned, spent [3]float64 // by class, and the whole
+		var earned, spent [3]float64 // by class, then in total
 		for _, event := range rapid.SliceOfN(rapid.IntRange(0, 5), 0, 500).Draw(t, "events") {
 			class := event % 2
 			switch event / 2 {
@@ -27,7 +27,7 @@
 			}
 			for i := range spent {
 				if spent[i] > 20+earned[i]+1e-6 {
-					t.Fatalf("%v spent after %v were earned", spent, earned)
+					t.Fatalf("spent %v by class and in total, more than the initial 20 plus the earned %v", spent, earned)
 				}
 			}
 		}
@@ -37,17 +37,17 @@
 		b.Charge(0)
 		for range 19 {
 			if !b.Spend(0) {
-				t.Fatal("what was put by can't be spent")
+				t.Fatal("Spend refused an attempt within the budget")
 			}
 		}
 		if b.Spend(0) || b.Spend(1) {
-			t.Fatal("more was put by than the most, or a client's retry took nothing")
+			t.Fatal("the balance exceeds the capacity, or Charge deducted nothing")
 		}
 		for range 200 {
 			b.Earn(1)
 		}
 		if b.Spend(0) || !b.Spend(1) {
-			t.Fatal("a class lives on what another earned")
+			t.Fatal("a class spends what another class earned, or cannot spend what it earned itself")
 		}
 	})
 }
