--- a/cmd/adapter/host.go
+++ b/cmd/adapter/host.go
@@ -9,18 +9,18 @@
 	"milletramp.example/milletramp/internal/wire"
 )
 
-// noInstance is the number of no instance: a batch has yet to select one.
+// noInstance is the value of host.selected until a batch selects an instance.
 const noInstance = -1
 
-// host owns the running instances and the place in the current batch.
+// host owns the running instances and the state of the current batch.
 type host struct {
 	writer    *wire.Writer
 	instances map[int]*instance
 	now       balance.Time // of the current batch
-	selected  int          // the instance that the next events concern
+	selected  int          // number of the instance that the next events concern
 }
 
-// run plays batches until the input ends.
+// run processes batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	reader := wire.NewReader(in)
 	h := &host{
@@ -42,7 +42,7 @@
 	}
 }
 
-// handle plays one event. What concerns no running instance's Balancer is done here, the rest is dispatched.
+// handle processes one event. Events for a running instance are dispatched to it.
 func (h *host) handle(event *wire.Event) error {
 	switch event.Kind {
 	case wire.BatchStart:
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// start starts the selected instance anew, with nothing of a former one of its number.
+// start starts the selected instance. It replaces an instance that already runs under this number.
 func (h *host) start(event *wire.Event) error {
 	started, err := newInstance(h.selected, h.writer, event)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// dispatch hands an event to the selected instance.
+// dispatch passes an event to the selected instance.
 func (h *host) dispatch(event *wire.Event) error {
 	selected, running := h.instances[h.selected]
 	if !running {
--- a/cmd/adapter/instance.go
+++ b/cmd/adapter/instance.go
@@ -8,7 +8,7 @@
 	"milletramp.example/milletramp/internal/wire"
 )
 
-// noTenant is the index of a request without a known tenant.
+// noTenant is the tenant index of a request without a known tenant.
 const noTenant = -1
 
 // instance is one simulated sidecar. It implements the Actions of its Balancer by writing them to the reply.
@@ -29,7 +29,7 @@
 	return i, nil
 }
 
-// handle hands an event to the Balancer.
+// handle passes an event to the Balancer.
 func (i *instance) handle(now balance.Time, event *wire.Event) error {
 	switch event.Kind {
 	case wire.Endpoints:
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// request hands a client's request to the Balancer, with the indexes of its class and tenant.
+// request passes a client's request to the Balancer, with the indexes of its class and tenant.
 func (i *instance) request(now balance.Time, event *wire.Event) error {
 	class, known := i.names.Class[event.Class]
 	if !known {
@@ -68,38 +68,36 @@
 	return nil
 }
 
-// Send implements balance.Actions, as do the methods after it. It drops the bound on when the attempt may begin, as the
-// protocol has none, and sets no timeout.
+// Send implements balance.Actions, as do the methods after it. It ignores the time limit for the start of the attempt,
+// which the protocol cannot express, and sets no timeout.
 func (i *instance) Send(id balance.RequestID, endpoint string, _ time.Duration) {
 	i.writer.Send(i.number, id, endpoint, 0)
 }
 
-// Cancel cancels an attempt.
 func (i *instance) Cancel(id balance.RequestID, attempt int) {
 	i.writer.Cancel(i.number, id, attempt)
 }
 
-// Reject rejects a request.
 func (i *instance) Reject(id balance.RequestID, retryAfter time.Duration) {
 	i.writer.Reject(i.number, id, retryAfter)
 }
 
-// Fail fails a request.
+// Fail ends a request as failed.
 func (i *instance) Fail(id balance.RequestID) {
 	i.writer.Fail(i.number, id)
 }
 
-// Timer sets a timer.
+// Timer requests a Timer event with the token after the given time.
 func (i *instance) Timer(after time.Duration, token uint64) {
 	i.writer.Timer(i.number, after, token)
 }
 
-// Subscribe subscribes to discovery's changes.
+// Subscribe subscribes to the changes of discovery.
 func (i *instance) Subscribe() {
 	i.writer.Subscribe(i.number)
 }
 
-// Log writes a line of the report.
+// Log writes a log line.
 func (i *instance) Log(text string) {
 	i.writer.Log(i.number, text)
 }
--- a/cmd/adapter/recorded_test.go
+++ b/cmd/adapter/recorded_test.go
@@ -25,18 +25,18 @@
 // it for changes that are meant to change log texts and no decisions.
 var recordLogs = flag.Bool("record-logs", false, "record only the hash of the log texts anew")
 
-// scenario is a deployment, and what happens to it while its events are recorded.
+// scenario is a deployment with the load and the faults during its recording.
 type scenario struct {
 	name     string
 	settings string
 	servers  int
 	seconds  float64
-	rate     float64 // requests a second
-	// faults change the servers at each second.
+	rate     float64 // requests per second
+	// faults sets the faults of the servers at the start of each second.
 	faults func(r *recorder, second int)
 }
 
-// commonSettings are those that the scenarios share: three classes, one of each effect, and two tenants.
+// commonSettings are shared by the scenarios: three classes, one per effect, and two tenants.
 const commonSettings = "areas=north,south\tmodels=big,small\tmy_zone=north\ttier=0\ttiers=back\t" +
 	"rules.cold_s=6\trules.start_capacity=0.3\trules.fall_multiple=3\trules.fall_s=1\tcharges.cross_zone=0.03\t" +
 	"tenants.count=2\ttenants.0.name=inside\ttenants.0.allowance_per_s=400\ttenants.1.name=beyond\ttenants.1.allowance_per_s=4\t" +
@@ -54,7 +54,7 @@
 		faults: func(r *recorder, second int) {
 			r.servers[0].failing = second >= 5 && second < 10
 			r.servers[2].silent = second >= 12 && second < 15
-			for _, s := range r.servers { // more than they can do
+			for _, s := range r.servers { // overload all servers
 				s.slow = 1
 				if second >= 18 && second < 21 {
 					s.slow = 15
@@ -166,32 +166,32 @@
 	}
 }
 
-// recordedServer is a server of a scenario.
+// recordedServer is a simulated server of a scenario.
 type recordedServer struct {
 	id, zone, model string
-	started         string // as the list has it
+	started         string // start time in the endpoint list, "-" if unknown
 	failing, silent bool
-	slow            float64 // times as long as usual; 0: 1
-	held            int
+	slow            float64 // factor of the response time; 0 counts as 1
+	inFlight        int     // attempts
 }
 
-// recorder plays a scenario against an adapter and keeps the events.
+// recorder plays a scenario against an adapter and records the events.
 type recorder struct {
 	random   *rand.Rand
 	servers  []*recordedServer
 	now      float64
-	due      []dueEvent // in order of time
-	changed  []string   // entries of the list since the last one was sent
+	due      []dueEvent // by time
+	changed  []string   // list entries that changed since the last list was sent
 	events   bytes.Buffer
-	attempts map[string]int // by request
-	over     map[string]bool
-	next     int // number of the next request
-	added    int
-	replies  *bufio.Scanner
-	to       io.Writer
+	attempts map[string]int  // number of attempts by request
+	finished map[string]bool // requests that have ended
+	requests int             // number of requests so far
+	added    int             // number of servers added
+	replies  *bufio.Scanner  // output of the adapter
+	to       io.Writer       // input of the adapter
 }
 
-// dueEvent is an event to come. text returns its lines, "" if it does not happen any more.
+// dueEvent is a scheduled event. text returns its lines, or "" if it no longer applies.
 type dueEvent struct {
 	at   float64
 	text func() string
@@ -203,13 +203,13 @@
 	in, to := io.Pipe()
 	from, out := io.Pipe()
 	ended := make(chan error, 1)
-	go func() { // ends with its input, which this closes
+	go func() { // ends when the input is closed below
 		err := run(in, out)
 		_ = out.CloseWithError(err)
 		ended <- err
 	}()
 	r := &recorder{random: rand.New(rand.NewPCG(1, uint64(len(s.name)))), replies: bufio.NewScanner(from), to: to,
-		attempts: map[string]int{}, over: map[string]bool{}, now: 100}
+		attempts: map[string]int{}, finished: map[string]bool{}, now: 100}
 	for i := range s.servers {
 		zone, model := []string{"north", "south"}[i%2], []string{"big", "small"}[i/2%2]
 		r.servers = append(r.servers, &recordedServer{id: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), zone: zone, model: model,
@@ -233,17 +233,17 @@
 			r.batch(text)
 		}
 	}
-	_ = to.Close() // which ends run
+	_ = to.Close() // ends run
 	if err := <-ended; err != nil {
 		t.Fatal(err)
 	}
 	return r.events.Bytes()
 }
 
-// at has an event happen at a time.
+// at schedules an event. Events at the same time keep their order.
 func (r *recorder) at(at float64, text func() string) {
 	i, _ := slices.BinarySearchFunc(r.due, at, func(e dueEvent, at float64) int {
-		if e.at <= at { // events of one time keep their order
+		if e.at <= at {
 			return -1
 		}
 		return 1
@@ -251,17 +251,17 @@
 	r.due = slices.Insert(r.due, i, dueEvent{at, text})
 }
 
-// batch sends events of one time and takes in the reply.
+// batch sends a batch with the given events and processes the reply.
 func (r *recorder) batch(text string) {
 	lines := fmt.Sprintf("FRAME\t%.6f\nSWITCH_TO\t0\n%sYOUR_TURN\n", r.now, text)
 	r.events.WriteString(lines)
-	_, _ = io.WriteString(r.to, lines) // a failure ends run, which tells
+	_, _ = io.WriteString(r.to, lines) // a failed write ends run, which returns the error
 	for r.replies.Scan() && r.replies.Text() != "END" {
 		r.reply(strings.Split(r.replies.Text(), "\t"))
 	}
 }
 
-// reply takes in one line of a reply.
+// reply processes one line of a reply.
 func (r *recorder) reply(parts []string) {
 	switch parts[0] {
 	case "FORWARD":
@@ -269,27 +269,27 @@
 		r.attempts[parts[1]]++
 		r.forward(parts[1], attempt, parts[2])
 	case "NOT_NOW", "END_FAILED":
-		r.over[parts[1]] = true
+		r.finished[parts[1]] = true
 	case "AFTER":
 		after, _ := strconv.ParseFloat(parts[1], 64)
 		r.at(r.now+after, func() string { return "DUE\t" + parts[2] + "\n" })
-	case "DROP_ATTEMPT": // its answer comes all the same, after the request is over
+	case "DROP_ATTEMPT": // the response still arrives, after the request has ended
 	case "TAIL":
 		r.at(r.now+0.05, func() string { return r.list("all", r.entries()) })
 	}
 }
 
-// forward has a server answer an attempt.
+// forward schedules the result of an attempt at a server.
 func (r *recorder) forward(id string, attempt int, server string) {
 	at := slices.IndexFunc(r.servers, func(s *recordedServer) bool { return s.id == server })
 	result := func(outcome string, took float64) {
 		r.at(r.now+took, func() string {
 			if at >= 0 {
-				r.servers[at].held--
+				r.servers[at].inFlight--
 			}
 			finished := 0
-			if r.over[id] || outcome == "completed" {
-				r.over[id], finished = true, 1
+			if r.finished[id] || outcome == "completed" {
+				r.finished[id], finished = true, 1
 			}
 			return fmt.Sprintf("RESPONSE\t%s\t%d\t%s\t%s\t%.6f\t%d\t-\n", id, attempt, server, outcome, took, finished)
 		})
@@ -299,8 +299,8 @@
 		return
 	}
 	s := r.servers[at]
-	s.held++
-	took := (0.02 + r.random.ExpFloat64()*0.02) * max(s.slow, 1) * float64(1+s.held/4)
+	s.inFlight++
+	took := (0.02 + r.random.ExpFloat64()*0.02) * max(s.slow, 1) * float64(1+s.inFlight/4)
 	switch {
 	case s.silent:
 		result("overdue", 2)
@@ -313,34 +313,34 @@
 	}
 }
 
-// request is a client's request. A few of the clients leave early.
+// request returns a client's request. Of the clients, 1 in 30 leaves after 0.03 s.
 func (r *recorder) request() string {
-	r.next++
-	id := strconv.Itoa(r.next)
+	r.requests++
+	id := strconv.Itoa(r.requests)
 	class := []string{"read", "read", "read", "write", "pay"}[r.random.IntN(5)]
 	tenant := []string{"-", "inside", "beyond"}[r.random.IntN(3)]
 	within, attributes := 2.0, "-"
 	if r.random.IntN(10) == 0 {
-		attributes = "2" // the client has asked before
+		attributes = "2" // the client marks the request as a retry
 	}
 	if r.random.IntN(30) == 0 {
 		r.at(r.now+0.03, func() string {
-			if r.over[id] {
+			if r.finished[id] {
 				return ""
 			}
-			r.over[id] = true
+			r.finished[id] = true
 			return "CLIENT_LEFT\t" + id + "\n"
 		})
 	}
 	return fmt.Sprintf("DEMAND\t%s\t%s\t%s\t-\t%g\t-\t%s\n", id, class, tenant, within, attributes)
 }
 
-// change has the next list tell a server's new state.
+// change adds the new state of a server to the next list.
 func (r *recorder) change(s *recordedServer, state string) {
 	r.changed = append(r.changed, s.entry(state))
 }
 
-// add has a new server start, cold.
+// add starts a new, cold server.
 func (r *recorder) add(zone string) {
 	r.added++
 	s := &recordedServer{id: fmt.Sprintf("10.9.0.%d:80", r.added), zone: zone, model: "big", started: fmt.Sprintf("%.6f", r.now)}
@@ -348,7 +348,7 @@
 	r.change(s, "healthy")
 }
 
-// changes returns a list of what has changed, "" if nothing has.
+// changes returns a list of the changed entries, or "" if there are none.
 func (r *recorder) changes() string {
 	if len(r.changed) == 0 {
 		return ""
@@ -358,7 +358,7 @@
 	return text
 }
 
-// entries returns all servers' entries of a list.
+// entries returns the list entries of all servers, each healthy.
 func (r *recorder) entries() (entries []string) {
 	for _, s := range r.servers {
 		entries = append(entries, s.entry("healthy"))
