--- a/internal/lossdetect/access.go
+++ b/internal/lossdetect/access.go
@@ -11,33 +11,33 @@
 	Loss         LossRate
 	lossAlarm    Alarm         // rings if all attempts of the class are lost
 	ejectedUntil time.Duration // not to be tried before then; 0: not ejected
-	failedTries  int           // since it was ejected
-	lastTry      time.Duration // when the last try failed
+	ejections    int           // since it was ejected
+	lastEjection time.Duration // when the last try failed
 }
 
 // Admits reports whether the class may go there: it is not ejected, or it is time to try it with one request.
-func (a *ClassState) Admits(now time.Duration) bool { return now >= a.ejectedUntil }
+func (c *ClassState) Admits(now time.Duration) bool { return now >= c.ejectedUntil }
 
 // Ejected reports whether the endpoint is ejected for the class, also when it is time to try.
-func (a *ClassState) Ejected() bool { return a.ejectedUntil > 0 }
+func (c *ClassState) Ejected() bool { return c.ejectedUntil > 0 }
 
 // Sent records that an attempt goes there. Where the endpoint is ejected, that one tries it alone, for so long at most.
-func (a *ClassState) Sent(now, alone time.Duration) {
-	if a.ejectedUntil > 0 {
-		a.ejectedUntil = now + alone
+func (c *ClassState) Sent(now, probeTimeout time.Duration) {
+	if c.ejectedUntil > 0 {
+		c.ejectedUntil = now + probeTimeout
 	}
 }
 
 // Served records an answer, which readmits the class. The shares are those of Alarm.Good.
-func (a *ClassState) Served(usual, alarming float64) {
-	a.ejectedUntil, a.failedTries = 0, 0
-	a.lossAlarm.RecordSuccess(usual, alarming)
+func (c *ClassState) Served(usual, alarming float64) {
+	c.ejectedUntil, c.ejections = 0, 0
+	c.lossAlarm.RecordSuccess(usual, alarming)
 }
 
 // Eject ejects the endpoint for the class until a time, and reports whether it was admitted before.
-func (a *ClassState) Eject(until time.Duration) (isNew bool) {
-	isNew = a.ejectedUntil == 0
-	a.ejectedUntil = until
+func (c *ClassState) Eject(until time.Duration) (isNew bool) {
+	isNew = c.ejectedUntil == 0
+	c.ejectedUntil = until
 	return isNew
 }
 
@@ -45,15 +45,15 @@
 // the weight of that evidence as Alarm.Bad does, and for how long to eject the endpoint where all of the class is lost,
 // 0 where it is not: first, and twice as long each time that a try fails, up to four times. What was sent before the
 // last try failed tells nothing new.
-func (a *ClassState) Unanswered(
-	sent, now, first time.Duration,
-	survival, usual, alarming, before float64,
-) (weighs float64, wait time.Duration) {
-	weighs = a.lossAlarm.RecordFailure(survival, usual, alarming, before)
-	if a.lossAlarm.Raised() && sent >= a.lastTry {
-		wait = first << min(a.failedTries, maxBackoffDoublings)
-		a.failedTries++
-		a.lastTry = now
+func (c *ClassState) Unanswered(
+	sent, now, firstWait time.Duration,
+	survival, usual, alarming, previousWeight float64,
+) (weight float64, wait time.Duration) {
+	weight = c.lossAlarm.RecordFailure(survival, usual, alarming, previousWeight)
+	if c.lossAlarm.Raised() && sent >= c.lastEjection {
+		wait = firstWait << min(c.ejections, maxBackoffDoublings)
+		c.ejections++
+		c.lastEjection = now
 	}
-	return weighs, wait
+	return weight, wait
 }
--- a/internal/lossdetect/lossdetect.go
+++ b/internal/lossdetect/lossdetect.go
@@ -17,138 +17,138 @@
 
 // The bins of a Shape.
 const (
-	bins             = 40
-	firstBinEnd      = 0.05 // multiple of the expected time
-	binsPerOctaveLog = 2    // binary logarithm of the bins of an octave, which are of equal width
-	lastBinStart     = 38.4 // multiple from which all are in the last bin: where the one before it ends
-	minShapeAnswers  = 500  // that a shape keeps until others replace them
+	binCount          = 40
+	firstBinEnd       = 0.05 // multiple of the expected time
+	log2BinsPerOctave = 2    // binary logarithm of the bins of an octave, which are of equal width
+	lastBinStart      = 38.4 // multiple from which all are in the last bin: where the one before it ends
+	minResponses      = 500  // that a shape keeps until others replace them
 )
 
 // The tests of Alarm and Record.
 const (
 	// minUsual is the least usual share that an alarm is tested against: with less it would ring at the second failure
 	// in a row. maxUsualShare is the largest, as a part of the alarming share: with more it would never ring.
-	minUsual      = 0.05
-	maxUsualShare = 0.9
+	minUsualShare      = 0.05
+	maxUsualOfAlarming = 0.9
 	// alarmThreshold is the logarithm of the odds at which an alarm rings: about a thousand to one.
 	alarmThreshold = 7.0
 	// recordWeight is the number of attempts by which a record outweighs what it is compared with.
-	recordWeight = 8.0
+	priorWeight = 8.0
 )
 
 // LatencyDistribution is how long answers take, as multiples of the time expected, from a decaying record of them. What it tells is
 // of the last Decay: sums that all questions share are taken there.
 type LatencyDistribution struct {
-	mass   [bins]float64
-	total  float64
-	longer [bins + 1]float64 // mass of the bins from this one on
+	mass     [binCount]float64
+	total    float64
+	tailMass [binCount + 1]float64 // mass of the bins from this one on
 }
 
 // NewLatencyDistribution returns the shape that is taken until answers tell: exponential with the expected time as its mean, which
 // is wider than most, counted as some answers' evidence.
 func NewLatencyDistribution() *LatencyDistribution {
-	s := &LatencyDistribution{}
+	d := &LatencyDistribution{}
 	below := 0.0
-	for i := range s.mass {
+	for i := range d.mass {
 		up := 1 - math.Exp(-binEnds[i])
-		s.mass[i] = recordWeight * (up - below)
-		s.total += s.mass[i]
+		d.mass[i] = priorWeight * (up - below)
+		d.total += d.mass[i]
 		below = up
 	}
-	s.sumTails()
-	return s
+	d.sumTails()
+	return d
 }
 
 // sumTails computes the mass of the tails that questions share.
-func (s *LatencyDistribution) sumTails() {
-	for i := bins - 1; i >= 0; i-- {
-		s.longer[i] = s.longer[i+1] + s.mass[i]
+func (d *LatencyDistribution) sumTails() {
+	for i := binCount - 1; i >= 0; i-- {
+		d.tailMass[i] = d.tailMass[i+1] + d.mass[i]
 	}
 }
 
 // binEnds are the multiples at which the bins end.
-var binEnds = func() (at [bins]float64) {
+var binEnds = func() (at [binCount]float64) {
 	for i := range at {
-		at[i] = firstBinEnd * math.Float64frombits(uint64(i+1023<<binsPerOctaveLog)<<(52-binsPerOctaveLog))
+		at[i] = firstBinEnd * math.Float64frombits(uint64(i+1023<<log2BinsPerOctave)<<(52-log2BinsPerOctave))
 	}
 	return at
 }()
 
-func binOf(multiple float64) int {
+func binIndex(multiple float64) int {
 	switch {
 	case !(multiple > firstBinEnd): // also what is no number
 		return 0
 	case multiple >= lastBinStart:
-		return bins - 1
+		return binCount - 1
 	}
 	// the exponent, and how far in it
-	return int(math.Float64bits(multiple/firstBinEnd)>>(52-binsPerOctaveLog)) - 1023<<binsPerOctaveLog + 1
+	return int(math.Float64bits(multiple/firstBinEnd)>>(52-log2BinsPerOctave)) - 1023<<log2BinsPerOctave + 1
 }
 
 // Add records an answer.
-func (s *LatencyDistribution) Add(multiple float64) {
-	s.mass[binOf(multiple)]++
-	s.total++
+func (d *LatencyDistribution) Add(multiple float64) {
+	d.mass[binIndex(multiple)]++
+	d.total++
 }
 
 // AddCancelled records an attempt that had no answer by then and would have had one with the given probability.
-func (s *LatencyDistribution) AddCancelled(multiple, answered float64) {
-	at, tail := binOf(multiple), 0.0
-	for _, m := range s.mass[at:] {
+func (d *LatencyDistribution) AddCancelled(multiple, responseProbability float64) {
+	at, tail := binIndex(multiple), 0.0
+	for _, m := range d.mass[at:] {
 		tail += m
 	}
-	if s.total += answered; tail <= 0 {
-		s.mass[at] += answered
+	if d.total += responseProbability; tail <= 0 {
+		d.mass[at] += responseProbability
 		return
 	}
-	for i := at; i < bins; i++ {
-		s.mass[i] += answered * s.mass[i] / tail
+	for i := at; i < binCount; i++ {
+		d.mass[i] += responseProbability * d.mass[i] / tail
 	}
 }
 
 // Decay keeps a share of the record, but for a part that stays until answers replace it.
-func (s *LatencyDistribution) Decay(keep float64) {
-	if keep = max(keep, min(minShapeAnswers/s.total, 1)); keep < 1 {
-		s.total = 0
-		for i := range s.mass {
-			s.mass[i] *= keep
-			s.total += s.mass[i]
+func (d *LatencyDistribution) Decay(keep float64) {
+	if keep = max(keep, min(minResponses/d.total, 1)); keep < 1 {
+		d.total = 0
+		for i := range d.mass {
+			d.mass[i] *= keep
+			d.total += d.mass[i]
 		}
 	}
-	s.sumTails()
+	d.sumTails()
 }
 
 // Survival is the share of answers that take longer. It is never 0: what has not been seen may still come.
-func (s *LatencyDistribution) Survival(multiple float64) float64 {
-	at := binOf(multiple)
-	longer := s.longer[at+1]
-	if at < bins-1 { // evenly within the bin
+func (d *LatencyDistribution) Survival(multiple float64) float64 {
+	at := binIndex(multiple)
+	tail := d.tailMass[at+1]
+	if at < binCount-1 { // evenly within the bin
 		from, to := binRange(at)
-		longer += (s.longer[at] - longer) * min(max((to-multiple)/(to-from), 0), 1)
+		tail += (d.tailMass[at] - tail) * min(max((to-multiple)/(to-from), 0), 1)
 	}
-	return (longer + 0.25) / (s.longer[0] + 0.5)
+	return (tail + 0.25) / (d.tailMass[0] + 0.5)
 }
 
 // InverseSurvival is the least multiple at which the share of answers that take longer is at most survival, or +Inf if the
 // record is too small to tell.
-func (s *LatencyDistribution) InverseSurvival(survival float64) float64 {
-	allowed := survival*(s.longer[0]+0.5) - 0.25
-	if !(allowed >= 0) || s.longer[bins-1] > allowed {
+func (d *LatencyDistribution) InverseSurvival(survival float64) float64 {
+	allowed := survival*(d.tailMass[0]+0.5) - 0.25
+	if !(allowed >= 0) || d.tailMass[binCount-1] > allowed {
 		return math.Inf(1)
 	}
-	in, after := 0, bins-1 // the bin is none before the first, and before the second
-	for in+1 < after {
-		if mid := (in + after) / 2; s.longer[mid] > allowed {
-			in = mid
+	low, high := 0, binCount-1 // the bin is none before the first, and before the second
+	for low+1 < high {
+		if mid := (low + high) / 2; d.tailMass[mid] > allowed {
+			low = mid
 		} else {
-			after = mid
+			high = mid
 		}
 	}
-	if in == 0 {
+	if low == 0 {
 		return firstBinEnd
 	}
-	from, to := binRange(in)
-	return to - (to-from)*(allowed-s.longer[in+1])/(s.longer[in]-s.longer[in+1])
+	from, to := binRange(low)
+	return to - (to-from)*(allowed-d.tailMass[low+1])/(d.tailMass[low]-d.tailMass[low+1])
 }
 
 // binRange is where a bin begins and ends.
@@ -176,7 +176,9 @@
 type LossRate struct{ ended, lost float64 }
 
 // Add counts an attempt that is lost with the given probability, and keeps that share of the record before it.
-func (r *LossRate) Add(lost, keep float64) { r.ended, r.lost = r.ended*keep+1, r.lost*keep+lost }
+func (r *LossRate) Add(probability, keep float64) {
+	r.ended, r.lost = r.ended*keep+1, r.lost*keep+probability
+}
 
 // Correct has an attempt that was counted as lost with one probability count with another.
 func (r *LossRate) Correct(from, to float64) { r.lost = min(max(r.lost+to-from, 0), r.ended) }
@@ -185,8 +187,8 @@
 func (r *LossRate) Decay(keep float64) { r.ended, r.lost = r.ended*keep, r.lost*keep }
 
 // Share is the share of attempts lost, where usual is what is expected of one without a record.
-func (r *LossRate) Share(usual float64) float64 {
-	return (r.lost + recordWeight*usual) / (r.ended + recordWeight)
+func (r *LossRate) Share(prior float64) float64 {
+	return (r.lost + priorWeight*prior) / (r.ended + priorWeight)
 }
 
 // Alarm is the cumulative sum test of Page (1954) for an endpoint that loses or fails so large a share of what it
@@ -197,22 +199,22 @@
 // RecordSuccess records an answer, where one share is usual and another calls for the alarm.
 func (a *Alarm) RecordSuccess(usual, alarming float64) {
 	if *a > 0 { // it can but fall
-		*a = max(*a+Alarm(math.Log((1-alarming)/(1-clampUsual(usual, alarming)))), 0)
+		*a = max(*a+Alarm(math.Log((1-alarming)/(1-clampUsualShare(usual, alarming)))), 0)
 	}
 }
 
 // RecordFailure records a failure, or, with a survival above 0, that an attempt has been out for so long that such a share of
 // answers takes longer. It returns the weight of that evidence; the one returned for the same attempt before, or 0,
 // is given to replace it.
-func (a *Alarm) RecordFailure(survival, usual, alarming, before float64) float64 {
-	usual = clampUsual(usual, alarming)
-	weighs := math.Log((alarming + (1-alarming)*survival) / (usual + (1-usual)*survival))
-	*a = max(*a+Alarm(weighs-before), 0)
-	return weighs
+func (a *Alarm) RecordFailure(survival, usual, alarming, previousWeight float64) float64 {
+	usual = clampUsualShare(usual, alarming)
+	weight := math.Log((alarming + (1-alarming)*survival) / (usual + (1-usual)*survival))
+	*a = max(*a+Alarm(weight-previousWeight), 0)
+	return weight
 }
 
-func clampUsual(usual, alarming float64) float64 {
-	return min(max(usual, minUsual), maxUsualShare*alarming)
+func clampUsualShare(usual, alarming float64) float64 {
+	return min(max(usual, minUsualShare), maxUsualOfAlarming*alarming)
 }
 
 // Rearm has the alarm ring at the next bad sign: one that rang before has to be disproved.
--- a/internal/lossdetect/lossdetect_test.go
+++ b/internal/lossdetect/lossdetect_test.go
@@ -10,7 +10,7 @@
 
 // TestLostAmongLate plays attempts of which a share is lost, and calls each off once it is more likely lost than not.
 // The share found must be the true one, and the shape that of all answers, although none after that is ever seen.
-func TestLostAmongLate(t *testing.T) {
+func TestLossesAmongLateResponses(t *testing.T) {
 	for _, share := range []float64{0, 0.02, 0.1, 0.25, 0.5} {
 		rng := rand.New(rand.NewPCG(1, 2))
 		s := NewLatencyDistribution()
@@ -49,7 +49,7 @@
 }
 
 // TestShape has any answers and calls keep the survival a falling share, with Beyond as its inverse.
-func TestShape(t *testing.T) {
+func TestLatencyDistribution(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewLatencyDistribution()
 		multiple := rapid.OneOf(rapid.Float64Range(0, 50), rapid.Float64())
@@ -80,7 +80,7 @@
 }
 
 // TestUntil has Until be the inverse of Lost, and Lost rise with the share and with the time out.
-func TestUntil(t *testing.T) {
+func TestSurvivalForLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0.0001, 0.9999).Draw(t, "share")
 		lost := rapid.Float64Range(0.01, 0.99).Draw(t, "lost")
@@ -95,7 +95,7 @@
 }
 
 // TestRecord has corrections and fading keep a share between 0 and 1, and a correction undo what it corrects.
-func TestRecord(t *testing.T) {
+func TestLossRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r LossRate
 		probability := rapid.Float64Range(0, 1)
@@ -108,7 +108,7 @@
 			case 2:
 				r.Decay(p)
 			}
-			if s := r.Share(p0); s < 0 || s > 1 {
+			if s := r.Share(priorShare); s < 0 || s > 1 {
 				t.Fatalf("share %v of %+v", s, r)
 			}
 		}
@@ -122,7 +122,7 @@
 	})
 }
 
-const p0 = 0.001
+const priorShare = 0.001
 
 // TestSlowdown has any answers keep the factor between 1 and the most, answers in the expected time keep it at 1, four
 // that are slower by a factor show most of it, a single outlier little, and fading forget it.
@@ -154,7 +154,7 @@
 	})
 }
 
-func BenchmarkLost(b *testing.B) {
+func BenchmarkLossProbability(b *testing.B) {
 	s := NewLatencyDistribution()
 	var r LossRate
 	b.ReportAllocs()
