--- a/internal/lossdetect/access.go
+++ b/internal/lossdetect/access.go
@@ -2,49 +2,52 @@
 
 import "time"
 
-// maxBackoffDoublings is how often the wait before an ejected class is tried again doubles.
+// maxBackoffDoublings is the maximum number of times that the ejection time of a class doubles.
 const maxBackoffDoublings = 2
 
-// ClassState is what is known of one class at one endpoint: its losses there, and whether the endpoint is ejected for it.
-// Times are readings of the caller's monotonic clock. The zero value is an endpoint that is not ejected.
+// ClassState is the state of one class at one endpoint: its loss rate there, and whether the endpoint is ejected for
+// the class. Times are readings of the caller's monotonic clock. The zero value is an endpoint that is not ejected.
 type ClassState struct {
 	Loss         LossRate
-	lossAlarm    Alarm         // rings if all attempts of the class are lost
-	ejectedUntil time.Duration // not to be tried before then; 0: not ejected
-	ejections    int           // since it was ejected
-	lastEjection time.Duration // when the last try failed
+	lossAlarm    Alarm         // raised if all attempts of the class are lost
+	ejectedUntil time.Duration // earliest time of the next probe; 0 if not ejected
+	ejections    int           // number of ejections since the last response
+	lastEjection time.Duration // time of the last ejection
 }
 
-// Admits reports whether the class may go there: it is not ejected, or it is time to try it with one request.
+// Admits reports whether requests of the class may be sent to the endpoint: it is not ejected for the class, or a probe
+// with one request is due.
 func (c *ClassState) Admits(now time.Duration) bool { return now >= c.ejectedUntil }
 
-// Ejected reports whether the endpoint is ejected for the class, also when it is time to try.
+// Ejected reports whether the endpoint is ejected for the class. It remains ejected while a probe is due or in flight.
 func (c *ClassState) Ejected() bool { return c.ejectedUntil > 0 }
 
-// Sent records that an attempt goes there. Where the endpoint is ejected, that one tries it alone, for so long at most.
+// Sent records that an attempt is sent to the endpoint. If the endpoint is ejected, the attempt is a probe, and no
+// other attempt is admitted for probeTimeout.
 func (c *ClassState) Sent(now, probeTimeout time.Duration) {
 	if c.ejectedUntil > 0 {
 		c.ejectedUntil = now + probeTimeout
 	}
 }
 
-// Served records an answer, which readmits the class. The shares are those of Alarm.Good.
+// Served records a response, which readmits the class. The shares are those of Alarm.RecordSuccess.
 func (c *ClassState) Served(usual, alarming float64) {
 	c.ejectedUntil, c.ejections = 0, 0
 	c.lossAlarm.RecordSuccess(usual, alarming)
 }
 
-// Eject ejects the endpoint for the class until a time, and reports whether it was admitted before.
+// Eject ejects the endpoint for the class until the given time, and reports whether it was not ejected before.
 func (c *ClassState) Eject(until time.Duration) (isNew bool) {
 	isNew = c.ejectedUntil == 0
 	c.ejectedUntil = until
 	return isNew
 }
 
-// Unanswered records an attempt that has been out for so long that a share survival of answers takes longer. It returns
-// the weight of that evidence as Alarm.Bad does, and for how long to eject the endpoint where all of the class is lost,
-// 0 where it is not: first, and twice as long each time that a try fails, up to four times. What was sent before the
-// last try failed tells nothing new.
+// Unanswered records an attempt without a response that has been in flight for a time that only the share survival of
+// the responses exceeds. It returns the weight of this evidence, as Alarm.RecordFailure does, and the time for which
+// to eject the endpoint for the class, or 0 if the alarm is not raised. The time is firstWait and doubles with each
+// failed probe, up to four times firstWait. Attempts sent before the last ejection do not cause another one, as they
+// are no new evidence.
 func (c *ClassState) Unanswered(
 	sent, now, firstWait time.Duration,
 	survival, usual, alarming, previousWeight float64,
--- a/internal/lossdetect/lossdetect.go
+++ b/internal/lossdetect/lossdetect.go
@@ -1,51 +1,54 @@
-// Package lossdetect tells attempts that are lost from those that are just late.
+// Package lossdetect distinguishes attempts that are lost from those that are only late.
 //
-// It is pure: no clock, no randomness, no I/O, no allocation after the start, and each event costs a time that does
-// not grow with what came before. Times are given as multiples of the time that the attempt was expected to take, so
-// that quick and slow endpoints and classes share one shape.
+// The package is pure: no clock, no randomness, no I/O and no allocation after the start. The cost of an event does not
+// grow with the number of earlier events. Times are multiples of the expected response time of the attempt, so that
+// fast and slow endpoints and classes share one distribution.
 //
-// The model is the mixture cure model of survival analysis (Boag 1949; Farewell 1982): a share p of the attempts is
-// never answered, the others are answered after a time with the survival function S. An attempt that has been out for
-// t is then lost with the probability p / (p + (1-p) S(t)). An attempt that was called off before its end was known
-// counts for both parts by that probability, and what is left of it goes to the later times that the answered ones had
-// (the redistribution to the right of Efron 1967): otherwise calling off early would teach that answers come early.
-// Where many are called off at one time, nothing tells losses from answers that take longer than that, and both
-// parts drift. So the shape is to be learnt only where few are lost; it is the same elsewhere.
+// The model is the mixture cure model of survival analysis (Boag 1949; Farewell 1982): a share p of the attempts never
+// has a response, and the response times of the others have the survival function S. An attempt that has been in flight
+// for the time t is then lost with the probability p / (p + (1-p) S(t)). An attempt that was cancelled while its
+// outcome was unknown is censored: it counts as lost with that probability, and the rest of it is distributed over the
+// later response times in proportion to their mass (the redistribution to the right of Efron 1967). Without that, early
+// cancellation would bias the distribution towards short times.
+// If many attempts are cancelled at the same time, losses cannot be distinguished from responses that take longer, and
+// both estimates drift. Therefore callers should update the distribution only where few attempts are lost. The
+// distribution is assumed to be the same elsewhere.
 package lossdetect
 
 import "math"
 
-// The bins of a Shape.
+// The bins of a LatencyDistribution.
 const (
 	binCount          = 40
 	firstBinEnd       = 0.05 // multiple of the expected time
-	log2BinsPerOctave = 2    // binary logarithm of the bins of an octave, which are of equal width
-	lastBinStart      = 38.4 // multiple from which all are in the last bin: where the one before it ends
-	minResponses      = 500  // that a shape keeps until others replace them
+	log2BinsPerOctave = 2    // binary logarithm of the number of bins per octave, which have equal width
+	lastBinStart      = 38.4 // multiple at which the last bin starts, which has no upper limit
+	minResponses      = 500  // number of responses below which Decay does not reduce the total
 )
 
 // The tests of Alarm and Record.
 const (
-	// minUsual is the least usual share that an alarm is tested against: with less it would ring at the second failure
-	// in a row. maxUsualShare is the largest, as a part of the alarming share: with more it would never ring.
+	// minUsualShare is the minimum of the usual share in the test of an alarm: a smaller one would raise the alarm at the
+	// second consecutive failure. maxUsualOfAlarming is its maximum, as a fraction of the alarming share: a larger one
+	// would never raise the alarm.
 	minUsualShare      = 0.05
 	maxUsualOfAlarming = 0.9
-	// alarmThreshold is the logarithm of the odds at which an alarm rings: about a thousand to one.
+	// alarmThreshold is the log likelihood ratio at which an alarm is raised: odds of about a thousand to one.
 	alarmThreshold = 7.0
-	// recordWeight is the number of attempts by which a record outweighs what it is compared with.
+	// priorWeight is the weight of a prior estimate, in attempts or responses.
 	priorWeight = 8.0
 )
 
-// LatencyDistribution is how long answers take, as multiples of the time expected, from a decaying record of them. What it tells is
-// of the last Decay: sums that all questions share are taken there.
+// LatencyDistribution is a decaying histogram of response times, as multiples of the expected response time. Survival
+// and InverseSurvival use the state of the last Decay, which computes the sums that they share.
 type LatencyDistribution struct {
 	mass     [binCount]float64
 	total    float64
-	tailMass [binCount + 1]float64 // mass of the bins from this one on
+	tailMass [binCount + 1]float64 // tailMass[i] is the mass of bin i and of all later bins
 }
 
-// NewLatencyDistribution returns the shape that is taken until answers tell: exponential with the expected time as its mean, which
-// is wider than most, counted as some answers' evidence.
+// NewLatencyDistribution returns the prior distribution: exponential with the expected time as its mean, which is wider
+// than most distributions of response times. It has the weight of priorWeight responses.
 func NewLatencyDistribution() *LatencyDistribution {
 	d := &LatencyDistribution{}
 	below := 0.0
@@ -59,14 +62,14 @@
 	return d
 }
 
-// sumTails computes the mass of the tails that questions share.
+// sumTails computes tailMass from mass.
 func (d *LatencyDistribution) sumTails() {
 	for i := binCount - 1; i >= 0; i-- {
 		d.tailMass[i] = d.tailMass[i+1] + d.mass[i]
 	}
 }
 
-// binEnds are the multiples at which the bins end.
+// binEnds holds the upper limit of each bin.
 var binEnds = func() (at [binCount]float64) {
 	for i := range at {
 		at[i] = firstBinEnd * math.Float64frombits(uint64(i+1023<<log2BinsPerOctave)<<(52-log2BinsPerOctave))
@@ -74,24 +77,26 @@
 	return at
 }()
 
+// binIndex returns the bin of a multiple.
 func binIndex(multiple float64) int {
 	switch {
-	case !(multiple > firstBinEnd): // also what is no number
+	case !(multiple > firstBinEnd): // also NaN
 		return 0
 	case multiple >= lastBinStart:
 		return binCount - 1
 	}
-	// the exponent, and how far in it
+	// the exponent and the leading bits of the mantissa
 	return int(math.Float64bits(multiple/firstBinEnd)>>(52-log2BinsPerOctave)) - 1023<<log2BinsPerOctave + 1
 }
 
-// Add records an answer.
+// Add records a response.
 func (d *LatencyDistribution) Add(multiple float64) {
 	d.mass[binIndex(multiple)]++
 	d.total++
 }
 
-// AddCancelled records an attempt that had no answer by then and would have had one with the given probability.
+// AddCancelled records an attempt that was cancelled at the given multiple without a response, and would have had one
+// later with the given probability.
 func (d *LatencyDistribution) AddCancelled(multiple, responseProbability float64) {
 	at, tail := binIndex(multiple), 0.0
 	for _, m := range d.mass[at:] {
@@ -106,7 +111,7 @@
 	}
 }
 
-// Decay keeps a share of the record, but for a part that stays until answers replace it.
+// Decay multiplies the histogram by keep, but does not reduce its total below minResponses.
 func (d *LatencyDistribution) Decay(keep float64) {
 	if keep = max(keep, min(minResponses/d.total, 1)); keep < 1 {
 		d.total = 0
@@ -118,25 +123,26 @@
 	d.sumTails()
 }
 
-// Survival is the share of answers that take longer. It is never 0: what has not been seen may still come.
+// Survival returns the share of responses that take longer than the multiple. It is never 0, as a longer response time
+// than any recorded one is possible.
 func (d *LatencyDistribution) Survival(multiple float64) float64 {
 	at := binIndex(multiple)
 	tail := d.tailMass[at+1]
-	if at < binCount-1 { // evenly within the bin
+	if at < binCount-1 { // interpolate linearly within the bin
 		from, to := binRange(at)
 		tail += (d.tailMass[at] - tail) * min(max((to-multiple)/(to-from), 0), 1)
 	}
 	return (tail + 0.25) / (d.tailMass[0] + 0.5)
 }
 
-// InverseSurvival is the least multiple at which the share of answers that take longer is at most survival, or +Inf if the
-// record is too small to tell.
+// InverseSurvival returns the smallest multiple at which Survival is at most survival. It returns firstBinEnd if that
+// is in the first bin, and +Inf if it is in the last bin or the record is too small for so low a survival.
 func (d *LatencyDistribution) InverseSurvival(survival float64) float64 {
 	allowed := survival*(d.tailMass[0]+0.5) - 0.25
 	if !(allowed >= 0) || d.tailMass[binCount-1] > allowed {
 		return math.Inf(1)
 	}
-	low, high := 0, binCount-1 // the bin is none before the first, and before the second
+	low, high := 0, binCount-1 // the result is in a bin from low to high-1
 	for low+1 < high {
 		if mid := (low + high) / 2; d.tailMass[mid] > allowed {
 			low = mid
@@ -151,7 +157,7 @@
 	return to - (to-from)*(allowed-d.tailMass[low+1])/(d.tailMass[low]-d.tailMass[low+1])
 }
 
-// binRange is where a bin begins and ends.
+// binRange returns the limits of a bin.
 func binRange(bin int) (from, to float64) {
 	if bin > 0 {
 		from = binEnds[bin-1]
@@ -159,53 +165,53 @@
 	return from, binEnds[bin]
 }
 
-// LossProbability is the probability that an attempt will never be answered, given the share of attempts that are not and the
-// share of answers that take longer than it has been out.
+// LossProbability returns the probability that an attempt will never have a response, given the share of attempts that
+// are lost and the share of responses that take longer than the attempt has been in flight.
 func LossProbability(share, survival float64) float64 {
 	return share / max(share+(1-share)*survival, math.SmallestNonzeroFloat64)
 }
 
-// SurvivalForLoss is the survival at which Lost reaches the given probability, which is above 0 and under 1.
+// SurvivalForLoss returns the survival at which LossProbability returns lost, which must be above 0 and below 1.
 func SurvivalForLoss(share, lost float64) float64 {
 	return share * (1 - lost) / max((1-share)*lost, math.SmallestNonzeroFloat64)
 }
 
-// LossRate is a decaying count of attempts and of those lost among them. The counts are not whole: an attempt whose end
-// is not known counts as lost by its probability. It fades with time and with what comes in: what is lost now must
-// not take long to outweigh what was answered before.
+// LossRate holds decaying counts of attempts and of lost attempts. The counts are fractional: an attempt whose outcome
+// is unknown counts as lost with its loss probability. The counts decay with time and with each attempt, so that new
+// losses soon outweigh earlier responses.
 type LossRate struct{ ended, lost float64 }
 
-// Add counts an attempt that is lost with the given probability, and keeps that share of the record before it.
+// Add multiplies the counts by keep and adds an attempt that is lost with the given probability.
 func (r *LossRate) Add(probability, keep float64) {
 	r.ended, r.lost = r.ended*keep+1, r.lost*keep+probability
 }
 
-// Correct has an attempt that was counted as lost with one probability count with another.
+// Correct changes the loss probability with which an attempt was counted.
 func (r *LossRate) Correct(from, to float64) { r.lost = min(max(r.lost+to-from, 0), r.ended) }
 
-// Decay keeps a share of the record.
+// Decay multiplies the counts by keep.
 func (r *LossRate) Decay(keep float64) { r.ended, r.lost = r.ended*keep, r.lost*keep }
 
-// Share is the share of attempts lost, where usual is what is expected of one without a record.
+// Share returns the estimated share of attempts that are lost. With no attempts it is prior.
 func (r *LossRate) Share(prior float64) float64 {
 	return (r.lost + priorWeight*prior) / (r.ended + priorWeight)
 }
 
-// Alarm is the cumulative sum test of Page (1954) for an endpoint that loses or fails so large a share of what it
-// gets that it is to be left alone, rather than its usual share: the sum of the log likelihood ratios, held at 0 from
-// below. It asks for the more evidence the more is usual.
+// Alarm is the cumulative sum (CUSUM) test of Page (1954) for whether an endpoint loses or fails the alarming share of
+// its attempts, at which it is to be ejected, rather than the usual share. Its value is the sum of the log likelihood
+// ratios with a minimum of 0. A larger usual share requires more evidence.
 type Alarm float64
 
-// RecordSuccess records an answer, where one share is usual and another calls for the alarm.
+// RecordSuccess records a response. The shares are the usual and the alarming share of failures.
 func (a *Alarm) RecordSuccess(usual, alarming float64) {
-	if *a > 0 { // it can but fall
+	if *a > 0 { // a success only lowers it
 		*a = max(*a+Alarm(math.Log((1-alarming)/(1-clampUsualShare(usual, alarming)))), 0)
 	}
 }
 
-// RecordFailure records a failure, or, with a survival above 0, that an attempt has been out for so long that such a share of
-// answers takes longer. It returns the weight of that evidence; the one returned for the same attempt before, or 0,
-// is given to replace it.
+// RecordFailure records a failure, or, with a survival above 0, an attempt without a response that has been in flight
+// for a time that only this share of the responses exceeds. It returns the weight of this evidence. previousWeight is
+// the weight returned earlier for the same attempt, which the new one replaces, or 0.
 func (a *Alarm) RecordFailure(survival, usual, alarming, previousWeight float64) float64 {
 	usual = clampUsualShare(usual, alarming)
 	weight := math.Log((alarming + (1-alarming)*survival) / (usual + (1-usual)*survival))
@@ -213,12 +219,14 @@
 	return weight
 }
 
+// clampUsualShare limits the usual share to the range in which the test works.
 func clampUsualShare(usual, alarming float64) float64 {
 	return min(max(usual, minUsualShare), maxUsualOfAlarming*alarming)
 }
 
-// Rearm has the alarm ring at the next bad sign: one that rang before has to be disproved.
+// Rearm sets the alarm just below the threshold. After an ejection, the next failure raises it again, unless successes
+// have lowered it in the meantime.
 func (a *Alarm) Rearm() { *a = alarmThreshold - 1 }
 
-// Raised reports whether the evidence suffices.
+// Raised reports whether the alarm has reached the threshold.
 func (a Alarm) Raised() bool { return a >= alarmThreshold }
