--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,18 +1,19 @@
-// Package quota meters the rate of a tenant's requests against its allowance. It is pure: the time comes in as an
-// argument, a reading of any monotonic clock.
+// Package quota measures the rate of a tenant's requests against its allowance. It is pure: the caller passes the time,
+// a reading of any monotonic clock.
 package quota
 
 import "time"
 
-// Meter is a token bucket whose rate may change from one event to the next. The zero value is empty at time 0.
-// A Meter must not be used by two goroutines at once.
+// Meter is a token bucket whose rate may change between events. The zero value is empty at time 0. A Meter is not safe
+// for concurrent use.
 type Meter struct {
 	tokens  float64
 	updated time.Duration
 }
 
-// Exceeds counts one event at a time and reports whether it is beyond the allowed rate, in events a second. The bucket
-// holds one event and what the rate brings within burst. An event that is over takes no token.
+// Exceeds counts one event at the time now and reports whether it exceeds the rate, in events per second. The capacity
+// of the bucket is one event plus the events that the rate allows within burst. An event that exceeds the rate takes no
+// token.
 func (m *Meter) Exceeds(now time.Duration, rate float64, burst time.Duration) bool {
 	earned := rate * (now - m.updated).Seconds()
 	capacity := 1 + rate*burst.Seconds()
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestOver: whenever events come, no more pass than the rate brings and the burst allows, and a steady stream within
-// the rate loses none.
-func TestOver(t *testing.T) {
+// TestExceeds checks for arbitrary event times that no more events pass than the rate and the burst allow, and that all
+// events of a steady stream within the rate pass.
+func TestExceeds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate, burst := rapid.Float64Range(0.1, 100).Draw(t, "rate"), 6*time.Second
 		var m Meter
@@ -21,13 +21,13 @@
 				passed++
 			}
 			if most := 1 + rate*(burst+now-start).Seconds() + 1e-6; passed > most {
-				t.Fatalf("%.0f passed by %v, want %.1f at most", passed, now-start, most)
+				t.Fatalf("%.0f events passed within %v, want at most %.1f", passed, now-start, most)
 			}
 		}
 		for range 50 {
 			now += time.Duration(1.01 / rate * float64(time.Second))
 			if m.Exceeds(now, rate, burst) {
-				t.Fatal("an event within the rate is over")
+				t.Fatal("an event within the rate exceeds it")
 			}
 		}
 	})
