--- a/cmd/adapter/instance.go
+++ b/cmd/adapter/instance.go
@@ -36,11 +36,11 @@
 		i.balancer.Endpoints(now, event.ListKind, event.Entries)
 	case wire.Request:
 		return i.request(now, event)
-	case wire.AnswerStarted:
+	case wire.ResponseStarted:
 		i.balancer.AnswerStarted(now, event.ID, event.Attempt)
 	case wire.Result:
 		i.balancer.Result(now, event.Result)
-	case wire.ClientGone:
+	case wire.ClientDisconnected:
 		i.balancer.ClientGone(now, event.ID)
 	case wire.Timer:
 		i.balancer.Timer(now, event.Token)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -27,7 +27,7 @@
 		s.Service != "back" || len(s.Zones) != 2 || s.Peers != 1 ||
 		s.Classes[1].Effect != balance.Deduplicated || s.Classes[1].Scope != balance.ScopeAll ||
 		s.Classes[2].LatencyObjective != 20*time.Second || c.Names.Tenant["acme, east"] != 0 || len(c.Names.Tenant) != 1 ||
-		c.Limits.ConnectTimeout != 5*time.Second || c.Limits.MostHeld != 20000 || c.Sockets != 1024 {
+		c.Limits.ConnectTimeout != 5*time.Second || c.Limits.MaxInFlight != 20000 || c.Sockets != 1024 {
 		t.Errorf("configuration %+v", c)
 	}
 	if k := c.Known; k.Revision != 4 || len(k.Endpoints) != 1 || !k.Endpoints[0].StartedAt.Equal(time.UnixMilli(5)) {
--- a/internal/sidecar/socket_budget.go
+++ b/internal/sidecar/socket_budget.go
@@ -39,8 +39,8 @@
 		KeepAliveConns: max(int(keepAliveShare*float64(requests)), 1),
 		UpstreamConns:  available - clientConns,
 	}
-	if c.Limits.MostHeld > 0 {
-		budget.Requests = min(requests, c.Limits.MostHeld)
+	if c.Limits.MaxInFlight > 0 {
+		budget.Requests = min(requests, c.Limits.MaxInFlight)
 	}
 	return budget
 }
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -16,30 +16,30 @@
 
 // FieldError is a malformed or missing field of a line. The message's name is field 0.
 type FieldError struct {
-	Index   int
-	Value   string
-	Missing bool
-	Want    string // what was expected, in words
+	Index    int
+	Value    string
+	Missing  bool
+	Expected string // what was expected, in words
 }
 
 // Error implements error.
 func (e *FieldError) Error() string {
 	if e.Missing {
-		return fmt.Sprintf("part %d is missing, want %s", e.Index, e.Want)
+		return fmt.Sprintf("part %d is missing, want %s", e.Index, e.Expected)
 	}
-	return fmt.Sprintf("part %d is %q, want %s", e.Index, e.Value, e.Want)
+	return fmt.Sprintf("part %d is %q, want %s", e.Index, e.Value, e.Expected)
 }
 
 // SettingError is a setting whose value is malformed or out of range.
 type SettingError struct {
-	Key   string
-	Value string
-	Want  string // what was expected, in words
+	Key      string
+	Value    string
+	Expected string // what was expected, in words
 }
 
 // Error implements error.
 func (e *SettingError) Error() string {
-	return fmt.Sprintf("setting %s is %q, want %s", e.Key, e.Value, e.Want)
+	return fmt.Sprintf("setting %s is %q, want %s", e.Key, e.Value, e.Expected)
 }
 
 // MissingSettingError is a required setting that is absent.
--- a/internal/wire/errors_test.go
+++ b/internal/wire/errors_test.go
@@ -14,7 +14,7 @@
 	if !errors.As(err, &lineErr) || lineErr.Line != 2 {
 		t.Errorf("error %v, want a LineError of line 2", err)
 	}
-	if !errors.As(err, &fieldErr) || *fieldErr != (FieldError{Index: 1, Value: "soon", Want: "a whole number"}) {
+	if !errors.As(err, &fieldErr) || *fieldErr != (FieldError{Index: 1, Value: "soon", Expected: "a whole number"}) {
 		t.Errorf("error %v, want a FieldError of field 1", err)
 	}
 
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -19,9 +19,9 @@
 	StopInstance
 	Endpoints
 	Request
-	AnswerStarted
+	ResponseStarted
 	Result
-	ClientGone
+	ClientDisconnected
 	Timer
 
 	noEvent EventKind = -1 // of a message that the Reader keeps to itself or skips
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -54,15 +54,15 @@
 }
 
 // fail records that field i is not what was wanted.
-func (r *Reader) fail(i int, want string) {
+func (r *Reader) fail(i int, expected string) {
 	if r.fieldErr != nil {
 		return
 	}
-	fault := &FieldError{Index: i, Missing: i >= len(r.fields), Want: want}
-	if !fault.Missing {
-		fault.Value = string(r.fields[i])
+	fieldErr := &FieldError{Index: i, Missing: i >= len(r.fields), Expected: expected}
+	if !fieldErr.Missing {
+		fieldErr.Value = string(r.fields[i])
 	}
-	r.fieldErr = fault
+	r.fieldErr = fieldErr
 }
 
 // isAbsent reports whether field i is missing, empty or "-".
--- a/internal/wire/lists.go
+++ b/internal/wire/lists.go
@@ -106,7 +106,7 @@
 
 func (r *Reader) listNumber(i int) int {
 	n := r.integer(i)
-	if n >= listSlots {
+	if n >= maxLists {
 		r.fail(i, "a list from 0 to 15")
 		return 0
 	}
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -13,7 +13,7 @@
 const (
 	bufferSize     = 1 << 16 // bytes, of input and of output
 	fieldSeparator = '\t'
-	listSlots      = 16 // numbers that lists of endpoints may have
+	maxLists       = 16 // numbers that lists of endpoints may have
 )
 
 // attributeRetry is the bit of a request's attributes that marks a client's retry.
@@ -27,7 +27,7 @@
 	event      Event
 	fields     [][]byte // of the current line
 	fieldErr   error    // the first malformed field of the current line
-	lists      [listSlots][]balance.Endpoint
+	lists      [maxLists][]balance.Endpoint
 	interned   map[string]string
 }
 
@@ -102,9 +102,9 @@
 	"DEFINE_LIST":   {noEvent, (*Reader).parseList},
 	"ENDPOINTS":     {Endpoints, (*Reader).parseEndpoints},
 	"DEMAND":        {Request, (*Reader).parseRequest},
-	"ACCEPTED":      {AnswerStarted, (*Reader).parseAnswerStarted},
+	"ACCEPTED":      {ResponseStarted, (*Reader).parseResponseStarted},
 	"RESPONSE":      {Result, (*Reader).parseResult},
-	"CLIENT_LEFT":   {ClientGone, (*Reader).parseClientGone},
+	"CLIENT_LEFT":   {ClientDisconnected, (*Reader).parseClientDisconnected},
 	"DUE":           {Timer, (*Reader).parseTimer},
 	"STATUS_BACK":   {noEvent, nil},
 	"PEER_DATA":     {noEvent, nil},
@@ -158,8 +158,8 @@
 	return r.lineErr()
 }
 
-// parseAnswerStarted reads ACCEPTED: request, attempt, time since the attempt began, server.
-func (r *Reader) parseAnswerStarted() error {
+// parseResponseStarted reads ACCEPTED: request, attempt, time since the attempt began, server.
+func (r *Reader) parseResponseStarted() error {
 	r.event.ID = r.requestID(1)
 	r.event.Attempt = r.integer(2)
 	return r.lineErr()
@@ -178,8 +178,8 @@
 	return r.lineErr()
 }
 
-// parseClientGone reads CLIENT_LEFT: request.
-func (r *Reader) parseClientGone() error {
+// parseClientDisconnected reads CLIENT_LEFT: request.
+func (r *Reader) parseClientDisconnected() error {
 	r.event.ID = r.requestID(1)
 	return r.lineErr()
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -20,7 +20,7 @@
 type Limits struct {
 	ConnectTimeout time.Duration // after which a connection that is not established has failed
 	IdleClose      time.Duration // after which servers close idle connections
-	MostHeld       int           // requests in flight at once
+	MaxInFlight    int           // requests in flight at once
 	MaxRetryAfter  time.Duration // the longest Retry-After that a client honours
 }
 
@@ -87,10 +87,10 @@
 	limits := Limits{
 		ConnectTimeout: s.nonNegativeDuration("limits.connect_timeout_s"),
 		IdleClose:      s.nonNegativeDuration("limits.idle_close_s"),
-		MostHeld:       s.integer("limits.most_held"),
+		MaxInFlight:    s.integer("limits.most_held"),
 		MaxRetryAfter:  s.nonNegativeDuration("limits.max_retry_after_s"),
 	}
-	if limits.MostHeld < 0 {
+	if limits.MaxInFlight < 0 {
 		s.fail("limits.most_held", "a number from 0 up")
 	}
 	return limits
--- a/internal/wire/settingsreader.go
+++ b/internal/wire/settingsreader.go
@@ -67,9 +67,9 @@
 }
 
 // fail records that the value of key is not what was wanted.
-func (s *settingsReader) fail(key, want string) {
+func (s *settingsReader) fail(key, expected string) {
 	if s.err == nil {
-		s.err = &SettingError{Key: key, Value: s.values[key], Want: want}
+		s.err = &SettingError{Key: key, Value: s.values[key], Expected: expected}
 	}
 }
 
@@ -151,10 +151,10 @@
 }
 
 // lookup returns what the word under key means, and fails for one that is not in words.
-func lookup[T any](s *settingsReader, key string, words map[string]T) T {
-	meaning, found := words[s.values[key]]
+func lookup[T any](s *settingsReader, key string, valuesByWord map[string]T) T {
+	value, found := valuesByWord[s.values[key]]
 	if !found {
 		s.fail(key, "one of the known words")
 	}
-	return meaning
+	return value
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	kinds := []EventKind{BatchStart, SelectInstance, StartInstance, Endpoints, Request, Result, ClientGone, Timer, StopInstance, BatchEnd}
+	kinds := []EventKind{BatchStart, SelectInstance, StartInstance, Endpoints, Request, Result, ClientDisconnected, Timer, StopInstance, BatchEnd}
 	if len(events) != len(kinds) {
 		t.Fatalf("%d events, want %d", len(events), len(kinds))
 	}
