--- a/internal/wallclock/wallclock.go
+++ b/internal/wallclock/wallclock.go
@@ -1,18 +1,20 @@
-// Package wallclock is the one place in the programs in service that reads the clock of day or turns its readings into
-// numbers and back. The clock of day may be off and may step, so its readings serve as stamps that leave the process or
-// come from outside. Durations, deadlines and the order of events go by the monotonic clock or by counters.
+// Package wallclock is the only place in the production programs that reads the wall clock or converts between wall
+// clock times and numbers. The wall clock may be wrong and may jump, so its times are used only as timestamps that are
+// sent to or received from other processes. Durations, deadlines and the order of events use the monotonic clock or
+// counters.
 package wallclock
 
 import "time"
 
-// Now reads the clock of day. The reading has no monotonic part: the difference of two is that of the clock of day.
+// Now returns the current wall clock time without a monotonic clock reading, so that the difference of two results is
+// the difference of their wall clock times.
 func Now() time.Time { return time.Now().Round(0) }
 
-// FromMilliseconds returns the time of a stamp in Unix milliseconds.
+// FromMilliseconds returns the time of a timestamp in Unix milliseconds.
 func FromMilliseconds(stamp int64) time.Time { return time.UnixMilli(stamp) }
 
-// Milliseconds returns a stamp in Unix milliseconds.
+// Milliseconds returns t as a timestamp in Unix milliseconds.
 func Milliseconds(t time.Time) int64 { return t.UnixMilli() }
 
-// Nanoseconds returns a stamp in Unix nanoseconds, for names that differ and changes that are noticed.
+// Nanoseconds returns t as a timestamp in Unix nanoseconds. It is used for unique names and for change detection.
 func Nanoseconds(t time.Time) int64 { return t.UnixNano() }
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// LineError is a fault in one line of the input. Lines count from 1.
+// LineError is an error in one line of the input. Line numbers start at 1.
 type LineError struct {
 	Line int
 	Err  error
@@ -11,15 +11,15 @@
 // Error implements error.
 func (e *LineError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
-// Unwrap returns what is wrong with the line.
+// Unwrap returns the underlying error.
 func (e *LineError) Unwrap() error { return e.Err }
 
-// FieldError is a malformed or missing field of a line. The message's name is field 0.
+// FieldError is a malformed or missing field of a line. Field 0 is the message name.
 type FieldError struct {
 	Index    int
 	Value    string
 	Missing  bool
-	Expected string // what was expected, in words
+	Expected string // description of a valid value
 }
 
 // Error implements error.
@@ -30,11 +30,11 @@
 	return fmt.Sprintf("part %d is %q, want %s", e.Index, e.Value, e.Expected)
 }
 
-// SettingError is a setting whose value is malformed or out of range.
+// SettingError is a setting with a malformed or out-of-range value.
 type SettingError struct {
 	Key      string
 	Value    string
-	Expected string // what was expected, in words
+	Expected string // description of a valid value
 }
 
 // Error implements error.
@@ -42,7 +42,7 @@
 	return fmt.Sprintf("setting %s is %q, want %s", e.Key, e.Value, e.Expected)
 }
 
-// MissingSettingError is a required setting that is absent.
+// MissingSettingError is a missing required setting.
 type MissingSettingError struct {
 	Key string
 }
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -9,8 +9,8 @@
 // EventKind is the kind of an event.
 type EventKind int
 
-// The kinds of events. A batch begins with BatchStart and ends with BatchEnd, after which a reply is due. The events
-// between them concern the instance of the latest SelectInstance.
+// The kinds of events. A batch begins with BatchStart and ends with BatchEnd, after which a reply is due. The events in
+// a batch apply to the instance of the latest SelectInstance.
 const (
 	BatchStart EventKind = iota
 	BatchEnd
@@ -24,40 +24,41 @@
 	ClientDisconnected
 	Timer
 
-	noEvent EventKind = -1 // of a message that the Reader keeps to itself or skips
+	noEvent EventKind = -1 // message that the Reader processes internally or skips
 )
 
-// Event is one event. Only the fields of its kind are set; the others hold values of earlier events.
+// Event is one event. Only the fields of its kind are valid; the other fields hold values of earlier events.
 type Event struct {
 	Kind EventKind
 
-	// Now is the clock of a BatchStart.
+	// Now is the time of a BatchStart.
 	Now balance.Time
 
-	// Instance is the number that a SelectInstance names.
+	// Instance is the instance number of a SelectInstance.
 	Instance int
 
-	// Settings and Names are those of a StartInstance.
+	// Settings and Names belong to a StartInstance.
 	Settings balance.Settings
 	Names    *Names
 
-	// ListKind and Entries are those of an Endpoints event. The entries hold until the list's number is defined anew.
+	// ListKind and Entries belong to an Endpoints event. Entries is valid until its list number is redefined.
 	ListKind balance.ListKind
 	Entries  []balance.Endpoint
 
-	// ID is the request of a Request, AnswerStarted or ClientGone, and Attempt the attempt of an AnswerStarted.
+	// ID is the request ID of a Request, ResponseStarted or ClientDisconnected. Attempt is the attempt index of a
+	// ResponseStarted.
 	ID      balance.RequestID
 	Attempt int
 
-	// Class, Tenant, Timeout and Retry describe a Request. Tenant is empty where it has none.
+	// Class, Tenant, Timeout and Retry belong to a Request. Tenant is empty if the request has none.
 	Class   string
 	Tenant  string
 	Timeout time.Duration
-	Retry   bool // the client marks it as a retry
+	Retry   bool // marked by the client as a retry
 
-	// Result is that of a Result event.
+	// Result belongs to a Result event.
 	Result balance.Result
 
-	// Token is that of a Timer.
+	// Token belongs to a Timer.
 	Token uint64
 }
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	maxMagnitude       = 1e12    // of any number
-	maxSeconds         = 9e9     // that a time.Duration holds, rounded down
-	microsPerSecond    = 1e6     // the protocol's resolution of time
-	maxInternedStrings = 1 << 16 // kept for reuse
+	maxMagnitude       = 1e12    // largest absolute value of a number
+	maxSeconds         = 9e9     // capacity of a time.Duration in seconds, rounded down
+	microsPerSecond    = 1e6     // the protocol has a resolution of 1 µs
+	maxInternedStrings = 1 << 16 // the table of interned strings is cleared at this size
 	maxUint64Digits    = 20
 )
 
@@ -29,8 +29,8 @@
 	"superseded":   balance.NotSent,
 }
 
-// splitFields makes line the current one. The methods below read its fields; what a malformed one holds is zero, and
-// the first fault stays in r.fieldErr.
+// splitFields splits line into the current fields. The methods below parse these fields. They return zero for a
+// malformed field and keep the first error in r.fieldErr.
 func (r *Reader) splitFields(line []byte) {
 	r.fieldErr = nil
 	r.fields = r.fields[:0]
@@ -45,7 +45,7 @@
 	}
 }
 
-// lineErr returns the first fault of the current line's fields, with the name of its message.
+// lineErr returns the first error in the fields of the current line, prefixed with the message name.
 func (r *Reader) lineErr() error {
 	if r.fieldErr == nil {
 		return nil
@@ -53,7 +53,7 @@
 	return fmt.Errorf("%s: %w", r.fields[0], r.fieldErr)
 }
 
-// fail records that field i is not what was wanted.
+// fail records that field i is not the expected value.
 func (r *Reader) fail(i int, expected string) {
 	if r.fieldErr != nil {
 		return
@@ -132,7 +132,8 @@
 	return false
 }
 
-// text returns field i as a string, "" where absent. Strings are interned, as few distinct ones come many times.
+// text returns field i as a string, or "" if it is absent. Strings are interned, because a few distinct strings occur
+// many times.
 func (r *Reader) text(i int) string {
 	if r.isAbsent(i) {
 		return ""
@@ -158,7 +159,7 @@
 	return 0
 }
 
-// parseFloat reads a number of a sensible magnitude.
+// parseFloat parses a number whose absolute value is at most maxMagnitude.
 func parseFloat(text string) (float64, error) {
 	f, err := strconv.ParseFloat(text, 64)
 	if err != nil {
@@ -170,7 +171,7 @@
 	return f, nil
 }
 
-// parseUint reads a decimal number without making a string of it.
+// parseUint parses a decimal number without allocating a string.
 func parseUint(digits []byte) (n uint64, ok bool) {
 	if len(digits) == 0 || len(digits) > maxUint64Digits {
 		return 0, false
@@ -185,7 +186,7 @@
 	return n, true
 }
 
-// seconds returns s as a duration, rounded to microseconds. What a duration cannot hold is cut.
+// seconds returns s as a duration, rounded to microseconds and limited to the range of time.Duration.
 func seconds(s float64) time.Duration {
 	if math.Abs(s) > maxSeconds {
 		s = math.Copysign(maxSeconds, s)
--- a/internal/wire/lists.go
+++ b/internal/wire/lists.go
@@ -8,7 +8,7 @@
 	"milletramp.example/milletramp/balance"
 )
 
-// defaultWeight is that of an entry whose line has none.
+// defaultWeight is the weight of an entry without a weight field.
 const defaultWeight = 1
 
 var listKinds = map[string]balance.ListKind{
@@ -24,7 +24,7 @@
 	"deregistered": balance.Removed,
 }
 
-// parseEndpoints reads ENDPOINTS: number of the list, mode, version. A refused call has no list.
+// parseEndpoints parses ENDPOINTS: list number, mode, version. A refused call has no list.
 func (r *Reader) parseEndpoints() error {
 	e := &r.event
 	e.Entries = nil
@@ -44,7 +44,7 @@
 	return r.lineErr()
 }
 
-// parseList reads DEFINE_LIST: number of the list, number of entries. The entries' lines follow it.
+// parseList parses DEFINE_LIST: list number, number of entries. One line per entry follows.
 func (r *Reader) parseList() error {
 	number := r.listNumber(1)
 	size := r.integer(2)
@@ -55,7 +55,7 @@
 	for range size {
 		line, err := r.readLine()
 		if errors.Is(err, io.EOF) {
-			err = io.ErrUnexpectedEOF // io.EOF is for the end of input between messages
+			err = io.ErrUnexpectedEOF // io.EOF means the end of input between messages
 		}
 		if err != nil {
 			return fmt.Errorf("list of %d entries ends early: %w", size, err)
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// parseEntry reads ITEM: server, zone, kind, pod group, state, weight, start time.
+// parseEntry parses ITEM: server, zone, kind, pod group, state, weight, start time.
 func (r *Reader) parseEntry(line []byte) (balance.Endpoint, error) {
 	r.splitFields(line)
 	if string(r.fields[0]) != "ITEM" {
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	bufferSize     = 1 << 16 // bytes, of input and of output
+	bufferSize     = 1 << 16 // size in bytes of the input buffer and of the output buffer
 	fieldSeparator = '\t'
-	maxLists       = 16 // numbers that lists of endpoints may have
+	maxLists       = 16 // endpoint lists are numbered from 0 to maxLists-1
 )
 
-// attributeRetry is the bit of a request's attributes that marks a client's retry.
+// attributeRetry is the bit in the attributes of a request that marks it as a retry by the client.
 const attributeRetry = 2
 
-// Reader reads events. It is not safe for concurrent use.
+// Reader parses events from an input. It is not safe for concurrent use.
 type Reader struct {
 	input      *bufio.Reader
-	longLine   []byte // a line that exceeds the input's buffer
+	longLine   []byte // a line longer than the input buffer
 	lineNumber int
 	event      Event
-	fields     [][]byte // of the current line
-	fieldErr   error    // the first malformed field of the current line
+	fields     [][]byte // fields of the current line
+	fieldErr   error    // error of the first malformed field of the current line
 	lists      [maxLists][]balance.Endpoint
 	interned   map[string]string
 }
 
-// NewReader returns a Reader of input.
+// NewReader returns a Reader that reads from input.
 func NewReader(input io.Reader) *Reader {
 	return &Reader{input: bufio.NewReaderSize(input, bufferSize), interned: map[string]string{}}
 }
 
-// Next returns the next event, which holds until the following call. At the end of input it returns io.EOF; other
-// errors are a LineError.
+// Next returns the next event, which is valid until the next call. At the end of input it returns io.EOF. Any other
+// error is a LineError.
 func (r *Reader) Next() (*Event, error) {
 	for {
 		line, err := r.readLine()
@@ -60,7 +60,7 @@
 	}
 }
 
-// readLine returns the next line without its newline. It holds until the following call.
+// readLine returns the next line without its newline. The line is valid until the next call.
 func (r *Reader) readLine() ([]byte, error) {
 	line, err := r.input.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -73,7 +73,7 @@
 	return bytes.TrimSuffix(line, []byte{'\n'}), nil
 }
 
-// readLongLine returns start, which fills the input's buffer, and what follows it up to the end of the line.
+// readLongLine reads the rest of a line whose beginning, start, fills the input buffer. It returns the complete line.
 func (r *Reader) readLongLine(start []byte) ([]byte, error) {
 	r.longLine = append(r.longLine[:0], start...)
 	for {
@@ -85,14 +85,14 @@
 	}
 }
 
-// message is how the lines of one name are read.
+// message describes how lines with one message name are parsed.
 type message struct {
 	kind  EventKind
-	parse func(*Reader) error // nil: the line has no fields of interest
+	parse func(*Reader) error // nil if no field of the line is needed
 }
 
-// messages are those of the protocol by their names. Results of health checks and messages of peers are skipped, as
-// the module asks for neither.
+// messages maps the message names of the protocol to their descriptions. Results of health checks (STATUS_BACK) and
+// messages of peers (PEER_DATA) are skipped, because the Balancer requests neither.
 var messages = map[string]message{
 	"FRAME":         {BatchStart, (*Reader).parseBatchStart},
 	"YOUR_TURN":     {BatchEnd, nil},
@@ -110,7 +110,7 @@
 	"PEER_DATA":     {noEvent, nil},
 }
 
-// parse reads one line into r.event and returns the event's kind, or noEvent if the line is none.
+// parse parses one line into r.event and returns the kind of the event, or noEvent if the line is not an event.
 func (r *Reader) parse(line []byte) (EventKind, error) {
 	r.splitFields(line)
 	m, known := messages[string(r.fields[0])]
@@ -124,21 +124,21 @@
 	return m.kind, m.parse(r)
 }
 
-// Each of the methods below reads the fields of one message, which its comment names in their order from field 1.
+// Each method below parses the fields of one message. Its comment lists the fields in order, starting with field 1.
 
-// parseBatchStart reads FRAME: clock.
+// parseBatchStart parses FRAME: time.
 func (r *Reader) parseBatchStart() error {
 	r.event.Now = r.duration(1)
 	return r.lineErr()
 }
 
-// parseSelectInstance reads SWITCH_TO: instance.
+// parseSelectInstance parses SWITCH_TO: instance.
 func (r *Reader) parseSelectInstance() error {
 	r.event.Instance = r.integer(1)
 	return r.lineErr()
 }
 
-// parseStartInstance reads OPEN_INSTANCE: seed, settings as key=value pairs.
+// parseStartInstance parses OPEN_INSTANCE: seed, settings as key=value pairs.
 func (r *Reader) parseStartInstance() error {
 	seed := r.uint64(1)
 	if r.fieldErr == nil {
@@ -147,7 +147,7 @@
 	return r.lineErr()
 }
 
-// parseRequest reads DEMAND: request, class, tenant, key, time left, expected work, attributes.
+// parseRequest parses DEMAND: request, class, tenant, key, time left, expected work, attributes.
 func (r *Reader) parseRequest() error {
 	e := &r.event
 	e.ID = r.requestID(1)
@@ -158,14 +158,14 @@
 	return r.lineErr()
 }
 
-// parseResponseStarted reads ACCEPTED: request, attempt, time since the attempt began, server.
+// parseResponseStarted parses ACCEPTED: request, attempt, time since the attempt began, server.
 func (r *Reader) parseResponseStarted() error {
 	r.event.ID = r.requestID(1)
 	r.event.Attempt = r.integer(2)
 	return r.lineErr()
 }
 
-// parseResult reads RESPONSE: request, attempt, server, outcome, time since the attempt began, finished, load report.
+// parseResult parses RESPONSE: request, attempt, server, outcome, time since the attempt began, finished, load report.
 func (r *Reader) parseResult() error {
 	r.event.Result = balance.Result{
 		ID:       r.requestID(1),
@@ -178,13 +178,13 @@
 	return r.lineErr()
 }
 
-// parseClientDisconnected reads CLIENT_LEFT: request.
+// parseClientDisconnected parses CLIENT_LEFT: request.
 func (r *Reader) parseClientDisconnected() error {
 	r.event.ID = r.requestID(1)
 	return r.lineErr()
 }
 
-// parseTimer reads DUE: token.
+// parseTimer parses DUE: token.
 func (r *Reader) parseTimer() error {
 	r.event.Token = r.uint64(1)
 	return r.lineErr()
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -10,22 +10,22 @@
 	"milletramp.example/milletramp/balance"
 )
 
-// Names maps the names that requests carry to indexes into the settings.
+// Names maps the class and tenant names in requests to indexes into the settings.
 type Names struct {
 	Class  map[string]int
 	Tenant map[string]int
 }
 
-// Limits are the settings that concern the process around the module. Zero means that the settings have none.
+// Limits are the settings for the process that hosts the Balancer. Zero means that the setting is absent.
 type Limits struct {
-	ConnectTimeout time.Duration // after which a connection that is not established has failed
-	IdleClose      time.Duration // after which servers close idle connections
-	MaxInFlight    int           // requests in flight at once
-	MaxRetryAfter  time.Duration // the longest Retry-After that a client honours
+	ConnectTimeout time.Duration // time in which a connection has to be established
+	IdleClose      time.Duration // time after which servers close idle connections
+	MaxInFlight    int           // maximum number of requests in flight
+	MaxRetryAfter  time.Duration // longest Retry-After that clients honour
 }
 
 var (
-	// discoveryModes says of each whether the lists are polled.
+	// discoveryModes maps each discovery mode to whether endpoint lists are polled.
 	discoveryModes = map[string]bool{
 		"pushed":     false,
 		"on_request": true,
@@ -44,11 +44,13 @@
 	}
 )
 
-// requiredKeys are those without which no instance starts. The classes have more of them.
+// requiredKeys are the settings without which an instance cannot start. Classes and tenants have further required
+// settings.
 var requiredKeys = []string{"peers_total", "ordinal", "request_classes.count", "limits.try_limit", "my_zone"}
 
-// SettingsJSON reads the settings of a sidecar in service from a nested JSON object. Its paths and words are those of
-// the text protocol; unknown keys are skipped. Values at fault are a SettingError or a MissingSettingError.
+// SettingsJSON parses the settings of a production sidecar from a nested JSON object. Paths and words are the same as
+// in the text protocol. Unknown keys are skipped. For an invalid or missing value, it returns a SettingError or a
+// MissingSettingError.
 func SettingsJSON(seed uint64, object []byte) (balance.Settings, *Names, Limits, error) {
 	decoder := json.NewDecoder(bytes.NewReader(object))
 	decoder.UseNumber()
@@ -62,7 +64,7 @@
 	return settings, namesOf(settings), limits, s.err
 }
 
-// parseSettings reads an instance's settings from key=value pairs. Unknown keys are skipped.
+// parseSettings parses the settings of an instance from key=value pairs. Unknown keys are skipped.
 func parseSettings(seed uint64, pairs [][]byte) (balance.Settings, *Names, error) {
 	s, err := newPairsReader(pairs)
 	if err != nil {
@@ -132,7 +134,7 @@
 	return settings
 }
 
-// readService returns the name of the tier of servers that the sidecar calls, "" where the settings name none.
+// readService returns the name of the server tier that the sidecar calls, or "" if the settings contain none.
 func (s *settingsReader) readService() string {
 	tiers := s.list("tiers")
 	tier := s.integer("tier")
--- a/internal/wire/settingsreader.go
+++ b/internal/wire/settingsreader.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// maxListLength bounds the elements that a list of the settings may claim to have.
+// maxListLength is the maximum number of elements of a list in the settings.
 const maxListLength = 4096
 
-// noValue stands for an absent value in the text protocol.
+// noValue is the text of an absent value in the text protocol.
 const noValue = "-"
 
-// settingsReader reads typed values from settings that are kept as text by their paths. Each method returns zero for
-// an absent or malformed value; the first fault stays in err.
+// settingsReader reads typed values from settings that are stored as text by path. Its methods return zero for an
+// absent or malformed value and keep the first error in err.
 type settingsReader struct {
 	values map[string]string
-	lists  map[string][]string // lists of plain values in JSON: a name may hold the text protocol's comma
-	quoted map[string]bool     // paths of JSON strings, which are no numbers even if they look like one
+	lists  map[string][]string // JSON lists of plain values, as their elements may contain commas
+	quoted map[string]bool     // paths of JSON strings, which are not accepted as numbers
 	err    error
 }
 
-// newPairsReader returns a reader of the text protocol's key=value pairs.
+// newPairsReader returns a settingsReader for key=value pairs of the text protocol.
 func newPairsReader(pairs [][]byte) (*settingsReader, error) {
 	s := &settingsReader{values: make(map[string]string, len(pairs))}
 	for _, pair := range pairs {
@@ -37,14 +37,14 @@
 	return s, nil
 }
 
-// newTreeReader returns a reader of a JSON object whose numbers were decoded as json.Number.
+// newTreeReader returns a settingsReader for a JSON object whose numbers were decoded as json.Number.
 func newTreeReader(tree map[string]any) *settingsReader {
 	s := &settingsReader{values: map[string]string{}, lists: map[string][]string{}, quoted: map[string]bool{}}
 	s.flatten("", tree)
 	return s
 }
 
-// flatten stores a JSON value under its path, with the spelling of the text protocol.
+// flatten stores a JSON value by path, with the paths and spelling of the text protocol.
 func (s *settingsReader) flatten(path string, value any) {
 	switch v := value.(type) {
 	case map[string]any:
@@ -57,7 +57,7 @@
 			s.flatten(path+"."+strconv.Itoa(i), inner)
 			s.lists[path] = append(s.lists[path], fmt.Sprint(inner))
 		}
-	case nil: // as if absent
+	case nil: // null is treated as absent
 	case string:
 		s.values[path] = v
 		s.quoted[path] = true
@@ -66,14 +66,14 @@
 	}
 }
 
-// fail records that the value of key is not what was wanted.
+// fail records that the value of key is not the expected one.
 func (s *settingsReader) fail(key, expected string) {
 	if s.err == nil {
 		s.err = &SettingError{Key: key, Value: s.values[key], Expected: expected}
 	}
 }
 
-// require returns the text of key and fails where it is missing.
+// require returns the text of key. A missing key is recorded as an error.
 func (s *settingsReader) require(key string) string {
 	value, found := s.values[key]
 	if !found && s.err == nil {
@@ -95,7 +95,7 @@
 	return f
 }
 
-// requirePositive fails for a number that is missing or not above 0.
+// requirePositive records an error if the number under key is missing or not above 0.
 func (s *settingsReader) requirePositive(key string) {
 	s.require(key)
 	if s.float(key) <= 0 {
@@ -111,7 +111,7 @@
 	return int(f)
 }
 
-// listLength returns the number of elements that a list says it has.
+// listLength returns the declared number of elements of a list, at most maxListLength.
 func (s *settingsReader) listLength(key string) int {
 	n := s.integer(key)
 	if n < 0 || n > maxListLength {
@@ -142,7 +142,7 @@
 	return false
 }
 
-// list returns the elements of a list of plain values.
+// list returns the elements of a list of plain values: a comma-separated text or a JSON list.
 func (s *settingsReader) list(key string) []string {
 	if joined := s.values[key]; joined != "" && joined != noValue {
 		return strings.Split(joined, ",")
@@ -150,7 +150,7 @@
 	return s.lists[key]
 }
 
-// lookup returns what the word under key means, and fails for one that is not in words.
+// lookup returns the value for the word under key. A word that is not in valuesByWord is recorded as an error.
 func lookup[T any](s *settingsReader, key string, valuesByWord map[string]T) T {
 	value, found := valuesByWord[s.values[key]]
 	if !found {
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -9,23 +9,23 @@
 	"milletramp.example/milletramp/balance"
 )
 
-// noInstance is the number of no instance.
+// noInstance means that no instance is selected.
 const noInstance = -1
 
-// Writer writes the actions of many instances to one reply after another. Errors of the output are kept until
-// FinishReply. It is not safe for concurrent use.
+// Writer encodes the actions of many instances into a sequence of replies. It keeps output errors until FinishReply. It
+// is not safe for concurrent use.
 type Writer struct {
 	output          *bufio.Writer
 	line            []byte
-	currentInstance int // the one that the latest SPEAKING line of this reply names
+	currentInstance int // instance of the latest SPEAKING line in this reply
 }
 
-// NewWriter returns a Writer to output.
+// NewWriter returns a Writer that writes to output.
 func NewWriter(output io.Writer) *Writer {
 	return &Writer{output: bufio.NewWriterSize(output, bufferSize), currentInstance: noInstance}
 }
 
-// Send writes that an attempt begins. A timeout of 0 lasts until the client gives up.
+// Send writes that an attempt begins. A timeout of 0 means that only the deadline of the request applies.
 func (w *Writer) Send(instance int, id balance.RequestID, endpoint string, timeout time.Duration) {
 	w.beginAction(instance, "FORWARD")
 	w.appendUint(uint64(id))
@@ -42,7 +42,7 @@
 	w.endAction()
 }
 
-// Reject writes that a request is rejected without effect, with a Retry-After; 0 gives no advice.
+// Reject writes that a request is rejected without effect. A retryAfter of 0 means no Retry-After.
 func (w *Writer) Reject(instance int, id balance.RequestID, retryAfter time.Duration) {
 	w.beginAction(instance, "NOT_NOW")
 	w.appendUint(uint64(id))
@@ -57,7 +57,7 @@
 	w.endAction()
 }
 
-// Timer writes a request for a Timer event with the token.
+// Timer writes a request for a Timer event with the given token after a delay.
 func (w *Writer) Timer(instance int, after time.Duration, token uint64) {
 	w.beginAction(instance, "AFTER")
 	w.appendSeconds(after)
@@ -65,28 +65,28 @@
 	w.endAction()
 }
 
-// Subscribe writes a subscription to discovery's changes.
+// Subscribe writes a subscription to changes of the endpoint list.
 func (w *Writer) Subscribe(instance int) {
 	w.beginAction(instance, "TAIL")
 	w.appendUint(1)
 	w.endAction()
 }
 
-// Log writes a line of the report.
+// Log writes a log line.
 func (w *Writer) Log(instance int, text string) {
 	w.beginAction(instance, "JOURNAL_LINE")
 	w.appendText(text)
 	w.endAction()
 }
 
-// FinishReply ends and flushes the reply, and returns the first error of the output.
+// FinishReply ends and flushes the reply. It returns the first output error.
 func (w *Writer) FinishReply() error {
-	_, _ = w.output.WriteString("END\n") // the buffer keeps an error and returns it from Flush
+	_, _ = w.output.WriteString("END\n") // bufio.Writer returns a write error from Flush
 	w.currentInstance = noInstance
 	return w.output.Flush()
 }
 
-// beginAction starts the line of an action, after a SPEAKING line if the instance differs from the last one.
+// beginAction starts the line of an action. If the instance has changed, it writes a SPEAKING line before it.
 func (w *Writer) beginAction(instance int, name string) {
 	w.line = w.line[:0]
 	if instance != w.currentInstance {
@@ -109,11 +109,11 @@
 	w.line = append(w.line, text...)
 }
 
-// appendSeconds appends a duration in the protocol's resolution of microseconds.
+// appendSeconds appends a duration in seconds, with the protocol's resolution of 1 µs.
 func (w *Writer) appendSeconds(d time.Duration) {
 	w.line = append(w.line, fieldSeparator)
 	w.line = strconv.AppendFloat(w.line, float64(d.Microseconds())/microsPerSecond, 'f', -1, 64)
 }
 
-// endAction ends the line. The buffer keeps an error and returns it from Flush.
+// endAction writes the line to the output. bufio.Writer returns a write error from Flush.
 func (w *Writer) endAction() { _, _ = w.output.Write(append(w.line, '\n')) }
