--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -25,9 +25,9 @@
 // Error implements error.
 func (e *FieldError) Error() string {
 	if e.Missing {
-		return fmt.Sprintf("part %d is missing, want %s", e.Index, e.Expected)
+		return fmt.Sprintf("field %d is missing, expected %s", e.Index, e.Expected)
 	}
-	return fmt.Sprintf("part %d is %q, want %s", e.Index, e.Value, e.Expected)
+	return fmt.Sprintf("field %d is %q, expected %s", e.Index, e.Value, e.Expected)
 }
 
 // SettingError is a setting with a malformed or out-of-range value.
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -76,12 +76,12 @@
 
 func (r *Reader) uint64(i int) uint64 {
 	if i >= len(r.fields) {
-		r.fail(i, "a whole number")
+		r.fail(i, "an unsigned integer")
 		return 0
 	}
 	n, ok := parseUint(r.fields[i])
 	if !ok {
-		r.fail(i, "a whole number")
+		r.fail(i, "an unsigned integer")
 	}
 	return n
 }
@@ -98,7 +98,7 @@
 func (r *Reader) integer(i int) int {
 	n := r.uint64(i)
 	if n > math.MaxInt32 {
-		r.fail(i, "a small whole number")
+		r.fail(i, "an integer of at most 2147483647")
 		return 0
 	}
 	return int(n)
@@ -155,7 +155,7 @@
 			return o
 		}
 	}
-	r.fail(i, "an outcome")
+	r.fail(i, "a known outcome")
 	return 0
 }
 
--- a/internal/wire/lists.go
+++ b/internal/wire/lists.go
@@ -29,12 +29,12 @@
 	e := &r.event
 	e.Entries = nil
 	if len(r.fields) < 3 {
-		r.fieldErr = errors.New("too few parts")
+		r.fieldErr = errors.New("too few fields")
 		return r.lineErr()
 	}
 	kind, known := listKinds[string(r.fields[2])]
 	if !known {
-		r.fail(2, "a mode")
+		r.fail(2, "a known list mode")
 		return r.lineErr()
 	}
 	e.ListKind = kind
@@ -58,7 +58,7 @@
 			err = io.ErrUnexpectedEOF // io.EOF means the end of input between messages
 		}
 		if err != nil {
-			return fmt.Errorf("list of %d entries ends early: %w", size, err)
+			return fmt.Errorf("list of %d entries is truncated: %w", size, err)
 		}
 		entry, err := r.parseEntry(line)
 		if err != nil {
@@ -74,7 +74,7 @@
 func (r *Reader) parseEntry(line []byte) (balance.Endpoint, error) {
 	r.splitFields(line)
 	if string(r.fields[0]) != "ITEM" {
-		return balance.Endpoint{}, fmt.Errorf("%q where an entry is due", r.fields[0])
+		return balance.Endpoint{}, fmt.Errorf("expected ITEM, got %q", r.fields[0])
 	}
 	entry := balance.Endpoint{
 		ID:       r.text(1),
@@ -84,7 +84,7 @@
 		Weight:   defaultWeight,
 	}
 	if entry.ID == "" {
-		r.fail(1, "a server")
+		r.fail(1, "a server ID")
 	}
 	entry.State = r.state(5)
 	if !r.isAbsent(6) {
@@ -99,7 +99,7 @@
 func (r *Reader) state(i int) balance.State {
 	state, known := endpointStates[r.text(i)]
 	if !known {
-		r.fail(i, "a state")
+		r.fail(i, "a known endpoint state")
 	}
 	return state
 }
@@ -107,7 +107,7 @@
 func (r *Reader) listNumber(i int) int {
 	n := r.integer(i)
 	if n >= maxLists {
-		r.fail(i, "a list from 0 to 15")
+		r.fail(i, "a list number from 0 to 15")
 		return 0
 	}
 	return n
--- a/internal/wire/settingsreader.go
+++ b/internal/wire/settingsreader.go
@@ -31,7 +31,7 @@
 		if found {
 			s.values[key] = value
 		} else if len(pair) > 0 {
-			return nil, fmt.Errorf("setting %q is no key=value pair", pair)
+			return nil, fmt.Errorf("setting %q is not a key=value pair", pair)
 		}
 	}
 	return s, nil
