--- a/internal/proxy/api.go
+++ b/internal/proxy/api.go
@@ -15,7 +15,7 @@
 	if h.gate != nil && !h.awaitPolicy(r.Context(), policyWait(r)) {
 		return h.rejectWithoutPolicy(w, r)
 	}
-	request, httpErr := h.receive(w, r, receivedAt)
+	request, httpErr := h.receiveRequest(w, r, receivedAt)
 	if httpErr != nil {
 		return httpErr
 	}
@@ -72,15 +72,15 @@
 }
 
 // adoptBody takes over the body and the times of a request whose head is read again.
-func (r *inflightRequest) adoptBody(former *inflightRequest) {
-	r.Body = former.Body
-	r.releaseBody = former.releaseBody
-	r.deadline = former.deadline
-	r.peerClosed = former.peerClosed
+func (r *inflightRequest) adoptBody(previous *inflightRequest) {
+	r.Body = previous.Body
+	r.releaseBody = previous.releaseBody
+	r.deadline = previous.deadline
+	r.peerClosed = previous.peerClosed
 }
 
-// receive reads a request whole, and sets when its final response is due.
-func (h *Handler) receive(w http.ResponseWriter, r *http.Request,
+// receiveRequest reads a request whole, and sets when its final response is due.
+func (h *Handler) receiveRequest(w http.ResponseWriter, r *http.Request,
 	receivedAt time.Time) (*inflightRequest, *httpError) {
 	request, timeout, httpErr := h.parseRequest(r)
 	if httpErr != nil {
@@ -98,7 +98,7 @@
 		request.releaseBody = body.release
 		receivedAt = time.Now() // the client's time begins with the last byte of its request
 	}
-	request.deadline = receivedAt.Add(timeout - answerMargin)
+	request.deadline = receivedAt.Add(timeout - responseMargin)
 	if h.draining.Load() {
 		shutdownAt := h.shutdownAt.Load()
 		if shutdownAt.Before(request.deadline) {
@@ -139,11 +139,11 @@
 }
 
 // awaitPolicy waits for a policy to be in force, for as long as a response can still be given.
-func (h *Handler) awaitPolicy(ctx context.Context, within time.Duration) bool {
+func (h *Handler) awaitPolicy(ctx context.Context, maxWait time.Duration) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(h.shutdown, cancel)()
-	return h.gate.Enter(ctx, within)
+	return h.gate.Await(ctx, maxWait)
 }
 
 // rejectWithoutPolicy rejects a request that may be taken under no policy now.
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -35,7 +35,7 @@
 // runAttempt makes an attempt and posts its result. Where its response was streamed, the result was posted before.
 func (l *EventLoop) runAttempt(ctx context.Context, a attempt, within time.Duration) {
 	isStreamed := false
-	order := upstream.AttemptRequest{
+	request := upstream.AttemptRequest{
 		ServerID:    a.endpoint,
 		Message:     &a.request.Message,
 		IsCancelled: func() bool { return l.isCancelled(a.request) },
@@ -45,9 +45,9 @@
 		},
 	}
 	if within > 0 {
-		order.SendDeadline = l.origin.Add(a.startAt + within)
+		request.SendDeadline = l.origin.Add(a.startAt + within)
 	}
-	response := l.upstream.Attempt(ctx, order)
+	response := l.upstream.Attempt(ctx, request)
 	if !isStreamed {
 		l.Post(func() { l.finishAttempt(a, response) })
 	}
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -21,17 +21,17 @@
 	BodyGrace = 400 * time.Millisecond
 	// minBodyRate is the bytes a second at which a body has to come. Clients are promised that 64 kB/s are enough.
 	minBodyRate = 48 << 10
-	// firstBodyBuffer is the bytes read first of a body of unknown length.
-	firstBodyBuffer = 4 << 10
-	// bodyBufferGrowth is how much larger the next buffer of such a body is, up to upstream.MaxBufferedBody.
-	bodyBufferGrowth = 4
+	// initialBodyBuffer is the bytes read first of a body of unknown length.
+	initialBodyBuffer = 4 << 10
+	// bodyBufferGrowthFactor is how much larger the next buffer of such a body is, up to upstream.MaxBufferedBody.
+	bodyBufferGrowthFactor = 4
 )
 
 // errNoDeadline refuses a request on a connection that takes no deadline.
 var errNoDeadline = &httpError{status: http.StatusInternalServerError, text: "no deadline"}
 
-// endReading is a read deadline that is over by any clock. The zero time would be none.
-var endReading = time.Time{}.Add(time.Nanosecond)
+// expiredDeadline is a read deadline that is over by any clock. The zero time would be none.
+var expiredDeadline = time.Time{}.Add(time.Nanosecond)
 
 // requestBody is the body of a request while it is read.
 type requestBody struct {
@@ -46,10 +46,10 @@
 func (h *Handler) readBody(w http.ResponseWriter, r *http.Request, receivedAt time.Time) (*requestBody, *httpError) {
 	conn := http.NewResponseController(w)
 	defer h.stopReadingAtShutdown(conn)()
-	body := newRequestBody(h.buffers, r.ContentLength)
-	rateFrom := bodyRateStart(r, receivedAt)
+	body := newRequestBody(h.bodyBuffers, r.ContentLength)
+	rateStart := bodyRateStart(r, receivedAt)
 	for {
-		isComplete, httpErr := h.readPiece(conn, r, body, rateFrom)
+		isComplete, httpErr := h.readPart(conn, r, body, rateStart)
 		if httpErr != nil {
 			body.release()
 			return nil, httpErr
@@ -69,18 +69,18 @@
 	return start
 }
 
-// readPiece reads the next bytes of a body, and reports whether it is complete.
-func (h *Handler) readPiece(conn *http.ResponseController, r *http.Request, body *requestBody,
-	rateFrom time.Time) (isComplete bool, httpErr *httpError) {
-	if httpErr := body.grow(); httpErr != nil {
+// readPart reads the next bytes of a body, and reports whether it is complete.
+func (h *Handler) readPart(conn *http.ResponseController, r *http.Request, body *requestBody,
+	rateStart time.Time) (isComplete bool, httpErr *httpError) {
+	if httpErr := body.ensureSpace(); httpErr != nil {
 		return false, httpErr
 	}
-	deadline := rateFrom.Add(time.Duration(body.length) * time.Second / minBodyRate)
+	deadline := rateStart.Add(time.Duration(body.length) * time.Second / minBodyRate)
 	if err := conn.SetReadDeadline(deadline); err != nil {
 		return false, errNoDeadline
 	}
 	if h.shutdown.Err() != nil { // the process may be killed before the body is complete
-		_ = conn.SetReadDeadline(endReading) // or net/http would wait for the rest; it fails on a closed connection
+		_ = conn.SetReadDeadline(expiredDeadline) // or net/http would wait for the rest; it fails on a closed connection
 		return false, &httpError{status: http.StatusServiceUnavailable, text: "refused: this process ends"}
 	}
 	err := body.readFrom(r.Body)
@@ -101,7 +101,7 @@
 func (h *Handler) stopReadingAtShutdown(conn *http.ResponseController) (done func()) {
 	ended := make(chan struct{})
 	stop := context.AfterFunc(h.shutdown, func() {
-		_ = conn.SetReadDeadline(endReading) // it fails on a closed connection
+		_ = conn.SetReadDeadline(expiredDeadline) // it fails on a closed connection
 		close(ended)
 	})
 	return func() {
@@ -113,21 +113,21 @@
 
 // newRequestBody returns a body of a declared length, -1 for none, of which nothing is read.
 func newRequestBody(pool *bufferPool, declared int64) *requestBody {
-	size := firstBodyBuffer
+	size := initialBodyBuffer
 	if declared > 0 {
 		size = int(min(declared+1, upstream.MaxBufferedBody)) // and a byte for the end
 	}
 	return &requestBody{pool: pool, declared: declared, buffers: [][]byte{make([]byte, 0, size)}}
 }
 
-// grow makes the buffers take more bytes, or returns why they cannot.
-func (b *requestBody) grow() *httpError {
+// ensureSpace makes the buffers take more bytes, or returns why they cannot.
+func (b *requestBody) ensureSpace() *httpError {
 	last := b.buffers[len(b.buffers)-1]
 	switch {
 	case len(last) < cap(last):
 		return nil
 	case len(last) < upstream.MaxBufferedBody:
-		larger := make([]byte, 0, min(bodyBufferGrowth*cap(last), upstream.MaxBufferedBody))
+		larger := make([]byte, 0, min(bodyBufferGrowthFactor*cap(last), upstream.MaxBufferedBody))
 		b.buffers[len(b.buffers)-1] = append(larger, last...)
 		return nil
 	case b.length > MaxRequestBody:
--- a/internal/proxy/body_test.go
+++ b/internal/proxy/body_test.go
@@ -62,7 +62,7 @@
 func TestLargeBodyWithoutBuffersGets503(t *testing.T) {
 	const large = 2 * upstream.MaxBufferedBody
 	p := startTestProxy(t, testserver.Respond(200, "", "ok"))
-	buffers := p.handler.buffers
+	buffers := p.handler.bodyBuffers
 	if !buffers.reserve(buffers.maxBuffers) {
 		t.Fatal("buffers are in use at the start")
 	}
--- a/internal/proxy/buffer_pool.go
+++ b/internal/proxy/buffer_pool.go
@@ -6,8 +6,8 @@
 	"milletramp.example/milletramp/internal/upstream"
 )
 
-// bodyMemoryShare is the part of the memory, as its divisor, that bodies may take beyond upstream.MaxBufferedBody each.
-const bodyMemoryShare = 4
+// bodyMemoryDivisor is the part of the memory, as its divisor, that bodies may take beyond upstream.MaxBufferedBody each.
+const bodyMemoryDivisor = 4
 
 // bufferPool bounds the memory of long bodies. It hands out buffers of upstream.MaxBufferedBody bytes and uses them
 // again, as what waits for the garbage collector takes memory too.
@@ -20,7 +20,7 @@
 
 // newBufferPool returns a pool for its share of the memory of a process.
 func newBufferPool(memoryMB int) *bufferPool {
-	return &bufferPool{maxBuffers: memoryMB << 20 / bodyMemoryShare / upstream.MaxBufferedBody}
+	return &bufferPool{maxBuffers: memoryMB << 20 / bodyMemoryDivisor / upstream.MaxBufferedBody}
 }
 
 // reserve reserves n buffers, or none and returns false.
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -7,12 +7,12 @@
 	"milletramp.example/milletramp/internal/discovery"
 )
 
-// knownRevision is the revision of the list that a process begins with; -1: it begins with none.
-func knownRevision(known discovery.List) int64 {
-	if len(known.Endpoints) == 0 {
+// initialRevision is the revision of the list that a process begins with; -1: it begins with none.
+func initialRevision(initial discovery.List) int64 {
+	if len(initial.Endpoints) == 0 {
 		return -1
 	}
-	return known.Revision
+	return initial.Revision
 }
 
 // Subscribe implements balance.Actions: it opens a watch of discovery if there is none.
@@ -29,8 +29,8 @@
 	}
 	l.starts.Update(l.now, kind, list)
 	l.balancer.Endpoints(l.now, kind, endpoints)
-	l.reportList()
-	l.signalProgress(kind, len(endpoints) > 0)
+	l.notifyListObserver()
+	l.signalReadiness(kind, len(endpoints) > 0)
 }
 
 // balancerEndpoint returns an endpoint as the Balancer knows it.
@@ -46,11 +46,11 @@
 	}
 }
 
-// signalProgress closes the channels of the first update, and of the first list with servers or from discovery.
-func (l *EventLoop) signalProgress(kind balance.ListKind, hasEndpoints bool) {
+// signalReadiness closes the channels of the first update, and of the first list with servers or from discovery.
+func (l *EventLoop) signalReadiness(kind balance.ListKind, hasEndpoints bool) {
 	fromDiscovery := kind != balance.ListRemembered
-	if fromDiscovery && !l.hasUpdate {
-		l.hasUpdate = true
+	if fromDiscovery && !l.hasFirstUpdate {
+		l.hasFirstUpdate = true
 		close(l.firstUpdate)
 	}
 	if !l.isReady && (fromDiscovery || hasEndpoints) {
@@ -110,11 +110,11 @@
 // SetListObserver sets what gets each list of servers, and gives it the one in hand.
 func (l *EventLoop) SetListObserver(onList func([]discovery.Endpoint)) {
 	l.onList = onList
-	l.reportList()
+	l.notifyListObserver()
 }
 
-// reportList passes the list of servers on, where it is wanted.
-func (l *EventLoop) reportList() {
+// notifyListObserver passes the list of servers on, where it is wanted.
+func (l *EventLoop) notifyListObserver() {
 	if l.onList != nil {
 		l.onList(l.upstream.Endpoints())
 	}
--- a/internal/proxy/event_loop.go
+++ b/internal/proxy/event_loop.go
@@ -35,18 +35,18 @@
 	wake  chan struct{} // gets a value when the queue was empty
 
 	// What follows belongs to the loop's goroutine.
-	ctx           context.Context // of attempts and watches
-	balancer      *balance.Balancer
-	now           balance.Time // of the event in hand
-	lastID        balance.RequestID
-	inflight      map[balance.RequestID]*inflightRequest
-	isReady       bool
-	hasUpdate     bool
-	subscriptions *discovery.Subscriptions
-	starts        *discovery.StartTimes
-	shutdownAt    time.Time                  // when open requests expire, as the process ends; zero: it goes on
-	gate          *PolicyGate                // nil: the settings are those of the file
-	onList        func([]discovery.Endpoint) // gets each list; nil: nothing does
+	ctx            context.Context // of attempts and watches
+	balancer       *balance.Balancer
+	now            balance.Time // of the event in hand
+	lastID         balance.RequestID
+	inflight       map[balance.RequestID]*inflightRequest
+	isReady        bool
+	hasFirstUpdate bool
+	subscriptions  *discovery.Subscriptions
+	starts         *discovery.StartTimes
+	shutdownAt     time.Time                  // when open requests expire, as the process ends; zero: it goes on
+	gate           *PolicyGate                // nil: the settings are those of the file
+	onList         func([]discovery.Endpoint) // gets each list; nil: nothing does
 }
 
 // event is something that happened at an instant.
@@ -74,7 +74,7 @@
 	l.starts = discovery.NewStartTimes(l.clock)
 	l.subscriptions = discovery.NewSubscriptions(ctx, l, discovery.Options{
 		Address:        c.Discovery,
-		Revision:       knownRevision(c.Known),
+		Revision:       initialRevision(c.Known),
 		ConnectTimeout: c.Limits.ConnectTimeout,
 		Dial:           dialDiscovery,
 		Log:            log,
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -23,12 +23,12 @@
 
 // Handler answers the requests of clients. It implements http.Handler.
 type Handler struct {
-	loop       *EventLoop
-	ids        *inflightIDs
-	buffers    *bufferPool // of long request bodies
-	gate       *PolicyGate // nil: the settings are those of the file
-	draining   atomic.Bool
-	shutdownAt atomic.Pointer[time.Time] // when all requests have to be answered; set before draining is
+	loop        *EventLoop
+	ids         *inflightIDs
+	bodyBuffers *bufferPool // of long request bodies
+	gate        *PolicyGate // nil: the settings are those of the file
+	draining    atomic.Bool
+	shutdownAt  atomic.Pointer[time.Time] // when all requests have to be answered; set before draining is
 
 	shutdown      context.Context // is done at shutdownAt
 	beginShutdown context.CancelFunc
@@ -40,7 +40,7 @@
 	return &Handler{
 		loop:          loop,
 		ids:           newInflightIDs(maxInFlight),
-		buffers:       newBufferPool(c.MemoryMB),
+		bodyBuffers:   newBufferPool(c.MemoryMB),
 		shutdown:      shutdown,
 		beginShutdown: beginShutdown,
 	}
--- a/internal/proxy/inflight_request.go
+++ b/internal/proxy/inflight_request.go
@@ -28,8 +28,8 @@
 	attemptsInFlight int
 }
 
-// clientGone reports whether the client has closed its connection, also where bytes sent before are not read yet.
-func (r *inflightRequest) clientGone() bool { return r.peerClosed != nil && r.peerClosed() }
+// clientDisconnected reports whether the client has closed its connection, also where bytes sent before are not read yet.
+func (r *inflightRequest) clientDisconnected() bool { return r.peerClosed != nil && r.peerClosed() }
 
 // dropBody gives back the buffers of the body. No attempt may be writing it: another request would use the buffers.
 func (r *inflightRequest) dropBody() {
--- a/internal/proxy/policy_document.go
+++ b/internal/proxy/policy_document.go
@@ -11,8 +11,8 @@
 	"milletramp.example/milletramp/internal/wire"
 )
 
-// OwnSettingKeys are the settings that tell a sidecar of its place. They are of its own file; a policy has all others.
-var OwnSettingKeys = []string{"ordinal", "peers_total", "my_zone", "areas", "models", "tier", "tiers", "discovery"}
+// LocalSettingKeys are the settings that tell a sidecar of its place. They are of its own file; a policy has all others.
+var LocalSettingKeys = []string{"ordinal", "peers_total", "my_zone", "areas", "models", "tier", "tiers", "discovery"}
 
 // checkedPolicy is a policy that this sidecar can run.
 type checkedPolicy struct {
@@ -27,13 +27,13 @@
 	if err := json.Unmarshal(text, &policy.document); err != nil {
 		return policy, fmt.Errorf("policy: %w", err)
 	}
-	for _, key := range OwnSettingKeys {
+	for _, key := range LocalSettingKeys {
 		if _, ok := policy.document[key]; ok {
 			return policy, fmt.Errorf("policy: %s: is of each sidecar's own place, in its own file", key)
 		}
 	}
 	merged := maps.Clone(policy.document)
-	maps.Copy(merged, g.ownSettings)
+	maps.Copy(merged, g.localSettings)
 	object, err := json.Marshal(merged)
 	if err != nil {
 		return policy, fmt.Errorf("policy: %w", err)
--- a/internal/proxy/policy_gate.go
+++ b/internal/proxy/policy_gate.go
@@ -44,18 +44,18 @@
 	policy Policy
 	loop   *EventLoop
 
-	mu          sync.Mutex
-	ownSettings map[string]any           // of the file, by OwnSettingKeys
-	checked     map[uint64]checkedPolicy // by number
+	mu            sync.Mutex
+	localSettings map[string]any           // of the file, by LocalSettingKeys
+	checked       map[uint64]checkedPolicy // by number
 }
 
 // NewPolicyGate returns a gate for a sidecar of this configuration. SetPolicy is called before it is used.
 func NewPolicyGate(loop *EventLoop, c *config.Config) *PolicyGate {
-	g := &PolicyGate{loop: loop, ownSettings: map[string]any{}, checked: map[uint64]checkedPolicy{}}
+	g := &PolicyGate{loop: loop, localSettings: map[string]any{}, checked: map[uint64]checkedPolicy{}}
 	settings := c.SettingsDocument()
-	for _, key := range OwnSettingKeys {
+	for _, key := range LocalSettingKeys {
 		if value, ok := settings[key]; ok {
-			g.ownSettings[key] = value
+			g.localSettings[key] = value
 		}
 	}
 	return g
@@ -94,17 +94,17 @@
 	return err
 }
 
-// Enter waits until requests are taken, if that is soon, and has the loop run the policy in force. What it reports may
+// Await waits until requests are taken, if that is soon, and has the loop run the policy in force. What it reports may
 // be over when it returns; isInForce is what counts.
-func (g *PolicyGate) Enter(ctx context.Context, within time.Duration) bool {
-	deadline := time.Now().Add(min(within, maxPolicyWait))
+func (g *PolicyGate) Await(ctx context.Context, maxWait time.Duration) bool {
+	deadline := time.Now().Add(min(maxWait, maxPolicyWait))
 	for {
 		number, wait, ok := g.policy.Serves()
 		if ok {
 			if g.loop.PolicyNumber() == number {
 				return true
 			}
-			if !g.adopt(ctx, number) {
+			if !g.apply(ctx, number) {
 				return false
 			}
 			continue
@@ -120,10 +120,10 @@
 	}
 }
 
-// adopt has the loop run a policy, and reports whether it does.
-func (g *PolicyGate) adopt(ctx context.Context, number uint64) bool {
+// apply has the loop run a policy, and reports whether it does.
+func (g *PolicyGate) apply(ctx context.Context, number uint64) bool {
 	var err error
-	if loopErr := g.loop.Do(ctx, func() { err = g.run(number) }); loopErr != nil {
+	if loopErr := g.loop.Do(ctx, func() { err = g.applyOnLoop(number) }); loopErr != nil {
 		return false
 	}
 	if err != nil {
@@ -133,8 +133,8 @@
 	return true
 }
 
-// run has the loop run a policy from now on. It is called on the loop.
-func (g *PolicyGate) run(number uint64) error {
+// applyOnLoop has the loop run a policy from now on. It is called on the loop.
+func (g *PolicyGate) applyOnLoop(number uint64) error {
 	if g.loop.PolicyNumber() == number {
 		return nil
 	}
@@ -171,7 +171,7 @@
 	g.mu.Unlock()
 	settings := c.SettingsDocument()
 	for _, key := range slices.Sorted(maps.Keys(settings)) {
-		if slices.Contains(OwnSettingKeys, key) || reflect.DeepEqual(settings[key], policy.document[key]) {
+		if slices.Contains(LocalSettingKeys, key) || reflect.DeepEqual(settings[key], policy.document[key]) {
 			continue
 		}
 		return fmt.Sprintf("settings.%s is another than in policy %d, which is in force: propose it", key, number)
--- a/internal/proxy/policy_gate_test.go
+++ b/internal/proxy/policy_gate_test.go
@@ -13,7 +13,7 @@
 func TestCheckPolicy(t *testing.T) {
 	c := loadConfig(t, "", testserver.Settings)
 	document := maps.Clone(c.SettingsDocument())
-	for _, key := range OwnSettingKeys {
+	for _, key := range LocalSettingKeys {
 		delete(document, key)
 	}
 	encoded, err := json.Marshal(document)
--- a/internal/proxy/request_parser.go
+++ b/internal/proxy/request_parser.go
@@ -9,8 +9,8 @@
 	"milletramp.example/milletramp/internal/upstream"
 )
 
-// singleHeaders may be given at most once. Of two values, a server could take the other one.
-var singleHeaders = []string{"X-Request-Id", "X-Priority-Class", "X-Tenant-Id", "X-Timeout-Ms", "Idempotency-Key",
+// singleValueHeaders may be given at most once. Of two values, a server could take the other one.
+var singleValueHeaders = []string{"X-Request-Id", "X-Priority-Class", "X-Tenant-Id", "X-Timeout-Ms", "Idempotency-Key",
 	"Content-Type", "Content-Length"}
 
 // parseRequest reads the head of a request, and how long its client waits.
@@ -60,7 +60,7 @@
 	if !r.ProtoAtLeast(1, 1) {
 		return &httpError{status: http.StatusHTTPVersionNotSupported, text: "HTTP/1.1 is needed"}
 	}
-	for _, name := range singleHeaders {
+	for _, name := range singleValueHeaders {
 		if len(r.Header[name]) > 1 {
 			return badRequest(name + " is given more than once")
 		}
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -7,8 +7,8 @@
 	"milletramp.example/milletramp/balance"
 )
 
-// answerMargin is kept free before the client's deadline for the way of the final response.
-const answerMargin = 5 * time.Millisecond
+// responseMargin is kept free before the client's deadline for the way of the final response.
+const responseMargin = 5 * time.Millisecond
 
 // serve has the Balancer decide on a request and returns its final response, or false if ctx, which is that of the
 // client's connection, ends first.
@@ -16,7 +16,7 @@
 	r.response = make(chan finalResponse, 1)
 	l.Post(func() { l.start(r) })
 	// A request that the Balancer leaves without a response would hang until the client gives up.
-	expiry := time.AfterFunc(time.Until(r.deadline)+answerMargin/2, func() { l.Post(func() { l.expire(r) }) })
+	expiry := time.AfterFunc(time.Until(r.deadline)+responseMargin/2, func() { l.Post(func() { l.expire(r) }) })
 	defer expiry.Stop()
 	select {
 	case response := <-r.response:
@@ -29,7 +29,7 @@
 
 // start hands a request to the Balancer.
 func (l *EventLoop) start(r *inflightRequest) {
-	if r.clientGone() {
+	if r.clientDisconnected() {
 		l.respond(r, finalResponse{kind: badGateway})
 		r.dropBody()
 		return
@@ -58,7 +58,7 @@
 	if r.completed.Load() {
 		return true
 	}
-	if !r.clientGone() {
+	if !r.clientDisconnected() {
 		return false
 	}
 	l.Post(func() {
@@ -88,7 +88,7 @@
 // cancel ends a request whose client has gone. If it has its response already, nobody takes that any more.
 func (l *EventLoop) cancel(r *inflightRequest) {
 	if !r.completed.Load() {
-		l.giveUp(r)
+		l.abandon(r)
 		return
 	}
 	select {
@@ -106,11 +106,11 @@
 		return
 	}
 	l.log.Warn("request overdue", "class", r.Name)
-	l.giveUp(r)
+	l.abandon(r)
 }
 
-// giveUp gives a request its final response without a server's.
-func (l *EventLoop) giveUp(r *inflightRequest) {
+// abandon gives a request its final response without a server's.
+func (l *EventLoop) abandon(r *inflightRequest) {
 	response := finalResponse{kind: badGateway}
 	if len(r.attempts) == 0 || l.balancer.MayReject(r.requestID) {
 		response = finalResponse{kind: rejected, retryAfter: l.settings.Load().retryAfter}
--- a/internal/proxy/simulation_test.go
+++ b/internal/proxy/simulation_test.go
@@ -167,7 +167,7 @@
 		},
 		tenant:        -1,
 		classSettings: sim.loop.settings.Load().classes[class],
-		deadline:      time.Now().Add(wait - answerMargin),
+		deadline:      time.Now().Add(wait - responseMargin),
 		peerClosed:    left,
 	}
 	result := make(chan finalResponse, 1)
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -69,13 +69,13 @@
 	buffer := streamBuffers.Get().(*[streamBufferSize]byte)
 	defer streamBuffers.Put(buffer)
 	remainder := response.remainder
-	piece := response.body
+	part := response.body
 	written := int64(0)
 	for {
-		if err := writePiece(w, conn, piece); err != nil {
+		if err := writePart(w, conn, part); err != nil {
 			return errClientWrite
 		}
-		written += int64(len(piece))
+		written += int64(len(part))
 		if remainder.IsComplete() {
 			return nil
 		}
@@ -84,7 +84,7 @@
 		if err != nil && !errors.Is(err, io.EOF) {
 			return errServerRead
 		}
-		piece = buffer[:n]
+		part = buffer[:n]
 	}
 }
 
@@ -93,16 +93,16 @@
 	if length > upstream.MaxBufferedBody {
 		return MaxStreamPause
 	}
-	untilLost := time.Until(deadline.Add(lateResponseGrace))
-	return min(MaxStreamPause, max(untilLost, minStreamPause))
+	remaining := time.Until(deadline.Add(lateResponseGrace))
+	return min(MaxStreamPause, max(remaining, minStreamPause))
 }
 
-// writePiece writes a piece of a body. The time that it may take is its own.
-func writePiece(w http.ResponseWriter, conn *http.ResponseController, piece []byte) error {
+// writePart writes a piece of a body. The time that it may take is its own.
+func writePart(w http.ResponseWriter, conn *http.ResponseController, part []byte) error {
 	if err := conn.SetWriteDeadline(time.Now().Add(MaxStreamPause)); err != nil {
 		return err
 	}
-	if _, err := w.Write(piece); err != nil {
+	if _, err := w.Write(part); err != nil {
 		return err
 	}
 	return conn.Flush()
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -235,7 +235,7 @@
 	if fleet == nil {
 		return true, ""
 	}
-	if o.gate != nil && !o.gate.Enter(context.Background(), fleetQueryTimeout) {
+	if o.gate != nil && !o.gate.Await(context.Background(), fleetQueryTimeout) {
 		return false, "policy: nobody has promised this sidecar one"
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), fleetQueryTimeout)
--- a/internal/sidecar/participant_test.go
+++ b/internal/sidecar/participant_test.go
@@ -81,7 +81,7 @@
 // join is a Join.
 func (f *fakeParticipant) join(c *config.Config, _ []string, _ *slog.Logger, callbacks Callbacks) (Participant, error) {
 	f.callbacks, f.settings = callbacks, maps.Clone(c.SettingsDocument())
-	for _, key := range proxy.OwnSettingKeys {
+	for _, key := range proxy.LocalSettingKeys {
 		delete(f.settings, key)
 	}
 	return f, nil
