--- a/internal/proxy/api.go
+++ b/internal/proxy/api.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// writeTimeout is how long a client may take to receive a short response.
+// writeTimeout bounds the time in which a client has to receive a response that is not streamed.
 const writeTimeout = 2 * time.Second
 
-// serveAPI serves a request, or returns why it is refused.
+// serveAPI serves a request under /api. A non-nil result is the error response that the caller has to write.
 func (h *Handler) serveAPI(w http.ResponseWriter, r *http.Request, receivedAt time.Time) *httpError {
 	if h.gate != nil && !h.awaitPolicy(r.Context(), policyWait(r)) {
 		return h.rejectWithoutPolicy(w, r)
@@ -19,7 +19,8 @@
 	if httpErr != nil {
 		return httpErr
 	}
-	// The time for the request is over; a later end of the connection means that the client has gone.
+	// The request is read completely, so its read deadline is removed. From here on, a failed read means that the client
+	// has disconnected.
 	conn := http.NewResponseController(w)
 	if err := conn.SetReadDeadline(time.Time{}); err != nil {
 		request.dropBody()
@@ -40,8 +41,8 @@
 	return h.awaitResponse(w, r, conn, request)
 }
 
-// awaitResponse has the Balancer decide on a request and writes its final response. If the policy under which the head
-// was read is not in force any more, the head is read again under the next one.
+// awaitResponse passes a request to the event loop and writes its final response. If the policy under which the request
+// head was parsed is no longer in force, it parses the head again under the next policy.
 func (h *Handler) awaitResponse(w http.ResponseWriter, r *http.Request, conn *http.ResponseController,
 	request *inflightRequest) *httpError {
 	response, ok := h.loop.serve(r.Context(), request)
@@ -63,15 +64,15 @@
 		w.Header().Set(PolicyHeader, strconv.FormatUint(request.policyNumber, 10))
 	}
 	if !ok {
-		// net/http ends a handler that wrote nothing with an empty 200, which a client that has closed only its sending
-		// would read as served.
+		// If a handler returns without writing, net/http sends an empty 200. A client that has closed only its sending
+		// side would take that for a successful response.
 		panic(http.ErrAbortHandler)
 	}
 	h.respond(w, r, conn, response, request)
 	return nil
 }
 
-// adoptBody takes over the body and the times of a request whose head is read again.
+// adoptBody takes over the body, the deadline and the disconnect check of a request whose head is parsed again.
 func (r *inflightRequest) adoptBody(previous *inflightRequest) {
 	r.Body = previous.Body
 	r.releaseBody = previous.releaseBody
@@ -79,7 +80,7 @@
 	r.peerClosed = previous.peerClosed
 }
 
-// receiveRequest reads a request whole, and sets when its final response is due.
+// receiveRequest reads a complete request and sets its deadline.
 func (h *Handler) receiveRequest(w http.ResponseWriter, r *http.Request,
 	receivedAt time.Time) (*inflightRequest, *httpError) {
 	request, timeout, httpErr := h.parseRequest(r)
@@ -96,7 +97,7 @@
 		}
 		request.Body = body.buffers
 		request.releaseBody = body.release
-		receivedAt = time.Now() // the client's time begins with the last byte of its request
+		receivedAt = time.Now() // the timeout counts from the last byte of the request
 	}
 	request.deadline = receivedAt.Add(timeout - responseMargin)
 	if h.draining.Load() {
@@ -111,10 +112,10 @@
 // respond writes the final response of a request and counts it.
 func (h *Handler) respond(w http.ResponseWriter, r *http.Request, conn *http.ResponseController,
 	response finalResponse, request *inflightRequest) {
-	if h.draining.Load() { // also where the drain began since the request was read
+	if h.draining.Load() { // the drain may have begun after the request was read
 		w.Header().Set("Connection", "close")
 	}
-	// A client that reads no responses would hold its handler for good.
+	// Without a deadline, a client that does not read its response would block the handler forever.
 	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if response.remainder != nil {
 		h.stream(w, r, conn, response, request)
@@ -131,14 +132,14 @@
 	}
 }
 
-// peerClosedFunc returns what reports whether the client of a request has gone. net/http sees its close only once all
-// that came before is read, which may be other requests.
+// peerClosedFunc returns a function that reports whether the client of a request has disconnected. The request context
+// does not suffice: net/http notices the close only after it has read all data before it, which may be other requests.
 func peerClosedFunc(r *http.Request) func() bool {
 	conn := clientConnOf(r)
 	return func() bool { return r.Context().Err() != nil || conn != nil && conn.PeerClosed() }
 }
 
-// awaitPolicy waits for a policy to be in force, for as long as a response can still be given.
+// awaitPolicy waits for a policy to be in force. The wait ends after maxWait, with ctx or at shutdown.
 func (h *Handler) awaitPolicy(ctx context.Context, maxWait time.Duration) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -146,7 +147,7 @@
 	return h.gate.Await(ctx, maxWait)
 }
 
-// rejectWithoutPolicy rejects a request that may be taken under no policy now.
+// rejectWithoutPolicy rejects a request because no policy is in force.
 func (h *Handler) rejectWithoutPolicy(w http.ResponseWriter, r *http.Request) *httpError {
 	if request, _, httpErr := h.parseRequest(r); httpErr == nil {
 		request.counters.Rejected.Add(1)
@@ -155,18 +156,18 @@
 	return nil
 }
 
-// reject writes that a request has had no effect and may be sent again.
+// reject writes a 503 response: the request has had no effect, and the client may send it again.
 func (h *Handler) reject(w http.ResponseWriter) {
 	finalResponse{kind: rejected, retryAfter: h.loop.settings.Load().retryAfter}.write(w)
 }
 
-// write writes a final response, but for its remainder.
+// write writes a final response that has no remainder to stream.
 func (f finalResponse) write(w http.ResponseWriter) {
 	switch f.kind {
 	case served:
 		f.writeContentType(w)
 		w.Header().Set("Content-Length", strconv.Itoa(len(f.body)))
-		_, _ = w.Write(f.body) // a client that has gone needs no response
+		_, _ = w.Write(f.body) // the client may have disconnected
 	case rejected:
 		if f.retryAfter > 0 {
 			w.Header().Set("Retry-After", strconv.FormatFloat(f.retryAfter.Seconds(), 'f', 3, 64))
@@ -177,7 +178,8 @@
 	}
 }
 
-// writeContentType sets the server's Content-Type. Where it gave none, net/http must not guess one.
+// writeContentType sets the Content-Type of the server's response. If the server sent none, a nil value keeps net/http
+// from detecting one.
 func (f finalResponse) writeContentType(w http.ResponseWriter) {
 	w.Header()["Content-Type"] = nil
 	if f.contentType != "" {
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -8,15 +8,16 @@
 	"milletramp.example/milletramp/internal/upstream"
 )
 
-// attempt is one attempt at a request, as the Balancer ordered it.
+// attempt is one attempt at a request, started by the Balancer.
 type attempt struct {
 	request  *inflightRequest
-	index    int // among the attempts at the request
+	index    int // position among the attempts at the request, from 0
 	endpoint string
 	startAt  balance.Time
 }
 
-// Send implements balance.Actions: it starts an attempt, which has to be sent within a time; 0: at any time.
+// Send implements balance.Actions. It starts an attempt, which has to be sent within the given time; 0 means that only
+// the deadline of the request applies.
 func (l *EventLoop) Send(id balance.RequestID, endpoint string, within time.Duration) {
 	r := l.inflight[id]
 	if r == nil {
@@ -26,13 +27,14 @@
 	ctx, cancel := context.WithDeadline(l.ctx, r.deadline)
 	r.attempts = append(r.attempts, cancel)
 	r.attemptsInFlight++
-	go func() { // ends with the attempt
+	go func() {
 		defer cancel()
 		l.runAttempt(ctx, a, within)
 	}()
 }
 
-// runAttempt makes an attempt and posts its result. Where its response was streamed, the result was posted before.
+// runAttempt makes an attempt and posts its result. If the response is streamed, startStreaming has already posted the
+// result.
 func (l *EventLoop) runAttempt(ctx context.Context, a attempt, within time.Duration) {
 	isStreamed := false
 	request := upstream.AttemptRequest{
@@ -53,9 +55,9 @@
 	}
 }
 
-// startStreaming reports whether a long response, of which a part has come, is to be streamed to the client. From then
-// on the request has its final response, and the attempt has ended for the Balancer. A client would get parts of two
-// responses otherwise.
+// startStreaming reports whether a long response, of which the first part has arrived, is to be streamed to the client.
+// If so, it completes the request and reports the attempt to the Balancer as finished before any byte is written, so
+// that a client never receives parts of two responses.
 func (l *EventLoop) startStreaming(a attempt, response upstream.Response) bool {
 	decided := make(chan bool, 1)
 	l.Post(func() {
@@ -74,7 +76,8 @@
 	}
 }
 
-// finishAttempt takes in how an attempt ended. The first good response is the final one.
+// finishAttempt reports the result of an attempt to the Balancer. The first successful response becomes the final
+// response of the request.
 func (l *EventLoop) finishAttempt(a attempt, response upstream.Response) {
 	r := a.request
 	isFinal := response.Outcome == balance.Served && !r.completed.Load()
@@ -90,7 +93,9 @@
 		Took:     l.now - a.startAt,
 		Finished: r.completed.Load(),
 	})
-	if isFinal { // only now: the Balancer has cancelled hedged requests, which could be sent behind the final response
+	// The response is delivered after the Balancer has cancelled hedged requests, which could otherwise be sent after the
+	// final response.
+	if isFinal {
 		r.response <- finalResponse{
 			kind:        served,
 			body:        response.Body,
@@ -101,19 +106,19 @@
 	l.releaseIfDone(r)
 }
 
-// Cancel implements balance.Actions: it cancels an attempt, whose result comes from its own goroutine.
+// Cancel implements balance.Actions. It cancels an attempt; the goroutine of the attempt posts the result.
 func (l *EventLoop) Cancel(id balance.RequestID, attempt int) {
 	if r := l.inflight[id]; r != nil && attempt >= 0 && attempt < len(r.attempts) {
 		r.attempts[attempt]()
 	}
 }
 
-// Reject implements balance.Actions: the request has had no effect, and may be sent again after a time.
+// Reject implements balance.Actions. The request has had no effect, and the client may send it again after retryAfter.
 func (l *EventLoop) Reject(id balance.RequestID, retryAfter time.Duration) {
 	l.respondByID(id, finalResponse{kind: rejected, retryAfter: retryAfter})
 }
 
-// Fail implements balance.Actions: the request may have had an effect.
+// Fail implements balance.Actions. The request may have had an effect.
 func (l *EventLoop) Fail(id balance.RequestID) { l.respondByID(id, finalResponse{kind: badGateway}) }
 
 // Timer implements balance.Actions.
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -12,37 +12,38 @@
 )
 
 const (
-	// MaxRequestBody bounds the bytes of a request's body.
+	// MaxRequestBody is the maximum size of a request body in bytes.
 	MaxRequestBody = 32 << 20
-	// BodyStartTimeout is how long after the start of a connection a body has to keep minBodyRate, unless BodyGrace
-	// ends later. Connections without a complete request are to end within 3 s.
+	// BodyStartTimeout is the age of a connection from which a body has to arrive at minBodyRate, unless BodyGrace ends
+	// later. It keeps connections that have not sent a complete request below a lifetime of 3 s.
 	BodyStartTimeout = 2700 * time.Millisecond
-	// BodyGrace is how long after its head a body has to keep minBodyRate at the earliest.
+	// BodyGrace is the time after the request head during which minBodyRate is not enforced.
 	BodyGrace = 400 * time.Millisecond
-	// minBodyRate is the bytes a second at which a body has to come. Clients are promised that 64 kB/s are enough.
+	// minBodyRate is the minimum rate of a request body in bytes per second. It is below the 64 kB/s that clients are
+	// promised to be sufficient.
 	minBodyRate = 48 << 10
-	// initialBodyBuffer is the bytes read first of a body of unknown length.
+	// initialBodyBuffer is the size in bytes of the first buffer for a body of unknown length.
 	initialBodyBuffer = 4 << 10
-	// bodyBufferGrowthFactor is how much larger the next buffer of such a body is, up to upstream.MaxBufferedBody.
+	// bodyBufferGrowthFactor is the factor by which that buffer grows, up to upstream.MaxBufferedBody.
 	bodyBufferGrowthFactor = 4
 )
 
-// errNoDeadline refuses a request on a connection that takes no deadline.
+// errNoDeadline is the response to a request on a connection that does not support deadlines.
 var errNoDeadline = &httpError{status: http.StatusInternalServerError, text: "no deadline"}
 
-// expiredDeadline is a read deadline that is over by any clock. The zero time would be none.
+// expiredDeadline is a read deadline that has always passed. The zero time would mean no deadline.
 var expiredDeadline = time.Time{}.Add(time.Nanosecond)
 
-// requestBody is the body of a request while it is read.
+// requestBody is a request body that is being read.
 type requestBody struct {
 	pool     *bufferPool
-	declared int64    // its length; -1: not declared
-	buffers  [][]byte // the first one is its own, those behind it are of the pool
-	reserved int      // buffers reserved in the pool
-	length   int      // bytes read
+	declared int64    // length from Content-Length; -1 if unknown
+	buffers  [][]byte // the first one is allocated per request, the others come from the pool
+	reserved int      // number of buffers reserved in the pool
+	length   int      // bytes read so far
 }
 
-// readBody reads the body of a request, whose head was received then.
+// readBody reads the body of a request whose head was received at receivedAt.
 func (h *Handler) readBody(w http.ResponseWriter, r *http.Request, receivedAt time.Time) (*requestBody, *httpError) {
 	conn := http.NewResponseController(w)
 	defer h.stopReadingAtShutdown(conn)()
@@ -60,7 +61,7 @@
 	}
 }
 
-// bodyRateStart is when a body has to keep minBodyRate from.
+// bodyRateStart returns the time from which minBodyRate is enforced for a body.
 func bodyRateStart(r *http.Request, receivedAt time.Time) time.Time {
 	start := receivedAt.Add(BodyGrace)
 	if conn := clientConnOf(r); conn != nil && conn.AcceptedAt().Add(BodyStartTimeout).After(start) {
@@ -69,7 +70,7 @@
 	return start
 }
 
-// readPart reads the next bytes of a body, and reports whether it is complete.
+// readPart reads the next part of a body and reports whether the body is complete.
 func (h *Handler) readPart(conn *http.ResponseController, r *http.Request, body *requestBody,
 	rateStart time.Time) (isComplete bool, httpErr *httpError) {
 	if httpErr := body.ensureSpace(); httpErr != nil {
@@ -80,14 +81,14 @@
 		return false, errNoDeadline
 	}
 	if h.shutdown.Err() != nil { // the process may be killed before the body is complete
-		_ = conn.SetReadDeadline(expiredDeadline) // or net/http would wait for the rest; it fails on a closed connection
+		_ = conn.SetReadDeadline(expiredDeadline) // else net/http would wait for the rest; fails on a closed connection
 		return false, &httpError{status: http.StatusServiceUnavailable, text: "refused: this process ends"}
 	}
 	err := body.readFrom(r.Body)
 	switch {
 	case err == io.EOF:
 		return true, nil
-	case errors.Is(err, os.ErrDeadlineExceeded) && h.shutdown.Err() != nil: // the next call refuses the request
+	case errors.Is(err, os.ErrDeadlineExceeded) && h.shutdown.Err() != nil: // the next call returns 503
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return false, &httpError{status: http.StatusRequestTimeout, text: "body came too slowly"}
 	case err != nil:
@@ -96,31 +97,32 @@
 	return false, nil
 }
 
-// stopReadingAtShutdown ends the reading of a connection when all requests have to be answered. After done it ends
-// none.
+// stopReadingAtShutdown ends reads of a connection when the shutdown context is done. The caller calls done when it has
+// finished reading; after that, read deadlines of the connection are not changed any more.
 func (h *Handler) stopReadingAtShutdown(conn *http.ResponseController) (done func()) {
 	ended := make(chan struct{})
 	stop := context.AfterFunc(h.shutdown, func() {
-		_ = conn.SetReadDeadline(expiredDeadline) // it fails on a closed connection
+		_ = conn.SetReadDeadline(expiredDeadline) // fails on a closed connection
 		close(ended)
 	})
 	return func() {
 		if !stop() {
-			<-ended // or it would come after the deadline that the next reader sets
+			<-ended // else it could overwrite the deadline that the next reader sets
 		}
 	}
 }
 
-// newRequestBody returns a body of a declared length, -1 for none, of which nothing is read.
+// newRequestBody returns an empty requestBody. declared is the declared length, or -1 if it is unknown.
 func newRequestBody(pool *bufferPool, declared int64) *requestBody {
 	size := initialBodyBuffer
 	if declared > 0 {
-		size = int(min(declared+1, upstream.MaxBufferedBody)) // and a byte for the end
+		size = int(min(declared+1, upstream.MaxBufferedBody)) // one byte more for the read that returns io.EOF
 	}
 	return &requestBody{pool: pool, declared: declared, buffers: [][]byte{make([]byte, 0, size)}}
 }
 
-// ensureSpace makes the buffers take more bytes, or returns why they cannot.
+// ensureSpace makes sure that the last buffer has free space. It returns an error if the body is too large or the pool
+// is exhausted.
 func (b *requestBody) ensureSpace() *httpError {
 	last := b.buffers[len(b.buffers)-1]
 	switch {
@@ -145,8 +147,8 @@
 	return nil
 }
 
-// reserve reserves the buffers for the rest of a declared length, else one. If each of many bodies reserved its buffers
-// one by one, all would get a part and none would get through.
+// reserve reserves pool buffers for the rest of a body of declared length, or one buffer if the length is unknown. If
+// many bodies reserved their buffers one by one, each could get some of them and none could be completed.
 func (b *requestBody) reserve() bool {
 	n := max(1, (int(b.declared)-b.length)/upstream.MaxBufferedBody+1)
 	if !b.pool.reserve(n) {
@@ -156,7 +158,7 @@
 	return true
 }
 
-// readFrom reads once from r into the last buffer.
+// readFrom calls r.Read once, into the last buffer.
 func (b *requestBody) readFrom(r io.Reader) error {
 	last := b.buffers[len(b.buffers)-1]
 	n, err := r.Read(last[len(last):cap(last)])
@@ -165,5 +167,5 @@
 	return err
 }
 
-// release gives the buffers back to the pool. Nothing may use them any more.
+// release returns the buffers to the pool. They must not be used afterwards.
 func (b *requestBody) release() { b.pool.release(b.reserved, b.buffers[1:]) }
--- a/internal/proxy/buffer_pool.go
+++ b/internal/proxy/buffer_pool.go
@@ -6,24 +6,25 @@
 	"milletramp.example/milletramp/internal/upstream"
 )
 
-// bodyMemoryDivisor is the part of the memory, as its divisor, that bodies may take beyond upstream.MaxBufferedBody each.
+// bodyMemoryDivisor limits the pool to 1/bodyMemoryDivisor of the process memory. The first upstream.MaxBufferedBody
+// bytes of each body are not counted.
 const bodyMemoryDivisor = 4
 
-// bufferPool bounds the memory of long bodies. It hands out buffers of upstream.MaxBufferedBody bytes and uses them
-// again, as what waits for the garbage collector takes memory too.
+// bufferPool bounds the memory of large request bodies. Its buffers have upstream.MaxBufferedBody bytes and are reused,
+// because buffers that wait for garbage collection occupy memory too.
 type bufferPool struct {
 	mu         sync.Mutex
 	maxBuffers int
 	reserved   int
-	free       [][]byte
+	free       [][]byte // released buffers for reuse
 }
 
-// newBufferPool returns a pool for its share of the memory of a process.
+// newBufferPool returns a pool for a process with memoryMB of memory.
 func newBufferPool(memoryMB int) *bufferPool {
 	return &bufferPool{maxBuffers: memoryMB << 20 / bodyMemoryDivisor / upstream.MaxBufferedBody}
 }
 
-// reserve reserves n buffers, or none and returns false.
+// reserve reserves n buffers. If fewer are available, it reserves none and returns false.
 func (p *bufferPool) reserve(n int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -34,7 +35,7 @@
 	return true
 }
 
-// buffer returns an empty buffer. It has to be reserved.
+// buffer returns an empty buffer, which the caller has reserved before.
 func (p *bufferPool) buffer() []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -47,8 +48,8 @@
 	return buffer[:0]
 }
 
-// release gives back n reserved buffers, and those of them that were used. Nothing may use these any more. When none is
-// reserved, the pool keeps no memory.
+// release cancels the reservation of n buffers and takes back those of them that were used; the caller must not use
+// these any more. The pool frees its memory when no buffer is reserved.
 func (p *bufferPool) release(n int, used [][]byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// ClientConn is the connection on which a request came, as far as the handler has to do with it.
+// ClientConn is the client connection of a request, as used by the handler.
 type ClientConn interface {
-	// AcceptedAt is when the connection was accepted.
+	// AcceptedAt returns the time at which the connection was accepted.
 	AcceptedAt() time.Time
-	// PeerClosed reports whether the client has ended its sending, also where bytes that came before are not read yet.
+	// PeerClosed reports whether the client has closed its sending side, even if data sent before is still unread.
 	PeerClosed() bool
-	// ClosesAfterResponse reports whether the next response is to end the connection.
+	// ClosesAfterResponse reports whether the connection is to be closed after the next response.
 	ClosesAfterResponse() bool
-	// MarkFinalResponse says that nothing more is served on the connection.
+	// MarkFinalResponse records that no further request is served on the connection.
 	MarkFinalResponse()
-	// SetWriteBuffer sets the bytes of responses that may wait in the system.
+	// SetWriteBuffer sets the size of the socket's send buffer in bytes.
 	SetWriteBuffer(bytes int) error
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// ConnContext puts a connection into the context of its requests. It is for http.Server.
+// ConnContext adds a connection to the context of its requests. It is meant for http.Server.ConnContext.
 func ConnContext(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// clientConnOf returns the connection of a request, or nil where it came on none that the handler knows.
+// clientConnOf returns the connection of a request, or nil if it does not implement ClientConn.
 func clientConnOf(r *http.Request) ClientConn {
 	conn, _ := r.Context().Value(connKey{}).(ClientConn)
 	return conn
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -1,13 +1,14 @@
-// Package proxy takes a client's request from its head to its final response.
+// Package proxy serves client requests: it reads a request, attempts it at the servers that the Balancer selects, and
+// writes the final response.
 //
-// A Handler reads and checks the request and writes its response, in the goroutine that http.Server gives it. The
-// EventLoop owns the balance.Balancer and the requests in flight: everything that happens is posted to it, and it
-// starts what the Balancer orders. A PolicyGate holds requests to the policy of a fleet, where there is one.
+// A Handler reads and checks the request and writes its response, in the goroutine that http.Server starts for it. An
+// EventLoop owns the balance.Balancer and the requests in flight: other goroutines post events to it, and it performs
+// the actions of the Balancer. In a fleet, a PolicyGate admits requests only under the policy in force.
 //
-// The caller runs EventLoop.Run in a goroutine of its own and ends it by its context. The package starts one goroutine
-// for each attempt, which ends with the attempt, at the latest at the request's deadline or with the loop's context; a
-// response that is being streamed ends with its handler.
+// The caller runs EventLoop.Run in a goroutine of its own and stops it by cancelling its context. The package starts
+// one goroutine per attempt. It ends with the attempt, at the latest at the request's deadline or with the loop's
+// context. If the response is streamed, it ends with the handler.
 //
-// Each request that was read gets exactly one final response. What is refused before the Balancer sees it is an
-// httpError; it closes the connection behind its response.
+// Each request that was read gets exactly one final response. A request that is refused before the Balancer sees it
+// gets an httpError, and its connection is closed after the response.
 package proxy
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -7,7 +7,7 @@
 	"milletramp.example/milletramp/internal/discovery"
 )
 
-// initialRevision is the revision of the list that a process begins with; -1: it begins with none.
+// initialRevision returns the revision of the initial endpoint list, or -1 if that list is empty.
 func initialRevision(initial discovery.List) int64 {
 	if len(initial.Endpoints) == 0 {
 		return -1
@@ -15,11 +15,11 @@
 	return initial.Revision
 }
 
-// Subscribe implements balance.Actions: it opens a watch of discovery if there is none.
+// Subscribe implements balance.Actions. It opens a watch of discovery if none is open.
 func (l *EventLoop) Subscribe() { l.subscriptions.Subscribe() }
 
-// OnUpdate implements discovery.Subscriber. It hands a list to the connections first and then to the Balancer: what the
-// Balancer sends next must find its address.
+// OnUpdate implements discovery.Subscriber. It passes the list to the upstream client before the Balancer, because the
+// client has to know the address of each server to which the Balancer sends an attempt.
 func (l *EventLoop) OnUpdate(kind balance.ListKind, list discovery.List) {
 	list.Complete = list.Complete || kind == balance.ListRemembered
 	l.upstream.Update(list)
@@ -33,7 +33,7 @@
 	l.signalReadiness(kind, len(endpoints) > 0)
 }
 
-// balancerEndpoint returns an endpoint as the Balancer knows it.
+// balancerEndpoint converts an endpoint of discovery to one of the Balancer.
 func (l *EventLoop) balancerEndpoint(e discovery.Endpoint) balance.Endpoint {
 	return balance.Endpoint{
 		ID:       e.ID,
@@ -46,7 +46,8 @@
 	}
 }
 
-// signalReadiness closes the channels of the first update, and of the first list with servers or from discovery.
+// signalReadiness closes firstUpdate on the first update from discovery, and ready on the first update that contains
+// endpoints or comes from discovery.
 func (l *EventLoop) signalReadiness(kind balance.ListKind, hasEndpoints bool) {
 	fromDiscovery := kind != balance.ListRemembered
 	if fromDiscovery && !l.hasFirstUpdate {
@@ -65,8 +66,8 @@
 // OnWatchEnded implements discovery.Subscriber.
 func (l *EventLoop) OnWatchEnded() { l.balancer.Endpoints(l.now, balance.ListRefused, nil) }
 
-// SetAdminDown takes a server administratively down, or up again, and reports whether it is known. It is called on the
-// loop, as are the methods after it.
+// SetAdminDown sets a server administratively down, or up again, and reports whether the server is known. This method
+// and those below are called on the loop's goroutine.
 func (l *EventLoop) SetAdminDown(id string, down bool) (known bool) {
 	known = l.balancer.SetAdminDown(l.now, id, down)
 	if known {
@@ -78,7 +79,7 @@
 // AdminDown returns the servers that are administratively down.
 func (l *EventLoop) AdminDown() []string { return l.balancer.AdminDown() }
 
-// AdoptAdminDown takes servers administratively down, whether or not they are known here.
+// AdoptAdminDown sets servers administratively down, including servers that are not known yet.
 func (l *EventLoop) AdoptAdminDown(ids []string) {
 	for _, id := range ids {
 		l.upstream.SetAdminDown(id, true)
@@ -86,16 +87,16 @@
 	l.balancer.AdoptAdminDown(l.now, ids)
 }
 
-// CountEndpoints returns how many servers are known, and how many of these are avoided.
+// CountEndpoints returns the number of known servers, and how many of them are avoided.
 func (l *EventLoop) CountEndpoints() (known, avoided int) { return l.balancer.CountEndpoints(l.now) }
 
-// SuspectedServer is a server that other sidecars suspect.
+// SuspectedServer is a server that other sidecars suspect of a fault.
 type SuspectedServer struct {
 	ID  string
-	Age time.Duration // of the latest report
+	Age time.Duration // time since the latest report
 }
 
-// SetSuspected replaces the servers that are suspected.
+// SetSuspected replaces the set of suspected servers.
 func (l *EventLoop) SetSuspected(servers []SuspectedServer) {
 	reports := make([]balance.PeerReport, 0, len(servers))
 	for _, s := range servers {
@@ -104,16 +105,16 @@
 	l.balancer.SetSuspected(reports)
 }
 
-// SetObserver sets what gets the Balancer's observations of servers; nil: nothing does.
+// SetObserver sets the observer that receives the Balancer's observations of servers. nil removes it.
 func (l *EventLoop) SetObserver(observer balance.Observer) { l.balancer.SetObserver(observer) }
 
-// SetListObserver sets what gets each list of servers, and gives it the one in hand.
+// SetListObserver sets a function that is called with each endpoint list, and calls it with the current one.
 func (l *EventLoop) SetListObserver(onList func([]discovery.Endpoint)) {
 	l.onList = onList
 	l.notifyListObserver()
 }
 
-// notifyListObserver passes the list of servers on, where it is wanted.
+// notifyListObserver calls the list observer, if one is set, with the current endpoint list.
 func (l *EventLoop) notifyListObserver() {
 	if l.onList != nil {
 		l.onList(l.upstream.Endpoints())
--- a/internal/proxy/event_loop.go
+++ b/internal/proxy/event_loop.go
@@ -15,48 +15,50 @@
 	"milletramp.example/milletramp/internal/upstream"
 )
 
-// originAge is how far before the process's start the Balancer's clock begins. The Balancer takes an instant of 0 or
-// less for long ago, so that a server which started just before this process would pass for warm.
+// originAge is the time between the origin of the Balancer's clock and the start of the process. The Balancer treats
+// times of 0 or less as long ago. With an origin at process start, a server that started shortly before the process
+// would be treated as warmed up.
 const originAge = 24 * time.Hour
 
-// EventLoop owns the Balancer and the requests in flight. Only its goroutine touches them; other goroutines post to it.
-// It implements balance.Actions and discovery.Subscriber.
+// EventLoop owns the Balancer and the requests in flight. Only the loop's goroutine accesses them; other goroutines
+// post functions to it. EventLoop implements balance.Actions and discovery.Subscriber.
 type EventLoop struct {
 	log         *slog.Logger
-	origin      time.Time // where the Balancer's clock begins
+	origin      time.Time // origin of the Balancer's clock
 	upstream    *upstream.Client
 	metrics     *metrics.Counters
 	settings    atomic.Pointer[requestSettings]
-	ready       chan struct{} // closed once servers are known
-	firstUpdate chan struct{} // closed once discovery has answered
+	ready       chan struct{} // closed on the first update with endpoints or from discovery
+	firstUpdate chan struct{} // closed on the first update from discovery
 
 	mu    sync.Mutex
 	queue []event
-	wake  chan struct{} // gets a value when the queue was empty
+	wake  chan struct{} // buffered; receives a value when an event is posted
 
-	// What follows belongs to the loop's goroutine.
-	ctx            context.Context // of attempts and watches
+	// The fields below are accessed only by the loop's goroutine.
+	ctx            context.Context // parent context of attempts and watches
 	balancer       *balance.Balancer
-	now            balance.Time // of the event in hand
+	now            balance.Time // time of the current event
 	lastID         balance.RequestID
 	inflight       map[balance.RequestID]*inflightRequest
 	isReady        bool
 	hasFirstUpdate bool
 	subscriptions  *discovery.Subscriptions
 	starts         *discovery.StartTimes
-	shutdownAt     time.Time                  // when open requests expire, as the process ends; zero: it goes on
-	gate           *PolicyGate                // nil: the settings are those of the file
-	onList         func([]discovery.Endpoint) // gets each list; nil: nothing does
+	shutdownAt     time.Time                  // when requests in flight expire at shutdown; zero before
+	gate           *PolicyGate                // nil if the settings come from the configuration file
+	onList         func([]discovery.Endpoint) // called with each endpoint list; may be nil
 }
 
-// event is something that happened at an instant.
+// event is a posted function and the time at which it was posted.
 type event struct {
 	at     balance.Time
 	handle func()
 }
 
-// NewEventLoop returns a loop whose attempts and watches end with ctx. It knows the servers of the configuration and,
-// if discovery pushes its lists, opens a watch. dialDiscovery opens connections to discovery; nil: over TCP.
+// NewEventLoop returns an EventLoop whose attempts and watches end with ctx. It starts with the endpoint list of the
+// configuration and opens a watch if discovery pushes its lists. dialDiscovery opens connections to discovery; if it is
+// nil, they are opened over TCP.
 func NewEventLoop(ctx context.Context, c *config.Config, maxUpstreamConns int, log *slog.Logger,
 	dialDiscovery discovery.DialFunc) (*EventLoop, error) {
 	l := &EventLoop{
@@ -92,7 +94,8 @@
 	return l, nil
 }
 
-// identity returns the numbers from 0 to n-1: a new Balancer has the classes in the order of its settings.
+// identity returns the numbers from 0 to n-1. They are the class indexes of a new Balancer, which keeps the classes in
+// the order of its settings.
 func identity(n int) []int {
 	indexes := make([]int, n)
 	for i := range indexes {
@@ -101,13 +104,14 @@
 	return indexes
 }
 
-// clock reads the Balancer's time.
+// clock returns the current time of the Balancer's clock.
 func (l *EventLoop) clock() balance.Time { return time.Since(l.origin) }
 
-// Post runs handle on the loop's goroutine. It never waits: what the loop waits for may be posting.
+// Post queues handle to run on the loop's goroutine. It never blocks, because the loop may wait for a goroutine that is
+// posting.
 func (l *EventLoop) Post(handle func()) {
 	l.mu.Lock()
-	l.queue = append(l.queue, event{l.clock(), handle}) // the clock is read under the lock: events are in its order
+	l.queue = append(l.queue, event{l.clock(), handle}) // read under the lock, so that events are in clock order
 	l.mu.Unlock()
 	select {
 	case l.wake <- struct{}{}:
@@ -115,7 +119,8 @@
 	}
 }
 
-// Do runs handle on the loop's goroutine and waits until it has run. If ctx ends first, handle may still run.
+// Do runs handle on the loop's goroutine and waits until it has returned. If ctx ends first, Do returns an error, and
+// handle may still run later.
 func (l *EventLoop) Do(ctx context.Context, handle func()) error {
 	done := make(chan struct{})
 	l.Post(func() {
@@ -130,7 +135,7 @@
 	}
 }
 
-// Run handles events until ctx ends. One goroutine calls it.
+// Run handles events until ctx ends. It must be called by one goroutine only.
 func (l *EventLoop) Run(ctx context.Context) {
 	for {
 		batch := l.takeQueue()
@@ -149,7 +154,7 @@
 	}
 }
 
-// takeQueue returns the events that wait, and empties the queue.
+// takeQueue returns the queued events and empties the queue.
 func (l *EventLoop) takeQueue() []event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -158,20 +163,21 @@
 	return batch
 }
 
-// Ready is closed once servers are known.
+// Ready returns a channel that is closed on the first update that contains endpoints or comes from discovery.
 func (l *EventLoop) Ready() <-chan struct{} { return l.ready }
 
-// FirstUpdate is closed once discovery has answered.
+// FirstUpdate returns a channel that is closed on the first update from discovery.
 func (l *EventLoop) FirstUpdate() <-chan struct{} { return l.firstUpdate }
 
 // Metrics returns the counters of the process.
 func (l *EventLoop) Metrics() *metrics.Counters { return l.metrics }
 
-// Upstream returns the client that makes the attempts.
+// Upstream returns the client that sends the attempts to servers.
 func (l *EventLoop) Upstream() *upstream.Client { return l.upstream }
 
-// PolicyNumber is the number of the policy in force; 0: the settings are those of the file.
+// PolicyNumber returns the number of the policy that the loop has applied, or 0 if the settings come from the
+// configuration file.
 func (l *EventLoop) PolicyNumber() uint64 { return l.settings.Load().policy }
 
-// SetPolicyGate sets the gate that requests pass; nil: none. It is called on the loop.
+// SetPolicyGate sets the policy gate of all requests; nil means none. It is called on the loop's goroutine.
 func (l *EventLoop) SetPolicyGate(gate *PolicyGate) { l.gate = gate }
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -11,30 +11,30 @@
 	"milletramp.example/milletramp/internal/config"
 )
 
-// Times of a shutdown.
+// Timing of a shutdown.
 const (
-	// KillDelay is how long after its longest deadline a process that got the signal to stop may be killed.
+	// KillDelay plus the longest request deadline is the time after a stop signal at which the process may be killed.
 	KillDelay = 700 * time.Millisecond
-	// MaxKillDeadline is how much of its longest deadline counts in that at most.
+	// MaxKillDeadline is the upper limit of the request deadline in that sum.
 	MaxKillDeadline = 3 * time.Second
-	// killMargin is kept free before the kill for the last responses: each may be held up, and then has its way to go.
+	// killMargin is reserved before the kill for the last responses: a stall of the process and 50 ms for sending them.
 	killMargin = balance.SchedulingStall + 50*time.Millisecond
 )
 
-// Handler answers the requests of clients. It implements http.Handler.
+// Handler serves client requests. It implements http.Handler.
 type Handler struct {
 	loop        *EventLoop
 	ids         *inflightIDs
-	bodyBuffers *bufferPool // of long request bodies
-	gate        *PolicyGate // nil: the settings are those of the file
+	bodyBuffers *bufferPool // for large request bodies
+	gate        *PolicyGate // nil if the settings come from the configuration file
 	draining    atomic.Bool
-	shutdownAt  atomic.Pointer[time.Time] // when all requests have to be answered; set before draining is
+	shutdownAt  atomic.Pointer[time.Time] // when all responses are due; set before draining
 
-	shutdown      context.Context // is done at shutdownAt
+	shutdown      context.Context // done at shutdownAt
 	beginShutdown context.CancelFunc
 }
 
-// NewHandler returns a handler of the requests of loop, with at most maxInFlight of them in flight.
+// NewHandler returns a Handler that passes requests to loop. At most maxInFlight requests are in flight at once.
 func NewHandler(c *config.Config, loop *EventLoop, maxInFlight int) *Handler {
 	shutdown, beginShutdown := context.WithCancel(context.Background())
 	return &Handler{
@@ -46,24 +46,23 @@
 	}
 }
 
-// SetPolicyGate sets the gate that requests pass; nil: none. It is called before the handler serves.
+// SetPolicyGate sets the policy gate of all requests; nil means none. It is called before the handler serves requests.
 func (h *Handler) SetPolicyGate(gate *PolicyGate) { h.gate = gate }
 
-// SetMaxInFlight changes how many requests may be in flight.
+// SetMaxInFlight sets the maximum number of requests in flight.
 func (h *Handler) SetMaxInFlight(n int) { h.ids.setMax(n) }
 
-// InFlight is how many requests are in flight.
+// InFlight returns the number of requests in flight.
 func (h *Handler) InFlight() int { return int(h.ids.count.Load()) }
 
-// IsDraining reports whether Drain was called.
+// IsDraining reports whether Drain has been called.
 func (h *Handler) IsDraining() bool { return h.draining.Load() }
 
-// Shutdown returns a context that is done when all requests have to be answered, shortly before the process may be
-// killed.
+// Shutdown returns a context that is done when all responses are due, shortly before the process may be killed.
 func (h *Handler) Shutdown() context.Context { return h.shutdown }
 
-// Drain makes responses end their connections from now on, and all requests be answered before the process may be
-// killed. maxDeadline is how much of the longest deadline counts at most.
+// Drain starts a shutdown: each response closes its connection from now on, and all requests get a response before the
+// process may be killed. maxDeadline is the upper limit of the longest request deadline in this calculation.
 func (h *Handler) Drain(maxDeadline time.Duration) {
 	shutdownAt := time.Now().Add(min(h.LongestDeadline(), maxDeadline) + KillDelay - killMargin)
 	h.shutdownAt.Store(&shutdownAt)
@@ -72,7 +71,7 @@
 	time.AfterFunc(time.Until(shutdownAt), h.beginShutdown)
 }
 
-// LongestDeadline is the longest one of a class in the settings in force.
+// LongestDeadline returns the longest deadline of all classes in the current settings.
 func (h *Handler) LongestDeadline() (longest time.Duration) {
 	for _, class := range h.loop.settings.Load().classes {
 		longest = max(longest, class.Deadline)
@@ -86,7 +85,8 @@
 	recorder := &responseRecorder{ResponseWriter: w}
 	conn := clientConnOf(r)
 	defer h.recoverPanic(recorder, conn)
-	// What HTTP/1.0 says of a body's length is not to be relied on, and so what follows it is not either.
+	// The connection is closed after an HTTP/1.0 request: its body length is not reliable, so the start of the next
+	// request is not reliable either.
 	if h.draining.Load() || !r.ProtoAtLeast(1, 1) || conn != nil && conn.ClosesAfterResponse() {
 		recorder.Header().Set("Connection", "close")
 	}
@@ -98,7 +98,7 @@
 	}
 }
 
-// route serves a request by its path, or returns why it is refused.
+// route dispatches a request by its path. A non-nil result is the error response that the caller has to write.
 func (h *Handler) route(w http.ResponseWriter, r *http.Request, receivedAt time.Time) *httpError {
 	switch {
 	case r.ContentLength > MaxRequestBody:
@@ -111,7 +111,7 @@
 	return &httpError{status: http.StatusNotFound, text: "no such path"}
 }
 
-// serveHealth responds with 200 once servers are known and as long as new connections are welcome.
+// serveHealth responds with 200 if the event loop is ready and the handler is not draining.
 func (h *Handler) serveHealth(w http.ResponseWriter, r *http.Request) *httpError {
 	if r.Method != http.MethodGet && r.Method != http.MethodHead {
 		return &httpError{status: http.StatusMethodNotAllowed, text: "method not allowed", allow: "GET, HEAD"}
--- a/internal/proxy/http_error.go
+++ b/internal/proxy/http_error.go
@@ -2,20 +2,20 @@
 
 import "net/http"
 
-// httpError is the response to a request that is refused before the Balancer sees it.
+// httpError is the error response to a request that is refused before the Balancer sees it.
 type httpError struct {
 	status int
 	text   string
-	allow  string // the methods that are allowed; "": not given
+	allow  string // value of the Allow header; empty for none
 }
 
-// errBodyTooLarge refuses a request whose body is longer than MaxRequestBody.
+// errBodyTooLarge is the response to a request whose body is larger than MaxRequestBody.
 var errBodyTooLarge = &httpError{status: http.StatusRequestEntityTooLarge, text: "body too large"}
 
-// badRequest refuses a request that does not follow the protocol.
+// badRequest returns the response to a request that violates the protocol.
 func badRequest(text string) *httpError { return &httpError{status: http.StatusBadRequest, text: text} }
 
-// write writes the response and has the connection closed: what follows on it is not to be relied on.
+// write writes the response. The connection is closed after it, because the start of the next request is not reliable.
 func (e *httpError) write(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	if e.allow != "" {
--- a/internal/proxy/inflight_ids.go
+++ b/internal/proxy/inflight_ids.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// idRetention is how long an id is remembered at least after the end of its request.
+// idRetention is the minimum time for which an ID is kept after the end of its request.
 const idRetention = time.Second
 
 // Errors of inflightIDs.reserve.
@@ -16,19 +16,20 @@
 	errTooManyRequests = errors.New("too many requests in flight")
 )
 
-// inflightIDs are the ids of the requests in flight and of those that have just ended. Servers would take a second
-// request with the same id for a repeat of the first, and it may still be on its way when the first has its response.
+// inflightIDs holds the IDs of requests in flight and of requests that ended recently. Servers treat a second request
+// with the same ID as a repeat of the first. The ID stays reserved for a while, because an attempt of the first request
+// can still be on its way to a server when the client already has the response.
 type inflightIDs struct {
-	count atomic.Int64 // of the requests in flight, to be read without the lock
+	count atomic.Int64 // number of requests in flight; readable without the lock
 
 	mu          sync.Mutex
 	maxInFlight int
 	inFlight    map[string]bool
-	recent      [2]map[string]bool // ended since rotatedAt, and in the period before
+	recent      [2]map[string]bool // IDs of requests ended since rotatedAt, and in the period before
 	rotatedAt   time.Time
 }
 
-// newInflightIDs returns an empty set for at most maxInFlight requests in flight.
+// newInflightIDs returns an empty set that admits at most maxInFlight requests in flight.
 func newInflightIDs(maxInFlight int) *inflightIDs {
 	return &inflightIDs{
 		maxInFlight: maxInFlight,
@@ -38,7 +39,8 @@
 	}
 }
 
-// reserve counts a request as in flight, or returns errDuplicateID or errTooManyRequests, in this order.
+// reserve adds a request to those in flight. It returns errDuplicateID if the ID is in use, else errTooManyRequests if
+// the maximum is reached.
 func (i *inflightIDs) reserve(id string) error {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -54,14 +56,14 @@
 	return nil
 }
 
-// setMax changes how many requests may be in flight.
+// setMax sets the maximum number of requests in flight.
 func (i *inflightIDs) setMax(maxInFlight int) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.maxInFlight = maxInFlight
 }
 
-// release counts a request as ended.
+// release moves a request from those in flight to those that ended recently.
 func (i *inflightIDs) release(id string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -71,7 +73,7 @@
 	i.recent[0][id] = true
 }
 
-// rotate forgets the ids of requests that ended long ago. The lock is held.
+// rotate drops the IDs of requests that ended at least idRetention ago. The caller holds the lock.
 func (i *inflightIDs) rotate() {
 	now := time.Now()
 	if now.Sub(i.rotatedAt) >= idRetention {
--- a/internal/proxy/inflight_request.go
+++ b/internal/proxy/inflight_request.go
@@ -9,29 +9,31 @@
 	"milletramp.example/milletramp/internal/upstream"
 )
 
-// inflightRequest is a client's request from the reading of its head to its final response and the end of its attempts.
-// The handler fills in what comes before requestID; from there on it belongs to the loop's goroutine.
+// inflightRequest is a client request, from the parsing of its head until it has its final response and all its
+// attempts have ended. The handler sets the fields before requestID. The fields from requestID on are accessed only by
+// the loop's goroutine, except for completed.
 type inflightRequest struct {
 	upstream.Message
 	*classSettings
-	policyNumber uint64 // of the policy under which it was read; 0: there is none
-	tenant       int    // its index in the settings; -1: of none
-	isRetry      bool   // its client has sent it before
+	policyNumber uint64 // policy under which the head was parsed; 0 for none
+	tenant       int    // index in the settings; -1 for none
+	isRetry      bool   // marked by the client as a retry
 	deadline     time.Time
-	response     chan finalResponse // gets the final response, once
-	releaseBody  func()             // gives back the buffers of the body; nil: it has none
-	peerClosed   func() bool        // reports whether the client has closed its connection; nil: unknown
+	response     chan finalResponse // receives the final response, once
+	releaseBody  func()             // returns the buffers of the body to the pool; nil without a body
+	peerClosed   func() bool        // reports whether the client has disconnected; nil if unknown
 
 	requestID        balance.RequestID
-	completed        atomic.Bool          // has its final response
-	attempts         []context.CancelFunc // in the order in which they were started
+	completed        atomic.Bool          // the final response is decided
+	attempts         []context.CancelFunc // cancel functions, in order of start
 	attemptsInFlight int
 }
 
-// clientDisconnected reports whether the client has closed its connection, also where bytes sent before are not read yet.
+// clientDisconnected reports whether the client has closed its connection, even if data sent before is still unread.
 func (r *inflightRequest) clientDisconnected() bool { return r.peerClosed != nil && r.peerClosed() }
 
-// dropBody gives back the buffers of the body. No attempt may be writing it: another request would use the buffers.
+// dropBody returns the buffers of the body to the pool, where other requests reuse them. No attempt may be writing the
+// body any more.
 func (r *inflightRequest) dropBody() {
 	if r.releaseBody == nil {
 		return
@@ -41,21 +43,21 @@
 	r.Body = nil
 }
 
-// responseKind is a kind of final response.
+// responseKind is the kind of a final response.
 type responseKind int
 
 const (
 	served        responseKind = iota // a server's response
-	rejected                          // the request has had no effect, and may be sent again
-	badGateway                        // it may have had an effect
-	policyChanged                     // none yet: the policy that it was read under is not in force any more
+	rejected                          // 503: the request has had no effect and may be sent again
+	badGateway                        // 502: the request may have had an effect
+	policyChanged                     // no response yet: the policy of the request is no longer in force
 )
 
 // finalResponse is the final response to a request.
 type finalResponse struct {
 	kind        responseKind
-	body        []byte           // served: all of it, or what has come
-	contentType string           // served
-	remainder   *upstream.Stream // served: what is still to come; nil: nothing
-	retryAfter  time.Duration    // rejected: when to send the request again; 0: not given
+	body        []byte           // served: the complete body, or its first part if remainder is set
+	contentType string           // served: the server's Content-Type; empty if it sent none
+	remainder   *upstream.Stream // served: the rest of the body; nil if body is complete
+	retryAfter  time.Duration    // rejected: value of Retry-After; 0 for none
 }
--- a/internal/proxy/policy_document.go
+++ b/internal/proxy/policy_document.go
@@ -11,10 +11,11 @@
 	"milletramp.example/milletramp/internal/wire"
 )
 
-// LocalSettingKeys are the settings that tell a sidecar of its place. They are of its own file; a policy has all others.
+// LocalSettingKeys are the settings that describe the place of one sidecar. They come from its configuration file; all
+// other settings come from the policy.
 var LocalSettingKeys = []string{"ordinal", "peers_total", "my_zone", "areas", "models", "tier", "tiers", "discovery"}
 
-// checkedPolicy is a policy that this sidecar can run.
+// checkedPolicy is a policy that passed the checks of this sidecar.
 type checkedPolicy struct {
 	settings balance.Settings
 	names    *wire.Names
@@ -22,7 +23,7 @@
 	document map[string]any
 }
 
-// parse reads a policy's document, with the own settings of this sidecar.
+// parse parses a policy document and merges the local settings of this sidecar into it.
 func (g *PolicyGate) parse(text []byte) (policy checkedPolicy, err error) {
 	if err := json.Unmarshal(text, &policy.document); err != nil {
 		return policy, fmt.Errorf("policy: %w", err)
@@ -46,8 +47,8 @@
 	return policy, nil
 }
 
-// CheckPolicy returns what is wrong with a policy for a sidecar of this configuration. A running sidecar also checks it
-// against what it has run since its start.
+// CheckPolicy returns an error if a sidecar of this configuration cannot apply a policy. A running sidecar also checks
+// the policy against the settings that it has applied since its start.
 func CheckPolicy(c *config.Config, text []byte) error {
 	policy, err := NewPolicyGate(nil, c).parse(text)
 	if err != nil {
@@ -57,7 +58,7 @@
 	return err
 }
 
-// noActions implements balance.Actions for a Balancer that only checks settings.
+// noActions implements balance.Actions for a Balancer that only validates settings.
 type noActions struct{ balance.Actions }
 
 // Timer implements balance.Actions.
--- a/internal/proxy/policy_gate.go
+++ b/internal/proxy/policy_gate.go
@@ -16,40 +16,41 @@
 	"milletramp.example/milletramp/internal/config"
 )
 
-// PolicyHeader tells the application under which policy its request was decided.
+// PolicyHeader is the response header with the number of the policy under which a request was decided.
 const PolicyHeader = "X-Policy"
 
 const (
-	// maxPolicyWait is how long a request waits for the next policy at most. A change takes a round trip between
-	// sidecars.
+	// maxPolicyWait is the maximum time for which a request waits for the next policy. A policy change takes one round
+	// trip between sidecars.
 	maxPolicyWait = time.Second
-	// policyRetention is how many numbers back a checked policy may still come into force.
+	// policyRetention is how far the number of a checked policy may be behind the latest one before it is dropped.
 	policyRetention = 8
 )
 
-// errNotInForce is the error of a file whose settings are not those of the fleet's policy.
+// errNotInForce is returned for a configuration file whose settings differ from the fleet's policy in force.
 var errNotInForce = errors.New("not the policy in force")
 
-// Policy is the fleet's policy, as far as requests have to do with it.
+// Policy provides the state of the fleet's policy.
 type Policy interface {
-	// Serves returns the number of the policy under which a request may be taken now. If none may be, wait is how long
-	// it would have to wait for the next one; 0: that is not known. It reads the clock each time.
+	// Serves returns the number of the policy under which requests are admitted now. If ok is false, none are admitted,
+	// and wait is the time until the next policy, or 0 if that is unknown. Each call reads the clock.
 	Serves() (number uint64, wait time.Duration, ok bool)
-	// Handler answers operators' calls on the policy.
+	// Handler returns the handler of operators' calls on the policy.
 	Handler() http.Handler
 }
 
-// PolicyGate has requests taken only under the policy in force. Its loop runs a policy that the gate has checked.
+// PolicyGate admits requests only under the policy in force. It applies that policy to the event loop once it has been
+// checked.
 type PolicyGate struct {
 	policy Policy
 	loop   *EventLoop
 
 	mu            sync.Mutex
-	localSettings map[string]any           // of the file, by LocalSettingKeys
-	checked       map[uint64]checkedPolicy // by number
+	localSettings map[string]any           // from the configuration file, by LocalSettingKeys
+	checked       map[uint64]checkedPolicy // by policy number
 }
 
-// NewPolicyGate returns a gate for a sidecar of this configuration. SetPolicy is called before it is used.
+// NewPolicyGate returns a gate for a sidecar of this configuration. SetPolicy must be called before the gate is used.
 func NewPolicyGate(loop *EventLoop, c *config.Config) *PolicyGate {
 	g := &PolicyGate{loop: loop, localSettings: map[string]any{}, checked: map[uint64]checkedPolicy{}}
 	settings := c.SettingsDocument()
@@ -61,14 +62,14 @@
 	return g
 }
 
-// SetPolicy sets the policy that the gate goes by. It is called before the gate is used.
+// SetPolicy sets the policy that the gate uses. It must be called before the gate is used.
 func (g *PolicyGate) SetPolicy(policy Policy) { g.policy = policy }
 
-// Policy returns the policy that the gate goes by.
+// Policy returns the policy that the gate uses.
 func (g *PolicyGate) Policy() Policy { return g.policy }
 
-// Check reads a document as it would be run here, and returns what is wrong with it. If that is "", the loop can run
-// the policy under its number.
+// Check parses a policy document as this sidecar would apply it and returns the reason why it cannot be applied. If the
+// result is empty, the event loop can apply the policy under its number.
 func (g *PolicyGate) Check(number uint64, text []byte) (fault string) {
 	policy, err := g.parse(text)
 	if err == nil {
@@ -84,7 +85,7 @@
 	return ""
 }
 
-// canConfigure asks the Balancer whether it can take the settings of a policy.
+// canConfigure returns an error if the Balancer cannot apply the settings of a policy.
 func (g *PolicyGate) canConfigure(policy checkedPolicy) error {
 	var err error
 	loopErr := g.loop.Do(g.loop.ctx, func() { err = g.loop.balancer.CanConfigure(policy.settings) })
@@ -94,8 +95,9 @@
 	return err
 }
 
-// Await waits until requests are taken, if that is soon, and has the loop run the policy in force. What it reports may
-// be over when it returns; isInForce is what counts.
+// Await waits until requests are admitted, for at most the shorter of maxWait and maxPolicyWait, and applies the policy
+// in force to the event loop. The result may be outdated when Await returns; isInForce makes the final decision for a
+// request.
 func (g *PolicyGate) Await(ctx context.Context, maxWait time.Duration) bool {
 	deadline := time.Now().Add(min(maxWait, maxPolicyWait))
 	for {
@@ -120,7 +122,7 @@
 	}
 }
 
-// apply has the loop run a policy, and reports whether it does.
+// apply applies a policy to the event loop and reports whether it succeeded.
 func (g *PolicyGate) apply(ctx context.Context, number uint64) bool {
 	var err error
 	if loopErr := g.loop.Do(ctx, func() { err = g.applyOnLoop(number) }); loopErr != nil {
@@ -133,7 +135,7 @@
 	return true
 }
 
-// applyOnLoop has the loop run a policy from now on. It is called on the loop.
+// applyOnLoop applies a policy to the event loop. It is called on the loop's goroutine.
 func (g *PolicyGate) applyOnLoop(number uint64) error {
 	if g.loop.PolicyNumber() == number {
 		return nil
@@ -156,14 +158,16 @@
 	return nil
 }
 
-// isInForce reports whether a request that was read under a policy may be taken now. It is called on the loop just
-// before the request is taken, so that a process that stood still meanwhile sees it.
+// isInForce reports whether a request whose head was parsed under a policy may be admitted now. It is called on the
+// loop's goroutine immediately before the request is admitted, because the policy may have changed while the process
+// was stalled.
 func (g *PolicyGate) isInForce(number uint64) bool {
 	current, _, ok := g.policy.Serves()
 	return ok && current == number && g.loop.PolicyNumber() == number
 }
 
-// difference returns how the settings of a file differ from the policy that the loop runs; "": not at all.
+// difference describes the first difference between the settings of a configuration file and the policy that the loop
+// has applied. It is empty if there is none.
 func (g *PolicyGate) difference(c *config.Config) string {
 	number := g.loop.PolicyNumber()
 	g.mu.Lock()
@@ -179,7 +183,8 @@
 	return ""
 }
 
-// policyWait is how long a request may wait for a policy: half of its timeout, as far as its head tells one.
+// policyWait returns the time for which a request may wait for a policy: half of its timeout, or 0 if the head has no
+// valid timeout.
 func policyWait(r *http.Request) time.Duration {
 	timeoutMS, err := strconv.ParseUint(strings.TrimSpace(r.Header.Get("X-Timeout-Ms")), 10, 31)
 	if err != nil {
--- a/internal/proxy/reconfigure.go
+++ b/internal/proxy/reconfigure.go
@@ -6,8 +6,9 @@
 	"milletramp.example/milletramp/internal/config"
 )
 
-// Reconfigure takes a newer configuration. Under a fleet's policy its settings must be those of the policy in force,
-// and only the address of discovery is taken. With an error nothing has changed. It is called on the loop.
+// Reconfigure applies a reloaded configuration. In a fleet, its settings must equal those of the policy in force, and
+// only the address of discovery is applied. If it returns an error, nothing has changed. It is called on the loop's
+// goroutine.
 func (l *EventLoop) Reconfigure(c *config.Config) error {
 	if l.gate == nil {
 		return l.configure(c)
@@ -19,7 +20,7 @@
 	return nil
 }
 
-// configure takes new settings and the address of discovery. With an error nothing has changed.
+// configure applies the settings and the address of discovery. If it returns an error, nothing has changed.
 func (l *EventLoop) configure(c *config.Config) error {
 	indexes, err := l.balancer.Configure(c.Settings)
 	if err != nil {
--- a/internal/proxy/request_parser.go
+++ b/internal/proxy/request_parser.go
@@ -9,11 +9,12 @@
 	"milletramp.example/milletramp/internal/upstream"
 )
 
-// singleValueHeaders may be given at most once. Of two values, a server could take the other one.
+// singleValueHeaders are headers that may occur at most once in a request. If one occurred twice, a server could use
+// another of the two values than this process.
 var singleValueHeaders = []string{"X-Request-Id", "X-Priority-Class", "X-Tenant-Id", "X-Timeout-Ms", "Idempotency-Key",
 	"Content-Type", "Content-Length"}
 
-// parseRequest reads the head of a request, and how long its client waits.
+// parseRequest parses the head of a request. It returns the request and its timeout.
 func (h *Handler) parseRequest(r *http.Request) (*inflightRequest, time.Duration, *httpError) {
 	if httpErr := checkHead(r); httpErr != nil {
 		return nil, 0, httpErr
@@ -26,7 +27,7 @@
 	if httpErr := checkEffect(r, class.Effect); httpErr != nil {
 		return nil, 0, httpErr
 	}
-	// 31 bits: a number that overflows a duration would be a deadline that is long past.
+	// 31 bits: a larger number could overflow time.Duration, and the deadline would be in the past.
 	timeoutMS, err := strconv.ParseUint(r.Header.Get("X-Timeout-Ms"), 10, 31)
 	if err != nil {
 		return nil, 0, badRequest("X-Timeout-Ms is no number of milliseconds")
@@ -47,12 +48,12 @@
 	if tenant, ok := settings.tenants[r.Header.Get("X-Tenant-Id")]; ok {
 		request.tenant = tenant
 	}
-	// A client that claims to wait for weeks would be held for weeks.
+	// Without this limit, a client could keep a request in flight for weeks.
 	timeout := min(time.Duration(timeoutMS)*time.Millisecond, class.Deadline)
 	return request, timeout, nil
 }
 
-// checkHead checks what all requests have in common.
+// checkHead checks the parts of the head that do not depend on the class of the request.
 func checkHead(r *http.Request) *httpError {
 	if r.Method != http.MethodGet && r.Method != http.MethodPost {
 		return &httpError{status: http.StatusMethodNotAllowed, text: "method not allowed", allow: "GET, POST"}
@@ -71,8 +72,8 @@
 	return nil
 }
 
-// checkEffect checks that a request is made as the effect of its class demands. One sent with less care could take
-// effect twice.
+// checkEffect checks that the method and the idempotency key of a request match the effect of its class. A request that
+// does not match could take effect twice.
 func checkEffect(r *http.Request, effect balance.Effect) *httpError {
 	method := http.MethodPost
 	if effect == balance.Idempotent {
--- a/internal/proxy/request_settings.go
+++ b/internal/proxy/request_settings.go
@@ -9,23 +9,23 @@
 	"milletramp.example/milletramp/internal/wire"
 )
 
-// requestSettings are the classes and tenants in force, by the names that requests carry. They are replaced whole and
-// never changed.
+// requestSettings holds the current classes and tenants by the names in request headers. It is immutable; new settings
+// replace it completely.
 type requestSettings struct {
 	classes    map[string]*classSettings
-	tenants    map[string]int
-	retryAfter time.Duration // given to clients when too many requests are in flight
-	policy     uint64        // number of the policy that they are of; 0: of the file
+	tenants    map[string]int // indexes in the Balancer's settings
+	retryAfter time.Duration  // Retry-After when too many requests are in flight
+	policy     uint64         // policy number; 0 if the settings come from the configuration file
 }
 
-// classSettings are the settings of one class. A request keeps those that it was read under.
+// classSettings holds the settings of one class. A request keeps those under which its head was parsed.
 type classSettings struct {
 	balance.Class
-	index    int // in the Balancer
+	index    int // index of the class in the Balancer
 	counters *metrics.ClassCounters
 }
 
-// newRequestSettings returns the settings of requests. indexes are those of the classes in the Balancer.
+// newRequestSettings returns the settings for request parsing. indexes are the indexes of the classes in the Balancer.
 func newRequestSettings(settings balance.Settings, names *wire.Names, indexes []int,
 	counters *metrics.Counters) *requestSettings {
 	s := &requestSettings{classes: map[string]*classSettings{}, tenants: names.Tenant}
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -7,15 +7,15 @@
 	"milletramp.example/milletramp/balance"
 )
 
-// responseMargin is kept free before the client's deadline for the way of the final response.
+// responseMargin is reserved before the client's deadline for the transmission of the final response.
 const responseMargin = 5 * time.Millisecond
 
-// serve has the Balancer decide on a request and returns its final response, or false if ctx, which is that of the
-// client's connection, ends first.
+// serve passes a request to the Balancer and returns its final response. It returns false if ctx, the context of the
+// HTTP request, ends first.
 func (l *EventLoop) serve(ctx context.Context, r *inflightRequest) (finalResponse, bool) {
 	r.response = make(chan finalResponse, 1)
 	l.Post(func() { l.start(r) })
-	// A request that the Balancer leaves without a response would hang until the client gives up.
+	// The expiry ends a request for which the Balancer produces no response, so that the client does not wait in vain.
 	expiry := time.AfterFunc(time.Until(r.deadline)+responseMargin/2, func() { l.Post(func() { l.expire(r) }) })
 	defer expiry.Stop()
 	select {
@@ -27,7 +27,7 @@
 	}
 }
 
-// start hands a request to the Balancer.
+// start passes a request to the Balancer, unless its client has disconnected or its policy is no longer in force.
 func (l *EventLoop) start(r *inflightRequest) {
 	if r.clientDisconnected() {
 		l.respond(r, finalResponse{kind: badGateway})
@@ -52,8 +52,8 @@
 	})
 }
 
-// isCancelled reports whether nobody waits for a request any more, so that no attempt at it may begin. Goroutines of
-// attempts call it.
+// isCancelled reports whether a request is completed or its client has disconnected, so that no attempt at it may
+// begin. It is called by the goroutines of attempts.
 func (l *EventLoop) isCancelled(r *inflightRequest) bool {
 	if r.completed.Load() {
 		return true
@@ -62,7 +62,7 @@
 		return false
 	}
 	l.Post(func() {
-		// It may have got its response meanwhile, which its handler is about to take.
+		// If the request was completed in the meantime, its handler is about to receive the response.
 		if !r.completed.Load() {
 			l.cancel(r)
 		}
@@ -70,7 +70,7 @@
 	return true
 }
 
-// expireBy expires all requests at an instant at the latest, as the process may be killed then.
+// expireBy makes all requests expire at shutdownAt at the latest, shortly before the process may be killed.
 func (l *EventLoop) expireBy(shutdownAt time.Time) {
 	l.shutdownAt = shutdownAt
 	for _, r := range l.inflight {
@@ -78,14 +78,15 @@
 	}
 }
 
-// scheduleExpiry schedules the expiry of a request where the process ends before its deadline.
+// scheduleExpiry schedules the expiry of a request whose deadline is after shutdownAt.
 func (l *EventLoop) scheduleExpiry(r *inflightRequest) {
 	if !l.shutdownAt.IsZero() && l.shutdownAt.Before(r.deadline) {
 		time.AfterFunc(time.Until(l.shutdownAt), func() { l.Post(func() { l.expire(r) }) })
 	}
 }
 
-// cancel ends a request whose client has gone. If it has its response already, nobody takes that any more.
+// cancel ends a request whose client has disconnected. If the request is completed, it discards a response that its
+// handler has not received, and ends its stream.
 func (l *EventLoop) cancel(r *inflightRequest) {
 	if !r.completed.Load() {
 		l.abandon(r)
@@ -100,7 +101,7 @@
 	}
 }
 
-// expire ends a request whose deadline is over.
+// expire ends a request whose deadline has passed.
 func (l *EventLoop) expire(r *inflightRequest) {
 	if r.completed.Load() {
 		return
@@ -109,7 +110,7 @@
 	l.abandon(r)
 }
 
-// abandon gives a request its final response without a server's.
+// abandon completes a request without a server's response: with 503 if it has had no effect, else with 502.
 func (l *EventLoop) abandon(r *inflightRequest) {
 	response := finalResponse{kind: badGateway}
 	if len(r.attempts) == 0 || l.balancer.MayReject(r.requestID) {
@@ -120,7 +121,7 @@
 	l.releaseIfDone(r)
 }
 
-// respond gives a request its final response. The first one counts.
+// respond sets the final response of a request. It does nothing if the request is already completed.
 func (l *EventLoop) respond(r *inflightRequest, response finalResponse) {
 	if !r.completed.Load() {
 		r.completed.Store(true)
@@ -128,7 +129,7 @@
 	}
 }
 
-// respondByID gives a request its final response, if it is still in flight.
+// respondByID sets the final response of a request if the request is still in flight.
 func (l *EventLoop) respondByID(id balance.RequestID, response finalResponse) {
 	if r := l.inflight[id]; r != nil {
 		l.respond(r, response)
@@ -136,7 +137,7 @@
 	}
 }
 
-// releaseIfDone forgets a request that has its final response and no attempt in flight.
+// releaseIfDone removes a request that is completed and has no attempt in flight.
 func (l *EventLoop) releaseIfDone(r *inflightRequest) {
 	if r.completed.Load() && r.attemptsInFlight == 0 {
 		delete(l.inflight, r.requestID)
--- a/internal/proxy/response_recorder.go
+++ b/internal/proxy/response_recorder.go
@@ -5,13 +5,13 @@
 	"runtime/debug"
 )
 
-// responseRecorder is a http.ResponseWriter that records whether a final response has begun.
+// responseRecorder is an http.ResponseWriter that records whether a response has been started.
 type responseRecorder struct {
 	http.ResponseWriter
 	started bool
 }
 
-// Unwrap is for http.ResponseController.
+// Unwrap returns the wrapped ResponseWriter for http.ResponseController.
 func (r *responseRecorder) Unwrap() http.ResponseWriter { return r.ResponseWriter }
 
 // WriteHeader implements http.ResponseWriter.
@@ -26,8 +26,9 @@
 	return r.ResponseWriter.Write(p)
 }
 
-// recoverPanic is deferred by the handler. If a fault of the program ends the handler before a response has begun, the
-// request gets an error, where net/http would close its connection without one. An abort on purpose goes on.
+// recoverPanic is deferred by the handler. If the handler panics before a response has been started, it responds with
+// 500, whereas net/http would close the connection without a response. It panics again for http.ErrAbortHandler and
+// after the start of a response.
 func (h *Handler) recoverPanic(w *responseRecorder, conn ClientConn) {
 	cause := recover()
 	switch {
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -13,36 +13,39 @@
 )
 
 const (
-	// streamBufferSize is the bytes of a streamed body that are held at once.
+	// streamBufferSize is the size in bytes of the buffer for a streamed body.
 	streamBufferSize = 16 << 10
-	// clientSendBuffer is the bytes of it that may wait in the client's connection. A full buffer takes more once a
-	// third of it is free, which with a large one would take a slow client longer than a piece may take.
+	// clientSendBuffer is the size in bytes of the send buffer of the client's connection. A full send buffer accepts
+	// data again once a third of it is free. With a large buffer, a slow client would need more than MaxStreamPause for
+	// that.
 	clientSendBuffer = 64 << 10
-	// MaxStreamPause is how long a server may pause in a streamed body, and a client take to receive a piece of it.
+	// MaxStreamPause is the maximum time for which a server may pause in a streamed body, and the maximum time in which
+	// a client has to receive one part of it.
 	MaxStreamPause = 5 * time.Second
-	// lateResponseGrace is how long after its client's deadline a body of usual length may still end. Clients count a
-	// response as lost 0.5 s after the deadline.
+	// lateResponseGrace is the time after the client's deadline by which a body of at most upstream.MaxBufferedBody
+	// bytes has to end. Clients count a response as lost 0.5 s after the deadline.
 	lateResponseGrace = 250 * time.Millisecond
-	// minStreamPause is how long a server may pause in any case. Of a body of unknown length nobody can tell whether it
-	// is a long one, of which only the first bytes are due at the deadline.
+	// minStreamPause is the pause that is always allowed. A body of unknown length may be a long one, of which only the
+	// first bytes are due at the deadline.
 	minStreamPause = time.Second
 )
 
-// streamBuffers are buffers of streamBufferSize bytes.
+// streamBuffers is a pool of buffers of streamBufferSize bytes.
 var streamBuffers = sync.Pool{New: func() any { return new([streamBufferSize]byte) }}
 
-// Errors that end a stream before the body is complete.
+// Errors of a stream that ends before the body is complete.
 var (
 	errClientWrite = errors.New("the client does not take the response")
 	errServerRead  = errors.New("the server does not complete its response")
 )
 
-// stream writes a long response as it comes, and counts it. One that the server breaks off must not look complete to
-// the client, so the handler is aborted: the connection ends before the declared length, or without the last chunk.
+// stream writes a long response while it arrives from the server, and counts it. If the stream ends early, the handler
+// is aborted, so that the response does not look complete to the client: the connection ends before the declared length
+// or without the last chunk.
 func (h *Handler) stream(w http.ResponseWriter, r *http.Request, conn *http.ResponseController,
 	response finalResponse, request *inflightRequest) {
 	if client := clientConnOf(r); client != nil {
-		_ = client.SetWriteBuffer(clientSendBuffer) // the size that the system chose serves as well
+		_ = client.SetWriteBuffer(clientSendBuffer) // on failure, the default size of the system remains
 	}
 	isComplete := false
 	defer func() { response.remainder.Finish(isComplete) }()
@@ -63,7 +66,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// copyStream writes a body, of which a part has come, to its end. It returns errClientWrite or errServerRead.
+// copyStream writes the first part of a body and then the remainder. It returns errClientWrite or errServerRead if the
+// body could not be completed.
 func copyStream(w http.ResponseWriter, conn *http.ResponseController, response finalResponse,
 	deadline time.Time) error {
 	buffer := streamBuffers.Get().(*[streamBufferSize]byte)
@@ -88,7 +92,8 @@
 	}
 }
 
-// allowedPause is how long a server may pause in a body of at least this length, to a client with this deadline.
+// allowedPause returns the time for which a server may pause in a body of at least the given length that is sent to a
+// client with the given deadline.
 func allowedPause(length int64, deadline time.Time) time.Duration {
 	if length > upstream.MaxBufferedBody {
 		return MaxStreamPause
@@ -97,7 +102,7 @@
 	return min(MaxStreamPause, max(remaining, minStreamPause))
 }
 
-// writePart writes a piece of a body. The time that it may take is its own.
+// writePart writes one part of a body, with a write deadline of its own.
 func writePart(w http.ResponseWriter, conn *http.ResponseController, part []byte) error {
 	if err := conn.SetWriteDeadline(time.Now().Add(MaxStreamPause)); err != nil {
 		return err
