--- a/internal/netretry/netretry.go
+++ b/internal/netretry/netretry.go
@@ -29,8 +29,8 @@
 	return min(minBackoff<<min(failures-1, maxBackoffShift), maxBackoff)
 }
 
-// machineErrors are the errors of socket, connect, read and write that concern this machine only.
-var machineErrors = []error{
+// localErrors are the errors of socket, connect, read and write that concern this machine only.
+var localErrors = []error{
 	syscall.EMFILE,
 	syscall.ENFILE,
 	syscall.ENOBUFS,
@@ -40,10 +40,10 @@
 	syscall.EINTR,
 }
 
-// MachineError reports whether err is a failure of this machine, which says nothing of the peer.
-func MachineError(err error) bool {
-	for _, machine := range machineErrors {
-		if errors.Is(err, machine) {
+// IsLocalError reports whether err is a failure of this machine, which says nothing of the peer.
+func IsLocalError(err error) bool {
+	for _, localError := range localErrors {
+		if errors.Is(err, localError) {
 			return true
 		}
 	}
@@ -80,7 +80,7 @@
 func Open[T any](ctx context.Context, open func() (T, error)) (T, error) {
 	for failures := 1; ; failures++ {
 		opened, err := open()
-		if err == nil || !MachineError(err) || errors.Is(err, syscall.EADDRNOTAVAIL) {
+		if err == nil || !IsLocalError(err) || errors.Is(err, syscall.EADDRNOTAVAIL) {
 			return opened, err
 		}
 		select {
@@ -95,7 +95,7 @@
 func Dial(ctx context.Context, dial func() (net.Conn, error)) (net.Conn, error) {
 	for failures := 1; ; failures++ {
 		c, err := dial()
-		if err == nil || failures == maxDialAttempts || !MachineError(err) {
+		if err == nil || failures == maxDialAttempts || !IsLocalError(err) {
 			return c, err
 		}
 		select {
@@ -110,7 +110,7 @@
 func Read(r io.Reader, p []byte) (n int, err error) {
 	for failures := 1; ; failures++ {
 		n, err = r.Read(p)
-		if n > 0 || failures == maxIOAttempts || !MachineError(err) {
+		if n > 0 || failures == maxIOAttempts || !IsLocalError(err) {
 			return n, err
 		}
 		time.Sleep(backoff(failures))
@@ -125,7 +125,7 @@
 		if err == nil && written+n < len(p) {
 			err = io.ErrShortWrite
 		}
-		retry := MachineError(err) || errors.Is(err, io.ErrShortWrite)
+		retry := IsLocalError(err) || errors.Is(err, io.ErrShortWrite)
 		written += n
 		if !retry || n == 0 && failures == maxIOAttempts {
 			return written, err
@@ -138,8 +138,8 @@
 	}
 }
 
-// Uninterrupted calls call until no signal interrupts it, and returns its error.
-func Uninterrupted(call func() error) error {
+// RetryOnEINTR calls call until no signal interrupts it, and returns its error.
+func RetryOnEINTR(call func() error) error {
 	for {
 		if err := call(); !errors.Is(err, syscall.EINTR) {
 			return err
--- a/internal/netretry/netretry_test.go
+++ b/internal/netretry/netretry_test.go
@@ -195,7 +195,7 @@
 // TestUninterruptedRetriesInterruptedCalls has a call be interrupted three times and then fail.
 func TestUninterruptedRetriesInterruptedCalls(t *testing.T) {
 	f := &failingSocket{err: os.NewSyscallError("poll", syscall.EINTR), failuresLeft: 3, finalErr: syscall.EBADF}
-	if err := Uninterrupted(f.call); err != syscall.EBADF || f.calls != 4 {
+	if err := RetryOnEINTR(f.call); err != syscall.EBADF || f.calls != 4 {
 		t.Errorf("error %v after %d calls", err, f.calls)
 	}
 }
--- a/internal/netretry/socket.go
+++ b/internal/netretry/socket.go
@@ -14,7 +14,7 @@
 
 func peek(fd int, receive recvfromFunc) (n int, err error) {
 	var first [1]byte
-	err = Uninterrupted(func() error {
+	err = RetryOnEINTR(func() error {
 		n, _, err = receive(fd, first[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		return err
 	})
@@ -26,7 +26,7 @@
 
 func poll(fd int, events int16, call pollFunc) (int16, error) {
 	state := []unix.PollFd{{Fd: int32(fd), Events: events}}
-	err := Uninterrupted(func() error {
+	err := RetryOnEINTR(func() error {
 		_, err := call(state, 0)
 		return err
 	})
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -174,7 +174,7 @@
 func (a *attempt) classifyFailure(ctx context.Context, err error) balance.Outcome {
 	cause := ctx.Err()
 	cancelled := errors.Is(cause, context.Canceled)
-	unrelatedToServer := cancelled || netretry.MachineError(err)
+	unrelatedToServer := cancelled || netretry.IsLocalError(err)
 	switch {
 	case errors.Is(err, errStreamDeclined):
 		return balance.Cancelled
