--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -46,7 +46,7 @@
 	}
 	isComplete := false
 	defer func() { response.remainder.Finish(isComplete) }()
-	defer context.AfterFunc(h.shutdown, response.remainder.ShortenPause)()
+	defer context.AfterFunc(h.shutdown, response.remainder.ShortenReadTimeout)()
 	response.writeContentType(w)
 	if length := response.remainder.Length(); length >= 0 {
 		w.Header().Set("Content-Length", strconv.FormatInt(length, 10))
@@ -79,7 +79,7 @@
 		if remainder.IsComplete() {
 			return nil
 		}
-		remainder.AllowPause(allowedPause(max(written, remainder.Length()), deadline))
+		remainder.SetReadTimeout(allowedPause(max(written, remainder.Length()), deadline))
 		n, err := remainder.Read(buffer[:])
 		if err != nil && !errors.Is(err, io.EOF) {
 			return errServerRead
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// minReadPause is the least time that a server may pause within a response.
-	minReadPause = 500 * time.Millisecond
-	// firstReadBytes bounds what the wait for a response reads of it. The parser sets the bounds of its parts.
-	firstReadBytes = 1 << 10
+	// minReadTimeout is the least time that a server may pause within a response.
+	minReadTimeout = 500 * time.Millisecond
+	// initialReadLimit bounds what the wait for a response reads of it. The parser sets the bounds of its parts.
+	initialReadLimit = 1 << 10
 )
 
 // AttemptRequest says which request an attempt sends to which server.
@@ -72,7 +72,7 @@
 		return Response{}, err
 	}
 	stopAbort := context.AfterFunc(ctx, conn.abort)
-	response, reusable, err := a.exchange(ctx, conn)
+	response, reusable, err := a.roundTrip(ctx, conn)
 	aborted := !stopAbort()
 	if err == nil && response.Remainder != nil {
 		if aborted {
@@ -101,9 +101,9 @@
 	return conn, err
 }
 
-// exchange sends the request and reads the response, or the first part of a long one. reusable reports whether the
+// roundTrip sends the request and reads the response, or the first part of a long one. reusable reports whether the
 // connection can have another request, also where err says that nothing was written on it.
-func (a *attempt) exchange(ctx context.Context, conn *serverConn) (response Response, reusable bool, err error) {
+func (a *attempt) roundTrip(ctx context.Context, conn *serverConn) (response Response, reusable bool, err error) {
 	encoded := a.request.Message.encode(ctx, a.server.address)
 	// The abort runs in another goroutine, too late for a request that is cancelled at this moment.
 	if err := a.client.checkSendable(ctx, a.request, a.server); err != nil {
@@ -156,12 +156,12 @@
 // receiveResponse waits for the response and reads it. A response that stops for too long is malformed, as one whose
 // declared length is too great; it would hold up its request to the end.
 func (c *Client) receiveResponse(ctx context.Context, conn *serverConn) (r Response, reusable bool, err error) {
-	conn.limitedReader.N = firstReadBytes
-	conn.allowedPause = 0
+	conn.limitedReader.N = initialReadLimit
+	conn.readTimeout = 0
 	if _, err := conn.reader.Peek(1); err != nil {
 		return Response{}, false, err
 	}
-	conn.allowedPause = max(time.Duration(c.responseTimeoutNanos.Load()), minReadPause)
+	conn.readTimeout = max(time.Duration(c.responseReadTimeoutNanos.Load()), minReadTimeout)
 	r, reusable, err = conn.readResponse()
 	if errors.Is(err, os.ErrDeadlineExceeded) && ctx.Err() == nil {
 		err = malformed("it stopped midway")
--- a/internal/upstream/body.go
+++ b/internal/upstream/body.go
@@ -19,12 +19,12 @@
 	MaxBufferedBody = 64 << 10
 
 	maxResponseBody = 64 << 20 // bytes that a response may declare; 32 MB are agreed on
-	bodyGrowth      = 4 << 10  // bytes by which a buffer of unknown size grows at least
+	minBodyGrowth   = 4 << 10  // bytes by which a buffer of unknown size grows at least
 	unknownLength   = -1       // of a body whose response declares none
 
-	// unknownLengthHold is how long a body of unknown length is held back from its first byte on. One that stops
+	// unknownLengthBufferTime is how long a body of unknown length is held back from its first byte on. One that stops
 	// earlier can still be made good by a retry; a longer hold would delay long responses.
-	unknownLengthHold = 150 * time.Millisecond
+	unknownLengthBufferTime = 150 * time.Millisecond
 )
 
 // serverBody is the body of a response on a server's connection.
@@ -144,12 +144,12 @@
 		if buffer.isFull() {
 			return buffer.data, newStream(body), nil
 		}
-		held := buffer.isHeld()
-		c.allowedPause = buffer.nextPause()
+		buffering := buffer.isBuffering()
+		c.readTimeout = buffer.nextReadTimeout()
 		err := buffer.fill()
 		switch {
 		case err == nil || err == io.EOF:
-		case held && errors.Is(err, os.ErrDeadlineExceeded):
+		case buffering && errors.Is(err, os.ErrDeadlineExceeded):
 			return buffer.data, newStream(body), nil
 		default:
 			return nil, nil, c.classifyReadError(err)
@@ -160,14 +160,14 @@
 
 // bodyBuffer collects the first part of a body.
 type bodyBuffer struct {
-	body        *serverBody
-	data        []byte
-	usualPause  time.Duration // that the server may make, but for the hold of a body of unknown length
-	firstByteAt time.Time
+	body           *serverBody
+	data           []byte
+	maxReadTimeout time.Duration // that the server may make, but for the hold of a body of unknown length
+	firstByteAt    time.Time
 }
 
 func newBodyBuffer(body *serverBody) *bodyBuffer {
-	b := &bodyBuffer{body: body, usualPause: body.conn.allowedPause}
+	b := &bodyBuffer{body: body, maxReadTimeout: body.conn.readTimeout}
 	if body.length >= 0 && !b.exceedsBuffer() {
 		b.data = make([]byte, 0, body.length)
 	}
@@ -183,28 +183,28 @@
 	return b.exceedsBuffer() && len(b.data) > 0 || len(b.data) >= MaxBufferedBody
 }
 
-// isHeld reports whether a part of a body of unknown length has come and is held back for the rest.
-func (b *bodyBuffer) isHeld() bool { return b.body.length < 0 && len(b.data) > 0 }
+// isBuffering reports whether a part of a body of unknown length has come and is held back for the rest.
+func (b *bodyBuffer) isBuffering() bool { return b.body.length < 0 && len(b.data) > 0 }
 
-// nextPause returns how long the server may pause before the next bytes.
-func (b *bodyBuffer) nextPause() time.Duration {
-	if !b.isHeld() {
-		return b.usualPause
+// nextReadTimeout returns how long the server may pause before the next bytes.
+func (b *bodyBuffer) nextReadTimeout() time.Duration {
+	if !b.isBuffering() {
+		return b.maxReadTimeout
 	}
-	holdLeft := max(time.Until(b.firstByteAt.Add(unknownLengthHold)), time.Nanosecond) // 0 would be no bound
-	return min(b.usualPause, holdLeft)
+	bufferTimeLeft := max(time.Until(b.firstByteAt.Add(unknownLengthBufferTime)), time.Nanosecond) // 0 would be no bound
+	return min(b.maxReadTimeout, bufferTimeLeft)
 }
 
 // fill reads what has come of the body, as far as it fits in.
 func (b *bodyBuffer) fill() error {
-	held := b.isHeld()
+	buffering := b.isBuffering()
 	if len(b.data) == cap(b.data) {
-		b.data = slices.Grow(b.data, bodyGrowth)
+		b.data = slices.Grow(b.data, minBodyGrowth)
 	}
 	space := b.data[len(b.data):min(cap(b.data), MaxBufferedBody)]
 	n, err := b.body.Read(space)
 	b.data = b.data[:len(b.data)+n]
-	if !held {
+	if !buffering {
 		b.firstByteAt = time.Now()
 	}
 	return err
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -13,9 +13,9 @@
 // Client makes attempts at the servers that discovery lists. Its methods may be called from any goroutine, except
 // SetDial.
 type Client struct {
-	responseTimeoutNanos atomic.Int64 // nanoseconds that a server may pause within a response
-	pool                 *pool
-	attemptsSent         *atomic.Int64 // counts the requests that were written in full
+	responseReadTimeoutNanos atomic.Int64 // nanoseconds that a server may pause within a response
+	pool                     *pool
+	attemptsSent             *atomic.Int64 // counts the requests that were written in full
 
 	mu        sync.Mutex
 	servers   map[string]*server // by ID
@@ -60,7 +60,7 @@
 // connections are closed after half of the time after which servers close them, well before such a close can cross a
 // request.
 func (c *Client) Configure(limits wire.Limits) {
-	c.responseTimeoutNanos.Store(int64(limits.ConnectTimeout))
+	c.responseReadTimeoutNanos.Store(int64(limits.ConnectTimeout))
 	c.pool.connectTimeoutNanos.Store(int64(limits.ConnectTimeout))
 	c.pool.idleTimeoutNanos.Store(int64(limits.IdleClose / 2))
 }
@@ -75,14 +75,14 @@
 		return
 	}
 	c.adminDown[id] = true
-	former := c.servers[id]
-	if former == nil {
+	previous := c.servers[id]
+	if previous == nil {
 		return
 	}
 	c.removeServer(id)
-	fresh := &server{address: former.address, startedAt: former.startedAt}
-	fresh.draining.Store(former.draining.Load())
-	c.servers[id] = fresh
+	replacement := &server{address: previous.address, startedAt: previous.startedAt}
+	replacement.draining.Store(previous.draining.Load())
+	c.servers[id] = replacement
 }
 
 // Update applies a list of servers. The cost of a list of changes does not grow with the number of servers.
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -18,7 +18,7 @@
 // pastDeadline is a deadline that has passed by any clock. The zero time would be no deadline.
 var pastDeadline = time.Time{}.Add(time.Nanosecond)
 
-// serverConn is a connection to a server. One attempt at a time uses it; only abort and shortenPause may be called
+// serverConn is a connection to a server. One attempt at a time uses it; only abort and shortenReadTimeout may be called
 // from other goroutines.
 type serverConn struct {
 	net.Conn
@@ -27,15 +27,15 @@
 	limitedReader *io.LimitedReader // reads from the connection; its bound is set anew for each part of a response
 	reader        *bufio.Reader     // reads from limitedReader
 	textReader    *textproto.Reader // reads from reader
-	allowedPause  time.Duration     // how long the server may pause before its next bytes; 0: without a bound
+	readTimeout   time.Duration     // how long the server may pause before its next bytes; 0: without a bound
 
 	// The pool's lock guards these.
 	idleSince   time.Time
 	idleElement *list.Element // in the pool's list of idle connections; nil: in use
 
-	mu             sync.Mutex
-	aborted        bool // every read and write fails from now on
-	pauseShortened bool // allowedPause counts as finalPause at most
+	mu                   sync.Mutex
+	aborted              bool // every read and write fails from now on
+	readTimeoutShortened bool // readTimeout counts as shutdownReadTimeout at most
 }
 
 // newServerConn returns a connection to target over conn. It closes conn where it fails.
@@ -55,7 +55,7 @@
 // Read implements net.Conn. The allowed pause starts anew with each read, so a response may be slow as long as it makes
 // progress.
 func (c *serverConn) Read(p []byte) (int, error) {
-	if c.allowedPause > 0 {
+	if c.readTimeout > 0 {
 		if err := c.extendReadDeadline(); err != nil {
 			return 0, err
 		}
@@ -74,20 +74,20 @@
 	if c.aborted {
 		return nil
 	}
-	pause := c.allowedPause
-	if c.pauseShortened {
-		pause = min(pause, finalPause)
+	timeout := c.readTimeout
+	if c.readTimeoutShortened {
+		timeout = min(timeout, shutdownReadTimeout)
 	}
-	return c.SetReadDeadline(time.Now().Add(pause))
+	return c.SetReadDeadline(time.Now().Add(timeout))
 }
 
-// shortenPause limits the server's pauses to finalPause from now on, the current one included.
-func (c *serverConn) shortenPause() {
+// shortenReadTimeout limits the server's pauses to shutdownReadTimeout from now on, the current one included.
+func (c *serverConn) shortenReadTimeout() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pauseShortened = true
+	c.readTimeoutShortened = true
 	if !c.aborted {
-		_ = c.SetReadDeadline(time.Now().Add(finalPause)) // fails only on a closed connection
+		_ = c.SetReadDeadline(time.Now().Add(shutdownReadTimeout)) // fails only on a closed connection
 	}
 }
 
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -15,28 +15,28 @@
 	"time"
 )
 
-// deadlinePipe is one end of a pipe that passes for a connection with a file descriptor. Unlike a socket's, its
+// fakeClockConn is one end of a pipe that passes for a connection with a file descriptor. Unlike a socket's, its
 // deadlines follow the simulated clock.
-type deadlinePipe struct{ net.Conn }
+type fakeClockConn struct{ net.Conn }
 
 // SyscallConn implements syscall.Conn. The tests that use it never ask whether the connection is reusable.
-func (deadlinePipe) SyscallConn() (syscall.RawConn, error) { return nil, nil }
+func (fakeClockConn) SyscallConn() (syscall.RawConn, error) { return nil, nil }
 
-// withPipe runs play on a simulated clock, with a connection and its server's end.
-func withPipe(t *testing.T, play func(t *testing.T, conn *serverConn, serverEnd net.Conn)) {
+// runWithPipe runs test on a simulated clock, with a connection and its server's end.
+func runWithPipe(t *testing.T, test func(t *testing.T, conn *serverConn, serverEnd net.Conn)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		clientEnd, serverEnd := net.Pipe()
 		defer clientEnd.Close()
 		defer serverEnd.Close()
 		p := newPool(1)
-		p.dial = func(context.Context, string, string) (net.Conn, error) { return deadlinePipe{clientEnd}, nil }
+		p.dial = func(context.Context, string, string) (net.Conn, error) { return fakeClockConn{clientEnd}, nil }
 		conn, err := p.dialServer(context.Background(), &server{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		conn.limitedReader.N = MaxBufferedBody
-		play(t, conn, serverEnd)
+		test(t, conn, serverEnd)
 	})
 }
 
@@ -45,12 +45,12 @@
 	return &serverBody{conn: conn, length: length, remaining: length}
 }
 
-// TestStalledStreamEndsAfterFinalPause: a stream whose pauses are shortened ends after a pause of finalPause, whether
+// TestStalledStreamEndsAfterShutdownReadTimeout: a stream whose pauses are shortened ends after a pause of shutdownReadTimeout, whether
 // it is stalled already or only later.
-func TestStalledStreamEndsAfterFinalPause(t *testing.T) {
+func TestStalledStreamEndsAfterShutdownReadTimeout(t *testing.T) {
 	t.Run("stalled already", func(t *testing.T) {
-		withPipe(t, func(t *testing.T, conn *serverConn, _ net.Conn) {
-			conn.allowedPause = time.Hour
+		runWithPipe(t, func(t *testing.T, conn *serverConn, _ net.Conn) {
+			conn.readTimeout = time.Hour
 			ended := make(chan error, 1)
 			go func() {
 				_, err := bodyOfLength(conn, 2).Read(make([]byte, 2))
@@ -58,18 +58,18 @@
 			}()
 			synctest.Wait()
 			startedAt := time.Now()
-			conn.shortenPause()
+			conn.shortenReadTimeout()
 			err := <-ended
 			took := time.Since(startedAt)
-			if !errors.Is(err, os.ErrDeadlineExceeded) || took != finalPause {
-				t.Errorf("error %v after %v, want a timeout after %v", err, took, finalPause)
+			if !errors.Is(err, os.ErrDeadlineExceeded) || took != shutdownReadTimeout {
+				t.Errorf("error %v after %v, want a timeout after %v", err, took, shutdownReadTimeout)
 			}
 		})
 	})
 	t.Run("stalled later", func(t *testing.T) {
-		withPipe(t, func(t *testing.T, conn *serverConn, serverEnd net.Conn) {
-			conn.allowedPause = time.Hour
-			conn.shortenPause()
+		runWithPipe(t, func(t *testing.T, conn *serverConn, serverEnd net.Conn) {
+			conn.readTimeout = time.Hour
+			conn.shortenReadTimeout()
 			go func() { _, _ = serverEnd.Write([]byte("x")) }()
 			body := bodyOfLength(conn, 2)
 			if n, err := body.Read(make([]byte, 2)); n != 1 || err != nil {
@@ -78,35 +78,35 @@
 			startedAt := time.Now()
 			_, err := body.Read(make([]byte, 2))
 			took := time.Since(startedAt)
-			if !errors.Is(err, os.ErrDeadlineExceeded) || took != finalPause {
-				t.Errorf("error %v after %v, want a timeout after %v", err, took, finalPause)
+			if !errors.Is(err, os.ErrDeadlineExceeded) || took != shutdownReadTimeout {
+				t.Errorf("error %v after %v, want a timeout after %v", err, took, shutdownReadTimeout)
 			}
 		})
 	})
 }
 
-// TestSlowStreamIsReadWithShortenedPauses: a stream whose pauses are shortened, and whose server pauses for less than
-// finalPause at a time, is read to its end, however long that takes.
-func TestSlowStreamIsReadWithShortenedPauses(t *testing.T) {
-	withPipe(t, func(t *testing.T, conn *serverConn, serverEnd net.Conn) {
+// TestSlowStreamIsReadWithShortenedReadTimeout: a stream whose pauses are shortened, and whose server pauses for less than
+// shutdownReadTimeout at a time, is read to its end, however long that takes.
+func TestSlowStreamIsReadWithShortenedReadTimeout(t *testing.T) {
+	runWithPipe(t, func(t *testing.T, conn *serverConn, serverEnd net.Conn) {
 		const size = 20
-		conn.allowedPause = time.Hour
+		conn.readTimeout = time.Hour
 		var sender sync.WaitGroup
 		defer sender.Wait()
 		defer serverEnd.Close()
 		sender.Go(func() {
 			for range size {
-				time.Sleep(finalPause / 2) // of the simulated clock
+				time.Sleep(shutdownReadTimeout / 2) // of the simulated clock
 				if _, err := serverEnd.Write([]byte("x")); err != nil {
 					return
 				}
 			}
 		})
-		conn.shortenPause()
+		conn.shortenReadTimeout()
 		startedAt := time.Now()
 		data, err := io.ReadAll(bodyOfLength(conn, size))
 		took := time.Since(startedAt)
-		if err != nil || len(data) != size || took != size*finalPause/2 {
+		if err != nil || len(data) != size || took != size*shutdownReadTimeout/2 {
 			t.Errorf("%d bytes, error %v after %v, want %d", len(data), err, took, size)
 		}
 	})
@@ -119,12 +119,12 @@
 		use  func(conn *serverConn) error
 	}{
 		{"read with an allowed pause", func(conn *serverConn) error {
-			conn.allowedPause = time.Hour
+			conn.readTimeout = time.Hour
 			_, err := conn.Read(make([]byte, 1))
 			return err
 		}},
-		{"read after shortenPause", func(conn *serverConn) error {
-			conn.shortenPause()
+		{"read after shortenReadTimeout", func(conn *serverConn) error {
+			conn.shortenReadTimeout()
 			_, err := conn.Read(make([]byte, 1))
 			return err
 		}},
@@ -137,7 +137,7 @@
 		}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			withPipe(t, func(t *testing.T, conn *serverConn, _ net.Conn) {
+			runWithPipe(t, func(t *testing.T, conn *serverConn, _ net.Conn) {
 				conn.abort()
 				startedAt := time.Now()
 				err := tt.use(conn)
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -59,8 +59,8 @@
 // declineStreaming is for attempts whose responses are not long.
 func declineStreaming(Response) bool { return false }
 
-// drainStream streams a long response to nowhere.
-func drainStream(r Response) bool {
+// discardStream streams a long response to nowhere.
+func discardStream(r Response) bool {
 	go func() {
 		_, err := io.Copy(io.Discard, r.Remainder)
 		r.Remainder.Finish(err == nil)
@@ -114,7 +114,7 @@
 
 // sendStreaming makes an attempt whose response is streamed if it is long.
 func sendStreaming(client *Client, serverID string, message *Message) Response {
-	request := AttemptRequest{ServerID: serverID, Message: message, StartStreaming: drainStream}
+	request := AttemptRequest{ServerID: serverID, Message: message, StartStreaming: discardStream}
 	return client.Attempt(context.Background(), request)
 }
 
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -42,7 +42,7 @@
 // acquire returns a connection to a server: a usable idle one, or else a new one. It fails with errConnLimit where all
 // connections that may be open are acquired.
 func (p *pool) acquire(ctx context.Context, target *server) (*serverConn, error) {
-	conn, err := p.takeIdleOrReserve(target)
+	conn, err := p.popIdleOrReserve(target)
 	if conn != nil || err != nil {
 		return conn, err
 	}
@@ -55,11 +55,11 @@
 	return conn, err
 }
 
-// takeIdleOrReserve returns an idle connection to a server, or nil once it has reserved the place of a new one.
-func (p *pool) takeIdleOrReserve(target *server) (*serverConn, error) {
+// popIdleOrReserve returns an idle connection to a server, or nil once it has reserved the place of a new one.
+func (p *pool) popIdleOrReserve(target *server) (*serverConn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if conn := p.takeIdle(target); conn != nil {
+	if conn := p.popIdle(target); conn != nil {
 		return conn, nil
 	}
 	if longestIdle := p.longestIdle(); p.openConns >= p.maxConns && longestIdle != nil {
@@ -72,9 +72,9 @@
 	return nil, nil
 }
 
-// takeIdle returns the longest idle usable connection to a server, or nil: whatever the server still had to send on
+// popIdle returns the longest idle usable connection to a server, or nil: whatever the server still had to send on
 // that one has had the most time to arrive. It closes unusable ones on the way. The lock is held.
-func (p *pool) takeIdle(target *server) *serverConn {
+func (p *pool) popIdle(target *server) *serverConn {
 	for len(target.idle) > 0 && time.Since(target.idle[0].idleSince) >= p.reuseDelay {
 		conn := target.idle[0]
 		p.removeIdle(conn)
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// exchange is a request at a backend that waits to be told how to respond.
-type exchange struct {
+// pendingRequest is a request at a backend that waits to be told how to respond.
+type pendingRequest struct {
 	conn    net.Conn
 	respond chan testserver.Handler
 }
@@ -50,10 +50,10 @@
 func TestFailureClosesIdleConnections(t *testing.T) {
 	ok := testserver.Respond(200, "", "")
 	for _, timeout := range []bool{true, false} {
-		exchanges := make(chan exchange, 10)
+		pendingRequests := make(chan pendingRequest, 10)
 		backend := testserver.StartBackend(t, func(conn net.Conn, r *http.Request, body []byte) bool {
-			e := exchange{conn, make(chan testserver.Handler, 1)}
-			exchanges <- e
+			e := pendingRequest{conn, make(chan testserver.Handler, 1)}
+			pendingRequests <- e
 			respond := <-e.respond
 			return respond(conn, r, body)
 		})
@@ -62,9 +62,9 @@
 		for range 2 {
 			go func() { ended <- sendRequest(client, "s-0", newGetRequest()) }()
 		}
-		first := testserver.Receive(t, exchanges, "request")
-		second := testserver.Receive(t, exchanges, "request")
-		for _, e := range []exchange{first, second} {
+		first := testserver.Receive(t, pendingRequests, "request")
+		second := testserver.Receive(t, pendingRequests, "request")
+		for _, e := range []pendingRequest{first, second} {
 			e.respond <- ok
 			testserver.Receive(t, ended, "end")
 		}
@@ -72,7 +72,7 @@
 		ctx := newManualDeadline()
 		want := balance.Reset
 		go func() { ended <- sendRequestWithin(ctx, client, "s-0", newGetRequest()) }()
-		failing := testserver.Receive(t, exchanges, "request")
+		failing := testserver.Receive(t, pendingRequests, "request")
 		if !isOld(failing.conn) {
 			t.Fatal("the request did not reuse a connection")
 		}
@@ -87,7 +87,7 @@
 			t.Errorf("outcome %d, want %d", response.Outcome, want)
 		}
 		go func() { ended <- sendRequest(client, "s-0", newGetRequest()) }()
-		next := testserver.Receive(t, exchanges, "request")
+		next := testserver.Receive(t, pendingRequests, "request")
 		if isOld(next.conn) {
 			t.Error("a request went to an idle connection of a server that failed")
 		}
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// usualHeadBytes is the first capacity of a request's head. A longer one grows.
-const usualHeadBytes = 512
+// initialHeadCapacity is the first capacity of a request's head. A longer one grows.
+const initialHeadCapacity = 512
 
 // Message is a client's request as servers get it.
 type Message struct {
@@ -46,7 +46,7 @@
 // encode returns the request to be sent to address. X-Timeout-Ms is what is left of the context now: the wait for a
 // connection took its share of the client's time.
 func (m *Message) encode(ctx context.Context, address string) encodedRequest {
-	head := make([]byte, 0, usualHeadBytes+min(m.bodyLength(), MaxBufferedBody))
+	head := make([]byte, 0, initialHeadCapacity+min(m.bodyLength(), MaxBufferedBody))
 	appendLine := func(parts ...string) {
 		for _, part := range parts {
 			head = append(head, part...)
--- a/internal/upstream/response_parser.go
+++ b/internal/upstream/response_parser.go
@@ -53,7 +53,7 @@
 	}
 	r.Outcome = head.outcome()
 	if r.Outcome != balance.Served {
-		return r, c.skipBody(&head), nil
+		return r, c.discardBody(&head), nil
 	}
 	r.Body, r.Remainder, err = c.readBody(head.header)
 	if err != nil {
@@ -67,9 +67,9 @@
 	return r, c.isReusable() && !head.closesConnection(), nil
 }
 
-// skipBody reads the body of a response whose head says all, and reports whether the connection is reusable. A body
+// discardBody reads the body of a response whose head says all, and reports whether the connection is reusable. A body
 // that is long or may never end is left unread.
-func (c *serverConn) skipBody(head *responseHead) (reusable bool) {
+func (c *serverConn) discardBody(head *responseHead) (reusable bool) {
 	if isCloseDelimited(head.header) {
 		return false
 	}
--- a/internal/upstream/response_parser_test.go
+++ b/internal/upstream/response_parser_test.go
@@ -49,7 +49,7 @@
 				return false
 			})
 			client := newTestClient(t, backend)
-			client.responseTimeoutNanos.Store(int64(100 * time.Millisecond))
+			client.responseReadTimeoutNanos.Store(int64(100 * time.Millisecond))
 			response := sendRequest(client, "s-0", newGetRequest())
 			if response.Outcome != balance.Errored || response.Body != nil {
 				t.Errorf("outcome %d, body %q, want an error", response.Outcome, response.Body)
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestCloseDelimitedErrorIsNotWaitedFor: the head of a response other than 200 says all. Its body may never end.
-func TestCloseDelimitedErrorIsNotWaitedFor(t *testing.T) {
+// TestCloseDelimitedErrorBodyIsNotAwaited: the head of a response other than 200 says all. Its body may never end.
+func TestCloseDelimitedErrorBodyIsNotAwaited(t *testing.T) {
 	for head, want := range map[string]balance.Outcome{
 		"HTTP/1.1 503 X\r\nX-Not-Processed: 1\r\n\r\n":                      balance.Saturated,
 		"HTTP/1.1 503 X\r\nX-Not-Processed: 1\r\nConnection: close\r\n\r\n": balance.Saturated,
@@ -93,7 +93,7 @@
 		"HTTP/1.1 204 X\r\n\r\n":                                            balance.Errored,
 	} {
 		client := newTestClient(t, testserver.StartBackend(t, respondRaw(head)))
-		client.responseTimeoutNanos.Store(int64(time.Hour))
+		client.responseReadTimeoutNanos.Store(int64(time.Hour))
 		ended := make(chan Response, 1)
 		go func() { ended <- sendRequest(client, "s-0", newPostRequest("")) }()
 		if response := testserver.Receive(t, ended, "outcome"); response.Outcome != want {
--- a/internal/upstream/response_stream.go
+++ b/internal/upstream/response_stream.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// finalPause is how long a server may pause in a stream once this process ends: a stream that hangs is cut off before
+// shutdownReadTimeout is how long a server may pause in a stream once this process ends: a stream that hangs is cut off before
 // the process is killed, and one that makes progress goes on.
-const finalPause = 50 * time.Millisecond
+const shutdownReadTimeout = 50 * time.Millisecond
 
 // Stream is the rest of a long response, which is read as it comes. One goroutine reads it and calls Finish once.
 type Stream struct {
@@ -30,8 +30,8 @@
 // IsComplete reports whether the body was read to its end.
 func (s *Stream) IsComplete() bool { return s.body.isComplete() }
 
-// AllowPause sets how long the server may pause before its next bytes. Only the goroutine that reads may call it.
-func (s *Stream) AllowPause(pause time.Duration) { s.body.conn.allowedPause = pause }
+// SetReadTimeout sets how long the server may pause before its next bytes. Only the goroutine that reads may call it.
+func (s *Stream) SetReadTimeout(timeout time.Duration) { s.body.conn.readTimeout = timeout }
 
-// ShortenPause limits all pauses from now on, the current one included, to finalPause. Any goroutine may call it.
-func (s *Stream) ShortenPause() { s.body.conn.shortenPause() }
+// ShortenReadTimeout limits all pauses from now on, the current one included, to shutdownReadTimeout. Any goroutine may call it.
+func (s *Stream) ShortenReadTimeout() { s.body.conn.shortenReadTimeout() }
--- a/internal/upstream/response_stream_test.go
+++ b/internal/upstream/response_stream_test.go
@@ -32,15 +32,15 @@
 			{"breaks off in a chunk", "Transfer-Encoding: chunked\r\n\r\n8\r\nhalf"},
 		} {
 			t.Run(fmt.Sprintf("outcome %d, %s", status.want, body.name), func(t *testing.T) {
-				expectOutcomeAlone(t, status.line+body.text, status.want)
+				expectOutcomeWithoutBody(t, status.line+body.text, status.want)
 			})
 		}
 	}
 }
 
-// expectOutcomeAlone sends a request to a server that responds with text and closes the connection. The attempt has to
+// expectOutcomeWithoutBody sends a request to a server that responds with text and closes the connection. The attempt has to
 // have this outcome, no body, nothing to stream and no connection left.
-func expectOutcomeAlone(t *testing.T, text string, want balance.Outcome) {
+func expectOutcomeWithoutBody(t *testing.T, text string, want balance.Outcome) {
 	t.Helper()
 	client := newTestClient(t, testserver.StartBackend(t, func(conn net.Conn, _ *http.Request, _ []byte) bool {
 		_, _ = io.WriteString(conn, text) // the client may close the connection before the end of it
