--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -30,7 +30,7 @@
 	idleElement        *list.Element       // in the listener's list; nil: the state is one with a request, or closed
 	idleSince          time.Time           // when it was put into that list
 	used               bool                // http.Server has read a request, or a part of one
-	handling           bool                // http.Server holds it for active
+	httpActive         bool                // http.Server holds it for active
 	closeCalled        bool                // Close was called
 	closeAfterResponse bool                // its next response ends it
 	requestsRead       int                 // heads that were read whole
@@ -71,19 +71,19 @@
 // Read implements net.Conn. It refuses messages that net/http would mend.
 func (c *Conn) Read(p []byte) (int, error) {
 	if c.malformed != nil {
-		return 0, c.readBehindMalformed()
+		return 0, c.readAfterMalformed()
 	}
 	n, err := netretry.Read(c.Conn, p)
 	for n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.extendReadDeadline() {
 		n, err = netretry.Read(c.Conn, p)
 	}
 	requests, partial := c.framing.requests, c.framing.partial()
-	good, malformed := c.framing.feed(p[:n])
+	wellFormed, malformed := c.framing.feed(p[:n])
 	if malformed != nil {
 		c.malformed = malformed
-		n, err = good, nil
-		if good == 0 {
-			err = c.readBehindMalformed()
+		n, err = wellFormed, nil
+		if wellFormed == 0 {
+			err = c.readAfterMalformed()
 		}
 	}
 	if requests != c.framing.requests || partial != c.framing.partial() || err != nil {
@@ -92,11 +92,11 @@
 	return n, err
 }
 
-// readBehindMalformed returns the error of a malformed message once no request before it is to be answered. net/http
+// readAfterMalformed returns the error of a malformed message once no request before it is to be answered. net/http
 // reads ahead while it serves a request, and takes any error of that for the client's leaving.
-func (c *Conn) readBehindMalformed() error {
+func (c *Conn) readAfterMalformed() error {
 	discarded := make([]byte, discardBufferSize)
-	for !c.framing.inBody && c.hasRequest() {
+	for !c.framing.inBody && c.hasPendingRequest() {
 		_, err := netretry.Read(c.Conn, discarded)
 		isExtended := errors.Is(err, os.ErrDeadlineExceeded) && c.extendReadDeadline()
 		if err != nil && !isExtended {
@@ -128,15 +128,15 @@
 	}
 }
 
-// hasRequest reports whether a request was read and is not answered.
-func (c *Conn) hasRequest() bool {
+// hasPendingRequest reports whether a request was read and is not answered.
+func (c *Conn) hasPendingRequest() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
-	return c.hasRequestLocked()
+	return c.hasPendingRequestLocked()
 }
 
-// hasRequestLocked is hasRequest with the listener's lock held.
-func (c *Conn) hasRequestLocked() bool {
+// hasPendingRequestLocked is hasPendingRequest with the listener's lock held.
+func (c *Conn) hasPendingRequestLocked() bool {
 	return c.state == stateActive && c.requestsRead > c.responsesSent
 }
 
@@ -147,11 +147,11 @@
 	l := c.listener
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c.hasRequestLocked() && !c.framing.inBody && !isPastDeadline(c.readDeadline) {
+	if c.hasPendingRequestLocked() && !c.framing.inBody && !isPastDeadline(c.readDeadline) {
 		return c.Conn.SetReadDeadline(time.Time{}) == nil
 	}
-	mayBringRequest := c.state.hasNoRequest() && c.state != stateNew && !c.partialHead
-	if !mayBringRequest || !c.hasUnreadInput() {
+	mayReceiveRequest := c.state.hasNoRequest() && c.state != stateNew && !c.partialHead
+	if !mayReceiveRequest || !c.hasUnreadInput() {
 		return false
 	}
 	l.apply(c, eventInput)
@@ -176,7 +176,7 @@
 // hasUnreadInput reports whether bytes wait to be read. It reads none.
 func (c *Conn) hasUnreadInput() bool {
 	unread := 0
-	err := c.control(func(fd int) (err error) {
+	err := c.withDescriptor(func(fd int) (err error) {
 		unread, err = netretry.Peek(fd)
 		return err
 	})
@@ -186,15 +186,15 @@
 // PeerClosed reports whether the client has ended its sending, also where bytes that came before are not read yet.
 func (c *Conn) PeerClosed() bool {
 	var events int16
-	err := c.control(func(fd int) (err error) {
+	err := c.withDescriptor(func(fd int) (err error) {
 		events, err = netretry.Poll(fd, unix.POLLRDHUP)
 		return err
 	})
 	return err == nil && events&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// control calls look with the connection's descriptor.
-func (c *Conn) control(look func(fd int) error) error {
+// withDescriptor calls call with the connection's descriptor.
+func (c *Conn) withDescriptor(call func(fd int) error) error {
 	inner, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return errors.ErrUnsupported
@@ -203,9 +203,9 @@
 	if err != nil {
 		return err
 	}
-	var lookErr error
-	if err := raw.Control(func(fd uintptr) { lookErr = look(int(fd)) }); err != nil {
+	var callErr error
+	if err := raw.Control(func(fd uintptr) { callErr = call(int(fd)) }); err != nil {
 		return err
 	}
-	return lookErr
+	return callErr
 }
--- a/internal/downstream/drain_listener.go
+++ b/internal/downstream/drain_listener.go
@@ -38,8 +38,8 @@
 }
 
 // Drain makes Accept go on for a time at least, and end once no connection is left waiting.
-func (l *DrainListener) Drain(atLeast time.Duration) error {
-	return l.SetDeadline(time.Now().Add(atLeast))
+func (l *DrainListener) Drain(minDuration time.Duration) error {
+	return l.SetDeadline(time.Now().Add(minDuration))
 }
 
 // Accept implements net.Listener. Its deadline can pass with connections waiting, which closing the listener would
--- a/internal/downstream/drain_listener_test.go
+++ b/internal/downstream/drain_listener_test.go
@@ -27,7 +27,7 @@
 	rounds := *successorRounds
 	log := slog.New(slog.DiscardHandler)
 	var serving sync.WaitGroup
-	begin := func(address string) (*DrainListener, chan struct{}) {
+	startListener := func(address string) (*DrainListener, chan struct{}) {
 		inner, err := ListenShared(address, log)
 		if err != nil {
 			t.Fatal(err)
@@ -53,26 +53,26 @@
 		}()
 		return l, ended
 	}
-	l, ended := begin("127.0.0.1:0")
+	l, ended := startListener("127.0.0.1:0")
 	address := l.Addr().String()
 	var stop atomic.Bool
 	var clients sync.WaitGroup
-	var asked atomic.Int64
-	wrong := make(chan error, 100*rounds)
+	var connCount atomic.Int64
+	failures := make(chan error, 100*rounds)
 	for range 4 * runtime.GOMAXPROCS(0) {
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
 			for !stop.Load() {
 				if err := echo(address); err != nil {
-					wrong <- err
+					failures <- err
 				}
-				asked.Add(1)
+				connCount.Add(1)
 			}
 		}()
 	}
 	for range rounds {
-		next, nextEnded := begin(address)
+		next, nextEnded := startListener(address)
 		if err := l.RedirectToSuccessor(); err != nil {
 			t.Fatal(err)
 		}
@@ -87,9 +87,9 @@
 	_ = l.Close()
 	<-ended
 	serving.Wait()
-	t.Logf("%d connections, %d reset", asked.Load(), len(wrong))
-	if len(wrong) > 0 {
-		t.Errorf("%d of %d connections failed, first: %v", len(wrong), asked.Load(), <-wrong)
+	t.Logf("%d connections, %d reset", connCount.Load(), len(failures))
+	if len(failures) > 0 {
+		t.Errorf("%d of %d connections failed, first: %v", len(failures), connCount.Load(), <-failures)
 	}
 }
 
--- a/internal/downstream/framing.go
+++ b/internal/downstream/framing.go
@@ -33,16 +33,16 @@
 // partial reports whether a part of a head has come.
 func (f *requestFraming) partial() bool { return f.headBytes > 0 }
 
-// feed follows the next bytes. good is how many of them come before a message that is malformed.
-func (f *requestFraming) feed(in []byte) (good int, err error) {
+// feed follows the next bytes. wellFormed is how many of them come before a message that is malformed.
+func (f *requestFraming) feed(in []byte) (wellFormed int, err error) {
 	for at := 0; at < len(in); {
 		used, err := f.feedPart(in[at:])
 		if err != nil {
-			return good, err
+			return wellFormed, err
 		}
 		at += used
 		if f.inBody || f.headBytes == 0 {
-			good = at // up to here the messages are well formed
+			wellFormed = at // up to here the messages are well formed
 		}
 	}
 	return len(in), nil
--- a/internal/downstream/framing_test.go
+++ b/internal/downstream/framing_test.go
@@ -11,7 +11,7 @@
 const getHead = "GET /api HTTP/1.1\r\nHost: x\r\n\r\n"
 
 // TestAmbiguousMessagesAreRefused tells messages that can be read in two ways, in pieces of any size, and how much
-// before them is good.
+// before them is well formed.
 func TestAmbiguousMessagesAreRefused(t *testing.T) {
 	post := func(fields, body string) string { return "POST /api HTTP/1.1\r\nHost: x\r\n" + fields + "\r\n" + body }
 	for _, tt := range []struct {
@@ -40,18 +40,18 @@
 			var f requestFraming
 			var err error
 			text := getHead + tt.text
-			good := 0
+			wellFormed := 0
 			for at := 0; at < len(text) && err == nil; at += piece {
 				var n int
 				n, err = f.feed([]byte(text[at:min(at+piece, len(text))]))
-				good += n
+				wellFormed += n
 			}
 			isFraming := errors.Is(err, errFraming) || errors.Is(err, chunked.ErrMalformed)
 			if (err != nil) != tt.bad || tt.bad && !isFraming {
 				t.Errorf("%s in pieces of %d: error %v, bad %v", tt.name, piece, err, tt.bad)
 			}
-			if want := len(text); !tt.bad && good != want || good < len(getHead) {
-				t.Errorf("%s in pieces of %d: %d of %d bytes are good", tt.name, piece, good, want)
+			if want := len(text); !tt.bad && wellFormed != want || wellFormed < len(getHead) {
+				t.Errorf("%s in pieces of %d: %d of %d bytes are well formed", tt.name, piece, wellFormed, want)
 			}
 		}
 	}
--- a/internal/downstream/http_server.go
+++ b/internal/downstream/http_server.go
@@ -36,7 +36,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c.handling = state == http.StateActive
+	c.httpActive = state == http.StateActive
 	switch state {
 	case http.StateActive:
 		l.markUsed(c)
--- a/internal/downstream/linger.go
+++ b/internal/downstream/linger.go
@@ -11,8 +11,8 @@
 const (
 	// lingerTimeout bounds how long a connection is read to its end behind its final response.
 	lingerTimeout = 200 * time.Millisecond
-	// finalLingerTimeout bounds it once the process ends, so that it is over before the process is killed.
-	finalLingerTimeout = 50 * time.Millisecond
+	// shutdownLingerTimeout bounds it once the process ends, so that it is over before the process is killed.
+	shutdownLingerTimeout = 50 * time.Millisecond
 	// lingerPollInterval is how soon a lingering connection is closed after all when its descriptor is wanted.
 	lingerPollInterval = 20 * time.Millisecond
 )
@@ -43,7 +43,7 @@
 	defer l.mu.Unlock()
 	isFirst := !c.closeCalled
 	c.closeCalled = true
-	hasResponse := c.handling || c.state == stateLingering || c.malformed != nil
+	hasResponse := c.httpActive || c.state == stateLingering || c.malformed != nil
 	return isFirst && hasResponse && l.openConns < l.maxConns
 }
 
@@ -52,39 +52,39 @@
 	if c.CloseWrite() != nil {
 		return // it is closed already
 	}
-	began := time.Now()
-	for time.Now().Before(c.listener.lingerDeadline(began)) && !c.listener.atLimit() {
+	startedAt := time.Now()
+	for time.Now().Before(c.listener.lingerDeadline(startedAt)) && !c.listener.atLimit() {
 		if c.Conn.SetReadDeadline(time.Now().Add(lingerPollInterval)) != nil {
 			return
 		}
-		if err := c.discard(began); !errors.Is(err, os.ErrDeadlineExceeded) {
+		if err := c.discard(startedAt); !errors.Is(err, os.ErrDeadlineExceeded) {
 			return
 		}
 	}
 }
 
-// discard reads and drops bytes until an error, or until the linger deadline of a linger that began then.
-func (c *Conn) discard(began time.Time) error {
+// discard reads and drops bytes until an error, or until the linger deadline of a linger that started then.
+func (c *Conn) discard(startedAt time.Time) error {
 	discarded := make([]byte, discardBufferSize)
 	for {
 		_, err := netretry.Read(c.Conn, discarded)
-		if err != nil || !time.Now().Before(c.listener.lingerDeadline(began)) {
+		if err != nil || !time.Now().Before(c.listener.lingerDeadline(startedAt)) {
 			return err
 		}
 	}
 }
 
-// lingerDeadline is when a connection that has lingered since began is closed at the latest.
-func (l *Listener) lingerDeadline(began time.Time) time.Time {
+// lingerDeadline is when a connection that has lingered since startedAt is closed at the latest.
+func (l *Listener) lingerDeadline(startedAt time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	deadline := began.Add(lingerTimeout)
+	deadline := startedAt.Add(lingerTimeout)
 	if l.shutdownAt.IsZero() {
 		return deadline
 	}
-	shutdownDeadline := l.shutdownAt.Add(finalLingerTimeout)
-	if began.After(l.shutdownAt) {
-		shutdownDeadline = began.Add(finalLingerTimeout)
+	shutdownDeadline := l.shutdownAt.Add(shutdownLingerTimeout)
+	if startedAt.After(l.shutdownAt) {
+		shutdownDeadline = startedAt.Add(shutdownLingerTimeout)
 	}
 	if shutdownDeadline.Before(deadline) {
 		return shutdownDeadline
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -86,8 +86,8 @@
 // waitForCapacity waits until one more connection may be open.
 func (l *Listener) waitForCapacity() {
 	for {
-		free, wait := l.makeCapacity()
-		if free {
+		available, wait := l.makeCapacity()
+		if available {
 			return
 		}
 		select {
@@ -99,7 +99,7 @@
 
 // makeCapacity reports whether one more connection may be open. If not, it retires the connection that has been without
 // a request for the longest, and returns how long to wait before the next call.
-func (l *Listener) makeCapacity() (free bool, wait time.Duration) {
+func (l *Listener) makeCapacity() (available bool, wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	wait = time.Hour // until a connection is closed or has no request any more
@@ -126,7 +126,7 @@
 func (l *Listener) RetireIdle(unused time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.eachIdle(func(c *Conn) {
+	l.forEachIdle(func(c *Conn) {
 		isDue := c.state != stateNew || time.Since(c.idleSince) >= unused
 		if isDue && !c.partialHead {
 			l.beginRetire(c, metrics.ShuttingDown)
@@ -142,15 +142,15 @@
 	if l.shutdownAt.IsZero() {
 		l.shutdownAt = time.Now()
 	}
-	l.eachIdle(func(c *Conn) {
+	l.forEachIdle(func(c *Conn) {
 		if c.state != stateLingering {
 			l.beginRetire(c, metrics.ShuttingDown)
 		}
 	})
 }
 
-// eachIdle calls f for each connection without a request. f may remove the connection from the list. The lock is held.
-func (l *Listener) eachIdle(f func(c *Conn)) {
+// forEachIdle calls f for each connection without a request. f may remove the connection from the list. The lock is held.
+func (l *Listener) forEachIdle(f func(c *Conn)) {
 	for e := l.idleConns.Front(); e != nil; {
 		next := e.Next()
 		f(e.Value.(*Conn))
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -35,7 +35,7 @@
 // another.
 func TestConnectionWithRequestKeepsItsPlace(t *testing.T) {
 	l := NewListener(testserver.Listen(t), 2, 2, &metrics.UnservedConns{})
-	var taken []*Conn
+	var conns []*Conn
 	accept := func() *Conn {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -47,7 +47,7 @@
 			t.Fatal(err)
 		}
 		conn := got.(*Conn)
-		taken = append(taken, conn)
+		conns = append(conns, conn)
 		go func() { // as the server does
 			if _, err := conn.Read(make([]byte, 1)); err != nil {
 				l.onHTTPState(conn, http.StateClosed)
@@ -73,7 +73,7 @@
 	if !closed(busy) || closed(third) {
 		t.Errorf("closed: ending %v, busy %v", closed(busy), closed(third))
 	}
-	for _, c := range taken {
+	for _, c := range conns {
 		l.onHTTPState(c, http.StateClosed)
 	}
 	l.mu.Lock()
@@ -86,17 +86,17 @@
 	}
 }
 
-// caught is a connection that calls got when its Read has got something, before that returns.
-type caught struct {
+// readHookConn is a connection that calls got when its Read has got something, before that returns.
+type readHookConn struct {
 	net.Conn
-	got func()
+	afterRead func()
 }
 
 // Read implements net.Conn.
-func (c *caught) Read(p []byte) (int, error) {
+func (c *readHookConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if n > 0 && c.got != nil {
-		c.got()
+	if n > 0 && c.afterRead != nil {
+		c.afterRead()
 	}
 	return n, err
 }
@@ -118,19 +118,19 @@
 		}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			l, c, out := acceptConn(t, 2)
-			inner := &caught{Conn: c.Conn}
+			l, c, client := acceptConn(t, 2)
+			inner := &readHookConn{Conn: c.Conn}
 			c.Conn = inner
 			buffer := make([]byte, 1000)
 			if tt.before != "" {
-				fmt.Fprint(out, tt.before)
+				fmt.Fprint(client, tt.before)
 				if _, err := c.Read(buffer); err != nil {
 					t.Fatal(err)
 				}
 				l.onHTTPState(c, http.StateActive)
 				l.onHTTPState(c, http.StateIdle)
 			}
-			inner.got = func() {
+			inner.afterRead = func() {
 				l.mu.Lock()
 				defer l.mu.Unlock()
 				tt.retire(l, c)
@@ -139,17 +139,17 @@
 				}
 			}
 			request := "GET /api HTTP/1.1\r\n\r\n"
-			fmt.Fprint(out, request)
+			fmt.Fprint(client, request)
 			if n, err := c.Read(buffer); n != len(request) || err != nil {
 				t.Fatalf("%d bytes, error %v", n, err)
 			}
-			inner.got = nil
+			inner.afterRead = nil
 			if c.state != stateActive || !c.closeAfterResponse || c.idleElement != nil || l.retiringConns != 0 ||
 				!c.ClosesAfterResponse() {
 				t.Errorf("state %d, closes after its response %v, in the list %v, %d retiring",
 					c.state, c.closeAfterResponse, c.idleElement != nil, l.retiringConns)
 			}
-			fmt.Fprint(out, "x")
+			fmt.Fprint(client, "x")
 			if _, err := c.Read(buffer); err != nil { // its deadline is not over
 				t.Errorf("error %v behind the request", err)
 			}
@@ -161,10 +161,10 @@
 // unread.
 func TestRetiredConnectionServesUnreadRequest(t *testing.T) {
 	for _, retired := range []bool{true, false} {
-		l, c, out := acceptConn(t, 2)
+		l, c, client := acceptConn(t, 2)
 		l.onHTTPState(c, http.StateActive)
 		l.onHTTPState(c, http.StateIdle)
-		fmt.Fprint(out, "GET /api HTTP/1.1\r\n\r\n")
+		fmt.Fprint(client, "GET /api HTTP/1.1\r\n\r\n")
 		for end := time.Now().Add(testserver.Timeout); !c.hasUnreadInput(); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal("nothing came")
@@ -191,14 +191,14 @@
 // but not where its descriptor is wanted.
 func TestLingeringEndsWhereDescriptorIsWanted(t *testing.T) {
 	for _, tt := range []struct {
-		name  string
-		most  int
-		reset bool // its client finds it reset
+		name     string
+		maxConns int
+		reset    bool // its client finds it reset
 	}{{"room is left", 2, false}, {"none is left", 1, true}} {
 		t.Run(tt.name, func(t *testing.T) {
-			l, c, out := acceptConn(t, tt.most)
+			l, c, client := acceptConn(t, tt.maxConns)
 			l.onHTTPState(c, http.StateActive)
-			if _, err := out.Write(make([]byte, 1000)); err != nil {
+			if _, err := client.Write(make([]byte, 1000)); err != nil {
 				t.Fatal(err)
 			}
 			for !c.hasUnreadInput() {
@@ -206,10 +206,10 @@
 			}
 			closed := make(chan error, 1)
 			go func() { closed <- c.Close() }()
-			if _, err := io.ReadAll(out); (err != nil) != tt.reset {
+			if _, err := io.ReadAll(client); (err != nil) != tt.reset {
 				t.Errorf("error %v, want a reset: %v", err, tt.reset)
 			}
-			out.Close()
+			client.Close()
 			if err := testserver.Receive(t, closed, "close"); err != nil {
 				t.Error(err)
 			}
@@ -220,9 +220,9 @@
 // TestConnectionWithNextRequestIsNotIdle has a client send two requests at once. Behind the first response the reader
 // has the second request already: the connection counts as busy, and is not retired.
 func TestConnectionWithNextRequestIsNotIdle(t *testing.T) {
-	l, c, out := acceptConn(t, 2)
+	l, c, client := acceptConn(t, 2)
 	requests := "GET /api HTTP/1.1\r\n\r\nGET /api HTTP/1.1\r\n\r\n"
-	fmt.Fprint(out, requests)
+	fmt.Fprint(client, requests)
 	for got, buffer := 0, make([]byte, 1000); got < len(requests); {
 		n, err := c.Read(buffer)
 		if err != nil {
@@ -234,23 +234,23 @@
 	l.onHTTPState(c, http.StateIdle)
 	l.RetireIdle(0)
 	l.RetireAll()
-	if c.idleElement != nil || c.state == stateRetiring || c.closeAfterResponse || !c.hasRequest() {
+	if c.idleElement != nil || c.state == stateRetiring || c.closeAfterResponse || !c.hasPendingRequest() {
 		t.Errorf("state %d, in the list %v, closes after its response %v, has a request %v",
-			c.state, c.idleElement != nil, c.closeAfterResponse, c.hasRequest())
+			c.state, c.idleElement != nil, c.closeAfterResponse, c.hasPendingRequest())
 	}
 	l.onHTTPState(c, http.StateActive)
 	l.onHTTPState(c, http.StateIdle)
-	if c.idleElement == nil || c.hasRequest() {
-		t.Errorf("behind its last response: idle %v, has a request %v", c.idleElement != nil, c.hasRequest())
+	if c.idleElement == nil || c.hasPendingRequest() {
+		t.Errorf("behind its last response: idle %v, has a request %v", c.idleElement != nil, c.hasPendingRequest())
 	}
 }
 
 // TestBodyDeadlineDoesNotEndReadingAhead lets the time for a body run out once the body has come whole: the request is
 // in hand, and what net/http reads ahead must not fail, but for net/http's own end of it.
 func TestBodyDeadlineDoesNotEndReadingAhead(t *testing.T) {
-	l, c, out := acceptConn(t, 2)
+	l, c, client := acceptConn(t, 2)
 	read := func() (int, error) { return c.Read(make([]byte, 1000)) }
-	fmt.Fprint(out, "POST /api HTTP/1.1\r\nContent-Length: 4\r\n\r\nsk")
+	fmt.Fprint(client, "POST /api HTTP/1.1\r\nContent-Length: 4\r\n\r\nsk")
 	if _, err := read(); err != nil {
 		t.Fatal(err)
 	}
@@ -262,13 +262,13 @@
 	if _, err := read(); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("error %v in a body whose time is over", err)
 	}
-	fmt.Fprint(out, "ip")
+	fmt.Fprint(client, "ip")
 	_ = c.SetReadDeadline(time.Now().Add(testserver.Timeout))
 	if _, err := read(); err != nil {
 		t.Fatal(err)
 	}
 	_ = c.SetReadDeadline(over)
-	fmt.Fprint(out, "G")
+	fmt.Fprint(client, "G")
 	if n, err := read(); n != 1 || err != nil {
 		t.Errorf("%d bytes, error %v behind a whole body", n, err)
 	}
@@ -283,14 +283,14 @@
 func TestRetireAllLeavesLingeringConnections(t *testing.T) {
 	l, c, _ := acceptConn(t, 2)
 	defer c.Conn.Close()
-	began := time.Now()
+	startedAt := time.Now()
 	l.onHTTPState(c, http.StateActive)
 	c.MarkFinalResponse()
 	l.RetireAll()
 	if c.state == stateClosed || c.state == stateRetiring {
 		t.Error("it is closed behind its last answer")
 	}
-	if until := l.lingerDeadline(began); !until.Equal(l.shutdownAt.Add(finalLingerTimeout)) {
-		t.Errorf("it lingers for %v, want %v behind the end", until.Sub(began), finalLingerTimeout)
+	if until := l.lingerDeadline(startedAt); !until.Equal(l.shutdownAt.Add(shutdownLingerTimeout)) {
+		t.Errorf("it lingers for %v, want %v behind the end", until.Sub(startedAt), shutdownLingerTimeout)
 	}
 }
