--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -11,45 +11,47 @@
 )
 
 const (
-	// minReadTimeout is the least time that a server may pause within a response.
+	// minReadTimeout is the lower bound of the read timeout within a response.
 	minReadTimeout = 500 * time.Millisecond
-	// initialReadLimit bounds what the wait for a response reads of it. The parser sets the bounds of its parts.
+	// initialReadLimit is the maximum number of bytes that may be read while waiting for the first byte of a response.
+	// The parser then sets the limits for the header and the body.
 	initialReadLimit = 1 << 10
 )
 
-// AttemptRequest says which request an attempt sends to which server.
+// AttemptRequest holds the parameters of an attempt.
 type AttemptRequest struct {
 	ServerID string
 	Message  *Message
-	// SendDeadline is when the whole request has to be written, or else never is; zero: at any time.
+	// SendDeadline is the time by which the complete request must be written. If it passes earlier, the rest of the
+	// request is not sent. Zero means no deadline.
 	SendDeadline time.Time
-	// IsCancelled reports whether nobody waits for the response any more; nil: somebody always does.
+	// IsCancelled reports whether the client no longer waits for the response. Nil means that it always waits.
 	IsCancelled func() bool
-	// StartStreaming is called with a long response of which only a part has come. It reports whether the caller
-	// streams the rest, in which case it has to see to Response.Remainder being read and finished.
+	// StartStreaming is called with a long response of which only the first part was read. It reports whether the
+	// caller streams the rest. If so, the caller must read Response.Remainder and call its Finish method.
 	StartStreaming func(Response) bool
 }
 
-// Response is how an attempt ended. Body, ContentType and Remainder are those of a Served one.
+// Response is the result of an attempt. Body, ContentType and Remainder are set only if Outcome is Served.
 type Response struct {
 	Outcome     balance.Outcome
 	Body        []byte
 	ContentType string
-	Remainder   *Stream // what follows Body in a long response; nil: nothing
+	Remainder   *Stream // the part of a long response after Body; nil: none
 }
 
-// attempt is an Attempt in progress.
+// attempt is the state of one call of Client.Attempt.
 type attempt struct {
 	client    *Client
 	request   *AttemptRequest
 	server    *server
 	startedAt time.Time
-	sent      bool // the whole request was written, so the server may run it
+	sent      bool // the complete request was written, so the server may process it
 }
 
-// Attempt sends a request to a server, at most once, and waits for the response until ctx is done. A long response that
-// the caller starts to stream is waited for to the end of the stream, even beyond ctx. The returned Response tells
-// nothing more than StartStreaming was given then.
+// Attempt sends a request to a server, at most once, and waits for the response until ctx is done. If the caller
+// streams a long response, Attempt returns after the end of the stream, even if ctx is done before. It then returns the
+// Response that was passed to StartStreaming.
 func (c *Client) Attempt(ctx context.Context, request AttemptRequest) Response {
 	target := c.availableServer(request.ServerID)
 	if target == nil || c.checkSendable(ctx, &request, target) != nil {
@@ -86,7 +88,7 @@
 	return response, err
 }
 
-// acquireConn acquires a connection. It does not wait for one beyond the send deadline.
+// acquireConn acquires a connection from the pool. It fails with errSendDeadline if the send deadline passes first.
 func (a *attempt) acquireConn(ctx context.Context) (*serverConn, error) {
 	pool := a.client.pool
 	if a.request.SendDeadline.IsZero() {
@@ -102,10 +104,10 @@
 }
 
 // roundTrip sends the request and reads the response, or the first part of a long one. reusable reports whether the
-// connection can have another request, also where err says that nothing was written on it.
+// connection can carry another request. It is also true when err means that nothing was written to the connection.
 func (a *attempt) roundTrip(ctx context.Context, conn *serverConn) (response Response, reusable bool, err error) {
 	encoded := a.request.Message.encode(ctx, a.server.address)
-	// The abort runs in another goroutine, too late for a request that is cancelled at this moment.
+	// The abort on cancellation runs in another goroutine and may come too late to prevent the write.
 	if err := a.client.checkSendable(ctx, a.request, a.server); err != nil {
 		return Response{}, true, err
 	}
@@ -115,7 +117,7 @@
 	return a.client.receiveResponse(ctx, conn)
 }
 
-// send writes the request. One that fails but was fully written may have run.
+// send writes the request. If the complete request was written, the server may process it even if send fails.
 func (a *attempt) send(conn *serverConn, encoded encodedRequest) error {
 	written, err := conn.writeRequest(a.request.SendDeadline, encoded)
 	a.sent = written == encoded.length()
@@ -125,7 +127,7 @@
 	return err
 }
 
-// awaitStream offers a long response to the caller and waits until the rest of it was streamed.
+// awaitStream passes a long response to StartStreaming and waits until the stream of its rest is finished.
 func (a *attempt) awaitStream(response Response) (reusable bool, err error) {
 	if !a.request.StartStreaming(response) {
 		return false, errStreamDeclined
@@ -133,9 +135,9 @@
 	return <-response.Remainder.reusable, nil
 }
 
-// checkSendable returns why a request must not be sent to a server any more, or nil. It is called again once the
-// connection is up, which may have taken long. Cancellation has the least slack, so it is checked last: if the
-// process was held up during the other checks, that is over by then.
+// checkSendable returns an error if the request must no longer be sent to the server. It is called a second time after
+// the connection is established, because connecting may take long. Cancellation is the most time-critical condition and
+// is checked last, so that a delay of the process during the other checks does not make the result stale.
 func (c *Client) checkSendable(ctx context.Context, request *AttemptRequest, target *server) error {
 	if err := ctx.Err(); err != nil {
 		return err
@@ -153,8 +155,9 @@
 	return nil
 }
 
-// receiveResponse waits for the response and reads it. A response that stops for too long is malformed, as one whose
-// declared length is too great; it would hold up its request to the end.
+// receiveResponse waits for the response and reads it. A response that stalls for longer than the read timeout is
+// malformed, for example because its declared length is too great. Without the timeout it would block the request until
+// its deadline.
 func (c *Client) receiveResponse(ctx context.Context, conn *serverConn) (r Response, reusable bool, err error) {
 	conn.limitedReader.N = initialReadLimit
 	conn.readTimeout = 0
@@ -169,8 +172,8 @@
 	return r, reusable, err
 }
 
-// classifyFailure returns the outcome of an attempt that failed with err. Where the failure may mean that the server's
-// machine is gone, it closes the server's idle connections.
+// classifyFailure returns the outcome of an attempt that failed with err. If the server's machine may be gone, it also
+// closes the server's idle connections.
 func (a *attempt) classifyFailure(ctx context.Context, err error) balance.Outcome {
 	cause := ctx.Err()
 	cancelled := errors.Is(cause, context.Canceled)
@@ -199,9 +202,10 @@
 	return balance.Reset
 }
 
-// serverRespondedSince reports whether another attempt at the server had a response since this one began. If so only
-// this attempt's connection is dead. If not the machine may have vanished: its idle connections stay open then and
-// swallow requests that may never be repeated, while a new connection fails before anything is sent.
+// serverRespondedSince reports whether the server responded to another attempt after this one began. If so, only the
+// connection of this attempt is broken. Otherwise the server's machine may be gone. Its idle connections would then
+// stay open, and requests written to them would be lost although some must never be repeated. A new connection fails
+// before anything is sent.
 func (a *attempt) serverRespondedSince() bool {
 	last := a.server.lastResponse.Load()
 	return last != nil && !last.Before(a.startedAt)
--- a/internal/upstream/body.go
+++ b/internal/upstream/body.go
@@ -15,28 +15,29 @@
 )
 
 const (
-	// MaxBufferedBody is how many bytes of a request's or a response's body are buffered in any case.
+	// MaxBufferedBody is the size in bytes up to which the body of a request or a response is always buffered.
 	MaxBufferedBody = 64 << 10
 
-	maxResponseBody = 64 << 20 // bytes that a response may declare; 32 MB are agreed on
-	minBodyGrowth   = 4 << 10  // bytes by which a buffer of unknown size grows at least
-	unknownLength   = -1       // of a body whose response declares none
+	maxResponseBody = 64 << 20 // maximum declared length in bytes; servers may send up to 32 MB
+	minBodyGrowth   = 4 << 10  // minimum growth in bytes of a buffer whose final size is unknown
+	unknownLength   = -1       // serverBody.length of a response without a declared length
 
-	// unknownLengthBufferTime is how long a body of unknown length is held back from its first byte on. One that stops
-	// earlier can still be made good by a retry; a longer hold would delay long responses.
+	// unknownLengthBufferTime is how long a body of unknown length is buffered, counted from its first byte. If the body
+	// breaks off within this time, the request can still be retried. A longer time would delay long responses.
 	unknownLengthBufferTime = 150 * time.Millisecond
 )
 
-// serverBody is the body of a response on a server's connection.
+// serverBody reads the body of a response from the connection to a server.
 type serverBody struct {
 	conn      *serverConn
-	length    int64            // as declared, or unknownLength
-	remaining int64            // bytes of a declared length that are not read yet
+	length    int64            // declared length in bytes, or unknownLength
+	remaining int64            // unread bytes of a body of declared length
 	decoder   *chunked.Decoder // nil: not chunked
-	ended     bool             // a body without a declared length was read to its end
+	ended     bool             // a body without a declared length was read completely
 }
 
-// newServerBody returns the body that follows a response's header, as the header frames it (RFC 9112, section 6.3).
+// newServerBody returns a reader for the body that follows header. The header determines how the body is delimited
+// (RFC 9112, section 6.3).
 func newServerBody(conn *serverConn, header http.Header) (*serverBody, error) {
 	body := &serverBody{conn: conn, length: unknownLength}
 	lengths := header["Content-Length"]
@@ -52,27 +53,29 @@
 	case len(lengths) == 0 && len(codings) == 1 && strings.EqualFold(codings[0], "chunked"):
 		body.decoder = &chunked.Decoder{}
 	case isCloseDelimited(header):
-		// It ends with an orderly close of the connection, announced or not. A reset or a silence is no end.
+		// An orderly close of the connection ends the body, with or without "Connection: close". A reset or a read
+		// timeout does not.
 	default:
 		return nil, malformed("lengths %q, codings %q", lengths, codings)
 	}
 	return body, nil
 }
 
-// isCloseDelimited reports whether a response declares no length, so that the close of its connection ends its body
-// (RFC 9112, section 6.3).
+// isCloseDelimited reports whether a response has neither a length nor a transfer coding. The close of the connection
+// then ends its body (RFC 9112, section 6.3).
 func isCloseDelimited(header http.Header) bool {
 	return len(header["Content-Length"]) == 0 && len(header["Transfer-Encoding"]) == 0
 }
 
-// isSelfDelimiting reports whether the body ends without the close of its connection.
+// isSelfDelimiting reports whether the body has a declared length or is chunked, so that it ends without a close of the
+// connection.
 func (b *serverBody) isSelfDelimiting() bool { return b.length >= 0 || b.decoder != nil }
 
-// isComplete reports whether all of the body was read.
+// isComplete reports whether the complete body was read.
 func (b *serverBody) isComplete() bool { return b.ended || b.length >= 0 && b.remaining == 0 }
 
-// Read implements io.Reader. It returns what has come without waiting for more, and can be called again after a
-// deadline was exceeded.
+// Read implements io.Reader. It waits only until some bytes are available, and can be called again after it failed with
+// os.ErrDeadlineExceeded.
 func (b *serverBody) Read(p []byte) (int, error) {
 	switch {
 	case b.isComplete():
@@ -92,14 +95,14 @@
 	return n, asUnexpectedEOF(err)
 }
 
-// readToClose reads from a body that the close of its connection ends.
+// readToClose reads from a close-delimited body.
 func (b *serverBody) readToClose(p []byte) (int, error) {
 	n, err := b.conn.reader.Read(p)
 	b.ended = err == io.EOF
 	return n, err
 }
 
-// readChunks reads from a chunked body until there is some data or its end.
+// readChunks reads from a chunked body until some data is available or the body ends.
 func (b *serverBody) readChunks(p []byte) (n int, err error) {
 	reader := b.conn.reader
 	for n == 0 && !b.ended {
@@ -123,7 +126,7 @@
 	return n, nil
 }
 
-// asUnexpectedEOF returns the error of reading a body that the close of its connection does not end.
+// asUnexpectedEOF replaces io.EOF with io.ErrUnexpectedEOF for bodies that are not close-delimited.
 func asUnexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
@@ -131,10 +134,11 @@
 	return err
 }
 
-// readBody reads the body that follows a header. It returns all of it, or of a long one the first part and the rest
-// as a stream, as it does of one of unknown length that pauses.
+// readBody reads the body that follows header. It returns the complete body, or the first part and a stream of the
+// rest. It returns a stream if the body is too long to be buffered, or if its length is unknown and it is not complete
+// within unknownLengthBufferTime.
 func (c *serverConn) readBody(header http.Header) (data []byte, rest *Stream, err error) {
-	c.limitedReader.N = math.MaxInt64 // the buffer is bounded, the body is not
+	c.limitedReader.N = math.MaxInt64 // only the buffer is bounded
 	body, err := newServerBody(c, header)
 	if err != nil {
 		return nil, nil, err
@@ -158,11 +162,11 @@
 	return buffer.data, nil, nil
 }
 
-// bodyBuffer collects the first part of a body.
+// bodyBuffer buffers the first part of a body.
 type bodyBuffer struct {
 	body           *serverBody
 	data           []byte
-	maxReadTimeout time.Duration // that the server may make, but for the hold of a body of unknown length
+	maxReadTimeout time.Duration // read timeout, reduced while a body of unknown length is buffered
 	firstByteAt    time.Time
 }
 
@@ -174,28 +178,29 @@
 	return b
 }
 
-// exceedsBuffer reports whether the declared length is too great for a buffer.
+// exceedsBuffer reports whether the declared length exceeds MaxBufferedBody.
 func (b *bodyBuffer) exceedsBuffer() bool { return b.body.length > MaxBufferedBody }
 
-// isFull reports whether the rest of the body has to be streamed. One that is sure to be long is not collected further
-// than its first bytes.
+// isFull reports whether the rest of the body has to be streamed. If the declared length exceeds the buffer, only the
+// result of the first read is buffered.
 func (b *bodyBuffer) isFull() bool {
 	return b.exceedsBuffer() && len(b.data) > 0 || len(b.data) >= MaxBufferedBody
 }
 
-// isBuffering reports whether a part of a body of unknown length has come and is held back for the rest.
+// isBuffering reports whether the body has no declared length and its first part was read. This part is buffered until
+// the rest arrives.
 func (b *bodyBuffer) isBuffering() bool { return b.body.length < 0 && len(b.data) > 0 }
 
-// nextReadTimeout returns how long the server may pause before the next bytes.
+// nextReadTimeout returns the timeout of the next read.
 func (b *bodyBuffer) nextReadTimeout() time.Duration {
 	if !b.isBuffering() {
 		return b.maxReadTimeout
 	}
-	bufferTimeLeft := max(time.Until(b.firstByteAt.Add(unknownLengthBufferTime)), time.Nanosecond) // 0 would be no bound
+	bufferTimeLeft := max(time.Until(b.firstByteAt.Add(unknownLengthBufferTime)), time.Nanosecond) // 0 means no timeout
 	return min(b.maxReadTimeout, bufferTimeLeft)
 }
 
-// fill reads what has come of the body, as far as it fits in.
+// fill reads available bytes of the body into the free space of the buffer.
 func (b *bodyBuffer) fill() error {
 	buffering := b.isBuffering()
 	if len(b.data) == cap(b.data) {
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -10,32 +10,31 @@
 	"milletramp.example/milletramp/internal/wire"
 )
 
-// Client makes attempts at the servers that discovery lists. Its methods may be called from any goroutine, except
-// SetDial.
+// Client makes attempts at the servers of the endpoint list. Its methods are safe for concurrent use, except SetDial.
 type Client struct {
-	responseReadTimeoutNanos atomic.Int64 // nanoseconds that a server may pause within a response
+	responseReadTimeoutNanos atomic.Int64 // read timeout within a response
 	pool                     *pool
-	attemptsSent             *atomic.Int64 // counts the requests that were written in full
+	attemptsSent             *atomic.Int64 // number of requests that were written completely
 
 	mu        sync.Mutex
 	servers   map[string]*server // by ID
-	adminDown map[string]bool    // the IDs of servers that an operator took out of service
+	adminDown map[string]bool    // IDs of the servers that are set administratively down
 }
 
-// server is a server as last listed. One that moves or restarts becomes a new server.
+// server is an entry of the endpoint list. A server whose address or start time changes gets a new entry.
 type server struct {
 	address      string
 	startedAt    time.Time
-	lastResponse atomic.Pointer[time.Time] // when a response was last read in full; nil: never
+	lastResponse atomic.Pointer[time.Time] // when a response was last read completely; nil: never
 	draining     atomic.Bool
 
-	// The pool's lock guards these.
-	removed bool          // delisted, moved, restarted or taken out of service: it gets nothing new
-	idle    []*serverConn // the longest idle first
+	// The lock of the pool guards these fields.
+	removed bool          // delisted, moved, restarted or set administratively down; no new request is sent
+	idle    []*serverConn // idle connections, the longest idle first
 }
 
-// New returns a Client without servers. It may open maxConns connections, and counts in attemptsSent each request
-// that it has written in full.
+// New returns a Client without servers. The Client opens at most maxConns connections and adds 1 to attemptsSent for
+// each request that it has written completely.
 func New(limits wire.Limits, maxConns int, attemptsSent *atomic.Int64) *Client {
 	c := &Client{
 		pool:         newPool(maxConns),
@@ -47,26 +46,27 @@
 	return c
 }
 
-// SetDial replaces how connections to servers are opened; nil: over TCP. It has to be called before the first attempt.
+// SetDial sets the function that opens connections to servers; nil means TCP. It must be called before the first
+// attempt.
 func (c *Client) SetDial(dial discovery.DialFunc) { c.pool.dial = dial }
 
-// ConnCounts returns how many connections to servers are open, and how many of these are idle.
+// ConnCounts returns the number of open connections to servers, and how many of these are idle.
 func (c *Client) ConnCounts() (open, idle int) { return c.pool.connCounts() }
 
-// SetMaxConns changes how many connections to servers may be open.
+// SetMaxConns changes the maximum number of open connections to servers.
 func (c *Client) SetMaxConns(n int) { c.pool.setMaxConns(n) }
 
-// Configure applies new limits. A server may pause within a response for as long as a connection may take to open. Idle
-// connections are closed after half of the time after which servers close them, well before such a close can cross a
-// request.
+// Configure applies new limits. The read timeout within a response equals the connect timeout. The idle timeout is half
+// of the time after which servers close idle connections, so that a close by the server does not coincide with a new
+// request on the connection.
 func (c *Client) Configure(limits wire.Limits) {
 	c.responseReadTimeoutNanos.Store(int64(limits.ConnectTimeout))
 	c.pool.connectTimeoutNanos.Store(int64(limits.ConnectTimeout))
 	c.pool.idleTimeoutNanos.Store(int64(limits.IdleClose / 2))
 }
 
-// SetAdminDown takes a server out of service, so that no attempt at it begins, or puts it back. Operators restart
-// servers meanwhile, so no connection from before is used after.
+// SetAdminDown sets a server administratively down, so that no new attempt at it is made, or ends this state. Operators
+// may restart a server in the meantime, so existing connections are not used again.
 func (c *Client) SetAdminDown(id string, down bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,7 +85,7 @@
 	c.servers[id] = replacement
 }
 
-// Update applies a list of servers. The cost of a list of changes does not grow with the number of servers.
+// Update applies an endpoint list. The cost of an incremental list does not depend on the number of known servers.
 func (c *Client) Update(list discovery.List) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,7 +97,7 @@
 	}
 }
 
-// applyEndpoint applies one entry of a list. The lock is held.
+// applyEndpoint applies one entry of an endpoint list. The caller must hold c.mu.
 func (c *Client) applyEndpoint(endpoint discovery.Endpoint) {
 	removed := endpoint.State == balance.Removed
 	current := c.servers[endpoint.ID]
@@ -115,12 +115,12 @@
 	current.draining.Store(endpoint.State == balance.Draining)
 }
 
-// isSameProcess reports whether an endpoint is this server, neither moved nor restarted.
+// isSameProcess reports whether the endpoint has the same address and start time as this server.
 func (s *server) isSameProcess(endpoint discovery.Endpoint) bool {
 	return s.address == endpoint.Address && s.startedAt.Equal(endpoint.StartedAt)
 }
 
-// removeUnlisted removes the servers that a complete list does not name. The lock is held.
+// removeUnlisted removes the servers that are missing from a complete list. The caller must hold c.mu.
 func (c *Client) removeUnlisted(endpoints []discovery.Endpoint) {
 	listed := make(map[string]bool, len(endpoints))
 	for _, endpoint := range endpoints {
@@ -133,14 +133,14 @@
 	}
 }
 
-// removeServer removes a server. Attempts in progress keep their connections, which are closed afterwards. The lock is
-// held.
+// removeServer removes a server. Attempts in flight keep their connections, which are closed afterwards. The caller
+// must hold c.mu.
 func (c *Client) removeServer(id string) {
 	c.pool.removeServer(c.servers[id])
 	delete(c.servers, id)
 }
 
-// Endpoints returns the ID and the start of each server.
+// Endpoints returns the ID and the start time of each server.
 func (c *Client) Endpoints() (endpoints []discovery.Endpoint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -150,7 +150,7 @@
 	return endpoints
 }
 
-// availableServer returns a server that is listed and in service, or nil.
+// availableServer returns the server with this ID, or nil if it is not listed or is set administratively down.
 func (c *Client) availableServer(id string) *server {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -15,30 +15,30 @@
 	"milletramp.example/milletramp/internal/netretry"
 )
 
-// pastDeadline is a deadline that has passed by any clock. The zero time would be no deadline.
+// pastDeadline is a deadline that has passed whatever the clock shows. The zero time would mean no deadline.
 var pastDeadline = time.Time{}.Add(time.Nanosecond)
 
-// serverConn is a connection to a server. One attempt at a time uses it; only abort and shortenReadTimeout may be called
-// from other goroutines.
+// serverConn is a connection to a server. One attempt uses it at a time. Other goroutines may call only abort and
+// shortenReadTimeout.
 type serverConn struct {
 	net.Conn
 	rawConn       syscall.RawConn
 	server        *server
-	limitedReader *io.LimitedReader // reads from the connection; its bound is set anew for each part of a response
+	limitedReader *io.LimitedReader // reads from the connection; its limit is set for each part of a response
 	reader        *bufio.Reader     // reads from limitedReader
 	textReader    *textproto.Reader // reads from reader
-	readTimeout   time.Duration     // how long the server may pause before its next bytes; 0: without a bound
+	readTimeout   time.Duration     // maximum wait for the next bytes; 0: unlimited
 
-	// The pool's lock guards these.
+	// The lock of the pool guards these fields.
 	idleSince   time.Time
-	idleElement *list.Element // in the pool's list of idle connections; nil: in use
+	idleElement *list.Element // element of pool.idleConns; nil: not idle
 
 	mu                   sync.Mutex
-	aborted              bool // every read and write fails from now on
-	readTimeoutShortened bool // readTimeout counts as shutdownReadTimeout at most
+	aborted              bool // every read and write fails
+	readTimeoutShortened bool // shutdownReadTimeout is an upper bound of readTimeout
 }
 
-// newServerConn returns a connection to target over conn. It closes conn where it fails.
+// newServerConn returns a connection to target over conn. It closes conn if it fails.
 func newServerConn(conn net.Conn, target *server) (*serverConn, error) {
 	rawConn, err := conn.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -52,7 +52,7 @@
 	return c, nil
 }
 
-// Read implements net.Conn. The allowed pause starts anew with each read, so a response may be slow as long as it makes
+// Read implements net.Conn. The read timeout applies to each read, so a response may be slow as long as it makes
 // progress.
 func (c *serverConn) Read(p []byte) (int, error) {
 	if c.readTimeout > 0 {
@@ -66,8 +66,8 @@
 // Write implements net.Conn.
 func (c *serverConn) Write(p []byte) (int, error) { return netretry.Write(c.Conn, p) }
 
-// extendReadDeadline moves the read deadline to the end of the allowed pause, except on an aborted connection: its
-// deadline ends the read and must stay.
+// extendReadDeadline sets the read deadline to the end of the read timeout. It keeps the deadline of an aborted
+// connection, which makes the read fail.
 func (c *serverConn) extendReadDeadline() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,7 +81,7 @@
 	return c.SetReadDeadline(time.Now().Add(timeout))
 }
 
-// shortenReadTimeout limits the server's pauses to shutdownReadTimeout from now on, the current one included.
+// shortenReadTimeout limits the read timeout to shutdownReadTimeout, also for the read in progress.
 func (c *serverConn) shortenReadTimeout() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,7 +91,7 @@
 	}
 }
 
-// setWriteDeadline sets the write deadline, except on an aborted connection, whose deadline must stay.
+// setWriteDeadline sets the write deadline. It keeps the deadline of an aborted connection.
 func (c *serverConn) setWriteDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,7 +101,7 @@
 	return c.SetWriteDeadline(t)
 }
 
-// abort fails the current and all later reads and writes.
+// abort makes the current and all later reads and writes fail.
 func (c *serverConn) abort() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,8 +109,8 @@
 	_ = c.SetDeadline(pastDeadline) // fails only on a closed connection
 }
 
-// isReusable reports whether the connection is open and has nothing to read. Bytes that the server sent unasked would
-// be taken for the response to the next request.
+// isReusable reports whether the connection is open and has no unread bytes. Unread bytes would be parsed as the
+// response to the next request.
 func (c *serverConn) isReusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -45,8 +45,8 @@
 	return &serverBody{conn: conn, length: length, remaining: length}
 }
 
-// TestStalledStreamEndsAfterShutdownReadTimeout: a stream whose pauses are shortened ends after a pause of shutdownReadTimeout, whether
-// it is stalled already or only later.
+// TestStalledStreamEndsAfterShutdownReadTimeout: a stream whose pauses are shortened ends after a pause of
+// shutdownReadTimeout, whether it is stalled already or only later.
 func TestStalledStreamEndsAfterShutdownReadTimeout(t *testing.T) {
 	t.Run("stalled already", func(t *testing.T) {
 		runWithPipe(t, func(t *testing.T, conn *serverConn, _ net.Conn) {
@@ -85,8 +85,8 @@
 	})
 }
 
-// TestSlowStreamIsReadWithShortenedReadTimeout: a stream whose pauses are shortened, and whose server pauses for less than
-// shutdownReadTimeout at a time, is read to its end, however long that takes.
+// TestSlowStreamIsReadWithShortenedReadTimeout: a stream whose pauses are shortened, and whose server pauses for less
+// than shutdownReadTimeout at a time, is read to its end, however long that takes.
 func TestSlowStreamIsReadWithShortenedReadTimeout(t *testing.T) {
 	runWithPipe(t, func(t *testing.T, conn *serverConn, serverEnd net.Conn) {
 		const size = 20
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -5,11 +5,11 @@
 	"fmt"
 )
 
-// errConnLimit says that the pool may not open one more connection.
+// errConnLimit means that the pool has reached its connection limit.
 var errConnLimit = errors.New("no descriptor left for a connection")
 
-// errNotSendable says that a request must not be sent any more, though its connection is up. The errors below wrap it
-// and say why.
+// errNotSendable means that the request must no longer be sent to the server. The errors below wrap it and add the
+// reason.
 var errNotSendable = errors.New("not sent")
 
 var (
@@ -19,13 +19,13 @@
 	errRequestCancelled = fmt.Errorf("%w: the request is cancelled", errNotSendable)
 )
 
-// errStreamDeclined says that a long response was received and its caller did not want it.
+// errStreamDeclined means that the caller declined to stream a long response.
 var errStreamDeclined = errors.New("response declined")
 
-// errMalformedResponse says that a server's response cannot be parsed. Its request may have run.
+// errMalformedResponse means that the response cannot be parsed. The server may have processed the request.
 var errMalformedResponse = errors.New("malformed response")
 
-// malformed returns an errMalformedResponse with its reason.
+// malformed returns an error that wraps errMalformedResponse and adds the reason.
 func malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", errMalformedResponse, fmt.Sprintf(format, args...))
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -12,23 +12,24 @@
 	"milletramp.example/milletramp/internal/netretry"
 )
 
-// defaultReuseDelay is how long a connection rests after a response. A faulty server may send a second response some
-// milliseconds after the first, and that would be taken for the response to the next request.
+// defaultReuseDelay is the minimum time between a response and the next request on the same connection. A faulty server
+// may send a second response some milliseconds after the first, which would be parsed as the response to the next
+// request.
 const defaultReuseDelay = 20 * time.Millisecond
 
-// pool holds the connections to the servers. A connection is either idle in the pool or acquired by one attempt, which
-// has to release it.
+// pool manages the connections to the servers. A connection is either idle in the pool or acquired by one attempt,
+// which must release it.
 type pool struct {
 	dial       discovery.DialFunc // nil: over TCP
-	reuseDelay time.Duration      // how long a connection rests before it may have another request
+	reuseDelay time.Duration      // minimum idle time of a connection before its next request
 
-	connectTimeoutNanos atomic.Int64 // nanoseconds
-	idleTimeoutNanos    atomic.Int64 // nanoseconds that an idle connection stays open
+	connectTimeoutNanos atomic.Int64 // timeout for opening a connection
+	idleTimeoutNanos    atomic.Int64 // maximum idle time of a connection
 
 	mu          sync.Mutex
-	maxConns    int         // over all servers, idle and acquired
-	openConns   int         // those, and the ones being dialled
-	idleConns   *list.List  // of *serverConn, over all servers, the longest idle first
+	maxConns    int         // maximum number of open connections to all servers, idle and acquired
+	openConns   int         // number of open connections, including those being dialled
+	idleConns   *list.List  // *serverConn of all servers, the longest idle first
 	expiryTimer *time.Timer // runs closeExpired; nil: not scheduled
 }
 
@@ -36,11 +37,11 @@
 	return &pool{maxConns: maxConns, idleConns: list.New(), reuseDelay: defaultReuseDelay}
 }
 
-// idleTimeout is how long an idle connection stays open.
+// idleTimeout returns the maximum idle time of a connection.
 func (p *pool) idleTimeout() time.Duration { return time.Duration(p.idleTimeoutNanos.Load()) }
 
-// acquire returns a connection to a server: a usable idle one, or else a new one. It fails with errConnLimit where all
-// connections that may be open are acquired.
+// acquire returns a connection to a server: a usable idle connection if there is one, otherwise a new one. It fails
+// with errConnLimit if the connection limit is reached and no connection is idle.
 func (p *pool) acquire(ctx context.Context, target *server) (*serverConn, error) {
 	conn, err := p.popIdleOrReserve(target)
 	if conn != nil || err != nil {
@@ -55,7 +56,8 @@
 	return conn, err
 }
 
-// popIdleOrReserve returns an idle connection to a server, or nil once it has reserved the place of a new one.
+// popIdleOrReserve returns an idle connection to a server. If there is none, it counts a new connection in openConns
+// and returns nil. At the connection limit it closes the longest idle connection of any server first.
 func (p *pool) popIdleOrReserve(target *server) (*serverConn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,8 +74,9 @@
 	return nil, nil
 }
 
-// popIdle returns the longest idle usable connection to a server, or nil: whatever the server still had to send on
-// that one has had the most time to arrive. It closes unusable ones on the way. The lock is held.
+// popIdle returns the longest idle usable connection to a server, or nil. On this connection, late bytes of the
+// previous response have had the most time to arrive. popIdle closes the unusable connections that it finds. The caller
+// must hold p.mu.
 func (p *pool) popIdle(target *server) *serverConn {
 	for len(target.idle) > 0 && time.Since(target.idle[0].idleSince) >= p.reuseDelay {
 		conn := target.idle[0]
@@ -100,12 +103,12 @@
 	return newServerConn(conn, target)
 }
 
-// release takes a connection back from its attempt, and closes it unless it is reusable: the whole response was read
-// and nothing else has come.
+// release returns a connection to the pool, or closes it if it is not reusable. A connection is reusable if the
+// complete response was read and no further bytes have arrived.
 func (p *pool) release(conn *serverConn, reusable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	// A connection to a former process or address would swallow the next request.
+	// The next request would be lost on a connection to a previous process or address.
 	if !reusable || conn.server.removed || p.openConns > p.maxConns {
 		p.closeLocked(conn)
 		return
@@ -118,8 +121,8 @@
 	}
 }
 
-// setMaxConns changes how many connections may be open. Idle ones beyond that are closed at once, others when they are
-// released.
+// setMaxConns changes the connection limit. Idle connections beyond the limit are closed at once, acquired ones when
+// they are released.
 func (p *pool) setMaxConns(maxConns int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -129,15 +132,15 @@
 	}
 }
 
-// connCounts returns how many connections are open, and how many of these are idle.
+// connCounts returns the number of open connections, and how many of these are idle.
 func (p *pool) connCounts() (open, idle int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.openConns, p.idleConns.Len()
 }
 
-// closeExpired closes the connections that were idle for the idle timeout. A server closes them soon after, and a
-// request that crosses its close is reset and may have run.
+// closeExpired closes the connections whose idle timeout has expired. Servers close such connections soon afterwards. A
+// request sent while the server closes the connection is reset, and the server may have processed it.
 func (p *pool) closeExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -152,14 +155,15 @@
 	p.expiryTimer = nil
 }
 
-// closeIdle closes a server's idle connections. Acquired ones may still be released to the pool.
+// closeIdle closes a server's idle connections. Acquired connections may still return to the pool.
 func (p *pool) closeIdle(target *server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeIdleLocked(target)
 }
 
-// removeServer closes a server's idle connections, and its acquired ones once they are released.
+// removeServer marks a server as removed and closes its idle connections. Its acquired connections are closed when they
+// are released.
 func (p *pool) removeServer(target *server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -167,14 +171,14 @@
 	p.closeIdleLocked(target)
 }
 
-// isRemoved reports whether a server was removed since it was looked up.
+// isRemoved reports whether a server was removed from the pool.
 func (p *pool) isRemoved(target *server) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return target.removed
 }
 
-// longestIdle returns the connection that has been idle for the longest time, or nil. The lock is held.
+// longestIdle returns the connection that has been idle for the longest time, or nil. The caller must hold p.mu.
 func (p *pool) longestIdle() *serverConn {
 	front := p.idleConns.Front()
 	if front == nil {
@@ -183,20 +187,20 @@
 	return front.Value.(*serverConn)
 }
 
-// closeIdleLocked closes a server's idle connections. The lock is held.
+// closeIdleLocked closes a server's idle connections. The caller must hold p.mu.
 func (p *pool) closeIdleLocked(target *server) {
 	for len(target.idle) > 0 {
 		p.closeIdleConn(target.idle[0])
 	}
 }
 
-// closeIdleConn closes an idle connection. The lock is held.
+// closeIdleConn closes an idle connection. The caller must hold p.mu.
 func (p *pool) closeIdleConn(conn *serverConn) {
 	p.removeIdle(conn)
 	p.closeLocked(conn)
 }
 
-// removeIdle takes a connection off the lists of idle ones. The lock is held.
+// removeIdle removes a connection from the lists of idle connections. The caller must hold p.mu.
 func (p *pool) removeIdle(conn *serverConn) {
 	p.idleConns.Remove(conn.idleElement)
 	conn.idleElement = nil
@@ -209,8 +213,8 @@
 	}
 }
 
-// closeLocked closes a connection that is on no list of idle ones. The lock is held.
+// closeLocked closes a connection that is in no list of idle connections. The caller must hold p.mu.
 func (p *pool) closeLocked(conn *serverConn) {
 	p.openConns--
-	_ = conn.Conn.Close() // nothing is left to be written on it
+	_ = conn.Conn.Close() // there is no unwritten data that an error could lose
 }
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// initialHeadCapacity is the first capacity of a request's head. A longer one grows.
+// initialHeadCapacity is the initial capacity in bytes of the buffer for a request's head. The buffer grows if needed.
 const initialHeadCapacity = 512
 
-// Message is a client's request as servers get it.
+// Message is a client's request as it is forwarded to servers.
 type Message struct {
 	Method         string
 	URL            *url.URL // path and query
 	ID             string   // X-Request-ID
 	IdempotencyKey string   // Idempotency-Key; "": none
 	ContentType    string   // Content-Type; "": none
-	Body           [][]byte // in pieces
+	Body           [][]byte // the body in one or more pieces
 }
 
 // bodyLength returns the length of the body in bytes.
@@ -33,18 +33,18 @@
 	return length
 }
 
-// encodedRequest is a request as it is written. A body of one piece is part of head; one of several is not copied,
-// since copies of many large bodies would exhaust the memory.
+// encodedRequest is a request in its wire format. A body of one piece is appended to head. A body of several pieces is
+// not copied, because copies of many large bodies would exhaust the memory.
 type encodedRequest struct {
 	head []byte
 	body [][]byte
 }
 
-// length returns the length of the whole request in bytes.
+// length returns the length of the complete request in bytes.
 func (r *encodedRequest) length() int { return len(r.head) + totalLength(r.body) }
 
-// encode returns the request to be sent to address. X-Timeout-Ms is what is left of the context now: the wait for a
-// connection took its share of the client's time.
+// encode returns the request to be sent to address. X-Timeout-Ms is the time until the deadline of ctx. The time spent
+// on acquiring a connection is already deducted.
 func (m *Message) encode(ctx context.Context, address string) encodedRequest {
 	head := make([]byte, 0, initialHeadCapacity+min(m.bodyLength(), MaxBufferedBody))
 	appendLine := func(parts ...string) {
@@ -76,9 +76,9 @@
 	return encodedRequest{head: head, body: m.Body}
 }
 
-// writeRequest writes a request and returns how many bytes of it were written. It gives up at the deadline, if there
-// is one: the server's window for dropping a repeated request is over then, and a request without its last byte never
-// runs.
+// writeRequest writes a request and returns the number of bytes written. It stops at the deadline unless that is zero.
+// After the deadline the server's dedupe window is over, and the server does not process a request whose last byte is
+// missing.
 func (c *serverConn) writeRequest(deadline time.Time, request encodedRequest) (written int, err error) {
 	if deadline.IsZero() {
 		return c.writeParts(request)
--- a/internal/upstream/response_parser.go
+++ b/internal/upstream/response_parser.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	maxHeaderBytes      = 16 << 10 // bytes of a response's heads, interim ones included
-	maxInterimResponses = 8        // 1xx responses before the final one
+	maxHeaderBytes      = 16 << 10 // maximum size in bytes of a response's heads, including interim responses
+	maxInterimResponses = 8        // maximum number of 1xx responses before the final response
 )
 
-// responseHead is the status and the header of a response.
+// responseHead is the status code and the header of a response.
 type responseHead struct {
 	status int
 	header http.Header
 }
 
-// isInterim reports whether another response follows (1xx).
+// isInterim reports whether the response is interim (1xx), so that another response follows.
 func (h *responseHead) isInterim() bool { return h.status/100 == 1 }
 
-// closesConnection reports whether the server announces that it closes the connection.
+// closesConnection reports whether the response has "Connection: close".
 func (h *responseHead) closesConnection() bool {
 	return strings.EqualFold(h.header.Get("Connection"), "close")
 }
 
-// outcome returns what the response says of its request.
+// outcome returns the outcome of the request according to the status code and X-Not-Processed.
 func (h *responseHead) outcome() balance.Outcome {
 	notProcessed := h.header.Get("X-Not-Processed") == "1"
 	switch {
@@ -42,11 +42,11 @@
 	return balance.Errored
 }
 
-// readResponse reads the response to the request just written. reusable reports whether nothing follows it, so that the
-// connection can have another request. http.ReadResponse is too lenient: it accepts a length that is declared twice or
-// next to chunks, and a body of unknown length that was cut off.
+// readResponse reads the response to the current request. reusable reports whether the connection can carry another
+// request, which requires that no bytes follow the response. http.ReadResponse is too lenient: it accepts a duplicate
+// Content-Length, a Content-Length together with a chunked body, and a truncated body of unknown length.
 func (c *serverConn) readResponse() (r Response, reusable bool, err error) {
-	c.limitedReader.N = maxHeaderBytes // ends a head that never ends
+	c.limitedReader.N = maxHeaderBytes // stops reading an endless head
 	head, err := c.readFinalHead()
 	if err != nil {
 		return Response{}, false, err
@@ -67,8 +67,9 @@
 	return r, c.isReusable() && !head.closesConnection(), nil
 }
 
-// discardBody reads the body of a response whose head says all, and reports whether the connection is reusable. A body
-// that is long or may never end is left unread.
+// discardBody reads and discards the body of a response that is not Served, and reports whether the connection is
+// reusable. The outcome of such a response depends on its head alone. discardBody does not read close-delimited bodies,
+// which may never end, or more than the first part of a long body.
 func (c *serverConn) discardBody(head *responseHead) (reusable bool) {
 	if isCloseDelimited(head.header) {
 		return false
@@ -80,7 +81,7 @@
 	return c.isReusable() && !head.closesConnection()
 }
 
-// readFinalHead reads the head of the final response, after those of interim ones.
+// readFinalHead reads the heads of all interim responses and returns the head of the final response.
 func (c *serverConn) readFinalHead() (responseHead, error) {
 	for interim := 1; ; interim++ {
 		head, err := c.readHead()
@@ -121,13 +122,13 @@
 	return status, nil
 }
 
-// classifyReadError distinguishes a connection that broke, whose error it returns, from a response that is malformed.
+// classifyReadError returns err if the connection failed, and a malformed-response error otherwise.
 func (c *serverConn) classifyReadError(err error) error {
 	var netErr net.Error
 	if errors.As(err, &netErr) {
 		return err
 	}
-	// At the bound of limitedReader an EOF is not the connection's.
+	// At the limit of limitedReader, an EOF does not come from the connection.
 	isEOF := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 	if isEOF && c.limitedReader.N > 0 {
 		return err
--- a/internal/upstream/response_stream.go
+++ b/internal/upstream/response_stream.go
@@ -2,36 +2,39 @@
 
 import "time"
 
-// shutdownReadTimeout is how long a server may pause in a stream once this process ends: a stream that hangs is cut off before
-// the process is killed, and one that makes progress goes on.
+// shutdownReadTimeout is the maximum read timeout of a stream while this process shuts down. A stalled stream is then
+// closed before the process is killed, while a stream that makes progress continues.
 const shutdownReadTimeout = 50 * time.Millisecond
 
-// Stream is the rest of a long response, which is read as it comes. One goroutine reads it and calls Finish once.
+// Stream reads the rest of a long response as it arrives. Only one goroutine may read it, and that goroutine must call
+// Finish once.
 type Stream struct {
 	body             *serverBody
-	connectionCloses bool      // the server announced that it closes the connection after the body
-	reusable         chan bool // gets once whether the connection can have another request
+	connectionCloses bool      // the response has "Connection: close"
+	reusable         chan bool // receives one value: whether the connection can carry another request
 }
 
 func newStream(body *serverBody) *Stream { return &Stream{body: body, reusable: make(chan bool, 1)} }
 
-// Finish ends the stream and gives the server's connection back. complete says that all of the body was read.
+// Finish ends the stream and releases the connection to the server. complete reports whether the complete body was
+// read.
 func (s *Stream) Finish(complete bool) {
 	s.reusable <- complete && s.body.isSelfDelimiting() && !s.connectionCloses && s.body.conn.isReusable()
 }
 
-// Read implements io.Reader. It returns what has come of the body, without waiting for more than its next bytes. After
-// any error but io.EOF and an exceeded deadline the rest of the body is lost.
+// Read implements io.Reader. It waits only until some bytes are available. After any error except io.EOF and
+// os.ErrDeadlineExceeded, the rest of the body is lost.
 func (s *Stream) Read(p []byte) (int, error) { return s.body.Read(p) }
 
-// Length returns the declared length of the whole body, or -1 where none is declared.
+// Length returns the declared length of the complete body in bytes, or -1 if none is declared.
 func (s *Stream) Length() int64 { return s.body.length }
 
-// IsComplete reports whether the body was read to its end.
+// IsComplete reports whether the complete body was read.
 func (s *Stream) IsComplete() bool { return s.body.isComplete() }
 
-// SetReadTimeout sets how long the server may pause before its next bytes. Only the goroutine that reads may call it.
+// SetReadTimeout sets the maximum wait for the next bytes. Only the goroutine that reads the stream may call it.
 func (s *Stream) SetReadTimeout(timeout time.Duration) { s.body.conn.readTimeout = timeout }
 
-// ShortenReadTimeout limits all pauses from now on, the current one included, to shutdownReadTimeout. Any goroutine may call it.
+// ShortenReadTimeout limits the read timeout to shutdownReadTimeout, also for the read in progress. Any goroutine may
+// call it.
 func (s *Stream) ShortenReadTimeout() { s.body.conn.shortenReadTimeout() }
--- a/internal/upstream/response_stream_test.go
+++ b/internal/upstream/response_stream_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// expectOutcomeWithoutBody sends a request to a server that responds with text and closes the connection. The attempt has to
-// have this outcome, no body, nothing to stream and no connection left.
+// expectOutcomeWithoutBody sends a request to a server that responds with text and closes the connection. The attempt
+// has to have this outcome, no body, nothing to stream and no connection left.
 func expectOutcomeWithoutBody(t *testing.T, text string, want balance.Outcome) {
 	t.Helper()
 	client := newTestClient(t, testserver.StartBackend(t, func(conn net.Conn, _ *http.Request, _ []byte) bool {
