--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -149,7 +149,8 @@
 	})
 }
 
-// forEachIdle calls f for each connection without a request. f may remove the connection from the list. The lock is held.
+// forEachIdle calls f for each connection without a request. f may remove the connection from the list. The lock is
+// held.
 func (l *Listener) forEachIdle(f func(c *Conn)) {
 	for e := l.idleConns.Front(); e != nil; {
 		next := e.Next()
