--- a/internal/lossdetect/lossdetect.go
+++ b/internal/lossdetect/lossdetect.go
@@ -28,9 +28,9 @@
 
 // The tests of Alarm and Record.
 const (
-	// minUsualShare is the minimum of the usual share in the test of an alarm: a smaller one would raise the alarm at the
-	// second consecutive failure. maxUsualOfAlarming is its maximum, as a fraction of the alarming share: a larger one
-	// would never raise the alarm.
+	// minUsualShare is the minimum of the usual share in the test of an alarm: a smaller one would raise the alarm at
+	// the second consecutive failure. maxUsualOfAlarming is its maximum, as a fraction of the alarming share: a larger
+	// one would never raise the alarm.
 	minUsualShare      = 0.05
 	maxUsualOfAlarming = 0.9
 	// alarmThreshold is the log likelihood ratio at which an alarm is raised: odds of about a thousand to one.
--- a/internal/proxy/api.go
+++ b/internal/proxy/api.go
@@ -19,8 +19,8 @@
 	if httpErr != nil {
 		return httpErr
 	}
-	// The request is read completely, so its read deadline is removed. From here on, a failed read means that the client
-	// has disconnected.
+	// The request is read completely, so its read deadline is removed. From here on, a failed read means that the
+	// client has disconnected.
 	conn := http.NewResponseController(w)
 	if err := conn.SetReadDeadline(time.Time{}); err != nil {
 		request.dropBody()
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -93,8 +93,8 @@
 		Took:     l.now - a.startAt,
 		Finished: r.completed.Load(),
 	})
-	// The response is delivered after the Balancer has cancelled hedged requests, which could otherwise be sent after the
-	// final response.
+	// The response is delivered after the Balancer has cancelled hedged requests, which could otherwise be sent after
+	// the final response.
 	if isFinal {
 		r.response <- finalResponse{
 			kind:        served,
--- a/internal/upstream/body.go
+++ b/internal/upstream/body.go
@@ -22,8 +22,8 @@
 	minBodyGrowth   = 4 << 10  // minimum growth in bytes of a buffer whose final size is unknown
 	unknownLength   = -1       // serverBody.length of a response without a declared length
 
-	// unknownLengthBufferTime is how long a body of unknown length is buffered, counted from its first byte. If the body
-	// breaks off within this time, the request can still be retried. A longer time would delay long responses.
+	// unknownLengthBufferTime is how long a body of unknown length is buffered, counted from its first byte. If the
+	// body breaks off within this time, the request can still be retried. A longer time would delay long responses.
 	unknownLengthBufferTime = 150 * time.Millisecond
 )
 
