--- a/internal/wire/lists.go
+++ b/internal/wire/lists.go
@@ -8,7 +8,7 @@
 	"milletramp.example/milletramp/balance"
 )
 
-// defaultWeight is that of an entry whose line has none.
+// defaultWeight is the weight of an entry without a weight field.
 const defaultWeight = 1
 
 var listKinds = map[string]balance.ListKind{
@@ -24,17 +24,17 @@
 	"deregistered": balance.Removed,
 }
 
-// parseEndpoints reads ENDPOINTS: number of the list, mode, version. A refused call has no list.
+// parseEndpoints parses ENDPOINTS: list number, mode, version. A refused call has no list.
 func (r *Reader) parseEndpoints() error {
 	e := &r.event
 	e.Entries = nil
 	if len(r.fields) < 3 {
-		r.fieldErr = errors.New("too few parts")
+		r.fieldErr = errors.New("too few fields")
 		return r.lineErr()
 	}
 	kind, known := listKinds[string(r.fields[2])]
 	if !known {
-		r.fail(2, "a mode")
+		r.fail(2, "a known list mode")
 		return r.lineErr()
 	}
 	e.ListKind = kind
@@ -44,7 +44,7 @@
 	return r.lineErr()
 }
 
-// parseList reads DEFINE_LIST: number of the list, number of entries. The entries' lines follow it.
+// parseList parses DEFINE_LIST: list number, number of entries. One line per entry follows.
 func (r *Reader) parseList() error {
 	number := r.listNumber(1)
 	size := r.integer(2)
@@ -55,10 +55,10 @@
 	for range size {
 		line, err := r.readLine()
 		if errors.Is(err, io.EOF) {
-			err = io.ErrUnexpectedEOF // io.EOF is for the end of input between messages
+			err = io.ErrUnexpectedEOF // io.EOF means the end of input between messages
 		}
 		if err != nil {
-			return fmt.Errorf("list of %d entries ends early: %w", size, err)
+			return fmt.Errorf("list of %d entries is truncated: %w", size, err)
 		}
 		entry, err := r.parseEntry(line)
 		if err != nil {
@@ -70,11 +70,11 @@
 	return nil
 }
 
-// parseEntry reads ITEM: server, zone, kind, pod group, state, weight, start time.
+// parseEntry parses ITEM: server, zone, kind, pod group, state, weight, start time.
 func (r *Reader) parseEntry(line []byte) (balance.Endpoint, error) {
 	r.splitFields(line)
 	if string(r.fields[0]) != "ITEM" {
-		return balance.Endpoint{}, fmt.Errorf("%q where an entry is due", r.fields[0])
+		return balance.Endpoint{}, fmt.Errorf("expected ITEM, got %q", r.fields[0])
 	}
 	entry := balance.Endpoint{
 		ID:       r.text(1),
@@ -84,7 +84,7 @@
 		Weight:   defaultWeight,
 	}
 	if entry.ID == "" {
-		r.fail(1, "a server")
+		r.fail(1, "a server ID")
 	}
 	entry.State = r.state(5)
 	if !r.isAbsent(6) {
@@ -99,15 +99,15 @@
 func (r *Reader) state(i int) balance.State {
 	state, known := endpointStates[r.text(i)]
 	if !known {
-		r.fail(i, "a state")
+		r.fail(i, "a known endpoint state")
 	}
 	return state
 }
 
 func (r *Reader) listNumber(i int) int {
 	n := r.integer(i)
-	if n >= listSlots {
-		r.fail(i, "a list from 0 to 15")
+	if n >= maxLists {
+		r.fail(i, "a list number from 0 to 15")
 		return 0
 	}
 	return n
