--- a/internal/proxy/inflight_ids.go
+++ b/internal/proxy/inflight_ids.go
@@ -12,7 +12,7 @@
 
 // Errors of inflightIDs.reserve.
 var (
-	errDuplicateID     = errors.New("the id of a request is in use")
+	errDuplicateID     = errors.New("request ID is in use")
 	errTooManyRequests = errors.New("too many requests in flight")
 )
 
--- a/internal/proxy/policy_gate.go
+++ b/internal/proxy/policy_gate.go
@@ -28,7 +28,7 @@
 )
 
 // errNotInForce is returned for a configuration file whose settings differ from the fleet's policy in force.
-var errNotInForce = errors.New("not the policy in force")
+var errNotInForce = errors.New("settings differ from the policy in force")
 
 // Policy provides the state of the fleet's policy.
 type Policy interface {
@@ -129,7 +129,7 @@
 		return false
 	}
 	if err != nil {
-		g.loop.log.Error("no request is taken", "err", err)
+		g.loop.log.Error("policy in force could not be applied; rejecting requests", "err", err)
 		return false
 	}
 	return true
@@ -144,7 +144,7 @@
 	policy, ok := g.checked[number]
 	g.mu.Unlock()
 	if !ok {
-		return fmt.Errorf("policy %d is in force, and was not checked here", number)
+		return fmt.Errorf("policy %d is in force but was not checked by this sidecar", number)
 	}
 	indexes, err := g.loop.balancer.Configure(policy.settings)
 	if err != nil {
@@ -154,7 +154,7 @@
 	settings.policy = number
 	g.loop.settings.Store(settings)
 	g.loop.upstream.Configure(policy.limits)
-	g.loop.log.Info("goes by a policy", "number", number)
+	g.loop.log.Info("policy applied", "policy", number)
 	return nil
 }
 
@@ -178,7 +178,7 @@
 		if slices.Contains(LocalSettingKeys, key) || reflect.DeepEqual(settings[key], policy.document[key]) {
 			continue
 		}
-		return fmt.Sprintf("settings.%s is another than in policy %d, which is in force: propose it", key, number)
+		return fmt.Sprintf("settings.%s differs from policy %d; propose a new policy to change it", key, number)
 	}
 	return ""
 }
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -106,7 +106,7 @@
 	if r.completed.Load() {
 		return
 	}
-	l.log.Warn("request overdue", "class", r.Name)
+	l.log.Warn("request exceeded its deadline", "class", r.Name)
 	l.abandon(r)
 }
 
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -35,8 +35,8 @@
 
 // Errors of a stream that ends before the body is complete.
 var (
-	errClientWrite = errors.New("the client does not take the response")
-	errServerRead  = errors.New("the server does not complete its response")
+	errClientWrite = errors.New("writing the response to the client failed")
+	errServerRead  = errors.New("reading the response from the server failed")
 )
 
 // stream writes a long response while it arrives from the server, and counts it. If the stream ends early, the handler
