--- a/internal/proxy/body_test.go
+++ b/internal/proxy/body_test.go
@@ -13,9 +13,9 @@
 	"milletramp.example/milletramp/internal/upstream"
 )
 
-// TestChunkedBodyBeyondTheLimitGets413: a request body without a declared length is refused once more than
-// MaxRequestBody of it has come, and no server gets any of it.
-func TestChunkedBodyBeyondTheLimitGets413(t *testing.T) {
+// TestChunkedBodyOverLimitGets413 checks that a request body without a declared length is refused once it exceeds
+// MaxRequestBody, and that no server receives any of it.
+func TestChunkedBodyOverLimitGets413(t *testing.T) {
 	p := startTestProxy(t, testserver.Respond(200, "", "ok"))
 	conn := p.DialConn()
 	head := testserver.RequestHead("POST", "chunked-1", "pay") + "Transfer-Encoding: chunked\r\n\r\n"
@@ -33,19 +33,19 @@
 				return // refused
 			}
 		}
-		_, _ = io.WriteString(conn, "0\r\n\r\n") // so that a body that is not refused gets a response
+		_, _ = io.WriteString(conn, "0\r\n\r\n") // ends the body, so that the test gets a response if the body is not refused
 	}()
 	if status, body := readResponse(t, conn); status != http.StatusRequestEntityTooLarge || body != "body too large" {
-		t.Errorf("status %d, %q", status, body)
+		t.Errorf("status %d, %q, want 413 and the body limit", status, body)
 	}
 	conn.Close()
 	sender.Wait()
 	if n := p.backend.RequestCount(); n != 0 {
-		t.Errorf("%d requests at the server", n)
+		t.Errorf("the server received %d requests, want 0", n)
 	}
 }
 
-// sendBody sends a request with a body of this size on a connection of its own, and reads the response.
+// sendBody sends a request with a body of size bytes on a new connection and reads the response.
 func (p *testProxy) sendBody(id string, size int) (status int, body string) {
 	p.T.Helper()
 	conn := p.DialConn()
@@ -57,18 +57,19 @@
 	return readResponse(p.T, conn)
 }
 
-// TestLargeBodyWithoutBuffersGets503: a body longer than a buffer is refused, and its request counted as rejected,
-// while other bodies hold all buffers; a short one is not. Once there are buffers again it is served.
+// TestLargeBodyWithoutBuffersGets503 checks that a body larger than one buffer is refused, and its request counted as
+// rejected, while all buffers are reserved. A short body is accepted. Once buffers are free again, a large body is
+// accepted too.
 func TestLargeBodyWithoutBuffersGets503(t *testing.T) {
 	const large = 2 * upstream.MaxBufferedBody
 	p := startTestProxy(t, testserver.Respond(200, "", "ok"))
 	buffers := p.handler.bodyBuffers
 	if !buffers.reserve(buffers.maxBuffers) {
-		t.Fatal("buffers are in use at the start")
+		t.Fatal("buffers are reserved before the test")
 	}
 	status, body := p.sendBody("large-1", large)
 	if status != http.StatusServiceUnavailable || body != "refused: too many large bodies at once" {
-		t.Errorf("status %d, %q without buffers", status, body)
+		t.Errorf("large body without free buffers: status %d, %q, want 503", status, body)
 	}
 	var counters strings.Builder
 	if err := p.loop.Metrics().Write(&counters, metrics.Gauges{}); err != nil {
@@ -78,19 +79,19 @@
 		t.Errorf("counters\n%swant sidecar.dropped.pay=1", counters.String())
 	}
 	if status, body := p.sendBody("short-1", 4); status != http.StatusOK {
-		t.Errorf("status %d, %q to a short body", status, body)
+		t.Errorf("short body: status %d, %q, want 200", status, body)
 	}
 	buffers.mu.Lock()
 	reserved := buffers.reserved
 	buffers.mu.Unlock()
 	if reserved != buffers.maxBuffers {
-		t.Errorf("%d buffers are reserved, want the %d that were before", reserved, buffers.maxBuffers)
+		t.Errorf("%d buffers are reserved after the requests, want %d", reserved, buffers.maxBuffers)
 	}
 	buffers.release(buffers.maxBuffers, nil)
 	if status, body := p.sendBody("large-2", large); status != http.StatusOK {
-		t.Errorf("status %d, %q with buffers", status, body)
+		t.Errorf("large body with free buffers: status %d, %q, want 200", status, body)
 	}
 	if n := p.backend.RequestCount(); n != 2 {
-		t.Errorf("%d requests at the server, want 2", n)
+		t.Errorf("the server received %d requests, want 2", n)
 	}
 }
--- a/internal/proxy/buffer_pool_test.go
+++ b/internal/proxy/buffer_pool_test.go
@@ -2,23 +2,23 @@
 
 import "testing"
 
-// TestBufferPoolLimitsAndReusesBuffers checks that no more buffers are reserved than there may be, that those given
-// back are used again, and that none are kept in a quiet time.
+// TestBufferPoolLimitsAndReusesBuffers checks that at most maxBuffers buffers can be reserved, that released buffers
+// are reused, and that the pool keeps no buffer while none is reserved.
 func TestBufferPoolLimitsAndReusesBuffers(t *testing.T) {
-	r := &bufferPool{maxBuffers: 3}
-	if !r.reserve(2) || r.reserve(2) || !r.reserve(1) || r.reserve(1) {
-		t.Fatal("more is taken than there may be, or less")
+	p := &bufferPool{maxBuffers: 3}
+	if !p.reserve(2) || p.reserve(2) || !p.reserve(1) || p.reserve(1) {
+		t.Fatal("the pool allows more or fewer reservations than maxBuffers")
 	}
-	used := append(r.buffer(), "secret"...)
-	r.release(1, [][]byte{used})
-	if !r.reserve(1) {
-		t.Fatal("what was given back cannot be taken")
+	used := append(p.buffer(), "secret"...)
+	p.release(1, [][]byte{used})
+	if !p.reserve(1) {
+		t.Fatal("a released buffer cannot be reserved again")
 	}
-	if again := r.buffer(); len(again) != 0 || &again[:1][0] != &used[0] {
-		t.Error("a buffer that was given back is not used again, or not empty")
+	if again := p.buffer(); len(again) != 0 || &again[:1][0] != &used[0] {
+		t.Error("a released buffer is not reused, or not empty")
 	}
-	r.release(3, [][]byte{used, used})
-	if len(r.free) != 0 || r.reserved != 0 {
-		t.Errorf("%d buffers are kept in a quiet time, %d held", len(r.free), r.reserved)
+	p.release(3, [][]byte{used, used})
+	if len(p.free) != 0 || p.reserved != 0 {
+		t.Errorf("the pool keeps %d buffers with %d reserved, want none", len(p.free), p.reserved)
 	}
 }
--- a/internal/proxy/event_loop_test.go
+++ b/internal/proxy/event_loop_test.go
@@ -14,16 +14,16 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// listedEndpoint returns a server as discovery lists it. start is when it says that it started; 0: unknown.
+// listedEndpoint returns an endpoint as listed by discovery. start is its reported start time; zero means unknown.
 func listedEndpoint(id string, start time.Time) discovery.Endpoint {
 	return discovery.Endpoint{ID: id, Address: silentAddress, Zone: "a", Kind: "m", Weight: 1, StartedAt: start}
 }
 
-// TestBootTimeSetsStartOfServer has a sidecar start beside a server of each age: a start is known only for one that has
-// just started.
+// TestBootTimeSetsStartOfServer checks that a starting sidecar uses the boot time of a server as its start time only if
+// it is recent. A server with an unknown or old boot time counts as warmed up.
 func TestBootTimeSetsStartOfServer(t *testing.T) {
 	c := loadConfig(t, "", testserver.Settings)
-	c.Settings.PollDiscovery = true // and so no watch in this test
+	c.Settings.PollDiscovery = true // no watch in this test
 	booted := time.Now().Add(-3 * time.Second)
 	for _, tt := range []struct {
 		name string
@@ -41,15 +41,14 @@
 		age := loop.clock() - started
 		inTime := started > 0 && age >= 3*time.Second && age <= 3*time.Second+testserver.Timeout
 		if tt.cold && !inTime || !tt.cold && started > 0 {
-			t.Errorf("%s: boot %v: started %v, age %v", tt.name, tt.boot, started, age)
+			t.Errorf("%s: boot time %v: start %v, age %v, want a recent start: %v", tt.name, tt.boot, started, age, tt.cold)
 		}
 	}
 }
 
-// TestCancelledRequestKeepsResponseThatCameFirst has a request get its response between the moment that its client is
-// seen to leave and the moment that the event loop knows of it: the response is there for its handler, which would wait
-// for ever without it.
-func TestCancelledRequestKeepsResponseThatCameFirst(t *testing.T) {
+// TestCancelledRequestKeepsEarlierResponse checks that a response is not discarded if it arrives after a disconnect was
+// detected and before the event loop processes the cancellation. Without the response, the handler would wait forever.
+func TestCancelledRequestKeepsEarlierResponse(t *testing.T) {
 	c := loadConfig(t, testserver.ServingList(1, &testserver.Backend{Address: silentAddress}), testserver.Settings)
 	ctx, cancel := context.WithCancel(context.Background())
 	loop := newEventLoop(ctx, t, c, nil)
@@ -69,22 +68,22 @@
 		return true
 	}
 	if !loop.isCancelled(request) {
-		t.Error("a request whose client has left is not cancelled")
+		t.Error("a request is not cancelled after its client has disconnected")
 	}
-	if err := loop.Do(ctx, func() {}); err != nil { // what was posted before is done
+	if err := loop.Do(ctx, func() {}); err != nil { // all events posted before have been handled
 		t.Fatal(err)
 	}
 	if len(request.response) != 1 {
-		t.Error("its handler has no response to take")
+		t.Error("the response for the handler was discarded")
 	}
 }
 
-// TestFirstListKeepsAgeOfServers has a process begin with a list that the platform wrote down: what the first list of
-// discovery has beyond that may have started long before.
+// TestFirstListKeepsAgeOfServers checks that a server which first appears in the first list from discovery keeps the
+// start time reported there, although the process started with a remembered list without that server.
 func TestFirstListKeepsAgeOfServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := loadConfig(t, "", testserver.Settings)
-		c.Settings.PollDiscovery = true // and so no watch but that of this test
+		c.Settings.PollDiscovery = true // the only updates are those of this test
 		loop := newEventLoop(context.Background(), t, c, nil)
 		remembered := listedEndpoint("s-0", time.Time{})
 		loop.OnUpdate(balance.ListRemembered, discovery.List{Endpoints: []discovery.Endpoint{remembered}})
@@ -94,7 +93,7 @@
 		list := discovery.List{Revision: 1, Complete: true, Endpoints: []discovery.Endpoint{remembered, warm}}
 		loop.OnUpdate(balance.ListFull, list)
 		if got := loop.clock() - loop.starts.StartOf(warm); got != time.Hour {
-			t.Errorf("it is %v old, want 1h", got)
+			t.Errorf("server age %v, want 1h", got)
 		}
 	})
 }
--- a/internal/proxy/handler_test.go
+++ b/internal/proxy/handler_test.go
@@ -20,8 +20,8 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// serveHandler serves a handler of the loop on client connections, as the process does, until the caller closes the
-// server.
+// serveHandler starts a handler for the loop on a listener, with the same HTTP server as in production. The caller
+// closes the server.
 func serveHandler(t *testing.T, c *config.Config, loop *EventLoop) (*Handler, *downstream.Listener, *http.Server) {
 	t.Helper()
 	handler := NewHandler(c, loop, 1000)
@@ -32,23 +32,23 @@
 	return handler, conns, web
 }
 
-// TestNothingIsLeftBehindByManyRequests has thousands of requests come, each with a new id on a connection of its own,
-// while servers are replaced all the time, also at addresses of former ones. What each left behind would add up over a
-// long day.
-func TestNothingIsLeftBehindByManyRequests(t *testing.T) {
+// TestManyRequestsLeakNothing checks that 3000 requests leave no requests, servers, connections, request IDs or
+// goroutines behind, which would add up over a long day. Each request has a new ID and a connection of its own. Servers
+// are replaced continually, also at addresses of former servers.
+func TestManyRequestsLeakNothing(t *testing.T) {
 	before := runtime.NumGoroutine()
 	var backends []*testserver.Backend
 	for range 4 {
 		b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
-		go func() { // takes note of nothing
+		go func() { // discards the recorded requests
 			for range b.Requests {
 			}
 		}()
 		backends = append(backends, b)
 	}
 	c := loadConfig(t, testserver.ServingList(1, backends...), testserver.Settings)
-	c.Settings.PollDiscovery = true  // and so no watch but that of this test
-	c.Settings.SlowStartCapacity = 1 // all servers start over and over, and are to serve at once
+	c.Settings.PollDiscovery = true  // the only updates are those of this test
+	c.Settings.SlowStartCapacity = 1 // new servers have to serve requests at once
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	loop := newEventLoop(ctx, t, c, nil)
@@ -62,7 +62,7 @@
 		loop.Post(func() { loop.OnUpdate(balance.ListFull, l); close(done) })
 		testserver.Receive(t, done, "list")
 	}
-	const rounds, each = 300, 10
+	const rounds, requestsPerRound = 300, 10
 	for round := range rounds {
 		var entries []string
 		for i, b := range backends {
@@ -70,9 +70,9 @@
 			entries = append(entries, testserver.EndpointEntry(id, b.Address, "SERVING", int64(round/3)))
 		}
 		updateList(parseList(t, testserver.ListText(round+2, true, entries...)))
-		for range each {
+		for range requestsPerRound {
 			if got := p.Send([]string{"read", "book", "pay"}[round%3]); got.Status != 200 {
-				t.Fatalf("response %+v in round %d", got, round)
+				t.Fatalf("response %+v in round %d, want status 200", got, round)
 			}
 		}
 	}
@@ -80,37 +80,37 @@
 	if err := web.Close(); err != nil {
 		t.Error(err)
 	}
-	const nothingLeft = "requests 0, servers 0, connections to servers 0 open 0 idle, from clients 0 open 0 idle, ids 0"
-	left := make(chan string, 1)
+	const wantCounts = "requests 0, servers 0, connections to servers 0 open 0 idle, from clients 0 open 0 idle, ids 0"
+	counts := make(chan string, 1)
 	testserver.Eventually(t, func() string {
 		loop.Post(func() {
 			open, idle := loop.upstream.ConnCounts()
 			clients := conns.Counts()
-			left <- fmt.Sprintf("requests %d, servers %d, connections to servers %d open %d idle, "+
+			counts <- fmt.Sprintf("requests %d, servers %d, connections to servers %d open %d idle, "+
 				"from clients %d open %d idle, ids %d", len(loop.inflight), len(loop.upstream.Endpoints()),
 				open, idle, clients.Open, clients.Idle, len(s.ids.inFlight))
 		})
-		if got := testserver.Receive(t, left, "count"); got != nothingLeft {
-			return fmt.Sprintf("%d requests were served: %s", rounds*each, got)
+		if got := testserver.Receive(t, counts, "counts"); got != wantCounts {
+			return fmt.Sprintf("after %d requests: %s", rounds*requestsPerRound, got)
 		}
 		return ""
 	})
 	cancel()
-	most := before + 2*len(backends) + 10 // the backends' accepting and discarding, and this test's server, stay
+	maxGoroutines := before + 2*len(backends) + 10 // two per backend stay, and those of the server of this test
 	testserver.Eventually(t, func() string {
-		if n := runtime.NumGoroutine(); n > most {
-			return fmt.Sprintf("%d goroutines, %d before", n, before)
+		if n := runtime.NumGoroutine(); n > maxGoroutines {
+			return fmt.Sprintf("%d goroutines, %d before the test", n, before)
 		}
 		return ""
 	})
 }
 
-// TestHandlerPanicIsServerError has a fault of the program end the handler: the request gets an error and its
-// connection ends in order, and the next one is served.
-func TestHandlerPanicIsServerError(t *testing.T) {
+// TestHandlerPanicGets500 checks that a request whose handler panics gets 500, that its connection is closed cleanly,
+// and that the next request is served.
+func TestHandlerPanicGets500(t *testing.T) {
 	backend := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	c := loadConfig(t, testserver.ServingList(1, backend), testserver.Settings)
-	c.Settings.PollDiscovery = true // and so no watch in this test
+	c.Settings.PollDiscovery = true // no watch in this test
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	loop := newEventLoop(ctx, t, c, nil)
@@ -120,26 +120,26 @@
 	p := &testserver.Client{T: t, Address: conns.Addr().String(), HTTP: &http.Client{Transport: &http.Transport{}}}
 	defer p.HTTP.CloseIdleConnections()
 	ids := s.ids
-	s.ids = nil // which api uses once it has read the request
+	s.ids = nil // serveAPI panics when it reserves the request ID
 	conn := p.DialConn()
 	fmt.Fprintf(conn, "%s\r\n", testserver.RequestHead("GET", "first", "read"))
 	testserver.ExpectFinalResponse(t, conn, http.StatusInternalServerError)
 	s.ids = ids
 	if got := p.Send("pay"); got.Status != http.StatusOK {
-		t.Errorf("response %+v to the next request", got)
+		t.Errorf("response %+v to the next request, want status 200", got)
 	}
 }
 
-// TestRejectionSaysWhenToRetry holds the status and Retry-After of final responses without a body.
-func TestRejectionSaysWhenToRetry(t *testing.T) {
+// TestStatusAndRetryAfter checks the status and the Retry-After header of rejected and failed requests.
+func TestStatusAndRetryAfter(t *testing.T) {
 	for _, tt := range []struct {
 		name       string
 		response   finalResponse
 		status     int
 		retryAfter string
 	}{
-		{"rejected for a time", finalResponse{kind: rejected, retryAfter: 250 * time.Millisecond}, 503, "0.250"},
-		{"rejected", finalResponse{kind: rejected}, 503, ""},
+		{"rejected with Retry-After", finalResponse{kind: rejected, retryAfter: 250 * time.Millisecond}, 503, "0.250"},
+		{"rejected without Retry-After", finalResponse{kind: rejected}, 503, ""},
 		{"bad gateway", finalResponse{kind: badGateway}, 502, ""},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -152,7 +152,7 @@
 	}
 }
 
-// TestHTTP10RequestGets505: a request to /api by HTTP/1.0 is refused, and its connection ends.
+// TestHTTP10RequestGets505 checks that a request to /api with HTTP/1.0 is refused and its connection closed.
 func TestHTTP10RequestGets505(t *testing.T) {
 	p := startTestProxy(t, testserver.Respond(200, "", "ok"))
 	conn := p.DialConn()
@@ -166,12 +166,12 @@
 		t.Fatal(err)
 	}
 	if resp.StatusCode != http.StatusHTTPVersionNotSupported {
-		t.Errorf("status %d", resp.StatusCode)
+		t.Errorf("status %d, want 505", resp.StatusCode)
 	}
-	if _, err := io.Copy(io.Discard, in); err != nil { // until the end of the connection
-		t.Errorf("the connection does not end: %v", err)
+	if _, err := io.Copy(io.Discard, in); err != nil { // returns when the connection is closed
+		t.Errorf("the connection is not closed cleanly: %v", err)
 	}
 	if n := p.backend.RequestCount(); n != 0 {
-		t.Errorf("%d requests at the server", n)
+		t.Errorf("the server received %d requests, want 0", n)
 	}
 }
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -18,10 +18,11 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// silentAddress is an address that tests put where nothing is to be reached.
+// silentAddress is a loopback address for servers and discovery that a test never reaches.
 const silentAddress = "127.0.0.1:9"
 
-// loadConfig reads a configuration as the program does. known is its last list of endpoints, "" for none.
+// loadConfig loads a configuration file, as in production. known is the text of the remembered endpoint list, or "" for
+// none.
 func loadConfig(t *testing.T, known, settings string) *config.Config {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
@@ -36,7 +37,7 @@
 	return c
 }
 
-// newEventLoop returns an event loop that calls discovery by dial; nil: over TCP.
+// newEventLoop returns an event loop that connects to discovery with dial, or over TCP if dial is nil.
 func newEventLoop(ctx context.Context, t *testing.T, c *config.Config, dial discovery.DialFunc) *EventLoop {
 	t.Helper()
 	loop, err := NewEventLoop(ctx, c, 1000, slog.New(slog.DiscardHandler), dial)
@@ -46,7 +47,7 @@
 	return loop
 }
 
-// parseList returns the list that a text in discovery's form holds.
+// parseList parses an endpoint list in the format of discovery.
 func parseList(t *testing.T, text string) discovery.List {
 	t.Helper()
 	l, err := discovery.ParseList([]byte(text))
@@ -56,7 +57,7 @@
 	return l
 }
 
-// testProxy is a handler that serves client connections, with one server.
+// testProxy is a handler that serves client connections and forwards requests to one server.
 type testProxy struct {
 	testserver.Client
 	loop    *EventLoop
@@ -64,12 +65,12 @@
 	backend *testserver.Backend
 }
 
-// startTestProxy serves a handler whose one server responds by respond, until the end of the test.
+// startTestProxy starts a testProxy whose server responds with respond. It runs until the end of the test.
 func startTestProxy(t *testing.T, respond testserver.Handler) *testProxy {
 	t.Helper()
 	backend := testserver.StartBackend(t, respond)
 	c := loadConfig(t, testserver.ServingList(1, backend), testserver.Settings)
-	c.Settings.PollDiscovery = true // and so no watch
+	c.Settings.PollDiscovery = true // no watch
 	ctx, cancel := context.WithCancel(context.Background())
 	loop := newEventLoop(ctx, t, c, nil)
 	var running sync.WaitGroup
@@ -94,7 +95,7 @@
 	}
 }
 
-// readResponse reads the response on a connection, and its body without white space at both ends.
+// readResponse reads one response from a connection. It trims white space from the body.
 func readResponse(t *testing.T, conn net.Conn) (status int, body string) {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
--- a/internal/proxy/main_test.go
+++ b/internal/proxy/main_test.go
@@ -8,7 +8,7 @@
 	"milletramp.example/milletramp/internal/lab/testrun"
 )
 
-// TestMain keeps other packages that measure time off while these tests run.
+// TestMain runs these tests while no tests of other packages that measure time are running.
 func TestMain(m *testing.M) {
 	release, err := testrun.Exclusive()
 	if err != nil {
--- a/internal/proxy/simulation_test.go
+++ b/internal/proxy/simulation_test.go
@@ -20,7 +20,8 @@
 	"milletramp.example/milletramp/internal/upstream"
 )
 
-// pipeConn is a connection of a simulation whose first write is delayed, after whatever its writer has checked.
+// pipeConn is a connection in a simulation. Its first write is delayed by writeDelay, as if the process stalled after
+// the checks before the write.
 type pipeConn struct {
 	net.Conn
 	raw        silentRawConn
@@ -34,13 +35,14 @@
 	return c.Conn.Write(p)
 }
 
-// SetWriteDeadline implements net.Conn. What is held up inside the system call passes its deadline unseen.
+// SetWriteDeadline implements net.Conn. It has no effect: a stall inside the system call is not subject to the
+// deadline.
 func (c *pipeConn) SetWriteDeadline(time.Time) error { return nil }
 
 // SyscallConn implements syscall.Conn.
 func (c *pipeConn) SyscallConn() (syscall.RawConn, error) { return c.raw, nil }
 
-// silentRawConn is a socket on which nothing ever comes, in the place of the pipe's.
+// silentRawConn is a socket that never receives data. It replaces the file descriptor that a pipe lacks.
 type silentRawConn struct{ fd int }
 
 func (q silentRawConn) Control(f func(uintptr)) error { f(uintptr(q.fd)); return nil }
@@ -49,34 +51,36 @@
 
 func (silentRawConn) Write(func(uintptr) bool) error { return syscall.ENOTSUP }
 
-// arrival is an attempt's whole request at its server.
+// arrival is the complete request of an attempt, as received by a server.
 type arrival struct {
 	at      time.Time
 	server  string
-	timeout time.Duration // for which the client waits
+	timeout time.Duration // from the X-Timeout-Ms header
 }
 
-// simulation is an event loop in a synctest bubble, with two servers.
+// simulation is an event loop with two simulated servers in a synctest bubble.
 type simulation struct {
 	t        *testing.T
 	loop     *EventLoop
-	ended    context.Context // done: the servers close their connections
-	fd       int             // of a socket on which nothing ever comes
+	ended    context.Context // when done, the servers close their connections
+	fd       int             // a socket that never receives data
 	arrivals chan arrival
-	// dial has connections to servers come up; nil: at once. respond returns what the nth attempt gets; "": nothing.
+	// dial runs before the nth connection to a server is opened; nil opens connections at once. respond returns the
+	// response to the nth attempt, or "" for none.
 	dial    func(ctx context.Context, n int) error
 	respond func(n int) string
-	// drop has a server drop what comes on a connection that was idle for so long, silently; nil: none does.
+	// drop reports whether a server silently drops a request on a connection that was idle for the given time. nil drops
+	// none.
 	drop       func(server string, idle time.Duration) bool
 	writeDelay time.Duration
 
 	mu       sync.Mutex
-	dialled  int
-	attempts int
+	dialled  int // number of connections
+	attempts int // number of requests received by servers
 }
 
-// runSimulation runs play with an event loop of these settings, whose discovery is down.
-func runSimulation(t *testing.T, settings string, play func(sim *simulation)) {
+// runSimulation calls run with a simulation that has the given settings and whose discovery is down.
+func runSimulation(t *testing.T, settings string, run func(sim *simulation)) {
 	pair, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -99,13 +103,13 @@
 		sim.loop.upstream.SetDial(sim.dialServer)
 		var running sync.WaitGroup
 		running.Go(func() { sim.loop.Run(ctx) })
-		play(sim)
+		run(sim)
 		cancel()
 		running.Wait()
 	})
 }
 
-// dialServer returns a connection to a server of the simulation.
+// dialServer opens a connection to a simulated server.
 func (sim *simulation) dialServer(ctx context.Context, _, address string) (net.Conn, error) {
 	sim.mu.Lock()
 	n := sim.dialled
@@ -122,7 +126,7 @@
 	return &pipeConn{Conn: near, raw: silentRawConn{sim.fd}, writeDelay: sim.writeDelay}, nil
 }
 
-// serve reads requests from a connection to a server, and responds to them, until the connection ends.
+// serve reads requests from a connection and responds to them until the connection is closed.
 func (sim *simulation) serve(c net.Conn, address string) {
 	in := bufio.NewReader(c)
 	for last := time.Now(); ; last = time.Now() {
@@ -149,8 +153,8 @@
 	}
 }
 
-// send serves a request whose client waits so long, and returns a channel that gets its response.
-func (sim *simulation) send(class string, wait time.Duration, left func() bool) chan finalResponse {
+// send passes a request with the given timeout to the event loop and returns a channel that receives the response.
+func (sim *simulation) send(class string, timeout time.Duration, peerClosed func() bool) chan finalResponse {
 	method, key := http.MethodPost, ""
 	switch class {
 	case "read":
@@ -167,8 +171,8 @@
 		},
 		tenant:        -1,
 		classSettings: sim.loop.settings.Load().classes[class],
-		deadline:      time.Now().Add(wait - responseMargin),
-		peerClosed:    left,
+		deadline:      time.Now().Add(timeout - responseMargin),
+		peerClosed:    peerClosed,
 	}
 	result := make(chan finalResponse, 1)
 	go func() {
@@ -178,7 +182,8 @@
 	return result
 }
 
-// warmUp has requests be served, each on the connection of the one before, which then is closed.
+// warmUp serves requests one after another, each on the connection of the previous one, and then waits until that
+// connection is closed.
 func (sim *simulation) warmUp(requests int) {
 	sim.respond = func(int) string {
 		time.Sleep(50 * time.Millisecond)
@@ -186,7 +191,7 @@
 	}
 	for range requests {
 		<-sim.send("read", time.Second, nil)
-		time.Sleep(20 * time.Millisecond) // a connection rests so long before its next request
+		time.Sleep(20 * time.Millisecond) // idle time of the connection before the next request
 	}
 	time.Sleep(10 * time.Second)
 	for len(sim.arrivals) > 0 {
@@ -198,5 +203,5 @@
 
 const errorResponse = "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"
 
-// respondAlways has each attempt get the same response.
+// respondAlways returns a respond function that returns the same response to each attempt.
 func respondAlways(text string) func(int) string { return func(int) string { return text } }
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -18,9 +18,9 @@
 	"milletramp.example/milletramp/internal/upstream"
 )
 
-// TestContentTypeReachesTheClient: a response has the server's Content-Type at the client, short or streamed. Where the
-// server gave none, none is guessed.
-func TestContentTypeReachesTheClient(t *testing.T) {
+// TestContentTypeReachesClient checks that the client receives the server's Content-Type with short and with streamed
+// responses. If the server sent none, the client receives none.
+func TestContentTypeReachesClient(t *testing.T) {
 	for _, size := range []int{4, upstream.MaxBufferedBody + 1} {
 		for _, contentType := range []string{"application/x-slot", ""} {
 			t.Run(fmt.Sprintf("%d bytes, %q", size, contentType), func(t *testing.T) {
@@ -30,7 +30,8 @@
 	}
 }
 
-// expectContentType sends a request to a server whose response has a body of this size and a Content-Type; "": none.
+// expectContentType sends a request and checks the Content-Type of the response. The server responds with a body of
+// size bytes and the given Content-Type, or none if it is empty.
 func expectContentType(t *testing.T, size int, contentType string) {
 	t.Helper()
 	header := ""
@@ -44,14 +45,14 @@
 	}
 	defer resp.Body.Close()
 	if body, err := io.ReadAll(resp.Body); err != nil || len(body) != size {
-		t.Errorf("%d bytes, error %v", len(body), err)
+		t.Errorf("body of %d bytes, error %v, want %d bytes", len(body), err, size)
 	}
 	if got := strings.Join(resp.Header["Content-Type"], ", "); got != contentType {
 		t.Errorf("Content-Type %q, want %q", got, contentType)
 	}
 }
 
-// newTestLoop returns an event loop that knows the backends, and that does not run.
+// newTestLoop returns an event loop with the given backends as servers. The loop is not running.
 func newTestLoop(ctx context.Context, t *testing.T, backends ...*testserver.Backend) *EventLoop {
 	t.Helper()
 	c := loadConfig(t, testserver.ServingList(1, backends...), testserver.Settings)
@@ -63,13 +64,13 @@
 	return loop
 }
 
-// beginLongResponse sends the beginning of a long response, and waits for the client to close.
+// beginLongResponse sends the beginning of a long response and waits until the peer closes the connection.
 func beginLongResponse(conn net.Conn, r *http.Request, body []byte) bool {
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", upstream.MaxBufferedBody+1)
 	return testserver.NeverRespond(conn, r, body)
 }
 
-// startAttempt makes an attempt at s-0 in a goroutine. The channel gets how it ended.
+// startAttempt makes an attempt at server s-0 in a goroutine. The channel receives its result.
 func startAttempt(ctx context.Context, client *upstream.Client,
 	startStreaming func(upstream.Response) bool) (ended chan upstream.Response) {
 	ended = make(chan upstream.Response, 1)
@@ -79,8 +80,8 @@
 	return ended
 }
 
-// TestAbandonedStreamFreesItsConnection: a client that leaves while the stream of its response waits for the handler
-// frees the server's connection. An overdue request leaves that response to its handler.
+// TestAbandonedStreamFreesItsConnection checks that the server connection is closed if the client disconnects while a
+// streamed response waits for the handler. If the request expires instead, the response stays available to the handler.
 func TestAbandonedStreamFreesItsConnection(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -96,37 +97,38 @@
 	testserver.Receive(t, started, "stream")
 	loop.expire(request)
 	if len(request.response) != 1 {
-		t.Fatal("an overdue request has lost the response that its handler is about to take")
+		t.Fatal("expire discarded the response that the handler is about to receive")
 	}
 	loop.cancel(request)
 	testserver.Receive(t, ended, "end of the attempt")
 	if open, _ := loop.upstream.ConnCounts(); open != 0 || len(request.response) != 0 {
-		t.Errorf("%d connections and %d responses are left", open, len(request.response))
+		t.Errorf("%d open connections and %d pending responses, want none", open, len(request.response))
 	}
 }
 
-// TestLateLongResponseIsNotStreamed: a long response that begins once the request has its final response, or once the
-// event loop has ended, is not streamed, and costs its connection.
+// TestLateLongResponseIsNotStreamed checks that a long response is not streamed, and its connection is closed, if it
+// begins after the request was completed or after the event loop has stopped.
 func TestLateLongResponseIsNotStreamed(t *testing.T) {
 	for _, tt := range []struct {
-		name  string
-		ended bool // the event loop, when the response begins
+		name        string
+		loopStopped bool
 	}{
-		{"the request has its final response", false},
-		{"the event loop has ended", true},
+		{"request is completed", false},
+		{"event loop has stopped", true},
 	} {
-		t.Run(tt.name, func(t *testing.T) { expectStreamDeclined(t, tt.ended) })
+		t.Run(tt.name, func(t *testing.T) { expectStreamDeclined(t, tt.loopStopped) })
 	}
 }
 
-// expectStreamDeclined makes an attempt for a request that has its final response. loopEnded: the event loop has ended.
-func expectStreamDeclined(t *testing.T, loopEnded bool) {
+// expectStreamDeclined makes an attempt for a completed request and checks that its long response is not streamed. If
+// loopStopped is set, the event loop is not running.
+func expectStreamDeclined(t *testing.T, loopStopped bool) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	loop := newTestLoop(ctx, t, testserver.StartBackend(t, beginLongResponse))
 	var running sync.WaitGroup
-	if loopEnded {
+	if loopStopped {
 		cancel()
 	} else {
 		running.Add(1)
@@ -146,11 +148,11 @@
 		t.Errorf("outcome %d, want %d", r.Outcome, balance.Cancelled)
 	}
 	if open, _ := loop.upstream.ConnCounts(); open != 0 || len(request.response) != 0 {
-		t.Errorf("%d connections are left, %d more responses", open, len(request.response))
+		t.Errorf("%d open connections and %d further responses, want none", open, len(request.response))
 	}
 	cancel()
 	running.Wait()
 	if n := request.attemptsInFlight; n != 1 {
-		t.Errorf("%d attempts are in flight for the event loop, want the one whose end was not reported to it", n)
+		t.Errorf("%d attempts in flight, want 1: the declined stream must not be reported as finished", n)
 	}
 }
