--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -24,17 +24,17 @@
 
 // Config is a sidecar's configuration.
 type Config struct {
-	Name      string
-	Listen    string // address for the application
-	Discovery string // address of discovery, or of its agent on this machine
-	Console   string // address for operators' calls; "": there is none
-	Cores     float64
-	MemoryMB  int
-	Sockets   int            // file descriptors that the process may hold
-	Known     discovery.List // the servers as this sidecar last had them
-	Settings  balance.Settings
-	Names     *wire.Names
-	Limits    wire.Limits
+	Name             string
+	ListenAddress    string // address for the application
+	DiscoveryAddress string // address of discovery, or of its agent on this machine
+	AdminAddress     string // address for operators' calls; "": there is none
+	Cores            float64
+	MemoryMB         int
+	Sockets          int            // file descriptors that the process may hold
+	InitialList      discovery.List // the servers as this sidecar last had them
+	Settings         balance.Settings
+	Names            *wire.Names
+	Limits           wire.Limits
 
 	Getenv   func(string) string // the environment that it was read with
 	document map[string]any      // the whole file but the list of servers
@@ -58,20 +58,20 @@
 
 // Load reads the configuration at the start of a process. The environment takes precedence over the file.
 func Load(getenv func(string) string) (*Config, error) {
-	return read(getenv, func(inFile string) string { return cmp.Or(getenv("PROXY_DISCOVERY"), inFile) })
+	return read(getenv, func(fileAddress string) string { return cmp.Or(getenv("PROXY_DISCOVERY"), fileAddress) })
 }
 
 // Reload reads the configuration again. The file is newer than the environment by now, so its address of discovery
 // takes precedence.
 func (c *Config) Reload() (*Config, error) {
-	fresh, err := read(c.Getenv, func(inFile string) string { return cmp.Or(inFile, c.Getenv("PROXY_DISCOVERY")) })
+	reloaded, err := read(c.Getenv, func(fileAddress string) string { return cmp.Or(fileAddress, c.Getenv("PROXY_DISCOVERY")) })
 	if err != nil {
 		return nil, err
 	}
-	if missing := missingKey("", c.document, fresh.document); missing != "" {
+	if missing := missingKey("", c.document, reloaded.document); missing != "" {
 		return nil, fmt.Errorf("%s: %s: missing", c.Getenv("PROXY_CONFIG"), missing)
 	}
-	return fresh, nil
+	return reloaded, nil
 }
 
 // SettingsDocument returns the settings of the file as JSON values by key.
@@ -88,7 +88,7 @@
 }
 
 // read reads the configuration. chooseDiscovery returns the address of discovery, given the file's.
-func read(getenv func(string) string, chooseDiscovery func(inFile string) string) (*Config, error) {
+func read(getenv func(string) string, chooseDiscovery func(fileAddress string) string) (*Config, error) {
 	path := getenv("PROXY_CONFIG")
 	if path == "" {
 		return nil, errors.New("PROXY_CONFIG is not set")
@@ -112,7 +112,7 @@
 }
 
 // parse reads the text of a file.
-func parse(text []byte, getenv func(string) string, chooseDiscovery func(inFile string) string) (*Config, error) {
+func parse(text []byte, getenv func(string) string, chooseDiscovery func(fileAddress string) string) (*Config, error) {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, err
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -30,7 +30,7 @@
 		c.Limits.ConnectTimeout != 5*time.Second || c.Limits.MostHeld != 20000 || c.Sockets != 1024 {
 		t.Errorf("configuration %+v", c)
 	}
-	if k := c.Known; k.Revision != 4 || len(k.Endpoints) != 1 || !k.Endpoints[0].StartedAt.Equal(time.UnixMilli(5)) {
+	if k := c.InitialList; k.Revision != 4 || len(k.Endpoints) != 1 || !k.Endpoints[0].StartedAt.Equal(time.UnixMilli(5)) {
 		t.Errorf("known %+v", k)
 	}
 	for _, tt := range []struct{ old, new, want string }{
@@ -61,19 +61,19 @@
 	}
 }
 
-// TestEnvironmentGoesFirstAtStartFileAtReload reads an address of discovery that the environment and the file name.
-func TestEnvironmentGoesFirstAtStartFileAtReload(t *testing.T) {
+// TestEnvironmentTakesPrecedenceAtStartAndFileAtReload reads an address of discovery that the environment and the file name.
+func TestEnvironmentTakesPrecedenceAtStartAndFileAtReload(t *testing.T) {
 	c, err := loadText(t, testserver.ConfigText("127.0.0.1:9", "", testserver.Settings), "PROXY_DISCOVERY=127.0.0.1:10")
-	if err != nil || c.Discovery != "127.0.0.1:10" {
-		t.Fatalf("discovery %q at the start, error %v", c.Discovery, err)
+	if err != nil || c.DiscoveryAddress != "127.0.0.1:10" {
+		t.Fatalf("discovery %q at the start, error %v", c.DiscoveryAddress, err)
 	}
-	if c, err = c.Reload(); err != nil || c.Discovery != "127.0.0.1:9" {
-		t.Errorf("discovery %q after a reload, error %v", c.Discovery, err)
+	if c, err = c.Reload(); err != nil || c.DiscoveryAddress != "127.0.0.1:9" {
+		t.Errorf("discovery %q after a reload, error %v", c.DiscoveryAddress, err)
 	}
 }
 
-// TestShortageOfDescriptorsDelaysReading makes opening the file fail: a shortage of this machine is retried, no other.
-func TestShortageOfDescriptorsDelaysReading(t *testing.T) {
+// TestResourceShortageDelaysReading makes opening the file fail: a shortage of this machine is retried, no other.
+func TestResourceShortageDelaysReading(t *testing.T) {
 	for _, tt := range []struct {
 		errno syscall.Errno
 		fails int
@@ -107,14 +107,14 @@
 		}
 		return o
 	}
-	inUse := object("a", 1.0, "known", 1.0, "o", object("x", 1.0, "aim_stretch", 1.0), "l",
+	current := object("a", 1.0, "known", 1.0, "o", object("x", 1.0, "aim_stretch", 1.0), "l",
 		[]any{object("n", "p", "w", 1.0), object("n", "q", "w", 2.0, "extra", 3.0)}, "plain", []any{"x", "y"})
 	for _, tt := range []struct {
-		name  string
-		fresh map[string]any
-		want  string
+		name     string
+		reloaded map[string]any
+		want     string
 	}{
-		{"the same", inUse, ""},
+		{"the same", current, ""},
 		{"more, and what may be absent", object("a", 2.0, "b", 1.0, "o", object("x", 2.0),
 			"l", []any{object("n", "z", "w", 1.0)}, "plain", []any{}), ""},
 		{"a key", object("o", object("x", 1.0), "l", []any{}, "plain", []any{}), "a"},
@@ -125,7 +125,7 @@
 		{"a key of an entry", object("a", 1.0, "o", object("x", 1.0),
 			"l", []any{object("n", "z", "w", 1.0), object("n", "z")}, "plain", []any{}), "l.1.w"},
 	} {
-		if got := missingKey("", inUse, tt.fresh); got != tt.want {
+		if got := missingKey("", current, tt.reloaded); got != tt.want {
 			t.Errorf("%s: %q is missing, want %q", tt.name, got, tt.want)
 		}
 	}
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -34,14 +34,14 @@
 // config checks a file and returns the configuration that it holds, with names and addresses of the environment.
 func (f *file) config(getenv func(string) string) (*Config, error) {
 	c := &Config{
-		Name:      cmp.Or(getenv("PROXY_NAME"), f.Name),
-		Listen:    cmp.Or(getenv("PROXY_LISTEN"), f.Listen),
-		Discovery: f.Discovery,
-		Console:   cmp.Or(getenv("PROXY_CONSOLE"), f.Console),
-		Cores:     defaultCores,
-		MemoryMB:  defaultMemoryMB,
-		Sockets:   defaultSockets,
-		Getenv:    getenv,
+		Name:             cmp.Or(getenv("PROXY_NAME"), f.Name),
+		ListenAddress:    cmp.Or(getenv("PROXY_LISTEN"), f.Listen),
+		DiscoveryAddress: f.Discovery,
+		AdminAddress:     cmp.Or(getenv("PROXY_CONSOLE"), f.Console),
+		Cores:            defaultCores,
+		MemoryMB:         defaultMemoryMB,
+		Sockets:          defaultSockets,
+		Getenv:           getenv,
 	}
 	if err := c.checkAddresses(); err != nil {
 		return nil, err
@@ -64,16 +64,16 @@
 
 // checkAddresses checks the addresses of a configuration. That of the console may be missing.
 func (c *Config) checkAddresses() error {
-	if err := checkAddress(c.Listen); err != nil {
+	if err := checkAddress(c.ListenAddress); err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	if err := checkAddress(c.Discovery); err != nil {
+	if err := checkAddress(c.DiscoveryAddress); err != nil {
 		return fmt.Errorf("discovery: %w", err)
 	}
-	if c.Console == "" {
+	if c.AdminAddress == "" {
 		return nil
 	}
-	if err := checkAddress(c.Console); err != nil {
+	if err := checkAddress(c.AdminAddress); err != nil {
 		return fmt.Errorf("console: %w", err)
 	}
 	return nil
@@ -141,6 +141,6 @@
 	if err != nil {
 		return fmt.Errorf("known: %w", err)
 	}
-	c.Known = known
+	c.InitialList = known
 	return nil
 }
--- a/internal/config/missing.go
+++ b/internal/config/missing.go
@@ -11,40 +11,40 @@
 
 // missingKey returns the path of the first key that a document lacks though the one in use has it, or "". A file that
 // was written in part may still parse, and what it lacks would be taken for 0 or false.
-func missingKey(path string, inUse, fresh any) string {
-	switch inUse := inUse.(type) {
+func missingKey(path string, current, reloaded any) string {
+	switch current := current.(type) {
 	case map[string]any:
-		fresh, ok := fresh.(map[string]any)
+		reloaded, ok := reloaded.(map[string]any)
 		if !ok {
 			return path
 		}
-		return missingInObject(path, inUse, fresh)
+		return missingInObject(path, current, reloaded)
 	case []any:
-		fresh, ok := fresh.([]any)
+		reloaded, ok := reloaded.([]any)
 		if !ok {
 			return path
 		}
-		return missingInList(path, inUse, fresh)
+		return missingInList(path, current, reloaded)
 	}
 	return ""
 }
 
 // missingInObject returns the path of the first key, in the order of their names, that an object lacks.
-func missingInObject(path string, inUse, fresh map[string]any) string {
-	keys := make([]string, 0, len(inUse))
-	for key := range inUse {
+func missingInObject(path string, current, reloaded map[string]any) string {
+	keys := make([]string, 0, len(current))
+	for key := range current {
 		keys = append(keys, key)
 	}
 	slices.Sort(keys)
 	for _, key := range keys {
-		if slices.Contains(optionalKeys, key) || inUse[key] == nil {
+		if slices.Contains(optionalKeys, key) || current[key] == nil {
 			continue
 		}
 		keyPath := strings.TrimPrefix(path+"."+key, ".")
-		if fresh[key] == nil {
+		if reloaded[key] == nil {
 			return keyPath
 		}
-		if missing := missingKey(keyPath, inUse[key], fresh[key]); missing != "" {
+		if missing := missingKey(keyPath, current[key], reloaded[key]); missing != "" {
 			return missing
 		}
 	}
@@ -53,12 +53,12 @@
 
 // missingInList returns the path of the first key that an entry of a list lacks. Entries come and go, but each new one
 // has the keys that all entries in use have.
-func missingInList(path string, inUse, fresh []any) string {
-	common := commonKeys(inUse)
+func missingInList(path string, current, reloaded []any) string {
+	common := commonKeys(current)
 	if len(common) == 0 {
 		return ""
 	}
-	for i, entry := range fresh {
+	for i, entry := range reloaded {
 		if missing := missingKey(fmt.Sprintf("%s.%d", path, i), common, entry); missing != "" {
 			return missing
 		}
--- a/internal/proxy/event_loop.go
+++ b/internal/proxy/event_loop.go
@@ -73,8 +73,8 @@
 	l.now = l.clock()
 	l.starts = discovery.NewStartTimes(l.clock)
 	l.subscriptions = discovery.NewSubscriptions(ctx, l, discovery.Options{
-		Address:        c.Discovery,
-		Revision:       knownRevision(c.Known),
+		Address:        c.DiscoveryAddress,
+		Revision:       knownRevision(c.InitialList),
 		ConnectTimeout: c.Limits.ConnectTimeout,
 		Dial:           dialDiscovery,
 		Log:            log,
@@ -85,7 +85,7 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	l.settings.Store(newRequestSettings(c.Settings, c.Names, identity(len(c.Settings.Classes)), l.metrics))
-	l.OnUpdate(balance.ListRemembered, c.Known)
+	l.OnUpdate(balance.ListRemembered, c.InitialList)
 	if !c.Settings.PollDiscovery {
 		l.Subscribe()
 	}
--- a/internal/proxy/event_loop_test.go
+++ b/internal/proxy/event_loop_test.go
@@ -35,7 +35,7 @@
 		{"started long ago", booted.Add(-2 * originAge), false},
 	} {
 		server := listedEndpoint("s-0", tt.boot)
-		c.Known = discovery.List{Revision: 1, Complete: true, Endpoints: []discovery.Endpoint{server}}
+		c.InitialList = discovery.List{Revision: 1, Complete: true, Endpoints: []discovery.Endpoint{server}}
 		loop := newEventLoop(context.Background(), t, c, nil)
 		started := loop.starts.StartOf(server)
 		age := loop.clock() - started
--- a/internal/proxy/reconfigure.go
+++ b/internal/proxy/reconfigure.go
@@ -15,7 +15,7 @@
 	if difference := l.gate.difference(c); difference != "" {
 		return fmt.Errorf("%w: %s", errNotInForce, difference)
 	}
-	l.subscriptions.SwitchAddress(c.Discovery)
+	l.subscriptions.SwitchAddress(c.DiscoveryAddress)
 	return nil
 }
 
@@ -27,6 +27,6 @@
 	}
 	l.settings.Store(newRequestSettings(c.Settings, c.Names, indexes, l.metrics))
 	l.upstream.Configure(c.Limits)
-	l.subscriptions.SwitchAddress(c.Discovery)
+	l.subscriptions.SwitchAddress(c.DiscoveryAddress)
 	return nil
 }
--- a/internal/sidecar/peers_test.go
+++ b/internal/sidecar/backends_test.go
@@ -16,14 +16,14 @@
 	return testserver.StartBackend(t, testserver.Respond(200, "", body))
 }
 
-// startHoldingBackend starts a server that responds with body. Requests for which holds returns true wait for release
+// startBlockingBackend starts a server that responds with body. Requests for which blocks returns true wait for release
 // to be closed.
-func startHoldingBackend(t *testing.T, release <-chan struct{}, holds func(*http.Request) bool,
+func startBlockingBackend(t *testing.T, release <-chan struct{}, blocks func(*http.Request) bool,
 	body string) *testserver.Backend {
 	t.Helper()
 	respond := testserver.Respond(200, "", body)
 	return testserver.StartBackend(t, func(c net.Conn, r *http.Request, requestBody []byte) bool {
-		if holds(r) {
+		if blocks(r) {
 			<-release
 		}
 		return respond(c, r, requestBody)
--- a/internal/sidecar/client_conns_test.go
+++ b/internal/sidecar/client_conns_test.go
@@ -16,7 +16,7 @@
 
 // TestConnectionStaysOpenBetweenRequests sends good requests one after another on one connection.
 func TestConnectionStaysOpenBetweenRequests(t *testing.T) {
-	p := startServing(t, startBackend(t, "ok"))
+	p := startWithBackends(t, startBackend(t, "ok"))
 	c := p.DialConn()
 	in := bufio.NewReader(c)
 	for i := range 3 {
@@ -35,9 +35,9 @@
 // of new requests are served, and the longest idle are closed.
 func TestIdleConnectionsAreClosedAtLimit(t *testing.T) {
 	release := make(chan struct{})
-	b := startHoldingBackend(t, release, hasIdempotencyKey, "ok")
+	b := startBlockingBackend(t, release, hasIdempotencyKey, "ok")
 	p := start(t, strings.Replace(configFor(t, b), `"sockets":1024`, `"sockets":64`, 1))
-	held := p.sendAsync(context.Background(), "book")
+	inFlight := p.sendAsync(context.Background(), "book")
 	testserver.Receive(t, b.Requests, "attempt")
 	most := newSocketBudget(&config.Config{Sockets: 64}).ClientConns
 	first := p.DialConn()
@@ -51,7 +51,7 @@
 		t.Errorf("response %+v to a new request", got)
 	}
 	close(release)
-	if got := testserver.Receive(t, held, "response"); got.Status != 200 {
+	if got := testserver.Receive(t, inFlight, "response"); got.Status != 200 {
 		t.Errorf("response %+v to the request in flight", got)
 	}
 }
@@ -93,7 +93,7 @@
 func TestUnreadBytesDoNotCostFinalResponse(t *testing.T) {
 	t.Run("too large a body", func(t *testing.T) {
 		b := startBackend(t, "ok")
-		p := startServing(t, b)
+		p := startWithBackends(t, b)
 		c := p.DialConn()
 		head := testserver.RequestHead("POST", "large", "pay")
 		fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", head, 2*proxy.MaxRequestBody, strings.Repeat("x", 300<<10))
@@ -104,8 +104,8 @@
 	})
 	t.Run("requests behind the last one of a stop", func(t *testing.T) {
 		release := make(chan struct{})
-		b := startHoldingBackend(t, release, anyRequest, "ok")
-		p := startServing(t, b)
+		b := startBlockingBackend(t, release, anyRequest, "ok")
+		p := startWithBackends(t, b)
 		c := p.DialConn()
 		pipelineRequests(t, c, 200) // more than net/http reads ahead
 		testserver.Receive(t, b.Requests, "first request")
@@ -116,6 +116,6 @@
 		if n := b.RequestCount(); n != 0 {
 			t.Errorf("%d requests were forwarded behind the last one", n)
 		}
-		p.expectEnd()
+		p.expectCleanExit()
 	})
 }
--- a/internal/sidecar/client_disconnect_test.go
+++ b/internal/sidecar/client_disconnect_test.go
@@ -21,7 +21,7 @@
 		closed <- true
 		return false
 	})
-	p := startServing(t, b)
+	p := startWithBackends(t, b)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := p.sendAsync(ctx, "read")
 	testserver.Receive(t, b.Requests, "attempt")
@@ -37,9 +37,9 @@
 // must not learn that it was served.
 func TestHalfClosedClientGetsNoResponse(t *testing.T) {
 	release := make(chan struct{})
-	b := startHoldingBackend(t, release, anyRequest, "ok")
+	b := startBlockingBackend(t, release, anyRequest, "ok")
 	defer close(release)
-	p := startServing(t, b)
+	p := startWithBackends(t, b)
 	c := p.DialConn()
 	sendHead(c, "leaves")
 	testserver.Receive(t, b.Requests, "attempt")
@@ -54,8 +54,8 @@
 // reads ahead, and none of them is forwarded.
 func TestPipelinedRequestsOfHalfClosedClientAreNotForwarded(t *testing.T) {
 	release := make(chan struct{})
-	b := startHoldingBackend(t, release, anyRequest, "ok")
-	p := startServing(t, b)
+	b := startBlockingBackend(t, release, anyRequest, "ok")
+	p := startWithBackends(t, b)
 	c := p.DialConn()
 	pipelineRequests(t, c, 100)
 	testserver.Receive(t, b.Requests, "first request")
--- a/internal/sidecar/client_errors_test.go
+++ b/internal/sidecar/client_errors_test.go
@@ -23,7 +23,7 @@
 // what stands behind it is never taken for a request.
 func TestMalformedRequestsGetOneErrorOrClose(t *testing.T) {
 	b := startBackend(t, "ok")
-	p := startServing(t, b)
+	p := startWithBackends(t, b)
 	hidden := testserver.RequestHead("GET", "hidden", "read") + "\r\n"
 	pay := testserver.RequestHead("POST", "i", "pay")
 	const chunked = "Transfer-Encoding: chunked\r\n"
@@ -94,8 +94,8 @@
 		for later := range 2 { // bytes that come while the first is in flight
 			t.Run(fmt.Sprintf("%s, %d bytes later", name, later), func(t *testing.T) {
 				release := make(chan struct{})
-				b := startHoldingBackend(t, release, anyRequest, "ok")
-				p := startServing(t, b)
+				b := startBlockingBackend(t, release, anyRequest, "ok")
+				p := startWithBackends(t, b)
 				c := p.DialConn()
 				fmt.Fprintf(c, "%s\r\n%s", testserver.RequestHead("GET", "good", "read"), bad[:len(bad)-later])
 				testserver.Receive(t, b.Requests, "first request")
@@ -126,21 +126,21 @@
 // served.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	b := startBackend(t, "ok")
-	p := startServing(t, b)
-	ask := func(class string, change func(*http.Request)) *http.Request {
+	p := startWithBackends(t, b)
+	newRequest := func(class string, change func(*http.Request)) *http.Request {
 		r := p.NewRequest(context.Background(), class, "50000")
 		change(r)
 		return r
 	}
 	without := func(class, header string) *http.Request {
-		return ask(class, func(r *http.Request) { r.Header.Del(header) })
+		return newRequest(class, func(r *http.Request) { r.Header.Del(header) })
 	}
 	with := func(class, header, value string) *http.Request {
-		return ask(class, func(r *http.Request) { r.Header.Set(header, value) })
+		return newRequest(class, func(r *http.Request) { r.Header.Set(header, value) })
 	}
-	method := func(class, m string) *http.Request { return ask(class, func(r *http.Request) { r.Method = m }) }
-	sized := func(n int) *http.Request {
-		return ask("pay", func(r *http.Request) {
+	method := func(class, m string) *http.Request { return newRequest(class, func(r *http.Request) { r.Method = m }) }
+	withBody := func(n int) *http.Request {
+		return newRequest("pay", func(r *http.Request) {
 			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", n))), int64(n)
 		})
 	}
@@ -161,14 +161,14 @@
 		{"idempotent POST", method("read", "POST"), 405},
 		{"key of a class without keys", with("pay", "Idempotency-Key", "k"), 400},
 		{"key of an idempotent class", with("read", "Idempotency-Key", "k"), 400},
-		{"two ids", ask("pay", func(r *http.Request) { r.Header.Add("X-Request-ID", "id-2") }), 400},
-		{"two classes", ask("pay", func(r *http.Request) { r.Header.Add("X-Priority-Class", "read") }), 400},
+		{"two ids", newRequest("pay", func(r *http.Request) { r.Header.Add("X-Request-ID", "id-2") }), 400},
+		{"two classes", newRequest("pay", func(r *http.Request) { r.Header.Add("X-Priority-Class", "read") }), 400},
 		{"method", method("read", "DELETE"), 405},
-		{"path", ask("read", func(r *http.Request) { r.URL.Path = "/apis" }), 404},
-		{"health method", ask("read", func(r *http.Request) { r.URL.Path, r.Method = "/healthz", "PUT" }), 405},
-		{"long body", sized(proxy.MaxRequestBody + 1), 413},
-		{"longest body held in any case", sized(upstream.MaxBufferedBody), 200},
-		{"longer body", sized(10 * upstream.MaxBufferedBody), 200},
+		{"path", newRequest("read", func(r *http.Request) { r.URL.Path = "/apis" }), 404},
+		{"health method", newRequest("read", func(r *http.Request) { r.URL.Path, r.Method = "/healthz", "PUT" }), 405},
+		{"long body", withBody(proxy.MaxRequestBody + 1), 413},
+		{"longest body held in any case", withBody(upstream.MaxBufferedBody), 200},
+		{"longer body", withBody(10 * upstream.MaxBufferedBody), 200},
 		{"unknown tenant", with("read", "X-Tenant-Id", "nobody"), 200},
 		{"no tenant", without("pay", "X-Tenant-Id"), 200},
 	} {
@@ -191,24 +191,24 @@
 // has its response.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	release := make(chan struct{})
-	b := startHoldingBackend(t, release, anyRequest, "mine")
-	p := startServing(t, b)
-	ask := func() *http.Request {
+	b := startBlockingBackend(t, release, anyRequest, "mine")
+	p := startWithBackends(t, b)
+	newRequest := func() *http.Request {
 		r := p.NewRequest(context.Background(), "pay", "50000")
 		r.Header.Set("X-Request-ID", "same")
 		return r
 	}
 	first := make(chan testserver.Result, 1)
-	go func() { first <- p.Do(ask()) }()
+	go func() { first <- p.Do(newRequest()) }()
 	testserver.Receive(t, b.Requests, "attempt")
-	if got := p.Do(ask()); got.Status != 409 || !got.Close {
+	if got := p.Do(newRequest()); got.Status != 409 || !got.Close {
 		t.Errorf("response %+v to an id in flight", got)
 	}
 	close(release)
 	if got := testserver.Receive(t, first, "response"); got.Status != 200 || got.Body != "mine" {
 		t.Errorf("the first one got %+v", got)
 	}
-	if got := p.Do(ask()); got.Status != 409 {
+	if got := p.Do(newRequest()); got.Status != 409 {
 		t.Errorf("response %+v to an id just used", got)
 	}
 	if n := b.RequestCount(); n != 0 {
@@ -235,7 +235,7 @@
 // others are served.
 func TestStalledRequestBodyTimesOut(t *testing.T) {
 	b := startBackend(t, "ok")
-	p := startServing(t, b)
+	p := startWithBackends(t, b)
 	c := p.DialConn()
 	fmt.Fprint(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 300\r\n"+
 		"Content-Length: 10\r\n\r\nhalf")
--- a/internal/sidecar/drain_load_test.go
+++ b/internal/sidecar/drain_load_test.go
@@ -34,8 +34,8 @@
 	for round := range *drainRounds {
 		random := rand.New(rand.NewPCG(uint64(round), 1))
 		p := startWith(t, configText, startOptions{times: drainTimes{
-			acceptFor:   time.Duration(random.IntN(3)) * time.Millisecond,
-			unusedGrace: time.Duration(random.IntN(4)) * time.Millisecond,
+			acceptPeriod:      time.Duration(random.IntN(3)) * time.Millisecond,
+			unusedGracePeriod: time.Duration(random.IntN(4)) * time.Millisecond,
 		}})
 		for i := range 16 {
 			pause := time.Duration(random.IntN(400)) * time.Microsecond
@@ -45,7 +45,7 @@
 			time.Sleep(100 * time.Microsecond)
 		}
 		p.stop()
-		if err := testserver.Receive(t, p.ended, "end"); err != nil {
+		if err := testserver.Receive(t, p.runResult, "end"); err != nil {
 			t.Errorf("round %d: it ended with %v", round, err)
 		}
 		clients.running.Wait()
@@ -68,9 +68,9 @@
 	for _, gated := range []bool{false, true} {
 		t.Run(fmt.Sprint("waits for a policy ", gated), func(t *testing.T) {
 			options := startOptions{times: drainTimes{
-				acceptFor:   100 * time.Millisecond,
-				idleGrace:   testserver.Timeout,
-				unusedGrace: testserver.Timeout,
+				acceptPeriod:      100 * time.Millisecond,
+				idleGracePeriod:   testserver.Timeout,
+				unusedGracePeriod: testserver.Timeout,
 			}}
 			f := &fakeParticipant{}
 			if gated {
@@ -100,12 +100,12 @@
 			}
 			p.waitForUsedConns(8)
 			f.setPolicy(1, 20*time.Millisecond, false) // and it comes no more
-			held, stopped := measureStalls(), time.Now()
+			stallTime, stopped := measureStalls(), time.Now()
 			p.stop()
 			p.waitUntilNotListening()
 			sendHead(late, "late")
-			p.expectEnd()
-			if took, kill := time.Since(stopped), deadline+proxy.KillDelay; took > kill+held() {
+			p.expectCleanExit()
+			if took, kill := time.Since(stopped), deadline+proxy.KillDelay; took > kill+stallTime() {
 				t.Errorf("it ended after %v, and may be killed after %v", took, kill)
 			}
 			clients.running.Wait()
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -20,11 +20,11 @@
 // connections and old ones.
 func TestDrainServesNewAndOpenConnections(t *testing.T) {
 	release := make(chan struct{})
-	b := startHoldingBackend(t, release, hasIdempotencyKey, "ok")
+	b := startBlockingBackend(t, release, hasIdempotencyKey, "ok")
 	p := startWith(t, configFor(t, b), startOptions{times: drainTimes{
-		acceptFor:   4 * time.Second,
-		quietPeriod: 10 * time.Millisecond,
-		idleGrace:   2 * time.Second,
+		acceptPeriod:    4 * time.Second,
+		quietPeriod:     10 * time.Millisecond,
+		idleGracePeriod: 2 * time.Second,
 	}})
 	slow := p.sendAsync(context.Background(), "book")
 	testserver.Receive(t, b.Requests, "attempt")
@@ -37,21 +37,21 @@
 		closing = got.Close
 	}
 	time.Sleep(200 * time.Millisecond) // long past the quiet that ends the accepting, well within its time
-	fresh, err := net.Dial("tcp", p.Address)
+	newConn, err := net.Dial("tcp", p.Address)
 	if err != nil {
 		t.Fatalf("no new connections while draining: %v", err)
 	}
-	defer fresh.Close()
-	if err := p.NewRequest(context.Background(), "pay", "50000").Write(fresh); err != nil {
+	defer newConn.Close()
+	if err := p.NewRequest(context.Background(), "pay", "50000").Write(newConn); err != nil {
 		t.Fatal(err)
 	}
-	resp, err := http.ReadResponse(bufio.NewReader(fresh), nil)
+	resp, err := http.ReadResponse(bufio.NewReader(newConn), nil)
 	if err != nil || resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("response %+v, error %v on a new connection", resp, err)
 	}
 	p.waitUntilNotListening()
 	select {
-	case err := <-p.ended:
+	case err := <-p.runResult:
 		t.Fatalf("it ended with %v and a request in flight", err)
 	default:
 	}
@@ -59,16 +59,16 @@
 	if got := testserver.Receive(t, slow, "response"); got.Status != 200 || got.Body != "ok" {
 		t.Errorf("response %+v to what was taken", got)
 	}
-	p.expectEnd()
+	p.expectCleanExit()
 }
 
 // TestDrainServesRequestsOnOpenConnections has a client open a connection, and send its request only when the process
 // has long begun to drain and is waiting for another response: that request is answered too.
 func TestDrainServesRequestsOnOpenConnections(t *testing.T) {
 	release := make(chan struct{})
-	b := startHoldingBackend(t, release, hasIdempotencyKey, "ok")
-	p := startWith(t, configFor(t, b), startOptions{times: drainTimes{unusedGrace: testserver.Timeout}})
-	held := p.sendAsync(context.Background(), "book")
+	b := startBlockingBackend(t, release, hasIdempotencyKey, "ok")
+	p := startWith(t, configFor(t, b), startOptions{times: drainTimes{unusedGracePeriod: testserver.Timeout}})
+	inFlight := p.sendAsync(context.Background(), "book")
 	testserver.Receive(t, b.Requests, "attempt")
 	late := p.DialConn()
 	p.waitForOpenConns(2)
@@ -80,21 +80,21 @@
 		t.Errorf("response %+v, error %v to a request that came after the drain began", resp, err)
 	}
 	close(release)
-	if got := testserver.Receive(t, held, "response"); got.Status != 200 {
+	if got := testserver.Receive(t, inFlight, "response"); got.Status != 200 {
 		t.Errorf("response %+v to what was taken", got)
 	}
-	p.expectEnd()
+	p.expectCleanExit()
 }
 
 // TestDrainClosesUnusedConnectionsAfterGrace has a connection never bring a request: it holds the end up for its time
 // and no longer.
 func TestDrainClosesUnusedConnectionsAfterGrace(t *testing.T) {
-	times := drainTimes{unusedGrace: 10 * time.Millisecond}
+	times := drainTimes{unusedGracePeriod: 10 * time.Millisecond}
 	p := startWith(t, configFor(t, startBackend(t, "ok")), startOptions{times: times})
 	c := p.DialConn()
 	p.waitForOpenConns(1)
 	p.stop()
-	p.expectEnd()
+	p.expectCleanExit()
 	if n, err := c.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 		t.Errorf("%d bytes, error %v on a connection without a request, want its end", n, err)
 	}
@@ -106,7 +106,7 @@
 // TestDrainWaitsForRequestBody has the process stop while a request's body comes: it is served, and its response ends
 // the connection.
 func TestDrainWaitsForRequestBody(t *testing.T) {
-	p := startServing(t, startBackend(t, "ok"))
+	p := startWithBackends(t, startBackend(t, "ok"))
 	c := p.DialConn()
 	fmt.Fprintf(c, "%sContent-Length: 8\r\n\r\nhalf", testserver.RequestHead("POST", "slow", "pay"))
 	p.waitForUsedConns(1)
@@ -114,7 +114,7 @@
 	p.waitUntilNotListening()
 	fmt.Fprint(c, "rest")
 	testserver.ExpectFinalResponse(t, c, http.StatusOK)
-	p.expectEnd()
+	p.expectCleanExit()
 }
 
 // TestDrainWaitsForStreamedResponse has the process stop, and read its file again, while a long response is passed
@@ -142,7 +142,7 @@
 	if body, err := io.ReadAll(resp.Body); err != nil || len(body) != upstream.MaxBufferedBody+1 {
 		t.Errorf("%d bytes, error %v", len(body), err)
 	}
-	p.expectEnd()
+	p.expectCleanExit()
 }
 
 // shortDeadlines replaces the deadlines of testserver.Settings by 300 ms.
@@ -155,11 +155,11 @@
 	b := testserver.StartBackend(t, testserver.NeverRespond)
 	text := configFor(t, b)
 	p := start(t, text)
-	held := map[string]chan *http.Response{"pay": nil, "read": nil, "book": nil}
-	for class := range held {
+	inFlight := map[string]chan *http.Response{"pay": nil, "read": nil, "book": nil}
+	for class := range inFlight {
 		answered := make(chan *http.Response, 1)
 		r := p.NewRequest(context.Background(), class, "50000")
-		held[class] = answered
+		inFlight[class] = answered
 		go func() {
 			resp, err := p.HTTP.Do(r)
 			if err != nil {
@@ -176,7 +176,7 @@
 	}
 	p.stop()
 	for class, want := range map[string]string{"pay": "502 ", "read": "503 0.200", "book": "503 0.200"} {
-		resp := testserver.Receive(t, held[class], "response")
+		resp := testserver.Receive(t, inFlight[class], "response")
 		if resp == nil {
 			continue
 		}
@@ -185,5 +185,5 @@
 			t.Errorf("%s: status and Retry-After %q at the kill, want %q", class, got, want)
 		}
 	}
-	p.expectEnd()
+	p.expectCleanExit()
 }
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -15,16 +15,16 @@
 	"milletramp.example/milletramp/internal/proxy"
 )
 
-// fleetQueryTimeout bounds a question that the part in the fleet answers from memory.
-const fleetQueryTimeout = 200 * time.Millisecond
+// participantTimeout bounds a question that the part in the fleet answers from memory.
+const participantTimeout = 200 * time.Millisecond
 
 // joinFleet begins this sidecar's part in the fleet, where the operator's file names one, and waits until it has caught
 // up, or has tried for long enough. leave ends it.
 func (o *operator) joinFleet(stop context.Context, c *config.Config, log *slog.Logger,
 	join JoinFunc) (leave func(), err error) {
-	nothing := func() {}
+	noop := func() {}
 	if join == nil {
-		return nothing, checkNoFleet(c)
+		return noop, rejectFleetConfig(c)
 	}
 	o.adminDownChanged = make(chan struct{}, 1)
 	gate := proxy.NewPolicyGate(o.loop, c)
@@ -34,7 +34,7 @@
 		CheckPolicy:  gate.Check,
 	})
 	if err != nil || participant == nil {
-		return nothing, err
+		return noop, err
 	}
 	err = o.group.member.Update(func(s *hotrestart.State) { s.FleetAddress = participant.Address() })
 	if err != nil {
@@ -43,14 +43,14 @@
 	if policy := participant.Policy(); policy != nil {
 		gate.SetPolicy(policy)
 		if err := o.loop.Do(stop, func() { o.loop.SetPolicyGate(gate) }); err != nil {
-			return nothing, errors.Join(err, participant.Close())
+			return noop, errors.Join(err, participant.Close())
 		}
 		o.gate = gate
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	publishing := make(chan struct{})
+	publisherDone := make(chan struct{})
 	go func() { // ends with ctx
-		defer close(publishing)
+		defer close(publisherDone)
 		o.publishChanges(ctx, log)
 	}()
 	o.connect(participant)
@@ -61,18 +61,18 @@
 	return func() {
 		cancel()
 		o.disconnect(participant, log)
-		<-publishing
+		<-publisherDone
 	}, nil
 }
 
-// checkNoFleet returns an error where the operator names a fleet and this program cannot take part in one.
-func checkNoFleet(c *config.Config) error {
-	file := c.Getenv(FleetEnvironment)
+// rejectFleetConfig returns an error where the operator names a fleet and this program cannot take part in one.
+func rejectFleetConfig(c *config.Config) error {
+	file := c.Getenv(FleetConfigVariable)
 	if file == "" {
 		return nil
 	}
 	return fmt.Errorf("%s names %s, and this program is built without a part in a fleet: fleetsidecar has one",
-		FleetEnvironment, file)
+		FleetConfigVariable, file)
 }
 
 // connect has the event loop report to the part in the fleet.
@@ -120,8 +120,8 @@
 	}
 }
 
-// fleet returns the part in the fleet; nil: there is none.
-func (o *operator) fleet() Participant {
+// fleetParticipant returns the part in the fleet; nil: there is none.
+func (o *operator) fleetParticipant() Participant {
 	participant := o.participant.Load()
 	if participant == nil {
 		return nil
@@ -133,8 +133,8 @@
 // own list names, and bring up what the fleet has had down; it ends no drain, which is the list's.
 func (o *operator) applyAdminDown(ids []string) {
 	o.loop.Post(func() {
-		wasDown := set(o.loop.AdminDown())
-		isDown := set(ids)
+		wasDown := toSet(o.loop.AdminDown())
+		isDown := toSet(ids)
 		var added []string
 		for _, id := range ids {
 			if !wasDown[id] {
@@ -157,8 +157,8 @@
 	})
 }
 
-// set returns ids as a set.
-func set(ids []string) map[string]bool {
+// toSet returns ids as a set.
+func toSet(ids []string) map[string]bool {
 	members := make(map[string]bool, len(ids))
 	for _, id := range ids {
 		members[id] = true
@@ -181,10 +181,10 @@
 // this sidecar, or its other process, knows the server. A forwarded call waits for nobody: the process that forwarded
 // it has its own caller waiting.
 func (o *operator) publishToFleet(ctx context.Context, id string, down, known, forwarded bool) (string, error) {
-	fleet := o.fleet()
-	if fleet != nil && !known { // on no list here, but it may be down all the same
+	participant := o.fleetParticipant()
+	if participant != nil && !known { // on no list here, but it may be down all the same
 		var err error
-		known, err = fleet.KnowsServer(ctx, id)
+		known, err = participant.KnowsServer(ctx, id)
 		if err != nil {
 			return "", err
 		}
@@ -192,17 +192,17 @@
 	if !known {
 		return "", admin.ErrUnknownServer
 	}
-	if fleet == nil {
+	if participant == nil {
 		return "", nil
 	}
-	held, asked, err := fleet.SetAdminDown(ctx, id, down, !forwarded)
+	confirmed, contacted, err := participant.SetAdminDown(ctx, id, down, !forwarded)
 	if err != nil {
 		return "", o.replicationError(err)
 	}
 	if forwarded {
 		return "", nil
 	}
-	return replicationNote(held, asked), nil
+	return replicationNote(confirmed, contacted), nil
 }
 
 // replicationError returns an operator's error for a call that was not replicated. In an upgrade the other process,
@@ -219,28 +219,28 @@
 }
 
 // replicationNote says how many of the sidecars that were asked hold a call.
-func replicationNote(held, asked int) string {
+func replicationNote(confirmed, contacted int) string {
 	switch {
-	case asked == 0:
+	case contacted == 0:
 		return "there is no other sidecar to know of it"
-	case held == 0:
+	case confirmed == 0:
 		return "no other sidecar has answered: this one is cut off, and tells them when it can"
 	}
-	return fmt.Sprintf("%d other sidecars hold it and tell the rest", held)
+	return fmt.Sprintf("%d other sidecars hold it and tell the rest", confirmed)
 }
 
 // fleetReady reports whether the part in the fleet is ready, and if not, why.
-func (o *operator) fleetReady() (ready bool, why string) {
-	fleet := o.fleet()
-	if fleet == nil {
+func (o *operator) fleetReady() (ready bool, reason string) {
+	participant := o.fleetParticipant()
+	if participant == nil {
 		return true, ""
 	}
-	if o.gate != nil && !o.gate.Enter(context.Background(), fleetQueryTimeout) {
+	if o.gate != nil && !o.gate.Enter(context.Background(), participantTimeout) {
 		return false, "policy: nobody has promised this sidecar one"
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), fleetQueryTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), participantTimeout)
 	defer cancel()
-	ready, phase := fleet.Ready(ctx)
+	ready, phase := participant.Ready(ctx)
 	if !ready {
 		return false, "fleet: " + phase
 	}
@@ -249,9 +249,9 @@
 
 // writeFleetMetrics writes the fleet's metrics, where there is a fleet.
 func (o *operator) writeFleetMetrics(ctx context.Context, w io.Writer) error {
-	fleet := o.fleet()
-	if fleet == nil {
+	participant := o.fleetParticipant()
+	if participant == nil {
 		return nil
 	}
-	return fleet.WriteMetrics(ctx, w)
+	return participant.WriteMetrics(ctx, w)
 }
--- a/internal/sidecar/fleet_admin_test.go
+++ b/internal/sidecar/fleet_admin_test.go
@@ -75,14 +75,14 @@
 	p.expectAdminDown()
 }
 
-// adminDownPart is a part in a fleet without a policy, which answers operators' calls as its test says.
-type adminDownPart struct {
+// adminDownParticipant is a part in a fleet without a policy, which answers operators' calls as its test says.
+type adminDownParticipant struct {
 	fakeParticipant
-	knows       bool
-	knowsErr    error
-	held, asked int
-	err         error
-	calls       []adminDownCall
+	knows                bool
+	knowsErr             error
+	confirmed, contacted int
+	err                  error
+	calls                []adminDownCall
 }
 
 // adminDownCall is a call that is passed on to the fleet.
@@ -92,60 +92,63 @@
 }
 
 // Policy implements Participant.
-func (*adminDownPart) Policy() proxy.Policy { return nil }
+func (*adminDownParticipant) Policy() proxy.Policy { return nil }
 
 // KnowsServer implements Participant.
-func (p *adminDownPart) KnowsServer(context.Context, string) (bool, error) {
+func (p *adminDownParticipant) KnowsServer(context.Context, string) (bool, error) {
 	return p.knows, p.knowsErr
 }
 
 // SetAdminDown implements Participant.
-func (p *adminDownPart) SetAdminDown(_ context.Context, server string, down, confirm bool) (held, asked int, err error) {
+func (p *adminDownParticipant) SetAdminDown(_ context.Context, server string,
+	down, confirm bool) (confirmed, contacted int, err error) {
 	p.calls = append(p.calls, adminDownCall{server, down, confirm})
-	return p.held, p.asked, p.err
+	return p.confirmed, p.contacted, p.err
 }
 
 // publishTest is a call that is passed on to the fleet, with what its operator is answered.
 type publishTest struct {
-	name      string
-	part      *adminDownPart // nil: there is none
-	other     bool           // another process of the sidecar runs
-	known     bool
-	forwarded bool // by the other process
-	note      string
-	err       string // "": none
-	is        error  // that err wraps; nil: any
-	calls     []adminDownCall
+	name        string
+	participant *adminDownParticipant // nil: there is none
+	other       bool                  // another process of the sidecar runs
+	known       bool
+	forwarded   bool // by the other process
+	note        string
+	err         string // "": none
+	wrapped     error  // that err wraps; nil: any
+	calls       []adminDownCall
 }
 
 // TestPublishToFleet: what an operator is answered to a call that is passed on to the fleet.
 func TestPublishToFleet(t *testing.T) {
 	errDisk := errors.New("disk full")
 	unknownServer := admin.ErrUnknownServer
-	confirmed := []adminDownCall{{"s-0", true, true}}
-	unconfirmed := []adminDownCall{{"s-0", true, false}}
+	confirmedCalls := []adminDownCall{{"s-0", true, true}}
+	unconfirmedCalls := []adminDownCall{{"s-0", true, false}}
 	for _, tt := range []publishTest{
 		{name: "no fleet", known: true},
-		{name: "no fleet, unknown server", err: unknownServer.Error(), is: unknownServer},
-		{name: "unknown server", part: &adminDownPart{}, err: unknownServer.Error(), is: unknownServer},
-		{name: "unknown here, known to the fleet", part: &adminDownPart{knows: true, held: 1, asked: 1},
-			note: "1 other sidecars hold it", calls: confirmed},
-		{name: "the fleet cannot say whether it knows", part: &adminDownPart{knowsErr: errDisk},
-			err: "disk full", is: errDisk},
-		{name: "held by others", part: &adminDownPart{held: 3, asked: 4}, known: true,
-			note: "3 other sidecars hold it and tell the rest", calls: confirmed},
-		{name: "nobody answered", part: &adminDownPart{asked: 4}, known: true,
-			note: "no other sidecar has answered", calls: confirmed},
-		{name: "no other sidecar", part: &adminDownPart{}, known: true,
-			note: "there is no other sidecar", calls: confirmed},
-		{name: "forwarded by the other process", part: &adminDownPart{held: 3, asked: 4}, known: true, forwarded: true,
-			calls: unconfirmed},
-		{name: "superseded, another process runs", part: &adminDownPart{err: ErrSuperseded}, other: true, known: true,
-			calls: confirmed},
-		{name: "superseded, no other process", part: &adminDownPart{err: ErrSuperseded}, known: true,
-			err: "it holds here alone", calls: confirmed},
-		{name: "the fleet may not know", part: &adminDownPart{err: errDisk}, known: true,
-			err: "it holds here, and the fleet may not know: disk full", is: errDisk, calls: confirmed},
+		{name: "no fleet, unknown server", err: unknownServer.Error(), wrapped: unknownServer},
+		{name: "unknown server", participant: &adminDownParticipant{},
+			err: unknownServer.Error(), wrapped: unknownServer},
+		{name: "unknown here, known to the fleet",
+			participant: &adminDownParticipant{knows: true, confirmed: 1, contacted: 1},
+			note:        "1 other sidecars hold it", calls: confirmedCalls},
+		{name: "the fleet cannot say whether it knows", participant: &adminDownParticipant{knowsErr: errDisk},
+			err: "disk full", wrapped: errDisk},
+		{name: "held by others", participant: &adminDownParticipant{confirmed: 3, contacted: 4}, known: true,
+			note: "3 other sidecars hold it and tell the rest", calls: confirmedCalls},
+		{name: "nobody answered", participant: &adminDownParticipant{contacted: 4}, known: true,
+			note: "no other sidecar has answered", calls: confirmedCalls},
+		{name: "no other sidecar", participant: &adminDownParticipant{}, known: true,
+			note: "there is no other sidecar", calls: confirmedCalls},
+		{name: "forwarded by the other process", participant: &adminDownParticipant{confirmed: 3, contacted: 4},
+			known: true, forwarded: true, calls: unconfirmedCalls},
+		{name: "superseded, another process runs", participant: &adminDownParticipant{err: ErrSuperseded},
+			other: true, known: true, calls: confirmedCalls},
+		{name: "superseded, no other process", participant: &adminDownParticipant{err: ErrSuperseded}, known: true,
+			err: "it holds here alone", calls: confirmedCalls},
+		{name: "the fleet may not know", participant: &adminDownParticipant{err: errDisk}, known: true,
+			err: "it holds here, and the fleet may not know: disk full", wrapped: errDisk, calls: confirmedCalls},
 	} {
 		t.Run(tt.name, func(t *testing.T) { tt.run(t) })
 	}
@@ -158,9 +161,9 @@
 	if tt.other {
 		joinOtherProcess(t, dir, "")
 	}
-	if tt.part != nil {
-		part := Participant(tt.part)
-		p.operator.participant.Store(&part)
+	if tt.participant != nil {
+		participant := Participant(tt.participant)
+		p.operator.participant.Store(&participant)
 		defer p.operator.participant.Store(nil)
 	}
 	note, err := p.operator.publishToFleet(context.Background(), "s-0", true, tt.known, tt.forwarded)
@@ -170,10 +173,10 @@
 	if (err == nil) != (tt.err == "") || err != nil && !strings.Contains(err.Error(), tt.err) {
 		t.Errorf("error %v, want %q", err, tt.err)
 	}
-	if tt.is != nil && !errors.Is(err, tt.is) {
-		t.Errorf("error %v, want one that wraps %v", err, tt.is)
+	if tt.wrapped != nil && !errors.Is(err, tt.wrapped) {
+		t.Errorf("error %v, want one that wraps %v", err, tt.wrapped)
 	}
-	if tt.part != nil && !slices.Equal(tt.part.calls, tt.calls) {
-		t.Errorf("calls to the fleet %+v, want %+v", tt.part.calls, tt.calls)
+	if tt.participant != nil && !slices.Equal(tt.participant.calls, tt.calls) {
+		t.Errorf("calls to the fleet %+v, want %+v", tt.participant.calls, tt.calls)
 	}
 }
--- a/internal/sidecar/forward_test.go
+++ b/internal/sidecar/forward_test.go
@@ -41,18 +41,18 @@
 	return startWith(t, text, startOptions{env: []string{"TMPDIR=" + dir}})
 }
 
-// startConsole starts a console that responds to each call by respond.
-func startConsole(t *testing.T, respond http.HandlerFunc) (address string) {
+// startFakeAdminServer starts a console that responds to each call by respond.
+func startFakeAdminServer(t *testing.T, respond http.HandlerFunc) (address string) {
 	t.Helper()
 	web := httptest.NewServer(respond)
 	t.Cleanup(web.Close)
 	return web.Listener.Addr().String()
 }
 
-// startConsoleWithStatus returns what starts a console that responds to each call with a status.
-func startConsoleWithStatus(status int) func(t *testing.T) (address string) {
+// fakeAdminServerWithStatus returns what starts a console that responds to each call with a status.
+func fakeAdminServerWithStatus(status int) func(t *testing.T) (address string) {
 	return func(t *testing.T) string {
-		return startConsole(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) })
+		return startFakeAdminServer(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) })
 	}
 }
 
@@ -70,9 +70,9 @@
 		known   bool
 		fault   string // of the error; "": none
 	}{
-		{"it knows the server", startConsoleWithStatus(http.StatusOK), true, ""},
-		{"it does not know the server", startConsoleWithStatus(http.StatusNotFound), false, ""},
-		{"it fails", startConsoleWithStatus(http.StatusServiceUnavailable), false, "was not told: pass on: status 503"},
+		{"it knows the server", fakeAdminServerWithStatus(http.StatusOK), true, ""},
+		{"it does not know the server", fakeAdminServerWithStatus(http.StatusNotFound), false, ""},
+		{"it fails", fakeAdminServerWithStatus(http.StatusServiceUnavailable), false, "was not told: pass on: status 503"},
 		{"it cannot be reached", unreachable, false, "was not told: pass on: dial"},
 		{"it has no console", func(*testing.T) string { return "" }, false, ""},
 	} {
@@ -96,7 +96,7 @@
 	calls := make(chan string, 2)
 	dir := t.TempDir()
 	p := startInDir(t, dir)
-	joinOtherProcess(t, dir, startConsole(t, func(_ http.ResponseWriter, r *http.Request) {
+	joinOtherProcess(t, dir, startFakeAdminServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		var body struct{ Target string }
 		if err := json.NewDecoder(r.Body).Decode(&body); err != nil {
 			t.Error(err)
@@ -120,7 +120,7 @@
 	dir := t.TempDir()
 	p := startInDir(t, dir)
 	joinOtherProcess(t, dir, "") // one that goes on running
-	ending <- joinOtherProcess(t, dir, startConsole(t, func(http.ResponseWriter, *http.Request) {
+	ending <- joinOtherProcess(t, dir, startFakeAdminServer(t, func(http.ResponseWriter, *http.Request) {
 		_ = (<-ending).Leave()
 		panic(http.ErrAbortHandler)
 	}))
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -33,18 +33,18 @@
 	return config.Load(testserver.Environment(file, env...))
 }
 
-// startLog is a log that passes on the address served.
-type startLog struct {
+// startLogHandler is a log that passes on the address served.
+type startLogHandler struct {
 	slog.Handler
 	address   chan string
 	ejections *atomic.Int32
 }
 
 // Enabled implements slog.Handler.
-func (startLog) Enabled(context.Context, slog.Level) bool { return true }
+func (startLogHandler) Enabled(context.Context, slog.Level) bool { return true }
 
 // Handle implements slog.Handler.
-func (l startLog) Handle(_ context.Context, r slog.Record) error {
+func (l startLogHandler) Handle(_ context.Context, r slog.Record) error {
 	if strings.HasPrefix(r.Message, "ejected ") {
 		l.ejections.Add(1)
 	}
@@ -63,7 +63,7 @@
 	stop          context.CancelFunc
 	configFile    string
 	reloadSignals chan os.Signal
-	ended         chan error // gets what run returns
+	runResult     chan error // gets what run returns
 	operator      *operator
 	ejections     atomic.Int32 // servers
 }
@@ -82,8 +82,8 @@
 	return startWith(t, configText, startOptions{})
 }
 
-// startServing starts a sidecar that knows these servers, and whose discovery sends no list.
-func startServing(t *testing.T, backends ...*testserver.Backend) *program {
+// startWithBackends starts a sidecar that knows these servers, and whose discovery sends no list.
+func startWithBackends(t *testing.T, backends ...*testserver.Backend) *program {
 	t.Helper()
 	return start(t, configFor(t, backends...))
 }
@@ -97,22 +97,23 @@
 	}
 	times := options.times
 	times.quietPeriod = cmp.Or(times.quietPeriod, time.Millisecond)
-	times.maxDeadline = cmp.Or(times.maxDeadline, testserver.Timeout) // no test depends on how soon a request expires
+	// No test depends on how soon a request expires.
+	times.maxKillDeadline = cmp.Or(times.maxKillDeadline, testserver.Timeout)
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &program{
 		Client:        testserver.Client{T: t, HTTP: &http.Client{Transport: &http.Transport{}}},
 		stop:          cancel,
 		configFile:    c.Getenv("PROXY_CONFIG"),
 		reloadSignals: make(chan os.Signal, 1),
-		ended:         make(chan error, 1),
+		runResult:     make(chan error, 1),
 	}
 	options.hooks.started = func(o *operator) { p.operator = o }
-	log := startLog{slog.DiscardHandler, make(chan string, 1), &p.ejections}
+	log := startLogHandler{slog.DiscardHandler, make(chan string, 1), &p.ejections}
 	var running sync.WaitGroup
 	running.Add(1)
 	go func() {
 		defer running.Done()
-		p.ended <- run(ctx, p.reloadSignals, c, slog.New(log), options.join, times, options.hooks)
+		p.runResult <- run(ctx, p.reloadSignals, c, slog.New(log), options.join, times, options.hooks)
 	}()
 	t.Cleanup(func() {
 		p.HTTP.CloseIdleConnections()
--- a/internal/sidecar/local_failures_test.go
+++ b/internal/sidecar/local_failures_test.go
@@ -44,10 +44,10 @@
 	}
 }
 
-// failing are the options of a sidecar whose calls fail as planned by f, and whose drain waits for connections on which
+// failureOptions returns the options of a sidecar whose calls fail as planned by f, and whose drain waits for connections on which
 // no request has come.
-func failing(f *testserver.Failures) startOptions {
-	return startOptions{hooks: failureHooks(f), times: drainTimes{unusedGrace: testserver.Timeout}}
+func failureOptions(f *testserver.Failures) startOptions {
+	return startOptions{hooks: failureHooks(f), times: drainTimes{unusedGracePeriod: testserver.Timeout}}
 }
 
 // TestAcceptErrorsLoseNoRequest has accepting fail in service and while draining, with each error: who waits is
@@ -58,7 +58,7 @@
 			f := &testserver.Failures{}
 			once := testserver.Failure{Errno: errno}
 			f.Set("accept", once, once)
-			p := startWith(t, configFor(t, startBackend(t, "ok")), failing(f))
+			p := startWith(t, configFor(t, startBackend(t, "ok")), failureOptions(f))
 			if got := p.Send("read"); got.Status != 200 {
 				t.Errorf("response %+v in service", got)
 			}
@@ -77,13 +77,13 @@
 					t.Errorf("while draining: %v", err)
 				}
 			}
-			p.expectEnd()
+			p.expectCleanExit()
 		})
 	}
 }
 
-// TestListenIsRetriedInAShortage has listening fail at the start.
-func TestListenIsRetriedInAShortage(t *testing.T) {
+// TestListenIsRetriedOnResourceShortage has listening fail at the start.
+func TestListenIsRetriedOnResourceShortage(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
 		errno  syscall.Errno
@@ -116,9 +116,9 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				with := failureHooks(f)
-				with.started = func(*operator) { t.Error("it serves") }
-				err = run(context.Background(), nil, c, slog.New(slog.DiscardHandler), nil, drainTimes{}, with)
+				h := failureHooks(f)
+				h.started = func(*operator) { t.Error("it serves") }
+				err = run(context.Background(), nil, c, slog.New(slog.DiscardHandler), nil, drainTimes{}, h)
 				if !errors.Is(err, tt.errno) {
 					t.Errorf("error %v", err)
 				}
@@ -139,7 +139,7 @@
 	}
 	f := &testserver.Failures{}
 	p := startWith(t, configFor(t, backends...), startOptions{hooks: failureHooks(f)})
-	ask := func(want int) {
+	sendRequests := func(want int) {
 		t.Helper()
 		var clients sync.WaitGroup
 		for range 8 {
@@ -155,11 +155,11 @@
 		}
 		clients.Wait()
 	}
-	ask(200)
+	sendRequests(200)
 	f.Set("connect", slices.Repeat([]testserver.Failure{{Errno: unix.EMFILE}}, 1<<15)...)
-	ask(503)
+	sendRequests(503)
 	f.Set("connect")
-	ask(200)
+	sendRequests(200)
 	if n := p.ejections.Load(); n != 0 {
 		t.Errorf("%d servers ejected", n)
 	}
@@ -181,15 +181,15 @@
 // the process ends when it is asked to and not before.
 func TestLocalFailuresKeepRequestGuarantees(t *testing.T) {
 	var mu sync.Mutex
-	ran := map[string]int{}
+	executions := map[string]int{}
 	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		mu.Lock()
-		ran[r.Header.Get("X-Request-ID")]++
+		executions[r.Header.Get("X-Request-ID")]++
 		mu.Unlock()
 		return testserver.Respond(200, "", strings.Repeat("ok", 100))(c, r, body)
 	})
 	discardRequests(b)
-	configText, asked := configFor(t, b, b), 0
+	configText, requestCount := configFor(t, b, b), 0
 	rapid.Check(t, func(rt *rapid.T) {
 		f := &testserver.Failures{}
 		draw := func() { // at listeners and clients fewer in a row than it tries again
@@ -201,8 +201,8 @@
 			f.Set("client write", drawFailures(rt, "client write", 6, testserver.StreamErrnos)...)
 		}
 		f.Set("listen", drawFailures(rt, "listen", 5, []syscall.Errno{unix.EMFILE, unix.ENOBUFS, unix.ENOMEM})...)
-		p := startWith(t, configText, failing(f))
-		ask := func(classes []string, between func()) {
+		p := startWith(t, configText, failureOptions(f))
+		sendRequests := func(classes []string, between func()) {
 			var clients sync.WaitGroup
 			var conns []net.Conn
 			for range classes {
@@ -210,8 +210,8 @@
 			}
 			between()
 			for i, class := range classes {
-				asked++
-				id, c := fmt.Sprintf("drawn-%d", asked), conns[i]
+				requestCount++
+				id, c := fmt.Sprintf("drawn-%d", requestCount), conns[i]
 				clients.Add(1)
 				go func() {
 					defer clients.Done()
@@ -220,7 +220,7 @@
 					}
 					mu.Lock()
 					defer mu.Unlock()
-					if n := ran[id]; n > 1 && class == "pay" {
+					if n := executions[id]; n > 1 && class == "pay" {
 						rt.Errorf("%s ran %d times", id, n)
 					}
 				}()
@@ -229,11 +229,11 @@
 		}
 		classes := rapid.SliceOfN(rapid.SampledFrom([]string{"read", "book", "pay"}), 1, 4)
 		draw()
-		ask(classes.Draw(rt, "in service"), func() {})
+		sendRequests(classes.Draw(rt, "in service"), func() {})
 		draining := classes.Draw(rt, "draining")
 		draw()
-		ask(draining, p.stop)
-		if err := testserver.Receive(t, p.ended, "end"); err != nil {
+		sendRequests(draining, p.stop)
+		if err := testserver.Receive(t, p.runResult, "end"); err != nil {
 			rt.Errorf("it ended with %v", err)
 		}
 		if n := p.ejections.Load(); n > 0 {
--- a/internal/sidecar/lost_requests_test.go
+++ b/internal/sidecar/lost_requests_test.go
@@ -15,13 +15,13 @@
 // TestTimeoutsOfLostRequestsShedNoOthers has some requests at every server lost while it answers all others at once:
 // their time-outs must not make the servers look slow, and so reject what they would serve.
 func TestTimeoutsOfLostRequestsShedNoOthers(t *testing.T) {
-	const each = 3
+	const perServer = 3
 	var backends []*testserver.Backend
-	came := make(chan bool, 100)
+	arrivals := make(chan bool, 100)
 	for range 4 {
 		backends = append(backends, testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 			if hasIdempotencyKey(r) {
-				came <- true
+				arrivals <- true
 				return testserver.NeverRespond(c, r, body)
 			}
 			return testserver.Respond(200, "", "ok")(c, r, body)
@@ -29,28 +29,28 @@
 	}
 	// A lost request is in flight for four latency objectives.
 	p := start(t, strings.ReplaceAll(configFor(t, backends...), `"aim_s":20.0`, `"aim_s":1.0`))
-	ended := make(chan testserver.Result, each*len(backends))
+	ended := make(chan testserver.Result, perServer*len(backends))
 	for range cap(ended) {
 		r := p.NewRequest(context.Background(), "book", "4000")
 		go func() { ended <- p.Do(r) }()
 	}
 	for range cap(ended) {
-		testserver.Receive(t, came, "attempt that is lost")
+		testserver.Receive(t, arrivals, "attempt that is lost")
 	}
-	answered := func(when string) {
-		for range each * len(backends) {
+	expectServed := func(when string) {
+		for range perServer * len(backends) {
 			if got := p.Send("read"); got.Status != http.StatusOK {
 				t.Fatalf("response %+v %s", got, when)
 			}
 		}
 	}
-	answered("while others are in flight")
+	expectServed("while others are in flight")
 	for range cap(ended) {
 		if got := testserver.Receive(t, ended, "response"); got.Status == http.StatusOK {
 			t.Errorf("response %+v to what was lost", got)
 		}
 	}
-	answered("after the time-outs")
+	expectServed("after the time-outs")
 }
 
 // TestLostRequestsAreRetriedIfRepeatable has payments lost, each once, and then requests that may be repeated: they are
@@ -60,7 +60,7 @@
 	var backends []*testserver.Backend
 	var mu sync.Mutex
 	lost := map[string]int{} // arrivals of what is lost the first time
-	came := make(chan bool, 100)
+	arrivals := make(chan bool, 100)
 	for range 4 {
 		backends = append(backends, testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 			id := r.Header.Get("X-Request-ID")
@@ -71,40 +71,40 @@
 			first := lost[id] == 1
 			mu.Unlock()
 			if first {
-				came <- true
+				arrivals <- true
 				return testserver.NeverRespond(c, r, body)
 			}
 			return testserver.Respond(200, "", "ok")(c, r, body)
 		}))
 	}
 	p := start(t, strings.ReplaceAll(configFor(t, backends...), `"aim_s":20.0`, `"aim_s":1.0`))
-	ask := func(n int) {
+	sendReads := func(n int) {
 		for range n {
 			if got := p.Send("read"); got.Status != http.StatusOK {
 				t.Fatalf("response %+v", got)
 			}
 		}
 	}
-	begin := func(class, id, timeout string, ended chan testserver.Result) {
+	startLost := func(class, id, timeout string, ended chan testserver.Result) {
 		r := p.NewRequest(context.Background(), class, timeout)
 		r.Header.Set("X-Request-ID", id)
 		go func() { ended <- p.Do(r) }()
-		testserver.Receive(t, came, "attempt that is lost")
+		testserver.Receive(t, arrivals, "attempt that is lost")
 	}
-	ask(40) // and so it is known how long responses take
+	sendReads(40) // and so it is known how long responses take
 	ended := make(chan testserver.Result, payments)
 	for i := range payments {
-		begin("pay", fmt.Sprint("lost-pay-", i), "500", ended)
+		startLost("pay", fmt.Sprint("lost-pay-", i), "500", ended)
 	}
-	ask(24)
+	sendReads(24)
 	for range payments {
 		testserver.Receive(t, ended, "end of a payment")
 	}
 	again := make(chan testserver.Result, len(backends))
 	for i := range backends { // one at each, so that each gets others too
-		begin("read", fmt.Sprint("lost-read-", i), "59000", again) // longer than the test has patience
+		startLost("read", fmt.Sprint("lost-read-", i), "59000", again) // longer than the test has patience
 	}
-	ask(24)
+	sendReads(24)
 	for range backends {
 		if got := testserver.Receive(t, again, "response to what was lost"); got.Status != http.StatusOK {
 			t.Errorf("response %+v to what was lost at first", got)
--- a/internal/sidecar/operator.go
+++ b/internal/sidecar/operator.go
@@ -22,12 +22,12 @@
 	metrics          *metrics.Counters
 	group            *processGroup
 	server           atomic.Pointer[clientServer] // nil: the process does not listen for clients yet
-	announced        atomic.Bool                  // other processes can see that this one is ready
+	readyAnnounced   atomic.Bool                  // other processes can see that this one is ready
 	participant      atomic.Pointer[Participant]  // in a fleet; nil: there is none
 	gate             *proxy.PolicyGate            // set before clients are served; nil: the fleet has no policy
 	adminDownChanged chan struct{}                // gets a value when the fleet has taken servers down or up
 
-	publishing sync.Mutex // held by publishAdminDown
+	publishMu sync.Mutex // held by publishAdminDown
 
 	fleetAdminDown map[string]bool // what the fleet last had down; of the loop's goroutine
 }
@@ -44,7 +44,7 @@
 }
 
 // Ready implements admin.Sidecar.
-func (o *operator) Ready() (ready bool, why string) {
+func (o *operator) Ready() (ready bool, reason string) {
 	server := o.server.Load()
 	switch {
 	case server == nil:
@@ -57,7 +57,7 @@
 	default:
 		return false, "no list of servers yet"
 	}
-	if !o.announced.Load() {
+	if !o.readyAnnounced.Load() {
 		return false, "starting"
 	}
 	return o.fleetReady()
@@ -83,7 +83,7 @@
 
 // PolicyHandler implements admin.Sidecar.
 func (o *operator) PolicyHandler() http.Handler {
-	if o.fleet() == nil || o.gate == nil {
+	if o.fleetParticipant() == nil || o.gate == nil {
 		return nil
 	}
 	return o.gate.Policy().Handler()
@@ -91,11 +91,11 @@
 
 // FleetStatus implements admin.Sidecar.
 func (o *operator) FleetStatus(ctx context.Context) ([]byte, error) {
-	fleet := o.fleet()
-	if fleet == nil {
+	participant := o.fleetParticipant()
+	if participant == nil {
 		return nil, admin.ErrNoFleet
 	}
-	return fleet.Status(ctx)
+	return participant.Status(ctx)
 }
 
 // SetAdminDown implements admin.Sidecar. In an upgrade it takes effect in both processes before it returns: one that is
@@ -127,8 +127,8 @@
 	return o.publishToFleet(ctx, id, down, known || knownElsewhere && !forwarded, forwarded)
 }
 
-// inherit takes over which servers are administratively down for other processes.
-func (o *operator) inherit(ctx context.Context) error {
+// inheritAdminDown takes over which servers are administratively down for other processes.
+func (o *operator) inheritAdminDown(ctx context.Context) error {
 	ids := o.group.adminDown()
 	if len(ids) == 0 {
 		return nil
@@ -145,8 +145,8 @@
 // publishAdminDown writes which servers are administratively down for other processes. One call at a time does: of two
 // that overlapped, the one that read the older list could write last, after both operators were answered.
 func (o *operator) publishAdminDown(ctx context.Context) error {
-	o.publishing.Lock()
-	defer o.publishing.Unlock()
+	o.publishMu.Lock()
+	defer o.publishMu.Unlock()
 	var ids []string
 	if err := o.loop.Do(ctx, func() { ids = o.loop.AdminDown() }); err != nil {
 		return err
--- a/internal/sidecar/participant.go
+++ b/internal/sidecar/participant.go
@@ -12,9 +12,9 @@
 	"milletramp.example/milletramp/internal/proxy"
 )
 
-// FleetEnvironment is the variable of the environment that names the operator's file on the fleet. Without it no
+// FleetConfigVariable is the variable of the environment that names the operator's file on the fleet. Without it no
 // sidecar takes part in a fleet.
-const FleetEnvironment = "MILLETRAMP_FLEET"
+const FleetConfigVariable = "MILLETRAMP_FLEET"
 
 // ErrSuperseded is returned by a Participant whose process does not speak for its sidecar in the fleet any more:
 // another process does, or this one is about to end.
@@ -41,7 +41,7 @@
 	KnowsServer(ctx context.Context, server string) (bool, error)
 	// SetAdminDown replicates an operator's call. If confirm is set it waits for others to hold it, and returns how
 	// many of those that were asked do by then.
-	SetAdminDown(ctx context.Context, server string, down, confirm bool) (held, asked int, err error)
+	SetAdminDown(ctx context.Context, server string, down, confirm bool) (confirmed, contacted int, err error)
 	// Status is what is known of the fleet, as JSON.
 	Status(ctx context.Context) ([]byte, error)
 	// WriteMetrics writes the fleet's metrics as the admin server gives them.
--- a/internal/sidecar/policy_test.go
+++ b/internal/sidecar/policy_test.go
@@ -12,12 +12,12 @@
 	"milletramp.example/milletramp/internal/proxy"
 )
 
-// TestRequestsAreTakenUnderPolicyInForceOnly: requests are taken under the policy in force alone, wait for the next
+// TestRequestsAreAdmittedOnlyUnderPolicyInForce: requests are taken under the policy in force alone, wait for the next
 // where that is soon, and are rejected where there is no lease.
-func TestRequestsAreTakenUnderPolicyInForceOnly(t *testing.T) {
+func TestRequestsAreAdmittedOnlyUnderPolicyInForce(t *testing.T) {
 	b, f := startBackend(t, "ok"), &fakeParticipant{}
 	p := startWith(t, configFor(t, b), startOptions{join: f.join})
-	ask := func(class string, status int, policy string) {
+	expectResponse := func(class string, status int, policy string) {
 		t.Helper()
 		resp, err := p.HTTP.Do(p.NewRequest(context.Background(), class, "2000"))
 		if err != nil {
@@ -29,32 +29,32 @@
 				class, resp.StatusCode, resp.Header.Get(proxy.PolicyHeader), status, policy)
 		}
 	}
-	ask("read", 503, "") // there is no lease
+	expectResponse("read", 503, "") // there is no lease
 	if ready, why := p.operator.Ready(); ready || !strings.Contains(why, "policy") {
 		t.Errorf("ready %v: %s", ready, why)
 	}
 	f.setPolicy(3, 0, true)
-	ask("read", 503, "") // in force, and not checked here
+	expectResponse("read", 503, "") // in force, and not checked here
 	f.expectCheck(t, 3, f.policyDocument(t, ""), "")
-	ask("read", 200, "3")
-	ask("pay", 200, "3")
+	expectResponse("read", 200, "3")
+	expectResponse("pay", 200, "3")
 	f.expectCheck(t, 4, f.policyDocument(t, "pay"), "")
-	ask("pay", 200, "3") // checked is not in force
+	expectResponse("pay", 200, "3") // checked is not in force
 	f.setPolicy(4, 0, true)
-	ask("pay", 400, "")
-	ask("read", 200, "4")
+	expectResponse("pay", 400, "")
+	expectResponse("read", 200, "4")
 	f.setPolicy(0, 300*time.Millisecond, false)
 	time.AfterFunc(50*time.Millisecond, func() { f.setPolicy(4, 0, true) }) // within the wait
-	ask("read", 200, "4")
+	expectResponse("read", 200, "4")
 	f.setPolicy(0, 0, false)
-	ask("read", 503, "")
+	expectResponse("read", 503, "")
 	f.setPolicy(4, 0, true)
 	sent := b.RequestCount()
 	f.mu.Lock()
 	f.reads, f.advanceAfter = 0, 1 // in force when the head is read, and over when the request is to be taken
 	f.mu.Unlock()
 	f.expectCheck(t, 5, f.policyDocument(t, ""), "")
-	ask("read", 200, "5")
+	expectResponse("read", 200, "5")
 	if n := b.RequestCount() - sent; n != 1 {
 		t.Errorf("%d attempts, want one", n)
 	}
--- a/internal/sidecar/process.go
+++ b/internal/sidecar/process.go
@@ -27,23 +27,23 @@
 	loop       *proxy.EventLoop
 	background sync.WaitGroup // goroutines that end with the context of run
 
-	operator   *operator
-	accepting  *downstream.DrainListener // accepts from the kernel
-	conns      *downstream.Listener      // tracks the clients' connections
-	handler    *proxy.Handler
-	httpServer *http.Server
-	served     chan error // gets what ended httpServer.Serve, once
+	operator      *operator
+	drainListener *downstream.DrainListener // accepts from the kernel
+	conns         *downstream.Listener      // tracks the clients' connections
+	handler       *proxy.Handler
+	httpServer    *http.Server
+	serveResult   chan error // gets what ended httpServer.Serve, once
 }
 
 // newProcess returns a process whose attempts and watches end with ctx.
 func newProcess(ctx context.Context, c *config.Config, log *slog.Logger, times drainTimes,
-	with hooks) (*process, error) {
+	testHooks hooks) (*process, error) {
 	loop, err := proxy.NewEventLoop(ctx, c, newSocketBudget(c).UpstreamConns, log, nil)
 	if err != nil {
 		return nil, err
 	}
-	loop.Upstream().SetDial(with.dial)
-	return &process{config: c, log: log, times: times, hooks: with, loop: loop}, nil
+	loop.Upstream().SetDial(testHooks.dial)
+	return &process{config: c, log: log, times: times, hooks: testHooks, loop: loop}, nil
 }
 
 // startLoops starts the event loop and the reloads, which go on while the process drains.
@@ -55,7 +55,7 @@
 	}()
 	go func() { // ends with ctx
 		defer p.background.Done()
-		p.reloadEach(ctx, reload)
+		p.handleReloads(ctx, reload)
 	}()
 }
 
@@ -65,7 +65,7 @@
 func (p *process) awaitServers(stop context.Context) bool {
 	select {
 	case <-p.loop.FirstUpdate():
-	case <-time.After(p.times.listTimeout):
+	case <-time.After(p.times.firstListTimeout):
 	case <-stop.Done():
 		return false
 	}
@@ -79,45 +79,45 @@
 
 // startServing serves the clients that connect to listener.
 func (p *process) startServing(ctx context.Context, listener *net.TCPListener, hasPredecessor bool) {
-	p.accepting = downstream.NewDrainListener(listener, p.hooks.accept, p.times.quietPeriod)
-	if err := p.accepting.ShareConnections(); err != nil {
+	p.drainListener = downstream.NewDrainListener(listener, p.hooks.accept, p.times.quietPeriod)
+	if err := p.drainListener.ShareConnections(); err != nil {
 		p.log.Debug("the kernel chooses among the processes of this address", "err", err)
 	}
 	budget := newSocketBudget(p.config)
-	p.conns = downstream.NewListener(netretry.NewListener(p.accepting, p.log), budget.ClientConns,
+	p.conns = downstream.NewListener(netretry.NewListener(p.drainListener, p.log), budget.ClientConns,
 		budget.KeepAliveConns, &p.loop.Metrics().UnservedConns)
 	p.handler = proxy.NewHandler(p.config, p.loop, budget.Requests)
 	p.handler.SetPolicyGate(p.operator.gate)
 	context.AfterFunc(p.handler.Shutdown(), p.conns.RetireAll)
-	p.watchGroup(ctx, hasPredecessor)
+	p.watchProcessGroup(ctx, hasPredecessor)
 	p.httpServer = p.conns.HTTPServer(p.handler, p.log)
 	p.httpServer.ConnContext = proxy.ConnContext
-	p.served = make(chan error, 1)
-	go func() { p.served <- p.httpServer.Serve(p.conns) }() // ends when drain closes the listener
+	p.serveResult = make(chan error, 1)
+	go func() { p.serveResult <- p.httpServer.Serve(p.conns) }() // ends when drain closes the listener
 	p.operator.server.Store(&clientServer{p.handler, p.conns})
 	p.hooks.started(p.operator)
 	p.log.Info("serving", "name", p.config.Name, "address", listener.Addr().String())
 }
 
-// watchGroup shares the limits of the sidecar among its processes, and again each time that their number changes.
-func (p *process) watchGroup(ctx context.Context, hasPredecessor bool) {
+// watchProcessGroup shares the limits of the sidecar among its processes, and again each time that their number changes.
+func (p *process) watchProcessGroup(ctx context.Context, hasPredecessor bool) {
 	group := p.operator.group
 	p.background.Add(1)
 	go func() { // ends with ctx
 		defer p.background.Done()
 		group.watch(ctx, func(processes int) {
 			p.log.Info("processes of this sidecar", "count", processes)
-			p.setProcesses(processes)
+			p.setProcessCount(processes)
 		})
 	}()
 	if hasPredecessor {
-		group.processes.Store(2)
-		p.setProcesses(2)
+		group.processCount.Store(2)
+		p.setProcessCount(2)
 	}
 }
 
-// setProcesses limits this process to its share where the sidecar is this many processes.
-func (p *process) setProcesses(processes int) {
+// setProcessCount limits this process to its share where the sidecar is this many processes.
+func (p *process) setProcessCount(processes int) {
 	budget := newSocketBudget(p.config)
 	p.handler.SetMaxInFlight(budget.Requests / processes)
 	p.conns.SetLimits(budget.ClientConns/processes, max(budget.KeepAliveConns/processes, 1))
@@ -131,11 +131,11 @@
 	ready := p.loop.Ready()
 	for {
 		select {
-		case err := <-p.served:
+		case err := <-p.serveResult:
 			return fmt.Errorf("serve: %w", err)
 		case <-ready:
 			p.setPhase(hotrestart.Ready, "the next process cannot take over from this one")
-			p.operator.announced.Store(true)
+			p.operator.readyAnnounced.Store(true)
 			ready = nil
 		case <-stop.Done():
 			return nil
@@ -151,8 +151,8 @@
 	}
 }
 
-// startAdmin answers operators' calls that come to l, until stop is called.
-func startAdmin(l net.Listener, o *operator, log *slog.Logger) (stop func()) {
+// startAdminServer answers operators' calls that come to l, until stop is called.
+func startAdminServer(l net.Listener, o *operator, log *slog.Logger) (stop func()) {
 	server := admin.New(l, o, log)
 	var serving sync.WaitGroup
 	serving.Add(1)
--- a/internal/sidecar/process_group.go
+++ b/internal/sidecar/process_group.go
@@ -19,15 +19,15 @@
 
 // processGroup is the processes of this sidecar: one most of the time, two while one replaces another.
 type processGroup struct {
-	member    *hotrestart.Member // nil: this process cannot know of others
-	processes atomic.Int32       // their number, where more than two count as two
+	member       *hotrestart.Member // nil: this process cannot know of others
+	processCount atomic.Int32       // their number, where more than two count as two
 }
 
 // joinProcessGroup joins the processes of the sidecar that share a temporary directory. Without one, or if that fails,
 // the process is alone.
 func joinProcessGroup(c *config.Config, log *slog.Logger) *processGroup {
 	g := &processGroup{}
-	g.processes.Store(1)
+	g.processCount.Store(1)
 	dir := c.Getenv("TMPDIR")
 	if dir == "" {
 		log.Info("no TMPDIR: nothing is handed over in an upgrade")
@@ -36,8 +36,8 @@
 	var err error
 	g.member, err = hotrestart.Join(dir, hotrestart.State{
 		Name:          c.Name,
-		ListenAddress: c.Listen,
-		AdminAddress:  c.Console,
+		ListenAddress: c.ListenAddress,
+		AdminAddress:  c.AdminAddress,
 		Started:       time.Now(),
 		Phase:         hotrestart.Starting,
 	}, log)
@@ -120,7 +120,7 @@
 		}
 		// A process that is killed leaves its files as they are, so with two each poll has to look at them.
 		revision := g.member.DirRevision()
-		if revision == lastRevision && g.processes.Load() == 1 {
+		if revision == lastRevision && g.processCount.Load() == 1 {
 			continue
 		}
 		lastRevision = revision
@@ -128,7 +128,7 @@
 		if g.hasOthers() {
 			processes = 2
 		}
-		if g.processes.Swap(processes) != processes {
+		if g.processCount.Swap(processes) != processes {
 			onChange(int(processes))
 		}
 	}
--- a/internal/sidecar/process_group_test.go
+++ b/internal/sidecar/process_group_test.go
@@ -47,8 +47,8 @@
 	}
 	w.Lines <- testserver.ServingList(1, b, b)
 	op := testserver.Receive(t, started, "listening with a list")
-	if op.group.processes.Load() != 2 {
-		t.Errorf("the sidecar's limits are parted into %d", op.group.processes.Load())
+	if op.group.processCount.Load() != 2 {
+		t.Errorf("the sidecar's limits are parted into %d", op.group.processCount.Load())
 	}
 	listed, avoided := 0, 0
 	if err := op.loop.Do(context.Background(), func() { listed, avoided = op.loop.CountEndpoints() }); err != nil {
@@ -63,10 +63,10 @@
 	}
 }
 
-// TestSidecarServesWhileSharedFolderIsMissing has the folder for upgrades be away for a while: the sidecar goes on
+// TestSidecarServesWhileSharedDirectoryIsMissing has the folder for upgrades be away for a while: the sidecar goes on
 // serving, answers no call of the operators with yes that the next process would not see, and once the folder is there
 // again that process sees what was called, without a further call.
-func TestSidecarServesWhileSharedFolderIsMissing(t *testing.T) {
+func TestSidecarServesWhileSharedDirectoryIsMissing(t *testing.T) {
 	dir := t.TempDir()
 	one, two := startBackend(t, "one"), startBackend(t, "two")
 	three := startBackend(t, "three")
@@ -81,16 +81,16 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = next.Leave() }()
-	sees := func() []string { return next.Others()[0].AdminDown }
+	publishedDown := func() []string { return next.Others()[0].AdminDown }
 	_, err = p.operator.SetAdminDown(context.Background(), "s-0", true, false)
-	if err != nil || !slices.Equal(sees(), []string{"s-0"}) {
-		t.Fatalf("error %v, the next process sees %v", err, sees())
+	if err != nil || !slices.Equal(publishedDown(), []string{"s-0"}) {
+		t.Fatalf("error %v, the next process sees %v", err, publishedDown())
 	}
-	folders, err := filepath.Glob(filepath.Join(dir, "milletramp-*"))
-	if err != nil || len(folders) != 1 {
-		t.Fatalf("folders %v, error %v", folders, err)
+	dirs, err := filepath.Glob(filepath.Join(dir, "milletramp-*"))
+	if err != nil || len(dirs) != 1 {
+		t.Fatalf("directories %v, error %v", dirs, err)
 	}
-	if err := os.Rename(folders[0], folders[0]+"-away"); err != nil {
+	if err := os.Rename(dirs[0], dirs[0]+"-away"); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := p.operator.SetAdminDown(context.Background(), "s-1", true, false); err == nil {
@@ -101,11 +101,11 @@
 			t.Fatalf("response %+v while the folder is away", got)
 		}
 	}
-	if err := os.Rename(folders[0]+"-away", folders[0]); err != nil {
+	if err := os.Rename(dirs[0]+"-away", dirs[0]); err != nil {
 		t.Fatal(err)
 	}
 	testserver.Eventually(t, func() string {
-		if down := sees(); !slices.Equal(down, []string{"s-0", "s-1"}) {
+		if down := publishedDown(); !slices.Equal(down, []string{"s-0", "s-1"}) {
 			return fmt.Sprintf("the next process sees %v", down)
 		}
 		return ""
@@ -117,21 +117,21 @@
 // has its response.
 func TestDrainingServerGetsNoNewRequestsOverRestart(t *testing.T) {
 	release := make(chan struct{})
-	one := startHoldingBackend(t, release, isPost, "one")
+	one := startBlockingBackend(t, release, isPost, "one")
 	two := startBackend(t, "two")
 	d := testserver.StartDiscovery(t)
 	text := testserver.ConfigText(d.Address, testserver.ServingList(1, one), testserver.Settings)
 	p := startWith(t, text, startOptions{times: drainTimes{
-		acceptFor:   100 * time.Millisecond,
-		idleGrace:   testserver.Timeout,
-		unusedGrace: testserver.Timeout,
+		acceptPeriod:      100 * time.Millisecond,
+		idleGracePeriod:   testserver.Timeout,
+		unusedGracePeriod: testserver.Timeout,
 	}})
 	w := testserver.Receive(t, d.Watches, "watch")
-	kept := make([]net.Conn, 8)
-	for i := range kept {
-		kept[i] = p.DialConn()
+	conns := make([]net.Conn, 8)
+	for i := range conns {
+		conns[i] = p.DialConn()
 	}
-	held := p.sendAsync(context.Background(), "pay")
+	inFlight := p.sendAsync(context.Background(), "pay")
 	testserver.Receive(t, one.Requests, "request")
 	p.stop()
 	drains := testserver.ListText(2, false, testserver.EndpointEntry("s-0", one.Address, "DRAINING", 0),
@@ -142,7 +142,7 @@
 	testserver.Receive(t, d.Watches, "watch of the next process").Lines <- drains
 	next.waitForServers(2)
 	before := one.RequestCount()
-	for i, c := range kept {
+	for i, c := range conns {
 		sendHead(c, fmt.Sprint("kept-", i))
 		testserver.ExpectFinalResponse(t, c, http.StatusOK)
 		if got := next.Send("read"); got.Body != "two" {
@@ -153,7 +153,7 @@
 		t.Errorf("%d new requests reached the draining server", n)
 	}
 	close(release)
-	if got := testserver.Receive(t, held, "response"); got.Body != "one" {
+	if got := testserver.Receive(t, inFlight, "response"); got.Body != "one" {
 		t.Errorf("response %+v to what was in flight", got)
 	}
 }
--- a/internal/sidecar/program_test.go
+++ b/internal/sidecar/program_test.go
@@ -12,10 +12,10 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// expectEnd waits until the program has ended, and fails the test if that was by an error.
-func (p *program) expectEnd() {
+// expectCleanExit waits until the program has ended, and fails the test if that was by an error.
+func (p *program) expectCleanExit() {
 	p.T.Helper()
-	if err := testserver.Receive(p.T, p.ended, "end"); err != nil {
+	if err := testserver.Receive(p.T, p.runResult, "end"); err != nil {
 		p.T.Errorf("it ended with %v", err)
 	}
 }
--- a/internal/sidecar/ready_test.go
+++ b/internal/sidecar/ready_test.go
@@ -67,7 +67,7 @@
 	c := p.DialConn()
 	p.waitForOpenConns(1)
 	p.stop()
-	p.expectEnd()
+	p.expectCleanExit()
 	if _, err := bufio.NewReader(c).ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("error %v on a connection without a request, want its end", err)
 	}
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -7,13 +7,13 @@
 	"milletramp.example/milletramp/internal/config"
 )
 
-// reloadEach reads the configuration again at each signal, until ctx ends.
-func (p *process) reloadEach(ctx context.Context, signals <-chan os.Signal) {
-	inUse := p.config
+// handleReloads reads the configuration again at each signal, until ctx ends.
+func (p *process) handleReloads(ctx context.Context, signals <-chan os.Signal) {
+	current := p.config
 	for {
 		select {
 		case <-signals:
-			inUse = p.reload(ctx, inUse)
+			current = p.reload(ctx, current)
 		case <-ctx.Done():
 			return
 		}
@@ -22,20 +22,20 @@
 
 // reload reads the configuration again and takes what may change in it. It returns the configuration in use then: a
 // file with any fault is refused whole.
-func (p *process) reload(ctx context.Context, inUse *config.Config) *config.Config {
+func (p *process) reload(ctx context.Context, current *config.Config) *config.Config {
 	metrics := p.loop.Metrics()
-	fresh, err := inUse.Reload()
+	reloaded, err := current.Reload()
 	if err == nil {
-		if loopErr := p.loop.Do(ctx, func() { err = p.loop.Reconfigure(fresh) }); loopErr != nil {
-			return inUse // the process ends
+		if loopErr := p.loop.Do(ctx, func() { err = p.loop.Reconfigure(reloaded) }); loopErr != nil {
+			return current // the process ends
 		}
 	}
 	if err != nil {
 		metrics.ReloadErrors.Add(1)
 		p.log.Error("not reloaded", "err", err)
-		return inUse
+		return current
 	}
 	metrics.Reloads.Add(1)
-	p.log.Info("reloaded", "discovery", fresh.Discovery)
-	return fresh
+	p.log.Info("reloaded", "discovery", reloaded.DiscoveryAddress)
+	return reloaded
 }
--- a/internal/sidecar/reload_settings_test.go
+++ b/internal/sidecar/reload_settings_test.go
@@ -19,13 +19,13 @@
 	good := testserver.ConfigText(d.Address, testserver.ServingList(1, b), testserver.Settings)
 	p := start(t, good)
 	testserver.Receive(t, d.Watches, "watch")
-	fresh := strings.Replace(strings.Replace(good, d.Address, decoy.Address, 1), `"name":"pay"`, `"name":"tip"`, 1)
+	valid := strings.Replace(strings.Replace(good, d.Address, decoy.Address, 1), `"name":"pay"`, `"name":"tip"`, 1)
 	for i, tt := range []struct{ name, old, new string }{
-		{"empty", fresh, ""},
-		{"white space", fresh, "\n"},
-		{"cut short", fresh, fresh[:len(fresh)/2]},
-		{"a byte short", fresh, fresh[:len(fresh)-1]},
-		{"text behind it", fresh, fresh + "}"},
+		{"empty", valid, ""},
+		{"white space", valid, "\n"},
+		{"cut short", valid, valid[:len(valid)/2]},
+		{"a byte short", valid, valid[:len(valid)-1]},
+		{"text behind it", valid, valid + "}"},
 		{"no settings", `"settings":`, `"other":`},
 		{"no discovery", `"discovery":"127`, `"other":"127`},
 		{"no seed", `"seed":`, `"other":`},
@@ -55,8 +55,8 @@
 		{"a deadline NaN", `"deadline_s":60.0,"credit":10.0`, `"deadline_s":"NaN","credit":10.0`},
 		{"a deadline that overflows", `"deadline_s":60.0,"credit":10.0`, `"deadline_s":1e400,"credit":10.0`},
 	} {
-		bad := strings.Replace(fresh, tt.old, tt.new, 1)
-		if bad == fresh {
+		bad := strings.Replace(valid, tt.old, tt.new, 1)
+		if bad == valid {
 			t.Fatalf("%s: nothing is changed", tt.name)
 		}
 		p.reload(bad)
@@ -68,7 +68,7 @@
 		t.Errorf("response %+v, %d watches at the address of a bad file", got, len(decoy.Watches))
 	}
 	p.expectMetrics("loads", "0", "load_errors", "33")
-	p.reload(fresh)
+	p.reload(valid)
 	testserver.Receive(t, decoy.Watches, "watch at the address of the good file")
 	p.expectMetrics("loads", "1", "load_errors", "33")
 }
@@ -77,10 +77,10 @@
 // open over all that. An open request that is repeated by the new settings would take effect twice.
 func TestOpenRequestKeepsSettingsOfItsClass(t *testing.T) {
 	release := make(chan struct{})
-	var pays atomic.Int64
+	var payAttempts atomic.Int64
 	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Method == http.MethodPost {
-			pays.Add(1)
+			payAttempts.Add(1)
 			<-release
 			return testserver.ResetConnection(c, r, body)
 		}
@@ -89,7 +89,7 @@
 	d := testserver.StartDiscovery(t)
 	old := testserver.ConfigText(d.Address, testserver.ServingList(1, b, b), testserver.Settings)
 	p := start(t, old)
-	held := p.sendAsync(context.Background(), "pay")
+	inFlight := p.sendAsync(context.Background(), "pay")
 	testserver.Receive(t, b.Requests, "request")
 	p.expectMetrics("in_progress", "1", "known_servers", "2")
 
@@ -105,8 +105,8 @@
 		t.Errorf("the class with its new effect got %+v", got)
 	}
 	close(release)
-	if got := testserver.Receive(t, held, "response"); got.Status != http.StatusBadGateway || pays.Load() != 1 {
-		t.Errorf("the open request got %+v after %d attempts, want a failure after 1", got, pays.Load())
+	if got := testserver.Receive(t, inFlight, "response"); got.Status != http.StatusBadGateway || payAttempts.Load() != 1 {
+		t.Errorf("the open request got %+v after %d attempts, want a failure after 1", got, payAttempts.Load())
 	}
 	p.expectMetrics("passed.pay", "1", "bad_gateway.pay", "1", "in_progress", "0", "passed.read", "0",
 		"passed.tip", "0", "upstream_tries", "2", "loads", "2")
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -14,7 +14,7 @@
 // more in a drain.
 func TestReloadSwitchesDiscovery(t *testing.T) {
 	release := make(chan struct{})
-	one := startHoldingBackend(t, release, isPost, "one")
+	one := startBlockingBackend(t, release, isPost, "one")
 	two, three := startBackend(t, "two"), startBackend(t, "three")
 	a, b := testserver.StartDiscovery(t), testserver.StartDiscovery(t)
 	p := start(t, testserver.ConfigText(a.Address, testserver.ServingList(41, one), testserver.Settings))
@@ -48,14 +48,14 @@
 		t.Errorf("query %q after the end of a watch", again.Query)
 	}
 
-	held := p.sendAsync(context.Background(), "book")
+	inFlight := p.sendAsync(context.Background(), "book")
 	for !isPost(testserver.Receive(t, one.Requests, "request")) { // those that came before it
 	}
 	p.stop()
 	p.switchDiscovery(b.Address, address)
 	testserver.Receive(t, b.Watches, "watch while draining")
 	close(release)
-	if got := testserver.Receive(t, held, "response"); got.Body != "one" {
+	if got := testserver.Receive(t, inFlight, "response"); got.Body != "one" {
 		t.Errorf("response %+v while draining", got)
 	}
 }
--- a/internal/sidecar/retry_test.go
+++ b/internal/sidecar/retry_test.go
@@ -13,7 +13,7 @@
 // TestRetriesFollowEffectOfClass has the first attempt of each class end in each way, and sees whether the class is
 // tried again.
 func TestRetriesFollowEffectOfClass(t *testing.T) {
-	full := testserver.Respond(503, "X-Not-Processed: 1\r\n", "")
+	reject := testserver.Respond(503, "X-Not-Processed: 1\r\n", "")
 	for _, tt := range []struct {
 		name     string
 		class    string
@@ -23,20 +23,20 @@
 	}{
 		{"idempotent after an error", "read", testserver.Respond(500, "", ""), 200, 2},
 		{"idempotent after a reset", "read", testserver.ResetConnection, 200, 2},
-		{"idempotent, rejected", "read", full, 200, 2},
+		{"idempotent, rejected", "read", reject, 200, 2},
 		{"with a key after an error", "book", testserver.Respond(500, "", ""), 200, 2},
 		{"with a key after a reset", "book", testserver.ResetConnection, 200, 2},
-		{"with a key, rejected", "book", full, 200, 2},
+		{"with a key, rejected", "book", reject, 200, 2},
 		{"not idempotent, after an error", "pay", testserver.Respond(500, "", ""), 502, 1},
 		{"not idempotent, after a reset", "pay", testserver.ResetConnection, 502, 1},
-		{"not idempotent, rejected", "pay", full, 200, 2},
+		{"not idempotent, rejected", "pay", reject, 200, 2},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			faults := make(chan bool, 1)
 			faults <- true
-			came := make(chan string, 10)
+			arrivals := make(chan string, 10)
 			do := func(c net.Conn, r *http.Request, body []byte) bool {
-				came <- r.Header.Get("X-Request-ID") + " " + r.Header.Get("Idempotency-Key") + " " + string(body)
+				arrivals <- r.Header.Get("X-Request-ID") + " " + r.Header.Get("Idempotency-Key") + " " + string(body)
 				select {
 				case <-faults:
 					return tt.fault(c, r, body)
@@ -44,17 +44,17 @@
 					return testserver.Respond(200, "", "done")(c, r, body)
 				}
 			}
-			p := startServing(t, testserver.StartBackend(t, do), testserver.StartBackend(t, do))
+			p := startWithBackends(t, testserver.StartBackend(t, do), testserver.StartBackend(t, do))
 			got := p.Send(tt.class)
-			if got.Status != tt.status || len(came) != tt.attempts {
-				t.Fatalf("status %d after %d attempts, want %d after %d", got.Status, len(came), tt.status, tt.attempts)
+			if got.Status != tt.status || len(arrivals) != tt.attempts {
+				t.Fatalf("status %d after %d attempts, want %d after %d", got.Status, len(arrivals), tt.status, tt.attempts)
 			}
 			if got.Status == 200 && got.Body != "done" {
 				t.Errorf("body %q", got.Body)
 			}
-			first := <-came
-			for len(came) > 0 {
-				if again := <-came; again != first {
+			first := <-arrivals
+			for len(arrivals) > 0 {
+				if again := <-arrivals; again != first {
 					t.Errorf("attempts %q and %q differ", first, again)
 				}
 			}
@@ -62,10 +62,10 @@
 	}
 }
 
-// TestRefusedConnectionsMeanRejection has every server refuse connections: nothing ran, so the rejection comes at once,
+// TestRefusedConnectionsCauseRejection has every server refuse connections: nothing ran, so the rejection comes at once,
 // for every class.
-func TestRefusedConnectionsMeanRejection(t *testing.T) {
-	p := startServing(t, &testserver.Backend{Address: unusedAddress(t)})
+func TestRefusedConnectionsCauseRejection(t *testing.T) {
+	p := startWithBackends(t, &testserver.Backend{Address: unusedAddress(t)})
 	for _, class := range []string{"read", "book", "pay"} {
 		if got := p.Send(class); got.Status != 503 {
 			t.Errorf("%s: status %d, want a rejection", class, got.Status)
@@ -73,11 +73,11 @@
 	}
 }
 
-// TestRequestsAreAnsweredAtTheirDeadline has a server respond to nothing: a request that is unsafe to repeat fails, and
+// TestRequestsGetResponseAtDeadline has a server respond to nothing: a request that is unsafe to repeat fails, and
 // one that may be repeated is rejected.
-func TestRequestsAreAnsweredAtTheirDeadline(t *testing.T) {
+func TestRequestsGetResponseAtDeadline(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.NeverRespond)
-	p := startServing(t, b)
+	p := startWithBackends(t, b)
 	for _, tt := range []struct {
 		class  string
 		status int
@@ -108,9 +108,9 @@
 		status int
 	}{{"pay", http.StatusBadGateway}, {"read", http.StatusOK}, {"book", http.StatusOK}} {
 		t.Run(tt.class, func(t *testing.T) {
-			answered, closing := 0, make(chan struct{}, 1)
+			responses, closing := 0, make(chan struct{}, 1)
 			b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-				if answered++; answered == 1 {
+				if responses++; responses == 1 {
 					return testserver.Respond(200, "", "first")(c, r, body)
 				}
 				closing <- struct{}{}
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -16,18 +16,18 @@
 	"milletramp.example/milletramp/internal/proxy"
 )
 
-// heapShare is the part of the memory limit that the heap may grow to. The rest is for what is not heap.
-const heapShare = 0.6
+// heapFraction is the part of the memory limit that the heap may grow to. The rest is for what is not heap.
+const heapFraction = 0.6
 
 // defaultDrainTimes are the times of a planned restart. Clients open connections for 0.4 s after it is announced.
 var defaultDrainTimes = drainTimes{
-	acceptFor:          450 * time.Millisecond,
-	quietPeriod:        25 * time.Millisecond,
-	idleGrace:          300 * time.Millisecond,
-	unusedGrace:        300 * time.Millisecond,
-	listTimeout:        time.Second,
-	successorIdleGrace: downstream.IdleTimeout + 200*time.Millisecond,
-	maxDeadline:        proxy.MaxKillDeadline,
+	acceptPeriod:             450 * time.Millisecond,
+	quietPeriod:              25 * time.Millisecond,
+	idleGracePeriod:          300 * time.Millisecond,
+	unusedGracePeriod:        300 * time.Millisecond,
+	firstListTimeout:         time.Second,
+	successorIdleGracePeriod: downstream.IdleTimeout + 200*time.Millisecond,
+	maxKillDeadline:          proxy.MaxKillDeadline,
 }
 
 // Run runs a sidecar until the last response after stop is done. At each reload it reads its configuration again. join
@@ -39,13 +39,13 @@
 // run is Run with the times and hooks of a test. What is deferred here ends in reverse: the listener, the part in the
 // fleet, the admin server, the membership of the process group, and last the loops.
 func run(stop context.Context, reload <-chan os.Signal, c *config.Config, log *slog.Logger, join JoinFunc,
-	times drainTimes, with hooks) error {
+	times drainTimes, testHooks hooks) error {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Cores))))
 	setMemoryLimit(c, 1)
 
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	p, err := newProcess(ctx, c, log, times, with)
+	p, err := newProcess(ctx, c, log, times, testHooks)
 	if err != nil {
 		return err
 	}
@@ -56,7 +56,7 @@
 	// Other processes may call the admin server as soon as they see this one, so it listens first.
 	adminListener, err := p.listenAdmin(stop)
 	if err != nil {
-		return unlessStopped(stop, err)
+		return errorUnlessStopped(stop, err)
 	}
 	if adminListener != nil {
 		defer adminListener.Close()
@@ -64,10 +64,10 @@
 	p.operator = newOperator(p.loop, joinProcessGroup(c, log))
 	defer func() { _ = p.operator.group.member.Leave() }() // state that is left has no effect
 	if adminListener != nil {
-		defer startAdmin(adminListener, p.operator, log)()
+		defer startAdminServer(adminListener, p.operator, log)()
 	}
 	hasPredecessor := p.operator.group.hasOthers()
-	if err := p.operator.inherit(ctx); err != nil {
+	if err := p.operator.inheritAdminDown(ctx); err != nil {
 		return err
 	}
 	leave, err := p.operator.joinFleet(stop, c, log, join)
@@ -80,7 +80,7 @@
 	}
 	listener, err := p.listenClients(stop)
 	if err != nil {
-		return unlessStopped(stop, err)
+		return errorUnlessStopped(stop, err)
 	}
 	defer listener.Close()
 	p.startServing(ctx, listener, hasPredecessor)
@@ -92,16 +92,16 @@
 
 // setMemoryLimit sets the limit of the heap where the sidecar is this many processes.
 func setMemoryLimit(c *config.Config, processes int) {
-	debug.SetMemoryLimit(int64(float64(c.MemoryMB<<20) * heapShare / float64(processes)))
+	debug.SetMemoryLimit(int64(float64(c.MemoryMB<<20) * heapFraction / float64(processes)))
 }
 
 // listenAdmin opens the listener of the admin server, nil where the configuration names no address for it.
 func (p *process) listenAdmin(stop context.Context) (net.Listener, error) {
-	if p.config.Console == "" {
+	if p.config.AdminAddress == "" {
 		return nil, nil
 	}
 	l, err := p.hooks.listenWithRetry(stop, func() (*net.TCPListener, error) {
-		return downstream.Listen(p.config.Console)
+		return downstream.Listen(p.config.AdminAddress)
 	})
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
@@ -112,12 +112,12 @@
 // listenClients opens the listener for the application, at an address that processes of the sidecar share.
 func (p *process) listenClients(stop context.Context) (*net.TCPListener, error) {
 	return p.hooks.listenWithRetry(stop, func() (*net.TCPListener, error) {
-		return downstream.ListenShared(p.config.Listen, p.log)
+		return downstream.ListenShared(p.config.ListenAddress, p.log)
 	})
 }
 
-// unlessStopped returns err, with which the start failed, or nil where the process got the signal to stop meanwhile.
-func unlessStopped(stop context.Context, err error) error {
+// errorUnlessStopped returns err, with which the start failed, or nil where the process got the signal to stop meanwhile.
+func errorUnlessStopped(stop context.Context, err error) error {
 	if stop.Err() != nil {
 		return nil
 	}
--- a/internal/sidecar/socket_budget.go
+++ b/internal/sidecar/socket_budget.go
@@ -11,10 +11,10 @@
 	// reservedDescriptors are for the listener, discovery's watches, a connection that is being closed, and the
 	// runtime.
 	reservedDescriptors = 20
-	// requestShare is the part of all descriptors, as its divisor, that clients may hold for requests.
-	requestShare = 3
-	// keepAliveShare is the part of the connections with requests that clients may keep open. The rest is for bursts.
-	keepAliveShare = 0.75
+	// requestDivisor is the part of all descriptors, as its divisor, that clients may hold for requests.
+	requestDivisor = 3
+	// keepAliveFraction is the part of the connections with requests that clients may keep open. The rest is for bursts.
+	keepAliveFraction = 0.75
 )
 
 // socketBudget shares out the descriptors that a process may hold.
@@ -28,15 +28,15 @@
 // newSocketBudget returns the budget of a process that is alone.
 func newSocketBudget(c *config.Config) socketBudget {
 	available := c.Sockets - reservedDescriptors
-	if c.Console != "" {
+	if c.AdminAddress != "" {
 		available -= adminDescriptors
 	}
 	clientConns := available / 2
-	requests := min(c.Sockets/requestShare, clientConns-clientConns/8)
+	requests := min(c.Sockets/requestDivisor, clientConns-clientConns/8)
 	budget := socketBudget{
 		Requests:       requests,
 		ClientConns:    clientConns,
-		KeepAliveConns: max(int(keepAliveShare*float64(requests)), 1),
+		KeepAliveConns: max(int(keepAliveFraction*float64(requests)), 1),
 		UpstreamConns:  available - clientConns,
 	}
 	if c.Limits.MostHeld > 0 {
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -59,7 +59,7 @@
 		}, false, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			p := startServing(t, testserver.StartBackend(t, tt.do))
+			p := startWithBackends(t, testserver.StartBackend(t, tt.do))
 			resp, err := p.HTTP.Do(p.NewRequest(context.Background(), "pay", "600"))
 			if err != nil {
 				t.Fatal(err)
@@ -91,7 +91,7 @@
 				<-passed
 				return reset && testserver.ResetConnection(c, r, body)
 			})
-			p := startServing(t, b)
+			p := startWithBackends(t, b)
 			resp, err := p.HTTP.Do(p.NewRequest(context.Background(), "pay", "50000"))
 			if err != nil {
 				t.Fatal(err)
