--- a/cmd/fleetsidecar/main.go
+++ b/cmd/fleetsidecar/main.go
@@ -1,5 +1,5 @@
-// Command fleetsidecar is command sidecar as a member of a fleet. MILLETRAMP_FLEET names the fleet's configuration
-// file; without that variable it does what command sidecar does.
+// Command fleetsidecar is command sidecar with support for fleets. MILLETRAMP_FLEET names the fleet's configuration
+// file; without that variable it behaves like command sidecar.
 package main
 
 import (
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -1,6 +1,6 @@
-// Command sidecar is a proxy next to one copy of the calling application. It forwards requests to the servers that the
-// decision module selects. Its configuration comes from the environment; SIGHUP makes it read its file again, SIGTERM
-// starts a graceful shutdown. It links none of the fleet's code, which is in command fleetsidecar.
+// Command sidecar is a proxy that runs next to one instance of the calling application. It forwards requests to the
+// servers that the Balancer selects. Environment variables name its configuration file and addresses. SIGHUP reloads
+// the file, SIGTERM starts a graceful shutdown. It does not link the fleet's code; command fleetsidecar does.
 package main
 
 import (
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,10 +1,10 @@
-// Package config reads a sidecar's configuration strictly: the JSON file that PROXY_CONFIG names, with PROXY_NAME,
-// PROXY_LISTEN, PROXY_DISCOVERY and PROXY_CONSOLE from the environment. A file with any fault is refused whole.
+// Package config reads and validates a sidecar's configuration: the JSON file that PROXY_CONFIG names, with PROXY_NAME,
+// PROXY_LISTEN, PROXY_DISCOVERY and PROXY_CONSOLE from the environment. A file with any fault is rejected as a whole.
 //
-// Load reads it at the start of the process and Config.Reload again while it runs. A newer file must have every key
-// that the file in use has; which of its changes take effect is for the caller to say.
+// Load reads the configuration when the process starts, and Config.Reload reads it again while the process runs. A
+// reloaded file must have every key of the file in use. The caller decides which of its changes take effect.
 //
-// The package starts no goroutine and keeps no state. Its errors name the file and the path of the key at fault.
+// The package starts no goroutine and has no global state. Its errors name the file and the path of the invalid key.
 package config
 
 import (
@@ -25,22 +25,22 @@
 // Config is a sidecar's configuration.
 type Config struct {
 	Name             string
-	ListenAddress    string // address for the application
-	DiscoveryAddress string // address of discovery, or of its agent on this machine
-	AdminAddress     string // address for operators' calls; "": there is none
+	ListenAddress    string // address that the application connects to
+	DiscoveryAddress string // address of the discovery service, or of its agent on this machine
+	AdminAddress     string // address of the admin server; "": there is no admin server
 	Cores            float64
 	MemoryMB         int
-	Sockets          int            // file descriptors that the process may hold
-	InitialList      discovery.List // the servers as this sidecar last had them
+	Sockets          int            // maximum number of open file descriptors
+	InitialList      discovery.List // endpoint list that the sidecar last used
 	Settings         balance.Settings
 	Names            *wire.Names
 	Limits           wire.Limits
 
-	Getenv   func(string) string // the environment that it was read with
-	document map[string]any      // the whole file but the list of servers
+	Getenv   func(string) string // environment of the configuration
+	document map[string]any      // complete file without the endpoint list
 }
 
-// Defaults of what a file may leave out.
+// Defaults of optional keys.
 const (
 	defaultCores          = 1
 	defaultMemoryMB       = 192
@@ -49,22 +49,24 @@
 	defaultIdleClose      = 15 * time.Second
 )
 
-// minSockets is the least number of descriptors that a sidecar can work with.
+// minSockets is the minimum number of file descriptors that a sidecar requires.
 const minSockets = 64
 
-// readTimeout bounds how long reading the file is retried while this machine is short of descriptors or memory. A
-// reloaded file has to be in use 4 s after the signal.
+// readTimeout limits the retries of a read that fails because the machine is short of descriptors or memory. A reloaded
+// file has to be in use 4 s after the signal.
 const readTimeout = 3 * time.Second
 
-// Load reads the configuration at the start of a process. The environment takes precedence over the file.
+// Load reads the configuration when the process starts. The environment takes precedence over the file.
 func Load(getenv func(string) string) (*Config, error) {
 	return read(getenv, func(fileAddress string) string { return cmp.Or(getenv("PROXY_DISCOVERY"), fileAddress) })
 }
 
-// Reload reads the configuration again. The file is newer than the environment by now, so its address of discovery
-// takes precedence.
+// Reload reads the configuration again. The discovery address of the file takes precedence over that of the
+// environment, as the file is newer.
 func (c *Config) Reload() (*Config, error) {
-	reloaded, err := read(c.Getenv, func(fileAddress string) string { return cmp.Or(fileAddress, c.Getenv("PROXY_DISCOVERY")) })
+	reloaded, err := read(c.Getenv, func(fileAddress string) string {
+		return cmp.Or(fileAddress, c.Getenv("PROXY_DISCOVERY"))
+	})
 	if err != nil {
 		return nil, err
 	}
@@ -74,20 +76,20 @@
 	return reloaded, nil
 }
 
-// SettingsDocument returns the settings of the file as JSON values by key.
+// SettingsDocument returns the settings of the file as decoded JSON values by key.
 func (c *Config) SettingsDocument() map[string]any {
 	settings, _ := c.document["settings"].(map[string]any)
 	return settings
 }
 
-// LimitsWithDefaults returns limits in which the times that the settings leave out have their defaults.
+// LimitsWithDefaults returns limits with defaults for the timeouts that are not set.
 func LimitsWithDefaults(limits wire.Limits) wire.Limits {
 	limits.ConnectTimeout = cmp.Or(limits.ConnectTimeout, defaultConnectTimeout)
 	limits.IdleClose = cmp.Or(limits.IdleClose, defaultIdleClose)
 	return limits
 }
 
-// read reads the configuration. chooseDiscovery returns the address of discovery, given the file's.
+// read reads the configuration. chooseDiscovery returns the discovery address to use, given that of the file.
 func read(getenv func(string) string, chooseDiscovery func(fileAddress string) string) (*Config, error) {
 	path := getenv("PROXY_CONFIG")
 	if path == "" {
@@ -104,14 +106,15 @@
 	return c, nil
 }
 
-// readWithRetry reads a file by readFile, and retries shortages of this machine: the signal to reload comes only once.
+// readWithRetry reads a file with readFile. It retries when the machine is short of resources, as the signal to reload
+// is sent only once.
 func readWithRetry(path string, readFile func(string) ([]byte, error)) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), readTimeout)
 	defer cancel()
 	return netretry.Open(ctx, func() ([]byte, error) { return readFile(path) })
 }
 
-// parse reads the text of a file.
+// parse parses and validates the text of a configuration file.
 func parse(text []byte, getenv func(string) string, chooseDiscovery func(fileAddress string) string) (*Config, error) {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -129,7 +132,7 @@
 	return c, nil
 }
 
-// parseDocument returns all of a file but the list of servers, which is as long as the fleet is large.
+// parseDocument decodes a file without its endpoint list, whose size grows with the number of servers.
 func parseDocument(text []byte) (map[string]any, error) {
 	var parts map[string]json.RawMessage
 	if err := json.Unmarshal(text, &parts); err != nil {
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -12,26 +12,26 @@
 	"milletramp.example/milletramp/internal/wire"
 )
 
-// file is the JSON form of a configuration. Unknown keys are ignored.
+// file is the JSON encoding of a configuration. Unknown keys are ignored.
 type file struct {
 	Name      string
 	Listen    string
 	Discovery string
 	Console   string
-	Seed      string // 64 bits, hexadecimal
+	Seed      string // 64-bit hexadecimal number
 	Limits    fileLimits
 	Known     *json.RawMessage
 	Settings  json.RawMessage
 }
 
-// fileLimits are the limits of the process; nil: the default.
+// fileLimits are the resource limits of the process. A nil field means the default.
 type fileLimits struct {
 	Cores    *float64
 	MemoryMB *int `json:"memory_mb"`
 	Sockets  *int
 }
 
-// config checks a file and returns the configuration that it holds, with names and addresses of the environment.
+// config validates the file and returns its configuration. Names and addresses in the environment take precedence.
 func (f *file) config(getenv func(string) string) (*Config, error) {
 	c := &Config{
 		Name:             cmp.Or(getenv("PROXY_NAME"), f.Name),
@@ -62,7 +62,7 @@
 	return c, nil
 }
 
-// checkAddresses checks the addresses of a configuration. That of the console may be missing.
+// checkAddresses validates the addresses of a configuration. The address of the admin server is optional.
 func (c *Config) checkAddresses() error {
 	if err := checkAddress(c.ListenAddress); err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// checkAddress reports whether an address is an IP address and a port.
+// checkAddress returns an error unless address consists of an IP address and a port.
 func checkAddress(address string) error {
 	if address == "" {
 		return errors.New("missing")
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// apply checks the limits that are given and sets them.
+// apply validates the limits and sets them in c.
 func (l *fileLimits) apply(c *Config) error {
 	if l.Cores != nil {
 		c.Cores = *l.Cores
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// applySettings reads the settings and sets them.
+// applySettings parses the settings and sets them in c.
 func (f *file) applySettings(c *Config, seed uint64) error {
 	if len(f.Settings) == 0 {
 		return errors.New("settings: missing")
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// applyKnown reads the list of servers that the sidecar last had, where there is one, and sets it.
+// applyKnown parses the endpoint list that the sidecar last used, if the file has one, and sets it in c.
 func (f *file) applyKnown(c *Config) error {
 	if f.Known == nil {
 		return nil
--- a/internal/config/missing.go
+++ b/internal/config/missing.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// optionalKeys are keys that a newer file may leave out though the file in use has them.
+// optionalKeys are the keys that a reloaded file may omit although the file in use has them.
 var optionalKeys = []string{"known", "aim_stretch", "passes_deadline", "warm_keys"}
 
-// missingKey returns the path of the first key that a document lacks though the one in use has it, or "". A file that
-// was written in part may still parse, and what it lacks would be taken for 0 or false.
+// missingKey returns the path of the first key of the current document that the reloaded one lacks, or "". A partly
+// written file may still parse, and its missing keys would be read as 0 or false.
 func missingKey(path string, current, reloaded any) string {
 	switch current := current.(type) {
 	case map[string]any:
@@ -29,7 +29,7 @@
 	return ""
 }
 
-// missingInObject returns the path of the first key, in the order of their names, that an object lacks.
+// missingInObject returns the path of the first missing key of an object, in alphabetical order, or "".
 func missingInObject(path string, current, reloaded map[string]any) string {
 	keys := make([]string, 0, len(current))
 	for key := range current {
@@ -51,8 +51,8 @@
 	return ""
 }
 
-// missingInList returns the path of the first key that an entry of a list lacks. Entries come and go, but each new one
-// has the keys that all entries in use have.
+// missingInList returns the path of the first key that an entry of a list lacks, or "". Entries may be added and
+// removed, but each entry must have the keys that all current entries have.
 func missingInList(path string, current, reloaded []any) string {
 	common := commonKeys(current)
 	if len(common) == 0 {
@@ -66,7 +66,7 @@
 	return ""
 }
 
-// commonKeys returns the keys that all entries of a list have, none if one of them is no object.
+// commonKeys returns the keys that all entries of a list have. It returns nil if an entry is not an object.
 func commonKeys(list []any) map[string]any {
 	var common map[string]any
 	for i, entry := range list {
@@ -86,7 +86,7 @@
 	return common
 }
 
-// presentKeys returns the keys of an object that are not null.
+// presentKeys returns the keys of an object whose values are not null.
 func presentKeys(object map[string]any) map[string]any {
 	present := map[string]any{}
 	for key, value := range object {
--- a/internal/sidecar/doc.go
+++ b/internal/sidecar/doc.go
@@ -1,17 +1,18 @@
-// Package sidecar is the process: it starts, serves, drains and stops.
+// Package sidecar implements the lifecycle of the sidecar process: start, serve, drain and stop.
 //
-// Run wires the other packages together and owns every goroutine of the process:
+// Run connects the other packages and owns every goroutine of the process:
 //
-//   - the event loop (proxy.EventLoop.Run), the reloads of the configuration, and the watch for other processes of this
-//     sidecar end with the context that Run cancels when it returns;
-//   - http.Server's goroutines, one for each client connection, end when the process has drained;
-//   - those of the admin server and of the part in a fleet end by the functions that started them.
+//   - The event loop (proxy.EventLoop.Run), the configuration reloader and the watcher of the process group end with
+//     the context that Run cancels when it returns.
+//   - The goroutines of http.Server, one per client connection, end when the process has drained.
+//   - The goroutines of the admin server and of the fleet participant end with the stop functions that startAdminServer
+//     and joinFleet return.
 //
-// Run waits for all of them. Attempts and watches of discovery, which the loop starts, end with the same context.
+// Run waits for all of them. Attempts and discovery watches, which the event loop starts, end with the same context.
 //
-// A sidecar is one process most of the time, and two while one replaces another: a processGroup shares descriptors and
-// memory among them, and forwards operators' calls. With a Participant it takes part in a fleet; the package itself
-// links none of the fleet's code.
+// A sidecar is usually one process. During a hot restart it is two, the predecessor and the successor: the limits on
+// descriptors and memory are divided between them, and processGroup forwards operators' calls from one to the other.
+// A Participant makes the sidecar a member of a fleet; this package does not import the fleet's code.
 //
-// Run returns an error only where the process cannot start, or cannot go on serving.
+// Run returns an error only if the process cannot start or cannot continue to serve.
 package sidecar
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -7,21 +7,22 @@
 	"milletramp.example/milletramp/internal/hotrestart"
 )
 
-// drainTimes are the times of a planned restart.
+// drainTimes are the time limits of a planned restart.
 type drainTimes struct {
-	acceptPeriod             time.Duration // new connections are accepted
-	quietPeriod              time.Duration // of a round of the accept queue's drain, and between looks for open connections
-	idleGracePeriod          time.Duration // idle connections are left, as their clients may still use them
-	unusedGracePeriod        time.Duration // a connection that never had a request is left to bring one
-	firstListTimeout         time.Duration // discovery may take to answer while a predecessor serves
-	successorIdleGracePeriod time.Duration // idleGracePeriod where a successor takes new connections
-	maxKillDeadline          time.Duration // of the longest deadline counts until the process may be killed
+	acceptPeriod             time.Duration // minimum time for which new connections are accepted
+	quietPeriod              time.Duration // of a round of the accept queue's drain, and between checks for open conns
+	idleGracePeriod          time.Duration // before idle connections are closed; clients may still send requests on them
+	unusedGracePeriod        time.Duration // before a connection is closed on which no request was ever received
+	firstListTimeout         time.Duration // for the first response of discovery while a predecessor serves
+	successorIdleGracePeriod time.Duration // idleGracePeriod if a successor accepts new connections
+	maxKillDeadline          time.Duration // limit on the longest deadline when the time of the kill is calculated
 }
 
-// drain ends serving once all that was read has its response. Connections that wait when the listener closes are reset,
-// and what they sent is lost. So the process goes on accepting and serving first, and only asks clients to close.
+// drain stops serving once every request that was read has its response. Closing the listener resets the connections in
+// its accept queue, and their requests are lost. So the process first continues to accept and serve, and only requests
+// with "Connection: close" that clients close their connections.
 func (p *process) drain() error {
-	p.handler.Drain(p.times.maxKillDeadline) // first: the time until the kill runs
+	p.handler.Drain(p.times.maxKillDeadline) // first, because the time until the kill is already running
 	hasSuccessor := p.operator.group.hasSuccessor()
 	p.log.Info("draining", "succeeded", hasSuccessor)
 	p.setPhase(hotrestart.Draining, "the next process does not know that this one drains")
@@ -40,11 +41,11 @@
 	}
 	<-p.serveResult
 	p.awaitConnections(idleFrom)
-	if err := p.httpServer.Close(); err != nil { // no connection is open any more
+	if err := p.httpServer.Close(); err != nil { // all connections are closed by now
 		return fmt.Errorf("close: %w", err)
 	}
-	// The admin server closes next, and a call that another process forwards would find nobody. This process has no
-	// request that a call could still concern.
+	// The process leaves the group before its admin server closes, as a call forwarded afterwards would fail. No request
+	// is left that an operator's call could affect.
 	if err := p.operator.group.member.Leave(); err != nil {
 		p.log.Warn("the next process takes this one for a living one until it has ended", "err", err)
 	}
@@ -52,8 +53,9 @@
 	return nil
 }
 
-// awaitConnections waits until no client connection is open, and ends idle ones from idleFrom on. http.Server.Shutdown
-// would drop what still comes on connections, and close others under a request that was just read.
+// awaitConnections waits until no client connection is open. From idleFrom on it closes idle connections.
+// http.Server.Shutdown is not used: it would drop requests that still arrive on open connections, and close connections
+// on which a request was just read.
 func (p *process) awaitConnections(idleFrom time.Time) {
 	for p.conns.Counts().Open > 0 {
 		switch {
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -15,11 +15,11 @@
 	"milletramp.example/milletramp/internal/proxy"
 )
 
-// participantTimeout bounds a question that the part in the fleet answers from memory.
+// participantTimeout limits calls that the fleet participant answers from memory.
 const participantTimeout = 200 * time.Millisecond
 
-// joinFleet begins this sidecar's part in the fleet, where the operator's file names one, and waits until it has caught
-// up, or has tried for long enough. leave ends it.
+// joinFleet joins the fleet that the fleet's configuration file describes, if there is one, and waits until the
+// participant has caught up or its time limit for that has passed. leave leaves the fleet.
 func (o *operator) joinFleet(stop context.Context, c *config.Config, log *slog.Logger,
 	join JoinFunc) (leave func(), err error) {
 	noop := func() {}
@@ -65,7 +65,7 @@
 	}, nil
 }
 
-// rejectFleetConfig returns an error where the operator names a fleet and this program cannot take part in one.
+// rejectFleetConfig returns an error if a fleet configuration is set, as this program does not support fleets.
 func rejectFleetConfig(c *config.Config) error {
 	file := c.Getenv(FleetConfigVariable)
 	if file == "" {
@@ -75,7 +75,7 @@
 		FleetConfigVariable, file)
 }
 
-// connect has the event loop report to the part in the fleet.
+// connect makes the event loop report observations and endpoint lists to the participant.
 func (o *operator) connect(participant Participant) {
 	o.participant.Store(&participant)
 	o.loop.Post(func() {
@@ -86,7 +86,7 @@
 	})
 }
 
-// listedServers returns endpoints as servers of the own list.
+// listedServers converts endpoints to the servers that a Participant receives.
 func listedServers(endpoints []discovery.Endpoint) []ListedServer {
 	servers := make([]ListedServer, 0, len(endpoints))
 	for _, e := range endpoints {
@@ -95,7 +95,7 @@
 	return servers
 }
 
-// disconnect ends the part in the fleet.
+// disconnect stops the reports to the participant, clears the fleet's suspicions and leaves the fleet.
 func (o *operator) disconnect(participant Participant, log *slog.Logger) {
 	o.loop.Post(func() {
 		o.loop.SetObserver(nil)
@@ -106,7 +106,8 @@
 	}
 }
 
-// publishChanges publishes what is administratively down each time that the fleet has changed it, until ctx ends.
+// publishChanges publishes the servers that are administratively down each time the fleet has changed them, until ctx
+// ends.
 func (o *operator) publishChanges(ctx context.Context, log *slog.Logger) {
 	for {
 		select {
@@ -120,7 +121,7 @@
 	}
 }
 
-// fleetParticipant returns the part in the fleet; nil: there is none.
+// fleetParticipant returns the fleet participant; nil if the sidecar is not a member of a fleet.
 func (o *operator) fleetParticipant() Participant {
 	participant := o.participant.Load()
 	if participant == nil {
@@ -129,8 +130,9 @@
 	return *participant
 }
 
-// applyAdminDown takes in which servers are administratively down in the fleet. A peer's call may take down what the
-// own list names, and bring up what the fleet has had down; it ends no drain, which is the list's.
+// applyAdminDown applies the complete list of servers that are administratively down in the fleet. It sets them down,
+// whether or not the endpoint list has them, and sets a server up only if the fleet had set it down before. It does not
+// end a drain, which the endpoint list determines.
 func (o *operator) applyAdminDown(ids []string) {
 	o.loop.Post(func() {
 		wasDown := toSet(o.loop.AdminDown())
@@ -157,7 +159,6 @@
 	})
 }
 
-// toSet returns ids as a set.
 func toSet(ids []string) map[string]bool {
 	members := make(map[string]bool, len(ids))
 	for _, id := range ids {
@@ -166,7 +167,7 @@
 	return members
 }
 
-// applySuspicions takes in which servers the fleet suspects.
+// applySuspicions replaces the servers that the fleet suspects.
 func (o *operator) applySuspicions(suspicions []Suspicion) {
 	o.loop.Post(func() {
 		servers := make([]proxy.SuspectedServer, 0, len(suspicions))
@@ -177,12 +178,12 @@
 	})
 }
 
-// publishToFleet replicates an operator's call in the fleet, and returns a note for the operator. known says whether
-// this sidecar, or its other process, knows the server. A forwarded call waits for nobody: the process that forwarded
-// it has its own caller waiting.
+// publishToFleet replicates an operator's call in the fleet and returns a note for the operator. known reports whether
+// the server is known to this sidecar or its other process. A forwarded call does not wait for other sidecars, as the
+// forwarding process already does so before it responds to its operator.
 func (o *operator) publishToFleet(ctx context.Context, id string, down, known, forwarded bool) (string, error) {
 	participant := o.fleetParticipant()
-	if participant != nil && !known { // on no list here, but it may be down all the same
+	if participant != nil && !known { // not listed here, but the fleet may have a call for it
 		var err error
 		known, err = participant.KnowsServer(ctx, id)
 		if err != nil {
@@ -205,8 +206,8 @@
 	return replicationNote(confirmed, contacted), nil
 }
 
-// replicationError returns an operator's error for a call that was not replicated. In an upgrade the other process,
-// which speaks for the sidecar, has the call too.
+// replicationError returns the error for the operator of a call that was not replicated. During a hot restart it is nil
+// for ErrSuperseded, as the other process, which represents the sidecar in the fleet, has the call as well.
 func (o *operator) replicationError(err error) error {
 	switch {
 	case !errors.Is(err, ErrSuperseded):
@@ -218,7 +219,7 @@
 		"call at another console")
 }
 
-// replicationNote says how many of the sidecars that were asked hold a call.
+// replicationNote returns the operator's note on how many of the contacted sidecars have stored a call.
 func replicationNote(confirmed, contacted int) string {
 	switch {
 	case contacted == 0:
@@ -229,7 +230,7 @@
 	return fmt.Sprintf("%d other sidecars hold it and tell the rest", confirmed)
 }
 
-// fleetReady reports whether the part in the fleet is ready, and if not, why.
+// fleetReady reports whether the fleet participant is ready to serve and, if not, the reason.
 func (o *operator) fleetReady() (ready bool, reason string) {
 	participant := o.fleetParticipant()
 	if participant == nil {
@@ -247,7 +248,7 @@
 	return true, ""
 }
 
-// writeFleetMetrics writes the fleet's metrics, where there is a fleet.
+// writeFleetMetrics writes the fleet's metrics if the sidecar is a member of a fleet.
 func (o *operator) writeFleetMetrics(ctx context.Context, w io.Writer) error {
 	participant := o.fleetParticipant()
 	if participant == nil {
--- a/internal/sidecar/hooks.go
+++ b/internal/sidecar/hooks.go
@@ -9,22 +9,23 @@
 	"milletramp.example/milletramp/internal/netretry"
 )
 
-// listenTimeout bounds how long listening is retried while this machine is short of descriptors or memory. A process
-// has to be ready within 10 s, and listens at two addresses.
+// listenTimeout limits the retries of a listen call that fails because the machine is short of descriptors or memory.
+// A process has to be ready within 10 s and listens on two addresses.
 const listenTimeout = 4 * time.Second
 
 // listenFunc opens a listener.
 type listenFunc func() (*net.TCPListener, error)
 
-// hooks let a test observe and replace the system calls of a process. A nil one but started is not called.
+// hooks let a test observe and replace the system calls of a process. All but started may be nil.
 type hooks struct {
-	started func(*operator) // is called once the process listens for clients
+	started func(*operator) // called once the process listens for clients
 	listen  func(open listenFunc) (*net.TCPListener, error)
 	accept  func(*net.TCPListener) (net.Conn, error)
-	dial    discovery.DialFunc // to servers
+	dial    discovery.DialFunc // connects to servers
 }
 
-// listenWithRetry opens a listener, and retries shortages of this machine for listenTimeout, or until stop is done.
+// listenWithRetry opens a listener. If the machine is short of resources, it retries for listenTimeout or until stop is
+// done.
 func (h *hooks) listenWithRetry(stop context.Context, open listenFunc) (*net.TCPListener, error) {
 	ctx, cancel := context.WithTimeout(stop, listenTimeout)
 	defer cancel()
--- a/internal/sidecar/main.go
+++ b/internal/sidecar/main.go
@@ -12,10 +12,10 @@
 	"milletramp.example/milletramp/internal/config"
 )
 
-// Main is the main function of a sidecar program. It reads the configuration that the environment names, reads it again
-// at SIGHUP, and drains and ends at SIGTERM. It returns the exit status.
+// Main is the main function of a sidecar program. It loads the configuration file that the environment names, reloads
+// it on SIGHUP, and drains and exits on SIGTERM or an interrupt. It returns the exit status.
 func Main(join JoinFunc) (status int) {
-	// SIGHUP ends a process that does not catch it. One that comes during the start is kept.
+	// An uncaught SIGHUP terminates the process, so it is caught first. A SIGHUP received during the start is buffered.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
--- a/internal/sidecar/operator.go
+++ b/internal/sidecar/operator.go
@@ -15,30 +15,30 @@
 	"milletramp.example/milletramp/internal/proxy"
 )
 
-// operator does what operators ask for by the admin server, and what the fleet and other processes say of servers that
-// are administratively down. It implements admin.Sidecar.
+// operator carries out operators' calls to the admin server, and applies the servers that the fleet and other processes
+// report as administratively down. It implements admin.Sidecar.
 type operator struct {
 	loop             *proxy.EventLoop
 	metrics          *metrics.Counters
 	group            *processGroup
-	server           atomic.Pointer[clientServer] // nil: the process does not listen for clients yet
-	readyAnnounced   atomic.Bool                  // other processes can see that this one is ready
-	participant      atomic.Pointer[Participant]  // in a fleet; nil: there is none
+	server           atomic.Pointer[clientServer] // nil until the process serves clients
+	readyAnnounced   atomic.Bool                  // the ready phase is published to the process group
+	participant      atomic.Pointer[Participant]  // nil: not a member of a fleet
 	gate             *proxy.PolicyGate            // set before clients are served; nil: the fleet has no policy
-	adminDownChanged chan struct{}                // gets a value when the fleet has taken servers down or up
+	adminDownChanged chan struct{}                // receives a value when the fleet has changed the state of servers
 
-	publishMu sync.Mutex // held by publishAdminDown
+	publishMu sync.Mutex // held by publishAdminDown while it reads and writes the state
 
-	fleetAdminDown map[string]bool // what the fleet last had down; of the loop's goroutine
+	fleetAdminDown map[string]bool // last list of the fleet; accessed only on the event loop
 }
 
-// clientServer is what serves clients.
+// clientServer holds the components that serve clients.
 type clientServer struct {
 	handler *proxy.Handler
 	conns   *downstream.Listener
 }
 
-// newOperator returns an operator of a process that does not listen yet and is in no fleet.
+// newOperator returns an operator for a process that does not serve clients yet and is not a member of a fleet.
 func newOperator(loop *proxy.EventLoop, group *processGroup) *operator {
 	return &operator{loop: loop, metrics: loop.Metrics(), group: group}
 }
@@ -98,9 +98,9 @@
 	return participant.Status(ctx)
 }
 
-// SetAdminDown implements admin.Sidecar. In an upgrade it takes effect in both processes before it returns: one that is
-// just starting reads what is published, and one that has started gets the forwarded call. So what is published first
-// and forwarded then misses neither.
+// SetAdminDown implements admin.Sidecar. During a hot restart it takes effect in both processes before it returns. A
+// successor that is still starting reads the published state, and one that has started receives the forwarded call.
+// Publishing first and forwarding second reaches it in either case.
 func (o *operator) SetAdminDown(ctx context.Context, id string, down, forwarded bool) (note string, err error) {
 	known := false
 	if err := o.loop.Do(ctx, func() { known = o.loop.SetAdminDown(id, down) }); err != nil {
@@ -111,7 +111,7 @@
 			return "", err
 		}
 	}
-	knownElsewhere := forwarded // the other process has it, and the list here is about to
+	knownElsewhere := forwarded // the other process lists the server, and discovery will list it here soon
 	if !forwarded {
 		knownElsewhere, err = o.group.forwardAdminDown(ctx, id, down)
 		if err != nil {
@@ -127,7 +127,7 @@
 	return o.publishToFleet(ctx, id, down, known || knownElsewhere && !forwarded, forwarded)
 }
 
-// inheritAdminDown takes over which servers are administratively down for other processes.
+// inheritAdminDown sets the servers administratively down that are so in other processes.
 func (o *operator) inheritAdminDown(ctx context.Context) error {
 	ids := o.group.adminDown()
 	if len(ids) == 0 {
@@ -136,14 +136,14 @@
 	return o.adoptAdminDown(ctx, ids)
 }
 
-// adoptAdminDown takes servers administratively down, whether or not they are known here.
+// adoptAdminDown sets servers administratively down, whether or not they are on the endpoint list.
 func (o *operator) adoptAdminDown(ctx context.Context, ids []string) error {
 	err := o.loop.Do(ctx, func() { o.loop.AdoptAdminDown(ids) })
 	return errors.Join(err, o.publishAdminDown(ctx))
 }
 
-// publishAdminDown writes which servers are administratively down for other processes. One call at a time does: of two
-// that overlapped, the one that read the older list could write last, after both operators were answered.
+// publishAdminDown publishes the servers that are administratively down to the process group. Calls are serialized: of
+// two overlapping calls, the one that read the older list could write last, after both operators had their responses.
 func (o *operator) publishAdminDown(ctx context.Context) error {
 	o.publishMu.Lock()
 	defer o.publishMu.Unlock()
--- a/internal/sidecar/process.go
+++ b/internal/sidecar/process.go
@@ -18,7 +18,7 @@
 	"milletramp.example/milletramp/internal/proxy"
 )
 
-// process is a running sidecar. Only run and what it calls use it.
+// process is a running sidecar. It is used only by run and the functions that run calls.
 type process struct {
 	config     *config.Config
 	log        *slog.Logger
@@ -28,14 +28,14 @@
 	background sync.WaitGroup // goroutines that end with the context of run
 
 	operator      *operator
-	drainListener *downstream.DrainListener // accepts from the kernel
-	conns         *downstream.Listener      // tracks the clients' connections
+	drainListener *downstream.DrainListener // accepts connections from the kernel
+	conns         *downstream.Listener      // tracks client connections
 	handler       *proxy.Handler
 	httpServer    *http.Server
-	serveResult   chan error // gets what ended httpServer.Serve, once
+	serveResult   chan error // receives the error of httpServer.Serve once
 }
 
-// newProcess returns a process whose attempts and watches end with ctx.
+// newProcess returns a process whose attempts and discovery watches end with ctx.
 func newProcess(ctx context.Context, c *config.Config, log *slog.Logger, times drainTimes,
 	testHooks hooks) (*process, error) {
 	loop, err := proxy.NewEventLoop(ctx, c, newSocketBudget(c).UpstreamConns, log, nil)
@@ -46,7 +46,7 @@
 	return &process{config: c, log: log, times: times, hooks: testHooks, loop: loop}, nil
 }
 
-// startLoops starts the event loop and the reloads, which go on while the process drains.
+// startLoops starts the event loop and the configuration reloader. Both keep running while the process drains.
 func (p *process) startLoops(ctx context.Context, reload <-chan os.Signal) {
 	p.background.Add(2)
 	go func() { // ends with ctx
@@ -59,9 +59,10 @@
 	}()
 }
 
-// awaitServers waits until servers are known, while a predecessor serves: the list in the configuration is older than
-// what the predecessor goes by, and a process that listens and knows no servers rejects what the predecessor would
-// serve. It returns false where the process got the signal to stop meanwhile.
+// awaitServers waits, while the predecessor serves, for the first endpoint list from discovery, for at most
+// firstListTimeout, and then until an endpoint list is available. The list in the configuration is older than the one
+// that the predecessor uses, and a process that listens without servers rejects requests that the predecessor would
+// serve. awaitServers returns false if stop is done first.
 func (p *process) awaitServers(stop context.Context) bool {
 	select {
 	case <-p.loop.FirstUpdate():
@@ -77,7 +78,7 @@
 	}
 }
 
-// startServing serves the clients that connect to listener.
+// startServing starts to serve the clients that connect to listener.
 func (p *process) startServing(ctx context.Context, listener *net.TCPListener, hasPredecessor bool) {
 	p.drainListener = downstream.NewDrainListener(listener, p.hooks.accept, p.times.quietPeriod)
 	if err := p.drainListener.ShareConnections(); err != nil {
@@ -93,13 +94,13 @@
 	p.httpServer = p.conns.HTTPServer(p.handler, p.log)
 	p.httpServer.ConnContext = proxy.ConnContext
 	p.serveResult = make(chan error, 1)
-	go func() { p.serveResult <- p.httpServer.Serve(p.conns) }() // ends when drain closes the listener
+	go func() { p.serveResult <- p.httpServer.Serve(p.conns) }() // ends when the drain closes the listener
 	p.operator.server.Store(&clientServer{p.handler, p.conns})
 	p.hooks.started(p.operator)
 	p.log.Info("serving", "name", p.config.Name, "address", listener.Addr().String())
 }
 
-// watchProcessGroup shares the limits of the sidecar among its processes, and again each time that their number changes.
+// watchProcessGroup divides the limits of the sidecar among its processes each time their number changes.
 func (p *process) watchProcessGroup(ctx context.Context, hasPredecessor bool) {
 	group := p.operator.group
 	p.background.Add(1)
@@ -116,7 +117,7 @@
 	}
 }
 
-// setProcessCount limits this process to its share where the sidecar is this many processes.
+// setProcessCount sets the limits of this process to its share of the sidecar's limits.
 func (p *process) setProcessCount(processes int) {
 	budget := newSocketBudget(p.config)
 	p.handler.SetMaxInFlight(budget.Requests / processes)
@@ -125,8 +126,8 @@
 	setMemoryLimit(p.config, processes)
 }
 
-// awaitStop announces to other processes that this one is ready, once it is, and waits for the signal to stop. It
-// returns an error where serving ends before.
+// awaitStop waits until stop is done. It publishes to the process group that this process is ready once it has an
+// endpoint list. It returns an error if serving ends first.
 func (p *process) awaitStop(stop context.Context) error {
 	ready := p.loop.Ready()
 	for {
@@ -143,7 +144,7 @@
 	}
 }
 
-// setPhase announces to other processes how far this one is. consequence is logged if that fails.
+// setPhase publishes the phase of this process to the process group. If that fails, it logs consequence.
 func (p *process) setPhase(phase hotrestart.Phase, consequence string) {
 	err := p.operator.group.member.Update(func(s *hotrestart.State) { s.Phase = phase })
 	if err != nil {
@@ -151,7 +152,7 @@
 	}
 }
 
-// startAdminServer answers operators' calls that come to l, until stop is called.
+// startAdminServer serves operators' calls on l until stop is called.
 func startAdminServer(l net.Listener, o *operator, log *slog.Logger) (stop func()) {
 	server := admin.New(l, o, log)
 	var serving sync.WaitGroup
@@ -164,7 +165,7 @@
 	}()
 	log.Info("console", "at", l.Addr().String())
 	return func() {
-		_ = server.Close() // its error is that of Serve, which is logged
+		_ = server.Close() // Serve returns the same error, which is logged
 		serving.Wait()
 	}
 }
--- a/internal/sidecar/process_group.go
+++ b/internal/sidecar/process_group.go
@@ -14,17 +14,18 @@
 	"milletramp.example/milletramp/internal/hotrestart"
 )
 
-// processPollInterval is how often this process looks whether another one of the sidecar has come or gone.
+// processPollInterval is the interval at which a process checks whether another process of the sidecar has started or
+// ended.
 const processPollInterval = 250 * time.Millisecond
 
-// processGroup is the processes of this sidecar: one most of the time, two while one replaces another.
+// processGroup is the group of processes of this sidecar: usually one, two during a hot restart.
 type processGroup struct {
-	member       *hotrestart.Member // nil: this process cannot know of others
-	processCount atomic.Int32       // their number, where more than two count as two
+	member       *hotrestart.Member // nil: other processes cannot be discovered
+	processCount atomic.Int32       // number of processes, capped at 2
 }
 
-// joinProcessGroup joins the processes of the sidecar that share a temporary directory. Without one, or if that fails,
-// the process is alone.
+// joinProcessGroup joins the group of this sidecar's processes, which share a temporary directory. Without TMPDIR, or
+// if joining fails, the process is alone in its group.
 func joinProcessGroup(c *config.Config, log *slog.Logger) *processGroup {
 	g := &processGroup{}
 	g.processCount.Store(1)
@@ -47,13 +48,13 @@
 	return g
 }
 
-// hasOthers reports whether there are other processes.
+// hasOthers reports whether the group has other processes.
 func (g *processGroup) hasOthers() bool { return len(g.member.Others()) > 0 }
 
 // hasSuccessor reports whether a newer process is ready to serve.
 func (g *processGroup) hasSuccessor() bool { return g.member.HasReadySuccessor() }
 
-// adminDown returns the servers that are administratively down for other processes.
+// adminDown returns the servers that are administratively down in other processes of the group.
 func (g *processGroup) adminDown() []string {
 	var ids []string
 	for _, other := range g.member.Others() {
@@ -66,7 +67,7 @@
 	return ids
 }
 
-// fleetAddresses returns the addresses at which other processes have their part in the fleet.
+// fleetAddresses returns the fleet addresses of the other processes.
 func (g *processGroup) fleetAddresses() []string {
 	var addresses []string
 	for _, other := range g.member.Others() {
@@ -77,8 +78,8 @@
 	return addresses
 }
 
-// forwardAdminDown forwards an operator's call to the other processes. It returns whether any of them knows the server,
-// and an error if a living one could not be notified.
+// forwardAdminDown forwards an operator's call to the other processes. known reports whether the server is known to one
+// of them. The error names each process that is still running and could not be notified.
 func (g *processGroup) forwardAdminDown(ctx context.Context, id string, down bool) (known bool, err error) {
 	for _, other := range g.member.Others() {
 		if other.AdminAddress == "" {
@@ -97,14 +98,14 @@
 	return known, err
 }
 
-// isAlive reports whether another process is still there.
+// isAlive reports whether another process is still running.
 func (g *processGroup) isAlive(process hotrestart.State) bool {
 	return slices.ContainsFunc(g.member.Others(), func(other hotrestart.State) bool {
 		return other.Compare(process) == 0
 	})
 }
 
-// watch calls onChange each time that the number of processes changes, until ctx ends.
+// watch calls onChange each time the number of processes changes, until ctx ends.
 func (g *processGroup) watch(ctx context.Context, onChange func(processes int)) {
 	if g.member == nil {
 		return
@@ -118,7 +119,8 @@
 		case <-ctx.Done():
 			return
 		}
-		// A process that is killed leaves its files as they are, so with two each poll has to look at them.
+		// A killed process leaves its files, which does not change the directory's revision. So while there are two
+		// processes every poll reads the files.
 		revision := g.member.DirRevision()
 		if revision == lastRevision && g.processCount.Load() == 1 {
 			continue
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -7,7 +7,7 @@
 	"milletramp.example/milletramp/internal/config"
 )
 
-// handleReloads reads the configuration again at each signal, until ctx ends.
+// handleReloads reloads the configuration at each signal until ctx ends.
 func (p *process) handleReloads(ctx context.Context, signals <-chan os.Signal) {
 	current := p.config
 	for {
@@ -20,14 +20,14 @@
 	}
 }
 
-// reload reads the configuration again and takes what may change in it. It returns the configuration in use then: a
-// file with any fault is refused whole.
+// reload reads the configuration file again and applies the settings that can change at run time. It returns the
+// configuration in use afterwards. A file with any fault is rejected as a whole.
 func (p *process) reload(ctx context.Context, current *config.Config) *config.Config {
 	metrics := p.loop.Metrics()
 	reloaded, err := current.Reload()
 	if err == nil {
 		if loopErr := p.loop.Do(ctx, func() { err = p.loop.Reconfigure(reloaded) }); loopErr != nil {
-			return current // the process ends
+			return current // the process is ending
 		}
 	}
 	if err != nil {
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -16,10 +16,11 @@
 	"milletramp.example/milletramp/internal/proxy"
 )
 
-// heapFraction is the part of the memory limit that the heap may grow to. The rest is for what is not heap.
+// heapFraction is the fraction of the memory limit that the heap may use. The rest is for memory outside the heap.
 const heapFraction = 0.6
 
-// defaultDrainTimes are the times of a planned restart. Clients open connections for 0.4 s after it is announced.
+// defaultDrainTimes are the drain times of a planned restart. Clients may open connections for up to 0.4 s after the
+// restart is announced.
 var defaultDrainTimes = drainTimes{
 	acceptPeriod:             450 * time.Millisecond,
 	quietPeriod:              25 * time.Millisecond,
@@ -30,14 +31,15 @@
 	maxKillDeadline:          proxy.MaxKillDeadline,
 }
 
-// Run runs a sidecar until the last response after stop is done. At each reload it reads its configuration again. join
-// begins its part in a fleet; nil: it can have none.
+// Run runs a sidecar until stop is done and the last response has been sent. It reloads the configuration at each
+// signal on reload. join makes the sidecar a member of a fleet; nil if the program does not support fleets.
 func Run(stop context.Context, reload <-chan os.Signal, c *config.Config, log *slog.Logger, join JoinFunc) error {
 	return run(stop, reload, c, log, join, defaultDrainTimes, hooks{started: func(*operator) {}})
 }
 
-// run is Run with the times and hooks of a test. What is deferred here ends in reverse: the listener, the part in the
-// fleet, the admin server, the membership of the process group, and last the loops.
+// run is Run with configurable drain times and test hooks. The deferred calls stop the components in reverse order of
+// their start: the listener, the fleet participant, the admin server, the membership in the process group and, last,
+// the event loop and the reloader.
 func run(stop context.Context, reload <-chan os.Signal, c *config.Config, log *slog.Logger, join JoinFunc,
 	times drainTimes, testHooks hooks) error {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Cores))))
@@ -53,7 +55,8 @@
 	defer p.background.Wait()
 	defer cancel()
 
-	// Other processes may call the admin server as soon as they see this one, so it listens first.
+	// Other processes may call the admin server as soon as they see this process, so it listens before the process
+	// joins the group.
 	adminListener, err := p.listenAdmin(stop)
 	if err != nil {
 		return errorUnlessStopped(stop, err)
@@ -62,7 +65,7 @@
 		defer adminListener.Close()
 	}
 	p.operator = newOperator(p.loop, joinProcessGroup(c, log))
-	defer func() { _ = p.operator.group.member.Leave() }() // state that is left has no effect
+	defer func() { _ = p.operator.group.member.Leave() }() // state files that remain have no effect
 	if adminListener != nil {
 		defer startAdminServer(adminListener, p.operator, log)()
 	}
@@ -90,12 +93,12 @@
 	return p.drain()
 }
 
-// setMemoryLimit sets the limit of the heap where the sidecar is this many processes.
+// setMemoryLimit sets the runtime's memory limit to this process's share of the sidecar's heap.
 func setMemoryLimit(c *config.Config, processes int) {
 	debug.SetMemoryLimit(int64(float64(c.MemoryMB<<20) * heapFraction / float64(processes)))
 }
 
-// listenAdmin opens the listener of the admin server, nil where the configuration names no address for it.
+// listenAdmin opens the listener of the admin server. It returns nil if the configuration has no admin address.
 func (p *process) listenAdmin(stop context.Context) (net.Listener, error) {
 	if p.config.AdminAddress == "" {
 		return nil, nil
@@ -109,14 +112,14 @@
 	return l, nil
 }
 
-// listenClients opens the listener for the application, at an address that processes of the sidecar share.
+// listenClients opens the client listener on an address that the processes of the sidecar share.
 func (p *process) listenClients(stop context.Context) (*net.TCPListener, error) {
 	return p.hooks.listenWithRetry(stop, func() (*net.TCPListener, error) {
 		return downstream.ListenShared(p.config.ListenAddress, p.log)
 	})
 }
 
-// errorUnlessStopped returns err, with which the start failed, or nil where the process got the signal to stop meanwhile.
+// errorUnlessStopped returns err, the error of a failed start, or nil if stop is already done.
 func errorUnlessStopped(stop context.Context, err error) error {
 	if stop.Err() != nil {
 		return nil
--- a/internal/sidecar/socket_budget.go
+++ b/internal/sidecar/socket_budget.go
@@ -6,26 +6,28 @@
 )
 
 const (
-	// adminDescriptors are for the admin server: its listener, its connections, and one that is being accepted.
+	// adminDescriptors is the number of descriptors of the admin server: its listener, its connections, and one
+	// connection being accepted.
 	adminDescriptors = admin.MaxConnections + 2
-	// reservedDescriptors are for the listener, discovery's watches, a connection that is being closed, and the
-	// runtime.
+	// reservedDescriptors is the number of descriptors for the client listener, the discovery watches, a connection
+	// being closed, and the runtime.
 	reservedDescriptors = 20
-	// requestDivisor is the part of all descriptors, as its divisor, that clients may hold for requests.
+	// requestDivisor divides the number of all descriptors; the quotient limits the requests in flight.
 	requestDivisor = 3
-	// keepAliveFraction is the part of the connections with requests that clients may keep open. The rest is for bursts.
+	// keepAliveFraction is the fraction of the maximum number of requests in flight that client connections may be kept
+	// alive for. The rest is for bursts.
 	keepAliveFraction = 0.75
 )
 
-// socketBudget shares out the descriptors that a process may hold.
+// socketBudget is the division of the descriptors that a process may hold.
 type socketBudget struct {
-	Requests       int // in flight; each has a client connection
-	ClientConns    int // open
-	KeepAliveConns int // that have had a request, from which on responses end their connections
-	UpstreamConns  int // open to servers
+	Requests       int // maximum number of requests in flight; each uses a client connection
+	ClientConns    int // maximum number of open client connections
+	KeepAliveConns int // number of used client connections from which on responses close their connections
+	UpstreamConns  int // maximum number of open connections to servers
 }
 
-// newSocketBudget returns the budget of a process that is alone.
+// newSocketBudget returns the budget of a process that is alone in its group.
 func newSocketBudget(c *config.Config) socketBudget {
 	available := c.Sockets - reservedDescriptors
 	if c.AdminAddress != "" {
