--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -196,7 +196,7 @@
 		if !lines.Scan() {
 			t.Fatalf("%s ended on SIGHUP: %v", line, cmd.Wait())
 		}
-		reloaded = strings.Contains(lines.Text(), "msg=reloaded discovery=127.0.0.1:10")
+		reloaded = strings.Contains(lines.Text(), "msg=\"configuration reloaded\" discovery=127.0.0.1:10")
 	}
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -48,7 +48,7 @@
 	}
 	seed, err := strconv.ParseUint(f.Seed, 16, 64)
 	if err != nil {
-		return nil, fmt.Errorf("seed: %q is no hexadecimal number of 64 bits", f.Seed)
+		return nil, fmt.Errorf("seed: %q is not a 64-bit hexadecimal number", f.Seed)
 	}
 	if err := f.Limits.apply(c); err != nil {
 		return nil, err
@@ -89,7 +89,7 @@
 		return err
 	}
 	if _, err := strconv.ParseUint(port, 10, 16); err != nil || net.ParseIP(host) == nil {
-		return fmt.Errorf("%q is no IP address and port", address)
+		return fmt.Errorf("%q is not an IP address and port", address)
 	}
 	return nil
 }
@@ -100,19 +100,19 @@
 		c.Cores = *l.Cores
 	}
 	if c.Cores <= 0 {
-		return fmt.Errorf("limits.cores: %v is not above 0", c.Cores)
+		return fmt.Errorf("limits.cores: %v is not greater than 0", c.Cores)
 	}
 	if l.MemoryMB != nil {
 		c.MemoryMB = *l.MemoryMB
 	}
 	if c.MemoryMB <= 0 {
-		return fmt.Errorf("limits.memory_mb: %d is not above 0", c.MemoryMB)
+		return fmt.Errorf("limits.memory_mb: %d is not greater than 0", c.MemoryMB)
 	}
 	if l.Sockets != nil {
 		c.Sockets = *l.Sockets
 	}
 	if c.Sockets < minSockets {
-		return fmt.Errorf("limits.sockets: %d is under %d", c.Sockets, minSockets)
+		return fmt.Errorf("limits.sockets: %d is less than the minimum of %d", c.Sockets, minSockets)
 	}
 	return nil
 }
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -10,19 +10,20 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestMalformedAddressesAreRefused: a configuration whose console address is malformed, or that has a name in the place
-// of an IP address, is refused with an error that names the field.
+// TestMalformedAddressesAreRefused: a configuration with a malformed address, or with a host name instead of an IP
+// address, is rejected with an error that names the key.
 func TestMalformedAddressesAreRefused(t *testing.T) {
 	good := testserver.ConfigText("127.0.0.1:9", "", testserver.Settings)
 	for _, tt := range []struct{ name, variable, want string }{
 		{"console without a port", "PROXY_CONSOLE=127.0.0.1", "console: address 127.0.0.1: missing port in address"},
 		{"console with a port out of range", "PROXY_CONSOLE=127.0.0.1:65536",
-			`console: "127.0.0.1:65536" is no IP address and port`},
+			`console: "127.0.0.1:65536" is not an IP address and port`},
 		{"console with a named port", "PROXY_CONSOLE=127.0.0.1:http",
-			`console: "127.0.0.1:http" is no IP address and port`},
-		{"console at a name", "PROXY_CONSOLE=localhost:9", `console: "localhost:9" is no IP address and port`},
-		{"listen at a name", "PROXY_LISTEN=localhost:9", `listen: "localhost:9" is no IP address and port`},
-		{"discovery at a name", "PROXY_DISCOVERY=localhost:9", `discovery: "localhost:9" is no IP address and port`},
+			`console: "127.0.0.1:http" is not an IP address and port`},
+		{"console with a host name", "PROXY_CONSOLE=localhost:9", `console: "localhost:9" is not an IP address and port`},
+		{"listen with a host name", "PROXY_LISTEN=localhost:9", `listen: "localhost:9" is not an IP address and port`},
+		{"discovery with a host name", "PROXY_DISCOVERY=localhost:9",
+			`discovery: "localhost:9" is not an IP address and port`},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			if _, err := loadText(t, good, tt.variable); err == nil || !strings.Contains(err.Error(), tt.want) {
@@ -31,11 +32,11 @@
 		})
 	}
 	if _, err := loadText(t, good, "PROXY_CONSOLE=[::1]:9"); err != nil {
-		t.Errorf("console at an IPv6 address: %v", err)
+		t.Errorf("console with an IPv6 address: %v", err)
 	}
 }
 
-// TestMissingConfigurationFile: a PROXY_CONFIG that names no file is an error that says so.
+// TestMissingConfigurationFile: the error for a PROXY_CONFIG whose file does not exist names the variable and the file.
 func TestMissingConfigurationFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	_, err := Load(testserver.Environment(file))
@@ -47,12 +48,12 @@
 	}
 }
 
-// TestMalformedKnownListIsRefused: a configuration whose "known" is no valid list is refused as a whole.
+// TestMalformedKnownListIsRefused: a configuration whose "known" is not a valid endpoint list is rejected as a whole.
 func TestMalformedKnownListIsRefused(t *testing.T) {
 	for _, tt := range []struct{ name, known, want string }{
 		{"a number", "5", "known: list: json: cannot unmarshal number"},
 		{"an empty object", "{}", "known: list has no rev"},
-		{"targets that are no list", `{"rev":1,"targets":"s-0"}`, "known: list: json: cannot unmarshal string"},
+		{"targets that are not a list", `{"rev":1,"targets":"s-0"}`, "known: list: json: cannot unmarshal string"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c, err := loadText(t, testserver.ConfigText("127.0.0.1:9", tt.known, testserver.Settings))
@@ -60,7 +61,7 @@
 				t.Errorf("error %v, want %q", err, tt.want)
 			}
 			if c != nil {
-				t.Error("a configuration that is refused is returned")
+				t.Error("a rejected configuration is returned")
 			}
 		})
 	}
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -24,13 +24,13 @@
 func (p *process) drain() error {
 	p.handler.Drain(p.times.maxKillDeadline) // first, because the time until the kill is already running
 	hasSuccessor := p.operator.group.hasSuccessor()
-	p.log.Info("draining", "succeeded", hasSuccessor)
-	p.setPhase(hotrestart.Draining, "the next process does not know that this one drains")
+	p.log.Info("draining", "has_successor", hasSuccessor)
+	p.setPhase(hotrestart.Draining, "cannot publish the draining phase to the process group")
 	acceptPeriod, idleGracePeriod := p.times.acceptPeriod, p.times.idleGracePeriod
 	if hasSuccessor {
 		acceptPeriod, idleGracePeriod = 0, p.times.successorIdleGracePeriod
 		if err := p.drainListener.RedirectToSuccessor(); err != nil {
-			p.log.Warn("connections that come just now may be reset", "err", err)
+			p.log.Warn("cannot redirect new connections to the successor: some may be reset", "err", err)
 		}
 	}
 	idleFrom := time.Now().Add(idleGracePeriod)
@@ -47,7 +47,7 @@
 	// The process leaves the group before its admin server closes, as a call forwarded afterwards would fail. No request
 	// is left that an operator's call could affect.
 	if err := p.operator.group.member.Leave(); err != nil {
-		p.log.Warn("the next process takes this one for a living one until it has ended", "err", err)
+		p.log.Warn("cannot leave the process group: other processes regard this one as running until it exits", "err", err)
 	}
 	p.log.Info("drained")
 	return nil
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -38,7 +38,7 @@
 	}
 	err = o.group.member.Update(func(s *hotrestart.State) { s.FleetAddress = participant.Address() })
 	if err != nil {
-		log.Warn("the next process will not ask this one what the fleet holds", "err", err)
+		log.Warn("cannot publish the fleet address to the process group", "err", err)
 	}
 	if policy := participant.Policy(); policy != nil {
 		gate.SetPolicy(policy)
@@ -71,7 +71,7 @@
 	if file == "" {
 		return nil
 	}
-	return fmt.Errorf("%s names %s, and this program is built without a part in a fleet: fleetsidecar has one",
+	return fmt.Errorf("%s is set to %s, but this program has no fleet support: use fleetsidecar",
 		FleetConfigVariable, file)
 }
 
@@ -102,7 +102,7 @@
 		o.loop.SetSuspected(nil)
 	})
 	if err := participant.Close(); err != nil {
-		log.Warn("leaving the fleet", "err", err)
+		log.Warn("leaving the fleet failed", "err", err)
 	}
 }
 
@@ -115,7 +115,7 @@
 			return
 		case <-o.adminDownChanged:
 			if err := o.publishAdminDown(ctx); err != nil && ctx.Err() == nil {
-				log.Warn("the next process will not know what is out by hand", "err", err)
+				log.Warn("cannot publish administratively down servers to the process group", "err", err)
 			}
 		}
 	}
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// loadConfig reads a configuration as the program does. Each of env is KEY=VALUE.
+// loadConfig loads a configuration the way Main does. Each element of env has the form KEY=VALUE.
 func loadConfig(t *testing.T, text string, env ...string) (*config.Config, error) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
@@ -33,7 +33,8 @@
 	return config.Load(testserver.Environment(file, env...))
 }
 
-// startLogHandler is a log that passes on the address served.
+// startLogHandler is a slog.Handler that sends the client address of a started sidecar to address, and counts
+// ejections.
 type startLogHandler struct {
 	slog.Handler
 	address   chan string
@@ -49,7 +50,7 @@
 		l.ejections.Add(1)
 	}
 	r.Attrs(func(a slog.Attr) bool {
-		if a.Key == "address" {
+		if r.Message == "serving" && a.Key == "address" {
 			l.address <- a.Value.String()
 		}
 		return true
@@ -63,32 +64,32 @@
 	stop          context.CancelFunc
 	configFile    string
 	reloadSignals chan os.Signal
-	runResult     chan error // gets what run returns
+	runResult     chan error // receives the result of run
 	operator      *operator
-	ejections     atomic.Int32 // servers
+	ejections     atomic.Int32 // number of ejected servers
 }
 
-// startOptions are what a test changes about the sidecar that it starts.
+// startOptions are the settings of a sidecar under test that differ from the defaults.
 type startOptions struct {
-	times drainTimes // a quietPeriod of 0 means a millisecond, a maxDeadline of 0 testserver.Timeout
-	join  JoinFunc   // nil: the sidecar is in no fleet
+	times drainTimes // defaults for 0: quietPeriod 1 ms, maxKillDeadline testserver.Timeout
+	join  JoinFunc   // nil: the sidecar is not a member of a fleet
 	hooks hooks
-	env   []string // each KEY=VALUE
+	env   []string // elements have the form KEY=VALUE
 }
 
-// start starts a sidecar, which ends with the test.
+// start starts a sidecar that is stopped when the test ends.
 func start(t *testing.T, configText string) *program {
 	t.Helper()
 	return startWith(t, configText, startOptions{})
 }
 
-// startWithBackends starts a sidecar that knows these servers, and whose discovery sends no list.
+// startWithBackends starts a sidecar with these servers and a discovery service that sends no endpoint list.
 func startWithBackends(t *testing.T, backends ...*testserver.Backend) *program {
 	t.Helper()
 	return start(t, configFor(t, backends...))
 }
 
-// startWith starts a sidecar with options, and returns once it serves. The sidecar ends with the test.
+// startWith starts a sidecar with options and returns once it serves. The sidecar is stopped when the test ends.
 func startWith(t *testing.T, configText string, options startOptions) *program {
 	t.Helper()
 	c, err := loadConfig(t, configText, options.env...)
@@ -97,7 +98,7 @@
 	}
 	times := options.times
 	times.quietPeriod = cmp.Or(times.quietPeriod, time.Millisecond)
-	// No test depends on how soon a request expires.
+	// Long, as no test depends on how soon requests expire.
 	times.maxKillDeadline = cmp.Or(times.maxKillDeadline, testserver.Timeout)
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &program{
@@ -124,7 +125,7 @@
 	return p
 }
 
-// parseList returns the list that a text in discovery's form holds.
+// parseList parses an endpoint list in discovery's format.
 func parseList(t *testing.T, text string) discovery.List {
 	t.Helper()
 	l, err := discovery.ParseList([]byte(text))
@@ -134,7 +135,7 @@
 	return l
 }
 
-// configFor returns a configuration that knows these servers, and a discovery service that sends no list.
+// configFor returns a configuration with these servers and a discovery service that sends no endpoint list.
 func configFor(t *testing.T, backends ...*testserver.Backend) string {
 	t.Helper()
 	list := testserver.ServingList(1, backends...)
--- a/internal/sidecar/participant.go
+++ b/internal/sidecar/participant.go
@@ -18,7 +18,7 @@
 
 // ErrSuperseded is returned by a Participant whose process no longer represents its sidecar in the fleet, because
 // another process does or because this process is about to end.
-var ErrSuperseded = errors.New("this process does not speak for its sidecar any more")
+var ErrSuperseded = errors.New("this process no longer represents its sidecar in the fleet")
 
 // JoinFunc joins the fleet that the configuration file named by FleetConfigVariable describes. It returns nil and no
 // error if the variable is not set. peers are the fleet addresses of the sidecar's other processes.
--- a/internal/sidecar/process.go
+++ b/internal/sidecar/process.go
@@ -82,7 +82,7 @@
 func (p *process) startServing(ctx context.Context, listener *net.TCPListener, hasPredecessor bool) {
 	p.drainListener = downstream.NewDrainListener(listener, p.hooks.accept, p.times.quietPeriod)
 	if err := p.drainListener.ShareConnections(); err != nil {
-		p.log.Debug("the kernel chooses among the processes of this address", "err", err)
+		p.log.Debug("cannot remove the connection filter of the predecessor", "err", err)
 	}
 	budget := newSocketBudget(p.config)
 	p.conns = downstream.NewListener(netretry.NewListener(p.drainListener, p.log), budget.ClientConns,
@@ -107,7 +107,7 @@
 	go func() { // ends with ctx
 		defer p.background.Done()
 		group.watch(ctx, func(processes int) {
-			p.log.Info("processes of this sidecar", "count", processes)
+			p.log.Info("number of sidecar processes changed", "count", processes)
 			p.setProcessCount(processes)
 		})
 	}()
@@ -135,7 +135,7 @@
 		case err := <-p.serveResult:
 			return fmt.Errorf("serve: %w", err)
 		case <-ready:
-			p.setPhase(hotrestart.Ready, "the next process cannot take over from this one")
+			p.setPhase(hotrestart.Ready, "cannot publish the ready phase: a successor cannot take over from this process")
 			p.operator.readyAnnounced.Store(true)
 			ready = nil
 		case <-stop.Done():
@@ -160,10 +160,10 @@
 	go func() { // ends when stop closes the server
 		defer serving.Done()
 		if err := server.Serve(); err != nil {
-			log.Error("console ended", "err", err)
+			log.Error("admin server failed", "err", err)
 		}
 	}()
-	log.Info("console", "at", l.Addr().String())
+	log.Info("admin server listening", "address", l.Addr().String())
 	return func() {
 		_ = server.Close() // Serve returns the same error, which is logged
 		serving.Wait()
--- a/internal/sidecar/process_group.go
+++ b/internal/sidecar/process_group.go
@@ -31,7 +31,7 @@
 	g.processCount.Store(1)
 	dir := c.Getenv("TMPDIR")
 	if dir == "" {
-		log.Info("no TMPDIR: nothing is handed over in an upgrade")
+		log.Info("TMPDIR is not set: no state is handed over in a hot restart")
 		return g
 	}
 	var err error
@@ -43,7 +43,7 @@
 		Phase:         hotrestart.Starting,
 	}, log)
 	if err != nil {
-		log.Warn("nothing is handed over in an upgrade", "err", err)
+		log.Warn("cannot join the process group: no state is handed over in a hot restart", "err", err)
 	}
 	return g
 }
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -32,10 +32,10 @@
 	}
 	if err != nil {
 		metrics.ReloadErrors.Add(1)
-		p.log.Error("not reloaded", "err", err)
+		p.log.Error("configuration reload failed; keeping the previous configuration", "err", err)
 		return current
 	}
 	metrics.Reloads.Add(1)
-	p.log.Info("reloaded", "discovery", reloaded.DiscoveryAddress)
+	p.log.Info("configuration reloaded", "discovery", reloaded.DiscoveryAddress)
 	return reloaded
 }
