--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -15,7 +15,7 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestLoad reads a good file and refuses files with one fault each.
+// TestLoad: a valid file is loaded, and files with one fault each are rejected.
 func TestLoad(t *testing.T) {
 	known := testserver.ListText(4, true, testserver.EndpointEntry("s-0", "127.0.0.1:8", "SERVING", 5))
 	good := testserver.ConfigText("127.0.0.1:9", known, testserver.Settings)
@@ -61,7 +61,8 @@
 	}
 }
 
-// TestEnvironmentTakesPrecedenceAtStartAndFileAtReload reads an address of discovery that the environment and the file name.
+// TestEnvironmentTakesPrecedenceAtStartAndFileAtReload: the environment and the file name different discovery
+// addresses.
 func TestEnvironmentTakesPrecedenceAtStartAndFileAtReload(t *testing.T) {
 	c, err := loadText(t, testserver.ConfigText("127.0.0.1:9", "", testserver.Settings), "PROXY_DISCOVERY=127.0.0.1:10")
 	if err != nil || c.DiscoveryAddress != "127.0.0.1:10" {
@@ -72,7 +73,7 @@
 	}
 }
 
-// TestResourceShortageDelaysReading makes opening the file fail: a shortage of this machine is retried, no other.
+// TestResourceShortageDelaysReading: a failure to open the file is retried only if the machine is short of resources.
 func TestResourceShortageDelaysReading(t *testing.T) {
 	for _, tt := range []struct {
 		errno syscall.Errno
@@ -98,7 +99,7 @@
 	}
 }
 
-// TestMissingKey holds files against the one in use.
+// TestMissingKey compares reloaded documents with the one in use.
 func TestMissingKey(t *testing.T) {
 	object := func(pairs ...any) map[string]any {
 		o := map[string]any{}
@@ -114,15 +115,15 @@
 		reloaded map[string]any
 		want     string
 	}{
-		{"the same", current, ""},
-		{"more, and what may be absent", object("a", 2.0, "b", 1.0, "o", object("x", 2.0),
+		{"same document", current, ""},
+		{"additional keys, optional keys missing", object("a", 2.0, "b", 1.0, "o", object("x", 2.0),
 			"l", []any{object("n", "z", "w", 1.0)}, "plain", []any{}), ""},
-		{"a key", object("o", object("x", 1.0), "l", []any{}, "plain", []any{}), "a"},
-		{"a null", object("a", nil, "o", object("x", 1.0), "l", []any{}, "plain", []any{}), "a"},
-		{"an inner key", object("a", 1.0, "o", object(), "l", []any{}, "plain", []any{}), "o.x"},
-		{"no object", object("a", 1.0, "o", 3.0, "l", []any{}, "plain", []any{}), "o"},
-		{"no list", object("a", 1.0, "o", object("x", 1.0), "l", object(), "plain", []any{}), "l"},
-		{"a key of an entry", object("a", 1.0, "o", object("x", 1.0),
+		{"key missing", object("o", object("x", 1.0), "l", []any{}, "plain", []any{}), "a"},
+		{"key null", object("a", nil, "o", object("x", 1.0), "l", []any{}, "plain", []any{}), "a"},
+		{"nested key missing", object("a", 1.0, "o", object(), "l", []any{}, "plain", []any{}), "o.x"},
+		{"object replaced", object("a", 1.0, "o", 3.0, "l", []any{}, "plain", []any{}), "o"},
+		{"list replaced", object("a", 1.0, "o", object("x", 1.0), "l", object(), "plain", []any{}), "l"},
+		{"key of a list entry missing", object("a", 1.0, "o", object("x", 1.0),
 			"l", []any{object("n", "z", "w", 1.0), object("n", "z")}, "plain", []any{}), "l.1.w"},
 	} {
 		if got := missingKey("", current, tt.reloaded); got != tt.want {
@@ -131,7 +132,7 @@
 	}
 }
 
-// loadText reads a configuration as the program does.
+// loadText loads a configuration from a file with this text.
 func loadText(t *testing.T, text string, env ...string) (*Config, error) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
--- a/internal/sidecar/admin_down_test.go
+++ b/internal/sidecar/admin_down_test.go
@@ -10,8 +10,8 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestAdminDownHoldsOverListsAndReloads takes a server down by an operator's call, over a list and a reload, and puts
-// it back.
+// TestAdminDownHoldsOverListsAndReloads: a server that an operator has set administratively down gets no requests, also
+// after endpoint list updates and a reload, until it is set up again.
 func TestAdminDownHoldsOverListsAndReloads(t *testing.T) {
 	one, two := startBackend(t, "one"), startBackend(t, "two")
 	d := testserver.StartDiscovery(t)
--- a/internal/sidecar/backends_test.go
+++ b/internal/sidecar/backends_test.go
@@ -16,8 +16,8 @@
 	return testserver.StartBackend(t, testserver.Respond(200, "", body))
 }
 
-// startBlockingBackend starts a server that responds with body. Requests for which blocks returns true wait for release
-// to be closed.
+// startBlockingBackend starts a server that responds with body. It delays the responses to requests for which blocks
+// returns true until release is closed.
 func startBlockingBackend(t *testing.T, release <-chan struct{}, blocks func(*http.Request) bool,
 	body string) *testserver.Backend {
 	t.Helper()
@@ -36,7 +36,7 @@
 
 func isPost(r *http.Request) bool { return r.Method == http.MethodPost }
 
-// discardRequests receives what a server notes of its requests, so that it can go on.
+// discardRequests discards the records of a server's requests, as the server blocks when b.Requests is full.
 func discardRequests(b *testserver.Backend) {
 	go func() {
 		for range b.Requests {
@@ -52,7 +52,7 @@
 	return l.Addr().String()
 }
 
-// closeWrite ends the sending of a client.
+// closeWrite closes the write side of a client connection.
 func closeWrite(t *testing.T, c net.Conn) {
 	t.Helper()
 	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
@@ -60,7 +60,7 @@
 	}
 }
 
-// sendHead sends a request of the idempotent class on a connection.
+// sendHead sends a request of the idempotent class without a body on a connection.
 func sendHead(c net.Conn, id string) {
 	fmt.Fprintf(c, "%s\r\n", testserver.RequestHead("GET", id, "read"))
 }
--- a/internal/sidecar/client_conns_test.go
+++ b/internal/sidecar/client_conns_test.go
@@ -14,7 +14,7 @@
 	"milletramp.example/milletramp/internal/proxy"
 )
 
-// TestConnectionStaysOpenBetweenRequests sends good requests one after another on one connection.
+// TestConnectionStaysOpenBetweenRequests: valid requests are served one after another on one connection.
 func TestConnectionStaysOpenBetweenRequests(t *testing.T) {
 	p := startWithBackends(t, startBackend(t, "ok"))
 	c := p.DialConn()
@@ -31,8 +31,8 @@
 	}
 }
 
-// TestIdleConnectionsAreClosedAtLimit has clients hold hundreds of silent connections: those of a request in flight and
-// of new requests are served, and the longest idle are closed.
+// TestIdleConnectionsAreClosedAtLimit: with hundreds of idle client connections, a request in flight and a new request
+// are still served, and the connections that have been idle for the longest are closed.
 func TestIdleConnectionsAreClosedAtLimit(t *testing.T) {
 	release := make(chan struct{})
 	b := startBlockingBackend(t, release, hasIdempotencyKey, "ok")
@@ -45,7 +45,7 @@
 		p.DialConn()
 	}
 	if _, err := first.Read(make([]byte, 1)); err == nil {
-		t.Error("the longest idle connection got a response")
+		t.Error("the connection that was idle for the longest is still open")
 	}
 	if got := p.Send("pay"); got.Status != 200 {
 		t.Errorf("response %+v to a new request", got)
@@ -56,15 +56,15 @@
 	}
 }
 
-// TestResponsesCloseConnectionsNearLimit has clients send one request and keep their connections: before these are all
-// that clients may hold, responses end them, so that requests go on being taken. A connection in use before that is
-// kept alive.
+// TestResponsesCloseConnectionsNearLimit: clients that send one request and keep their connections do not exhaust the
+// limit. Responses close further connections before it is reached, so that new requests are still accepted.
+// Connections used before that are kept alive.
 func TestResponsesCloseConnectionsNearLimit(t *testing.T) {
 	p := start(t, strings.Replace(configFor(t, startBackend(t, "ok")), `"sockets":1024`, `"sockets":64`, 1))
 	budget := newSocketBudget(&config.Config{Sockets: 64})
 	kept, ended := 0, 0
 	for i := range 3 * budget.ClientConns {
-		c := p.DialConn() // stays open to the end
+		c := p.DialConn() // stays open until the test ends
 		in := bufio.NewReader(c)
 		sendHead(c, fmt.Sprint("once-", i))
 		resp, err := http.ReadResponse(in, nil)
@@ -80,18 +80,18 @@
 		}
 		ended++
 		if _, err := in.ReadByte(); err != io.EOF {
-			t.Errorf("connection %d: %v behind the last response, want its end", i, err)
+			t.Errorf("connection %d: %v after the final response, want EOF", i, err)
 		}
 	}
 	if kept == 0 || ended == 0 || kept >= budget.Requests {
-		t.Errorf("%d connections are kept and %d ended, of %d that clients may hold", kept, ended, budget.Requests)
+		t.Errorf("%d connections kept alive and %d closed, limit %d", kept, ended, budget.Requests)
 	}
 }
 
-// TestUnreadBytesDoNotCostFinalResponse: bytes that nobody reads do not cost the response that goes before them, and
-// are no request.
+// TestUnreadBytesDoNotCostFinalResponse: bytes that the sidecar leaves unread on a connection do not prevent the client
+// from receiving the final response, and are not handled as a request.
 func TestUnreadBytesDoNotCostFinalResponse(t *testing.T) {
-	t.Run("too large a body", func(t *testing.T) {
+	t.Run("request body too large", func(t *testing.T) {
 		b := startBackend(t, "ok")
 		p := startWithBackends(t, b)
 		c := p.DialConn()
@@ -102,19 +102,19 @@
 			t.Errorf("%d requests were forwarded", n)
 		}
 	})
-	t.Run("requests behind the last one of a stop", func(t *testing.T) {
+	t.Run("requests after the final one of a drain", func(t *testing.T) {
 		release := make(chan struct{})
 		b := startBlockingBackend(t, release, anyRequest, "ok")
 		p := startWithBackends(t, b)
 		c := p.DialConn()
-		pipelineRequests(t, c, 200) // more than net/http reads ahead
+		pipelineRequests(t, c, 200) // more than net/http buffers
 		testserver.Receive(t, b.Requests, "first request")
 		p.stop()
 		p.waitUntilNotListening()
 		close(release)
 		testserver.ExpectFinalResponse(t, c, http.StatusOK)
 		if n := b.RequestCount(); n != 0 {
-			t.Errorf("%d requests were forwarded behind the last one", n)
+			t.Errorf("%d requests were forwarded after the final one", n)
 		}
 		p.expectCleanExit()
 	})
--- a/internal/sidecar/client_disconnect_test.go
+++ b/internal/sidecar/client_disconnect_test.go
@@ -12,8 +12,7 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestDisconnectCancelsAttempt has a client leave while its attempt is in flight: the attempt ends, and no other is
-// made.
+// TestDisconnectCancelsAttempt: when a client disconnects, its attempt in flight is canceled and no other is made.
 func TestDisconnectCancelsAttempt(t *testing.T) {
 	closed := make(chan bool, 1)
 	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -27,14 +26,14 @@
 	testserver.Receive(t, b.Requests, "attempt")
 	cancel()
 	testserver.Receive(t, ended, "end")
-	testserver.Receive(t, closed, "end of the attempt")
+	testserver.Receive(t, closed, "cancellation of the attempt")
 	if n := b.RequestCount(); n != 0 {
-		t.Errorf("%d attempts for a client that is gone", n)
+		t.Errorf("%d attempts after the client disconnected", n)
 	}
 }
 
-// TestHalfClosedClientGetsNoResponse has a client close its sending while its request is in flight: it has left, and
-// must not learn that it was served.
+// TestHalfClosedClientGetsNoResponse: a client that closes the write side of its connection while its request is in
+// flight counts as disconnected and gets no response.
 func TestHalfClosedClientGetsNoResponse(t *testing.T) {
 	release := make(chan struct{})
 	b := startBlockingBackend(t, release, anyRequest, "ok")
@@ -45,13 +44,13 @@
 	testserver.Receive(t, b.Requests, "attempt")
 	closeWrite(t, c)
 	if got, err := io.ReadAll(c); err != nil || len(got) > 0 {
-		t.Errorf("response %q, error %v to a client that left", got, err)
+		t.Errorf("response %q, error %v after the client half-closed its connection", got, err)
 	}
 }
 
-// TestPipelinedRequestsOfHalfClosedClientAreNotForwarded has a client send many requests on a connection and end its
-// sending while the first is in flight. The others stand before the end that net/http waits for, more of them than it
-// reads ahead, and none of them is forwarded.
+// TestPipelinedRequestsOfHalfClosedClientAreNotForwarded: a client pipelines many requests and closes the write side
+// while the first is in flight. None of the others is forwarded, although net/http does not see the end of the stream:
+// more requests precede it than net/http buffers.
 func TestPipelinedRequestsOfHalfClosedClientAreNotForwarded(t *testing.T) {
 	release := make(chan struct{})
 	b := startBlockingBackend(t, release, anyRequest, "ok")
@@ -63,16 +62,16 @@
 	close(release)
 	for buffer := make([]byte, 4096); ; {
 		if _, err := c.Read(buffer); err != nil {
-			break // all is answered, or the connection ended
+			break // the connection is closed
 		}
 	}
 	if n := b.RequestCount(); n != 0 {
-		t.Errorf("%d more requests were forwarded for a client that had left", n)
+		t.Errorf("%d more requests were forwarded after the client half-closed its connection", n)
 	}
 }
 
-// TestIncompleteRequestsOfHalfClosedClientAreNotForwarded has a client leave while its request is read, or waits for a
-// policy with more requests behind it: nothing is forwarded.
+// TestIncompleteRequestsOfHalfClosedClientAreNotForwarded: nothing is forwarded for a client that closes the write side
+// while its request is read, or while its request waits for a policy and more requests follow it.
 func TestIncompleteRequestsOfHalfClosedClientAreNotForwarded(t *testing.T) {
 	b, f := startBackend(t, "ok"), &fakeParticipant{}
 	p := startWith(t, configFor(t, b), startOptions{join: f.join})
@@ -83,10 +82,10 @@
 		name, text string
 		waits      bool // for a policy
 	}{
-		{"in a head", pay, false},
-		{"in a body", pay + "Content-Length: 8\r\n\r\nhalf", false},
-		{"in chunks", pay + "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", false},
-		{"before a policy", strings.Repeat(pay+"Content-Length: 4\r\n\r\nskip", 50), true},
+		{"during the head", pay, false},
+		{"during the body", pay + "Content-Length: 8\r\n\r\nhalf", false},
+		{"during a chunked body", pay + "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", false},
+		{"while waiting for a policy", strings.Repeat(pay+"Content-Length: 4\r\n\r\nskip", 50), true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			f.setPolicy(1, 20*time.Millisecond, !tt.waits)
@@ -98,35 +97,36 @@
 			closeWrite(t, c)
 			f.setPolicy(1, 0, true)
 			if _, err := io.Copy(io.Discard, c); err != nil {
-				t.Errorf("error %v behind the last response", err)
+				t.Errorf("error %v after the last response", err)
 			}
 		})
 	}
 	if n := b.RequestCount(); n != 0 {
-		t.Errorf("%d requests were forwarded for clients that had left", n)
+		t.Errorf("%d requests were forwarded for half-closed clients", n)
 	}
 	if got := p.Send("pay"); got.Status != 200 {
-		t.Errorf("response %+v to one that stays", got)
+		t.Errorf("response %+v to a client that stays connected", got)
 	}
 }
 
-// TestNoAttemptAfterDisconnectWhileConnecting has a client leave while the connection for its request comes up, where
-// the settings let no attempt be called off: it is not made, as it has not begun.
+// TestNoAttemptAfterDisconnectWhileConnecting: a client disconnects while the upstream connection for its request is
+// being established. Although the settings disable the cancellation of attempts, no attempt is made, as it has not
+// started.
 func TestNoAttemptAfterDisconnectWhileConnecting(t *testing.T) {
 	b := startBackend(t, "ok")
 	p := start(t, strings.Replace(configFor(t, b), `"cancelling":true`, `"cancelling":false`, 1))
-	late := testserver.NewDelayedDialer()
+	dialer := testserver.NewDelayedDialer()
 	u := p.operator.loop.Upstream()
-	u.SetDial(late.Dial)
+	u.SetDial(dialer.Dial)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := p.sendAsync(ctx, "pay")
-	testserver.Receive(t, late.Connected, "connection")
+	testserver.Receive(t, dialer.Connected, "connection")
 	cancel()
 	testserver.Receive(t, ended, "end")
 	p.waitUntilIdle()
-	late.Release <- struct{}{}
+	dialer.Release <- struct{}{}
 	u.SetDial(nil)
 	if got := p.Send("pay"); got.Body != "ok" || b.RequestCount() != 1 {
-		t.Errorf("response %+v, %d requests sent, want the one that somebody waits for", got, b.RequestCount())
+		t.Errorf("response %+v, %d requests sent, want only that of the connected client", got, b.RequestCount())
 	}
 }
--- a/internal/sidecar/client_errors_test.go
+++ b/internal/sidecar/client_errors_test.go
@@ -19,8 +19,8 @@
 	"milletramp.example/milletramp/internal/upstream"
 )
 
-// TestMalformedRequestsGetOneErrorOrClose sends what net/http's client would not. Each gets one error or a close, and
-// what stands behind it is never taken for a request.
+// TestMalformedRequestsGetOneErrorOrClose sends requests that net/http's client would not send. Each gets one error
+// response or a closed connection, and the bytes after it are never handled as a request (request smuggling).
 func TestMalformedRequestsGetOneErrorOrClose(t *testing.T) {
 	b := startBackend(t, "ok")
 	p := startWithBackends(t, b)
@@ -31,30 +31,30 @@
 	beyondHidden := fmt.Sprintf("Content-Length: %d\r\n", len("0\r\n\r\n")+len(hidden))
 	for _, tt := range []struct {
 		name, text string
-		status     int // 0: a close will do
+		status     int // 0: closing the connection suffices
 	}{
-		{"both lengths", pay + beyondHidden + chunked + "\r\n0\r\n\r\n" + hidden, 400},
-		{"both, the other way round", pay + chunked + "Content-Length: 4\r\n\r\n0\r\n\r\n" + hidden, 400},
-		{"both at another path", "POST /healthz HTTP/1.1\r\nHost: x\r\n" + chunked +
+		{"Content-Length and chunked", pay + beyondHidden + chunked + "\r\n0\r\n\r\n" + hidden, 400},
+		{"chunked and Content-Length", pay + chunked + "Content-Length: 4\r\n\r\n0\r\n\r\n" + hidden, 400},
+		{"chunked and Content-Length at another path", "POST /healthz HTTP/1.1\r\nHost: x\r\n" + chunked +
 			"Content-Length: 4\r\n\r\n0\r\n\r\n" + hidden, 400},
-		{"a bad chunk", pay + chunked + "\r\n4x\r\nskip\r\n0\r\n\r\n" + hidden, 400},
-		{"a folded line", pay + "X-A: 1\r\n 2\r\nContent-Length: 4\r\n\r\nskip" + hidden, 400},
-		{"the same length twice", pay + "Content-Length: 4\r\nContent-Length: 4\r\n\r\nskip" + hidden, 400},
-		{"unknown coding", pay + "Transfer-Encoding: gzip\r\nContent-Length: 4\r\n\r\nskip" + hidden, 400},
-		{"both in HTTP/1.0", http10 + chunked + "Content-Length: 0\r\n\r\n" + hidden, 400},
-		{"health in HTTP/1.0", "GET /healthz HTTP/1.0\r\nConnection: keep-alive\r\n" + chunked + "\r\n" + hidden, 200},
-		{"two lengths", pay + "Content-Length: 4\r\nContent-Length: 5\r\n\r\nskip" + hidden, 400},
-		{"negative length", pay + "Content-Length: -1\r\n\r\n" + hidden, 400},
-		{"no number", pay + "Content-Length: four\r\n\r\nskip" + hidden, 400},
-		{"huge length", pay + "Content-Length: 60000000\r\n\r\n" + hidden, 413},
-		{"length beyond numbers", pay + "Content-Length: 99999999999999999999\r\n\r\n" + hidden, 400},
+		{"malformed chunk", pay + chunked + "\r\n4x\r\nskip\r\n0\r\n\r\n" + hidden, 400},
+		{"folded header line", pay + "X-A: 1\r\n 2\r\nContent-Length: 4\r\n\r\nskip" + hidden, 400},
+		{"same Content-Length twice", pay + "Content-Length: 4\r\nContent-Length: 4\r\n\r\nskip" + hidden, 400},
+		{"unknown transfer coding", pay + "Transfer-Encoding: gzip\r\nContent-Length: 4\r\n\r\nskip" + hidden, 400},
+		{"chunked and Content-Length in HTTP/1.0", http10 + chunked + "Content-Length: 0\r\n\r\n" + hidden, 400},
+		{"health check in HTTP/1.0", "GET /healthz HTTP/1.0\r\nConnection: keep-alive\r\n" + chunked + "\r\n" + hidden, 200},
+		{"two Content-Lengths", pay + "Content-Length: 4\r\nContent-Length: 5\r\n\r\nskip" + hidden, 400},
+		{"negative Content-Length", pay + "Content-Length: -1\r\n\r\n" + hidden, 400},
+		{"Content-Length is not a number", pay + "Content-Length: four\r\n\r\nskip" + hidden, 400},
+		{"Content-Length over the limit", pay + "Content-Length: 60000000\r\n\r\n" + hidden, 413},
+		{"Content-Length overflows", pay + "Content-Length: 99999999999999999999\r\n\r\n" + hidden, 400},
 		{"body on GET", testserver.RequestHead("GET", "i", "read") + "Content-Length: 4\r\n\r\nskip" + hidden, 400},
-		{"no HTTP", "hello\r\n\r\n" + hidden, 400},
-		{"no end of the head", pay, 0},
+		{"not HTTP", "hello\r\n\r\n" + hidden, 400},
+		{"incomplete head", pay, 0},
 		{"head too long", pay + "X: " + strings.Repeat("x", 2*(16<<10)), 431},
-		{"half a body", pay + "Content-Length: 400\r\n\r\nhalf", 408},
-		{"nothing", "", 0},
-		{"faults in a row", strings.Repeat(testserver.RequestHead("GET", "i", "sing")+"\r\n", 20) + hidden, 400},
+		{"incomplete body", pay + "Content-Length: 400\r\n\r\nhalf", 408},
+		{"no bytes", "", 0},
+		{"many invalid requests", strings.Repeat(testserver.RequestHead("GET", "i", "sing")+"\r\n", 20) + hidden, 400},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c := p.DialConn()
@@ -71,27 +71,27 @@
 	}
 	longest := max(downstream.HeadTimeout, proxy.BodyStartTimeout, downstream.HeadTimeout+proxy.BodyGrace)
 	if longest > 2800*time.Millisecond || downstream.HeadTimeout < 2200*time.Millisecond {
-		t.Errorf("a head may take %v, a peer without a request is kept for %v, want over 2 s and under 3 s",
+		t.Errorf("head timeout %v, longest time without a complete request %v, want over 2 s and under 3 s",
 			downstream.HeadTimeout, longest)
 	}
 	if n := b.RequestCount(); n != 0 {
 		t.Errorf("%d requests were forwarded, the first %+v", n, <-b.Requests)
 	}
 	if got := p.Send("pay"); got.Status != 200 {
-		t.Errorf("response %+v to a good request", got)
+		t.Errorf("response %+v to a valid request", got)
 	}
 }
 
-// TestMalformedPipelinedRequestDoesNotCostFirstResponse has a client send a good request and, behind it, one that
-// cannot be read, whole or but for its last byte, which net/http reads ahead while the first is in flight at its
-// server. The first is served, and the second gets an error or the end.
+// TestMalformedPipelinedRequestDoesNotCostFirstResponse: a client sends a valid request followed by a malformed one,
+// complete or without its last byte. net/http reads the second while the first is in flight. The first is served, and
+// the second gets an error response or a closed connection.
 func TestMalformedPipelinedRequestDoesNotCostFirstResponse(t *testing.T) {
-	unread := testserver.RequestHead("GET", "bad", "read") + "Content-Length: 0\r\n"
+	malformed := testserver.RequestHead("GET", "bad", "read") + "Content-Length: 0\r\n"
 	for name, bad := range map[string]string{
-		"two lengths":       unread + "Content-Length: 0\r\n",
-		"length and chunks": unread + "Transfer-Encoding: chunked\r\n\r\n",
+		"two Content-Lengths":        malformed + "Content-Length: 0\r\n",
+		"Content-Length and chunked": malformed + "Transfer-Encoding: chunked\r\n\r\n",
 	} {
-		for later := range 2 { // bytes that come while the first is in flight
+		for later := range 2 { // bytes sent while the first request is in flight
 			t.Run(fmt.Sprintf("%s, %d bytes later", name, later), func(t *testing.T) {
 				release := make(chan struct{})
 				b := startBlockingBackend(t, release, anyRequest, "ok")
@@ -100,7 +100,7 @@
 				fmt.Fprintf(c, "%s\r\n%s", testserver.RequestHead("GET", "good", "read"), bad[:len(bad)-later])
 				testserver.Receive(t, b.Requests, "first request")
 				fmt.Fprint(c, bad[len(bad)-later:])
-				_ = c.SetReadDeadline(time.Now().Add(100 * time.Millisecond)) // nothing may come, however long this is
+				_ = c.SetReadDeadline(time.Now().Add(100 * time.Millisecond)) // no response is expected however long the wait
 				if n, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 					t.Errorf("%d bytes, error %v while the first request is in flight", n, err)
 				}
@@ -122,7 +122,7 @@
 	}
 }
 
-// TestInvalidRequestsAreRejected sends requests with one fault each: none of them is forwarded, and the next one is
+// TestInvalidRequestsAreRejected: requests with one fault each are rejected and not forwarded, and the next request is
 // served.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	b := startBackend(t, "ok")
@@ -132,10 +132,10 @@
 		change(r)
 		return r
 	}
-	without := func(class, header string) *http.Request {
+	withoutHeader := func(class, header string) *http.Request {
 		return newRequest(class, func(r *http.Request) { r.Header.Del(header) })
 	}
-	with := func(class, header, value string) *http.Request {
+	withHeader := func(class, header, value string) *http.Request {
 		return newRequest(class, func(r *http.Request) { r.Header.Set(header, value) })
 	}
 	method := func(class, m string) *http.Request { return newRequest(class, func(r *http.Request) { r.Method = m }) }
@@ -149,36 +149,36 @@
 		r      *http.Request
 		status int
 	}{
-		{"no id", without("read", "X-Request-ID"), 400},
-		{"no class", without("read", "X-Priority-Class"), 400},
-		{"unknown class", with("read", "X-Priority-Class", "sing"), 400},
-		{"no time", without("read", "X-Timeout-Ms"), 400},
-		{"bad time", with("read", "X-Timeout-Ms", "soon"), 400},
-		{"negative time", with("read", "X-Timeout-Ms", "-1"), 400},
-		{"endless time", with("read", "X-Timeout-Ms", "99999999999999999999"), 400},
-		{"no key", without("book", "Idempotency-Key"), 400},
+		{"no id", withoutHeader("read", "X-Request-ID"), 400},
+		{"no class", withoutHeader("read", "X-Priority-Class"), 400},
+		{"unknown class", withHeader("read", "X-Priority-Class", "sing"), 400},
+		{"no timeout", withoutHeader("read", "X-Timeout-Ms"), 400},
+		{"malformed timeout", withHeader("read", "X-Timeout-Ms", "soon"), 400},
+		{"negative timeout", withHeader("read", "X-Timeout-Ms", "-1"), 400},
+		{"timeout overflows", withHeader("read", "X-Timeout-Ms", "99999999999999999999"), 400},
+		{"no idempotency key", withoutHeader("book", "Idempotency-Key"), 400},
 		{"GET of a class that is not idempotent", method("pay", "GET"), 405},
 		{"idempotent POST", method("read", "POST"), 405},
-		{"key of a class without keys", with("pay", "Idempotency-Key", "k"), 400},
-		{"key of an idempotent class", with("read", "Idempotency-Key", "k"), 400},
+		{"key for a class that is at most once", withHeader("pay", "Idempotency-Key", "k"), 400},
+		{"key for an idempotent class", withHeader("read", "Idempotency-Key", "k"), 400},
 		{"two ids", newRequest("pay", func(r *http.Request) { r.Header.Add("X-Request-ID", "id-2") }), 400},
 		{"two classes", newRequest("pay", func(r *http.Request) { r.Header.Add("X-Priority-Class", "read") }), 400},
-		{"method", method("read", "DELETE"), 405},
-		{"path", newRequest("read", func(r *http.Request) { r.URL.Path = "/apis" }), 404},
-		{"health method", newRequest("read", func(r *http.Request) { r.URL.Path, r.Method = "/healthz", "PUT" }), 405},
-		{"long body", withBody(proxy.MaxRequestBody + 1), 413},
-		{"longest body held in any case", withBody(upstream.MaxBufferedBody), 200},
-		{"longer body", withBody(10 * upstream.MaxBufferedBody), 200},
-		{"unknown tenant", with("read", "X-Tenant-Id", "nobody"), 200},
-		{"no tenant", without("pay", "X-Tenant-Id"), 200},
+		{"unsupported method", method("read", "DELETE"), 405},
+		{"unknown path", newRequest("read", func(r *http.Request) { r.URL.Path = "/apis" }), 404},
+		{"health check method", newRequest("read", func(r *http.Request) { r.URL.Path, r.Method = "/healthz", "PUT" }), 405},
+		{"body over the limit", withBody(proxy.MaxRequestBody + 1), 413},
+		{"longest body that is always buffered", withBody(upstream.MaxBufferedBody), 200},
+		{"longer body within the limit", withBody(10 * upstream.MaxBufferedBody), 200},
+		{"unknown tenant", withHeader("read", "X-Tenant-Id", "nobody"), 200},
+		{"no tenant", withoutHeader("pay", "X-Tenant-Id"), 200},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			came := b.RequestCount()
+			before := b.RequestCount()
 			if got := p.Do(tt.r); got.Err != nil || got.Status != tt.status {
 				t.Errorf("status %d, error %v, want %d", got.Status, got.Err, tt.status)
 			}
-			if sent := b.RequestCount() > came; sent != (tt.status == 200) {
-				t.Errorf("sent to a server: %v", sent)
+			if sent := b.RequestCount() > before; sent != (tt.status == 200) {
+				t.Errorf("forwarded: %v", sent)
 			}
 			if got := p.Send("pay"); got.Status != 200 {
 				t.Errorf("the next request: %+v", got)
@@ -187,8 +187,8 @@
 	}
 }
 
-// TestDuplicateRequestIDIsRejected has a client come with the id of a request that is in flight, and again once that
-// has its response.
+// TestDuplicateRequestIDIsRejected: a request is rejected if its ID is that of a request in flight or of one that
+// recently got its response.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	release := make(chan struct{})
 	b := startBlockingBackend(t, release, anyRequest, "mine")
@@ -202,21 +202,21 @@
 	go func() { first <- p.Do(newRequest()) }()
 	testserver.Receive(t, b.Requests, "attempt")
 	if got := p.Do(newRequest()); got.Status != 409 || !got.Close {
-		t.Errorf("response %+v to an id in flight", got)
+		t.Errorf("response %+v to the ID of a request in flight", got)
 	}
 	close(release)
 	if got := testserver.Receive(t, first, "response"); got.Status != 200 || got.Body != "mine" {
-		t.Errorf("the first one got %+v", got)
+		t.Errorf("response %+v to the first request", got)
 	}
 	if got := p.Do(newRequest()); got.Status != 409 {
-		t.Errorf("response %+v to an id just used", got)
+		t.Errorf("response %+v to a recently used ID", got)
 	}
 	if n := b.RequestCount(); n != 0 {
-		t.Errorf("%d more attempts", n)
+		t.Errorf("%d further attempts", n)
 	}
 }
 
-// TestRequestsOverLimitAreRejected has one request in flight where the settings allow one.
+// TestRequestsOverLimitAreRejected: with one request in flight and a limit of one, the next request is rejected.
 func TestRequestsOverLimitAreRejected(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.NeverRespond)
 	settings := strings.Replace(testserver.Settings, `"most_held":20000`, `"most_held":1`, 1)
@@ -231,8 +231,8 @@
 	testserver.Receive(t, ended, "end")
 }
 
-// TestStalledRequestBodyTimesOut has a client send half a body and no more: its connection ends with its time, and
-// others are served.
+// TestStalledRequestBodyTimesOut: the connection of a client that sends only part of a body is closed when its request
+// times out, and other requests are served.
 func TestStalledRequestBodyTimesOut(t *testing.T) {
 	b := startBackend(t, "ok")
 	p := startWithBackends(t, b)
@@ -240,12 +240,12 @@
 	fmt.Fprint(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 300\r\n"+
 		"Content-Length: 10\r\n\r\nhalf")
 	if _, err := io.ReadAll(c); err != nil {
-		t.Errorf("the connection did not end: %v", err)
+		t.Errorf("the connection was not closed: %v", err)
 	}
 	if n := b.RequestCount(); n != 0 {
-		t.Errorf("%d attempts for half a request", n)
+		t.Errorf("%d attempts for an incomplete request", n)
 	}
-	// A connection whose body's time is over still serves what takes longer.
+	// The timeout of the body does not affect other requests.
 	if got := p.Send("pay"); got.Status != 200 {
 		t.Errorf("response %+v", got)
 	}
--- a/internal/sidecar/drain_load_test.go
+++ b/internal/sidecar/drain_load_test.go
@@ -24,8 +24,8 @@
 
 var drainRounds = flag.Int("stop.rounds", 40, "rounds of TestDrainUnderLoadAnswersEachRequestRead")
 
-// TestDrainUnderLoadAnswersEachRequestRead stops the process again and again while clients send on connections that
-// they keep. A request that was read has its response; one that was not finds its connection reset.
+// TestDrainUnderLoadAnswersEachRequestRead stops the process repeatedly while clients send requests on persistent
+// connections. Each request that was read gets its response; a request that was not read has its connection reset.
 func TestDrainUnderLoadAnswersEachRequestRead(t *testing.T) {
 	b := startBackend(t, "ok")
 	discardRequests(b)
@@ -46,19 +46,19 @@
 		}
 		p.stop()
 		if err := testserver.Receive(t, p.runResult, "end"); err != nil {
-			t.Errorf("round %d: it ended with %v", round, err)
+			t.Errorf("round %d: run returned %v", round, err)
 		}
 		clients.running.Wait()
 	}
-	t.Logf("%d requests, %d connections ended with one unread", clients.answered.Load(), clients.unread.Load())
+	t.Logf("%d responses, %d connections ended with an unread request", clients.answered.Load(), clients.unread.Load())
 }
 
-// TestDrainEndsBeforeKillWithHangingServers has all servers hang through the whole of a shutdown, while clients go on
-// sending on every connection that stays open: each request that was read has one response, and the process its end,
-// before it may be killed. Connections that idle are closed by nothing else here.
+// TestDrainEndsBeforeKillWithHangingServers: all servers hang during the whole shutdown, and clients continue to send
+// on every open connection. Each request that was read gets one response, and the process ends before it may be killed.
+// The grace periods for idle connections are too long to close any connection here.
 func TestDrainEndsBeforeKillWithHangingServers(t *testing.T) {
 	b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		if hasIdempotencyKey(r) { // a long response, which stops
+		if hasIdempotencyKey(r) { // a long response that stalls
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", upstream.MaxBufferedBody+1)
 		}
 		return testserver.NeverRespond(c, r, body)
@@ -99,34 +99,34 @@
 				clients.start(p, fmt.Sprint("c-", i), time.Millisecond)
 			}
 			p.waitForUsedConns(8)
-			f.setPolicy(1, 20*time.Millisecond, false) // and it comes no more
+			f.setPolicy(1, 20*time.Millisecond, false) // the policy never comes into force
 			stallTime, stopped := measureStalls(), time.Now()
 			p.stop()
 			p.waitUntilNotListening()
 			sendHead(late, "late")
 			p.expectCleanExit()
 			if took, kill := time.Since(stopped), deadline+proxy.KillDelay; took > kill+stallTime() {
-				t.Errorf("it ended after %v, and may be killed after %v", took, kill)
+				t.Errorf("run returned after %v, the kill is due after %v", took, kill)
 			}
 			clients.running.Wait()
 			if resp, err := http.ReadResponse(bufio.NewReader(late), nil); err != nil || !resp.Close {
-				t.Errorf("response %+v, error %v to a request that came while draining", resp, err)
+				t.Errorf("response %+v, error %v to a request sent during the drain", resp, err)
 			}
 			testserver.ExpectFinalResponse(t, uploading, http.StatusServiceUnavailable)
 			if n, err := io.Copy(io.Discard, long.Body); err == nil {
-				t.Errorf("a long response that hangs looks whole behind %d bytes", n)
+				t.Errorf("a stalled response ended without an error after %d bytes", n)
 			}
 			for _, c := range []net.Conn{used, unused, partial} {
 				if n, err := c.Read(make([]byte, 1)); n != 0 || err != io.EOF {
-					t.Errorf("%d bytes, error %v on a connection without a request, want its end", n, err)
+					t.Errorf("%d bytes, error %v on a connection without a request, want EOF", n, err)
 				}
 			}
 		})
 	}
 }
 
-// measureStalls counts by how much the machine holds this test up, until the returned function is called, which returns
-// the sum.
+// measureStalls measures for how long the machine delays this test. The returned function ends the measurement and
+// returns the sum of the delays.
 func measureStalls() func() time.Duration {
 	const step = 5 * time.Millisecond
 	var total atomic.Int64
@@ -143,15 +143,15 @@
 	return func() time.Duration { cancel(); return time.Duration(total.Load()) }
 }
 
-// loadClients are clients that send requests on connections that they keep, and open new ones until none is accepted.
-// A request that was read and has no response fails the test.
+// loadClients are clients that send requests on persistent connections, and open new connections until these are
+// refused. A request that was read and got no response fails the test.
 type loadClients struct {
 	running  sync.WaitGroup
-	answered atomic.Int64 // requests
+	answered atomic.Int64 // requests that got a response
 	unread   atomic.Int64 // requests whose connections ended before they were read
 }
 
-// start starts one client. It pauses before each request.
+// start starts one client, which pauses before each request.
 func (l *loadClients) start(p *program, name string, pause time.Duration) {
 	l.running.Add(1)
 	go func() {
@@ -159,11 +159,11 @@
 		for n := 0; ; n++ {
 			c, err := net.Dial("tcp", p.Address)
 			if err != nil {
-				return // it listens no more
+				return // the sidecar does not listen any more
 			}
 			dropped := l.sendUntilClosed(p.T, c, fmt.Sprint(name, "-", n), pause)
 			if dropped && closedAfterReadingAll(p.T, c) {
-				p.T.Errorf("client %s's request was read and has no response", name)
+				p.T.Errorf("client %s: a request was read and got no response", name)
 			} else if dropped {
 				l.unread.Add(1)
 			}
@@ -172,8 +172,8 @@
 	}()
 }
 
-// sendUntilClosed sends one request after another on a connection until a response ends it, and reports whether it
-// ended without one.
+// sendUntilClosed sends one request after another on a connection until a response closes it. dropped reports whether
+// the connection ended without a response to the last request.
 func (l *loadClients) sendUntilClosed(t *testing.T, c net.Conn, id string, pause time.Duration) (dropped bool) {
 	in := bufio.NewReader(c)
 	_ = c.SetDeadline(time.Now().Add(testserver.Timeout))
@@ -199,8 +199,8 @@
 	}
 }
 
-// closedAfterReadingAll reports whether the other side has read all that came on c before it ended the connection.
-// Where something was left, or came later, it has reset the connection.
+// closedAfterReadingAll reports whether the sidecar had read all bytes sent on c before it closed the connection. If
+// bytes were unread, or arrived later, the connection was reset.
 func closedAfterReadingAll(t *testing.T, c net.Conn) bool {
 	t.Helper()
 	raw, err := c.(*net.TCPConn).SyscallConn()
@@ -216,6 +216,6 @@
 		t.Error(failed, err)
 		return false
 	}
-	const closeWait = 8 // the other side has ended its sending, and nothing else
+	const closeWait = 8 // TCP_CLOSE_WAIT: the peer has closed its side without a reset
 	return info.State == closeWait
 }
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -16,8 +16,8 @@
 	"milletramp.example/milletramp/internal/upstream"
 )
 
-// TestDrainServesNewAndOpenConnections has SIGTERM come while one request is in flight, and others go on coming on new
-// connections and old ones.
+// TestDrainServesNewAndOpenConnections: during a drain with one request in flight, requests on new and on open
+// connections are still served.
 func TestDrainServesNewAndOpenConnections(t *testing.T) {
 	release := make(chan struct{})
 	b := startBlockingBackend(t, release, hasIdempotencyKey, "ok")
@@ -36,10 +36,10 @@
 		}
 		closing = got.Close
 	}
-	time.Sleep(200 * time.Millisecond) // long past the quiet that ends the accepting, well within its time
+	time.Sleep(200 * time.Millisecond) // much longer than quietPeriod, well within acceptPeriod
 	newConn, err := net.Dial("tcp", p.Address)
 	if err != nil {
-		t.Fatalf("no new connections while draining: %v", err)
+		t.Fatalf("connection refused while draining: %v", err)
 	}
 	defer newConn.Close()
 	if err := p.NewRequest(context.Background(), "pay", "50000").Write(newConn); err != nil {
@@ -52,18 +52,18 @@
 	p.waitUntilNotListening()
 	select {
 	case err := <-p.runResult:
-		t.Fatalf("it ended with %v and a request in flight", err)
+		t.Fatalf("run returned %v with a request in flight", err)
 	default:
 	}
 	close(release)
 	if got := testserver.Receive(t, slow, "response"); got.Status != 200 || got.Body != "ok" {
-		t.Errorf("response %+v to what was taken", got)
+		t.Errorf("response %+v to the request in flight", got)
 	}
 	p.expectCleanExit()
 }
 
-// TestDrainServesRequestsOnOpenConnections has a client open a connection, and send its request only when the process
-// has long begun to drain and is waiting for another response: that request is answered too.
+// TestDrainServesRequestsOnOpenConnections: a request is served although its client, which connected before the drain,
+// sends it only after the listener is closed, while the process waits for another response.
 func TestDrainServesRequestsOnOpenConnections(t *testing.T) {
 	release := make(chan struct{})
 	b := startBlockingBackend(t, release, hasIdempotencyKey, "ok")
@@ -77,17 +77,17 @@
 	sendHead(late, "late")
 	resp, err := http.ReadResponse(bufio.NewReader(late), nil)
 	if err != nil || resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("response %+v, error %v to a request that came after the drain began", resp, err)
+		t.Errorf("response %+v, error %v to a request sent after the drain began", resp, err)
 	}
 	close(release)
 	if got := testserver.Receive(t, inFlight, "response"); got.Status != 200 {
-		t.Errorf("response %+v to what was taken", got)
+		t.Errorf("response %+v to the request in flight", got)
 	}
 	p.expectCleanExit()
 }
 
-// TestDrainClosesUnusedConnectionsAfterGrace has a connection never bring a request: it holds the end up for its time
-// and no longer.
+// TestDrainClosesUnusedConnectionsAfterGrace: a connection without any request is closed after unusedGracePeriod and
+// does not delay the end of the drain further.
 func TestDrainClosesUnusedConnectionsAfterGrace(t *testing.T) {
 	times := drainTimes{unusedGracePeriod: 10 * time.Millisecond}
 	p := startWith(t, configFor(t, startBackend(t, "ok")), startOptions{times: times})
@@ -96,15 +96,15 @@
 	p.stop()
 	p.expectCleanExit()
 	if n, err := c.Read(make([]byte, 1)); n != 0 || err != io.EOF {
-		t.Errorf("%d bytes, error %v on a connection without a request, want its end", n, err)
+		t.Errorf("%d bytes, error %v on a connection without a request, want EOF", n, err)
 	}
 	if n := p.operator.metrics.UnservedConns[metrics.ShuttingDown].Load(); n != 1 {
-		t.Errorf("%d connections ended unserved by the stop, want 1", n)
+		t.Errorf("%d unserved connections were closed by the shutdown, want 1", n)
 	}
 }
 
-// TestDrainWaitsForRequestBody has the process stop while a request's body comes: it is served, and its response ends
-// the connection.
+// TestDrainWaitsForRequestBody: a request whose body is still being received when the drain begins is served, and its
+// response closes the connection.
 func TestDrainWaitsForRequestBody(t *testing.T) {
 	p := startWithBackends(t, startBackend(t, "ok"))
 	c := p.DialConn()
@@ -117,8 +117,8 @@
 	p.expectCleanExit()
 }
 
-// TestDrainWaitsForStreamedResponse has the process stop, and read its file again, while a long response is passed
-// on: it ends with the response, which is whole.
+// TestDrainWaitsForStreamedResponse: the process drains, and reloads its configuration, while a long response is
+// streamed. It ends only after the response is complete.
 func TestDrainWaitsForStreamedResponse(t *testing.T) {
 	rest := make(chan struct{})
 	b := testserver.StartBackend(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
@@ -145,12 +145,13 @@
 	p.expectCleanExit()
 }
 
-// shortDeadlines replaces the deadlines of testserver.Settings by 300 ms.
+// shortDeadlines replaces the deadlines in testserver.Settings with 300 ms.
 var shortDeadlines = strings.NewReplacer(`"deadline_s":60.0`, `"deadline_s":0.3`, `"aim_s":20.0`, `"aim_s":0.2`)
 
-// TestDrainKeepsToReloadedDeadlines stops a process whose settings were replaced by ones with shorter deadlines, while
-// requests of the old ones are in flight at a server that hangs: the platform kills it by the new ones, and before that
-// each has its response. One that may be repeated is rejected, one that is unsafe to repeat and may have run is not.
+// TestDrainKeepsToReloadedDeadlines: a reload shortens the deadlines while requests admitted under the old ones are in
+// flight at a server that hangs, and then the process is stopped. The platform derives the time of the kill from the
+// new deadlines, and each request gets its response before that: 503 if it may be repeated, and 502 if it is unsafe to
+// repeat and may have run.
 func TestDrainKeepsToReloadedDeadlines(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.NeverRespond)
 	text := configFor(t, b)
@@ -172,7 +173,7 @@
 	p.reload(shortDeadlines.Replace(text))
 	p.expectMetrics("loads", "1", "load_errors", "0")
 	if longest := p.operator.server.Load().handler.LongestDeadline(); longest != 300*time.Millisecond {
-		t.Errorf("the platform kills by a deadline of 300ms, the process goes by %v", longest)
+		t.Errorf("longest deadline %v, want 300ms", longest)
 	}
 	p.stop()
 	for class, want := range map[string]string{"pay": "502 ", "read": "503 0.200", "book": "503 0.200"} {
@@ -182,7 +183,7 @@
 		}
 		resp.Body.Close()
 		if got := fmt.Sprint(resp.StatusCode, " ", resp.Header.Get("Retry-After")); got != want {
-			t.Errorf("%s: status and Retry-After %q at the kill, want %q", class, got, want)
+			t.Errorf("%s: status and Retry-After %q, want %q", class, got, want)
 		}
 	}
 	p.expectCleanExit()
--- a/internal/sidecar/fleet_admin_test.go
+++ b/internal/sidecar/fleet_admin_test.go
@@ -16,8 +16,8 @@
 	"milletramp.example/milletramp/internal/upstream"
 )
 
-// expectAdminDown fails the test unless exactly these of s-0, s-1 and s-9 are administratively down: for the Balancer,
-// and for the client that makes the attempts.
+// expectAdminDown fails the test unless exactly these of s-0, s-1 and s-9 are administratively down, both in the
+// Balancer and in the upstream client.
 func (p *program) expectAdminDown(want ...string) {
 	p.T.Helper()
 	var down []string
@@ -25,12 +25,12 @@
 		p.T.Fatal(err)
 	}
 	if unavailable := p.unavailableServers(); !slices.Equal(down, want) || !slices.Equal(unavailable, want) {
-		p.T.Errorf("down are %q, unavailable %q, want %q", down, unavailable, want)
+		p.T.Errorf("administratively down %q, unavailable %q, want %q", down, unavailable, want)
 	}
 }
 
-// unavailableServers returns those of s-0, s-1 and s-9 at which no attempt is made. s-9, which is on no list, is listed
-// for the client meanwhile, and for nobody else.
+// unavailableServers returns those of s-0, s-1 and s-9 to which the upstream client makes no attempt. s-9 is on no
+// endpoint list, so it is added to that of the upstream client, and only there, during the call.
 func (p *program) unavailableServers() (unavailable []string) {
 	p.T.Helper()
 	client := p.operator.loop.Upstream()
@@ -55,8 +55,8 @@
 	return unavailable
 }
 
-// TestApplyAdminDown: servers that are administratively down in the fleet are so here, listed or not, and up again once
-// they are up in the fleet. One that this sidecar's own operator has set down, and the fleet never had, stays down.
+// TestApplyAdminDown: servers that are administratively down in the fleet are set down here, listed or not, and set up
+// once they are up in the fleet. A server that only an operator's call at this sidecar has set down stays down.
 func TestApplyAdminDown(t *testing.T) {
 	p := startInDir(t, t.TempDir())
 	if _, err := p.operator.SetAdminDown(context.Background(), "s-1", true, false); err != nil {
@@ -69,13 +69,14 @@
 	p.expectAdminDown("s-1", "s-9")
 	p.operator.applyAdminDown(nil)
 	p.expectAdminDown("s-1")
-	p.operator.applyAdminDown([]string{"s-1"}) // the fleet has it too from here on
+	p.operator.applyAdminDown([]string{"s-1"}) // from here on it is down in the fleet as well
 	p.expectAdminDown("s-1")
 	p.operator.applyAdminDown(nil)
 	p.expectAdminDown()
 }
 
-// adminDownParticipant is a part in a fleet without a policy, which answers operators' calls as its test says.
+// adminDownParticipant is a fake Participant in a fleet without a policy. The test sets its results for operators'
+// calls.
 type adminDownParticipant struct {
 	fakeParticipant
 	knows                bool
@@ -85,7 +86,7 @@
 	calls                []adminDownCall
 }
 
-// adminDownCall is a call that is passed on to the fleet.
+// adminDownCall is a call that was published to the fleet.
 type adminDownCall struct {
 	server        string
 	down, confirm bool
@@ -106,20 +107,20 @@
 	return p.confirmed, p.contacted, p.err
 }
 
-// publishTest is a call that is passed on to the fleet, with what its operator is answered.
+// publishTest is a call to publish to the fleet and the expected result for its operator.
 type publishTest struct {
 	name        string
-	participant *adminDownParticipant // nil: there is none
-	other       bool                  // another process of the sidecar runs
+	participant *adminDownParticipant // nil: not in a fleet
+	other       bool                  // another process of the sidecar is running
 	known       bool
-	forwarded   bool // by the other process
+	forwarded   bool // by another process
 	note        string
-	err         string // "": none
-	wrapped     error  // that err wraps; nil: any
+	err         string // part of the expected error; "": no error
+	wrapped     error  // error that the expected error wraps; nil: any
 	calls       []adminDownCall
 }
 
-// TestPublishToFleet: what an operator is answered to a call that is passed on to the fleet.
+// TestPublishToFleet: the operator of a call gets a note or an error that matches the outcome of its replication.
 func TestPublishToFleet(t *testing.T) {
 	errDisk := errors.New("disk full")
 	unknownServer := admin.ErrUnknownServer
@@ -133,11 +134,11 @@
 		{name: "unknown here, known to the fleet",
 			participant: &adminDownParticipant{knows: true, confirmed: 1, contacted: 1},
 			note:        "1 other sidecars hold it", calls: confirmedCalls},
-		{name: "the fleet cannot say whether it knows", participant: &adminDownParticipant{knowsErr: errDisk},
+		{name: "query of the fleet fails", participant: &adminDownParticipant{knowsErr: errDisk},
 			err: "disk full", wrapped: errDisk},
-		{name: "held by others", participant: &adminDownParticipant{confirmed: 3, contacted: 4}, known: true,
+		{name: "stored by others", participant: &adminDownParticipant{confirmed: 3, contacted: 4}, known: true,
 			note: "3 other sidecars hold it and tell the rest", calls: confirmedCalls},
-		{name: "nobody answered", participant: &adminDownParticipant{contacted: 4}, known: true,
+		{name: "no response from others", participant: &adminDownParticipant{contacted: 4}, known: true,
 			note: "no other sidecar has answered", calls: confirmedCalls},
 		{name: "no other sidecar", participant: &adminDownParticipant{}, known: true,
 			note: "there is no other sidecar", calls: confirmedCalls},
@@ -147,14 +148,14 @@
 			other: true, known: true, calls: confirmedCalls},
 		{name: "superseded, no other process", participant: &adminDownParticipant{err: ErrSuperseded}, known: true,
 			err: "it holds here alone", calls: confirmedCalls},
-		{name: "the fleet may not know", participant: &adminDownParticipant{err: errDisk}, known: true,
+		{name: "replication fails", participant: &adminDownParticipant{err: errDisk}, known: true,
 			err: "it holds here, and the fleet may not know: disk full", wrapped: errDisk, calls: confirmedCalls},
 	} {
 		t.Run(tt.name, func(t *testing.T) { tt.run(t) })
 	}
 }
 
-// run passes the call on and checks the answer.
+// run publishes the call and checks the result.
 func (tt *publishTest) run(t *testing.T) {
 	dir := t.TempDir()
 	p := startInDir(t, dir)
--- a/internal/sidecar/fleet_suspicions_test.go
+++ b/internal/sidecar/fleet_suspicions_test.go
@@ -22,13 +22,13 @@
 	"milletramp.example/milletramp/internal/proxy"
 )
 
-// pipeConn is one end of a pipe that passes for a connection with a file descriptor.
+// pipeConn is one end of a pipe that implements syscall.Conn like a network connection.
 type pipeConn struct{ net.Conn }
 
 // SyscallConn implements syscall.Conn.
 func (pipeConn) SyscallConn() (syscall.RawConn, error) { return unsupportedFD{}, nil }
 
-// unsupportedFD is a file descriptor that cannot be used, so that no connection passes for reusable.
+// unsupportedFD is a descriptor whose operations fail, so that no connection is considered reusable.
 type unsupportedFD struct{}
 
 // Control implements syscall.RawConn.
@@ -40,32 +40,32 @@
 // Write implements syscall.RawConn.
 func (unsupportedFD) Write(func(uintptr) bool) error { return errors.ErrUnsupported }
 
-// deadlineRecorder records a response on a connection whose deadlines never pass.
+// deadlineRecorder records a response and ignores the deadlines of its connection.
 type deadlineRecorder struct{ *httptest.ResponseRecorder }
 
-// SetReadDeadline is for http.ResponseController.
+// SetReadDeadline is called by http.ResponseController.
 func (deadlineRecorder) SetReadDeadline(time.Time) error { return nil }
 
-// SetWriteDeadline is for http.ResponseController.
+// SetWriteDeadline is called by http.ResponseController.
 func (deadlineRecorder) SetWriteDeadline(time.Time) error { return nil }
 
-// simulatedProxy is an event loop and its handler on a simulated clock, with the servers s-0 and s-1.
+// simulatedProxy is an event loop with its handler on a simulated clock. Its servers are s-0 and s-1.
 type simulatedProxy struct {
 	t        *testing.T
 	loop     *proxy.EventLoop
 	handler  *proxy.Handler
-	arrivals chan string // gets the address of the server at which each attempt arrives
-	sent     int         // requests
+	arrivals chan string // receives the server address of each attempt
+	sent     int         // number of requests sent
 }
 
-// The addresses of s-0 and s-1.
+// Addresses of s-0 and s-1.
 const (
 	firstServer  = "127.0.0.1:1"
 	secondServer = "127.0.0.1:2"
 )
 
-// withSimulatedProxy runs play on a simulated clock.
-func withSimulatedProxy(t *testing.T, play func(p *simulatedProxy)) {
+// withSimulatedProxy runs a test with a simulatedProxy in a synctest bubble.
+func withSimulatedProxy(t *testing.T, test func(p *simulatedProxy)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		first := &testserver.Backend{Address: firstServer}
@@ -93,11 +93,11 @@
 		running.Go(func() { loop.Run(ctx) })
 		defer running.Wait()
 		defer cancel()
-		play(p)
+		test(p)
 	})
 }
 
-// dialServer opens a connection to a server, which responds to each request at once.
+// dialServer opens a connection to a server that responds to each request immediately.
 func (p *simulatedProxy) dialServer(_ context.Context, _, address string) (net.Conn, error) {
 	clientEnd, serverEnd := net.Pipe()
 	go func() {
@@ -116,7 +116,7 @@
 	return pipeConn{clientEnd}, nil
 }
 
-// send sends a request and returns the server at which its one attempt arrived.
+// send sends a request and returns the address of the server that received its only attempt.
 func (p *simulatedProxy) send() (server string) {
 	p.t.Helper()
 	p.sent++
@@ -132,7 +132,7 @@
 	return <-p.arrivals
 }
 
-// countAtFirstServer sends requests for half a second and returns how many of them arrive at s-0.
+// countAtFirstServer sends requests for half a second and returns how many of them s-0 receives.
 func (p *simulatedProxy) countAtFirstServer() (n int) {
 	p.t.Helper()
 	for range 50 {
@@ -144,25 +144,25 @@
 	return n
 }
 
-// TestApplySuspicions: a server that the fleet suspects gets no request while another one may have it, until the
-// suspicion is withdrawn. A suspicion that was old when it came counts for nothing.
+// TestApplySuspicions: a server that the fleet suspects gets no requests while another server is available, until the
+// suspicion is withdrawn. A suspicion that is already old when it is received has no effect.
 func TestApplySuspicions(t *testing.T) {
 	withSimulatedProxy(t, func(p *simulatedProxy) {
 		o := &operator{loop: p.loop}
 		if p.countAtFirstServer() == 0 {
-			p.t.Fatal("the server gets no request before any suspicion")
+			p.t.Fatal("the server gets no requests before any suspicion")
 		}
 		o.applySuspicions([]Suspicion{{ID: "s-0"}})
 		if n := p.countAtFirstServer(); n != 0 {
-			p.t.Errorf("%d requests at the server that is suspected", n)
+			p.t.Errorf("%d requests to the suspected server", n)
 		}
 		o.applySuspicions(nil)
 		if p.countAtFirstServer() == 0 {
-			p.t.Error("no request at the server once the suspicion is withdrawn")
+			p.t.Error("no requests to the server after the suspicion was withdrawn")
 		}
 		o.applySuspicions([]Suspicion{{ID: "s-0", Age: time.Minute}})
 		if p.countAtFirstServer() == 0 {
-			p.t.Error("no request at the server for a suspicion that is a minute old")
+			p.t.Error("no requests to the server with a suspicion that is one minute old")
 		}
 	})
 }
--- a/internal/sidecar/forward_test.go
+++ b/internal/sidecar/forward_test.go
@@ -14,7 +14,8 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// joinOtherProcess makes another process of the sidecar known in dir. adminAddress is that of its console; "": none.
+// joinOtherProcess registers another process of the sidecar in dir. adminAddress is the address of its admin server;
+// "": it has none.
 func joinOtherProcess(t *testing.T, dir, adminAddress string) *hotrestart.Member {
 	t.Helper()
 	state := hotrestart.State{
@@ -32,7 +33,7 @@
 	return other
 }
 
-// startInDir starts a sidecar that knows of the other processes in dir, and has two servers.
+// startInDir starts a sidecar that shares dir with the other processes and has two servers.
 func startInDir(t *testing.T, dir string) *program {
 	t.Helper()
 	b := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
@@ -41,7 +42,7 @@
 	return startWith(t, text, startOptions{env: []string{"TMPDIR=" + dir}})
 }
 
-// startFakeAdminServer starts a console that responds to each call by respond.
+// startFakeAdminServer starts an admin server that handles each call with respond.
 func startFakeAdminServer(t *testing.T, respond http.HandlerFunc) (address string) {
 	t.Helper()
 	web := httptest.NewServer(respond)
@@ -49,15 +50,15 @@
 	return web.Listener.Addr().String()
 }
 
-// fakeAdminServerWithStatus returns what starts a console that responds to each call with a status.
+// fakeAdminServerWithStatus returns a function that starts an admin server, which responds to each call with status.
 func fakeAdminServerWithStatus(status int) func(t *testing.T) (address string) {
 	return func(t *testing.T) string {
 		return startFakeAdminServer(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) })
 	}
 }
 
-// TestForwardAdminDownToAnotherProcess: the response of the other process says whether it knows the server, and one
-// that runs and was not notified is an error.
+// TestForwardAdminDownToAnotherProcess: the status of the other process's response determines whether the server counts
+// as known there, and a failure to notify a running process is an error.
 func TestForwardAdminDownToAnotherProcess(t *testing.T) {
 	unreachable := func(t *testing.T) string {
 		l := testserver.Listen(t)
@@ -65,19 +66,19 @@
 		return l.Addr().String()
 	}
 	for _, tt := range []struct {
-		name    string
-		console func(t *testing.T) (address string)
-		known   bool
-		fault   string // of the error; "": none
+		name        string
+		adminServer func(t *testing.T) (address string)
+		known       bool
+		fault       string // part of the expected error; "": no error
 	}{
-		{"it knows the server", fakeAdminServerWithStatus(http.StatusOK), true, ""},
-		{"it does not know the server", fakeAdminServerWithStatus(http.StatusNotFound), false, ""},
-		{"it fails", fakeAdminServerWithStatus(http.StatusServiceUnavailable), false, "was not told: pass on: status 503"},
-		{"it cannot be reached", unreachable, false, "was not told: pass on: dial"},
-		{"it has no console", func(*testing.T) string { return "" }, false, ""},
+		{"server known", fakeAdminServerWithStatus(http.StatusOK), true, ""},
+		{"server unknown", fakeAdminServerWithStatus(http.StatusNotFound), false, ""},
+		{"call fails", fakeAdminServerWithStatus(http.StatusServiceUnavailable), false, "was not told: pass on: status 503"},
+		{"unreachable", unreachable, false, "was not told: pass on: dial"},
+		{"no admin server", func(*testing.T) string { return "" }, false, ""},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			dir, address := t.TempDir(), tt.console(t)
+			dir, address := t.TempDir(), tt.adminServer(t)
 			p := startInDir(t, dir)
 			joinOtherProcess(t, dir, address)
 			known, err := p.operator.group.forwardAdminDown(context.Background(), "s-0", true)
@@ -91,7 +92,7 @@
 	}
 }
 
-// TestForwardAdminDownSendsServerAndState: the other process gets the server, and whether it is set down or up.
+// TestForwardAdminDownSendsServerAndState: the forwarded call has the server's ID and the path for down or up.
 func TestForwardAdminDownSendsServerAndState(t *testing.T) {
 	calls := make(chan string, 2)
 	dir := t.TempDir()
@@ -113,13 +114,13 @@
 	}
 }
 
-// TestForwardAdminDownIgnoresProcessThatEnds: a process that ends while it is called is no error, as it serves nobody
-// any more. That another one goes on running changes nothing.
+// TestForwardAdminDownIgnoresProcessThatEnds: a process that ends during the call causes no error, as it serves no
+// requests any more, even if a further process is running.
 func TestForwardAdminDownIgnoresProcessThatEnds(t *testing.T) {
 	ending := make(chan *hotrestart.Member, 1)
 	dir := t.TempDir()
 	p := startInDir(t, dir)
-	joinOtherProcess(t, dir, "") // one that goes on running
+	joinOtherProcess(t, dir, "") // keeps running
 	ending <- joinOtherProcess(t, dir, startFakeAdminServer(t, func(http.ResponseWriter, *http.Request) {
 		_ = (<-ending).Leave()
 		panic(http.ErrAbortHandler)
--- a/internal/sidecar/local_failures_test.go
+++ b/internal/sidecar/local_failures_test.go
@@ -21,7 +21,7 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// failureHooks makes a program's calls fail as planned by f.
+// failureHooks returns hooks whose system calls fail as planned by f.
 func failureHooks(f *testserver.Failures) hooks {
 	return hooks{
 		listen: func(open listenFunc) (*net.TCPListener, error) {
@@ -44,14 +44,13 @@
 	}
 }
 
-// failureOptions returns the options of a sidecar whose calls fail as planned by f, and whose drain waits for connections on which
-// no request has come.
+// failureOptions returns options with failureHooks and a drain that waits for connections without a request.
 func failureOptions(f *testserver.Failures) startOptions {
 	return startOptions{hooks: failureHooks(f), times: drainTimes{unusedGracePeriod: testserver.Timeout}}
 }
 
-// TestAcceptErrorsLoseNoRequest has accepting fail in service and while draining, with each error: who waits is
-// answered.
+// TestAcceptErrorsLoseNoRequest: accept fails with each error, in service and during the drain. Clients whose
+// connections wait to be accepted get their responses.
 func TestAcceptErrorsLoseNoRequest(t *testing.T) {
 	for _, errno := range testserver.AcceptErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -65,7 +64,7 @@
 			p.HTTP.CloseIdleConnections()
 			f.Set("accept", slices.Repeat([]testserver.Failure{once}, 1000)...)
 			responses := make(chan error, 2)
-			for i := range 2 { // the call that is out takes the first
+			for i := range 2 { // the accept call in progress returns the first one
 				c := p.DialConn()
 				go func() { responses <- checkSingleResponse(c, fmt.Sprint("waits-", i), "read") }()
 			}
@@ -82,7 +81,8 @@
 	}
 }
 
-// TestListenIsRetriedOnResourceShortage has listening fail at the start.
+// TestListenIsRetriedOnResourceShortage: a listen call that fails at the start is retried if the machine is short of
+// resources, and ends the start otherwise.
 func TestListenIsRetriedOnResourceShortage(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
@@ -93,15 +93,15 @@
 		{"no descriptor", unix.EMFILE, 5, true},
 		{"no memory", unix.ENOMEM, 5, true},
 		{"no buffer", unix.ENOBUFS, 5, true},
-		{"in use", unix.EADDRINUSE, 1, false},
-		{"not of this machine", unix.EADDRNOTAVAIL, 1, false},
-		{"not allowed", unix.EACCES, 1, false},
+		{"address in use", unix.EADDRINUSE, 1, false},
+		{"address not of this machine", unix.EADDRNOTAVAIL, 1, false},
+		{"permission denied", unix.EACCES, 1, false},
 	} {
-		for _, at := range []string{"console", "clients"} {
+		for _, at := range []string{"admin server", "clients"} {
 			t.Run(at+", "+tt.name, func(t *testing.T) {
 				f := &testserver.Failures{}
 				text := configFor(t, startBackend(t, "ok"))
-				if at == "console" {
+				if at == "admin server" {
 					text = strings.Replace(text, `"new":1`, `"new":1,"console":"127.0.0.1:0"`, 1)
 				}
 				f.Set("listen", slices.Repeat([]testserver.Failure{{Errno: tt.errno}}, tt.times)...)
@@ -117,7 +117,7 @@
 					t.Fatal(err)
 				}
 				h := failureHooks(f)
-				h.started = func(*operator) { t.Error("it serves") }
+				h.started = func(*operator) { t.Error("the sidecar serves") }
 				err = run(context.Background(), nil, c, slog.New(slog.DiscardHandler), nil, drainTimes{}, h)
 				if !errors.Is(err, tt.errno) {
 					t.Errorf("error %v", err)
@@ -127,14 +127,14 @@
 	}
 }
 
-// TestShortageOfDescriptorsEjectsNoServer has no connection come up for a lack of descriptors, many times: no server is
-// ejected for that, and all are used once it has passed.
+// TestShortageOfDescriptorsEjectsNoServer: upstream connections fail many times for lack of descriptors. No server is
+// ejected, and all are used again once the shortage is over.
 func TestShortageOfDescriptorsEjectsNoServer(t *testing.T) {
 	var backends []*testserver.Backend
 	for range 4 {
 		backends = append(backends, testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 			testserver.Respond(200, "Connection: close\r\n", "ok")(c, r, body)
-			return false // each request needs a connection of its own
+			return false // each request needs a new connection
 		}))
 	}
 	f := &testserver.Failures{}
@@ -165,20 +165,20 @@
 	}
 }
 
-// drawFailures draws up to most failures of a kind of call.
-func drawFailures(t *rapid.T, call string, most int, errnos []syscall.Errno) []testserver.Failure {
+// drawFailures draws at most maxFailures failures for a call.
+func drawFailures(t *rapid.T, call string, maxFailures int, errnos []syscall.Errno) []testserver.Failure {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) testserver.Failure {
 		f := testserver.Failure{MaxBytes: rapid.IntRange(0, 40).Draw(t, "bytes")}
 		if rapid.Bool().Draw(t, "fails") {
 			f.Errno = rapid.SampledFrom(errnos).Draw(t, "errno")
 		}
 		return f
-	}), 0, most).Draw(t, call)
+	}), 0, maxFailures).Draw(t, call)
 }
 
-// TestLocalFailuresKeepRequestGuarantees draws failures of this machine at the start, in service and while draining.
-// Each request that was read gets one final response, none that may run once only runs twice, nobody is ejected, and
-// the process ends when it is asked to and not before.
+// TestLocalFailuresKeepRequestGuarantees draws failures of the local machine at the start, in service and during the
+// drain. Each request that was read gets one final response, no at-most-once request runs twice, no server is ejected,
+// and the process ends when it is stopped and not before.
 func TestLocalFailuresKeepRequestGuarantees(t *testing.T) {
 	var mu sync.Mutex
 	executions := map[string]int{}
@@ -192,7 +192,7 @@
 	configText, requestCount := configFor(t, b, b), 0
 	rapid.Check(t, func(rt *rapid.T) {
 		f := &testserver.Failures{}
-		draw := func() { // at listeners and clients fewer in a row than it tries again
+		draw := func() { // for listeners and clients fewer failures in a row than there are retries
 			f.Set("accept", drawFailures(rt, "accept", 5, testserver.AcceptErrnos)...)
 			f.Set("connect", drawFailures(rt, "connect", 20, testserver.MachineErrnos)...)
 			f.Set("server read", drawFailures(rt, "server read", 12, testserver.StreamErrnos)...)
@@ -234,7 +234,7 @@
 		draw()
 		sendRequests(draining, p.stop)
 		if err := testserver.Receive(t, p.runResult, "end"); err != nil {
-			rt.Errorf("it ended with %v", err)
+			rt.Errorf("run returned %v", err)
 		}
 		if n := p.ejections.Load(); n > 0 {
 			rt.Errorf("%d servers ejected", n)
@@ -242,7 +242,8 @@
 	})
 }
 
-// checkSingleResponse sends a request of a class on a connection, and returns what is wrong with the response.
+// checkSingleResponse sends a request of a class on a connection. It returns an error unless exactly one response with
+// an expected status follows.
 func checkSingleResponse(c net.Conn, id, class string) error {
 	defer c.Close()
 	const lastBody = "Content-Length: 4\r\nConnection: close\r\n\r\nskip"
@@ -270,7 +271,7 @@
 		return fmt.Errorf("status %d, %q", resp.StatusCode, body)
 	}
 	if n, err := in.Read(make([]byte, 1)); n != 0 || err != io.EOF {
-		return fmt.Errorf("%d bytes, error %v behind the response", n, err)
+		return fmt.Errorf("%d bytes, error %v after the response", n, err)
 	}
 	return nil
 }
--- a/internal/sidecar/lost_requests_test.go
+++ b/internal/sidecar/lost_requests_test.go
@@ -12,8 +12,8 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestTimeoutsOfLostRequestsShedNoOthers has some requests at every server lost while it answers all others at once:
-// their time-outs must not make the servers look slow, and so reject what they would serve.
+// TestTimeoutsOfLostRequestsShedNoOthers: every server loses some requests and responds to all others immediately. The
+// timeouts of the lost requests must not make the servers appear slow, which would shed requests that they can serve.
 func TestTimeoutsOfLostRequestsShedNoOthers(t *testing.T) {
 	const perServer = 3
 	var backends []*testserver.Backend
@@ -35,7 +35,7 @@
 		go func() { ended <- p.Do(r) }()
 	}
 	for range cap(ended) {
-		testserver.Receive(t, arrivals, "attempt that is lost")
+		testserver.Receive(t, arrivals, "lost attempt")
 	}
 	expectServed := func(when string) {
 		for range perServer * len(backends) {
@@ -47,19 +47,20 @@
 	expectServed("while others are in flight")
 	for range cap(ended) {
 		if got := testserver.Receive(t, ended, "response"); got.Status == http.StatusOK {
-			t.Errorf("response %+v to what was lost", got)
+			t.Errorf("response %+v to a lost request", got)
 		}
 	}
-	expectServed("after the time-outs")
+	expectServed("after the timeouts")
 }
 
-// TestLostRequestsAreRetriedIfRepeatable has payments lost, each once, and then requests that may be repeated: they are
-// retried at other servers, long before their clients would give up. No payment reaches a server twice.
+// TestLostRequestsAreRetriedIfRepeatable: the first attempts of at-most-once requests and then of idempotent requests
+// are lost. The idempotent ones are retried at other servers long before their deadlines, and no at-most-once request
+// reaches a server twice.
 func TestLostRequestsAreRetriedIfRepeatable(t *testing.T) {
 	const payments = 12
 	var backends []*testserver.Backend
 	var mu sync.Mutex
-	lost := map[string]int{} // arrivals of what is lost the first time
+	lost := map[string]int{} // number of arrivals of each request whose first attempt is lost
 	arrivals := make(chan bool, 100)
 	for range 4 {
 		backends = append(backends, testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -89,32 +90,32 @@
 		r := p.NewRequest(context.Background(), class, timeout)
 		r.Header.Set("X-Request-ID", id)
 		go func() { ended <- p.Do(r) }()
-		testserver.Receive(t, arrivals, "attempt that is lost")
+		testserver.Receive(t, arrivals, "lost attempt")
 	}
-	sendReads(40) // and so it is known how long responses take
+	sendReads(40) // provide samples of the response time
 	ended := make(chan testserver.Result, payments)
 	for i := range payments {
 		startLost("pay", fmt.Sprint("lost-pay-", i), "500", ended)
 	}
 	sendReads(24)
 	for range payments {
-		testserver.Receive(t, ended, "end of a payment")
+		testserver.Receive(t, ended, "end of an at-most-once request")
 	}
-	again := make(chan testserver.Result, len(backends))
-	for i := range backends { // one at each, so that each gets others too
-		startLost("read", fmt.Sprint("lost-read-", i), "59000", again) // longer than the test has patience
+	results := make(chan testserver.Result, len(backends))
+	for i := range backends { // one per server, so that each server also gets other requests
+		startLost("read", fmt.Sprint("lost-read-", i), "59000", results) // longer than the test waits
 	}
 	sendReads(24)
 	for range backends {
-		if got := testserver.Receive(t, again, "response to what was lost"); got.Status != http.StatusOK {
-			t.Errorf("response %+v to what was lost at first", got)
+		if got := testserver.Receive(t, results, "response to a retried request"); got.Status != http.StatusOK {
+			t.Errorf("response %+v to a request whose first attempt was lost", got)
 		}
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	for id, n := range lost {
-		if again := strings.HasPrefix(id, "lost-read-"); again != (n > 1) {
-			t.Errorf("%s came to servers %d times", id, n)
+		if retried := strings.HasPrefix(id, "lost-read-"); retried != (n > 1) {
+			t.Errorf("%s reached servers %d times", id, n)
 		}
 	}
 }
--- a/internal/sidecar/main_test.go
+++ b/internal/sidecar/main_test.go
@@ -8,7 +8,7 @@
 	"milletramp.example/milletramp/internal/lab/testrun"
 )
 
-// TestMain has these tests, many of which ask how soon something is answered, beside no other package's plays.
+// TestMain runs these tests while no other package holds the lock of testrun, as many of them measure response times.
 func TestMain(m *testing.M) {
 	release, err := testrun.Exclusive()
 	if err != nil {
--- a/internal/sidecar/participant_test.go
+++ b/internal/sidecar/participant_test.go
@@ -18,17 +18,17 @@
 	"milletramp.example/milletramp/internal/proxy"
 )
 
-// fakeParticipant is a part in a fleet whose policy and answers a test sets.
+// fakeParticipant is a Participant whose policy is set by the test.
 type fakeParticipant struct {
 	callbacks Callbacks
-	settings  map[string]any // the sidecar's own settings, but for its place
+	settings  map[string]any // the sidecar's settings without proxy.OwnSettingKeys
 
 	mu           sync.Mutex
 	number       uint64
 	wait         time.Duration
 	ok           bool
 	reads        int
-	advanceAfter int // reads after which the next number is in force; 0: it does not change
+	advanceAfter int // number of reads after which the next policy is in force; 0: no change
 }
 
 func (f *fakeParticipant) Address() string { return "" }
@@ -78,7 +78,7 @@
 	f.number, f.wait, f.ok = number, wait, ok
 }
 
-// join is a Join.
+// join is a JoinFunc.
 func (f *fakeParticipant) join(c *config.Config, _ []string, _ *slog.Logger, callbacks Callbacks) (Participant, error) {
 	f.callbacks, f.settings = callbacks, maps.Clone(c.SettingsDocument())
 	for _, key := range proxy.OwnSettingKeys {
@@ -87,7 +87,8 @@
 	return f, nil
 }
 
-// policyDocument is the own settings without a class; "": with all.
+// policyDocument returns the sidecar's settings as a policy document, without the class of this name; "": with all
+// classes.
 func (f *fakeParticipant) policyDocument(t *testing.T, without string) []byte {
 	t.Helper()
 	tree := maps.Clone(f.settings)
@@ -102,7 +103,7 @@
 	return text
 }
 
-// expectCheck has the sidecar check a document and fails where it says otherwise.
+// expectCheck fails the test unless the check of a policy document finds the given fault; "": no fault.
 func (f *fakeParticipant) expectCheck(t *testing.T, number uint64, text []byte, fault string) {
 	t.Helper()
 	if got := f.callbacks.CheckPolicy(number, text); (got == "") != (fault == "") || !strings.Contains(got, fault) {
--- a/internal/sidecar/policy_test.go
+++ b/internal/sidecar/policy_test.go
@@ -12,8 +12,8 @@
 	"milletramp.example/milletramp/internal/proxy"
 )
 
-// TestRequestsAreAdmittedOnlyUnderPolicyInForce: requests are taken under the policy in force alone, wait for the next
-// where that is soon, and are rejected where there is no lease.
+// TestRequestsAreAdmittedOnlyUnderPolicyInForce: requests are admitted only under the policy in force. They wait for
+// the next policy if it comes into force soon, and are rejected without a lease.
 func TestRequestsAreAdmittedOnlyUnderPolicyInForce(t *testing.T) {
 	b, f := startBackend(t, "ok"), &fakeParticipant{}
 	p := startWith(t, configFor(t, b), startOptions{join: f.join})
@@ -29,29 +29,29 @@
 				class, resp.StatusCode, resp.Header.Get(proxy.PolicyHeader), status, policy)
 		}
 	}
-	expectResponse("read", 503, "") // there is no lease
-	if ready, why := p.operator.Ready(); ready || !strings.Contains(why, "policy") {
-		t.Errorf("ready %v: %s", ready, why)
+	expectResponse("read", 503, "") // no lease
+	if ready, reason := p.operator.Ready(); ready || !strings.Contains(reason, "policy") {
+		t.Errorf("ready %v: %s", ready, reason)
 	}
 	f.setPolicy(3, 0, true)
-	expectResponse("read", 503, "") // in force, and not checked here
+	expectResponse("read", 503, "") // in force but not checked here
 	f.expectCheck(t, 3, f.policyDocument(t, ""), "")
 	expectResponse("read", 200, "3")
 	expectResponse("pay", 200, "3")
 	f.expectCheck(t, 4, f.policyDocument(t, "pay"), "")
-	expectResponse("pay", 200, "3") // checked is not in force
+	expectResponse("pay", 200, "3") // the checked policy is not in force yet
 	f.setPolicy(4, 0, true)
 	expectResponse("pay", 400, "")
 	expectResponse("read", 200, "4")
 	f.setPolicy(0, 300*time.Millisecond, false)
-	time.AfterFunc(50*time.Millisecond, func() { f.setPolicy(4, 0, true) }) // within the wait
+	time.AfterFunc(50*time.Millisecond, func() { f.setPolicy(4, 0, true) }) // before the wait ends
 	expectResponse("read", 200, "4")
 	f.setPolicy(0, 0, false)
 	expectResponse("read", 503, "")
 	f.setPolicy(4, 0, true)
 	sent := b.RequestCount()
 	f.mu.Lock()
-	f.reads, f.advanceAfter = 0, 1 // in force when the head is read, and over when the request is to be taken
+	f.reads, f.advanceAfter = 0, 1 // replaced between the read of the head and the admission of the request
 	f.mu.Unlock()
 	f.expectCheck(t, 5, f.policyDocument(t, ""), "")
 	expectResponse("read", 200, "5")
@@ -63,7 +63,8 @@
 	f.expectCheck(t, 6, []byte(`{}`), "missing")
 }
 
-// TestRequestOfRemovedClassIsRejectedAfterItsBody: a request whose class is gone when its body is there is not taken.
+// TestRequestOfRemovedClassIsRejectedAfterItsBody: a request whose class is removed while its body is received is
+// rejected.
 func TestRequestOfRemovedClassIsRejectedAfterItsBody(t *testing.T) {
 	b, f := startBackend(t, "ok"), &fakeParticipant{}
 	p := startWith(t, configFor(t, b), startOptions{join: f.join})
@@ -84,7 +85,7 @@
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if f.reads == 0 || p.operator.loop.PolicyNumber() != 1 {
-			return "the head was never read"
+			return "the head was not read"
 		}
 		return ""
 	})
@@ -94,15 +95,15 @@
 	}
 	response := make([]byte, 12)
 	if _, err := io.ReadFull(c, response); err != nil || string(response) != "HTTP/1.1 400" {
-		t.Errorf("%q, error %v", response, err)
+		t.Errorf("response %q, error %v, want status 400", response, err)
 	}
 	if n := b.RequestCount(); n != 0 {
-		t.Errorf("%d attempts of a class that is gone", n)
+		t.Errorf("%d attempts of a removed class", n)
 	}
 }
 
-// TestReloadMustMatchPolicyInForce: a file whose settings are not the policy's is rejected, and one whose are may move
-// discovery.
+// TestReloadMustMatchPolicyInForce: a file whose settings differ from the policy in force is rejected. A file with the
+// same settings may change the discovery address.
 func TestReloadMustMatchPolicyInForce(t *testing.T) {
 	b, f, d := startBackend(t, "ok"), &fakeParticipant{}, testserver.StartDiscovery(t)
 	good := testserver.ConfigText(d.Address, testserver.ServingList(1, b), testserver.Settings)
--- a/internal/sidecar/process_group_test.go
+++ b/internal/sidecar/process_group_test.go
@@ -16,9 +16,9 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestSecondProcessListensOnceItHasAList has a process start beside another of its sidecar with no list of servers: it
-// does not listen before it has one. Otherwise it would reject what the other one serves. It takes over what is
-// administratively down.
+// TestSecondProcessListensOnceItHasAList: a process that starts without an endpoint list while another process of its
+// sidecar runs does not listen before it has a list. Otherwise it would reject requests that the other process serves.
+// It adopts the servers that are administratively down in the other process.
 func TestSecondProcessListensOnceItHasAList(t *testing.T) {
 	dir := t.TempDir()
 	other, err := hotrestart.Join(dir, hotrestart.State{Name: "n0", ListenAddress: "127.0.0.1:0", Started: time.Now(),
@@ -42,20 +42,20 @@
 	w := testserver.Receive(t, d.Watches, "watch")
 	select {
 	case <-started:
-		t.Error("it listens without a list")
-	case <-time.After(50 * time.Millisecond): // without the wait it listens at once
+		t.Error("it listens without an endpoint list")
+	case <-time.After(50 * time.Millisecond): // without awaitServers it listens immediately
 	}
 	w.Lines <- testserver.ServingList(1, b, b)
-	op := testserver.Receive(t, started, "listening with a list")
+	op := testserver.Receive(t, started, "start of listening")
 	if op.group.processCount.Load() != 2 {
-		t.Errorf("the sidecar's limits are parted into %d", op.group.processCount.Load())
+		t.Errorf("process count %d, want 2", op.group.processCount.Load())
 	}
 	listed, avoided := 0, 0
 	if err := op.loop.Do(context.Background(), func() { listed, avoided = op.loop.CountEndpoints() }); err != nil {
 		t.Fatal(err)
 	}
 	if listed != 2 || avoided != 1 {
-		t.Errorf("%d servers are listed, %d avoided, want 2 and 1", listed, avoided)
+		t.Errorf("%d servers listed, %d avoided, want 2 and 1", listed, avoided)
 	}
 	cancel()
 	if err := testserver.Receive(t, ended, "end"); err != nil {
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestSidecarServesWhileSharedDirectoryIsMissing has the folder for upgrades be away for a while: the sidecar goes on
-// serving, answers no call of the operators with yes that the next process would not see, and once the folder is there
-// again that process sees what was called, without a further call.
+// TestSidecarServesWhileSharedDirectoryIsMissing: while the shared directory of the process group is missing, the
+// sidecar continues to serve, and an operator's call fails because a successor would not see it. Once the directory is
+// back the successor sees the call without a further one.
 func TestSidecarServesWhileSharedDirectoryIsMissing(t *testing.T) {
 	dir := t.TempDir()
 	one, two := startBackend(t, "one"), startBackend(t, "two")
@@ -84,21 +84,21 @@
 	publishedDown := func() []string { return next.Others()[0].AdminDown }
 	_, err = p.operator.SetAdminDown(context.Background(), "s-0", true, false)
 	if err != nil || !slices.Equal(publishedDown(), []string{"s-0"}) {
-		t.Fatalf("error %v, the next process sees %v", err, publishedDown())
+		t.Fatalf("error %v, the successor sees %v", err, publishedDown())
 	}
 	dirs, err := filepath.Glob(filepath.Join(dir, "milletramp-*"))
 	if err != nil || len(dirs) != 1 {
-		t.Fatalf("directories %v, error %v", dirs, err)
+		t.Fatalf("directories %v, error %v, want one", dirs, err)
 	}
 	if err := os.Rename(dirs[0], dirs[0]+"-away"); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := p.operator.SetAdminDown(context.Background(), "s-1", true, false); err == nil {
-		t.Error("a call that the next process would not see is answered with yes")
+		t.Error("no error for a call that a successor would not see")
 	}
 	for range 20 {
 		if got := p.Send("read"); got.Status != 200 || got.Body != "three" {
-			t.Fatalf("response %+v while the folder is away", got)
+			t.Fatalf("response %+v while the directory is missing", got)
 		}
 	}
 	if err := os.Rename(dirs[0]+"-away", dirs[0]); err != nil {
@@ -106,15 +106,15 @@
 	}
 	testserver.Eventually(t, func() string {
 		if down := publishedDown(); !slices.Equal(down, []string{"s-0", "s-1"}) {
-			return fmt.Sprintf("the next process sees %v", down)
+			return fmt.Sprintf("the successor sees %v", down)
 		}
 		return ""
 	})
 }
 
-// TestDrainingServerGetsNoNewRequestsOverRestart has a server begin to drain while one process drains and the next one
-// starts with a list that does not say so: neither sends new requests there once it is notified, and what was in flight
-// has its response.
+// TestDrainingServerGetsNoNewRequestsOverRestart: a server begins to drain while one process drains and its successor
+// starts with an older endpoint list. Neither process sends new requests to that server once discovery has notified it,
+// and the request in flight gets its response.
 func TestDrainingServerGetsNoNewRequestsOverRestart(t *testing.T) {
 	release := make(chan struct{})
 	one := startBlockingBackend(t, release, isPost, "one")
@@ -139,14 +139,14 @@
 	w.Lines <- drains
 	p.waitForServers(2)
 	next := start(t, text)
-	testserver.Receive(t, d.Watches, "watch of the next process").Lines <- drains
+	testserver.Receive(t, d.Watches, "watch of the successor").Lines <- drains
 	next.waitForServers(2)
 	before := one.RequestCount()
 	for i, c := range conns {
-		sendHead(c, fmt.Sprint("kept-", i))
+		sendHead(c, fmt.Sprint("open-", i))
 		testserver.ExpectFinalResponse(t, c, http.StatusOK)
 		if got := next.Send("read"); got.Body != "two" {
-			t.Errorf("response %+v of the next process", got)
+			t.Errorf("response %+v of the successor", got)
 		}
 	}
 	if n := one.RequestCount() - before; n != 0 {
@@ -154,6 +154,6 @@
 	}
 	close(release)
 	if got := testserver.Receive(t, inFlight, "response"); got.Body != "one" {
-		t.Errorf("response %+v to what was in flight", got)
+		t.Errorf("response %+v to the request in flight", got)
 	}
 }
--- a/internal/sidecar/program_test.go
+++ b/internal/sidecar/program_test.go
@@ -12,15 +12,15 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// expectCleanExit waits until the program has ended, and fails the test if that was by an error.
+// expectCleanExit waits until run has returned, and fails the test if it returned an error.
 func (p *program) expectCleanExit() {
 	p.T.Helper()
 	if err := testserver.Receive(p.T, p.runResult, "end"); err != nil {
-		p.T.Errorf("it ended with %v", err)
+		p.T.Errorf("run returned %v", err)
 	}
 }
 
-// sendAsync sends a request of a class, and returns a channel that gets its result.
+// sendAsync sends a request of a class and returns a channel that receives its result.
 func (p *program) sendAsync(ctx context.Context, class string) <-chan testserver.Result {
 	p.T.Helper()
 	result, request := make(chan testserver.Result, 1), p.NewRequest(ctx, class, "50000")
@@ -28,7 +28,7 @@
 	return result
 }
 
-// waitForOpenConns waits until the program holds at least n connections of clients.
+// waitForOpenConns waits until at least n client connections are open.
 func (p *program) waitForOpenConns(n int) {
 	p.T.Helper()
 	testserver.Eventually(p.T, func() string {
@@ -39,19 +39,19 @@
 	})
 }
 
-// waitForUsedConns waits until at least n connections have brought a request.
+// waitForUsedConns waits until a request has been received on at least n open connections.
 func (p *program) waitForUsedConns(n int) {
 	p.T.Helper()
 	conns := p.operator.server.Load().conns
 	testserver.Eventually(p.T, func() string {
 		if used := conns.Counts().Used; used < n {
-			return fmt.Sprintf("%d connections have brought a request, want %d", used, n)
+			return fmt.Sprintf("requests on %d connections, want %d", used, n)
 		}
 		return ""
 	})
 }
 
-// waitUntilNotListening waits until the program refuses connections.
+// waitUntilNotListening waits until the sidecar refuses connections.
 func (p *program) waitUntilNotListening() {
 	p.T.Helper()
 	testserver.Eventually(p.T, func() string {
@@ -60,22 +60,22 @@
 			return ""
 		}
 		c.Close()
-		return "it still listens"
+		return "the sidecar still listens"
 	})
 }
 
-// waitUntilDraining waits until the program drains.
+// waitUntilDraining waits until the sidecar drains.
 func (p *program) waitUntilDraining() {
 	p.T.Helper()
 	testserver.Eventually(p.T, func() string {
 		if !p.operator.server.Load().handler.IsDraining() {
-			return "it does not drain"
+			return "the sidecar does not drain"
 		}
 		return ""
 	})
 }
 
-// waitForServers waits until the program knows n servers.
+// waitForServers waits until n servers are listed.
 func (p *program) waitForServers(n int) {
 	p.T.Helper()
 	testserver.Eventually(p.T, func() string {
@@ -97,7 +97,7 @@
 	})
 }
 
-// sendUntilBody sends requests until one gets this body.
+// sendUntilBody sends requests until a response has the body want.
 func (p *program) sendUntilBody(want string) {
 	p.T.Helper()
 	testserver.Eventually(p.T, func() string {
@@ -108,33 +108,33 @@
 	})
 }
 
-// switchDiscovery has the program reload a file that names another discovery.
-func (p *program) switchDiscovery(address, was string) {
+// switchDiscovery reloads the configuration with the discovery address changed from previous to address.
+func (p *program) switchDiscovery(address, previous string) {
 	p.T.Helper()
 	text, err := os.ReadFile(p.configFile)
 	if err != nil {
 		p.T.Fatal(err)
 	}
-	writeFile(p.T, p.configFile, strings.ReplaceAll(string(text), was, address))
+	writeFile(p.T, p.configFile, strings.ReplaceAll(string(text), previous, address))
 	p.reloadSignals <- syscall.SIGHUP
 }
 
-// reload writes a configuration, has it read, and waits until it was taken or rejected.
+// reload writes a configuration, triggers a reload, and waits until the file was accepted or rejected.
 func (p *program) reload(text string) {
 	p.T.Helper()
-	f := p.operator.metrics
-	before := f.Reloads.Load() + f.ReloadErrors.Load()
+	m := p.operator.metrics
+	before := m.Reloads.Load() + m.ReloadErrors.Load()
 	writeFile(p.T, p.configFile, text)
 	p.reloadSignals <- syscall.SIGHUP
 	testserver.Eventually(p.T, func() string {
-		if f.Reloads.Load()+f.ReloadErrors.Load() == before {
+		if m.Reloads.Load()+m.ReloadErrors.Load() == before {
 			return "no reload"
 		}
 		return ""
 	})
 }
 
-// metric returns one figure as operators read it.
+// metric returns the value of a metric in the text format of the admin server.
 func (p *program) metric(name string) string {
 	p.T.Helper()
 	text, err := p.operator.Metrics(context.Background())
@@ -158,7 +158,7 @@
 	}
 }
 
-// newIdempotentRequest makes a request of a class whose requests may be repeated.
+// newIdempotentRequest returns a request of a class that is idempotent.
 func (p *program) newIdempotentRequest(class string) *http.Request {
 	r := p.NewRequest(context.Background(), "read", "50000")
 	r.Header.Set("X-Priority-Class", class)
--- a/internal/sidecar/ready_test.go
+++ b/internal/sidecar/ready_test.go
@@ -14,7 +14,7 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestReadyOnceAServerIsKnown has a process start with no list: it is ready once discovery has sent one.
+// TestReadyOnceAServerIsKnown: a process that starts without an endpoint list is ready once discovery has sent one.
 func TestReadyOnceAServerIsKnown(t *testing.T) {
 	d := testserver.StartDiscovery(t)
 	p := start(t, testserver.ConfigText(d.Address, "", testserver.Settings))
@@ -31,7 +31,7 @@
 	}
 	w := testserver.Receive(t, d.Watches, "watch")
 	if w.Query != "watch=1" {
-		t.Errorf("query %q with no known list", w.Query)
+		t.Errorf("query %q without an endpoint list", w.Query)
 	}
 	w.Lines <- testserver.ServingList(1, testserver.StartBackend(t, testserver.NeverRespond))
 	testserver.Eventually(t, func() string {
@@ -42,11 +42,11 @@
 	})
 }
 
-// TestReadyWhileDiscoveryIsDown: a process that knows a list is ready at once, though discovery says nothing; it serves
-// by that list, and has nobody wait for a server that is gone.
+// TestReadyWhileDiscoveryIsDown: a process that starts with an endpoint list is ready immediately although discovery
+// does not respond. It serves from that list, and requests are not delayed by a listed server that is gone.
 func TestReadyWhileDiscoveryIsDown(t *testing.T) {
 	b, gone := startBackend(t, "ok"), &testserver.Backend{Address: unusedAddress(t)}
-	silent := testserver.Listen(t) // takes calls, and answers none
+	silent := testserver.Listen(t) // accepts connections and does not respond
 	known := testserver.ServingList(1, b, gone)
 	p := start(t, testserver.ConfigText(silent.Addr().String(), known, testserver.Settings))
 	resp, err := p.HTTP.Get("http://" + p.Address + "/healthz")
@@ -56,12 +56,12 @@
 	resp.Body.Close()
 	for range 4 {
 		if got := p.Send("pay"); got.Body != "ok" {
-			t.Errorf("response %+v by an old list", got)
+			t.Errorf("response %+v with an old endpoint list", got)
 		}
 	}
 }
 
-// TestStopBeforeReadyEndsAtOnce has the process stop before it knows a server: it ends at once.
+// TestStopBeforeReadyEndsAtOnce: a process that is stopped before it has an endpoint list ends immediately.
 func TestStopBeforeReadyEndsAtOnce(t *testing.T) {
 	p := start(t, testserver.ConfigText(testserver.Listen(t).Addr().String(), "", testserver.Settings))
 	c := p.DialConn()
@@ -69,11 +69,11 @@
 	p.stop()
 	p.expectCleanExit()
 	if _, err := bufio.NewReader(c).ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("error %v on a connection without a request, want its end", err)
+		t.Errorf("error %v on a connection without a request, want EOF", err)
 	}
 }
 
-// TestRunFailsWhenAddressIsInUse has another listen at the address for clients.
+// TestRunFailsWhenAddressIsInUse: Run fails if another listener uses the client address.
 func TestRunFailsWhenAddressIsInUse(t *testing.T) {
 	l := testserver.Listen(t)
 	text := testserver.ConfigText("127.0.0.1:9", "", testserver.Settings)
@@ -83,6 +83,6 @@
 	}
 	err = Run(context.Background(), nil, c, slog.New(slog.DiscardHandler), nil)
 	if err == nil || !strings.Contains(err.Error(), "listen") {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want a listen error", err)
 	}
 }
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -10,8 +10,8 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestReloadSwitchesDiscovery moves discovery twice, the second time to an address that is not up at first, and once
-// more in a drain.
+// TestReloadSwitchesDiscovery changes the discovery address by reloads twice, the second time to an address that is not
+// reachable at first, and once more during a drain.
 func TestReloadSwitchesDiscovery(t *testing.T) {
 	release := make(chan struct{})
 	one := startBlockingBackend(t, release, isPost, "one")
@@ -22,10 +22,10 @@
 	p.switchDiscovery(b.Address, a.Address)
 	second := testserver.Receive(t, b.Watches, "watch at the new address")
 	if second.Query != "watch=1" {
-		t.Errorf("query %q at the new address, want the whole list", second.Query)
+		t.Errorf("query %q at the new address, want a request for the complete list", second.Query)
 	}
 	first.Lines <- testserver.ListText(42, false, testserver.EndpointEntry("s-0", two.Address, "SERVING", 0))
-	p.sendUntilBody("two") // the old address counts until the new one has answered
+	p.sendUntilBody("two") // the old address is used until the new one has responded
 	close(first.Lines)
 	second.Lines <- testserver.ListText(7, true, testserver.EndpointEntry("s-0", three.Address, "SERVING", 0))
 	p.sendUntilBody("three")
@@ -41,7 +41,7 @@
 	third.Lines <- testserver.ListText(1, true, testserver.EndpointEntry("s-0", one.Address, "SERVING", 0))
 	p.sendUntilBody("one")
 	if len(a.Watches) != 0 || len(b.Watches) != 0 {
-		t.Error("a former address was asked again")
+		t.Error("a former address got another watch")
 	}
 	close(third.Lines)
 	if again := testserver.Receive(t, c.Watches, "watch after the end of one"); again.Query != "watch=1&from=1" {
@@ -49,7 +49,7 @@
 	}
 
 	inFlight := p.sendAsync(context.Background(), "book")
-	for !isPost(testserver.Receive(t, one.Requests, "request")) { // those that came before it
+	for !isPost(testserver.Receive(t, one.Requests, "request")) { // skip the earlier reads
 	}
 	p.stop()
 	p.switchDiscovery(b.Address, address)
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestReloadOfInvalidOrSameFileChangesNothing reloads a file that is no configuration, and one that is the same as
-// before.
+// TestReloadOfInvalidOrSameFileChangesNothing: reloading an invalid or an unchanged file does not restart the discovery
+// watch.
 func TestReloadOfInvalidOrSameFileChangesNothing(t *testing.T) {
 	b := startBackend(t, "ok")
 	d, other := testserver.StartDiscovery(t), testserver.StartDiscovery(t)
@@ -74,34 +74,34 @@
 	}
 	w.Lines <- testserver.ListText(2, false)
 	p.switchDiscovery(other.Address, d.Address)
-	testserver.Receive(t, other.Watches, "watch after a good file")
+	testserver.Receive(t, other.Watches, "watch after a valid file")
 	if got := p.Send("pay"); got.Body != "ok" || len(d.Watches) != 0 {
 		t.Errorf("response %+v, %d new watches at the old address", got, len(d.Watches))
 	}
 }
 
-// TestLastOfFiveReloadsWins has five files within a second name five addresses of discovery: the last one counts, its
-// list is followed, and requests are served all the time.
+// TestLastOfFiveReloadsWins: five reloads in quick succession name five discovery addresses. Only the endpoint list of
+// the last one is used, and requests are served the whole time.
 func TestLastOfFiveReloadsWins(t *testing.T) {
 	one, two := startBackend(t, "one"), startBackend(t, "two")
-	was := testserver.StartDiscovery(t)
-	p := start(t, testserver.ConfigText(was.Address, testserver.ServingList(1, one), testserver.Settings))
-	old := testserver.Receive(t, was.Watches, "watch")
-	address := was.Address
+	previous := testserver.StartDiscovery(t)
+	p := start(t, testserver.ConfigText(previous.Address, testserver.ServingList(1, one), testserver.Settings))
+	old := testserver.Receive(t, previous.Watches, "watch")
+	address := previous.Address
 	var next []*testserver.Discovery
 	for range 5 {
 		d := testserver.StartDiscovery(t)
 		p.switchDiscovery(d.Address, address)
 		address, next = d.Address, append(next, d)
 		if got := p.Send("read"); got.Body != "one" {
-			t.Errorf("response %+v between two files", got)
+			t.Errorf("response %+v between two reloads", got)
 		}
 	}
 	w := testserver.Receive(t, next[4].Watches, "watch at the last address")
 	old.Lines <- testserver.ListText(2, false, testserver.EndpointEntry("s-9", one.Address, "SERVING", 0))
 	w.Lines <- testserver.ServingList(1, two)
 	p.sendUntilBody("two")
-	for _, d := range next[:4] { // a late line of an address between
+	for _, d := range next[:4] { // late lists from the addresses in between
 		for len(d.Watches) > 0 {
 			(<-d.Watches).Lines <- testserver.ServingList(9, one)
 		}
--- a/internal/sidecar/retry_test.go
+++ b/internal/sidecar/retry_test.go
@@ -10,8 +10,8 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestRetriesFollowEffectOfClass has the first attempt of each class end in each way, and sees whether the class is
-// tried again.
+// TestRetriesFollowEffectOfClass: whether a request is retried after its first attempt failed depends on the effect of
+// its class and on the kind of failure.
 func TestRetriesFollowEffectOfClass(t *testing.T) {
 	reject := testserver.Respond(503, "X-Not-Processed: 1\r\n", "")
 	for _, tt := range []struct {
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestRefusedConnectionsCauseRejection has every server refuse connections: nothing ran, so the rejection comes at once,
-// for every class.
+// TestRefusedConnectionsCauseRejection: if every server refuses connections, requests of every class are rejected, as
+// no server can have processed them.
 func TestRefusedConnectionsCauseRejection(t *testing.T) {
 	p := startWithBackends(t, &testserver.Backend{Address: unusedAddress(t)})
 	for _, class := range []string{"read", "book", "pay"} {
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestRequestsGetResponseAtDeadline has a server respond to nothing: a request that is unsafe to repeat fails, and
-// one that may be repeated is rejected.
+// TestRequestsGetResponseAtDeadline: with a server that never responds, a request that is unsafe to repeat fails at its
+// deadline, and a request that may be repeated is rejected.
 func TestRequestsGetResponseAtDeadline(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.NeverRespond)
 	p := startWithBackends(t, b)
@@ -89,19 +89,19 @@
 		}
 	}
 	if n := b.RequestCount(); n != 0 {
-		t.Errorf("%d attempts too many", n)
+		t.Errorf("%d further attempts", n)
 	}
-	// What has no time left is not sent at all.
+	// A request without remaining time is not sent.
 	if got := p.Do(p.NewRequest(context.Background(), "pay", "0")); got.Status != 503 || b.RequestCount() != 0 {
 		t.Errorf("status %d, %d attempts", got.Status, b.RequestCount())
 	}
 }
 
-// connReuseWait is more than a connection to a server rests after a response before it is used again.
+// connReuseWait is longer than the time after a response before which an upstream connection is not reused.
 const connReuseWait = 100 * time.Millisecond
 
-// TestOnlyRepeatableRequestsAreRetriedAfterClose has a server close an idle connection while a request is written on
-// it. The request may have run: one that is unsafe to repeat is not retried, and one that may be repeated is.
+// TestOnlyRepeatableRequestsAreRetriedAfterClose: a server closes an idle connection while a request is written to it.
+// The request may have run, so it is retried only if it may be repeated.
 func TestOnlyRepeatableRequestsAreRetriedAfterClose(t *testing.T) {
 	for _, tt := range []struct {
 		class  string
@@ -122,14 +122,14 @@
 			if got := p.Send("read"); got.Body != "first" {
 				t.Fatalf("response %+v", got)
 			}
-			time.Sleep(connReuseWait) // and so the next request goes out on the connection
+			time.Sleep(connReuseWait) // so that the next request reuses the connection
 			w := testserver.Receive(t, d.Watches, "watch")
 			w.Lines <- testserver.ListText(2, false, testserver.EndpointEntry("s-1", other.Address, "SERVING", 0))
 			p.waitForServers(2)
 			for b.RequestCount() > 0 {
 				<-b.Requests
 			}
-			for range 2 { // even turns: one of two goes to the server that closes
+			for range 2 { // round robin: one of two requests goes to the server that closes
 				got := testserver.Receive(t, p.sendAsync(context.Background(), tt.class), "response")
 				if len(closing) == 0 {
 					continue
@@ -140,7 +140,7 @@
 				break
 			}
 			if len(closing) != 1 {
-				t.Errorf("%d requests met the close, want one", len(closing))
+				t.Errorf("%d requests reached the closing server, want one", len(closing))
 			}
 		})
 	}
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -6,7 +6,8 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestWatchFollowsListAndSurvivesBadLines follows the list through a drain, a bad line and a break.
+// TestWatchFollowsListAndSurvivesBadLines: updates of the endpoint list take effect, and the list is kept over a
+// malformed line and an interrupted watch.
 func TestWatchFollowsListAndSurvivesBadLines(t *testing.T) {
 	kept, drained := startBackend(t, "kept"), startBackend(t, "drained")
 	d := testserver.StartDiscovery(t)
@@ -24,21 +25,21 @@
 	p.sendUntilBody("kept")
 	for range 20 {
 		if got := p.Send("pay"); got.Body != "kept" {
-			t.Fatalf("a request went to a server that drains: %+v", got)
+			t.Fatalf("response %+v, want none from the draining server", got)
 		}
 	}
 	first.Lines <- `{"rev":43,"targets":[{"uid":"s-1","endpoint":"nowhere","state":"SERVING"}]}`
-	second := testserver.Receive(t, d.Watches, "watch after a bad line")
+	second := testserver.Receive(t, d.Watches, "watch after a malformed line")
 	if second.Query != "watch=1&from=42" {
-		t.Errorf("query %q after a bad line", second.Query)
+		t.Errorf("query %q after a malformed line", second.Query)
 	}
 	if got := p.Send("pay"); got.Body != "kept" {
-		t.Errorf("a bad line cost the list: %+v", got)
+		t.Errorf("response %+v after a malformed line", got)
 	}
 	close(second.Lines)
-	third := testserver.Receive(t, d.Watches, "watch after a break")
+	third := testserver.Receive(t, d.Watches, "watch after an interrupted one")
 	if got := p.Send("pay"); got.Body != "kept" {
-		t.Errorf("a break cost the list: %+v", got)
+		t.Errorf("response %+v after an interrupted watch", got)
 	}
 	third.Lines <- testserver.ListText(44, true, testserver.EndpointEntry("s-0", drained.Address, "SERVING", 0))
 	p.sendUntilBody("drained")
