--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -15,7 +15,7 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestLoad reads a good file and refuses files with one fault each.
+// TestLoad: a valid file is loaded, and files with one fault each are rejected.
 func TestLoad(t *testing.T) {
 	known := testserver.ListText(4, true, testserver.EndpointEntry("s-0", "127.0.0.1:8", "SERVING", 5))
 	good := testserver.ConfigText("127.0.0.1:9", known, testserver.Settings)
@@ -30,7 +30,7 @@
 		c.Limits.ConnectTimeout != 5*time.Second || c.Limits.MaxInFlight != 20000 || c.Sockets != 1024 {
 		t.Errorf("configuration %+v", c)
 	}
-	if k := c.Known; k.Revision != 4 || len(k.Endpoints) != 1 || !k.Endpoints[0].StartedAt.Equal(time.UnixMilli(5)) {
+	if k := c.InitialList; k.Revision != 4 || len(k.Endpoints) != 1 || !k.Endpoints[0].StartedAt.Equal(time.UnixMilli(5)) {
 		t.Errorf("known %+v", k)
 	}
 	for _, tt := range []struct{ old, new, want string }{
@@ -61,19 +61,20 @@
 	}
 }
 
-// TestEnvironmentGoesFirstAtStartFileAtReload reads an address of discovery that the environment and the file name.
-func TestEnvironmentGoesFirstAtStartFileAtReload(t *testing.T) {
+// TestEnvironmentTakesPrecedenceAtStartAndFileAtReload: the environment and the file name different discovery
+// addresses.
+func TestEnvironmentTakesPrecedenceAtStartAndFileAtReload(t *testing.T) {
 	c, err := loadText(t, testserver.ConfigText("127.0.0.1:9", "", testserver.Settings), "PROXY_DISCOVERY=127.0.0.1:10")
-	if err != nil || c.Discovery != "127.0.0.1:10" {
-		t.Fatalf("discovery %q at the start, error %v", c.Discovery, err)
+	if err != nil || c.DiscoveryAddress != "127.0.0.1:10" {
+		t.Fatalf("discovery %q at the start, error %v", c.DiscoveryAddress, err)
 	}
-	if c, err = c.Reload(); err != nil || c.Discovery != "127.0.0.1:9" {
-		t.Errorf("discovery %q after a reload, error %v", c.Discovery, err)
+	if c, err = c.Reload(); err != nil || c.DiscoveryAddress != "127.0.0.1:9" {
+		t.Errorf("discovery %q after a reload, error %v", c.DiscoveryAddress, err)
 	}
 }
 
-// TestShortageOfDescriptorsDelaysReading makes opening the file fail: a shortage of this machine is retried, no other.
-func TestShortageOfDescriptorsDelaysReading(t *testing.T) {
+// TestResourceShortageDelaysReading: a failure to open the file is retried only if the machine is short of resources.
+func TestResourceShortageDelaysReading(t *testing.T) {
 	for _, tt := range []struct {
 		errno syscall.Errno
 		fails int
@@ -98,7 +99,7 @@
 	}
 }
 
-// TestMissingKey holds files against the one in use.
+// TestMissingKey compares reloaded documents with the one in use.
 func TestMissingKey(t *testing.T) {
 	object := func(pairs ...any) map[string]any {
 		o := map[string]any{}
@@ -107,31 +108,31 @@
 		}
 		return o
 	}
-	inUse := object("a", 1.0, "known", 1.0, "o", object("x", 1.0, "aim_stretch", 1.0), "l",
+	current := object("a", 1.0, "known", 1.0, "o", object("x", 1.0, "aim_stretch", 1.0), "l",
 		[]any{object("n", "p", "w", 1.0), object("n", "q", "w", 2.0, "extra", 3.0)}, "plain", []any{"x", "y"})
 	for _, tt := range []struct {
-		name  string
-		fresh map[string]any
-		want  string
+		name     string
+		reloaded map[string]any
+		want     string
 	}{
-		{"the same", inUse, ""},
-		{"more, and what may be absent", object("a", 2.0, "b", 1.0, "o", object("x", 2.0),
+		{"same document", current, ""},
+		{"additional keys, optional keys missing", object("a", 2.0, "b", 1.0, "o", object("x", 2.0),
 			"l", []any{object("n", "z", "w", 1.0)}, "plain", []any{}), ""},
-		{"a key", object("o", object("x", 1.0), "l", []any{}, "plain", []any{}), "a"},
-		{"a null", object("a", nil, "o", object("x", 1.0), "l", []any{}, "plain", []any{}), "a"},
-		{"an inner key", object("a", 1.0, "o", object(), "l", []any{}, "plain", []any{}), "o.x"},
-		{"no object", object("a", 1.0, "o", 3.0, "l", []any{}, "plain", []any{}), "o"},
-		{"no list", object("a", 1.0, "o", object("x", 1.0), "l", object(), "plain", []any{}), "l"},
-		{"a key of an entry", object("a", 1.0, "o", object("x", 1.0),
+		{"key missing", object("o", object("x", 1.0), "l", []any{}, "plain", []any{}), "a"},
+		{"key null", object("a", nil, "o", object("x", 1.0), "l", []any{}, "plain", []any{}), "a"},
+		{"nested key missing", object("a", 1.0, "o", object(), "l", []any{}, "plain", []any{}), "o.x"},
+		{"object replaced", object("a", 1.0, "o", 3.0, "l", []any{}, "plain", []any{}), "o"},
+		{"list replaced", object("a", 1.0, "o", object("x", 1.0), "l", object(), "plain", []any{}), "l"},
+		{"key of a list entry missing", object("a", 1.0, "o", object("x", 1.0),
 			"l", []any{object("n", "z", "w", 1.0), object("n", "z")}, "plain", []any{}), "l.1.w"},
 	} {
-		if got := missingKey("", inUse, tt.fresh); got != tt.want {
+		if got := missingKey("", current, tt.reloaded); got != tt.want {
 			t.Errorf("%s: %q is missing, want %q", tt.name, got, tt.want)
 		}
 	}
 }
 
-// loadText reads a configuration as the program does.
+// loadText loads a configuration from a file with this text.
 func loadText(t *testing.T, text string, env ...string) (*Config, error) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -12,43 +12,43 @@
 	"milletramp.example/milletramp/internal/wire"
 )
 
-// file is the JSON form of a configuration. Unknown keys are ignored.
+// file is the JSON encoding of a configuration. Unknown keys are ignored.
 type file struct {
 	Name      string
 	Listen    string
 	Discovery string
 	Console   string
-	Seed      string // 64 bits, hexadecimal
+	Seed      string // 64-bit hexadecimal number
 	Limits    fileLimits
 	Known     *json.RawMessage
 	Settings  json.RawMessage
 }
 
-// fileLimits are the limits of the process; nil: the default.
+// fileLimits are the resource limits of the process. A nil field means the default.
 type fileLimits struct {
 	Cores    *float64
 	MemoryMB *int `json:"memory_mb"`
 	Sockets  *int
 }
 
-// config checks a file and returns the configuration that it holds, with names and addresses of the environment.
+// config validates the file and returns its configuration. Names and addresses in the environment take precedence.
 func (f *file) config(getenv func(string) string) (*Config, error) {
 	c := &Config{
-		Name:      cmp.Or(getenv("PROXY_NAME"), f.Name),
-		Listen:    cmp.Or(getenv("PROXY_LISTEN"), f.Listen),
-		Discovery: f.Discovery,
-		Console:   cmp.Or(getenv("PROXY_CONSOLE"), f.Console),
-		Cores:     defaultCores,
-		MemoryMB:  defaultMemoryMB,
-		Sockets:   defaultSockets,
-		Getenv:    getenv,
+		Name:             cmp.Or(getenv("PROXY_NAME"), f.Name),
+		ListenAddress:    cmp.Or(getenv("PROXY_LISTEN"), f.Listen),
+		DiscoveryAddress: f.Discovery,
+		AdminAddress:     cmp.Or(getenv("PROXY_CONSOLE"), f.Console),
+		Cores:            defaultCores,
+		MemoryMB:         defaultMemoryMB,
+		Sockets:          defaultSockets,
+		Getenv:           getenv,
 	}
 	if err := c.checkAddresses(); err != nil {
 		return nil, err
 	}
 	seed, err := strconv.ParseUint(f.Seed, 16, 64)
 	if err != nil {
-		return nil, fmt.Errorf("seed: %q is no hexadecimal number of 64 bits", f.Seed)
+		return nil, fmt.Errorf("seed: %q is not a 64-bit hexadecimal number", f.Seed)
 	}
 	if err := f.Limits.apply(c); err != nil {
 		return nil, err
@@ -62,24 +62,24 @@
 	return c, nil
 }
 
-// checkAddresses checks the addresses of a configuration. That of the console may be missing.
+// checkAddresses validates the addresses of a configuration. The address of the admin server is optional.
 func (c *Config) checkAddresses() error {
-	if err := checkAddress(c.Listen); err != nil {
+	if err := checkAddress(c.ListenAddress); err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	if err := checkAddress(c.Discovery); err != nil {
+	if err := checkAddress(c.DiscoveryAddress); err != nil {
 		return fmt.Errorf("discovery: %w", err)
 	}
-	if c.Console == "" {
+	if c.AdminAddress == "" {
 		return nil
 	}
-	if err := checkAddress(c.Console); err != nil {
+	if err := checkAddress(c.AdminAddress); err != nil {
 		return fmt.Errorf("console: %w", err)
 	}
 	return nil
 }
 
-// checkAddress reports whether an address is an IP address and a port.
+// checkAddress returns an error unless address consists of an IP address and a port.
 func checkAddress(address string) error {
 	if address == "" {
 		return errors.New("missing")
@@ -89,35 +89,35 @@
 		return err
 	}
 	if _, err := strconv.ParseUint(port, 10, 16); err != nil || net.ParseIP(host) == nil {
-		return fmt.Errorf("%q is no IP address and port", address)
+		return fmt.Errorf("%q is not an IP address and port", address)
 	}
 	return nil
 }
 
-// apply checks the limits that are given and sets them.
+// apply validates the limits and sets them in c.
 func (l *fileLimits) apply(c *Config) error {
 	if l.Cores != nil {
 		c.Cores = *l.Cores
 	}
 	if c.Cores <= 0 {
-		return fmt.Errorf("limits.cores: %v is not above 0", c.Cores)
+		return fmt.Errorf("limits.cores: %v is not greater than 0", c.Cores)
 	}
 	if l.MemoryMB != nil {
 		c.MemoryMB = *l.MemoryMB
 	}
 	if c.MemoryMB <= 0 {
-		return fmt.Errorf("limits.memory_mb: %d is not above 0", c.MemoryMB)
+		return fmt.Errorf("limits.memory_mb: %d is not greater than 0", c.MemoryMB)
 	}
 	if l.Sockets != nil {
 		c.Sockets = *l.Sockets
 	}
 	if c.Sockets < minSockets {
-		return fmt.Errorf("limits.sockets: %d is under %d", c.Sockets, minSockets)
+		return fmt.Errorf("limits.sockets: %d is less than the minimum of %d", c.Sockets, minSockets)
 	}
 	return nil
 }
 
-// applySettings reads the settings and sets them.
+// applySettings parses the settings and sets them in c.
 func (f *file) applySettings(c *Config, seed uint64) error {
 	if len(f.Settings) == 0 {
 		return errors.New("settings: missing")
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// applyKnown reads the list of servers that the sidecar last had, where there is one, and sets it.
+// applyKnown parses the endpoint list that the sidecar last used, if the file has one, and sets it in c.
 func (f *file) applyKnown(c *Config) error {
 	if f.Known == nil {
 		return nil
@@ -141,6 +141,6 @@
 	if err != nil {
 		return fmt.Errorf("known: %w", err)
 	}
-	c.Known = known
+	c.InitialList = known
 	return nil
 }
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -7,60 +7,62 @@
 	"milletramp.example/milletramp/internal/hotrestart"
 )
 
-// drainTimes are the times of a planned restart.
+// drainTimes are the time limits of a planned restart.
 type drainTimes struct {
-	acceptFor          time.Duration // new connections are accepted
-	quietPeriod        time.Duration // of a round of the accept queue's drain, and between looks for open connections
-	idleGrace          time.Duration // idle connections are left, as their clients may still use them
-	unusedGrace        time.Duration // a connection that never had a request is left to bring one
-	listTimeout        time.Duration // discovery may take to answer while a predecessor serves
-	successorIdleGrace time.Duration // idleGrace where a successor takes new connections
-	maxDeadline        time.Duration // of the longest deadline counts until the process may be killed
+	acceptPeriod             time.Duration // minimum time for which new connections are accepted
+	quietPeriod              time.Duration // of a round of the accept queue's drain, and between checks for open conns
+	idleGracePeriod          time.Duration // before idle connections are closed; clients may still send requests on them
+	unusedGracePeriod        time.Duration // before a connection is closed on which no request was ever received
+	firstListTimeout         time.Duration // for the first response of discovery while a predecessor serves
+	successorIdleGracePeriod time.Duration // idleGracePeriod if a successor accepts new connections
+	maxKillDeadline          time.Duration // limit on the longest deadline when the time of the kill is calculated
 }
 
-// drain ends serving once all that was read has its response. Connections that wait when the listener closes are reset,
-// and what they sent is lost. So the process goes on accepting and serving first, and only asks clients to close.
+// drain stops serving once every request that was read has its response. Closing the listener resets the connections in
+// its accept queue, and their requests are lost. So the process first continues to accept and serve, and only requests
+// with "Connection: close" that clients close their connections.
 func (p *process) drain() error {
-	p.handler.Drain(p.times.maxDeadline) // first: the time until the kill runs
+	p.handler.Drain(p.times.maxKillDeadline) // first, because the time until the kill is already running
 	hasSuccessor := p.operator.group.hasSuccessor()
-	p.log.Info("draining", "succeeded", hasSuccessor)
-	p.setPhase(hotrestart.Draining, "the next process does not know that this one drains")
-	acceptFor, idleGrace := p.times.acceptFor, p.times.idleGrace
+	p.log.Info("draining", "has_successor", hasSuccessor)
+	p.setPhase(hotrestart.Draining, "cannot publish the draining phase to the process group")
+	acceptPeriod, idleGracePeriod := p.times.acceptPeriod, p.times.idleGracePeriod
 	if hasSuccessor {
-		acceptFor, idleGrace = 0, p.times.successorIdleGrace
-		if err := p.accepting.RedirectToSuccessor(); err != nil {
-			p.log.Warn("connections that come just now may be reset", "err", err)
+		acceptPeriod, idleGracePeriod = 0, p.times.successorIdleGracePeriod
+		if err := p.drainListener.RedirectToSuccessor(); err != nil {
+			p.log.Warn("cannot redirect new connections to the successor: some may be reset", "err", err)
 		}
 	}
-	idleFrom := time.Now().Add(idleGrace)
-	retireIdle := time.AfterFunc(idleGrace, func() { p.conns.RetireIdle(p.times.unusedGrace) })
+	idleFrom := time.Now().Add(idleGracePeriod)
+	retireIdle := time.AfterFunc(idleGracePeriod, func() { p.conns.RetireIdle(p.times.unusedGracePeriod) })
 	defer retireIdle.Stop()
-	if err := p.accepting.Drain(acceptFor); err != nil {
+	if err := p.drainListener.Drain(acceptPeriod); err != nil {
 		return fmt.Errorf("drain: %w", err)
 	}
-	<-p.served
+	<-p.serveResult
 	p.awaitConnections(idleFrom)
-	if err := p.httpServer.Close(); err != nil { // no connection is open any more
+	if err := p.httpServer.Close(); err != nil { // all connections are closed by now
 		return fmt.Errorf("close: %w", err)
 	}
-	// The admin server closes next, and a call that another process forwards would find nobody. This process has no
-	// request that a call could still concern.
+	// The process leaves the group before its admin server closes, as a call forwarded afterwards would fail. No request
+	// is left that an operator's call could affect.
 	if err := p.operator.group.member.Leave(); err != nil {
-		p.log.Warn("the next process takes this one for a living one until it has ended", "err", err)
+		p.log.Warn("cannot leave the process group: other processes regard this one as running until it exits", "err", err)
 	}
 	p.log.Info("drained")
 	return nil
 }
 
-// awaitConnections waits until no client connection is open, and ends idle ones from idleFrom on. http.Server.Shutdown
-// would drop what still comes on connections, and close others under a request that was just read.
+// awaitConnections waits until no client connection is open. From idleFrom on it closes idle connections.
+// http.Server.Shutdown is not used: it would drop requests that still arrive on open connections, and close connections
+// on which a request was just read.
 func (p *process) awaitConnections(idleFrom time.Time) {
 	for p.conns.Counts().Open > 0 {
 		switch {
 		case p.handler.Shutdown().Err() != nil:
 			p.conns.RetireAll()
 		case time.Now().After(idleFrom):
-			p.conns.RetireIdle(p.times.unusedGrace)
+			p.conns.RetireIdle(p.times.unusedGracePeriod)
 		}
 		time.Sleep(p.times.quietPeriod)
 	}
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -16,15 +16,15 @@
 	"milletramp.example/milletramp/internal/upstream"
 )
 
-// TestDrainServesNewAndOpenConnections has SIGTERM come while one request is in flight, and others go on coming on new
-// connections and old ones.
+// TestDrainServesNewAndOpenConnections: during a drain with one request in flight, requests on new and on open
+// connections are still served.
 func TestDrainServesNewAndOpenConnections(t *testing.T) {
 	release := make(chan struct{})
-	b := startHoldingBackend(t, release, hasIdempotencyKey, "ok")
+	b := startBlockingBackend(t, release, hasIdempotencyKey, "ok")
 	p := startWith(t, configFor(t, b), startOptions{times: drainTimes{
-		acceptFor:   4 * time.Second,
-		quietPeriod: 10 * time.Millisecond,
-		idleGrace:   2 * time.Second,
+		acceptPeriod:    4 * time.Second,
+		quietPeriod:     10 * time.Millisecond,
+		idleGracePeriod: 2 * time.Second,
 	}})
 	slow := p.sendAsync(context.Background(), "book")
 	testserver.Receive(t, b.Requests, "attempt")
@@ -36,39 +36,39 @@
 		}
 		closing = got.Close
 	}
-	time.Sleep(200 * time.Millisecond) // long past the quiet that ends the accepting, well within its time
-	fresh, err := net.Dial("tcp", p.Address)
+	time.Sleep(200 * time.Millisecond) // much longer than quietPeriod, well within acceptPeriod
+	newConn, err := net.Dial("tcp", p.Address)
 	if err != nil {
-		t.Fatalf("no new connections while draining: %v", err)
+		t.Fatalf("connection refused while draining: %v", err)
 	}
-	defer fresh.Close()
-	if err := p.NewRequest(context.Background(), "pay", "50000").Write(fresh); err != nil {
+	defer newConn.Close()
+	if err := p.NewRequest(context.Background(), "pay", "50000").Write(newConn); err != nil {
 		t.Fatal(err)
 	}
-	resp, err := http.ReadResponse(bufio.NewReader(fresh), nil)
+	resp, err := http.ReadResponse(bufio.NewReader(newConn), nil)
 	if err != nil || resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("response %+v, error %v on a new connection", resp, err)
 	}
 	p.waitUntilNotListening()
 	select {
-	case err := <-p.ended:
-		t.Fatalf("it ended with %v and a request in flight", err)
+	case err := <-p.runResult:
+		t.Fatalf("run returned %v with a request in flight", err)
 	default:
 	}
 	close(release)
 	if got := testserver.Receive(t, slow, "response"); got.Status != 200 || got.Body != "ok" {
-		t.Errorf("response %+v to what was taken", got)
+		t.Errorf("response %+v to the request in flight", got)
 	}
-	p.expectEnd()
+	p.expectCleanExit()
 }
 
-// TestDrainServesRequestsOnOpenConnections has a client open a connection, and send its request only when the process
-// has long begun to drain and is waiting for another response: that request is answered too.
+// TestDrainServesRequestsOnOpenConnections: a request is served although its client, which connected before the drain,
+// sends it only after the listener is closed, while the process waits for another response.
 func TestDrainServesRequestsOnOpenConnections(t *testing.T) {
 	release := make(chan struct{})
-	b := startHoldingBackend(t, release, hasIdempotencyKey, "ok")
-	p := startWith(t, configFor(t, b), startOptions{times: drainTimes{unusedGrace: testserver.Timeout}})
-	held := p.sendAsync(context.Background(), "book")
+	b := startBlockingBackend(t, release, hasIdempotencyKey, "ok")
+	p := startWith(t, configFor(t, b), startOptions{times: drainTimes{unusedGracePeriod: testserver.Timeout}})
+	inFlight := p.sendAsync(context.Background(), "book")
 	testserver.Receive(t, b.Requests, "attempt")
 	late := p.DialConn()
 	p.waitForOpenConns(2)
@@ -77,36 +77,36 @@
 	sendHead(late, "late")
 	resp, err := http.ReadResponse(bufio.NewReader(late), nil)
 	if err != nil || resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("response %+v, error %v to a request that came after the drain began", resp, err)
+		t.Errorf("response %+v, error %v to a request sent after the drain began", resp, err)
 	}
 	close(release)
-	if got := testserver.Receive(t, held, "response"); got.Status != 200 {
-		t.Errorf("response %+v to what was taken", got)
+	if got := testserver.Receive(t, inFlight, "response"); got.Status != 200 {
+		t.Errorf("response %+v to the request in flight", got)
 	}
-	p.expectEnd()
+	p.expectCleanExit()
 }
 
-// TestDrainClosesUnusedConnectionsAfterGrace has a connection never bring a request: it holds the end up for its time
-// and no longer.
+// TestDrainClosesUnusedConnectionsAfterGrace: a connection without any request is closed after unusedGracePeriod and
+// does not delay the end of the drain further.
 func TestDrainClosesUnusedConnectionsAfterGrace(t *testing.T) {
-	times := drainTimes{unusedGrace: 10 * time.Millisecond}
+	times := drainTimes{unusedGracePeriod: 10 * time.Millisecond}
 	p := startWith(t, configFor(t, startBackend(t, "ok")), startOptions{times: times})
 	c := p.DialConn()
 	p.waitForOpenConns(1)
 	p.stop()
-	p.expectEnd()
+	p.expectCleanExit()
 	if n, err := c.Read(make([]byte, 1)); n != 0 || err != io.EOF {
-		t.Errorf("%d bytes, error %v on a connection without a request, want its end", n, err)
+		t.Errorf("%d bytes, error %v on a connection without a request, want EOF", n, err)
 	}
 	if n := p.operator.metrics.UnservedConns[metrics.ShuttingDown].Load(); n != 1 {
-		t.Errorf("%d connections ended unserved by the stop, want 1", n)
+		t.Errorf("%d unserved connections were closed by the shutdown, want 1", n)
 	}
 }
 
-// TestDrainWaitsForRequestBody has the process stop while a request's body comes: it is served, and its response ends
-// the connection.
+// TestDrainWaitsForRequestBody: a request whose body is still being received when the drain begins is served, and its
+// response closes the connection.
 func TestDrainWaitsForRequestBody(t *testing.T) {
-	p := startServing(t, startBackend(t, "ok"))
+	p := startWithBackends(t, startBackend(t, "ok"))
 	c := p.DialConn()
 	fmt.Fprintf(c, "%sContent-Length: 8\r\n\r\nhalf", testserver.RequestHead("POST", "slow", "pay"))
 	p.waitForUsedConns(1)
@@ -114,11 +114,11 @@
 	p.waitUntilNotListening()
 	fmt.Fprint(c, "rest")
 	testserver.ExpectFinalResponse(t, c, http.StatusOK)
-	p.expectEnd()
+	p.expectCleanExit()
 }
 
-// TestDrainWaitsForStreamedResponse has the process stop, and read its file again, while a long response is passed
-// on: it ends with the response, which is whole.
+// TestDrainWaitsForStreamedResponse: the process drains, and reloads its configuration, while a long response is
+// streamed. It ends only after the response is complete.
 func TestDrainWaitsForStreamedResponse(t *testing.T) {
 	rest := make(chan struct{})
 	b := testserver.StartBackend(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
@@ -142,24 +142,25 @@
 	if body, err := io.ReadAll(resp.Body); err != nil || len(body) != upstream.MaxBufferedBody+1 {
 		t.Errorf("%d bytes, error %v", len(body), err)
 	}
-	p.expectEnd()
+	p.expectCleanExit()
 }
 
-// shortDeadlines replaces the deadlines of testserver.Settings by 300 ms.
+// shortDeadlines replaces the deadlines in testserver.Settings with 300 ms.
 var shortDeadlines = strings.NewReplacer(`"deadline_s":60.0`, `"deadline_s":0.3`, `"aim_s":20.0`, `"aim_s":0.2`)
 
-// TestDrainKeepsToReloadedDeadlines stops a process whose settings were replaced by ones with shorter deadlines, while
-// requests of the old ones are in flight at a server that hangs: the platform kills it by the new ones, and before that
-// each has its response. One that may be repeated is rejected, one that is unsafe to repeat and may have run is not.
+// TestDrainKeepsToReloadedDeadlines: a reload shortens the deadlines while requests admitted under the old ones are in
+// flight at a server that hangs, and then the process is stopped. The platform derives the time of the kill from the
+// new deadlines, and each request gets its response before that: 503 if it may be repeated, and 502 if it is unsafe to
+// repeat and may have run.
 func TestDrainKeepsToReloadedDeadlines(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.NeverRespond)
 	text := configFor(t, b)
 	p := start(t, text)
-	held := map[string]chan *http.Response{"pay": nil, "read": nil, "book": nil}
-	for class := range held {
+	inFlight := map[string]chan *http.Response{"pay": nil, "read": nil, "book": nil}
+	for class := range inFlight {
 		answered := make(chan *http.Response, 1)
 		r := p.NewRequest(context.Background(), class, "50000")
-		held[class] = answered
+		inFlight[class] = answered
 		go func() {
 			resp, err := p.HTTP.Do(r)
 			if err != nil {
@@ -172,18 +173,18 @@
 	p.reload(shortDeadlines.Replace(text))
 	p.expectMetrics("loads", "1", "load_errors", "0")
 	if longest := p.operator.server.Load().handler.LongestDeadline(); longest != 300*time.Millisecond {
-		t.Errorf("the platform kills by a deadline of 300ms, the process goes by %v", longest)
+		t.Errorf("longest deadline %v, want 300ms", longest)
 	}
 	p.stop()
 	for class, want := range map[string]string{"pay": "502 ", "read": "503 0.200", "book": "503 0.200"} {
-		resp := testserver.Receive(t, held[class], "response")
+		resp := testserver.Receive(t, inFlight[class], "response")
 		if resp == nil {
 			continue
 		}
 		resp.Body.Close()
 		if got := fmt.Sprint(resp.StatusCode, " ", resp.Header.Get("Retry-After")); got != want {
-			t.Errorf("%s: status and Retry-After %q at the kill, want %q", class, got, want)
+			t.Errorf("%s: status and Retry-After %q, want %q", class, got, want)
 		}
 	}
-	p.expectEnd()
+	p.expectCleanExit()
 }
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -15,16 +15,16 @@
 	"milletramp.example/milletramp/internal/proxy"
 )
 
-// fleetQueryTimeout bounds a question that the part in the fleet answers from memory.
-const fleetQueryTimeout = 200 * time.Millisecond
+// participantTimeout limits calls that the fleet participant answers from memory.
+const participantTimeout = 200 * time.Millisecond
 
-// joinFleet begins this sidecar's part in the fleet, where the operator's file names one, and waits until it has caught
-// up, or has tried for long enough. leave ends it.
+// joinFleet joins the fleet that the fleet's configuration file describes, if there is one, and waits until the
+// participant has caught up or its time limit for that has passed. leave leaves the fleet.
 func (o *operator) joinFleet(stop context.Context, c *config.Config, log *slog.Logger,
 	join JoinFunc) (leave func(), err error) {
-	nothing := func() {}
+	noop := func() {}
 	if join == nil {
-		return nothing, checkNoFleet(c)
+		return noop, rejectFleetConfig(c)
 	}
 	o.adminDownChanged = make(chan struct{}, 1)
 	gate := proxy.NewPolicyGate(o.loop, c)
@@ -34,23 +34,23 @@
 		CheckPolicy:  gate.Check,
 	})
 	if err != nil || participant == nil {
-		return nothing, err
+		return noop, err
 	}
 	err = o.group.member.Update(func(s *hotrestart.State) { s.FleetAddress = participant.Address() })
 	if err != nil {
-		log.Warn("the next process will not ask this one what the fleet holds", "err", err)
+		log.Warn("cannot publish the fleet address to the process group", "err", err)
 	}
 	if policy := participant.Policy(); policy != nil {
 		gate.SetPolicy(policy)
 		if err := o.loop.Do(stop, func() { o.loop.SetPolicyGate(gate) }); err != nil {
-			return nothing, errors.Join(err, participant.Close())
+			return noop, errors.Join(err, participant.Close())
 		}
 		o.gate = gate
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	publishing := make(chan struct{})
+	publisherDone := make(chan struct{})
 	go func() { // ends with ctx
-		defer close(publishing)
+		defer close(publisherDone)
 		o.publishChanges(ctx, log)
 	}()
 	o.connect(participant)
@@ -61,21 +61,21 @@
 	return func() {
 		cancel()
 		o.disconnect(participant, log)
-		<-publishing
+		<-publisherDone
 	}, nil
 }
 
-// checkNoFleet returns an error where the operator names a fleet and this program cannot take part in one.
-func checkNoFleet(c *config.Config) error {
-	file := c.Getenv(FleetEnvironment)
+// rejectFleetConfig returns an error if a fleet configuration is set, as this program does not support fleets.
+func rejectFleetConfig(c *config.Config) error {
+	file := c.Getenv(FleetConfigVariable)
 	if file == "" {
 		return nil
 	}
-	return fmt.Errorf("%s names %s, and this program is built without a part in a fleet: fleetsidecar has one",
-		FleetEnvironment, file)
+	return fmt.Errorf("%s is set to %s, but this program has no fleet support: use fleetsidecar",
+		FleetConfigVariable, file)
 }
 
-// connect has the event loop report to the part in the fleet.
+// connect makes the event loop report observations and endpoint lists to the participant.
 func (o *operator) connect(participant Participant) {
 	o.participant.Store(&participant)
 	o.loop.Post(func() {
@@ -86,7 +86,7 @@
 	})
 }
 
-// listedServers returns endpoints as servers of the own list.
+// listedServers converts endpoints to the servers that a Participant receives.
 func listedServers(endpoints []discovery.Endpoint) []ListedServer {
 	servers := make([]ListedServer, 0, len(endpoints))
 	for _, e := range endpoints {
@@ -95,18 +95,19 @@
 	return servers
 }
 
-// disconnect ends the part in the fleet.
+// disconnect stops the reports to the participant, clears the fleet's suspicions and leaves the fleet.
 func (o *operator) disconnect(participant Participant, log *slog.Logger) {
 	o.loop.Post(func() {
 		o.loop.SetObserver(nil)
 		o.loop.SetSuspected(nil)
 	})
 	if err := participant.Close(); err != nil {
-		log.Warn("leaving the fleet", "err", err)
+		log.Warn("leaving the fleet failed", "err", err)
 	}
 }
 
-// publishChanges publishes what is administratively down each time that the fleet has changed it, until ctx ends.
+// publishChanges publishes the servers that are administratively down each time the fleet has changed them, until ctx
+// ends.
 func (o *operator) publishChanges(ctx context.Context, log *slog.Logger) {
 	for {
 		select {
@@ -114,14 +115,14 @@
 			return
 		case <-o.adminDownChanged:
 			if err := o.publishAdminDown(ctx); err != nil && ctx.Err() == nil {
-				log.Warn("the next process will not know what is out by hand", "err", err)
+				log.Warn("cannot publish administratively down servers to the process group", "err", err)
 			}
 		}
 	}
 }
 
-// fleet returns the part in the fleet; nil: there is none.
-func (o *operator) fleet() Participant {
+// fleetParticipant returns the fleet participant; nil if the sidecar is not a member of a fleet.
+func (o *operator) fleetParticipant() Participant {
 	participant := o.participant.Load()
 	if participant == nil {
 		return nil
@@ -129,12 +130,13 @@
 	return *participant
 }
 
-// applyAdminDown takes in which servers are administratively down in the fleet. A peer's call may take down what the
-// own list names, and bring up what the fleet has had down; it ends no drain, which is the list's.
+// applyAdminDown applies the complete list of servers that are administratively down in the fleet. It sets them down,
+// whether or not the endpoint list has them, and sets a server up only if the fleet had set it down before. It does not
+// end a drain, which the endpoint list determines.
 func (o *operator) applyAdminDown(ids []string) {
 	o.loop.Post(func() {
-		wasDown := set(o.loop.AdminDown())
-		isDown := set(ids)
+		wasDown := toSet(o.loop.AdminDown())
+		isDown := toSet(ids)
 		var added []string
 		for _, id := range ids {
 			if !wasDown[id] {
@@ -157,8 +159,7 @@
 	})
 }
 
-// set returns ids as a set.
-func set(ids []string) map[string]bool {
+func toSet(ids []string) map[string]bool {
 	members := make(map[string]bool, len(ids))
 	for _, id := range ids {
 		members[id] = true
@@ -166,7 +167,7 @@
 	return members
 }
 
-// applySuspicions takes in which servers the fleet suspects.
+// applySuspicions replaces the servers that the fleet suspects.
 func (o *operator) applySuspicions(suspicions []Suspicion) {
 	o.loop.Post(func() {
 		servers := make([]proxy.SuspectedServer, 0, len(suspicions))
@@ -177,14 +178,14 @@
 	})
 }
 
-// publishToFleet replicates an operator's call in the fleet, and returns a note for the operator. known says whether
-// this sidecar, or its other process, knows the server. A forwarded call waits for nobody: the process that forwarded
-// it has its own caller waiting.
+// publishToFleet replicates an operator's call in the fleet and returns a note for the operator. known reports whether
+// the server is known to this sidecar or its other process. A forwarded call does not wait for other sidecars, as the
+// forwarding process already does so before it responds to its operator.
 func (o *operator) publishToFleet(ctx context.Context, id string, down, known, forwarded bool) (string, error) {
-	fleet := o.fleet()
-	if fleet != nil && !known { // on no list here, but it may be down all the same
+	participant := o.fleetParticipant()
+	if participant != nil && !known { // not listed here, but the fleet may have a call for it
 		var err error
-		known, err = fleet.KnowsServer(ctx, id)
+		known, err = participant.KnowsServer(ctx, id)
 		if err != nil {
 			return "", err
 		}
@@ -192,21 +193,21 @@
 	if !known {
 		return "", admin.ErrUnknownServer
 	}
-	if fleet == nil {
+	if participant == nil {
 		return "", nil
 	}
-	held, asked, err := fleet.SetAdminDown(ctx, id, down, !forwarded)
+	confirmed, contacted, err := participant.SetAdminDown(ctx, id, down, !forwarded)
 	if err != nil {
 		return "", o.replicationError(err)
 	}
 	if forwarded {
 		return "", nil
 	}
-	return replicationNote(held, asked), nil
+	return replicationNote(confirmed, contacted), nil
 }
 
-// replicationError returns an operator's error for a call that was not replicated. In an upgrade the other process,
-// which speaks for the sidecar, has the call too.
+// replicationError returns the error for the operator of a call that was not replicated. During a hot restart it is nil
+// for ErrSuperseded, as the other process, which represents the sidecar in the fleet, has the call as well.
 func (o *operator) replicationError(err error) error {
 	switch {
 	case !errors.Is(err, ErrSuperseded):
@@ -218,40 +219,40 @@
 		"call at another console")
 }
 
-// replicationNote says how many of the sidecars that were asked hold a call.
-func replicationNote(held, asked int) string {
+// replicationNote returns the operator's note on how many of the contacted sidecars have stored a call.
+func replicationNote(confirmed, contacted int) string {
 	switch {
-	case asked == 0:
+	case contacted == 0:
 		return "there is no other sidecar to know of it"
-	case held == 0:
+	case confirmed == 0:
 		return "no other sidecar has answered: this one is cut off, and tells them when it can"
 	}
-	return fmt.Sprintf("%d other sidecars hold it and tell the rest", held)
+	return fmt.Sprintf("%d other sidecars hold it and tell the rest", confirmed)
 }
 
-// fleetReady reports whether the part in the fleet is ready, and if not, why.
-func (o *operator) fleetReady() (ready bool, why string) {
-	fleet := o.fleet()
-	if fleet == nil {
+// fleetReady reports whether the fleet participant is ready to serve and, if not, the reason.
+func (o *operator) fleetReady() (ready bool, reason string) {
+	participant := o.fleetParticipant()
+	if participant == nil {
 		return true, ""
 	}
-	if o.gate != nil && !o.gate.Await(context.Background(), fleetQueryTimeout) {
+	if o.gate != nil && !o.gate.Await(context.Background(), participantTimeout) {
 		return false, "policy: nobody has promised this sidecar one"
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), fleetQueryTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), participantTimeout)
 	defer cancel()
-	ready, phase := fleet.Ready(ctx)
+	ready, phase := participant.Ready(ctx)
 	if !ready {
 		return false, "fleet: " + phase
 	}
 	return true, ""
 }
 
-// writeFleetMetrics writes the fleet's metrics, where there is a fleet.
+// writeFleetMetrics writes the fleet's metrics if the sidecar is a member of a fleet.
 func (o *operator) writeFleetMetrics(ctx context.Context, w io.Writer) error {
-	fleet := o.fleet()
-	if fleet == nil {
+	participant := o.fleetParticipant()
+	if participant == nil {
 		return nil
 	}
-	return fleet.WriteMetrics(ctx, w)
+	return participant.WriteMetrics(ctx, w)
 }
--- a/internal/sidecar/fleet_admin_test.go
+++ b/internal/sidecar/fleet_admin_test.go
@@ -16,8 +16,8 @@
 	"milletramp.example/milletramp/internal/upstream"
 )
 
-// expectAdminDown fails the test unless exactly these of s-0, s-1 and s-9 are administratively down: for the Balancer,
-// and for the client that makes the attempts.
+// expectAdminDown fails the test unless exactly these of s-0, s-1 and s-9 are administratively down, both in the
+// Balancer and in the upstream client.
 func (p *program) expectAdminDown(want ...string) {
 	p.T.Helper()
 	var down []string
@@ -25,12 +25,12 @@
 		p.T.Fatal(err)
 	}
 	if unavailable := p.unavailableServers(); !slices.Equal(down, want) || !slices.Equal(unavailable, want) {
-		p.T.Errorf("down are %q, unavailable %q, want %q", down, unavailable, want)
+		p.T.Errorf("administratively down %q, unavailable %q, want %q", down, unavailable, want)
 	}
 }
 
-// unavailableServers returns those of s-0, s-1 and s-9 at which no attempt is made. s-9, which is on no list, is listed
-// for the client meanwhile, and for nobody else.
+// unavailableServers returns those of s-0, s-1 and s-9 to which the upstream client makes no attempt. s-9 is on no
+// endpoint list, so it is added to that of the upstream client, and only there, during the call.
 func (p *program) unavailableServers() (unavailable []string) {
 	p.T.Helper()
 	client := p.operator.loop.Upstream()
@@ -55,8 +55,8 @@
 	return unavailable
 }
 
-// TestApplyAdminDown: servers that are administratively down in the fleet are so here, listed or not, and up again once
-// they are up in the fleet. One that this sidecar's own operator has set down, and the fleet never had, stays down.
+// TestApplyAdminDown: servers that are administratively down in the fleet are set down here, listed or not, and set up
+// once they are up in the fleet. A server that only an operator's call at this sidecar has set down stays down.
 func TestApplyAdminDown(t *testing.T) {
 	p := startInDir(t, t.TempDir())
 	if _, err := p.operator.SetAdminDown(context.Background(), "s-1", true, false); err != nil {
@@ -69,98 +69,102 @@
 	p.expectAdminDown("s-1", "s-9")
 	p.operator.applyAdminDown(nil)
 	p.expectAdminDown("s-1")
-	p.operator.applyAdminDown([]string{"s-1"}) // the fleet has it too from here on
+	p.operator.applyAdminDown([]string{"s-1"}) // from here on it is down in the fleet as well
 	p.expectAdminDown("s-1")
 	p.operator.applyAdminDown(nil)
 	p.expectAdminDown()
 }
 
-// adminDownPart is a part in a fleet without a policy, which answers operators' calls as its test says.
-type adminDownPart struct {
+// adminDownParticipant is a fake Participant in a fleet without a policy. The test sets its results for operators'
+// calls.
+type adminDownParticipant struct {
 	fakeParticipant
-	knows       bool
-	knowsErr    error
-	held, asked int
-	err         error
-	calls       []adminDownCall
+	knows                bool
+	knowsErr             error
+	confirmed, contacted int
+	err                  error
+	calls                []adminDownCall
 }
 
-// adminDownCall is a call that is passed on to the fleet.
+// adminDownCall is a call that was published to the fleet.
 type adminDownCall struct {
 	server        string
 	down, confirm bool
 }
 
 // Policy implements Participant.
-func (*adminDownPart) Policy() proxy.Policy { return nil }
+func (*adminDownParticipant) Policy() proxy.Policy { return nil }
 
 // KnowsServer implements Participant.
-func (p *adminDownPart) KnowsServer(context.Context, string) (bool, error) {
+func (p *adminDownParticipant) KnowsServer(context.Context, string) (bool, error) {
 	return p.knows, p.knowsErr
 }
 
 // SetAdminDown implements Participant.
-func (p *adminDownPart) SetAdminDown(_ context.Context, server string, down, confirm bool) (held, asked int, err error) {
+func (p *adminDownParticipant) SetAdminDown(_ context.Context, server string,
+	down, confirm bool) (confirmed, contacted int, err error) {
 	p.calls = append(p.calls, adminDownCall{server, down, confirm})
-	return p.held, p.asked, p.err
+	return p.confirmed, p.contacted, p.err
 }
 
-// publishTest is a call that is passed on to the fleet, with what its operator is answered.
+// publishTest is a call to publish to the fleet and the expected result for its operator.
 type publishTest struct {
-	name      string
-	part      *adminDownPart // nil: there is none
-	other     bool           // another process of the sidecar runs
-	known     bool
-	forwarded bool // by the other process
-	note      string
-	err       string // "": none
-	is        error  // that err wraps; nil: any
-	calls     []adminDownCall
+	name        string
+	participant *adminDownParticipant // nil: not in a fleet
+	other       bool                  // another process of the sidecar is running
+	known       bool
+	forwarded   bool // by another process
+	note        string
+	err         string // part of the expected error; "": no error
+	wrapped     error  // error that the expected error wraps; nil: any
+	calls       []adminDownCall
 }
 
-// TestPublishToFleet: what an operator is answered to a call that is passed on to the fleet.
+// TestPublishToFleet: the operator of a call gets a note or an error that matches the outcome of its replication.
 func TestPublishToFleet(t *testing.T) {
 	errDisk := errors.New("disk full")
 	unknownServer := admin.ErrUnknownServer
-	confirmed := []adminDownCall{{"s-0", true, true}}
-	unconfirmed := []adminDownCall{{"s-0", true, false}}
+	confirmedCalls := []adminDownCall{{"s-0", true, true}}
+	unconfirmedCalls := []adminDownCall{{"s-0", true, false}}
 	for _, tt := range []publishTest{
 		{name: "no fleet", known: true},
-		{name: "no fleet, unknown server", err: unknownServer.Error(), is: unknownServer},
-		{name: "unknown server", part: &adminDownPart{}, err: unknownServer.Error(), is: unknownServer},
-		{name: "unknown here, known to the fleet", part: &adminDownPart{knows: true, held: 1, asked: 1},
-			note: "1 other sidecars hold it", calls: confirmed},
-		{name: "the fleet cannot say whether it knows", part: &adminDownPart{knowsErr: errDisk},
-			err: "disk full", is: errDisk},
-		{name: "held by others", part: &adminDownPart{held: 3, asked: 4}, known: true,
-			note: "3 other sidecars hold it and tell the rest", calls: confirmed},
-		{name: "nobody answered", part: &adminDownPart{asked: 4}, known: true,
-			note: "no other sidecar has answered", calls: confirmed},
-		{name: "no other sidecar", part: &adminDownPart{}, known: true,
-			note: "there is no other sidecar", calls: confirmed},
-		{name: "forwarded by the other process", part: &adminDownPart{held: 3, asked: 4}, known: true, forwarded: true,
-			calls: unconfirmed},
-		{name: "superseded, another process runs", part: &adminDownPart{err: ErrSuperseded}, other: true, known: true,
-			calls: confirmed},
-		{name: "superseded, no other process", part: &adminDownPart{err: ErrSuperseded}, known: true,
-			err: "it holds here alone", calls: confirmed},
-		{name: "the fleet may not know", part: &adminDownPart{err: errDisk}, known: true,
-			err: "it holds here, and the fleet may not know: disk full", is: errDisk, calls: confirmed},
+		{name: "no fleet, unknown server", err: unknownServer.Error(), wrapped: unknownServer},
+		{name: "unknown server", participant: &adminDownParticipant{},
+			err: unknownServer.Error(), wrapped: unknownServer},
+		{name: "unknown here, known to the fleet",
+			participant: &adminDownParticipant{knows: true, confirmed: 1, contacted: 1},
+			note:        "1 other sidecars hold it", calls: confirmedCalls},
+		{name: "query of the fleet fails", participant: &adminDownParticipant{knowsErr: errDisk},
+			err: "disk full", wrapped: errDisk},
+		{name: "stored by others", participant: &adminDownParticipant{confirmed: 3, contacted: 4}, known: true,
+			note: "3 other sidecars hold it and tell the rest", calls: confirmedCalls},
+		{name: "no response from others", participant: &adminDownParticipant{contacted: 4}, known: true,
+			note: "no other sidecar has answered", calls: confirmedCalls},
+		{name: "no other sidecar", participant: &adminDownParticipant{}, known: true,
+			note: "there is no other sidecar", calls: confirmedCalls},
+		{name: "forwarded by the other process", participant: &adminDownParticipant{confirmed: 3, contacted: 4},
+			known: true, forwarded: true, calls: unconfirmedCalls},
+		{name: "superseded, another process runs", participant: &adminDownParticipant{err: ErrSuperseded},
+			other: true, known: true, calls: confirmedCalls},
+		{name: "superseded, no other process", participant: &adminDownParticipant{err: ErrSuperseded}, known: true,
+			err: "it holds here alone", calls: confirmedCalls},
+		{name: "replication fails", participant: &adminDownParticipant{err: errDisk}, known: true,
+			err: "it holds here, and the fleet may not know: disk full", wrapped: errDisk, calls: confirmedCalls},
 	} {
 		t.Run(tt.name, func(t *testing.T) { tt.run(t) })
 	}
 }
 
-// run passes the call on and checks the answer.
+// run publishes the call and checks the result.
 func (tt *publishTest) run(t *testing.T) {
 	dir := t.TempDir()
 	p := startInDir(t, dir)
 	if tt.other {
 		joinOtherProcess(t, dir, "")
 	}
-	if tt.part != nil {
-		part := Participant(tt.part)
-		p.operator.participant.Store(&part)
+	if tt.participant != nil {
+		participant := Participant(tt.participant)
+		p.operator.participant.Store(&participant)
 		defer p.operator.participant.Store(nil)
 	}
 	note, err := p.operator.publishToFleet(context.Background(), "s-0", true, tt.known, tt.forwarded)
@@ -170,10 +174,10 @@
 	if (err == nil) != (tt.err == "") || err != nil && !strings.Contains(err.Error(), tt.err) {
 		t.Errorf("error %v, want %q", err, tt.err)
 	}
-	if tt.is != nil && !errors.Is(err, tt.is) {
-		t.Errorf("error %v, want one that wraps %v", err, tt.is)
+	if tt.wrapped != nil && !errors.Is(err, tt.wrapped) {
+		t.Errorf("error %v, want one that wraps %v", err, tt.wrapped)
 	}
-	if tt.part != nil && !slices.Equal(tt.part.calls, tt.calls) {
-		t.Errorf("calls to the fleet %+v, want %+v", tt.part.calls, tt.calls)
+	if tt.participant != nil && !slices.Equal(tt.participant.calls, tt.calls) {
+		t.Errorf("calls to the fleet %+v, want %+v", tt.participant.calls, tt.calls)
 	}
 }
--- a/internal/sidecar/process.go
+++ b/internal/sidecar/process.go
@@ -18,7 +18,7 @@
 	"milletramp.example/milletramp/internal/proxy"
 )
 
-// process is a running sidecar. Only run and what it calls use it.
+// process is a running sidecar. It is used only by run and the functions that run calls.
 type process struct {
 	config     *config.Config
 	log        *slog.Logger
@@ -27,26 +27,26 @@
 	loop       *proxy.EventLoop
 	background sync.WaitGroup // goroutines that end with the context of run
 
-	operator   *operator
-	accepting  *downstream.DrainListener // accepts from the kernel
-	conns      *downstream.Listener      // tracks the clients' connections
-	handler    *proxy.Handler
-	httpServer *http.Server
-	served     chan error // gets what ended httpServer.Serve, once
+	operator      *operator
+	drainListener *downstream.DrainListener // accepts connections from the kernel
+	conns         *downstream.Listener      // tracks client connections
+	handler       *proxy.Handler
+	httpServer    *http.Server
+	serveResult   chan error // receives the error of httpServer.Serve once
 }
 
-// newProcess returns a process whose attempts and watches end with ctx.
+// newProcess returns a process whose attempts and discovery watches end with ctx.
 func newProcess(ctx context.Context, c *config.Config, log *slog.Logger, times drainTimes,
-	with hooks) (*process, error) {
+	testHooks hooks) (*process, error) {
 	loop, err := proxy.NewEventLoop(ctx, c, newSocketBudget(c).UpstreamConns, log, nil)
 	if err != nil {
 		return nil, err
 	}
-	loop.Upstream().SetDial(with.dial)
-	return &process{config: c, log: log, times: times, hooks: with, loop: loop}, nil
+	loop.Upstream().SetDial(testHooks.dial)
+	return &process{config: c, log: log, times: times, hooks: testHooks, loop: loop}, nil
 }
 
-// startLoops starts the event loop and the reloads, which go on while the process drains.
+// startLoops starts the event loop and the configuration reloader. Both keep running while the process drains.
 func (p *process) startLoops(ctx context.Context, reload <-chan os.Signal) {
 	p.background.Add(2)
 	go func() { // ends with ctx
@@ -55,17 +55,18 @@
 	}()
 	go func() { // ends with ctx
 		defer p.background.Done()
-		p.reloadEach(ctx, reload)
+		p.handleReloads(ctx, reload)
 	}()
 }
 
-// awaitServers waits until servers are known, while a predecessor serves: the list in the configuration is older than
-// what the predecessor goes by, and a process that listens and knows no servers rejects what the predecessor would
-// serve. It returns false where the process got the signal to stop meanwhile.
+// awaitServers waits, while the predecessor serves, for the first endpoint list from discovery, for at most
+// firstListTimeout, and then until an endpoint list is available. The list in the configuration is older than the one
+// that the predecessor uses, and a process that listens without servers rejects requests that the predecessor would
+// serve. awaitServers returns false if stop is done first.
 func (p *process) awaitServers(stop context.Context) bool {
 	select {
 	case <-p.loop.FirstUpdate():
-	case <-time.After(p.times.listTimeout):
+	case <-time.After(p.times.firstListTimeout):
 	case <-stop.Done():
 		return false
 	}
@@ -77,47 +78,47 @@
 	}
 }
 
-// startServing serves the clients that connect to listener.
+// startServing starts to serve the clients that connect to listener.
 func (p *process) startServing(ctx context.Context, listener *net.TCPListener, hasPredecessor bool) {
-	p.accepting = downstream.NewDrainListener(listener, p.hooks.accept, p.times.quietPeriod)
-	if err := p.accepting.ShareConnections(); err != nil {
-		p.log.Debug("the kernel chooses among the processes of this address", "err", err)
+	p.drainListener = downstream.NewDrainListener(listener, p.hooks.accept, p.times.quietPeriod)
+	if err := p.drainListener.ShareConnections(); err != nil {
+		p.log.Debug("cannot remove the connection filter of the predecessor", "err", err)
 	}
 	budget := newSocketBudget(p.config)
-	p.conns = downstream.NewListener(netretry.NewListener(p.accepting, p.log), budget.ClientConns,
+	p.conns = downstream.NewListener(netretry.NewListener(p.drainListener, p.log), budget.ClientConns,
 		budget.KeepAliveConns, &p.loop.Metrics().UnservedConns)
 	p.handler = proxy.NewHandler(p.config, p.loop, budget.Requests)
 	p.handler.SetPolicyGate(p.operator.gate)
 	context.AfterFunc(p.handler.Shutdown(), p.conns.RetireAll)
-	p.watchGroup(ctx, hasPredecessor)
+	p.watchProcessGroup(ctx, hasPredecessor)
 	p.httpServer = p.conns.HTTPServer(p.handler, p.log)
 	p.httpServer.ConnContext = proxy.ConnContext
-	p.served = make(chan error, 1)
-	go func() { p.served <- p.httpServer.Serve(p.conns) }() // ends when drain closes the listener
+	p.serveResult = make(chan error, 1)
+	go func() { p.serveResult <- p.httpServer.Serve(p.conns) }() // ends when the drain closes the listener
 	p.operator.server.Store(&clientServer{p.handler, p.conns})
 	p.hooks.started(p.operator)
 	p.log.Info("serving", "name", p.config.Name, "address", listener.Addr().String())
 }
 
-// watchGroup shares the limits of the sidecar among its processes, and again each time that their number changes.
-func (p *process) watchGroup(ctx context.Context, hasPredecessor bool) {
+// watchProcessGroup divides the limits of the sidecar among its processes each time their number changes.
+func (p *process) watchProcessGroup(ctx context.Context, hasPredecessor bool) {
 	group := p.operator.group
 	p.background.Add(1)
 	go func() { // ends with ctx
 		defer p.background.Done()
 		group.watch(ctx, func(processes int) {
-			p.log.Info("processes of this sidecar", "count", processes)
-			p.setProcesses(processes)
+			p.log.Info("number of sidecar processes changed", "count", processes)
+			p.setProcessCount(processes)
 		})
 	}()
 	if hasPredecessor {
-		group.processes.Store(2)
-		p.setProcesses(2)
+		group.processCount.Store(2)
+		p.setProcessCount(2)
 	}
 }
 
-// setProcesses limits this process to its share where the sidecar is this many processes.
-func (p *process) setProcesses(processes int) {
+// setProcessCount sets the limits of this process to its share of the sidecar's limits.
+func (p *process) setProcessCount(processes int) {
 	budget := newSocketBudget(p.config)
 	p.handler.SetMaxInFlight(budget.Requests / processes)
 	p.conns.SetLimits(budget.ClientConns/processes, max(budget.KeepAliveConns/processes, 1))
@@ -125,17 +126,17 @@
 	setMemoryLimit(p.config, processes)
 }
 
-// awaitStop announces to other processes that this one is ready, once it is, and waits for the signal to stop. It
-// returns an error where serving ends before.
+// awaitStop waits until stop is done. It publishes to the process group that this process is ready once it has an
+// endpoint list. It returns an error if serving ends first.
 func (p *process) awaitStop(stop context.Context) error {
 	ready := p.loop.Ready()
 	for {
 		select {
-		case err := <-p.served:
+		case err := <-p.serveResult:
 			return fmt.Errorf("serve: %w", err)
 		case <-ready:
-			p.setPhase(hotrestart.Ready, "the next process cannot take over from this one")
-			p.operator.announced.Store(true)
+			p.setPhase(hotrestart.Ready, "cannot publish the ready phase: a successor cannot take over from this process")
+			p.operator.readyAnnounced.Store(true)
 			ready = nil
 		case <-stop.Done():
 			return nil
@@ -143,7 +144,7 @@
 	}
 }
 
-// setPhase announces to other processes how far this one is. consequence is logged if that fails.
+// setPhase publishes the phase of this process to the process group. If that fails, it logs consequence.
 func (p *process) setPhase(phase hotrestart.Phase, consequence string) {
 	err := p.operator.group.member.Update(func(s *hotrestart.State) { s.Phase = phase })
 	if err != nil {
@@ -151,20 +152,20 @@
 	}
 }
 
-// startAdmin answers operators' calls that come to l, until stop is called.
-func startAdmin(l net.Listener, o *operator, log *slog.Logger) (stop func()) {
+// startAdminServer serves operators' calls on l until stop is called.
+func startAdminServer(l net.Listener, o *operator, log *slog.Logger) (stop func()) {
 	server := admin.New(l, o, log)
 	var serving sync.WaitGroup
 	serving.Add(1)
 	go func() { // ends when stop closes the server
 		defer serving.Done()
 		if err := server.Serve(); err != nil {
-			log.Error("console ended", "err", err)
+			log.Error("admin server failed", "err", err)
 		}
 	}()
-	log.Info("console", "at", l.Addr().String())
+	log.Info("admin server listening", "address", l.Addr().String())
 	return func() {
-		_ = server.Close() // its error is that of Serve, which is logged
+		_ = server.Close() // Serve returns the same error, which is logged
 		serving.Wait()
 	}
 }
--- a/internal/sidecar/retry_test.go
+++ b/internal/sidecar/retry_test.go
@@ -10,10 +10,10 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestRetriesFollowEffectOfClass has the first attempt of each class end in each way, and sees whether the class is
-// tried again.
+// TestRetriesFollowEffectOfClass: whether a request is retried after its first attempt failed depends on the effect of
+// its class and on the kind of failure.
 func TestRetriesFollowEffectOfClass(t *testing.T) {
-	full := testserver.Respond(503, "X-Not-Processed: 1\r\n", "")
+	reject := testserver.Respond(503, "X-Not-Processed: 1\r\n", "")
 	for _, tt := range []struct {
 		name     string
 		class    string
@@ -23,20 +23,20 @@
 	}{
 		{"idempotent after an error", "read", testserver.Respond(500, "", ""), 200, 2},
 		{"idempotent after a reset", "read", testserver.ResetConnection, 200, 2},
-		{"idempotent, rejected", "read", full, 200, 2},
+		{"idempotent, rejected", "read", reject, 200, 2},
 		{"with a key after an error", "book", testserver.Respond(500, "", ""), 200, 2},
 		{"with a key after a reset", "book", testserver.ResetConnection, 200, 2},
-		{"with a key, rejected", "book", full, 200, 2},
+		{"with a key, rejected", "book", reject, 200, 2},
 		{"not idempotent, after an error", "pay", testserver.Respond(500, "", ""), 502, 1},
 		{"not idempotent, after a reset", "pay", testserver.ResetConnection, 502, 1},
-		{"not idempotent, rejected", "pay", full, 200, 2},
+		{"not idempotent, rejected", "pay", reject, 200, 2},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			faults := make(chan bool, 1)
 			faults <- true
-			came := make(chan string, 10)
+			arrivals := make(chan string, 10)
 			do := func(c net.Conn, r *http.Request, body []byte) bool {
-				came <- r.Header.Get("X-Request-ID") + " " + r.Header.Get("Idempotency-Key") + " " + string(body)
+				arrivals <- r.Header.Get("X-Request-ID") + " " + r.Header.Get("Idempotency-Key") + " " + string(body)
 				select {
 				case <-faults:
 					return tt.fault(c, r, body)
@@ -44,17 +44,17 @@
 					return testserver.Respond(200, "", "done")(c, r, body)
 				}
 			}
-			p := startServing(t, testserver.StartBackend(t, do), testserver.StartBackend(t, do))
+			p := startWithBackends(t, testserver.StartBackend(t, do), testserver.StartBackend(t, do))
 			got := p.Send(tt.class)
-			if got.Status != tt.status || len(came) != tt.attempts {
-				t.Fatalf("status %d after %d attempts, want %d after %d", got.Status, len(came), tt.status, tt.attempts)
+			if got.Status != tt.status || len(arrivals) != tt.attempts {
+				t.Fatalf("status %d after %d attempts, want %d after %d", got.Status, len(arrivals), tt.status, tt.attempts)
 			}
 			if got.Status == 200 && got.Body != "done" {
 				t.Errorf("body %q", got.Body)
 			}
-			first := <-came
-			for len(came) > 0 {
-				if again := <-came; again != first {
+			first := <-arrivals
+			for len(arrivals) > 0 {
+				if again := <-arrivals; again != first {
 					t.Errorf("attempts %q and %q differ", first, again)
 				}
 			}
@@ -62,10 +62,10 @@
 	}
 }
 
-// TestRefusedConnectionsMeanRejection has every server refuse connections: nothing ran, so the rejection comes at once,
-// for every class.
-func TestRefusedConnectionsMeanRejection(t *testing.T) {
-	p := startServing(t, &testserver.Backend{Address: unusedAddress(t)})
+// TestRefusedConnectionsCauseRejection: if every server refuses connections, requests of every class are rejected, as
+// no server can have processed them.
+func TestRefusedConnectionsCauseRejection(t *testing.T) {
+	p := startWithBackends(t, &testserver.Backend{Address: unusedAddress(t)})
 	for _, class := range []string{"read", "book", "pay"} {
 		if got := p.Send(class); got.Status != 503 {
 			t.Errorf("%s: status %d, want a rejection", class, got.Status)
@@ -73,11 +73,11 @@
 	}
 }
 
-// TestRequestsAreAnsweredAtTheirDeadline has a server respond to nothing: a request that is unsafe to repeat fails, and
-// one that may be repeated is rejected.
-func TestRequestsAreAnsweredAtTheirDeadline(t *testing.T) {
+// TestRequestsGetResponseAtDeadline: with a server that never responds, a request that is unsafe to repeat fails at its
+// deadline, and a request that may be repeated is rejected.
+func TestRequestsGetResponseAtDeadline(t *testing.T) {
 	b := testserver.StartBackend(t, testserver.NeverRespond)
-	p := startServing(t, b)
+	p := startWithBackends(t, b)
 	for _, tt := range []struct {
 		class  string
 		status int
@@ -89,28 +89,28 @@
 		}
 	}
 	if n := b.RequestCount(); n != 0 {
-		t.Errorf("%d attempts too many", n)
+		t.Errorf("%d further attempts", n)
 	}
-	// What has no time left is not sent at all.
+	// A request without remaining time is not sent.
 	if got := p.Do(p.NewRequest(context.Background(), "pay", "0")); got.Status != 503 || b.RequestCount() != 0 {
 		t.Errorf("status %d, %d attempts", got.Status, b.RequestCount())
 	}
 }
 
-// connReuseWait is more than a connection to a server rests after a response before it is used again.
+// connReuseWait is longer than the time after a response before which an upstream connection is not reused.
 const connReuseWait = 100 * time.Millisecond
 
-// TestOnlyRepeatableRequestsAreRetriedAfterClose has a server close an idle connection while a request is written on
-// it. The request may have run: one that is unsafe to repeat is not retried, and one that may be repeated is.
+// TestOnlyRepeatableRequestsAreRetriedAfterClose: a server closes an idle connection while a request is written to it.
+// The request may have run, so it is retried only if it may be repeated.
 func TestOnlyRepeatableRequestsAreRetriedAfterClose(t *testing.T) {
 	for _, tt := range []struct {
 		class  string
 		status int
 	}{{"pay", http.StatusBadGateway}, {"read", http.StatusOK}, {"book", http.StatusOK}} {
 		t.Run(tt.class, func(t *testing.T) {
-			answered, closing := 0, make(chan struct{}, 1)
+			responses, closing := 0, make(chan struct{}, 1)
 			b := testserver.StartBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-				if answered++; answered == 1 {
+				if responses++; responses == 1 {
 					return testserver.Respond(200, "", "first")(c, r, body)
 				}
 				closing <- struct{}{}
@@ -122,14 +122,14 @@
 			if got := p.Send("read"); got.Body != "first" {
 				t.Fatalf("response %+v", got)
 			}
-			time.Sleep(connReuseWait) // and so the next request goes out on the connection
+			time.Sleep(connReuseWait) // so that the next request reuses the connection
 			w := testserver.Receive(t, d.Watches, "watch")
 			w.Lines <- testserver.ListText(2, false, testserver.EndpointEntry("s-1", other.Address, "SERVING", 0))
 			p.waitForServers(2)
 			for b.RequestCount() > 0 {
 				<-b.Requests
 			}
-			for range 2 { // even turns: one of two goes to the server that closes
+			for range 2 { // round robin: one of two requests goes to the server that closes
 				got := testserver.Receive(t, p.sendAsync(context.Background(), tt.class), "response")
 				if len(closing) == 0 {
 					continue
@@ -140,7 +140,7 @@
 				break
 			}
 			if len(closing) != 1 {
-				t.Errorf("%d requests met the close, want one", len(closing))
+				t.Errorf("%d requests reached the closing server, want one", len(closing))
 			}
 		})
 	}
