--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -43,8 +43,8 @@
 // errWatchTimeout says that a watch was given up as nothing came.
 var errWatchTimeout = errors.New("discovery is silent")
 
-// wholeList is the revision to watch from that asks for the complete list.
-const wholeList = -1
+// completeListRevision is the revision to watch from that asks for the complete list.
+const completeListRevision = -1
 
 // DialFunc opens a connection.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -17,8 +17,8 @@
 	"milletramp.example/milletramp/balance"
 )
 
-// testLoop is an event loop that gives each list to a StartTimes, as the process does.
-type testLoop struct {
+// testEventLoop is an event loop that gives each list to a StartTimes, as the process does.
+type testEventLoop struct {
 	mu            sync.Mutex
 	clock         func() balance.Time
 	starts        *StartTimes
@@ -27,17 +27,17 @@
 	resubscribes  bool           // opens a watch in place of one that has ended
 }
 
-// newTestLoop returns a loop whose watches are opened over dial and end with ctx.
-func newTestLoop(ctx context.Context, dial DialFunc) *testLoop {
+// newTestEventLoop returns a loop whose watches are opened over dial and end with ctx.
+func newTestEventLoop(ctx context.Context, dial DialFunc) *testEventLoop {
 	origin := time.Now().Add(-24 * time.Hour)
-	l := &testLoop{
+	l := &testEventLoop{
 		clock:   func() balance.Time { return time.Since(origin) },
 		updated: make(chan time.Time, 1000),
 	}
 	l.starts = NewStartTimes(l.clock)
 	l.subscriptions = NewSubscriptions(ctx, l, Options{
 		Address:  "127.0.0.1:9",
-		Revision: wholeList,
+		Revision: completeListRevision,
 		Dial:     dial,
 		Log:      slog.New(slog.DiscardHandler),
 	})
@@ -45,14 +45,14 @@
 }
 
 // Post implements Subscriber.
-func (l *testLoop) Post(f func()) {
+func (l *testEventLoop) Post(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f()
 }
 
 // OnUpdate implements Subscriber.
-func (l *testLoop) OnUpdate(kind balance.ListKind, list List) {
+func (l *testEventLoop) OnUpdate(kind balance.ListKind, list List) {
 	for _, endpoint := range list.Endpoints {
 		l.starts.StartOf(endpoint)
 	}
@@ -61,10 +61,10 @@
 }
 
 // OnUnchanged implements Subscriber.
-func (l *testLoop) OnUnchanged() { l.starts.Confirm(l.clock()) }
+func (l *testEventLoop) OnUnchanged() { l.starts.Confirm(l.clock()) }
 
 // OnWatchEnded implements Subscriber.
-func (l *testLoop) OnWatchEnded() {
+func (l *testEventLoop) OnWatchEnded() {
 	if l.resubscribes {
 		time.AfterFunc(balance.FirstDiscoveryBackoff, func() { l.Post(l.subscriptions.Subscribe) })
 	}
@@ -73,13 +73,13 @@
 // updateFunc gives a list to a loop, as its current watch does.
 type updateFunc func(complete bool, endpoints ...Endpoint)
 
-// withTestLoop runs play on a simulated clock, with a loop that has a watch open.
-func withTestLoop(t *testing.T, play func(t *testing.T, loop *testLoop, update updateFunc)) {
+// withTestEventLoop runs play on a simulated clock, with a loop that has a watch open.
+func withTestEventLoop(t *testing.T, run func(t *testing.T, loop *testEventLoop, update updateFunc)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		loop := newTestLoop(context.Background(), nil)
+		loop := newTestEventLoop(context.Background(), nil)
 		loop.subscriptions.current = &subscription{func() {}}
-		play(t, loop, func(complete bool, endpoints ...Endpoint) {
+		run(t, loop, func(complete bool, endpoints ...Endpoint) {
 			list := List{Revision: 1, Complete: complete, Endpoints: endpoints}
 			loop.subscriptions.onUpdate(loop.subscriptions.current, list)
 		})
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -7,18 +7,19 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestParseListRefusesFaults: a list with one fault is refused as a whole, and the error names the fault.
-func TestParseListRefusesFaults(t *testing.T) {
-	good := testserver.EndpointEntry("s-0", "127.0.0.1:9", "SERVING", 0)
-	negativeWeight := `{"uid":"s-1","endpoint":"127.0.0.1:9","state":"SERVING","capacity_hint":-0.5}`
-	unknownState := testserver.EndpointEntry("s-1", "127.0.0.1:9", "RESTING", 0)
-	withoutID := testserver.EndpointEntry("", "127.0.0.1:9", "SERVING", 0)
+// TestParseListRejectsInvalidLists: a list with one fault is refused as a whole, and the error names the fault.
+func TestParseListRejectsInvalidLists(t *testing.T) {
+	validEntry := testserver.EndpointEntry("s-0", "127.0.0.1:9", "SERVING", 0)
+	negativeWeightEntry := `{"uid":"s-1","endpoint":"127.0.0.1:9","state":"SERVING","capacity_hint":-0.5}`
+	unknownStateEntry := testserver.EndpointEntry("s-1", "127.0.0.1:9", "RESTING", 0)
+	entryWithoutUID := testserver.EndpointEntry("", "127.0.0.1:9", "SERVING", 0)
 	for _, tt := range []struct{ name, text, want string }{
-		{"no rev", `{"all":true,"targets":[` + good + `]}`, "list has no rev"},
-		{"negative capacity_hint", testserver.ListText(1, true, good, negativeWeight),
+		{"no rev", `{"all":true,"targets":[` + validEntry + `]}`, "list has no rev"},
+		{"negative capacity_hint", testserver.ListText(1, true, validEntry, negativeWeightEntry),
 			`target 1, "s-1": capacity_hint -0.5 is negative`},
-		{"unknown state", testserver.ListText(1, true, good, unknownState), `target 1, "s-1": unknown state "RESTING"`},
-		{"no uid", testserver.ListText(1, true, good, withoutID), "target 1 has no uid"},
+		{"unknown state", testserver.ListText(1, true, validEntry, unknownStateEntry),
+			`target 1, "s-1": unknown state "RESTING"`},
+		{"no uid", testserver.ListText(1, true, validEntry, entryWithoutUID), "target 1 has no uid"},
 		{"no JSON", `{"rev":1,"targets":[`, "list: unexpected end of JSON input"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/discovery/splitter.go
+++ b/internal/discovery/splitter.go
@@ -35,7 +35,7 @@
 // between objects.
 func (s *jsonSplitter) split(data []byte, atEOF bool) (advance int, token []byte, err error) {
 	if s.scanned == 0 {
-		advance = countSpace(data)
+		advance = countLeadingSpace(data)
 		if advance == len(data) {
 			return advance, nil, nil
 		}
@@ -77,8 +77,8 @@
 	}
 }
 
-// countSpace returns how many bytes of white space text begins with.
-func countSpace(text []byte) int {
+// countLeadingSpace returns how many bytes of white space text begins with.
+func countLeadingSpace(text []byte) int {
 	count := 0
 	for count < len(text) && isSpace(text[count]) {
 		count++
--- a/internal/discovery/start_times.go
+++ b/internal/discovery/start_times.go
@@ -27,10 +27,10 @@
 
 // serverStart is the last start of a server.
 type serverStart struct {
-	endpointID   string
-	claimedStart time.Time // as discovery claims it
-	startedAt    balance.Time
-	listed       bool
+	endpointID    string
+	reportedStart time.Time // as discovery claims it
+	startedAt     balance.Time
+	listed        bool
 }
 
 // NewStartTimes returns a StartTimes that knows no server. clock reads the Balancer's time.
@@ -47,24 +47,24 @@
 	if endpoint.StartedAt.IsZero() {
 		return 0
 	}
-	if start := s.starts[endpoint.ID]; start != nil && start.claimedStart.Equal(endpoint.StartedAt) {
+	if start := s.starts[endpoint.ID]; start != nil && start.reportedStart.Equal(endpoint.StartedAt) {
 		return start.startedAt
 	}
 	startedAt := s.toBalanceTime(endpoint.StartedAt)
 	if endpoint.State != balance.Removed {
 		s.starts[endpoint.ID] = &serverStart{
-			endpointID:   endpoint.ID,
-			claimedStart: endpoint.StartedAt,
-			startedAt:    startedAt,
+			endpointID:    endpoint.ID,
+			reportedStart: endpoint.StartedAt,
+			startedAt:     startedAt,
 		}
 	}
 	return startedAt
 }
 
 // toBalanceTime converts a claim that comes now. A start in the future, by this machine's clock, counts as now.
-func (s *StartTimes) toBalanceTime(claimedStart time.Time) balance.Time {
+func (s *StartTimes) toBalanceTime(reportedStart time.Time) balance.Time {
 	now := s.clock()
-	age := max(s.wallClock().Sub(claimedStart), 0)
+	age := max(s.wallClock().Sub(reportedStart), 0)
 	if s.confirmedAt > 0 {
 		age = min(age, now-s.confirmedAt)
 	}
--- a/internal/discovery/start_times_test.go
+++ b/internal/discovery/start_times_test.go
@@ -21,10 +21,10 @@
 	const age, pause = 500 * time.Millisecond, 1500 * time.Millisecond
 	for _, step := range clockSteps {
 		for _, tt := range []struct {
-			name                    string
-			ownStep, discoverysStep time.Duration
-			heartbeat               bool // discovery reports that nothing has changed, 0.1 s before
-			wantAge                 time.Duration
+			name                     string
+			localStep, discoveryStep time.Duration
+			heartbeat                bool // discovery reports that nothing has changed, 0.1 s before
+			wantAge                  time.Duration
 		}{
 			{"all clocks", step, step, false, age},
 			{"discovery's clock", 0, step, false, max(0, min(pause, age-step))},
@@ -32,10 +32,10 @@
 			{"discovery's clock, after a heartbeat", 0, step, true, max(0, min(100*time.Millisecond, age-step))},
 		} {
 			t.Run(fmt.Sprintf("%s by %v", tt.name, step), func(t *testing.T) {
-				withTestLoop(t, func(t *testing.T, loop *testLoop, update updateFunc) {
-					old := endpointStartedAt("s-0", time.Now().Add(-5*time.Second).Round(0))
-					update(true, old, endpointStartedAt("s-1", time.Time{}))
-					if got := loop.clock() - loop.starts.StartOf(old); got != 5*time.Second {
+				withTestEventLoop(t, func(t *testing.T, loop *testEventLoop, update updateFunc) {
+					warmServer := endpointStartedAt("s-0", time.Now().Add(-5*time.Second).Round(0))
+					update(true, warmServer, endpointStartedAt("s-1", time.Time{}))
+					if got := loop.clock() - loop.starts.StartOf(warmServer); got != 5*time.Second {
 						t.Fatalf("in the first list a server is %v old, want 5s", got)
 					}
 					time.Sleep(pause - 100*time.Millisecond)
@@ -43,20 +43,20 @@
 						loop.subscriptions.onUnchanged(loop.subscriptions.current)
 					}
 					time.Sleep(100 * time.Millisecond)
-					loop.starts.wallClock = func() time.Time { return time.Now().Add(tt.ownStep).Round(0) }
-					fresh := endpointStartedAt("s-2", time.Now().Add(tt.discoverysStep-age).Round(0))
-					update(false, fresh)
-					if got := loop.clock() - loop.starts.StartOf(fresh); got != tt.wantAge {
+					loop.starts.wallClock = func() time.Time { return time.Now().Add(tt.localStep).Round(0) }
+					newServer := endpointStartedAt("s-2", time.Now().Add(tt.discoveryStep-age).Round(0))
+					update(false, newServer)
+					if got := loop.clock() - loop.starts.StartOf(newServer); got != tt.wantAge {
 						t.Errorf("it is %v old, want %v", got, tt.wantAge)
 					}
-					restarted := endpointStartedAt("s-0", fresh.StartedAt)
-					update(false, restarted)
-					if got := loop.clock() - loop.starts.StartOf(restarted); got != 0 {
+					restartedServer := endpointStartedAt("s-0", newServer.StartedAt)
+					update(false, restartedServer)
+					if got := loop.clock() - loop.starts.StartOf(restartedServer); got != 0 {
 						t.Errorf("one that has started since the list before, at the same time, is %v old", got)
 					}
-					update(true, fresh, old)
+					update(true, newServer, warmServer)
 					startOfUnchanged := loop.starts.StartOf(endpointStartedAt("s-1", time.Time{}))
-					if startOfUnchanged != 0 || loop.clock()-loop.starts.StartOf(fresh) != tt.wantAge {
+					if startOfUnchanged != 0 || loop.clock()-loop.starts.StartOf(newServer) != tt.wantAge {
 						t.Error("a list with nothing new changes a start")
 					}
 				})
@@ -68,15 +68,15 @@
 // TestStartIsKeptWhileServerIsDelisted has a server be on no list for a while and come back with the start that it had,
 // which counts as before. One that a new discovery lists and the former did not started after the former's last list.
 func TestStartIsKeptWhileServerIsDelisted(t *testing.T) {
-	withTestLoop(t, func(t *testing.T, loop *testLoop, update updateFunc) {
-		warm := endpointStartedAt("s-0", time.Now().Add(-time.Minute).Round(0))
-		other := endpointStartedAt("s-1", time.Time{})
-		update(true, warm, other)
-		firstStart := loop.starts.StartOf(warm)
-		update(true, other)
+	withTestEventLoop(t, func(t *testing.T, loop *testEventLoop, update updateFunc) {
+		warmServer := endpointStartedAt("s-0", time.Now().Add(-time.Minute).Round(0))
+		otherServer := endpointStartedAt("s-1", time.Time{})
+		update(true, warmServer, otherServer)
+		firstStart := loop.starts.StartOf(warmServer)
+		update(true, otherServer)
 		time.Sleep(2 * time.Second)
-		update(true, other, warm)
-		if got := loop.starts.StartOf(warm); got != firstStart {
+		update(true, otherServer, warmServer)
+		if got := loop.starts.StartOf(warmServer); got != firstStart {
 			t.Errorf("back on the list it started %v later", got-firstStart)
 		}
 		time.Sleep(3 * time.Second)
@@ -84,10 +84,10 @@
 		next := &subscription{func() {}}
 		loop.subscriptions.next = next
 		loop.subscriptions.onUnchanged(next) // which has brought no list yet
-		unlisted := endpointStartedAt("s-2", time.Now().Add(-time.Hour).Round(0))
-		endpoints := []Endpoint{warm, other, unlisted}
+		newServer := endpointStartedAt("s-2", time.Now().Add(-time.Hour).Round(0))
+		endpoints := []Endpoint{warmServer, otherServer, newServer}
 		loop.subscriptions.onUpdate(next, List{Revision: 1, Complete: true, Endpoints: endpoints})
-		if got := loop.clock() - loop.starts.StartOf(unlisted); got != 3*time.Second {
+		if got := loop.clock() - loop.starts.StartOf(newServer); got != 3*time.Second {
 			t.Errorf("a server that the former discovery did not list is %v old, want 3s", got)
 		}
 	})
--- a/internal/discovery/subscriptions.go
+++ b/internal/discovery/subscriptions.go
@@ -77,7 +77,7 @@
 	}
 	revision := s.revision
 	if s.lastWatchTimedOut {
-		revision = wholeList
+		revision = completeListRevision
 	}
 	s.current = s.startWatch(revision)
 }
@@ -90,14 +90,14 @@
 	}
 	s.address = address
 	s.addressRetries = 0
-	for _, former := range []*subscription{s.next, s.slow} {
-		if former != nil {
-			former.cancel()
+	for _, replaced := range []*subscription{s.next, s.slow} {
+		if replaced != nil {
+			replaced.cancel()
 		}
 	}
 	s.slow = nil
 	// A revision of the old address may mean another list at the new one.
-	s.next = s.startWatch(wholeList)
+	s.next = s.startWatch(completeListRevision)
 }
 
 // startWatch opens a watch of the changes after a revision, in a goroutine that ends with it.
@@ -120,11 +120,11 @@
 
 // onUpdate handles a list from a watch. The watch becomes the current one and the others end, except that the current
 // one does not end the one at a new address. A late list from a former address is dropped: it would undo newer ones.
-func (s *Subscriptions) onUpdate(from *subscription, list List) {
+func (s *Subscriptions) onUpdate(source *subscription, list List) {
 	switch {
-	case from == s.next, from == s.slow, from == s.current && s.next == nil:
-		s.makeCurrent(from)
-	case from == s.current:
+	case source == s.next, source == s.slow, source == s.current && s.next == nil:
+		s.makeCurrent(source)
+	case source == s.current:
 	default:
 		return
 	}
@@ -138,36 +138,36 @@
 }
 
 // makeCurrent makes a watch the only one.
-func (s *Subscriptions) makeCurrent(chosen *subscription) {
+func (s *Subscriptions) makeCurrent(selected *subscription) {
 	for _, other := range []*subscription{s.current, s.next, s.slow} {
-		if other != nil && other != chosen {
+		if other != nil && other != selected {
 			other.cancel()
 		}
 	}
-	s.current = chosen
+	s.current = selected
 	s.next = nil
 	s.slow = nil
 }
 
 // onUnchanged handles that a watch has nothing newer than its last list.
-func (s *Subscriptions) onUnchanged(from *subscription) {
-	if from == s.current {
+func (s *Subscriptions) onUnchanged(source *subscription) {
+	if source == s.current {
 		s.subscriber.OnUnchanged()
 	}
 }
 
 // onWatchSlow handles that a watch is late with its first list. If each slow watch were given up, no list of a slow
 // discovery would ever arrive: one goes on next to the watches opened after it, and any others end.
-func (s *Subscriptions) onWatchSlow(late *subscription) {
-	if late != s.current && late != s.next {
+func (s *Subscriptions) onWatchSlow(slow *subscription) {
+	if slow != s.current && slow != s.next {
 		return
 	}
-	if s.slow != nil || late == s.current && s.next != nil {
-		late.cancel()
+	if s.slow != nil || slow == s.current && s.next != nil {
+		slow.cancel()
 	} else {
-		s.slow = late
+		s.slow = slow
 	}
-	s.replaceWatch(late, errWatchTimeout)
+	s.replaceWatch(slow, errWatchTimeout)
 }
 
 // onWatchEnded handles the end of a watch.
@@ -204,7 +204,7 @@
 	time.AfterFunc(backoff, func() {
 		s.subscriber.Post(func() {
 			if s.next == ended {
-				s.next = s.startWatch(wholeList)
+				s.next = s.startWatch(completeListRevision)
 			}
 		})
 	})
--- a/internal/discovery/subscriptions_test.go
+++ b/internal/discovery/subscriptions_test.go
@@ -12,41 +12,41 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestFormerWatchIsIgnored has a former watch bring a list and end after the new one has brought its first list:
+// TestReplacedWatchIsIgnored has a former watch bring a list and end after the new one has brought its first list:
 // both are ignored.
-func TestFormerWatchIsIgnored(t *testing.T) {
-	loop := newTestLoop(context.Background(), nil)
+func TestReplacedWatchIsIgnored(t *testing.T) {
+	loop := newTestEventLoop(context.Background(), nil)
 	subscriptions := loop.subscriptions
 	cancelled := make(chan string, 2)
-	former := &subscription{func() { cancelled <- "former" }}
+	replaced := &subscription{func() { cancelled <- "former" }}
 	next := &subscription{func() { cancelled <- "next" }}
-	subscriptions.current = former
+	subscriptions.current = replaced
 	subscriptions.next = next
-	subscriptions.onWatchEnded(former, errors.New("ended"))
+	subscriptions.onWatchEnded(replaced, errors.New("ended"))
 	if subscriptions.next != next {
 		t.Fatal("the end of the former watch ended the new one")
 	}
-	subscriptions.current = former
+	subscriptions.current = replaced
 	endpoints := []Endpoint{endpointStartedAt("s-0", time.Time{})}
 	subscriptions.onUpdate(next, List{Revision: 9, Complete: true, Endpoints: endpoints})
-	if who := testserver.Receive(t, cancelled, "end of the former watch"); who != "former" {
-		t.Errorf("the %s watch was ended", who)
+	if name := testserver.Receive(t, cancelled, "end of the former watch"); name != "former" {
+		t.Errorf("the %s watch was ended", name)
 	}
-	subscriptions.onUpdate(former, List{Revision: 5, Complete: true})
-	subscriptions.onWatchEnded(former, errors.New("ended"))
+	subscriptions.onUpdate(replaced, List{Revision: 5, Complete: true})
+	subscriptions.onWatchEnded(replaced, errors.New("ended"))
 	if subscriptions.current != next || subscriptions.revision != 9 || len(loop.updated) != 1 {
 		t.Errorf("watches %+v, revision %d, %d lists after the former watch's end",
 			subscriptions, subscriptions.revision, len(loop.updated))
 	}
 }
 
-// TestSlowWatchOfFormerAddressIsIgnored has discovery move while a slow watch goes on next to another: it ends, and a
+// TestSlowWatchOfPreviousAddressIsIgnored has discovery move while a slow watch goes on next to another: it ends, and a
 // list that it still brings is dropped.
-func TestSlowWatchOfFormerAddressIsIgnored(t *testing.T) {
+func TestSlowWatchOfPreviousAddressIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		agent := &testserver.Agent{}
-		loop := newTestLoop(ctx, agent.Dial)
+		loop := newTestEventLoop(ctx, agent.Dial)
 		loop.resubscribes = true
 		subscriptions := loop.subscriptions
 		loop.Post(subscriptions.Subscribe)
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -31,12 +31,12 @@
 	plain := testserver.ListText(3, false) + testserver.ListText(4, false, draining)
 	for _, size := range []int{1, 7, 1 << 20} {
 		synctest.Test(t, func(t *testing.T) {
-			unsent := "HTTP/1.1 200 OK\r\n\r\n\n" + indented.String() + plain
+			remaining := "HTTP/1.1 200 OK\r\n\r\n\n" + indented.String() + plain
 			var pieces []string
-			for len(unsent) > 0 {
-				n := min(size, len(unsent))
-				pieces = append(pieces, unsent[:n])
-				unsent = unsent[n:]
+			for len(remaining) > 0 {
+				n := min(size, len(remaining))
+				pieces = append(pieces, remaining[:n])
+				remaining = remaining[n:]
 			}
 			client := NewClient("127.0.0.1:9", 0, dialScripted(time.Millisecond, pieces...))
 			var revisions []int64
@@ -49,27 +49,27 @@
 	}
 }
 
-// TestWatchEndsOnListWithoutEnd: bytes that keep coming are no progress if their list has no end, and a list may not
+// TestWatchEndsOnUnterminatedList: bytes that keep coming are no progress if their list has no end, and a list may not
 // have more than maxListBytes.
-func TestWatchEndsOnListWithoutEnd(t *testing.T) {
-	trickle := []string{"HTTP/1.1 200 OK\r\n\r\n", `{"rev":1,"targets":[`}
+func TestWatchEndsOnUnterminatedList(t *testing.T) {
+	slowUnterminated := []string{"HTTP/1.1 200 OK\r\n\r\n", `{"rev":1,"targets":[`}
 	for range 100 {
-		trickle = append(trickle, " ")
+		slowUnterminated = append(slowUnterminated, " ")
 	}
-	flood := []string{"HTTP/1.1 200 OK\r\n\r\n", `{"rev":1,"targets":[`, strings.Repeat(" ", maxListBytes)}
+	oversized := []string{"HTTP/1.1 200 OK\r\n\r\n", `{"rev":1,"targets":[`, strings.Repeat(" ", maxListBytes)}
 	for _, tt := range []struct {
 		name   string
 		pieces []string
 		want   error
-	}{{"a trickle", trickle, errWatchTimeout}, {"a flood", flood, bufio.ErrTooLong}} {
+	}{{"a trickle", slowUnterminated, errWatchTimeout}, {"a flood", oversized, bufio.ErrTooLong}} {
 		synctest.Test(t, func(t *testing.T) {
 			client := NewClient("127.0.0.1:9", 0, dialScripted(time.Second, tt.pieces...))
 			startedAt := time.Now()
 			onUpdate := func(list List) { t.Errorf("%s: list %+v", tt.name, list) }
 			err := client.Watch(context.Background(), 1, onUpdate, func() {})
-			took := time.Since(startedAt)
-			if !errors.Is(err, tt.want) || took > 2*time.Second+listTimeout+watchSilenceTimeout {
-				t.Errorf("%s: error %v after %v, want %v", tt.name, err, took, tt.want)
+			elapsed := time.Since(startedAt)
+			if !errors.Is(err, tt.want) || elapsed > 2*time.Second+listTimeout+watchSilenceTimeout {
+				t.Errorf("%s: error %v after %v, want %v", tt.name, err, elapsed, tt.want)
 			}
 		})
 	}
@@ -97,7 +97,7 @@
 		want     int
 	}{
 		{"after a revision", 1, []string{"\n", "\n"}, 2},
-		{"before the first list", wholeList, []string{"\n", first, "\n"}, 1},
+		{"before the first list", completeListRevision, []string{"\n", first, "\n"}, 1},
 		{"with a list", 1, []string{"\n" + first + "\n"}, 0},
 		{"within a list", 1, []string{firstHalf, "\n", secondHalf, "\n"}, 1},
 	} {
@@ -115,19 +115,19 @@
 	}
 }
 
-// TestWatchEndsAtAnotherStatus: a watch whose response has another status than 200 ends with an error that names it,
+// TestWatchFailsOnNonOKStatus: a watch whose response has another status than 200 ends with an error that names it,
 // and takes no list from its body.
-func TestWatchEndsAtAnotherStatus(t *testing.T) {
-	web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+func TestWatchFailsOnNonOKStatus(t *testing.T) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		_, _ = w.Write([]byte(testserver.ListText(1, true)))
 	}))
-	defer web.Close()
-	client := NewClient(web.Listener.Addr().String(), testserver.Timeout, nil)
+	defer server.Close()
+	client := NewClient(server.Listener.Addr().String(), testserver.Timeout, nil)
 	client.firstListTimeout = testserver.Timeout
 	client.silenceTimeout = testserver.Timeout
 	onUpdate := func(list List) { t.Errorf("list %+v", list) }
-	err := client.Watch(context.Background(), wholeList, onUpdate, func() {})
+	err := client.Watch(context.Background(), completeListRevision, onUpdate, func() {})
 	if err == nil || !strings.Contains(err.Error(), "status 503") {
 		t.Errorf("error %v, want one that names the status 503", err)
 	}
