--- a/internal/hotrestart/errors.go
+++ b/internal/hotrestart/errors.go
@@ -27,6 +27,6 @@
 // Error implements error.
 func (e *invalidStateError) Error() string { return e.detail }
 
-func invalid(reason invalidReason, format string, args ...any) error {
+func invalidStatef(reason invalidReason, format string, args ...any) error {
 	return &invalidStateError{reason: reason, detail: fmt.Sprintf(format, args...)}
 }
--- a/internal/hotrestart/fixture_test.go
+++ b/internal/hotrestart/fixture_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// TestStateOfFormerBuildIsRead: a process reads the state of one that runs the build f152def. testdata/f152def is the
+// TestReadStateOfPreviousBuild: a process reads the state of one that runs the build f152def. testdata/f152def is the
 // directory as that build wrote it. The test takes its lock, as the running process held it.
-func TestStateOfFormerBuildIsRead(t *testing.T) {
+func TestReadStateOfPreviousBuild(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS("testdata/f152def")); err != nil {
 		t.Fatal(err)
--- a/internal/hotrestart/member_test.go
+++ b/internal/hotrestart/member_test.go
@@ -84,8 +84,8 @@
 	if got := m.Others(); len(got) != 0 || !strings.Contains(log.String(), "has ended") {
 		t.Errorf("the next process sees %+v and logs %q", got, log.String())
 	}
-	if left, err := os.ReadDir(m.files.dir); err != nil || len(left) != 2 {
-		t.Errorf("%d files are left, error %v, want its own 2", len(left), err)
+	if remaining, err := os.ReadDir(m.files.dir); err != nil || len(remaining) != 2 {
+		t.Errorf("%d files are left, error %v, want its own 2", len(remaining), err)
 	}
 }
 
@@ -100,16 +100,16 @@
 	}
 }
 
-// TestNilMemberIsAlone: a nil Member changes no state, sees no other process and leaves without an error.
-func TestNilMemberIsAlone(t *testing.T) {
-	var none *Member
-	if err := none.Update(func(*State) { t.Error("Update changed the state of a nil Member") }); err != nil {
+// TestNilMemberHasNoEffect: a nil Member changes no state, sees no other process and leaves without an error.
+func TestNilMemberHasNoEffect(t *testing.T) {
+	var member *Member
+	if err := member.Update(func(*State) { t.Error("Update changed the state of a nil Member") }); err != nil {
 		t.Errorf("Update: %v", err)
 	}
-	if got := none.Others(); got != nil {
+	if got := member.Others(); got != nil {
 		t.Errorf("it sees %+v", got)
 	}
-	if err := none.Leave(); err != nil {
+	if err := member.Leave(); err != nil {
 		t.Errorf("Leave: %v", err)
 	}
 }
--- a/internal/hotrestart/others.go
+++ b/internal/hotrestart/others.go
@@ -10,8 +10,8 @@
 	"milletramp.example/milletramp/internal/wallclock"
 )
 
-// maxOthers bounds the other processes that are read.
-const maxOthers = 16
+// maxOtherProcesses bounds the other processes that are read.
+const maxOtherProcesses = 16
 
 // HasReadySuccessor reports whether a newer process of the sidecar is ready.
 func (m *Member) HasReadySuccessor() bool {
@@ -51,10 +51,10 @@
 	var others []State
 	for _, entry := range entries {
 		id, isLock := strings.CutSuffix(entry.Name(), lockSuffix)
-		if !isLock || id == m.files.id || len(others) == maxOthers {
+		if !isLock || id == m.files.id || len(others) == maxOtherProcesses {
 			continue
 		}
-		if s, found := m.readOther(processFiles{dir: m.files.dir, id: id}); found {
+		if s, found := m.readProcess(processFiles{dir: m.files.dir, id: id}); found {
 			others = append(others, s)
 		}
 	}
@@ -62,8 +62,8 @@
 	return others
 }
 
-// readOther returns the state of the process that owns files, if it runs and its state is valid.
-func (m *Member) readOther(files processFiles) (s State, found bool) {
+// readProcess returns the state of the process that owns files, if it runs and its state is valid.
+func (m *Member) readProcess(files processFiles) (s State, found bool) {
 	running, err := isLocked(files.lockPath())
 	if err != nil {
 		m.log.Warn("handover", "err", err)
--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -36,11 +36,11 @@
 
 // Compare orders the processes of a sidecar, the oldest first. The wall clock, which may step, decides only where one
 // of the two has no generation, or where both joined at the same moment and have the same one.
-func (s State) Compare(o State) int {
-	if s.Generation > 0 && o.Generation > 0 && s.Generation != o.Generation {
-		return cmp.Compare(s.Generation, o.Generation)
+func (s State) Compare(other State) int {
+	if s.Generation > 0 && other.Generation > 0 && s.Generation != other.Generation {
+		return cmp.Compare(s.Generation, other.Generation)
 	}
-	return s.Started.Compare(o.Started)
+	return s.Started.Compare(other.Started)
 }
 
 // A state file is one header line, "MAGIC VERSION LENGTH CHECKSUM", and the state as JSON. LENGTH is the number of
@@ -70,7 +70,7 @@
 // listen address. Else the error is an *invalidStateError.
 func decodeState(content []byte, name, listen string) (State, error) {
 	if len(content) > maxStateBytes {
-		return State{}, invalid(tooLong, "has more than %d bytes", maxStateBytes)
+		return State{}, invalidStatef(tooLong, "has more than %d bytes", maxStateBytes)
 	}
 	body, err := checkHeader(content)
 	if err != nil {
@@ -78,15 +78,15 @@
 	}
 	var s State
 	if err := json.Unmarshal(body, &s); err != nil {
-		return State{}, invalid(malformedJSON, "%v", err)
+		return State{}, invalidStatef(malformedJSON, "%v", err)
 	}
 	switch {
 	case s.Name != name || s.ListenAddress != listen:
-		return State{}, invalid(otherSidecar, "is of sidecar %.40q at %.40q", s.Name, s.ListenAddress)
+		return State{}, invalidStatef(otherSidecar, "is of sidecar %.40q at %.40q", s.Name, s.ListenAddress)
 	case s.Phase != Starting && s.Phase != Ready && s.Phase != Draining:
-		return State{}, invalid(unknownPhase, "has the unknown phase %.40q", s.Phase)
+		return State{}, invalidStatef(unknownPhase, "has the unknown phase %.40q", s.Phase)
 	case len(s.AdminDown) > maxAdminDown:
-		return State{}, invalid(tooManyServers, "names %d servers, %d at most", len(s.AdminDown), maxAdminDown)
+		return State{}, invalidStatef(tooManyServers, "names %d servers, %d at most", len(s.AdminDown), maxAdminDown)
 	}
 	return s, nil
 }
@@ -96,16 +96,16 @@
 	header, body, complete := bytes.Cut(content, []byte("\n"))
 	fields := strings.Fields(string(header))
 	if !complete || len(fields) != headerFields || fields[0] != formatMagic {
-		return nil, invalid(notStateFile, "is no state of a sidecar")
+		return nil, invalidStatef(notStateFile, "is no state of a sidecar")
 	}
 	version, length, sum := fields[1], fields[2], fields[3]
 	switch {
 	case version != strconv.Itoa(formatVersion):
-		return nil, invalid(unsupportedVersion, "is of version %.20q, this process knows %d", version, formatVersion)
+		return nil, invalidStatef(unsupportedVersion, "is of version %.20q, this process knows %d", version, formatVersion)
 	case length != strconv.Itoa(len(body)):
-		return nil, invalid(lengthMismatch, "has %d bytes, its head says %.20q", len(body), length)
+		return nil, invalidStatef(lengthMismatch, "has %d bytes, its head says %.20q", len(body), length)
 	case sum != checksum(body):
-		return nil, invalid(checksumMismatch, "has the checksum %s, its head says %.20q", checksum(body), sum)
+		return nil, invalidStatef(checksumMismatch, "has the checksum %s, its head says %.20q", checksum(body), sum)
 	}
 	return body, nil
 }
--- a/internal/hotrestart/state_test.go
+++ b/internal/hotrestart/state_test.go
@@ -48,9 +48,9 @@
 	})
 }
 
-// TestInvalidStateIsIgnored: the state file of a running process that is invalid in any way counts as a whole for
+// TestInvalidStateFileIsIgnored: the state file of a running process that is invalid in any way counts as a whole for
 // nothing, the log says why, and the error has that reason.
-func TestInvalidStateIsIgnored(t *testing.T) {
+func TestInvalidStateFileIsIgnored(t *testing.T) {
 	valid, err := encodeState(startingState(1))
 	if err != nil {
 		t.Fatal(err)
@@ -61,14 +61,14 @@
 	}
 	otherAddress := startingState(1)
 	otherAddress.ListenAddress = "127.0.0.1:90"
-	foreign, err := encodeState(otherAddress)
+	otherSidecarContent, err := encodeState(otherAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
-	flipped := bytes.Clone(valid)
-	flipped[len(flipped)-3] ^= 1
-	sleeping := `{"name":"n0","listen":"127.0.0.1:80","phase":"asleep"}`
-	tooMany := `{"name":"n0","listen":"127.0.0.1:80","phase":"ready","out":["` +
+	corrupted := bytes.Clone(valid)
+	corrupted[len(corrupted)-3] ^= 1
+	unknownPhaseJSON := `{"name":"n0","listen":"127.0.0.1:80","phase":"asleep"}`
+	tooManyServersJSON := `{"name":"n0","listen":"127.0.0.1:80","phase":"ready","out":["` +
 		strings.Repeat(`","`, maxAdminDown) + `"]}`
 	for _, tt := range []struct {
 		name    string
@@ -80,12 +80,12 @@
 		{"empty", nil, "is no state", notStateFile},
 		{"cut off", valid[:len(valid)-5], "bytes, its head says", lengthMismatch},
 		{"cut off in its header", valid[:10], "is no state", notStateFile},
-		{"changed", flipped, "checksum", checksumMismatch},
-		{"of another sidecar", foreign, "is of sidecar", otherSidecar},
+		{"changed", corrupted, "checksum", checksumMismatch},
+		{"of another sidecar", otherSidecarContent, "is of sidecar", otherSidecar},
 		{"of a newer version", withHeader(formatVersion+1, `{}`), "is of version", unsupportedVersion},
 		{"no JSON", withHeader(formatVersion, `{`), "unexpected end", malformedJSON},
-		{"of an unknown phase", withHeader(formatVersion, sleeping), "unknown phase", unknownPhase},
-		{"with too many servers", withHeader(formatVersion, tooMany), "servers", tooManyServers},
+		{"of an unknown phase", withHeader(formatVersion, unknownPhaseJSON), "unknown phase", unknownPhase},
+		{"with too many servers", withHeader(formatVersion, tooManyServersJSON), "servers", tooManyServers},
 		{"too long", make([]byte, maxStateBytes+1), "more than", tooLong},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/hotrestart/write_test.go
+++ b/internal/hotrestart/write_test.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := mustJoin(t, dir, startingState(2), discardLog())
+	successor := mustJoin(t, dir, startingState(2), discardLog())
 	written, pending := []string{"s-1"}, []string{"s-1", "s-2"}
 	if err := m.Update(func(s *State) { s.AdminDown = written }); err != nil {
 		t.Fatal(err)
@@ -59,12 +59,12 @@
 	if err := m.Update(func(s *State) { s.AdminDown = pending }); err == nil {
 		t.Error("Update returned nil and the state is not written")
 	}
-	if got := adminDownSeenBy(t, next); !slices.Equal(got, written) && !slices.Equal(got, pending) {
+	if got := adminDownSeenBy(t, successor); !slices.Equal(got, written) && !slices.Equal(got, pending) {
 		t.Errorf("the next process sees %v", got)
 	}
 	time.Sleep(time.Duration(count) * maxBackoff)
 	synctest.Wait()
-	if got := adminDownSeenBy(t, next); !slices.Equal(got, pending) {
+	if got := adminDownSeenBy(t, successor); !slices.Equal(got, pending) {
 		t.Errorf("the next process sees %v, want %v", got, pending)
 	}
 	for _, line := range []string{"is not written", "is written again"} {
@@ -80,8 +80,8 @@
 		t.Error(err)
 	}
 	time.Sleep(maxBackoff)
-	if left, err := os.ReadDir(next.files.dir); err != nil || len(left) != 2 {
-		t.Errorf("after it has left %d files are left, error %v, want the next one's 2", len(left), err)
+	if remaining, err := os.ReadDir(successor.files.dir); err != nil || len(remaining) != 2 {
+		t.Errorf("after it has left %d files are left, error %v, want the next one's 2", len(remaining), err)
 	}
 	if err := fs.End(false); err != nil {
 		t.Error(err)
@@ -102,7 +102,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		next, err := Join(dir, startingState(2), discardLog())
+		successor, err := Join(dir, startingState(2), discardLog())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -117,11 +117,11 @@
 			if m.Update(func(s *State) { s.AdminDown = make([]string, i) }) == nil {
 				acknowledged = i
 			}
-			if got := len(adminDownSeenBy(t, next)); got < acknowledged || got > i {
+			if got := len(adminDownSeenBy(t, successor)); got < acknowledged || got > i {
 				t.Fatalf("the next process sees state %d, %d was acknowledged, %d is the last", got, acknowledged, i)
 			}
 		}
-		for _, m := range []*Member{m, next} {
+		for _, m := range []*Member{m, successor} {
 			if err := m.Leave(); err != nil {
 				t.Fatal(err)
 			}
