--- a/internal/admin/handlers.go
+++ b/internal/admin/handlers.go
@@ -53,8 +53,8 @@
 
 func (s *Server) handleReadiness(w http.ResponseWriter, r *http.Request) {
 	s.markComplete(r)
-	if ready, why := s.sidecar.Ready(); !ready {
-		http.Error(w, "not ready: "+why, http.StatusServiceUnavailable)
+	if ready, reason := s.sidecar.Ready(); !ready {
+		http.Error(w, "not ready: "+reason, http.StatusServiceUnavailable)
 		return
 	}
 	fmt.Fprintln(w, "ready")
--- a/internal/admin/listener_test.go
+++ b/internal/admin/listener_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// TestIncompleteCallsGiveWay: while more clients than the limit keep connections open without a complete call, some
-// with a part of it, a complete call is still answered, and the oldest of the connections is closed.
-func TestIncompleteCallsGiveWay(t *testing.T) {
+// TestOldestIncompleteConnectionIsClosed opens more connections than the limit, each without a complete call. A
+// complete call on another connection must still be answered, and the oldest connection must be closed.
+func TestOldestIncompleteConnectionIsClosed(t *testing.T) {
 	address := startServer(t, &fakeSidecar{adminDown: map[string]bool{"s-1": false}})
 	partialCalls := []string{
 		"",
--- a/internal/admin/request.go
+++ b/internal/admin/request.go
@@ -26,8 +26,8 @@
 // writeRequestError answers a call in which err was found.
 func writeRequestError(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
-	if mistake := (*requestError)(nil); errors.As(err, &mistake) {
-		status = mistake.status
+	if requestErr := (*requestError)(nil); errors.As(err, &requestErr) {
+		status = requestErr.status
 	}
 	http.Error(w, err.Error(), status)
 }
@@ -51,11 +51,11 @@
 		return "", badRequest(`no body, want {"target":"ID"}`)
 	}
 	// Decoded into a struct, the key "Target" would pass for "target". A map keeps the keys as they are.
-	var values map[string]json.RawMessage
-	if err := json.Unmarshal(body, &values); err != nil {
+	var fields map[string]json.RawMessage
+	if err := json.Unmarshal(body, &fields); err != nil {
 		return "", badRequest("body is no JSON object: %v", err)
 	}
-	target, found := values["target"]
+	target, found := fields["target"]
 	if !found {
 		return "", badRequest("target is missing")
 	}
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -26,7 +26,7 @@
 // Sidecar does what operators ask for. Its methods may be called by several goroutines at once.
 type Sidecar interface {
 	// Ready reports whether the process is ready to serve, and if not, why.
-	Ready() (ready bool, why string)
+	Ready() (ready bool, reason string)
 	// Metrics returns the metrics as text.
 	Metrics(ctx context.Context) ([]byte, error)
 	// SetAdminDown sets a server administratively down, or up again where down is not set. It returns
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -150,11 +150,11 @@
 	f := &fakeSidecar{adminDown: map[string]bool{"s-1": false}, entered: make(chan chan struct{})}
 	s, served, closed := New(l, f, slog.New(slog.DiscardHandler)), make(chan error, 1), make(chan error, 1)
 	go func() { served <- s.Serve() }()
-	silent, err := net.Dial("tcp", l.Addr().String())
+	idle, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer silent.Close()
+	defer idle.Close()
 	answered := make(chan int, 1)
 	go func() {
 		status, _, _ := send(t, l.Addr().String(), requestText("POST", "/ops/servers/down", `{"target":"s-1"}`))
