--- a/internal/metrics/stats.go
+++ b/internal/metrics/stats.go
@@ -34,7 +34,7 @@
 type UnservedConns [reasonCount]atomic.Int64
 
 // Count counts one connection.
-func (u *UnservedConns) Count(c CloseReason) { u[c].Add(1) }
+func (u *UnservedConns) Count(reason CloseReason) { u[reason].Add(1) }
 
 // Counters are the counters of one process, from 0 at its start. The zero value is ready. Its methods may be called by
 // several goroutines at once.
@@ -57,16 +57,16 @@
 
 // Class returns the counters of a class, the same at each call. Callers that count each request keep the pointer, as
 // Class takes a lock.
-func (f *Counters) Class(name string) *ClassCounters {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.classes == nil {
-		f.classes = map[string]*ClassCounters{}
+func (c *Counters) Class(name string) *ClassCounters {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.classes == nil {
+		c.classes = map[string]*ClassCounters{}
 	}
-	counters := f.classes[name]
+	counters := c.classes[name]
 	if counters == nil {
 		counters = &ClassCounters{}
-		f.classes[name] = counters
+		c.classes[name] = counters
 	}
 	return counters
 }
--- a/internal/metrics/stats_test.go
+++ b/internal/metrics/stats_test.go
@@ -5,22 +5,22 @@
 	"testing"
 )
 
-// TestWriteNamesOrderAndForm: every metric is written, also one that is 0, under its name, in order and one a line.
-func TestWriteNamesOrderAndForm(t *testing.T) {
-	var f Counters
-	f.Class("read").Served.Add(3)
-	f.Class("book").Rejected.Add(2)
-	f.Class("book").Failed.Add(1)
-	f.Attempts.Add(7)
-	f.Reloads.Add(4)
-	f.ReloadErrors.Add(5)
-	for c := range reasonCount {
-		for range c + 1 {
-			f.UnservedConns.Count(c)
+// TestWriteFormat: every metric is written, also one that is 0, under its name, in order and one a line.
+func TestWriteFormat(t *testing.T) {
+	var counters Counters
+	counters.Class("read").Served.Add(3)
+	counters.Class("book").Rejected.Add(2)
+	counters.Class("book").Failed.Add(1)
+	counters.Attempts.Add(7)
+	counters.Reloads.Add(4)
+	counters.ReloadErrors.Add(5)
+	for reason := range reasonCount {
+		for range reason + 1 {
+			counters.UnservedConns.Count(reason)
 		}
 	}
 	var got strings.Builder
-	if err := f.Write(&got, Gauges{InFlight: 14, ListedServers: 9, AvoidedServers: 2}); err != nil {
+	if err := counters.Write(&got, Gauges{InFlight: 14, ListedServers: 9, AvoidedServers: 2}); err != nil {
 		t.Fatal(err)
 	}
 	want := `sidecar.passed.book=0
