--- a/internal/fleetadapter/participant.go
+++ b/internal/fleetadapter/participant.go
@@ -34,7 +34,7 @@
 	}
 	f, err := fleet.Start(fleetConfig, c.Name, peers, log, fleet.Callbacks{
 		OnAdminDown:  callbacks.OnAdminDown,
-		OnSuspicions: func(s []fleet.Suspicion) { callbacks.OnSuspicions(suspicions(s)) },
+		OnSuspicions: func(s []fleet.Suspicion) { callbacks.OnSuspicions(convertSuspicions(s)) },
 		CheckPolicy:  callbacks.CheckPolicy,
 	})
 	if err != nil {
@@ -43,10 +43,10 @@
 	return participant{f}, nil
 }
 
-// suspicions returns the fleet's suspicions as the sidecar's.
-func suspicions(ofFleet []fleet.Suspicion) []sidecar.Suspicion {
-	list := make([]sidecar.Suspicion, 0, len(ofFleet))
-	for _, s := range ofFleet {
+// convertSuspicions converts the fleet's suspicions to the sidecar's type.
+func convertSuspicions(fleetSuspicions []fleet.Suspicion) []sidecar.Suspicion {
+	list := make([]sidecar.Suspicion, 0, len(fleetSuspicions))
+	for _, s := range fleetSuspicions {
 		list = append(list, sidecar.Suspicion(s))
 	}
 	return list
@@ -74,8 +74,8 @@
 	p.Fleet.SetServers(list)
 }
 
-// outcomes are the Balancer's observations as the fleet's failure detector names them.
-var outcomes = [...]failuredetector.Outcome{
+// detectorOutcomes are the Balancer's observations as the fleet's failure detector names them.
+var detectorOutcomes = [...]failuredetector.Outcome{
 	balance.ObservedAnswer:  failuredetector.Answered,
 	balance.ObservedLate:    failuredetector.Late,
 	balance.ObservedSilence: failuredetector.Silent,
@@ -85,17 +85,17 @@
 
 // Observe implements balance.Observer.
 func (p participant) Observe(endpoint string, observation balance.Observation) {
-	p.Fleet.Observe(endpoint, outcomes[observation])
+	p.Fleet.Observe(endpoint, detectorOutcomes[observation])
 }
 
 // SetAdminDown implements sidecar.Participant.
 func (p participant) SetAdminDown(ctx context.Context, server string,
-	down, confirm bool) (held, asked int, err error) {
-	held, asked, err = p.Fleet.SetAdminDown(ctx, server, down, confirm)
+	down, confirm bool) (holders, asked int, err error) {
+	holders, asked, err = p.Fleet.SetAdminDown(ctx, server, down, confirm)
 	if errors.Is(err, fleet.ErrSuperseded) || errors.Is(err, fleet.ErrClosed) {
 		return 0, 0, sidecar.ErrSuperseded
 	}
-	return held, asked, err
+	return holders, asked, err
 }
 
 // Status implements sidecar.Participant.
--- a/internal/fleetadapter/policy_handler.go
+++ b/internal/fleetadapter/policy_handler.go
@@ -27,13 +27,13 @@
 // policyHandler answers operators' calls on the policy. It implements proxy.Policy.
 type policyHandler struct {
 	*policyagent.Agent
-	mux     *http.ServeMux
-	reading chan struct{} // has a value while a proposal is read; many at once could take all memory
+	mux          *http.ServeMux
+	proposalSlot chan struct{} // has a value while a proposal is read; many at once could take all memory
 }
 
 // newPolicyHandler returns a handler of calls on the policy of an agent.
 func newPolicyHandler(agent *policyagent.Agent) *policyHandler {
-	h := &policyHandler{Agent: agent, mux: http.NewServeMux(), reading: make(chan struct{}, 1)}
+	h := &policyHandler{Agent: agent, mux: http.NewServeMux(), proposalSlot: make(chan struct{}, 1)}
 	h.mux.HandleFunc("GET /ops/policy/status", h.serveStatus)
 	h.mux.HandleFunc("GET /ops/policy/document", h.serveDocument)
 	h.mux.HandleFunc("GET /ops/policy/outcome", h.serveOutcome)
@@ -88,8 +88,8 @@
 	Text    json.RawMessage `json:"text"`
 }
 
-// check returns what a proposal lacks.
-func (p *Proposal) check() error {
+// validate returns what a proposal lacks.
+func (p *Proposal) validate() error {
 	hasID := p.ID != "" && len(p.ID) <= maxProposalID
 	hasText := len(p.Text) > 0 && len(p.Text) <= policy.MaxDocumentBytes
 	if hasID && hasText && p.Follows != 0 {
@@ -115,8 +115,8 @@
 // servePropose proposes a change and answers with its outcome so far.
 func (h *policyHandler) servePropose(w http.ResponseWriter, r *http.Request) {
 	select {
-	case h.reading <- struct{}{}:
-		defer func() { <-h.reading }()
+	case h.proposalSlot <- struct{}{}:
+		defer func() { <-h.proposalSlot }()
 	default:
 		http.Error(w, "another proposal is being read; again in a moment", http.StatusServiceUnavailable)
 		return
@@ -139,15 +139,15 @@
 
 // readProposal reads and checks the proposal of a call.
 func readProposal(w http.ResponseWriter, r *http.Request) (*Proposal, error) {
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxProposalBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxProposalBytes))
 	if err != nil {
 		return nil, err
 	}
 	var proposal Proposal
-	if err := json.Unmarshal(text, &proposal); err != nil {
+	if err := json.Unmarshal(body, &proposal); err != nil {
 		return nil, err
 	}
-	return &proposal, proposal.check()
+	return &proposal, proposal.validate()
 }
 
 // Replacement asks for a waiting sidecar to take the place of a voter.
