--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -14,53 +14,54 @@
 )
 
 const (
-	// watchSilenceTimeout is how long a watch may bring nothing. Discovery sends at least an empty line every 2 s; a
-	// machine that is cut off sends nothing, and its last list would be taken for the current one for ever.
+	// watchSilenceTimeout ends a watch on which nothing arrives. Discovery sends at least an empty line every 2 s. A
+	// host that is cut off from the network sends nothing, and its last list would be used indefinitely.
 	watchSilenceTimeout = 3 * time.Second
-	// FirstListTimeout is how long the first list may take of a watch that asks for the complete list, which
-	// discovery sends at once.
+	// FirstListTimeout bounds the wait for the first list of a watch that requests the complete list, which discovery
+	// sends immediately.
 	FirstListTimeout = 1200 * time.Millisecond
-	// slowListTimeout is how long a watch that is late with its first list goes on next to another one.
+	// slowListTimeout ends a watch that has not delivered its first list, counted from the start of the watch. After
+	// FirstListTimeout another watch is opened beside it.
 	slowListTimeout = 5 * time.Second
-	// listTimeout is how long one list may take to come, in pieces, before its bytes no longer count as progress.
+	// listTimeout is the time after the first byte of a list from which further bytes of it do not count as progress.
 	listTimeout = 2 * time.Second
-	// minConnectTimeout is the least time that a connection to discovery gets to open.
+	// minConnectTimeout is the minimum timeout for opening a connection to discovery.
 	minConnectTimeout = 500 * time.Millisecond
-	// maxListBytes bounds one list.
+	// maxListBytes is the maximum size of one list, in bytes.
 	maxListBytes = 4 << 20
 )
 
-// MaxStaleness is how long after discovery has a change, and can be reached, the change counts as notified, whatever
-// calls failed before.
+// MaxStaleness is the maximum time until a change is received, counted from the moment at which discovery has the
+// change and is reachable. It holds regardless of calls that failed earlier.
 const MaxStaleness = 6 * time.Second
 
-// MaxUpdateDelay is the longest time from a watch's last byte to a new list if one call fails although discovery can be
-// reached: the silence is noticed, the call is made after a backoff and fails, and after another one the next call is
-// answered. It has to be less than MaxStaleness.
+// MaxUpdateDelay is the maximum time from the last byte of a watch to a new list if one call fails although discovery
+// is reachable: the silence timeout expires, a call is made after a backoff and fails, and the next call succeeds after
+// another backoff. It must be less than MaxStaleness.
 const MaxUpdateDelay = watchSilenceTimeout + balance.FirstDiscoveryBackoff +
 	FirstListTimeout + 2*balance.FirstDiscoveryBackoff
 
-// errWatchTimeout says that a watch was given up as nothing came.
+// errWatchTimeout reports that a watch was ended because nothing arrived in time.
 var errWatchTimeout = errors.New("discovery is silent")
 
-// completeListRevision is the revision to watch from that asks for the complete list.
+// completeListRevision is the revision argument that requests the complete list.
 const completeListRevision = -1
 
 // DialFunc opens a connection.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Client watches the list of servers at one address of discovery.
+// Client watches the endpoint list at one discovery address.
 type Client struct {
 	address          string
 	transport        *http.Transport
 	silenceTimeout   time.Duration
 	firstListTimeout time.Duration
 	listTimeout      time.Duration
-	onSlow           func() // called where the first list is late; the watch then goes on for a while. nil: it ends
+	onSlow           func() // called when the first list is late; the watch continues up to slowListTimeout. nil: it ends
 }
 
-// NewClient returns a client of the discovery at address. dial opens connections; nil: over TCP, with connectTimeout,
-// but at least minConnectTimeout, for a connection to open.
+// NewClient returns a client for the discovery service at address. It opens connections with dial. If dial is nil, it
+// uses TCP with connectTimeout, but at least minConnectTimeout.
 func NewClient(address string, connectTimeout time.Duration, dial DialFunc) *Client {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: max(connectTimeout, minConnectTimeout)}).DialContext
@@ -73,12 +74,12 @@
 		transport: &http.Transport{
 			DialContext:        dial,
 			DisableCompression: true,
-			DisableKeepAlives:  true, // a watch lasts as long as its connection
+			DisableKeepAlives:  true, // each watch has a connection of its own
 		},
 	}
 }
 
-// openWatch calls discovery and returns the body of its response.
+// openWatch sends the watch request and returns the response body. A revision below 0 requests the complete list.
 func (c *Client) openWatch(ctx context.Context, revision int64) (io.ReadCloser, error) {
 	url := "http://" + c.address + "/v1/servers?watch=1"
 	if revision >= 0 {
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -11,10 +11,10 @@
 	"milletramp.example/milletramp/internal/wallclock"
 )
 
-// defaultWeight is the weight of an endpoint whose entry has none.
+// defaultWeight is the weight of an endpoint whose entry has no capacity_hint.
 const defaultWeight = 1
 
-// Endpoint is one server of a list.
+// Endpoint is one server in an endpoint list.
 type Endpoint struct {
 	ID        string
 	Address   string // host and port
@@ -23,24 +23,25 @@
 	PodGroup  int
 	State     balance.State
 	Weight    float64
-	StartedAt time.Time // when it last started, as claimed; zero: long ago
+	StartedAt time.Time // last start as reported by discovery, wall-clock time; zero: not reported, long ago
 }
 
-// List is one message of a watch: all servers, or those that changed.
+// List is one message of a watch. It contains all servers or only those that changed.
 type List struct {
 	Revision  int64
-	Complete  bool // a server that is not in Endpoints is gone
+	Complete  bool // a server that is not in Endpoints was removed
 	Endpoints []Endpoint
 }
 
-// listJSON is the wire form of a List. Names that match exactly are decoded faster than those that differ in case.
+// listJSON is the wire format of a List. encoding/json decodes keys that match exactly faster than keys that differ in
+// case.
 type listJSON struct {
 	Rev     *int64      `json:"rev"`
 	All     bool        `json:"all"`
 	Targets []entryJSON `json:"targets"`
 }
 
-// entryJSON is the wire form of an Endpoint.
+// entryJSON is the wire format of an Endpoint.
 type entryJSON struct {
 	UID          string   `json:"uid"`
 	Endpoint     string   `json:"endpoint"`
@@ -49,10 +50,10 @@
 	PodGroup     int      `json:"pod_group"`
 	State        string   `json:"state"`
 	CapacityHint *float64 `json:"capacity_hint"`
-	BootMS       int64    `json:"boot_ms"` // milliseconds since 1970; 0: long ago
+	BootMS       int64    `json:"boot_ms"` // start time in milliseconds since 1970; 0: long ago
 }
 
-// ParseList parses discovery's JSON strictly: a list with one wrong entry is refused as a whole.
+// ParseList parses one list in discovery's JSON format. It rejects the complete list if one entry is invalid.
 func ParseList(text []byte) (List, error) {
 	var decoded listJSON
 	if err := json.Unmarshal(text, &decoded); err != nil {
@@ -72,7 +73,7 @@
 	return list, nil
 }
 
-// parse returns the Endpoint of an entry. index is its place in the list.
+// parse validates an entry and converts it to an Endpoint. index is the position of the entry in the list.
 func (e *entryJSON) parse(index int) (Endpoint, error) {
 	state, err := parseState(e.State)
 	if err != nil {
@@ -105,7 +106,7 @@
 	return endpoint, nil
 }
 
-// parseState returns the state that an entry names.
+// parseState converts the state name of an entry.
 func parseState(name string) (balance.State, error) {
 	switch name {
 	case "SERVING":
--- a/internal/discovery/splitter.go
+++ b/internal/discovery/splitter.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// errNotObject says that a stream of JSON objects has something else in it.
+// errNotObject reports that a stream contains something other than complete JSON objects.
 var errNotObject = errors.New("no JSON object")
 
-// jsonSplitter splits a stream into JSON objects, in whatever lines and pieces they come. It finds the end of each and
-// leaves it to the parser whether it is well formed. Its split is used by a bufio.Scanner, which bounds the size of an
-// object. The zero value is at the start of a stream.
+// jsonSplitter splits a stream into JSON objects, independently of line breaks and of the size of the reads. It only
+// finds the end of each object; the parser checks whether the object is well formed. A bufio.Scanner uses its split
+// method and bounds the size of an object. The zero value is ready for the start of a stream.
 type jsonSplitter struct {
-	scanned   int // bytes of the current object that were consumed; 0: no object has begun
-	depth     int // open brackets and braces
+	scanned   int // bytes of the current object that were scanned; 0: no object has begun
+	depth     int // number of open brackets and braces
 	inString  bool
-	escaped   bool      // the next byte of the string follows a backslash
-	startedAt time.Time // when the first byte of the current object came
+	escaped   bool      // the previous byte of the string was an unescaped backslash
+	startedAt time.Time // when the first byte of the current object was scanned
 }
 
-// inObject reports whether an object has begun and not ended.
+// inObject reports whether an object has begun and is not complete.
 func (s *jsonSplitter) inObject() bool { return s.scanned > 0 }
 
-// objectAge returns for how long the current object has been coming; 0: no object has begun.
+// objectAge returns the time since the current object began, or 0 if no object has begun.
 func (s *jsonSplitter) objectAge() time.Duration {
 	if s.scanned == 0 {
 		return 0
@@ -31,7 +31,7 @@
 	return time.Since(s.startedAt)
 }
 
-// split implements bufio.SplitFunc. It returns an object as soon as its last byte is there, and skips the white space
+// split implements bufio.SplitFunc. It returns an object as soon as its last byte has been read, and skips white space
 // between objects.
 func (s *jsonSplitter) split(data []byte, atEOF bool) (advance int, token []byte, err error) {
 	if s.scanned == 0 {
@@ -59,7 +59,7 @@
 	return advance, nil, nil
 }
 
-// consume follows strings and nesting over the next byte of an object.
+// consume updates the string and nesting state for the next byte of an object.
 func (s *jsonSplitter) consume(b byte) {
 	s.scanned++
 	switch {
@@ -77,7 +77,7 @@
 	}
 }
 
-// countLeadingSpace returns how many bytes of white space text begins with.
+// countLeadingSpace returns the number of white space bytes at the start of text.
 func countLeadingSpace(text []byte) int {
 	count := 0
 	for count < len(text) && isSpace(text[count]) {
@@ -86,5 +86,5 @@
 	return count
 }
 
-// isSpace reports whether b is white space in JSON.
+// isSpace reports whether b is JSON white space.
 func isSpace(b byte) bool { return b == ' ' || b == '\t' || b == '\r' || b == '\n' }
--- a/internal/discovery/start_times.go
+++ b/internal/discovery/start_times.go
@@ -7,33 +7,34 @@
 	"milletramp.example/milletramp/internal/wallclock"
 )
 
-// maxDelisted is how many servers that are on no list any more have their starts remembered.
+// maxDelisted is the maximum number of delisted servers whose start times are kept.
 const maxDelisted = 4096
 
-// StartTimes converts the starts that discovery claims into the Balancer's time. A claim is a wall-clock time, and
-// both its clock and this machine's may be wrong or may step. So each claim is converted once, when it first comes,
-// and its age is bounded by what the monotonic clock tells: a start that the last list did not have came after that
-// list.
+// StartTimes converts the server start times that discovery reports into the Balancer's time. A reported start is a
+// wall-clock time, and the clocks of discovery and of this host may be wrong or may step. Each reported start is
+// therefore converted only once, when it is first received. The age of the server is bounded by the monotonic time
+// since the previous list: a start that the previous list did not contain happened after that list.
 //
-// Nothing else bounds the ages in the first list of a process, nor in a remembered list, which may be of any age: taken
-// for new, warm servers would count as warming up. A StartTimes belongs to one goroutine.
+// Ages in the first list of a process and in a remembered list are not bounded this way. A remembered list may be of
+// any age, and if its warmed-up servers were treated as new they would be put into slow start. A StartTimes must be
+// used by one goroutine only.
 type StartTimes struct {
 	wallClock   func() time.Time
 	clock       func() balance.Time     // monotonic
 	starts      map[string]*serverStart // by endpoint ID
-	confirmedAt balance.Time            // when the list in hand was last known to be the current one; 0: never
-	delisted    []*serverStart          // the longest delisted first; may hold some that were listed again
+	confirmedAt balance.Time            // when the latest list was last known to be current; 0: never
+	delisted    []*serverStart          // in order of delisting; may contain servers that were listed again
 }
 
-// serverStart is the last start of a server.
+// serverStart is the most recent start of a server.
 type serverStart struct {
 	endpointID    string
-	reportedStart time.Time // as discovery claims it
+	reportedStart time.Time // as reported by discovery, wall-clock time
 	startedAt     balance.Time
 	listed        bool
 }
 
-// NewStartTimes returns a StartTimes that knows no server. clock reads the Balancer's time.
+// NewStartTimes returns a StartTimes without servers. clock returns the Balancer's time.
 func NewStartTimes(clock func() balance.Time) *StartTimes {
 	return &StartTimes{
 		wallClock: wallclock.Now,
@@ -42,7 +43,8 @@
 	}
 }
 
-// StartOf returns when an endpoint of a list started; 0: long ago. It has to be called before Update with that list.
+// StartOf returns the start time of an endpoint in a list; 0 means long ago. It must be called before Update is called
+// with that list.
 func (s *StartTimes) StartOf(endpoint Endpoint) balance.Time {
 	if endpoint.StartedAt.IsZero() {
 		return 0
@@ -61,7 +63,8 @@
 	return startedAt
 }
 
-// toBalanceTime converts a claim that comes now. A start in the future, by this machine's clock, counts as now.
+// toBalanceTime converts a reported start that was received now. A start in the future, by this host's clock, is
+// treated as now.
 func (s *StartTimes) toBalanceTime(reportedStart time.Time) balance.Time {
 	now := s.clock()
 	age := max(s.wallClock().Sub(reportedStart), 0)
@@ -71,7 +74,8 @@
 	return max(now-age, 0)
 }
 
-// Update records which servers a list has, and that it is the current one unless it is a remembered list.
+// Update records which servers a list contains. Unless the list is a remembered one, it also records that the list is
+// current.
 func (s *StartTimes) Update(now balance.Time, kind balance.ListKind, list List) {
 	listed := make(map[string]bool, len(list.Endpoints))
 	for _, endpoint := range list.Endpoints {
@@ -88,11 +92,11 @@
 	}
 }
 
-// Confirm records that the list in hand was the current one at a time.
+// Confirm records that the latest list was current at a time.
 func (s *StartTimes) Confirm(at balance.Time) { s.confirmedAt = at }
 
-// setListed records whether a server is listed. The start of a delisted one is remembered in case the same process is
-// listed again: a list may leave out servers that run on.
+// setListed records whether a server is listed. The start time of a delisted server is kept in case the same process is
+// listed again, because a list may omit servers that continue to run.
 func (s *StartTimes) setListed(start *serverStart, listed bool) {
 	if start == nil || start.listed == listed {
 		return
@@ -107,8 +111,8 @@
 	}
 }
 
-// dropOldestDelisted forgets the start of the server that was delisted first, unless it was listed or started again
-// since.
+// dropOldestDelisted removes the start time of the server that was delisted first, unless the server has been listed
+// again or has restarted since.
 func (s *StartTimes) dropOldestDelisted() {
 	oldest := s.delisted[0]
 	s.delisted = s.delisted[1:]
--- a/internal/discovery/subscriptions.go
+++ b/internal/discovery/subscriptions.go
@@ -9,57 +9,60 @@
 	"milletramp.example/milletramp/balance"
 )
 
-// The backoff before a new address of discovery is called again doubles from the least to the greatest.
+// Bounds of the exponential backoff between calls to a new discovery address.
 const (
 	minAddressBackoff = 200 * time.Millisecond
 	maxAddressBackoff = 400 * time.Millisecond
-	maxBackoffShift   = 8 // doublings, which keeps the shift from overflowing
+	maxBackoffShift   = 8 // limits the number of doublings so that the shift does not overflow
 )
 
-// Subscriber is the event loop that a Subscriptions serves. Its On methods are called on the loop's goroutine.
+// Subscriber is the event loop that receives the events of a Subscriptions. The methods that begin with On are called
+// on the event loop's goroutine.
 type Subscriber interface {
-	// Post runs f on the loop's goroutine. It does not wait.
+	// Post schedules f on the event loop's goroutine. It does not wait for f to run.
 	Post(f func())
-	// OnUpdate handles a list.
+	// OnUpdate handles a new list.
 	OnUpdate(kind balance.ListKind, list List)
-	// OnUnchanged handles that the list in hand is the current one.
+	// OnUnchanged handles a confirmation that the latest list is still current.
 	OnUnchanged()
-	// OnWatchEnded handles that no watch is open. The loop calls Subscribe when another one is to be opened.
+	// OnWatchEnded handles the end or time-out of the current watch if no watch at a new address is pending. The event
+	// loop calls Subscribe to open another one.
 	OnWatchEnded()
 }
 
-// Options say how a Subscriptions opens watches.
+// Options configure how a Subscriptions opens watches.
 type Options struct {
 	Address        string        // of discovery
-	Revision       int64         // of the list in hand; -1: there is none
-	ConnectTimeout time.Duration // for a connection to open
+	Revision       int64         // of the list that the subscriber already has; -1: none
+	ConnectTimeout time.Duration // for opening a connection
 	Dial           DialFunc      // opens connections to discovery; nil: over TCP
 	Log            *slog.Logger
 }
 
-// Subscriptions holds the open watches of a process: the current one, the one at a new address while discovery moves,
-// and a slow one that may still bring a list. Only the loop's goroutine calls its methods. Each watch has a
-// goroutine, which ends with the watch, at the latest with the context given to NewSubscriptions.
+// Subscriptions manages the open watches of a process: the current watch, the watch at a new address while discovery
+// moves, and a slow watch that may still deliver a list. Its methods must be called on the event loop's goroutine. Each
+// watch runs in a goroutine of its own, which ends with the watch, at the latest when the context passed to
+// NewSubscriptions is done.
 type Subscriptions struct {
 	ctx        context.Context
 	subscriber Subscriber
 	options    Options
 
 	address        string        // of discovery, as last configured
-	addressRetries int           // failed calls of a new address
+	addressRetries int           // number of failed calls to a new address
 	revision       int64         // of the list in hand; wholeList: there is none
-	current        *subscription // the one whose updates count; nil: none is open
-	next           *subscription // at a new address, until its first list has come; nil: none
-	slow           *subscription // late with its first list and replaced, but not ended; nil: none
-	// lastWatchTimedOut says that no list has come since a watch timed out. The next watch asks for the complete list,
-	// which comes at once.
+	current        *subscription // the watch whose updates are applied; nil: none
+	next           *subscription // the watch at a new address, until its first list arrives; nil: none
+	slow           *subscription // a replaced watch whose first list is late, not ended; nil: none
+	// lastWatchTimedOut is set if no list has arrived since a watch timed out. The next watch then requests the complete
+	// list, which discovery sends immediately.
 	lastWatchTimedOut bool
 }
 
-// subscription is one watch.
+// subscription is one watch that was started.
 type subscription struct{ cancel context.CancelFunc }
 
-// NewSubscriptions returns a Subscriptions with no watch open. Its watches end with ctx.
+// NewSubscriptions returns a Subscriptions without an open watch. Its watches end when ctx is done.
 func NewSubscriptions(ctx context.Context, subscriber Subscriber, options Options) *Subscriptions {
 	return &Subscriptions{
 		ctx:        ctx,
@@ -70,7 +73,7 @@
 	}
 }
 
-// Subscribe opens a watch if there is none.
+// Subscribe opens a watch unless there is a current watch or a watch at a new address.
 func (s *Subscriptions) Subscribe() {
 	if s.current != nil || s.next != nil {
 		return
@@ -82,8 +85,8 @@
 	s.current = s.startWatch(revision)
 }
 
-// SwitchAddress follows discovery at another address. The watch at the old address goes on until the new one has
-// brought a list: if the switch ended it, the Balancer would back off before it subscribed again.
+// SwitchAddress opens a watch at another discovery address. The watch at the old address continues until the new watch
+// delivers a list. If the switch ended the old watch, the Balancer would back off before subscribing again.
 func (s *Subscriptions) SwitchAddress(address string) {
 	if address == s.address {
 		return
@@ -96,11 +99,11 @@
 		}
 	}
 	s.slow = nil
-	// A revision of the old address may mean another list at the new one.
+	// The same revision may denote a different list at the new address.
 	s.next = s.startWatch(completeListRevision)
 }
 
-// startWatch opens a watch of the changes after a revision, in a goroutine that ends with it.
+// startWatch starts a watch of the changes after a revision, in a goroutine that ends with the watch.
 func (s *Subscriptions) startWatch(revision int64) *subscription {
 	ctx, cancel := context.WithCancel(s.ctx)
 	opened := &subscription{cancel}
@@ -118,8 +121,9 @@
 	return opened
 }
 
-// onUpdate handles a list from a watch. The watch becomes the current one and the others end, except that the current
-// one does not end the one at a new address. A late list from a former address is dropped: it would undo newer ones.
+// onUpdate handles a list from a watch. The watch becomes the current one and the other watches end, except that a list
+// from the current watch does not end the watch at a new address. A late list from a previous address is dropped
+// because it would overwrite newer state.
 func (s *Subscriptions) onUpdate(source *subscription, list List) {
 	switch {
 	case source == s.next, source == s.slow, source == s.current && s.next == nil:
@@ -137,7 +141,7 @@
 	s.subscriber.OnUpdate(kind, list)
 }
 
-// makeCurrent makes a watch the only one.
+// makeCurrent makes a watch the current one and ends all others.
 func (s *Subscriptions) makeCurrent(selected *subscription) {
 	for _, other := range []*subscription{s.current, s.next, s.slow} {
 		if other != nil && other != selected {
@@ -149,15 +153,17 @@
 	s.slow = nil
 }
 
-// onUnchanged handles that a watch has nothing newer than its last list.
+// onUnchanged handles a heartbeat from a watch, which confirms its last list. Heartbeats from watches other than the
+// current one are ignored.
 func (s *Subscriptions) onUnchanged(source *subscription) {
 	if source == s.current {
 		s.subscriber.OnUnchanged()
 	}
 }
 
-// onWatchSlow handles that a watch is late with its first list. If each slow watch were given up, no list of a slow
-// discovery would ever arrive: one goes on next to the watches opened after it, and any others end.
+// onWatchSlow handles a watch whose first list is late. One slow watch continues beside the watches that are opened
+// after it, and other slow watches end. If every slow watch were ended, no list from a slow discovery would ever
+// arrive.
 func (s *Subscriptions) onWatchSlow(slow *subscription) {
 	if slow != s.current && slow != s.next {
 		return
@@ -178,9 +184,9 @@
 	s.replaceWatch(ended, err)
 }
 
-// replaceWatch has another watch opened in the place of one that has ended or is slow: at a new address after a
-// backoff of its own, else as the Balancer decides. Where the new address is still to answer, the current watch is
-// not replaced.
+// replaceWatch arranges a replacement for a watch that has ended or is slow. A watch at a new address is retried after
+// its own backoff. For the current watch the subscriber decides when to subscribe again, but while a watch at a new
+// address is pending the current watch is not replaced.
 func (s *Subscriptions) replaceWatch(ended *subscription, err error) {
 	switch ended {
 	case s.next:
@@ -196,8 +202,8 @@
 	}
 }
 
-// retryAddress calls a new address again after a backoff. Without one an address that is not up yet would be flooded
-// with calls.
+// retryAddress calls a new address again after a backoff. Without the backoff, an address that is not yet up would be
+// flooded with calls.
 func (s *Subscriptions) retryAddress(ended *subscription) {
 	backoff := min(minAddressBackoff<<min(s.addressRetries, maxBackoffShift), maxAddressBackoff)
 	s.addressRetries++
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -10,9 +10,10 @@
 	"time"
 )
 
-// Watch asks for the changes after a revision (below 0: for the complete list) and calls onUpdate with each list
-// until the watch ends. It calls onUnchanged when discovery reports that nothing has changed since the last list, or
-// since that revision. It always returns an error, which says why the watch ended.
+// Watch requests the changes after a revision, or the complete list if revision is below 0, and calls onUpdate with
+// each list until the watch ends. It calls onUnchanged when discovery reports that nothing has changed since the last
+// list or, before the first list, since that revision. It always returns an error that gives the reason why the watch
+// ended.
 func (c *Client) Watch(ctx context.Context, revision int64, onUpdate func(List), onUnchanged func()) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -30,16 +31,16 @@
 // watch is a Watch in progress.
 type watch struct {
 	client       *Client
-	cancel       context.CancelCauseFunc // ends it
-	revision     int64                   // of the last list; below 0: no list has come that was asked for as complete
+	cancel       context.CancelCauseFunc // ends the watch
+	revision     int64                   // of the last list; below 0: the requested complete list has not arrived
 	splitter     jsonSplitter
-	slowTimer    *time.Timer // calls the client's onSlow; nil: nobody waits for it
+	slowTimer    *time.Timer // calls the client's onSlow; nil: onSlow is not set or no complete list was requested
 	silenceTimer *time.Timer // ends a watch without progress
 	onUpdate     func(List)
 	onUnchanged  func()
 }
 
-// startTimers starts the wait for the first list, or for a heartbeat where a revision is known.
+// startTimers starts the timeout for the first list or, if a revision is known, for a list or heartbeat.
 func (w *watch) startTimers() {
 	if w.revision >= 0 {
 		w.silenceTimer = w.endAfter(w.client.silenceTimeout)
@@ -68,7 +69,7 @@
 	}
 }
 
-// readLists reads lists up to the end of the watch.
+// readLists reads and handles lists until the watch ends.
 func (w *watch) readLists(ctx context.Context, body io.Reader) error {
 	scanner := bufio.NewScanner(&progressReader{body, w.handleProgress})
 	scanner.Buffer(nil, maxListBytes)
@@ -86,7 +87,7 @@
 	return errors.New("watch: ended")
 }
 
-// handleList handles a list, from which on silence is measured by its own timeout.
+// handleList passes a list to onUpdate. The silence timeout replaces the timeouts for the first list.
 func (w *watch) handleList(list List) {
 	w.revision = list.Revision
 	w.stopTimers()
@@ -94,8 +95,9 @@
 	w.onUpdate(list)
 }
 
-// handleProgress handles what was just read. White space outside a list is a heartbeat: nothing has changed. Bytes
-// before the first list of a complete watch are no progress, and neither are those of a list that takes too long.
+// handleProgress handles bytes that were just read. White space outside a list is a heartbeat, which reports that
+// nothing has changed. Bytes do not count as progress before the first list of a watch that requested the complete
+// list, or within a list that takes longer than listTimeout.
 func (w *watch) handleProgress(text []byte) {
 	if w.revision < 0 {
 		return
@@ -108,7 +110,7 @@
 	}
 }
 
-// progressReader calls onRead with what each read returned.
+// progressReader is an io.Reader that passes the bytes of each read to onRead.
 type progressReader struct {
 	io.Reader
 	onRead func(text []byte)
