--- a/internal/discovery/subscriptions_test.go
+++ b/internal/discovery/subscriptions_test.go
@@ -12,9 +12,9 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestReplacedWatchIsIgnored has a former watch bring a list and end after the new one has brought its first list:
+// TestFormerWatchIsIgnored has a former watch bring a list and end after the new one has brought its first list:
 // both are ignored.
-func TestReplacedWatchIsIgnored(t *testing.T) {
+func TestFormerWatchIsIgnored(t *testing.T) {
 	loop := newTestEventLoop(context.Background(), nil)
 	subscriptions := loop.subscriptions
 	cancelled := make(chan string, 2)
@@ -40,9 +40,9 @@
 	}
 }
 
-// TestSlowWatchOfPreviousAddressIsIgnored has discovery move while a slow watch goes on next to another: it ends, and a
+// TestSlowWatchOfFormerAddressIsIgnored has discovery move while a slow watch goes on next to another: it ends, and a
 // list that it still brings is dropped.
-func TestSlowWatchOfPreviousAddressIsIgnored(t *testing.T) {
+func TestSlowWatchOfFormerAddressIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		agent := &testserver.Agent{}
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// TestWatchEndsOnUnterminatedList: bytes that keep coming are no progress if their list has no end, and a list may not
+// TestWatchEndsOnListWithoutEnd: bytes that keep coming are no progress if their list has no end, and a list may not
 // have more than maxListBytes.
-func TestWatchEndsOnUnterminatedList(t *testing.T) {
+func TestWatchEndsOnListWithoutEnd(t *testing.T) {
 	slowUnterminated := []string{"HTTP/1.1 200 OK\r\n\r\n", `{"rev":1,"targets":[`}
 	for range 100 {
 		slowUnterminated = append(slowUnterminated, " ")
