--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -21,7 +21,7 @@
 	// sends immediately.
 	FirstListTimeout = 1200 * time.Millisecond
 	// slowListTimeout ends a watch that has not delivered its first list, counted from the start of the watch. After
-	// FirstListTimeout another watch is opened beside it.
+	// FirstListTimeout a second watch is opened as well.
 	slowListTimeout = 5 * time.Second
 	// listTimeout is the time after the first byte of a list from which further bytes of it do not count as progress.
 	listTimeout = 2 * time.Second
--- a/internal/discovery/subscriptions.go
+++ b/internal/discovery/subscriptions.go
@@ -25,7 +25,7 @@
 	OnUpdate(kind balance.ListKind, list List)
 	// OnUnchanged handles a confirmation that the latest list is still current.
 	OnUnchanged()
-	// OnWatchEnded handles the end or time-out of the current watch if no watch at a new address is pending. The event
+	// OnWatchEnded handles the end or timeout of the current watch if no watch at a new address is pending. The event
 	// loop calls Subscribe to open another one.
 	OnWatchEnded()
 }
@@ -50,7 +50,7 @@
 
 	address        string        // of discovery, as last configured
 	addressRetries int           // number of failed calls to a new address
-	revision       int64         // of the list in hand; wholeList: there is none
+	revision       int64         // of the latest list; completeListRevision: there is none
 	current        *subscription // the watch whose updates are applied; nil: none
 	next           *subscription // the watch at a new address, until its first list arrives; nil: none
 	slow           *subscription // a replaced watch whose first list is late, not ended; nil: none
@@ -161,7 +161,7 @@
 	}
 }
 
-// onWatchSlow handles a watch whose first list is late. One slow watch continues beside the watches that are opened
+// onWatchSlow handles a watch whose first list is late. One slow watch continues along with the watches that are opened
 // after it, and other slow watches end. If every slow watch were ended, no list from a slow discovery would ever
 // arrive.
 func (s *Subscriptions) onWatchSlow(slow *subscription) {
