--- a/internal/hotrestart/errors.go
+++ b/internal/hotrestart/errors.go
@@ -2,23 +2,23 @@
 
 import "fmt"
 
-// invalidReason is why the content of a state file does not count.
+// invalidReason is the reason why the content of a state file is rejected.
 type invalidReason int
 
 const (
 	tooLong invalidReason = iota + 1
 	notStateFile
 	unsupportedVersion
-	lengthMismatch // written in part
+	lengthMismatch // incompletely written
 	checksumMismatch
 	malformedJSON
-	otherSidecar // of another name or listen address
+	otherSidecar // belongs to a sidecar with another name or listen address
 	unknownPhase
 	tooManyServers
 )
 
-// invalidStateError reports a state file whose content does not count. Its text continues a sentence that begins with
-// the file's path.
+// invalidStateError reports a state file with invalid content. Its text is a predicate that callers append to the path
+// of the file.
 type invalidStateError struct {
 	reason invalidReason
 	detail string
@@ -27,6 +27,7 @@
 // Error implements error.
 func (e *invalidStateError) Error() string { return e.detail }
 
+// invalidStatef returns an *invalidStateError with a formatted text.
 func invalidStatef(reason invalidReason, format string, args ...any) error {
 	return &invalidStateError{reason: reason, detail: fmt.Sprintf(format, args...)}
 }
--- a/internal/hotrestart/files.go
+++ b/internal/hotrestart/files.go
@@ -10,16 +10,16 @@
 	"syscall"
 )
 
-// Suffixes of the files of one process, behind its id.
+// Suffixes of the file names of a process. The file names begin with the id of the process.
 const (
 	lockSuffix  = ".lock"
 	stateSuffix = ".state"
-	tempSuffix  = ".new" // a file that gets one of the other two names once it is complete
+	tempSuffix  = ".new" // temporary name of a file, which is renamed to one of the other names once it is complete
 )
 
-// processFiles names the files of one process.
+// processFiles identifies the files of one process.
 type processFiles struct {
-	dir string // shared by the processes of a sidecar
+	dir string // directory shared by the processes of a sidecar
 	id  string // of the process, unique in dir
 }
 
@@ -27,8 +27,9 @@
 func (p processFiles) statePath() string { return filepath.Join(p.dir, p.id+stateSuffix) }
 func (p processFiles) tempPath() string  { return filepath.Join(p.dir, p.id+tempSuffix) }
 
-// createLocked creates the lock file and locks it. The file is returned wherever it was created, with an error too.
-// It is locked under the temporary name: a process that found it before its lock would take its owner for ended.
+// createLocked creates the lock file and locks it. If the file was created, it is returned even with an error. The file
+// is locked under its temporary name, because a process that found an unlocked lock file would conclude that its owner
+// has ended.
 func (p processFiles) createLocked() (*os.File, error) {
 	file, err := os.OpenFile(p.tempPath(), os.O_CREATE|os.O_EXCL|os.O_RDWR, 0o600)
 	if err != nil {
@@ -43,7 +44,7 @@
 	return file, nil
 }
 
-// remove removes the files. One that does not exist is no error.
+// remove removes the files of the process. A file that does not exist is not an error.
 func (p processFiles) remove() error {
 	var errs []error
 	for _, path := range []string{p.tempPath(), p.statePath(), p.lockPath()} {
@@ -73,8 +74,8 @@
 	return false, nil
 }
 
-// readStateFile returns the state in the file at path, if it is one of the sidecar with this name and listen address.
-// The error wraps an *invalidStateError if the file could be read and does not count.
+// readStateFile returns the state in the file at path, which must belong to the sidecar with this name and listen
+// address. If the file could be read but its content is invalid, the error wraps an *invalidStateError.
 func readStateFile(path, name, listen string) (State, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/hotrestart/member.go
+++ b/internal/hotrestart/member.go
@@ -1,13 +1,13 @@
-// Package hotrestart lets the processes of one sidecar know of each other during a hot restart, in which a new process
-// starts before the one that it replaces ends.
+// Package hotrestart shares state between the processes of one sidecar during a hot restart, in which a successor
+// process starts before its predecessor ends.
 //
-// The processes share a directory. Each owns two files in it: one that it holds an advisory lock on for as long as it
-// runs, and one with its [State], which is replaced by rename. State whose owner has ended, so that its lock is free,
-// does not count, and the next process that reads the directory removes it.
+// The processes share a directory. Each process owns two files in it: a lock file, on which it holds an advisory lock
+// while it runs, and a file with its [State], which is replaced by rename. If the lock is free, the owner has ended.
+// Its state is then ignored, and the next process that reads the directory removes the files.
 //
-// The package starts no goroutine until a write of the state fails: it is retried from a timer, which [Member.Leave]
-// stops. [Join], [Member.Update] and [Member.Leave] return errors of the file system. What is wrong with the files of
-// other processes is logged, and those processes are left out.
+// The package starts no goroutine until a write of the state fails. Failed writes are retried from a timer, which
+// [Member.Leave] stops. [Join], [Member.Update] and [Member.Leave] return file system errors. Errors in the files of
+// other processes are logged, and those processes are omitted.
 package hotrestart
 
 import (
@@ -24,28 +24,29 @@
 	"milletramp.example/milletramp/internal/wallclock"
 )
 
-// Member is this process among the processes of its sidecar. Its methods may be called by several goroutines at once.
-// A nil Member knows no other process and publishes nothing.
+// Member represents this process in the process group of its sidecar. Its methods are safe for concurrent use. A nil
+// Member sees no other process and publishes no state.
 type Member struct {
 	files    processFiles
-	lockFile *os.File // locked until Leave closes it, or the process ends
+	lockFile *os.File // locked until Leave closes it or the process ends
 	log      *slog.Logger
 	fs       fsys.FS
 
 	mu         sync.Mutex
-	state      State // Name and Listen are fixed by Join and read without mu
+	state      State // Name and ListenAddress are set by Join, never change, and are read without mu
 	hasLeft    bool
-	backoff    time.Duration // before the next retry of a failed write; 0: the state file holds state
-	retryTimer *time.Timer   // begins that retry; nil: no write has failed yet
+	backoff    time.Duration // delay before the next retry of a failed write; 0: the state file is up to date
+	retryTimer *time.Timer   // starts that retry; nil: no write has failed so far
 }
 
-// Join makes this process known in a directory below dir, which the processes of the sidecar share. It sets the
-// state's generation. If it fails it removes the files that it created.
+// Join publishes the state of this process in a directory below dir, which the processes of the sidecar share. It sets
+// the generation of the state to one more than the highest generation of the other processes. If it fails, it removes
+// the files that it created.
 func Join(dir string, s State, log *slog.Logger) (*Member, error) {
 	return joinWithFS(fsys.OS{}, dir, s, log)
 }
 
-// joinWithFS is Join with the file system that the state is written to.
+// joinWithFS implements Join. stateFS is the file system to which the state is written.
 func joinWithFS(stateFS fsys.FS, dir string, s State, log *slog.Logger) (*Member, error) {
 	m := &Member{files: newProcessFiles(dir, s), log: log, fs: stateFS, state: s}
 	if err := os.MkdirAll(m.files.dir, 0o700); err != nil {
@@ -69,7 +70,8 @@
 	return m, nil
 }
 
-// newProcessFiles names the files of a process of this state, in a directory for the sidecar's name and address.
+// newProcessFiles returns the files of a process with this state. Their directory depends on the name and the listen
+// address of the sidecar.
 func newProcessFiles(dir string, s State) processFiles {
 	sidecar := crc32.ChecksumIEEE([]byte(s.Name + "\x00" + s.ListenAddress))
 	return processFiles{
@@ -78,9 +80,9 @@
 	}
 }
 
-// Update changes this process's state. Other processes see the change once Update has returned nil. After an error
-// they see the former state, and the new one as soon as it can be written: the write is retried until it succeeds or
-// the process leaves. Update does nothing after Leave.
+// Update changes the state of this process. If it returns nil, the change is visible to other processes. After an error
+// they see the previous state until the new state can be written. The write is retried until it succeeds or the process
+// leaves. Update does nothing after Leave.
 func (m *Member) Update(change func(*State)) error {
 	if m == nil {
 		return nil
@@ -96,7 +98,7 @@
 	return err
 }
 
-// Leave removes this process's files and releases its lock. Further calls do nothing.
+// Leave removes the files of this process and releases its lock. Further calls do nothing.
 func (m *Member) Leave() error {
 	if m == nil {
 		return nil
--- a/internal/hotrestart/others.go
+++ b/internal/hotrestart/others.go
@@ -10,7 +10,7 @@
 	"milletramp.example/milletramp/internal/wallclock"
 )
 
-// maxOtherProcesses bounds the other processes that are read.
+// maxOtherProcesses is the maximum number of other processes whose state is read.
 const maxOtherProcesses = 16
 
 // HasReadySuccessor reports whether a newer process of the sidecar is ready.
@@ -24,8 +24,8 @@
 	return slices.ContainsFunc(others, func(s State) bool { return s.Phase == Ready && s.Compare(m.state) > 0 })
 }
 
-// DirRevision returns a number that differs from the former one after a process has joined, left or changed its state.
-// A process that ended without leaving changes nothing. -1: the directory cannot be read.
+// DirRevision returns a number that changes when a process joins, leaves or changes its state. It does not change when
+// a process ends without leaving. It is -1 if the directory cannot be read.
 func (m *Member) DirRevision() int64 {
 	if m == nil {
 		return 0
@@ -37,8 +37,8 @@
 	return wallclock.Nanoseconds(info.ModTime())
 }
 
-// Others returns the states of the other processes that run, the oldest first. It removes the files of processes that
-// have ended. A process whose files cannot be read or are invalid is left out, and the reason is logged.
+// Others returns the states of the other running processes of the sidecar, the oldest first. It removes the files of
+// processes that have ended. A process whose files cannot be read or are invalid is omitted, and the reason is logged.
 func (m *Member) Others() []State {
 	if m == nil {
 		return nil
@@ -62,7 +62,8 @@
 	return others
 }
 
-// readProcess returns the state of the process that owns files, if it runs and its state is valid.
+// readProcess returns the state of the process that owns files if that process is running and its state is valid. It
+// removes the files of a process that has ended.
 func (m *Member) readProcess(files processFiles) (s State, found bool) {
 	running, err := isLocked(files.lockPath())
 	if err != nil {
@@ -76,7 +77,7 @@
 	}
 	s, err = readStateFile(files.statePath(), m.state.Name, m.state.ListenAddress)
 	if errors.Is(err, fs.ErrNotExist) {
-		return State{}, false // it has just started, and writes its own state before it acts on others
+		return State{}, false // the process has just started; it writes its own state before it acts on the states of others
 	}
 	if err != nil {
 		m.log.Warn("handover: dropped", "err", err)
--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -11,31 +11,33 @@
 	"time"
 )
 
-// Phase is how far a process is in its lifecycle.
+// Phase is the stage of a process in its lifecycle.
 type Phase string
 
 // The phases.
 const (
 	Starting Phase = "starting" // not yet ready to serve
-	Ready    Phase = "ready"    // serves
-	Draining Phase = "draining" // was asked to stop and completes its requests
+	Ready    Phase = "ready"    // serves requests
+	Draining Phase = "draining" // is shutting down and completes its requests
 )
 
-// State is what a process lets the other processes of its sidecar know.
+// State is the state that a process publishes to the other processes of its sidecar.
 type State struct {
 	Name          string    `json:"name"`            // of the sidecar
 	ListenAddress string    `json:"listen"`          // address for clients
 	AdminAddress  string    `json:"console"`         // address for operators; "": none
-	FleetAddress  string    `json:"fleet,omitempty"` // address for other sidecars; "": takes no part in a fleet
+	FleetAddress  string    `json:"fleet,omitempty"` // address for other sidecars; "": not part of a fleet
 	Started       time.Time `json:"started"`
-	// Generation counts the processes that follow each other, from 1. 0: the process's build does not count them.
+	// Generation is one more than the highest generation that was present when the process joined, from 1. 0: the
+	// build of the process has no generations.
 	Generation uint64   `json:"generation,omitempty"`
 	Phase      Phase    `json:"phase"`
-	AdminDown  []string `json:"out"` // ids of the servers that are administratively down
+	AdminDown  []string `json:"out"` // IDs of the servers that are administratively down
 }
 
-// Compare orders the processes of a sidecar, the oldest first. The wall clock, which may step, decides only where one
-// of the two has no generation, or where both joined at the same moment and have the same one.
+// Compare orders the processes of a sidecar, the oldest first. The wall clock may step, so start times are compared
+// only if one of the two processes has no generation, or if both joined at the same moment and have the same
+// generation.
 func (s State) Compare(other State) int {
 	if s.Generation > 0 && other.Generation > 0 && s.Generation != other.Generation {
 		return cmp.Compare(s.Generation, other.Generation)
@@ -43,15 +45,15 @@
 	return s.Started.Compare(other.Started)
 }
 
-// A state file is one header line, "MAGIC VERSION LENGTH CHECKSUM", and the state as JSON. LENGTH is the number of
-// bytes of the JSON, CHECKSUM its CRC-32 (IEEE) as eight hexadecimal digits.
+// A state file consists of one header line, "MAGIC VERSION LENGTH CHECKSUM", and the state as JSON. LENGTH is the
+// number of bytes of the JSON, and CHECKSUM is its CRC-32 (IEEE) as eight hexadecimal digits.
 const (
 	formatMagic   = "milletramp-handover"
 	formatVersion = 1
 	headerFields  = 4
 
-	maxStateBytes = 1 << 20 // of a state file
-	maxAdminDown  = 4096    // servers in one state
+	maxStateBytes = 1 << 20 // maximum size of a state file
+	maxAdminDown  = 4096    // maximum number of servers in one state
 )
 
 // encodeState returns the content of a state file.
@@ -66,8 +68,8 @@
 
 func checksum(body []byte) string { return fmt.Sprintf("%08x", crc32.ChecksumIEEE(body)) }
 
-// decodeState returns the state that the content of a state file holds, if it is one of the sidecar with this name and
-// listen address. Else the error is an *invalidStateError.
+// decodeState decodes the content of a state file, which must belong to the sidecar with this name and listen address.
+// The error is always an *invalidStateError.
 func decodeState(content []byte, name, listen string) (State, error) {
 	if len(content) > maxStateBytes {
 		return State{}, invalidStatef(tooLong, "has more than %d bytes", maxStateBytes)
@@ -91,7 +93,8 @@
 	return s, nil
 }
 
-// checkHeader returns the body of a state file whose header is of this version and matches the body.
+// checkHeader validates the header of a state file and returns the body. The header must have this version and match
+// the body.
 func checkHeader(content []byte) (body []byte, err error) {
 	header, body, complete := bytes.Cut(content, []byte("\n"))
 	fields := strings.Fields(string(header))
--- a/internal/hotrestart/write.go
+++ b/internal/hotrestart/write.go
@@ -13,9 +13,9 @@
 	maxBackoff     = 5 * time.Second
 )
 
-// writeState replaces the state file. A reader finds the former content or the new one. It isn't synced to the disk:
-// no process outlasts a loss of power, and state without a running owner does not count. The caller holds mu, unless
-// the Member is not yet shared.
+// writeState replaces the state file. A concurrent reader sees either the previous content or the new content. The file
+// is not synced to disk, because no process survives a power loss and state without a running owner is ignored. The
+// caller must hold mu unless the Member is not yet shared.
 func (m *Member) writeState() error {
 	content, err := encodeState(m.state)
 	if err == nil {
@@ -27,8 +27,8 @@
 	return nil
 }
 
-// recordWrite starts the retries after the first failed write in a row, and ends them after one that succeeded. It logs
-// both. The caller holds mu.
+// recordWrite handles the result of a write. It starts retries at the first of consecutive failures and stops them
+// after a success, and logs both. The caller must hold mu.
 func (m *Member) recordWrite(err error) {
 	switch {
 	case err == nil && m.backoff > 0:
@@ -42,12 +42,12 @@
 	}
 }
 
-// retryWrite retries a failed write and schedules the next retry if this one fails too. It runs in the goroutine of the
+// retryWrite retries a failed write and schedules another retry if this one fails. It runs in the goroutine of the
 // retry timer.
 func (m *Member) retryWrite() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.hasLeft || m.backoff == 0 { // the timer fired while another call held mu
+	if m.hasLeft || m.backoff == 0 { // another call, which held mu when the timer fired, has left or written the state
 		return
 	}
 	err := m.writeState()
