--- a/internal/admin/forward.go
+++ b/internal/admin/forward.go
@@ -9,26 +9,26 @@
 	"net/http"
 )
 
-// maxErrorDetailBytes is how much of a response is quoted in a ResponseError.
+// maxErrorDetailBytes is the maximum number of bytes of a response body that a ResponseError contains.
 const maxErrorDetailBytes = 200
 
-// adminDownRequest is the body of a call that sets a server administratively down or up. parseServerID reads it.
+// adminDownRequest is the body of a call that sets a server administratively down or up. parseServerID parses it.
 type adminDownRequest struct {
-	Target string `json:"target"` // the server's id
+	Target string `json:"target"` // ID of the server
 }
 
-// ResponseError is a response of another process of the sidecar that says that it has not done what was asked.
+// ResponseError is an error response to a call that was forwarded to another process of the sidecar.
 type ResponseError struct {
 	StatusCode int
-	Detail     string // the beginning of the body
+	Detail     string // beginning of the response body
 }
 
 // Error implements error.
 func (e *ResponseError) Error() string { return fmt.Sprintf("status %d, %s", e.StatusCode, e.Detail) }
 
-// ForwardAdminDown forwards a call that came to this process to the process whose server is at address: to set a server
-// administratively down, or up again where down is not set. It returns ErrUnknownServer if that process has no such
-// server, and an error that wraps a *ResponseError if it does not do it for another reason.
+// ForwardAdminDown forwards a call to the process whose admin server is at address. The call sets a server
+// administratively down, or up again if down is false. ForwardAdminDown returns ErrUnknownServer if that process has no
+// such server. If the process fails the call for another reason, the error wraps a *ResponseError.
 func ForwardAdminDown(ctx context.Context, address, id string, down bool) error {
 	resp, err := sendAdminDown(ctx, address, id, down)
 	if err != nil {
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// sendAdminDown sends the call on a connection of its own, which ends with the response.
+// sendAdminDown sends the call on a new connection, which is closed after the response.
 func sendAdminDown(ctx context.Context, address, id string, down bool) (*http.Response, error) {
 	path := serverUpPath
 	if down {
@@ -63,7 +63,8 @@
 	return (&http.Transport{DisableKeepAlives: true}).RoundTrip(req)
 }
 
+// readResponseError converts an error response to a ResponseError.
 func readResponseError(resp *http.Response) *ResponseError {
-	detail, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorDetailBytes)) // as much as arrives
+	detail, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorDetailBytes)) // a partially read body is used as it is
 	return &ResponseError{StatusCode: resp.StatusCode, Detail: string(bytes.TrimSpace(detail))}
 }
--- a/internal/admin/handlers.go
+++ b/internal/admin/handlers.go
@@ -7,7 +7,7 @@
 	"net/http"
 )
 
-// Paths of the calls.
+// Paths of the operators' calls.
 const (
 	readinessPath  = "/ops/readiness"
 	metricsPath    = "/ops/stats"
@@ -17,10 +17,10 @@
 	policyPrefix   = "/ops/policy/"
 )
 
-// ForwardedHeader is the header that marks a call that another process of the sidecar has forwarded.
+// ForwardedHeader is the request header that marks a call as forwarded by another process of the sidecar.
 const ForwardedHeader = "X-Passed-On"
 
-// routes returns the handler of all calls.
+// routes returns the handler for all calls.
 func (s *Server) routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(readinessPath, allowOnly(http.MethodGet, s.handleReadiness))
@@ -33,7 +33,8 @@
 	return mux
 }
 
-// allowOnly answers requests of another method with 405.
+// allowOnly returns a handler that responds with status 405 to requests with another method and passes other requests
+// to handle.
 func allowOnly(method string, handle http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != method {
@@ -70,7 +71,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	_, _ = w.Write(text) // fails only if the operator has gone
+	_, _ = w.Write(text) // fails only if the operator has closed the connection
 }
 
 func (s *Server) handleFleet(w http.ResponseWriter, r *http.Request) {
@@ -85,7 +86,7 @@
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 	default:
 		w.Header().Set("Content-Type", "application/json")
-		_, _ = w.Write(status) // fails only if the operator has gone
+		_, _ = w.Write(status) // fails only if the operator has closed the connection
 	}
 }
 
@@ -99,7 +100,8 @@
 	handler.ServeHTTP(w, r)
 }
 
-// handleAdminDown returns the handler that sets the server named in the body administratively down, or up again.
+// handleAdminDown returns a handler that sets the server in the request body administratively down, or up again if down
+// is false.
 func (s *Server) handleAdminDown(down bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id, err := readServerID(w, r)
@@ -116,7 +118,7 @@
 	}
 }
 
-// writeAdminDownResult answers a call that has set, or failed to set, a server administratively down or up.
+// writeAdminDownResult writes the response to a call that sets a server administratively down or up.
 func writeAdminDownResult(w http.ResponseWriter, id string, down bool, note string, err error) {
 	state := "up"
 	if down {
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -6,17 +6,17 @@
 	"sync"
 )
 
-// listener bounds the number of open connections. At the limit, Accept closes the one that has been open longest
-// without a complete call, so that clients that send nothing can't lock operators out. If all calls are complete, it
-// waits for one to be answered.
+// listener limits the number of open connections. At the limit, Accept closes the oldest connection without a complete
+// call, so that clients that send nothing cannot lock operators out. If all open connections have a complete call,
+// Accept waits until one of them is closed.
 type listener struct {
 	net.Listener
 	maxOpen int
 
 	mu         sync.Mutex
-	open       int           // connections accepted and not closed
-	incomplete *list.List    // of *conn, those without a complete call, the longest open first
-	released   chan struct{} // of capacity 1; has a value if a connection was closed
+	open       int           // number of connections that were accepted and not closed
+	incomplete *list.List    // contains the *conn without a complete call, the oldest first
+	released   chan struct{} // has capacity 1; contains a value if a connection was closed
 	closed     chan struct{}
 	closeOnce  sync.Once
 }
@@ -24,8 +24,8 @@
 // conn is an accepted connection.
 type conn struct {
 	net.Conn
-	listener *listener     // whose mu guards the fields below
-	element  *list.Element // in incomplete; nil: the call is complete, or conn is closed
+	listener *listener     // its mu guards the fields below
+	element  *list.Element // element of listener.incomplete; nil: the call is complete or the connection is closed
 	isClosed bool
 }
 
@@ -61,7 +61,8 @@
 	return c, nil
 }
 
-// ensureCapacity reports whether one more connection may be open, after closing an incomplete one if need be.
+// ensureCapacity reports whether another connection may be opened. At the limit it closes the oldest connection without
+// a complete call, and returns false if there is none.
 func (l *listener) ensureCapacity() bool {
 	l.mu.Lock()
 	if l.open < l.maxOpen {
@@ -87,7 +88,7 @@
 	return err
 }
 
-// markComplete records that the call on c is complete.
+// markComplete records that a complete call was received on c.
 func (l *listener) markComplete(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,7 +102,7 @@
 	return l.open - l.incomplete.Len()
 }
 
-// removeIncomplete removes c from the incomplete connections. The caller holds mu.
+// removeIncomplete removes c from the connections without a complete call. The caller must hold mu.
 func (l *listener) removeIncomplete(c *conn) {
 	if c.element != nil {
 		l.incomplete.Remove(c.element)
@@ -115,7 +116,7 @@
 	return c.Conn.Close()
 }
 
-// release counts c as closed, once.
+// release removes c from the open connections. Further calls do nothing.
 func (l *listener) release(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/admin/request.go
+++ b/internal/admin/request.go
@@ -9,7 +9,7 @@
 	"net/http"
 )
 
-// requestError is a mistake in a call, and the status of the response to it.
+// requestError describes an invalid call and contains the status of the response.
 type requestError struct {
 	status int
 	detail string
@@ -18,12 +18,13 @@
 // Error implements error.
 func (e *requestError) Error() string { return e.detail }
 
-// badRequest returns a requestError of status 400.
+// badRequest returns a *requestError with status 400 and a formatted text.
 func badRequest(format string, args ...any) error {
 	return &requestError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// writeRequestError answers a call in which err was found.
+// writeRequestError writes the response to an invalid call. The status is that of err if it is a *requestError, else
+// 400.
 func writeRequestError(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
 	if requestErr := (*requestError)(nil); errors.As(err, &requestErr) {
@@ -32,7 +33,7 @@
 	http.Error(w, err.Error(), status)
 }
 
-// readServerID reads the id of a server from the body of a call. The error is a *requestError.
+// readServerID reads the ID of a server from the request body. The error is a *requestError.
 func readServerID(w http.ResponseWriter, r *http.Request) (string, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
@@ -45,12 +46,12 @@
 	return parseServerID(body)
 }
 
-// parseServerID returns the id of a server that the body of a call names. The error is a *requestError.
+// parseServerID parses a request body and returns the ID of the server in it. The error is a *requestError.
 func parseServerID(body []byte) (string, error) {
 	if len(bytes.TrimSpace(body)) == 0 {
 		return "", badRequest(`no body, want {"target":"ID"}`)
 	}
-	// Decoded into a struct, the key "Target" would pass for "target". A map keeps the keys as they are.
+	// Decoding into a struct would accept the key "Target" for "target". Decoding into a map matches keys exactly.
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
 		return "", badRequest("body is no JSON object: %v", err)
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,13 +1,14 @@
-// Package admin is the sidecar's second address, for operators: readiness, metrics, the state of the fleet, and
-// servers that are set administratively down or up. It reads calls and writes responses; what a call does is up to the
-// [Sidecar].
+// Package admin implements the sidecar's admin server, which has an address of its own. Operators use it to read the
+// readiness, the metrics and the state of the fleet, and to set servers administratively down or up. The package parses
+// calls and writes responses; a [Sidecar] carries out the calls.
 //
-// [Server.Serve] accepts connections in its caller's goroutine, and net/http starts one goroutine a connection, which
-// answers one call. [Server.Close] ends Serve and closes the connections; a call that is complete has 800 ms to be
-// answered before that.
+// [Server.Serve] accepts connections in the goroutine of its caller, and net/http starts one goroutine per connection,
+// which serves one call. [Server.Close] ends Serve and closes the connections. Calls that are complete have up to 800
+// ms to be answered before their connections are closed.
 //
-// A Sidecar returns [ErrNoFleet] or [ErrUnknownServer] where there is no fleet or no such server.
-// [ForwardAdminDown] returns [ErrUnknownServer] or a [ResponseError] for a call that another process did not carry out.
+// A Sidecar returns [ErrNoFleet] if it is not part of a fleet and [ErrUnknownServer] if the server does not exist.
+// [ForwardAdminDown] returns [ErrUnknownServer] or an error that wraps a [ResponseError] if the other process did not
+// carry out the call.
 package admin
 
 import (
@@ -23,38 +24,39 @@
 	"milletramp.example/milletramp/internal/netretry"
 )
 
-// Sidecar does what operators ask for. Its methods may be called by several goroutines at once.
+// Sidecar carries out operators' calls. Its methods must be safe for concurrent use.
 type Sidecar interface {
-	// Ready reports whether the process is ready to serve, and if not, why.
+	// Ready reports whether the process is ready to serve, and returns the reason if it is not.
 	Ready() (ready bool, reason string)
 	// Metrics returns the metrics as text.
 	Metrics(ctx context.Context) ([]byte, error)
-	// SetAdminDown sets a server administratively down, or up again where down is not set. It returns
-	// ErrUnknownServer for a server that nobody knows. forwarded is set for a call that another process of the
-	// sidecar has forwarded; it isn't forwarded again. note is for the operator and may be "".
+	// SetAdminDown sets a server administratively down, or up again if down is false. It returns ErrUnknownServer if the
+	// server is not known anywhere. forwarded is set if another process of the sidecar has forwarded the call; such a
+	// call is not forwarded again. note is appended to the response and may be "".
 	SetAdminDown(ctx context.Context, id string, down, forwarded bool) (note string, err error)
-	// PolicyHandler returns the handler of calls below /ops/policy/, or nil if there is no fleet or it has no policy.
+	// PolicyHandler returns the handler for calls below /ops/policy/, or nil if there is no fleet or the fleet has no
+	// policy.
 	PolicyHandler() http.Handler
-	// FleetStatus returns what this sidecar knows of the fleet, as JSON, or ErrNoFleet.
+	// FleetStatus returns the state of the fleet as seen by this sidecar, as JSON, or ErrNoFleet.
 	FleetStatus(ctx context.Context) ([]byte, error)
 }
 
-// ErrNoFleet is returned by a Sidecar that takes no part in a fleet.
+// ErrNoFleet is returned by a Sidecar that is not part of a fleet.
 var ErrNoFleet = errors.New("no fleet is named: see deploy/fleet.toml")
 
-// ErrUnknownServer is returned for a server that does not exist.
+// ErrUnknownServer is returned if the server of a call does not exist.
 var ErrUnknownServer = errors.New("no such server")
 
-// MaxConnections is the most connections that are open at a time. Beyond it, the one that has been open longest without
-// a complete call is closed.
+// MaxConnections is the maximum number of open connections. At the limit, the oldest connection without a complete call
+// is closed in favor of a new one.
 const MaxConnections = 16
 
 const (
-	readTimeout    = 2 * time.Second        // for a client to send its call
-	backendTimeout = 800 * time.Millisecond // for the Sidecar to do what is asked
-	writeTimeout   = 2 * time.Second        // for the operator to read the response
+	readTimeout    = 2 * time.Second        // for receiving a call
+	backendTimeout = 800 * time.Millisecond // for the Sidecar to carry out a call
+	writeTimeout   = 2 * time.Second        // for sending the response
 
-	// drainPollInterval is how often Close checks whether complete calls are still unanswered.
+	// drainPollInterval is the interval at which Close checks for complete calls without a response.
 	drainPollInterval = 2 * time.Millisecond
 
 	maxHeaderBytes   = 4 << 10
@@ -62,7 +64,7 @@
 	maxServerIDBytes = 256
 )
 
-// Server answers operators' calls.
+// Server is the admin server. It serves operators' calls.
 type Server struct {
 	sidecar    Sidecar
 	httpServer *http.Server
@@ -70,7 +72,7 @@
 	closing    atomic.Bool
 }
 
-// New returns a server for the calls that come to l. It logs failures of the listener.
+// New returns a server that accepts connections from l. Failures of l are logged.
 func New(l net.Listener, sidecar Sidecar, log *slog.Logger) *Server {
 	s := &Server{sidecar: sidecar, listener: newListener(netretry.NewListener(l, log), MaxConnections)}
 	s.httpServer = &http.Server{
@@ -85,7 +87,7 @@
 	return s
 }
 
-// Serve answers calls until Close, then returns nil. Any other error ends it too.
+// Serve serves calls until Close is called, and then returns nil. It returns an error if accepting connections fails.
 func (s *Server) Serve() error {
 	if err := s.httpServer.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) && !s.closing.Load() {
 		return fmt.Errorf("console: %w", err)
@@ -93,9 +95,9 @@
 	return nil
 }
 
-// Close accepts no more calls, waits for the responses to those that are complete, for a bounded time, and closes the
-// other connections. During a hot restart a call may have taken effect already; without its response the operator
-// could not know.
+// Close stops accepting calls, waits up to backendTimeout for the responses to complete calls, and closes all
+// connections. It waits because during a hot restart a call may already have taken effect, and without a response the
+// operator would not see this.
 func (s *Server) Close() error {
 	s.closing.Store(true)
 	err := s.listener.Close()
@@ -109,11 +111,12 @@
 // connContextKey is the key of a call's connection in its context.
 type connContextKey struct{}
 
+// contextWithConn returns a context that contains the connection of a call. See http.Server.ConnContext.
 func contextWithConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connContextKey{}, c)
 }
 
-// markComplete marks the call of r as complete: its connection is not closed for another one any more.
+// markComplete marks the call of r as complete. Its connection is no longer closed in favor of a new one.
 func (s *Server) markComplete(r *http.Request) {
 	if c, ok := r.Context().Value(connContextKey{}).(*conn); ok {
 		s.listener.markComplete(c)
