--- a/internal/metrics/stats.go
+++ b/internal/metrics/stats.go
@@ -1,8 +1,8 @@
-// Package metrics holds the metrics that one process of the sidecar reports to its operators.
+// Package metrics contains the metrics that one process of the sidecar exposes to operators.
 //
-// Counters only rise, and each is counted in one place, where the event happens. Gauges are read from the state when
-// the metrics are written. The package starts no goroutine, and its only error is that of the writer which
-// [Counters.Write] is given.
+// Counters only increase, and each counter is incremented in one place, where the event occurs. Gauges are computed
+// from the current state when the metrics are written. The package starts no goroutine. Its only error is that of the
+// writer passed to [Counters.Write].
 package metrics
 
 import (
@@ -10,53 +10,53 @@
 	"sync/atomic"
 )
 
-// ClassCounters counts how the requests of one class ended.
+// ClassCounters counts the requests of one class by outcome.
 type ClassCounters struct {
-	Served   atomic.Int64 // the response of a server was written to the client
-	Rejected atomic.Int64 // answered with status 503: had no effect, and may be retried
-	Failed   atomic.Int64 // answered with status 502, or with a response that its server cut off
+	Served   atomic.Int64 // a server's response was written to the client
+	Rejected atomic.Int64 // status 503: the request had no effect and may be retried
+	Failed   atomic.Int64 // status 502, or the server truncated the response
 }
 
-// CloseReason is the reason why a client's connection ended before a request on it was complete.
+// CloseReason is the reason why a client connection ended before a request on it was complete.
 type CloseReason int
 
 // The reasons.
 const (
-	ClientClosed CloseReason = iota // the client closed it, or it broke
-	HeadTimeout                     // the first request head took too long
-	Evicted                         // closed for another connection, at the limit of open ones
-	ShuttingDown                    // the process shuts down
+	ClientClosed CloseReason = iota // the client closed the connection, or the connection failed
+	HeadTimeout                     // the first request head did not arrive in time
+	Evicted                         // closed in favor of another connection at the connection limit
+	ShuttingDown                    // the process is shutting down
 
 	reasonCount
 )
 
-// UnservedConns counts the connections of clients that ended before a request on them was complete.
+// UnservedConns counts, by CloseReason, the client connections that ended before a request on them was complete.
 type UnservedConns [reasonCount]atomic.Int64
 
-// Count counts one connection.
+// Count counts one connection that ended for a reason.
 func (u *UnservedConns) Count(reason CloseReason) { u[reason].Add(1) }
 
-// Counters are the counters of one process, from 0 at its start. The zero value is ready. Its methods may be called by
-// several goroutines at once.
+// Counters contains the counters of one process, which start at 0. The zero value is ready for use. Its methods are
+// safe for concurrent use.
 type Counters struct {
-	Attempts      atomic.Int64 // attempts written to their last byte
-	Reloads       atomic.Int64 // configuration files accepted at SIGHUP
-	ReloadErrors  atomic.Int64 // configuration files rejected at SIGHUP
+	Attempts      atomic.Int64 // attempts whose last byte was written
+	Reloads       atomic.Int64 // configuration files that were accepted on SIGHUP
+	ReloadErrors  atomic.Int64 // configuration files that were rejected on SIGHUP
 	UnservedConns UnservedConns
 
 	mu      sync.Mutex
 	classes map[string]*ClassCounters
 }
 
-// Gauges are values of the state at one moment.
+// Gauges contains the current values of metrics that are not counters.
 type Gauges struct {
-	InFlight       int // requests accepted and not yet answered
+	InFlight       int // accepted requests without a response
 	ListedServers  int // servers in the endpoint list
-	AvoidedServers int // of these, the ones that are administratively down or ejected
+	AvoidedServers int // listed servers that are administratively down or ejected
 }
 
-// Class returns the counters of a class, the same at each call. Callers that count each request keep the pointer, as
-// Class takes a lock.
+// Class returns the counters of a class. It returns the same pointer on each call. Callers on the request path should
+// keep the pointer, because Class locks a mutex.
 func (c *Counters) Class(name string) *ClassCounters {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/metrics/text.go
+++ b/internal/metrics/text.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// reasonNames are the names in the text of why connections ended.
+// reasonNames are the metric name suffixes of the close reasons.
 var reasonNames = [reasonCount]string{
 	ClientClosed: "gone",
 	HeadTimeout:  "late",
@@ -15,7 +15,8 @@
 	ShuttingDown: "stopping",
 }
 
-// Write writes the metrics to w in one call, one "sidecar.NAME=VALUE" on a line, the classes first and sorted by name.
+// Write writes the metrics to w with one call of w.Write, one "sidecar.NAME=VALUE" per line. The metrics of the classes
+// come first, sorted by class name.
 func (c *Counters) Write(w io.Writer, g Gauges) error {
 	text := c.appendClasses(nil)
 	text = appendMetric(text, "upstream_tries", c.Attempts.Load())
@@ -31,6 +32,7 @@
 	return err
 }
 
+// appendClasses appends the metrics of all classes to text, sorted by class name.
 func (c *Counters) appendClasses(text []byte) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
