--- a/internal/fleetadapter/participant.go
+++ b/internal/fleetadapter/participant.go
@@ -1,8 +1,9 @@
-// Package fleetadapter gives a sidecar its part in a fleet. It translates between package sidecar and package fleet and
-// decides nothing. It stands apart from both so that a program without a fleet links none of the fleet's code.
+// Package fleetadapter connects a sidecar to a fleet. It only translates between the types of package sidecar and
+// package fleet. It is separate from both packages so that a program without a fleet does not link the code of the
+// fleet.
 //
-// It starts no goroutine. Its errors are those of the fleet, but for sidecar.ErrSuperseded, which stands for a fleet
-// that this process does not speak in any more.
+// The package starts no goroutine. It returns the errors of package fleet, except that sidecar.ErrSuperseded replaces
+// the errors of a fleet in which this process no longer takes part.
 package fleetadapter
 
 import (
@@ -25,7 +26,8 @@
 // participant implements sidecar.Participant.
 type participant struct{ *fleet.Fleet }
 
-// Join begins a sidecar's part in the fleet that the operator's file names. It is a sidecar.JoinFunc.
+// Join starts a sidecar's participation in the fleet that is named in the operator's file. It returns nil if no fleet
+// is named. It is a sidecar.JoinFunc.
 func Join(c *config.Config, peers []string, log *slog.Logger,
 	callbacks sidecar.Callbacks) (sidecar.Participant, error) {
 	fleetConfig, err := fleet.FromEnvironment(c.Getenv)
@@ -74,7 +76,7 @@
 	p.Fleet.SetServers(list)
 }
 
-// detectorOutcomes are the Balancer's observations as the fleet's failure detector names them.
+// detectorOutcomes maps the Balancer's observations to the outcomes of the fleet's failure detector.
 var detectorOutcomes = [...]failuredetector.Outcome{
 	balance.ObservedAnswer:  failuredetector.Answered,
 	balance.ObservedLate:    failuredetector.Late,
--- a/internal/fleetadapter/policy_handler.go
+++ b/internal/fleetadapter/policy_handler.go
@@ -14,24 +14,25 @@
 )
 
 const (
-	// callTimeout bounds a call, which operators expect to be answered within 1 s.
+	// callTimeout bounds a call. Operators expect a response within 1 s.
 	callTimeout = 700 * time.Millisecond
-	// maxProposalBytes bounds a proposal: its document, which JSON may write longer, and the rest.
+	// maxProposalBytes is the maximum size of a proposal: its document, which JSON encoding may lengthen, and the other
+	// fields.
 	maxProposalBytes = 2*policy.MaxDocumentBytes + 4096
-	// maxReplacementBytes bounds the body of a call to replace a voter.
+	// maxReplacementBytes is the maximum size of the body of a call to replace a voter.
 	maxReplacementBytes = 4096
-	// maxProposalID bounds the id of a proposal, in bytes.
+	// maxProposalID is the maximum length of a proposal ID, in bytes.
 	maxProposalID = 64
 )
 
-// policyHandler answers operators' calls on the policy. It implements proxy.Policy.
+// policyHandler serves operators' calls on the policy. It implements proxy.Policy.
 type policyHandler struct {
 	*policyagent.Agent
 	mux          *http.ServeMux
-	proposalSlot chan struct{} // has a value while a proposal is read; many at once could take all memory
+	proposalSlot chan struct{} // contains a value while a proposal is served; concurrent ones could exhaust memory
 }
 
-// newPolicyHandler returns a handler of calls on the policy of an agent.
+// newPolicyHandler returns a handler for calls on the policy of an agent.
 func newPolicyHandler(agent *policyagent.Agent) *policyHandler {
 	h := &policyHandler{Agent: agent, mux: http.NewServeMux(), proposalSlot: make(chan struct{}, 1)}
 	h.mux.HandleFunc("GET /ops/policy/status", h.serveStatus)
@@ -45,21 +46,21 @@
 // Handler implements proxy.Policy.
 func (h *policyHandler) Handler() http.Handler { return h.mux }
 
-// serveStatus answers with the state of the policy.
+// serveStatus responds with the state of the policy.
 func (h *policyHandler) serveStatus(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
 	writeJSON(w, h.Status(ctx))
 }
 
-// Document is a policy as the admin server gives it.
+// Document is a policy in the format of the admin server's responses.
 type Document struct {
 	Number uint64          `json:"number"`
 	Digest string          `json:"digest"`
 	Text   json.RawMessage `json:"text"`
 }
 
-// serveDocument answers with the policy of a number, or the one in force.
+// serveDocument responds with the policy that has the requested number, or with the one in force.
 func (h *policyHandler) serveDocument(w http.ResponseWriter, r *http.Request) {
 	number := uint64(0) // the one in force
 	if text := r.FormValue("number"); text != "" {
@@ -80,15 +81,15 @@
 	writeJSON(w, Document{document.Number, document.Digest.String(), document.Text})
 }
 
-// Proposal is a change of the policy as the admin server takes it.
+// Proposal is a proposed policy in the format of the calls to the admin server.
 type Proposal struct {
-	ID      string          `json:"id"` // by which its outcome can be asked for
+	ID      string          `json:"id"` // used to query the outcome
 	Author  string          `json:"author"`
-	Follows uint64          `json:"follows"` // the number of the policy that it replaces
+	Follows uint64          `json:"follows"` // number of the policy that the proposal replaces
 	Text    json.RawMessage `json:"text"`
 }
 
-// validate returns what a proposal lacks.
+// validate returns an error if a required field is missing or too long.
 func (p *Proposal) validate() error {
 	hasID := p.ID != "" && len(p.ID) <= maxProposalID
 	hasText := len(p.Text) > 0 && len(p.Text) <= policy.MaxDocumentBytes
@@ -99,7 +100,7 @@
 		maxProposalID, policy.MaxDocumentBytes)
 }
 
-// Outcome is how far a proposal has come.
+// Outcome is the progress of a proposal in the format of the admin server's responses.
 type Outcome struct {
 	ID     string `json:"id"`
 	Number uint64 `json:"number,omitempty"`
@@ -107,12 +108,13 @@
 	Reason string `json:"reason,omitempty"`
 }
 
-// newOutcome returns an outcome as the admin server gives it.
+// newOutcome converts an outcome to the format of the admin server's responses.
 func newOutcome(o policy.Outcome) Outcome {
 	return Outcome{o.ID, o.Number, o.State.String(), o.Reason}
 }
 
-// servePropose proposes a change and answers with its outcome so far.
+// servePropose proposes a change of the policy and responds with its outcome so far. Only one proposal is served at a
+// time.
 func (h *policyHandler) servePropose(w http.ResponseWriter, r *http.Request) {
 	select {
 	case h.proposalSlot <- struct{}{}:
@@ -137,7 +139,7 @@
 	writeJSON(w, newOutcome(outcome))
 }
 
-// readProposal reads and checks the proposal of a call.
+// readProposal reads the proposal of a call and validates it.
 func readProposal(w http.ResponseWriter, r *http.Request) (*Proposal, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxProposalBytes))
 	if err != nil {
@@ -150,13 +152,13 @@
 	return &proposal, proposal.validate()
 }
 
-// Replacement asks for a waiting sidecar to take the place of a voter.
+// Replacement is the body of a call that replaces a voter (Out) by a waiting sidecar (In).
 type Replacement struct {
 	Out string `json:"out"`
 	In  string `json:"in"`
 }
 
-// serveReplace replaces a voter.
+// serveReplace replaces a voter and responds with the replacement.
 func (h *policyHandler) serveReplace(w http.ResponseWriter, r *http.Request) {
 	var replacement Replacement
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxReplacementBytes)).Decode(&replacement)
@@ -174,7 +176,7 @@
 	writeJSON(w, replacement)
 }
 
-// serveOutcome answers with how far a proposal has come.
+// serveOutcome responds with the outcome of a proposal so far.
 func (h *policyHandler) serveOutcome(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
@@ -186,5 +188,5 @@
 	w.Header().Set("Content-Type", "application/json")
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
-	_ = encoder.Encode(value) // a caller that has gone needs no response
+	_ = encoder.Encode(value) // fails only if the operator has closed the connection
 }
