--- a/internal/fleetadapter/participant.go
+++ b/internal/fleetadapter/participant.go
@@ -1,8 +1,9 @@
-// Package fleetadapter gives a sidecar its part in a fleet. It translates between package sidecar and package fleet and
-// decides nothing. It stands apart from both so that a program without a fleet links none of the fleet's code.
+// Package fleetadapter connects a sidecar to a fleet. It only translates between the types of package sidecar and
+// package fleet. It is separate from both packages so that a program without a fleet does not link the code of the
+// fleet.
 //
-// It starts no goroutine. Its errors are those of the fleet, but for sidecar.ErrSuperseded, which stands for a fleet
-// that this process does not speak in any more.
+// The package starts no goroutine. It returns the errors of package fleet, except that sidecar.ErrSuperseded replaces
+// the errors of a fleet in which this process no longer takes part.
 package fleetadapter
 
 import (
@@ -25,7 +26,8 @@
 // participant implements sidecar.Participant.
 type participant struct{ *fleet.Fleet }
 
-// Join begins a sidecar's part in the fleet that the operator's file names. It is a sidecar.JoinFunc.
+// Join starts a sidecar's participation in the fleet that is named in the operator's file. It returns nil if no fleet
+// is named. It is a sidecar.JoinFunc.
 func Join(c *config.Config, peers []string, log *slog.Logger,
 	callbacks sidecar.Callbacks) (sidecar.Participant, error) {
 	fleetConfig, err := fleet.FromEnvironment(c.Getenv)
@@ -34,7 +36,7 @@
 	}
 	f, err := fleet.Start(fleetConfig, c.Name, peers, log, fleet.Callbacks{
 		OnAdminDown:  callbacks.OnAdminDown,
-		OnSuspicions: func(s []fleet.Suspicion) { callbacks.OnSuspicions(suspicions(s)) },
+		OnSuspicions: func(s []fleet.Suspicion) { callbacks.OnSuspicions(convertSuspicions(s)) },
 		CheckPolicy:  callbacks.CheckPolicy,
 	})
 	if err != nil {
@@ -43,10 +45,10 @@
 	return participant{f}, nil
 }
 
-// suspicions returns the fleet's suspicions as the sidecar's.
-func suspicions(ofFleet []fleet.Suspicion) []sidecar.Suspicion {
-	list := make([]sidecar.Suspicion, 0, len(ofFleet))
-	for _, s := range ofFleet {
+// convertSuspicions converts the fleet's suspicions to the sidecar's type.
+func convertSuspicions(fleetSuspicions []fleet.Suspicion) []sidecar.Suspicion {
+	list := make([]sidecar.Suspicion, 0, len(fleetSuspicions))
+	for _, s := range fleetSuspicions {
 		list = append(list, sidecar.Suspicion(s))
 	}
 	return list
@@ -74,8 +76,8 @@
 	p.Fleet.SetServers(list)
 }
 
-// outcomes are the Balancer's observations as the fleet's failure detector names them.
-var outcomes = [...]failuredetector.Outcome{
+// detectorOutcomes maps the Balancer's observations to the outcomes of the fleet's failure detector.
+var detectorOutcomes = [...]failuredetector.Outcome{
 	balance.ObservedAnswer:  failuredetector.Answered,
 	balance.ObservedLate:    failuredetector.Late,
 	balance.ObservedSilence: failuredetector.Silent,
@@ -85,17 +87,17 @@
 
 // Observe implements balance.Observer.
 func (p participant) Observe(endpoint string, observation balance.Observation) {
-	p.Fleet.Observe(endpoint, outcomes[observation])
+	p.Fleet.Observe(endpoint, detectorOutcomes[observation])
 }
 
 // SetAdminDown implements sidecar.Participant.
 func (p participant) SetAdminDown(ctx context.Context, server string,
-	down, confirm bool) (held, asked int, err error) {
-	held, asked, err = p.Fleet.SetAdminDown(ctx, server, down, confirm)
+	down, confirm bool) (holders, asked int, err error) {
+	holders, asked, err = p.Fleet.SetAdminDown(ctx, server, down, confirm)
 	if errors.Is(err, fleet.ErrSuperseded) || errors.Is(err, fleet.ErrClosed) {
 		return 0, 0, sidecar.ErrSuperseded
 	}
-	return held, asked, err
+	return holders, asked, err
 }
 
 // Status implements sidecar.Participant.
--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -11,47 +11,49 @@
 	"time"
 )
 
-// Phase is how far a process is in its lifecycle.
+// Phase is the stage of a process in its lifecycle.
 type Phase string
 
 // The phases.
 const (
 	Starting Phase = "starting" // not yet ready to serve
-	Ready    Phase = "ready"    // serves
-	Draining Phase = "draining" // was asked to stop and completes its requests
+	Ready    Phase = "ready"    // serves requests
+	Draining Phase = "draining" // is shutting down and completes its requests
 )
 
-// State is what a process lets the other processes of its sidecar know.
+// State is the state that a process publishes to the other processes of its sidecar.
 type State struct {
 	Name          string    `json:"name"`            // of the sidecar
 	ListenAddress string    `json:"listen"`          // address for clients
 	AdminAddress  string    `json:"console"`         // address for operators; "": none
-	FleetAddress  string    `json:"fleet,omitempty"` // address for other sidecars; "": takes no part in a fleet
+	FleetAddress  string    `json:"fleet,omitempty"` // address for other sidecars; "": not part of a fleet
 	Started       time.Time `json:"started"`
-	// Generation counts the processes that follow each other, from 1. 0: the process's build does not count them.
+	// Generation is one more than the highest generation that was present when the process joined, from 1. 0: the
+	// build of the process has no generations.
 	Generation uint64   `json:"generation,omitempty"`
 	Phase      Phase    `json:"phase"`
-	AdminDown  []string `json:"out"` // ids of the servers that are administratively down
+	AdminDown  []string `json:"out"` // IDs of the servers that are administratively down
 }
 
-// Compare orders the processes of a sidecar, the oldest first. The wall clock, which may step, decides only where one
-// of the two has no generation, or where both joined at the same moment and have the same one.
-func (s State) Compare(o State) int {
-	if s.Generation > 0 && o.Generation > 0 && s.Generation != o.Generation {
-		return cmp.Compare(s.Generation, o.Generation)
+// Compare orders the processes of a sidecar, the oldest first. The wall clock may step, so start times are compared
+// only if one of the two processes has no generation, or if both joined at the same moment and have the same
+// generation.
+func (s State) Compare(other State) int {
+	if s.Generation > 0 && other.Generation > 0 && s.Generation != other.Generation {
+		return cmp.Compare(s.Generation, other.Generation)
 	}
-	return s.Started.Compare(o.Started)
+	return s.Started.Compare(other.Started)
 }
 
-// A state file is one header line, "MAGIC VERSION LENGTH CHECKSUM", and the state as JSON. LENGTH is the number of
-// bytes of the JSON, CHECKSUM its CRC-32 (IEEE) as eight hexadecimal digits.
+// A state file consists of one header line, "MAGIC VERSION LENGTH CHECKSUM", and the state as JSON. LENGTH is the
+// number of bytes of the JSON, and CHECKSUM is its CRC-32 (IEEE) as eight hexadecimal digits.
 const (
 	formatMagic   = "milletramp-handover"
 	formatVersion = 1
 	headerFields  = 4
 
-	maxStateBytes = 1 << 20 // of a state file
-	maxAdminDown  = 4096    // servers in one state
+	maxStateBytes = 1 << 20 // maximum size of a state file
+	maxAdminDown  = 4096    // maximum number of servers in one state
 )
 
 // encodeState returns the content of a state file.
@@ -66,11 +68,11 @@
 
 func checksum(body []byte) string { return fmt.Sprintf("%08x", crc32.ChecksumIEEE(body)) }
 
-// decodeState returns the state that the content of a state file holds, if it is one of the sidecar with this name and
-// listen address. Else the error is an *invalidStateError.
+// decodeState decodes the content of a state file, which must belong to the sidecar with this name and listen address.
+// The error is always an *invalidStateError.
 func decodeState(content []byte, name, listen string) (State, error) {
 	if len(content) > maxStateBytes {
-		return State{}, invalid(tooLong, "has more than %d bytes", maxStateBytes)
+		return State{}, invalidStatef(tooLong, "has more than %d bytes", maxStateBytes)
 	}
 	body, err := checkHeader(content)
 	if err != nil {
@@ -78,34 +80,35 @@
 	}
 	var s State
 	if err := json.Unmarshal(body, &s); err != nil {
-		return State{}, invalid(malformedJSON, "%v", err)
+		return State{}, invalidStatef(malformedJSON, "%v", err)
 	}
 	switch {
 	case s.Name != name || s.ListenAddress != listen:
-		return State{}, invalid(otherSidecar, "is of sidecar %.40q at %.40q", s.Name, s.ListenAddress)
+		return State{}, invalidStatef(otherSidecar, "is of sidecar %.40q at %.40q", s.Name, s.ListenAddress)
 	case s.Phase != Starting && s.Phase != Ready && s.Phase != Draining:
-		return State{}, invalid(unknownPhase, "has the unknown phase %.40q", s.Phase)
+		return State{}, invalidStatef(unknownPhase, "has the unknown phase %.40q", s.Phase)
 	case len(s.AdminDown) > maxAdminDown:
-		return State{}, invalid(tooManyServers, "names %d servers, %d at most", len(s.AdminDown), maxAdminDown)
+		return State{}, invalidStatef(tooManyServers, "names %d servers, %d at most", len(s.AdminDown), maxAdminDown)
 	}
 	return s, nil
 }
 
-// checkHeader returns the body of a state file whose header is of this version and matches the body.
+// checkHeader validates the header of a state file and returns the body. The header must have this version and match
+// the body.
 func checkHeader(content []byte) (body []byte, err error) {
 	header, body, complete := bytes.Cut(content, []byte("\n"))
 	fields := strings.Fields(string(header))
 	if !complete || len(fields) != headerFields || fields[0] != formatMagic {
-		return nil, invalid(notStateFile, "is no state of a sidecar")
+		return nil, invalidStatef(notStateFile, "is no state of a sidecar")
 	}
 	version, length, sum := fields[1], fields[2], fields[3]
 	switch {
 	case version != strconv.Itoa(formatVersion):
-		return nil, invalid(unsupportedVersion, "is of version %.20q, this process knows %d", version, formatVersion)
+		return nil, invalidStatef(unsupportedVersion, "is of version %.20q, this process knows %d", version, formatVersion)
 	case length != strconv.Itoa(len(body)):
-		return nil, invalid(lengthMismatch, "has %d bytes, its head says %.20q", len(body), length)
+		return nil, invalidStatef(lengthMismatch, "has %d bytes, its head says %.20q", len(body), length)
 	case sum != checksum(body):
-		return nil, invalid(checksumMismatch, "has the checksum %s, its head says %.20q", checksum(body), sum)
+		return nil, invalidStatef(checksumMismatch, "has the checksum %s, its head says %.20q", checksum(body), sum)
 	}
 	return body, nil
 }
