--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -14,53 +14,54 @@
 	"milletramp.example/milletramp/internal/netretry"
 )
 
-// discardBufferSize is the bytes read at once of input that nobody is to get.
+// discardBufferSize is the size in bytes of the buffer for input that is discarded.
 const discardBufferSize = 4 << 10
 
-// Conn is a connection from a client. Its Listener's lock guards state and what follows it; framing and malformed
-// belong to the one goroutine that reads at a time.
+// Conn is a connection from a client. The lock of its Listener guards state and all fields after it. Only the reader
+// uses framing and malformed.
 type Conn struct {
 	net.Conn
 	listener   *Listener
 	acceptedAt time.Time
-	framing    requestFraming // of the bytes that were read
-	malformed  error          // of the message behind these; nil: none is malformed
+	framing    requestFraming // checks the bytes that are read
+	malformed  error          // error of the malformed message that follows; nil: none
 
 	state              connState
-	idleElement        *list.Element       // in the listener's list; nil: the state is one with a request, or closed
-	idleSince          time.Time           // when it was put into that list
-	used               bool                // http.Server has read a request, or a part of one
-	httpActive         bool                // http.Server holds it for active
+	idleElement        *list.Element       // element of Listener.idleConns; nil: active or closed
+	idleSince          time.Time           // when idleElement was added
+	used               bool                // http.Server has read a request or a part of one
+	httpActive         bool                // http.Server last reported http.StateActive
 	closeCalled        bool                // Close was called
-	closeAfterResponse bool                // its next response ends it
-	requestsRead       int                 // heads that were read whole
-	responsesSent      int                 // behind which the connection was kept
-	partialHead        bool                // a part of another head was read
-	readError          error               // that ended the reading
-	readDeadline       time.Time           // as http.Server set it last
-	retireCause        metrics.CloseReason // why it was retired
+	closeAfterResponse bool                // its next response is the last one
+	requestsRead       int                 // number of complete heads that were read
+	responsesSent      int                 // number of responses after which the connection was kept open
+	partialHead        bool                // a part of a further head was read
+	readError          error               // result of the last recorded read
+	readDeadline       time.Time           // last deadline set by http.Server
+	retireCause        metrics.CloseReason // reason for retiring it
 }
 
-// AcceptedAt is when the connection was accepted.
+// AcceptedAt returns the time when the connection was accepted.
 func (c *Conn) AcceptedAt() time.Time { return c.acceptedAt }
 
-// ClosesAfterResponse reports whether the next response is to end the connection: it is being retired, or clients hold
-// so many connections that none should stay open behind its response. Clients that send one request and stay would else
-// take all descriptors within seconds. Each request then costs a connection, so it is not done without need.
+// ClosesAfterResponse reports whether the connection must be closed after its next response: because it is being
+// retired, or because the number of used connections has reached keepAliveLimit. Without this limit, clients that send
+// one request and keep the connection open would exhaust the descriptors within seconds. Above the limit each request
+// needs a new connection, so connections are kept open below it.
 func (c *Conn) ClosesAfterResponse() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	return c.listener.usedConns >= c.listener.keepAliveLimit || c.closeAfterResponse
 }
 
-// MarkFinalResponse says that nothing more is served on the connection, though it may linger.
+// MarkFinalResponse records that no further request is served on the connection, which may still linger.
 func (c *Conn) MarkFinalResponse() {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	c.listener.apply(c, eventFinalResponse)
 }
 
-// SetWriteBuffer sets the bytes of responses that may wait in the system.
+// SetWriteBuffer sets the size in bytes of the socket's send buffer.
 func (c *Conn) SetWriteBuffer(bytes int) error {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		return tcp.SetWriteBuffer(bytes)
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// Read implements net.Conn. It refuses messages that net/http would mend.
+// Read implements net.Conn. It rejects ambiguous messages that net/http would accept and normalize.
 func (c *Conn) Read(p []byte) (int, error) {
 	if c.malformed != nil {
 		return 0, c.readAfterMalformed()
@@ -92,8 +93,8 @@
 	return n, err
 }
 
-// readAfterMalformed returns the error of a malformed message once no request before it is to be answered. net/http
-// reads ahead while it serves a request, and takes any error of that for the client's leaving.
+// readAfterMalformed returns the error of a malformed message after the preceding requests have had their responses.
+// While net/http serves a request it reads ahead, and treats any read error as a disconnect of the client.
 func (c *Conn) readAfterMalformed() error {
 	discarded := make([]byte, discardBufferSize)
 	for !c.framing.inBody && c.hasPendingRequest() {
@@ -106,8 +107,8 @@
 	return c.malformed
 }
 
-// recordRead takes in what the reader has read, or the error that it got. The time for a head may have run out, or the
-// connection may have been retired, while it was read.
+// recordRead updates the connection after a read by its reader. During the read the deadline for a head may have
+// passed, or the connection may have been retired.
 func (c *Conn) recordRead(err error) {
 	l := c.listener
 	l.mu.Lock()
@@ -123,26 +124,27 @@
 		return
 	}
 	l.apply(c, eventInput)
-	if c.requestsRead > 0 && c.partialHead { // the time of the first head runs from the connection's start
+	if c.requestsRead > 0 && c.partialHead { // the deadline of the first head counts from accept
 		_ = c.Conn.SetReadDeadline(time.Now().Add(HeadTimeout))
 	}
 }
 
-// hasPendingRequest reports whether a request was read and is not answered.
+// hasPendingRequest reports whether a request was read and its response was not sent.
 func (c *Conn) hasPendingRequest() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	return c.hasPendingRequestLocked()
 }
 
-// hasPendingRequestLocked is hasPendingRequest with the listener's lock held.
+// hasPendingRequestLocked is hasPendingRequest for callers that hold the lock of the listener.
 func (c *Conn) hasPendingRequestLocked() bool {
 	return c.state == stateActive && c.requestsRead > c.responsesSent
 }
 
-// extendReadDeadline reports whether the connection is to be read on though its read deadline is over: because bytes
-// wait there, or because a complete request is being served. The time for the body of that request must not end it;
-// the deadline by which net/http ends its reading ahead does.
+// extendReadDeadline is called after the read deadline has passed. It moves or removes the deadline and returns true if
+// reading has to continue: because unread bytes have arrived, or because a complete request is being served. The
+// deadline for the body of that request must not end the read. The deadline by which net/http stops its read-ahead
+// must.
 func (c *Conn) extendReadDeadline() bool {
 	l := c.listener
 	l.mu.Lock()
@@ -159,7 +161,7 @@
 	return true
 }
 
-// SetReadDeadline implements net.Conn. A connection that is being retired keeps the deadline that ends its reading.
+// SetReadDeadline implements net.Conn. A connection that is being retired keeps its past deadline.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -170,10 +172,11 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// Write implements net.Conn. net/http ends the connection at the first error of a write, so shortages are retried.
+// Write implements net.Conn. It retries resource shortages, because net/http closes the connection at the first write
+// error.
 func (c *Conn) Write(p []byte) (int, error) { return netretry.Write(c.Conn, p) }
 
-// hasUnreadInput reports whether bytes wait to be read. It reads none.
+// hasUnreadInput reports whether unread bytes have arrived. It does not consume them.
 func (c *Conn) hasUnreadInput() bool {
 	unread := 0
 	err := c.withDescriptor(func(fd int) (err error) {
@@ -183,7 +186,7 @@
 	return err == nil && unread > 0
 }
 
-// PeerClosed reports whether the client has ended its sending, also where bytes that came before are not read yet.
+// PeerClosed reports whether the client has closed its sending side, even if earlier bytes are still unread.
 func (c *Conn) PeerClosed() bool {
 	var events int16
 	err := c.withDescriptor(func(fd int) (err error) {
@@ -193,7 +196,7 @@
 	return err == nil && events&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// withDescriptor calls call with the connection's descriptor.
+// withDescriptor calls call with the file descriptor of the connection.
 func (c *Conn) withDescriptor(call func(fd int) error) error {
 	inner, ok := c.Conn.(syscall.Conn)
 	if !ok {
--- a/internal/downstream/deadline.go
+++ b/internal/downstream/deadline.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// pastDeadline is a read deadline that is over by any clock. The zero time would be none.
+// pastDeadline is a read deadline that has passed whatever the clock shows. The zero time would mean no deadline.
 var pastDeadline = time.Time{}.Add(time.Nanosecond)
 
-// abortDeadlineYear is the year of the deadline by which net/http ends a read at once.
+// abortDeadlineYear is the year of the deadline that net/http sets to end a read immediately.
 const abortDeadlineYear = 1970
 
-// isPastDeadline reports whether a deadline was set to end a read at once, by net/http or by this package.
+// isPastDeadline reports whether net/http or this package set the deadline to end a read immediately.
 func isPastDeadline(deadline time.Time) bool {
 	return !deadline.IsZero() && deadline.Year() <= abortDeadlineYear
 }
--- a/internal/downstream/doc.go
+++ b/internal/downstream/doc.go
@@ -1,11 +1,12 @@
-// Package downstream holds the connections from clients. A Listener bounds their number, ends those that have no
-// request, and follows each Conn through its states while an http.Server serves it; a DrainListener accepts them from
-// the kernel, and leaves none waiting when it closes.
+// Package downstream manages the connections from clients. A Listener limits their number, closes connections without a
+// request, and tracks the state of each Conn while an http.Server serves it. A DrainListener accepts connections from
+// the kernel and accepts all waiting connections before it closes.
 //
-// The package starts no goroutine. Each connection has one reader, the goroutine of http.Server that serves it, and
-// only this reader may close a connection on which a request could have come. Others retire the connection: they end
-// its reading by a deadline, and the reader closes it unless bytes have come meanwhile.
+// The package starts no goroutine. Each connection has one reader, the goroutine of http.Server that serves it. Only
+// this reader may close a connection on which a request could have arrived. Other goroutines retire the connection:
+// they set a read deadline that has passed, and the reader closes the connection unless bytes have arrived in the
+// meantime.
 //
-// What a client sends is checked before net/http parses it. A message that can be read in two ways ends the connection
-// with an error of errFraming or chunked.ErrMalformed, behind the responses to the requests before it.
+// The framing of a client's messages is checked before net/http parses them. An ambiguous message ends the connection
+// with an error that wraps errFraming or chunked.ErrMalformed, after the responses to the preceding requests.
 package downstream
--- a/internal/downstream/drain_listener.go
+++ b/internal/downstream/drain_listener.go
@@ -12,39 +12,39 @@
 )
 
 const (
-	// maxDrainRounds bounds the rounds of a drain in which connections keep coming.
+	// maxDrainRounds is the maximum number of rounds of a drain while new connections keep arriving.
 	maxDrainRounds = 8
-	// maxFailedRounds bounds the rounds of a drain in which connections wait and accepting them fails. Closing resets
-	// these connections, of which nothing was read.
+	// maxFailedRounds is the maximum number of rounds of a drain while connections wait and accepting them fails. Closing
+	// the listener then resets these connections, from which nothing was read.
 	maxFailedRounds = 20
 )
 
-// DrainListener is a listener that, once it is to end, goes on accepting until no connection is left waiting. One
-// goroutine calls Accept.
+// DrainListener is a listener that can be drained: it continues to accept until no connection waits to be accepted, and
+// then closes. Only one goroutine may call Accept.
 type DrainListener struct {
 	*net.TCPListener
-	accept      func(*net.TCPListener) (net.Conn, error) // nil: its Accept
+	accept      func(*net.TCPListener) (net.Conn, error) // nil: TCPListener.Accept
 	quietPeriod time.Duration
-	rounds      int  // of looking for waiting connections; 0: the drain has not begun
-	accepted    bool // a connection in this round
-	failed      bool // to accept in this round
+	rounds      int  // number of drain rounds begun; 0: not draining
+	accepted    bool // a connection was accepted in this round
+	failed      bool // an accept failed in this round
 }
 
-// NewDrainListener returns a DrainListener on l. accept takes a connection from it; nil: its Accept. quietPeriod is how
-// long a round of the drain lasts: the drain ends behind one in which no connection came.
+// NewDrainListener returns a DrainListener on l. accept accepts a connection from l; nil means l.Accept. quietPeriod is
+// the length of a drain round. The drain ends after a round in which no connection arrived.
 func NewDrainListener(l *net.TCPListener, accept func(*net.TCPListener) (net.Conn, error),
 	quietPeriod time.Duration) *DrainListener {
 	return &DrainListener{TCPListener: l, accept: accept, quietPeriod: quietPeriod}
 }
 
-// Drain makes Accept go on for a time at least, and end once no connection is left waiting.
+// Drain makes Accept continue for minDuration at least and then return net.ErrClosed once no connection waits.
 func (l *DrainListener) Drain(minDuration time.Duration) error {
 	return l.SetDeadline(time.Now().Add(minDuration))
 }
 
-// Accept implements net.Listener. Its deadline can pass with connections waiting, which closing the listener would
-// reset, so it ends only behind a round in which none was found. It returns other errors of the system call, after
-// which netretry.Listener calls it again.
+// Accept implements net.Listener. The deadline can pass while connections wait, and closing the listener would reset
+// them. Accept therefore closes the listener only after a round in which no connection was found. It returns other
+// errors of the system call; netretry.Listener calls it again after these.
 func (l *DrainListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.acceptOne()
@@ -62,7 +62,7 @@
 	}
 }
 
-// acceptOne accepts a connection, or fails as the system call does.
+// acceptOne accepts a connection or returns the error of the system call.
 func (l *DrainListener) acceptOne() (net.Conn, error) {
 	if l.accept != nil {
 		return l.accept(l.TCPListener)
@@ -70,8 +70,8 @@
 	return l.TCPListener.Accept()
 }
 
-// isDrained reports whether the drain is over: behind a round without a connection, or the last round, none waits, or
-// too many rounds have failed.
+// isDrained reports whether the drain is complete: no connection waits after a round without connections or after the
+// last round, or too many rounds have failed.
 func (l *DrainListener) isDrained() bool {
 	if l.failed && !l.accepted && l.rounds >= maxFailedRounds {
 		return true
@@ -89,8 +89,8 @@
 	return l.SetDeadline(time.Now().Add(l.quietPeriod))
 }
 
-// hasWaitingConns reports whether a connection waits to be accepted. Accept does not look any more once its deadline is
-// over, which a busy machine may say late.
+// hasWaitingConns reports whether a connection waits to be accepted. Accept no longer checks this once its deadline has
+// passed, and a busy machine may report the deadline late.
 func (l *DrainListener) hasWaitingConns() bool {
 	raw, err := l.SyscallConn()
 	if err != nil {
--- a/internal/downstream/framing.go
+++ b/internal/downstream/framing.go
@@ -9,31 +9,32 @@
 	"milletramp.example/milletramp/internal/chunked"
 )
 
-// errFraming is the error of a client's message that can be read in two ways.
+// errFraming means that the framing of a client's message is ambiguous or malformed.
 var errFraming = errors.New("bad framing")
 
-// maxHeadBytes bounds the head of a request. It is well above what net/http takes, which answers such a head itself.
+// maxHeadBytes is the maximum size in bytes of a request's head. It is well above the limit of net/http, which sends
+// the response to a head that is too large.
 const maxHeadBytes = 4 * maxHeaderBytes
 
-// requestFraming follows the bytes that a client sends and refuses what net/http would mend: a length together with
-// chunks, a length given twice, and folded lines. Another reader of such a message would see another one. The zero
-// value is at the start of a connection.
+// requestFraming checks the bytes that a client sends and rejects what net/http would accept and normalize: a
+// Content-Length together with a chunked body, a duplicate Content-Length, and folded header lines. Another parser
+// could find other message boundaries. The zero value is the state at the start of a connection.
 type requestFraming struct {
-	requests       int // whose heads have come whole
+	requests       int // number of complete heads
 	inBody         bool
-	line           []byte // of a head, as far as it has come
-	headBytes      int    // of the head
-	hasRequestLine bool   // the head's first line has come
-	contentLength  []byte // as given; nil: none is given
-	isChunked      bool   // a transfer coding is given
-	remaining      int64  // bytes of a body with a length
+	line           []byte // incomplete line of a head
+	headBytes      int    // size of the current head so far
+	hasRequestLine bool   // the first line of the head is complete
+	contentLength  []byte // value of Content-Length; nil: absent
+	isChunked      bool   // Transfer-Encoding is chunked
+	remaining      int64  // remaining bytes of a body with Content-Length
 	decoder        *chunked.Decoder
 }
 
-// partial reports whether a part of a head has come.
+// partial reports whether a part of a head was received.
 func (f *requestFraming) partial() bool { return f.headBytes > 0 }
 
-// feed follows the next bytes. wellFormed is how many of them come before a message that is malformed.
+// feed checks the next bytes. wellFormed is the number of bytes before a malformed message.
 func (f *requestFraming) feed(in []byte) (wellFormed int, err error) {
 	for at := 0; at < len(in); {
 		used, err := f.feedPart(in[at:])
@@ -42,13 +43,13 @@
 		}
 		at += used
 		if f.inBody || f.headBytes == 0 {
-			wellFormed = at // up to here the messages are well formed
+			wellFormed = at // the messages up to this offset are well formed
 		}
 	}
 	return len(in), nil
 }
 
-// feedPart follows bytes of one head or one body, and returns how many it used.
+// feedPart checks bytes of one head or one body, and returns the number of bytes consumed.
 func (f *requestFraming) feedPart(in []byte) (used int, err error) {
 	switch {
 	case !f.inBody:
@@ -67,7 +68,7 @@
 	return used, nil
 }
 
-// feedHead follows bytes of a head, up to its end.
+// feedHead checks bytes of a head, up to its end, and returns the number of bytes consumed.
 func (f *requestFraming) feedHead(in []byte) (used int, err error) {
 	for used < len(in) {
 		piece, isLineEnd := cutLine(in[used:])
@@ -76,7 +77,7 @@
 		if f.headBytes > maxHeadBytes {
 			return used, fmt.Errorf("%w: a head of more than %d bytes", errFraming, maxHeadBytes)
 		}
-		line := piece // most lines come whole
+		line := piece // most lines arrive in one piece
 		if !isLineEnd || len(f.line) > 0 {
 			f.line = append(f.line, piece...)
 			line = f.line
@@ -97,7 +98,7 @@
 	return used, nil
 }
 
-// cutLine returns the bytes up to and with the first line feed, or all of them where there is none.
+// cutLine returns the bytes up to and including the first line feed, or all bytes if there is none.
 func cutLine(in []byte) (piece []byte, isLineEnd bool) {
 	if end := bytes.IndexByte(in, '\n'); end >= 0 {
 		return in[:end+1], true
@@ -105,7 +106,7 @@
 	return in, false
 }
 
-// feedLine follows a line of a head.
+// feedLine checks one line of a head.
 func (f *requestFraming) feedLine(line []byte) error {
 	if !f.hasRequestLine || len(line) == 0 {
 		return nil // net/http checks the request line
@@ -113,7 +114,7 @@
 	if line[0] == ' ' || line[0] == '\t' {
 		return fmt.Errorf("%w: a folded line", errFraming)
 	}
-	if initial := line[0] | 0x20; initial != 'c' && initial != 't' { // in either case, the two fields begin with these
+	if initial := line[0] | 0x20; initial != 'c' && initial != 't' { // first letters of the two fields, lower-cased
 		return nil
 	}
 	name, value, _ := bytes.Cut(line, []byte(":"))
@@ -123,7 +124,7 @@
 		if f.contentLength != nil {
 			return fmt.Errorf("%w: two lengths", errFraming)
 		}
-		f.contentLength = append([]byte{}, value...) // not nil, even if it is empty
+		f.contentLength = append([]byte{}, value...) // not nil, even if the value is empty
 	case bytes.EqualFold(name, []byte("Transfer-Encoding")):
 		if f.isChunked || !bytes.EqualFold(value, []byte("chunked")) {
 			return fmt.Errorf("%w: codings other than chunked", errFraming)
@@ -133,7 +134,7 @@
 	return nil
 }
 
-// endHead follows the end of a head, and begins its body if it has one.
+// endHead checks the framing fields at the end of a head, and begins the body if there is one.
 func (f *requestFraming) endHead() error {
 	contentLength, isChunked := f.contentLength, f.isChunked
 	*f = requestFraming{requests: f.requests, line: f.line[:0]}
--- a/internal/downstream/http_server.go
+++ b/internal/downstream/http_server.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	// HeadTimeout is how long a client may take to send the head of a request. Clients are promised 2 s.
+	// HeadTimeout is the maximum time for receiving the head of a request. Clients are promised 2 s.
 	HeadTimeout = 2300 * time.Millisecond
-	// IdleTimeout is how long a connection may be idle. Clients expect it to stay open for 2 s.
+	// IdleTimeout is the maximum idle time of a connection. Clients expect an idle connection to stay open for 2 s.
 	IdleTimeout = 2 * time.Second
-	// maxHeaderBytes is what net/http reads of the head of a request before it answers with 431.
+	// maxHeaderBytes is the size in bytes of a request's head above which net/http responds with status 431.
 	maxHeaderBytes = 16 << 10
 )
 
-// HTTPServer returns a server for the listener's connections. Its Serve is to be given the listener.
+// HTTPServer returns a server for the connections of the listener. The caller must pass the listener to its Serve
+// method.
 func (l *Listener) HTTPServer(handler http.Handler, log *slog.Logger) *http.Server {
 	return &http.Server{
 		Handler:           handler,
@@ -28,7 +29,7 @@
 	}
 }
 
-// onHTTPState follows a connection through the states that http.Server gives it.
+// onHTTPState updates the state of a connection when http.Server reports a new state.
 func (l *Listener) onHTTPState(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*Conn)
 	if !ok {
@@ -48,7 +49,7 @@
 	}
 }
 
-// markUsed counts a connection among those that have had a request. The lock is held.
+// markUsed counts a connection as used. The caller must hold l.mu.
 func (l *Listener) markUsed(c *Conn) {
 	if !c.used && c.state != stateClosed {
 		c.used = true
@@ -56,8 +57,8 @@
 	}
 }
 
-// finishResponse takes in that a response was sent and the connection kept. If its reader has read the next request
-// meanwhile, it stays active. The lock is held.
+// finishResponse records that a response was sent and the connection was kept open. The connection stays active if its
+// reader has already read the next request. The caller must hold l.mu.
 func (l *Listener) finishResponse(c *Conn) {
 	c.responsesSent++
 	if c.requestsRead > c.responsesSent {
--- a/internal/downstream/linger.go
+++ b/internal/downstream/linger.go
@@ -9,17 +9,20 @@
 )
 
 const (
-	// lingerTimeout bounds how long a connection is read to its end behind its final response.
+	// lingerTimeout is the maximum time for which a connection is read after its final response.
 	lingerTimeout = 200 * time.Millisecond
-	// shutdownLingerTimeout bounds it once the process ends, so that it is over before the process is killed.
+	// shutdownLingerTimeout replaces lingerTimeout while the process shuts down, so that lingering ends before the process
+	// is killed.
 	shutdownLingerTimeout = 50 * time.Millisecond
-	// lingerPollInterval is how soon a lingering connection is closed after all when its descriptor is wanted.
+	// lingerPollInterval is the interval at which a lingering connection checks whether the connection limit is reached
+	// and its descriptor is needed.
 	lingerPollInterval = 20 * time.Millisecond
 )
 
-// Close implements net.Conn. Behind a response it ends the sending and reads on for a time: closing over unread bytes
-// resets the connection, and what is on its way of the response is lost with it. An idle connection is closed at once:
-// a request that comes just then finds it reset, so that its client knows that it was not read.
+// Close implements net.Conn. After a response it closes the sending side and continues to read for a limited time.
+// Closing a connection with unread bytes resets it, and response bytes still in transit would be lost. An idle
+// connection is closed immediately. A request that arrives at that moment is answered by a reset, which shows the
+// client that the request was not read.
 func (c *Conn) Close() error {
 	if c.shouldLinger() {
 		c.linger()
@@ -27,7 +30,7 @@
 	return c.Conn.Close()
 }
 
-// CloseWrite ends the sending. net/http does so behind its response to a malformed request.
+// CloseWrite closes the sending side. net/http calls it after its response to a malformed request.
 func (c *Conn) CloseWrite() error {
 	if inner, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return inner.CloseWrite()
@@ -35,8 +38,8 @@
 	return nil
 }
 
-// shouldLinger reports, at its first call, whether the connection has just had a response, or sent a malformed message,
-// and its descriptor is not wanted.
+// shouldLinger reports whether Close has to linger: it is the first call of Close, the connection has just sent a
+// response or received a malformed message, and the connection limit is not reached.
 func (c *Conn) shouldLinger() bool {
 	l := c.listener
 	l.mu.Lock()
@@ -47,10 +50,11 @@
 	return isFirst && hasResponse && l.openConns < l.maxConns
 }
 
-// linger ends the sending, and reads and drops what comes until the client closes or the time for it is over.
+// linger closes the sending side, and reads and discards input until the client closes the connection, the linger
+// deadline passes or the connection limit is reached.
 func (c *Conn) linger() {
 	if c.CloseWrite() != nil {
-		return // it is closed already
+		return // the connection is already closed
 	}
 	startedAt := time.Now()
 	for time.Now().Before(c.listener.lingerDeadline(startedAt)) && !c.listener.atLimit() {
@@ -63,7 +67,7 @@
 	}
 }
 
-// discard reads and drops bytes until an error, or until the linger deadline of a linger that started then.
+// discard reads and discards input until an error, or until the linger deadline for startedAt passes.
 func (c *Conn) discard(startedAt time.Time) error {
 	discarded := make([]byte, discardBufferSize)
 	for {
@@ -74,7 +78,7 @@
 	}
 }
 
-// lingerDeadline is when a connection that has lingered since startedAt is closed at the latest.
+// lingerDeadline returns the time at which a connection that began to linger at startedAt is closed at the latest.
 func (l *Listener) lingerDeadline(startedAt time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/downstream/listen.go
+++ b/internal/downstream/listen.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listen listens at an address that one process has at a time.
+// Listen listens at an address that only one process can use at a time.
 func Listen(address string) (*net.TCPListener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -21,12 +21,12 @@
 	return l.(*net.TCPListener), nil
 }
 
-// ListenShared listens at an address that the sidecar's next process can listen at too.
+// ListenShared listens at an address at which the successor process of the sidecar can listen as well.
 func ListenShared(address string, log *slog.Logger) (*net.TCPListener, error) {
 	config := net.ListenConfig{
 		Control: func(_, _ string, c syscall.RawConn) error { return allowSharing(c, log) },
 	}
-	config.SetMultipathTCP(false) // the kernel applies no filter to listeners that have it: RedirectToSuccessor
+	config.SetMultipathTCP(false) // the kernel ignores the filter of RedirectToSuccessor on MPTCP listeners
 	l, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
@@ -34,7 +34,8 @@
 	return l.(*net.TCPListener), nil
 }
 
-// allowSharing lets another socket listen at the same address. Where that fails, only an upgrade is not possible.
+// allowSharing sets SO_REUSEPORT, so that another socket can listen at the same address. A failure to set it only
+// prevents hot restarts and is logged.
 func allowSharing(c syscall.RawConn, log *slog.Logger) error {
 	var optionErr error
 	err := c.Control(func(fd uintptr) {
@@ -49,9 +50,10 @@
 // selectSecondListener is a socket filter that selects the second of the sockets that share an address.
 var selectSecondListener = []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: 1}}
 
-// RedirectToSuccessor sends new connections to the listener that shares the address and was opened after this one. The
-// kernel spreads connections over all listeners, and closing one resets those that it holds unaccepted. Sockets of an
-// address are numbered in the order in which they were opened; where there is no second one, the filter has no effect.
+// RedirectToSuccessor directs new connections to the listener that shares the address and was opened after this one. By
+// default the kernel distributes connections over all listeners, and closing a listener resets its unaccepted
+// connections. The sockets of an address are numbered in the order in which they were opened. Without a second socket
+// the filter has no effect.
 func (l *DrainListener) RedirectToSuccessor() error {
 	return l.setSocketOption(func(fd int) error {
 		program := unix.SockFprog{Len: uint16(len(selectSecondListener)), Filter: &selectSecondListener[0]}
@@ -59,18 +61,18 @@
 	})
 }
 
-// ShareConnections removes the filter that a predecessor has set, so that both processes get connections.
+// ShareConnections removes the filter that a predecessor process has set, so that both processes receive connections.
 func (l *DrainListener) ShareConnections() error {
 	err := l.setSocketOption(func(fd int) error {
 		return unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_DETACH_REUSEPORT_BPF, 0)
 	})
-	if errors.Is(err, unix.ENOENT) { // there is none
+	if errors.Is(err, unix.ENOENT) { // no filter is set
 		return nil
 	}
 	return err
 }
 
-// setSocketOption calls set with the listener's descriptor.
+// setSocketOption calls set with the file descriptor of the listener.
 func (l *DrainListener) setSocketOption(set func(fd int) error) error {
 	raw, err := l.SyscallConn()
 	if err != nil {
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -11,29 +11,29 @@
 	"milletramp.example/milletramp/internal/metrics"
 )
 
-// minIdleTime is how long a connection is without a request before another one may take its place. A burst of
-// connections would otherwise close those accepted just before, with their first requests on the way.
+// minIdleTime is the minimum time without a request before a connection may be evicted for a new one. Without it, a
+// burst of new connections would evict connections accepted just before, whose first requests are in transit.
 const minIdleTime = 20 * time.Millisecond
 
-// Listener accepts and tracks the connections from clients. When there are too many it ends those without a request,
-// the longest idle first; when the process stops it ends all of them.
+// Listener accepts and tracks the connections from clients. At the connection limit it retires connections without a
+// request, the longest idle first. When the process shuts down it retires all connections without a request.
 type Listener struct {
 	net.Listener
-	unserved *metrics.UnservedConns // counts connections that ended without a request
+	unserved *metrics.UnservedConns // counts the connections closed without a request, by reason
 
 	mu             sync.Mutex
 	maxConns       int
-	keepAliveLimit int // used connections from which on each response ends its connection
+	keepAliveLimit int // number of used connections from which on each connection closes after its response
 	openConns      int
-	usedConns      int           // open ones that have had a request
-	retiringConns  int           // in stateRetiring
-	idleConns      *list.List    // *Conn whose state has no request, the longest without one first
-	capacity       chan struct{} // gets a value when a connection was closed or has no request any more
-	shutdownAt     time.Time     // when all requests had to be answered, as the process ends; zero: it goes on
+	usedConns      int           // open connections on which a request or a part of one was read
+	retiringConns  int           // connections in stateRetiring
+	idleConns      *list.List    // *Conn without a request, the longest idle first
+	capacity       chan struct{} // receives a value when a connection closes or becomes idle, or the limits change
+	shutdownAt     time.Time     // time of the first call of RetireAll; zero: not shutting down
 }
 
-// NewListener returns a Listener that accepts from l at most maxConns connections, and from keepAliveLimit used ones on
-// ends each with its response.
+// NewListener returns a Listener that accepts connections from l and keeps at most maxConns open. While keepAliveLimit
+// or more connections are used, each connection closes after its response.
 func NewListener(l net.Listener, maxConns, keepAliveLimit int, unserved *metrics.UnservedConns) *Listener {
 	return &Listener{
 		Listener:       l,
@@ -54,14 +54,14 @@
 	l.signalCapacity()
 }
 
-// ConnCounts are numbers of connections at one moment.
+// ConnCounts holds the numbers of connections at one moment.
 type ConnCounts struct {
 	Open int
-	Used int // that have had a request
-	Idle int // that have no request now
+	Used int // a request or a part of one was read
+	Idle int // currently without a request
 }
 
-// Counts returns the numbers of connections.
+// Counts returns the current numbers of connections.
 func (l *Listener) Counts() ConnCounts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,7 +83,7 @@
 	return c, nil
 }
 
-// waitForCapacity waits until one more connection may be open.
+// waitForCapacity waits until one more connection may be opened.
 func (l *Listener) waitForCapacity() {
 	for {
 		available, wait := l.makeCapacity()
@@ -97,12 +97,13 @@
 	}
 }
 
-// makeCapacity reports whether one more connection may be open. If not, it retires the connection that has been without
-// a request for the longest, and returns how long to wait before the next call.
+// makeCapacity reports whether one more connection may be opened. If not, and if no connection is being
+// retired already, it retires the longest idle connection without unread input. It returns how long to wait before the
+// next call.
 func (l *Listener) makeCapacity() (available bool, wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	wait = time.Hour // until a connection is closed or has no request any more
+	wait = time.Hour // a signal on capacity ends the wait earlier
 	if l.openConns < l.maxConns {
 		return true, wait
 	}
@@ -110,7 +111,7 @@
 		c := e.Value.(*Conn)
 		wait = minIdleTime - time.Since(c.idleSince)
 		if wait > 0 {
-			break // the connections behind it have been idle for less
+			break // the remaining connections have been idle for less time
 		}
 		wait = minIdleTime
 		if !c.hasUnreadInput() {
@@ -121,8 +122,8 @@
 	return l.openConns < l.maxConns, wait
 }
 
-// RetireIdle ends connections that have no request and no part of one. One that never had a request is left to bring it
-// for the time unused: its client has opened it for one.
+// RetireIdle retires connections without a complete or partial request. A new connection is retired only after the time
+// unused, since its client has opened it to send a request.
 func (l *Listener) RetireIdle(unused time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,8 +135,8 @@
 	})
 }
 
-// RetireAll ends all connections without a complete request, as the process may be killed before a response. One that
-// lingers behind its final response is left to do so.
+// RetireAll retires all connections without a complete request, since the process may be killed before it could send a
+// response. Connections that linger after their final response are not retired.
 func (l *Listener) RetireAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -149,7 +150,8 @@
 	})
 }
 
-// forEachIdle calls f for each connection without a request. f may remove the connection from the list. The lock is held.
+// forEachIdle calls f for each connection without a request. f may remove the connection from the list. The caller must
+// hold l.mu.
 func (l *Listener) forEachIdle(f func(c *Conn)) {
 	for e := l.idleConns.Front(); e != nil; {
 		next := e.Next()
@@ -158,8 +160,8 @@
 	}
 }
 
-// beginRetire ends a connection: at once behind its final response, by its reader where it has no request, and else
-// with its next response. The lock is held.
+// beginRetire starts to close a connection. A lingering connection is closed immediately. A connection without a
+// request is closed by its reader, and an active one after its next response. The caller must hold l.mu.
 func (l *Listener) beginRetire(c *Conn, cause metrics.CloseReason) {
 	next, ok := nextState(c.state, eventRetire, c.used)
 	if !ok {
@@ -178,7 +180,8 @@
 	_ = c.Conn.SetReadDeadline(pastDeadline)
 }
 
-// apply changes the state of a connection by an event, and reports whether the event has an effect. The lock is held.
+// apply applies an event to the state of a connection, and reports whether the event has an effect. The caller must
+// hold l.mu.
 func (l *Listener) apply(c *Conn, event connEvent) bool {
 	next, ok := nextState(c.state, event, c.used)
 	if !ok {
@@ -193,7 +196,8 @@
 	return true
 }
 
-// setState changes the state of a connection and keeps the numbers and the list of the listener. The lock is held.
+// setState changes the state of a connection and updates the counts and the idle list of the listener. The caller must
+// hold l.mu.
 func (l *Listener) setState(c *Conn, next connState) {
 	previous := c.state
 	c.state = next
@@ -218,21 +222,22 @@
 	}
 }
 
-// addIdle puts a connection at the end of the list of those without a request. The lock is held.
+// addIdle appends a connection to the list of connections without a request. The caller must hold l.mu.
 func (l *Listener) addIdle(c *Conn) {
 	c.idleSince = time.Now()
 	c.idleElement = l.idleConns.PushBack(c)
 	l.signalCapacity()
 }
 
-// countClosed keeps the numbers of a connection that was closed in a state. The lock is held.
+// countClosed updates the counts for a closed connection. previous is its state before it was closed. The caller must
+// hold l.mu.
 func (l *Listener) countClosed(c *Conn, previous connState) {
 	l.openConns--
 	if c.used {
 		l.usedConns--
 	}
 	switch {
-	case c.requestsRead > 0 || c.readError == nil || c.malformed != nil: // it has had a response
+	case c.requestsRead > 0 || c.readError == nil || c.malformed != nil: // the client got a response
 	case previous == stateRetiring:
 		l.unserved.Count(c.retireCause)
 	case errors.Is(c.readError, os.ErrDeadlineExceeded):
@@ -243,7 +248,7 @@
 	l.signalCapacity()
 }
 
-// signalCapacity wakes an Accept that waits for capacity.
+// signalCapacity wakes a call of Accept that waits for capacity.
 func (l *Listener) signalCapacity() {
 	select {
 	case l.capacity <- struct{}{}:
@@ -251,7 +256,7 @@
 	}
 }
 
-// atLimit reports whether no more connections may be open.
+// atLimit reports whether the connection limit is reached.
 func (l *Listener) atLimit() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/downstream/state.go
+++ b/internal/downstream/state.go
@@ -1,6 +1,7 @@
 package downstream
 
-// connState is the state of a client connection. Its Listener's lock guards it.
+// connState is the state of a client connection. The lock of its Listener guards it. The table shows the next state for
+// each event and state.
 //
 //	event            new       idle      active     retiring     lingering  closed
 //	input            new       idle      active     new or idle  lingering  -
@@ -11,36 +12,36 @@
 //	retire           retiring  retiring  active     -            closed     -
 //	close            closed    closed    closed     closed       closed     -
 //
-// A dash is an event that has no effect in this state. Every state but active and closed is one without a request; a
-// part of a head may have been read in each of them, which Conn.partialHead says.
+// A dash means that the event has no effect in this state. In every state except active and closed, the connection has
+// no request, but a part of a head may have been read (see Conn.partialHead).
 type connState int
 
 const (
-	stateNew       connState = iota // accepted, and no request was read
-	stateIdle                       // its requests are answered, and another one may come
-	stateActive                     // a request was read and is not answered
-	stateRetiring                   // its reader closes it unless bytes wait
-	stateLingering                  // its final response was sent, and it is read to the client's end
+	stateNew       connState = iota // accepted, no request was read
+	stateIdle                       // all responses were sent, another request may follow
+	stateActive                     // a request was read, its response was not sent
+	stateRetiring                   // its reader closes it unless unread bytes have arrived
+	stateLingering                  // its final response was sent, it is read until the client closes it
 	stateClosed
 )
 
-// hasNoRequest reports whether a connection in this state is open and has no request to answer.
+// hasNoRequest reports whether a connection in this state is open and has no request without a response.
 func (s connState) hasNoRequest() bool { return s != stateActive && s != stateClosed }
 
-// connEvent is what changes the state of a connection.
+// connEvent is an event that may change the state of a connection.
 type connEvent int
 
 const (
-	eventInput          connEvent = iota // bytes were read, or wait to be, that make no complete request
+	eventInput          connEvent = iota // bytes were read or can be read, not necessarily a complete head
 	eventRequestRead                     // the head of a request was read
-	eventHandlerStarted                  // http.Server has read a request, or has failed to
-	eventResponseSent                    // http.Server keeps the connection behind a response
-	eventFinalResponse                   // a response was written behind which nothing more is served
-	eventRetire                          // the connection is to end
+	eventHandlerStarted                  // http.Server has read a request, or failed to read one
+	eventResponseSent                    // http.Server reported http.StateIdle after a response
+	eventFinalResponse                   // a response was written and no further request is served
+	eventRetire                          // the connection is to be closed
 	eventClose                           // the connection was closed
 )
 
-// transitions are the states that follow each event, by state. Events that have no effect in a state are not there.
+// transitions maps each event and state to the next state. Events without an effect in a state are absent.
 var transitions = map[connEvent]map[connState]connState{
 	eventInput: {
 		stateNew:       stateNew,
@@ -68,7 +69,7 @@
 	eventRetire: {
 		stateNew:       stateRetiring,
 		stateIdle:      stateRetiring,
-		stateActive:    stateActive, // its response ends it
+		stateActive:    stateActive, // closed after its response
 		stateLingering: stateClosed,
 	},
 	eventClose: {
@@ -80,8 +81,8 @@
 	},
 }
 
-// nextState returns the state that follows an event, and whether the event has an effect in this state. used says
-// whether the connection has ever had a request: one that goes on after all was new or idle before.
+// nextState returns the next state after an event, and whether the event has an effect in this state. used is
+// Conn.used; it determines whether a retiring connection with new input becomes new or idle again.
 func nextState(state connState, event connEvent, used bool) (next connState, ok bool) {
 	next, ok = transitions[event][state]
 	if !ok {
