--- a/internal/chunked/decoder.go
+++ b/internal/chunked/decoder.go
@@ -1,6 +1,6 @@
 // Package chunked decodes chunked bodies of HTTP/1.1 (RFC 9112, section 7.1) strictly and incrementally, from pieces of
-// any size. What another parser might read in another way is an error: both client requests and server responses are
-// forwarded as this decoder reads them. It starts no goroutine; its one error is ErrMalformed.
+// any size. It rejects encodings that another parser might interpret differently, because client requests and server
+// responses are forwarded as this decoder interprets them. It starts no goroutine. All its errors wrap ErrMalformed.
 package chunked
 
 import (
@@ -9,41 +9,41 @@
 )
 
 const (
-	maxLineBytes    = 1 << 10 // bytes of a chunk's size line, extensions included
-	maxTrailerBytes = 8 << 10 // bytes of all trailers
-	maxSizeDigits   = 15      // hexadecimal digits of a chunk's size; more could overflow
+	maxLineBytes    = 1 << 10 // maximum size in bytes of a chunk's size line, including extensions
+	maxTrailerBytes = 8 << 10 // maximum size in bytes of all trailer fields
+	maxSizeDigits   = 15      // maximum number of hexadecimal digits of a chunk size; more could overflow
 )
 
-// ErrMalformed is the error of a body whose chunks are not framed as RFC 9112 demands.
+// ErrMalformed means that the chunks of a body are not framed as RFC 9112 requires.
 var ErrMalformed = errors.New("bad chunk")
 
-// decoderState says what the next byte belongs to.
+// decoderState identifies the element of the encoding to which the next byte belongs.
 type decoderState int
 
 const (
-	chunkSize      decoderState = iota // a digit of a size, or what ends it
-	chunkExtension                     // what follows a size, up to the end of its line
-	chunkSizeLF                        // the line feed that ends a size's line
+	chunkSize      decoderState = iota // a digit of a chunk size, or the byte that ends the size
+	chunkExtension                     // the rest of a size line after the size
+	chunkSizeLF                        // the line feed that ends a size line
 	chunkData
-	chunkDataCR  // after the data
-	chunkDataLF  // after its carriage return
-	trailerStart // the first byte of a trailer line, or of the empty line that ends them
+	chunkDataCR  // the carriage return after the data
+	chunkDataLF  // the line feed after the data
+	trailerStart // the first byte of a trailer line or of the final empty line
 	trailerText  // the rest of a trailer line
 	trailerLF    // the line feed of a trailer line
-	finalLF      // the line feed of the empty line
+	finalLF      // the line feed of the final empty line
 	chunksDone
 )
 
-// Decoder decodes one chunked body. The zero value is at the start of a body.
+// Decoder decodes one chunked body. The zero value is the state at the start of a body.
 type Decoder struct {
 	state      decoderState
 	sizeDigits int
-	remaining  uint64 // bytes of the chunk's data that are still to come
-	lineBytes  int    // consumed bytes of the line, or of all trailers
+	remaining  uint64 // remaining data bytes of the current chunk
+	lineBytes  int    // consumed bytes of the size line, or of all trailers
 }
 
-// Next decodes bytes of the body's encoded form. It returns the next run of data, which is a part of in, the number of
-// encoded bytes used up to the end of that run, and whether the body is complete.
+// Next decodes encoded bytes of the body. It returns the next run of data, which is a slice of in, the number of
+// encoded bytes consumed up to the end of that run, and whether the body is complete.
 func (d *Decoder) Next(in []byte) (data []byte, used int, done bool, err error) {
 	for used < len(in) {
 		if d.state == chunkData {
@@ -66,7 +66,7 @@
 	return nil, used, d.state == chunksDone, nil
 }
 
-// consume decodes a byte that is not data.
+// consume decodes one byte that is not chunk data.
 func (d *Decoder) consume(b byte) error {
 	d.lineBytes++
 	switch d.state {
@@ -93,12 +93,12 @@
 	return nil
 }
 
-// unexpectedByte returns the error of a byte that is not allowed where it stands.
+// unexpectedByte returns the error for a byte that is not allowed at this position.
 func unexpectedByte(b byte, where string) error {
 	return fmt.Errorf("%w: %q %s", ErrMalformed, b, where)
 }
 
-// expect decodes a byte that must be the wanted one, and changes to the next state.
+// expect decodes a byte that must equal want, and changes to the next state.
 func (d *Decoder) expect(b, want byte, next decoderState, where string) error {
 	if b != want {
 		return unexpectedByte(b, where)
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// consumeSize decodes a digit of a chunk's size, or the byte that ends the size.
+// consumeSize decodes a digit of a chunk size, or the byte that ends the size.
 func (d *Decoder) consumeSize(b byte) error {
 	digit, ok := hexDigit(b)
 	switch {
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// consumeSizeEnd decodes the line feed after a size. The chunk of size 0 is the last one.
+// consumeSizeEnd decodes the line feed that ends a size line. A chunk of size 0 is the last chunk.
 func (d *Decoder) consumeSizeEnd(b byte) error {
 	if err := d.expect(b, '\n', chunkData, "behind a size"); err != nil {
 		return err
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// consumeText decodes a byte of an extension or a trailer, up to the carriage return that ends it.
+// consumeText decodes a byte of an extension or a trailer, up to the carriage return at its end.
 func (d *Decoder) consumeText(b byte, next decoderState, maxBytes int, where string) error {
 	switch {
 	case b == '\r':
@@ -152,7 +152,7 @@
 	return nil
 }
 
-// consumeTrailerStart decodes the first byte of a trailer line, or of the empty line that ends the trailers.
+// consumeTrailerStart decodes the first byte of a trailer line or of the final empty line.
 func (d *Decoder) consumeTrailerStart(b byte) error {
 	switch b {
 	case '\r':
--- a/internal/netretry/netretry.go
+++ b/internal/netretry/netretry.go
@@ -1,7 +1,7 @@
-// Package netretry holds the one policy for system calls on sockets that fail for a reason of this machine: they are
-// retried, with a short and bounded backoff. A shortage of descriptors, buffers or memory passes, and neither a peer
-// nor the process may be given up for it. The package starts no goroutine and returns the errors of the calls that it
-// makes.
+// Package netretry retries system calls on sockets that fail with a local error, such as a shortage of descriptors,
+// buffers or memory on this machine. Such shortages are temporary, and must neither make a peer count as failed nor end
+// the process. The backoff between retries is short and bounded. The package starts no goroutine and returns the errors
+// of the calls that it makes.
 package netretry
 
 import (
@@ -17,19 +17,19 @@
 const (
 	minBackoff      = time.Millisecond
 	maxBackoff      = 50 * time.Millisecond
-	maxIOAttempts   = 8 // of a read or a write, over about 0.1 s
-	maxDialAttempts = 5 // of a dial, over about 15 ms: another server may be tried instead
+	maxIOAttempts   = 8 // attempts of a read or a write, over about 0.1 s
+	maxDialAttempts = 5 // attempts of a dial, over about 15 ms; the caller may try another server
 )
 
-// maxBackoffShift bounds the doublings of the backoff, which keeps the shift from overflowing.
+// maxBackoffShift is the maximum number of doublings of the backoff, so that the shift does not overflow.
 const maxBackoffShift = 10
 
-// backoff returns how long to wait after the given number of failures in a row.
+// backoff returns the wait after the given number of consecutive failures.
 func backoff(failures int) time.Duration {
 	return min(minBackoff<<min(failures-1, maxBackoffShift), maxBackoff)
 }
 
-// localErrors are the errors of socket, connect, read and write that concern this machine only.
+// localErrors are the errors of socket, connect, read and write whose cause is on this machine.
 var localErrors = []error{
 	syscall.EMFILE,
 	syscall.ENFILE,
@@ -40,7 +40,8 @@
 	syscall.EINTR,
 }
 
-// IsLocalError reports whether err is a failure of this machine, which says nothing of the peer.
+// IsLocalError reports whether the cause of err is on this machine, so that err does not indicate a failure of the
+// peer.
 func IsLocalError(err error) bool {
 	for _, localError := range localErrors {
 		if errors.Is(err, localError) {
@@ -50,7 +51,7 @@
 	return false
 }
 
-// Listener is a listener whose Accept ends only when it is closed.
+// Listener is a listener whose Accept fails only after the listener is closed.
 type Listener struct {
 	net.Listener
 	log *slog.Logger
@@ -59,9 +60,9 @@
 // NewListener returns a Listener that accepts from l.
 func NewListener(l net.Listener, log *slog.Logger) *Listener { return &Listener{l, log} }
 
-// Accept implements net.Listener. It retries after any error but net.ErrClosed: accept(2) reports shortages, errors of
-// the network, and those of a connection that ended before it was accepted, and none of them ends the listener. It logs
-// a run of failures once.
+// Accept implements net.Listener. It retries after any error except net.ErrClosed. accept(2) reports resource
+// shortages, network errors, and errors of connections that ended before they were accepted; the listener stays usable
+// after all of them. Accept logs only the first of several consecutive failures.
 func (l *Listener) Accept() (net.Conn, error) {
 	for failures := 1; ; failures++ {
 		c, err := l.Listener.Accept()
@@ -75,8 +76,8 @@
 	}
 }
 
-// Open calls open, which opens a listener or a file, until it succeeds, ctx is done, or it fails for a reason that does
-// not pass, as an address that is in use or does not belong to this machine.
+// Open calls open, which opens a listener or a file, until it succeeds, ctx is done, or it fails with a permanent
+// error, for example because an address is in use or does not belong to this machine.
 func Open[T any](ctx context.Context, open func() (T, error)) (T, error) {
 	for failures := 1; ; failures++ {
 		opened, err := open()
@@ -91,7 +92,7 @@
 	}
 }
 
-// Dial calls dial, and retries a failure of this machine for a bounded time, or until ctx is done.
+// Dial calls dial. It retries local errors at most maxDialAttempts-1 times, or until ctx is done.
 func Dial(ctx context.Context, dial func() (net.Conn, error)) (net.Conn, error) {
 	for failures := 1; ; failures++ {
 		c, err := dial()
@@ -106,7 +107,7 @@
 	}
 }
 
-// Read reads from r as its Read does, and retries a failure of this machine for a bounded time.
+// Read calls r.Read. It retries local errors at most maxIOAttempts-1 times.
 func Read(r io.Reader, p []byte) (n int, err error) {
 	for failures := 1; ; failures++ {
 		n, err = r.Read(p)
@@ -117,8 +118,8 @@
 	}
 }
 
-// Write writes all of p to w. After a short write or a failure of this machine it goes on with what is left, for a
-// bounded time if nothing can be written.
+// Write writes all of p to w. After a short write or a local error it continues with the unwritten bytes. It gives up
+// after maxIOAttempts consecutive attempts that wrote nothing.
 func Write(w io.Writer, p []byte) (written int, err error) {
 	for failures := 1; ; failures++ {
 		n, err := w.Write(p[written:])
@@ -130,7 +131,7 @@
 		if !retry || n == 0 && failures == maxIOAttempts {
 			return written, err
 		}
-		if n > 0 { // progress: failures are counted anew
+		if n > 0 { // progress resets the count of failures
 			failures = 0
 			continue
 		}
@@ -138,7 +139,7 @@
 	}
 }
 
-// RetryOnEINTR calls call until no signal interrupts it, and returns its error.
+// RetryOnEINTR calls call until it returns an error other than EINTR, or nil, and returns that result.
 func RetryOnEINTR(call func() error) error {
 	for {
 		if err := call(); !errors.Is(err, syscall.EINTR) {
--- a/internal/netretry/socket.go
+++ b/internal/netretry/socket.go
@@ -8,8 +8,8 @@
 // pollFunc has the signature of unix.Poll.
 type pollFunc func(fds []unix.PollFd, timeout int) (int, error)
 
-// Peek returns how many bytes can be read from a socket, counting at most one. It neither waits nor consumes any. For
-// an open connection with nothing to read it returns EAGAIN.
+// Peek returns 1 if a byte can be read from the socket, and 0 at the end of the stream. It neither waits nor consumes
+// the byte. If the connection is open and has no unread bytes, Peek returns EAGAIN.
 func Peek(fd int) (n int, err error) { return peek(fd, unix.Recvfrom) }
 
 func peek(fd int, receive recvfromFunc) (n int, err error) {
@@ -21,7 +21,8 @@
 	return n, err
 }
 
-// Poll returns which of the events a file has now, and POLLHUP and POLLERR if it has them. It does not wait.
+// Poll returns those of the given events that are currently set on a file, and POLLHUP and POLLERR if they are set. It
+// does not wait.
 func Poll(fd int, events int16) (int16, error) { return poll(fd, events, unix.Poll) }
 
 func poll(fd int, events int16, call pollFunc) (int16, error) {
