--- a/internal/chunked/decoder.go
+++ b/internal/chunked/decoder.go
@@ -15,7 +15,7 @@
 )
 
 // ErrMalformed means that the chunks of a body are not framed as RFC 9112 requires.
-var ErrMalformed = errors.New("bad chunk")
+var ErrMalformed = errors.New("malformed chunked body")
 
 // decoderState identifies the element of the encoding to which the next byte belongs.
 type decoderState int
@@ -73,29 +73,29 @@
 	case chunkSize:
 		return d.consumeSize(b)
 	case chunkExtension:
-		return d.consumeText(b, chunkSizeLF, maxLineBytes, "in an extension")
+		return d.consumeText(b, chunkSizeLF, maxLineBytes, "in a chunk extension")
 	case chunkSizeLF:
 		return d.consumeSizeEnd(b)
 	case chunkDataCR:
-		return d.expect(b, '\r', chunkDataLF, "behind a chunk")
+		return d.expect(b, '\r', chunkDataLF, "after chunk data")
 	case chunkDataLF:
 		d.lineBytes = 0
-		return d.expect(b, '\n', chunkSize, "behind a chunk")
+		return d.expect(b, '\n', chunkSize, "after chunk data")
 	case trailerStart:
 		return d.consumeTrailerStart(b)
 	case trailerText:
-		return d.consumeText(b, trailerLF, maxTrailerBytes, "in a trailer")
+		return d.consumeText(b, trailerLF, maxTrailerBytes, "in a trailer field")
 	case trailerLF:
-		return d.expect(b, '\n', trailerStart, "behind a trailer")
+		return d.expect(b, '\n', trailerStart, "after a trailer field")
 	case finalLF:
-		return d.expect(b, '\n', chunksDone, "behind the trailers")
+		return d.expect(b, '\n', chunksDone, "after the trailer section")
 	}
 	return nil
 }
 
 // unexpectedByte returns the error for a byte that is not allowed at this position.
 func unexpectedByte(b byte, where string) error {
-	return fmt.Errorf("%w: %q %s", ErrMalformed, b, where)
+	return fmt.Errorf("%w: byte %q %s", ErrMalformed, b, where)
 }
 
 // expect decodes a byte that must equal want, and changes to the next state.
@@ -115,22 +115,22 @@
 		d.remaining = d.remaining<<4 | uint64(digit)
 		d.sizeDigits++
 	case ok:
-		return unexpectedByte(b, "makes a size too long")
+		return unexpectedByte(b, "makes the chunk size too long")
 	case d.sizeDigits == 0:
-		return unexpectedByte(b, "is no size")
+		return unexpectedByte(b, "is not a digit of a chunk size")
 	case b == ';' || b == ' ' || b == '\t':
 		d.state = chunkExtension
 	case b == '\r':
 		d.state = chunkSizeLF
 	default:
-		return unexpectedByte(b, "in a size")
+		return unexpectedByte(b, "in a chunk size")
 	}
 	return nil
 }
 
 // consumeSizeEnd decodes the line feed that ends a size line. A chunk of size 0 is the last chunk.
 func (d *Decoder) consumeSizeEnd(b byte) error {
-	if err := d.expect(b, '\n', chunkData, "behind a size"); err != nil {
+	if err := d.expect(b, '\n', chunkData, "after a chunk size"); err != nil {
 		return err
 	}
 	if d.remaining == 0 {
@@ -158,7 +158,7 @@
 	case '\r':
 		d.state = finalLF
 	case ' ', '\t', '\n':
-		return unexpectedByte(b, "starts a trailer")
+		return unexpectedByte(b, "at the start of a trailer field")
 	default:
 		d.state = trailerText
 	}
