--- a/internal/downstream/framing.go
+++ b/internal/downstream/framing.go
@@ -10,7 +10,7 @@
 )
 
 // errFraming means that the framing of a client's message is ambiguous or malformed.
-var errFraming = errors.New("bad framing")
+var errFraming = errors.New("malformed message framing")
 
 // maxHeadBytes is the maximum size in bytes of a request's head. It is well above the limit of net/http, which sends
 // the response to a head that is too large.
@@ -75,7 +75,7 @@
 		used += len(piece)
 		f.headBytes += len(piece)
 		if f.headBytes > maxHeadBytes {
-			return used, fmt.Errorf("%w: a head of more than %d bytes", errFraming, maxHeadBytes)
+			return used, fmt.Errorf("%w: head exceeds %d bytes", errFraming, maxHeadBytes)
 		}
 		line := piece // most lines arrive in one piece
 		if !isLineEnd || len(f.line) > 0 {
@@ -112,7 +112,7 @@
 		return nil // net/http checks the request line
 	}
 	if line[0] == ' ' || line[0] == '\t' {
-		return fmt.Errorf("%w: a folded line", errFraming)
+		return fmt.Errorf("%w: folded header line", errFraming)
 	}
 	if initial := line[0] | 0x20; initial != 'c' && initial != 't' { // first letters of the two fields, lower-cased
 		return nil
@@ -122,12 +122,12 @@
 	switch {
 	case bytes.EqualFold(name, []byte("Content-Length")):
 		if f.contentLength != nil {
-			return fmt.Errorf("%w: two lengths", errFraming)
+			return fmt.Errorf("%w: duplicate Content-Length", errFraming)
 		}
 		f.contentLength = append([]byte{}, value...) // not nil, even if the value is empty
 	case bytes.EqualFold(name, []byte("Transfer-Encoding")):
 		if f.isChunked || !bytes.EqualFold(value, []byte("chunked")) {
-			return fmt.Errorf("%w: codings other than chunked", errFraming)
+			return fmt.Errorf("%w: unsupported or duplicate Transfer-Encoding", errFraming)
 		}
 		f.isChunked = true
 	}
@@ -140,14 +140,14 @@
 	*f = requestFraming{requests: f.requests, line: f.line[:0]}
 	switch {
 	case isChunked && contentLength != nil:
-		return fmt.Errorf("%w: a length together with chunks", errFraming)
+		return fmt.Errorf("%w: Content-Length together with Transfer-Encoding", errFraming)
 	case isChunked:
 		f.inBody = true
 		f.decoder = &chunked.Decoder{}
 	case contentLength != nil:
 		length, err := strconv.ParseUint(string(contentLength), 10, 63)
 		if err != nil {
-			return fmt.Errorf("%w: length %.40q", errFraming, contentLength)
+			return fmt.Errorf("%w: invalid Content-Length %.40q", errFraming, contentLength)
 		}
 		f.remaining = int64(length)
 		f.inBody = length > 0
--- a/internal/downstream/listen.go
+++ b/internal/downstream/listen.go
@@ -42,7 +42,7 @@
 		optionErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	})
 	if optionErr != nil {
-		log.Warn("the address cannot be shared with a next process", "err", optionErr)
+		log.Warn("cannot set SO_REUSEPORT; hot restart is not possible", "err", optionErr)
 	}
 	return err
 }
--- a/internal/netretry/netretry.go
+++ b/internal/netretry/netretry.go
@@ -70,7 +70,7 @@
 			return c, err
 		}
 		if failures == 1 {
-			l.log.Warn("accept failed and is tried again", "err", err)
+			l.log.Warn("accept failed; retrying", "err", err)
 		}
 		time.Sleep(backoff(failures))
 	}
