--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -167,7 +167,7 @@
 	conn.readTimeout = max(time.Duration(c.responseReadTimeoutNanos.Load()), minReadTimeout)
 	r, reusable, err = conn.readResponse()
 	if errors.Is(err, os.ErrDeadlineExceeded) && ctx.Err() == nil {
-		err = malformed("it stopped midway")
+		err = malformed("response stalled for longer than the read timeout")
 	}
 	return r, reusable, err
 }
--- a/internal/upstream/body.go
+++ b/internal/upstream/body.go
@@ -46,7 +46,7 @@
 	case len(codings) == 0 && len(lengths) == 1:
 		length, err := strconv.ParseUint(lengths[0], 10, 63)
 		if err != nil || length > maxResponseBody {
-			return nil, malformed("length %.40q", lengths[0])
+			return nil, malformed("invalid Content-Length %.40q", lengths[0])
 		}
 		body.length = int64(length)
 		body.remaining = body.length
@@ -56,7 +56,7 @@
 		// An orderly close of the connection ends the body, with or without "Connection: close". A reset or a read
 		// timeout does not.
 	default:
-		return nil, malformed("lengths %q, codings %q", lengths, codings)
+		return nil, malformed("ambiguous framing: Content-Length %q, Transfer-Encoding %q", lengths, codings)
 	}
 	return body, nil
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -43,7 +43,7 @@
 	rawConn, err := conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		_ = conn.Close()
-		return nil, fmt.Errorf("connection: %w", err)
+		return nil, fmt.Errorf("get raw connection: %w", err)
 	}
 	c := &serverConn{Conn: conn, rawConn: rawConn, server: target}
 	c.limitedReader = &io.LimitedReader{R: c}
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -6,21 +6,21 @@
 )
 
 // errConnLimit means that the pool has reached its connection limit.
-var errConnLimit = errors.New("no descriptor left for a connection")
+var errConnLimit = errors.New("limit of connections to servers reached")
 
 // errNotSendable means that the request must no longer be sent to the server. The errors below wrap it and add the
 // reason.
-var errNotSendable = errors.New("not sent")
+var errNotSendable = errors.New("request not sent")
 
 var (
-	errServerRemoved    = fmt.Errorf("%w: the server was taken out, removed or restarted", errNotSendable)
-	errServerDraining   = fmt.Errorf("%w: the server drains", errNotSendable)
-	errSendDeadline     = fmt.Errorf("%w: the send deadline has passed", errNotSendable)
-	errRequestCancelled = fmt.Errorf("%w: the request is cancelled", errNotSendable)
+	errServerRemoved    = fmt.Errorf("%w: server was removed, restarted or set administratively down", errNotSendable)
+	errServerDraining   = fmt.Errorf("%w: server is draining", errNotSendable)
+	errSendDeadline     = fmt.Errorf("%w: send deadline has passed", errNotSendable)
+	errRequestCancelled = fmt.Errorf("%w: request was cancelled", errNotSendable)
 )
 
 // errStreamDeclined means that the caller declined to stream a long response.
-var errStreamDeclined = errors.New("response declined")
+var errStreamDeclined = errors.New("streaming of the response declined")
 
 // errMalformedResponse means that the response cannot be parsed. The server may have processed the request.
 var errMalformedResponse = errors.New("malformed response")
--- a/internal/upstream/response_parser.go
+++ b/internal/upstream/response_parser.go
@@ -89,7 +89,7 @@
 			return head, err
 		}
 		if head.status == http.StatusSwitchingProtocols || interim > maxInterimResponses {
-			return responseHead{}, malformed("status %d, interim response %d", head.status, interim)
+			return responseHead{}, malformed("unexpected status %d of interim response %d", head.status, interim)
 		}
 	}
 }
@@ -117,7 +117,7 @@
 	code, _, _ := strings.Cut(rest, " ")
 	status, err = strconv.Atoi(code)
 	if err != nil || len(code) != 3 || status < 100 || version != "HTTP/1.1" && version != "HTTP/1.0" {
-		return 0, malformed("status line %.40q", line)
+		return 0, malformed("invalid status line %.40q", line)
 	}
 	return status, nil
 }
