--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -20,7 +20,8 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestOutcomeOfResponses gives each response to a request of each kind. None of the requests is sent twice.
+// TestOutcomeOfResponses checks the outcome of each kind of response for each kind of request, and that no request is
+// sent twice.
 func TestOutcomeOfResponses(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -30,26 +31,26 @@
 		{"served", testserver.Respond(200, "", "slot"), balance.Served},
 		{"empty", testserver.Respond(200, "", ""), balance.Served},
 		{"error", testserver.Respond(500, "", "oh"), balance.Errored},
-		{"full", testserver.Respond(503, "X-Not-Processed: 1\r\n", "no"), balance.Saturated},
-		{"late", testserver.Respond(504, "X-Not-Processed: 1\r\n", ""), balance.Saturated},
-		{"unavailable, may have run", testserver.Respond(503, "", ""), balance.Errored},
-		{"error that claims not to have run", testserver.Respond(500, "X-Not-Processed: 1\r\n", ""), balance.Errored},
+		{"saturated", testserver.Respond(503, "X-Not-Processed: 1\r\n", "no"), balance.Saturated},
+		{"deadline exceeded, not processed", testserver.Respond(504, "X-Not-Processed: 1\r\n", ""), balance.Saturated},
+		{"unavailable, may have been processed", testserver.Respond(503, "", ""), balance.Errored},
+		{"error with X-Not-Processed", testserver.Respond(500, "X-Not-Processed: 1\r\n", ""), balance.Errored},
 		{"large", testserver.Respond(200, "", strings.Repeat("x", 32<<20)), balance.Served},
-		{"too long", func(conn net.Conn, _ *http.Request, _ []byte) bool {
+		{"declared length too long", func(conn net.Conn, _ *http.Request, _ []byte) bool {
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", maxResponseBody+1)
 			return false
 		}, balance.Errored},
-		{"reset", testserver.ResetConnection, balance.Reset},
-		{"end", func(net.Conn, *http.Request, []byte) bool { return false }, balance.Reset},
-		{"no HTTP", func(conn net.Conn, _ *http.Request, _ []byte) bool {
+		{"connection reset", testserver.ResetConnection, balance.Reset},
+		{"connection closed", func(net.Conn, *http.Request, []byte) bool { return false }, balance.Reset},
+		{"not HTTP", func(conn net.Conn, _ *http.Request, _ []byte) bool {
 			fmt.Fprint(conn, "what\r\n\r\n")
 			return false
 		}, balance.Errored},
-		{"half a body", func(conn net.Conn, _ *http.Request, _ []byte) bool {
+		{"truncated body", func(conn net.Conn, _ *http.Request, _ []byte) bool {
 			fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
 			return false
 		}, balance.Reset},
-		{"half a chunked body", func(conn net.Conn, _ *http.Request, _ []byte) bool {
+		{"truncated chunked body", func(conn net.Conn, _ *http.Request, _ []byte) bool {
 			fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n")
 			return false
 		}, balance.Reset},
@@ -67,14 +68,15 @@
 					t.Errorf("body %q", response.Body)
 				}
 				if n := backend.RequestCount(); n != 1 {
-					t.Errorf("%s with key %q came %d times", message.Method, message.IdempotencyKey, n)
+					t.Errorf("%s with key %q was received %d times", message.Method, message.IdempotencyKey, n)
 				}
 			}
 		})
 	}
 }
 
-// TestOutcomeOfUnsentAttempts: an attempt that cannot be sent says whether its server is unreachable.
+// TestOutcomeOfUnsentAttempts checks that the outcome of an attempt that cannot be sent distinguishes an unreachable
+// server from other reasons.
 func TestOutcomeOfUnsentAttempts(t *testing.T) {
 	backend := testserver.StartBackend(t, testserver.NeverRespond)
 	client := newTestClient(t, backend)
@@ -98,12 +100,13 @@
 		}
 	}
 	if n := backend.RequestCount(); n != 0 {
-		t.Errorf("%d requests came", n)
+		t.Errorf("%d requests received, want 0", n)
 	}
 }
 
-// TestOutcomeOfUnansweredAttempts: an attempt without a response says whether its deadline passed or it was cancelled.
-func TestOutcomeOfUnansweredAttempts(t *testing.T) {
+// TestOutcomeOfAttemptsWithoutResponse checks that the outcome of an attempt without a response distinguishes a passed
+// deadline from a cancellation.
+func TestOutcomeOfAttemptsWithoutResponse(t *testing.T) {
 	backend := testserver.StartBackend(t, testserver.NeverRespond)
 	client := newTestClient(t, backend)
 	deadline := newManualDeadline()
@@ -114,7 +117,7 @@
 	testserver.Receive(t, backend.Requests, "request")
 	deadline.expire()
 	if response := testserver.Receive(t, ended, "end"); response.Outcome != balance.TimedOut {
-		t.Errorf("outcome %d, want a time-out", response.Outcome)
+		t.Errorf("outcome %d, want TimedOut", response.Outcome)
 	}
 	backend = testserver.StartBackend(t, testserver.NeverRespond)
 	client = newTestClient(t, backend)
@@ -125,12 +128,12 @@
 	testserver.Receive(t, backend.Requests, "request")
 	cancel()
 	if response := testserver.Receive(t, ended, "end"); response.Outcome != balance.Cancelled {
-		t.Errorf("outcome %d, want cancelled", response.Outcome)
+		t.Errorf("outcome %d, want Cancelled", response.Outcome)
 	}
 }
 
-// TestOutcomeOfSocketErrors has an attempt fail with each error. Errors of this machine are retried first, and then say
-// nothing of the server: its idle connections stay open.
+// TestOutcomeOfSocketErrors checks the outcome of an attempt for each socket error. Local errors are retried first. If
+// they persist they do not indicate a failure of the server, and its idle connections stay open.
 func TestOutcomeOfSocketErrors(t *testing.T) {
 	cases := func(call string, want balance.Outcome, keepsIdle bool, errnos ...syscall.Errno) []socketErrorTest {
 		var tests []socketErrorTest
@@ -162,7 +165,7 @@
 			failures.Set(tt.call, once)
 			if tt.keepsIdle {
 				if got := attemptOutcome(); got != balance.Served {
-					t.Errorf("outcome %d after one failure, want that it was retried", got)
+					t.Errorf("outcome %d after one failure, want Served after a retry", got)
 				}
 				client.pool.closeIdle(client.servers["s-0"])
 			}
@@ -173,13 +176,13 @@
 				t.Errorf("outcome %d, want %d", got, tt.want)
 			}
 			if kept := len(client.servers["s-0"].idle) == 1; kept != tt.keepsIdle {
-				t.Errorf("the idle connection is kept: %v", kept)
+				t.Errorf("idle connection kept: %v", kept)
 			}
 		})
 	}
 }
 
-// socketErrorTest is a system call that fails, and what an attempt makes of it.
+// socketErrorTest is a failing system call and the expected result of an attempt.
 type socketErrorTest struct {
 	call      string
 	errno     syscall.Errno
@@ -187,37 +190,38 @@
 	keepsIdle bool
 }
 
-// TestAttemptIsNotSentAfterEventWhileConnecting has something happen while the connection of an attempt opens. The
-// attempt is not sent then. The connection, on which nothing was written, stays open unless the server was removed.
+// TestAttemptIsNotSentAfterEventWhileConnecting checks that an attempt is not sent if its server drains or is removed,
+// or its request is cancelled, while the connection opens. The unused connection stays open unless the server was
+// removed.
 func TestAttemptIsNotSentAfterEventWhileConnecting(t *testing.T) {
 	for _, tt := range []struct {
 		name      string
 		event     func(*Client, *testserver.Backend, *atomic.Bool)
 		wantConns int
 	}{
-		{"the server drains", func(client *Client, backend *testserver.Backend, _ *atomic.Bool) {
+		{"server drains", func(client *Client, backend *testserver.Backend, _ *atomic.Bool) {
 			updateEndpoint(t, client, 2, backend.Address, "DRAINING", 0)
 		}, 1},
-		{"a complete list leaves it out", func(client *Client, _ *testserver.Backend, _ *atomic.Bool) {
+		{"server missing from a complete list", func(client *Client, _ *testserver.Backend, _ *atomic.Bool) {
 			updateList(t, client, testserver.ListText(2, true))
 		}, 0},
-		{"it is removed", func(client *Client, backend *testserver.Backend, _ *atomic.Bool) {
+		{"server removed", func(client *Client, backend *testserver.Backend, _ *atomic.Bool) {
 			updateEndpoint(t, client, 2, backend.Address, "DELETED", 0)
 		}, 0},
-		{"it starts again", func(client *Client, backend *testserver.Backend, _ *atomic.Bool) {
+		{"server restarted", func(client *Client, backend *testserver.Backend, _ *atomic.Bool) {
 			updateEndpoint(t, client, 2, backend.Address, "SERVING", 1700000000000)
 		}, 0},
-		{"it moves", func(client *Client, _ *testserver.Backend, _ *atomic.Bool) {
+		{"server address changed", func(client *Client, _ *testserver.Backend, _ *atomic.Bool) {
 			updateEndpoint(t, client, 2, "127.0.0.1:9", "SERVING", 0)
 		}, 0},
-		{"it is taken out of service", func(client *Client, _ *testserver.Backend, _ *atomic.Bool) {
+		{"server set administratively down", func(client *Client, _ *testserver.Backend, _ *atomic.Bool) {
 			client.SetAdminDown("s-0", true)
 		}, 0},
-		{"it is taken out of service and put back", func(client *Client, _ *testserver.Backend, _ *atomic.Bool) {
+		{"server set administratively down and up again", func(client *Client, _ *testserver.Backend, _ *atomic.Bool) {
 			client.SetAdminDown("s-0", true)
 			client.SetAdminDown("s-0", false)
 		}, 0},
-		{"the request is cancelled", func(_ *Client, _ *testserver.Backend, cancelled *atomic.Bool) {
+		{"request cancelled", func(_ *Client, _ *testserver.Backend, cancelled *atomic.Bool) {
 			cancelled.Store(true)
 		}, 1},
 	} {
@@ -243,14 +247,14 @@
 				t.Errorf("outcome %d, %d requests sent", response.Outcome, backend.RequestCount())
 			}
 			if client.pool.openConns != tt.wantConns {
-				t.Errorf("%d connections are left, want %d", client.pool.openConns, tt.wantConns)
+				t.Errorf("%d connections are open, want %d", client.pool.openConns, tt.wantConns)
 			}
 		})
 	}
 }
 
-// TestAttemptIsNotSentWhenConnectionOpensAfterSendDeadline: such an attempt is given up at the deadline, and is not
-// sent once the connection is open.
+// TestAttemptIsNotSentWhenConnectionOpensAfterSendDeadline checks that an attempt whose connection is not open by the
+// send deadline ends at the deadline, and is not sent if the connection opens afterwards.
 func TestAttemptIsNotSentWhenConnectionOpensAfterSendDeadline(t *testing.T) {
 	backend := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	client := newTestClient(t, backend)
@@ -259,7 +263,7 @@
 	request := AttemptRequest{ServerID: "s-0", Message: newPostRequest("k"), StartStreaming: declineStreaming}
 	request.SendDeadline = time.Now().Add(50 * time.Millisecond)
 	if response := client.Attempt(context.Background(), request); response.Outcome != balance.NotSent {
-		t.Errorf("outcome %d where no connection came up in time", response.Outcome)
+		t.Errorf("outcome %d although no connection opened before the send deadline", response.Outcome)
 	}
 	client.pool.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		<-ctx.Done()
@@ -268,14 +272,14 @@
 	request.SendDeadline = time.Now().Add(50 * time.Millisecond)
 	response := client.Attempt(context.Background(), request)
 	if response.Outcome != balance.NotSent || backend.RequestCount() != 0 {
-		t.Errorf("outcome %d, %d requests sent after their deadline", response.Outcome, backend.RequestCount())
+		t.Errorf("outcome %d, %d requests sent after the send deadline", response.Outcome, backend.RequestCount())
 	}
 }
 
-// TestAttemptStopsWritingAtSendDeadline: a server that has read only a part of a request by its send deadline never
-// gets the rest.
+// TestAttemptStopsWritingAtSendDeadline checks that the rest of a request is not written if the server has read only a
+// part of it by the send deadline.
 func TestAttemptStopsWritingAtSendDeadline(t *testing.T) {
-	listener := testserver.Listen(t) // accepts no more than the system buffers
+	listener := testserver.Listen(t) // receives no more than the socket buffers hold
 	client := newTestClient(t, &testserver.Backend{Address: listener.Addr().String()})
 	message := newPostRequest("k")
 	message.Body = [][]byte{make([]byte, 32<<20), make([]byte, 32<<20)}
@@ -286,13 +290,13 @@
 	if response := client.Attempt(ctx, request); response.Outcome != balance.NotSent || ctx.Err() != nil {
 		t.Errorf("outcome %d, error %v", response.Outcome, ctx.Err())
 	}
-	client.Update(discovery.List{Complete: true}) // would close a connection that went back to the pool
+	client.Update(discovery.List{Complete: true}) // closes the connection if it is in the pool
 	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	if n, _ := io.Copy(io.Discard, conn); n >= int64(message.bodyLength()) {
-		t.Errorf("the server got %d bytes, with all %d of the body", n, message.bodyLength())
+		t.Errorf("the server received %d bytes, which can include the complete body of %d bytes", n, message.bodyLength())
 	}
 }
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -9,8 +9,8 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestRestartedServerGetsNewConnections has a server drain, serve, restart and leave: only a start or a removal closes
-// its connections.
+// TestRestartedServerGetsNewConnections has a server drain, serve again, restart and be removed. Only a restart or a
+// removal may close its connections.
 func TestRestartedServerGetsNewConnections(t *testing.T) {
 	conns := make(chan net.Conn, 10)
 	backend := testserver.StartBackend(t, func(conn net.Conn, r *http.Request, body []byte) bool {
@@ -27,15 +27,15 @@
 	first := usedConn()
 	updateEndpoint(t, client, 2, backend.Address, "DRAINING", 0)
 	if response := sendRequest(client, "s-0", newGetRequest()); response.Outcome != balance.NotSent {
-		t.Errorf("outcome %d at a server that drains", response.Outcome)
+		t.Errorf("outcome %d at a draining server", response.Outcome)
 	}
 	updateEndpoint(t, client, 2, backend.Address, "SERVING", 0)
 	if usedConn() != first {
-		t.Error("a change of state cost the connection")
+		t.Error("a change of the server state closed the connection")
 	}
 	updateEndpoint(t, client, 3, backend.Address, "SERVING", 1700000000000)
 	if usedConn() == first {
-		t.Error("a request went to the former process's connection")
+		t.Error("a request was sent on a connection to the previous process")
 	}
 	updateEndpoint(t, client, 4, backend.Address, "DELETED", 0)
 	if response := sendRequest(client, "s-0", newGetRequest()); response.Outcome != balance.NotSent {
@@ -45,8 +45,9 @@
 	usedConn()
 }
 
-// TestConnectionsOfRemovedServerAreNotReused: a new server at the address of a removed one gets none of its
-// connections, and a request in flight at the removed one is served without its connection going back to the pool.
+// TestConnectionsOfRemovedServerAreNotReused checks that connections to a removed server are not used for a new server
+// at the same address. A request in flight at the removed server is still served, and its connection is closed
+// afterwards.
 func TestConnectionsOfRemovedServerAreNotReused(t *testing.T) {
 	conns := make(chan net.Conn, 10)
 	mayRespond := make(chan bool, 10)
@@ -73,12 +74,12 @@
 		t.Errorf("outcome %d of a request in flight when its server was removed", response.Outcome)
 	}
 	if client.pool.openConns != 0 {
-		t.Errorf("%d connections to a removed server are left", client.pool.openConns)
+		t.Errorf("%d connections to a removed server are open", client.pool.openConns)
 	}
 	mayRespond <- true
 	sendTo("s-new")
 	testserver.Receive(t, ended, "end")
 	if testserver.Receive(t, conns, "connection") == idle {
-		t.Error("a new server got a connection of the removed one")
+		t.Error("a connection to the removed server was used for the new server")
 	}
 }
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -15,14 +15,14 @@
 	"time"
 )
 
-// fakeClockConn is one end of a pipe that passes for a connection with a file descriptor. Unlike a socket's, its
-// deadlines follow the simulated clock.
+// fakeClockConn is one end of a pipe that can replace a connection with a file descriptor. In contrast to those of a
+// socket, its deadlines use the simulated clock.
 type fakeClockConn struct{ net.Conn }
 
-// SyscallConn implements syscall.Conn. The tests that use it never ask whether the connection is reusable.
+// SyscallConn implements syscall.Conn. The tests with this connection do not call isReusable.
 func (fakeClockConn) SyscallConn() (syscall.RawConn, error) { return nil, nil }
 
-// runWithPipe runs test on a simulated clock, with a connection and its server's end.
+// runWithPipe runs test on a simulated clock, with a connection and the server's end of it.
 func runWithPipe(t *testing.T, test func(t *testing.T, conn *serverConn, serverEnd net.Conn)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -40,15 +40,15 @@
 	})
 }
 
-// bodyOfLength returns a body on a connection of which nothing is read yet.
+// bodyOfLength returns an unread body of declared length on a connection.
 func bodyOfLength(conn *serverConn, length int64) *serverBody {
 	return &serverBody{conn: conn, length: length, remaining: length}
 }
 
-// TestStalledStreamEndsAfterShutdownReadTimeout: a stream whose pauses are shortened ends after a pause of
-// shutdownReadTimeout, whether it is stalled already or only later.
+// TestStalledStreamEndsAfterShutdownReadTimeout checks that a stream ends shutdownReadTimeout after its read timeout
+// was shortened if it is stalled, or after its last bytes if it stalls later.
 func TestStalledStreamEndsAfterShutdownReadTimeout(t *testing.T) {
-	t.Run("stalled already", func(t *testing.T) {
+	t.Run("stalled before the timeout is shortened", func(t *testing.T) {
 		runWithPipe(t, func(t *testing.T, conn *serverConn, _ net.Conn) {
 			conn.readTimeout = time.Hour
 			ended := make(chan error, 1)
@@ -66,7 +66,7 @@
 			}
 		})
 	})
-	t.Run("stalled later", func(t *testing.T) {
+	t.Run("stalled after the timeout is shortened", func(t *testing.T) {
 		runWithPipe(t, func(t *testing.T, conn *serverConn, serverEnd net.Conn) {
 			conn.readTimeout = time.Hour
 			conn.shortenReadTimeout()
@@ -85,8 +85,8 @@
 	})
 }
 
-// TestSlowStreamIsReadWithShortenedReadTimeout: a stream whose pauses are shortened, and whose server pauses for less
-// than shutdownReadTimeout at a time, is read to its end, however long that takes.
+// TestSlowStreamIsReadWithShortenedReadTimeout checks that a stream with a shortened read timeout is read completely if
+// the server never pauses for as long as shutdownReadTimeout, however long the stream takes in total.
 func TestSlowStreamIsReadWithShortenedReadTimeout(t *testing.T) {
 	runWithPipe(t, func(t *testing.T, conn *serverConn, serverEnd net.Conn) {
 		const size = 20
@@ -96,7 +96,7 @@
 		defer serverEnd.Close()
 		sender.Go(func() {
 			for range size {
-				time.Sleep(shutdownReadTimeout / 2) // of the simulated clock
+				time.Sleep(shutdownReadTimeout / 2) // simulated clock
 				if _, err := serverEnd.Write([]byte("x")); err != nil {
 					return
 				}
@@ -112,13 +112,13 @@
 	})
 }
 
-// TestAbortedConnectionStaysAborted: no deadline that is set after abort makes the connection wait again.
+// TestAbortedConnectionStaysAborted checks that no deadline set after abort makes the connection wait again.
 func TestAbortedConnectionStaysAborted(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		use  func(conn *serverConn) error
 	}{
-		{"read with an allowed pause", func(conn *serverConn) error {
+		{"read with a read timeout", func(conn *serverConn) error {
 			conn.readTimeout = time.Hour
 			_, err := conn.Read(make([]byte, 1))
 			return err
@@ -143,7 +143,7 @@
 				err := tt.use(conn)
 				took := time.Since(startedAt)
 				if !errors.Is(err, os.ErrDeadlineExceeded) || took != 0 {
-					t.Errorf("error %v after %v, want a timeout at once", err, took)
+					t.Errorf("error %v after %v, want an immediate timeout", err, took)
 				}
 			})
 		})
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -14,7 +14,7 @@
 	"milletramp.example/milletramp/internal/wire"
 )
 
-// parseList returns the list that a text in discovery's form holds.
+// parseList parses an endpoint list in the format of discovery.
 func parseList(t *testing.T, text string) discovery.List {
 	t.Helper()
 	list, err := discovery.ParseList([]byte(text))
@@ -24,7 +24,7 @@
 	return list
 }
 
-// newTestClient returns a client of the backends, s-0, s-1 and so on. It reuses connections at once.
+// newTestClient returns a client of the backends s-0, s-1 and so on. The client reuses connections without delay.
 func newTestClient(t *testing.T, backends ...*testserver.Backend) *Client {
 	t.Helper()
 	client := newDefaultClient(t, backends...)
@@ -32,7 +32,7 @@
 	return client
 }
 
-// newDefaultClient returns a client of the backends with the reuse delay of the service.
+// newDefaultClient returns a client of the backends with the default reuse delay.
 func newDefaultClient(t *testing.T, backends ...*testserver.Backend) *Client {
 	t.Helper()
 	limits := wire.Limits{ConnectTimeout: testserver.Timeout, IdleClose: testserver.Timeout}
@@ -56,10 +56,10 @@
 	return &Message{Method: http.MethodGet, URL: &url.URL{Path: "/api"}, ID: "id-1"}
 }
 
-// declineStreaming is for attempts whose responses are not long.
+// declineStreaming is a StartStreaming function that declines to stream long responses.
 func declineStreaming(Response) bool { return false }
 
-// discardStream streams a long response to nowhere.
+// discardStream is a StartStreaming function that reads and discards a long response.
 func discardStream(r Response) bool {
 	go func() {
 		_, err := io.Copy(io.Discard, r.Remainder)
@@ -68,7 +68,7 @@
 	return true
 }
 
-// respondRaw responds with text as it is, and waits for the client to close.
+// respondRaw writes text unchanged, and waits until the client closes the connection.
 func respondRaw(text string) testserver.Handler {
 	return func(conn net.Conn, r *http.Request, body []byte) bool {
 		_, _ = io.WriteString(conn, text)
@@ -76,7 +76,7 @@
 	}
 }
 
-// manualDeadline is a context whose deadline passes when the test says.
+// manualDeadline is a context whose deadline passes when the test calls expire.
 type manualDeadline struct {
 	context.Context
 	done chan struct{}
@@ -101,30 +101,30 @@
 	}
 }
 
-// sendRequest makes an attempt whose response is not streamed.
+// sendRequest makes an attempt that declines to stream its response.
 func sendRequest(client *Client, serverID string, message *Message) Response {
 	return sendRequestWithin(context.Background(), client, serverID, message)
 }
 
-// sendRequestWithin makes an attempt that ends with ctx and whose response is not streamed.
+// sendRequestWithin makes an attempt with a context that declines to stream its response.
 func sendRequestWithin(ctx context.Context, client *Client, serverID string, message *Message) Response {
 	request := AttemptRequest{ServerID: serverID, Message: message, StartStreaming: declineStreaming}
 	return client.Attempt(ctx, request)
 }
 
-// sendStreaming makes an attempt whose response is streamed if it is long.
+// sendStreaming makes an attempt that streams its response if that is long, and discards the stream.
 func sendStreaming(client *Client, serverID string, message *Message) Response {
 	request := AttemptRequest{ServerID: serverID, Message: message, StartStreaming: discardStream}
 	return client.Attempt(context.Background(), request)
 }
 
-// updateList gives a list in discovery's form to a client.
+// updateList updates a client with an endpoint list in the format of discovery.
 func updateList(t *testing.T, client *Client, text string) {
 	t.Helper()
 	client.Update(parseList(t, text))
 }
 
-// updateEndpoint gives a list to a client that changes s-0 alone.
+// updateEndpoint updates a client with a list that changes only s-0.
 func updateEndpoint(t *testing.T, client *Client, revision int, address, state string, bootMS int64) {
 	t.Helper()
 	updateList(t, client, testserver.ListText(revision, false, testserver.EndpointEntry("s-0", address, state, bootMS)))
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -13,8 +13,8 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestResetOnReusedConnectionIsNotRetried has a server respond once and then reset the connection on the next
-// request. http.Transport would retry GETs and requests with an idempotency key by itself.
+// TestResetOnReusedConnectionIsNotRetried checks that a request is not retried when the server resets a reused
+// connection. http.Transport would retry GET requests and requests with an idempotency key on its own.
 func TestResetOnReusedConnectionIsNotRetried(t *testing.T) {
 	for _, message := range []*Message{newGetRequest(), newPostRequest(""), newPostRequest("k")} {
 		first := true
@@ -39,14 +39,15 @@
 	}
 }
 
-// pendingRequest is a request at a backend that waits to be told how to respond.
+// pendingRequest is a request at a backend, whose handler waits for the handler function to call.
 type pendingRequest struct {
 	conn    net.Conn
 	respond chan testserver.Handler
 }
 
-// TestFailureClosesIdleConnections has one attempt fail while another connection is idle: that one must not get a
-// request. Each request has a channel of its own: one that timed out may read its instruction after the next one came.
+// TestFailureClosesIdleConnections checks that no request is sent on an idle connection after an attempt at the same
+// server has failed. Each request has its own response channel, because the handler of a request that timed out may
+// read the channel after the next request has arrived.
 func TestFailureClosesIdleConnections(t *testing.T) {
 	ok := testserver.Respond(200, "", "")
 	for _, timeout := range []bool{true, false} {
@@ -89,21 +90,21 @@
 		go func() { ended <- sendRequest(client, "s-0", newGetRequest()) }()
 		next := testserver.Receive(t, pendingRequests, "request")
 		if isOld(next.conn) {
-			t.Error("a request went to an idle connection of a server that failed")
+			t.Error("a request was sent on an idle connection after a failed attempt")
 		}
 		next.respond <- ok
 		testserver.Receive(t, ended, "end")
 	}
 }
 
-// TestSecondResponseIsNotTakenForNextRequest has a server send its response again as soon as a second request comes
-// on the connection. A connection that rests after its response gets no request, so the second response is never
+// TestDuplicateResponseIsNotReadAsNextResponse has a server send its response again as soon as a second request arrives
+// on the connection. Within the reuse delay no request is sent on the connection, so the duplicate response is never
 // read.
-func TestSecondResponseIsNotTakenForNextRequest(t *testing.T) {
+func TestDuplicateResponseIsNotReadAsNextResponse(t *testing.T) {
 	backend := testserver.StartBackend(t, func(conn net.Conn, r *http.Request, body []byte) bool {
 		id := r.Header.Get("X-Request-Id")
 		testserver.Respond(200, "", id)(conn, r, body)
-		_, _ = conn.Read(make([]byte, 1)) // until more comes
+		_, _ = conn.Read(make([]byte, 1)) // waits for the next request
 		testserver.Respond(200, "", id)(conn, r, body)
 		return false
 	})
@@ -114,7 +115,7 @@
 		message.ID = fmt.Sprint("id-", i)
 		response := sendRequest(client, "s-0", message)
 		if response.Outcome != balance.Served || string(response.Body) != message.ID {
-			t.Errorf("outcome %d, body %q to %s", response.Outcome, response.Body, message.ID)
+			t.Errorf("outcome %d, body %q for %s", response.Outcome, response.Body, message.ID)
 		}
 	}
 	if client.pool.openConns != 3 {
@@ -122,10 +123,10 @@
 	}
 }
 
-// TestConnectionRestsBeforeReuse sends two requests one right after the other: within the reuse delay of the first
-// one's connection the second has one of its own. A pair that a busy machine delayed for longer shows nothing and is
-// repeated.
-func TestConnectionRestsBeforeReuse(t *testing.T) {
+// TestConnectionIsNotReusedWithinReuseDelay sends two requests in quick succession. Within the reuse delay of the first
+// connection, the second request needs a new connection. A pair that a busy machine delays for longer is inconclusive
+// and is repeated.
+func TestConnectionIsNotReusedWithinReuseDelay(t *testing.T) {
 	end := time.Now().Add(testserver.Timeout)
 	for time.Now().Before(end) {
 		backend := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
@@ -148,8 +149,8 @@
 	t.Fatal("no two requests within 20 ms")
 }
 
-// TestConnLimitReplacesLongestIdleConnection: at the limit a new connection replaces the longest idle one, and where
-// none is idle nothing is sent.
+// TestConnLimitReplacesLongestIdleConnection checks that at the connection limit a new connection replaces the longest
+// idle one, and that nothing is sent if no connection is idle.
 func TestConnLimitReplacesLongestIdleConnection(t *testing.T) {
 	mayRespond := make(chan bool)
 	quick := testserver.StartBackend(t, testserver.Respond(200, "", ""))
@@ -164,18 +165,18 @@
 	}
 	ended := make(chan Response, 1)
 	go func() { ended <- sendRequest(client, "s-1", newGetRequest()) }()
-	testserver.Receive(t, slow.Requests, "request in the idle connection's place")
+	testserver.Receive(t, slow.Requests, "request on the connection that replaced the idle one")
 	if response := sendRequest(client, "s-0", newGetRequest()); response.Outcome != balance.NotSent {
-		t.Errorf("outcome %d with no descriptor left", response.Outcome)
+		t.Errorf("outcome %d at the connection limit", response.Outcome)
 	}
 	close(mayRespond)
 	testserver.Receive(t, ended, "end")
 	if client.pool.openConns != 1 || client.pool.idleConns.Len() != 1 {
-		t.Errorf("%d open, %d idle", client.pool.openConns, client.pool.idleConns.Len())
+		t.Errorf("%d open, %d idle, want 1 and 1", client.pool.openConns, client.pool.idleConns.Len())
 	}
 }
 
-// TestIdleConnectionsExpire: the pool closes a connection that was idle for the idle timeout.
+// TestIdleConnectionsExpire checks that the pool closes a connection after the idle timeout.
 func TestIdleConnectionsExpire(t *testing.T) {
 	closed := make(chan bool, 1)
 	backend := testserver.StartBackend(t, func(conn net.Conn, r *http.Request, body []byte) bool {
@@ -203,21 +204,21 @@
 	return conns
 }
 
-// isClosed reports whether this side has closed a connection.
+// isClosed reports whether the pool has closed a connection.
 func isClosed(conn *serverConn) bool {
 	return errors.Is(conn.Conn.SetReadDeadline(time.Time{}), net.ErrClosed)
 }
 
-// expectOneIdleConn fails the test unless one connection is open, and idle.
+// expectOneIdleConn fails the test unless exactly one connection is open and it is idle.
 func expectOneIdleConn(t *testing.T, client *Client) {
 	t.Helper()
 	if open, idle := client.pool.openConns, client.pool.idleConns.Len(); open != 1 || idle != 1 {
-		t.Errorf("%d open, %d idle, want one", open, idle)
+		t.Errorf("%d open, %d idle, want 1 and 1", open, idle)
 	}
 }
 
-// TestLowerConnLimitClosesLongestIdle: a limit below the number of idle connections closes the longest idle ones at
-// once.
+// TestLowerConnLimitClosesLongestIdle checks that lowering the limit below the number of idle connections immediately
+// closes the longest idle ones.
 func TestLowerConnLimitClosesLongestIdle(t *testing.T) {
 	client := newTestClient(t, testserver.StartBackend(t, testserver.NeverRespond))
 	conns := acquireConns(t, client, 3)
@@ -234,14 +235,15 @@
 		client.pool.setMaxConns(tt.maxConns)
 		for i, want := range tt.closed {
 			if got := isClosed(conns[i]); got != want {
-				t.Errorf("limit %d: connection %d is closed: %v, want %v", tt.maxConns, i, got, want)
+				t.Errorf("limit %d: connection %d closed: %v, want %v", tt.maxConns, i, got, want)
 			}
 		}
 	}
 	expectOneIdleConn(t, client)
 }
 
-// TestLowerConnLimitClosesAcquiredConnsOnRelease: an acquired connection outlives a lower limit until it is released.
+// TestLowerConnLimitClosesAcquiredConnsOnRelease checks that an acquired connection beyond a lowered limit is closed
+// when it is released, and not before.
 func TestLowerConnLimitClosesAcquiredConnsOnRelease(t *testing.T) {
 	client := newTestClient(t, testserver.StartBackend(t, testserver.NeverRespond))
 	conns := acquireConns(t, client, 2)
--- a/internal/upstream/request_test.go
+++ b/internal/upstream/request_test.go
@@ -13,7 +13,8 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestRequestIsForwardedUnchanged: a server gets the client's request, with the time that is left.
+// TestRequestIsForwardedUnchanged checks that a server receives the client's request, with the remaining time in
+// X-Timeout-Ms.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	bodies := make(chan string, 1)
 	backend := testserver.StartBackend(t, func(conn net.Conn, r *http.Request, body []byte) bool {
@@ -27,7 +28,7 @@
 	header := request.Header
 	if request.Method != "POST" || request.RequestURI != "/api?k=a%20b" || header.Get("X-Request-ID") != "id-1" ||
 		header.Get("Idempotency-Key") != "k-7" || header.Get("Accept-Encoding") != "" || request.ContentLength != 4 {
-		t.Errorf("got %+v", request)
+		t.Errorf("server received %+v", request)
 	}
 	if body := testserver.Receive(t, bodies, "body"); body != "skip" {
 		t.Errorf("body %q", body)
@@ -39,7 +40,7 @@
 	}
 }
 
-// TestTimeoutHeaderExcludesConnectTime: the time that a server gets is what is left once its connection is open.
+// TestTimeoutHeaderExcludesConnectTime checks that X-Timeout-Ms is the time that remains after the connection is open.
 func TestTimeoutHeaderExcludesConnectTime(t *testing.T) {
 	backend := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	client := newTestClient(t, backend)
@@ -55,12 +56,13 @@
 	request := testserver.Receive(t, backend.Requests, "request")
 	timeoutMS, err := strconv.Atoi(request.Header.Get("X-Timeout-Ms"))
 	if err != nil || time.Duration(timeoutMS)*time.Millisecond > testserver.Timeout-connectTime {
-		t.Errorf("the server gets %d ms, error %v, where %v less than %v are left",
+		t.Errorf("X-Timeout-Ms is %d, error %v, want at least %v less than %v",
 			timeoutMS, err, connectTime, testserver.Timeout)
 	}
 }
 
-// TestContentTypeIsForwarded: a request's Content-Type reaches the server, and the Response has that of the server.
+// TestContentTypeIsForwarded checks that the Content-Type of the request is forwarded to the server, and that of the
+// server's response is returned.
 func TestContentTypeIsForwarded(t *testing.T) {
 	respond := testserver.Respond(200, "Content-Type: application/x-slot\r\n", "slot")
 	backend := testserver.StartBackend(t, respond)
--- a/internal/upstream/response_parser_test.go
+++ b/internal/upstream/response_parser_test.go
@@ -13,33 +13,33 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestMalformedResponsesAreErrors has malformed responses come on connections that stay open: each is an error, as its
-// request may have run, and its connection is closed at once.
+// TestMalformedResponsesAreErrors checks that a malformed response has the outcome Errored, because the server may have
+// processed the request, and that its connection is closed immediately although the server keeps it open.
 func TestMalformedResponsesAreErrors(t *testing.T) {
 	for _, tt := range []struct{ name, text string }{
-		{"noise", "\x00\x17\x90what\r\n\r\n"},
+		{"binary data", "\x00\x17\x90what\r\n\r\n"},
 		{"another protocol", "ICY 200 OK\r\nContent-Length: 4\r\n\r\nslot"},
-		{"no status", "HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\nslot"},
+		{"invalid status", "HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\nslot"},
 		{"negative status", "HTTP/1.1 -20 OK\r\nContent-Length: 4\r\n\r\nslot"},
-		{"no colon", "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4\r\n\r\nslot"},
-		{"no end of the head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: ppppppppppppp\r\n", 2*maxHeaderBytes/20)},
-		{"line without end", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHeaderBytes)},
-		{"head that stops", "HTTP/1.1 200 OK\r\nContent-Le"},
-		{"101", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"},
+		{"header line without colon", "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4\r\n\r\nslot"},
+		{"endless head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: ppppppppppppp\r\n", 2*maxHeaderBytes/20)},
+		{"endless header line", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHeaderBytes)},
+		{"stalled head", "HTTP/1.1 200 OK\r\nContent-Le"},
+		{"status 101", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"},
 		{"too many 1xx", strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 50) +
 			"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nslot"},
-		{"length too long", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nslot"},
-		{"length doubled", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\nslot"},
-		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nslot"},
-		{"length negative", "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\nslot"},
-		{"length signed", "HTTP/1.1 200 OK\r\nContent-Length: +4\r\n\r\nslot"},
-		{"length and chunks", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n" +
+		{"declared length longer than body", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nslot"},
+		{"duplicate length", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\nslot"},
+		{"conflicting lengths", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nslot"},
+		{"negative length", "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\nslot"},
+		{"signed length", "HTTP/1.1 200 OK\r\nContent-Length: +4\r\n\r\nslot"},
+		{"length together with chunks", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n" +
 			"4\r\nslot\r\n0\r\n\r\n"},
 		{"unknown coding", "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nslot"},
-		{"no length, no body and no end", "HTTP/1.1 200 OK\r\n\r\n"},
-		{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n" + strings.Repeat("x", 1<<20)},
-		{"broken chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nabcde\r\n0\r\n\r\n"},
-		{"chunks that stop before any", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n"},
+		{"no length, no body and no close", "HTTP/1.1 200 OK\r\n\r\n"},
+		{"declared length of 3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n" + strings.Repeat("x", 1<<20)},
+		{"malformed chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nabcde\r\n0\r\n\r\n"},
+		{"stalled before the first chunk data", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			closed := make(chan bool, 1)
@@ -52,18 +52,18 @@
 			client.responseReadTimeoutNanos.Store(int64(100 * time.Millisecond))
 			response := sendRequest(client, "s-0", newGetRequest())
 			if response.Outcome != balance.Errored || response.Body != nil {
-				t.Errorf("outcome %d, body %q, want an error", response.Outcome, response.Body)
+				t.Errorf("outcome %d, body %q, want Errored without a body", response.Outcome, response.Body)
 			}
 			testserver.Receive(t, closed, "end of the connection")
 			if client.pool.openConns != 0 {
-				t.Errorf("%d connections are left", client.pool.openConns)
+				t.Errorf("%d connections are open, want 0", client.pool.openConns)
 			}
 		})
 	}
 }
 
-// TestCloseDelimitedBodyEndsWithOrderlyClose: a body without a declared length is complete once its server closes the
-// connection in order, whatever the header says of the connection. After a reset it may be a part.
+// TestCloseDelimitedBodyEndsWithOrderlyClose checks that a body without a declared length is complete when the server
+// closes the connection in an orderly way, regardless of the Connection header. After a reset it may be incomplete.
 func TestCloseDelimitedBodyEndsWithOrderlyClose(t *testing.T) {
 	for _, start := range []string{"HTTP/1.1 200 OK\r\n", "HTTP/1.1 200 OK\r\nConnection: close\r\n",
 		"HTTP/1.1 200 OK\r\nConnection: keep-alive\r\n", "HTTP/1.0 200 OK\r\n"} {
@@ -76,7 +76,7 @@
 				client := newTestClient(t, backend)
 				response := sendRequest(client, "s-0", newGetRequest())
 				if response.Outcome != want || !reset && string(response.Body) != body || client.pool.openConns != 0 {
-					t.Errorf("%q, body %q, reset %v: outcome %d, body %q, %d connections left, want outcome %d",
+					t.Errorf("%q, body %q, reset %v: outcome %d, body %q, %d connections open, want outcome %d",
 						start, body, reset, response.Outcome, response.Body, client.pool.openConns, want)
 				}
 			}
@@ -84,7 +84,8 @@
 	}
 }
 
-// TestCloseDelimitedErrorBodyIsNotAwaited: the head of a response other than 200 says all. Its body may never end.
+// TestCloseDelimitedErrorBodyIsNotAwaited checks that an attempt does not wait for the close-delimited body of a
+// response other than 200. Its outcome depends on the head alone, and the body may never end.
 func TestCloseDelimitedErrorBodyIsNotAwaited(t *testing.T) {
 	for head, want := range map[string]balance.Outcome{
 		"HTTP/1.1 503 X\r\nX-Not-Processed: 1\r\n\r\n":                      balance.Saturated,
@@ -102,8 +103,8 @@
 	}
 }
 
-// TestWellFormedResponsesAreServed has good responses come with other bytes before or after them: all are served, and
-// what follows one is never taken for the next.
+// TestWellFormedResponsesAreServed checks that well-formed responses with other bytes before or after them are served,
+// and that the bytes after a response are never read as the next response.
 func TestWellFormedResponsesAreServed(t *testing.T) {
 	echoID := func(r *http.Request) string {
 		id := r.Header.Get("X-Request-ID")
@@ -115,16 +116,16 @@
 		before, after, later string
 		reused               bool
 	}{
-		{name: "alone", reused: true},
+		{name: "no other bytes", reused: true},
 		{
-			name:   "1xx before",
+			name:   "interim responses before",
 			before: "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n",
 			reused: true,
 		},
-		{name: "second copy", after: "copy"},
-		{name: "noise", after: "\x00\x01HTTP/1.1 200"},
-		{name: "second copy later", later: "copy"},
-		{name: "noise later", later: "\x00"},
+		{name: "duplicate response after", after: "copy"},
+		{name: "binary data after", after: "\x00\x01HTTP/1.1 200"},
+		{name: "duplicate response later", later: "copy"},
+		{name: "binary data later", later: "\x00"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			conns := make(chan net.Conn, 10)
@@ -148,7 +149,7 @@
 					t.Errorf("request %d: same connection %v, want %v", i, conn == last, tt.reused)
 				}
 				last = conn
-				if tt.later != "" { // what is written here has come before the next request is made
+				if tt.later != "" { // these bytes arrive before the next request is sent
 					_, _ = io.WriteString(conn, strings.Replace(tt.later, "copy", otherResponse, 1))
 				}
 			}
@@ -156,7 +157,8 @@
 	}
 }
 
-// TestChunkedResponseLeavesConnectionReusable has chunked responses come with a trailer.
+// TestChunkedResponseLeavesConnectionReusable checks that a connection is reused after a chunked response with a
+// trailer.
 func TestChunkedResponseLeavesConnectionReusable(t *testing.T) {
 	conns := make(chan net.Conn, 10)
 	backend := testserver.StartBackend(t, func(conn net.Conn, _ *http.Request, _ []byte) bool {
--- a/internal/upstream/response_stream_test.go
+++ b/internal/upstream/response_stream_test.go
@@ -13,8 +13,8 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestErrorResponseWithLongBodyIsNotStreamed: an error response whose body is long or breaks off has the outcome that
-// its head says. Nothing of it is offered for streaming, and its connection is closed.
+// TestErrorResponseWithLongBodyIsNotStreamed checks that the outcome of an error response with a long or truncated body
+// depends on its head alone. The body is not streamed, and the connection is closed.
 func TestErrorResponseWithLongBodyIsNotStreamed(t *testing.T) {
 	long := strings.Repeat("x", MaxBufferedBody+1)
 	chunk := fmt.Sprintf("%x\r\n%s\r\n", len(long), long)
@@ -28,8 +28,8 @@
 		for _, body := range []struct{ name, text string }{
 			{"long", fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(long), long)},
 			{"long and chunked", "Transfer-Encoding: chunked\r\n\r\n" + chunk + "0\r\n\r\n"},
-			{"breaks off", "Content-Length: 10\r\n\r\nhalf"},
-			{"breaks off in a chunk", "Transfer-Encoding: chunked\r\n\r\n8\r\nhalf"},
+			{"truncated", "Content-Length: 10\r\n\r\nhalf"},
+			{"truncated in a chunk", "Transfer-Encoding: chunked\r\n\r\n8\r\nhalf"},
 		} {
 			t.Run(fmt.Sprintf("outcome %d, %s", status.want, body.name), func(t *testing.T) {
 				expectOutcomeWithoutBody(t, status.line+body.text, status.want)
@@ -39,11 +39,11 @@
 }
 
 // expectOutcomeWithoutBody sends a request to a server that responds with text and closes the connection. The attempt
-// has to have this outcome, no body, nothing to stream and no connection left.
+// must end with this outcome, without a body or a stream, and its connection must be closed.
 func expectOutcomeWithoutBody(t *testing.T, text string, want balance.Outcome) {
 	t.Helper()
 	client := newTestClient(t, testserver.StartBackend(t, func(conn net.Conn, _ *http.Request, _ []byte) bool {
-		_, _ = io.WriteString(conn, text) // the client may close the connection before the end of it
+		_, _ = io.WriteString(conn, text) // the client may close the connection before the end of text
 		return false
 	}))
 	streamed := false
@@ -54,14 +54,16 @@
 	request := AttemptRequest{ServerID: "s-0", Message: newGetRequest(), StartStreaming: startStreaming}
 	r := client.Attempt(context.Background(), request)
 	if r.Outcome != want || r.Body != nil || streamed {
-		t.Errorf("outcome %d, %d bytes, streamed %v, want outcome %d alone", r.Outcome, len(r.Body), streamed, want)
+		t.Errorf("outcome %d, %d bytes, streamed %v, want outcome %d without body and stream",
+			r.Outcome, len(r.Body), streamed, want)
 	}
 	if client.pool.openConns != 0 {
-		t.Errorf("%d connections are left", client.pool.openConns)
+		t.Errorf("%d connections are open, want 0", client.pool.openConns)
 	}
 }
 
-// TestDeclinedStreamCancelsAttempt: a long response whose streaming is declined ends its attempt, with its connection.
+// TestDeclinedStreamCancelsAttempt checks that an attempt whose caller declines to stream a long response ends as
+// cancelled, and that its connection is closed.
 func TestDeclinedStreamCancelsAttempt(t *testing.T) {
 	closed := make(chan bool, 1)
 	client := newTestClient(t, testserver.StartBackend(t, func(conn net.Conn, r *http.Request, body []byte) bool {
@@ -74,10 +76,10 @@
 	go func() { ended <- sendRequest(client, "s-0", newGetRequest()) }()
 	r := testserver.Receive(t, ended, "end of the attempt")
 	if r.Outcome != balance.Cancelled || r.Remainder != nil {
-		t.Errorf("outcome %d, want %d; a stream in the response: %v", r.Outcome, balance.Cancelled, r.Remainder != nil)
+		t.Errorf("outcome %d, want %d; has a stream: %v", r.Outcome, balance.Cancelled, r.Remainder != nil)
 	}
 	if client.pool.openConns != 0 {
-		t.Fatalf("%d connections are left", client.pool.openConns)
+		t.Fatalf("%d connections are open, want 0", client.pool.openConns)
 	}
 	testserver.Receive(t, closed, "end of the connection")
 }
