--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -30,9 +30,9 @@
 	Ready() (ready bool, reason string)
 	// Metrics returns the metrics as text.
 	Metrics(ctx context.Context) ([]byte, error)
-	// SetAdminDown sets a server administratively down, or up again if down is false. It returns ErrUnknownServer if the
-	// server is not known anywhere. forwarded is set if another process of the sidecar has forwarded the call; such a
-	// call is not forwarded again. note is appended to the response and may be "".
+	// SetAdminDown sets a server administratively down, or up again if down is false. It returns ErrUnknownServer if
+	// the server is not known anywhere. forwarded is set if another process of the sidecar has forwarded the call; such
+	// a call is not forwarded again. note is appended to the response and may be "".
 	SetAdminDown(ctx context.Context, id string, down, forwarded bool) (note string, err error)
 	// PolicyHandler returns the handler for calls below /ops/policy/, or nil if there is no fleet or the fleet has no
 	// policy.
--- a/internal/discovery/subscriptions.go
+++ b/internal/discovery/subscriptions.go
@@ -54,8 +54,8 @@
 	current        *subscription // the watch whose updates are applied; nil: none
 	next           *subscription // the watch at a new address, until its first list arrives; nil: none
 	slow           *subscription // a replaced watch whose first list is late, not ended; nil: none
-	// lastWatchTimedOut is set if no list has arrived since a watch timed out. The next watch then requests the complete
-	// list, which discovery sends immediately.
+	// lastWatchTimedOut is set if no list has arrived since a watch timed out. The next watch then requests the
+	// complete list, which discovery sends immediately.
 	lastWatchTimedOut bool
 }
 
--- a/internal/downstream/drain_listener.go
+++ b/internal/downstream/drain_listener.go
@@ -14,8 +14,8 @@
 const (
 	// maxDrainRounds is the maximum number of rounds of a drain while new connections keep arriving.
 	maxDrainRounds = 8
-	// maxFailedRounds is the maximum number of rounds of a drain while connections wait and accepting them fails. Closing
-	// the listener then resets these connections, from which nothing was read.
+	// maxFailedRounds is the maximum number of rounds of a drain while connections wait and accepting them fails.
+	// Closing the listener then resets these connections, from which nothing was read.
 	maxFailedRounds = 20
 )
 
--- a/internal/downstream/linger.go
+++ b/internal/downstream/linger.go
@@ -11,8 +11,8 @@
 const (
 	// lingerTimeout is the maximum time for which a connection is read after its final response.
 	lingerTimeout = 200 * time.Millisecond
-	// shutdownLingerTimeout replaces lingerTimeout while the process shuts down, so that lingering ends before the process
-	// is killed.
+	// shutdownLingerTimeout replaces lingerTimeout while the process shuts down, so that lingering ends before the
+	// process is killed.
 	shutdownLingerTimeout = 50 * time.Millisecond
 	// lingerPollInterval is the interval at which a lingering connection checks whether the connection limit is reached
 	// and its descriptor is needed.
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -44,8 +44,8 @@
 	if err := p.httpServer.Close(); err != nil { // all connections are closed by now
 		return fmt.Errorf("close: %w", err)
 	}
-	// The process leaves the group before its admin server closes, as a call forwarded afterwards would fail. No request
-	// is left that an operator's call could affect.
+	// The process leaves the group before its admin server closes, as a call forwarded afterwards would fail. No
+	// request is left that an operator's call could affect.
 	if err := p.operator.group.member.Leave(); err != nil {
 		p.log.Warn("cannot leave the process group: other processes regard this one as running until it exits", "err", err)
 	}
