--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -57,7 +57,8 @@
 	silenceTimeout   time.Duration
 	firstListTimeout time.Duration
 	listTimeout      time.Duration
-	onSlow           func() // called when the first list is late; the watch continues up to slowListTimeout. nil: it ends
+	// onSlow is called when the first list is late; the watch continues up to slowListTimeout. nil: it ends.
+	onSlow func()
 }
 
 // NewClient returns a client for the discovery service at address. It opens connections with dial. If dial is nil, it
--- a/internal/hotrestart/others.go
+++ b/internal/hotrestart/others.go
@@ -77,7 +77,8 @@
 	}
 	s, err = readStateFile(files.statePath(), m.state.Name, m.state.ListenAddress)
 	if errors.Is(err, fs.ErrNotExist) {
-		return State{}, false // the process has just started; it writes its own state before it acts on the states of others
+		// The process has just started; it writes its own state before it acts on the states of others.
+		return State{}, false
 	}
 	if err != nil {
 		m.log.Warn("handover: dropped", "err", err)
--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -104,7 +104,8 @@
 	version, length, sum := fields[1], fields[2], fields[3]
 	switch {
 	case version != strconv.Itoa(formatVersion):
-		return nil, invalidStatef(unsupportedVersion, "is of version %.20q, this process knows %d", version, formatVersion)
+		return nil, invalidStatef(unsupportedVersion, "is of version %.20q, this process knows %d",
+			version, formatVersion)
 	case length != strconv.Itoa(len(body)):
 		return nil, invalidStatef(lengthMismatch, "has %d bytes, its head says %.20q", len(body), length)
 	case sum != checksum(body):
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -10,8 +10,8 @@
 // drainTimes are the time limits of a planned restart.
 type drainTimes struct {
 	acceptPeriod             time.Duration // minimum time for which new connections are accepted
-	quietPeriod              time.Duration // of a round of the accept queue's drain, and between checks for open conns
-	idleGracePeriod          time.Duration // before idle connections are closed; clients may still send requests on them
+	quietPeriod              time.Duration // of a drain round of the accept queue, and between connection checks
+	idleGracePeriod          time.Duration // before idle connections are closed, as clients may still send on them
 	unusedGracePeriod        time.Duration // before a connection is closed on which no request was ever received
 	firstListTimeout         time.Duration // for the first response of discovery while a predecessor serves
 	successorIdleGracePeriod time.Duration // idleGracePeriod if a successor accepts new connections
@@ -47,7 +47,8 @@
 	// The process leaves the group before its admin server closes, as a call forwarded afterwards would fail. No
 	// request is left that an operator's call could affect.
 	if err := p.operator.group.member.Leave(); err != nil {
-		p.log.Warn("cannot leave the process group: other processes regard this one as running until it exits", "err", err)
+		p.log.Warn("cannot leave the process group: other processes regard this one as running until it exits",
+			"err", err)
 	}
 	p.log.Info("drained")
 	return nil
--- a/internal/sidecar/process.go
+++ b/internal/sidecar/process.go
@@ -135,7 +135,8 @@
 		case err := <-p.serveResult:
 			return fmt.Errorf("serve: %w", err)
 		case <-ready:
-			p.setPhase(hotrestart.Ready, "cannot publish the ready phase: a successor cannot take over from this process")
+			p.setPhase(hotrestart.Ready,
+				"cannot publish the ready phase: a successor cannot take over from this process")
 			p.operator.readyAnnounced.Store(true)
 			ready = nil
 		case <-stop.Done():
