--- a/balance/admission.go
+++ b/balance/admission.go
@@ -9,10 +9,11 @@
 // This file holds which requests are admitted, and which are shed.
 
 const (
-	// fullFactor is the multiple of the usual time for its weight, when idle, below which no endpoint is full.
-	fullFactor = 2.5
-	// spillObjectiveShare is the share of the shortest objective above which an endpoint is full.
-	spillObjectiveShare = 0.5
+	// atCapacityFactor is the multiple of the usual time for its weight, when idle, below which no endpoint is
+	// full.
+	atCapacityFactor = 2.5
+	// spilloverObjectiveShare is the share of the shortest objective above which an endpoint is full.
+	spilloverObjectiveShare = 0.5
 	// rejectObjectiveShare is the share of the shortest objective above which an expected answer is not
 	// useful any more.
 	rejectObjectiveShare = 0.85
@@ -22,74 +23,74 @@
 
 // Passes of pickEndpoint over the endpoints. A later pass admits what the former one held back.
 const (
-	passUsual     = iota // endpoints that are not full and not ejected
-	passFull             // also full ones, ones not yet due by slow start, and ejected ones while panicking
-	passSuspected        // also those that peers suspect
+	passNormal     = iota // endpoints that are not full and not ejected
+	passAtCapacity        // also full ones, ones not due by slow start, ejected ones while panicking
+	passSuspected         // also those that peers suspect
 	numPasses
 )
 
-// pickEndpoint lets the schedule choose among the endpoints that are not full, else among those where the
+// selectEndpoint lets the schedule choose among the endpoints that are not full, else among those where the
 // request can still hope for an answer in time. Where there is none it returns by how many seconds the best
 // one would be late. Classes of lower priority give way only while all endpoints are full: their limit may
 // lie under what an idle slow machine takes, and endpoints would not be used evenly under low load.
-func (b *Balancer) pickEndpoint(q *request, now Time) (to *endpoint, late float64) {
-	late = b.objective
+func (b *Balancer) selectEndpoint(q *request, now Time) (to *endpoint, excessSeconds float64) {
+	excessSeconds = b.objective
 	for pass := range numPasses {
-		if pass == passSuspected && b.suspects == 0 {
+		if pass == passSuspected && b.suspectedCount == 0 {
 			break
 		}
-		choice := b.chooseInPass(q, pass, now)
-		late = min(late, choice.late)
-		if choice.endpoint != nil {
-			return choice.endpoint, 0
+		result := b.selectInPass(q, pass, now)
+		excessSeconds = min(excessSeconds, result.excessSeconds)
+		if result.endpoint != nil {
+			return result.endpoint, 0
 		}
 		// A retry that may go nowhere tells nothing of the load: full and free are both false then.
-		if choice.full && !choice.free {
+		if result.anyAtCapacity && !result.anyAvailable {
 			// What is full now is worked off within an objective; a longer limit would find idle endpoints.
 			b.overloadedUntil = now + time.Duration(b.objective*float64(time.Second))
 		}
 	}
-	return nil, late
+	return nil, excessSeconds
 }
 
-// choice is the outcome of one pass over the endpoints.
-type choice struct {
-	endpoint *endpoint // nil: none
-	late     float64   // seconds by which the best endpoint exceeds its limit; +Inf: there is none
-	full     bool      // some endpoint is full
-	free     bool      // some endpoint is not
+// passResult is the outcome of one pass over the endpoints.
+type passResult struct {
+	endpoint      *endpoint // nil: none
+	excessSeconds float64   // seconds by which the best endpoint exceeds its limit; +Inf: there is none
+	anyAtCapacity bool      // some endpoint is full
+	anyAvailable  bool      // some endpoint is not
 }
 
-// chooseInPass selects among the endpoints that are eligible for a request in a pass. An endpoint
+// selectInPass selects among the endpoints that are eligible for a request in a pass. An endpoint
 // that exceeds only the limit of the request's own class does not count as full: a class that gives way
 // would otherwise prolong the overload by itself.
-func (b *Balancer) chooseInPass(q *request, pass int, now Time) choice {
-	c := choice{late: math.Inf(1)}
+func (b *Balancer) selectInPass(q *request, pass int, now Time) passResult {
+	result := passResult{excessSeconds: math.Inf(1)}
 	limit := rejectObjectiveShare * b.objective
-	own := b.requestLimit(q, limit, now)
-	usual := b.zoneSecondsPerRequest()
+	classLimit := b.requestTimeLimit(q, limit, now)
+	zoneMean := b.zoneSecondsPerRequest()
 	for _, e := range b.active {
 		e.eligible = b.inService(e, pass, now)
 		if !e.eligible {
 			continue
 		}
 		endpointLimit := limit
-		if pass == passUsual { // full by its zone's standard, but not just because its kind is slow or its zone far
-			full := fullFactor * (1 + unseenRequests) * usual[e.zoneIndex] / e.Weight
-			endpointLimit = min(limit, max(spillObjectiveShare*b.objective, full))
+		if pass == passNormal { // by its zone's standard, not just for a slow kind or a far zone
+			zoneLimit := atCapacityFactor * (1 + assumedOtherRequests) * zoneMean[e.zoneIndex] / e.Weight
+			endpointLimit = min(limit, max(spilloverObjectiveShare*b.objective, zoneLimit))
 		}
 		expected, inFlight := b.expectedTime(e, now), float64(e.inFlight)
 		e.expectedSeconds = expected
 		fits := expected <= endpointLimit && e.waitingSeconds(now) <= limit*inFlight
-		c.full, c.free = c.full || !fits, c.free || fits
+		result.anyAtCapacity, result.anyAvailable = result.anyAtCapacity || !fits, result.anyAvailable || fits
 		e.eligible = e.classes[q.Class].Admits(now) && b.mayAttemptAt(q, e, now)
 		if e.eligible {
-			c.late = min(c.late, expected-min(endpointLimit, own))
-			e.eligible = fits && expected <= own && e.waitingSeconds(now) <= own*inFlight
+			result.excessSeconds = min(result.excessSeconds, expected-min(endpointLimit, classLimit))
+			e.eligible = fits && expected <= classLimit && e.waitingSeconds(now) <= classLimit*inFlight
 		}
 	}
-	c.endpoint = b.nextEndpoint()
-	return c
+	result.endpoint = b.nextEndpoint()
+	return result
 }
 
 // inService reports whether an endpoint may get any request in a pass.
@@ -97,39 +98,39 @@
 	if e.State != Ready || b.adminDown[e.ID] {
 		return false
 	}
-	if now < e.ejectedUntil && (pass == passUsual || !b.panicking) {
+	if now < e.ejectedUntil && (pass == passNormal || !b.panicking) {
 		return false
 	}
 	if pass < passSuspected && b.suspectedByPeers(e, now) {
 		return false
 	}
-	return b.slowStartAllows(e, pass != passUsual, now)
+	return b.slowStartAllows(e, pass != passNormal, now)
 }
 
-// requestLimit is the expected answer time in seconds above which a request is not admitted, where limit is
-// that for any request. In a burst what answers have taught is seconds old, and all sidecars would go on
+// requestTimeLimit is the expected answer time in seconds above which a request is not admitted, where limit
+// is that for any request. In a burst what answers have taught is seconds old, and all sidecars would go on
 // sending for as long as it takes to jam the fleet; so the limit falls with the load level.
-func (b *Balancer) requestLimit(q *request, limit float64, now Time) float64 {
-	own := limit
+func (b *Balancer) requestTimeLimit(q *request, limit float64, now Time) float64 {
+	classLimit := limit
 	if now < b.overloadedUntil {
-		own = b.overloadLimit(q.Class)
+		classLimit = b.overloadTimeLimit(q.Class)
 	}
-	own /= b.loadLevel.Level()
+	classLimit /= b.loadLevel.Level()
 	if q.overAllowance {
-		own *= overAllowanceFactor
+		classLimit *= overAllowanceFactor
 	}
-	return own
+	return classLimit
 }
 
-// overloadLimit is the expected answer time in seconds above which a class is shed while all endpoints are
-// full. Its priority for each second that its answers take counts: a class that has a quarter of the highest
-// waits half as long.
-func (b *Balancer) overloadLimit(class int) float64 {
-	own := b.settings.Classes[class].Priority / b.meanTime[class]
+// overloadTimeLimit is the expected answer time in seconds above which a class is shed while all endpoints
+// are full. Its priority for each second that its answers take counts: a class that has a quarter of the
+// highest waits half as long.
+func (b *Balancer) overloadTimeLimit(class int) float64 {
+	own := b.settings.Classes[class].Priority / b.meanResponseTime[class]
 	highest := math.SmallestNonzeroFloat64
 	for i, c := range b.settings.Classes {
 		if !b.removedClasses[i] {
-			highest = math.Max(highest, c.Priority/b.meanTime[i])
+			highest = math.Max(highest, c.Priority/b.meanResponseTime[i])
 		}
 	}
 	return rejectObjectiveShare * b.objective * math.Sqrt(own/highest)
@@ -143,8 +144,11 @@
 	if i < 0 || i >= len(b.tenants) {
 		return false
 	}
-	part := math.Max(1/float64(b.settings.Peers), b.arrivals/memory.Seconds()/math.Max(b.allowances, 1e-9))
-	return b.tenants[i].Over(now, b.settings.Tenants[i].Allowance*part, memory)
+	share := math.Max(
+		1/float64(b.settings.Peers),
+		b.arrivals/decayTimeConstant.Seconds()/math.Max(b.totalAllowance, 1e-9),
+	)
+	return b.tenants[i].Over(now, b.settings.Tenants[i].Allowance*share, decayTimeConstant)
 }
 
 // MayReject reports whether the host may reject a request that has no final answer yet: as its class allows
--- a/balance/api.go
+++ b/balance/api.go
@@ -36,14 +36,14 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Name             string
-	Effect           Effect
-	Scope            Scope         // Deduplicated only
-	DedupeWindow     time.Duration // Deduplicated only: how long a repeat is dropped, from the first send
-	LatencyObjective time.Duration // an answer within it earns the full priority
-	Deadline         time.Duration // the client's patience over all its tries
-	Priority         float64
-	LateShare        float64 // share of the priority that a later answer still earns
+	Name              string
+	Effect            Effect
+	Scope             Scope         // Deduplicated only
+	DedupeWindow      time.Duration // Deduplicated only: how long a repeat is dropped, from the first send
+	LatencyObjective  time.Duration // an answer within it earns the full priority
+	Deadline          time.Duration // the client's patience over all its tries
+	Priority          float64
+	LatePriorityShare float64 // share of the priority that a later answer still earns
 }
 
 // Tenant describes one tenant. Allowance is the rate, over all sidecars together, up to which its requests
@@ -163,10 +163,10 @@
 
 // The kinds of lists.
 const (
-	ListFull       ListKind = iota // complete: an endpoint that is absent is removed
-	ListChanges                    // changed entries only
-	ListRemembered                 // complete, from before a restart: may be stale
-	ListRefused                    // a discovery call failed or the subscription broke; no entries
+	ListFull    ListKind = iota // complete: an endpoint that is absent is removed
+	ListChanges                 // changed entries only
+	ListCached                  // complete, from before a restart: may be stale
+	ListFailed                  // a discovery call failed or the subscription broke; no entries
 )
 
 // Request is a client's request. Within is the time left before the client gives this try up.
@@ -176,8 +176,8 @@
 	Tenant  int // index into Settings.Tenants, or -1
 	Timeout time.Duration
 	Retry   bool // the client says that it asked before
-	// ClassTerms are what the class was when the request came; nil: what it is now.
-	ClassTerms *Class
+	// ClassAtArrival are what the class was when the request came; nil: what it is now.
+	ClassAtArrival *Class
 }
 
 // Outcome is how an attempt ended.
@@ -241,16 +241,17 @@
 
 // The observations. An attempt that is late, and then silent, is observed once as either.
 const (
-	// ObservedAnswer is an answer.
-	ObservedAnswer Observation = iota
+	// ObservedResponse is an answer.
+	ObservedResponse Observation = iota
 	// ObservedLate is no answer after the time in which nearly all come, and nothing else from there since.
 	ObservedLate
-	// ObservedSilence is no answer for so long that it is taken to be lost, and nothing else from there since.
-	ObservedSilence
+	// ObservedNoResponse is no answer for so long that it is taken to be lost, and nothing else from there
+	// since.
+	ObservedNoResponse
 	// ObservedFailure is an error, or a connection that broke.
 	ObservedFailure
-	// ObservedRefusal is a connection that did not come up.
-	ObservedRefusal
+	// ObservedConnectFailure is a connection that did not come up.
+	ObservedConnectFailure
 )
 
 // Observer is notified of what a Balancer observes at endpoints, for other sidecars to know. It is called
--- a/balance/check.go
+++ b/balance/check.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// check says what is wrong with the settings, naming the field.
-func check(set Settings, act Actions) error {
+// checkSettings says what is wrong with the settings, naming the field.
+func checkSettings(set Settings, act Actions) error {
 	switch {
 	case act == nil:
 		return errors.New("no actions")
@@ -22,7 +22,7 @@
 		return fmt.Errorf("field MaxAttempts: %d attempts", set.MaxAttempts)
 	case set.MaxAttempts > maxAttemptsPerRequest:
 		return fmt.Errorf("field MaxAttempts: %d attempts, %d at most", set.MaxAttempts, maxAttemptsPerRequest)
-	case !within(set.SlowStartCapacity, 0, 1):
+	case !inRange(set.SlowStartCapacity, 0, 1):
 		return fmt.Errorf("field StartCapacity: %v is no share from 0 to 1", set.SlowStartCapacity)
 	}
 	for i, c := range set.Classes {
@@ -45,11 +45,11 @@
 	)
 }
 
-// within reports whether x is a number from low to high.
-func within(x, low, high float64) bool { return x >= low && x <= high }
+// inRange reports whether x is a number from low to high.
+func inRange(x, low, high float64) bool { return x >= low && x <= high }
 
 func checkAmount(field string, x float64) error {
-	if !within(x, 0, math.MaxFloat64) {
+	if !inRange(x, 0, math.MaxFloat64) {
 		return fmt.Errorf("field %s: %v is not a number from 0 up", field, x)
 	}
 	return nil
@@ -72,8 +72,8 @@
 		return fmt.Errorf("field Effect: %d is unknown", c.Effect)
 	case c.Scope < ScopeAll || c.Scope > ScopePodGroup:
 		return fmt.Errorf("field Scope: %d is unknown", c.Scope)
-	case !within(c.LateShare, 0, 1):
-		return fmt.Errorf("field LateWorth: %v is no share from 0 to 1", c.LateShare)
+	case !inRange(c.LatePriorityShare, 0, 1):
+		return fmt.Errorf("field LateWorth: %v is no share from 0 to 1", c.LatePriorityShare)
 	}
 	return errors.Join(checkAmount("Worth", c.Priority), checkTime("DedupeWindow", c.DedupeWindow))
 }
@@ -102,12 +102,12 @@
 	}
 	var sum float64
 	for i, d := range r.Destinations {
-		if !within(d.Weight, 0, math.MaxFloat64) {
+		if !inRange(d.Weight, 0, math.MaxFloat64) {
 			return fmt.Errorf("field Destinations[%d]: weight %v is not a number from 0 up", i, d.Weight)
 		}
 		sum += d.Weight
 	}
-	if !within(sum, math.SmallestNonzeroFloat64, math.MaxFloat64) {
+	if !inRange(sum, math.SmallestNonzeroFloat64, math.MaxFloat64) {
 		return errors.New("field Destinations: the weights have no sum above 0")
 	}
 	return nil
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -15,10 +15,10 @@
 	Endpoint
 	observations
 
-	inFlight     int  // attempts of this sidecar that count as in flight
-	dueSinceSum  Time // sum of the times since which their answers are due
-	lastResponse Time // when it last answered
-	reportedAt   Time // when the newest report of peers against it was written; 0: there is none
+	inFlight           int  // attempts of this sidecar that count as in flight
+	waitingSinceSum    Time // sum of the times since which their answers are due
+	lastResponse       Time // when it last answered
+	suspicionWrittenAt Time // when the newest report of peers against it was written; 0: there is none
 
 	capacityShare        float64         // share of its capacity that it has; below 1 it is warming up
 	awaitsFirstSelection bool            // its process has started, and its first selection is not drawn yet
@@ -30,7 +30,7 @@
 	ringKey   uint64   // its place on the rings of its groups
 
 	listed               bool    // it is in the index
-	listPosition         int     // where in index.listed
+	listedIndex          int     // where in index.listed
 	usable               bool    // it is in the rings: ready and not administratively down
 	inWarmingUp          bool    // it is in index.warmingUp
 	countedCapacityShare float64 // the capacity share that its groups' capacities count
@@ -42,7 +42,7 @@
 
 // Endpoints applies a list of discovery. A call of discovery that failed leaves the list as it is.
 func (b *Balancer) Endpoints(now Time, kind ListKind, list []Endpoint) {
-	if kind == ListRefused {
+	if kind == ListFailed {
 		b.retryDiscovery()
 		return
 	}
@@ -51,9 +51,9 @@
 	} else {
 		b.applyFullList(list, now)
 	}
-	b.forgetRemoved(now)
+	b.dropRemovedEndpoints(now)
 	b.refreshAfterChange(now)
-	if kind != ListRemembered {
+	if kind != ListCached {
 		b.discoveryFailures = 0
 	}
 }
@@ -64,7 +64,7 @@
 		e.State = Removed
 	}
 	for _, entry := range list {
-		if e := b.endpointOf(entry, now); e != nil {
+		if e := b.findOrAddEndpoint(entry, now); e != nil {
 			b.updateEndpoint(e, entry, now)
 		}
 	}
@@ -74,7 +74,7 @@
 // applyChanges applies a list that names the endpoints that have changed.
 func (b *Balancer) applyChanges(list []Endpoint, now Time) {
 	for _, entry := range list {
-		if e := b.endpointOf(entry, now); e != nil {
+		if e := b.findOrAddEndpoint(entry, now); e != nil {
 			b.removeFromIndex(e)
 			b.updateEndpoint(e, entry, now)
 			b.addToIndex(e, now)
@@ -82,24 +82,24 @@
 	}
 }
 
-// endpointOf returns the endpoint of an entry, a new one if it is not known yet, or nil if an unknown one is
-// removed.
-func (b *Balancer) endpointOf(entry Endpoint, now Time) *endpoint {
+// findOrAddEndpoint returns the endpoint of an entry, a new one if it is not known yet, or nil if an unknown
+// one is removed.
+func (b *Balancer) findOrAddEndpoint(entry Endpoint, now Time) *endpoint {
 	e := b.known[entry.ID]
 	if e == nil && entry.State != Removed {
-		e = &endpoint{observations: b.newObservations(now), ringKey: b.ringKeyOf(entry.ID)}
+		e = &endpoint{observations: b.newObservations(now), ringKey: b.ringKeyFor(entry.ID)}
 		b.known[entry.ID] = e
 	}
 	return e
 }
 
-// forgetRemoved drops the endpoints that are removed and have no attempt in flight any more, and the restarts
-// of unknown ones that no longer matter for slow start.
-func (b *Balancer) forgetRemoved(now Time) {
+// dropRemovedEndpoints drops the endpoints that are removed and have no attempt in flight any more, and the
+// restarts of unknown ones that no longer matter for slow start.
+func (b *Balancer) dropRemovedEndpoints(now Time) {
 	maps.DeleteFunc(b.restored, func(id string, restoredAt Time) bool {
 		return b.known[id] == nil && now-restoredAt > b.settings.SlowStartWindow
 	})
-	b.departing = slices.DeleteFunc(b.departing, func(e *endpoint) bool {
+	b.removedInFlight = slices.DeleteFunc(b.removedInFlight, func(e *endpoint) bool {
 		gone := e.State == Removed && e.inFlight == 0
 		if gone && b.known[e.ID] == e {
 			delete(b.known, e.ID)
@@ -143,15 +143,15 @@
 
 // refreshAfterChange updates groups, rings and subsets after endpoints were added, removed or started.
 func (b *Balancer) refreshAfterChange(now Time) {
-	if bare := b.ruleMatchesNone(); bare != b.allEndpoints.inUse {
-		b.setFallbackGroup(bare)
+	if fallback := b.noRuleGroupReady(); fallback != b.allEndpoints.inUse {
+		b.setFallbackGroup(fallback)
 	}
-	wide := b.widthFactor()
-	if hashed := wide >= 1 || b.ringsHashed && wide > 0; hashed != b.ringsHashed {
+	factor := b.wideFleetFactor()
+	if hashed := factor >= 1 || b.ringsHashed && factor > 0; hashed != b.ringsHashed {
 		b.reorderRings(hashed)
 	}
-	if b.subsetsStale || wide == 0 {
-		b.takeSubsets(now)
+	if b.subsetsStale || factor == 0 {
+		b.chooseSubsets(now)
 		b.decay(now, 1)
 		b.updateZoneWeight(now)
 	}
--- a/balance/endpoints_test.go
+++ b/balance/endpoints_test.go
@@ -56,7 +56,7 @@
 				b.Timer(now, tokenTick)
 			case "order": // as a fleet becomes wide, or usual again
 				b.reorderRings(!b.ringsHashed)
-				b.takeSubsets(now)
+				b.chooseSubsets(now)
 			case "request": // and has no answer: what it was sent to stays known when it is removed
 				b.Request(now, Request{ID: RequestID(now), Tenant: -1, Timeout: time.Minute})
 			}
@@ -72,7 +72,7 @@
 		t.Fatalf("%d endpoints, %v by side, want %d", len(b.listed), b.listedByZone, len(listed))
 	}
 	for i, e := range b.listed {
-		if want, known := listed[e.ID]; !known || e.listPosition != i || e.Zone != want.Zone ||
+		if want, known := listed[e.ID]; !known || e.listedIndex != i || e.Zone != want.Zone ||
 			e.State != want.State {
 			t.Fatalf("%v at %d, listed %v", e.Endpoint, i, want)
 		}
@@ -92,7 +92,7 @@
 				size[e.zoneIndex] += e.Weight * e.countedCapacityShare
 			}
 		}
-		if !sameIDs(g.endpoints, ids) || !slices.IsSortedFunc(g.endpoints, byKey) {
+		if !sameIDs(g.endpoints, ids) || !slices.IsSortedFunc(g.endpoints, compareRingPosition) {
 			t.Fatalf("group %d has %v, want %v", i, idsOf(g.endpoints), ids)
 		}
 		if far := math.Abs(total-g.totalWeight) + math.Abs(size[0]-g.capacity[0]) + math.Abs(size[1]-g.capacity[1]); far > 1e-9 {
@@ -103,7 +103,7 @@
 				t.Fatalf("%s is used and not ready in group %d", e.ID, i)
 			}
 		}
-		if n := min(len(ids), minSubset); g.inUse && len(g.subset) < n {
+		if n := min(len(ids), minSubsetSize); g.inUse && len(g.subset) < n {
 			t.Fatalf("%d of group %d are used, want %d at least", len(g.subset), i, n)
 		}
 	}
@@ -141,8 +141,8 @@
 	set := settings()
 	set.Ordinal, set.Peers, set.Zones = self, peers, []string{"x", "y", "z"}
 	b, h := start(t, set, list)
-	b.arrivals = rate * memory.Seconds()
-	b.takeSubsets(h.now)
+	b.arrivals = rate * decayTimeConstant.Seconds()
+	b.chooseSubsets(h.now)
 	return b, h
 }
 
@@ -164,7 +164,7 @@
 		change, begun = float64(b.endpointsVisited-begun)/changes/2, b.endpointsVisited
 		for range 10 {
 			b.arrivals = 180
-			h.now += tickEvery
+			h.now += tickInterval
 			b.Timer(h.now, tokenTick)
 		}
 		return change, float64(b.endpointsVisited-begun) / 10
@@ -294,7 +294,7 @@
 					)
 				}
 				for range 15 { // seconds
-					b.takeSubsets(h.now)
+					b.chooseSubsets(h.now)
 				}
 				for _, e := range b.active {
 					users[e.ID]++
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -46,7 +46,7 @@
 		}
 		f.all, f.hosts = append(f.all, b), append(f.hosts, h)
 	}
-	f.tell(ListRemembered, list)
+	f.tell(ListCached, list)
 	return f
 }
 
@@ -76,7 +76,7 @@
 	}
 	f.all[i] = b
 	f.out = slices.DeleteFunc(f.out, func(d answerDue) bool { return d.by == i })
-	b.Endpoints(f.now, ListRemembered, list)
+	b.Endpoints(f.now, ListCached, list)
 	f.took(i)
 }
 
@@ -107,7 +107,7 @@
 	end, tick := f.now+length, f.now
 	for f.now < end {
 		f.now += time.Duration(f.rng.ExpFloat64() / rate * float64(time.Second))
-		for ; tick <= f.now; tick += tickEvery {
+		for ; tick <= f.now; tick += tickInterval {
 			for i := range f.all {
 				f.all[i].Timer(tick, tokenTick)
 			}
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -121,11 +121,11 @@
 		b, h := start(t, settings(), pair())
 		serve(b, h, 2, time.Duration(tt.took*bar*float64(time.Second)))
 		at := h.now
-		h.now = at + time.Duration(tt.unused*float64(memory))
+		h.now = at + time.Duration(tt.unused*float64(decayTimeConstant))
 		if to := ask(b, h, 1); to != "" {
 			t.Errorf("%s: sent to %s though no answer in time is expected", tt.name, to)
 		}
-		h.now = at + time.Duration(tt.then*float64(memory))
+		h.now = at + time.Duration(tt.then*float64(decayTimeConstant))
 		if ask(b, h, 2) == "" {
 			t.Errorf("%s: an unused endpoint is not tried, so that nothing can be learnt", tt.name)
 		}
@@ -158,12 +158,12 @@
 	aim := set.Classes[0].LatencyObjective
 	b, h := start(t, set, pair())
 	serve(b, h, 40, time.Duration(float64(aim)*rejectObjectiveShare*0.8))
-	b.meanTime[1] = b.meanTime[0] // the lesser class has a third of the worth: its bar is at 0.58 of the other's
+	b.meanResponseTime[1] = b.meanResponseTime[0] // the lesser class has a third of the worth: its bar is at 0.58 of the other's
 	if ask(b, h, 1) == "" {
 		t.Fatal("the lesser class is refused though nothing was full")
 	}
 	b.Result(h.now, Result{ID: 1, Endpoint: h.sent[0].to, Took: aim / 2, Finished: true})
-	b.overloadedUntil = h.now + memory
+	b.overloadedUntil = h.now + decayTimeConstant
 	if to := ask(b, h, 2); to != "" {
 		t.Error("the lesser class does not give way")
 	}
@@ -193,9 +193,9 @@
 	set.Classes[1].Priority = 3
 	b, h := start(t, set, pair())
 	serve(b, h, 40, time.Duration(float64(set.Classes[0].LatencyObjective)*rejectObjectiveShare*0.8))
-	b.meanTime[1] = b.meanTime[0]
+	b.meanResponseTime[1] = b.meanResponseTime[0]
 	h.now += time.Millisecond
-	end := h.now + memory/2
+	end := h.now + decayTimeConstant/2
 	b.overloadedUntil = end
 	if to := ask(b, h, 1); to != "" || len(h.refused) != 1 {
 		t.Fatalf("the lesser class goes to %q, refused %v: it does not give way", to, h.refused)
@@ -214,7 +214,7 @@
 	aim := set.Classes[0].LatencyObjective
 	b, h := start(t, set, pair())
 	serve(b, h, 40, time.Duration(float64(aim)*rejectObjectiveShare*0.8))
-	b.meanTime[1] = b.meanTime[0]
+	b.meanResponseTime[1] = b.meanResponseTime[0]
 	for i := RequestID(1); h.now >= b.overloadedUntil; i++ {
 		if i > 100 {
 			t.Fatal("nothing is ever full")
@@ -242,7 +242,7 @@
 	again := e.Endpoint
 	again.Started = h.now
 	b.Endpoints(h.now, ListChanges, []Endpoint{again})
-	if e.ejectedUntil != 0 || e.answerInFlight != 0 || e.capacityShare >= 1 {
+	if e.ejectedUntil != 0 || e.responseInFlight != 0 || e.capacityShare >= 1 {
 		t.Errorf("a restarted endpoint keeps its past: %+v", e)
 	}
 }
@@ -270,7 +270,7 @@
 		if h.subscribed != calls+1 {
 			t.Fatalf("%d calls, want one more than %d: a call is out", h.subscribed, calls)
 		}
-		b.Endpoints(h.now, ListRefused, nil)
+		b.Endpoints(h.now, ListFailed, nil)
 	}
 	if len(b.listed) != 2 {
 		t.Error("a refused call lost the list in hand")
@@ -319,7 +319,7 @@
 		b.Result(h.now, Result{ID: i, Endpoint: to, Took: took, Finished: true})
 	}
 	unused := b.known["c"]
-	unused.answerSeconds, unused.answerInFlight = 0, 0
+	unused.responseSeconds, unused.responseInFlight = 0, 0
 	if got := b.expectedTime(unused, h.now); got > 0.15 {
 		t.Errorf("an unused endpoint of a quick group is expected to take %.3f s", got)
 	}
@@ -337,7 +337,7 @@
 		to := h.sent[len(h.sent)-1].to
 		b.Result(h.now+took, Result{ID: i, Endpoint: to, Took: took, Finished: true})
 	}
-	light, heavy := b.overloadLimit(0), b.overloadLimit(1)
+	light, heavy := b.overloadTimeLimit(0), b.overloadTimeLimit(1)
 	if ratio := heavy / light; ratio < 0.45 || ratio > 0.55 || light != rejectObjectiveShare*b.objective {
 		t.Errorf("the tight bars are %.3f and %.3f s, want the full bar and half of it", light, heavy)
 	}
@@ -352,9 +352,9 @@
 		ask(b, h, i)
 	}
 	idle := b.listed[slices.IndexFunc(b.listed, func(e *endpoint) bool { return e.inFlight == 0 })]
-	idle.answerSeconds, idle.answerInFlight = 0, 0
+	idle.responseSeconds, idle.responseInFlight = 0, 0
 	before := b.expectedTime(idle, h.now)
-	h.now += tickEvery * 5
+	h.now += tickInterval * 5
 	b.Timer(h.now, tokenTick)
 	if after := b.expectedTime(idle, h.now); after < 1.3*before {
 		t.Errorf("%.4f s are expected of it while its peers owe answers, %.4f before", after, before)
--- a/balance/hedge_test.go
+++ b/balance/hedge_test.go
@@ -54,7 +54,7 @@
 			if f.b, err = New(set, f); err != nil {
 				t.Fatal(err)
 			}
-			f.b.Endpoints(f.now, ListRemembered, many(12))
+			f.b.Endpoints(f.now, ListCached, many(12))
 			type sent struct {
 				at   Time
 				lost bool
@@ -140,7 +140,7 @@
 		if b.Timer(h.now, look); len(h.sent) != 2 || e.inFlight != 0 {
 			t.Errorf("%s, later: %d attempts, %d in flight", tt.name, len(h.sent), e.inFlight)
 		}
-		for range 10 * int(memory/tickEvery) {
+		for range 10 * int(decayTimeConstant/tickInterval) {
 			b.Timer(h.now, tokenTick)
 		}
 		if factor := e.slowdown.Factor(); factor > 1.01 {
--- a/balance/hedging.go
+++ b/balance/hedging.go
@@ -23,8 +23,8 @@
 	lateObjectiveShare = 0.5
 )
 
-// scheduleCheck asks for a timer by which an attempt is looked at.
-func (b *Balancer) scheduleCheck(seconds float64, token uint64) {
+// scheduleAttemptCheck asks for a timer by which an attempt is looked at.
+func (b *Balancer) scheduleAttemptCheck(seconds float64, token uint64) {
 	b.actions.Timer(time.Duration(max(seconds, minCheckDelay)*float64(time.Second)), token)
 }
 
@@ -35,40 +35,40 @@
 	if q == nil || n >= len(q.attempts) || q.attempts[n].done || q.ended {
 		return
 	}
-	a, out := &q.attempts[n], (now - q.attempts[n].sent).Seconds()
-	answers := a.endpoint.lastResponse >= a.sent
+	a, elapsed := &q.attempts[n], (now - q.attempts[n].sent).Seconds()
+	answersOthers := a.endpoint.lastResponse >= a.sent
 	slowdown := a.endpoint.slowdown.Factor()
-	a.expectedNow = max(a.expectedNow, b.expectedWithout(a, q.Class, now)*slowdown)
-	delay, next := b.hedgeDelay(q, a), tickEvery.Seconds()
+	a.expectedNow = max(a.expectedNow, b.expectedWithoutAttempt(a, q.Class, now)*slowdown)
+	delay, nextCheck := b.hedgeDelay(q, a), tickInterval.Seconds()
 	// A slow endpoint whose late attempts do not count any more looks idle, and draws requests.
-	if answers && out >= min(delay, b.lateThreshold(q.Class)*slowdown) {
+	if answersOthers && elapsed >= min(delay, b.lateThreshold(q.Class)*slowdown) {
 		a.releaseInFlight()
 	}
-	if !answers && !a.reportedLate && out >= b.lateThreshold(q.Class) {
+	if !answersOthers && !a.reportedLate && elapsed >= b.lateThreshold(q.Class) {
 		a.reportedLate = true
 		b.notifyObserver(a.endpoint, ObservedLate)
 	}
-	if delay > out {
-		next = min(next, delay-out)
+	if delay > elapsed {
+		nextCheck = min(nextCheck, delay-elapsed)
 	} else {
 		if !a.hedged || a.endpoint.lastResponse < a.sent {
-			b.countLikelyLoss(q, a, now)
+			b.recordProbableLoss(q, a, now)
 		}
 		if !a.hedged {
 			b.hedge(q, n, now)
 		}
 	}
-	b.scheduleCheck(next, token)
+	b.scheduleAttemptCheck(nextCheck, token)
 }
 
-// expectedWithout is the answer time in seconds that can be expected now at an attempt's endpoint. One that
-// has slowed since the sending would otherwise be taken to lose what it still owes. The wait of the attempt
-// itself does not count: it would never look lost where little else is in flight.
-func (b *Balancer) expectedWithout(a *attempt, class int, now Time) float64 {
+// expectedWithoutAttempt is the answer time in seconds that can be expected now at an attempt's endpoint. One
+// that has slowed since the sending would otherwise be taken to lose what it still owes. The wait of the
+// attempt itself does not count: it would never look lost where little else is in flight.
+func (b *Balancer) expectedWithoutAttempt(a *attempt, class int, now Time) float64 {
 	waited := now - a.sent
-	a.endpoint.dueSinceSum += waited
+	a.endpoint.waitingSinceSum += waited
 	expected := b.expectedForClass(b.expectedTime(a.endpoint, now), class)
-	a.endpoint.dueSinceSum -= waited
+	a.endpoint.waitingSinceSum -= waited
 	return expected
 }
 
@@ -81,12 +81,12 @@
 	if !allowed || q.outstanding > 1 || len(q.attempts) >= b.settings.MaxAttempts || now >= q.deadline {
 		return
 	}
-	to := b.chooseInPass(q, passUsual, now).endpoint
+	to := b.selectInPass(q, passNormal, now).endpoint
 	if to == nil {
 		return
 	}
-	answers := a.endpoint.lastResponse >= a.sent
-	if answers && b.classLossShare(to, q.Class) > b.classLossShare(a.endpoint, q.Class) {
+	answersOthers := a.endpoint.lastResponse >= a.sent
+	if answersOthers && b.classLossShare(to, q.Class) > b.classLossShare(a.endpoint, q.Class) {
 		return
 	}
 	if !b.retryBudget.Spend(q.Class) {
@@ -97,7 +97,7 @@
 		b.send(q, to, now)
 		return
 	}
-	q.prepaid = true
+	q.retryPaid = true
 	a.releaseInFlight()
 	b.actions.Cancel(q.ID, n) // its result leads to the next attempt
 }
@@ -107,15 +107,15 @@
 func (b *Balancer) hedgeDelay(q *request, a *attempt) float64 {
 	share := b.classLossShare(a.endpoint, q.Class)
 	if a.endpoint.lastResponse < a.sent {
-		share = max(share, usualLoss)
+		share = max(share, defaultLossShare)
 	}
-	return a.expectedNow * b.answerTimes.Beyond(lossdetect.Until(share, hedgeProbability))
+	return a.expectedNow * b.responseTimes.Beyond(lossdetect.Until(share, hedgeProbability))
 }
 
 // lateThreshold is the time in seconds after which an answer of the class is late.
 func (b *Balancer) lateThreshold(class int) float64 {
 	return min(
-		b.meanTime[class]+lateDeviations*b.timeDeviation[class],
+		b.meanResponseTime[class]+lateDeviations*b.responseTimeDeviation[class],
 		lateObjectiveShare*b.settings.Classes[class].LatencyObjective.Seconds(),
 	)
 }
--- a/balance/host_test.go
+++ b/balance/host_test.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Endpoints(h.now, ListRemembered, list)
+	b.Endpoints(h.now, ListCached, list)
 	return b, h
 }
 
@@ -91,8 +91,8 @@
 		{"result of an unknown request", func() { b.Result(h.now, Result{ID: 7}) }},
 		{"result of an attempt not made", func() { b.Result(h.now, Result{ID: 1, Attempt: 1}) }},
 		{"result of a negative attempt", func() { b.Result(h.now, Result{ID: 1, Attempt: -1}) }},
-		{"answer of an unknown request", func() { b.AnswerStarted(h.now, 7, 0) }},
-		{"answer of an attempt not made", func() { b.AnswerStarted(h.now, 1, 4) }},
+		{"answer of an unknown request", func() { b.ResponseStarted(h.now, 7, 0) }},
+		{"answer of an attempt not made", func() { b.ResponseStarted(h.now, 1, 4) }},
 		{"unknown client gone", func() { b.ClientGone(h.now, 7) }},
 		{"unknown endpoint removed", func() { b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "z", State: Removed}}) }},
 		{"unknown timer", func() { b.Timer(h.now, 99) }},
@@ -110,7 +110,7 @@
 	}
 	b.Result(h.now, Result{ID: 1, Outcome: Served, Took: time.Millisecond, Finished: true})
 	b.Result(h.now, Result{ID: 1, Outcome: Served, Took: time.Millisecond, Finished: true})
-	if e := b.known["a"]; len(b.requests) != 0 || e.inFlight != 0 || e.dueSinceSum != 0 {
+	if e := b.known["a"]; len(b.requests) != 0 || e.inFlight != 0 || e.waitingSinceSum != 0 {
 		t.Errorf("%d requests, %d in flight after the end, told twice", len(b.requests), e.inFlight)
 	}
 }
--- a/balance/index.go
+++ b/balance/index.go
@@ -9,7 +9,7 @@
 type index struct {
 	listed                []*endpoint          // in no order
 	known                 map[string]*endpoint // by id: listed, or removed with attempts in flight
-	departing             []*endpoint          // removed with attempts in flight
+	removedInFlight       []*endpoint          // removed with attempts in flight
 	warmingUp             []*endpoint          // listed, and not yet known to be warmed up
 	capacitySharesUpdated Time                 // when the capacity shares of warmingUp were last updated
 	started               []*endpoint          // their first selection is yet to be drawn
@@ -18,7 +18,7 @@
 	groupsByTags          map[[2]string][]*group
 
 	subsetsStale bool // a subset has to be chosen anew
-	resettled    bool // all of them have to, as for a new fleet
+	resetSubsets bool // all of them have to, as for a new fleet
 	ringsHashed  bool // the rings are in order of hashes, not of ids
 
 	endpointsVisited int // by lists and ticks so far, a measure of their cost
@@ -27,20 +27,20 @@
 // addToIndex adds an endpoint to the index, and to its rings if it is ready and not administratively down.
 func (b *Balancer) addToIndex(e *endpoint, now Time) {
 	if e.State == Removed {
-		if !slices.Contains(b.departing, e) {
-			b.departing = append(b.departing, e)
+		if !slices.Contains(b.removedInFlight, e) {
+			b.removedInFlight = append(b.removedInFlight, e)
 		}
 		return
 	}
-	b.enterList(e, now)
+	b.addToListed(e, now)
 	if !e.usable {
 		return
 	}
 	for _, g := range b.groupsOfEndpoint(e) {
-		at := g.rank(e.ringKey, e.ID)
+		at := g.ringRank(e.ringKey, e.ID)
 		g.endpoints = slices.Insert(g.endpoints, at, e)
 		g.addWeight(e, 1)
-		b.subsetsStale = b.subsetsStale || g.reaches(at)
+		b.subsetsStale = b.subsetsStale || g.touchesSubset(at)
 	}
 }
 
@@ -51,8 +51,8 @@
 	}
 	b.endpointsVisited++
 	last := len(b.listed) - 1
-	b.listed[e.listPosition] = b.listed[last]
-	b.listed[e.listPosition].listPosition, b.listed[last] = e.listPosition, nil
+	b.listed[e.listedIndex] = b.listed[last]
+	b.listed[e.listedIndex].listedIndex, b.listed[last] = e.listedIndex, nil
 	b.listed = b.listed[:last]
 	b.listedByZone[e.zoneIndex]--
 	e.listed = false
@@ -62,17 +62,17 @@
 	b.usableCount--
 	b.subsetsStale = b.subsetsStale || e.active
 	for _, g := range b.groupsOfEndpoint(e) {
-		at := g.rank(e.ringKey, e.ID)
+		at := g.ringRank(e.ringKey, e.ID)
 		g.endpoints = slices.Delete(g.endpoints, at, at+1)
 		g.addWeight(e, -1)
 	}
 	e.usable = false
 }
 
-// enterList adds an endpoint to the listed ones, and determines whether it may be used.
-func (b *Balancer) enterList(e *endpoint, now Time) {
+// addToListed adds an endpoint to the listed ones, and determines whether it may be used.
+func (b *Balancer) addToListed(e *endpoint, now Time) {
 	b.endpointsVisited++
-	e.listPosition, b.listed = len(b.listed), append(b.listed, e)
+	e.listedIndex, b.listed = len(b.listed), append(b.listed, e)
 	b.listedByZone[e.zoneIndex]++
 	e.listed, e.usable, e.capacityShare = true, e.State == Ready && !b.adminDown[e.ID], b.capacityShareAt(e, now)
 	e.countedCapacityShare = e.capacityShare
@@ -87,23 +87,23 @@
 
 // rebuildIndex builds the index anew after a full list.
 func (b *Balancer) rebuildIndex(now Time) {
-	b.listed, b.departing, b.listedByZone, b.usableCount = b.listed[:0], b.departing[:0], [2]int{}, 0
-	b.subsetsStale, b.resettled = true, true
+	b.listed, b.removedInFlight, b.listedByZone, b.usableCount = b.listed[:0], b.removedInFlight[:0], [2]int{}, 0
+	b.subsetsStale, b.resetSubsets = true, true
 	var listed []*endpoint
 	for _, g := range b.groups {
-		g.empty()
+		g.removeAll()
 	}
 	b.allEndpoints.inUse = false // until refreshAfterChange fills it
 	for _, e := range b.known {
 		if e.listed, e.usable = false, false; e.State == Removed {
-			b.departing = append(b.departing, e)
+			b.removedInFlight = append(b.removedInFlight, e)
 		} else {
 			listed = append(listed, e)
 		}
 	}
-	slices.SortFunc(listed, byKey)
+	slices.SortFunc(listed, compareRingPosition)
 	for _, e := range listed {
-		if b.enterList(e, now); e.usable {
+		if b.addToListed(e, now); e.usable {
 			for _, g := range e.memberOf {
 				g.endpoints = append(g.endpoints, e)
 				g.addWeight(e, 1)
--- a/balance/late_test.go
+++ b/balance/late_test.go
@@ -32,8 +32,8 @@
 		if len(h.sent) > 0 { // its next attempt, at the other one
 			b.Result(h.now, Result{ID: 1, Attempt: 1, Endpoint: h.sent[0].to, Finished: true})
 		}
-		if e.inFlight != 0 || e.dueSinceSum != 0 || len(b.requests) != 0 {
-			t.Errorf("%d in flight, %v owed since, %d requests are left", e.inFlight, e.dueSinceSum, len(b.requests))
+		if e.inFlight != 0 || e.waitingSinceSum != 0 || len(b.requests) != 0 {
+			t.Errorf("%d in flight, %v owed since, %d requests are left", e.inFlight, e.waitingSinceSum, len(b.requests))
 		}
 	}
 }
@@ -80,9 +80,9 @@
 	b, h := start(t, settings(), pair())
 	serve(b, h, 200, 20*time.Millisecond)
 	e := b.known["a"]
-	e.answerSeconds, e.lastSample = e.answerInFlight*10*b.objective, h.now
+	e.responseSeconds, e.lastSample = e.responseInFlight*10*b.objective, h.now
 	begun, tries, out := h.now, 0, Result{}
-	for i := RequestID(1e6); h.now < begun+5*memory; i++ {
+	for i := RequestID(1e6); h.now < begun+5*decayTimeConstant; i++ {
 		h.now += 20 * time.Millisecond
 		if e.inFlight > 0 && h.now >= Time(out.ID) { // it is as slow as ever
 			out.ID, out.Took, out.Finished = RequestID(tries), 2*time.Second, true
@@ -102,7 +102,7 @@
 		out = Result{ID: RequestID(h.now + 2*time.Second), Endpoint: "a"}
 	}
 	if tries < 2 || tries > 8 {
-		t.Errorf("it was tried %d times in %v", tries, 5*memory)
+		t.Errorf("it was tried %d times in %v", tries, 5*decayTimeConstant)
 	}
 }
 
@@ -120,7 +120,7 @@
 		t.Fatalf("%d in flight while it is silent to all", e.inFlight)
 	}
 	e.lastResponse = h.now
-	b.Timer(h.now+tickEvery, h.timers[len(h.timers)-1])
+	b.Timer(h.now+tickInterval, h.timers[len(h.timers)-1])
 	if e.inFlight != 0 {
 		t.Error("an attempt on a dead connection counts as in flight though its endpoint answers others")
 	}
@@ -225,7 +225,7 @@
 				h.now += tt.noticed
 			}
 			a := attempt{endpoint: e, sent: sent, expectedNow: 0.02}
-			b.recordUnanswered(0, &a, survival, lossdetect.Lost(usualLoss, survival), h.now)
+			b.recordNoResponse(0, &a, survival, lossdetect.Lost(defaultLossShare, survival), h.now)
 		}
 		if ejected := h.now < e.ejectedUntil; ejected != tt.ejected {
 			t.Errorf("%s: ejected %v, want %v", tt.name, ejected, tt.ejected)
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -8,8 +8,8 @@
 // This file holds how long an answer can be expected to take.
 
 const (
-	// unseenRequests is how many requests of other sidecars each endpoint is taken to hold.
-	unseenRequests = 1.0
+	// assumedOtherRequests is how many requests of other sidecars each endpoint is taken to hold.
+	assumedOtherRequests = 1.0
 	// priorRequests is the number of requests held by which an endpoint's own record outweighs its peers'.
 	priorRequests = 2.0
 	// minClassFactor is the least part of its class's mean time that an answer is expected to take.
@@ -21,7 +21,7 @@
 // secondsPerRequest is the time to serve a request in flight for each unit of weight: the seconds that
 // answers took over the requests that were in flight.
 func (g *group) secondsPerRequest() float64 {
-	return g.answerSeconds / math.Max(g.answerInFlight, minInFlight)
+	return g.responseSeconds / math.Max(g.responseInFlight, minInFlight)
 }
 
 // zoneSecondsPerRequest is that time in the own zone and in others. Each answer of another zone takes the way
@@ -30,8 +30,8 @@
 func (b *Balancer) zoneSecondsPerRequest() (at [2]float64) {
 	fleet := b.allEndpoints.secondsPerRequest()
 	for i := range at {
-		zone := &b.zoneTimes[i]
-		at[i] = (zone.answerSeconds + priorRequests*fleet) / (zone.answerInFlight + priorRequests)
+		zone := &b.zoneResponseTimes[i]
+		at[i] = (zone.responseSeconds + priorRequests*fleet) / (zone.responseInFlight + priorRequests)
 	}
 	return at
 }
@@ -49,35 +49,37 @@
 func (b *Balancer) expectedTime(e *endpoint, now Time) float64 {
 	fleet := b.allEndpoints.secondsPerRequest()
 	g := e.homeGroup
-	group := (g.answerSeconds + g.waitingSeconds + priorRequests*fleet) / (g.answerInFlight + priorRequests)
-	own := e.answerSeconds + e.waitingSeconds(now)
-	drain := (own + priorRequests*group/e.Weight) / (e.answerInFlight + priorRequests)
+	group := (g.responseSeconds + g.waitingSeconds + priorRequests*fleet) / (g.responseInFlight + priorRequests)
+	ownSeconds := e.responseSeconds + e.waitingSeconds(now)
+	perRequest := (ownSeconds + priorRequests*group/e.Weight) / (e.responseInFlight + priorRequests)
 	// Endpoints that are expected to answer in time are tested by the rotation anyway.
-	if e.inFlight == 0 && drain > rejectObjectiveShare*b.objective/(1+unseenRequests) {
-		group = regress(group, fleet, now-g.lastSample)
-		drain = regress(drain, group/e.Weight, now-e.lastSample)
-		drain = regress(drain, 0, now-b.allEndpoints.lastSample)
+	if e.inFlight == 0 && perRequest > rejectObjectiveShare*b.objective/(1+assumedOtherRequests) {
+		group = decayTowards(group, fleet, now-g.lastSample)
+		perRequest = decayTowards(perRequest, group/e.Weight, now-e.lastSample)
+		perRequest = decayTowards(perRequest, 0, now-b.allEndpoints.lastSample)
 	}
-	return (float64(e.inFlight)/e.capacityShare + 1 + unseenRequests) * drain
+	return (float64(e.inFlight)/e.capacityShare + 1 + assumedOtherRequests) * perRequest
 }
 
-// regress returns what is left of a belief that has not been tested for some time: what of it exceeds the
-// belief about similar endpoints decays linearly over memory.
-func regress(belief, like float64, untested time.Duration) float64 {
-	return like + max(belief-like, 0)*max(0, 1-untested.Seconds()/memory.Seconds()) + min(belief-like, 0)
+// decayTowards returns what is left of a belief that has not been tested for some time: what of it exceeds
+// the belief about similar endpoints decays linearly over memory.
+func decayTowards(estimate, similar float64, untested time.Duration) float64 {
+	return similar +
+		max(estimate-similar, 0)*max(0, 1-untested.Seconds()/decayTimeConstant.Seconds()) +
+		min(estimate-similar, 0)
 }
 
 // waitingSeconds is the sum of the seconds for which the requests in flight have waited. Without it a slow
 // endpoint would be known by its quick answers alone, which come first, and a dead one would look idle.
 func (e *endpoint) waitingSeconds(now Time) float64 {
-	return (now*Time(e.inFlight) - e.dueSinceSum).Seconds()
+	return (now*Time(e.inFlight) - e.waitingSinceSum).Seconds()
 }
 
 // expectedForClass is the time in seconds that an answer of the class can be expected to take at an endpoint
 // of which expect seconds are expected for the mean request; 0 where nothing is known.
 func (b *Balancer) expectedForClass(expect float64, class int) float64 {
-	return b.meanTime[class] * max(expect/b.meanTimeOfAll, minClassFactor)
+	return b.meanResponseTime[class] * max(expect/b.overallMeanResponseTime, minClassFactor)
 }
 
-// answeredLately reports whether any endpoint of the group has answered within recentMemory.
-func (g *group) answeredLately(now Time) bool { return now-g.lastResponse <= recentMemory }
+// respondedRecently reports whether any endpoint of the group has answered within recentMemory.
+func (g *group) respondedRecently(now Time) bool { return now-g.lastResponse <= recentTimeConstant }
--- a/balance/loadlevel_test.go
+++ b/balance/loadlevel_test.go
@@ -74,9 +74,9 @@
 		serve(b, h, 400, 20*time.Millisecond)
 		z := b.known["z"]
 		tick := func() {
-			h.now += tickEvery
+			h.now += tickInterval
 			for range 3 {
-				a := attempt{endpoint: b.known["a"], sent: h.now, inFlightThen: 2, expectedNow: 0.02}
+				a := attempt{endpoint: b.known["a"], sent: h.now, inFlightAtSend: 2, expectedNow: 0.02}
 				b.recordOutcome(&a, Result{Outcome: Served, Took: 20 * time.Millisecond}, h.now)
 			}
 			b.Timer(h.now, tokenTick)
@@ -87,8 +87,8 @@
 				z.homeGroup.lastResponse = h.now
 			}
 		}
-		z.inFlight, z.dueSinceSum = 10, 10*(h.now-Time(time.Second)) // ten have been out for a second
-		a := attempt{endpoint: z, sent: h.now - 3*time.Second, inFlightThen: 2, expectedNow: 0.02}
+		z.inFlight, z.waitingSinceSum = 10, 10*(h.now-Time(time.Second)) // ten have been out for a second
+		a := attempt{endpoint: z, sent: h.now - 3*time.Second, inFlightAtSend: 2, expectedNow: 0.02}
 		b.recordOutcome(&a, Result{Outcome: TimedOut, Took: 3 * time.Second}, h.now)
 		if tick(); b.loadLevel.Level() < tt.low || b.loadLevel.Level() > tt.high {
 			t.Errorf("%s: level %.2f, want %v to %v", tt.name, b.loadLevel.Level(), tt.low, tt.high)
--- a/balance/loss_test.go
+++ b/balance/loss_test.go
@@ -180,7 +180,7 @@
 		if f.b, err = New(set, f); err != nil {
 			t.Fatal(err)
 		}
-		f.b.Endpoints(f.now, ListRemembered, many(6))
+		f.b.Endpoints(f.now, ListCached, many(6))
 		f.run(10*time.Second, 4*time.Millisecond)
 		if f.copies > 5 || len(f.logs) > 0 {
 			t.Errorf("%s: before it %d second copies went out, log %q", tt.name, f.copies, f.logs)
@@ -260,7 +260,7 @@
 	}
 	b, h := start(t, settings(), many(6))
 	b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: time.Second})
-	b.requests[1].prepaid = true // as when its first attempt was called off to be made anew
+	b.requests[1].retryPaid = true // as when its first attempt was called off to be made anew
 	for b.retryBudget.Spend(0) {
 	}
 	h.answer(b, h.now, Cancelled)
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -21,19 +21,19 @@
 
 // observations is what the sidecar has observed of an endpoint's process.
 type observations struct {
-	answerSeconds  float64             // decaying sum of the seconds that answers took
-	answerInFlight float64             // and of the requests that were in flight then
-	lastSample     Time                // when an attempt last showed how fast it is
-	endedAttempts  float64             // decaying count of attempts that ended
-	failedAttempts float64             // and of those that failed
-	failureAlarm   lossdetect.Alarm    // rings if it fails much more than the others
-	lastFailure    Time                // when a failure last counted
-	ejectedUntil   Time                // 0: never ejected
-	losses         lossdetect.Record   // of attempts while it answered others
-	silenceAlarm   lossdetect.Alarm    // rings if it loses everything
-	lastSilence    Time                // when a silence last counted
-	slowdown       lossdetect.Slowdown // of its latest answers, against what was expected of them
-	classes        []lossdetect.Access // by class
+	responseSeconds  float64             // decaying sum of the seconds that answers took
+	responseInFlight float64             // and of the requests that were in flight then
+	lastSample       Time                // when an attempt last showed how fast it is
+	endedAttempts    float64             // decaying count of attempts that ended
+	failedAttempts   float64             // and of those that failed
+	failureAlarm     lossdetect.Alarm    // rings if it fails much more than the others
+	lastFailure      Time                // when a failure last counted
+	ejectedUntil     Time                // 0: never ejected
+	losses           lossdetect.Record   // of attempts while it answered others
+	silenceAlarm     lossdetect.Alarm    // rings if it loses everything
+	lastSilence      Time                // when a silence last counted
+	slowdown         lossdetect.Slowdown // of its latest answers, against what was expected of them
+	classes          []lossdetect.Access // by class
 }
 
 // newObservations returns those of a process of which nothing is known.
@@ -48,33 +48,33 @@
 func (b *Balancer) recordOutcome(a *attempt, r Result, now Time) {
 	swallowed := r.Outcome == TimedOut && a.endpoint.lastResponse >= a.sent
 	if r.Outcome == Served || r.Outcome == TimedOut && !swallowed {
-		b.recordSample(a, r, now)
+		b.recordTimeSample(a, r, now)
 	}
 	b.recordFailure(a, r, now)
 }
 
-// recordSample records how long an attempt was in flight, as a sample of how fast its endpoint is.
-func (b *Balancer) recordSample(a *attempt, r Result, now Time) {
+// recordTimeSample records how long an attempt was in flight, as a sample of how fast its endpoint is.
+func (b *Balancer) recordTimeSample(a *attempt, r Result, now Time) {
 	e, took := a.endpoint, r.Took.Seconds()
 	if r.Outcome == Served {
 		e.homeGroup.lastResponse = now
 	}
-	if e.homeGroup.answeredLately(now) {
+	if e.homeGroup.respondedRecently(now) {
 		b.loadLevel.Ended(took, r.Outcome == Served)
 	}
 	e.lastSample = now
-	e.answerSeconds += took
-	e.answerInFlight += a.inFlightThen
-	for _, g := range b.groupsWithTimes(e) {
+	e.responseSeconds += took
+	e.responseInFlight += a.inFlightAtSend
+	for _, g := range b.responseTimeGroups(e) {
 		g.lastSample = now
-		g.answerSeconds += took
-		g.answerInFlight += a.inFlightThen / e.Weight
+		g.responseSeconds += took
+		g.responseInFlight += a.inFlightAtSend / e.Weight
 	}
 }
 
-// groupsWithTimes returns the groups whose answer times include those of an endpoint.
-func (b *Balancer) groupsWithTimes(e *endpoint) [3]*group {
-	return [...]*group{e.homeGroup, b.allEndpoints, &b.zoneTimes[e.zoneIndex]}
+// responseTimeGroups returns the groups whose answer times include those of an endpoint.
+func (b *Balancer) responseTimeGroups(e *endpoint) [3]*group {
+	return [...]*group{e.homeGroup, b.allEndpoints, &b.zoneResponseTimes[e.zoneIndex]}
 }
 
 // recordFailure counts an attempt for or against its endpoint, and ejects one that fails much more than the
@@ -84,17 +84,17 @@
 // lasts.
 func (b *Balancer) recordFailure(a *attempt, r Result, now Time) {
 	e := a.endpoint
-	usual := (b.failedAttempts - e.failedAttempts) / math.Max(b.endedAttempts-e.endedAttempts, 1)
+	othersShare := (b.failedAttempts - e.failedAttempts) / math.Max(b.endedAttempts-e.endedAttempts, 1)
 	e.endedAttempts++
 	b.endedAttempts++
 	switch r.Outcome {
 	case Served:
 		e.lastResponse = now
-		e.failureAlarm.Good(usual, ejectFailureShare)
-		b.notifyObserver(e, ObservedAnswer)
+		e.failureAlarm.Good(othersShare, ejectFailureShare)
+		b.notifyObserver(e, ObservedResponse)
 		return
 	case ConnectFailed:
-		b.notifyObserver(e, ObservedRefusal)
+		b.notifyObserver(e, ObservedConnectFailure)
 	case Errored, Reset:
 		b.notifyObserver(e, ObservedFailure)
 	default:
@@ -106,7 +106,7 @@
 		return
 	}
 	e.lastFailure = now
-	e.failureAlarm.Bad(0, usual, ejectFailureShare, 0)
+	e.failureAlarm.Bad(0, othersShare, ejectFailureShare, 0)
 	if e.failureAlarm.Rings() {
 		b.eject(e, now)
 	}
@@ -116,9 +116,9 @@
 // of a lost zone did not answer would otherwise remain in the times of their group and in flight, so that
 // they would be taken for slow, and left alone, when they are back.
 func (b *Balancer) forgetObservations(e *endpoint, started, now Time) {
-	for _, g := range b.groupsWithTimes(e) {
-		g.answerSeconds = max(g.answerSeconds-e.answerSeconds, 0)
-		g.answerInFlight = max(g.answerInFlight-e.answerInFlight/cmp.Or(e.Weight, 1), 0)
+	for _, g := range b.responseTimeGroups(e) {
+		g.responseSeconds = max(g.responseSeconds-e.responseSeconds, 0)
+		g.responseInFlight = max(g.responseInFlight-e.responseInFlight/cmp.Or(e.Weight, 1), 0)
 	}
 	e.observations = b.newObservations(now)
 	for _, q := range b.requests {
@@ -136,7 +136,7 @@
 	e.failureAlarm.Rearm()
 	e.silenceAlarm.Rearm()
 	b.actions.Log("ejected " + e.ID)
-	b.takeSubsets(now)
+	b.chooseSubsets(now)
 }
 
 // ejectForClass keeps a class from an endpoint until a time, after which one request tries it. It is logged
--- a/balance/peers.go
+++ b/balance/peers.go
@@ -24,29 +24,29 @@
 // SetSuspected replaces the endpoints that peers suspect, the worst first. These stay in use, behind all
 // others. Reports may be false: they move maxSuspectedShare of the ready weight at most.
 func (b *Balancer) SetSuspected(reports []PeerReport) {
-	if len(reports) == 0 && b.suspects == 0 {
+	if len(reports) == 0 && b.suspectedCount == 0 {
 		return
 	}
 	left := 0.0 // weight that may still be suspected
 	for _, e := range b.listed {
-		if e.reportedAt = 0; e.State == Ready {
+		if e.suspicionWrittenAt = 0; e.State == Ready {
 			left += maxSuspectedShare * e.Weight
 		}
 	}
-	b.suspects = 0
+	b.suspectedCount = 0
 	for _, report := range reports {
 		e := b.known[report.ID]
 		if e == nil || e.State != Ready || e.Weight > left {
 			continue
 		}
-		e.reportedAt = report.WrittenAt
+		e.suspicionWrittenAt = report.WrittenAt
 		left -= e.Weight
-		b.suspects++
+		b.suspectedCount++
 	}
 }
 
 // suspectedByPeers reports whether a peer's report counts against e. It may be false, or old: an answer that
 // this sidecar has had since goes before it, and so does a restart. It never readmits what was ejected here.
 func (b *Balancer) suspectedByPeers(e *endpoint, now Time) bool {
-	return e.reportedAt > max(e.lastResponse, e.Started) && now-e.reportedAt < peerReportLifetime
+	return e.suspicionWrittenAt > max(e.lastResponse, e.Started) && now-e.suspicionWrittenAt < peerReportLifetime
 }
--- a/balance/peers_test.go
+++ b/balance/peers_test.go
@@ -165,7 +165,7 @@
 			if e.State == Ready {
 				ready += e.Weight
 			}
-			if e.reportedAt != 0 {
+			if e.suspicionWrittenAt != 0 {
 				suspected += e.Weight
 			}
 		}
@@ -237,7 +237,7 @@
 	w.now++
 	w.Request(w.now, Request{ID: w.next, Tenant: -1, Timeout: 10 * time.Second})
 	for range 30 { // its answer does not come
-		w.now += tickEvery
+		w.now += tickInterval
 		w.Timer(w.now, tokenTick)
 		w.Timer(w.now, tokenAttempt+uint64(w.next)*maxAttemptsPerRequest)
 	}
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -9,8 +9,8 @@
 
 // Margins before the end of the window in which repeats are dropped.
 const (
-	// repeatMargin is left before a repeat is chosen.
-	repeatMargin = 500 * time.Millisecond
+	// retryMargin is left before a repeat is chosen.
+	retryMargin = 500 * time.Millisecond
 	// arrivalMargin is left before a repeat's last byte is sent: it may be held up after the host has
 	// checked its time, and then crosses the network.
 	arrivalMargin = SchedulingStall + networkMargin
@@ -41,7 +41,7 @@
 	case AtMostOnce:
 		return false
 	}
-	if now-a.sent >= c.DedupeWindow-repeatMargin {
+	if now-a.sent >= c.DedupeWindow-retryMargin {
 		return false
 	}
 	switch c.Scope {
@@ -53,15 +53,15 @@
 	return true
 }
 
-// latestStart is how long the next attempt may take until it is sent whole, 0: any time. Where its
+// sendTimeout is how long the next attempt may take until it is sent whole, 0: any time. Where its
 // connection came up late, a repeat would arrive after the window in which repeats of the first attempt are
 // dropped.
-func (q *request) latestStart(now Time) (within time.Duration) {
+func (q *request) sendTimeout(now Time) (timeout time.Duration) {
 	for _, a := range q.attempts {
 		if q.class.Effect == Deduplicated && (!a.done || a.mayHaveRun) {
 			left := max(a.sent+q.class.DedupeWindow-arrivalMargin-now, 1)
-			within = min(cmp.Or(within, left), left)
+			timeout = min(cmp.Or(timeout, left), left)
 		}
 	}
-	return within
+	return timeout
 }
--- a/balance/rings.go
+++ b/balance/rings.go
@@ -11,17 +11,17 @@
 
 // This file holds the rings of the groups: their usable endpoints, in an order that all sidecars share.
 
-// ruleMatchesNone reports whether no endpoint is ready in a group of the rule.
-func (b *Balancer) ruleMatchesNone() bool {
+// noRuleGroupReady reports whether no endpoint is ready in a group of the rule.
+func (b *Balancer) noRuleGroupReady() bool {
 	return !slices.ContainsFunc(b.groups[:len(b.groups)-1], func(g *group) bool { return len(g.endpoints) > 0 })
 }
 
 // setFallbackGroup fills the group of all ready endpoints, which is used while no group of the rule has any,
 // or empties it.
-func (b *Balancer) setFallbackGroup(bare bool) {
+func (b *Balancer) setFallbackGroup(used bool) {
 	g := b.allEndpoints
-	b.subsetsStale, b.resettled, g.inUse = true, true, bare
-	if g.empty(); !bare {
+	b.subsetsStale, b.resetSubsets, g.inUse = true, true, used
+	if g.removeAll(); !used {
 		return
 	}
 	for _, e := range b.listed {
@@ -30,7 +30,7 @@
 			g.addWeight(e, 1)
 		}
 	}
-	slices.SortFunc(g.endpoints, byKey)
+	slices.SortFunc(g.endpoints, compareRingPosition)
 }
 
 // groupsOfEndpoint returns the groups whose rings hold an endpoint.
@@ -41,8 +41,10 @@
 	return e.memberOf
 }
 
-// empty removes all endpoints from the group.
-func (g *group) empty() { g.endpoints, g.capacity, g.totalWeight = g.endpoints[:0], [2]float64{}, 0 }
+// removeAll removes all endpoints from the group.
+func (g *group) removeAll() {
+	g.endpoints, g.capacity, g.totalWeight = g.endpoints[:0], [2]float64{}, 0
+}
 
 // addWeight adds an endpoint's weight and capacity to those of the group, or subtracts them.
 func (g *group) addWeight(e *endpoint, sign float64) {
@@ -53,14 +55,14 @@
 	}
 }
 
-// byKey orders endpoints on the ring of a group.
-func byKey(x, y *endpoint) int {
+// compareRingPosition orders endpoints on the ring of a group.
+func compareRingPosition(x, y *endpoint) int {
 	return cmp.Or(cmp.Compare(x.ringKey, y.ringKey), strings.Compare(x.ID, y.ID))
 }
 
-// ringKeyOf is the position of an id on the rings. In a wide fleet it is a hash, so that endpoints that are
+// ringKeyFor is the position of an id on the rings. In a wide fleet it is a hash, so that endpoints that are
 // added and removed are spread over the rings whatever their names.
-func (b *Balancer) ringKeyOf(id string) uint64 {
+func (b *Balancer) ringKeyFor(id string) uint64 {
 	if b.ringsHashed {
 		return xxhash.Sum64String(id)
 	}
@@ -69,26 +71,26 @@
 
 // reorderRings sorts the rings by hashes, or by ids again.
 func (b *Balancer) reorderRings(hashed bool) {
-	b.ringsHashed, b.subsetsStale, b.resettled = hashed, true, true
+	b.ringsHashed, b.subsetsStale, b.resetSubsets = hashed, true, true
 	for _, e := range b.known {
-		e.ringKey = b.ringKeyOf(e.ID)
+		e.ringKey = b.ringKeyFor(e.ID)
 	}
 	for _, g := range b.groups {
-		slices.SortFunc(g.endpoints, byKey)
+		slices.SortFunc(g.endpoints, compareRingPosition)
 		g.anchored = false
 	}
 }
 
-// rank is how many endpoints of the group come on its ring before a key, and an id that has it.
-func (g *group) rank(key uint64, id string) int {
+// ringRank is how many endpoints of the group come on its ring before a key, and an id that has it.
+func (g *group) ringRank(key uint64, id string) int {
 	return sort.Search(len(g.endpoints), func(i int) bool {
 		e := g.endpoints[i]
 		return e.ringKey > key || e.ringKey == key && e.ID >= id
 	})
 }
 
-// reaches reports whether the endpoint at a rank is within the subset, or next behind it.
-func (g *group) reaches(at int) bool {
+// touchesSubset reports whether the endpoint at a rank is within the subset, or next behind it.
+func (g *group) touchesSubset(at int) bool {
 	n := len(g.endpoints)
-	return g.inUse && (!g.anchored || (at-g.rank(g.anchor, g.anchorID)%n+n)%n <= len(g.subset))
+	return g.inUse && (!g.anchored || (at-g.ringRank(g.anchorKey, g.anchorID)%n+n)%n <= len(g.subset))
 }
--- a/balance/route_test.go
+++ b/balance/route_test.go
@@ -175,7 +175,7 @@
 		b.Request(h.now, Request{ID: RequestID(i), Tenant: -1, Timeout: time.Second})
 	}
 	// a and b hold two each. Once the one whose turn is next holds more, it yields.
-	due := b.groups[0].subset[b.groups[0].next%2]
+	due := b.groups[0].subset[b.groups[0].nextIndex%2]
 	other := h.sent[0]
 	for _, s := range h.sent {
 		if s.to != due.ID {
@@ -223,7 +223,7 @@
 		{"unknown effect", func(s *Settings) { s.Classes[0].Effect = 9 }, "field Effect"},
 		{"unknown scope", func(s *Settings) { s.Classes[0].Scope = -1 }, "field Scope"},
 		{"worth is no number", func(s *Settings) { s.Classes[0].Priority = math.NaN() }, "field Worth"},
-		{"late answers worth more", func(s *Settings) { s.Classes[0].LateShare = 1.5 }, "field LateWorth"},
+		{"late answers worth more", func(s *Settings) { s.Classes[0].LatePriorityShare = 1.5 }, "field LateWorth"},
 		{"negative window", func(s *Settings) { s.Classes[0].DedupeWindow = -1 }, "field DedupeWindow"},
 		{
 			"negative allowance",
@@ -283,10 +283,10 @@
 			[]Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}, {ID: "b", Zone: "y", Kind: "big", Weight: 1}},
 		)
 		for range 300 {
-			h.now += tickEvery
+			h.now += tickInterval
 			for id, took := range map[string]time.Duration{"a": 200 * time.Millisecond, "b": 50 * time.Millisecond} {
 				b.recordOutcome(
-					&attempt{endpoint: b.known[id], inFlightThen: 2},
+					&attempt{endpoint: b.known[id], inFlightAtSend: 2},
 					Result{Outcome: Served, Took: took},
 					h.now,
 				)
--- a/balance/routing.go
+++ b/balance/routing.go
@@ -57,25 +57,25 @@
 	destination Destination
 	inUse       bool // it has a part in the schedule
 
-	endpoints   []*endpoint // that may be used, in order of the ring
-	totalWeight float64     // of the endpoints
-	capacity    [2]float64  // weight of the endpoints times their capacity share, in the own zone and in others
-	largest     float64     // the largest totalWeight so far
+	endpoints      []*endpoint // that may be used, in order of the ring
+	totalWeight    float64     // of the endpoints
+	capacity       [2]float64  // weight times capacity share, in the own zone and in others
+	maxTotalWeight float64     // the largest totalWeight so far
 
 	subset     []*endpoint // the part that this sidecar uses, in order of rotation
 	subsetSize int         // how many the subset is to have
-	anchor     uint64      // ring key and id of the endpoint at which the subset begins
+	anchorKey  uint64      // ring key and id of the endpoint at which the subset begins
 	anchorID   string
 	anchored   bool // anchor is set
 
-	lastResponse   Time    // when any of its endpoints last answered
-	lastSample     Time    // when an attempt last showed how fast its endpoints are
-	answerSeconds  float64 // decaying sum of the seconds that answers took
-	answerInFlight float64 // and of the requests in flight for each unit of weight
-	waitingSeconds float64 // for which requests have been in flight, at the last tick
+	lastResponse     Time    // when any of its endpoints last answered
+	lastSample       Time    // when an attempt last showed how fast its endpoints are
+	responseSeconds  float64 // decaying sum of the seconds that answers took
+	responseInFlight float64 // and of the requests in flight for each unit of weight
+	waitingSeconds   float64 // for which requests have been in flight, at the last tick
 
-	next   int     // index in subset of the member to be selected next
-	credit float64 // of the smooth weighted schedule
+	nextIndex int     // index in subset of the member to be selected next
+	credit    float64 // of the smooth weighted schedule
 }
 
 // makeGroups makes the groups of the best rule, and a last one for all ready endpoints. Each sidecar's
@@ -88,7 +88,7 @@
 		all.Destinations = append(slices.Clone(best.Destinations), all.Destinations...)
 	}
 	for _, d := range all.Destinations {
-		b.allEndpoints = &group{destination: d, next: b.random.IntN(1 << 16), credit: b.random.Float64()}
+		b.allEndpoints = &group{destination: d, nextIndex: b.random.IntN(1 << 16), credit: b.random.Float64()}
 		b.groups = append(b.groups, b.allEndpoints)
 	}
 }
@@ -116,7 +116,7 @@
 	if g.destination.PerEndpointWeight {
 		return g.destination.Weight * capacity
 	}
-	return g.destination.Weight * capacity / math.Max(g.largest, minWeight)
+	return g.destination.Weight * capacity / math.Max(g.maxTotalWeight, minWeight)
 }
 
 // nextEndpoint selects by smooth weighted round-robin among the groups with an eligible member, and in that
@@ -147,7 +147,7 @@
 func (g *group) nextMember() (due *endpoint) {
 	members, offset := len(g.subset), 0
 	for i, seen := 0, 0; i < members && seen < 2; i++ {
-		e := g.subset[(g.next+i)%members]
+		e := g.subset[(g.nextIndex+i)%members]
 		if !e.eligible {
 			continue
 		}
@@ -159,6 +159,6 @@
 			due, offset = e, i
 		}
 	}
-	g.next = (g.next + offset + 1) % members
+	g.nextIndex = (g.nextIndex + offset + 1) % members
 	return due
 }
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -210,7 +210,7 @@
 		}
 		b.Endpoints(c.now, kind, entries)
 	}
-	tell(ListRemembered, list)
+	tell(ListCached, list)
 	bad := map[string]Outcome{} // servers in trouble, and how they fail
 	type ending struct {
 		at  Time
@@ -228,7 +228,7 @@
 		delete(c.timers, c.now)
 		for ; c.asked > 0; c.asked-- {
 			if flip(.5) {
-				b.Endpoints(c.now, ListRefused, nil)
+				b.Endpoints(c.now, ListFailed, nil)
 			} else {
 				tell(ListFull, list)
 			}
@@ -466,10 +466,10 @@
 	b, h := start(t, set, pair())
 	rng := rand.New(rand.NewPCG(1, 1))
 	var all [2]float64
-	for range int(20 / tickEvery.Seconds()) {
-		h.now += tickEvery
+	for range int(20 / tickInterval.Seconds()) {
+		h.now += tickInterval
 		b.Timer(h.now, tokenTick)
-		for owed := rate * tickEvery.Seconds(); rng.Float64() < owed; owed-- {
+		for owed := rate * tickInterval.Seconds(); rng.Float64() < owed; owed-- {
 			i := 0
 			if rng.Float64() < second {
 				i = 1
--- a/balance/sequence_test.go
+++ b/balance/sequence_test.go
@@ -48,7 +48,7 @@
 			list[i].PodGroup = i / 2
 			c.servers[list[i].ID] = &server{Endpoint: list[i], listed: true}
 		}
-		b.Endpoints(c.now, ListRemembered, list)
+		b.Endpoints(c.now, ListCached, list)
 		var next RequestID
 		var asked []*held // by number
 		extra, answers := 0, 0
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -20,18 +20,18 @@
 // one elsewhere. Hence overloadShare.
 //
 // The capacity is not disclosed: a sidecar estimates its part of it by what warmed-up endpoints have served
-// it for a unit of weight over capacityMemory, which is no more than they can do. Until it knows that, it
-// keeps to shares of its own traffic, which a burst may raise to 1.4 times what warmed-up endpoints can do.
-// Hence unknownCapacityShare. Where a whole fleet and the sidecars have just started, nothing tells the
+// it for a unit of weight over capacityTimeConstant, which is no more than they can do. Until it knows that,
+// it keeps to shares of its own traffic, which a burst may raise to 1.4 times what warmed-up endpoints can
+// do. Hence unknownCapacityShare. Where a whole fleet and the sidecars have just started, nothing tells the
 // capacity, and shares are all there is.
 const (
 	overloadShare        = 0.7                 // of N: what all sidecars send in the mean, at most
 	unknownCapacityShare = overloadShare / 1.4 // of N, where the capacity is not known
 	maxOverflowShares    = 2.0                 // shares that one endpoint gets at most, if all else is full
 
-	capacityMemory = 30 * time.Second // what warmed-up endpoints have served decays to 1/e in this time
-	minServed      = 0.5              // answers, and
-	minMeasured    = 2.0              // seconds, from which on the capacity counts as known
+	capacityTimeConstant = 30 * time.Second // what warmed-up endpoints have served decays to 1/e in this time
+	minServedResponses   = 0.5              // answers, and
+	minMeasuredSeconds   = 2.0              // seconds, from which on the capacity counts as known
 
 	minCapacity = 1e-9 // keeps a ratio finite where nothing can serve
 )
@@ -45,18 +45,18 @@
 }
 
 // advance records that a time has passed with the endpoints in use as they are.
-func (m *capacityMeter) advance(d time.Duration) {
-	keep := math.Exp(-d.Seconds() / capacityMemory.Seconds())
-	m.served *= keep
-	m.seconds = m.seconds*keep + d.Seconds()
+func (m *capacityMeter) advance(period time.Duration) {
+	factor := math.Exp(-period.Seconds() / capacityTimeConstant.Seconds())
+	m.served *= factor
+	m.seconds = m.seconds*factor + period.Seconds()
 	for i := range m.weightSeconds {
-		m.weightSeconds[i] = m.weightSeconds[i]*keep + m.warmedUpWeight[i]*d.Seconds()
+		m.weightSeconds[i] = m.weightSeconds[i]*factor + m.warmedUpWeight[i]*period.Seconds()
 	}
 }
 
 // known reports whether enough was served for an estimate.
 func (m *capacityMeter) known() bool {
-	return m.served >= minServed && m.seconds >= minMeasured && m.weightSeconds[0] > 0
+	return m.served >= minServedResponses && m.seconds >= minMeasuredSeconds && m.weightSeconds[0] > 0
 }
 
 // selectionCredit is how much of the next selection of an endpoint that is warming up has come due; at 1 it
@@ -90,16 +90,17 @@
 // updateCredit brings the credit of an endpoint that is warming up to the present, and returns what the
 // request that is being decided adds to its zoneTraffic and fleetTraffic.
 func (b *Balancer) updateCredit(e *endpoint, now Time) (inZone, inFleet float64) {
-	credit, meter, able := &e.slowStart, &b.capacity, e.Weight*e.capacityShare
+	credit, meter, capacity := &e.slowStart, &b.capacity, e.Weight*e.capacityShare
 	inZone, inFleet = 1, maxOverflowShares
 	if !meter.known() {
 		credit.zoneAllowance = max(credit.zoneAllowance, 1)
 		credit.fleetAllowance = max(credit.fleetAllowance, 1)
 		inFleet = min(maxOverflowShares, unknownCapacityShare*b.settings.OverloadMultiple)
-		inZone, inFleet = min(inFleet, 1)*b.usedShare(b.zonedCapacity), inFleet*b.usedShare(b.activeCapacity)
+		inZone, inFleet = min(inFleet, 1)*b.fleetUsedShare(b.zoneWeightedCapacity),
+			inFleet*b.fleetUsedShare(b.activeCapacity)
 	} else {
 		elapsed := max(now-credit.countedUntil, 0).Seconds()
-		allowed := overloadShare * b.settings.OverloadMultiple * able * meter.served * elapsed
+		allowed := overloadShare * b.settings.OverloadMultiple * capacity * meter.served * elapsed
 		if meter.warmedUpWeight[1] > 0 {
 			// Where each zone keeps to itself, its sidecars alone may use up the allowance, and what all others
 			// send ahead of schedule comes on top: one allowance less the own zone's part of the whole.
@@ -108,18 +109,18 @@
 		credit.zoneAllowance += allowed * b.zoneWeight[e.zoneIndex] / meter.weightSeconds[0]
 		credit.fleetAllowance += allowed / meter.weightSeconds[1]
 	}
-	sent := b.sends - credit.countedSends
-	inZone *= able * b.zoneWeight[e.zoneIndex] / math.Max(b.zonedCapacity, minCapacity)
-	inFleet *= able / math.Max(b.activeCapacity, minCapacity)
+	sent := b.sentAttempts - credit.countedSends
+	inZone *= capacity * b.zoneWeight[e.zoneIndex] / math.Max(b.zoneWeightedCapacity, minCapacity)
+	inFleet *= capacity / math.Max(b.activeCapacity, minCapacity)
 	credit.zoneTraffic += inZone * sent
 	credit.fleetTraffic += inFleet * sent
-	credit.countedSends, credit.countedUntil = b.sends, now
+	credit.countedSends, credit.countedUntil = b.sentAttempts, now
 	return inZone, inFleet
 }
 
-// usedShare is the part of the fleet that all sidecars use if each uses as much as this one. A few that start
-// with small subsets, or keep to a zone each, concentrate their traffic on what they use.
-func (b *Balancer) usedShare(used float64) float64 {
+// fleetUsedShare is the part of the fleet that all sidecars use if each uses as much as this one. A few that
+// start with small subsets, or keep to a zone each, concentrate their traffic on what they use.
+func (b *Balancer) fleetUsedShare(used float64) float64 {
 	total := 0.0
 	for _, g := range b.groups {
 		total += g.capacity[0] + g.capacity[1]
@@ -144,7 +145,7 @@
 	credit := &e.slowStart
 	dueInZone := credit.zoneTraffic+inZone >= 1 && credit.zoneAllowance >= 1
 	dueInFleet := credit.fleetTraffic+inFleet >= 1 && credit.fleetAllowance >= 1
-	credit.aheadOfRotation = dueInZone && b.capacity.known() && b.arrivals < minSubset
+	credit.aheadOfRotation = dueInZone && b.capacity.known() && b.arrivals < minSubsetSize
 	if b.capacity.warmedUpWeight[1] == 0 {
 		// All endpoints are warming up: those of the own zone have no more capacity than the others.
 		return dueInFleet && (overflow || dueInZone)
@@ -167,7 +168,7 @@
 func (b *Balancer) drawFirstSelections(now Time) {
 	for _, e := range b.started {
 		if e.awaitsFirstSelection {
-			e.slowStart.reset(b.sends, now, b.random.Float64())
+			e.slowStart.reset(b.sentAttempts, now, b.random.Float64())
 		}
 		e.awaitsFirstSelection = false
 	}
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -37,14 +37,14 @@
 	users := map[string]int{}
 	for self := range peers {
 		b, _ := sidecar(t, self, peers, list)
-		if n := len(b.active); n != minSubset {
-			t.Fatalf("an idle sidecar uses %d endpoints, want %d", n, minSubset)
+		if n := len(b.active); n != minSubsetSize {
+			t.Fatalf("an idle sidecar uses %d endpoints, want %d", n, minSubsetSize)
 		}
 		for _, e := range b.active {
 			users[e.ID]++
 		}
 	}
-	mean := peers * minSubset / servers
+	mean := peers * minSubsetSize / servers
 	for _, e := range list {
 		if n := users[e.ID]; n < mean-2 || n > mean+2 {
 			t.Errorf("%s is used by %d sidecars, want about %d", e.ID, n, mean)
@@ -56,11 +56,11 @@
 	b, h := sidecar(t, 3, 10, fleet(200))
 	first := ids(b.active)
 	for range 300 { // 30 s of 10 requests a second
-		h.now += tickEvery
+		h.now += tickInterval
 		b.Timer(h.now, tokenTick)
 		serve(b, h, 1, 10*time.Millisecond)
 	}
-	if n, want := len(b.active), 10*memory.Seconds(); float64(n) < want*0.8 || float64(n) > want*1.2 {
+	if n, want := len(b.active), 10*decayTimeConstant.Seconds(); float64(n) < want*0.8 || float64(n) > want*1.2 {
 		t.Errorf("at 10 requests a second %d endpoints are used, want about %.0f", n, want)
 	}
 	if got := ids(b.active); !slices.Equal(got[:len(first)], first) {
@@ -72,7 +72,7 @@
 	b, h := sidecar(t, 3, 10, fleet(200))
 	first := ids(b.active)
 	for range 4 {
-		for i := RequestID(0); i < minSubset && len(h.logs) == 0; i++ {
+		for i := RequestID(0); i < minSubsetSize && len(h.logs) == 0; i++ {
 			id := i + RequestID(h.now)
 			if to := ask(b, h, id); to != "" {
 				outcome := Served
@@ -129,7 +129,7 @@
 			b.Endpoints(h.now, ListChanges, []Endpoint{fresh})
 			id := RequestID(0)
 			for tick := range seconds * 10 {
-				h.now += tickEvery
+				h.now += tickInterval
 				b.Timer(h.now, tokenTick)
 				for share := 8000 / peers * (self % 2); int(id)*seconds*10 < share*(tick+1); {
 					id++ // half of the sidecars carry all traffic
--- a/balance/untested_test.go
+++ b/balance/untested_test.go
@@ -30,15 +30,15 @@
 		b, h := start(t, settings(), list)
 		serve(b, h, 200, 20*time.Millisecond)
 		e := b.known["a"]
-		e.answerInFlight, e.homeGroup.answerInFlight, b.allEndpoints.answerInFlight = 20, 40, 100
-		e.answerSeconds, e.homeGroup.answerSeconds, b.allEndpoints.answerSeconds = slow*e.answerInFlight, tt.group*e.homeGroup.answerInFlight, tt.fleet*b.allEndpoints.answerInFlight
+		e.responseInFlight, e.homeGroup.responseInFlight, b.allEndpoints.responseInFlight = 20, 40, 100
+		e.responseSeconds, e.homeGroup.responseSeconds, b.allEndpoints.responseSeconds = slow*e.responseInFlight, tt.group*e.homeGroup.responseInFlight, tt.fleet*b.allEndpoints.responseInFlight
 		e.lastSample, e.homeGroup.lastSample = h.now, h.now
 		if tt.fleet == slow && b.expectedTime(e, h.now) < rejectObjectiveShare*b.objective {
 			t.Fatalf("%s: a slow endpoint is expected to take %v s", tt.name, b.expectedTime(e, h.now))
 		}
-		h.now += 2 * memory
+		h.now += 2 * decayTimeConstant
 		if b.allEndpoints.lastSample = h.now; !tt.heard {
-			b.allEndpoints.lastSample -= 2 * memory
+			b.allEndpoints.lastSample -= 2 * decayTimeConstant
 		}
 		if tt.name == "it alone slow" {
 			e.homeGroup.lastSample = h.now
@@ -60,7 +60,7 @@
 		t.Errorf("idle and cold it is expected to take %v s, warm %v", got, want)
 	}
 	for _, e := range []*endpoint{warm, cold} {
-		e.inFlight, e.dueSinceSum = 2, 2*h.now
+		e.inFlight, e.waitingSinceSum = 2, 2*h.now
 	}
 	if got, want := b.expectedTime(cold, h.now), b.expectedTime(warm, h.now); got < 1.5*want {
 		t.Errorf("with two in flight it is expected to take %v s, warm %v", got, want)
@@ -81,7 +81,7 @@
 	before := b.allEndpoints.secondsPerRequest()
 	for i, id := range []string{"y", "z", "y", "z", "y", "z"} {
 		b.Request(h.now, Request{ID: RequestID(i + 1), Tenant: -1, Timeout: 3 * time.Second})
-		a := attempt{endpoint: b.known[id], sent: h.now, inFlightThen: 2, expectedNow: 0.02}
+		a := attempt{endpoint: b.known[id], sent: h.now, inFlightAtSend: 2, expectedNow: 0.02}
 		b.recordOutcome(&a, Result{Outcome: TimedOut, Took: 3 * time.Second}, h.now)
 	}
 	z := b.known["z"]
@@ -100,8 +100,8 @@
 		t.Errorf("the fleet's usual time is %v s, %v before", after, before)
 	}
 	for _, e := range b.listed {
-		if e.homeGroup.answerInFlight < 0 || e.homeGroup.answerSeconds < 0 {
-			t.Errorf("a group's record is at %v s over %v", e.homeGroup.answerSeconds, e.homeGroup.answerInFlight)
+		if e.homeGroup.responseInFlight < 0 || e.homeGroup.responseSeconds < 0 {
+			t.Errorf("a group's record is at %v s over %v", e.homeGroup.responseSeconds, e.homeGroup.responseInFlight)
 		}
 	}
 }
@@ -126,7 +126,7 @@
 	list[0].Started = h.now - time.Second
 	b.Endpoints(h.now, ListChanges, list)
 	check := func(when string) {
-		if got := b.expectedTime(e, h.now); got > 0.5 || e.inFlight != 0 || e.dueSinceSum != 0 ||
+		if got := b.expectedTime(e, h.now); got > 0.5 || e.inFlight != 0 || e.waitingSinceSum != 0 ||
 			e.ejectedUntil > h.now {
 			t.Errorf("%s: %.3f s are expected; %d in flight, ejected until %v", when, got, e.inFlight, e.ejectedUntil)
 		}
--- a/cmd/adapter/instance.go
+++ b/cmd/adapter/instance.go
@@ -37,7 +37,7 @@
 	case wire.Request:
 		return i.request(now, event)
 	case wire.AnswerStarted:
-		i.balancer.AnswerStarted(now, event.ID, event.Attempt)
+		i.balancer.ResponseStarted(now, event.ID, event.Attempt)
 	case wire.Result:
 		i.balancer.Result(now, event.Result)
 	case wire.ClientGone:
--- a/internal/discovery/start_times.go
+++ b/internal/discovery/start_times.go
@@ -83,7 +83,7 @@
 			s.setListed(start, listed[id])
 		}
 	}
-	if kind != balance.ListRemembered {
+	if kind != balance.ListCached {
 		s.Confirm(now)
 	}
 }
--- a/internal/fleetadapter/participant.go
+++ b/internal/fleetadapter/participant.go
@@ -76,11 +76,11 @@
 
 // outcomes are the Balancer's observations as the fleet's failure detector names them.
 var outcomes = [...]failuredetector.Outcome{
-	balance.ObservedAnswer:  failuredetector.Answered,
-	balance.ObservedLate:    failuredetector.Late,
-	balance.ObservedSilence: failuredetector.Silent,
-	balance.ObservedFailure: failuredetector.Failed,
-	balance.ObservedRefusal: failuredetector.Refused,
+	balance.ObservedResponse:       failuredetector.Answered,
+	balance.ObservedLate:           failuredetector.Late,
+	balance.ObservedNoResponse:     failuredetector.Silent,
+	balance.ObservedFailure:        failuredetector.Failed,
+	balance.ObservedConnectFailure: failuredetector.Refused,
 }
 
 // Observe implements balance.Observer.
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -204,7 +204,7 @@
 
 // Endpoints takes in an update of the endpoint list.
 func (b *baseline) Endpoints(_ balance.Time, kind balance.ListKind, list []balance.Endpoint) {
-	if kind == balance.ListRefused {
+	if kind == balance.ListFailed {
 		return
 	}
 	if kind != balance.ListChanges {
--- a/internal/lab/sim/gossip.go
+++ b/internal/lab/sim/gossip.go
@@ -131,7 +131,7 @@
 	if due {
 		m.machine.SendNote(now, note)
 	}
-	if observation == balance.ObservedSilence || observation == balance.ObservedRefusal {
+	if observation == balance.ObservedNoResponse || observation == balance.ObservedConnectFailure {
 		m.publishObservations()
 	}
 	m.performActions()
--- a/internal/lab/sim/sidecar.go
+++ b/internal/lab/sim/sidecar.go
@@ -83,7 +83,7 @@
 	}
 	sc.policy = policy
 	sc.joinFleet()
-	sc.policy.Endpoints(s.policyNow(), balance.ListRemembered, sc.endpointList())
+	sc.policy.Endpoints(s.policyNow(), balance.ListCached, sc.endpointList())
 	return nil
 }
 
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -21,7 +21,7 @@
 // OnUpdate implements discovery.Subscriber. It hands a list to the connections first and then to the Balancer: what the
 // Balancer sends next must find its address.
 func (l *EventLoop) OnUpdate(kind balance.ListKind, list discovery.List) {
-	list.Complete = list.Complete || kind == balance.ListRemembered
+	list.Complete = list.Complete || kind == balance.ListCached
 	l.upstream.Update(list)
 	endpoints := make([]balance.Endpoint, 0, len(list.Endpoints))
 	for _, e := range list.Endpoints {
@@ -48,7 +48,7 @@
 
 // signalProgress closes the channels of the first update, and of the first list with servers or from discovery.
 func (l *EventLoop) signalProgress(kind balance.ListKind, hasEndpoints bool) {
-	fromDiscovery := kind != balance.ListRemembered
+	fromDiscovery := kind != balance.ListCached
 	if fromDiscovery && !l.hasUpdate {
 		l.hasUpdate = true
 		close(l.firstUpdate)
@@ -63,7 +63,7 @@
 func (l *EventLoop) OnUnchanged() { l.starts.Confirm(l.now) }
 
 // OnWatchEnded implements discovery.Subscriber.
-func (l *EventLoop) OnWatchEnded() { l.balancer.Endpoints(l.now, balance.ListRefused, nil) }
+func (l *EventLoop) OnWatchEnded() { l.balancer.Endpoints(l.now, balance.ListFailed, nil) }
 
 // SetAdminDown takes a server administratively down, or up again, and reports whether it is known. It is called on the
 // loop, as are the methods after it.
--- a/internal/proxy/event_loop.go
+++ b/internal/proxy/event_loop.go
@@ -85,7 +85,7 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	l.settings.Store(newRequestSettings(c.Settings, c.Names, identity(len(c.Settings.Classes)), l.metrics))
-	l.OnUpdate(balance.ListRemembered, c.Known)
+	l.OnUpdate(balance.ListCached, c.Known)
 	if !c.Settings.PollDiscovery {
 		l.Subscribe()
 	}
--- a/internal/proxy/event_loop_test.go
+++ b/internal/proxy/event_loop_test.go
@@ -87,7 +87,7 @@
 		c.Settings.PollDiscovery = true // and so no watch but that of this test
 		loop := newEventLoop(context.Background(), t, c, nil)
 		remembered := listedEndpoint("s-0", time.Time{})
-		loop.OnUpdate(balance.ListRemembered, discovery.List{Endpoints: []discovery.Endpoint{remembered}})
+		loop.OnUpdate(balance.ListCached, discovery.List{Endpoints: []discovery.Endpoint{remembered}})
 		time.Sleep(time.Second)
 		warm := listedEndpoint("s-1", time.Now().Add(-time.Hour).Round(0))
 		loop.now = loop.clock()
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -43,12 +43,12 @@
 	l.inflight[r.requestID] = r
 	l.scheduleExpiry(r)
 	l.balancer.Request(l.now, balance.Request{
-		ID:         r.requestID,
-		Class:      r.index,
-		Tenant:     r.tenant,
-		Timeout:    r.deadline.Sub(l.origin) - l.now,
-		Retry:      r.isRetry,
-		ClassTerms: &r.Class,
+		ID:             r.requestID,
+		Class:          r.index,
+		Tenant:         r.tenant,
+		Timeout:        r.deadline.Sub(l.origin) - l.now,
+		Retry:          r.isRetry,
+		ClassAtArrival: &r.Class,
 	})
 }
 
--- a/internal/wire/lists.go
+++ b/internal/wire/lists.go
@@ -14,8 +14,8 @@
 var listKinds = map[string]balance.ListKind{
 	"all":        balance.ListFull,
 	"changes":    balance.ListChanges,
-	"remembered": balance.ListRemembered,
-	"refused":    balance.ListRefused,
+	"remembered": balance.ListCached,
+	"refused":    balance.ListFailed,
 }
 
 var endpointStates = map[string]balance.State{
@@ -38,7 +38,7 @@
 		return r.lineErr()
 	}
 	e.ListKind = kind
-	if kind != balance.ListRefused {
+	if kind != balance.ListFailed {
 		e.Entries = r.lists[r.listNumber(1)]
 	}
 	return r.lineErr()
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -145,14 +145,14 @@
 func (s *settingsReader) readClass(path string) balance.Class {
 	s.requirePositive(path + ".deadline_s")
 	return balance.Class{
-		Name:             s.require(path + ".name"),
-		Effect:           lookup(s, path+".effect", effects),
-		Scope:            lookup(s, path+".group", scopes),
-		DedupeWindow:     s.duration(path + ".window_s"),
-		LatencyObjective: s.duration(path + ".aim_s"),
-		Deadline:         s.duration(path + ".deadline_s"),
-		Priority:         s.float(path + ".credit"),
-		LateShare:        s.float(path + ".late_value"),
+		Name:              s.require(path + ".name"),
+		Effect:            lookup(s, path+".effect", effects),
+		Scope:             lookup(s, path+".group", scopes),
+		DedupeWindow:      s.duration(path + ".window_s"),
+		LatencyObjective:  s.duration(path + ".aim_s"),
+		Deadline:          s.duration(path + ".deadline_s"),
+		Priority:          s.float(path + ".credit"),
+		LatePriorityShare: s.float(path + ".late_value"),
 	}
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -62,7 +62,7 @@
 		t.Errorf("class %+v", c)
 	}
 	list := events[3].Entries
-	if events[3].ListKind != balance.ListRemembered || len(list) != 2 || list[0].Weight != 1.5 || list[0].PodGroup != 4 ||
+	if events[3].ListKind != balance.ListCached || len(list) != 2 || list[0].Weight != 1.5 || list[0].PodGroup != 4 ||
 		list[0].Started != 6100*time.Millisecond || list[1].State != balance.Draining || list[1].Weight != 1 {
 		t.Errorf("list %+v", list)
 	}
