--- a/balance/admin.go
+++ b/balance/admin.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// This file holds endpoints that operators take out of service.
+// This file contains the administrative state of endpoints.
 
-// SetAdminDown makes an endpoint administratively down, or puts it back in service, and reports whether it is
-// known: listed, or down. Both may be repeated. Nothing is sent to one that is down, whatever discovery says
-// of it meanwhile.
+// SetAdminDown makes an endpoint administratively down or puts it back in service, and reports whether it is
+// known: listed or administratively down. Repeated calls are allowed. An endpoint that is administratively
+// down gets no attempts, whatever discovery reports.
 func (b *Balancer) SetAdminDown(now Time, id string, down bool) (known bool) {
 	e := b.known[id]
 	switch listed := e != nil && e.State != Removed; {
@@ -21,7 +21,7 @@
 		b.applyAdminDown(now, id, true)
 		b.actions.Log("taken out by hand " + id)
 	default:
-		// Most likely it was restarted while it was down, and discovery may report that late or never.
+		// The endpoint was probably restarted while it was down, which discovery may report late or never.
 		b.restored[id] = now
 		if e != nil {
 			b.forgetObservations(e, now, now)
@@ -35,8 +35,8 @@
 	return true
 }
 
-// AdoptAdminDown makes endpoints administratively down that were so where this Balancer takes over, listed or
-// not.
+// AdoptAdminDown makes endpoints administratively down that are so already elsewhere, such as in the
+// predecessor process, whether or not they are listed.
 func (b *Balancer) AdoptAdminDown(now Time, ids []string) {
 	for _, id := range ids {
 		b.applyAdminDown(now, id, true)
@@ -56,11 +56,11 @@
 	}
 }
 
-// AdminDown returns the endpoints that are administratively down, in order.
+// AdminDown returns the IDs of the endpoints that are administratively down, in ascending order.
 func (b *Balancer) AdminDown() []string { return slices.Sorted(maps.Keys(b.adminDown)) }
 
-// CountEndpoints returns how many endpoints are listed, and how many of them are avoided: administratively
-// down or ejected.
+// CountEndpoints returns the number of listed endpoints and how many of them are avoided: administratively
+// down, or ejected while ejection is not suspended.
 func (b *Balancer) CountEndpoints(now Time) (listed, avoided int) {
 	for _, e := range b.listed {
 		if b.adminDown[e.ID] || now < e.ejectedUntil && !b.panicking {
--- a/balance/admission.go
+++ b/balance/admission.go
@@ -6,33 +6,35 @@
 	"time"
 )
 
-// This file holds which requests are admitted, and which are shed.
+// This file contains admission control and load shedding.
 
 const (
-	// atCapacityFactor is the multiple of the usual time for its weight, when idle, below which no endpoint is
-	// full.
+	// atCapacityFactor is the multiple of the mean expected response time of idle endpoints of the same zone and
+	// weight up to which no endpoint counts as at capacity.
 	atCapacityFactor = 2.5
-	// spilloverObjectiveShare is the share of the shortest objective above which an endpoint is full.
+	// spilloverObjectiveShare is the share of the shortest latency objective up to which no endpoint counts as
+	// at capacity.
 	spilloverObjectiveShare = 0.5
-	// rejectObjectiveShare is the share of the shortest objective above which an expected answer is not
-	// useful any more.
+	// rejectObjectiveShare is the share of the shortest latency objective above which an expected response is
+	// too late to be useful.
 	rejectObjectiveShare = 0.85
-	// overAllowanceFactor scales the limit of requests beyond their tenant's allowance.
+	// overAllowanceFactor scales the limit of the expected response time for requests beyond their tenant's
+	// allowance.
 	overAllowanceFactor = 0.5
 )
 
-// Passes of pickEndpoint over the endpoints. A later pass admits what the former one held back.
+// Passes of selectEndpoint over the endpoints. Each pass admits more endpoints than the one before.
 const (
-	passNormal     = iota // endpoints that are not full and not ejected
-	passAtCapacity        // also full ones, ones not due by slow start, ejected ones while panicking
-	passSuspected         // also those that peers suspect
+	passNormal     = iota // endpoints that are neither at capacity nor ejected
+	passAtCapacity        // also those at capacity or not due by slow start, and ejected ones while panicking
+	passSuspected         // also endpoints that peers suspect
 	numPasses
 )
 
-// selectEndpoint lets the schedule choose among the endpoints that are not full, else among those where the
-// request can still hope for an answer in time. Where there is none it returns by how many seconds the best
-// one would be late. Classes of lower priority give way only while all endpoints are full: their limit may
-// lie under what an idle slow machine takes, and endpoints would not be used evenly under low load.
+// selectEndpoint selects an endpoint that is below capacity, or else one from which a timely response can
+// still be expected. If there is none, it returns by how many seconds the best endpoint exceeds its limit.
+// Classes of lower priority are shed only while all endpoints are at capacity: their limit may be below the
+// response time of an idle slow endpoint, and endpoints would be used unevenly at low load.
 func (b *Balancer) selectEndpoint(q *request, now Time) (to *endpoint, excessSeconds float64) {
 	excessSeconds = b.objective
 	for pass := range numPasses {
@@ -44,26 +46,28 @@
 		if result.endpoint != nil {
 			return result.endpoint, 0
 		}
-		// A retry that may go nowhere tells nothing of the load: full and free are both false then.
+		// A retry that has no endpoint left says nothing about the load: anyAtCapacity and anyAvailable are both
+		// false then.
 		if result.anyAtCapacity && !result.anyAvailable {
-			// What is full now is worked off within an objective; a longer limit would find idle endpoints.
+			// The present backlog is processed within one latency objective; after a longer time endpoints would be
+			// idle.
 			b.overloadedUntil = now + time.Duration(b.objective*float64(time.Second))
 		}
 	}
 	return nil, excessSeconds
 }
 
-// passResult is the outcome of one pass over the endpoints.
+// passResult is the result of one pass over the endpoints.
 type passResult struct {
-	endpoint      *endpoint // nil: none
-	excessSeconds float64   // seconds by which the best endpoint exceeds its limit; +Inf: there is none
-	anyAtCapacity bool      // some endpoint is full
-	anyAvailable  bool      // some endpoint is not
+	endpoint      *endpoint // nil: none selected
+	excessSeconds float64   // by which the best endpoint exceeds its limit; +Inf: no endpoint
+	anyAtCapacity bool      // some endpoint is at capacity
+	anyAvailable  bool      // some endpoint is below capacity
 }
 
-// selectInPass selects among the endpoints that are eligible for a request in a pass. An endpoint
-// that exceeds only the limit of the request's own class does not count as full: a class that gives way
-// would otherwise prolong the overload by itself.
+// selectInPass selects among the endpoints that are eligible for a request in a pass. An endpoint that
+// exceeds only the limit of the request's own class does not count as at capacity. Otherwise the class that
+// is shed would prolong the overload.
 func (b *Balancer) selectInPass(q *request, pass int, now Time) passResult {
 	result := passResult{excessSeconds: math.Inf(1)}
 	limit := rejectObjectiveShare * b.objective
@@ -75,7 +79,7 @@
 			continue
 		}
 		endpointLimit := limit
-		if pass == passNormal { // by its zone's standard, not just for a slow kind or a far zone
+		if pass == passNormal { // the zone's mean: a slow kind or a remote zone alone is no sign of overload
 			zoneLimit := atCapacityFactor * (1 + assumedOtherRequests) * zoneMean[e.zoneIndex] / e.Weight
 			endpointLimit = min(limit, max(spilloverObjectiveShare*b.objective, zoneLimit))
 		}
@@ -93,7 +97,7 @@
 	return result
 }
 
-// inService reports whether an endpoint may get any request in a pass.
+// inService reports whether an endpoint may receive any request in a pass.
 func (b *Balancer) inService(e *endpoint, pass int, now Time) bool {
 	if e.State != Ready || b.adminDown[e.ID] {
 		return false
@@ -107,9 +111,10 @@
 	return b.slowStartAllows(e, pass != passNormal, now)
 }
 
-// requestTimeLimit is the expected answer time in seconds above which a request is not admitted, where limit
-// is that for any request. In a burst what answers have taught is seconds old, and all sidecars would go on
-// sending for as long as it takes to jam the fleet; so the limit falls with the load level.
+// requestTimeLimit returns the expected response time in seconds above which a request is not admitted, where
+// limit is the limit for any request. In a burst the observed response times are seconds old, and all
+// sidecars would continue to send until the fleet is congested. Therefore the limit is divided by the load
+// level.
 func (b *Balancer) requestTimeLimit(q *request, limit float64, now Time) float64 {
 	classLimit := limit
 	if now < b.overloadedUntil {
@@ -122,9 +127,9 @@
 	return classLimit
 }
 
-// overloadTimeLimit is the expected answer time in seconds above which a class is shed while all endpoints
-// are full. Its priority for each second that its answers take counts: a class that has a quarter of the
-// highest waits half as long.
+// overloadTimeLimit returns the expected response time in seconds above which a class is shed while all
+// endpoints are at capacity. It depends on the class's priority weight per second of mean response time: a
+// class with a quarter of the highest value has half the limit.
 func (b *Balancer) overloadTimeLimit(class int) float64 {
 	own := b.settings.Classes[class].Priority / b.meanResponseTime[class]
 	highest := math.SmallestNonzeroFloat64
@@ -136,9 +141,10 @@
 	return rejectObjectiveShare * b.objective * math.Sqrt(own/highest)
 }
 
-// overAllowance reports whether a request is beyond its tenant's allowance, as far as this sidecar sees. Its
-// part is the equal one or, where that is more, the one that goes with its own traffic: of a thousand
-// sidecars most carry little and some much more, and an equal part would be under one request a second.
+// overAllowance reports whether a request exceeds its tenant's allowance, as far as this sidecar can
+// determine. The sidecar's part of the allowance is an equal part, or a part in proportion to its own traffic
+// where that is more. In a fleet of a thousand sidecars most have little traffic and some have much more, and
+// an equal part would be less than one request per second.
 func (b *Balancer) overAllowance(i int, now Time) bool {
 	b.arrivals++
 	if i < 0 || i >= len(b.tenants) {
@@ -151,14 +157,15 @@
 	return b.tenants[i].Over(now, b.settings.Tenants[i].Allowance*share, decayTimeConstant)
 }
 
-// MayReject reports whether the host may reject a request that has no final answer yet: as its class allows
-// repeats, or as none of its attempts may have run. One that is in flight may have. It changes nothing.
+// MayReject reports whether the host may reject a request that has had no final response yet: either the
+// class allows repeats, or none of its attempts may have been executed. An attempt in flight may have been
+// executed. MayReject has no side effects.
 func (b *Balancer) MayReject(id RequestID) bool {
 	q := b.requests[id]
 	return q != nil && !q.ended && b.mayReject(q)
 }
 
-// mayReject reports whether a rejection, which invites a retry anywhere, is safe.
+// mayReject reports whether a rejection, which allows the client to retry at any endpoint, is safe.
 func (b *Balancer) mayReject(q *request) bool {
 	repeats := q.class.Effect == Idempotent || q.class.Effect == Deduplicated && q.class.Scope == ScopeAll
 	return repeats || !slices.ContainsFunc(q.attempts, func(a attempt) bool { return !a.done || a.mayHaveRun })
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -12,68 +12,68 @@
 	"milletramp.example/milletramp/internal/retrybudget"
 )
 
-// This file holds the Balancer: its state, construction and housekeeping.
+// This file contains the Balancer's state, construction and periodic updates.
 
 const (
-	tickInterval = 100 * time.Millisecond // between two rounds of housekeeping
-	// decayTimeConstant is the time in which records of answers decay to 1/e, and recentMemory that of response
-	// times just now.
+	tickInterval = 100 * time.Millisecond // between two rounds of periodic updates
+	// decayTimeConstant is the time in which observations decay to 1/e. recentTimeConstant is that time for the
+	// measurements of current response times.
 	decayTimeConstant  = 6 * time.Second
 	recentTimeConstant = time.Second
-	// panicThreshold is the share of the active weight that may be ejected: beyond it the fault is likely this
-	// sidecar's own, and ejection is suspended.
+	// panicThreshold is the share of the active weight above which ejection is suspended: if more is ejected,
+	// the fault is likely that of this sidecar.
 	panicThreshold = 0.5
 )
 
-// Tokens of timers. Those from tokenAttempt on name an attempt that is to be looked at.
+// Timer tokens. Those from tokenAttempt on identify an attempt to be checked.
 const (
 	tokenTick uint64 = iota
 	tokenDiscovery
 	tokenAttempt
 )
 
-// Balancer makes the decisions of one sidecar. It must not be used by two goroutines at once.
+// Balancer makes the load balancing decisions of one sidecar. It is not safe for concurrent use.
 type Balancer struct {
 	settings Settings
 	actions  Actions
-	observer Observer // nil: nobody is notified
+	observer Observer // nil: none
 	random   *rand.Rand
 	index
 	active                  []*endpoint     // members of the subsets
-	adminDown               map[string]bool // by id, listed or not
-	restored                map[string]Time // when an operator put an endpoint back in service
-	groups                  []*group        // of the best rule, and a last one of all endpoints
-	allEndpoints            *group          // the last of them
-	loadLevel               loadlevel.Meter // of answers just now, against those of the seconds before
-	zoneResponseTimes       [2]group        // what answers took in the own zone and in the others
+	adminDown               map[string]bool // IDs that are administratively down, listed or not
+	restored                map[string]Time // by ID: when an operator put the endpoint back in service
+	groups                  []*group        // groups of the best rule, then allEndpoints
+	allEndpoints            *group          // group of all endpoints, the last of groups
+	loadLevel               loadlevel.Meter // recent response times relative to those of the preceding seconds
+	zoneResponseTimes       [2]group        // response times in the sidecar's own zone and in the other zones
 	requests                map[RequestID]*request
-	tenants                 []quota.Meter     // of this sidecar's parts of their allowances
-	meanResponseTime        []float64         // mean answer time in seconds, by class
-	responseTimeDeviation   []float64         // mean distance of answer times from it, by class
-	overallMeanResponseTime float64           // mean answer time in seconds, of all classes
+	tenants                 []quota.Meter     // this sidecar's part of each tenant's allowance
+	meanResponseTime        []float64         // in seconds, by class
+	responseTimeDeviation   []float64         // mean deviation from meanResponseTime in seconds, by class
+	overallMeanResponseTime float64           // in seconds, of all classes
 	endedAttempts           float64           // decaying count of attempts that ended
-	failedAttempts          float64           // and of those that failed
-	responseTimes           *lossdetect.Shape // distribution of answer times
-	fleetLosses             lossdetect.Record // of attempts at all endpoints
+	failedAttempts          float64           // decaying count of attempts that failed
+	responseTimes           *lossdetect.Shape // distribution of response times
+	fleetLosses             lossdetect.Record // losses among the attempts at all endpoints
 	retryBudget             retrybudget.Budget
-	objective               float64       // the shortest latency objective, in seconds
-	removedClasses          []bool        // by class: it is not in the settings any more
-	zoneWeight              [2]float64    // of the own zone, which is 1, and of the others
-	zoneWeightedCapacity    float64       // weight of the active ones, times capacity share and zone weight
-	activeCapacity          float64       // and times their capacity share alone
-	capacity                capacityMeter // of warmed-up endpoints, as this sidecar sees it
+	objective               float64       // shortest latency objective, in seconds
+	removedClasses          []bool        // by class: no longer in the settings
+	zoneWeight              [2]float64    // weight factors of the own zone, which is 1, and of the other zones
+	zoneWeightedCapacity    float64       // sum of weight * capacity share * zone weight over active
+	activeCapacity          float64       // sum of weight * capacity share over active
+	capacity                capacityMeter // capacity of warmed-up endpoints, as measured by this sidecar
 	arrivals                float64       // decaying count of requests
-	totalAllowance          float64       // sum of the tenants' allowances, in requests a second
-	subsetsChosenAt         Time          // when the subsets were last taken
+	totalAllowance          float64       // sum of the tenants' allowances, in requests per second
+	subsetsChosenAt         Time          // when the subset sizes were last updated
 	sentAttempts            float64       // count of attempts sent
-	suspectedCount          int           // endpoints that peers suspect
-	panicking               bool          // so much is ejected that the fault is likely this sidecar's
+	suspectedCount          int           // number of endpoints that peers suspect
+	panicking               bool          // the ejected weight exceeds panicThreshold
 	subscribed              bool
-	overloadedUntil         Time // until then classes of lower priority give way
-	discoveryFailures       int  // calls of discovery that failed, in a row
+	overloadedUntil         Time // until then requests of lower priority are shed first
+	discoveryFailures       int  // consecutive failed discovery calls
 }
 
-// New returns a Balancer, or an error that says what is wrong with the settings.
+// New returns a Balancer, or an error that describes the invalid setting.
 func New(set Settings, act Actions) (*Balancer, error) {
 	if set.Rules == nil {
 		set.Rules = DefaultRules(set.Service, set.Zones, set.Kinds)
@@ -99,14 +99,14 @@
 	b.makeGroups()
 	act.Timer(time.Duration(b.random.Float64()*float64(tickInterval)), tokenTick)
 	if set.PollDiscovery {
-		// All sidecars start at once, and the list service serves few calls at a time.
+		// All sidecars start at the same time, and the list service handles few calls concurrently.
 		phase := (float64(set.Ordinal) + b.random.Float64()) / float64(set.Peers)
 		act.Timer(time.Duration(phase*float64(max(set.MaxListAge/2, time.Second))), tokenDiscovery)
 	}
 	return b, nil
 }
 
-// Timer handles a timer that is due.
+// Timer handles a timer that has expired.
 func (b *Balancer) Timer(now Time, token uint64) {
 	switch token {
 	case tokenDiscovery:
@@ -129,7 +129,7 @@
 	}
 }
 
-// decay keeps a share of what is remembered, and updates capacity shares, capacities and the share ejected.
+// decay multiplies all observations by a factor and updates capacity shares, capacities and the panic state.
 func (b *Balancer) decay(now Time, factor float64) {
 	b.arrivals *= factor
 	b.endedAttempts *= factor
@@ -159,7 +159,7 @@
 			ejected += e.Weight
 		}
 	}
-	// Where attempts are lost, their time in flight tells nothing of how long answers take.
+	// Where attempts are lost, the time that they have been in flight says nothing about response times.
 	waiting *= max(0, 1-b.fleetLosses.Share(defaultLossShare)/partialLossShare)
 	b.loadLevel.Decay(
 		math.Pow(factor, decayTimeConstant.Seconds()/recentTimeConstant.Seconds()),
@@ -180,13 +180,13 @@
 	}
 }
 
-// decay keeps a share of the answer times.
+// decay multiplies the response times of the group by a factor.
 func (g *group) decay(factor float64) {
 	g.responseSeconds *= factor
 	g.responseInFlight *= factor
 }
 
-// decay keeps a share of what was observed.
+// decay multiplies the observations by a factor.
 func (o *observations) decay(factor float64) {
 	o.responseSeconds *= factor
 	o.responseInFlight *= factor
--- a/balance/check.go
+++ b/balance/check.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// checkSettings says what is wrong with the settings, naming the field.
+// checkSettings returns an error that names an invalid field, or nil if the settings are valid.
 func checkSettings(set Settings, act Actions) error {
 	switch {
 	case act == nil:
@@ -78,7 +78,7 @@
 	return errors.Join(checkAmount("Worth", c.Priority), checkTime("DedupeWindow", c.DedupeWindow))
 }
 
-// checkRules says what is wrong with a rule table, naming the rule and its field.
+// checkRules returns an error that names the first invalid rule and its field, or nil.
 func checkRules(rules []Rule) error {
 	for i, r := range rules {
 		if err := checkRule(r); err != nil {
--- a/balance/configure.go
+++ b/balance/configure.go
@@ -9,12 +9,12 @@
 	"milletramp.example/milletramp/internal/quota"
 )
 
-// This file holds changes of the settings.
+// This file contains changes of the settings at run time.
 
-// maxClasses bounds the classes that may come and go by new settings.
+// maxClasses is the maximum number of classes over all configurations, including removed ones.
 const maxClasses = 256
 
-// applyClassSettings computes what follows from the settings of classes and tenants.
+// applyClassSettings updates the values derived from the class and tenant settings.
 func (b *Balancer) applyClassSettings() {
 	b.objective, b.totalAllowance = 0, 0
 	b.removedClasses = append(b.removedClasses, make([]bool, len(b.settings.Classes)-len(b.removedClasses))...)
@@ -23,7 +23,7 @@
 			b.objective = min(cmp.Or(b.objective, c.LatencyObjective.Seconds()), c.LatencyObjective.Seconds())
 		}
 		if i == len(b.meanResponseTime) {
-			b.meanResponseTime = append(b.meanResponseTime, c.LatencyObjective.Seconds()) // until answers tell
+			b.meanResponseTime = append(b.meanResponseTime, c.LatencyObjective.Seconds()) // until there are responses
 			b.responseTimeDeviation = append(b.responseTimeDeviation, 0)
 		}
 	}
@@ -36,21 +36,21 @@
 	}
 }
 
-// Configure replaces the settings, but for those of the sidecar's place in the deployment: its number, zone
-// and rules. Requests that are open keep their class, and what is known of endpoints stays. It returns where
-// each new class stands from now on, for Request, or an error, and then nothing has changed. A class is known
-// by its name, and one that is dropped keeps its place.
+// Configure replaces the settings, except for those of the sidecar's place in the deployment: its number,
+// zone and rules. Open requests keep their class, and observations of endpoints are kept. It returns the
+// index of each new class from now on, for Request, or an error, in which case nothing has changed. Classes
+// are identified by name, and a removed class keeps its index.
 func (b *Balancer) Configure(set Settings) (indexes []int, err error) {
 	return b.configure(set, true)
 }
 
-// CanConfigure returns the error that Configure would, and changes nothing.
+// CanConfigure returns the error that Configure would return, without changing anything.
 func (b *Balancer) CanConfigure(set Settings) error {
 	_, err := b.configure(set, false)
 	return err
 }
 
-// configure checks new settings against those in force and, where apply is set, puts them in force.
+// configure checks new settings against the current ones and applies them if apply is set.
 func (b *Balancer) configure(set Settings, apply bool) (indexes []int, err error) {
 	old := b.settings
 	set.Seed, set.Ordinal, set.Peers, set.Kinds = old.Seed, old.Ordinal, old.Peers, old.Kinds
@@ -80,8 +80,8 @@
 	return indexes, nil
 }
 
-// mergeClasses returns the classes in force once new ones replace the old ones by name, which of them are in
-// the settings no more, and where each new class stands.
+// mergeClasses merges new classes into the old ones by name. It returns all classes, which of them are no
+// longer in the settings, and the index of each new class.
 func mergeClasses(old, classes []Class) (merged []Class, removed []bool, indexes []int, err error) {
 	merged, removed = slices.Clone(old), make([]bool, len(old))
 	for i := range removed {
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -1,6 +1,6 @@
 package balance
 
-// This file holds the endpoints and how lists of discovery change them.
+// This file contains the endpoints and the processing of endpoint lists.
 
 import (
 	"cmp"
@@ -10,37 +10,38 @@
 	"time"
 )
 
-// endpoint is a server as listed, and what this sidecar knows of it.
+// endpoint is a server from the endpoint list, with the state that this sidecar keeps for it.
 type endpoint struct {
 	Endpoint
 	observations
 
-	inFlight           int  // attempts of this sidecar that count as in flight
-	waitingSinceSum    Time // sum of the times since which their answers are due
-	lastResponse       Time // when it last answered
-	suspicionWrittenAt Time // when the newest report of peers against it was written; 0: there is none
+	inFlight           int  // number of this sidecar's attempts that count as in flight
+	waitingSinceSum    Time // sum of waitingSince over these attempts
+	lastResponse       Time // when it last responded
+	suspicionWrittenAt Time // when the newest peer report against it was written; 0: none
 
 	capacityShare        float64         // share of its capacity that it has; below 1 it is warming up
-	awaitsFirstSelection bool            // its process has started, and its first selection is not drawn yet
-	slowStart            selectionCredit // towards its next selection, while it is warming up
+	awaitsFirstSelection bool            // its process has started and its first selection is not drawn yet
+	slowStart            selectionCredit // credit towards its next selection while it is warming up
 
 	zoneIndex int      // 0 in the sidecar's own zone, 1 in others
-	memberOf  []*group // groups of the rule whose tags it carries
-	homeGroup *group   // the first of them, or that of all endpoints: its peers there are alike
-	ringKey   uint64   // its place on the rings of its groups
-
-	listed               bool    // it is in the index
-	listedIndex          int     // where in index.listed
-	usable               bool    // it is in the rings: ready and not administratively down
-	inWarmingUp          bool    // it is in index.warmingUp
-	countedCapacityShare float64 // the capacity share that its groups' capacities count
-	active               bool    // it is in the subset of one of its groups
-
-	eligible        bool    // may be chosen for the request that is being decided
-	expectedSeconds float64 // answer time expected for that request
+	memberOf  []*group // groups of the rule whose tags it matches
+	homeGroup *group   // the first of memberOf or else Balancer.allEndpoints; its members perform alike
+	ringKey   uint64   // position on the rings of its groups
+
+	listed               bool    // contained in index.listed
+	listedIndex          int     // position in index.listed
+	usable               bool    // contained in the rings: ready and not administratively down
+	inWarmingUp          bool    // contained in index.warmingUp
+	countedCapacityShare float64 // capacity share included in the capacities of its groups
+	active               bool    // in the subset of one of its groups
+
+	eligible        bool    // may be selected for the request being decided
+	expectedSeconds float64 // expected response time for that request
 }
 
-// Endpoints applies a list of discovery. A call of discovery that failed leaves the list as it is.
+// Endpoints applies an endpoint list from discovery. A failed discovery call leaves the endpoints as they
+// are.
 func (b *Balancer) Endpoints(now Time, kind ListKind, list []Endpoint) {
 	if kind == ListFailed {
 		b.retryDiscovery()
@@ -58,7 +59,7 @@
 	}
 }
 
-// applyFullList applies a list that names all endpoints. One that it doesn't name is removed.
+// applyFullList applies a complete list. Endpoints that it does not contain are removed.
 func (b *Balancer) applyFullList(list []Endpoint, now Time) {
 	for _, e := range b.listed {
 		e.State = Removed
@@ -71,7 +72,7 @@
 	b.rebuildIndex(now)
 }
 
-// applyChanges applies a list that names the endpoints that have changed.
+// applyChanges applies a list of changed endpoints.
 func (b *Balancer) applyChanges(list []Endpoint, now Time) {
 	for _, entry := range list {
 		if e := b.findOrAddEndpoint(entry, now); e != nil {
@@ -82,8 +83,8 @@
 	}
 }
 
-// findOrAddEndpoint returns the endpoint of an entry, a new one if it is not known yet, or nil if an unknown
-// one is removed.
+// findOrAddEndpoint returns the endpoint of a list entry, a new one if it is not known yet, or nil for the
+// removal of an unknown endpoint.
 func (b *Balancer) findOrAddEndpoint(entry Endpoint, now Time) *endpoint {
 	e := b.known[entry.ID]
 	if e == nil && entry.State != Removed {
@@ -93,8 +94,8 @@
 	return e
 }
 
-// dropRemovedEndpoints drops the endpoints that are removed and have no attempt in flight any more, and the
-// restarts of unknown ones that no longer matter for slow start.
+// dropRemovedEndpoints drops removed endpoints without attempts in flight, and the restarts of unknown
+// endpoints that are no longer relevant for slow start.
 func (b *Balancer) dropRemovedEndpoints(now Time) {
 	maps.DeleteFunc(b.restored, func(id string, restoredAt Time) bool {
 		return b.known[id] == nil && now-restoredAt > b.settings.SlowStartWindow
@@ -108,20 +109,20 @@
 	})
 }
 
-// retryDiscovery schedules the next call of discovery after one that failed, with backoff and jitter.
-// Sidecars that all retry at once would keep discovery overloaded; one that waits for long would
-// learn of changes too late.
+// retryDiscovery schedules the next discovery call after a failed one, with backoff and jitter. If all
+// sidecars retried at once, they would keep discovery overloaded; a sidecar that waits for too long would
+// receive changes too late.
 func (b *Balancer) retryDiscovery() {
 	b.subscribed = false
 	wait := min(FirstDiscoveryBackoff<<min(b.discoveryFailures, 8), MaxDiscoveryBackoff)
 	if !b.settings.PollDiscovery {
-		wait = PushedDiscoveryBackoff // an agent of this sidecar's own: what it has counts as notified
+		wait = PushedDiscoveryBackoff // the agent belongs to this sidecar: what it has received counts as notified
 	}
 	b.discoveryFailures++
 	b.actions.Timer(time.Duration((1+3*b.random.Float64())*float64(wait)/4), tokenDiscovery)
 }
 
-// updateEndpoint applies an entry of a list to its endpoint.
+// updateEndpoint applies a list entry to its endpoint.
 func (b *Balancer) updateEndpoint(e *endpoint, entry Endpoint, now Time) {
 	if e.memberOf == nil || e.Zone != entry.Zone || e.Kind != entry.Kind {
 		e.memberOf = b.matchingGroups(entry)
@@ -131,7 +132,7 @@
 		e.zoneIndex = 1
 	}
 	if entry.Started = max(entry.Started, b.restored[entry.ID]); entry.Started != e.Started {
-		// A restart under the same id is a new process: observations of the old one do not count.
+		// A restart under the same ID is a new process: observations of the old one do not apply.
 		b.forgetObservations(e, entry.Started, now)
 		e.awaitsFirstSelection = true
 	}
--- a/balance/hedging.go
+++ b/balance/hedging.go
@@ -6,31 +6,32 @@
 	"milletramp.example/milletramp/internal/lossdetect"
 )
 
-// This file holds attempts that take too long, and hedged requests.
+// This file contains the checks of late attempts, and hedged requests.
 
 const (
-	// hedgeProbability is the probability of loss at which an attempt is made anew.
+	// hedgeProbability is the probability of loss at which an attempt is hedged.
 	hedgeProbability = 0.5
-	// retryBudgetRatio is how many further attempts a success pays for: what a quarter lost takes.
-	// retryBudgetMax is how many may be saved up.
+	// retryBudgetRatio is the number of further attempts that a successful one adds to the retry budget: enough
+	// for a loss of a quarter of the attempts. retryBudgetMax is the maximum of the budget.
 	retryBudgetRatio = 1.0 / 3
 	retryBudgetMax   = 20.0
-	// minCheckDelay is the least time in seconds between two looks at an attempt.
+	// minCheckDelay is the minimum time in seconds between two checks of an attempt.
 	minCheckDelay = 0.005
-	// lateDeviations is after how many mean deviations from the mean time an answer is late: few take
-	// longer. In any case it is late after lateObjectiveShare of its class's objective.
+	// A response is late after lateDeviations mean deviations above the mean response time, which few responses
+	// exceed, and in any case after lateObjectiveShare of its class's latency objective.
 	lateDeviations     = 4.0
 	lateObjectiveShare = 0.5
 )
 
-// scheduleAttemptCheck asks for a timer by which an attempt is looked at.
+// scheduleAttemptCheck requests a timer for the check of an attempt.
 func (b *Balancer) scheduleAttemptCheck(seconds float64, token uint64) {
 	b.actions.Timer(time.Duration(max(seconds, minCheckDelay)*float64(time.Second)), token)
 }
 
-// checkAttempt looks at an attempt that has been in flight for long, and again until its end: an endpoint may
-// be silent for a while, answer others later and never this one. Where the endpoint answers others, the
-// attempt's connection is dead, and counting it would make the endpoint look slow and full for all.
+// checkAttempt checks an attempt that has been in flight for long, and schedules further checks until it
+// ends: an endpoint may pause, then respond to other attempts and never to this one. Where the endpoint
+// responds to others, the connection of the attempt is dead, and counting the attempt as in flight would make
+// the endpoint look slow and at capacity for all requests.
 func (b *Balancer) checkAttempt(q *request, n int, token uint64, now Time) {
 	if q == nil || n >= len(q.attempts) || q.attempts[n].done || q.ended {
 		return
@@ -40,7 +41,8 @@
 	slowdown := a.endpoint.slowdown.Factor()
 	a.expectedNow = max(a.expectedNow, b.expectedWithoutAttempt(a, q.Class, now)*slowdown)
 	delay, nextCheck := b.hedgeDelay(q, a), tickInterval.Seconds()
-	// A slow endpoint whose late attempts do not count any more looks idle, and draws requests.
+	// The threshold allows for the slowdown: a slow endpoint whose late attempts no longer counted as in flight
+	// would look idle and attract requests.
 	if answersOthers && elapsed >= min(delay, b.lateThreshold(q.Class)*slowdown) {
 		a.releaseInFlight()
 	}
@@ -61,9 +63,10 @@
 	b.scheduleAttemptCheck(nextCheck, token)
 }
 
-// expectedWithoutAttempt is the answer time in seconds that can be expected now at an attempt's endpoint. One
-// that has slowed since the sending would otherwise be taken to lose what it still owes. The wait of the
-// attempt itself does not count: it would never look lost where little else is in flight.
+// expectedWithoutAttempt returns the response time in seconds currently expected at the endpoint of an
+// attempt. An endpoint that has slowed down since the attempt was sent would otherwise seem to have lost the
+// attempts that it is still processing. The waiting time of the attempt itself is left out: with little else
+// in flight there, it would raise the expectation so that the attempt never counts as lost.
 func (b *Balancer) expectedWithoutAttempt(a *attempt, class int, now Time) float64 {
 	waited := now - a.sent
 	a.endpoint.waitingSinceSum += waited
@@ -72,9 +75,10 @@
 	return expected
 }
 
-// hedge makes an attempt that seems lost anew elsewhere, while the first is still in flight where that is
-// allowed. Where answers just come late, further attempts add to the load that makes them late. So a hedge
-// goes only where there is capacity, to an endpoint that loses no more, and is paid from the retry budget.
+// hedge sends a second attempt for one that is probably lost, while the first is still in flight if that is
+// allowed. If responses are merely late, further attempts add to the load that delays them. Therefore a
+// hedged request is sent only where there is capacity, to an endpoint with no higher loss, and is charged to
+// the retry budget.
 func (b *Balancer) hedge(q *request, n int, now Time) {
 	a := &q.attempts[n]
 	allowed := b.settings.HedgingAllowed || b.settings.CancelAllowed
@@ -99,11 +103,12 @@
 	}
 	q.retryPaid = true
 	a.releaseInFlight()
-	b.actions.Cancel(q.ID, n) // its result leads to the next attempt
+	b.actions.Cancel(q.ID, n) // its Result triggers the next attempt
 }
 
-// hedgeDelay is the time in seconds after which an attempt is more likely lost than not. An endpoint that
-// never lost anything may fall silent all the same, so some loss is assumed while it does not answer.
+// hedgeDelay returns the time in seconds after which an attempt is more likely lost than not. An endpoint
+// without any previous loss may stop responding, too, so a minimum loss share is assumed while it does not
+// respond.
 func (b *Balancer) hedgeDelay(q *request, a *attempt) float64 {
 	share := b.classLossShare(a.endpoint, q.Class)
 	if a.endpoint.lastResponse < a.sent {
@@ -112,7 +117,7 @@
 	return a.expectedNow * b.responseTimes.Beyond(lossdetect.Until(share, hedgeProbability))
 }
 
-// lateThreshold is the time in seconds after which an answer of the class is late.
+// lateThreshold returns the time in seconds after which a response of the class is late.
 func (b *Balancer) lateThreshold(class int) float64 {
 	return min(
 		b.meanResponseTime[class]+lateDeviations*b.responseTimeDeviation[class],
--- a/balance/index.go
+++ b/balance/index.go
@@ -2,26 +2,26 @@
 
 import "slices"
 
-// This file holds the index of the endpoints. It is updated entry by entry, so that the cost of a change is
-// that of the endpoints that change.
+// This file contains the index of the endpoints. It is updated entry by entry, so that the cost of a change
+// depends only on the number of endpoints that change.
 
-// index holds the endpoints and what is derived from them.
+// index holds the endpoints and the values derived from them.
 type index struct {
-	listed                []*endpoint          // in no order
-	known                 map[string]*endpoint // by id: listed, or removed with attempts in flight
-	removedInFlight       []*endpoint          // removed with attempts in flight
-	warmingUp             []*endpoint          // listed, and not yet known to be warmed up
+	listed                []*endpoint          // in no particular order
+	known                 map[string]*endpoint // by ID: listed, or removed with attempts in flight
+	removedInFlight       []*endpoint          // removed, with attempts in flight
+	warmingUp             []*endpoint          // listed, and warming up at the last update
 	capacitySharesUpdated Time                 // when the capacity shares of warmingUp were last updated
-	started               []*endpoint          // their first selection is yet to be drawn
-	listedByZone          [2]int               // how many are listed in the own zone, and in others
+	started               []*endpoint          // awaiting the draw of their first selection
+	listedByZone          [2]int               // how many are listed in the own zone and in the others
 	usableCount           int                  // how many are ready and not administratively down
 	groupsByTags          map[[2]string][]*group
 
-	subsetsStale bool // a subset has to be chosen anew
-	resetSubsets bool // all of them have to, as for a new fleet
-	ringsHashed  bool // the rings are in order of hashes, not of ids
+	subsetsStale bool // a subset has to be chosen again
+	resetSubsets bool // all subsets have to be chosen again, as for a new fleet
+	ringsHashed  bool // the rings are ordered by hash instead of by ID
 
-	endpointsVisited int // by lists and ticks so far, a measure of their cost
+	endpointsVisited int // total by lists and ticks, a measure of their cost
 }
 
 // addToIndex adds an endpoint to the index, and to its rings if it is ready and not administratively down.
@@ -69,7 +69,7 @@
 	e.usable = false
 }
 
-// addToListed adds an endpoint to the listed ones, and determines whether it may be used.
+// addToListed adds an endpoint to the listed ones and determines whether it is usable.
 func (b *Balancer) addToListed(e *endpoint, now Time) {
 	b.endpointsVisited++
 	e.listedIndex, b.listed = len(b.listed), append(b.listed, e)
@@ -85,7 +85,7 @@
 	}
 }
 
-// rebuildIndex builds the index anew after a full list.
+// rebuildIndex rebuilds the index after a complete list.
 func (b *Balancer) rebuildIndex(now Time) {
 	b.listed, b.removedInFlight, b.listedByZone, b.usableCount = b.listed[:0], b.removedInFlight[:0], [2]int{}, 0
 	b.subsetsStale, b.resetSubsets = true, true
--- a/balance/locality.go
+++ b/balance/locality.go
@@ -1,21 +1,21 @@
 package balance
 
-// This file holds how much other zones get.
+// This file contains locality-aware weighting: the traffic that other zones get.
 
 const (
-	// crossZoneObjectiveFactor is by how many objectives, times the charge of crossing zones, an answer has to
-	// come sooner elsewhere to pay for the crossing.
+	// crossZoneObjectiveFactor converts the cost of crossing zones to response time: crossing zones pays if the
+	// response arrives sooner by this factor times the cost times the shortest latency objective.
 	crossZoneObjectiveFactor = 8.0
-	// minZoneWeight is the least weight of other zones: enough to know them.
+	// minZoneWeight is the minimum weight of other zones, sufficient to measure them.
 	minZoneWeight = 0.001
-	// zoneWeightStep is the part of the way that a tick moves the weight of other zones.
+	// zoneWeightStep is the part of the remaining difference by which a tick changes the weight of other zones.
 	zoneWeightStep = 0.03
 )
 
-// updateZoneWeight moves the weight that other zones get, as a share of the own zone's: a zone may have more
-// traffic than its servers can carry. Other zones count in full once the own zone answers later by the price
-// of a crossing, at most spillObjectiveShare, and not at all below half of that. The weight moves slowly, so
-// that the rotation stays even.
+// updateZoneWeight updates the weight of other zones relative to the own zone, which may have more traffic
+// than its servers can process. Other zones have the full weight once responses from the own zone are later
+// by the cost of crossing zones, at most spilloverObjectiveShare, and the minimum weight below half of that.
+// The weight changes slowly so that the rotation stays even.
 func (b *Balancer) updateZoneWeight(now Time) {
 	var wait, weight [2]float64
 	for _, e := range b.active {
--- a/balance/losses.go
+++ b/balance/losses.go
@@ -7,41 +7,44 @@
 	"milletramp.example/milletramp/internal/lossdetect"
 )
 
-// This file holds which attempts are taken to be lost, with the estimates of package lossdetect.
+// This file contains loss detection, based on the estimates of package lossdetect.
 
 const (
-	// defaultLossShare is the share of attempts lost where nothing is known.
+	// defaultLossShare is the share of attempts assumed lost without any record.
 	defaultLossShare = 0.001
-	// maxLossShareForTimes is the share lost under which answers teach how long they take.
+	// maxLossShareForTimes is the loss share from which response times are not added to the distribution.
 	maxLossShareForTimes = 0.03
-	// partialLossShare is a share lost that is not silence: few losses in a row prove nothing.
+	// partialLossShare is the share of a partial loss: an endpoint that loses this much still responds, and a
+	// few losses in a row are no evidence of a total loss.
 	partialLossShare = 0.2
-	// minTimeoutLossShare is the least share lost for an attempt that outlasts its client.
+	// minTimeoutLossShare is the minimum loss share assumed for an attempt that outlasts its client.
 	minTimeoutLossShare = 0.05
-	// totalLossShare is the share lost that ejects an endpoint, or ejects it for a class.
+	// totalLossShare is the loss share at which an endpoint is ejected, altogether or for a class.
 	totalLossShare = 0.95
-	// maxPauseObjectives is after how many shortest objectives a silence is more than a pause.
+	// maxPauseObjectives is the time, as a multiple of the shortest latency objective, after which an endpoint
+	// that does not respond is more than paused.
 	maxPauseObjectives = 6.0
 )
 
-// What an attempt leaves of the record of its class at its endpoint, of its endpoint and of the fleet.
+// Factors by which a new attempt decays the loss records of its class at its endpoint, of its endpoint and of
+// the fleet.
 const (
 	classLossDecay    = 0.85
 	endpointLossDecay = 0.93
 	fleetLossDecay    = 0.995
 )
 
-// distributionTimeConstant is the time in which the shape of answer times decays to 1/e.
+// distributionTimeConstant is the time in which the distribution of response times decays to 1/e.
 const distributionTimeConstant = 20 * time.Second
 
-// classLossShare is the share of the class's attempts lost at e, from the records of the class there, of the
-// endpoint and of the fleet.
+// classLossShare returns the share of the class's attempts lost at e, from the records of the class at e, of
+// e and of the fleet.
 func (b *Balancer) classLossShare(e *endpoint, class int) float64 {
 	return e.classes[class].Loss.Share(b.baselineLossShare(e))
 }
 
-// LossShare returns the share of a class that an endpoint is taken to lose: 1 where it is ejected for it, 0
-// if the endpoint or the class is unknown.
+// LossShare returns the estimated share of a class's attempts lost at an endpoint: 1 where the endpoint is
+// ejected altogether or for the class, 0 if the endpoint or the class is unknown.
 func (b *Balancer) LossShare(now Time, id string, class int) float64 {
 	e := b.known[id]
 	switch {
@@ -53,13 +56,13 @@
 	return b.classLossShare(e, class)
 }
 
-// baselineLossShare is the share of attempts lost at e that gives no alarm.
+// baselineLossShare returns the share of attempts lost at e that counts as normal.
 func (b *Balancer) baselineLossShare(e *endpoint) float64 {
 	return e.losses.Share(b.fleetLosses.Share(defaultLossShare))
 }
 
-// recordProbableLoss counts an attempt that is still in flight as lost by its probability, so that losses are
-// known long before a client gives up.
+// recordProbableLoss records an attempt in flight as lost with its current probability of loss, so that
+// losses are detected long before a client times out.
 func (b *Balancer) recordProbableLoss(q *request, a *attempt, now Time) {
 	survival := b.responseTimes.Survival((now - a.sent).Seconds() / a.expectedNow)
 	b.recordNoResponse(
@@ -71,7 +74,7 @@
 	)
 }
 
-// recordLossOutcome records what the end of an attempt tells of losses.
+// recordLossOutcome updates the loss records at the end of an attempt.
 func (b *Balancer) recordLossOutcome(q *request, a *attempt, r Result, now Time) {
 	e, multiple, share := a.endpoint, r.Took.Seconds()/a.expectedNow, b.classLossShare(a.endpoint, q.Class)
 	switch {
@@ -86,7 +89,7 @@
 		e.classes[q.Class].Served(b.baselineLossShare(e), totalLossShare)
 		b.recordLoss(q.Class, a, 0)
 	case r.Outcome == TimedOut || r.Outcome == Cancelled && e.lastResponse >= a.sent:
-		if r.Outcome == TimedOut { // few answers outlast a client
+		if r.Outcome == TimedOut { // few responses take longer than the client waits
 			share = max(share, minTimeoutLossShare)
 		}
 		survival := b.responseTimes.Survival(multiple)
@@ -100,14 +103,15 @@
 	}
 }
 
-// recordNoResponse records an attempt that has had no answer; lost is the probability with which it counts as
-// lost. An endpoint that loses all it gets is ejected, one that loses all of a class is ejected for it. One
-// that loses a part has the rest of its capacity, and what is taken away from it would crowd the others,
-// which then look late. So both ask for evidence that everything is lost, against the share usual there, and
-// what was sent before an ejection tells nothing new.
+// recordNoResponse records an attempt without a response; lost is its probability of loss. An endpoint that
+// loses all attempts is ejected, and one that loses all attempts of a class is ejected for that class. An
+// endpoint that loses a part of them still has the rest of its capacity, and ejecting it would overload the
+// others, whose responses would then be late. Therefore both ejections require evidence of a total loss,
+// tested against the baseline loss share of the endpoint, and attempts sent before an ejection are no new
+// evidence.
 func (b *Balancer) recordNoResponse(class int, a *attempt, survival, lost float64, now Time) {
 	e := a.endpoint
-	if e.lastResponse < a.sent { // slow or silent: it tells nothing of what it loses
+	if e.lastResponse < a.sent { // the endpoint is slow or not responding; this is no evidence of loss
 		b.recordSilence(a, survival, now)
 		return
 	}
@@ -126,9 +130,9 @@
 	}
 }
 
-// recordSilence records an attempt whose endpoint has answered nothing since it was sent. A pause of the
-// endpoint holds up everything in flight there. That is one silence, not many: at first only what is sent
-// after it was noticed reports whether it lasts.
+// recordSilence records an attempt whose endpoint has not responded at all since it was sent. A pause of the
+// endpoint delays everything in flight there and counts as one silence, not many: until the silence exceeds
+// maxPauseObjectives, only attempts that are sent after its detection count, and those that have ended.
 func (b *Balancer) recordSilence(a *attempt, survival float64, now Time) {
 	e := a.endpoint
 	first := a.sent >= e.lastSilence
@@ -146,7 +150,7 @@
 	}
 }
 
-// recordLoss counts an attempt as lost by a probability, in place of the one that it counted with before.
+// recordLoss records an attempt as lost with a probability, which replaces the one recorded for it before.
 func (b *Balancer) recordLoss(class int, a *attempt, lost float64) {
 	for _, r := range []struct {
 		record *lossdetect.Record
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -8,43 +8,44 @@
 	"milletramp.example/milletramp/internal/lossdetect"
 )
 
-// This file holds outlier detection: endpoints that fail, and their ejection.
+// This file contains outlier detection and ejection.
 
 const (
-	// ejectFailureShare is the share of failures that ejects an endpoint.
+	// ejectFailureShare is the failure share at which an endpoint is ejected.
 	ejectFailureShare = 0.8
-	// ejectionTime is how long an ejection lasts; the next failure after it ejects again.
+	// ejectionTime is the duration of an ejection; the next failure after it ejects the endpoint again.
 	ejectionTime = 5 * time.Second
-	// classEjectionTime is how long an endpoint that rejected a class gets no request of it.
+	// classEjectionTime is how long an endpoint that rejected a class gets no requests of that class.
 	classEjectionTime = time.Second
 )
 
-// observations is what the sidecar has observed of an endpoint's process.
+// observations is what the sidecar has observed of the current process of an endpoint.
 type observations struct {
-	responseSeconds  float64             // decaying sum of the seconds that answers took
-	responseInFlight float64             // and of the requests that were in flight then
-	lastSample       Time                // when an attempt last showed how fast it is
+	responseSeconds  float64             // decaying sum of response times, in seconds
+	responseInFlight float64             // decaying sum of the requests in flight at the sending of these
+	lastSample       Time                // when an attempt last yielded a response time
 	endedAttempts    float64             // decaying count of attempts that ended
-	failedAttempts   float64             // and of those that failed
-	failureAlarm     lossdetect.Alarm    // rings if it fails much more than the others
-	lastFailure      Time                // when a failure last counted
+	failedAttempts   float64             // decaying count of attempts that failed
+	failureAlarm     lossdetect.Alarm    // rings if the endpoint fails much more than the others
+	lastFailure      Time                // when a failure was last counted
 	ejectedUntil     Time                // 0: never ejected
-	losses           lossdetect.Record   // of attempts while it answered others
-	silenceAlarm     lossdetect.Alarm    // rings if it loses everything
-	lastSilence      Time                // when a silence last counted
-	slowdown         lossdetect.Slowdown // of its latest answers, against what was expected of them
+	losses           lossdetect.Record   // losses while the endpoint responded to other attempts
+	silenceAlarm     lossdetect.Alarm    // rings if the endpoint loses all attempts
+	lastSilence      Time                // when a silence was last counted
+	slowdown         lossdetect.Slowdown // of recent response times relative to the expected ones
 	classes          []lossdetect.Access // by class
 }
 
-// newObservations returns those of a process of which nothing is known.
+// newObservations returns the observations of a process without any history.
 func (b *Balancer) newObservations(now Time) observations {
 	return observations{lastSample: now, classes: make([]lossdetect.Access, len(b.settings.Classes))}
 }
 
-// recordOutcome records what the end of an attempt tells of its endpoint. Where some connections are dead
-// or swallow requests, each costs a timeout, of many answers' time. An endpoint that has answered since is
-// not slow, as its answers tell, and not silent: what it loses is counted apart. One that is slow or
-// overloaded is known by its late answers, a silent one by their lack.
+// recordOutcome records the end of an attempt at its endpoint. Where some connections are dead or swallow
+// requests, each such attempt costs a timeout, which is many times the response time. An endpoint that has
+// responded since the attempt was sent is neither slow, as its responses show, nor silent: its losses are
+// counted separately. A slow or overloaded endpoint is detected by its late responses, a silent one by their
+// absence.
 func (b *Balancer) recordOutcome(a *attempt, r Result, now Time) {
 	swallowed := r.Outcome == TimedOut && a.endpoint.lastResponse >= a.sent
 	if r.Outcome == Served || r.Outcome == TimedOut && !swallowed {
@@ -53,7 +54,8 @@
 	b.recordFailure(a, r, now)
 }
 
-// recordTimeSample records how long an attempt was in flight, as a sample of how fast its endpoint is.
+// recordTimeSample records the time that an attempt was in flight as a sample of its endpoint's response
+// time.
 func (b *Balancer) recordTimeSample(a *attempt, r Result, now Time) {
 	e, took := a.endpoint, r.Took.Seconds()
 	if r.Outcome == Served {
@@ -72,16 +74,16 @@
 	}
 }
 
-// responseTimeGroups returns the groups whose answer times include those of an endpoint.
+// responseTimeGroups returns the groups whose response times include those of an endpoint.
 func (b *Balancer) responseTimeGroups(e *endpoint) [3]*group {
 	return [...]*group{e.homeGroup, b.allEndpoints, &b.zoneResponseTimes[e.zoneIndex]}
 }
 
-// recordFailure counts an attempt for or against its endpoint, and ejects one that fails much more than the
-// others: one that fails fast looks idle and draws all requests. Where connections break or answers come
-// spoilt from all alike, each would be ejected for what the others do too, so the usual share is taken from
-// the others. Connections that break together are one failure: only what is sent after it reports whether it
-// lasts.
+// recordFailure counts the outcome of an attempt for or against its endpoint, and ejects an endpoint that
+// fails much more than the others: one that fails fast looks idle and attracts all requests. Where
+// connections break or invalid responses come from all endpoints alike, an absolute limit would eject each of
+// them, so the failure share is compared with that of the others. Connections that break together count as
+// one failure: only attempts sent after it show whether the fault persists.
 func (b *Balancer) recordFailure(a *attempt, r Result, now Time) {
 	e := a.endpoint
 	othersShare := (b.failedAttempts - e.failedAttempts) / math.Max(b.endedAttempts-e.endedAttempts, 1)
@@ -112,9 +114,10 @@
 	}
 }
 
-// forgetObservations drops what was observed of an endpoint, as its process has restarted. What the servers
-// of a lost zone did not answer would otherwise remain in the times of their group and in flight, so that
-// they would be taken for slow, and left alone, when they are back.
+// forgetObservations discards what was observed of an endpoint whose process has restarted. Otherwise the
+// requests that the servers of a failed zone left unanswered would remain in the response times of their
+// group and in the in-flight counts, and the servers would count as slow and get no requests after their
+// return.
 func (b *Balancer) forgetObservations(e *endpoint, started, now Time) {
 	for _, g := range b.responseTimeGroups(e) {
 		g.responseSeconds = max(g.responseSeconds-e.responseSeconds, 0)
@@ -130,7 +133,7 @@
 	}
 }
 
-// eject keeps all requests from an endpoint for ejectionTime. The next failure after that ejects it again.
+// eject stops all requests to an endpoint for ejectionTime. The next failure after that ejects it again.
 func (b *Balancer) eject(e *endpoint, now Time) {
 	e.ejectedUntil = now + ejectionTime
 	e.failureAlarm.Rearm()
@@ -139,8 +142,8 @@
 	b.chooseSubsets(now)
 }
 
-// ejectForClass keeps a class from an endpoint until a time, after which one request tries it. It is logged
-// once until an answer readmits the class.
+// ejectForClass stops the requests of a class to an endpoint until the given time, after which a single
+// request probes it. The ejection is logged once until a response readmits the class.
 func (b *Balancer) ejectForClass(e *endpoint, class int, until Time) {
 	if e.classes[class].Eject(until) {
 		b.actions.Log("shut " + e.ID + " to " + b.settings.Classes[class].Name)
--- a/balance/peers.go
+++ b/balance/peers.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// This file holds what is exchanged with other sidecars of a fleet.
+// This file contains the exchange of observations with other sidecars.
 
 const (
-	// maxSuspectedShare is the share of the ready weight that peers' reports may put behind the rest.
+	// maxSuspectedShare is the maximum share of the ready weight that peer reports may move behind the other
+	// endpoints.
 	maxSuspectedShare = 0.5
-	// peerReportLifetime is how long after it was written a report counts.
+	// peerReportLifetime is the time from the writing of a report to its expiry.
 	peerReportLifetime = 3 * time.Second
 )
 
-// SetObserver has an observer notified of what is observed at endpoints from now on; nil: nobody is. Nothing
-// is decided by that.
+// SetObserver sets the observer of endpoints; nil removes it. The observer has no influence on decisions.
 func (b *Balancer) SetObserver(o Observer) { b.observer = o }
 
 func (b *Balancer) notifyObserver(e *endpoint, s Observation) {
@@ -21,8 +21,9 @@
 	}
 }
 
-// SetSuspected replaces the endpoints that peers suspect, the worst first. These stay in use, behind all
-// others. Reports may be false: they move maxSuspectedShare of the ready weight at most.
+// SetSuspected replaces the endpoints that peers suspect, given in descending order of suspicion. They stay
+// in use, after all others. As reports may be false, they apply to at most maxSuspectedShare of the ready
+// weight.
 func (b *Balancer) SetSuspected(reports []PeerReport) {
 	if len(reports) == 0 && b.suspectedCount == 0 {
 		return
@@ -45,8 +46,8 @@
 	}
 }
 
-// suspectedByPeers reports whether a peer's report counts against e. It may be false, or old: an answer that
-// this sidecar has had since goes before it, and so does a restart. It never readmits what was ejected here.
+// suspectedByPeers reports whether a peer report against e is in force. Reports may be false or outdated: a
+// later response to this sidecar or a restart overrides them. Reports never readmit an endpoint ejected here.
 func (b *Balancer) suspectedByPeers(e *endpoint, now Time) bool {
 	return e.suspicionWrittenAt > max(e.lastResponse, e.Started) && now-e.suspicionWrittenAt < peerReportLifetime
 }
--- a/balance/requests.go
+++ b/balance/requests.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// This file holds the life of a request and its attempts.
+// This file contains the lifecycle of requests and their attempts.
 
 const (
-	// maxAttemptsPerRequest is how many attempts of a request timers can tell apart.
+	// maxAttemptsPerRequest is the number of attempts of a request that timer tokens can distinguish.
 	maxAttemptsPerRequest = 1 << 12
-	// responseTimeSmoothing is the weight of an answer in the mean time of its class.
+	// responseTimeSmoothing is the weight of a new response in the mean response times.
 	responseTimeSmoothing = 0.05
-	// minResponseSeconds keeps mean times above 0 where answers seem to take no time.
+	// minResponseSeconds keeps mean response times above 0 where the measured time is 0.
 	minResponseSeconds = 1e-6
 )
 
-// request is a request that has no final answer yet, or has attempts without a result.
+// request is a request without a final response yet, or with attempts without a result.
 type request struct {
 	Request
 	class           *Class
 	deadline        Time
 	overAllowance   bool // beyond its tenant's allowance
 	reachedEndpoint bool // an attempt has reached an endpoint, or may have
-	retryPaid       bool // the next attempt is paid from the retry budget already
-	ended           bool // has its final answer
-	outstanding     int  // attempts without a result
+	retryPaid       bool // the next attempt is already charged to the retry budget
+	ended           bool // has had its final response
+	outstanding     int  // number of attempts without a result
 	attempts        []attempt
 }
 
@@ -34,21 +34,21 @@
 type attempt struct {
 	endpoint         *endpoint
 	sent             Time
-	waitingSince     Time    // since when its answer is taken to be due
-	inFlightAtSend   float64 // requests that the endpoint held at the sending, this one included
-	done             bool    // has its result
-	mayHaveRun       bool    // done, and may have run
-	released         bool    // no longer counted as in flight
-	countedAsSilence bool    // counts for the silence of its endpoint
+	waitingSince     Time    // start of the current wait for a response
+	inFlightAtSend   float64 // in flight at the endpoint when sent, with this one and assumedOtherRequests
+	done             bool    // has a result
+	mayHaveRun       bool    // done, and may have been executed
+	released         bool    // no longer counts as in flight
+	countedAsSilence bool    // counted in the silence test of its endpoint
 	reportedLate     bool    // the observer was notified that it is late
-	hedged           bool    // another attempt was made, as this one seemed lost
-	expectedAtSend   float64 // seconds that its answer was expected to take when it was sent
-	expectedNow      float64 // and is expected to take by now
-	alarmWeight      float64 // weight of its silence in the test of its class
-	lossProbability  float64 // with which it counts as lost already; 0: it does not count yet
+	hedged           bool    // another attempt was sent because this one was probably lost
+	expectedAtSend   float64 // response time in seconds expected when it was sent
+	expectedNow      float64 // response time in seconds expected now
+	alarmWeight      float64 // its weight in the loss test of its class
+	lossProbability  float64 // probability with which it is recorded as lost; 0: not recorded
 }
 
-// resetWait makes the attempt's answer due from now on.
+// resetWait restarts the waiting time of the attempt.
 func (a *attempt) resetWait(now Time) {
 	if !a.released {
 		a.endpoint.waitingSinceSum += now - a.waitingSince
@@ -65,7 +65,7 @@
 	}
 }
 
-// Request begins a client's request. One whose class is unknown or whose id is in use is ignored.
+// Request starts a client's request. It is ignored if its class is unknown or its ID is in use.
 func (b *Balancer) Request(now Time, r Request) {
 	if _, twice := b.requests[r.ID]; twice || r.Class < 0 || r.Class >= len(b.settings.Classes) {
 		return
@@ -83,20 +83,20 @@
 	b.dispatch(q, now)
 }
 
-// dispatch sends the request's next attempt, or ends the request if none may or should be sent.
+// dispatch sends the next attempt of the request, or ends the request if no attempt may or should be sent.
 func (b *Balancer) dispatch(q *request, now Time) {
 	to, excess := (*endpoint)(nil), 0.0
 	if len(q.attempts) < b.settings.MaxAttempts && now < q.deadline {
 		to, excess = b.selectEndpoint(q, now)
 	}
-	// Where everything fails, further attempts feed the overload that makes it fail, so they are paid for
-	// from the retry budget. An attempt that never reached an endpoint is free.
+	// If all attempts fail, further attempts add to the overload that makes them fail. They are therefore
+	// charged to the retry budget, except after attempts that never reached an endpoint.
 	if to != nil && (!q.reachedEndpoint || q.retryPaid || b.retryBudget.Spend(q.Class)) {
 		b.send(q, to, now)
 		return
 	}
 	if b.capacity.warmedUpWeight[1] == 0 {
-		b.sentAttempts++ // while all endpoints are warming up, rejected requests alone add to their credit
+		b.sentAttempts++ // while all endpoints are warming up, only rejected requests add to their credit
 	}
 	if b.mayReject(q) {
 		b.actions.Reject(q.ID, time.Duration(min(max(excess, 0), b.objective)*float64(time.Second)))
@@ -106,7 +106,7 @@
 	b.end(q)
 }
 
-// send makes an attempt of q at an endpoint.
+// send sends an attempt of q to an endpoint.
 func (b *Balancer) send(q *request, to *endpoint, now Time) {
 	to.classes[q.Class].Sent(now, ejectionTime)
 	expected := b.expectedForClass(to.expectedSeconds, q.Class)
@@ -131,8 +131,8 @@
 	b.scheduleAttemptCheck(min(b.lateThreshold(q.Class), b.hedgeDelay(q, &q.attempts[last])), token)
 }
 
-// Result ends an attempt. It leads to the request's final answer, to a retry, or to nothing where others are
-// still in flight.
+// Result ends an attempt. It leads to the request's final response, to a retry, or to nothing while other
+// attempts are still in flight.
 func (b *Balancer) Result(now Time, r Result) {
 	q := b.requests[r.ID]
 	if q == nil || r.Attempt < 0 || r.Attempt >= len(q.attempts) || q.attempts[r.Attempt].done {
@@ -146,8 +146,8 @@
 	q.outstanding--
 	switch r.Outcome {
 	case Saturated:
-		// Some endpoints serve one class and reject another. That makes them neither slow nor full for what
-		// they serve, so they are ejected for that class alone.
+		// Some endpoints serve one class and reject another. For the classes that they serve, they are neither slow
+		// nor at capacity, so they are ejected for the rejected class alone.
 		b.ejectForClass(a.endpoint, q.Class, now+classEjectionTime)
 	case Served:
 		b.recordClassResponseTime(q.Class, r.Took)
@@ -156,7 +156,7 @@
 			b.capacity.served++
 		}
 	}
-	if a.sent >= a.endpoint.Started { // the results of a former process tell nothing of this one
+	if a.sent >= a.endpoint.Started { // results of a previous process do not apply to the current one
 		b.recordLossOutcome(q, a, r, now)
 		b.recordOutcome(a, r, now)
 	}
@@ -168,7 +168,7 @@
 	}
 }
 
-// recordClassResponseTime updates the mean times with an answer of a class.
+// recordClassResponseTime updates the mean response times with a response of a class.
 func (b *Balancer) recordClassResponseTime(class int, took time.Duration) {
 	seconds := max(took.Seconds(), minResponseSeconds)
 	deviation := seconds - b.meanResponseTime[class]
@@ -178,22 +178,22 @@
 	b.overallMeanResponseTime += responseTimeSmoothing * (seconds - b.overallMeanResponseTime)
 }
 
-// ResponseStarted records that a streamed answer has begun.
+// ResponseStarted records that a streamed response has begun.
 func (b *Balancer) ResponseStarted(now Time, id RequestID, attempt int) {
 	q := b.requests[id]
 	if q != nil && attempt >= 0 && attempt < len(q.attempts) && !q.attempts[attempt].done {
-		q.attempts[attempt].resetWait(now) // nothing is due for the time it streams
+		q.attempts[attempt].resetWait(now) // the time before the stream no longer counts as waiting
 	}
 }
 
-// ClientGone ends a request whose client has left: nothing more is due or sent.
+// ClientGone ends a request whose client has disconnected: no further attempt or response is sent.
 func (b *Balancer) ClientGone(now Time, id RequestID) {
 	if q := b.requests[id]; q != nil && !q.ended {
 		b.end(q)
 	}
 }
 
-// end marks a request as ended, cancels its attempts in flight, and forgets it once nothing is.
+// end marks a request as ended, cancels its attempts in flight, and drops it once none is left.
 func (b *Balancer) end(q *request) {
 	for i := range q.attempts {
 		if !q.attempts[i].done && !q.ended && b.settings.CancelAllowed {
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// This file holds where and until when a request may be attempted again.
+// This file contains the conditions and deadlines for retries.
 
-// Margins before the end of the window in which repeats are dropped.
+// Margins before the end of the dedupe window.
 const (
-	// retryMargin is left before a repeat is chosen.
+	// retryMargin is the least time left in the window for a retry to be selected.
 	retryMargin = 500 * time.Millisecond
-	// arrivalMargin is left before a repeat's last byte is sent: it may be held up after the host has
-	// checked its time, and then crosses the network.
+	// arrivalMargin is the least time left in the window when the last byte of a retry is sent. The write may
+	// stall after the host has checked the time, and the request then crosses the network.
 	arrivalMargin = SchedulingStall + networkMargin
 	networkMargin = 25 * time.Millisecond
 )
 
-// mayAttemptAt reports whether the request may be attempted at e. No endpoint gets a request twice. What may
-// have run is repeated only as its class allows: never, anywhere, or where repeats are dropped and in good
-// time, so that no effect happens twice.
+// mayAttemptAt reports whether the request may be attempted at e. No endpoint gets a request twice. An
+// attempt that may have been executed is repeated only as its class allows: never, anywhere, or where repeats
+// are dropped and early enough within the dedupe window, so that no effect happens twice.
 func (b *Balancer) mayAttemptAt(q *request, e *endpoint, now Time) bool {
 	for i := range q.attempts {
 		a := &q.attempts[i]
@@ -30,7 +30,7 @@
 	return true
 }
 
-// allowsRetry reports whether what an attempt did, or may have done, allows another one at e.
+// allowsRetry reports whether a retry at e is allowed after attempt a, given that a may have been executed.
 func (c *Class) allowsRetry(a *attempt, e *endpoint, now Time) bool {
 	if a.done && !a.mayHaveRun {
 		return true
@@ -53,9 +53,9 @@
 	return true
 }
 
-// sendTimeout is how long the next attempt may take until it is sent whole, 0: any time. Where its
-// connection came up late, a repeat would arrive after the window in which repeats of the first attempt are
-// dropped.
+// sendTimeout returns the time within which the next attempt has to be written completely, or 0 if there is
+// no limit. Without it, an attempt whose connection is established late could arrive after the dedupe window
+// of the first attempt.
 func (q *request) sendTimeout(now Time) (timeout time.Duration) {
 	for _, a := range q.attempts {
 		if q.class.Effect == Deduplicated && (!a.done || a.mayHaveRun) {
--- a/balance/rings.go
+++ b/balance/rings.go
@@ -9,14 +9,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// This file holds the rings of the groups: their usable endpoints, in an order that all sidecars share.
+// This file contains the rings of the groups: their usable endpoints, in an order that all sidecars share.
 
-// noRuleGroupReady reports whether no endpoint is ready in a group of the rule.
+// noRuleGroupReady reports whether no group of the rule has a usable endpoint.
 func (b *Balancer) noRuleGroupReady() bool {
 	return !slices.ContainsFunc(b.groups[:len(b.groups)-1], func(g *group) bool { return len(g.endpoints) > 0 })
 }
 
-// setFallbackGroup fills the group of all ready endpoints, which is used while no group of the rule has any,
+// setFallbackGroup fills the group of all usable endpoints, which is used while no group of the rule has any,
 // or empties it.
 func (b *Balancer) setFallbackGroup(used bool) {
 	g := b.allEndpoints
@@ -33,7 +33,7 @@
 	slices.SortFunc(g.endpoints, compareRingPosition)
 }
 
-// groupsOfEndpoint returns the groups whose rings hold an endpoint.
+// groupsOfEndpoint returns the groups whose rings contain an endpoint.
 func (b *Balancer) groupsOfEndpoint(e *endpoint) []*group {
 	if b.allEndpoints.inUse {
 		return append(slices.Clone(e.memberOf), b.allEndpoints)
@@ -46,11 +46,12 @@
 	g.endpoints, g.capacity, g.totalWeight = g.endpoints[:0], [2]float64{}, 0
 }
 
-// addWeight adds an endpoint's weight and capacity to those of the group, or subtracts them.
+// addWeight adds an endpoint's weight and capacity to those of the group, or subtracts them if sign is
+// negative.
 func (g *group) addWeight(e *endpoint, sign float64) {
 	g.totalWeight += sign * e.Weight
 	g.capacity[e.zoneIndex] += sign * e.Weight * e.countedCapacityShare
-	if len(g.endpoints) == 0 { // without what rounding has left over
+	if len(g.endpoints) == 0 { // discards rounding errors
 		g.totalWeight, g.capacity = 0, [2]float64{}
 	}
 }
@@ -60,8 +61,8 @@
 	return cmp.Or(cmp.Compare(x.ringKey, y.ringKey), strings.Compare(x.ID, y.ID))
 }
 
-// ringKeyFor is the position of an id on the rings. In a wide fleet it is a hash, so that endpoints that are
-// added and removed are spread over the rings whatever their names.
+// ringKeyFor returns the ring key of an ID. In a wide fleet it is a hash, so that added and removed endpoints
+// are spread over the rings whatever their names.
 func (b *Balancer) ringKeyFor(id string) uint64 {
 	if b.ringsHashed {
 		return xxhash.Sum64String(id)
@@ -69,7 +70,7 @@
 	return 0
 }
 
-// reorderRings sorts the rings by hashes, or by ids again.
+// reorderRings sorts the rings by hash, or by ID again.
 func (b *Balancer) reorderRings(hashed bool) {
 	b.ringsHashed, b.subsetsStale, b.resetSubsets = hashed, true, true
 	for _, e := range b.known {
@@ -81,7 +82,7 @@
 	}
 }
 
-// ringRank is how many endpoints of the group come on its ring before a key, and an id that has it.
+// ringRank returns how many endpoints of the group precede the given key and ID on its ring.
 func (g *group) ringRank(key uint64, id string) int {
 	return sort.Search(len(g.endpoints), func(i int) bool {
 		e := g.endpoints[i]
@@ -89,7 +90,7 @@
 	})
 }
 
-// touchesSubset reports whether the endpoint at a rank is within the subset, or next behind it.
+// touchesSubset reports whether the endpoint at a rank is within the subset or directly after it.
 func (g *group) touchesSubset(at int) bool {
 	n := len(g.endpoints)
 	return g.inUse && (!g.anchored || (at-g.ringRank(g.anchorKey, g.anchorID)%n+n)%n <= len(g.subset))
--- a/balance/routing.go
+++ b/balance/routing.go
@@ -6,12 +6,13 @@
 	"slices"
 )
 
-// This file holds the best rule, its groups and the rotation.
+// This file contains the best routing rule, its groups and the rotation.
 
-// minWeight keeps a ratio finite where a group has had no endpoint yet.
+// minWeight keeps a ratio finite where a group has not had an endpoint yet.
 const minWeight = 1e-9
 
-// DefaultRules is the table used where none is given: a group for each zone and kind, weighted by size.
+// DefaultRules returns the rule table that is used where none is configured: one group for each zone and
+// kind, weighted by its ready endpoints.
 func DefaultRules(service string, zones, kinds []string) []Rule {
 	var groups []Destination
 	for _, zone := range zones {
@@ -22,7 +23,7 @@
 	return []Rule{{"default", Match{"service": "*"}, Match{"service": service}, groups}}
 }
 
-// matches reports whether tags satisfy m, and how many of m's values are exact.
+// matches reports whether tags satisfy m, and how many values of m match exactly rather than by "*".
 func (m Match) matches(tags map[string]string) (ok bool, exact int) {
 	for tag, want := range m {
 		have, known := tags[tag]
@@ -37,8 +38,8 @@
 	return true, exact
 }
 
-// bestRule returns the one rule that decides: more tags beat fewer, then more exact values beat "*", then the
-// newest wins. It returns nil if none matches.
+// bestRule returns the rule that applies to a client and service, or nil if none matches. Of several matching
+// rules, the one with more tags takes precedence, then the one with more exact values, then the newest one.
 func bestRule(rules []Rule, client map[string]string, service string) (best *Rule) {
 	highest := -1
 	for i, r := range rules {
@@ -52,34 +53,35 @@
 	return best
 }
 
-// group is one destination of the best rule, or all endpoints.
+// group is one destination of the best rule, or the group of all endpoints.
 type group struct {
 	destination Destination
-	inUse       bool // it has a part in the schedule
+	inUse       bool // takes part in selection
 
-	endpoints      []*endpoint // that may be used, in order of the ring
-	totalWeight    float64     // of the endpoints
-	capacity       [2]float64  // weight times capacity share, in the own zone and in others
-	maxTotalWeight float64     // the largest totalWeight so far
+	endpoints      []*endpoint // usable endpoints, in ring order
+	totalWeight    float64     // sum of the endpoints' weights
+	capacity       [2]float64  // sum of weight times capacity share, in the own zone and in the other zones
+	maxTotalWeight float64     // highest totalWeight so far
 
-	subset     []*endpoint // the part that this sidecar uses, in order of rotation
-	subsetSize int         // how many the subset is to have
-	anchorKey  uint64      // ring key and id of the endpoint at which the subset begins
+	subset     []*endpoint // endpoints that this sidecar uses, in rotation order
+	subsetSize int         // intended number of endpoints in the subset
+	anchorKey  uint64      // ring key and ID of the first endpoint of the subset
 	anchorID   string
-	anchored   bool // anchor is set
+	anchored   bool // anchorKey and anchorID are set
 
-	lastResponse     Time    // when any of its endpoints last answered
-	lastSample       Time    // when an attempt last showed how fast its endpoints are
-	responseSeconds  float64 // decaying sum of the seconds that answers took
-	responseInFlight float64 // and of the requests in flight for each unit of weight
-	waitingSeconds   float64 // for which requests have been in flight, at the last tick
+	lastResponse     Time    // when any of its endpoints last responded
+	lastSample       Time    // when an attempt last yielded a response time
+	responseSeconds  float64 // decaying sum of response times, in seconds
+	responseInFlight float64 // decaying sum of the requests in flight per unit of weight at the sending of these
+	waitingSeconds   float64 // total waiting time of the requests in flight at the last tick, in seconds
 
-	nextIndex int     // index in subset of the member to be selected next
-	credit    float64 // of the smooth weighted schedule
+	nextIndex int     // index in subset of the next member in the rotation
+	credit    float64 // smooth weighted round-robin credit
 }
 
-// makeGroups makes the groups of the best rule, and a last one for all ready endpoints. Each sidecar's
-// rotations start elsewhere, so that sidecars do not choose the same endpoints at the same time.
+// makeGroups creates the groups of the best rule, followed by the group of all ready endpoints. The rotations
+// of each sidecar start at random positions, so that sidecars do not select the same endpoints at the same
+// time.
 func (b *Balancer) makeGroups() {
 	client := map[string]string{"region": b.settings.Zone}
 	maps.Copy(client, b.settings.Tags)
@@ -93,7 +95,7 @@
 	}
 }
 
-// matchingGroups returns the groups of the rule whose tags an endpoint carries.
+// matchingGroups returns the groups of the rule whose tags an endpoint matches.
 func (b *Balancer) matchingGroups(e Endpoint) (joins []*group) {
 	joins, known := b.groupsByTags[[2]string{e.Zone, e.Kind}]
 	if known {
@@ -109,8 +111,8 @@
 	return joins
 }
 
-// weight is the configured weight for what the group's ready members can do: if a group kept its full weight
-// while it shrinks or warms up, its last members would be overloaded.
+// weight returns the weight of the group in proportion to the current capacity of its ready endpoints. With
+// its full weight, a group that shrinks or warms up would overload its remaining endpoints.
 func (g *group) weight(zoneWeight [2]float64) float64 {
 	capacity := g.capacity[0]*zoneWeight[0] + g.capacity[1]*zoneWeight[1]
 	if g.destination.PerEndpointWeight {
@@ -119,8 +121,8 @@
 	return g.destination.Weight * capacity / math.Max(g.maxTotalWeight, minWeight)
 }
 
-// nextEndpoint selects by smooth weighted round-robin among the groups with an eligible member, and in that
-// group the next member of its rotation. It returns nil if no member is eligible.
+// nextEndpoint selects a group by smooth weighted round-robin among the groups with an eligible member, then
+// the next member in the rotation of that group. It returns nil if no member is eligible.
 func (b *Balancer) nextEndpoint() *endpoint {
 	var due *group
 	var total float64
@@ -141,9 +143,8 @@
 	return due.nextMember()
 }
 
-// nextMember selects the first eligible member from the next one in the rotation on, or the eligible one
-// after it if that has fewer of this sidecar's requests in flight. A member that is warming up may go ahead
-// of both.
+// nextMember returns the next eligible member in the rotation, or the eligible member after it if that one
+// has fewer requests of this sidecar in flight. A member that is warming up may take precedence over both.
 func (g *group) nextMember() (due *endpoint) {
 	members, offset := len(g.subset), 0
 	for i, seen := 0, 0; i < members && seen < 2; i++ {
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -12,39 +12,39 @@
 //	N + 2*sqrt(N) + 2 requests of mean work (N under 30: N + 3*sqrt(N) + 3), where
 //	N = OverloadMultiple * its present share of its capacity * its full capacity * OverloadWindow.
 //
-// Sidecars do not coordinate, so each keeps to a rate of its own, and the rates add up to one for the
-// endpoint. A sidecar selects the endpoint once whenever its credit reaches 1, from a first phase drawn at
-// random. A sum of such counts varies no more than a Poisson process of the same mean, whatever the number of
-// sidecars and however uneven their traffic. A Poisson count of mean 0.7 N is above the limit with a
+// Sidecars do not coordinate, so each limits its own rate, and these rates add up to one limit for the
+// endpoint. A sidecar selects the endpoint once whenever its credit reaches 1, starting from a random phase.
+// The variance of the sum of such counts is at most that of a Poisson process of the same mean, whatever the
+// number of sidecars and however uneven their traffic. A Poisson count of mean 0.7 N exceeds the limit with a
 // probability of 2 in 100,000 at the least favourable N, which is 30 (mean 21, limit 42.9), and with a lower
-// one elsewhere. Hence overloadShare.
+// one for any other N. Therefore overloadShare is 0.7.
 //
-// The capacity is not disclosed: a sidecar estimates its part of it by what warmed-up endpoints have served
-// it for a unit of weight over capacityTimeConstant, which is no more than they can do. Until it knows that,
-// it keeps to shares of its own traffic, which a burst may raise to 1.4 times what warmed-up endpoints can
-// do. Hence unknownCapacityShare. Where a whole fleet and the sidecars have just started, nothing tells the
-// capacity, and shares are all there is.
+// The capacity is not published. A sidecar estimates its part of it from the responses of warmed-up endpoints
+// per unit of weight over capacityTimeConstant, which cannot exceed the true capacity. Until it has an
+// estimate, it limits an endpoint to a share of its own traffic, which a burst may raise to 1.4 times the
+// capacity of warmed-up endpoints; hence unknownCapacityShare. Where the whole fleet and the sidecars have
+// just started, the capacity cannot be estimated, and only these shares limit the rate.
 const (
-	overloadShare        = 0.7                 // of N: what all sidecars send in the mean, at most
+	overloadShare        = 0.7                 // of N: mean of what all sidecars send, at most
 	unknownCapacityShare = overloadShare / 1.4 // of N, where the capacity is not known
-	maxOverflowShares    = 2.0                 // shares that one endpoint gets at most, if all else is full
+	maxOverflowShares    = 2.0                 // shares an endpoint gets at most if all others are at capacity
 
-	capacityTimeConstant = 30 * time.Second // what warmed-up endpoints have served decays to 1/e in this time
-	minServedResponses   = 0.5              // answers, and
-	minMeasuredSeconds   = 2.0              // seconds, from which on the capacity counts as known
+	capacityTimeConstant = 30 * time.Second // time in which the responses of warmed-up endpoints decay to 1/e
+	minServedResponses   = 0.5              // the capacity counts as known from this many responses
+	minMeasuredSeconds   = 2.0              // and this measuring time on
 
-	minCapacity = 1e-9 // keeps a ratio finite where nothing can serve
+	minCapacity = 1e-9 // keeps a ratio finite where no endpoint has capacity
 )
 
-// capacityMeter measures what warmed-up endpoints serve this sidecar a second for each unit of weight.
+// capacityMeter measures the responses of warmed-up endpoints to this sidecar per second and unit of weight.
 type capacityMeter struct {
-	served         float64    // decaying count of their answers
-	seconds        float64    // decaying length of the time
-	weightSeconds  [2]float64 // weight of those in use, times seconds: by zone weight, and without it
-	warmedUpWeight [2]float64 // weight of those in use now, likewise
+	served         float64    // decaying count of their responses
+	seconds        float64    // decaying measuring time
+	weightSeconds  [2]float64 // decaying sum of weight times seconds in use: with and without the zone weight
+	warmedUpWeight [2]float64 // current weight of those in use, likewise
 }
 
-// advance records that a time has passed with the endpoints in use as they are.
+// advance adds a period with the endpoints that are currently in use.
 func (m *capacityMeter) advance(period time.Duration) {
 	factor := math.Exp(-period.Seconds() / capacityTimeConstant.Seconds())
 	m.served *= factor
@@ -54,28 +54,29 @@
 	}
 }
 
-// known reports whether enough was served for an estimate.
+// known reports whether there are enough responses for an estimate.
 func (m *capacityMeter) known() bool {
 	return m.served >= minServedResponses && m.seconds >= minMeasuredSeconds && m.weightSeconds[0] > 0
 }
 
-// selectionCredit is how much of the next selection of an endpoint that is warming up has come due; at 1 it
-// may be selected. Credit accumulates at the rates of the time: computed anew from a capacity share that has
-// risen since, sidecars with little traffic would all select the endpoint well before its time.
+// selectionCredit is the accumulated credit towards the next selection of an endpoint that is warming up;
+// from a credit of 1 on it may be selected. Credit accumulates at the rates in force at the time. If it were
+// recomputed from the capacity share, which has risen since, sidecars with little traffic would all select
+// the endpoint well before its time.
 type selectionCredit struct {
-	countedSends   float64 // the balancer's count of sends up to which credit is counted
-	countedUntil   Time    // and the time
-	zoneTraffic    float64 // of the traffic, in the endpoint's zone
-	fleetTraffic   float64 // of the traffic, regardless of zones
-	zoneAllowance  float64 // of the allowance, in the endpoint's zone
-	fleetAllowance float64 // of the allowance, regardless of zones
-	// aheadOfRotation is set if the endpoint is due and goes before the rotation. Where the rotation takes
-	// longer than the memory to come round, most selections would be missed otherwise.
+	countedSends   float64 // value of Balancer.sentAttempts up to which credit is counted
+	countedUntil   Time    // time up to which credit is counted
+	zoneTraffic    float64 // from traffic, in the endpoint's zone
+	fleetTraffic   float64 // from traffic, regardless of zones
+	zoneAllowance  float64 // from the allowance, in the endpoint's zone
+	fleetAllowance float64 // from the allowance, regardless of zones
+	// aheadOfRotation is set if the endpoint is due and takes precedence over the rotation. Where a rotation
+	// takes longer than decayTimeConstant, most selections would otherwise be missed.
 	aheadOfRotation bool
 }
 
-// reset starts the credit for the next selection at a phase from 0 to 1, the same for all parts: they have to
-// come due together.
+// reset starts the credit for the next selection at a phase from 0 to 1. The phase is the same for all parts,
+// which have to come due together.
 func (t *selectionCredit) reset(sends float64, now Time, phase float64) {
 	*t = selectionCredit{
 		countedSends:   sends,
@@ -87,8 +88,8 @@
 	}
 }
 
-// updateCredit brings the credit of an endpoint that is warming up to the present, and returns what the
-// request that is being decided adds to its zoneTraffic and fleetTraffic.
+// updateCredit updates the credit of an endpoint that is warming up, and returns what the request being
+// decided adds to its zoneTraffic and fleetTraffic.
 func (b *Balancer) updateCredit(e *endpoint, now Time) (inZone, inFleet float64) {
 	credit, meter, capacity := &e.slowStart, &b.capacity, e.Weight*e.capacityShare
 	inZone, inFleet = 1, maxOverflowShares
@@ -102,8 +103,9 @@
 		elapsed := max(now-credit.countedUntil, 0).Seconds()
 		allowed := overloadShare * b.settings.OverloadMultiple * capacity * meter.served * elapsed
 		if meter.warmedUpWeight[1] > 0 {
-			// Where each zone keeps to itself, its sidecars alone may use up the allowance, and what all others
-			// send ahead of schedule comes on top: one allowance less the own zone's part of the whole.
+			// If each zone sends to its own endpoints only, the sidecars of one zone may use up the allowance, and the
+			// requests that all others send ahead of schedule are added to it: one allowance less the own zone's part
+			// of the whole.
 			allowed /= 2 - meter.weightSeconds[0]/meter.weightSeconds[1]
 		}
 		credit.zoneAllowance += allowed * b.zoneWeight[e.zoneIndex] / meter.weightSeconds[0]
@@ -118,8 +120,9 @@
 	return inZone, inFleet
 }
 
-// fleetUsedShare is the part of the fleet that all sidecars use if each uses as much as this one. A few that
-// start with small subsets, or keep to a zone each, concentrate their traffic on what they use.
+// fleetUsedShare returns the part of the fleet that all sidecars use if each uses as much as this one. A few
+// sidecars that start with small subsets, or keep to one zone each, concentrate their traffic on those
+// endpoints.
 func (b *Balancer) fleetUsedShare(used float64) float64 {
 	total := 0.0
 	for _, g := range b.groups {
@@ -128,15 +131,15 @@
 	return min(float64(b.settings.Peers)*used/math.Max(total, minCapacity), 1)
 }
 
-// slowStartAllows reports whether an endpoint is warmed up, or due for its next selection by the share of its
-// capacity that it has. Sidecars that all select an endpoint that is warming up, as it alone seems free,
-// overload it. If each keeps to its schedule, the endpoint gets no more for its capacity than the fleet's
-// mean, whatever the number of sidecars.
+// slowStartAllows reports whether an endpoint is warmed up, or due for its next selection according to its
+// capacity share. If all sidecars selected an endpoint that is warming up whenever it alone seems to have
+// capacity, they would overload it. If each keeps to its schedule, the endpoint gets no more in relation to
+// its capacity than the mean of the fleet, whatever the number of sidecars.
 //
 // overflow is set for a request that finds no endpoint with capacity left: it may select one ahead of
 // schedule, in any zone. Where the whole fleet is warming up, the schedule alone would leave most requests
-// without an endpoint. Selections ahead of schedule are counted over the fleet: all sidecars together make no
-// more than maxOverflowShares of the endpoint's share. No selection goes beyond the allowance.
+// without an endpoint. Selections ahead of schedule are counted across the fleet: all sidecars together make
+// no more than maxOverflowShares of the endpoint's share. No selection exceeds the allowance.
 func (b *Balancer) slowStartAllows(e *endpoint, overflow bool, now Time) bool {
 	if e.capacityShare >= 1 {
 		return true
@@ -153,7 +156,8 @@
 	return dueInZone || overflow && dueInFleet
 }
 
-// capacityShareAt is the share of its capacity that an endpoint has: it rises linearly from its start.
+// capacityShareAt returns the share of its capacity that an endpoint has, which rises linearly from its
+// start.
 func (b *Balancer) capacityShareAt(e *endpoint, now Time) float64 {
 	age, window, start := now-e.Started, b.settings.SlowStartWindow, b.settings.SlowStartCapacity
 	if e.Started <= 0 || age >= window {
@@ -163,8 +167,9 @@
 }
 
 // drawFirstSelections draws at random when started endpoints are first due, within one period of their
-// schedule. Sidecars that are notified together must not send together. The period of one of many sidecars is
-// long: if each started with a whole one, the fleet would leave the endpoint idle until it is warmed up.
+// schedule. Sidecars that are notified at the same time must not send at the same time. With many sidecars,
+// the period of each is long: if each started with a full period, the endpoint would remain idle until it is
+// warmed up.
 func (b *Balancer) drawFirstSelections(now Time) {
 	for _, e := range b.started {
 		if e.awaitsFirstSelection {
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -1,6 +1,6 @@
 package balance
 
-// This file holds which part of the fleet a sidecar uses.
+// This file contains the choice of the subset of each group that a sidecar uses.
 
 import (
 	"math"
@@ -8,32 +8,33 @@
 )
 
 const (
-	// minSubsetSize is how many endpoints of a group a sidecar uses at least: some may fail.
+	// minSubsetSize is the minimum number of endpoints of a group that a sidecar uses, as some may fail.
 	minSubsetSize = 4
-	// subsetInterval is how often the subsets are chosen anew at least.
+	// subsetInterval is the maximum time between two updates of the subsets.
 	subsetInterval = time.Second
 
-	// A fleet becomes wide gradually from usualFleetMax usable endpoints on, and is so fully from wideFleet on.
-	// There a sidecar's traffic is the same, and so is the number of endpoints that it can know and keep
-	// connections to: it uses no more than wideFleetUsed of them, or for each request within the memory that
-	// share of normalFleetSize, and no more than wideFleetBase and a further one for each wideFleetStep listed.
+	// The transition to a wide fleet is gradual, from maxNormalFleetSize to wideFleetSize usable endpoints. In a
+	// wide fleet the traffic of a sidecar is the same as in a smaller one, and so is the number of endpoints
+	// that it can monitor and keep connections to. It uses at most wideFleetSubsetSize of them or, with more
+	// than normalFleetSize requests within decayTimeConstant, proportionally more. It also uses at most
+	// wideFleetBase plus one for each wideFleetStep listed endpoints.
 	normalFleetSize     = 200
 	maxNormalFleetSize  = 300
 	wideFleetSize       = 400
 	wideFleetSubsetSize = 150
 	wideFleetBase       = 25
 	wideFleetStep       = 7
-	// maxDriftShare is how far a long subset may be from its place in such a fleet, as a share of its length,
-	// and longSubset the length from which on a subset is long. A few short ones out of place would spread
-	// the sidecars unevenly.
+	// maxDriftShare is the maximum distance of a long subset from its ideal position in such a fleet, as a share
+	// of its length, and longSubsetSize the length from which on a subset is long. A few short subsets out of
+	// position would spread the sidecars unevenly.
 	maxDriftShare  = 1.0 / 8
 	longSubsetSize = 16
 )
 
 // chooseSubsets chooses this sidecar's subset of each group. Where endpoints are ready but none is in a group
-// of the rule, all ready ones form one group, as without a rule.
+// of the rule, all ready endpoints form one group, as without a rule.
 func (b *Balancer) chooseSubsets(now Time) {
-	// In a wide fleet, what one change does to lengths and places may move members of all groups.
+	// In a wide fleet, the effect of one change on sizes and positions may move members of all groups.
 	normal := b.wideFleetFactor() == 0
 	resize := !b.subsetsStale || b.resetSubsets || normal
 	b.subsetsStale, b.resetSubsets = false, false
@@ -59,7 +60,7 @@
 	b.endpointsVisited += len(b.active)
 }
 
-// resizeSubsets updates how long the subsets should be.
+// resizeSubsets updates the intended sizes of the subsets.
 func (b *Balancer) resizeSubsets(now Time) {
 	b.subsetsChosenAt = now
 	share := b.subsetShare()
@@ -68,8 +69,8 @@
 	}
 }
 
-// subsetShare is the share of each group that this sidecar uses, if that is enough of it: so much that each
-// member gets a request within the memory.
+// subsetShare returns the share of each group that this sidecar uses: the share at which each member gets one
+// request within decayTimeConstant, reduced in a wide fleet.
 func (b *Balancer) subsetShare() float64 {
 	share := b.arrivals / math.Max(
 		float64(b.listedByZone[0])*b.zoneWeight[0]+float64(b.listedByZone[1])*b.zoneWeight[1],
@@ -93,7 +94,8 @@
 	return min(share, 1) * limit / max(total, 1)
 }
 
-// sizeFor is how many of a group's endpoints make up a share of it.
+// sizeFor returns the number of a group's endpoints that make up a share of it, at least minSubsetSize if the
+// group has as many.
 func (g *group) sizeFor(share float64) int {
 	return int(min(
 		math.Max(minSubsetSize, math.Ceil(share*float64(len(g.endpoints)))),
@@ -102,9 +104,9 @@
 }
 
 // chooseSubset chooses the part of a group that this sidecar uses: consecutive members of the group's ring
-// from the sidecar's own position on. A sidecar with little traffic that used a whole large fleet would know
-// none of its servers, and connect to all of them. Positions by the golden ratio spread any number of
-// sidecars evenly. Each member that is ejected is replaced by a further one.
+// from the sidecar's own position on. A sidecar with little traffic that used all of a large fleet would have
+// too few responses from each server, and connections to all of them. Positions by the golden ratio spread
+// any number of sidecars evenly. For each ejected member the subset includes a further one.
 func (b *Balancer) chooseSubset(g *group, recenter bool, now Time) {
 	n := len(g.endpoints)
 	want := min(max(g.subsetSize, minSubsetSize), n)
@@ -125,10 +127,10 @@
 	}
 }
 
-// subsetStart is the position on the ring at which the subset begins. If it followed the sidecar's own
-// position among the usable endpoints, it would move with each one that is added or removed anywhere on the
-// ring, to endpoints without connections. So it stays at its first endpoint until it has drifted so far that
-// the sidecars would not be spread evenly any more. Then it moves back by one endpoint at a time.
+// subsetStart returns the position on the ring at which the subset begins. If it followed the ideal position
+// of the sidecar among the usable endpoints, it would move with each endpoint added or removed anywhere on
+// the ring, to endpoints without connections. Therefore it stays at its first endpoint until it has drifted
+// so far that the sidecars would no longer be spread evenly. Then it moves back by one endpoint at a time.
 func (b *Balancer) subsetStart(g *group, want int, recenter bool) (first int) {
 	n := len(g.endpoints)
 	ideal := int(math.Mod(float64(b.settings.Ordinal)*(math.Sqrt(5)-1)/2, 1) * float64(n))
@@ -149,7 +151,7 @@
 	return first
 }
 
-// wideFleetFactor is how far the fleet is wider than usual ones, from 0 to 1.
+// wideFleetFactor returns the progress of the transition from a normal to a wide fleet, from 0 to 1.
 func (b *Balancer) wideFleetFactor() float64 {
 	return min(max(float64(b.usableCount-maxNormalFleetSize)/(wideFleetSize-maxNormalFleetSize), 0), 1)
 }
