--- a/balance/admin_test.go
+++ b/balance/admin_test.go
@@ -15,7 +15,7 @@
 		for _, s := range h.sent {
 			got[s.to]++
 		}
-		h.answer(b, h.now, Served)
+		h.finishAttempts(b, h.now, Served)
 	}
 	return got
 }
@@ -85,21 +85,21 @@
 
 // TestSetAdminDownOfUnknownEndpoint: an id that is neither listed nor administratively down is reported as unknown.
 func TestSetAdminDownOfUnknownEndpoint(t *testing.T) {
-	b, h := start(t, settings(), pair())
+	b, h := start(t, settings(), twoEndpoints())
 	for _, down := range []bool{true, false} {
 		if b.SetAdminDown(h.now, "nobody", down) {
 			t.Errorf("down %v: an id that no endpoint has is known", down)
 		}
 	}
 	b.SetAdminDown(h.now, "a", true)
-	b.Endpoints(h.now, ListFull, pair()[1:])
+	b.Endpoints(h.now, ListFull, twoEndpoints()[1:])
 	if !b.SetAdminDown(h.now, "a", true) || !b.SetAdminDown(h.now, "a", false) {
 		t.Error("one that is administratively down has left the list, and is unknown")
 	}
 	if b.SetAdminDown(h.now, "a", false) {
 		t.Error("one that is neither listed nor administratively down is known")
 	}
-	b.Endpoints(h.now, ListFull, pair())
+	b.Endpoints(h.now, ListFull, twoEndpoints())
 	if e := b.known["a"]; e.Started != h.now {
 		t.Error("set up while it was not listed, it is not warming up once it is listed")
 	}
@@ -107,11 +107,11 @@
 
 // TestRequestIsRejectedIfAllAreAdminDown: with all endpoints administratively down, a request is rejected at once.
 func TestRequestIsRejectedIfAllAreAdminDown(t *testing.T) {
-	b, h := start(t, settings(), pair())
+	b, h := start(t, settings(), twoEndpoints())
 	b.AdoptAdminDown(h.now, []string{"a", "b", "later"})
 	b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: time.Second})
-	if len(h.sent) != 0 || len(h.refused) != 1 {
-		t.Errorf("%d attempts, %d rejections, want a rejection alone", len(h.sent), len(h.refused))
+	if len(h.sent) != 0 || len(h.rejected) != 1 {
+		t.Errorf("%d attempts, %d rejections, want a rejection alone", len(h.sent), len(h.rejected))
 	}
 	if got := b.AdminDown(); !slices.Equal(got, []string{"a", "b", "later"}) {
 		t.Errorf("administratively down are %v", got)
--- a/balance/burst_test.go
+++ b/balance/burst_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// many is a group of like endpoints.
-func many(n int) (list []Endpoint) {
+// identicalEndpoints is a group of like endpoints.
+func identicalEndpoints(n int) (list []Endpoint) {
 	for i := range n {
 		list = append(list, Endpoint{ID: string(rune('a' + i)), Zone: "x", Kind: "big", Weight: 1})
 	}
@@ -19,14 +19,14 @@
 // more than one fault. Where what is sent after it fails as well, burst after burst, the endpoint is
 // ejected, once.
 func TestBurstIsOneFault(t *testing.T) {
-	b, h := start(t, settings(), many(4))
-	serve(b, h, 200, 20*time.Millisecond)
+	b, h := start(t, settings(), identicalEndpoints(4))
+	serveRequests(b, h, 200, 20*time.Millisecond)
 	bursts := 0
 	for ; len(h.logs) == 0 && bursts < 9; bursts++ {
 		h.now += time.Second
 		h.sent = nil
 		for i := range RequestID(40) {
-			ask(b, h, RequestID(1000*(bursts+1))+i)
+			sendRequest(b, h, RequestID(1000*(bursts+1))+i)
 		}
 		for _, s := range slices.Clone(h.sent) {
 			outcome := Served
@@ -50,12 +50,12 @@
 func TestFaultsOfAllEjectNone(t *testing.T) {
 	set := settings()
 	set.MaxAttempts = 1
-	b, h := start(t, set, many(8))
-	serve(b, h, 100, 20*time.Millisecond)
+	b, h := start(t, set, identicalEndpoints(8))
+	serveRequests(b, h, 100, 20*time.Millisecond)
 	seed := uint64(1)
 	for i := range RequestID(3000) {
 		h.now += 5 * time.Millisecond
-		to := ask(b, h, i+1)
+		to := sendRequest(b, h, i+1)
 		seed = seed*6364136223846793005 + 1442695040888963407
 		outcome := Served
 		if seed>>33%15 == 0 {
@@ -75,7 +75,7 @@
 	failed := 0
 	for i := range RequestID(400) {
 		h.now += 5 * time.Millisecond
-		outcome, to := Served, ask(b, h, i+5000)
+		outcome, to := Served, sendRequest(b, h, i+5000)
 		if to == "a" {
 			outcome = Errored
 			failed++
@@ -93,8 +93,8 @@
 // TestGoodOnesGoFirstInPanic has three of four endpoints ejected, too many to leave out: the fourth still
 // goes first.
 func TestGoodOnesGoFirstInPanic(t *testing.T) {
-	b, h := start(t, settings(), many(4))
-	serve(b, h, 200, 20*time.Millisecond)
+	b, h := start(t, settings(), identicalEndpoints(4))
+	serveRequests(b, h, 200, 20*time.Millisecond)
 	for _, id := range []string{"a", "b", "c"} {
 		b.known[id].ejectedUntil = h.now + time.Hour
 	}
@@ -104,14 +104,14 @@
 	}
 	for i := range RequestID(10) {
 		h.now += 20 * time.Millisecond
-		if to := ask(b, h, i+1); to != "d" {
+		if to := sendRequest(b, h, i+1); to != "d" {
 			t.Errorf("request %d went to %q though one is good and idle", i, to)
 		}
 		b.Result(h.now, Result{ID: i + 1, Endpoint: "d", Took: 20 * time.Millisecond, Finished: true})
 	}
 	used := map[string]bool{}
 	for i := range RequestID(60) {
-		used[ask(b, h, i+100)] = true
+		used[sendRequest(b, h, i+100)] = true
 	}
 	if len(used) < 4 {
 		t.Errorf("only %v are used in a crowd, though ejection is suspended", used)
@@ -123,11 +123,11 @@
 func TestResetsEjectAnyNumber(t *testing.T) {
 	set := settings()
 	set.MaxAttempts = 1
-	b, h := start(t, set, many(9))
-	serve(b, h, 200, 20*time.Millisecond)
+	b, h := start(t, set, identicalEndpoints(9))
+	serveRequests(b, h, 200, 20*time.Millisecond)
 	for i := range RequestID(300) {
 		h.now += 5 * time.Millisecond
-		outcome, to := Served, ask(b, h, i+1)
+		outcome, to := Served, sendRequest(b, h, i+1)
 		if to != "" && to < "e" && i%2 == 0 {
 			outcome = Reset
 		}
--- a/balance/endpoints_test.go
+++ b/balance/endpoints_test.go
@@ -126,8 +126,8 @@
 	return slices.Equal(got, want)
 }
 
-// zoned lists n endpoints over three zones, of which the first is the sidecar's own.
-func zoned(n int) []Endpoint {
+// zonedEndpoints lists n endpoints over three zones, of which the first is the sidecar's own.
+func zonedEndpoints(n int) []Endpoint {
 	list := fleet(n)
 	for i := range list {
 		list[i].Zone = string("xyz"[i%3])
@@ -135,8 +135,8 @@
 	return list
 }
 
-// loaded starts a sidecar that has had so many requests a second for long enough.
-func loaded(t *testing.T, self, peers int, list []Endpoint, rate float64) (*Balancer, *host) {
+// startLoaded starts a sidecar that has had so many requests a second for long enough.
+func startLoaded(t *testing.T, self, peers int, list []Endpoint, rate float64) (*Balancer, *host) {
 	t.Helper()
 	set := settings()
 	set.Ordinal, set.Peers, set.Zones = self, peers, []string{"x", "y", "z"}
@@ -151,8 +151,8 @@
 func TestChangeCostsWhatItChanges(t *testing.T) {
 	const changes = 200
 	cost := func(servers int) (change, tick float64) {
-		list := zoned(servers)
-		b, h := loaded(t, 7, 900, list, 30)
+		list := zonedEndpoints(servers)
+		b, h := startLoaded(t, 7, 900, list, 30)
 		begun := b.endpointsVisited
 		for i := range changes {
 			e := list[i*servers/changes]
@@ -197,7 +197,7 @@
 		{"and little traffic", 3200, 3, 50, 60},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b, _ := loaded(t, 7, 900, zoned(tt.servers), tt.rate)
+			b, _ := startLoaded(t, 7, 900, zonedEndpoints(tt.servers), tt.rate)
 			if n := len(b.active); n < tt.least || n > tt.most {
 				t.Errorf("%d endpoints are used, want %d to %d", n, tt.least, tt.most)
 			}
@@ -222,10 +222,10 @@
 		{"half leave", 1600, 0, random},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			order, list := rng.Perm(3200), zoned(3200)
+			order, list := rng.Perm(3200), zonedEndpoints(3200)
 			moved, caused := 0, 0
 			for self := range 2 {
-				b, h := loaded(t, self, 900, list, 30)
+				b, h := startLoaded(t, self, 900, list, 30)
 				change := func(e Endpoint) {
 					before := map[string]bool{}
 					for _, m := range b.active {
@@ -283,7 +283,7 @@
 			users, used, servers := map[string]int{}, 0, tt.servers
 			for self := range peers {
 				list := fleet(servers)
-				b, h := loaded(t, self, peers, list, tt.rate)
+				b, h := startLoaded(t, self, peers, list, tt.rate)
 				for i, e := range list {
 					e.State = Removed
 					b.Endpoints(h.now, ListChanges, []Endpoint{e})
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -12,31 +12,31 @@
 	"pgregory.net/rapid"
 )
 
-// party is many sidecars that share nothing but the list of endpoints, which all get at the same moment.
-type party struct {
-	all   []*Balancer
-	hosts []*host
-	now   Time
-	rng   *rand.Rand
-	next  RequestID
-	out   []answerDue // in order
-	sends map[string][]Time
-	full  map[string]float64 // share that an endpoint turns away at once
-	most  float64            // answers a second that an endpoint gives, more is turned away; 0: any number
-	busy  map[string]Time    // until when those that it has given take it
-	share []float64          // of the traffic, by sidecar, summed up; nil: all have the same
+// sidecarFleet is many sidecars that share nothing but the list of endpoints, which all get at the same moment.
+type sidecarFleet struct {
+	balancers         []*Balancer
+	hosts             []*host
+	now               Time
+	rng               *rand.Rand
+	next              RequestID
+	pending           []pendingResponse // in order
+	sends             map[string][]Time
+	rejectShare       map[string]float64 // share that an endpoint turns away at once
+	responseRate      float64            // answers a second that an endpoint gives, more is turned away; 0: any number
+	busyUntil         map[string]Time    // until when those that it has given take it
+	cumulativeTraffic []float64          // of the traffic, by sidecar, summed up; nil: all have the same
 }
 
-type answerDue struct {
+type pendingResponse struct {
 	at Time
 	by int
-	s  sending
+	s  sentAttempt
 }
 
-const fleetAnswers = 20 * time.Millisecond
+const fleetResponseTime = 20 * time.Millisecond
 
-func newParty(t tester, set Settings, sidecars int, list []Endpoint) *party {
-	f := &party{now: time.Hour, rng: rand.New(rand.NewPCG(5, uint64(sidecars))), sends: map[string][]Time{}}
+func newSidecarFleet(t tester, set Settings, sidecars int, list []Endpoint) *sidecarFleet {
+	f := &sidecarFleet{now: time.Hour, rng: rand.New(rand.NewPCG(5, uint64(sidecars))), sends: map[string][]Time{}}
 	for i := range sidecars {
 		set.Ordinal, set.Peers, set.Seed = i, sidecars, uint64(i)
 		h := &host{now: f.now}
@@ -44,88 +44,88 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.all, f.hosts = append(f.all, b), append(f.hosts, h)
+		f.balancers, f.hosts = append(f.balancers, b), append(f.hosts, h)
 	}
-	f.tell(ListCached, list)
+	f.applyList(ListCached, list)
 	return f
 }
 
-func (f *party) tell(kind ListKind, list []Endpoint) {
-	for i := range f.all {
-		f.all[i].Endpoints(f.now, kind, list)
-		f.took(i)
+func (f *sidecarFleet) applyList(kind ListKind, list []Endpoint) {
+	for i := range f.balancers {
+		f.balancers[i].Endpoints(f.now, kind, list)
+		f.collectSent(i)
 	}
 }
 
-// took takes over what a sidecar sent.
-func (f *party) took(i int) {
+// collectSent takes over what a sidecar sent.
+func (f *sidecarFleet) collectSent(i int) {
 	h := f.hosts[i]
 	for _, s := range h.sent {
 		f.sends[s.to] = append(f.sends[s.to], f.now)
-		f.out = append(f.out, answerDue{f.now + fleetAnswers, i, s})
+		f.pending = append(f.pending, pendingResponse{f.now + fleetResponseTime, i, s})
 	}
 	h.sent = h.sent[:0]
 }
 
 // restart replaces a sidecar by one that knows the list alone, as its process was killed.
-func (f *party) restart(t tester, i int, set Settings, list []Endpoint) {
-	set.Ordinal, set.Peers, set.Seed = i, len(f.all), f.rng.Uint64()
+func (f *sidecarFleet) restart(t tester, i int, set Settings, list []Endpoint) {
+	set.Ordinal, set.Peers, set.Seed = i, len(f.balancers), f.rng.Uint64()
 	b, err := New(set, f.hosts[i])
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.all[i] = b
-	f.out = slices.DeleteFunc(f.out, func(d answerDue) bool { return d.by == i })
+	f.balancers[i] = b
+	f.pending = slices.DeleteFunc(f.pending, func(d pendingResponse) bool { return d.by == i })
 	b.Endpoints(f.now, ListCached, list)
-	f.took(i)
+	f.collectSent(i)
 }
 
-// whose draws the sidecar that gets the next request.
-func (f *party) whose() int {
-	if f.share == nil {
-		return f.rng.IntN(len(f.all))
+// drawSidecar draws the sidecar that gets the next request.
+func (f *sidecarFleet) drawSidecar() int {
+	if f.cumulativeTraffic == nil {
+		return f.rng.IntN(len(f.balancers))
 	}
-	x := f.rng.Float64() * f.share[len(f.share)-1]
-	return min(sort.SearchFloat64s(f.share, x), len(f.all)-1)
+	x := f.rng.Float64() * f.cumulativeTraffic[len(f.cumulativeTraffic)-1]
+	return min(sort.SearchFloat64s(f.cumulativeTraffic, x), len(f.balancers)-1)
 }
 
-// serves tells whether an endpoint can take one more now; what comes together may take it a quarter of a
+// accepts tells whether an endpoint can take one more now; what comes together may take it a quarter of a
 // second.
-func (f *party) serves(id string) bool {
-	if f.most == 0 {
+func (f *sidecarFleet) accepts(id string) bool {
+	if f.responseRate == 0 {
 		return true
 	}
-	if f.busy[id] > f.now+time.Second/4 {
+	if f.busyUntil[id] > f.now+time.Second/4 {
 		return false
 	}
-	f.busy[id] = max(f.busy[id], f.now) + Time(float64(time.Second)/f.most)
+	f.busyUntil[id] = max(f.busyUntil[id], f.now) + Time(float64(time.Second)/f.responseRate)
 	return true
 }
 
 // run has requests come to the sidecars at random, so many a second in all.
-func (f *party) run(length time.Duration, rate float64) {
+func (f *sidecarFleet) run(length time.Duration, rate float64) {
 	end, tick := f.now+length, f.now
 	for f.now < end {
 		f.now += time.Duration(f.rng.ExpFloat64() / rate * float64(time.Second))
 		for ; tick <= f.now; tick += tickInterval {
-			for i := range f.all {
-				f.all[i].Timer(tick, tokenTick)
+			for i := range f.balancers {
+				f.balancers[i].Timer(tick, tokenTick)
 			}
 		}
-		for len(f.out) > 0 && f.out[0].at <= f.now {
-			d := f.out[0]
-			f.out = f.out[1:]
-			result := Result{ID: d.s.id, Attempt: d.s.attempt, Endpoint: d.s.to, Took: fleetAnswers, Finished: true}
-			if f.rng.Float64() < f.full[d.s.to] || !f.serves(d.s.to) {
+		for len(f.pending) > 0 && f.pending[0].at <= f.now {
+			d := f.pending[0]
+			f.pending = f.pending[1:]
+			result := Result{ID: d.s.id, Attempt: d.s.attempt, Endpoint: d.s.to, Took: fleetResponseTime, Finished: true}
+			if f.rng.Float64() < f.rejectShare[d.s.to] || !f.accepts(d.s.to) {
 				result.Outcome, result.Finished = Saturated, false
 			}
-			f.all[d.by].Result(d.at, result)
-			f.took(d.by)
+			f.balancers[d.by].Result(d.at, result)
+			f.collectSent(d.by)
 		}
 		f.next++
-		i := f.whose()
-		f.all[i].Request(f.now, Request{ID: f.next, Tenant: -1, Timeout: 3 * time.Second})
-		f.took(i)
+		i := f.drawSidecar()
+		f.balancers[i].Request(f.now, Request{ID: f.next, Tenant: -1, Timeout: 3 * time.Second})
+		f.collectSent(i)
 	}
 }
 
@@ -166,7 +166,7 @@
 		}
 		list = append(list, Endpoint{ID: id, Zone: "x", Kind: "big", Weight: 1})
 	}
-	f := newParty(t, set, sidecars, list[:warm])
+	f := newSidecarFleet(t, set, sidecars, list[:warm])
 	const each = 40.0 // requests a second for each warm endpoint
 	rate := each * float64(warm)
 	f.run(4*time.Second, rate)
@@ -174,7 +174,7 @@
 	for i := range list[warm:] {
 		list[warm+i].Started = told
 	}
-	f.tell(ListChanges, list[warm:])
+	f.applyList(ListChanges, list[warm:])
 	f.run(set.SlowStartWindow, rate)
 	for _, e := range list[warm:] {
 		sends := f.sends[e.ID]
@@ -227,20 +227,20 @@
 		for i := range warm + 1 {
 			list = append(list, Endpoint{ID: fmt.Sprintf("e%02d", i), Zone: "x", Kind: "big", Weight: 1})
 		}
-		f := newParty(t, set, sidecars, list[:warm])
+		f := newSidecarFleet(t, set, sidecars, list[:warm])
 		sum := 0.0
 		for range sidecars {
 			sum += f.rng.ExpFloat64()
-			f.share = append(f.share, sum)
+			f.cumulativeTraffic = append(f.cumulativeTraffic, sum)
 		}
 		f.run(4*time.Second, each*warm)
 		cold, told := &list[warm], f.now
 		cold.Started = told
-		f.full = map[string]float64{}
+		f.rejectShare = map[string]float64{}
 		for _, e := range list[:warm] {
-			f.full[e.ID] = away
+			f.rejectShare[e.ID] = away
 		}
-		f.tell(ListChanges, list[warm:])
+		f.applyList(ListChanges, list[warm:])
 		for range 20 {
 			f.run(200*time.Millisecond, each*warm*burst)
 			for range 3 {
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// serve plays n requests, 20 ms apart, each answered after took by the one endpoint it was sent to.
-func serve(b *Balancer, h *host, n int, took time.Duration) {
+// serveRequests plays n requests, 20 ms apart, each answered after took by the one endpoint it was sent to.
+func serveRequests(b *Balancer, h *host, n int, took time.Duration) {
 	for range n {
 		h.now += 20 * time.Millisecond
 		id := RequestID(h.now)
@@ -20,12 +20,12 @@
 	}
 }
 
-func pair() []Endpoint {
+func twoEndpoints() []Endpoint {
 	return []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}, {ID: "b", Zone: "x", Kind: "big", Weight: 1}}
 }
 
-// ask sends one request and returns where it went, or "".
-func ask(b *Balancer, h *host, id RequestID) string {
+// sendRequest sends one request and returns where it went, or "".
+func sendRequest(b *Balancer, h *host, id RequestID) string {
 	before := len(h.sent)
 	b.Request(h.now, Request{ID: id, Tenant: -1, Timeout: 3 * time.Second})
 	if len(h.sent) == before {
@@ -37,12 +37,12 @@
 func TestFastFailureIsEjected(t *testing.T) {
 	set := settings()
 	set.MaxAttempts = 1
-	b, h := start(t, set, append(pair(), Endpoint{ID: "c", Zone: "x", Kind: "big", Weight: 1}))
-	serve(b, h, 60, 20*time.Millisecond)
+	b, h := start(t, set, append(twoEndpoints(), Endpoint{ID: "c", Zone: "x", Kind: "big", Weight: 1}))
+	serveRequests(b, h, 60, 20*time.Millisecond)
 	failed := 0
 	for i := range RequestID(60) {
 		h.now += 20 * time.Millisecond
-		to := ask(b, h, i)
+		to := sendRequest(b, h, i)
 		outcome := Served
 		if to == "a" {
 			outcome = Errored
@@ -61,7 +61,7 @@
 	b.Timer(h.now, tokenTick)
 	back := 0
 	for i := RequestID(100); i < 112; i++ {
-		to := ask(b, h, i)
+		to := sendRequest(b, h, i)
 		outcome := Served
 		if to == "a" {
 			outcome = Errored
@@ -79,26 +79,26 @@
 
 func TestPanic(t *testing.T) {
 	// With every endpoint ejected, the fault is taken to be our own, and requests still go out.
-	b, h := start(t, settings(), pair())
+	b, h := start(t, settings(), twoEndpoints())
 	for _, e := range b.listed {
 		e.ejectedUntil = h.now + time.Hour
 	}
-	if ask(b, h, 1) != "" {
+	if sendRequest(b, h, 1) != "" {
 		t.Error("an ejected endpoint was used before the share was counted")
 	}
 	b.Timer(h.now, tokenTick)
-	if ask(b, h, 2) == "" {
+	if sendRequest(b, h, 2) == "" {
 		t.Error("no endpoint is used though all are ejected")
 	}
 }
 
 func TestSilentEndpointGetsNothingMore(t *testing.T) {
-	b, h := start(t, settings(), pair())
-	serve(b, h, 100, 20*time.Millisecond)
-	first := ask(b, h, 1) // never answered
+	b, h := start(t, settings(), twoEndpoints())
+	serveRequests(b, h, 100, 20*time.Millisecond)
+	first := sendRequest(b, h, 1) // never answered
 	h.now += 2 * time.Second
 	for i := RequestID(10); i < 20; i++ {
-		to := ask(b, h, i)
+		to := sendRequest(b, h, i)
 		if to == first {
 			t.Fatalf("request %d went to an endpoint that has been silent for two aims", i)
 		}
@@ -118,15 +118,15 @@
 		{"twice too slow", 2, 0.4, 0.6},
 		{"far beyond the aim", 12, 0.85, 1.05},
 	} {
-		b, h := start(t, settings(), pair())
-		serve(b, h, 2, time.Duration(tt.took*bar*float64(time.Second)))
+		b, h := start(t, settings(), twoEndpoints())
+		serveRequests(b, h, 2, time.Duration(tt.took*bar*float64(time.Second)))
 		at := h.now
 		h.now = at + time.Duration(tt.unused*float64(decayTimeConstant))
-		if to := ask(b, h, 1); to != "" {
+		if to := sendRequest(b, h, 1); to != "" {
 			t.Errorf("%s: sent to %s though no answer in time is expected", tt.name, to)
 		}
 		h.now = at + time.Duration(tt.then*float64(decayTimeConstant))
-		if ask(b, h, 2) == "" {
+		if sendRequest(b, h, 2) == "" {
 			t.Errorf("%s: an unused endpoint is not tried, so that nothing can be learnt", tt.name)
 		}
 	}
@@ -134,10 +134,10 @@
 
 func TestSlowedEndpointLosesTurnsBeforeItAnswers(t *testing.T) {
 	// Both endpoints answered in 200 ms each; then "a" is stuck with two requests, for less time than the bar.
-	b, h := start(t, settings(), pair())
-	serve(b, h, 20, 200*time.Millisecond)
+	b, h := start(t, settings(), twoEndpoints())
+	serveRequests(b, h, 20, 200*time.Millisecond)
 	for i := range RequestID(4) {
-		if to := ask(b, h, i); to == "b" {
+		if to := sendRequest(b, h, i); to == "b" {
 			b.Result(h.now, Result{ID: i, Endpoint: to, Took: 200 * time.Millisecond, Finished: true})
 		}
 	}
@@ -156,15 +156,15 @@
 	set.Classes = append(set.Classes, set.Classes[0])
 	set.Classes[1].Priority = 3
 	aim := set.Classes[0].LatencyObjective
-	b, h := start(t, set, pair())
-	serve(b, h, 40, time.Duration(float64(aim)*rejectObjectiveShare*0.8))
+	b, h := start(t, set, twoEndpoints())
+	serveRequests(b, h, 40, time.Duration(float64(aim)*rejectObjectiveShare*0.8))
 	b.meanResponseTime[1] = b.meanResponseTime[0] // the lesser class has a third of the worth: its bar is at 0.58 of the other's
-	if ask(b, h, 1) == "" {
+	if sendRequest(b, h, 1) == "" {
 		t.Fatal("the lesser class is refused though nothing was full")
 	}
 	b.Result(h.now, Result{ID: 1, Endpoint: h.sent[0].to, Took: aim / 2, Finished: true})
 	b.overloadedUntil = h.now + decayTimeConstant
-	if to := ask(b, h, 2); to != "" {
+	if to := sendRequest(b, h, 2); to != "" {
 		t.Error("the lesser class does not give way")
 	}
 	b.Request(h.now, Request{ID: 3, Class: 1, Tenant: -1, Timeout: 3 * time.Second})
@@ -172,9 +172,9 @@
 		t.Error("the dearer class gives way too")
 	}
 	// Requests of the dearer class fill both endpoints, which makes it tight.
-	b, h = start(t, set, pair())
-	serve(b, h, 40, aim/2)
-	for i := RequestID(10); ask(b, h, i) != ""; i++ {
+	b, h = start(t, set, twoEndpoints())
+	serveRequests(b, h, 40, aim/2)
+	for i := RequestID(10); sendRequest(b, h, i) != ""; i++ {
 		if i > 100 {
 			t.Fatal("nothing is ever full")
 		}
@@ -191,14 +191,14 @@
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
 	set.Classes[1].Priority = 3
-	b, h := start(t, set, pair())
-	serve(b, h, 40, time.Duration(float64(set.Classes[0].LatencyObjective)*rejectObjectiveShare*0.8))
+	b, h := start(t, set, twoEndpoints())
+	serveRequests(b, h, 40, time.Duration(float64(set.Classes[0].LatencyObjective)*rejectObjectiveShare*0.8))
 	b.meanResponseTime[1] = b.meanResponseTime[0]
 	h.now += time.Millisecond
 	end := h.now + decayTimeConstant/2
 	b.overloadedUntil = end
-	if to := ask(b, h, 1); to != "" || len(h.refused) != 1 {
-		t.Fatalf("the lesser class goes to %q, refused %v: it does not give way", to, h.refused)
+	if to := sendRequest(b, h, 1); to != "" || len(h.rejected) != 1 {
+		t.Fatalf("the lesser class goes to %q, refused %v: it does not give way", to, h.rejected)
 	}
 	if b.overloadedUntil != end {
 		t.Errorf("its refusal has lesser classes give way for %v more", b.overloadedUntil-end)
@@ -212,31 +212,31 @@
 	set.Classes = append(set.Classes, set.Classes[0])
 	set.Classes[1].Priority = 3
 	aim := set.Classes[0].LatencyObjective
-	b, h := start(t, set, pair())
-	serve(b, h, 40, time.Duration(float64(aim)*rejectObjectiveShare*0.8))
+	b, h := start(t, set, twoEndpoints())
+	serveRequests(b, h, 40, time.Duration(float64(aim)*rejectObjectiveShare*0.8))
 	b.meanResponseTime[1] = b.meanResponseTime[0]
 	for i := RequestID(1); h.now >= b.overloadedUntil; i++ {
 		if i > 100 {
 			t.Fatal("nothing is ever full")
 		}
-		ask(b, h, i)
+		sendRequest(b, h, i)
 	}
 	for _, s := range h.sent {
 		b.Result(h.now+aim/2, Result{ID: s.id, Endpoint: s.to, Took: aim / 2, Finished: true})
 	}
 	h.now += aim / 2
-	if to := ask(b, h, 200); to != "" {
+	if to := sendRequest(b, h, 200); to != "" {
 		t.Errorf("the lesser class goes to %q half an aim after all was full: it does not give way", to)
 	}
 	h.now += aim
-	if to := ask(b, h, 201); to == "" {
+	if to := sendRequest(b, h, 201); to == "" {
 		t.Error("the lesser class still gives way an aim after the crowd, with nothing in flight")
 	}
 }
 
 func TestRestartIsANewStart(t *testing.T) {
-	b, h := start(t, settings(), pair())
-	serve(b, h, 40, 20*time.Millisecond)
+	b, h := start(t, settings(), twoEndpoints())
+	serveRequests(b, h, 40, 20*time.Millisecond)
 	e := b.known["a"]
 	e.ejectedUntil = h.now + time.Hour
 	again := e.Endpoint
@@ -248,11 +248,11 @@
 }
 
 func TestDepartedEndpointsAreForgotten(t *testing.T) {
-	b, h := start(t, settings(), pair())
+	b, h := start(t, settings(), twoEndpoints())
 	for i := range 1000 {
 		list := []Endpoint{{ID: string(rune('c' + i)), Zone: "x", Kind: "big", Weight: 1}}
 		b.Endpoints(h.now, ListFull, list)
-		serve(b, h, 2, time.Millisecond)
+		serveRequests(b, h, 2, time.Millisecond)
 	}
 	if len(b.known) > 2 || len(b.listed) != 1 || len(b.requests) != 0 {
 		t.Errorf("%d endpoints and %d requests are still known", len(b.known), len(b.requests))
@@ -262,7 +262,7 @@
 func TestDiscoveryCallsBackOff(t *testing.T) {
 	set := settings()
 	set.PollDiscovery, set.MaxListAge = true, 10*time.Second
-	b, h := start(t, set, pair())
+	b, h := start(t, set, twoEndpoints())
 	for range 20 {
 		calls := h.subscribed
 		b.Timer(h.now, tokenDiscovery)
@@ -310,7 +310,7 @@
 	}
 	b, h := start(t, settings(), list)
 	for i := range RequestID(60) {
-		to := ask(b, h, i)
+		to := sendRequest(b, h, i)
 		took := 600 * time.Millisecond
 		if to != "a" || i < 10 {
 			took = 50 * time.Millisecond
@@ -329,7 +329,7 @@
 	// Two classes of one worth; the answers of the second take four times as long, and with them the same worth.
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
-	b, h := start(t, set, pair())
+	b, h := start(t, set, twoEndpoints())
 	for i := range RequestID(200) {
 		class := int(i % 2)
 		took := time.Duration(1+3*class) * 50 * time.Millisecond
@@ -347,9 +347,9 @@
 	// Three endpoints of one group, quick so far, hold a request each for half a second: the fourth, idle
 	// and never heard of, is not expected to be quick either.
 	b, h := start(t, settings(), fleet(4))
-	serve(b, h, 40, 20*time.Millisecond)
+	serveRequests(b, h, 40, 20*time.Millisecond)
 	for i := range RequestID(3) {
-		ask(b, h, i)
+		sendRequest(b, h, i)
 	}
 	idle := b.listed[slices.IndexFunc(b.listed, func(e *endpoint) bool { return e.inFlight == 0 })]
 	idle.responseSeconds, idle.responseInFlight = 0, 0
@@ -366,22 +366,22 @@
 func TestRefusalSaysWhen(t *testing.T) {
 	b, h := start(t, settings(), []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}})
 	b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: time.Second})
-	h.answer(b, h.now+200*time.Millisecond, Served)
+	h.finishAttempts(b, h.now+200*time.Millisecond, Served)
 	b.Result(h.now, Result{ID: 1, Outcome: Served, Took: 200 * time.Millisecond, Finished: true})
-	for i := RequestID(2); len(h.refused) == 0; i++ {
+	for i := RequestID(2); len(h.rejected) == 0; i++ {
 		if i > 1000 {
 			t.Fatal("never full")
 		}
 		b.Request(h.now, Request{ID: i, Tenant: -1, Timeout: time.Second})
 	}
-	first := h.advice
+	first := h.retryAfter
 	if aim := b.settings.Classes[0].LatencyObjective; first <= 0 || first > aim {
 		t.Errorf("advice to wait %v with an aim of %v", first, aim)
 	}
-	h.refused = nil
+	h.rejected = nil
 	b.Request(h.now+100*time.Millisecond, Request{ID: 2000, Tenant: -1, Timeout: 0})
-	if len(h.refused) != 1 || h.advice != 0 {
-		t.Errorf("%d refusals of what has no time left, advice to wait %v", len(h.refused), h.advice)
+	if len(h.rejected) != 1 || h.retryAfter != 0 {
+		t.Errorf("%d refusals of what has no time left, advice to wait %v", len(h.rejected), h.retryAfter)
 	}
 }
 
@@ -394,9 +394,9 @@
 	}{{4 * time.Second, 1}, {4800 * time.Millisecond, 0}} {
 		set := settings()
 		set.Classes[0].Effect, set.Classes[0].Scope, set.Classes[0].DedupeWindow = Deduplicated, ScopeAll, 5*time.Second
-		b, h := start(t, set, pair())
+		b, h := start(t, set, twoEndpoints())
 		b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: 10 * time.Second})
-		h.answer(b, h.now+tt.after, Errored)
+		h.finishAttempts(b, h.now+tt.after, Errored)
 		if len(h.sent) != tt.repeats {
 			t.Errorf("%d repeats after %v, want %d", len(h.sent), tt.after, tt.repeats)
 		}
@@ -420,12 +420,12 @@
 	} {
 		set := settings()
 		set.Classes[0].Effect, set.Classes[0].Scope, set.Classes[0].DedupeWindow = tt.effect, ScopeAll, 5*time.Second
-		b, h := start(t, set, pair())
+		b, h := start(t, set, twoEndpoints())
 		b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: 10 * time.Second})
 		if first := h.sent[0]; first.within != 0 {
 			t.Errorf("%s: the first attempt is to begin within %v", tt.name, first.within)
 		}
-		if h.answer(b, h.now+3*time.Second, tt.outcome); len(h.sent) != 1 || h.sent[0].within != tt.want {
+		if h.finishAttempts(b, h.now+3*time.Second, tt.outcome); len(h.sent) != 1 || h.sent[0].within != tt.want {
 			t.Errorf("%s: %+v, want a repeat within %v", tt.name, h.sent, tt.want)
 		}
 	}
@@ -437,8 +437,8 @@
 func TestTurnedAwayClassLeavesTheOthers(t *testing.T) {
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
-	b, h := start(t, set, pair())
-	serve(b, h, 40, 20*time.Millisecond)
+	b, h := start(t, set, twoEndpoints())
+	serveRequests(b, h, 40, 20*time.Millisecond)
 	before := b.expectedTime(b.known["a"], h.now)
 	var away, other, tries int
 	for i := range RequestID(400) {
@@ -458,8 +458,8 @@
 				Took: 20 * time.Millisecond, Finished: outcome == Served})
 		}
 	}
-	if len(h.refused)+len(h.failed) > 0 || tries-away != 400 {
-		t.Errorf("%d served, %d refused, %d failed of 400", tries-away, len(h.refused), len(h.failed))
+	if len(h.rejected)+len(h.failed) > 0 || tries-away != 400 {
+		t.Errorf("%d served, %d refused, %d failed of 400", tries-away, len(h.rejected), len(h.failed))
 	}
 	if away == 0 || away > 3 {
 		t.Errorf("the class was turned away %d times in 2 s", away)
@@ -478,8 +478,8 @@
 func TestSwallowedClassIsShut(t *testing.T) {
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
-	b, h := start(t, set, pair())
-	serve(b, h, 40, 20*time.Millisecond)
+	b, h := start(t, set, twoEndpoints())
+	serveRequests(b, h, 40, 20*time.Millisecond)
 	id := RequestID(0)
 	send := func(class int) string {
 		id++
--- a/balance/hedge_test.go
+++ b/balance/hedge_test.go
@@ -46,21 +46,21 @@
 		for seed := range uint64(4) {
 			set := settings()
 			set.CancelAllowed, set.HedgingAllowed, set.Seed = true, true, seed
-			set.Classes[0].LatencyObjective, set.Classes[0].Deadline = 130*time.Millisecond, patience
-			f := &lossy{t: t, now: time.Minute, rng: rand.New(rand.NewPCG(seed, 4)), class: map[RequestID]int{},
-				out: map[RequestID]int{}, over: map[RequestID]bool{}, to: map[RequestID][]string{},
+			set.Classes[0].LatencyObjective, set.Classes[0].Deadline = 130*time.Millisecond, clientTimeout
+			f := &lossyHost{t: t, now: time.Minute, rng: rand.New(rand.NewPCG(seed, 4)), class: map[RequestID]int{},
+				inFlight: map[RequestID]int{}, ended: map[RequestID]bool{}, to: map[RequestID][]string{},
 				done: map[RequestID][]bool{}, sends: map[string]int{}}
 			var err error
 			if f.b, err = New(set, f); err != nil {
 				t.Fatal(err)
 			}
-			f.b.Endpoints(f.now, ListCached, many(12))
+			f.b.Endpoints(f.now, ListCached, identicalEndpoints(12))
 			type sent struct {
 				at   Time
 				lost bool
 			}
 			fault, endpoints, firsts := false, map[string]*cores{}, map[RequestID]sent{}
-			f.answer = func(f *lossy, to string, _ int) (time.Duration, bool) {
+			f.answer = func(f *lossyHost, to string, _ int) (time.Duration, bool) {
 				if endpoints[to] == nil {
 					endpoints[to] = &cores{}
 				}
@@ -70,7 +70,7 @@
 				}
 				took, gone := endpoints[to].serve(f.now, time.Duration(work)), fault && tt.lost(to, f.rng.Float64())
 				switch first, again := firsts[f.sending]; {
-				case !fault || again && f.out[f.sending] < 2: // a retry
+				case !fault || again && f.inFlight[f.sending] < 2: // a retry
 				case !again:
 					if firsts[f.sending] = (sent{f.now, gone}); gone {
 						lost++
@@ -84,10 +84,10 @@
 				return took, gone
 			}
 			f.run(length, step)
-			f.until(f.now + patience)
+			f.advanceTo(f.now + clientTimeout)
 			fault = true
 			requests += f.run(length, step)
-			f.until(f.now + patience)
+			f.advanceTo(f.now + clientTimeout)
 		}
 		if most := tt.needless * float64(requests); float64(needless) > most {
 			t.Errorf(
@@ -122,10 +122,10 @@
 	} {
 		set := settings()
 		set.HedgingAllowed = true
-		b, h := start(t, set, pair())
-		serve(b, h, 400, usual)
+		b, h := start(t, set, twoEndpoints())
+		serveRequests(b, h, 400, usual)
 		h.timers = nil
-		e := b.known[ask(b, h, 1)]
+		e := b.known[sendRequest(b, h, 1)]
 		look := h.timers[0]
 		for range 10 {
 			e.slowdown.Answered(tt.others)
--- a/balance/host_test.go
+++ b/balance/host_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// sending is one Send that a host was asked for.
-type sending struct {
+// sentAttempt is one Send that a host was asked for.
+type sentAttempt struct {
 	id      RequestID
 	to      string
 	within  time.Duration
@@ -16,9 +16,9 @@
 // host records what a Balancer asks for.
 type host struct {
 	now        Time
-	sent       []sending
-	refused    []RequestID
-	advice     time.Duration // with the last refusal
+	sent       []sentAttempt
+	rejected   []RequestID
+	retryAfter time.Duration // with the last refusal
 	failed     []RequestID
 	cancelled  int
 	attempts   map[RequestID]int
@@ -31,20 +31,20 @@
 	if h.attempts == nil {
 		h.attempts = map[RequestID]int{}
 	}
-	h.sent = append(h.sent, sending{id, endpoint, within, h.attempts[id]})
+	h.sent = append(h.sent, sentAttempt{id, endpoint, within, h.attempts[id]})
 	h.attempts[id]++
 }
 func (h *host) Cancel(RequestID, int) { h.cancelled++ }
 func (h *host) Reject(id RequestID, after time.Duration) {
-	h.refused, h.advice = append(h.refused, id), after
+	h.rejected, h.retryAfter = append(h.rejected, id), after
 }
 func (h *host) Fail(id RequestID)                   { h.failed = append(h.failed, id) }
 func (h *host) Timer(_ time.Duration, token uint64) { h.timers = append(h.timers, token) }
 func (h *host) Subscribe()                          { h.subscribed++ }
 func (h *host) Log(text string)                     { h.logs = append(h.logs, text) }
 
-// answer ends all attempts out, in order, and leaves none recorded.
-func (h *host) answer(b *Balancer, now Time, outcome Outcome) {
+// finishAttempts ends all attempts out, in order, and leaves none recorded.
+func (h *host) finishAttempts(b *Balancer, now Time, outcome Outcome) {
 	h.now = now
 	sent := h.sent
 	h.sent = nil
@@ -100,7 +100,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			sent, timers := len(h.sent), len(h.timers)
 			tt.do()
-			if len(h.sent) != sent || len(h.timers) != timers || len(h.refused)+len(h.failed)+h.cancelled > 0 {
+			if len(h.sent) != sent || len(h.timers) != timers || len(h.rejected)+len(h.failed)+h.cancelled > 0 {
 				t.Errorf("it led to an action: %+v", h)
 			}
 			if len(b.requests) != 1 || b.known["a"].inFlight != 1 || len(b.listed) != 1 {
@@ -117,12 +117,12 @@
 
 func TestTimeGoingBack(t *testing.T) {
 	// Each request still ends once, and nothing is left over.
-	b, h := start(t, settings(), pair())
+	b, h := start(t, settings(), twoEndpoints())
 	for i := range RequestID(200) {
 		h.now += time.Duration(i%7-3) * 300 * time.Millisecond
 		b.Request(h.now, Request{ID: i, Tenant: -1, Timeout: time.Second})
 		b.Timer(h.now, tokenTick)
-		h.answer(b, h.now-time.Duration(i%3)*time.Second, Served)
+		h.finishAttempts(b, h.now-time.Duration(i%3)*time.Second, Served)
 	}
 	if len(b.requests) != 0 || b.known["a"].inFlight+b.known["b"].inFlight != 0 || len(h.failed) != 0 {
 		t.Errorf("%d requests left, %d failed", len(b.requests), len(h.failed))
--- a/balance/late_test.go
+++ b/balance/late_test.go
@@ -11,9 +11,9 @@
 // all others: it must not count against the endpoint. Where the endpoint is silent to all, it must.
 func TestDeadConnectionIsNotASlowEndpoint(t *testing.T) {
 	for _, silent := range []bool{false, true} {
-		b, h := start(t, settings(), pair())
-		serve(b, h, 200, 20*time.Millisecond)
-		to := ask(b, h, 1)
+		b, h := start(t, settings(), twoEndpoints())
+		serveRequests(b, h, 200, 20*time.Millisecond)
+		to := sendRequest(b, h, 1)
 		late := h.timers[len(h.timers)-1]
 		h.sent = nil
 		e := b.known[to]
@@ -42,18 +42,18 @@
 // while it answers none: only then does it look slower, and only then are they its own fault.
 func TestSwallowedRequestIsNoSlowness(t *testing.T) {
 	for _, silent := range []bool{false, true} {
-		b, h := start(t, settings(), many(4))
-		serve(b, h, 400, 20*time.Millisecond)
+		b, h := start(t, settings(), identicalEndpoints(4))
+		serveRequests(b, h, 400, 20*time.Millisecond)
 		before := b.expectedTime(b.known["a"], h.now)
 		h.sent, h.timers = nil, nil
 		h.now += time.Millisecond
 		for i := range RequestID(28) {
-			ask(b, h, i+1)
+			sendRequest(b, h, i+1)
 		}
 		out, late := h.sent, h.timers
 		h.sent = nil
 		if !silent {
-			serve(b, h, 12, 20*time.Millisecond)
+			serveRequests(b, h, 12, 20*time.Millisecond)
 		}
 		for _, token := range late {
 			b.Timer(h.now, token)
@@ -61,7 +61,7 @@
 		h.now += 3 * time.Second // and so no time is left for another attempt
 		for _, s := range out {
 			if !silent {
-				serve(b, h, 12, 20*time.Millisecond)
+				serveRequests(b, h, 12, 20*time.Millisecond)
 			}
 			b.Result(h.now, Result{ID: s.id, Endpoint: s.to, Outcome: TimedOut, Took: 3 * time.Second})
 		}
@@ -77,8 +77,8 @@
 // TestBeliefNeedsTesting has one endpoint be far too slow while the other goes on answering: it is tried
 // again in time, with one request at a time, and as long as it is slow only now and then.
 func TestBeliefNeedsTesting(t *testing.T) {
-	b, h := start(t, settings(), pair())
-	serve(b, h, 200, 20*time.Millisecond)
+	b, h := start(t, settings(), twoEndpoints())
+	serveRequests(b, h, 200, 20*time.Millisecond)
 	e := b.known["a"]
 	e.responseSeconds, e.lastSample = e.responseInFlight*10*b.objective, h.now
 	begun, tries, out := h.now, 0, Result{}
@@ -92,7 +92,7 @@
 		if e.inFlight == 0 {
 			id = RequestID(tries + 1)
 		}
-		if to := ask(b, h, id); to != "a" {
+		if to := sendRequest(b, h, id); to != "a" {
 			b.Result(h.now, Result{ID: id, Endpoint: to, Took: 20 * time.Millisecond, Finished: true})
 			continue
 		}
@@ -109,10 +109,10 @@
 // TestLateAttemptIsLookedAtAgain has an endpoint be silent to all until an attempt is late and then answer
 // others: the attempt is on a dead connection, and counts no more from then on.
 func TestLateAttemptIsLookedAtAgain(t *testing.T) {
-	b, h := start(t, settings(), pair())
-	serve(b, h, 200, 20*time.Millisecond)
+	b, h := start(t, settings(), twoEndpoints())
+	serveRequests(b, h, 200, 20*time.Millisecond)
 	h.timers = nil
-	e := b.known[ask(b, h, 1)]
+	e := b.known[sendRequest(b, h, 1)]
 	late := h.timers[0]
 	h.now += time.Second
 	b.Timer(h.now, late)
@@ -144,8 +144,8 @@
 	} {
 		set := settings()
 		set.CancelAllowed, set.Classes[0].Effect = true, tt.effect
-		b, h := start(t, set, many(6))
-		serve(b, h, 400, 20*time.Millisecond)
+		b, h := start(t, set, identicalEndpoints(6))
+		serveRequests(b, h, 400, 20*time.Millisecond)
 		type end struct {
 			at Time
 			Result
@@ -213,8 +213,8 @@
 		{"what is sent later", true, 0, true},
 		{"it lasts", false, time.Duration(maxPauseObjectives * float64(time.Second)), true},
 	} {
-		b, h := start(t, settings(), many(4))
-		serve(b, h, 400, 20*time.Millisecond)
+		b, h := start(t, settings(), identicalEndpoints(4))
+		serveRequests(b, h, 400, 20*time.Millisecond)
 		e := b.known["a"]
 		sent := h.now
 		for i := range requests {
--- a/balance/loadlevel_test.go
+++ b/balance/loadlevel_test.go
@@ -10,7 +10,7 @@
 func TestJamIsMetAtOnce(t *testing.T) {
 	set := settings()
 	set.Classes[0].LatencyObjective = 300 * time.Millisecond
-	b, h := start(t, set, wide(40))
+	b, h := start(t, set, manyIdenticalEndpoints(40))
 	type due struct {
 		at   Time
 		id   RequestID
@@ -19,7 +19,7 @@
 	}
 	var out []due
 	run := func(length, took time.Duration) (asked, refused int) {
-		before := len(h.refused)
+		before := len(h.rejected)
 		for end := h.now + length; h.now < end; h.now += 20 * time.Millisecond {
 			if h.now%(100*time.Millisecond) == 0 {
 				b.Timer(h.now, tokenTick)
@@ -30,13 +30,13 @@
 				b.Result(h.now, Result{ID: d.id, Endpoint: d.to, Took: d.took, Finished: true})
 			}
 			h.sent = nil
-			ask(b, h, RequestID(h.now))
+			sendRequest(b, h, RequestID(h.now))
 			for _, s := range h.sent {
 				out = append(out, due{h.now + took, s.id, s.to, took})
 			}
 			asked++
 		}
-		return asked, len(h.refused) - before
+		return asked, len(h.rejected) - before
 	}
 	run(20*time.Second, 100*time.Millisecond) // until answers tell
 	if _, refused := run(5*time.Second, 100*time.Millisecond); refused > 0 {
@@ -48,8 +48,8 @@
 	}
 }
 
-// wide is a list of many endpoints that are alike.
-func wide(n int) (list []Endpoint) {
+// manyIdenticalEndpoints is a list of many endpoints that are alike.
+func manyIdenticalEndpoints(n int) (list []Endpoint) {
 	for i := range n {
 		list = append(
 			list,
@@ -69,9 +69,9 @@
 		low    float64
 		high   float64
 	}{{"silent", true, 1, 1.2}, {"late", false, 2, 99}} {
-		list := append(many(4), Endpoint{ID: "z", Zone: "y", Kind: "small", Weight: 1})
+		list := append(identicalEndpoints(4), Endpoint{ID: "z", Zone: "y", Kind: "small", Weight: 1})
 		b, h := start(t, settings(), list)
-		serve(b, h, 400, 20*time.Millisecond)
+		serveRequests(b, h, 400, 20*time.Millisecond)
 		z := b.known["z"]
 		tick := func() {
 			h.now += tickInterval
--- a/balance/loss_test.go
+++ b/balance/loss_test.go
@@ -9,46 +9,46 @@
 	"time"
 )
 
-// lossy is a host with endpoints that answer after a random time, whatever their load, or never.
-type lossy struct {
-	t       *testing.T
-	b       *Balancer
-	now     Time
-	rng     *rand.Rand
-	events  []occasion // by time
-	answer  func(f *lossy, to string, class int) (took time.Duration, lost bool)
-	class   map[RequestID]int
-	out     map[RequestID]int
-	over    map[RequestID]bool
-	to      map[RequestID][]string
-	done    map[RequestID][]bool
-	sends   map[string]int
-	logs    []string
-	served  int
-	inTime  int
-	refused int
-	failed  int
-	copies  int       // attempts made while another was out
-	sending RequestID // whose attempt answer is asked for
+// lossyHost is a host with endpoints that answer after a random time, whatever their load, or never.
+type lossyHost struct {
+	t        *testing.T
+	b        *Balancer
+	now      Time
+	rng      *rand.Rand
+	events   []scheduledCall // by time
+	answer   func(f *lossyHost, to string, class int) (took time.Duration, lost bool)
+	class    map[RequestID]int
+	inFlight map[RequestID]int
+	ended    map[RequestID]bool
+	to       map[RequestID][]string
+	done     map[RequestID][]bool
+	sends    map[string]int
+	logs     []string
+	served   int
+	inTime   int
+	refused  int
+	failed   int
+	hedges   int       // attempts made while another was out
+	sending  RequestID // whose attempt answer is asked for
 }
 
-type occasion struct {
+type scheduledCall struct {
 	at Time
 	do func()
 }
 
-func (f *lossy) after(d time.Duration, do func()) {
+func (f *lossyHost) after(d time.Duration, do func()) {
 	at := f.now + max(d, 0)
-	n, _ := slices.BinarySearchFunc(f.events, at, func(o occasion, at Time) int {
+	n, _ := slices.BinarySearchFunc(f.events, at, func(o scheduledCall, at Time) int {
 		if o.at <= at {
 			return -1
 		}
 		return 1
 	})
-	f.events = slices.Insert(f.events, n, occasion{at, do})
+	f.events = slices.Insert(f.events, n, scheduledCall{at, do})
 }
 
-func (f *lossy) until(end Time) {
+func (f *lossyHost) advanceTo(end Time) {
 	for len(f.events) > 0 && f.events[0].at <= end {
 		o := f.events[0]
 		f.events = f.events[1:]
@@ -58,41 +58,41 @@
 	f.now = end
 }
 
-func (f *lossy) Send(id RequestID, to string, _ time.Duration) {
-	if f.over[id] {
+func (f *lossyHost) Send(id RequestID, to string, _ time.Duration) {
+	if f.ended[id] {
 		f.t.Errorf("request %d goes out after its end", id)
 	}
-	if f.out[id]++; f.out[id] > 1 {
-		f.copies++
+	if f.inFlight[id]++; f.inFlight[id] > 1 {
+		f.hedges++
 	}
-	if f.out[id] > 2 {
-		f.t.Errorf("%d attempts of request %d are out", f.out[id], id)
+	if f.inFlight[id] > 2 {
+		f.t.Errorf("%d attempts of request %d are out", f.inFlight[id], id)
 	}
 	f.sends[to]++
 	n, sent := len(f.to[id]), f.now
 	f.to[id], f.done[id] = append(f.to[id], to), append(f.done[id], false)
 	f.sending = id
 	took, lost := f.answer(f, to, f.class[id])
-	if left := f.left(id); lost || took > left {
+	if left := f.timeLeft(id); lost || took > left {
 		f.after(left, func() { f.result(id, n, sent, TimedOut) })
 	} else {
 		f.after(took, func() { f.result(id, n, sent, Served) })
 	}
 }
 
-const patience = 500 * time.Millisecond
+const clientTimeout = 500 * time.Millisecond
 
-// left is the time left to a client. Its request's number is when it asked.
-func (f *lossy) left(id RequestID) time.Duration { return Time(id) + patience - f.now }
+// timeLeft is the time timeLeft to a client. Its request's number is when it asked.
+func (f *lossyHost) timeLeft(id RequestID) time.Duration { return Time(id) + clientTimeout - f.now }
 
-func (f *lossy) result(id RequestID, n int, sent Time, how Outcome) {
+func (f *lossyHost) result(id RequestID, n int, sent Time, how Outcome) {
 	if f.done[id][n] {
 		return
 	}
 	f.done[id][n] = true
-	f.out[id]--
-	if how == Served && !f.over[id] {
-		f.over[id] = true
+	f.inFlight[id]--
+	if how == Served && !f.ended[id] {
+		f.ended[id] = true
 		f.served++
 		if f.now-Time(id) <= f.b.settings.Classes[f.class[id]].LatencyObjective {
 			f.inTime++
@@ -100,28 +100,28 @@
 	}
 	f.b.Result(
 		f.now,
-		Result{ID: id, Attempt: n, Endpoint: f.to[id][n], Outcome: how, Took: f.now - sent, Finished: f.over[id]},
+		Result{ID: id, Attempt: n, Endpoint: f.to[id][n], Outcome: how, Took: f.now - sent, Finished: f.ended[id]},
 	)
 }
 
-func (f *lossy) Cancel(id RequestID, n int) {
+func (f *lossyHost) Cancel(id RequestID, n int) {
 	f.after(0, func() { f.result(id, n, f.now, Cancelled) })
 }
-func (f *lossy) Reject(id RequestID, _ time.Duration) { f.refused, f.over[id] = f.refused+1, true }
-func (f *lossy) Fail(id RequestID)                    { f.failed, f.over[id] = f.failed+1, true }
-func (f *lossy) Timer(d time.Duration, token uint64) {
+func (f *lossyHost) Reject(id RequestID, _ time.Duration) { f.refused, f.ended[id] = f.refused+1, true }
+func (f *lossyHost) Fail(id RequestID)                    { f.failed, f.ended[id] = f.failed+1, true }
+func (f *lossyHost) Timer(d time.Duration, token uint64) {
 	f.after(d, func() { f.b.Timer(f.now, token) })
 }
-func (f *lossy) Subscribe()      {}
-func (f *lossy) Log(line string) { f.logs = append(f.logs, line) }
+func (f *lossyHost) Subscribe()      {}
+func (f *lossyHost) Log(line string) { f.logs = append(f.logs, line) }
 
 // run has a request every step, of any class, for a time.
-func (f *lossy) run(length, step time.Duration) (requests int) {
+func (f *lossyHost) run(length, step time.Duration) (requests int) {
 	for end := f.now + length; f.now < end; requests++ {
 		id := RequestID(f.now)
 		f.class[id] = f.rng.IntN(len(f.b.settings.Classes))
-		f.b.Request(f.now, Request{ID: id, Class: f.class[id], Tenant: -1, Timeout: patience})
-		f.until(f.now + step)
+		f.b.Request(f.now, Request{ID: id, Class: f.class[id], Tenant: -1, Timeout: clientTimeout})
+		f.advanceTo(f.now + step)
 	}
 	return requests
 }
@@ -129,38 +129,38 @@
 // TestLosses plays a calm time and then a fault: what the fault takes may go, what it leaves must not, and
 // where nothing is lost nothing goes out twice.
 func TestLosses(t *testing.T) {
-	usual := func(f *lossy) time.Duration {
+	usual := func(f *lossyHost) time.Duration {
 		return time.Duration(20 * math.Exp(f.rng.NormFloat64()*0.4) * float64(time.Millisecond))
 	}
 	half := func(to string) bool { return to < "d" } // of a to f
 	for _, tt := range []struct {
 		name   string
-		fault  func(f *lossy, to string, class int) (time.Duration, bool)
+		fault  func(f *lossyHost, to string, class int) (time.Duration, bool)
 		lines  [2]int     // log lines at least and at most
 		away   string     // what they say
-		copies [2]float64 // second copies for each request
+		hedges [2]float64 // second copies for each request
 		inTime float64    // share of requests
 		bad    [2]float64 // share of sends that the endpoints at fault get
 	}{
-		{"nothing", func(f *lossy, _ string, _ int) (time.Duration, bool) { return usual(f), false },
+		{"nothing", func(f *lossyHost, _ string, _ int) (time.Duration, bool) { return usual(f), false },
 			[2]int{0, 0}, "", [2]float64{0, 0.001}, 0.999, [2]float64{0.45, 0.55}},
-		{"half lose a quarter", func(f *lossy, to string, _ int) (time.Duration, bool) {
+		{"half lose a quarter", func(f *lossyHost, to string, _ int) (time.Duration, bool) {
 			return usual(f), half(to) && f.rng.Float64() < 0.25
 		}, [2]int{0, 2}, "", [2]float64{0.05, 0.25}, 0.94, [2]float64{0.3, 0.5}},
-		{"all lose a fiftieth", func(f *lossy, _ string, _ int) (time.Duration, bool) {
+		{"all lose a fiftieth", func(f *lossyHost, _ string, _ int) (time.Duration, bool) {
 			return usual(f), f.rng.Float64() < 0.02
 		}, [2]int{0, 0}, "", [2]float64{0.015, 0.05}, 0.98, [2]float64{0.45, 0.55}},
-		{"all lose half", func(f *lossy, _ string, _ int) (time.Duration, bool) {
+		{"all lose half", func(f *lossyHost, _ string, _ int) (time.Duration, bool) {
 			return usual(f), f.rng.Float64() < 0.5
 		}, [2]int{0, 20}, "", [2]float64{0.05, 0.25}, 0.4, [2]float64{0.1, 0.9}},
-		{"half swallow a class", func(f *lossy, to string, class int) (time.Duration, bool) {
+		{"half swallow a class", func(f *lossyHost, to string, class int) (time.Duration, bool) {
 			return usual(f), half(to) && class == 1
 		}, [2]int{3, 12}, "", [2]float64{0.001, 0.05}, 0.96, [2]float64{0.2, 0.35}},
-		{"one is silent", func(f *lossy, to string, _ int) (time.Duration, bool) { return usual(f), to == "a" },
+		{"one is silent", func(f *lossyHost, to string, _ int) (time.Duration, bool) { return usual(f), to == "a" },
 			[2]int{1, 6}, "ejected a", [2]float64{0, 0.05}, 0.97, [2]float64{0.3, 0.45}},
-		{"all answer late", func(f *lossy, _ string, _ int) (time.Duration, bool) { return 3 * usual(f), false },
+		{"all answer late", func(f *lossyHost, _ string, _ int) (time.Duration, bool) { return 3 * usual(f), false },
 			[2]int{0, 0}, "", [2]float64{0, 0.02}, 0.9, [2]float64{0.45, 0.55}},
-		{"half answer late", func(f *lossy, to string, _ int) (time.Duration, bool) {
+		{"half answer late", func(f *lossyHost, to string, _ int) (time.Duration, bool) {
 			if half(to) {
 				return 4 * usual(f), false
 			}
@@ -169,27 +169,27 @@
 	} {
 		set := settings()
 		set.CancelAllowed, set.HedgingAllowed = true, true
-		set.Classes[0].LatencyObjective, set.Classes[0].Deadline = 130*time.Millisecond, patience
+		set.Classes[0].LatencyObjective, set.Classes[0].Deadline = 130*time.Millisecond, clientTimeout
 		set.Classes = append(set.Classes, set.Classes[0])
 		set.Classes[1].Name = "write"
-		f := &lossy{t: t, now: time.Minute, rng: rand.New(rand.NewPCG(3, 4)), class: map[RequestID]int{},
-			answer: func(f *lossy, _ string, _ int) (time.Duration, bool) { return usual(f), false },
-			out:    map[RequestID]int{}, over: map[RequestID]bool{}, to: map[RequestID][]string{},
+		f := &lossyHost{t: t, now: time.Minute, rng: rand.New(rand.NewPCG(3, 4)), class: map[RequestID]int{},
+			answer:   func(f *lossyHost, _ string, _ int) (time.Duration, bool) { return usual(f), false },
+			inFlight: map[RequestID]int{}, ended: map[RequestID]bool{}, to: map[RequestID][]string{},
 			done: map[RequestID][]bool{}, sends: map[string]int{}}
 		var err error
 		if f.b, err = New(set, f); err != nil {
 			t.Fatal(err)
 		}
-		f.b.Endpoints(f.now, ListCached, many(6))
+		f.b.Endpoints(f.now, ListCached, identicalEndpoints(6))
 		f.run(10*time.Second, 4*time.Millisecond)
-		if f.copies > 5 || len(f.logs) > 0 {
-			t.Errorf("%s: before it %d second copies went out, log %q", tt.name, f.copies, f.logs)
+		if f.hedges > 5 || len(f.logs) > 0 {
+			t.Errorf("%s: before it %d second copies went out, log %q", tt.name, f.hedges, f.logs)
 		}
-		f.until(f.now + patience)
-		f.answer, f.copies, f.inTime, f.logs = tt.fault, 0, 0, nil
+		f.advanceTo(f.now + clientTimeout)
+		f.answer, f.hedges, f.inTime, f.logs = tt.fault, 0, 0, nil
 		clear(f.sends)
 		n := float64(f.run(10*time.Second, 4*time.Millisecond))
-		f.until(f.now + 2*patience)
+		f.advanceTo(f.now + 2*clientTimeout)
 		all, bad := 0, 0
 		for to, sends := range f.sends {
 			if all += sends; half(to) {
@@ -201,9 +201,9 @@
 				t.Errorf("%s: %s %.4f, want %.4f to %.4f", tt.name, what, got, least, most)
 			}
 		}
-		between("second copies a request", float64(f.copies)/n, tt.copies[0], tt.copies[1])
-		if most := retryBudgetMax + retryBudgetRatio*float64(f.served); float64(f.copies) > most {
-			t.Errorf("%s: %d second copies after %d answers, want %.0f at most", tt.name, f.copies, f.served, most)
+		between("second copies a request", float64(f.hedges)/n, tt.hedges[0], tt.hedges[1])
+		if most := retryBudgetMax + retryBudgetRatio*float64(f.served); float64(f.hedges) > most {
+			t.Errorf("%s: %d second copies after %d answers, want %.0f at most", tt.name, f.hedges, f.served, most)
 		}
 		between("share in time", float64(f.inTime)/n, tt.inTime, 1)
 		between("share of the bad half", float64(bad)/float64(all), tt.bad[0], tt.bad[1])
@@ -243,7 +243,7 @@
 		{"no connection after clients' retries", retryBudgetMax, ConnectFailed, true},
 		{"not sent after clients' retries", retryBudgetMax, NotSent, true},
 	} {
-		b, h := start(t, settings(), many(6))
+		b, h := start(t, settings(), identicalEndpoints(6))
 		for i := range RequestID(tt.retries) {
 			b.Request(h.now, Request{ID: i + 2, Tenant: -1, Timeout: time.Second, Retry: true})
 			b.ClientGone(h.now, i+2)
@@ -253,22 +253,22 @@
 		}
 		h.sent = nil
 		b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: time.Second})
-		h.answer(b, h.now, tt.outcome)
-		if again := len(h.sent) == 1; again != tt.again || len(h.refused) > 0 == tt.again {
-			t.Errorf("%s: sent again %v, refused %v, want sent again %v", tt.name, again, h.refused, tt.again)
+		h.finishAttempts(b, h.now, tt.outcome)
+		if again := len(h.sent) == 1; again != tt.again || len(h.rejected) > 0 == tt.again {
+			t.Errorf("%s: sent again %v, refused %v, want sent again %v", tt.name, again, h.rejected, tt.again)
 		}
 	}
-	b, h := start(t, settings(), many(6))
+	b, h := start(t, settings(), identicalEndpoints(6))
 	b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: time.Second})
 	b.requests[1].retryPaid = true // as when its first attempt was called off to be made anew
 	for b.retryBudget.Spend(0) {
 	}
-	h.answer(b, h.now, Cancelled)
+	h.finishAttempts(b, h.now, Cancelled)
 	if len(h.sent) != 1 {
 		t.Fatal("what was paid for was not sent")
 	}
 	if b.Result(h.now, Result{ID: 1, Attempt: 1, Endpoint: h.sent[0].to, Outcome: Errored}); len(
-		h.refused,
+		h.rejected,
 	) != 1 {
 		t.Errorf("sent %v: one payment was for all attempts that followed", h.sent)
 	}
--- a/balance/oncall_test.go
+++ b/balance/oncall_test.go
@@ -15,10 +15,10 @@
 	}
 	set := settings()
 	set.Classes[0].Name = "par-update"
-	b, h := start(t, set, pair())
+	b, h := start(t, set, twoEndpoints())
 	for i := range RequestID(8) {
 		outcome := Served
-		to := ask(b, h, i)
+		to := sendRequest(b, h, i)
 		if to == "a" {
 			outcome = Errored
 		}
@@ -29,7 +29,7 @@
 	}
 	before := len(h.logs)
 	for i := range RequestID(2) { // the second is not told again
-		b.Result(h.now, Result{ID: 100 + i, Endpoint: ask(b, h, 100+i), Outcome: Saturated, Finished: true})
+		b.Result(h.now, Result{ID: 100 + i, Endpoint: sendRequest(b, h, 100+i), Outcome: Saturated, Finished: true})
 		h.now += classEjectionTime
 	}
 	if n := len(h.logs) - before; n != 1 {
--- a/balance/refuse_test.go
+++ b/balance/refuse_test.go
@@ -21,7 +21,7 @@
 		set := settings()
 		tt.class.LatencyObjective, tt.class.Deadline, tt.class.Priority = time.Second, 3*time.Second, 1
 		set.Classes = []Class{tt.class}
-		b, h := start(t, set, pair())
+		b, h := start(t, set, twoEndpoints())
 		b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: time.Second})
 		if len(h.sent) != 1 {
 			t.Fatalf("%s: %d attempts, want 1", tt.name, len(h.sent))
--- a/balance/route_test.go
+++ b/balance/route_test.go
@@ -66,7 +66,7 @@
 			t.Fatalf("request %d: %d sends", i, len(h.sent))
 		}
 		order = append(order, h.sent[0].to)
-		h.answer(b, now+time.Millisecond, Served)
+		h.finishAttempts(b, now+time.Millisecond, Served)
 	}
 	return order
 }
@@ -304,18 +304,18 @@
 // way there and back: it gets the next request, and nothing is tight.
 func TestFarIsNotFull(t *testing.T) {
 	far := Endpoint{ID: "far", Zone: "y", Kind: "big", Weight: 1}
-	b, h := start(t, settings(), append(pair(), far))
+	b, h := start(t, settings(), append(twoEndpoints(), far))
 	aim := b.settings.Classes[0].LatencyObjective
-	away := pair()
+	away := twoEndpoints()
 	away[0].State, away[1].State = Draining, Draining
 	b.Endpoints(h.now, ListChanges, away)
-	serve(b, h, 20, aim*6/10)
-	b.Endpoints(h.now, ListChanges, pair())
+	serveRequests(b, h, 20, aim*6/10)
+	b.Endpoints(h.now, ListChanges, twoEndpoints())
 	b.known["far"].ejectedUntil = h.now + time.Hour // the own zone answers in a tenth of that time
-	serve(b, h, 200, aim*6/100)
+	serveRequests(b, h, 200, aim*6/100)
 	b.known["far"].ejectedUntil, b.zoneWeight[1] = 0, minZoneWeight
 	for i := range RequestID(100) {
-		switch to := ask(b, h, i+1); {
+		switch to := sendRequest(b, h, i+1); {
 		case to == "":
 			t.Fatalf("request %d is refused, and the idle far endpoint has had none", i)
 		case h.now < b.overloadedUntil:
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -13,7 +13,7 @@
 type checker struct {
 	set      Settings
 	now      Time
-	requests map[RequestID]*held
+	requests map[RequestID]*openRequest
 	servers  map[string]*server
 	order    []string // server ids
 	timers   map[Time][]uint64
@@ -24,14 +24,14 @@
 	out      map[string]bool // servers taken out by hand
 }
 
-type held struct {
+type openRequest struct {
 	class    *Class
 	deadline Time
 	ended    bool
-	attempts []try
+	attempts []sentTry
 }
 
-type try struct {
+type sentTry struct {
 	to   string
 	sent Time
 	done bool
@@ -91,10 +91,10 @@
 			c.fault("rule 2: request %d again outside its scope", id)
 		}
 	}
-	r.attempts = append(r.attempts, try{to: to, sent: c.now})
+	r.attempts = append(r.attempts, sentTry{to: to, sent: c.now})
 }
 
-func (c *checker) final(id RequestID) *held {
+func (c *checker) finish(id RequestID) *openRequest {
 	c.done = append(c.done, fmt.Sprint("end ", id))
 	r := c.requests[id]
 	if r == nil || r.ended {
@@ -109,11 +109,11 @@
 }
 
 func (c *checker) Reject(id RequestID, after time.Duration) {
-	r := c.final(id)
+	r := c.finish(id)
 	if r == nil {
 		return
 	}
-	if after < 0 || after.Seconds() > c.shortestAim() {
+	if after < 0 || after.Seconds() > c.shortestObjective() {
 		c.fault("advice to wait %v", after) // a client that waits longer than its aim comes back for nothing
 	}
 	for _, a := range r.attempts {
@@ -124,8 +124,8 @@
 	}
 }
 
-// shortestAim is in seconds.
-func (c *checker) shortestAim() float64 {
+// shortestObjective is in seconds.
+func (c *checker) shortestObjective() float64 {
 	shortest := c.set.Classes[0].LatencyObjective
 	for _, class := range c.set.Classes {
 		shortest = min(shortest, class.LatencyObjective)
@@ -133,7 +133,7 @@
 	return shortest.Seconds()
 }
 
-func (c *checker) Fail(id RequestID) { c.final(id) }
+func (c *checker) Fail(id RequestID) { c.finish(id) }
 
 func (c *checker) Cancel(id RequestID, attempt int) {
 	if r := c.requests[id]; !c.set.CancelAllowed || r == nil || attempt >= len(r.attempts) {
@@ -175,7 +175,7 @@
 	c := &checker{
 		set:      set,
 		now:      time.Minute,
-		requests: map[RequestID]*held{},
+		requests: map[RequestID]*openRequest{},
 		servers:  map[string]*server{},
 		timers:   map[Time][]uint64{},
 		out:      map[string]bool{},
@@ -281,7 +281,7 @@
 			next++
 			r := Request{ID: next, Class: rng.IntN(len(set.Classes)), Tenant: rng.IntN(3) - 1,
 				Timeout: time.Duration(50+rng.IntN(950)) * time.Millisecond}
-			c.requests[next] = &held{class: &set.Classes[r.Class], deadline: c.now + r.Timeout}
+			c.requests[next] = &openRequest{class: &set.Classes[r.Class], deadline: c.now + r.Timeout}
 			b.Request(c.now, r)
 			if flip(.02) && !c.requests[next].ended {
 				b.Request(c.now, r) // a mistake of the host's
@@ -341,7 +341,7 @@
 			}
 		}
 		for id, r := range c.requests {
-			open := !r.ended || slices.ContainsFunc(r.attempts, func(a try) bool { return !a.done })
+			open := !r.ended || slices.ContainsFunc(r.attempts, func(a sentTry) bool { return !a.done })
 			if !open {
 				delete(c.requests, id)
 			}
@@ -463,7 +463,7 @@
 	set := settings()
 	set.Peers = 1000
 	set.Tenants = []Tenant{{"a", 500}, {"b", 500}}
-	b, h := start(t, set, pair())
+	b, h := start(t, set, twoEndpoints())
 	rng := rand.New(rand.NewPCG(1, 1))
 	var all [2]float64
 	for range int(20 / tickInterval.Seconds()) {
--- a/balance/sequence_test.go
+++ b/balance/sequence_test.go
@@ -37,25 +37,25 @@
 				DedupeWindow: 600 * time.Millisecond, LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, Priority: 1})
 		}
 		set.Classes[2].Scope = ScopeAll
-		c := &checker{set: set, now: time.Minute, requests: map[RequestID]*held{}, servers: map[string]*server{},
+		c := &checker{set: set, now: time.Minute, requests: map[RequestID]*openRequest{}, servers: map[string]*server{},
 			timers: map[Time][]uint64{}}
 		b, err := New(set, c)
 		if err != nil {
 			t.Fatal(err)
 		}
-		list := many(4)
+		list := identicalEndpoints(4)
 		for i := range list {
 			list[i].PodGroup = i / 2
 			c.servers[list[i].ID] = &server{Endpoint: list[i], listed: true}
 		}
 		b.Endpoints(c.now, ListCached, list)
 		var next RequestID
-		var asked []*held // by number
+		var asked []*openRequest // by number
 		extra, answers := 0, 0
 		served := map[*Class]float64{}
-		request := func(class int, within time.Duration) *held {
+		request := func(class int, within time.Duration) *openRequest {
 			next++
-			r := &held{class: &set.Classes[class], deadline: c.now + within}
+			r := &openRequest{class: &set.Classes[class], deadline: c.now + within}
 			c.requests[next] = r
 			asked = append(asked, r)
 			b.Request(
@@ -196,11 +196,11 @@
 				whole := 0.0
 				for id := warm + 1; id <= next; id++ {
 					r := c.requests[id]
-					if !r.ended && !slices.ContainsFunc(r.attempts, func(a try) bool { return !a.done }) {
+					if !r.ended && !slices.ContainsFunc(r.attempts, func(a sentTry) bool { return !a.done }) {
 						t.Fatalf("request %d has nothing out and no answer", id)
 					}
 					for n := 1; n < len(r.attempts); n++ {
-						if slices.ContainsFunc(r.attempts[:n], func(a try) bool { return !a.free }) {
+						if slices.ContainsFunc(r.attempts[:n], func(a sentTry) bool { return !a.free }) {
 							spent[r.class]++
 							whole++
 						}
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -10,17 +10,17 @@
 	"milletramp.example/milletramp/internal/lab/testrun"
 )
 
-// fallBudget is the number of requests of mean work that a cold endpoint stands where the settings allow it
+// overloadLimit is the number of requests of mean work that a cold endpoint stands where the settings allow it
 // n.
-func fallBudget(n float64) float64 {
+func overloadLimit(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
 	}
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// coldFleet is a fleet of ten endpoints at their capacity, before some start cold.
-type coldFleet struct {
+// warmingFleet is a fleet of ten endpoints at their capacity, before some start cold.
+type warmingFleet struct {
 	name     string
 	allCold  bool // all ten start anew at once; else one more comes, under a burst
 	restarts bool // a tenth of the sidecars, or one, is restarted each second
@@ -34,7 +34,7 @@
 // the fall rule may all sidecars together send a cold endpoint more than its budget, and without restarts
 // it has to get a part of what it can do.
 func TestFallBudgetHoldsForAnyFleet(t *testing.T) {
-	for _, f := range []coldFleet{
+	for _, f := range []warmingFleet{
 		{name: "one cold", zones: 1},
 		{name: "one cold in three zones", zones: 3},
 		{name: "one cold and restarts", zones: 1, restarts: true},
@@ -55,7 +55,7 @@
 	}
 }
 
-func (c coldFleet) play(t *testing.T) {
+func (c warmingFleet) play(t *testing.T) {
 	const servers, burst, seconds = 10, 1.5, 4
 	set := settings()
 	set.SlowStartWindow, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow = 8*time.Second, 0.3, c.multiple, 2*time.Second
@@ -64,9 +64,9 @@
 	for i := range list {
 		list[i].Zone = set.Zones[i%c.zones]
 	}
-	f := newParty(t, set, 0, nil)
-	f.most, f.busy = c.capacity, map[string]Time{}
-	f.all, f.hosts, f.share = make(
+	f := newSidecarFleet(t, set, 0, nil)
+	f.responseRate, f.busyUntil = c.capacity, map[string]Time{}
+	f.balancers, f.hosts, f.cumulativeTraffic = make(
 		[]*Balancer,
 		c.sidecars,
 	), make(
@@ -83,7 +83,7 @@
 	sum := 0.0
 	for i := range c.sidecars {
 		sum += f.rng.ExpFloat64()
-		f.hosts[i], f.share[i] = &host{}, sum
+		f.hosts[i], f.cumulativeTraffic[i] = &host{}, sum
 		begin(i, list[1:])
 	}
 	load, cold := c.capacity*servers, list[1:]
@@ -95,7 +95,7 @@
 	for i := range cold {
 		cold[i].Started = told
 	}
-	f.tell(ListChanges, cold)
+	f.applyList(ListChanges, cold)
 	for range seconds {
 		f.run(time.Second, load)
 		for i := 0; c.restarts && i < max(1, c.sidecars/10); i++ {
@@ -111,13 +111,13 @@
 		for i, at := range sends {
 			window := sort.Search(len(sends)-i, func(n int) bool { return sends[i+n] > at+set.OverloadWindow })
 			warm := set.SlowStartCapacity + (1-set.SlowStartCapacity)*(at-told).Seconds()/set.SlowStartWindow.Seconds()
-			if n := c.multiple * warm * c.capacity * set.OverloadWindow.Seconds(); float64(window) > fallBudget(n) {
+			if n := c.multiple * warm * c.capacity * set.OverloadWindow.Seconds(); float64(window) > overloadLimit(n) {
 				t.Fatalf(
 					"%d requests within %v from %v on, %.0f fell it",
 					window,
 					set.OverloadWindow,
 					at-told,
-					fallBudget(n),
+					overloadLimit(n),
 				)
 			}
 		}
@@ -140,10 +140,10 @@
 	const requests = 300
 	sent := 0.0
 	for i := range RequestID(requests) {
-		if to := ask(b, h, i); to != "" {
+		if to := sendRequest(b, h, i); to != "" {
 			sent++
 		}
-		h.answer(b, h.now, Served)
+		h.finishAttempts(b, h.now, Served)
 		if h.now += 10 * time.Millisecond; i%10 == 0 {
 			b.Timer(h.now, tokenTick)
 		}
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -16,8 +16,8 @@
 	return list
 }
 
-// sidecar starts number self of peers on a fleet.
-func sidecar(t *testing.T, self, peers int, list []Endpoint) (*Balancer, *host) {
+// startSidecar starts number self of peers on a fleet.
+func startSidecar(t *testing.T, self, peers int, list []Endpoint) (*Balancer, *host) {
 	t.Helper()
 	set := settings()
 	set.Ordinal, set.Peers, set.Seed = self, peers, uint64(self)
@@ -36,7 +36,7 @@
 	list := fleet(servers)
 	users := map[string]int{}
 	for self := range peers {
-		b, _ := sidecar(t, self, peers, list)
+		b, _ := startSidecar(t, self, peers, list)
 		if n := len(b.active); n != minSubsetSize {
 			t.Fatalf("an idle sidecar uses %d endpoints, want %d", n, minSubsetSize)
 		}
@@ -53,12 +53,12 @@
 }
 
 func TestSubsetGoesWithTraffic(t *testing.T) {
-	b, h := sidecar(t, 3, 10, fleet(200))
+	b, h := startSidecar(t, 3, 10, fleet(200))
 	first := ids(b.active)
 	for range 300 { // 30 s of 10 requests a second
 		h.now += tickInterval
 		b.Timer(h.now, tokenTick)
-		serve(b, h, 1, 10*time.Millisecond)
+		serveRequests(b, h, 1, 10*time.Millisecond)
 	}
 	if n, want := len(b.active), 10*decayTimeConstant.Seconds(); float64(n) < want*0.8 || float64(n) > want*1.2 {
 		t.Errorf("at 10 requests a second %d endpoints are used, want about %.0f", n, want)
@@ -69,12 +69,12 @@
 }
 
 func TestSubsetMakesUpForTheEjected(t *testing.T) {
-	b, h := sidecar(t, 3, 10, fleet(200))
+	b, h := startSidecar(t, 3, 10, fleet(200))
 	first := ids(b.active)
 	for range 4 {
 		for i := RequestID(0); i < minSubsetSize && len(h.logs) == 0; i++ {
 			id := i + RequestID(h.now)
-			if to := ask(b, h, id); to != "" {
+			if to := sendRequest(b, h, id); to != "" {
 				outcome := Served
 				if to == first[0] {
 					outcome = Errored
@@ -96,7 +96,7 @@
 	const servers = 200
 	moved := 0
 	for self := range 100 {
-		b, h := sidecar(t, self, 100, fleet(servers))
+		b, h := startSidecar(t, self, 100, fleet(servers))
 		before := ids(b.active)
 		b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "s0100x", Zone: "x", Kind: "big", Weight: 1}})
 		for _, id := range ids(b.active) {
@@ -123,7 +123,7 @@
 		list := fleet(20)
 		var cold, all float64
 		for self := range peers {
-			b, h := sidecar(t, self, peers, list)
+			b, h := startSidecar(t, self, peers, list)
 			fresh := list[0]
 			fresh.Started = h.now
 			b.Endpoints(h.now, ListChanges, []Endpoint{fresh})
@@ -133,7 +133,7 @@
 				b.Timer(h.now, tokenTick)
 				for share := 8000 / peers * (self % 2); int(id)*seconds*10 < share*(tick+1); {
 					id++ // half of the sidecars carry all traffic
-					to := ask(b, h, id)
+					to := sendRequest(b, h, id)
 					if all++; to == fresh.ID {
 						cold++
 					}
@@ -161,13 +161,13 @@
 	}
 }
 
-// asking records when a Balancer is to call discovery.
-type asking struct {
+// pollingHost records when a Balancer is to call discovery.
+type pollingHost struct {
 	host
 	after time.Duration
 }
 
-func (a *asking) Timer(after time.Duration, token uint64) {
+func (a *pollingHost) Timer(after time.Duration, token uint64) {
 	if token == tokenDiscovery {
 		a.after = after
 	}
@@ -178,7 +178,7 @@
 	set.PollDiscovery, set.MaxListAge, set.Peers = true, 10*time.Second, 1000
 	seconds := make([]int, set.MaxListAge/2/time.Second)
 	for set.Ordinal = range set.Peers {
-		a := &asking{}
+		a := &pollingHost{}
 		if _, err := New(set, a); err != nil {
 			t.Fatal(err)
 		}
@@ -220,9 +220,9 @@
 		for _, s := range h.sent {
 			got[s.to]++
 		}
-		h.answer(b, h.now, Served)
+		h.finishAttempts(b, h.now, Served)
 	}
-	if n := len(h.refused); n > requests/20 {
+	if n := len(h.rejected); n > requests/20 {
 		t.Errorf("%d of %d requests are refused while all endpoints are idle and cold", n, requests)
 	}
 	for id, n := range got {
--- a/balance/untested_test.go
+++ b/balance/untested_test.go
@@ -28,7 +28,7 @@
 			{ID: "b", Zone: "y", Kind: "small", Weight: 1},
 		}
 		b, h := start(t, settings(), list)
-		serve(b, h, 200, 20*time.Millisecond)
+		serveRequests(b, h, 200, 20*time.Millisecond)
 		e := b.known["a"]
 		e.responseInFlight, e.homeGroup.responseInFlight, b.allEndpoints.responseInFlight = 20, 40, 100
 		e.responseSeconds, e.homeGroup.responseSeconds, b.allEndpoints.responseSeconds = slow*e.responseInFlight, tt.group*e.homeGroup.responseInFlight, tt.fleet*b.allEndpoints.responseInFlight
@@ -52,8 +52,8 @@
 // TestColdIsSmallNotSlow has a cold endpoint: it can do less at a time, and a request that finds it idle is
 // answered as soon as by a warm one. Danger: taken for slow it is left idle while the warm ones are full.
 func TestColdIsSmallNotSlow(t *testing.T) {
-	b, h := start(t, settings(), pair())
-	serve(b, h, 200, 20*time.Millisecond)
+	b, h := start(t, settings(), twoEndpoints())
+	serveRequests(b, h, 200, 20*time.Millisecond)
 	warm, cold := b.known["a"], b.known["b"]
 	cold.observations, cold.capacityShare = warm.observations, 0.3
 	if got, want := b.expectedTime(cold, h.now), b.expectedTime(warm, h.now); got != want {
@@ -72,12 +72,12 @@
 // its former servers did not answer.
 func TestRestartIsForgottenOfItsGroup(t *testing.T) {
 	list := append(
-		many(4),
+		identicalEndpoints(4),
 		Endpoint{ID: "y", Zone: "y", Kind: "small", Weight: 1},
 		Endpoint{ID: "z", Zone: "y", Kind: "small", Weight: 1},
 	)
 	b, h := start(t, settings(), list)
-	serve(b, h, 400, 20*time.Millisecond)
+	serveRequests(b, h, 400, 20*time.Millisecond)
 	before := b.allEndpoints.secondsPerRequest()
 	for i, id := range []string{"y", "z", "y", "z", "y", "z"} {
 		b.Request(h.now, Request{ID: RequestID(i + 1), Tenant: -1, Timeout: 3 * time.Second})
@@ -110,19 +110,19 @@
 // no more, neither while they are out nor when they end. Danger: a zone that is back is taken for slow as
 // long as its former processes owe.
 func TestFormerProcessIsNoNews(t *testing.T) {
-	b, h := start(t, settings(), many(3))
-	serve(b, h, 300, 20*time.Millisecond)
+	b, h := start(t, settings(), identicalEndpoints(3))
+	serveRequests(b, h, 300, 20*time.Millisecond)
 	e := b.known["a"]
-	var out []sending
+	var out []sentAttempt
 	for i := range RequestID(30) {
-		ask(b, h, i+1)
+		sendRequest(b, h, i+1)
 	}
 	out, h.sent = h.sent, nil
 	if e.inFlight < 5 {
 		t.Fatalf("%d requests are out at it", e.inFlight)
 	}
 	h.now += 2 * time.Second
-	list := many(3)[:1]
+	list := identicalEndpoints(3)[:1]
 	list[0].Started = h.now - time.Second
 	b.Endpoints(h.now, ListChanges, list)
 	check := func(when string) {
