--- a/balance/admin.go
+++ b/balance/admin.go
@@ -19,7 +19,7 @@
 		return true
 	case down:
 		b.applyAdminDown(now, id, true)
-		b.actions.Log("taken out by hand " + id)
+		b.actions.Log("server " + id + " set administratively down")
 	default:
 		// The endpoint was probably restarted while it was down, which discovery may report late or never.
 		b.restored[id] = now
@@ -29,7 +29,7 @@
 			b.started = append(b.started, e)
 		}
 		b.applyAdminDown(now, id, false)
-		b.actions.Log("put back by hand " + id)
+		b.actions.Log("server " + id + " back in service")
 	}
 	b.refreshAfterChange(now)
 	return true
--- a/balance/check.go
+++ b/balance/check.go
@@ -17,7 +17,7 @@
 	case set.Peers < 1:
 		return fmt.Errorf("field Peers: %d sidecars", set.Peers)
 	case set.Ordinal < 0 || set.Ordinal >= set.Peers:
-		return fmt.Errorf("field Self: sidecar %d of %d", set.Ordinal, set.Peers)
+		return fmt.Errorf("field Ordinal: sidecar %d of %d", set.Ordinal, set.Peers)
 	case set.MaxAttempts < 1:
 		return fmt.Errorf("field MaxAttempts: %d attempts", set.MaxAttempts)
 	case set.MaxAttempts > maxAttemptsPerRequest:
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -146,6 +146,6 @@
 // request probes it. The ejection is logged once until a response readmits the class.
 func (b *Balancer) ejectForClass(e *endpoint, class int, until Time) {
 	if e.classes[class].Eject(until) {
-		b.actions.Log("shut " + e.ID + " to " + b.settings.Classes[class].Name)
+		b.actions.Log("server " + e.ID + " ejected for class " + b.settings.Classes[class].Name)
 	}
 }
--- a/balance/route_test.go
+++ b/balance/route_test.go
@@ -231,7 +231,7 @@
 			`tenant 0, "t": field Allowance`,
 		},
 		{"no peers", func(s *Settings) { s.Peers = 0 }, "field Peers"},
-		{"number beyond its peers", func(s *Settings) { s.Ordinal = 1 }, "field Self: sidecar 1 of 1"},
+		{"number beyond its peers", func(s *Settings) { s.Ordinal = 1 }, "field Ordinal: sidecar 1 of 1"},
 		{"no attempts", func(s *Settings) { s.MaxAttempts = 0 }, "field MaxAttempts"},
 		{"cold share above all", func(s *Settings) { s.SlowStartCapacity = 1.1 }, "field StartCapacity"},
 		{"negative multiple", func(s *Settings) { s.OverloadMultiple = -1 }, "field FallMultiple"},
