--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -64,8 +64,8 @@
 	capacity                capacityMeter // capacity of warmed-up endpoints, as measured by this sidecar
 	arrivals                float64       // decaying count of requests
 	totalAllowance          float64       // sum of the tenants' allowances, in requests per second
-	subsetsChosenAt         Time          // when the subset sizes were last updated
-	sentAttempts            float64       // count of attempts sent
+	subsetsResizedAt        Time          // when the subset sizes were last updated
+	sentAttempts            float64       // attempts sent, and requests rejected while all endpoints warm up
 	suspectedCount          int           // number of endpoints that peers suspect
 	panicking               bool          // the ejected weight exceeds panicThreshold
 	subscribed              bool
@@ -119,7 +119,7 @@
 		b.capacity.advance(tickInterval)
 		b.decay(now, math.Exp(-tickInterval.Seconds()/decayTimeConstant.Seconds()))
 		b.updateZoneWeight(now)
-		if now >= b.subsetsChosenAt+subsetInterval {
+		if now >= b.subsetsResizedAt+subsetInterval {
 			b.chooseSubsets(now)
 		}
 	default:
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -41,7 +41,7 @@
 // of the endpoint per request in flight. The estimate for an endpoint with few requests relies on its group,
 // as kinds and zones are not equally loaded, and that for a group with few requests on the fleet.
 //
-// A sidecar with a too high estimate for the whole fleet would send nothing and never correct it. Therefore
+// A sidecar whose estimate for the whole fleet is too high would send nothing and never correct it. Therefore
 // an estimate without new samples decays until a single request tests it. Where all endpoints are at
 // capacity, each of many sidecars would test each endpoint, and these attempts alone would keep the fleet at
 // capacity. Therefore the estimate for an endpoint decays towards that for its group rather than to idle, and
--- a/balance/losses.go
+++ b/balance/losses.go
@@ -37,8 +37,8 @@
 // distributionTimeConstant is the time in which the distribution of response times decays to 1/e.
 const distributionTimeConstant = 20 * time.Second
 
-// classLossShare returns the share of the class's attempts lost at e, from the records of the class at e, of
-// e and of the fleet.
+// classLossShare returns the estimated share of the class's attempts lost at e, from the records of the class
+// at e, of e and of the fleet.
 func (b *Balancer) classLossShare(e *endpoint, class int) float64 {
 	return e.classes[class].Loss.Share(b.baselineLossShare(e))
 }
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -62,7 +62,7 @@
 
 // resizeSubsets updates the intended sizes of the subsets.
 func (b *Balancer) resizeSubsets(now Time) {
-	b.subsetsChosenAt = now
+	b.subsetsResizedAt = now
 	share := b.subsetShare()
 	for _, g := range b.groups {
 		g.subsetSize = g.sizeFor(share)
