--- a/balance/admission.go
+++ b/balance/admission.go
@@ -154,7 +154,7 @@
 		1/float64(b.settings.Peers),
 		b.arrivals/decayTimeConstant.Seconds()/math.Max(b.totalAllowance, 1e-9),
 	)
-	return b.tenants[i].Over(now, b.settings.Tenants[i].Allowance*share, decayTimeConstant)
+	return b.tenants[i].Exceeds(now, b.settings.Tenants[i].Allowance*share, decayTimeConstant)
 }
 
 // MayReject reports whether the host may reject a request that has had no final response yet: either the
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -47,14 +47,14 @@
 	loadLevel               loadlevel.Meter // recent response times relative to those of the preceding seconds
 	zoneResponseTimes       [2]group        // response times in the sidecar's own zone and in the other zones
 	requests                map[RequestID]*request
-	tenants                 []quota.Meter     // this sidecar's part of each tenant's allowance
-	meanResponseTime        []float64         // in seconds, by class
-	responseTimeDeviation   []float64         // mean deviation from meanResponseTime in seconds, by class
-	overallMeanResponseTime float64           // in seconds, of all classes
-	endedAttempts           float64           // decaying count of attempts that ended
-	failedAttempts          float64           // decaying count of attempts that failed
-	responseTimes           *lossdetect.Shape // distribution of response times
-	fleetLosses             lossdetect.Record // losses among the attempts at all endpoints
+	tenants                 []quota.Meter                   // this sidecar's part of each tenant's allowance
+	meanResponseTime        []float64                       // in seconds, by class
+	responseTimeDeviation   []float64                       // mean deviation from that in seconds, by class
+	overallMeanResponseTime float64                         // in seconds, of all classes
+	endedAttempts           float64                         // decaying count of attempts that ended
+	failedAttempts          float64                         // decaying count of attempts that failed
+	responseTimes           *lossdetect.LatencyDistribution // distribution of response times
+	fleetLosses             lossdetect.LossRate             // losses among the attempts at all endpoints
 	retryBudget             retrybudget.Budget
 	objective               float64       // shortest latency objective, in seconds
 	removedClasses          []bool        // by class: no longer in the settings
@@ -91,7 +91,7 @@
 		requests:      map[RequestID]*request{},
 		tenants:       make([]quota.Meter, len(set.Tenants)),
 		zoneWeight:    [2]float64{1, minZoneWeight},
-		responseTimes: lossdetect.NewShape(),
+		responseTimes: lossdetect.NewLatencyDistribution(),
 		retryBudget:   retrybudget.New(len(set.Classes), retryBudgetRatio, retryBudgetMax),
 	}
 	b.applyClassSettings()
--- a/balance/hedging.go
+++ b/balance/hedging.go
@@ -114,7 +114,7 @@
 	if a.endpoint.lastResponse < a.sent {
 		share = max(share, defaultLossShare)
 	}
-	return a.expectedNow * b.responseTimes.Beyond(lossdetect.Until(share, hedgeProbability))
+	return a.expectedNow * b.responseTimes.InverseSurvival(lossdetect.SurvivalForLoss(share, hedgeProbability))
 }
 
 // lateThreshold returns the time in seconds after which a response of the class is late.
--- a/balance/losses.go
+++ b/balance/losses.go
@@ -69,7 +69,7 @@
 		q.Class,
 		a,
 		survival,
-		lossdetect.Lost(b.classLossShare(a.endpoint, q.Class), survival),
+		lossdetect.LossProbability(b.classLossShare(a.endpoint, q.Class), survival),
 		now,
 	)
 }
@@ -80,11 +80,11 @@
 	switch {
 	case r.Outcome == Served:
 		if share < maxLossShareForTimes {
-			b.responseTimes.Answered(multiple)
+			b.responseTimes.Add(multiple)
 		}
 		e.silenceAlarm = 0
 		if a.expectedAtSend > 0 {
-			e.slowdown.Answered(r.Took.Seconds() / a.expectedAtSend)
+			e.slowdown.Add(r.Took.Seconds() / a.expectedAtSend)
 		}
 		e.classes[q.Class].Served(b.baselineLossShare(e), totalLossShare)
 		b.recordLoss(q.Class, a, 0)
@@ -93,9 +93,9 @@
 			share = max(share, minTimeoutLossShare)
 		}
 		survival := b.responseTimes.Survival(multiple)
-		lost := lossdetect.Lost(share, survival)
+		lost := lossdetect.LossProbability(share, survival)
 		if share < maxLossShareForTimes {
-			b.responseTimes.CalledOff(multiple, 1-lost)
+			b.responseTimes.AddCancelled(multiple, 1-lost)
 		}
 		b.recordNoResponse(q.Class, a, survival, lost, now)
 	case a.lossProbability > 0:
@@ -143,9 +143,9 @@
 			e.lastSilence = now
 		}
 		b.notifyObserver(e, ObservedNoResponse)
-		e.silenceAlarm.Bad(survival, max(b.baselineLossShare(e), partialLossShare), totalLossShare, 0)
+		e.silenceAlarm.RecordFailure(survival, max(b.baselineLossShare(e), partialLossShare), totalLossShare, 0)
 	}
-	if e.silenceAlarm.Rings() && a.sent >= e.ejectedUntil {
+	if e.silenceAlarm.Raised() && a.sent >= e.ejectedUntil {
 		b.eject(e, now)
 	}
 }
@@ -153,7 +153,7 @@
 // recordLoss records an attempt as lost with a probability, which replaces the one recorded for it before.
 func (b *Balancer) recordLoss(class int, a *attempt, lost float64) {
 	for _, r := range []struct {
-		record *lossdetect.Record
+		record *lossdetect.LossRate
 		decay  float64
 	}{
 		{&a.endpoint.classes[class].Loss, classLossDecay},
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -21,24 +21,24 @@
 
 // observations is what the sidecar has observed of the current process of an endpoint.
 type observations struct {
-	responseSeconds  float64             // decaying sum of response times, in seconds
-	responseInFlight float64             // decaying sum of the requests in flight at the sending of these
-	lastSample       Time                // when an attempt last yielded a response time
-	endedAttempts    float64             // decaying count of attempts that ended
-	failedAttempts   float64             // decaying count of attempts that failed
-	failureAlarm     lossdetect.Alarm    // rings if the endpoint fails much more than the others
-	lastFailure      Time                // when a failure was last counted
-	ejectedUntil     Time                // 0: never ejected
-	losses           lossdetect.Record   // losses while the endpoint responded to other attempts
-	silenceAlarm     lossdetect.Alarm    // rings if the endpoint loses all attempts
-	lastSilence      Time                // when a silence was last counted
-	slowdown         lossdetect.Slowdown // of recent response times relative to the expected ones
-	classes          []lossdetect.Access // by class
+	responseSeconds  float64                 // decaying sum of response times, in seconds
+	responseInFlight float64                 // decaying sum of the requests in flight at the sending of these
+	lastSample       Time                    // when an attempt last yielded a response time
+	endedAttempts    float64                 // decaying count of attempts that ended
+	failedAttempts   float64                 // decaying count of attempts that failed
+	failureAlarm     lossdetect.Alarm        // raised if the endpoint fails much more than the others
+	lastFailure      Time                    // when a failure was last counted
+	ejectedUntil     Time                    // 0: never ejected
+	losses           lossdetect.LossRate     // losses while the endpoint responded to other attempts
+	silenceAlarm     lossdetect.Alarm        // raised if the endpoint loses all attempts
+	lastSilence      Time                    // when a silence was last counted
+	slowdown         lossdetect.Slowdown     // of recent response times relative to the expected ones
+	classes          []lossdetect.ClassState // by class
 }
 
 // newObservations returns the observations of a process without any history.
 func (b *Balancer) newObservations(now Time) observations {
-	return observations{lastSample: now, classes: make([]lossdetect.Access, len(b.settings.Classes))}
+	return observations{lastSample: now, classes: make([]lossdetect.ClassState, len(b.settings.Classes))}
 }
 
 // recordOutcome records the end of an attempt at its endpoint. Where some connections are dead or swallow
@@ -92,7 +92,7 @@
 	switch r.Outcome {
 	case Served:
 		e.lastResponse = now
-		e.failureAlarm.Good(othersShare, ejectFailureShare)
+		e.failureAlarm.RecordSuccess(othersShare, ejectFailureShare)
 		b.notifyObserver(e, ObservedResponse)
 		return
 	case ConnectFailed:
@@ -108,8 +108,8 @@
 		return
 	}
 	e.lastFailure = now
-	e.failureAlarm.Bad(0, othersShare, ejectFailureShare, 0)
-	if e.failureAlarm.Rings() {
+	e.failureAlarm.RecordFailure(0, othersShare, ejectFailureShare, 0)
+	if e.failureAlarm.Raised() {
 		b.eject(e, now)
 	}
 }
