--- a/balance/admission.go
+++ b/balance/admission.go
@@ -6,155 +6,166 @@
 	"time"
 )
 
-// This file holds which requests are admitted, and which are shed.
+// This file contains admission control and load shedding.
 
 const (
-	// fullFactor is the multiple of the usual time for its weight, when idle, below which no endpoint is full.
-	fullFactor = 2.5
-	// spillObjectiveShare is the share of the shortest objective above which an endpoint is full.
-	spillObjectiveShare = 0.5
-	// rejectObjectiveShare is the share of the shortest objective above which an expected answer is not
-	// useful any more.
+	// atCapacityFactor is the multiple of the mean expected response time of idle endpoints of the same zone and
+	// weight up to which no endpoint counts as at capacity.
+	atCapacityFactor = 2.5
+	// spilloverObjectiveShare is the share of the shortest latency objective up to which no endpoint counts as
+	// at capacity.
+	spilloverObjectiveShare = 0.5
+	// rejectObjectiveShare is the share of the shortest latency objective above which an expected response is
+	// too late to be useful.
 	rejectObjectiveShare = 0.85
-	// overAllowanceFactor scales the limit of requests beyond their tenant's allowance.
+	// overAllowanceFactor scales the limit of the expected response time for requests beyond their tenant's
+	// allowance.
 	overAllowanceFactor = 0.5
 )
 
-// Passes of pickEndpoint over the endpoints. A later pass admits what the former one held back.
+// Passes of selectEndpoint over the endpoints. Each pass admits more endpoints than the one before.
 const (
-	passUsual     = iota // endpoints that are not full and not ejected
-	passFull             // also full ones, ones not yet due by slow start, and ejected ones while panicking
-	passSuspected        // also those that peers suspect
+	passNormal     = iota // endpoints that are neither at capacity nor ejected
+	passAtCapacity        // also those at capacity or not due by slow start, and ejected ones while panicking
+	passSuspected         // also endpoints that peers suspect
 	numPasses
 )
 
-// pickEndpoint lets the schedule choose among the endpoints that are not full, else among those where the
-// request can still hope for an answer in time. Where there is none it returns by how many seconds the best
-// one would be late. Classes of lower priority give way only while all endpoints are full: their limit may
-// lie under what an idle slow machine takes, and endpoints would not be used evenly under low load.
-func (b *Balancer) pickEndpoint(q *request, now Time) (to *endpoint, late float64) {
-	late = b.objective
+// selectEndpoint selects an endpoint that is below capacity, or else one from which a timely response can
+// still be expected. If there is none, it returns by how many seconds the best endpoint exceeds its limit.
+// Classes of lower priority are shed only while all endpoints are at capacity: their limit may be below the
+// response time of an idle slow endpoint, and endpoints would be used unevenly at low load.
+func (b *Balancer) selectEndpoint(q *request, now Time) (to *endpoint, excessSeconds float64) {
+	excessSeconds = b.objective
 	for pass := range numPasses {
-		if pass == passSuspected && b.suspects == 0 {
+		if pass == passSuspected && b.suspectedCount == 0 {
 			break
 		}
-		choice := b.chooseInPass(q, pass, now)
-		late = min(late, choice.late)
-		if choice.endpoint != nil {
-			return choice.endpoint, 0
+		result := b.selectInPass(q, pass, now)
+		excessSeconds = min(excessSeconds, result.excessSeconds)
+		if result.endpoint != nil {
+			return result.endpoint, 0
 		}
-		// A retry that may go nowhere tells nothing of the load: full and free are both false then.
-		if choice.full && !choice.free {
-			// What is full now is worked off within an objective; a longer limit would find idle endpoints.
+		// A retry that has no endpoint left says nothing about the load: anyAtCapacity and anyAvailable are both
+		// false then.
+		if result.anyAtCapacity && !result.anyAvailable {
+			// The present backlog is processed within one latency objective; after a longer time endpoints would be
+			// idle.
 			b.overloadedUntil = now + time.Duration(b.objective*float64(time.Second))
 		}
 	}
-	return nil, late
+	return nil, excessSeconds
 }
 
-// choice is the outcome of one pass over the endpoints.
-type choice struct {
-	endpoint *endpoint // nil: none
-	late     float64   // seconds by which the best endpoint exceeds its limit; +Inf: there is none
-	full     bool      // some endpoint is full
-	free     bool      // some endpoint is not
+// passResult is the result of one pass over the endpoints.
+type passResult struct {
+	endpoint      *endpoint // nil: none selected
+	excessSeconds float64   // by which the best endpoint exceeds its limit; +Inf: no endpoint
+	anyAtCapacity bool      // some endpoint is at capacity
+	anyAvailable  bool      // some endpoint is below capacity
 }
 
-// chooseInPass selects among the endpoints that are eligible for a request in a pass. An endpoint
-// that exceeds only the limit of the request's own class does not count as full: a class that gives way
-// would otherwise prolong the overload by itself.
-func (b *Balancer) chooseInPass(q *request, pass int, now Time) choice {
-	c := choice{late: math.Inf(1)}
+// selectInPass selects among the endpoints that are eligible for a request in a pass. An endpoint that
+// exceeds only the limit of the request's own class does not count as at capacity. Otherwise the class that
+// is shed would prolong the overload.
+func (b *Balancer) selectInPass(q *request, pass int, now Time) passResult {
+	result := passResult{excessSeconds: math.Inf(1)}
 	limit := rejectObjectiveShare * b.objective
-	own := b.requestLimit(q, limit, now)
-	usual := b.zoneSecondsPerRequest()
+	classLimit := b.requestTimeLimit(q, limit, now)
+	zoneMean := b.zoneSecondsPerRequest()
 	for _, e := range b.active {
 		e.eligible = b.inService(e, pass, now)
 		if !e.eligible {
 			continue
 		}
 		endpointLimit := limit
-		if pass == passUsual { // full by its zone's standard, but not just because its kind is slow or its zone far
-			full := fullFactor * (1 + unseenRequests) * usual[e.zoneIndex] / e.Weight
-			endpointLimit = min(limit, max(spillObjectiveShare*b.objective, full))
+		if pass == passNormal { // the zone's mean: a slow kind or a remote zone alone is no sign of overload
+			zoneLimit := atCapacityFactor * (1 + assumedOtherRequests) * zoneMean[e.zoneIndex] / e.Weight
+			endpointLimit = min(limit, max(spilloverObjectiveShare*b.objective, zoneLimit))
 		}
 		expected, inFlight := b.expectedTime(e, now), float64(e.inFlight)
 		e.expectedSeconds = expected
 		fits := expected <= endpointLimit && e.waitingSeconds(now) <= limit*inFlight
-		c.full, c.free = c.full || !fits, c.free || fits
+		result.anyAtCapacity, result.anyAvailable = result.anyAtCapacity || !fits, result.anyAvailable || fits
 		e.eligible = e.classes[q.Class].Admits(now) && b.mayAttemptAt(q, e, now)
 		if e.eligible {
-			c.late = min(c.late, expected-min(endpointLimit, own))
-			e.eligible = fits && expected <= own && e.waitingSeconds(now) <= own*inFlight
+			result.excessSeconds = min(result.excessSeconds, expected-min(endpointLimit, classLimit))
+			e.eligible = fits && expected <= classLimit && e.waitingSeconds(now) <= classLimit*inFlight
 		}
 	}
-	c.endpoint = b.nextEndpoint()
-	return c
+	result.endpoint = b.nextEndpoint()
+	return result
 }
 
-// inService reports whether an endpoint may get any request in a pass.
+// inService reports whether an endpoint may receive any request in a pass.
 func (b *Balancer) inService(e *endpoint, pass int, now Time) bool {
 	if e.State != Ready || b.adminDown[e.ID] {
 		return false
 	}
-	if now < e.ejectedUntil && (pass == passUsual || !b.panicking) {
+	if now < e.ejectedUntil && (pass == passNormal || !b.panicking) {
 		return false
 	}
 	if pass < passSuspected && b.suspectedByPeers(e, now) {
 		return false
 	}
-	return b.slowStartAllows(e, pass != passUsual, now)
+	return b.slowStartAllows(e, pass != passNormal, now)
 }
 
-// requestLimit is the expected answer time in seconds above which a request is not admitted, where limit is
-// that for any request. In a burst what answers have taught is seconds old, and all sidecars would go on
-// sending for as long as it takes to jam the fleet; so the limit falls with the load level.
-func (b *Balancer) requestLimit(q *request, limit float64, now Time) float64 {
-	own := limit
+// requestTimeLimit returns the expected response time in seconds above which a request is not admitted, where
+// limit is the limit for any request. In a burst the observed response times are seconds old, and all
+// sidecars would continue to send until the fleet is congested. Therefore the limit is divided by the load
+// level.
+func (b *Balancer) requestTimeLimit(q *request, limit float64, now Time) float64 {
+	classLimit := limit
 	if now < b.overloadedUntil {
-		own = b.overloadLimit(q.Class)
+		classLimit = b.overloadTimeLimit(q.Class)
 	}
-	own /= b.loadLevel.Level()
+	classLimit /= b.loadLevel.Level()
 	if q.overAllowance {
-		own *= overAllowanceFactor
+		classLimit *= overAllowanceFactor
 	}
-	return own
+	return classLimit
 }
 
-// overloadLimit is the expected answer time in seconds above which a class is shed while all endpoints are
-// full. Its priority for each second that its answers take counts: a class that has a quarter of the highest
-// waits half as long.
-func (b *Balancer) overloadLimit(class int) float64 {
-	own := b.settings.Classes[class].Priority / b.meanTime[class]
+// overloadTimeLimit returns the expected response time in seconds above which a class is shed while all
+// endpoints are at capacity. It depends on the class's priority weight per second of mean response time: a
+// class with a quarter of the highest value has half the limit.
+func (b *Balancer) overloadTimeLimit(class int) float64 {
+	own := b.settings.Classes[class].Priority / b.meanResponseTime[class]
 	highest := math.SmallestNonzeroFloat64
 	for i, c := range b.settings.Classes {
 		if !b.removedClasses[i] {
-			highest = math.Max(highest, c.Priority/b.meanTime[i])
+			highest = math.Max(highest, c.Priority/b.meanResponseTime[i])
 		}
 	}
 	return rejectObjectiveShare * b.objective * math.Sqrt(own/highest)
 }
 
-// overAllowance reports whether a request is beyond its tenant's allowance, as far as this sidecar sees. Its
-// part is the equal one or, where that is more, the one that goes with its own traffic: of a thousand
-// sidecars most carry little and some much more, and an equal part would be under one request a second.
+// overAllowance reports whether a request exceeds its tenant's allowance, as far as this sidecar can
+// determine. The sidecar's part of the allowance is an equal part, or a part in proportion to its own traffic
+// where that is more. In a fleet of a thousand sidecars most have little traffic and some have much more, and
+// an equal part would be less than one request per second.
 func (b *Balancer) overAllowance(i int, now Time) bool {
 	b.arrivals++
 	if i < 0 || i >= len(b.tenants) {
 		return false
 	}
-	part := math.Max(1/float64(b.settings.Peers), b.arrivals/memory.Seconds()/math.Max(b.allowances, 1e-9))
-	return b.tenants[i].Exceeds(now, b.settings.Tenants[i].Allowance*part, memory)
+	share := math.Max(
+		1/float64(b.settings.Peers),
+		b.arrivals/decayTimeConstant.Seconds()/math.Max(b.totalAllowance, 1e-9),
+	)
+	return b.tenants[i].Exceeds(now, b.settings.Tenants[i].Allowance*share, decayTimeConstant)
 }
 
-// MayReject reports whether the host may reject a request that has no final answer yet: as its class allows
-// repeats, or as none of its attempts may have run. One that is in flight may have. It changes nothing.
+// MayReject reports whether the host may reject a request that has had no final response yet: either the
+// class allows repeats, or none of its attempts may have been executed. An attempt in flight may have been
+// executed. MayReject has no side effects.
 func (b *Balancer) MayReject(id RequestID) bool {
 	q := b.requests[id]
 	return q != nil && !q.ended && b.mayReject(q)
 }
 
-// mayReject reports whether a rejection, which invites a retry anywhere, is safe.
+// mayReject reports whether a rejection, which allows the client to retry at any endpoint, is safe.
 func (b *Balancer) mayReject(q *request) bool {
 	repeats := q.class.Effect == Idempotent || q.class.Effect == Deduplicated && q.class.Scope == ScopeAll
 	return repeats || !slices.ContainsFunc(q.attempts, func(a attempt) bool { return !a.done || a.mayHaveRun })
--- a/balance/configure.go
+++ b/balance/configure.go
@@ -9,26 +9,26 @@
 	"milletramp.example/milletramp/internal/quota"
 )
 
-// This file holds changes of the settings.
+// This file contains changes of the settings at run time.
 
-// maxClasses bounds the classes that may come and go by new settings.
+// maxClasses is the maximum number of classes over all configurations, including removed ones.
 const maxClasses = 256
 
-// applyClasses computes what follows from the settings of classes and tenants.
-func (b *Balancer) applyClasses() {
-	b.objective, b.allowances = 0, 0
+// applyClassSettings updates the values derived from the class and tenant settings.
+func (b *Balancer) applyClassSettings() {
+	b.objective, b.totalAllowance = 0, 0
 	b.removedClasses = append(b.removedClasses, make([]bool, len(b.settings.Classes)-len(b.removedClasses))...)
 	for i, c := range b.settings.Classes {
 		if !b.removedClasses[i] {
 			b.objective = min(cmp.Or(b.objective, c.LatencyObjective.Seconds()), c.LatencyObjective.Seconds())
 		}
-		if i == len(b.meanTime) {
-			b.meanTime = append(b.meanTime, c.LatencyObjective.Seconds()) // until answers tell
-			b.timeDeviation = append(b.timeDeviation, 0)
+		if i == len(b.meanResponseTime) {
+			b.meanResponseTime = append(b.meanResponseTime, c.LatencyObjective.Seconds()) // until there are responses
+			b.responseTimeDeviation = append(b.responseTimeDeviation, 0)
 		}
 	}
 	for _, t := range b.settings.Tenants {
-		b.allowances += t.Allowance
+		b.totalAllowance += t.Allowance
 	}
 	b.retryBudget.Grow(len(b.settings.Classes))
 	for _, e := range b.known {
@@ -36,35 +36,35 @@
 	}
 }
 
-// Configure replaces the settings, but for those of the sidecar's place in the deployment: its number, zone
-// and rules. Requests that are open keep their class, and what is known of endpoints stays. It returns where
-// each new class stands from now on, for Request, or an error, and then nothing has changed. A class is known
-// by its name, and one that is dropped keeps its place.
-func (b *Balancer) Configure(set Settings) (places []int, err error) {
+// Configure replaces the settings, except for those of the sidecar's place in the deployment: its number,
+// zone and rules. Open requests keep their class, and observations of endpoints are kept. It returns the
+// index of each new class from now on, for Request, or an error, in which case nothing has changed. Classes
+// are identified by name, and a removed class keeps its index.
+func (b *Balancer) Configure(set Settings) (indexes []int, err error) {
 	return b.configure(set, true)
 }
 
-// CanConfigure returns the error that Configure would, and changes nothing.
+// CanConfigure returns the error that Configure would return, without changing anything.
 func (b *Balancer) CanConfigure(set Settings) error {
 	_, err := b.configure(set, false)
 	return err
 }
 
-// configure checks new settings against those in force and, where apply is set, puts them in force.
-func (b *Balancer) configure(set Settings, apply bool) (places []int, err error) {
+// configure checks new settings against the current ones and applies them if apply is set.
+func (b *Balancer) configure(set Settings, apply bool) (indexes []int, err error) {
 	old := b.settings
 	set.Seed, set.Ordinal, set.Peers, set.Kinds = old.Seed, old.Ordinal, old.Peers, old.Kinds
 	set.Zone, set.Zones = old.Zone, old.Zones
 	set.Service, set.Tags, set.Rules, set.PollDiscovery = old.Service, old.Tags, old.Rules, old.PollDiscovery
-	if err := check(set, b.actions); err != nil {
+	if err := checkSettings(set, b.actions); err != nil {
 		return nil, fmt.Errorf("balance: %w", err)
 	}
-	classes, removed, places, err := mergeClasses(old.Classes, set.Classes)
+	classes, removed, indexes, err := mergeClasses(old.Classes, set.Classes)
 	if err != nil {
 		return nil, err
 	}
 	if !apply {
-		return places, nil
+		return indexes, nil
 	}
 	set.Classes = classes
 	b.settings, b.removedClasses = set, removed
@@ -76,13 +76,13 @@
 		}
 	}
 	b.tenants = tenants
-	b.applyClasses()
-	return places, nil
+	b.applyClassSettings()
+	return indexes, nil
 }
 
-// mergeClasses returns the classes in force once new ones replace the old ones by name, which of them are in
-// the settings no more, and where each new class stands.
-func mergeClasses(old, classes []Class) (merged []Class, removed []bool, places []int, err error) {
+// mergeClasses merges new classes into the old ones by name. It returns all classes, which of them are no
+// longer in the settings, and the index of each new class.
+func mergeClasses(old, classes []Class) (merged []Class, removed []bool, indexes []int, err error) {
 	merged, removed = slices.Clone(old), make([]bool, len(old))
 	for i := range removed {
 		removed[i] = true
@@ -90,7 +90,7 @@
 	for i, c := range classes {
 		at := slices.IndexFunc(merged, func(o Class) bool { return o.Name == c.Name })
 		switch {
-		case slices.Contains(places, at):
+		case slices.Contains(indexes, at):
 			return nil, nil, nil, fmt.Errorf("balance: class %d, %q: named twice", i, c.Name)
 		case at >= 0:
 			merged[at], removed[at] = c, false
@@ -100,7 +100,7 @@
 			at = len(merged)
 			merged, removed = append(merged, c), append(removed, false)
 		}
-		places = append(places, at)
+		indexes = append(indexes, at)
 	}
-	return merged, removed, places, nil
+	return merged, removed, indexes, nil
 }
--- a/balance/endpoints_test.go
+++ b/balance/endpoints_test.go
@@ -56,7 +56,7 @@
 				b.Timer(now, tokenTick)
 			case "order": // as a fleet becomes wide, or usual again
 				b.reorderRings(!b.ringsHashed)
-				b.takeSubsets(now)
+				b.chooseSubsets(now)
 			case "request": // and has no answer: what it was sent to stays known when it is removed
 				b.Request(now, Request{ID: RequestID(now), Tenant: -1, Timeout: time.Minute})
 			}
@@ -72,7 +72,7 @@
 		t.Fatalf("%d endpoints, %v by side, want %d", len(b.listed), b.listedByZone, len(listed))
 	}
 	for i, e := range b.listed {
-		if want, known := listed[e.ID]; !known || e.listPosition != i || e.Zone != want.Zone ||
+		if want, known := listed[e.ID]; !known || e.listedIndex != i || e.Zone != want.Zone ||
 			e.State != want.State {
 			t.Fatalf("%v at %d, listed %v", e.Endpoint, i, want)
 		}
@@ -92,7 +92,7 @@
 				size[e.zoneIndex] += e.Weight * e.countedCapacityShare
 			}
 		}
-		if !sameIDs(g.endpoints, ids) || !slices.IsSortedFunc(g.endpoints, byKey) {
+		if !sameIDs(g.endpoints, ids) || !slices.IsSortedFunc(g.endpoints, compareRingPosition) {
 			t.Fatalf("group %d has %v, want %v", i, idsOf(g.endpoints), ids)
 		}
 		if far := math.Abs(total-g.totalWeight) + math.Abs(size[0]-g.capacity[0]) + math.Abs(size[1]-g.capacity[1]); far > 1e-9 {
@@ -103,7 +103,7 @@
 				t.Fatalf("%s is used and not ready in group %d", e.ID, i)
 			}
 		}
-		if n := min(len(ids), minSubset); g.inUse && len(g.subset) < n {
+		if n := min(len(ids), minSubsetSize); g.inUse && len(g.subset) < n {
 			t.Fatalf("%d of group %d are used, want %d at least", len(g.subset), i, n)
 		}
 	}
@@ -126,8 +126,8 @@
 	return slices.Equal(got, want)
 }
 
-// zoned lists n endpoints over three zones, of which the first is the sidecar's own.
-func zoned(n int) []Endpoint {
+// zonedEndpoints lists n endpoints over three zones, of which the first is the sidecar's own.
+func zonedEndpoints(n int) []Endpoint {
 	list := fleet(n)
 	for i := range list {
 		list[i].Zone = string("xyz"[i%3])
@@ -135,14 +135,14 @@
 	return list
 }
 
-// loaded starts a sidecar that has had so many requests a second for long enough.
-func loaded(t *testing.T, self, peers int, list []Endpoint, rate float64) (*Balancer, *host) {
+// startLoaded starts a sidecar that has had so many requests a second for long enough.
+func startLoaded(t *testing.T, self, peers int, list []Endpoint, rate float64) (*Balancer, *host) {
 	t.Helper()
 	set := settings()
 	set.Ordinal, set.Peers, set.Zones = self, peers, []string{"x", "y", "z"}
 	b, h := start(t, set, list)
-	b.arrivals = rate * memory.Seconds()
-	b.takeSubsets(h.now)
+	b.arrivals = rate * decayTimeConstant.Seconds()
+	b.chooseSubsets(h.now)
 	return b, h
 }
 
@@ -151,8 +151,8 @@
 func TestChangeCostsWhatItChanges(t *testing.T) {
 	const changes = 200
 	cost := func(servers int) (change, tick float64) {
-		list := zoned(servers)
-		b, h := loaded(t, 7, 900, list, 30)
+		list := zonedEndpoints(servers)
+		b, h := startLoaded(t, 7, 900, list, 30)
 		begun := b.endpointsVisited
 		for i := range changes {
 			e := list[i*servers/changes]
@@ -164,7 +164,7 @@
 		change, begun = float64(b.endpointsVisited-begun)/changes/2, b.endpointsVisited
 		for range 10 {
 			b.arrivals = 180
-			h.now += tickEvery
+			h.now += tickInterval
 			b.Timer(h.now, tokenTick)
 		}
 		return change, float64(b.endpointsVisited-begun) / 10
@@ -197,7 +197,7 @@
 		{"and little traffic", 3200, 3, 50, 60},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b, _ := loaded(t, 7, 900, zoned(tt.servers), tt.rate)
+			b, _ := startLoaded(t, 7, 900, zonedEndpoints(tt.servers), tt.rate)
 			if n := len(b.active); n < tt.least || n > tt.most {
 				t.Errorf("%d endpoints are used, want %d to %d", n, tt.least, tt.most)
 			}
@@ -222,10 +222,10 @@
 		{"half leave", 1600, 0, random},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			order, list := rng.Perm(3200), zoned(3200)
+			order, list := rng.Perm(3200), zonedEndpoints(3200)
 			moved, caused := 0, 0
 			for self := range 2 {
-				b, h := loaded(t, self, 900, list, 30)
+				b, h := startLoaded(t, self, 900, list, 30)
 				change := func(e Endpoint) {
 					before := map[string]bool{}
 					for _, m := range b.active {
@@ -283,7 +283,7 @@
 			users, used, servers := map[string]int{}, 0, tt.servers
 			for self := range peers {
 				list := fleet(servers)
-				b, h := loaded(t, self, peers, list, tt.rate)
+				b, h := startLoaded(t, self, peers, list, tt.rate)
 				for i, e := range list {
 					e.State = Removed
 					b.Endpoints(h.now, ListChanges, []Endpoint{e})
@@ -294,7 +294,7 @@
 					)
 				}
 				for range 15 { // seconds
-					b.takeSubsets(h.now)
+					b.chooseSubsets(h.now)
 				}
 				for _, e := range b.active {
 					users[e.ID]++
--- a/balance/hedging.go
+++ b/balance/hedging.go
@@ -6,87 +6,91 @@
 	"milletramp.example/milletramp/internal/lossdetect"
 )
 
-// This file holds attempts that take too long, and hedged requests.
+// This file contains the checks of late attempts, and hedged requests.
 
 const (
-	// hedgeProbability is the probability of loss at which an attempt is made anew.
+	// hedgeProbability is the probability of loss at which an attempt is hedged.
 	hedgeProbability = 0.5
-	// retryBudgetRatio is how many further attempts a success pays for: what a quarter lost takes.
-	// retryBudgetMax is how many may be saved up.
+	// retryBudgetRatio is the number of further attempts that a successful one adds to the retry budget: enough
+	// for a loss of a quarter of the attempts. retryBudgetMax is the maximum of the budget.
 	retryBudgetRatio = 1.0 / 3
 	retryBudgetMax   = 20.0
-	// minCheckDelay is the least time in seconds between two looks at an attempt.
+	// minCheckDelay is the minimum time in seconds between two checks of an attempt.
 	minCheckDelay = 0.005
-	// lateDeviations is after how many mean deviations from the mean time an answer is late: few take
-	// longer. In any case it is late after lateObjectiveShare of its class's objective.
+	// A response is late after lateDeviations mean deviations above the mean response time, which few responses
+	// exceed, and in any case after lateObjectiveShare of its class's latency objective.
 	lateDeviations     = 4.0
 	lateObjectiveShare = 0.5
 )
 
-// scheduleCheck asks for a timer by which an attempt is looked at.
-func (b *Balancer) scheduleCheck(seconds float64, token uint64) {
+// scheduleAttemptCheck requests a timer for the check of an attempt.
+func (b *Balancer) scheduleAttemptCheck(seconds float64, token uint64) {
 	b.actions.Timer(time.Duration(max(seconds, minCheckDelay)*float64(time.Second)), token)
 }
 
-// checkAttempt looks at an attempt that has been in flight for long, and again until its end: an endpoint may
-// be silent for a while, answer others later and never this one. Where the endpoint answers others, the
-// attempt's connection is dead, and counting it would make the endpoint look slow and full for all.
+// checkAttempt checks an attempt that has been in flight for long, and schedules further checks until it
+// ends: an endpoint may pause, then respond to other attempts and never to this one. Where the endpoint
+// responds to others, the connection of the attempt is dead, and counting the attempt as in flight would make
+// the endpoint look slow and at capacity for all requests.
 func (b *Balancer) checkAttempt(q *request, n int, token uint64, now Time) {
 	if q == nil || n >= len(q.attempts) || q.attempts[n].done || q.ended {
 		return
 	}
-	a, out := &q.attempts[n], (now - q.attempts[n].sent).Seconds()
-	answers := a.endpoint.lastResponse >= a.sent
+	a, elapsed := &q.attempts[n], (now - q.attempts[n].sent).Seconds()
+	answersOthers := a.endpoint.lastResponse >= a.sent
 	slowdown := a.endpoint.slowdown.Factor()
-	a.expectedNow = max(a.expectedNow, b.expectedWithout(a, q.Class, now)*slowdown)
-	delay, next := b.hedgeDelay(q, a), tickEvery.Seconds()
-	// A slow endpoint whose late attempts do not count any more looks idle, and draws requests.
-	if answers && out >= min(delay, b.lateThreshold(q.Class)*slowdown) {
+	a.expectedNow = max(a.expectedNow, b.expectedWithoutAttempt(a, q.Class, now)*slowdown)
+	delay, nextCheck := b.hedgeDelay(q, a), tickInterval.Seconds()
+	// The threshold allows for the slowdown: a slow endpoint whose late attempts no longer counted as in flight
+	// would look idle and attract requests.
+	if answersOthers && elapsed >= min(delay, b.lateThreshold(q.Class)*slowdown) {
 		a.releaseInFlight()
 	}
-	if !answers && !a.reportedLate && out >= b.lateThreshold(q.Class) {
+	if !answersOthers && !a.reportedLate && elapsed >= b.lateThreshold(q.Class) {
 		a.reportedLate = true
 		b.notifyObserver(a.endpoint, ObservedLate)
 	}
-	if delay > out {
-		next = min(next, delay-out)
+	if delay > elapsed {
+		nextCheck = min(nextCheck, delay-elapsed)
 	} else {
 		if !a.hedged || a.endpoint.lastResponse < a.sent {
-			b.countLikelyLoss(q, a, now)
+			b.recordProbableLoss(q, a, now)
 		}
 		if !a.hedged {
 			b.hedge(q, n, now)
 		}
 	}
-	b.scheduleCheck(next, token)
+	b.scheduleAttemptCheck(nextCheck, token)
 }
 
-// expectedWithout is the answer time in seconds that can be expected now at an attempt's endpoint. One that
-// has slowed since the sending would otherwise be taken to lose what it still owes. The wait of the attempt
-// itself does not count: it would never look lost where little else is in flight.
-func (b *Balancer) expectedWithout(a *attempt, class int, now Time) float64 {
+// expectedWithoutAttempt returns the response time in seconds currently expected at the endpoint of an
+// attempt. An endpoint that has slowed down since the attempt was sent would otherwise seem to have lost the
+// attempts that it is still processing. The waiting time of the attempt itself is left out: with little else
+// in flight there, it would raise the expectation so that the attempt never counts as lost.
+func (b *Balancer) expectedWithoutAttempt(a *attempt, class int, now Time) float64 {
 	waited := now - a.sent
-	a.endpoint.dueSinceSum += waited
+	a.endpoint.waitingSinceSum += waited
 	expected := b.expectedForClass(b.expectedTime(a.endpoint, now), class)
-	a.endpoint.dueSinceSum -= waited
+	a.endpoint.waitingSinceSum -= waited
 	return expected
 }
 
-// hedge makes an attempt that seems lost anew elsewhere, while the first is still in flight where that is
-// allowed. Where answers just come late, further attempts add to the load that makes them late. So a hedge
-// goes only where there is capacity, to an endpoint that loses no more, and is paid from the retry budget.
+// hedge sends a second attempt for one that is probably lost, while the first is still in flight if that is
+// allowed. If responses are merely late, further attempts add to the load that delays them. Therefore a
+// hedged request is sent only where there is capacity, to an endpoint with no higher loss, and is charged to
+// the retry budget.
 func (b *Balancer) hedge(q *request, n int, now Time) {
 	a := &q.attempts[n]
 	allowed := b.settings.HedgingAllowed || b.settings.CancelAllowed
 	if !allowed || q.outstanding > 1 || len(q.attempts) >= b.settings.MaxAttempts || now >= q.deadline {
 		return
 	}
-	to := b.chooseInPass(q, passUsual, now).endpoint
+	to := b.selectInPass(q, passNormal, now).endpoint
 	if to == nil {
 		return
 	}
-	answers := a.endpoint.lastResponse >= a.sent
-	if answers && b.classLossShare(to, q.Class) > b.classLossShare(a.endpoint, q.Class) {
+	answersOthers := a.endpoint.lastResponse >= a.sent
+	if answersOthers && b.classLossShare(to, q.Class) > b.classLossShare(a.endpoint, q.Class) {
 		return
 	}
 	if !b.retryBudget.Spend(q.Class) {
@@ -97,25 +101,26 @@
 		b.send(q, to, now)
 		return
 	}
-	q.prepaid = true
+	q.retryPaid = true
 	a.releaseInFlight()
-	b.actions.Cancel(q.ID, n) // its result leads to the next attempt
+	b.actions.Cancel(q.ID, n) // its Result triggers the next attempt
 }
 
-// hedgeDelay is the time in seconds after which an attempt is more likely lost than not. An endpoint that
-// never lost anything may fall silent all the same, so some loss is assumed while it does not answer.
+// hedgeDelay returns the time in seconds after which an attempt is more likely lost than not. An endpoint
+// without any previous loss may stop responding, too, so a minimum loss share is assumed while it does not
+// respond.
 func (b *Balancer) hedgeDelay(q *request, a *attempt) float64 {
 	share := b.classLossShare(a.endpoint, q.Class)
 	if a.endpoint.lastResponse < a.sent {
-		share = max(share, usualLoss)
+		share = max(share, defaultLossShare)
 	}
-	return a.expectedNow * b.answerTimes.InverseSurvival(lossdetect.SurvivalForLoss(share, hedgeProbability))
+	return a.expectedNow * b.responseTimes.InverseSurvival(lossdetect.SurvivalForLoss(share, hedgeProbability))
 }
 
-// lateThreshold is the time in seconds after which an answer of the class is late.
+// lateThreshold returns the time in seconds after which a response of the class is late.
 func (b *Balancer) lateThreshold(class int) float64 {
 	return min(
-		b.meanTime[class]+lateDeviations*b.timeDeviation[class],
+		b.meanResponseTime[class]+lateDeviations*b.responseTimeDeviation[class],
 		lateObjectiveShare*b.settings.Classes[class].LatencyObjective.Seconds(),
 	)
 }
--- a/balance/host_test.go
+++ b/balance/host_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// sending is one Send that a host was asked for.
-type sending struct {
+// sentAttempt is one Send that a host was asked for.
+type sentAttempt struct {
 	id      RequestID
 	to      string
 	within  time.Duration
@@ -16,9 +16,9 @@
 // host records what a Balancer asks for.
 type host struct {
 	now        Time
-	sent       []sending
-	refused    []RequestID
-	advice     time.Duration // with the last refusal
+	sent       []sentAttempt
+	rejected   []RequestID
+	retryAfter time.Duration // with the last refusal
 	failed     []RequestID
 	cancelled  int
 	attempts   map[RequestID]int
@@ -31,20 +31,20 @@
 	if h.attempts == nil {
 		h.attempts = map[RequestID]int{}
 	}
-	h.sent = append(h.sent, sending{id, endpoint, within, h.attempts[id]})
+	h.sent = append(h.sent, sentAttempt{id, endpoint, within, h.attempts[id]})
 	h.attempts[id]++
 }
 func (h *host) Cancel(RequestID, int) { h.cancelled++ }
 func (h *host) Reject(id RequestID, after time.Duration) {
-	h.refused, h.advice = append(h.refused, id), after
+	h.rejected, h.retryAfter = append(h.rejected, id), after
 }
 func (h *host) Fail(id RequestID)                   { h.failed = append(h.failed, id) }
 func (h *host) Timer(_ time.Duration, token uint64) { h.timers = append(h.timers, token) }
 func (h *host) Subscribe()                          { h.subscribed++ }
 func (h *host) Log(text string)                     { h.logs = append(h.logs, text) }
 
-// answer ends all attempts out, in order, and leaves none recorded.
-func (h *host) answer(b *Balancer, now Time, outcome Outcome) {
+// finishAttempts ends all attempts out, in order, and leaves none recorded.
+func (h *host) finishAttempts(b *Balancer, now Time, outcome Outcome) {
 	h.now = now
 	sent := h.sent
 	h.sent = nil
@@ -72,7 +72,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Endpoints(h.now, ListRemembered, list)
+	b.Endpoints(h.now, ListCached, list)
 	return b, h
 }
 
@@ -91,8 +91,8 @@
 		{"result of an unknown request", func() { b.Result(h.now, Result{ID: 7}) }},
 		{"result of an attempt not made", func() { b.Result(h.now, Result{ID: 1, Attempt: 1}) }},
 		{"result of a negative attempt", func() { b.Result(h.now, Result{ID: 1, Attempt: -1}) }},
-		{"answer of an unknown request", func() { b.AnswerStarted(h.now, 7, 0) }},
-		{"answer of an attempt not made", func() { b.AnswerStarted(h.now, 1, 4) }},
+		{"answer of an unknown request", func() { b.ResponseStarted(h.now, 7, 0) }},
+		{"answer of an attempt not made", func() { b.ResponseStarted(h.now, 1, 4) }},
 		{"unknown client gone", func() { b.ClientGone(h.now, 7) }},
 		{"unknown endpoint removed", func() { b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "z", State: Removed}}) }},
 		{"unknown timer", func() { b.Timer(h.now, 99) }},
@@ -100,7 +100,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			sent, timers := len(h.sent), len(h.timers)
 			tt.do()
-			if len(h.sent) != sent || len(h.timers) != timers || len(h.refused)+len(h.failed)+h.cancelled > 0 {
+			if len(h.sent) != sent || len(h.timers) != timers || len(h.rejected)+len(h.failed)+h.cancelled > 0 {
 				t.Errorf("it led to an action: %+v", h)
 			}
 			if len(b.requests) != 1 || b.known["a"].inFlight != 1 || len(b.listed) != 1 {
@@ -110,19 +110,19 @@
 	}
 	b.Result(h.now, Result{ID: 1, Outcome: Served, Took: time.Millisecond, Finished: true})
 	b.Result(h.now, Result{ID: 1, Outcome: Served, Took: time.Millisecond, Finished: true})
-	if e := b.known["a"]; len(b.requests) != 0 || e.inFlight != 0 || e.dueSinceSum != 0 {
+	if e := b.known["a"]; len(b.requests) != 0 || e.inFlight != 0 || e.waitingSinceSum != 0 {
 		t.Errorf("%d requests, %d in flight after the end, told twice", len(b.requests), e.inFlight)
 	}
 }
 
 func TestTimeGoingBack(t *testing.T) {
 	// Each request still ends once, and nothing is left over.
-	b, h := start(t, settings(), pair())
+	b, h := start(t, settings(), twoEndpoints())
 	for i := range RequestID(200) {
 		h.now += time.Duration(i%7-3) * 300 * time.Millisecond
 		b.Request(h.now, Request{ID: i, Tenant: -1, Timeout: time.Second})
 		b.Timer(h.now, tokenTick)
-		h.answer(b, h.now-time.Duration(i%3)*time.Second, Served)
+		h.finishAttempts(b, h.now-time.Duration(i%3)*time.Second, Served)
 	}
 	if len(b.requests) != 0 || b.known["a"].inFlight+b.known["b"].inFlight != 0 || len(h.failed) != 0 {
 		t.Errorf("%d requests left, %d failed", len(b.requests), len(h.failed))
--- a/balance/locality.go
+++ b/balance/locality.go
@@ -1,34 +1,37 @@
 package balance
 
-// This file holds how much other zones get.
+// This file contains locality-aware weighting: the traffic that other zones get.
 
 const (
-	// crossZoneObjectives is by how many objectives, times the charge of crossing zones, an answer has to
-	// come sooner elsewhere to pay for the crossing.
-	crossZoneObjectives = 8.0
-	// minZoneWeight is the least weight of other zones: enough to know them.
+	// crossZoneObjectiveFactor converts the cost of crossing zones to response time: crossing zones pays if the
+	// response arrives sooner by this factor times the cost times the shortest latency objective.
+	crossZoneObjectiveFactor = 8.0
+	// minZoneWeight is the minimum weight of other zones, sufficient to measure them.
 	minZoneWeight = 0.001
-	// zoneWeightStep is the part of the way that a tick moves the weight of other zones.
+	// zoneWeightStep is the part of the remaining difference by which a tick changes the weight of other zones.
 	zoneWeightStep = 0.03
 )
 
-// updateZoneWeight moves the weight that other zones get, as a share of the own zone's: a zone may have more
-// traffic than its servers can carry. Other zones count in full once the own zone answers later by the price
-// of a crossing, at most spillObjectiveShare, and not at all below half of that. The weight moves slowly, so
-// that the rotation stays even.
+// updateZoneWeight updates the weight of other zones relative to the own zone, which may have more traffic
+// than its servers can process. Other zones have the full weight once responses from the own zone are later
+// by the cost of crossing zones, at most spilloverObjectiveShare, and the minimum weight below half of that.
+// The weight changes slowly so that the rotation stays even.
 func (b *Balancer) updateZoneWeight(now Time) {
-	var wait, size [2]float64
+	var wait, weight [2]float64
 	for _, e := range b.active {
 		if now >= e.ejectedUntil {
 			wait[e.zoneIndex] += b.expectedTime(e, now) * e.Weight
-			size[e.zoneIndex] += e.Weight
+			weight[e.zoneIndex] += e.Weight
 		}
 	}
-	if size[0] == 0 || size[1] == 0 {
+	if weight[0] == 0 || weight[1] == 0 {
 		b.zoneWeight[1] = 1
 		return
 	}
-	pays := min(max(crossZoneObjectives*b.settings.CrossZoneCharge, 0.01), spillObjectiveShare) * b.objective
-	to := min(max(2*(wait[0]/size[0]-wait[1]/size[1])/pays-1, 0), 1)
-	b.zoneWeight[1] = max(b.zoneWeight[1]+(to*to-b.zoneWeight[1])*zoneWeightStep, minZoneWeight)
+	threshold := min(
+		max(crossZoneObjectiveFactor*b.settings.CrossZoneCharge, 0.01),
+		spilloverObjectiveShare,
+	) * b.objective
+	target := min(max(2*(wait[0]/weight[0]-wait[1]/weight[1])/threshold-1, 0), 1)
+	b.zoneWeight[1] = max(b.zoneWeight[1]+(target*target-b.zoneWeight[1])*zoneWeightStep, minZoneWeight)
 }
--- a/balance/route_test.go
+++ b/balance/route_test.go
@@ -66,7 +66,7 @@
 			t.Fatalf("request %d: %d sends", i, len(h.sent))
 		}
 		order = append(order, h.sent[0].to)
-		h.answer(b, now+time.Millisecond, Served)
+		h.finishAttempts(b, now+time.Millisecond, Served)
 	}
 	return order
 }
@@ -175,7 +175,7 @@
 		b.Request(h.now, Request{ID: RequestID(i), Tenant: -1, Timeout: time.Second})
 	}
 	// a and b hold two each. Once the one whose turn is next holds more, it yields.
-	due := b.groups[0].subset[b.groups[0].next%2]
+	due := b.groups[0].subset[b.groups[0].nextIndex%2]
 	other := h.sent[0]
 	for _, s := range h.sent {
 		if s.to != due.ID {
@@ -223,7 +223,7 @@
 		{"unknown effect", func(s *Settings) { s.Classes[0].Effect = 9 }, "field Effect"},
 		{"unknown scope", func(s *Settings) { s.Classes[0].Scope = -1 }, "field Scope"},
 		{"worth is no number", func(s *Settings) { s.Classes[0].Priority = math.NaN() }, "field Worth"},
-		{"late answers worth more", func(s *Settings) { s.Classes[0].LateShare = 1.5 }, "field LateWorth"},
+		{"late answers worth more", func(s *Settings) { s.Classes[0].LatePriorityShare = 1.5 }, "field LateWorth"},
 		{"negative window", func(s *Settings) { s.Classes[0].DedupeWindow = -1 }, "field DedupeWindow"},
 		{
 			"negative allowance",
@@ -231,7 +231,7 @@
 			`tenant 0, "t": field Allowance`,
 		},
 		{"no peers", func(s *Settings) { s.Peers = 0 }, "field Peers"},
-		{"number beyond its peers", func(s *Settings) { s.Ordinal = 1 }, "field Self: sidecar 1 of 1"},
+		{"number beyond its peers", func(s *Settings) { s.Ordinal = 1 }, "field Ordinal: sidecar 1 of 1"},
 		{"no attempts", func(s *Settings) { s.MaxAttempts = 0 }, "field MaxAttempts"},
 		{"cold share above all", func(s *Settings) { s.SlowStartCapacity = 1.1 }, "field StartCapacity"},
 		{"negative multiple", func(s *Settings) { s.OverloadMultiple = -1 }, "field FallMultiple"},
@@ -283,10 +283,10 @@
 			[]Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}, {ID: "b", Zone: "y", Kind: "big", Weight: 1}},
 		)
 		for range 300 {
-			h.now += tickEvery
+			h.now += tickInterval
 			for id, took := range map[string]time.Duration{"a": 200 * time.Millisecond, "b": 50 * time.Millisecond} {
 				b.recordOutcome(
-					&attempt{endpoint: b.known[id], inFlightThen: 2},
+					&attempt{endpoint: b.known[id], inFlightAtSend: 2},
 					Result{Outcome: Served, Took: took},
 					h.now,
 				)
@@ -304,18 +304,18 @@
 // way there and back: it gets the next request, and nothing is tight.
 func TestFarIsNotFull(t *testing.T) {
 	far := Endpoint{ID: "far", Zone: "y", Kind: "big", Weight: 1}
-	b, h := start(t, settings(), append(pair(), far))
+	b, h := start(t, settings(), append(twoEndpoints(), far))
 	aim := b.settings.Classes[0].LatencyObjective
-	away := pair()
+	away := twoEndpoints()
 	away[0].State, away[1].State = Draining, Draining
 	b.Endpoints(h.now, ListChanges, away)
-	serve(b, h, 20, aim*6/10)
-	b.Endpoints(h.now, ListChanges, pair())
+	serveRequests(b, h, 20, aim*6/10)
+	b.Endpoints(h.now, ListChanges, twoEndpoints())
 	b.known["far"].ejectedUntil = h.now + time.Hour // the own zone answers in a tenth of that time
-	serve(b, h, 200, aim*6/100)
+	serveRequests(b, h, 200, aim*6/100)
 	b.known["far"].ejectedUntil, b.zoneWeight[1] = 0, minZoneWeight
 	for i := range RequestID(100) {
-		switch to := ask(b, h, i+1); {
+		switch to := sendRequest(b, h, i+1); {
 		case to == "":
 			t.Fatalf("request %d is refused, and the idle far endpoint has had none", i)
 		case h.now < b.overloadedUntil:
--- a/balance/untested_test.go
+++ b/balance/untested_test.go
@@ -28,17 +28,17 @@
 			{ID: "b", Zone: "y", Kind: "small", Weight: 1},
 		}
 		b, h := start(t, settings(), list)
-		serve(b, h, 200, 20*time.Millisecond)
+		serveRequests(b, h, 200, 20*time.Millisecond)
 		e := b.known["a"]
-		e.answerInFlight, e.homeGroup.answerInFlight, b.allEndpoints.answerInFlight = 20, 40, 100
-		e.answerSeconds, e.homeGroup.answerSeconds, b.allEndpoints.answerSeconds = slow*e.answerInFlight, tt.group*e.homeGroup.answerInFlight, tt.fleet*b.allEndpoints.answerInFlight
+		e.responseInFlight, e.homeGroup.responseInFlight, b.allEndpoints.responseInFlight = 20, 40, 100
+		e.responseSeconds, e.homeGroup.responseSeconds, b.allEndpoints.responseSeconds = slow*e.responseInFlight, tt.group*e.homeGroup.responseInFlight, tt.fleet*b.allEndpoints.responseInFlight
 		e.lastSample, e.homeGroup.lastSample = h.now, h.now
 		if tt.fleet == slow && b.expectedTime(e, h.now) < rejectObjectiveShare*b.objective {
 			t.Fatalf("%s: a slow endpoint is expected to take %v s", tt.name, b.expectedTime(e, h.now))
 		}
-		h.now += 2 * memory
+		h.now += 2 * decayTimeConstant
 		if b.allEndpoints.lastSample = h.now; !tt.heard {
-			b.allEndpoints.lastSample -= 2 * memory
+			b.allEndpoints.lastSample -= 2 * decayTimeConstant
 		}
 		if tt.name == "it alone slow" {
 			e.homeGroup.lastSample = h.now
@@ -52,15 +52,15 @@
 // TestColdIsSmallNotSlow has a cold endpoint: it can do less at a time, and a request that finds it idle is
 // answered as soon as by a warm one. Danger: taken for slow it is left idle while the warm ones are full.
 func TestColdIsSmallNotSlow(t *testing.T) {
-	b, h := start(t, settings(), pair())
-	serve(b, h, 200, 20*time.Millisecond)
+	b, h := start(t, settings(), twoEndpoints())
+	serveRequests(b, h, 200, 20*time.Millisecond)
 	warm, cold := b.known["a"], b.known["b"]
 	cold.observations, cold.capacityShare = warm.observations, 0.3
 	if got, want := b.expectedTime(cold, h.now), b.expectedTime(warm, h.now); got != want {
 		t.Errorf("idle and cold it is expected to take %v s, warm %v", got, want)
 	}
 	for _, e := range []*endpoint{warm, cold} {
-		e.inFlight, e.dueSinceSum = 2, 2*h.now
+		e.inFlight, e.waitingSinceSum = 2, 2*h.now
 	}
 	if got, want := b.expectedTime(cold, h.now), b.expectedTime(warm, h.now); got < 1.5*want {
 		t.Errorf("with two in flight it is expected to take %v s, warm %v", got, want)
@@ -72,16 +72,16 @@
 // its former servers did not answer.
 func TestRestartIsForgottenOfItsGroup(t *testing.T) {
 	list := append(
-		many(4),
+		identicalEndpoints(4),
 		Endpoint{ID: "y", Zone: "y", Kind: "small", Weight: 1},
 		Endpoint{ID: "z", Zone: "y", Kind: "small", Weight: 1},
 	)
 	b, h := start(t, settings(), list)
-	serve(b, h, 400, 20*time.Millisecond)
+	serveRequests(b, h, 400, 20*time.Millisecond)
 	before := b.allEndpoints.secondsPerRequest()
 	for i, id := range []string{"y", "z", "y", "z", "y", "z"} {
 		b.Request(h.now, Request{ID: RequestID(i + 1), Tenant: -1, Timeout: 3 * time.Second})
-		a := attempt{endpoint: b.known[id], sent: h.now, inFlightThen: 2, expectedNow: 0.02}
+		a := attempt{endpoint: b.known[id], sent: h.now, inFlightAtSend: 2, expectedNow: 0.02}
 		b.recordOutcome(&a, Result{Outcome: TimedOut, Took: 3 * time.Second}, h.now)
 	}
 	z := b.known["z"]
@@ -100,8 +100,8 @@
 		t.Errorf("the fleet's usual time is %v s, %v before", after, before)
 	}
 	for _, e := range b.listed {
-		if e.homeGroup.answerInFlight < 0 || e.homeGroup.answerSeconds < 0 {
-			t.Errorf("a group's record is at %v s over %v", e.homeGroup.answerSeconds, e.homeGroup.answerInFlight)
+		if e.homeGroup.responseInFlight < 0 || e.homeGroup.responseSeconds < 0 {
+			t.Errorf("a group's record is at %v s over %v", e.homeGroup.responseSeconds, e.homeGroup.responseInFlight)
 		}
 	}
 }
@@ -110,23 +110,23 @@
 // no more, neither while they are out nor when they end. Danger: a zone that is back is taken for slow as
 // long as its former processes owe.
 func TestFormerProcessIsNoNews(t *testing.T) {
-	b, h := start(t, settings(), many(3))
-	serve(b, h, 300, 20*time.Millisecond)
+	b, h := start(t, settings(), identicalEndpoints(3))
+	serveRequests(b, h, 300, 20*time.Millisecond)
 	e := b.known["a"]
-	var out []sending
+	var out []sentAttempt
 	for i := range RequestID(30) {
-		ask(b, h, i+1)
+		sendRequest(b, h, i+1)
 	}
 	out, h.sent = h.sent, nil
 	if e.inFlight < 5 {
 		t.Fatalf("%d requests are out at it", e.inFlight)
 	}
 	h.now += 2 * time.Second
-	list := many(3)[:1]
+	list := identicalEndpoints(3)[:1]
 	list[0].Started = h.now - time.Second
 	b.Endpoints(h.now, ListChanges, list)
 	check := func(when string) {
-		if got := b.expectedTime(e, h.now); got > 0.5 || e.inFlight != 0 || e.dueSinceSum != 0 ||
+		if got := b.expectedTime(e, h.now); got > 0.5 || e.inFlight != 0 || e.waitingSinceSum != 0 ||
 			e.ejectedUntil > h.now {
 			t.Errorf("%s: %.3f s are expected; %d in flight, ejected until %v", when, got, e.inFlight, e.ejectedUntil)
 		}
--- a/internal/fleetadapter/participant.go
+++ b/internal/fleetadapter/participant.go
@@ -78,11 +78,11 @@
 
 // detectorOutcomes maps the Balancer's observations to the outcomes of the fleet's failure detector.
 var detectorOutcomes = [...]failuredetector.Outcome{
-	balance.ObservedAnswer:  failuredetector.Answered,
-	balance.ObservedLate:    failuredetector.Late,
-	balance.ObservedSilence: failuredetector.Silent,
-	balance.ObservedFailure: failuredetector.Failed,
-	balance.ObservedRefusal: failuredetector.Refused,
+	balance.ObservedResponse:       failuredetector.Answered,
+	balance.ObservedLate:           failuredetector.Late,
+	balance.ObservedNoResponse:     failuredetector.Silent,
+	balance.ObservedFailure:        failuredetector.Failed,
+	balance.ObservedConnectFailure: failuredetector.Refused,
 }
 
 // Observe implements balance.Observer.
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -21,7 +21,7 @@
 // OnUpdate implements discovery.Subscriber. It passes the list to the upstream client before the Balancer, because the
 // client has to know the address of each server to which the Balancer sends an attempt.
 func (l *EventLoop) OnUpdate(kind balance.ListKind, list discovery.List) {
-	list.Complete = list.Complete || kind == balance.ListRemembered
+	list.Complete = list.Complete || kind == balance.ListCached
 	l.upstream.Update(list)
 	endpoints := make([]balance.Endpoint, 0, len(list.Endpoints))
 	for _, e := range list.Endpoints {
@@ -49,7 +49,7 @@
 // signalReadiness closes firstUpdate on the first update from discovery, and ready on the first update that contains
 // endpoints or comes from discovery.
 func (l *EventLoop) signalReadiness(kind balance.ListKind, hasEndpoints bool) {
-	fromDiscovery := kind != balance.ListRemembered
+	fromDiscovery := kind != balance.ListCached
 	if fromDiscovery && !l.hasFirstUpdate {
 		l.hasFirstUpdate = true
 		close(l.firstUpdate)
@@ -64,7 +64,7 @@
 func (l *EventLoop) OnUnchanged() { l.starts.Confirm(l.now) }
 
 // OnWatchEnded implements discovery.Subscriber.
-func (l *EventLoop) OnWatchEnded() { l.balancer.Endpoints(l.now, balance.ListRefused, nil) }
+func (l *EventLoop) OnWatchEnded() { l.balancer.Endpoints(l.now, balance.ListFailed, nil) }
 
 // SetAdminDown sets a server administratively down, or up again, and reports whether the server is known. This method
 // and those below are called on the loop's goroutine.
