--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -72,9 +72,9 @@
 	}
 }
 
-// TestHeldCallsGetListAfterOutage uses an agent that holds the calls made during an outage and responds to them as soon
-// as it is up again. A call is open nearly all the time, so the list arrives within one backoff.
-func TestHeldCallsGetListAfterOutage(t *testing.T) {
+// TestHeldCallsAreAnsweredWhenDiscoveryReturns uses an agent that holds the calls made during an outage and responds to
+// them as soon as it is up again. A call is open nearly all the time, so the list arrives within one backoff.
+func TestHeldCallsAreAnsweredWhenDiscoveryReturns(t *testing.T) {
 	for outage := 3500 * time.Millisecond; outage < 20*time.Second; outage += 110 * time.Millisecond {
 		runWithAgent(t, func(t *testing.T, a *testserver.Agent, _ *EventLoop, updates chan time.Time) {
 			<-updates
--- a/internal/proxy/handler_test.go
+++ b/internal/proxy/handler_test.go
@@ -105,9 +105,9 @@
 	})
 }
 
-// TestHandlerPanicGets500 checks that a request whose handler panics gets 500, that its connection is closed cleanly,
-// and that the next request is served.
-func TestHandlerPanicGets500(t *testing.T) {
+// TestHandlerPanicIsServerError checks that a request whose handler panics gets 500, that its connection is closed
+// cleanly, and that the next request is served.
+func TestHandlerPanicIsServerError(t *testing.T) {
 	backend := testserver.StartBackend(t, testserver.Respond(200, "", "ok"))
 	c := loadConfig(t, testserver.ServingList(1, backend), testserver.Settings)
 	c.Settings.PollDiscovery = true // no watch in this test
--- a/internal/proxy/long_run_test.go
+++ b/internal/proxy/long_run_test.go
@@ -10,10 +10,10 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestUnresponsiveServerIsAvoidedAfterLongUptime checks that idempotent requests are served in time by the other one of
+// TestSilentServerIsAvoidedAfterTenQuietMinutes checks that idempotent requests are served in time by the other one of
 // two servers after one stops responding. The fault begins after ten minutes without errors, during which discovery is
 // down.
-func TestUnresponsiveServerIsAvoidedAfterLongUptime(t *testing.T) {
+func TestSilentServerIsAvoidedAfterTenQuietMinutes(t *testing.T) {
 	runSimulation(t, testserver.Settings, func(sim *simulation) {
 		sim.respond = respondAlways(okResponse)
 		var unresponsive atomic.Bool
@@ -36,10 +36,10 @@
 	})
 }
 
-// TestRequestsOnDroppedIdleConnectionsEndInTime uses servers that drop, without a reset, requests on connections that
+// TestRequestsOnLostIdleConnectionsEndInTime uses servers that drop, without a reset, requests on connections that
 // were idle for 2 s. Each request gets its response before its deadline, and a request that must not be repeated is
 // sent at most once.
-func TestRequestsOnDroppedIdleConnectionsEndInTime(t *testing.T) {
+func TestRequestsOnLostIdleConnectionsEndInTime(t *testing.T) {
 	const requests, wait = 20, 10 * time.Second
 	for _, class := range []string{"read", "book", "pay"} {
 		runSimulation(t, testserver.Settings, func(sim *simulation) {
