--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -97,10 +97,10 @@
 	}
 }
 
-// TestDuplicateResponseIsNotReadAsNextResponse has a server send its response again as soon as a second request arrives
+// TestSecondResponseIsNotTakenForNextRequest has a server send its response again as soon as a second request arrives
 // on the connection. Within the reuse delay no request is sent on the connection, so the duplicate response is never
 // read.
-func TestDuplicateResponseIsNotReadAsNextResponse(t *testing.T) {
+func TestSecondResponseIsNotTakenForNextRequest(t *testing.T) {
 	backend := testserver.StartBackend(t, func(conn net.Conn, r *http.Request, body []byte) bool {
 		id := r.Header.Get("X-Request-Id")
 		testserver.Respond(200, "", id)(conn, r, body)
