--- a/internal/downstream/drain_listener_test.go
+++ b/internal/downstream/drain_listener_test.go
@@ -21,8 +21,8 @@
 
 var successorRounds = flag.Int("successor.rounds", 100, "rounds of TestNoConnectionIsResetWhenAListenerTakesOver")
 
-// TestNoConnectionIsResetWhenAListenerTakesOver has clients open connections all the time while one listener after
-// another takes over the address: none is reset.
+// TestNoConnectionIsResetWhenAListenerTakesOver checks that no connection is reset while clients continuously open
+// connections and each listener is replaced by a successor at the same address.
 func TestNoConnectionIsResetWhenAListenerTakesOver(t *testing.T) {
 	rounds := *successorRounds
 	log := slog.New(slog.DiscardHandler)
@@ -87,20 +87,20 @@
 	_ = l.Close()
 	<-ended
 	serving.Wait()
-	t.Logf("%d connections, %d reset", connCount.Load(), len(failures))
+	t.Logf("%d connections, %d failed", connCount.Load(), len(failures))
 	if len(failures) > 0 {
 		t.Errorf("%d of %d connections failed, first: %v", len(failures), connCount.Load(), <-failures)
 	}
 }
 
-// echo opens a connection, and has a byte come back on it.
+// echo opens a connection, sends a byte and reads the echoed byte.
 func echo(address string) error {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
-	_ = c.(*net.TCPConn).SetLinger(0) // no port waits
+	_ = c.(*net.TCPConn).SetLinger(0) // avoids TIME_WAIT, which would occupy the port
 	if _, err := c.Write([]byte("x")); err != nil {
 		return fmt.Errorf("write: %w", err)
 	}
@@ -110,7 +110,8 @@
 	return nil
 }
 
-// TestDrainAcceptsWaitingConnections has connections wait unaccepted when the accepting ends: none may be reset.
+// TestDrainAcceptsWaitingConnections checks that connections that wait to be accepted when the drain begins are
+// accepted and not reset.
 func TestDrainAcceptsWaitingConnections(t *testing.T) {
 	inner := testserver.Listen(t).(*net.TCPListener)
 	l := NewDrainListener(inner, nil, time.Second)
@@ -122,7 +123,7 @@
 		}
 		defer c.Close()
 	}
-	if err := l.Drain(-time.Second); err != nil { // long over
+	if err := l.Drain(-time.Second); err != nil { // deadline already passed
 		t.Fatal(err)
 	}
 	for i := range n {
@@ -133,13 +134,13 @@
 		c.Close()
 	}
 	if _, err := l.Accept(); err == nil {
-		t.Error("accepting did not end")
+		t.Error("Accept did not fail after the drain")
 	}
 }
 
-// TestDrainEndsWhereAcceptFailsForGood has accepting fail for good while a connection waits: the end comes after some
-// rounds.
-func TestDrainEndsWhereAcceptFailsForGood(t *testing.T) {
+// TestDrainEndsWhenAcceptKeepsFailing checks that a drain ends after maxFailedRounds rounds if accept keeps failing
+// while a connection waits.
+func TestDrainEndsWhenAcceptKeepsFailing(t *testing.T) {
 	inner, calls := testserver.Listen(t).(*net.TCPListener), 0
 	c, err := net.Dial("tcp", inner.Addr().String())
 	if err != nil {
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -14,8 +14,8 @@
 	"milletramp.example/milletramp/internal/metrics"
 )
 
-// acceptConn returns a listener for maxConns connections, one that it has accepted, and its client's end, which the end
-// of the test closes.
+// acceptConn returns a listener with a limit of maxConns connections, one accepted connection, and the client's end of
+// it. The client's end is closed at the end of the test.
 func acceptConn(t *testing.T, maxConns int) (l *Listener, c *Conn, client net.Conn) {
 	t.Helper()
 	l = NewListener(testserver.Listen(t), maxConns, maxConns, &metrics.UnservedConns{})
@@ -31,8 +31,8 @@
 	return l, accepted.(*Conn), client
 }
 
-// TestConnectionWithRequestKeepsItsPlace follows the bound itself: a connection with a request is never closed for
-// another.
+// TestConnectionWithRequestKeepsItsPlace checks that at the connection limit only connections without a request are
+// closed for new ones.
 func TestConnectionWithRequestKeepsItsPlace(t *testing.T) {
 	l := NewListener(testserver.Listen(t), 2, 2, &metrics.UnservedConns{})
 	var conns []*Conn
@@ -48,7 +48,7 @@
 		}
 		conn := got.(*Conn)
 		conns = append(conns, conn)
-		go func() { // as the server does
+		go func() { // reads as http.Server does
 			if _, err := conn.Read(make([]byte, 1)); err != nil {
 				l.onHTTPState(conn, http.StateClosed)
 			}
@@ -67,11 +67,11 @@
 		t.Fatalf("closed: busy %v, idle %v, third %v", closed(busy), closed(idle), closed(third))
 	}
 	l.onHTTPState(third, http.StateActive)
-	l.onHTTPState(idle, http.StateClosed) // the server hears of it late
+	l.onHTTPState(idle, http.StateClosed) // http.Server reports the close late
 	busy.MarkFinalResponse()
 	accept()
 	if !closed(busy) || closed(third) {
-		t.Errorf("closed: ending %v, busy %v", closed(busy), closed(third))
+		t.Errorf("closed: after its final response %v, third %v", closed(busy), closed(third))
 	}
 	for _, c := range conns {
 		l.onHTTPState(c, http.StateClosed)
@@ -79,14 +79,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if n := l.unserved[metrics.Evicted].Load(); n != 1 {
-		t.Errorf("%d connections ended unserved for room, want 1", n)
+		t.Errorf("%d connections counted as evicted, want 1", n)
 	}
 	if l.openConns != 0 || l.usedConns != 0 || l.idleConns.Len() != 0 {
-		t.Errorf("%d open and %d idle after the end of all", l.openConns, l.idleConns.Len())
+		t.Errorf("%d open and %d idle connections after all were closed", l.openConns, l.idleConns.Len())
 	}
 }
 
-// readHookConn is a connection that calls got when its Read has got something, before that returns.
+// readHookConn is a connection that calls afterRead after it has read bytes, before Read returns.
 type readHookConn struct {
 	net.Conn
 	afterRead func()
@@ -101,17 +101,17 @@
 	return n, err
 }
 
-// TestRetiredConnectionServesRequestReadMeanwhile retires a connection between the moment that its reader has got a
-// request and the moment that anybody can know: the request is served, and its answer ends the connection.
+// TestRetiredConnectionServesRequestReadMeanwhile retires a connection after its reader has read a request from the
+// socket and before the request is recorded. The request must be served, and the connection closes after its response.
 func TestRetiredConnectionServesRequestReadMeanwhile(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
-		before string // sent and answered first
+		before string // request that is served first; "": none
 		retire func(*Listener, *Conn)
 	}{
-		{"new, for room", "", func(l *Listener, c *Conn) { l.beginRetire(c, metrics.Evicted) }},
-		{"used, for room", "GET / HTTP/1.1\r\n\r\n", func(l *Listener, c *Conn) { l.beginRetire(c, metrics.Evicted) }},
-		{"used, stopping", "GET / HTTP/1.1\r\n\r\n", func(l *Listener, c *Conn) {
+		{"new, evicted", "", func(l *Listener, c *Conn) { l.beginRetire(c, metrics.Evicted) }},
+		{"used, evicted", "GET / HTTP/1.1\r\n\r\n", func(l *Listener, c *Conn) { l.beginRetire(c, metrics.Evicted) }},
+		{"used, shutting down", "GET / HTTP/1.1\r\n\r\n", func(l *Listener, c *Conn) {
 			l.mu.Unlock()
 			l.RetireIdle(0)
 			l.mu.Lock()
@@ -135,7 +135,7 @@
 				defer l.mu.Unlock()
 				tt.retire(l, c)
 				if c.state != stateRetiring {
-					t.Error("it is not retired")
+					t.Error("connection is not retired")
 				}
 			}
 			request := "GET /api HTTP/1.1\r\n\r\n"
@@ -146,19 +146,19 @@
 			inner.afterRead = nil
 			if c.state != stateActive || !c.closeAfterResponse || c.idleElement != nil || l.retiringConns != 0 ||
 				!c.ClosesAfterResponse() {
-				t.Errorf("state %d, closes after its response %v, in the list %v, %d retiring",
+				t.Errorf("state %d, closes after its response %v, in the idle list %v, %d retiring",
 					c.state, c.closeAfterResponse, c.idleElement != nil, l.retiringConns)
 			}
 			fmt.Fprint(client, "x")
-			if _, err := c.Read(buffer); err != nil { // its deadline is not over
-				t.Errorf("error %v behind the request", err)
+			if _, err := c.Read(buffer); err != nil { // its deadline has not passed
+				t.Errorf("error %v after the request", err)
 			}
 		})
 	}
 }
 
-// TestRetiredConnectionServesUnreadRequest retires a connection, and lets its idle time run out, where a request waits
-// unread.
+// TestRetiredConnectionServesUnreadRequest checks that a request that has arrived but is unread is served, both if the
+// connection is retired and if its idle timeout expires.
 func TestRetiredConnectionServesUnreadRequest(t *testing.T) {
 	for _, retired := range []bool{true, false} {
 		l, c, client := acceptConn(t, 2)
@@ -167,7 +167,7 @@
 		fmt.Fprint(client, "GET /api HTTP/1.1\r\n\r\n")
 		for end := time.Now().Add(testserver.Timeout); !c.hasUnreadInput(); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("nothing came")
+				t.Fatal("no input arrived")
 			}
 		}
 		if retired {
@@ -177,24 +177,24 @@
 		}
 		n, err := c.Read(make([]byte, 1000))
 		if n == 0 || err != nil || c.closeAfterResponse != retired || c.state == stateRetiring {
-			t.Errorf("retired %v: %d bytes, error %v, last %v", retired, n, err, c.closeAfterResponse)
+			t.Errorf("retired %v: %d bytes, error %v, closes after its response %v", retired, n, err, c.closeAfterResponse)
 		}
 		l.onHTTPState(c, http.StateActive)
 		l.onHTTPState(c, http.StateIdle)
 		if (c.state == stateRetiring) != retired {
-			t.Errorf("behind its answer retired is %v, want %v", (c.state == stateRetiring), retired)
+			t.Errorf("after its response: retiring %v, want %v", (c.state == stateRetiring), retired)
 		}
 	}
 }
 
-// TestLingeringEndsWhereDescriptorIsWanted: a connection is read on behind its last answer until its client ends it,
-// but not where its descriptor is wanted.
+// TestLingeringEndsWhereDescriptorIsWanted checks that a connection lingers after its last response until the client
+// closes it, but not if the connection limit is reached and its descriptor is needed.
 func TestLingeringEndsWhereDescriptorIsWanted(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
 		maxConns int
-		reset    bool // its client finds it reset
-	}{{"room is left", 2, false}, {"none is left", 1, true}} {
+		reset    bool // the client sees a reset
+	}{{"below the limit", 2, false}, {"at the limit", 1, true}} {
 		t.Run(tt.name, func(t *testing.T) {
 			l, c, client := acceptConn(t, tt.maxConns)
 			l.onHTTPState(c, http.StateActive)
@@ -202,7 +202,7 @@
 				t.Fatal(err)
 			}
 			for !c.hasUnreadInput() {
-				time.Sleep(time.Millisecond) // for the bytes to come
+				time.Sleep(time.Millisecond) // until the bytes arrive
 			}
 			closed := make(chan error, 1)
 			go func() { closed <- c.Close() }()
@@ -217,8 +217,8 @@
 	}
 }
 
-// TestConnectionWithNextRequestIsNotIdle has a client send two requests at once. Behind the first response the reader
-// has the second request already: the connection counts as busy, and is not retired.
+// TestConnectionWithNextRequestIsNotIdle has a client send two requests at once. After the first response the reader
+// has already read the second request, so the connection stays active and is not retired.
 func TestConnectionWithNextRequestIsNotIdle(t *testing.T) {
 	l, c, client := acceptConn(t, 2)
 	requests := "GET /api HTTP/1.1\r\n\r\nGET /api HTTP/1.1\r\n\r\n"
@@ -235,18 +235,18 @@
 	l.RetireIdle(0)
 	l.RetireAll()
 	if c.idleElement != nil || c.state == stateRetiring || c.closeAfterResponse || !c.hasPendingRequest() {
-		t.Errorf("state %d, in the list %v, closes after its response %v, has a request %v",
+		t.Errorf("state %d, in the idle list %v, closes after its response %v, has a pending request %v",
 			c.state, c.idleElement != nil, c.closeAfterResponse, c.hasPendingRequest())
 	}
 	l.onHTTPState(c, http.StateActive)
 	l.onHTTPState(c, http.StateIdle)
 	if c.idleElement == nil || c.hasPendingRequest() {
-		t.Errorf("behind its last response: idle %v, has a request %v", c.idleElement != nil, c.hasPendingRequest())
+		t.Errorf("after its last response: idle %v, has a pending request %v", c.idleElement != nil, c.hasPendingRequest())
 	}
 }
 
-// TestBodyDeadlineDoesNotEndReadingAhead lets the time for a body run out once the body has come whole: the request is
-// in hand, and what net/http reads ahead must not fail, but for net/http's own end of it.
+// TestBodyDeadlineDoesNotEndReadingAhead lets the deadline for a body pass after the complete body was read. The
+// request is being served, and the read-ahead of net/http must fail only when net/http itself ends it.
 func TestBodyDeadlineDoesNotEndReadingAhead(t *testing.T) {
 	l, c, client := acceptConn(t, 2)
 	read := func() (int, error) { return c.Read(make([]byte, 1000)) }
@@ -260,7 +260,7 @@
 		t.Fatal(err)
 	}
 	if _, err := read(); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("error %v in a body whose time is over", err)
+		t.Errorf("error %v in an incomplete body after its deadline", err)
 	}
 	fmt.Fprint(client, "ip")
 	_ = c.SetReadDeadline(time.Now().Add(testserver.Timeout))
@@ -270,16 +270,16 @@
 	_ = c.SetReadDeadline(over)
 	fmt.Fprint(client, "G")
 	if n, err := read(); n != 1 || err != nil {
-		t.Errorf("%d bytes, error %v behind a whole body", n, err)
+		t.Errorf("%d bytes, error %v after a complete body", n, err)
 	}
 	_ = c.SetReadDeadline(pastDeadline)
 	if _, err := read(); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("error %v where reading ahead is ended", err)
+		t.Errorf("error %v after net/http ended its read-ahead", err)
 	}
 }
 
-// TestRetireAllLeavesLingeringConnections: a connection that lingers is not closed by the end, which would reset it
-// where bytes are unread, but lingers for less.
+// TestRetireAllLeavesLingeringConnections checks that RetireAll does not close a lingering connection, which would
+// reset it if it has unread bytes, but shortens its linger time.
 func TestRetireAllLeavesLingeringConnections(t *testing.T) {
 	l, c, _ := acceptConn(t, 2)
 	defer c.Conn.Close()
@@ -288,9 +288,9 @@
 	c.MarkFinalResponse()
 	l.RetireAll()
 	if c.state == stateClosed || c.state == stateRetiring {
-		t.Error("it is closed behind its last answer")
+		t.Error("connection was closed after its last response")
 	}
 	if until := l.lingerDeadline(startedAt); !until.Equal(l.shutdownAt.Add(shutdownLingerTimeout)) {
-		t.Errorf("it lingers for %v, want %v behind the end", until.Sub(startedAt), shutdownLingerTimeout)
+		t.Errorf("connection lingers for %v, want %v after RetireAll", until.Sub(startedAt), shutdownLingerTimeout)
 	}
 }
--- a/internal/downstream/main_test.go
+++ b/internal/downstream/main_test.go
@@ -8,7 +8,7 @@
 	"milletramp.example/milletramp/internal/lab/testrun"
 )
 
-// TestMain keeps other packages that measure time off while these tests run.
+// TestMain prevents other packages with timing-sensitive tests from running at the same time.
 func TestMain(m *testing.M) {
 	release, err := testrun.Exclusive()
 	if err != nil {
--- a/internal/downstream/state_test.go
+++ b/internal/downstream/state_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// stateNames and eventNames name the cases of TestTransitions.
+// stateNames and eventNames are the names of the states and events in the names of test cases.
 var (
 	stateNames = []string{"new", "idle", "active", "retiring", "lingering", "closed"}
 	eventNames = []string{"input", "request read", "handler started", "response sent", "final response", "retire",
 		"close"}
 )
 
-// TestTransitions holds each event in each state to the table of connState; "-" is an event that is refused.
+// TestTransitions checks each event in each state against the table of connState; "-" is an event without an effect.
 func TestTransitions(t *testing.T) {
 	table := [][]string{ // by event, then by state
 		{"new", "idle", "active", "idle", "lingering", "-"},
@@ -29,7 +29,7 @@
 				next, ok := nextState(connState(state), connEvent(event), true)
 				switch {
 				case want == "-" && (ok || next != connState(state)):
-					t.Errorf("changes to %s, want that it is refused", stateNames[next])
+					t.Errorf("changes to %s, want no effect", stateNames[next])
 				case want != "-" && (!ok || stateNames[next] != want):
 					t.Errorf("changes to %s (%v), want %s", stateNames[next], ok, want)
 				}
@@ -37,16 +37,16 @@
 		}
 	}
 	if len(transitions) != len(table) {
-		t.Errorf("%d events, %d are held to the table", len(transitions), len(table))
+		t.Errorf("%d events, %d are in the table", len(transitions), len(table))
 	}
 	if next, ok := nextState(stateRetiring, eventInput, false); !ok || next != stateNew {
-		t.Errorf("one that never had a request goes on as %s (%v), want new", stateNames[next], ok)
+		t.Errorf("retiring connection without a request resumes as %s (%v), want new", stateNames[next], ok)
 	}
 }
 
-// TestRefusedEventsChangeNothing applies each event that is refused to a tracked connection in each state: its state
-// and the numbers of its listener stay.
-func TestRefusedEventsChangeNothing(t *testing.T) {
+// TestEventsWithoutEffectChangeNothing checks that an event without an effect in a state changes neither the state of
+// the connection nor the counts of its listener.
+func TestEventsWithoutEffectChangeNothing(t *testing.T) {
 	for event := eventInput; event <= eventClose; event++ {
 		for state := stateNew; state <= stateClosed; state++ {
 			if _, ok := nextState(state, event, true); ok {
@@ -60,7 +60,7 @@
 				l.setState(c, state)
 				open, retiring, idle := l.openConns, l.retiringConns, l.idleConns.Len()
 				if l.apply(c, event) || c.state != state {
-					t.Errorf("it is %s behind the event", stateNames[c.state])
+					t.Errorf("state is %s after the event", stateNames[c.state])
 				}
 				if l.openConns != open || l.retiringConns != retiring || l.idleConns.Len() != idle {
 					t.Errorf("%d open, %d retiring, %d idle; want %d, %d, %d",
--- a/internal/netretry/netretry_test.go
+++ b/internal/netretry/netretry_test.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// acceptErrors are what accept(2) fails with, except for a closed listener.
+// acceptErrors are the errors of accept(2), except that of a closed listener.
 var acceptErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN,
 	syscall.EINTR, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.EHOSTDOWN, syscall.ENONET,
 	syscall.EPROTO, syscall.EPERM, syscall.ECONNABORTED, syscall.ENOPROTOOPT, syscall.EOPNOTSUPP}
@@ -57,13 +57,14 @@
 	return len(p), nil
 }
 
-// Write implements io.Writer. It is short even where it does not fail.
+// Write implements io.Writer. Every write is short, even if it does not fail.
 func (f *failingSocket) Write(p []byte) (int, error) { return len(p) / 2, f.call() }
 
 // Close implements io.Closer.
 func (f *failingSocket) Close() error { return nil }
 
-// TestAcceptRetriesAllButClose has each error of accept(2) come a hundred times and once, and then net.ErrClosed.
+// TestAcceptRetriesAllButClose checks that Accept retries each error of accept(2), after 100 failures and after one,
+// and returns only net.ErrClosed.
 func TestAcceptRetriesAllButClose(t *testing.T) {
 	for _, errno := range acceptErrors {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -82,22 +83,23 @@
 				f.failuresLeft = 1
 				startedAt = time.Now()
 				if _, err := listener.Accept(); err != nil || time.Since(startedAt) != minBackoff {
-					t.Errorf("error %v after one failure, and %v", err, time.Since(startedAt))
+					t.Errorf("error %v after one failure and %v", err, time.Since(startedAt))
 				}
 				if lines := strings.Count(log.String(), "\n"); lines != 2 {
-					t.Errorf("%d lines for two runs of failures:\n%s", lines, log)
+					t.Errorf("%d log lines for two series of failures:\n%s", lines, log)
 				}
 				f.failuresLeft = 2
 				f.finalErr = &net.OpError{Op: "accept", Err: net.ErrClosed}
 				if _, err := listener.Accept(); !errors.Is(err, net.ErrClosed) {
-					t.Errorf("error %v of a closed listener", err)
+					t.Errorf("error %v from a closed listener", err)
 				}
 			})
 		})
 	}
 }
 
-// TestRetriesAreBounded has each other call fail a number of times, and counts how often it was made.
+// TestRetriesAreBounded checks the number of calls, their duration and their result when Open, Dial, Read and Write
+// meet temporary and permanent failures.
 func TestRetriesAreBounded(t *testing.T) {
 	const forever = 1 << 20
 	listen := func(ctx context.Context, f *failingSocket) error {
@@ -115,7 +117,7 @@
 		}
 		return err
 	}
-	write := func(_ context.Context, f *failingSocket) error { // 500, 250, 125, 62 and so on: ten calls
+	write := func(_ context.Context, f *failingSocket) error { // writes 500, 250, 125, 62 bytes and so on: ten calls
 		n, err := Write(f, make([]byte, 1000))
 		if (n == 1000) != (err == nil) {
 			t.Errorf("%d bytes written, error %v", n, err)
@@ -131,21 +133,21 @@
 		within   time.Duration
 		succeeds bool
 	}{
-		{"listen, no descriptor", listen, syscall.EMFILE, 20, 21, time.Second, true},
-		{"listen, no memory, for good", listen, syscall.ENOMEM, forever, 0, 4*time.Second + maxBackoff, false},
-		{"listen, in use", listen, syscall.EADDRINUSE, forever, 1, 0, false},
-		{"listen, no such address", listen, syscall.EADDRNOTAVAIL, forever, 1, 0, false},
-		{"listen, not allowed", listen, syscall.EACCES, forever, 1, 0, false},
-		{"dial, no port", dial, syscall.EADDRNOTAVAIL, 2, 3, 3 * time.Millisecond, true},
-		{"dial, no descriptor, for good", dial, syscall.ENFILE, forever, maxDialAttempts, 15 * time.Millisecond, false},
-		{"dial, refused", dial, syscall.ECONNREFUSED, forever, 1, 0, false},
-		{"dial, unreachable", dial, syscall.ENETUNREACH, forever, 1, 0, false},
-		{"read, no memory", read, syscall.ENOMEM, 3, 4, 7 * time.Millisecond, true},
-		{"read, no buffer, for good", read, syscall.ENOBUFS, forever, maxIOAttempts, 200 * time.Millisecond, false},
-		{"read, reset", read, syscall.ECONNRESET, forever, 1, 0, false},
-		{"read, no time left", read, syscall.ETIMEDOUT, forever, 1, 0, false},
-		{"write, short", write, 0, 0, 0, 500 * time.Millisecond, false}, // never the last byte
-		{"write, reset", write, syscall.EPIPE, forever, 1, 0, false},
+		{"listen, descriptor shortage", listen, syscall.EMFILE, 20, 21, time.Second, true},
+		{"listen, permanent memory shortage", listen, syscall.ENOMEM, forever, 0, 4*time.Second + maxBackoff, false},
+		{"listen, address in use", listen, syscall.EADDRINUSE, forever, 1, 0, false},
+		{"listen, address not available", listen, syscall.EADDRNOTAVAIL, forever, 1, 0, false},
+		{"listen, permission denied", listen, syscall.EACCES, forever, 1, 0, false},
+		{"dial, no local port", dial, syscall.EADDRNOTAVAIL, 2, 3, 3 * time.Millisecond, true},
+		{"dial, permanent descriptor shortage", dial, syscall.ENFILE, forever, maxDialAttempts, 15 * time.Millisecond, false},
+		{"dial, connection refused", dial, syscall.ECONNREFUSED, forever, 1, 0, false},
+		{"dial, network unreachable", dial, syscall.ENETUNREACH, forever, 1, 0, false},
+		{"read, memory shortage", read, syscall.ENOMEM, 3, 4, 7 * time.Millisecond, true},
+		{"read, permanent buffer shortage", read, syscall.ENOBUFS, forever, maxIOAttempts, 200 * time.Millisecond, false},
+		{"read, connection reset", read, syscall.ECONNRESET, forever, 1, 0, false},
+		{"read, connection timed out", read, syscall.ETIMEDOUT, forever, 1, 0, false},
+		{"write, short writes", write, 0, 0, 0, 500 * time.Millisecond, false}, // the last byte is never written
+		{"write, broken pipe", write, syscall.EPIPE, forever, 1, 0, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -166,8 +168,8 @@
 	}
 }
 
-// TestWriteContinuesAfterShortWrites has writes be short and fail in turn: all bytes are written once, in
-// order.
+// TestWriteContinuesAfterShortWrites checks that all bytes are written once and in order although writes are short and
+// fail.
 func TestWriteContinuesAfterShortWrites(t *testing.T) {
 	text := bytes.Repeat([]byte("0123456789"), 30)
 	out := &bytes.Buffer{}
@@ -186,14 +188,15 @@
 	}
 }
 
-// writerFunc is an io.Writer by its function.
+// writerFunc is an io.Writer that calls the function.
 type writerFunc func(p []byte) (int, error)
 
 // Write implements io.Writer.
 func (w writerFunc) Write(p []byte) (int, error) { return w(p) }
 
-// TestUninterruptedRetriesInterruptedCalls has a call be interrupted three times and then fail.
-func TestUninterruptedRetriesInterruptedCalls(t *testing.T) {
+// TestRetryOnEINTRRetriesInterruptedCalls checks the result and the number of calls of a function that returns EINTR
+// three times and then fails with another error.
+func TestRetryOnEINTRRetriesInterruptedCalls(t *testing.T) {
 	f := &failingSocket{err: os.NewSyscallError("poll", syscall.EINTR), failuresLeft: 3, finalErr: syscall.EBADF}
 	if err := RetryOnEINTR(f.call); err != syscall.EBADF || f.calls != 4 {
 		t.Errorf("error %v after %d calls", err, f.calls)
--- a/internal/netretry/socket_test.go
+++ b/internal/netretry/socket_test.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestPeekAndPollRetryInterruptedCalls has signals interrupt the calls that inspect a socket.
+// TestPeekAndPollRetryInterruptedCalls checks that Peek and Poll repeat system calls that fail with EINTR.
 func TestPeekAndPollRetryInterruptedCalls(t *testing.T) {
 	interrupted := 0
 	interruptTwice := func() error {
