--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -236,7 +236,7 @@
 	if participant == nil {
 		return true, ""
 	}
-	if o.gate != nil && !o.gate.Enter(context.Background(), participantTimeout) {
+	if o.gate != nil && !o.gate.Await(context.Background(), participantTimeout) {
 		return false, "policy: nobody has promised this sidecar one"
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), participantTimeout)
