--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -42,7 +42,7 @@
 	FirstListTimeout + 2*balance.FirstDiscoveryBackoff
 
 // errWatchTimeout reports that a watch was ended because nothing arrived in time.
-var errWatchTimeout = errors.New("discovery is silent")
+var errWatchTimeout = errors.New("watch timed out")
 
 // completeListRevision is the revision argument that requests the complete list.
 const completeListRevision = -1
--- a/internal/discovery/splitter.go
+++ b/internal/discovery/splitter.go
@@ -7,7 +7,7 @@
 )
 
 // errNotObject reports that a stream contains something other than complete JSON objects.
-var errNotObject = errors.New("no JSON object")
+var errNotObject = errors.New("not a JSON object")
 
 // jsonSplitter splits a stream into JSON objects, independently of line breaks and of the size of the reads. It only
 // finds the end of each object; the parser checks whether the object is well formed. A bufio.Scanner uses its split
@@ -40,7 +40,7 @@
 			return advance, nil, nil
 		}
 		if first := data[advance]; first != '{' {
-			return 0, nil, fmt.Errorf("%w: it begins with %q", errNotObject, first)
+			return 0, nil, fmt.Errorf("%w: value begins with %q", errNotObject, first)
 		}
 		s.startedAt = time.Now()
 	}
@@ -54,7 +54,7 @@
 		}
 	}
 	if atEOF {
-		return 0, nil, fmt.Errorf("%w: it ends midway", errNotObject)
+		return 0, nil, fmt.Errorf("%w: stream ended within an object", errNotObject)
 	}
 	return advance, nil, nil
 }
--- a/internal/discovery/subscriptions.go
+++ b/internal/discovery/subscriptions.go
@@ -190,10 +190,10 @@
 func (s *Subscriptions) replaceWatch(ended *subscription, err error) {
 	switch ended {
 	case s.next:
-		s.options.Log.Info("discovery", "err", err)
+		s.options.Log.Info("discovery watch failed", "err", err)
 		s.retryAddress(ended)
 	case s.current:
-		s.options.Log.Info("discovery", "err", err)
+		s.options.Log.Info("discovery watch failed", "err", err)
 		s.current = nil
 		s.lastWatchTimedOut = s.lastWatchTimedOut || errors.Is(err, errWatchTimeout)
 		if s.next == nil {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -58,7 +58,7 @@
 // endAfter returns a timer that ends the watch.
 func (w *watch) endAfter(timeout time.Duration) *time.Timer {
 	return time.AfterFunc(timeout, func() {
-		w.cancel(fmt.Errorf("%w: nothing came for %v", errWatchTimeout, timeout))
+		w.cancel(fmt.Errorf("%w: no data received for %v", errWatchTimeout, timeout))
 	})
 }
 
@@ -84,7 +84,7 @@
 	if err := scanner.Err(); err != nil {
 		return fmt.Errorf("watch: %w", errors.Join(err, context.Cause(ctx)))
 	}
-	return errors.New("watch: ended")
+	return errors.New("watch: stream closed by discovery")
 }
 
 // handleList passes a list to onUpdate. The silence timeout replaces the timeouts for the first list.
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -80,7 +80,7 @@
 	client := NewClient(testserver.StartDiscovery(t).Address, testserver.Timeout, nil)
 	client.silenceTimeout = 50 * time.Millisecond
 	err := client.Watch(context.Background(), -1, func(List) { t.Error("a list") }, func() {})
-	if err == nil || !strings.Contains(err.Error(), "nothing came for 50ms") {
+	if err == nil || !strings.Contains(err.Error(), "watch timed out: no data received for 50ms") {
 		t.Errorf("error %v", err)
 	}
 }
