--- a/internal/hotrestart/files.go
+++ b/internal/hotrestart/files.go
@@ -33,13 +33,13 @@
 func (p processFiles) createLocked() (*os.File, error) {
 	file, err := os.OpenFile(p.tempPath(), os.O_CREATE|os.O_EXCL|os.O_RDWR, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("handover: %w", err)
+		return nil, fmt.Errorf("hot restart: %w", err)
 	}
 	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		return file, fmt.Errorf("handover: lock: %w", err)
+		return file, fmt.Errorf("hot restart: lock: %w", err)
 	}
 	if err := os.Rename(p.tempPath(), p.lockPath()); err != nil {
-		return file, fmt.Errorf("handover: %w", err)
+		return file, fmt.Errorf("hot restart: %w", err)
 	}
 	return file, nil
 }
--- a/internal/hotrestart/member.go
+++ b/internal/hotrestart/member.go
@@ -50,7 +50,7 @@
 func joinWithFS(stateFS fsys.FS, dir string, s State, log *slog.Logger) (*Member, error) {
 	m := &Member{files: newProcessFiles(dir, s), log: log, fs: stateFS, state: s}
 	if err := os.MkdirAll(m.files.dir, 0o700); err != nil {
-		return nil, fmt.Errorf("handover: %w", err)
+		return nil, fmt.Errorf("hot restart: %w", err)
 	}
 	lockFile, err := m.files.createLocked()
 	if lockFile == nil {
--- a/internal/hotrestart/others.go
+++ b/internal/hotrestart/others.go
@@ -45,7 +45,7 @@
 	}
 	entries, err := os.ReadDir(m.files.dir)
 	if err != nil {
-		m.log.Warn("handover", "err", err)
+		m.log.Warn("hot restart: cannot read the state of other processes", "err", err)
 		return nil
 	}
 	var others []State
@@ -67,11 +67,11 @@
 func (m *Member) readProcess(files processFiles) (s State, found bool) {
 	running, err := isLocked(files.lockPath())
 	if err != nil {
-		m.log.Warn("handover", "err", err)
+		m.log.Warn("hot restart: cannot read the state of other processes", "err", err)
 		return State{}, false
 	}
 	if !running {
-		m.log.Info("handover: dropped what a process left that has ended", "process", files.id)
+		m.log.Info("hot restart: removed the files of a process that has ended", "process", files.id)
 		_ = files.remove() // another process may remove them at the same time
 		return State{}, false
 	}
@@ -80,7 +80,7 @@
 		return State{}, false // the process has just started; it writes its own state before it acts on the states of others
 	}
 	if err != nil {
-		m.log.Warn("handover: dropped", "err", err)
+		m.log.Warn("hot restart: ignored the state file of another process", "err", err)
 		return State{}, false
 	}
 	return s, true
--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -60,7 +60,7 @@
 func encodeState(s State) ([]byte, error) {
 	body, err := json.Marshal(s)
 	if err != nil {
-		return nil, fmt.Errorf("state: %w", err)
+		return nil, fmt.Errorf("encode state: %w", err)
 	}
 	header := fmt.Sprintf("%s %d %d %s\n", formatMagic, formatVersion, len(body), checksum(body))
 	return append([]byte(header), body...), nil
@@ -80,15 +80,15 @@
 	}
 	var s State
 	if err := json.Unmarshal(body, &s); err != nil {
-		return State{}, invalidStatef(malformedJSON, "%v", err)
+		return State{}, invalidStatef(malformedJSON, "is not valid JSON: %v", err)
 	}
 	switch {
 	case s.Name != name || s.ListenAddress != listen:
-		return State{}, invalidStatef(otherSidecar, "is of sidecar %.40q at %.40q", s.Name, s.ListenAddress)
+		return State{}, invalidStatef(otherSidecar, "belongs to sidecar %.40q at %.40q", s.Name, s.ListenAddress)
 	case s.Phase != Starting && s.Phase != Ready && s.Phase != Draining:
-		return State{}, invalidStatef(unknownPhase, "has the unknown phase %.40q", s.Phase)
+		return State{}, invalidStatef(unknownPhase, "has unknown phase %.40q", s.Phase)
 	case len(s.AdminDown) > maxAdminDown:
-		return State{}, invalidStatef(tooManyServers, "names %d servers, %d at most", len(s.AdminDown), maxAdminDown)
+		return State{}, invalidStatef(tooManyServers, "has %d servers, the limit is %d", len(s.AdminDown), maxAdminDown)
 	}
 	return s, nil
 }
@@ -99,16 +99,16 @@
 	header, body, complete := bytes.Cut(content, []byte("\n"))
 	fields := strings.Fields(string(header))
 	if !complete || len(fields) != headerFields || fields[0] != formatMagic {
-		return nil, invalidStatef(notStateFile, "is no state of a sidecar")
+		return nil, invalidStatef(notStateFile, "is not a sidecar state file")
 	}
 	version, length, sum := fields[1], fields[2], fields[3]
 	switch {
 	case version != strconv.Itoa(formatVersion):
-		return nil, invalidStatef(unsupportedVersion, "is of version %.20q, this process knows %d", version, formatVersion)
+		return nil, invalidStatef(unsupportedVersion, "has version %.20q, this process supports %d", version, formatVersion)
 	case length != strconv.Itoa(len(body)):
-		return nil, invalidStatef(lengthMismatch, "has %d bytes, its head says %.20q", len(body), length)
+		return nil, invalidStatef(lengthMismatch, "has a body of %d bytes, its header has length %.20q", len(body), length)
 	case sum != checksum(body):
-		return nil, invalidStatef(checksumMismatch, "has the checksum %s, its head says %.20q", checksum(body), sum)
+		return nil, invalidStatef(checksumMismatch, "has checksum %s, its header has %.20q", checksum(body), sum)
 	}
 	return body, nil
 }
--- a/internal/hotrestart/state_test.go
+++ b/internal/hotrestart/state_test.go
@@ -77,12 +77,12 @@
 		reason  invalidReason // 0: valid
 	}{
 		{"valid", valid, "", 0},
-		{"empty", nil, "is no state", notStateFile},
-		{"cut off", valid[:len(valid)-5], "bytes, its head says", lengthMismatch},
-		{"cut off in its header", valid[:10], "is no state", notStateFile},
+		{"empty", nil, "is not a sidecar state file", notStateFile},
+		{"cut off", valid[:len(valid)-5], "bytes, its header has length", lengthMismatch},
+		{"cut off in its header", valid[:10], "is not a sidecar state file", notStateFile},
 		{"changed", corrupted, "checksum", checksumMismatch},
-		{"of another sidecar", otherSidecarContent, "is of sidecar", otherSidecar},
-		{"of a newer version", withHeader(formatVersion+1, `{}`), "is of version", unsupportedVersion},
+		{"of another sidecar", otherSidecarContent, "belongs to sidecar", otherSidecar},
+		{"of a newer version", withHeader(formatVersion+1, `{}`), "has version", unsupportedVersion},
 		{"no JSON", withHeader(formatVersion, `{`), "unexpected end", malformedJSON},
 		{"of an unknown phase", withHeader(formatVersion, unknownPhaseJSON), "unknown phase", unknownPhase},
 		{"with too many servers", withHeader(formatVersion, tooManyServersJSON), "servers", tooManyServers},
--- a/internal/hotrestart/write.go
+++ b/internal/hotrestart/write.go
@@ -22,7 +22,7 @@
 		err = fsys.Replace(m.fs, m.files.tempPath(), m.files.statePath(), content, false)
 	}
 	if err != nil {
-		return fmt.Errorf("handover: %w", err)
+		return fmt.Errorf("hot restart: %w", err)
 	}
 	return nil
 }
@@ -32,11 +32,11 @@
 func (m *Member) recordWrite(err error) {
 	switch {
 	case err == nil && m.backoff > 0:
-		m.log.Info("handover: the state is written again")
+		m.log.Info("hot restart: writing the state file succeeded again")
 		m.backoff = 0
 		m.retryTimer.Stop()
 	case err != nil && m.backoff == 0:
-		m.log.Warn("handover: the state is not written, and is tried again", "err", err)
+		m.log.Warn("hot restart: writing the state file failed and is retried", "err", err)
 		m.backoff = initialBackoff
 		m.retryTimer = time.AfterFunc(m.backoff, m.retryWrite)
 	}
--- a/internal/hotrestart/write_test.go
+++ b/internal/hotrestart/write_test.go
@@ -67,7 +67,7 @@
 	if got := adminDownSeenBy(t, successor); !slices.Equal(got, pending) {
 		t.Errorf("the next process sees %v, want %v", got, pending)
 	}
-	for _, line := range []string{"is not written", "is written again"} {
+	for _, line := range []string{"writing the state file failed", "writing the state file succeeded"} {
 		if n := strings.Count(log.String(), line); n != 1 {
 			t.Errorf("the log has %d times %q", n, line)
 		}
