--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -90,7 +90,7 @@
 // Serve serves calls until Close is called, and then returns nil. It returns an error if accepting connections fails.
 func (s *Server) Serve() error {
 	if err := s.httpServer.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) && !s.closing.Load() {
-		return fmt.Errorf("console: %w", err)
+		return fmt.Errorf("admin server: %w", err)
 	}
 	return nil
 }
