--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -17,17 +17,17 @@
 	"milletramp.example/milletramp/balance"
 )
 
-// testEventLoop is an event loop that gives each list to a StartTimes, as the process does.
+// testEventLoop is a Subscriber that passes each list to a StartTimes, as the event loop of the process does.
 type testEventLoop struct {
 	mu            sync.Mutex
 	clock         func() balance.Time
 	starts        *StartTimes
 	subscriptions *Subscriptions
-	updated       chan time.Time // gets the time of each list
-	resubscribes  bool           // opens a watch in place of one that has ended
+	updated       chan time.Time // receives the time of each list
+	resubscribes  bool           // opens another watch when a watch has ended
 }
 
-// newTestEventLoop returns a loop whose watches are opened over dial and end with ctx.
+// newTestEventLoop returns an event loop whose watches are opened with dial and end when ctx is done.
 func newTestEventLoop(ctx context.Context, dial DialFunc) *testEventLoop {
 	origin := time.Now().Add(-24 * time.Hour)
 	l := &testEventLoop{
@@ -70,10 +70,10 @@
 	}
 }
 
-// updateFunc gives a list to a loop, as its current watch does.
+// updateFunc delivers a list to an event loop as its current watch does.
 type updateFunc func(complete bool, endpoints ...Endpoint)
 
-// withTestEventLoop runs play on a simulated clock, with a loop that has a watch open.
+// withTestEventLoop calls run on a simulated clock, with an event loop that has an open watch.
 func withTestEventLoop(t *testing.T, run func(t *testing.T, loop *testEventLoop, update updateFunc)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -86,12 +86,12 @@
 	})
 }
 
-// endpointStartedAt returns an endpoint that discovery claims to have started at a time; zero: long ago.
+// endpointStartedAt returns an endpoint with a start time as reported by discovery; zero: long ago.
 func endpointStartedAt(id string, startedAt time.Time) Endpoint {
 	return Endpoint{ID: id, Address: "127.0.0.1:9", Zone: "a", Kind: "m", Weight: 1, StartedAt: startedAt}
 }
 
-// dialScripted opens connections on which discovery sends these pieces, one every pause, and then nothing more.
+// dialScripted opens connections on which discovery sends the given pieces, with a pause after each, and then nothing.
 func dialScripted(pause time.Duration, pieces ...string) DialFunc {
 	return func(context.Context, string, string) (net.Conn, error) {
 		clientEnd, serverEnd := net.Pipe()
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -7,7 +7,8 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestParseListRejectsInvalidLists: a list with one fault is refused as a whole, and the error names the fault.
+// TestParseListRejectsInvalidLists checks that a list with one fault is rejected completely and that the error names
+// the fault.
 func TestParseListRejectsInvalidLists(t *testing.T) {
 	validEntry := testserver.EndpointEntry("s-0", "127.0.0.1:9", "SERVING", 0)
 	negativeWeightEntry := `{"uid":"s-1","endpoint":"127.0.0.1:9","state":"SERVING","capacity_hint":-0.5}`
@@ -20,22 +21,22 @@
 		{"unknown state", testserver.ListText(1, true, validEntry, unknownStateEntry),
 			`target 1, "s-1": unknown state "RESTING"`},
 		{"no uid", testserver.ListText(1, true, validEntry, entryWithoutUID), "target 1 has no uid"},
-		{"no JSON", `{"rev":1,"targets":[`, "list: unexpected end of JSON input"},
+		{"truncated JSON", `{"rev":1,"targets":[`, "list: unexpected end of JSON input"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			list, err := ParseList([]byte(tt.text))
 			if err == nil || !strings.Contains(err.Error(), tt.want) {
-				t.Errorf("error %v, want %q", err, tt.want)
+				t.Errorf("error %v, want one that contains %q", err, tt.want)
 			}
 			if len(list.Endpoints) > 0 {
-				t.Errorf("%d endpoints of a list that is refused", len(list.Endpoints))
+				t.Errorf("rejected list has %d endpoints, want 0", len(list.Endpoints))
 			}
 		})
 	}
 }
 
-// TestMissingCapacityHintMeansWeightOne: an endpoint without capacity_hint has the weight 1, and one with it the weight
-// that it says, also 0.
+// TestMissingCapacityHintMeansWeightOne checks that an endpoint without capacity_hint has weight 1 and that a given
+// capacity_hint is used as the weight, including 0.
 func TestMissingCapacityHintMeansWeightOne(t *testing.T) {
 	for _, tt := range []struct {
 		name, hint string
--- a/internal/discovery/splitter_test.go
+++ b/internal/discovery/splitter_test.go
@@ -17,7 +17,7 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestSplitterReturnsObjectsUnchanged splits a stream of random objects, indented or not, that comes in pieces of a
+// TestSplitterReturnsObjectsUnchanged splits a stream of random objects, indented or not, which is read in pieces of
 // random size.
 func TestSplitterReturnsObjectsUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -53,7 +53,7 @@
 	})
 }
 
-// pieceReader reads at most maxBytes at a time.
+// pieceReader returns at most maxBytes per read.
 type pieceReader struct {
 	reader   io.Reader
 	maxBytes int
@@ -62,7 +62,8 @@
 // Read implements io.Reader.
 func (p *pieceReader) Read(b []byte) (int, error) { return p.reader.Read(b[:min(len(b), p.maxBytes)]) }
 
-// TestSplitterRejectsOtherValues: a stream with anything but objects is an error where that begins.
+// TestSplitterRejectsOtherValues checks that other values than objects, incomplete objects and objects of unlimited
+// length are errors.
 func TestSplitterRejectsOtherValues(t *testing.T) {
 	for _, text := range []string{"[]", "1", "x", "{", `{"a":"}`, `{} {"a":[1,2}`} {
 		scanner := bufio.NewScanner(strings.NewReader(text))
@@ -70,18 +71,18 @@
 		for scanner.Scan() {
 		}
 		if scanner.Err() == nil {
-			t.Errorf("%q passed", text)
+			t.Errorf("%q is accepted, want an error", text)
 		}
 	}
 	endless := bufio.NewScanner(io.MultiReader(strings.NewReader(`{"a":"`), endlessReader{}))
 	endless.Buffer(nil, 1<<16)
 	endless.Split((&jsonSplitter{}).split)
 	if endless.Scan() || !errors.Is(endless.Err(), bufio.ErrTooLong) {
-		t.Errorf("an object without an end: %v", endless.Err())
+		t.Errorf("object without an end: error %v, want bufio.ErrTooLong", endless.Err())
 	}
 }
 
-// endlessReader reads a string without an end.
+// endlessReader returns the contents of a string that never ends.
 type endlessReader struct{}
 
 // Read implements io.Reader.
@@ -92,16 +93,17 @@
 	return len(b), nil
 }
 
-// TestSplitterReturnsObjectAtItsLastByte: whatever comes before an object, and though nothing comes after it.
+// TestSplitterReturnsObjectAtItsLastByte checks that an object is returned without waiting for bytes after it,
+// regardless of the white space before it.
 func TestSplitterReturnsObjectAtItsLastByte(t *testing.T) {
 	reader, writer := io.Pipe()
 	defer writer.Close()
 	scanner := bufio.NewScanner(reader)
 	scanner.Split((&jsonSplitter{}).split)
 	for _, text := range []string{"{}", "\n{}", "\n", " \n{}", "{}"} {
-		go func() { _, _ = io.WriteString(writer, text) }() // if it fails, so does the read below
+		go func() { _, _ = io.WriteString(writer, text) }() // if the write fails, the read below fails too
 		if text == "\n" {
-			continue // it is read together with the next text
+			continue // read together with the next text
 		}
 		got := make(chan string, 1)
 		go func() {
@@ -109,7 +111,7 @@
 			got <- scanner.Text()
 		}()
 		if object := testserver.Receive(t, got, "object"); object != "{}" {
-			t.Errorf("%q of %q", object, text)
+			t.Errorf("got object %q from %q", object, text)
 		}
 	}
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -20,7 +20,8 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestWatchAcceptsListsInAnyForm: a list may come indented, in pieces, without a line end, and together with others.
+// TestWatchAcceptsListsInAnyForm checks that lists are accepted if they are indented, arrive in pieces, have no line
+// end or arrive together with other lists.
 func TestWatchAcceptsListsInAnyForm(t *testing.T) {
 	var indented bytes.Buffer
 	serving := testserver.ServingList(2, &testserver.Backend{Address: "127.0.0.1:9"})
@@ -43,14 +44,14 @@
 			onUpdate := func(list List) { revisions = append(revisions, list.Revision) }
 			err := client.Watch(context.Background(), 1, onUpdate, func() {})
 			if fmt.Sprint(revisions) != "[2 3 4]" || !errors.Is(err, errWatchTimeout) {
-				t.Errorf("pieces of %d bytes: lists %v, error %v", size, revisions, err)
+				t.Errorf("pieces of %d bytes: revisions %v, error %v; want [2 3 4] and a timeout", size, revisions, err)
 			}
 		})
 	}
 }
 
-// TestWatchEndsOnListWithoutEnd: bytes that keep coming are no progress if their list has no end, and a list may not
-// have more than maxListBytes.
+// TestWatchEndsOnListWithoutEnd checks that bytes of a list that does not end do not keep the watch open, and that a
+// list must not exceed maxListBytes.
 func TestWatchEndsOnListWithoutEnd(t *testing.T) {
 	slowUnterminated := []string{"HTTP/1.1 200 OK\r\n\r\n", `{"rev":1,"targets":[`}
 	for range 100 {
@@ -61,11 +62,11 @@
 		name   string
 		pieces []string
 		want   error
-	}{{"a trickle", slowUnterminated, errWatchTimeout}, {"a flood", oversized, bufio.ErrTooLong}} {
+	}{{"slow list without end", slowUnterminated, errWatchTimeout}, {"oversized list", oversized, bufio.ErrTooLong}} {
 		synctest.Test(t, func(t *testing.T) {
 			client := NewClient("127.0.0.1:9", 0, dialScripted(time.Second, tt.pieces...))
 			startedAt := time.Now()
-			onUpdate := func(list List) { t.Errorf("%s: list %+v", tt.name, list) }
+			onUpdate := func(list List) { t.Errorf("%s: unexpected list %+v", tt.name, list) }
 			err := client.Watch(context.Background(), 1, onUpdate, func() {})
 			elapsed := time.Since(startedAt)
 			if !errors.Is(err, tt.want) || elapsed > 2*time.Second+listTimeout+watchSilenceTimeout {
@@ -75,18 +76,18 @@
 	}
 }
 
-// TestWatchEndsWhenDiscoveryIsUnresponsive opens a watch on which nothing comes.
+// TestWatchEndsWhenDiscoveryIsUnresponsive opens a watch on which no data arrives. The watch must end with a timeout.
 func TestWatchEndsWhenDiscoveryIsUnresponsive(t *testing.T) {
 	client := NewClient(testserver.StartDiscovery(t).Address, testserver.Timeout, nil)
 	client.silenceTimeout = 50 * time.Millisecond
-	err := client.Watch(context.Background(), -1, func(List) { t.Error("a list") }, func() {})
+	err := client.Watch(context.Background(), -1, func(List) { t.Error("unexpected list") }, func() {})
 	if err == nil || !strings.Contains(err.Error(), "watch timed out: no data received for 50ms") {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want a timeout after 50ms", err)
 	}
 }
 
-// TestWatchReportsHeartbeats counts what is a heartbeat: white space alone, outside a list, and after a list or a
-// revision to begin with.
+// TestWatchReportsHeartbeats checks which reads count as heartbeats: those of only white space, outside a list, after a
+// list has arrived or with a known revision.
 func TestWatchReportsHeartbeats(t *testing.T) {
 	first := testserver.ListText(2, true)
 	const firstHalf, secondHalf = `{"rev":3,"targets":`, "[]}\n"
@@ -96,9 +97,9 @@
 		pieces   []string
 		want     int
 	}{
-		{"after a revision", 1, []string{"\n", "\n"}, 2},
+		{"with a known revision", 1, []string{"\n", "\n"}, 2},
 		{"before the first list", completeListRevision, []string{"\n", first, "\n"}, 1},
-		{"with a list", 1, []string{"\n" + first + "\n"}, 0},
+		{"together with a list", 1, []string{"\n" + first + "\n"}, 0},
 		{"within a list", 1, []string{firstHalf, "\n", secondHalf, "\n"}, 1},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -115,8 +116,8 @@
 	}
 }
 
-// TestWatchFailsOnNonOKStatus: a watch whose response has another status than 200 ends with an error that names it,
-// and takes no list from its body.
+// TestWatchFailsOnNonOKStatus checks that a response with a status other than 200 ends the watch with an error that
+// contains the status, and that no list is read from the body.
 func TestWatchFailsOnNonOKStatus(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -126,9 +127,9 @@
 	client := NewClient(server.Listener.Addr().String(), testserver.Timeout, nil)
 	client.firstListTimeout = testserver.Timeout
 	client.silenceTimeout = testserver.Timeout
-	onUpdate := func(list List) { t.Errorf("list %+v", list) }
+	onUpdate := func(list List) { t.Errorf("unexpected list %+v", list) }
 	err := client.Watch(context.Background(), completeListRevision, onUpdate, func() {})
 	if err == nil || !strings.Contains(err.Error(), "status 503") {
-		t.Errorf("error %v, want one that names the status 503", err)
+		t.Errorf("error %v, want one that contains status 503", err)
 	}
 }
