--- a/internal/hotrestart/fixture_test.go
+++ b/internal/hotrestart/fixture_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// TestReadStateOfPreviousBuild: a process reads the state of one that runs the build f152def. testdata/f152def is the
-// directory as that build wrote it. The test takes its lock, as the running process held it.
+// TestReadStateOfPreviousBuild checks that a process can read the state of a process of build f152def.
+// testdata/f152def is the directory as written by that build. The test locks its lock file, as the running process did.
 func TestReadStateOfPreviousBuild(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS("testdata/f152def")); err != nil {
@@ -18,7 +18,7 @@
 	}
 	locks, err := filepath.Glob(filepath.Join(dir, "*", "*"+lockSuffix))
 	if err != nil || len(locks) != 1 {
-		t.Fatalf("locks %v, error %v", locks, err)
+		t.Fatalf("lock files %v, error %v, want one file", locks, err)
 	}
 	lockFile, err := os.Open(locks[0])
 	if err != nil {
@@ -37,6 +37,6 @@
 		got.AdminAddress != "127.0.0.1:81" || got.FleetAddress != "127.0.0.1:82" ||
 		got.Phase != Ready || !slices.Equal(got.AdminDown, []string{"s-1", `s-"2"`}) ||
 		!got.Started.Equal(time.Date(2026, 7, 1, 12, 30, 0, 123456789, time.UTC)) {
-		t.Errorf("read as %+v", got)
+		t.Errorf("unexpected state %+v", got)
 	}
 }
--- a/internal/hotrestart/state_test.go
+++ b/internal/hotrestart/state_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestStateRoundTrip: what encodeState writes, decodeState reads as the same state.
+// TestStateRoundTrip checks that decodeState returns the state that was passed to encodeState.
 func TestStateRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := State{Name: rapid.String().Draw(t, "name"), ListenAddress: rapid.String().Draw(t, "listen"), Phase: Ready,
@@ -26,12 +26,13 @@
 		got, err := decodeState(content, s.Name, s.ListenAddress)
 		if err != nil || !slices.Equal(got.AdminDown, s.AdminDown) ||
 			got.Phase != s.Phase || got.AdminAddress != s.AdminAddress {
-			t.Fatalf("%+v came back as %+v, error %v", s, got, err)
+			t.Fatalf("%+v was decoded as %+v, error %v", s, got, err)
 		}
 	})
 }
 
-// FuzzDecodeState: content that is read is of this sidecar, within the limits and has the format's header.
+// FuzzDecodeState checks that accepted content belongs to this sidecar, is within the limits and begins with the magic
+// of the format.
 func FuzzDecodeState(f *testing.F) {
 	valid, err := encodeState(startingState(1))
 	if err != nil {
@@ -43,13 +44,13 @@
 		s, err := decodeState(content, "n0", "127.0.0.1:80")
 		hasMagic := bytes.HasPrefix(content, []byte(formatMagic))
 		if err == nil && (s.Name != "n0" || len(s.AdminDown) > maxAdminDown || !hasMagic) {
-			t.Errorf("%q is read as %+v", content, s)
+			t.Errorf("%q is decoded as %+v", content, s)
 		}
 	})
 }
 
-// TestInvalidStateFileIsIgnored: the state file of a running process that is invalid in any way counts as a whole for
-// nothing, the log says why, and the error has that reason.
+// TestInvalidStateFileIsIgnored checks that an invalid state file of a running process is ignored completely, that the
+// reason is logged, and that the error contains the reason.
 func TestInvalidStateFileIsIgnored(t *testing.T) {
 	valid, err := encodeState(startingState(1))
 	if err != nil {
@@ -78,13 +79,13 @@
 	}{
 		{"valid", valid, "", 0},
 		{"empty", nil, "is not a sidecar state file", notStateFile},
-		{"cut off", valid[:len(valid)-5], "bytes, its header has length", lengthMismatch},
-		{"cut off in its header", valid[:10], "is not a sidecar state file", notStateFile},
-		{"changed", corrupted, "checksum", checksumMismatch},
+		{"truncated", valid[:len(valid)-5], "bytes, its header has length", lengthMismatch},
+		{"truncated in the header", valid[:10], "is not a sidecar state file", notStateFile},
+		{"corrupted", corrupted, "checksum", checksumMismatch},
 		{"of another sidecar", otherSidecarContent, "belongs to sidecar", otherSidecar},
 		{"of a newer version", withHeader(formatVersion+1, `{}`), "has version", unsupportedVersion},
-		{"no JSON", withHeader(formatVersion, `{`), "unexpected end", malformedJSON},
-		{"of an unknown phase", withHeader(formatVersion, unknownPhaseJSON), "unknown phase", unknownPhase},
+		{"truncated JSON", withHeader(formatVersion, `{`), "unexpected end", malformedJSON},
+		{"with an unknown phase", withHeader(formatVersion, unknownPhaseJSON), "unknown phase", unknownPhase},
 		{"with too many servers", withHeader(formatVersion, tooManyServersJSON), "servers", tooManyServers},
 		{"too long", make([]byte, maxStateBytes+1), "more than", tooLong},
 	} {
@@ -97,7 +98,7 @@
 			var log bytes.Buffer
 			got := mustJoin(t, dir, startingState(2), slog.New(slog.NewTextHandler(&log, nil))).Others()
 			if (len(got) == 1) != (tt.logged == "") || !strings.Contains(log.String(), tt.logged) {
-				t.Errorf("the other process sees %+v and logs %q, want %q", got, log.String(), tt.logged)
+				t.Errorf("the other process reads %+v and logs %q, want %q", got, log.String(), tt.logged)
 			}
 			_, err := readStateFile(owner.files.statePath(), "n0", "127.0.0.1:80")
 			var invalidState *invalidStateError
--- a/internal/hotrestart/write_test.go
+++ b/internal/hotrestart/write_test.go
@@ -19,23 +19,24 @@
 	"milletramp.example/milletramp/internal/fsys/faultfs"
 )
 
-// adminDownSeenBy returns the administratively down servers that m reads of the one other process.
+// adminDownSeenBy returns the administratively down servers in the state of the only other process that m reads.
 func adminDownSeenBy(t rapid.TB, m *Member) []string {
 	t.Helper()
 	others := m.Others()
 	if len(others) != 1 {
-		t.Fatalf("it sees %+v, want one process", others)
+		t.Fatalf("read %+v, want the state of one process", others)
 	}
 	return others[0].AdminDown
 }
 
-// TestUpdateFails: while an operation of Update fails, others see the former state or the new one. The last state is
-// written as soon as that is possible, and the log has one line when the failures begin and one when they end.
+// TestUpdateFails checks that other processes see the previous or the new state while a file system operation of Update
+// fails. The latest state must be written as soon as the operation succeeds, and the log must contain one line when the
+// failures begin and one when they end.
 func TestUpdateFails(t *testing.T) {
 	for _, fault := range []error{syscall.ENOSPC, syscall.EIO} {
 		for skip := range 3 { // create, write, rename
 			for _, count := range []int{1, 4, 60} {
-				t.Run(fmt.Sprintf("%v %d behind %d", fault, count, skip), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%v %d times after %d operations", fault, count, skip), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) { updateWithFaults(t, fault, skip, count) })
 				})
 			}
@@ -43,6 +44,7 @@
 	}
 }
 
+// updateWithFaults lets count operations of Update fail with fault, after skip operations.
 func updateWithFaults(t *testing.T, fault error, skip, count int) {
 	var log bytes.Buffer
 	dir, fs := t.TempDir(), faultfs.New(uint64(skip+count))
@@ -57,39 +59,39 @@
 	}
 	fs.Fail(skip, count, fault)
 	if err := m.Update(func(s *State) { s.AdminDown = pending }); err == nil {
-		t.Error("Update returned nil and the state is not written")
+		t.Error("Update returned nil although the write failed")
 	}
 	if got := adminDownSeenBy(t, successor); !slices.Equal(got, written) && !slices.Equal(got, pending) {
-		t.Errorf("the next process sees %v", got)
+		t.Errorf("the next process reads %v, want %v or %v", got, written, pending)
 	}
 	time.Sleep(time.Duration(count) * maxBackoff)
 	synctest.Wait()
 	if got := adminDownSeenBy(t, successor); !slices.Equal(got, pending) {
-		t.Errorf("the next process sees %v, want %v", got, pending)
+		t.Errorf("the next process reads %v after the failures, want %v", got, pending)
 	}
 	for _, line := range []string{"writing the state file failed", "writing the state file succeeded"} {
 		if n := strings.Count(log.String(), line); n != 1 {
-			t.Errorf("the log has %d times %q", n, line)
+			t.Errorf("the log contains %d lines with %q, want 1", n, line)
 		}
 	}
 	fs.Fail(0, 1, fault)
 	if err := m.Update(func(s *State) { s.AdminDown = nil }); err == nil {
-		t.Error("Update returned nil and the state is not written")
+		t.Error("Update returned nil although the write failed")
 	}
 	if err := m.Leave(); err != nil {
 		t.Error(err)
 	}
 	time.Sleep(maxBackoff)
 	if remaining, err := os.ReadDir(successor.files.dir); err != nil || len(remaining) != 2 {
-		t.Errorf("after it has left %d files are left, error %v, want the next one's 2", len(remaining), err)
+		t.Errorf("after Leave %d files remain, error %v, want the 2 files of the next process", len(remaining), err)
 	}
 	if err := fs.End(false); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestUpdateSurvivesKill: after any sequence of updates, failing operations and a kill during one of them, another
-// process reads the last state for which Update returned nil, or a later one.
+// TestUpdateSurvivesKill checks that after any sequence of updates and failing operations, and a kill during one of
+// them, another process reads the last state for which Update returned nil, or a later one.
 func TestUpdateSurvivesKill(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "handover")
@@ -118,7 +120,7 @@
 				acknowledged = i
 			}
 			if got := len(adminDownSeenBy(t, successor)); got < acknowledged || got > i {
-				t.Fatalf("the next process sees state %d, %d was acknowledged, %d is the last", got, acknowledged, i)
+				t.Fatalf("the next process reads state %d, last acknowledged %d, last attempted %d", got, acknowledged, i)
 			}
 		}
 		for _, m := range []*Member{m, successor} {
