--- a/internal/admin/forward_test.go
+++ b/internal/admin/forward_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestForwardReturnsResponse: forwarding returns nil for a call that the other process carries out. For one that it
-// doesn't it returns ErrUnknownServer or the response as a ResponseError.
+// TestForwardReturnsResponse checks that ForwardAdminDown returns nil if the other process carries out the call, and
+// otherwise ErrUnknownServer or the response as a ResponseError.
 func TestForwardReturnsResponse(t *testing.T) {
 	f := &fakeSidecar{adminDown: map[string]bool{"s-1": false}}
 	address := startServer(t, f)
@@ -16,15 +16,15 @@
 		t.Errorf("error %v, forwarded %v, administratively down %v", err, f.forwarded, f.adminDown)
 	}
 	if err := ForwardAdminDown(ctx, address, "s-9", true); !errors.Is(err, ErrUnknownServer) {
-		t.Errorf("error %v for an unknown server", err)
+		t.Errorf("error %v for an unknown server, want ErrUnknownServer", err)
 	}
 	f.err = errors.New("busy")
 	err := ForwardAdminDown(ctx, address, "s-1", false)
 	var response *ResponseError
 	if !errors.As(err, &response) || response.StatusCode != 503 || response.Detail != `server "s-1": busy` {
-		t.Errorf("error %v from a busy process", err)
+		t.Errorf("error %v from a busy process, want a ResponseError with status 503", err)
 	}
 	if want := `pass on: status 503, server "s-1": busy`; err == nil || err.Error() != want {
-		t.Errorf("error %v, want %s", err, want)
+		t.Errorf("error %v, want the text %s", err, want)
 	}
 }
--- a/internal/admin/listener_test.go
+++ b/internal/admin/listener_test.go
@@ -31,10 +31,10 @@
 		open = append(open, c)
 	}
 	if status, _, _ := send(t, address, requestText("GET", "/ops/readiness", "")); status != 200 {
-		t.Errorf("status %d", status)
+		t.Errorf("status %d, want 200", status)
 	}
 	_ = open[0].SetReadDeadline(time.Now().Add(30 * time.Second))
 	if n, err := open[0].Read(make([]byte, 1)); n != 0 || err == nil || errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("the oldest connection got %d bytes, error %v", n, err)
+		t.Errorf("the oldest connection read %d bytes, error %v, want it to be closed", n, err)
 	}
 }
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -14,14 +14,14 @@
 	"time"
 )
 
-// fakeSidecar is a Sidecar that knows the servers in adminDown.
+// fakeSidecar is a Sidecar whose servers are the keys of adminDown.
 type fakeSidecar struct {
-	notReady  string // why it is not ready; "": it is
+	notReady  string // reason why it is not ready; "": ready
 	err       error
 	adminDown map[string]bool
 	forwarded bool
 	note      string             // returned by SetAdminDown; "": there is no fleet
-	entered   chan chan struct{} // SetAdminDown sends a channel and returns once that is closed; nil: at once
+	entered   chan chan struct{} // SetAdminDown sends a channel and waits until it is closed; nil: it does not wait
 }
 
 func (f *fakeSidecar) Ready() (bool, string) { return f.notReady == "", f.notReady }
@@ -51,7 +51,7 @@
 	return []byte(`{"members_here":3}`), f.err
 }
 
-// startServer starts a server until the end of the test and returns its address.
+// startServer starts a server, which is closed at the end of the test, and returns its address.
 func startServer(t *testing.T, f *fakeSidecar) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -61,7 +61,7 @@
 	return startServerOn(t, l, f)
 }
 
-// startServerOn starts a server that accepts from l, until the end of the test.
+// startServerOn starts a server that accepts connections from l and is closed at the end of the test.
 func startServerOn(t *testing.T, l net.Listener, f *fakeSidecar) string {
 	t.Helper()
 	s, done := New(l, f, slog.New(slog.DiscardHandler)), make(chan error, 1)
@@ -77,7 +77,8 @@
 	return l.Addr().String()
 }
 
-// send sends text on a new connection and returns the response, after which the connection must end.
+// send sends text on a new connection and returns the response. The response must announce that the connection is
+// closed.
 func send(t *testing.T, address, text string) (status int, allow, body string) {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -99,17 +100,17 @@
 		t.Fatal(err)
 	}
 	if !r.Close {
-		t.Error("the connection stays open")
+		t.Error("the response does not close the connection")
 	}
 	return r.StatusCode, r.Header.Get("Allow"), string(all)
 }
 
-// requestText returns the text of a request.
+// requestText returns an HTTP/1.1 request as text.
 func requestText(method, path, body string) string {
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body)
 }
 
-// failingListener is a listener whose Accept fails first, once with each of errnos.
+// failingListener is a listener whose Accept first fails once with each of errnos.
 type failingListener struct {
 	net.Listener
 	errnos []syscall.Errno
@@ -125,7 +126,7 @@
 	return l.Listener.Accept()
 }
 
-// TestServeSurvivesAcceptErrors: Serve continues after errors of accept at which net/http would end.
+// TestServeSurvivesAcceptErrors checks that Serve continues after accept errors at which net/http would stop.
 func TestServeSurvivesAcceptErrors(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -136,12 +137,12 @@
 		syscall.EPROTO, syscall.EPERM, syscall.ECONNABORTED,
 	}}, &fakeSidecar{})
 	if status, _, _ := send(t, address, requestText("GET", "/ops/readiness", "")); status != 200 {
-		t.Errorf("status %d", status)
+		t.Errorf("status %d, want 200", status)
 	}
 }
 
-// TestCloseAnswersCompleteCalls: a call that is complete when Close is called is answered, and a client that has sent
-// nothing doesn't delay Close.
+// TestCloseAnswersCompleteCalls checks that a call that is complete when Close is called gets its response, and that a
+// client that has sent nothing does not delay Close.
 func TestCloseAnswersCompleteCalls(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -155,19 +156,19 @@
 		t.Fatal(err)
 	}
 	defer idle.Close()
-	answered := make(chan int, 1)
+	responseStatus := make(chan int, 1)
 	go func() {
 		status, _, _ := send(t, l.Addr().String(), requestText("POST", "/ops/servers/down", `{"target":"s-1"}`))
-		answered <- status
+		responseStatus <- status
 	}()
 	proceed := <-f.entered
 	go func() { closed <- s.Close() }()
-	if err := <-served; err != nil { // Serve has ended and the call is not yet answered
+	if err := <-served; err != nil { // Serve has returned and the call has no response yet
 		t.Error(err)
 	}
 	close(proceed)
-	if status := <-answered; status != 200 {
-		t.Errorf("status %d", status)
+	if status := <-responseStatus; status != 200 {
+		t.Errorf("status %d, want 200", status)
 	}
 	if err := <-closed; err != nil {
 		t.Error(err)
