--- a/internal/metrics/stats_test.go
+++ b/internal/metrics/stats_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestWriteFormat: every metric is written, also one that is 0, under its name, in order and one a line.
+// TestWriteFormat checks that every metric, including those with value 0, is written on a line of its own, under its
+// name and in order.
 func TestWriteFormat(t *testing.T) {
 	var counters Counters
 	counters.Class("read").Served.Add(3)
@@ -45,12 +46,12 @@
 	}
 }
 
-// TestClassReturnsSameCounters: the counters of a class go on when the class is named again.
+// TestClassReturnsSameCounters checks that repeated calls of Class with the same name return the same counters.
 func TestClassReturnsSameCounters(t *testing.T) {
 	var f Counters
 	f.Class("read").Served.Add(1)
 	f.Class("read").Served.Add(1)
 	if n := f.Class("read").Served.Load(); n != 2 {
-		t.Errorf("%d, want 2", n)
+		t.Errorf("Served is %d, want 2", n)
 	}
 }
