--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -107,7 +107,8 @@
 		return nil, invalidStatef(unsupportedVersion, "has version %.20q, this process supports %d",
 			version, formatVersion)
 	case length != strconv.Itoa(len(body)):
-		return nil, invalidStatef(lengthMismatch, "has a body of %d bytes, its header has length %.20q", len(body), length)
+		return nil, invalidStatef(lengthMismatch, "has a body of %d bytes, its header has length %.20q",
+			len(body), length)
 	case sum != checksum(body):
 		return nil, invalidStatef(checksumMismatch, "has checksum %s, its header has %.20q", checksum(body), sum)
 	}
