--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,4 +1,4 @@
-// Package discovery follows the list of endpoints that a discovery service, or its agent on this machine, publishes.
+// Package discovery watches the endpoint list that a discovery service, or its agent on this machine, publishes.
 //
 // A Client makes watch calls, each of which is a stream of JSON objects over HTTP. Subscriptions manages the open
 // watches of a process, also while discovery moves to another address. StartTimes converts the start times that
--- a/internal/discovery/subscriptions.go
+++ b/internal/discovery/subscriptions.go
@@ -176,7 +176,7 @@
 	s.replaceWatch(slow, errWatchTimeout)
 }
 
-// onWatchEnded handles the end of a watch.
+// onWatchEnded handles the end of a watch and arranges a replacement if one is needed.
 func (s *Subscriptions) onWatchEnded(ended *subscription, err error) {
 	if ended == s.slow {
 		s.slow = nil
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -28,7 +28,7 @@
 	return w.readLists(ctx, body)
 }
 
-// watch is a Watch in progress.
+// watch is the state of one call of Watch.
 type watch struct {
 	client       *Client
 	cancel       context.CancelCauseFunc // ends the watch
--- a/internal/hotrestart/files.go
+++ b/internal/hotrestart/files.go
@@ -20,7 +20,7 @@
 // processFiles identifies the files of one process.
 type processFiles struct {
 	dir string // directory shared by the processes of a sidecar
-	id  string // of the process, unique in dir
+	id  string // ID of the process, unique in dir
 }
 
 func (p processFiles) lockPath() string  { return filepath.Join(p.dir, p.id+lockSuffix) }
--- a/internal/metrics/stats.go
+++ b/internal/metrics/stats.go
@@ -20,7 +20,7 @@
 // CloseReason is the reason why a client connection ended before a request on it was complete.
 type CloseReason int
 
-// The reasons.
+// Reasons why a client connection ended.
 const (
 	ClientClosed CloseReason = iota // the client closed the connection, or the connection failed
 	HeadTimeout                     // the first request head did not arrive in time
