--- a/internal/admin/forward.go
+++ b/internal/admin/forward.go
@@ -32,6 +32,7 @@
 func ForwardAdminDown(ctx context.Context, address, id string, down bool) error {
 	resp, err := sendAdminDown(ctx, address, id, down)
 	if err != nil {
+		// Responses to operators' calls contain this text.
 		return fmt.Errorf("pass on: %w", err)
 	}
 	defer resp.Body.Close()
--- a/internal/admin/handlers_test.go
+++ b/internal/admin/handlers_test.go
@@ -18,8 +18,8 @@
 		text                     string // part of the response
 	}{
 		{"ready", "GET", "/ops/readiness", "", fakeSidecar{}, 200, "ready"},
-		{"not ready", "GET", "/ops/readiness", "", fakeSidecar{notReady: "told to stop"}, 503,
-			"not ready: told to stop"},
+		{"not ready", "GET", "/ops/readiness", "", fakeSidecar{notReady: "shutting down"}, 503,
+			"not ready: shutting down"},
 		{"metrics", "GET", "/ops/stats", "", fakeSidecar{}, 200, "sidecar.loads=0"},
 		{"metrics fail", "GET", "/ops/stats", "", fakeSidecar{err: errors.New("busy")}, 503, "figures: busy"},
 		{"down", "POST", "/ops/servers/down", `{"target":"s-1"}`, fakeSidecar{}, 200, "s-1 is down"},
--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -14,7 +14,7 @@
 // Phase is the stage of a process in its lifecycle.
 type Phase string
 
-// The phases.
+// Phases of a process.
 const (
 	Starting Phase = "starting" // not yet ready to serve
 	Ready    Phase = "ready"    // serves requests
@@ -60,7 +60,7 @@
 func encodeState(s State) ([]byte, error) {
 	body, err := json.Marshal(s)
 	if err != nil {
-		return nil, fmt.Errorf("encode state: %w", err)
+		return nil, fmt.Errorf("state: %w", err)
 	}
 	header := fmt.Sprintf("%s %d %d %s\n", formatMagic, formatVersion, len(body), checksum(body))
 	return append([]byte(header), body...), nil
--- a/internal/hotrestart/write.go
+++ b/internal/hotrestart/write.go
@@ -22,7 +22,8 @@
 		err = fsys.Replace(m.fs, m.files.tempPath(), m.files.statePath(), content, false)
 	}
 	if err != nil {
-		return fmt.Errorf("hot restart: %w", err)
+		// Responses to operators' calls contain this text.
+		return fmt.Errorf("handover: %w", err)
 	}
 	return nil
 }
