--- a/internal/chunked/decoder.go
+++ b/internal/chunked/decoder.go
@@ -42,8 +42,8 @@
 	lineBytes  int    // consumed bytes of the size line, or of all trailers
 }
 
-// Next decodes encoded bytes of the body. It returns the next run of data, which is a slice of in, the number of
-// encoded bytes consumed up to the end of that run, and whether the body is complete.
+// Next decodes bytes of the body, up to the end of the first run of data in them. data is that run, a slice of in. used
+// is the number of bytes consumed. done reports whether the body is complete.
 func (d *Decoder) Next(in []byte) (data []byte, used int, done bool, err error) {
 	for used < len(in) {
 		if d.state == chunkData {
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -44,10 +44,10 @@
 // AcceptedAt returns the time when the connection was accepted.
 func (c *Conn) AcceptedAt() time.Time { return c.acceptedAt }
 
-// ClosesAfterResponse reports whether the connection must be closed after its next response: because it is being
-// retired, or because the number of used connections has reached keepAliveLimit. Without this limit, clients that send
-// one request and keep the connection open would exhaust the descriptors within seconds. Above the limit each request
-// needs a new connection, so connections are kept open below it.
+// ClosesAfterResponse reports whether the connection must be closed after its next response. This is the case if it is
+// being retired, or if the number of used connections has reached keepAliveLimit. Without this limit, clients that send
+// one request and keep the connection open would exhaust the descriptors within seconds. Below the limit, connections
+// are kept open, because otherwise each request would need a new connection.
 func (c *Conn) ClosesAfterResponse() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -93,8 +93,10 @@
 	return n, err
 }
 
-// readAfterMalformed returns the error of a malformed message after the preceding requests have had their responses.
-// While net/http serves a request it reads ahead, and treats any read error as a disconnect of the client.
+// readAfterMalformed returns the error of a malformed message. While net/http serves a request, it reads ahead and
+// treats any read error as a disconnect of the client. readAfterMalformed therefore discards input until all preceding
+// requests have their responses. A malformed body belongs to the request being served, so its error is returned
+// immediately.
 func (c *Conn) readAfterMalformed() error {
 	discarded := make([]byte, discardBufferSize)
 	for !c.framing.inBody && c.hasPendingRequest() {
@@ -142,9 +144,9 @@
 }
 
 // extendReadDeadline is called after the read deadline has passed. It moves or removes the deadline and returns true if
-// reading has to continue: because unread bytes have arrived, or because a complete request is being served. The
-// deadline for the body of that request must not end the read. The deadline by which net/http stops its read-ahead
-// must.
+// reading has to continue: because unread bytes have arrived, or because a complete request is being served. In the
+// second case, a deadline for the body of that request must not end the read, but the deadline with which net/http
+// stops its read-ahead must end it.
 func (c *Conn) extendReadDeadline() bool {
 	l := c.listener
 	l.mu.Lock()
--- a/internal/downstream/deadline.go
+++ b/internal/downstream/deadline.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// pastDeadline is a read deadline that has passed whatever the clock shows. The zero time would mean no deadline.
+// pastDeadline is a read deadline that is always in the past. The zero time would mean no deadline.
 var pastDeadline = time.Time{}.Add(time.Nanosecond)
 
 // abortDeadlineYear is the year of the deadline that net/http sets to end a read immediately.
--- a/internal/downstream/drain_listener.go
+++ b/internal/downstream/drain_listener.go
@@ -37,14 +37,15 @@
 	return &DrainListener{TCPListener: l, accept: accept, quietPeriod: quietPeriod}
 }
 
-// Drain makes Accept continue for minDuration at least and then return net.ErrClosed once no connection waits.
+// Drain starts to drain the listener: Accept continues for at least minDuration, and then returns net.ErrClosed once no
+// connection waits.
 func (l *DrainListener) Drain(minDuration time.Duration) error {
 	return l.SetDeadline(time.Now().Add(minDuration))
 }
 
-// Accept implements net.Listener. The deadline can pass while connections wait, and closing the listener would reset
-// them. Accept therefore closes the listener only after a round in which no connection was found. It returns other
-// errors of the system call; netretry.Listener calls it again after these.
+// Accept implements net.Listener. When the deadline set by Drain passes, connections may still wait to be accepted, and
+// closing the listener would reset them. Accept therefore continues in rounds and closes the listener only when
+// isDrained reports true. It returns other errors of the system call, after which netretry.Listener calls it again.
 func (l *DrainListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.acceptOne()
@@ -70,8 +71,8 @@
 	return l.TCPListener.Accept()
 }
 
-// isDrained reports whether the drain is complete: no connection waits after a round without connections or after the
-// last round, or too many rounds have failed.
+// isDrained reports whether the drain is complete. It is complete if no connection waits after a round without
+// connections or after the last round. It is also complete if accepting has failed in too many rounds.
 func (l *DrainListener) isDrained() bool {
 	if l.failed && !l.accepted && l.rounds >= maxFailedRounds {
 		return true
@@ -89,8 +90,8 @@
 	return l.SetDeadline(time.Now().Add(l.quietPeriod))
 }
 
-// hasWaitingConns reports whether a connection waits to be accepted. Accept no longer checks this once its deadline has
-// passed, and a busy machine may report the deadline late.
+// hasWaitingConns reports whether a connection waits to be accepted. TCPListener.Accept does not check this after its
+// deadline. On a busy machine it may report the deadline late, and connections may have arrived in the meantime.
 func (l *DrainListener) hasWaitingConns() bool {
 	raw, err := l.SyscallConn()
 	if err != nil {
--- a/internal/downstream/framing.go
+++ b/internal/downstream/framing.go
@@ -12,8 +12,8 @@
 // errFraming means that the framing of a client's message is ambiguous or malformed.
 var errFraming = errors.New("malformed message framing")
 
-// maxHeadBytes is the maximum size in bytes of a request's head. It is well above the limit of net/http, which sends
-// the response to a head that is too large.
+// maxHeadBytes is the maximum size in bytes of a request's head. It is well above the limit of net/http, so that
+// net/http sends the response to a head that is too large.
 const maxHeadBytes = 4 * maxHeaderBytes
 
 // requestFraming checks the bytes that a client sends and rejects what net/http would accept and normalize: a
--- a/internal/downstream/http_server.go
+++ b/internal/downstream/http_server.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// HeadTimeout is the maximum time for receiving the head of a request. Clients are promised 2 s.
+	// HeadTimeout is the maximum time for receiving the head of a request. Clients are guaranteed 2 s.
 	HeadTimeout = 2300 * time.Millisecond
 	// IdleTimeout is the maximum idle time of a connection. Clients expect an idle connection to stay open for 2 s.
 	IdleTimeout = 2 * time.Second
--- a/internal/downstream/linger.go
+++ b/internal/downstream/linger.go
@@ -20,9 +20,9 @@
 )
 
 // Close implements net.Conn. After a response it closes the sending side and continues to read for a limited time.
-// Closing a connection with unread bytes resets it, and response bytes still in transit would be lost. An idle
-// connection is closed immediately. A request that arrives at that moment is answered by a reset, which shows the
-// client that the request was not read.
+// Closing a connection with unread bytes would reset it, and response bytes still in transit would be lost. An idle
+// connection is closed immediately. If a request arrives at that moment, the connection is reset, which indicates to
+// the client that the request was not read.
 func (c *Conn) Close() error {
 	if c.shouldLinger() {
 		c.linger()
--- a/internal/downstream/listen.go
+++ b/internal/downstream/listen.go
@@ -50,10 +50,10 @@
 // selectSecondListener is a socket filter that selects the second of the sockets that share an address.
 var selectSecondListener = []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: 1}}
 
-// RedirectToSuccessor directs new connections to the listener that shares the address and was opened after this one. By
-// default the kernel distributes connections over all listeners, and closing a listener resets its unaccepted
-// connections. The sockets of an address are numbered in the order in which they were opened. Without a second socket
-// the filter has no effect.
+// RedirectToSuccessor attaches a filter that directs all new connections at the address to the second listener there.
+// By default the kernel distributes connections over all listeners of an address, and closing a listener resets its
+// unaccepted connections. The kernel numbers the listeners in the order in which they were opened, so the second one
+// belongs to the successor process. While there is no second listener, the filter has no effect.
 func (l *DrainListener) RedirectToSuccessor() error {
 	return l.setSocketOption(func(fd int) error {
 		program := unix.SockFprog{Len: uint16(len(selectSecondListener)), Filter: &selectSecondListener[0]}
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -23,7 +23,7 @@
 
 	mu             sync.Mutex
 	maxConns       int
-	keepAliveLimit int // number of used connections from which on each connection closes after its response
+	keepAliveLimit int // at this number of used connections or more, each response closes its connection
 	openConns      int
 	usedConns      int           // open connections on which a request or a part of one was read
 	retiringConns  int           // connections in stateRetiring
@@ -122,8 +122,8 @@
 	return l.openConns < l.maxConns, wait
 }
 
-// RetireIdle retires connections without a complete or partial request. A new connection is retired only after the time
-// unused, since its client has opened it to send a request.
+// RetireIdle retires connections without a complete or partial request. A connection that has not had a request yet is
+// retired only after it has been open for the time unused, because its client has opened it to send a request.
 func (l *Listener) RetireIdle(unused time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -67,7 +67,7 @@
 		t.Fatalf("closed: busy %v, idle %v, third %v", closed(busy), closed(idle), closed(third))
 	}
 	l.onHTTPState(third, http.StateActive)
-	l.onHTTPState(idle, http.StateClosed) // http.Server reports the close late
+	l.onHTTPState(idle, http.StateClosed) // http.Server reports the close of idle only now
 	busy.MarkFinalResponse()
 	accept()
 	if !closed(busy) || closed(third) {
--- a/internal/netretry/netretry.go
+++ b/internal/netretry/netretry.go
@@ -1,7 +1,7 @@
 // Package netretry retries system calls on sockets that fail with a local error, such as a shortage of descriptors,
-// buffers or memory on this machine. Such shortages are temporary, and must neither make a peer count as failed nor end
-// the process. The backoff between retries is short and bounded. The package starts no goroutine and returns the errors
-// of the calls that it makes.
+// buffers or memory on this machine. Such shortages are temporary. They must not be counted as failures of a peer, and
+// must not end the process. The backoff between retries is short and bounded. The package starts no goroutine and
+// returns the errors of the calls that it makes.
 package netretry
 
 import (
--- a/internal/proxy/api.go
+++ b/internal/proxy/api.go
@@ -65,7 +65,7 @@
 	}
 	if !ok {
 		// If a handler returns without writing, net/http sends an empty 200. A client that has closed only its sending
-		// side would take that for a successful response.
+		// side would treat this as a successful response.
 		panic(http.ErrAbortHandler)
 	}
 	h.respond(w, r, conn, response, request)
@@ -133,7 +133,8 @@
 }
 
 // peerClosedFunc returns a function that reports whether the client of a request has disconnected. The request context
-// does not suffice: net/http notices the close only after it has read all data before it, which may be other requests.
+// does not suffice: net/http detects the close only after it has read all earlier data, which may include other
+// requests.
 func peerClosedFunc(r *http.Request) func() bool {
 	conn := clientConnOf(r)
 	return func() bool { return r.Context().Err() != nil || conn != nil && conn.PeerClosed() }
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -16,8 +16,8 @@
 	startAt  balance.Time
 }
 
-// Send implements balance.Actions. It starts an attempt, which has to be sent within the given time; 0 means that only
-// the deadline of the request applies.
+// Send implements balance.Actions. It starts an attempt, which has to be sent within the given time. If that time is 0,
+// only the deadline of the request applies.
 func (l *EventLoop) Send(id balance.RequestID, endpoint string, within time.Duration) {
 	r := l.inflight[id]
 	if r == nil {
@@ -55,9 +55,9 @@
 	}
 }
 
-// startStreaming reports whether a long response, of which the first part has arrived, is to be streamed to the client.
-// If so, it completes the request and reports the attempt to the Balancer as finished before any byte is written, so
-// that a client never receives parts of two responses.
+// startStreaming reports whether the rest of a long response is to be streamed to the client. If so, it completes the
+// request and reports the attempt to the Balancer as finished before any byte is written, so that a client never
+// receives parts of two responses.
 func (l *EventLoop) startStreaming(a attempt, response upstream.Response) bool {
 	decided := make(chan bool, 1)
 	l.Post(func() {
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -14,13 +14,14 @@
 const (
 	// MaxRequestBody is the maximum size of a request body in bytes.
 	MaxRequestBody = 32 << 20
-	// BodyStartTimeout is the age of a connection from which a body has to arrive at minBodyRate, unless BodyGrace ends
-	// later. It keeps connections that have not sent a complete request below a lifetime of 3 s.
+	// BodyStartTimeout is the age of a connection at which the enforcement of minBodyRate begins. If BodyGrace ends
+	// later, the enforcement begins at the end of BodyGrace. A client that sends the head of its first request, but no
+	// byte of the body, therefore occupies a connection for less than 3 s.
 	BodyStartTimeout = 2700 * time.Millisecond
 	// BodyGrace is the time after the request head during which minBodyRate is not enforced.
 	BodyGrace = 400 * time.Millisecond
-	// minBodyRate is the minimum rate of a request body in bytes per second. It is below the 64 kB/s that clients are
-	// promised to be sufficient.
+	// minBodyRate is the minimum rate of a request body in bytes per second. Clients may rely on 64 kB/s being
+	// sufficient; minBodyRate is below that.
 	minBodyRate = 48 << 10
 	// initialBodyBuffer is the size in bytes of the first buffer for a body of unknown length.
 	initialBodyBuffer = 4 << 10
@@ -31,7 +32,7 @@
 // errNoDeadline is the response to a request on a connection that does not support deadlines.
 var errNoDeadline = &httpError{status: http.StatusInternalServerError, text: "no deadline"}
 
-// expiredDeadline is a read deadline that has always passed. The zero time would mean no deadline.
+// expiredDeadline is a read deadline that is always in the past. The zero time would mean no deadline.
 var expiredDeadline = time.Time{}.Add(time.Nanosecond)
 
 // requestBody is a request body that is being read.
@@ -81,7 +82,8 @@
 		return false, errNoDeadline
 	}
 	if h.shutdown.Err() != nil { // the process may be killed before the body is complete
-		_ = conn.SetReadDeadline(expiredDeadline) // else net/http would wait for the rest; fails on a closed connection
+		// Without this deadline, net/http would wait for the rest of the body. The call fails on a closed connection.
+		_ = conn.SetReadDeadline(expiredDeadline)
 		return false, &httpError{status: http.StatusServiceUnavailable, text: "refused: this process ends"}
 	}
 	err := body.readFrom(r.Body)
@@ -97,8 +99,8 @@
 	return false, nil
 }
 
-// stopReadingAtShutdown ends reads of a connection when the shutdown context is done. The caller calls done when it has
-// finished reading; after that, read deadlines of the connection are not changed any more.
+// stopReadingAtShutdown ends the reads of a connection when the shutdown context is done. The caller calls done when it
+// has finished reading. After done has returned, stopReadingAtShutdown does not change the read deadline any more.
 func (h *Handler) stopReadingAtShutdown(conn *http.ResponseController) (done func()) {
 	ended := make(chan struct{})
 	stop := context.AfterFunc(h.shutdown, func() {
@@ -107,7 +109,7 @@
 	})
 	return func() {
 		if !stop() {
-			<-ended // else it could overwrite the deadline that the next reader sets
+			<-ended // otherwise the function above could overwrite the deadline of the next reader
 		}
 	}
 }
@@ -148,7 +150,8 @@
 }
 
 // reserve reserves pool buffers for the rest of a body of declared length, or one buffer if the length is unknown. If
-// many bodies reserved their buffers one by one, each could get some of them and none could be completed.
+// bodies reserved their buffers one at a time, many bodies could each hold a part of the pool, and none could be
+// completed.
 func (b *requestBody) reserve() bool {
 	n := max(1, (int(b.declared)-b.length)/upstream.MaxBufferedBody+1)
 	if !b.pool.reserve(n) {
--- a/internal/proxy/buffer_pool.go
+++ b/internal/proxy/buffer_pool.go
@@ -48,8 +48,8 @@
 	return buffer[:0]
 }
 
-// release cancels the reservation of n buffers and takes back those of them that were used; the caller must not use
-// these any more. The pool frees its memory when no buffer is reserved.
+// release cancels the reservation of n buffers and returns the used ones to the pool. The caller must not access these
+// afterwards. The pool frees its memory when no buffer is reserved.
 func (p *bufferPool) release(n int, used [][]byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/client_disconnect_test.go
+++ b/internal/proxy/client_disconnect_test.go
@@ -13,9 +13,9 @@
 	"milletramp.example/milletramp/internal/lab/testserver"
 )
 
-// TestNoAttemptBeginsAfterClientDisconnect checks that no attempt begins after the client has disconnected, which only
-// peerClosed reports. Each case has another cause for the next attempt. With a client that stays connected, the attempt
-// is made.
+// TestNoAttemptBeginsAfterClientDisconnect checks that no attempt begins after the client has disconnected. Only
+// peerClosed reports the disconnect. The cases differ in the cause of the next attempt. If the client stays connected,
+// the attempt is made.
 func TestNoAttemptBeginsAfterClientDisconnect(t *testing.T) {
 	respondAfter1s := func(text string) func(int) string {
 		return func(int) string { time.Sleep(time.Second); return text }
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -6,9 +6,9 @@
 // the actions of the Balancer. In a fleet, a PolicyGate admits requests only under the policy in force.
 //
 // The caller runs EventLoop.Run in a goroutine of its own and stops it by cancelling its context. The package starts
-// one goroutine per attempt. It ends with the attempt, at the latest at the request's deadline or with the loop's
-// context. If the response is streamed, it ends with the handler.
+// one goroutine per attempt. The goroutine ends at the end of the attempt: at the latest when the request's deadline
+// passes or the loop's context is done, or, if the response is streamed, when the handler finishes the stream.
 //
-// Each request that was read gets exactly one final response. A request that is refused before the Balancer sees it
+// Each request that was read gets exactly one final response. A request that is refused before it reaches the Balancer
 // gets an httpError, and its connection is closed after the response.
 package proxy
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -19,7 +19,7 @@
 func (l *EventLoop) Subscribe() { l.subscriptions.Subscribe() }
 
 // OnUpdate implements discovery.Subscriber. It passes the list to the upstream client before the Balancer, because the
-// client has to know the address of each server to which the Balancer sends an attempt.
+// client needs the address of each server to which the Balancer sends an attempt.
 func (l *EventLoop) OnUpdate(kind balance.ListKind, list discovery.List) {
 	list.Complete = list.Complete || kind == balance.ListCached
 	l.upstream.Update(list)
--- a/internal/proxy/event_loop.go
+++ b/internal/proxy/event_loop.go
@@ -15,9 +15,9 @@
 	"milletramp.example/milletramp/internal/upstream"
 )
 
-// originAge is the time between the origin of the Balancer's clock and the start of the process. The Balancer treats
-// times of 0 or less as long ago. With an origin at process start, a server that started shortly before the process
-// would be treated as warmed up.
+// originAge is the time between the origin of the Balancer's clock and the start of the process. The Balancer treats a
+// time of 0 or less as one in the distant past. With an origin at process start, a server that started shortly before
+// the process would be treated as warmed up.
 const originAge = 24 * time.Hour
 
 // EventLoop owns the Balancer and the requests in flight. Only the loop's goroutine accesses them; other goroutines
@@ -111,7 +111,7 @@
 // posting.
 func (l *EventLoop) Post(handle func()) {
 	l.mu.Lock()
-	l.queue = append(l.queue, event{l.clock(), handle}) // read under the lock, so that events are in clock order
+	l.queue = append(l.queue, event{l.clock(), handle}) // under the lock, so that the queue is in clock order
 	l.mu.Unlock()
 	select {
 	case l.wake <- struct{}{}:
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -13,11 +13,13 @@
 
 // Timing of a shutdown.
 const (
-	// KillDelay plus the longest request deadline is the time after a stop signal at which the process may be killed.
+	// KillDelay is the time that is added to the longest request deadline. The process may be killed when the sum of
+	// both has passed since a stop signal.
 	KillDelay = 700 * time.Millisecond
-	// MaxKillDeadline is the upper limit of the request deadline in that sum.
+	// MaxKillDeadline is the upper limit of the request deadline in this sum.
 	MaxKillDeadline = 3 * time.Second
-	// killMargin is reserved before the kill for the last responses: a stall of the process and 50 ms for sending them.
+	// killMargin is the time between the expiry of the last requests and the kill. It covers a stall of the process and
+	// 50 ms for sending the last responses.
 	killMargin = balance.SchedulingStall + 50*time.Millisecond
 )
 
@@ -61,8 +63,9 @@
 // Shutdown returns a context that is done when all responses are due, shortly before the process may be killed.
 func (h *Handler) Shutdown() context.Context { return h.shutdown }
 
-// Drain starts a shutdown: each response closes its connection from now on, and all requests get a response before the
-// process may be killed. maxDeadline is the upper limit of the longest request deadline in this calculation.
+// Drain starts a shutdown. From then on, each response closes its connection, and all requests get a response before
+// the process may be killed. The time of the kill is computed from the longest request deadline, or from maxDeadline if
+// that is shorter.
 func (h *Handler) Drain(maxDeadline time.Duration) {
 	shutdownAt := time.Now().Add(min(h.LongestDeadline(), maxDeadline) + KillDelay - killMargin)
 	h.shutdownAt.Store(&shutdownAt)
--- a/internal/proxy/handler_test.go
+++ b/internal/proxy/handler_test.go
@@ -96,7 +96,7 @@
 		return ""
 	})
 	cancel()
-	maxGoroutines := before + 2*len(backends) + 10 // two per backend stay, and those of the server of this test
+	maxGoroutines := before + 2*len(backends) + 10 // two per backend and those of the HTTP server of this test remain
 	testserver.Eventually(t, func() string {
 		if n := runtime.NumGoroutine(); n > maxGoroutines {
 			return fmt.Sprintf("%d goroutines, %d before the test", n, before)
--- a/internal/proxy/http_error.go
+++ b/internal/proxy/http_error.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// httpError is the error response to a request that is refused before the Balancer sees it.
+// httpError is the error response to a request that is refused before it reaches the Balancer.
 type httpError struct {
 	status int
 	text   string
--- a/internal/proxy/inflight_request.go
+++ b/internal/proxy/inflight_request.go
@@ -10,8 +10,8 @@
 )
 
 // inflightRequest is a client request, from the parsing of its head until it has its final response and all its
-// attempts have ended. The handler sets the fields before requestID. The fields from requestID on are accessed only by
-// the loop's goroutine, except for completed.
+// attempts have ended. The handler sets the fields above requestID. The other fields, except completed, are accessed
+// only by the loop's goroutine.
 type inflightRequest struct {
 	upstream.Message
 	*classSettings
@@ -32,8 +32,8 @@
 // clientDisconnected reports whether the client has closed its connection, even if data sent before is still unread.
 func (r *inflightRequest) clientDisconnected() bool { return r.peerClosed != nil && r.peerClosed() }
 
-// dropBody returns the buffers of the body to the pool, where other requests reuse them. No attempt may be writing the
-// body any more.
+// dropBody returns the buffers of the body to the pool, where other requests reuse them. It must not be called while an
+// attempt writes the body.
 func (r *inflightRequest) dropBody() {
 	if r.releaseBody == nil {
 		return
--- a/internal/proxy/policy_document.go
+++ b/internal/proxy/policy_document.go
@@ -11,8 +11,8 @@
 	"milletramp.example/milletramp/internal/wire"
 )
 
-// LocalSettingKeys are the settings that describe the place of one sidecar. They come from its configuration file; all
-// other settings come from the policy.
+// LocalSettingKeys are the keys of the settings that each sidecar reads from its own configuration file. All other
+// settings come from the policy.
 var LocalSettingKeys = []string{"ordinal", "peers_total", "my_zone", "areas", "models", "tier", "tiers", "discovery"}
 
 // checkedPolicy is a policy that passed the checks of this sidecar.
--- a/internal/proxy/policy_gate.go
+++ b/internal/proxy/policy_gate.go
@@ -16,14 +16,15 @@
 	"milletramp.example/milletramp/internal/config"
 )
 
-// PolicyHeader is the response header with the number of the policy under which a request was decided.
+// PolicyHeader is the response header with the number of the policy that applied to the request.
 const PolicyHeader = "X-Policy"
 
 const (
 	// maxPolicyWait is the maximum time for which a request waits for the next policy. A policy change takes one round
 	// trip between sidecars.
 	maxPolicyWait = time.Second
-	// policyRetention is how far the number of a checked policy may be behind the latest one before it is dropped.
+	// policyRetention is the maximum distance between the numbers of the latest checked policy and of an older one that
+	// is kept.
 	policyRetention = 8
 )
 
@@ -35,7 +36,7 @@
 	// Serves returns the number of the policy under which requests are admitted now. If ok is false, none are admitted,
 	// and wait is the time until the next policy, or 0 if that is unknown. Each call reads the clock.
 	Serves() (number uint64, wait time.Duration, ok bool)
-	// Handler returns the handler of operators' calls on the policy.
+	// Handler returns the HTTP handler for operators' requests that concern the policy.
 	Handler() http.Handler
 }
 
--- a/internal/proxy/request_parser.go
+++ b/internal/proxy/request_parser.go
@@ -9,8 +9,8 @@
 	"milletramp.example/milletramp/internal/upstream"
 )
 
-// singleValueHeaders are headers that may occur at most once in a request. If one occurred twice, a server could use
-// another of the two values than this process.
+// singleValueHeaders are headers that may occur at most once in a request. If a header occurred twice, this process and
+// a server could use different values.
 var singleValueHeaders = []string{"X-Request-Id", "X-Priority-Class", "X-Tenant-Id", "X-Timeout-Ms", "Idempotency-Key",
 	"Content-Type", "Content-Length"}
 
--- a/internal/proxy/request_settings.go
+++ b/internal/proxy/request_settings.go
@@ -18,7 +18,7 @@
 	policy     uint64         // policy number; 0 if the settings come from the configuration file
 }
 
-// classSettings holds the settings of one class. A request keeps those under which its head was parsed.
+// classSettings holds the settings of one class. A request keeps the classSettings under which its head was parsed.
 type classSettings struct {
 	balance.Class
 	index    int // index of the class in the Balancer
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -15,7 +15,8 @@
 func (l *EventLoop) serve(ctx context.Context, r *inflightRequest) (finalResponse, bool) {
 	r.response = make(chan finalResponse, 1)
 	l.Post(func() { l.start(r) })
-	// The expiry ends a request for which the Balancer produces no response, so that the client does not wait in vain.
+	// The expiry ends a request for which the Balancer produces no response. Without it, the client would get no
+	// response.
 	expiry := time.AfterFunc(time.Until(r.deadline)+responseMargin/2, func() { l.Post(func() { l.expire(r) }) })
 	defer expiry.Stop()
 	select {
@@ -85,8 +86,8 @@
 	}
 }
 
-// cancel ends a request whose client has disconnected. If the request is completed, it discards a response that its
-// handler has not received, and ends its stream.
+// cancel ends a request whose client has disconnected. If the request is completed but its handler has not received the
+// response, cancel discards the response and ends its stream.
 func (l *EventLoop) cancel(r *inflightRequest) {
 	if !r.completed.Load() {
 		l.abandon(r)
@@ -101,7 +102,7 @@
 	}
 }
 
-// expire ends a request whose deadline has passed.
+// expire ends a request that has no final response at its deadline or at shutdownAt.
 func (l *EventLoop) expire(r *inflightRequest) {
 	if r.completed.Load() {
 		return
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -16,8 +16,8 @@
 	// streamBufferSize is the size in bytes of the buffer for a streamed body.
 	streamBufferSize = 16 << 10
 	// clientSendBuffer is the size in bytes of the send buffer of the client's connection. A full send buffer accepts
-	// data again once a third of it is free. With a large buffer, a slow client would need more than MaxStreamPause for
-	// that.
+	// data again once a third of it is free. With a large buffer, a slow client could need more than MaxStreamPause to
+	// free a third.
 	clientSendBuffer = 64 << 10
 	// MaxStreamPause is the maximum time for which a server may pause in a streamed body, and the maximum time in which
 	// a client has to receive one part of it.
@@ -25,8 +25,8 @@
 	// lateResponseGrace is the time after the client's deadline by which a body of at most upstream.MaxBufferedBody
 	// bytes has to end. Clients count a response as lost 0.5 s after the deadline.
 	lateResponseGrace = 250 * time.Millisecond
-	// minStreamPause is the pause that is always allowed. A body of unknown length may be a long one, of which only the
-	// first bytes are due at the deadline.
+	// minStreamPause is the lower bound of the allowed pause. A body of unknown length may be long, and only its first
+	// bytes are due at the deadline.
 	minStreamPause = time.Second
 )
 
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -22,13 +22,13 @@
 type AttemptRequest struct {
 	ServerID string
 	Message  *Message
-	// SendDeadline is the time by which the complete request must be written. If it passes earlier, the rest of the
-	// request is not sent. Zero means no deadline.
+	// SendDeadline is the time by which the complete request must be written. After it, the rest of the request is not
+	// sent. Zero means no deadline.
 	SendDeadline time.Time
 	// IsCancelled reports whether the client no longer waits for the response. Nil means that it always waits.
 	IsCancelled func() bool
-	// StartStreaming is called with a long response of which only the first part was read. It reports whether the
-	// caller streams the rest. If so, the caller must read Response.Remainder and call its Finish method.
+	// StartStreaming is called after the first part of a long response was read. It reports whether the caller streams
+	// the rest. If so, the caller must read Response.Remainder and call its Finish method.
 	StartStreaming func(Response) bool
 }
 
@@ -203,9 +203,9 @@
 }
 
 // serverRespondedSince reports whether the server responded to another attempt after this one began. If so, only the
-// connection of this attempt is broken. Otherwise the server's machine may be gone. Its idle connections would then
-// stay open, and requests written to them would be lost although some must never be repeated. A new connection fails
-// before anything is sent.
+// connection of this attempt is broken. Otherwise the server's machine may be gone. In that case its idle connections
+// would stay open, and requests written to them would be lost. Some of these requests must not be repeated. A new
+// connection, in contrast, fails before anything is sent.
 func (a *attempt) serverRespondedSince() bool {
 	last := a.server.lastResponse.Load()
 	return last != nil && !last.Before(a.startedAt)
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -15,7 +15,7 @@
 	"milletramp.example/milletramp/internal/netretry"
 )
 
-// pastDeadline is a deadline that has passed whatever the clock shows. The zero time would mean no deadline.
+// pastDeadline is a deadline that is always in the past. The zero time would mean no deadline.
 var pastDeadline = time.Time{}.Add(time.Nanosecond)
 
 // serverConn is a connection to a server. One attempt uses it at a time. Other goroutines may call only abort and
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -56,7 +56,7 @@
 	return &Message{Method: http.MethodGet, URL: &url.URL{Path: "/api"}, ID: "id-1"}
 }
 
-// declineStreaming is a StartStreaming function that declines to stream long responses.
+// declineStreaming is a StartStreaming function that declines to stream a long response.
 func declineStreaming(Response) bool { return false }
 
 // discardStream is a StartStreaming function that reads and discards a long response.
@@ -101,18 +101,18 @@
 	}
 }
 
-// sendRequest makes an attempt that declines to stream its response.
+// sendRequest makes an attempt and declines to stream the response.
 func sendRequest(client *Client, serverID string, message *Message) Response {
 	return sendRequestWithin(context.Background(), client, serverID, message)
 }
 
-// sendRequestWithin makes an attempt with a context that declines to stream its response.
+// sendRequestWithin makes an attempt with ctx and declines to stream the response.
 func sendRequestWithin(ctx context.Context, client *Client, serverID string, message *Message) Response {
 	request := AttemptRequest{ServerID: serverID, Message: message, StartStreaming: declineStreaming}
 	return client.Attempt(ctx, request)
 }
 
-// sendStreaming makes an attempt that streams its response if that is long, and discards the stream.
+// sendStreaming makes an attempt. If the response is long, it is streamed and discarded.
 func sendStreaming(client *Client, serverID string, message *Message) Response {
 	request := AttemptRequest{ServerID: serverID, Message: message, StartStreaming: discardStream}
 	return client.Attempt(context.Background(), request)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -13,8 +13,8 @@
 )
 
 // defaultReuseDelay is the minimum time between a response and the next request on the same connection. A faulty server
-// may send a second response some milliseconds after the first, which would be parsed as the response to the next
-// request.
+// may send a second response some milliseconds after the first. Without the delay, it would be parsed as the response
+// to the next request.
 const defaultReuseDelay = 20 * time.Millisecond
 
 // pool manages the connections to the servers. A connection is either idle in the pool or acquired by one attempt,
@@ -140,7 +140,7 @@
 }
 
 // closeExpired closes the connections whose idle timeout has expired. Servers close such connections soon afterwards. A
-// request sent while the server closes the connection is reset, and the server may have processed it.
+// request sent while the server closes the connection would fail with a reset, and the server may have processed it.
 func (p *pool) closeExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -216,5 +216,5 @@
 // closeLocked closes a connection that is in no list of idle connections. The caller must hold p.mu.
 func (p *pool) closeLocked(conn *serverConn) {
 	p.openConns--
-	_ = conn.Conn.Close() // there is no unwritten data that an error could lose
+	_ = conn.Conn.Close() // no unwritten data can be lost
 }
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -76,9 +76,9 @@
 	return encodedRequest{head: head, body: m.Body}
 }
 
-// writeRequest writes a request and returns the number of bytes written. It stops at the deadline unless that is zero.
-// After the deadline the server's dedupe window is over, and the server does not process a request whose last byte is
-// missing.
+// writeRequest writes a request and returns the number of bytes written. It stops at the deadline; zero means no
+// deadline. At the deadline the server's dedupe window ends, so the last byte must not be written after it: the server
+// does not process a request whose last byte is missing.
 func (c *serverConn) writeRequest(deadline time.Time, request encodedRequest) (written int, err error) {
 	if deadline.IsZero() {
 		return c.writeParts(request)
--- a/internal/upstream/response_parser.go
+++ b/internal/upstream/response_parser.go
@@ -67,9 +67,9 @@
 	return r, c.isReusable() && !head.closesConnection(), nil
 }
 
-// discardBody reads and discards the body of a response that is not Served, and reports whether the connection is
-// reusable. The outcome of such a response depends on its head alone. discardBody does not read close-delimited bodies,
-// which may never end, or more than the first part of a long body.
+// discardBody reads and discards the body of a response whose outcome is not Served, and reports whether the connection
+// is reusable. The body has no effect on the outcome. discardBody does not read a close-delimited body, which may never
+// end. It reads only the first part of a long body, and the connection is then not reusable.
 func (c *serverConn) discardBody(head *responseHead) (reusable bool) {
 	if isCloseDelimited(head.header) {
 		return false
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -9,8 +9,8 @@
 // EventKind is the kind of an event.
 type EventKind int
 
-// The kinds of events. A batch begins with BatchStart and ends with BatchEnd, after which a reply is due. The events in
-// a batch apply to the instance of the latest SelectInstance.
+// The kinds of events. A batch begins with BatchStart and ends with BatchEnd. A reply is due after each BatchEnd. The
+// events in a batch apply to the instance of the latest SelectInstance.
 const (
 	BatchStart EventKind = iota
 	BatchEnd
--- a/internal/wire/settingsreader.go
+++ b/internal/wire/settingsreader.go
@@ -44,7 +44,7 @@
 	return s
 }
 
-// flatten stores a JSON value by path, with the paths and spelling of the text protocol.
+// flatten stores a JSON value by path. Paths and values have the same format as in the text protocol.
 func (s *settingsReader) flatten(path string, value any) {
 	switch v := value.(type) {
 	case map[string]any:
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -25,7 +25,7 @@
 	return &Writer{output: bufio.NewWriterSize(output, bufferSize), currentInstance: noInstance}
 }
 
-// Send writes that an attempt begins. A timeout of 0 means that only the deadline of the request applies.
+// Send writes the start of an attempt. A timeout of 0 means that only the deadline of the request applies.
 func (w *Writer) Send(instance int, id balance.RequestID, endpoint string, timeout time.Duration) {
 	w.beginAction(instance, "FORWARD")
 	w.appendUint(uint64(id))
@@ -34,7 +34,7 @@
 	w.endAction()
 }
 
-// Cancel writes that an attempt is cancelled.
+// Cancel writes the cancellation of an attempt.
 func (w *Writer) Cancel(instance int, id balance.RequestID, attempt int) {
 	w.beginAction(instance, "DROP_ATTEMPT")
 	w.appendUint(uint64(id))
@@ -42,7 +42,7 @@
 	w.endAction()
 }
 
-// Reject writes that a request is rejected without effect. A retryAfter of 0 means no Retry-After.
+// Reject writes the rejection of a request that has had no effect. A retryAfter of 0 means no Retry-After.
 func (w *Writer) Reject(instance int, id balance.RequestID, retryAfter time.Duration) {
 	w.beginAction(instance, "NOT_NOW")
 	w.appendUint(uint64(id))
@@ -50,7 +50,7 @@
 	w.endAction()
 }
 
-// Fail writes that a request has failed. It may have had an effect.
+// Fail writes the failure of a request, which may have had an effect.
 func (w *Writer) Fail(instance int, id balance.RequestID) {
 	w.beginAction(instance, "END_FAILED")
 	w.appendUint(uint64(id))
