--- a/internal/fleet/consensus/cluster_test.go
+++ b/internal/fleet/consensus/cluster_test.go
@@ -37,7 +37,7 @@
 	sidecars      []*sidecar
 	loss          float64
 	tokens        uint64
-	callbacks     map[uint64]func(Answer) // by token
+	callbacks     map[uint64]func(LeaseReply) // by token
 	highestServed uint64
 	outcomes      map[string]policy.State // the furthest seen of each change, by ID
 	violation     string                  // the last rule seen broken; "": none
@@ -66,7 +66,7 @@
 		t:         t,
 		random:    rand.New(rand.NewPCG(seed, 0xc0c1)),
 		now:       time.Hour,
-		callbacks: map[uint64]func(Answer){},
+		callbacks: map[uint64]func(LeaseReply){},
 		outcomes:  map[string]policy.State{},
 	}
 	for i := range voters {
@@ -141,11 +141,11 @@
 	}
 	do(v.machine)
 	v.persistBatches()
-	out := v.machine.Out()
+	out := v.machine.TakeActions()
 	for _, msg := range out.Send {
 		v.deliver(msg)
 	}
-	for _, a := range out.Answers {
+	for _, a := range out.LeaseReplies {
 		if callback := v.cluster.callbacks[a.Token]; callback != nil {
 			delete(v.cluster.callbacks, a.Token)
 			v.cluster.send(func() { callback(a) })
--- a/internal/fleet/consensus/consensus.go
+++ b/internal/fleet/consensus/consensus.go
@@ -8,7 +8,7 @@
 // by itself, so that two runs of the same events differ.
 //
 // A Machine's host repeats after every event: take Batch, persist it, call Advance and Compact, until Batch has nothing
-// more; then send and answer what Out returns.
+// more; then send and answer what TakeActions returns.
 package consensus
 
 import (
@@ -70,17 +70,17 @@
 	Payload []byte // an encoded Envelope
 }
 
-// Answer is the reply to a question.
-type Answer struct {
-	Token uint64 // that Ask was called with
+// LeaseReply is the reply to a lease request.
+type LeaseReply struct {
+	Token uint64 // that RequestLease was called with
 	Grant policy.LeaseResponse
 	Err   error // ErrNoLeader: ask another voter, or again
 }
 
 // Actions are what the host is to do after an event.
 type Actions struct {
-	Send    []Message
-	Answers []Answer
+	Send         []Message
+	LeaseReplies []LeaseReply
 }
 
 // Errors that callers tell apart.
@@ -146,8 +146,8 @@
 // Leader is the ID of the leader as far as is known here; 0: none is known.
 func (m *Machine) Leader() uint64 { return m.leader }
 
-// Out returns what is to be sent and answered, and forgets it.
-func (m *Machine) Out() Actions {
+// TakeActions returns what is to be sent and answered, and forgets it.
+func (m *Machine) TakeActions() Actions {
 	out := m.actions
 	m.actions = Actions{}
 	return out
--- a/internal/fleet/consensus/read.go
+++ b/internal/fleet/consensus/read.go
@@ -33,9 +33,9 @@
 	readIndex uint64 // to be applied before the reads are answered; 0: not confirmed yet
 }
 
-// Ask takes in a sidecar's question for a lease. Its answer follows in Out under the token, once a majority has
-// confirmed that this voter was the leader when the question came.
-func (m *Machine) Ask(now Time, token uint64, q policy.LeaseRequest) {
+// RequestLease queues a sidecar's lease request. TakeActions returns the reply under the token once a majority has
+// confirmed that this voter was the leader when the request arrived.
+func (m *Machine) RequestLease(now Time, token uint64, q policy.LeaseRequest) {
 	r := pendingRead{token, q, now}
 	if m.leases == nil || len(m.queuedReads) >= maxQueuedReads {
 		m.answerRead(r, policy.LeaseResponse{}, ErrNoLeader)
@@ -114,5 +114,5 @@
 }
 
 func (m *Machine) answerRead(r pendingRead, grant policy.LeaseResponse, err error) {
-	m.actions.Answers = append(m.actions.Answers, Answer{r.token, grant, err})
+	m.actions.LeaseReplies = append(m.actions.LeaseReplies, LeaseReply{r.token, grant, err})
 }
--- a/internal/fleet/consensus/sidecar_test.go
+++ b/internal/fleet/consensus/sidecar_test.go
@@ -36,11 +36,11 @@
 	}
 	c.tokens++
 	token := c.tokens
-	c.callbacks[token] = func(a Answer) { c.receiveAnswer(s, incarnation, sent, a) }
-	c.send(func() { to.run(func(m *Machine) { m.Ask(c.now, token, q) }) })
+	c.callbacks[token] = func(a LeaseReply) { c.receiveAnswer(s, incarnation, sent, a) }
+	c.send(func() { to.run(func(m *Machine) { m.RequestLease(c.now, token, q) }) })
 }
 
-func (c *cluster) receiveAnswer(s *sidecar, incarnation uint64, sent time.Duration, a Answer) {
+func (c *cluster) receiveAnswer(s *sidecar, incarnation uint64, sent time.Duration, a LeaseReply) {
 	switch {
 	case a.Err != nil || s.incarnation != incarnation || s.partitionedUntil > c.now:
 		return
--- a/internal/fleet/policyagent/agent.go
+++ b/internal/fleet/policyagent/agent.go
@@ -95,7 +95,7 @@
 	// events are run by runNode's goroutine once it has its node. It alone uses what follows.
 	events        chan func(now raftnode.Time)
 	node          *raftnode.Node
-	pendingLeases map[uint64]chan consensus.Answer // by token
+	pendingLeases map[uint64]chan consensus.LeaseReply // by token
 	lastToken     uint64
 	queues        map[string]chan []byte // by voter
 }
@@ -115,7 +115,7 @@
 		candidates:    settings.Voters,
 		voterCount:    len(settings.Voters),
 		events:        make(chan func(raftnode.Time), maxQueuedEvents),
-		pendingLeases: map[uint64]chan consensus.Answer{},
+		pendingLeases: map[uint64]chan consensus.LeaseReply{},
 		queues:        map[string]chan []byte{},
 	}
 	a.ctx, a.stop = context.WithCancel(context.Background())
--- a/internal/fleet/policyagent/voter.go
+++ b/internal/fleet/policyagent/voter.go
@@ -30,7 +30,7 @@
 type nodeCall struct {
 	request  request
 	response response
-	lease    chan consensus.Answer // nil: no lease was requested
+	lease    chan consensus.LeaseReply // nil: no lease was requested
 	done     chan struct{}
 }
 
@@ -84,7 +84,7 @@
 		err = a.node.Receive(now, req.Raft)
 	case req.Lease != nil:
 		a.lastToken++
-		call.lease = make(chan consensus.Answer, 1)
+		call.lease = make(chan consensus.LeaseReply, 1)
 		a.pendingLeases[a.lastToken] = call.lease
 		a.node.Ask(now, a.lastToken, *req.Lease)
 		resp.Voters, _ = a.node.Voters()
@@ -209,7 +209,7 @@
 func (a *Agent) failPendingLeases() {
 	for token, lease := range a.pendingLeases {
 		delete(a.pendingLeases, token)
-		lease <- consensus.Answer{Token: token, Err: consensus.ErrNoLeader}
+		lease <- consensus.LeaseReply{Token: token, Err: consensus.ErrNoLeader}
 	}
 }
 
--- a/internal/fleet/raftnode/cluster_test.go
+++ b/internal/fleet/raftnode/cluster_test.go
@@ -33,8 +33,8 @@
 	members  map[string]*member
 	order    []string // of the members' names
 	delayed  []func()
-	answers  map[uint64]consensus.Answer // by token
-	outcomes map[string]policy.Outcome   // as first seen: refused or in force
+	answers  map[uint64]consensus.LeaseReply // by token
+	outcomes map[string]policy.Outcome       // as first seen: refused or in force
 	lastID   uint64
 }
 
@@ -90,7 +90,7 @@
 		dir:      t.TempDir(),
 		now:      time.Hour,
 		members:  map[string]*member{},
-		answers:  map[uint64]consensus.Answer{},
+		answers:  map[uint64]consensus.LeaseReply{},
 		outcomes: map[string]policy.Outcome{},
 	}
 	for _, name := range voterNames {
--- a/internal/fleet/raftnode/node.go
+++ b/internal/fleet/raftnode/node.go
@@ -63,7 +63,7 @@
 // Actions are what the host is to do after an event.
 type Actions struct {
 	Send    []Message
-	Answers []consensus.Answer
+	Answers []consensus.LeaseReply
 }
 
 // Node is one voter of the group, or a standby: a sidecar that is in no group yet and may replace a voter.
@@ -244,10 +244,10 @@
 // consensus.ErrNoLeader where this node does not lead.
 func (n *Node) Ask(now Time, token uint64, q policy.LeaseRequest) {
 	if !n.running() {
-		n.actions.Answers = append(n.actions.Answers, consensus.Answer{Token: token, Err: consensus.ErrNoLeader})
+		n.actions.Answers = append(n.actions.Answers, consensus.LeaseReply{Token: token, Err: consensus.ErrNoLeader})
 		return
 	}
-	n.machine.Ask(now, token, q)
+	n.machine.RequestLease(now, token, q)
 	n.flush(now)
 }
 
@@ -274,13 +274,13 @@
 	if n.fatalErr != nil {
 		return
 	}
-	out := n.machine.Out() // rests on persisted batches alone, also where the write of a later one has failed
+	out := n.machine.TakeActions() // rests on persisted batches alone, also where the write of a later one has failed
 	for _, m := range out.Send {
 		if to := n.voterNames[m.To]; to != "" { // else it was replaced meanwhile
 			n.send(to, packet{Envelope: m.Payload})
 		}
 	}
-	n.actions.Answers = append(n.actions.Answers, out.Answers...)
+	n.actions.Answers = append(n.actions.Answers, out.LeaseReplies...)
 }
 
 // batchPersisted advances the machine, and compacts the log where that is due.
