--- a/internal/fleet/consensus/advance.go
+++ b/internal/fleet/consensus/advance.go
@@ -62,7 +62,7 @@
 		m.stop(ErrReplaced)
 	}
 	m.updateLeadership(now)
-	m.answerConfirmedReads(now)
+	m.replyToConfirmedReads(now)
 	return nil
 }
 
@@ -91,14 +91,14 @@
 		if msg.Type == raftpb.MsgSnap {
 			m.snapshotsSent[msg.To] = now
 		}
-		text, err := msg.Marshal()
+		encoded, err := msg.Marshal()
 		if err == nil {
-			text, err = m.seal(text)
+			encoded, err = m.seal(encoded)
 		}
 		if err != nil {
 			return fmt.Errorf("consensus: message to %x: %w", msg.To, err)
 		}
-		m.actions.Send = append(m.actions.Send, Message{msg.To, text})
+		m.actions.Send = append(m.actions.Send, Message{msg.To, encoded})
 	}
 	return nil
 }
--- a/internal/fleet/consensus/bootstrap_test.go
+++ b/internal/fleet/consensus/bootstrap_test.go
@@ -28,8 +28,10 @@
 	bootstrap *Bootstrap
 }
 
-// isOf tells whether the folder is of a group.
-func (f folder) isOf(group uint64) bool { return f.bootstrap != nil && f.bootstrap.GroupID() == group }
+// inGroup tells whether the folder is of a group.
+func (f folder) inGroup(group uint64) bool {
+	return f.bootstrap != nil && f.bootstrap.GroupID() == group
+}
 
 func (c *bootstrapCluster) start(name string) {
 	f := c.folders[name]
@@ -56,7 +58,7 @@
 		c.t.Fatal(err)
 	}
 	f := c.folders[name]
-	if f.bootstrap != nil && !f.isOf(m.Bootstrap().GroupID()) {
+	if f.bootstrap != nil && !f.inGroup(m.Bootstrap().GroupID()) {
 		c.t.Fatalf("%s was of %v and is of %v", name, f.bootstrap, m.Bootstrap())
 	}
 	if m.Bootstrap() == nil {
@@ -144,7 +146,7 @@
 	for group, voters := range c.groups {
 		n := 0
 		for name, id := range voters {
-			if f := c.folders[name]; f.identity.ID == id && f.isOf(group) {
+			if f := c.folders[name]; f.identity.ID == id && f.inGroup(group) {
 				n++
 			}
 		}
@@ -248,26 +250,26 @@
 		t.Errorf("%v, it is named in %v", b.Bootstrap(), a.Bootstrap())
 	}
 	// c returns without its folder: both know it with another one.
-	lost := newTestBootstrapper(t, "c", 9, "x", nil)
-	receiveHello(t, lost, 1, a.Hello(), ErrNotInGroup)
-	receiveHello(t, lost, 1, b.Hello(), ErrNotInGroup)
-	if lost.Bootstrap() != nil {
-		t.Errorf("%v without its folder", lost.Bootstrap())
+	withNewFolder := newTestBootstrapper(t, "c", 9, "x", nil)
+	receiveHello(t, withNewFolder, 1, a.Hello(), ErrNotInGroup)
+	receiveHello(t, withNewFolder, 1, b.Hello(), ErrNotInGroup)
+	if withNewFolder.Bootstrap() != nil {
+		t.Errorf("%v without its folder", withNewFolder.Bootstrap())
 	}
 	if _, err := NewBootstrapper("c", Identity{9, 1}, testVoters, nil, a.Bootstrap()); err == nil {
 		t.Error("another voter's folder is accepted")
 	}
 	// It replaces its former self, and returns with what it has persisted of that.
-	replaced := a.Hello()
-	replaced.Voters = map[string]uint64{"a": 1, "b": 2, "c": 9}
-	receiveHello(t, lost, 2, replaced, nil)
-	got := lost.Bootstrap()
+	helloAfterReplacement := a.Hello()
+	helloAfterReplacement.Voters = map[string]uint64{"a": 1, "b": 2, "c": 9}
+	receiveHello(t, withNewFolder, 2, helloAfterReplacement, nil)
+	got := withNewFolder.Bootstrap()
 	if got == nil || got.GroupID() != a.Bootstrap().GroupID() || got.KnownVoters()["c"] != 9 {
 		t.Fatalf("%v, it has replaced its former self", got)
 	}
-	again, err := NewBootstrapper("c", Identity{9, 2}, testVoters, nil, got)
-	if err != nil || again.Bootstrap() == nil {
-		t.Errorf("%v, error %v", again, err)
+	restarted, err := NewBootstrapper("c", Identity{9, 2}, testVoters, nil, got)
+	if err != nil || restarted.Bootstrap() == nil {
+		t.Errorf("%v, error %v", restarted, err)
 	}
 }
 
--- a/internal/fleet/consensus/cluster_test.go
+++ b/internal/fleet/consensus/cluster_test.go
@@ -104,7 +104,7 @@
 	v.machine = m
 }
 
-func (c *cluster) after(wait time.Duration, do func()) {
+func (c *cluster) schedule(wait time.Duration, do func()) {
 	c.nextOrder++
 	e := event{c.now + wait, c.nextOrder, do}
 	i, _ := slices.BinarySearchFunc(c.queue, e, func(a, b event) int {
@@ -122,7 +122,7 @@
 	if c.loss > 0 && c.random.IntN(10) == 0 {
 		delay = time.Duration(c.random.Int64N(int64(2 * time.Second)))
 	}
-	c.after(delay, do)
+	c.schedule(delay, do)
 }
 
 // run has a voter take in an event, when it is not paused, and does what follows from that.
@@ -132,7 +132,7 @@
 	}
 	if v.pausedUntil > v.cluster.now {
 		incarnation := v.incarnation
-		v.cluster.after(v.pausedUntil-v.cluster.now, func() {
+		v.cluster.schedule(v.pausedUntil-v.cluster.now, func() {
 			if v.incarnation == incarnation {
 				v.run(do)
 			}
@@ -310,7 +310,7 @@
 	case 2:
 		if v.machine != nil {
 			v.machine = nil
-			c.after(until-c.now, func() {
+			c.schedule(until-c.now, func() {
 				if v.machine == nil {
 					v.start()
 				}
--- a/internal/fleet/consensus/consensus.go
+++ b/internal/fleet/consensus/consensus.go
@@ -185,14 +185,14 @@
 	if m.fatalErr != nil {
 		return m.fatalErr
 	}
-	e, learned, err := m.verifier.open(payload)
+	e, newIncarnations, err := m.verifier.open(payload)
 	if errors.Is(err, ErrLostState) {
 		m.stop(err)
 	}
 	if err != nil {
 		return err
 	}
-	maps.Copy(m.newIncarnations, learned)
+	maps.Copy(m.newIncarnations, newIncarnations)
 	var msg raftpb.Message
 	if err := msg.Unmarshal(e.Payload); err != nil {
 		return fmt.Errorf("consensus: malformed message: %w", err)
@@ -232,11 +232,11 @@
 	if m.leases == nil {
 		return ErrNoLeader
 	}
-	text, err := cbor.Marshal(policy.Entry{Propose: &p})
+	encoded, err := cbor.Marshal(policy.Entry{Propose: &p})
 	if err != nil {
 		return fmt.Errorf("consensus: proposal %q: %w", p.ID, err)
 	}
-	if err := m.rawNode.Propose(text); err != nil {
+	if err := m.rawNode.Propose(encoded); err != nil {
 		return fmt.Errorf("consensus: proposal %q: %w", p.ID, err)
 	}
 	return nil
@@ -246,8 +246,8 @@
 // Tick, as long as it is due.
 func (m *Machine) proposeEntries(entries []policy.Entry) {
 	for _, e := range entries {
-		if text, err := cbor.Marshal(e); err == nil { // entries are of types that always encode
-			_ = m.rawNode.Propose(text) // dropped, where this voter no longer leads
+		if encoded, err := cbor.Marshal(e); err == nil { // entries are of types that always encode
+			_ = m.rawNode.Propose(encoded) // dropped, where this voter no longer leads
 		}
 	}
 }
--- a/internal/fleet/consensus/consensus_test.go
+++ b/internal/fleet/consensus/consensus_test.go
@@ -73,20 +73,20 @@
 	}
 	c.leader().machine = nil
 	c.steps(100)
-	if got := c.serving(); got != 3 {
+	if got := c.servingCount(); got != 3 {
 		t.Errorf("%d of 3 serve 1 s after the majority was lost", got)
 	}
 	if c.propose("third") != "" {
 		t.Error("one voter of three accepts a change")
 	}
 	c.steps(400)
-	if got := c.serving(); got != 0 {
+	if got := c.servingCount(); got != 0 {
 		t.Errorf("%d of 3 serve 5 s after the majority was lost: leases last %v", got, policy.DefaultTerms.Length)
 	}
 	c.startCrashed()
 	c.steps(600)
 	inForce := c.leader().machine.Ledger().InForce().Number
-	if got := c.serving(); got != 3 || inForce != 2 || c.violation != "" {
+	if got := c.servingCount(); got != 3 || inForce != 2 || c.violation != "" {
 		t.Errorf("back again: %d of 3 serve, policy %d is in force, %s", got, inForce, c.violation)
 	}
 }
--- a/internal/fleet/consensus/envelope.go
+++ b/internal/fleet/consensus/envelope.go
@@ -37,10 +37,10 @@
 	errStaleIncarnation = errors.New("consensus: a message of a voter's former incarnation, or of an older folder")
 )
 
-// open decodes an envelope and checks its sender. learned are the incarnations that were not known before. The error is
+// open decodes an envelope and checks its sender. newIncarnations were not known before. The error is
 // ErrLostState where this voter has lost state itself; errUnknownSender and errStaleIncarnation refuse the sender.
-func (v *envelopeVerifier) open(text []byte) (e Envelope, learned map[uint64]uint64, err error) {
-	if err := cbor.Unmarshal(text, &e); err != nil {
+func (v *envelopeVerifier) open(encoded []byte) (e Envelope, newIncarnations map[uint64]uint64, err error) {
+	if err := cbor.Unmarshal(encoded, &e); err != nil {
 		return e, nil, fmt.Errorf("consensus: malformed envelope: %w", err)
 	}
 	isMember := slices.Contains(v.members, e.From) && e.From != v.identity.ID
@@ -54,19 +54,19 @@
 		return e, nil, fmt.Errorf("%w: voter %x, incarnation %d, known is %d",
 			errStaleIncarnation, e.From, e.Incarnation, known)
 	}
-	learned = map[uint64]uint64{}
-	v.learn(learned, e.From, e.Incarnation)
+	newIncarnations = map[uint64]uint64{}
+	v.recordIncarnation(newIncarnations, e.From, e.Incarnation)
 	for id, incarnation := range e.Incarnations {
-		v.learn(learned, id, incarnation)
+		v.recordIncarnation(newIncarnations, id, incarnation)
 	}
-	return e, learned, nil
+	return e, newIncarnations, nil
 }
 
-// learn takes in a member's incarnation, and adds it to learned where it is later than the known one.
-func (v *envelopeVerifier) learn(learned map[uint64]uint64, id, incarnation uint64) {
+// recordIncarnation stores a member's incarnation and adds it to newIncarnations if it is later than the known one.
+func (v *envelopeVerifier) recordIncarnation(newIncarnations map[uint64]uint64, id, incarnation uint64) {
 	if id == v.identity.ID || !slices.Contains(v.members, id) || incarnation <= v.incarnations[id] {
 		return
 	}
 	v.incarnations[id] = incarnation
-	learned[id] = incarnation
+	newIncarnations[id] = incarnation
 }
--- a/internal/fleet/consensus/envelope_test.go
+++ b/internal/fleet/consensus/envelope_test.go
@@ -95,7 +95,7 @@
 	for _, tt := range []struct { // one after another, of one verifier
 		name                     string
 		group, from, incarnation uint64
-		learned                  map[uint64]uint64
+		newIncarnations          map[uint64]uint64
 		err                      error
 	}{
 		{"first of a voter", group, 2, 5, map[uint64]uint64{2: 5}, nil},
@@ -109,9 +109,10 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			text := seal(Envelope{GroupID: tt.group, From: tt.from, Incarnation: tt.incarnation})
-			_, learned, err := m.verifier.open(text)
-			if !maps.Equal(learned, tt.learned) || !errors.Is(err, tt.err) {
-				t.Errorf("learned %v, want %v; error %v, want %v", learned, tt.learned, err, tt.err)
+			_, newIncarnations, err := m.verifier.open(text)
+			if !maps.Equal(newIncarnations, tt.newIncarnations) || !errors.Is(err, tt.err) {
+				t.Errorf("new incarnations %v, want %v; error %v, want %v",
+					newIncarnations, tt.newIncarnations, err, tt.err)
 			}
 		})
 	}
--- a/internal/fleet/consensus/read.go
+++ b/internal/fleet/consensus/read.go
@@ -19,7 +19,7 @@
 // pendingRead is a question that waits until a majority has confirmed that this voter leads.
 type pendingRead struct {
 	token      uint64
-	question   policy.LeaseRequest
+	request    policy.LeaseRequest
 	receivedAt Time
 }
 
@@ -38,7 +38,7 @@
 func (m *Machine) RequestLease(now Time, token uint64, q policy.LeaseRequest) {
 	r := pendingRead{token, q, now}
 	if m.leases == nil || len(m.queuedReads) >= maxQueuedReads {
-		m.answerRead(r, policy.LeaseResponse{}, ErrNoLeader)
+		m.replyToRead(r, policy.LeaseResponse{}, ErrNoLeader)
 		return
 	}
 	m.queuedReads = append(m.queuedReads, r)
@@ -65,16 +65,16 @@
 	}
 }
 
-// answerConfirmedReads answers the current round's reads, where it is confirmed and the log applied so far.
-func (m *Machine) answerConfirmedReads(now Time) {
+// replyToConfirmedReads answers the current round's reads, where it is confirmed and the log applied so far.
+func (m *Machine) replyToConfirmedReads(now Time) {
 	round := m.currentRound
 	if m.leases == nil || round == nil || round.readIndex == 0 || m.appliedIndex < round.readIndex {
 		return
 	}
 	for _, r := range round.reads {
-		grant, entries := m.leases.Renew(now, m.ledger, r.question)
+		grant, entries := m.leases.Renew(now, m.ledger, r.request)
 		m.proposeEntries(entries)
-		m.answerRead(r, grant, nil)
+		m.replyToRead(r, grant, nil)
 	}
 	m.currentRound = nil
 	m.startReadRound(now)
@@ -89,7 +89,7 @@
 	m.queuedReads = slices.DeleteFunc(m.queuedReads, func(r pendingRead) bool {
 		expired := now-r.receivedAt >= readTimeout
 		if expired {
-			m.answerRead(r, policy.LeaseResponse{}, ErrNoLeader)
+			m.replyToRead(r, policy.LeaseResponse{}, ErrNoLeader)
 		}
 		return expired
 	})
@@ -99,7 +99,7 @@
 func (m *Machine) failReads() {
 	m.requeueReads()
 	for _, r := range m.queuedReads {
-		m.answerRead(r, policy.LeaseResponse{}, ErrNoLeader)
+		m.replyToRead(r, policy.LeaseResponse{}, ErrNoLeader)
 	}
 	m.queuedReads = nil
 }
@@ -113,6 +113,6 @@
 	m.currentRound = nil
 }
 
-func (m *Machine) answerRead(r pendingRead, grant policy.LeaseResponse, err error) {
+func (m *Machine) replyToRead(r pendingRead, grant policy.LeaseResponse, err error) {
 	m.actions.LeaseReplies = append(m.actions.LeaseReplies, LeaseReply{r.token, grant, err})
 }
--- a/internal/fleet/consensus/sidecar_test.go
+++ b/internal/fleet/consensus/sidecar_test.go
@@ -14,7 +14,7 @@
 	incarnation      uint64
 	pausedUntil      time.Duration
 	partitionedUntil time.Duration
-	askedAt          time.Duration
+	requestedAt      time.Duration
 }
 
 func (s *sidecar) start() {
@@ -22,8 +22,8 @@
 	s.Holder = policy.NewHolder(s.name, s.incarnation, policy.DefaultTerms)
 }
 
-func (c *cluster) ask(s *sidecar) {
-	s.askedAt = c.now
+func (c *cluster) requestLease(s *sidecar) {
+	s.requestedAt = c.now
 	if s.partitionedUntil > c.now {
 		return
 	}
@@ -36,23 +36,23 @@
 	}
 	c.tokens++
 	token := c.tokens
-	c.callbacks[token] = func(a LeaseReply) { c.receiveAnswer(s, incarnation, sent, a) }
+	c.callbacks[token] = func(a LeaseReply) { c.receiveReply(s, incarnation, sent, a) }
 	c.send(func() { to.run(func(m *Machine) { m.RequestLease(c.now, token, q) }) })
 }
 
-func (c *cluster) receiveAnswer(s *sidecar, incarnation uint64, sent time.Duration, a LeaseReply) {
+func (c *cluster) receiveReply(s *sidecar, incarnation uint64, sent time.Duration, a LeaseReply) {
 	switch {
 	case a.Err != nil || s.incarnation != incarnation || s.partitionedUntil > c.now:
 		return
 	case s.pausedUntil > c.now:
-		c.after(s.pausedUntil-c.now, func() { c.receiveAnswer(s, incarnation, sent, a) })
+		c.schedule(s.pausedUntil-c.now, func() { c.receiveReply(s, incarnation, sent, a) })
 		return
 	}
 	if number := s.Update(c.now, sent, a.Grant); number > 0 {
-		c.after(5*time.Millisecond, func() {
+		c.schedule(5*time.Millisecond, func() {
 			if s.incarnation == incarnation {
 				s.Checked(number, "")
-				c.ask(s)
+				c.requestLease(s)
 			}
 		})
 	}
@@ -66,8 +66,8 @@
 		if s.pausedUntil > c.now {
 			continue
 		}
-		if c.now-s.askedAt >= policy.DefaultTerms.Short/3 {
-			c.ask(s)
+		if c.now-s.requestedAt >= policy.DefaultTerms.Short/3 {
+			c.requestLease(s)
 		}
 		if number, _, ok := s.Serves(c.now); ok {
 			serving[number] = true
@@ -85,8 +85,8 @@
 	}
 }
 
-// serving counts the sidecars that serve.
-func (c *cluster) serving() (n int) {
+// servingCount counts the sidecars that serve.
+func (c *cluster) servingCount() (n int) {
 	for _, s := range c.sidecars {
 		if _, _, ok := s.Serves(c.now); ok {
 			n++
--- a/internal/fleet/consensus/start.go
+++ b/internal/fleet/consensus/start.go
@@ -60,14 +60,14 @@
 // waits for the leader's snapshot, and is no candidate before.
 func (m *Machine) loadStorage() error {
 	persisted := m.settings.Persisted
-	joins := m.settings.Bootstrap.VotersAtJoin != nil
-	if raft.IsEmptySnap(persisted.Snapshot) && !joins {
+	replacesVoter := m.settings.Bootstrap.VotersAtJoin != nil
+	if raft.IsEmptySnap(persisted.Snapshot) && !replacesVoter {
 		var err error
 		if persisted.Snapshot, err = m.initialSnapshot(); err != nil {
 			return err
 		}
 	}
-	if raft.IsEmptyHardState(persisted.HardState) && !joins {
+	if raft.IsEmptyHardState(persisted.HardState) && !replacesVoter {
 		// The first election is for a term of its own, behind that of the initial snapshot.
 		persisted.HardState = raftpb.HardState{Term: initialTerm, Commit: initialIndex}
 	}
--- a/internal/fleet/consensus/voters.go
+++ b/internal/fleet/consensus/voters.go
@@ -53,11 +53,11 @@
 		slices.Contains(m.verifier.members, incomingID):
 		return fmt.Errorf("consensus: %.80q, with ID %x, is a voter already or cannot be one", incoming, incomingID)
 	}
-	text, err := cbor.Marshal(voterReplacement{outgoing, incoming, incomingID})
+	encoded, err := cbor.Marshal(voterReplacement{outgoing, incoming, incomingID})
 	if err != nil {
 		return fmt.Errorf("consensus: %w", err)
 	}
-	change := raftpb.ConfChangeV2{Context: text, Changes: []raftpb.ConfChangeSingle{
+	change := raftpb.ConfChangeV2{Context: encoded, Changes: []raftpb.ConfChangeSingle{
 		{Type: raftpb.ConfChangeAddNode, NodeID: incomingID},
 		{Type: raftpb.ConfChangeRemoveNode, NodeID: outgoingID},
 	}}
