--- a/internal/fleet/raftlog/compaction.go
+++ b/internal/fleet/raftlog/compaction.go
@@ -33,14 +33,14 @@
 	path := l.filePath(l.fileNumber + 1)
 	file, err := l.fs.Create(path + tempSuffix)
 	if err != nil {
-		return folderError(err)
+		return wrapFolderError(err)
 	}
-	if err := l.publish(file, path, data); err != nil {
-		err = errors.Join(folderError(err), file.Close())
+	if err := l.writeAndRename(file, path, data); err != nil {
+		err = errors.Join(wrapFolderError(err), file.Close())
 		_ = l.fs.Remove(path + tempSuffix) // a full disk needs its space; the next attempt replaces it anyway
 		return err
 	}
-	l.switchTo(file, state, int64(len(data)))
+	l.replaceFile(file, state, int64(len(data)))
 	return nil
 }
 
@@ -61,8 +61,8 @@
 	return encodeRecord(r)
 }
 
-// publish writes the content of a temporary file, and gives it its name once the content is durable.
-func (l *Log) publish(file fsys.File, path string, data []byte) error {
+// writeAndRename writes the content of a temporary file, and gives it its name once the content is durable.
+func (l *Log) writeAndRename(file fsys.File, path string, data []byte) error {
 	if _, err := file.Write(data); err != nil {
 		return err
 	}
@@ -76,8 +76,8 @@
 	return l.fs.SyncDir(l.dir)
 }
 
-// switchTo has a file that holds a state, and no more, take the place of the former one.
-func (l *Log) switchTo(file fsys.File, state PersistentState, size int64) {
+// replaceFile has a file that holds a state, and no more, take the place of the former one.
+func (l *Log) replaceFile(file fsys.File, state PersistentState, size int64) {
 	if l.file != nil {
 		_ = l.file.Close()                        // nothing more is written to it
 		_ = l.fs.Remove(l.filePath(l.fileNumber)) // one that remains is ignored
--- a/internal/fleet/raftlog/helpers_test.go
+++ b/internal/fleet/raftlog/helpers_test.go
@@ -92,19 +92,19 @@
 func writeExample(t rapid.TB, dir string) (data []byte, sizes []int64, states []PersistentState) {
 	t.Helper()
 	l, _ := openLog(t, dir, defaultCompactionThreshold)
-	note := func() {
+	recordState := func() {
 		sizes = append(sizes, l.size)
 		states = append(states, l.State())
 	}
 	if err := l.SaveBootstrap(bootstrap); err != nil {
 		t.Fatal(err)
 	}
-	note()
+	recordState()
 	for _, b := range batches() {
 		if err := l.Persist(b); err != nil {
 			t.Fatal(err)
 		}
-		note()
+		recordState()
 	}
 	closeLog(t, l)
 	data, err := os.ReadFile(onlyFile(t, dir))
--- a/internal/fleet/raftlog/lock.go
+++ b/internal/fleet/raftlog/lock.go
@@ -17,7 +17,7 @@
 func lockFolder(path string) (*os.File, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		return nil, folderError(err)
+		return nil, wrapFolderError(err)
 	}
 	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		return nil, errors.Join(fmt.Errorf("consensus folder: %s: %w: %w", path, ErrLocked, err), file.Close())
--- a/internal/fleet/raftlog/raftlog.go
+++ b/internal/fleet/raftlog/raftlog.go
@@ -34,8 +34,8 @@
 // errClosed says that the log is closed.
 var errClosed = errors.New("consensus folder: closed")
 
-// folderError says of an error that it is one of the folder.
-func folderError(err error) error { return fmt.Errorf("consensus folder: %w", err) }
+// wrapFolderError says of an error that it is one of the folder.
+func wrapFolderError(err error) error { return fmt.Errorf("consensus folder: %w", err) }
 
 // Log is an open folder.
 type Log struct {
@@ -55,15 +55,15 @@
 	closed              bool
 }
 
-// Open opens a folder for a further incarnation of its voter, and creates one where there is none. freshID is the ID of
+// Open opens a folder for a further incarnation of its voter, and creates one where there is none. newID is the ID of
 // a voter without any state. dropped is the size in bytes of a torn record that was dropped.
-func Open(dir string, freshID uint64) (l *Log, dropped int, err error) {
-	return open(dir, freshID, fsys.OS{}, defaultCompactionThreshold)
+func Open(dir string, newID uint64) (l *Log, dropped int, err error) {
+	return open(dir, newID, fsys.OS{}, defaultCompactionThreshold)
 }
 
-func open(dir string, freshID uint64, fs fsys.FS, compactionThreshold int64) (l *Log, dropped int, err error) {
+func open(dir string, newID uint64, fs fsys.FS, compactionThreshold int64) (l *Log, dropped int, err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return nil, 0, folderError(err)
+		return nil, 0, wrapFolderError(err)
 	}
 	lockFile, err := lockFolder(filepath.Join(dir, lockFileName))
 	if err != nil {
@@ -76,7 +76,7 @@
 		lockFile:            lockFile,
 		state:               emptyState(),
 	}
-	if dropped, err = l.recoverState(freshID); err != nil {
+	if dropped, err = l.recoverState(newID); err != nil {
 		_ = lockFile.Close()
 		return nil, 0, err
 	}
@@ -127,7 +127,7 @@
 	}
 	if err := l.writeAndSync(data); err != nil {
 		l.tailUnknown = true
-		return folderError(err)
+		return wrapFolderError(err)
 	}
 	l.size += int64(len(data))
 	l.state = next
--- a/internal/fleet/raftlog/record.go
+++ b/internal/fleet/raftlog/record.go
@@ -59,7 +59,7 @@
 func encodeRecord(r record) ([]byte, error) {
 	content, err := cbor.Marshal(r)
 	if err != nil {
-		return nil, folderError(err)
+		return nil, wrapFolderError(err)
 	}
 	if len(content) > maxRecordBytes {
 		return nil, fmt.Errorf("consensus folder: a record of %d bytes, %d are allowed", len(content), maxRecordBytes)
--- a/internal/fleet/raftlog/recovery.go
+++ b/internal/fleet/raftlog/recovery.go
@@ -19,7 +19,7 @@
 
 // recoverState takes in the newest file of the folder for a further incarnation of the voter, and writes a file of its
 // own: nothing is ever appended to a torn record. dropped is the size of a torn record that was passed over.
-func (l *Log) recoverState(freshID uint64) (dropped int, err error) {
+func (l *Log) recoverState(newID uint64) (dropped int, err error) {
 	numbers, err := l.listFiles()
 	if err != nil {
 		return 0, err
@@ -32,7 +32,7 @@
 		}
 	}
 	if l.state.Self.ID == 0 {
-		l.state.Self.ID = freshID
+		l.state.Self.ID = newID
 	}
 	l.state.Self.Incarnation++
 	if err := l.rewrite(l.state); err != nil {
@@ -52,7 +52,7 @@
 func (l *Log) listFiles() (numbers []uint64, err error) {
 	entries, err := os.ReadDir(l.dir)
 	if err != nil {
-		return nil, folderError(err)
+		return nil, wrapFolderError(err)
 	}
 	for _, entry := range entries {
 		digits, isLogFile := strings.CutPrefix(entry.Name(), filePrefix)
@@ -62,7 +62,7 @@
 		if strings.HasSuffix(digits, tempSuffix) {
 			err := os.Remove(filepath.Join(l.dir, entry.Name()))
 			if err != nil && !errors.Is(err, fs.ErrNotExist) {
-				return nil, folderError(err)
+				return nil, wrapFolderError(err)
 			}
 			continue
 		}
@@ -81,7 +81,7 @@
 	state = emptyState()
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return state, 0, folderError(err)
+		return state, 0, wrapFolderError(err)
 	}
 	for offset := 0; offset < len(data); {
 		content, size, err := decodeRecord(data[offset:])
--- a/internal/fleet/raftlog/recovery_test.go
+++ b/internal/fleet/raftlog/recovery_test.go
@@ -137,7 +137,7 @@
 		t.Fatal(err)
 	}
 	closeLog(t, l)
-	former, err := os.ReadFile(onlyFile(t, dir))
+	previousFile, err := os.ReadFile(onlyFile(t, dir))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -153,7 +153,7 @@
 		t.Fatal(err)
 	}
 	closeLog(t, l)
-	writeFile(t, dir, firstFile, former)
+	writeFile(t, dir, firstFile, previousFile)
 	writeFile(t, dir, filePrefix+"00000000000000ff"+tempSuffix, []byte{1, 2})
 	l, _, err = Open(dir, 7)
 	if err != nil {
--- a/internal/fleet/raftlog/state.go
+++ b/internal/fleet/raftlog/state.go
@@ -89,15 +89,15 @@
 		}
 	}
 	first := entries[0].Index
-	remaining := entriesBefore(s.Raft.Entries, first)
+	preceding := entriesBefore(s.Raft.Entries, first)
 	last := s.Raft.Snapshot.Metadata.Index
-	if len(remaining) > 0 {
-		last = remaining[len(remaining)-1].Index
+	if len(preceding) > 0 {
+		last = preceding[len(preceding)-1].Index
 	}
 	if first > last+1 && last > 0 {
 		return fmt.Errorf("entry %d follows entry %d", first, last)
 	}
-	s.Raft.Entries = append(slices.Clip(remaining), entries...)
+	s.Raft.Entries = append(slices.Clip(preceding), entries...)
 	return nil
 }
 
--- a/internal/lab/fleet/mutants/mutants_test.go
+++ b/internal/lab/fleet/mutants/mutants_test.go
@@ -144,7 +144,7 @@
 	{"an older folder that believes itself", "consensus/envelope.go", "case e.Incarnations[v.identity.ID] > v.identity.Incarnation:", "case false:", "TestEnvelopeVerifier"},
 	{"a cut folder that votes", "consensus/consensus.go", "msg.Commit > last && m.readyInFlight == nil {", "false && msg.Commit > last && m.readyInFlight == nil {", "TestTruncatedFolder"},
 	{"a corrupt record passed over", "raftlog/record.go", "if allZero(data[size:]) {", "if true {", "TestCorruptionBeforeLastRecordIsDetected"},
-	{"appended to after a failed write", "raftlog/raftlog.go", "l.tailUnknown = true\n\t\treturn folderError(err)", "return folderError(err)", "TestFullDiskLosesNoAcknowledgedBatch"},
+	{"appended to after a failed write", "raftlog/raftlog.go", "l.tailUnknown = true\n\t\treturn wrapFolderError(err)", "return wrapFolderError(err)", "TestFullDiskLosesNoAcknowledgedBatch"},
 	{"a request held against nothing when it is taken", "../proxy/policy_gate.go", "return ok && current == number && g.loop.PolicyNumber() == number", "return ok || current+number > 0", "../sidecar TestRequestsAreAdmittedOnlyUnderPolicyInForce"},
 	{"a file taken beside the policy", "../proxy/reconfigure.go", "if difference := l.gate.difference(c); difference != \"\" {", "if difference := \"\"; difference != \"\" {", "../sidecar TestReloadMustMatchPolicyInForce"},
 	{"a place taken with nothing to begin from", "consensus/voters.go", "m.snapshotDue = true // a new", "m.snapshotDue = false // a new", "raftnode TestReplaceVoter"},
