--- a/internal/fleet/raftlog/fault_test.go
+++ b/internal/fleet/raftlog/fault_test.go
@@ -68,7 +68,7 @@
 
 // endProcess ends the process, and reads what the next one would.
 func (f *faultyFolder) endProcess(t rapid.TB, powerLoss bool) {
-	if err := f.fs.End(powerLoss); err != nil {
+	if err := f.fs.EndProcess(powerLoss); err != nil {
 		t.Fatal(err)
 	}
 	if f.log != nil {
--- a/internal/fleet/snapshot_fault_test.go
+++ b/internal/fleet/snapshot_fault_test.go
@@ -103,7 +103,7 @@
 
 	close(snapshots)
 	<-ended
-	if err := fs.End(false); err != nil {
+	if err := fs.EndProcess(false); err != nil {
 		t.Error(err)
 	}
 	if got := readSnapshotText(t, path); got != "former" && got != want {
--- a/internal/fsys/faultfs/faultfs.go
+++ b/internal/fsys/faultfs/faultfs.go
@@ -19,20 +19,20 @@
 // FS fails where a test has set it to. It implements fsys.FS.
 type FS struct {
 	fsys.OS
-	mu       sync.Mutex
-	rng      *rand.Rand
-	count    int
-	from, to int
-	fault    error
-	killAt   int
-	killed   bool
-	files    []*file
-	renames  []rename // that no SyncDir has made permanent
+	mu                sync.Mutex
+	rng               *rand.Rand
+	operations        int
+	failAfter, failTo int
+	fault             error
+	killAt            int
+	killed            bool
+	files             []*file
+	renames           []rename // that no SyncDir has made permanent
 }
 
 type rename struct {
 	from, to string
-	former   []byte // content of to; nil: there was none
+	previous []byte // content of to; nil: there was none
 }
 
 // New returns a file system without faults. The seed decides how much of a failing operation takes effect.
@@ -42,14 +42,14 @@
 func (s *FS) Fail(skip, count int, fault error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.from, s.to, s.fault = s.count+skip, s.count+skip+count, fault
+	s.failAfter, s.failTo, s.fault = s.operations+skip, s.operations+skip+count, fault
 }
 
 // KillAfter has the process be killed in the midst of the operation behind skip others.
 func (s *FS) KillAfter(skip int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.killAt = s.count + skip + 1
+	s.killAt = s.operations + skip + 1
 }
 
 // Killed tells whether the process was killed.
@@ -63,95 +63,97 @@
 func (s *FS) Operations() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.count
+	return s.operations
 }
 
-// End ends the process and closes its files. With a loss of power, what was not synced is lost: a part of each file's
-// tail, and some of the last renames.
-func (s *FS) End(power bool) error {
+// EndProcess ends the process and closes its files. A loss of power also loses unsynced data: a random part of the
+// unsynced tail of each file, and some of the last renames.
+func (s *FS) EndProcess(powerLoss bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.killed = true
 	var errs []error
 	for _, f := range s.files {
-		if power {
-			errs = append(errs, f.disk.Truncate(f.synced+s.part(f.size-f.synced)))
+		if powerLoss {
+			errs = append(errs, f.osFile.Truncate(f.synced+s.randomPart(f.size-f.synced)))
 		}
-		errs = append(errs, f.disk.Close())
+		errs = append(errs, f.osFile.Close())
 	}
-	for i := len(s.renames) - 1; power && i >= 0 && s.rng.IntN(2) == 0; i-- {
+	for i := len(s.renames) - 1; powerLoss && i >= 0 && s.rng.IntN(2) == 0; i-- {
 		r := s.renames[i]
 		errs = append(errs, os.Rename(r.to, r.from))
-		if r.former != nil {
-			errs = append(errs, os.WriteFile(r.to, r.former, 0o600))
+		if r.previous != nil {
+			errs = append(errs, os.WriteFile(r.to, r.previous, 0o600))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// next counts an operation and returns how it fails; nil: it does not. effect tells whether one that fails may have an
-// effect all the same.
-func (s *FS) next() (fault error, effect bool) {
+// beginOperation counts an operation and returns its injected error, or nil. effect is whether the operation takes
+// effect: always without an error, and at random with one.
+func (s *FS) beginOperation() (fault error, effect bool) {
 	if s.killed {
 		return ErrKilled, false
 	}
-	s.count++
+	s.operations++
 	switch {
-	case s.count == s.killAt:
+	case s.operations == s.killAt:
 		s.killed = true
 		return ErrKilled, s.rng.IntN(2) == 0
-	case s.count > s.from && s.count <= s.to:
+	case s.operations > s.failAfter && s.operations <= s.failTo:
 		return s.fault, s.rng.IntN(2) == 0
 	}
 	return nil, true
 }
 
-// part is how much of something takes effect.
-func (s *FS) part(whole int64) int64 { return s.rng.Int64N(whole + 1) }
+// randomPart is how much of something takes effect.
+func (s *FS) randomPart(size int64) int64 { return s.rng.Int64N(size + 1) }
 
 // Create implements fsys.FS. One that fails may have created the file.
 func (s *FS) Create(path string) (fsys.File, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fault, effect := s.next()
+	fault, effect := s.beginOperation()
 	if !effect {
 		return nil, fault
 	}
-	disk, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+	osFile, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	if fault != nil {
-		return nil, errors.Join(fault, disk.Close())
+		return nil, errors.Join(fault, osFile.Close())
 	}
-	f := &file{fs: s, disk: disk}
-	s.files = append(slices.DeleteFunc(s.files, func(former *file) bool { return same(former.disk, disk) }), f)
+	f := &file{fs: s, osFile: osFile}
+	s.files = append(slices.DeleteFunc(s.files, func(previous *file) bool {
+		return closeIfSameFile(previous.osFile, osFile)
+	}), f)
 	return f, nil
 }
 
-// same tells whether both are open on one file, and then closes the former.
-func same(former, next *os.File) bool {
-	a, failed := former.Stat()
+// closeIfSameFile tells whether both are open on one file, and then closes the former.
+func closeIfSameFile(previous, next *os.File) bool {
+	a, failed := previous.Stat()
 	b, err := next.Stat()
-	return failed == nil && err == nil && os.SameFile(a, b) && former.Close() == nil
+	return failed == nil && err == nil && os.SameFile(a, b) && previous.Close() == nil
 }
 
 // Rename implements fsys.FS. One that fails may have renamed the file.
 func (s *FS) Rename(from, to string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fault, effect := s.next()
+	fault, effect := s.beginOperation()
 	if !effect {
 		return fault
 	}
-	former, err := os.ReadFile(to)
+	previous, err := os.ReadFile(to)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
 	if err := os.Rename(from, to); err != nil {
 		return err
 	}
-	s.renames = append(s.renames, rename{from, to, former})
+	s.renames = append(s.renames, rename{from, to, previous})
 	return fault
 }
 
@@ -159,7 +161,7 @@
 func (s *FS) Remove(path string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if fault, effect := s.next(); !effect || fault != nil {
+	if fault, effect := s.beginOperation(); !effect || fault != nil {
 		return fault
 	}
 	return s.OS.Remove(path)
@@ -169,7 +171,7 @@
 func (s *FS) SyncDir(string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fault, _ := s.next()
+	fault, _ := s.beginOperation()
 	if fault == nil {
 		s.renames = nil
 	}
@@ -179,21 +181,21 @@
 // file is one that FS has created.
 type file struct {
 	fs           *FS
-	disk         *os.File
+	osFile       *os.File
 	size, synced int64
 }
 
 // Write implements fsys.File. One that fails writes a part.
-func (f *file) Write(text []byte) (int, error) {
+func (f *file) Write(data []byte) (int, error) {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	fault, effect := f.fs.next()
+	fault, effect := f.fs.beginOperation()
 	if fault != nil {
-		if text = text[:f.fs.part(int64(len(text)))]; !effect {
-			text = nil
+		if data = data[:f.fs.randomPart(int64(len(data)))]; !effect {
+			data = nil
 		}
 	}
-	n, err := f.disk.Write(text)
+	n, err := f.osFile.Write(data)
 	f.size += int64(n)
 	return n, errors.Join(fault, err)
 }
@@ -203,10 +205,10 @@
 func (f *file) Sync() error {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	fault, effect := f.fs.next()
+	fault, effect := f.fs.beginOperation()
 	if fault != nil && !errors.Is(fault, ErrKilled) && effect {
-		lost := f.synced + f.fs.part(f.size-f.synced)
-		if _, err := f.disk.WriteAt(make([]byte, f.size-lost), lost); err != nil {
+		lostFrom := f.synced + f.fs.randomPart(f.size-f.synced)
+		if _, err := f.osFile.WriteAt(make([]byte, f.size-lostFrom), lostFrom); err != nil {
 			return err
 		}
 	}
--- a/internal/fsys/fsys.go
+++ b/internal/fsys/fsys.go
@@ -52,10 +52,10 @@
 }
 
 // Replace has a file hold new content: a reader finds, after any failure, the former or the new content
-// whole. The content is written under the name temp first, which must be in the same directory. Where sync is set, the
+// whole. The content is written to tempPath first, which must be in the same directory. Where sync is set, the
 // new content has reached the disk before it gets its name.
-func Replace(fs FS, temp, path string, content []byte, sync bool) error {
-	f, err := fs.Create(temp)
+func Replace(fs FS, tempPath, path string, content []byte, sync bool) error {
+	f, err := fs.Create(tempPath)
 	if err != nil {
 		return err
 	}
@@ -64,10 +64,10 @@
 		err = f.Sync()
 	}
 	if err = errors.Join(err, f.Close()); err == nil {
-		err = fs.Rename(temp, path)
+		err = fs.Rename(tempPath, path)
 	}
 	if err != nil {
-		_ = fs.Remove(temp) // a full disk may need its space
+		_ = fs.Remove(tempPath) // a full disk may need its space
 	}
 	return err
 }
--- a/internal/hotrestart/write_test.go
+++ b/internal/hotrestart/write_test.go
@@ -85,7 +85,7 @@
 	if remaining, err := os.ReadDir(successor.files.dir); err != nil || len(remaining) != 2 {
 		t.Errorf("after Leave %d files remain, error %v, want the 2 files of the next process", len(remaining), err)
 	}
-	if err := fs.End(false); err != nil {
+	if err := fs.EndProcess(false); err != nil {
 		t.Error(err)
 	}
 }
@@ -128,7 +128,7 @@
 				t.Fatal(err)
 			}
 		}
-		if err := fs.End(false); err != nil {
+		if err := fs.EndProcess(false); err != nil {
 			t.Fatal(err)
 		}
 	})
