--- a/internal/fsys/faultfs/faultfs.go
+++ b/internal/fsys/faultfs/faultfs.go
@@ -1,6 +1,6 @@
-// Package faultfs is a file system for tests: operations fail for a while, as on a full or broken disk, and the process
-// is killed in the midst of one. It keeps its files on the real file system, where the test reads them as the next
-// process would.
+// Package faultfs is a file system for tests that injects faults. Operations fail for a while, as on a full or broken
+// disk, or the process is killed during an operation. The files are on the real file system, so that a test reads them
+// as the successor process would.
 package faultfs
 
 import (
@@ -13,53 +13,54 @@
 	"milletramp.example/milletramp/internal/fsys"
 )
 
-// ErrKilled is what every operation returns from the moment of the kill on. None of them has an effect any more.
+// ErrKilled is returned by the operation during which the process is killed, and by every later one. The later ones
+// have no effect.
 var ErrKilled = errors.New("faultfs: the process was killed")
 
-// FS fails where a test has set it to. It implements fsys.FS.
+// FS is a file system whose operations fail as set by Fail and KillAfter. It implements fsys.FS.
 type FS struct {
 	fsys.OS
 	mu                sync.Mutex
 	rng               *rand.Rand
-	operations        int
-	failAfter, failTo int
+	operations        int // so far
+	failAfter, failTo int // the operations that fail: those after number failAfter, up to number failTo
 	fault             error
-	killAt            int
+	killAt            int // number of the operation during which the process is killed; 0: none
 	killed            bool
 	files             []*file
-	renames           []rename // that no SyncDir has made permanent
+	renames           []rename // not yet made permanent by SyncDir
 }
 
 type rename struct {
 	from, to string
-	previous []byte // content of to; nil: there was none
+	previous []byte // content of to before the rename; nil: to did not exist
 }
 
-// New returns a file system without faults. The seed decides how much of a failing operation takes effect.
+// New returns a file system without faults. The seed determines how much of each failing operation takes effect.
 func New(seed uint64) *FS { return &FS{rng: rand.New(rand.NewPCG(seed, 0xfa17))} }
 
-// Fail has the operations from the next one on that begin after skip others fail with an error, as many as count says.
+// Fail skips the next skip operations and makes the count operations after them fail with the error fault.
 func (s *FS) Fail(skip, count int, fault error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failAfter, s.failTo, s.fault = s.operations+skip, s.operations+skip+count, fault
 }
 
-// KillAfter has the process be killed in the midst of the operation behind skip others.
+// KillAfter skips the next skip operations and kills the process during the one after them.
 func (s *FS) KillAfter(skip int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.killAt = s.operations + skip + 1
 }
 
-// Killed tells whether the process was killed.
+// Killed reports whether the process was killed.
 func (s *FS) Killed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.killed
 }
 
-// Operations returns how many there have been.
+// Operations returns the number of operations so far.
 func (s *FS) Operations() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,8 +90,8 @@
 	return errors.Join(errs...)
 }
 
-// beginOperation counts an operation and returns its injected error, or nil. effect is whether the operation takes
-// effect: always without an error, and at random with one.
+// beginOperation counts an operation and returns its injected error, or nil. effect reports whether the operation takes
+// effect: always without an error, at random with one, and never after a kill.
 func (s *FS) beginOperation() (fault error, effect bool) {
 	if s.killed {
 		return ErrKilled, false
@@ -106,10 +107,10 @@
 	return nil, true
 }
 
-// randomPart is how much of something takes effect.
+// randomPart returns a random number of bytes between 0 and size, both included.
 func (s *FS) randomPart(size int64) int64 { return s.rng.Int64N(size + 1) }
 
-// Create implements fsys.FS. One that fails may have created the file.
+// Create implements fsys.FS. A failing call may have created the file.
 func (s *FS) Create(path string) (fsys.File, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,14 +132,14 @@
 	return f, nil
 }
 
-// closeIfSameFile tells whether both are open on one file, and then closes the former.
+// closeIfSameFile closes previous if it refers to the same file as next, and reports whether it did.
 func closeIfSameFile(previous, next *os.File) bool {
 	a, failed := previous.Stat()
 	b, err := next.Stat()
 	return failed == nil && err == nil && os.SameFile(a, b) && previous.Close() == nil
 }
 
-// Rename implements fsys.FS. One that fails may have renamed the file.
+// Rename implements fsys.FS. A failing call may have renamed the file.
 func (s *FS) Rename(from, to string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,14 +179,14 @@
 	return fault
 }
 
-// file is one that FS has created.
+// file is a file created by FS.
 type file struct {
 	fs           *FS
 	osFile       *os.File
-	size, synced int64
+	size, synced int64 // bytes written, and bytes covered by the last successful Sync
 }
 
-// Write implements fsys.File. One that fails writes a part.
+// Write implements fsys.File. A failing call writes a random part of data, or nothing.
 func (f *file) Write(data []byte) (int, error) {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
@@ -200,8 +201,8 @@
 	return n, errors.Join(fault, err)
 }
 
-// Sync implements fsys.File. One that fails may lose the end of what was not synced: it reads as zeros from then on,
-// and no later Sync says so.
+// Sync implements fsys.File. A failing call may lose the end of the unsynced data, which reads as zeros from then on;
+// later calls do not report the loss.
 func (f *file) Sync() error {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
@@ -218,5 +219,5 @@
 	return fault
 }
 
-// Close implements fsys.File. The file itself is closed by End, as a loss of power cuts it.
+// Close implements fsys.File. EndProcess closes the underlying file, as a loss of power truncates it first.
 func (f *file) Close() error { return nil }
--- a/internal/fsys/fsys.go
+++ b/internal/fsys/fsys.go
@@ -1,5 +1,5 @@
-// Package fsys is what stored state needs of a file system, as an interface: tests put one in its place whose
-// operations fail.
+// Package fsys defines the file system operations that stored state needs, as an interface. Tests substitute an
+// implementation whose operations fail.
 package fsys
 
 import (
@@ -8,30 +8,30 @@
 	"os"
 )
 
-// File is a file that is being written.
+// File is a file open for writing.
 type File interface {
 	io.WriteCloser
 	Sync() error
 }
 
-// FS creates, renames and removes files. Its methods may be called by several goroutines at once.
+// FS creates, renames and removes files. Its methods are safe for concurrent use.
 type FS interface {
-	// Create opens a file for writing. One that exists loses its content.
+	// Create opens a file for writing, and truncates it if it exists.
 	Create(path string) (File, error)
 	Rename(from, to string) error
 	Remove(path string) error
-	// SyncDir has the names in a directory outlast a loss of power.
+	// SyncDir makes creations, renames and removals in a directory survive a loss of power.
 	SyncDir(dir string) error
 }
 
-// OS is the file system of this machine. Files that it creates are readable by their owner alone.
+// OS is the operating system's file system. Only the owner can read the files that it creates.
 type OS struct{}
 
 // Create implements FS.
 func (OS) Create(path string) (File, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
-		return nil, err // not a File that holds a nil pointer
+		return nil, err // f would make a non-nil File that holds a nil pointer
 	}
 	return f, nil
 }
@@ -51,9 +51,9 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// Replace has a file hold new content: a reader finds, after any failure, the former or the new content
-// whole. The content is written to tempPath first, which must be in the same directory. Where sync is set, the
-// new content has reached the disk before it gets its name.
+// Replace atomically replaces the content of the file at path. After any failure a reader finds either the complete
+// previous content or the complete new one. The new content is written to tempPath first, which must be in the same
+// directory. If sync is set, the new content is synced to disk before the rename.
 func Replace(fs FS, tempPath, path string, content []byte, sync bool) error {
 	f, err := fs.Create(tempPath)
 	if err != nil {
@@ -67,7 +67,7 @@
 		err = fs.Rename(tempPath, path)
 	}
 	if err != nil {
-		_ = fs.Remove(tempPath) // a full disk may need its space
+		_ = fs.Remove(tempPath) // frees its space on a full disk
 	}
 	return err
 }
