--- a/internal/fleet/consensus/cluster_test.go
+++ b/internal/fleet/consensus/cluster_test.go
@@ -37,7 +37,7 @@
 	sidecars      []*sidecar
 	loss          float64
 	tokens        uint64
-	callbacks     map[uint64]func(Answer) // by token
+	callbacks     map[uint64]func(LeaseReply) // by token
 	highestServed uint64
 	outcomes      map[string]policy.State // the furthest seen of each change, by ID
 	violation     string                  // the last rule seen broken; "": none
@@ -66,7 +66,7 @@
 		t:         t,
 		random:    rand.New(rand.NewPCG(seed, 0xc0c1)),
 		now:       time.Hour,
-		callbacks: map[uint64]func(Answer){},
+		callbacks: map[uint64]func(LeaseReply){},
 		outcomes:  map[string]policy.State{},
 	}
 	for i := range voters {
@@ -104,7 +104,7 @@
 	v.machine = m
 }
 
-func (c *cluster) after(wait time.Duration, do func()) {
+func (c *cluster) schedule(wait time.Duration, do func()) {
 	c.nextOrder++
 	e := event{c.now + wait, c.nextOrder, do}
 	i, _ := slices.BinarySearchFunc(c.queue, e, func(a, b event) int {
@@ -122,7 +122,7 @@
 	if c.loss > 0 && c.random.IntN(10) == 0 {
 		delay = time.Duration(c.random.Int64N(int64(2 * time.Second)))
 	}
-	c.after(delay, do)
+	c.schedule(delay, do)
 }
 
 // run has a voter take in an event, when it is not paused, and does what follows from that.
@@ -132,7 +132,7 @@
 	}
 	if v.pausedUntil > v.cluster.now {
 		incarnation := v.incarnation
-		v.cluster.after(v.pausedUntil-v.cluster.now, func() {
+		v.cluster.schedule(v.pausedUntil-v.cluster.now, func() {
 			if v.incarnation == incarnation {
 				v.run(do)
 			}
@@ -141,11 +141,11 @@
 	}
 	do(v.machine)
 	v.persistBatches()
-	out := v.machine.Out()
+	out := v.machine.TakeActions()
 	for _, msg := range out.Send {
 		v.deliver(msg)
 	}
-	for _, a := range out.Answers {
+	for _, a := range out.LeaseReplies {
 		if callback := v.cluster.callbacks[a.Token]; callback != nil {
 			delete(v.cluster.callbacks, a.Token)
 			v.cluster.send(func() { callback(a) })
@@ -310,7 +310,7 @@
 	case 2:
 		if v.machine != nil {
 			v.machine = nil
-			c.after(until-c.now, func() {
+			c.schedule(until-c.now, func() {
 				if v.machine == nil {
 					v.start()
 				}
--- a/internal/fleet/consensus/consensus.go
+++ b/internal/fleet/consensus/consensus.go
@@ -8,7 +8,7 @@
 // by itself, so that two runs of the same events differ.
 //
 // A Machine's host repeats after every event: take Batch, persist it, call Advance and Compact, until Batch has nothing
-// more; then send and answer what Out returns.
+// more; then send and answer what TakeActions returns.
 package consensus
 
 import (
@@ -70,17 +70,17 @@
 	Payload []byte // an encoded Envelope
 }
 
-// Answer is the reply to a question.
-type Answer struct {
-	Token uint64 // that Ask was called with
+// LeaseReply is the reply to a lease request.
+type LeaseReply struct {
+	Token uint64 // that RequestLease was called with
 	Grant policy.LeaseResponse
 	Err   error // ErrNoLeader: ask another voter, or again
 }
 
 // Actions are what the host is to do after an event.
 type Actions struct {
-	Send    []Message
-	Answers []Answer
+	Send         []Message
+	LeaseReplies []LeaseReply
 }
 
 // Errors that callers tell apart.
@@ -146,8 +146,8 @@
 // Leader is the ID of the leader as far as is known here; 0: none is known.
 func (m *Machine) Leader() uint64 { return m.leader }
 
-// Out returns what is to be sent and answered, and forgets it.
-func (m *Machine) Out() Actions {
+// TakeActions returns what is to be sent and answered, and forgets it.
+func (m *Machine) TakeActions() Actions {
 	out := m.actions
 	m.actions = Actions{}
 	return out
@@ -185,14 +185,14 @@
 	if m.fatalErr != nil {
 		return m.fatalErr
 	}
-	e, learned, err := m.verifier.open(payload)
+	e, newIncarnations, err := m.verifier.open(payload)
 	if errors.Is(err, ErrLostState) {
 		m.stop(err)
 	}
 	if err != nil {
 		return err
 	}
-	maps.Copy(m.newIncarnations, learned)
+	maps.Copy(m.newIncarnations, newIncarnations)
 	var msg raftpb.Message
 	if err := msg.Unmarshal(e.Payload); err != nil {
 		return fmt.Errorf("consensus: malformed message: %w", err)
@@ -232,11 +232,11 @@
 	if m.leases == nil {
 		return ErrNoLeader
 	}
-	text, err := cbor.Marshal(policy.Entry{Propose: &p})
+	encoded, err := cbor.Marshal(policy.Entry{Propose: &p})
 	if err != nil {
 		return fmt.Errorf("consensus: proposal %q: %w", p.ID, err)
 	}
-	if err := m.rawNode.Propose(text); err != nil {
+	if err := m.rawNode.Propose(encoded); err != nil {
 		return fmt.Errorf("consensus: proposal %q: %w", p.ID, err)
 	}
 	return nil
@@ -246,8 +246,8 @@
 // Tick, as long as it is due.
 func (m *Machine) proposeEntries(entries []policy.Entry) {
 	for _, e := range entries {
-		if text, err := cbor.Marshal(e); err == nil { // entries are of types that always encode
-			_ = m.rawNode.Propose(text) // dropped, where this voter no longer leads
+		if encoded, err := cbor.Marshal(e); err == nil { // entries are of types that always encode
+			_ = m.rawNode.Propose(encoded) // dropped, where this voter no longer leads
 		}
 	}
 }
