--- a/balance/burst_test.go
+++ b/balance/ejection_test.go
@@ -15,10 +15,10 @@
 	return list
 }
 
-// TestBurstIsOneFault has all attempts at one endpoint fail together: its connections broke, which tells no
+// TestBurstOfFailuresCountsAsOne has all attempts at one endpoint fail together: its connections broke, which tells no
 // more than one fault. Where what is sent after it fails as well, burst after burst, the endpoint is
 // ejected, once.
-func TestBurstIsOneFault(t *testing.T) {
+func TestBurstOfFailuresCountsAsOne(t *testing.T) {
 	b, h := start(t, settings(), identicalEndpoints(4))
 	serveRequests(b, h, 200, 20*time.Millisecond)
 	bursts := 0
@@ -45,9 +45,9 @@
 	}
 }
 
-// TestFaultsOfAllEjectNone has one answer in fifteen fail at every endpoint, and then one endpoint fail
+// TestFailuresOfAllEndpointsEjectNone has one answer in fifteen fail at every endpoint, and then one endpoint fail
 // always.
-func TestFaultsOfAllEjectNone(t *testing.T) {
+func TestFailuresOfAllEndpointsEjectNone(t *testing.T) {
 	set := settings()
 	set.MaxAttempts = 1
 	b, h := start(t, set, identicalEndpoints(8))
@@ -90,9 +90,9 @@
 	}
 }
 
-// TestGoodOnesGoFirstInPanic has three of four endpoints ejected, too many to leave out: the fourth still
+// TestPanicPrefersEndpointsNotEjected has three of four endpoints ejected, too many to leave out: the fourth still
 // goes first.
-func TestGoodOnesGoFirstInPanic(t *testing.T) {
+func TestPanicPrefersEndpointsNotEjected(t *testing.T) {
 	b, h := start(t, settings(), identicalEndpoints(4))
 	serveRequests(b, h, 200, 20*time.Millisecond)
 	for _, id := range []string{"a", "b", "c"} {
@@ -118,9 +118,9 @@
 	}
 }
 
-// TestResetsEjectAnyNumber has half of the endpoints reset half of their requests: each is ejected, though
+// TestResetsEjectHalfOfTheEndpoints has half of the endpoints reset half of their requests: each is ejected, though
 // the others do the same.
-func TestResetsEjectAnyNumber(t *testing.T) {
+func TestResetsEjectHalfOfTheEndpoints(t *testing.T) {
 	set := settings()
 	set.MaxAttempts = 1
 	b, h := start(t, set, identicalEndpoints(9))
--- a/balance/endpoints_test.go
+++ b/balance/endpoints_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestIndexIsWhatIsListed draws lists, changes and what is taken out by hand: the index holds just what a
+// TestIndexMatchesList draws lists, changes and what is taken out by hand: the index holds just what a
 // look at all that was told gives.
-func TestIndexIsWhatIsListed(t *testing.T) {
+func TestIndexMatchesList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, err := New(settings(), &host{})
 		if err != nil {
@@ -146,9 +146,9 @@
 	return b, h
 }
 
-// TestChangeCostsWhatItChanges counts the endpoints that a sidecar looks at while others come and go, and
+// TestChangeCostIsIndependentOfFleetSize counts the endpoints that a sidecar looks at while others come and go, and
 // in its ticks: these are no more where the fleet is sixteen times as large.
-func TestChangeCostsWhatItChanges(t *testing.T) {
+func TestChangeCostIsIndependentOfFleetSize(t *testing.T) {
 	const changes = 200
 	cost := func(servers int) (change, tick float64) {
 		list := zonedEndpoints(servers)
@@ -181,7 +181,7 @@
 	}
 }
 
-func TestWideFleetUsesNoMore(t *testing.T) {
+func TestNumberOfActiveEndpoints(t *testing.T) {
 	for _, tt := range []struct {
 		name        string
 		servers     int
@@ -205,9 +205,9 @@
 	}
 }
 
-// TestSubsetStaysPut changes a large fleet, one endpoint at a time: each change brings a subset one new
+// TestListChangesMoveFewSubsetMembers changes a large fleet, one endpoint at a time: each change brings a subset one new
 // member at most, and over all no more come than have gone, or started in their midst.
-func TestSubsetStaysPut(t *testing.T) {
+func TestListChangesMoveFewSubsetMembers(t *testing.T) {
 	numbered := func(i int) string { return fmt.Sprintf("s%05d", 5000+i) }
 	rng := rand.New(rand.NewPCG(1, 1))
 	random := func(int) string { return fmt.Sprintf("%016x", rng.Uint64()) }
@@ -265,9 +265,9 @@
 	}
 }
 
-// TestSubsetsStayEven replaces a whole fleet, one endpoint at a time: the subsets of all sidecars are still
+// TestSubsetsStayEvenAfterReplacement replaces a whole fleet, one endpoint at a time: the subsets of all sidecars are still
 // spread over it.
-func TestSubsetsStayEven(t *testing.T) {
+func TestSubsetsStayEvenAfterReplacement(t *testing.T) {
 	const peers = 150
 	for _, tt := range []struct {
 		name    string
--- a/balance/untested_test.go
+++ b/balance/estimate_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// TestUntestedIsLikeItsPeers has an endpoint that is believed far too slow go untested for twice the
+// TestOldEstimateDecaysTowardsGroup has an endpoint that is believed far too slow go untested for twice the
 // memory. It is then taken to be like its group, a group like the fleet, and what is left to try is nothing
 // where the fleet is heard to be as slow. Danger: each of 80 sidecars that took the untested for idle would
 // send one request there, to each of 60 endpoints in turn: such tries alone keep a full fleet full. Where
 // nothing at all has been heard, it must try.
-func TestUntestedIsLikeItsPeers(t *testing.T) {
+func TestOldEstimateDecaysTowardsGroup(t *testing.T) {
 	const quick, slow = 0.02, 2.0 // seconds for each request held; the bar is at 0.85
 	for _, tt := range []struct {
 		name         string
@@ -49,9 +49,9 @@
 	}
 }
 
-// TestColdIsSmallNotSlow has a cold endpoint: it can do less at a time, and a request that finds it idle is
+// TestColdEndpointIsNotSlow has a cold endpoint: it can do less at a time, and a request that finds it idle is
 // answered as soon as by a warm one. Danger: taken for slow it is left idle while the warm ones are full.
-func TestColdIsSmallNotSlow(t *testing.T) {
+func TestColdEndpointIsNotSlow(t *testing.T) {
 	b, h := start(t, settings(), twoEndpoints())
 	serveRequests(b, h, 200, 20*time.Millisecond)
 	warm, cold := b.known["a"], b.known["b"]
@@ -67,10 +67,10 @@
 	}
 }
 
-// TestRestartIsForgottenOfItsGroup has all endpoints of a kind fall silent, and then be told to have
+// TestRestartResetsGroupEstimate has all endpoints of a kind fall silent, and then be told to have
 // started anew: they are taken for what the others are. Danger: a zone that is back is left idle for what
 // its former servers did not answer.
-func TestRestartIsForgottenOfItsGroup(t *testing.T) {
+func TestRestartResetsGroupEstimate(t *testing.T) {
 	list := append(
 		identicalEndpoints(4),
 		Endpoint{ID: "y", Zone: "y", Kind: "small", Weight: 1},
@@ -106,10 +106,10 @@
 	}
 }
 
-// TestFormerProcessIsNoNews has requests be out at an endpoint that is told to have restarted: they count
+// TestRequestsOfFormerProcessDoNotCount has requests be out at an endpoint that is told to have restarted: they count
 // no more, neither while they are out nor when they end. Danger: a zone that is back is taken for slow as
 // long as its former processes owe.
-func TestFormerProcessIsNoNews(t *testing.T) {
+func TestRequestsOfFormerProcessDoNotCount(t *testing.T) {
 	b, h := start(t, settings(), identicalEndpoints(3))
 	serveRequests(b, h, 300, 20*time.Millisecond)
 	e := b.known["a"]
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -129,12 +129,12 @@
 	}
 }
 
-// TestStartedEndpointsGetTheirShare has all sidecars be told at one moment that a part of the fleet has
+// TestColdEndpointsGetTheirShare has all sidecars be told at one moment that a part of the fleet has
 // started cold. From then on each cold endpoint gets, over the fleet and in any window of the rule on cold
 // endpoints, no more than the rule allows, and over the time until it is warm a good part of its share.
 // Danger: each of many sidecars that counts its own turns from the news on leaves a new endpoint idle until
 // it is warm, and the others carry the whole load.
-func TestStartedEndpointsGetTheirShare(t *testing.T) {
+func TestColdEndpointsGetTheirShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sidecars := rapid.SampledFrom([]int{1, 2, 3, 10, 80, 300}).Draw(t, "sidecars")
 		warm, cold := rapid.IntRange(4, 12).Draw(t, "warm"), rapid.IntRange(1, 6).Draw(t, "cold")
@@ -142,9 +142,9 @@
 	})
 }
 
-// TestStartedEndpointsOfAThousandSidecars is the same at the end of the range, with the cold endpoints
+// TestColdEndpointsGetTheirShareOf2000Sidecars is the same at the end of the range, with the cold endpoints
 // behind the warm ones in the rotation, and among them.
-func TestStartedEndpointsOfAThousandSidecars(t *testing.T) {
+func TestColdEndpointsGetTheirShareOf2000Sidecars(t *testing.T) {
 	for _, mixed := range []bool{false, true} {
 		t.Run(fmt.Sprint("mixed ", mixed), func(t *testing.T) { checkShares(t, 2000, 10, 4, mixed) })
 	}
@@ -214,11 +214,11 @@
 	}
 }
 
-// TestColdServersStandThirtySidecars steps thirty sidecars with uneven traffic, some of which are restarted
+// TestThirtySidecarsStayWithinOverloadLimit steps thirty sidecars with uneven traffic, some of which are restarted
 // again and again, beside an endpoint that has started cold while all others turn away a part of what
 // comes, in a burst: the sum of what all send in any window of the rule is within what fells it, N + 2 x
 // root N + 2, whatever multiple of its capacity the settings say.
-func TestColdServersStandThirtySidecars(t *testing.T) {
+func TestThirtySidecarsStayWithinOverloadLimit(t *testing.T) {
 	const sidecars, warm, each, burst, away = 30, 10, 40.0, 1.5, 0.3
 	for _, multiple := range []float64{1.25, 2, 4} {
 		set := settings()
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -34,7 +34,7 @@
 	return h.sent[before].to
 }
 
-func TestFastFailureIsEjected(t *testing.T) {
+func TestFastFailingEndpointIsEjected(t *testing.T) {
 	set := settings()
 	set.MaxAttempts = 1
 	b, h := start(t, set, append(twoEndpoints(), Endpoint{ID: "c", Zone: "x", Kind: "big", Weight: 1}))
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestPanic(t *testing.T) {
+func TestPanicUsesEjectedEndpoints(t *testing.T) {
 	// With every endpoint ejected, the fault is taken to be our own, and requests still go out.
 	b, h := start(t, settings(), twoEndpoints())
 	for _, e := range b.listed {
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestSilentEndpointGetsNothingMore(t *testing.T) {
+func TestSilentEndpointGetsNoRequests(t *testing.T) {
 	b, h := start(t, settings(), twoEndpoints())
 	serveRequests(b, h, 100, 20*time.Millisecond)
 	first := sendRequest(b, h, 1) // never answered
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestRefusingEverythingEnds(t *testing.T) {
+func TestSlowEstimateDecaysUntilTested(t *testing.T) {
 	bar := rejectObjectiveShare * settings().Classes[0].LatencyObjective.Seconds()
 	for _, tt := range []struct {
 		name   string
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestSlowedEndpointLosesTurnsBeforeItAnswers(t *testing.T) {
+func TestWaitingTimeRaisesEstimate(t *testing.T) {
 	// Both endpoints answered in 200 ms each; then "a" is stuck with two requests, for less time than the bar.
 	b, h := start(t, settings(), twoEndpoints())
 	serveRequests(b, h, 20, 200*time.Millisecond)
@@ -151,7 +151,7 @@
 	}
 }
 
-func TestLesserClassesGiveWayOnlyWhenAllIsFull(t *testing.T) {
+func TestLowPriorityClassIsShedOnlyUnderOverload(t *testing.T) {
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
 	set.Classes[1].Priority = 3
@@ -184,10 +184,10 @@
 	}
 }
 
-// TestClassThatGivesWayDoesNotKeepItTight has a lesser class refused by its own lowered bar while the
+// TestShedClassDoesNotProlongOverload has a lesser class refused by its own lowered bar while the
 // dearer one finds room: that is no news of the load, and the time in which lesser classes give way must
 // come to its end.
-func TestClassThatGivesWayDoesNotKeepItTight(t *testing.T) {
+func TestShedClassDoesNotProlongOverload(t *testing.T) {
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
 	set.Classes[1].Priority = 3
@@ -205,9 +205,9 @@
 	}
 }
 
-// TestGivingWayEndsWithTheCrowd has a lesser class find all full for a moment: once that is worked off, it
+// TestSheddingEndsWithOverload has a lesser class find all full for a moment: once that is worked off, it
 // is served again, though its answers take longer than its lowered bar.
-func TestGivingWayEndsWithTheCrowd(t *testing.T) {
+func TestSheddingEndsWithOverload(t *testing.T) {
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
 	set.Classes[1].Priority = 3
@@ -234,7 +234,7 @@
 	}
 }
 
-func TestRestartIsANewStart(t *testing.T) {
+func TestRestartResetsObservations(t *testing.T) {
 	b, h := start(t, settings(), twoEndpoints())
 	serveRequests(b, h, 40, 20*time.Millisecond)
 	e := b.known["a"]
@@ -247,7 +247,7 @@
 	}
 }
 
-func TestDepartedEndpointsAreForgotten(t *testing.T) {
+func TestRemovedEndpointsAreForgotten(t *testing.T) {
 	b, h := start(t, settings(), twoEndpoints())
 	for i := range 1000 {
 		list := []Endpoint{{ID: string(rune('c' + i)), Zone: "x", Kind: "big", Weight: 1}}
@@ -259,7 +259,7 @@
 	}
 }
 
-func TestDiscoveryCallsBackOff(t *testing.T) {
+func TestOneDiscoveryCallInFlight(t *testing.T) {
 	set := settings()
 	set.PollDiscovery, set.MaxListAge = true, 10*time.Second
 	b, h := start(t, set, twoEndpoints())
@@ -300,7 +300,7 @@
 	}
 }
 
-func TestLittleUsedEndpointIsJudgedByItsGroup(t *testing.T) {
+func TestEstimateOfUnusedEndpointReliesOnItsGroup(t *testing.T) {
 	// Small endpoints are idle and quick, big ones crowded and slow, though twice the size. A small one that was
 	// never used must not be expected to be slower than the big ones.
 	list := []Endpoint{
@@ -325,7 +325,7 @@
 	}
 }
 
-func TestHeavyClassGivesWaySooner(t *testing.T) {
+func TestSlowClassHasLowerOverloadLimit(t *testing.T) {
 	// Two classes of one worth; the answers of the second take four times as long, and with them the same worth.
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
@@ -343,7 +343,7 @@
 	}
 }
 
-func TestGroupIsJudgedByWhatItOwes(t *testing.T) {
+func TestWaitingTimeRaisesEstimateOfGroup(t *testing.T) {
 	// Three endpoints of one group, quick so far, hold a request each for half a second: the fourth, idle
 	// and never heard of, is not expected to be quick either.
 	b, h := start(t, settings(), fleet(4))
@@ -361,9 +361,9 @@
 	}
 }
 
-// TestRefusalSaysWhen has clients ask a busy endpoint for more than it can do: each is told to come back
+// TestRetryAfterOfRejection has clients ask a busy endpoint for more than it can do: each is told to come back
 // when what is there will have been worked off. Without that they come back at once, all together.
-func TestRefusalSaysWhen(t *testing.T) {
+func TestRetryAfterOfRejection(t *testing.T) {
 	b, h := start(t, settings(), []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}})
 	b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: time.Second})
 	h.finishAttempts(b, h.now+200*time.Millisecond, Served)
@@ -385,9 +385,9 @@
 	}
 }
 
-// TestRepeatNeedsTimeToArrive has a keyed request fail near the end of the time for which its repeats are
+// TestRetryLeavesTimeToArrive has a keyed request fail near the end of the time for which its repeats are
 // dropped: one that has to connect first would arrive after it and take effect twice.
-func TestRepeatNeedsTimeToArrive(t *testing.T) {
+func TestRetryLeavesTimeToArrive(t *testing.T) {
 	for _, tt := range []struct {
 		after   time.Duration
 		repeats int
@@ -403,10 +403,10 @@
 	}
 }
 
-// TestRepeatsBeginInTime: a repeat of a keyed request may begin only as long as the attempt before it has
+// TestSendTimeoutOfRetries: a repeat of a keyed request may begin only as long as the attempt before it has
 // its repeats dropped, counted from the sending of that one, not from the request's arrival. Attempts at
 // others may begin at any time.
-func TestRepeatsBeginInTime(t *testing.T) {
+func TestSendTimeoutOfRetries(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
 		effect  Effect
@@ -431,10 +431,10 @@
 	}
 }
 
-// TestTurnedAwayClassLeavesTheOthers has one endpoint turn one class away and serve the other: the first
+// TestRejectedClassDoesNotAffectOthers has one endpoint turn one class away and serve the other: the first
 // class goes elsewhere, and the endpoint keeps its even share of the other class and passes for as quick as
 // it is.
-func TestTurnedAwayClassLeavesTheOthers(t *testing.T) {
+func TestRejectedClassDoesNotAffectOthers(t *testing.T) {
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
 	b, h := start(t, set, twoEndpoints())
@@ -472,10 +472,10 @@
 	}
 }
 
-// TestSwallowedClassIsShut has one endpoint never answer one class and serve the other: after four losses
+// TestSwallowedClassIsEjected has one endpoint never answer one class and serve the other: after four losses
 // the class goes elsewhere, one request at a time tries again, and the first answer opens the endpoint to
 // all.
-func TestSwallowedClassIsShut(t *testing.T) {
+func TestSwallowedClassIsEjected(t *testing.T) {
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
 	b, h := start(t, set, twoEndpoints())
--- a/balance/hedge_test.go
+++ b/balance/hedge_test.go
@@ -20,11 +20,11 @@
 	return *next - now
 }
 
-// TestHedges counts hedged requests by whether the attempt before was lost or would have been answered.
+// TestHedgedRequests counts hedged requests by whether the attempt before was lost or would have been answered.
 // While a sixth of the endpoints is four times slower nothing is lost, so each of them is needless. Where
 // requests are lost, nearly all are hedged, at most 5% later than was measured before an endpoint's
 // slowdown was taken into account.
-func TestHedges(t *testing.T) {
+func TestHedgedRequests(t *testing.T) {
 	const length, step = 10 * time.Second, 2 * time.Millisecond
 	bad := func(to string) bool { return to < "c" } // two of twelve
 	for _, tt := range []struct {
@@ -107,10 +107,10 @@
 	}
 }
 
-// TestSlowEndpointIsGivenTime has an attempt be out for a while at an endpoint that has lost some before
+// TestSlowdownDelaysHedging has an attempt be out for a while at an endpoint that has lost some before
 // and answers others. Where it answers those as late, the attempt is not hedged yet and counts as in
 // flight, or the endpoint would look idle.
-func TestSlowEndpointIsGivenTime(t *testing.T) {
+func TestSlowdownDelaysHedging(t *testing.T) {
 	const usual = 20 * time.Millisecond
 	for _, tt := range []struct {
 		name   string
--- a/balance/host_test.go
+++ b/balance/host_test.go
@@ -76,7 +76,7 @@
 	return b, h
 }
 
-func TestMisuseIsPassedOver(t *testing.T) {
+func TestInvalidCallsAreIgnored(t *testing.T) {
 	b, h := start(t, settings(), []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}})
 	b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: time.Second})
 	if len(h.sent) != 1 {
--- a/balance/late_test.go
+++ b/balance/late_attempt_test.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// TestSwallowedRequestIsNoSlowness has attempts time out while their endpoint answers all others, and then
+// TestSwallowedRequestsDoNotSlowEndpoint has attempts time out while their endpoint answers all others, and then
 // while it answers none: only then does it look slower, and only then are they its own fault.
-func TestSwallowedRequestIsNoSlowness(t *testing.T) {
+func TestSwallowedRequestsDoNotSlowEndpoint(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		b, h := start(t, settings(), identicalEndpoints(4))
 		serveRequests(b, h, 400, 20*time.Millisecond)
@@ -74,9 +74,9 @@
 	}
 }
 
-// TestBeliefNeedsTesting has one endpoint be far too slow while the other goes on answering: it is tried
+// TestSlowEndpointIsProbed has one endpoint be far too slow while the other goes on answering: it is tried
 // again in time, with one request at a time, and as long as it is slow only now and then.
-func TestBeliefNeedsTesting(t *testing.T) {
+func TestSlowEndpointIsProbed(t *testing.T) {
 	b, h := start(t, settings(), twoEndpoints())
 	serveRequests(b, h, 200, 20*time.Millisecond)
 	e := b.known["a"]
@@ -106,9 +106,9 @@
 	}
 }
 
-// TestLateAttemptIsLookedAtAgain has an endpoint be silent to all until an attempt is late and then answer
+// TestLateAttemptIsCheckedAgain has an endpoint be silent to all until an attempt is late and then answer
 // others: the attempt is on a dead connection, and counts no more from then on.
-func TestLateAttemptIsLookedAtAgain(t *testing.T) {
+func TestLateAttemptIsCheckedAgain(t *testing.T) {
 	b, h := start(t, settings(), twoEndpoints())
 	serveRequests(b, h, 200, 20*time.Millisecond)
 	h.timers = nil
@@ -126,10 +126,10 @@
 	}
 }
 
-// TestSwallowedRequestIsMadeAnew has one request in six swallowed while all others are answered: once that
+// TestSwallowedRequestIsRetried has one request in six swallowed while all others are answered: once that
 // is seen, late attempts are called off and made anew, a payment's never. Where answers just come late, or
 // where requests are no longer swallowed, nothing is called off.
-func TestSwallowedRequestIsMadeAnew(t *testing.T) {
+func TestSwallowedRequestIsRetried(t *testing.T) {
 	for _, tt := range []struct {
 		name      string
 		effect    Effect
@@ -197,11 +197,11 @@
 	}
 }
 
-// TestPauseIsNoSilence has an endpoint pause with many requests out, each for longer than nearly all
+// TestPauseDoesNotEject has an endpoint pause with many requests out, each for longer than nearly all
 // answers take. Danger: where all is nearly full, a pause that takes the largest endpoint out for seconds
 // leaves the others overrun. Danger: one that has vanished swallows what is sent to it until it is known.
 // So what is sent later tells more at once, and what was out counts in full once the silence lasts.
-func TestPauseIsNoSilence(t *testing.T) {
+func TestPauseDoesNotEject(t *testing.T) {
 	const survival, requests = 0.001, 40
 	for _, tt := range []struct {
 		name    string
--- a/balance/loadlevel_test.go
+++ b/balance/loadlevel_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestJamIsMetAtOnce has a fleet of 40 endpoints answer six times as late from one moment on. Danger: a
+// TestCongestionIsShedAtOnce has a fleet of 40 endpoints answer six times as late from one moment on. Danger: a
 // sidecar that goes by what answers have taught over seconds goes on as before, and so do all others.
-func TestJamIsMetAtOnce(t *testing.T) {
+func TestCongestionIsShedAtOnce(t *testing.T) {
 	set := settings()
 	set.Classes[0].LatencyObjective = 300 * time.Millisecond
 	b, h := start(t, set, manyIdenticalEndpoints(40))
@@ -59,10 +59,10 @@
 	return list
 }
 
-// TestSilenceIsNoJam has all endpoints of a kind fall silent while the others answer as ever: neither what
+// TestSilentGroupDoesNotRaiseLoadLevel has all endpoints of a kind fall silent while the others answer as ever: neither what
 // is out at those nor its time-outs say how long the others take. Danger: as a zone is lost, requests that
 // the rest could serve are refused.
-func TestSilenceIsNoJam(t *testing.T) {
+func TestSilentGroupDoesNotRaiseLoadLevel(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
 		silent bool // else the kind answers, but much later
--- a/balance/loss_test.go
+++ b/balance/loss_test.go
@@ -227,9 +227,9 @@
 	}
 }
 
-// TestBudgetOfRepeats has a request's next attempt be paid for unless none of those before got anywhere.
+// TestRetryBudget has a request's next attempt be paid for unless none of those before got anywhere.
 // What clients ask again is served, and leaves less for that.
-func TestBudgetOfRepeats(t *testing.T) {
+func TestRetryBudget(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
 		retries int
--- a/balance/oncall_test.go
+++ b/balance/oncall_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestLogLinesAreOnThePage keeps docs/oncall.md in step with what the module logs.
-func TestLogLinesAreOnThePage(t *testing.T) {
+// TestLogLinesAreDocumented keeps docs/oncall.md in step with what the module logs.
+func TestLogLinesAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../docs/oncall.md")
 	if err != nil {
 		t.Fatal(err)
--- a/balance/refuse_test.go
+++ b/balance/reject_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestMayRefuse asks whether a host may refuse a request by itself while an attempt is in flight, and once
+// TestMayReject asks whether a host may refuse a request by itself while an attempt is in flight, and once
 // none is or the request is not known.
-func TestMayRefuse(t *testing.T) {
+func TestMayReject(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		class Class
--- a/balance/route_test.go
+++ b/balance/route_test.go
@@ -91,7 +91,7 @@
 	return []Rule{r}
 }
 
-func TestSplitIsSmooth(t *testing.T) {
+func TestWeightedSplitIsInterleaved(t *testing.T) {
 	list := []Endpoint{
 		{ID: "a", Zone: "x", Kind: "big", Weight: 1},
 		{ID: "b", Zone: "x", Kind: "small", Weight: 1},
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestUnequalKindsBySize(t *testing.T) {
+func TestRotationFollowsWeight(t *testing.T) {
 	list := []Endpoint{
 		{ID: "a", Zone: "x", Kind: "big", Weight: 3},
 		{ID: "b", Zone: "x", Kind: "small", Weight: 1},
@@ -130,7 +130,7 @@
 	}
 }
 
-func TestWeightFollowsReadyMembers(t *testing.T) {
+func TestGroupWeightFollowsReadyMembers(t *testing.T) {
 	list := []Endpoint{
 		{ID: "a", Zone: "x", Kind: "big", Weight: 1},
 		{ID: "b", Zone: "x", Kind: "big", Weight: 1},
@@ -165,7 +165,7 @@
 	}
 }
 
-func TestYield(t *testing.T) {
+func TestRotationSkipsBusierEndpoint(t *testing.T) {
 	b, h := start(
 		t,
 		settings(),
@@ -189,7 +189,7 @@
 	}
 }
 
-func TestStartsDiffer(t *testing.T) {
+func TestRotationsStartAtDifferentEndpoints(t *testing.T) {
 	list := []Endpoint{}
 	for _, id := range strings.Split("abcdefghij", "") {
 		list = append(list, Endpoint{ID: id, Zone: "x", Kind: "big", Weight: 1})
@@ -207,7 +207,7 @@
 	}
 }
 
-func TestBadSettings(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	tests := []struct {
 		name  string
 		spoil func(*Settings)
@@ -271,7 +271,7 @@
 	}
 }
 
-func TestCheapCrossingsShiftSooner(t *testing.T) {
+func TestLowCrossZoneChargeShiftsMoreTraffic(t *testing.T) {
 	// The own zone answers in 200 ms, the other one in 50 ms: an eighth of the aim, and more than a cheap
 	// crossing.
 	abroad := func(charge float64) float64 {
@@ -300,9 +300,9 @@
 	}
 }
 
-// TestFarIsNotFull has the own zone busy and an idle endpoint in a zone far away, whose answers take the
+// TestRemoteZoneIsNotAtCapacity has the own zone busy and an idle endpoint in a zone far away, whose answers take the
 // way there and back: it gets the next request, and nothing is tight.
-func TestFarIsNotFull(t *testing.T) {
+func TestRemoteZoneIsNotAtCapacity(t *testing.T) {
 	far := Endpoint{ID: "far", Zone: "y", Kind: "big", Weight: 1}
 	b, h := start(t, settings(), append(twoEndpoints(), far))
 	aim := b.settings.Classes[0].LatencyObjective
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -353,7 +353,7 @@
 	return c
 }
 
-func TestRules(t *testing.T) {
+func TestRandomEventsKeepRules(t *testing.T) {
 	sends := 0
 	for seed := range uint64(40) {
 		c := play(t, seed, 6000)
@@ -370,7 +370,7 @@
 	}
 }
 
-func TestSameEventsSameActions(t *testing.T) {
+func TestActionsAreDeterministic(t *testing.T) {
 	for seed := range uint64(5) {
 		a, b := play(t, seed, 3000), play(t, seed, 3000)
 		if !slices.Equal(a.done, b.done) {
@@ -438,7 +438,7 @@
 	return most, set.OverloadMultiple * share * 50 * set.OverloadWindow.Seconds() / float64(peers)
 }
 
-func TestColdBudget(t *testing.T) {
+func TestSlowStartAllowance(t *testing.T) {
 	for _, peers := range []int{1, 2, 5} {
 		for _, retries := range []bool{false, true} {
 			most, part := coldSends(t, peers, retries)
@@ -483,7 +483,7 @@
 	return [2]float64{over[0] / max(all[0], 1), over[1] / max(all[1], 1)}
 }
 
-func TestSharesOfManySidecars(t *testing.T) {
+func TestTenantAllowanceOfManySidecars(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
 		rate, second float64
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -30,10 +30,10 @@
 	multiple float64
 }
 
-// TestFallBudgetHoldsForAnyFleet plays fleets of one to 900 sidecars with uneven traffic. In no window of
+// TestOverloadLimitHoldsForAnyFleet plays fleets of one to 900 sidecars with uneven traffic. In no window of
 // the fall rule may all sidecars together send a cold endpoint more than its budget, and without restarts
 // it has to get a part of what it can do.
-func TestFallBudgetHoldsForAnyFleet(t *testing.T) {
+func TestOverloadLimitHoldsForAnyFleet(t *testing.T) {
 	for _, f := range []warmingFleet{
 		{name: "one cold", zones: 1},
 		{name: "one cold in three zones", zones: 3},
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestSubsetGoesWithTraffic(t *testing.T) {
+func TestSubsetSizeFollowsTraffic(t *testing.T) {
 	b, h := startSidecar(t, 3, 10, fleet(200))
 	first := ids(b.active)
 	for range 300 { // 30 s of 10 requests a second
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestSubsetMakesUpForTheEjected(t *testing.T) {
+func TestSubsetReplacesEjectedEndpoints(t *testing.T) {
 	b, h := startSidecar(t, 3, 10, fleet(200))
 	first := ids(b.active)
 	for range 4 {
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestListChangeMovesFew(t *testing.T) {
+func TestAddedEndpointMovesFewSubsetMembers(t *testing.T) {
 	const servers = 200
 	moved := 0
 	for self := range 100 {
@@ -173,7 +173,7 @@
 	}
 }
 
-func TestFirstCallsAreSpread(t *testing.T) {
+func TestFirstDiscoveryCallsAreSpread(t *testing.T) {
 	set := settings()
 	set.PollDiscovery, set.MaxListAge, set.Peers = true, 10*time.Second, 1000
 	seconds := make([]int, set.MaxListAge/2/time.Second)
@@ -194,10 +194,10 @@
 	}
 }
 
-// TestAllCold guards the time after a power cut: where every endpoint has just started, requests still go
+// TestColdFleetServesRequests guards the time after a power cut: where every endpoint has just started, requests still go
 // out, and none of the endpoints gets much more than its share. Danger: turns kept to the letter leave
 // nearly every request without one.
-func TestAllCold(t *testing.T) {
+func TestColdFleetServesRequests(t *testing.T) {
 	set := settings()
 	set.Zones = []string{"x", "y", "z"}
 	var list []Endpoint
