--- a/balance/admin_test.go
+++ b/balance/admin_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// countByEndpoint plays n requests a millisecond apart, each answered at once, and counts attempts by endpoint.
+// countByEndpoint sends n requests a millisecond apart, each answered at once, and counts the attempts by
+// endpoint.
 func countByEndpoint(b *Balancer, h *host, n int) map[string]int {
 	got := map[string]int{}
 	for range n {
@@ -20,8 +21,8 @@
 	return got
 }
 
-// TestAdminDownOutlastsDiscovery: an endpoint that is administratively down gets no request, whatever discovery
-// reports of it. Once it is up again it counts as just started.
+// TestAdminDownOutlastsDiscovery checks that an endpoint that is administratively down gets no request,
+// whatever discovery reports. When it is put back in service it counts as newly started.
 func TestAdminDownOutlastsDiscovery(t *testing.T) {
 	list := []Endpoint{
 		{ID: "a", Zone: "x", Kind: "big", Weight: 1},
@@ -34,13 +35,13 @@
 	}{
 		{"no list", func(*Balancer, *host) {}},
 		{"set down again", func(b *Balancer, h *host) { b.SetAdminDown(h.now, "a", true) }},
-		{"a full list", func(b *Balancer, h *host) { b.Endpoints(h.now, ListFull, list) }},
+		{"complete list", func(b *Balancer, h *host) { b.Endpoints(h.now, ListFull, list) }},
 		{"ready again", func(b *Balancer, h *host) { b.Endpoints(h.now, ListChanges, list[:1]) }},
-		{"drained and ready", func(b *Balancer, h *host) {
+		{"draining, then ready", func(b *Balancer, h *host) {
 			b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1, State: Draining}})
 			b.Endpoints(h.now, ListChanges, list[:1])
 		}},
-		{"gone and back", func(b *Balancer, h *host) {
+		{"removed and listed again", func(b *Balancer, h *host) {
 			b.Endpoints(h.now, ListFull, list[1:])
 			b.Endpoints(h.now, ListFull, list)
 		}},
@@ -52,10 +53,10 @@
 		t.Run(tt.name, func(t *testing.T) {
 			b, h := start(t, settings(), list)
 			if got := countByEndpoint(b, h, 100); got["a"] == 0 {
-				t.Fatal("it was never used before")
+				t.Fatal("endpoint a got no attempts before it was set administratively down")
 			}
 			if !b.SetAdminDown(h.now, "a", true) {
-				t.Fatal("it is unknown")
+				t.Fatal("SetAdminDown reports a listed endpoint as unknown")
 			}
 			tt.do(b, h)
 			if got := countByEndpoint(b, h, 200); got["a"] != 0 || got["b"] != 200 {
@@ -66,58 +67,60 @@
 			}
 			for range 2 {
 				if !b.SetAdminDown(h.now, "a", false) {
-					t.Error("it is unknown when it is set up, or again")
+					t.Error("SetAdminDown reports endpoint a as unknown when it is put back in service")
 				}
 			}
 			if e := b.known["a"]; e.Started != h.now {
-				t.Errorf("set up at %v it counts as started at %v", h.now, e.Started)
+				t.Errorf("endpoint put back in service at %v counts as started at %v", h.now, e.Started)
 			}
-			b.Endpoints(h.now, ListFull, restarted) // an old start that is reported late does not make it warmed up
+			b.Endpoints(h.now, ListFull, restarted) // an earlier start that is reported late does not end slow start
 			if e := b.known["a"]; e.Started != h.now {
-				t.Errorf("after a list it counts as started at %v, want %v", e.Started, h.now)
+				t.Errorf("after a list the endpoint counts as started at %v, want %v", e.Started, h.now)
 			}
 			if got := countByEndpoint(b, h, 1000); got["a"] == 0 || got["a"] > 450 {
-				t.Errorf("attempts %v in the first second after a is up, warming up", got)
+				t.Errorf("attempts %v in the first second after a is back in service, while it warms up", got)
 			}
 		})
 	}
 }
 
-// TestSetAdminDownOfUnknownEndpoint: an id that is neither listed nor administratively down is reported as unknown.
+// TestSetAdminDownOfUnknownEndpoint checks that an ID that is neither listed nor administratively down is
+// reported as unknown.
 func TestSetAdminDownOfUnknownEndpoint(t *testing.T) {
 	b, h := start(t, settings(), twoEndpoints())
 	for _, down := range []bool{true, false} {
 		if b.SetAdminDown(h.now, "nobody", down) {
-			t.Errorf("down %v: an id that no endpoint has is known", down)
+			t.Errorf("down %v: the ID of no endpoint is reported as known", down)
 		}
 	}
 	b.SetAdminDown(h.now, "a", true)
 	b.Endpoints(h.now, ListFull, twoEndpoints()[1:])
 	if !b.SetAdminDown(h.now, "a", true) || !b.SetAdminDown(h.now, "a", false) {
-		t.Error("one that is administratively down has left the list, and is unknown")
+		t.Error("an endpoint that is administratively down and no longer listed is reported as unknown")
 	}
 	if b.SetAdminDown(h.now, "a", false) {
-		t.Error("one that is neither listed nor administratively down is known")
+		t.Error("an endpoint that is neither listed nor administratively down is reported as known")
 	}
 	b.Endpoints(h.now, ListFull, twoEndpoints())
 	if e := b.known["a"]; e.Started != h.now {
-		t.Error("set up while it was not listed, it is not warming up once it is listed")
+		t.Error("an endpoint put back in service while not listed does not warm up once it is listed")
 	}
 }
 
-// TestRequestIsRejectedIfAllAreAdminDown: with all endpoints administratively down, a request is rejected at once.
+// TestRequestIsRejectedIfAllAreAdminDown checks that a request is rejected at once if all endpoints are
+// administratively down.
 func TestRequestIsRejectedIfAllAreAdminDown(t *testing.T) {
 	b, h := start(t, settings(), twoEndpoints())
 	b.AdoptAdminDown(h.now, []string{"a", "b", "later"})
 	b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: time.Second})
 	if len(h.sent) != 0 || len(h.rejected) != 1 {
-		t.Errorf("%d attempts, %d rejections, want a rejection alone", len(h.sent), len(h.rejected))
+		t.Errorf("%d attempts, %d rejections, want 0 and 1", len(h.sent), len(h.rejected))
 	}
 	if got := b.AdminDown(); !slices.Equal(got, []string{"a", "b", "later"}) {
-		t.Errorf("administratively down are %v", got)
+		t.Errorf("administratively down: %v", got)
 	}
 	b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "later", Zone: "x", Kind: "big", Weight: 1}})
 	if b.Request(h.now, Request{ID: 2, Tenant: -1, Timeout: time.Second}); len(h.sent) != 0 {
-		t.Errorf("an attempt at %v, which was adopted as administratively down", h.sent)
+		t.Errorf("attempts %v at an endpoint that was adopted as administratively down", h.sent)
 	}
 }
--- a/balance/ejection_test.go
+++ b/balance/ejection_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// identicalEndpoints is a group of like endpoints.
+// identicalEndpoints returns n endpoints that differ in their IDs only.
 func identicalEndpoints(n int) (list []Endpoint) {
 	for i := range n {
 		list = append(list, Endpoint{ID: string(rune('a' + i)), Zone: "x", Kind: "big", Weight: 1})
@@ -15,9 +15,9 @@
 	return list
 }
 
-// TestBurstOfFailuresCountsAsOne has all attempts at one endpoint fail together: its connections broke, which tells no
-// more than one fault. Where what is sent after it fails as well, burst after burst, the endpoint is
-// ejected, once.
+// TestBurstOfFailuresCountsAsOne resets all attempts in flight at one endpoint together, as when its
+// connections break. Such a burst counts as one failure. An endpoint whose later attempts fail as well, burst
+// after burst, is ejected once.
 func TestBurstOfFailuresCountsAsOne(t *testing.T) {
 	b, h := start(t, settings(), identicalEndpoints(4))
 	serveRequests(b, h, 200, 20*time.Millisecond)
@@ -37,16 +37,16 @@
 			b.Result(h.now, Result{ID: s.id, Endpoint: s.to, Outcome: outcome, Took: time.Millisecond, Finished: true})
 		}
 		if b.known["a"].failureAlarm == 0 {
-			t.Fatal("a burst of faults counts as none")
+			t.Fatal("a burst of failures is not counted")
 		}
 	}
 	if bursts < 2 || bursts > 4 || len(h.logs) != 1 || !strings.HasPrefix(h.logs[0], "ejected a") {
-		t.Errorf("log %q after %d bursts of faults", h.logs, bursts)
+		t.Errorf("log %q after %d bursts of failures", h.logs, bursts)
 	}
 }
 
-// TestFailuresOfAllEndpointsEjectNone has one answer in fifteen fail at every endpoint, and then one endpoint fail
-// always.
+// TestFailuresOfAllEndpointsEjectNone has one response in fifteen fail at every endpoint, which ejects hardly
+// any, and then has one endpoint fail always, which ejects it.
 func TestFailuresOfAllEndpointsEjectNone(t *testing.T) {
 	set := settings()
 	set.MaxAttempts = 1
@@ -70,7 +70,7 @@
 		}
 	}
 	if n := len(h.logs); n > 3 {
-		t.Errorf("%d ejections of 8 endpoints that are all alike", n)
+		t.Errorf("%d ejections of 8 endpoints with the same failure share", n)
 	}
 	failed := 0
 	for i := range RequestID(400) {
@@ -86,12 +86,12 @@
 		)
 	}
 	if failed > 20 {
-		t.Errorf("%d requests went to an endpoint that always fails", failed)
+		t.Errorf("%d requests went to an endpoint that always fails, want 20 at most", failed)
 	}
 }
 
-// TestPanicPrefersEndpointsNotEjected has three of four endpoints ejected, too many to leave out: the fourth still
-// goes first.
+// TestPanicPrefersEndpointsNotEjected has three of four endpoints ejected, which exceeds the panic threshold:
+// the fourth still takes precedence while it is below capacity.
 func TestPanicPrefersEndpointsNotEjected(t *testing.T) {
 	b, h := start(t, settings(), identicalEndpoints(4))
 	serveRequests(b, h, 200, 20*time.Millisecond)
@@ -100,12 +100,12 @@
 	}
 	b.Timer(h.now, tokenTick)
 	if !b.panicking {
-		t.Fatal("three of four ejected are no panic")
+		t.Fatal("three of four endpoints ejected do not exceed the panic threshold")
 	}
 	for i := range RequestID(10) {
 		h.now += 20 * time.Millisecond
 		if to := sendRequest(b, h, i+1); to != "d" {
-			t.Errorf("request %d went to %q though one is good and idle", i, to)
+			t.Errorf("request %d went to %q although an idle endpoint is not ejected", i, to)
 		}
 		b.Result(h.now, Result{ID: i + 1, Endpoint: "d", Took: 20 * time.Millisecond, Finished: true})
 	}
@@ -114,12 +114,12 @@
 		used[sendRequest(b, h, i+100)] = true
 	}
 	if len(used) < 4 {
-		t.Errorf("only %v are used in a crowd, though ejection is suspended", used)
+		t.Errorf("only %v are used under load although ejection is suspended", used)
 	}
 }
 
-// TestResetsEjectHalfOfTheEndpoints has half of the endpoints reset half of their requests: each is ejected, though
-// the others do the same.
+// TestResetsEjectHalfOfTheEndpoints has four of nine endpoints reset half of their requests: each of the four
+// is ejected, although the others of the four do the same.
 func TestResetsEjectHalfOfTheEndpoints(t *testing.T) {
 	set := settings()
 	set.MaxAttempts = 1
@@ -141,6 +141,6 @@
 		ejected[line] = true
 	}
 	if len(ejected) != 4 {
-		t.Errorf("%d of 4 endpoints that reset half of all were ejected", len(ejected))
+		t.Errorf("%d of 4 endpoints that reset half of their requests were ejected", len(ejected))
 	}
 }
--- a/balance/endpoints_test.go
+++ b/balance/endpoints_test.go
@@ -11,20 +11,20 @@
 	"pgregory.net/rapid"
 )
 
-// TestIndexMatchesList draws lists, changes and what is taken out by hand: the index holds just what a
-// look at all that was told gives.
+// TestIndexMatchesList draws lists, changes of lists and of administrative states, and checks that the index,
+// which is updated entry by entry, matches one computed from scratch.
 func TestIndexMatchesList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, err := New(settings(), &host{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		now, listed, out := time.Hour, map[string]Endpoint{}, map[string]bool{}
+		now, listed, adminDown := time.Hour, map[string]Endpoint{}, map[string]bool{}
 		for range rapid.IntRange(1, 25).Draw(t, "events") {
 			now += Time(rapid.Int64Range(0, int64(2*time.Second)).Draw(t, "after"))
 			id := fmt.Sprint("e", rapid.IntRange(0, 12).Draw(t, "id"))
-			switch rapid.SampledFrom([]string{"change", "whole", "out", "tick", "request", "order"}).Draw(t, "event") {
-			case "change", "whole":
+			switch rapid.SampledFrom([]string{"change", "full", "admin state", "tick", "request", "reorder"}).Draw(t, "event") {
+			case "change", "full":
 				kind := ListChanges
 				if rapid.IntRange(0, 3).Draw(t, "kind") == 0 {
 					kind = ListFull
@@ -45,36 +45,37 @@
 					}
 				}
 				b.Endpoints(now, kind, list)
-			case "out":
-				take := rapid.Bool().Draw(t, "take")
-				if b.SetAdminDown(now, id, take) {
-					if out[id] = take; !take {
-						delete(out, id)
+			case "admin state":
+				down := rapid.Bool().Draw(t, "down")
+				if b.SetAdminDown(now, id, down) {
+					if adminDown[id] = down; !down {
+						delete(adminDown, id)
 					}
 				}
 			case "tick":
 				b.Timer(now, tokenTick)
-			case "order": // as a fleet becomes wide, or usual again
+			case "reorder": // as when a fleet becomes wide or normal
 				b.reorderRings(!b.ringsHashed)
 				b.chooseSubsets(now)
-			case "request": // and has no answer: what it was sent to stays known when it is removed
+			case "request": // without a response: its endpoint stays known after its removal
 				b.Request(now, Request{ID: RequestID(now), Tenant: -1, Timeout: time.Minute})
 			}
-			checkIndex(t, b, listed, out)
+			checkIndex(t, b, listed, adminDown)
 		}
 	})
 }
 
-// checkIndex holds a Balancer's index against what was listed, and what was taken out by hand.
-func checkIndex(t *rapid.T, b *Balancer, listed map[string]Endpoint, out map[string]bool) {
+// checkIndex compares a Balancer's index with the listed endpoints and with those that are administratively
+// down.
+func checkIndex(t *rapid.T, b *Balancer, listed map[string]Endpoint, adminDown map[string]bool) {
 	t.Helper()
 	if len(b.listed) != len(listed) || b.listedByZone[0]+b.listedByZone[1] != len(listed) || b.subsetsStale {
-		t.Fatalf("%d endpoints, %v by side, want %d", len(b.listed), b.listedByZone, len(listed))
+		t.Fatalf("%d endpoints, %v in the own zone and others, want %d", len(b.listed), b.listedByZone, len(listed))
 	}
 	for i, e := range b.listed {
 		if want, known := listed[e.ID]; !known || e.listedIndex != i || e.Zone != want.Zone ||
 			e.State != want.State {
-			t.Fatalf("%v at %d, listed %v", e.Endpoint, i, want)
+			t.Fatalf("index has %v at %d, listed is %v", e.Endpoint, i, want)
 		}
 	}
 	users := map[string]bool{}
@@ -86,7 +87,7 @@
 			ok, _ := g.destination.Match.matches(
 				map[string]string{"service": "backend", "region": e.Zone, "version": e.Kind},
 			)
-			if ok && e.State == Ready && !out[e.ID] && (g != b.allEndpoints || g.inUse) {
+			if ok && e.State == Ready && !adminDown[e.ID] && (g != b.allEndpoints || g.inUse) {
 				ids = append(ids, e.ID)
 				total += e.Weight
 				size[e.zoneIndex] += e.Weight * e.countedCapacityShare
@@ -95,28 +96,28 @@
 		if !sameIDs(g.endpoints, ids) || !slices.IsSortedFunc(g.endpoints, compareRingPosition) {
 			t.Fatalf("group %d has %v, want %v", i, idsOf(g.endpoints), ids)
 		}
-		if far := math.Abs(total-g.totalWeight) + math.Abs(size[0]-g.capacity[0]) + math.Abs(size[1]-g.capacity[1]); far > 1e-9 {
-			t.Fatalf("group %d sums up to %v and %v, want %v and %v", i, g.totalWeight, g.capacity, total, size)
+		if deviation := math.Abs(total-g.totalWeight) + math.Abs(size[0]-g.capacity[0]) + math.Abs(size[1]-g.capacity[1]); deviation > 1e-9 {
+			t.Fatalf("group %d has weight %v and capacity %v, want %v and %v", i, g.totalWeight, g.capacity, total, size)
 		}
 		for _, e := range g.subset {
 			if users[e.ID] = true; !slices.Contains(ids, e.ID) || !e.active {
-				t.Fatalf("%s is used and not ready in group %d", e.ID, i)
+				t.Fatalf("%s is in the subset of group %d but not active or not ready", e.ID, i)
 			}
 		}
 		if n := min(len(ids), minSubsetSize); g.inUse && len(g.subset) < n {
-			t.Fatalf("%d of group %d are used, want %d at least", len(g.subset), i, n)
+			t.Fatalf("subset of %d endpoints in group %d, want %d at least", len(g.subset), i, n)
 		}
 	}
 	if len(b.active) != len(users) {
-		t.Fatalf("%d are active, %d used", len(b.active), len(users))
+		t.Fatalf("%d endpoints are active, %d are in subsets", len(b.active), len(users))
 	}
 }
 
-func idsOf(list []*endpoint) (out []string) {
+func idsOf(list []*endpoint) (ids []string) {
 	for _, e := range list {
-		out = append(out, e.ID)
+		ids = append(ids, e.ID)
 	}
-	return out
+	return ids
 }
 
 func sameIDs(list []*endpoint, want []string) bool {
@@ -126,7 +127,7 @@
 	return slices.Equal(got, want)
 }
 
-// zonedEndpoints lists n endpoints over three zones, of which the first is the sidecar's own.
+// zonedEndpoints returns n endpoints in three zones, the first of which is the sidecar's own.
 func zonedEndpoints(n int) []Endpoint {
 	list := fleet(n)
 	for i := range list {
@@ -135,7 +136,7 @@
 	return list
 }
 
-// startLoaded starts a sidecar that has had so many requests a second for long enough.
+// startLoaded starts a sidecar whose traffic has been rate requests per second for long.
 func startLoaded(t *testing.T, self, peers int, list []Endpoint, rate float64) (*Balancer, *host) {
 	t.Helper()
 	set := settings()
@@ -146,14 +147,14 @@
 	return b, h
 }
 
-// TestChangeCostIsIndependentOfFleetSize counts the endpoints that a sidecar looks at while others come and go, and
-// in its ticks: these are no more where the fleet is sixteen times as large.
+// TestChangeCostIsIndependentOfFleetSize counts the endpoints that a sidecar visits while endpoints are added
+// and removed, and in its ticks. The counts must not grow with a fleet sixteen times as large.
 func TestChangeCostIsIndependentOfFleetSize(t *testing.T) {
 	const changes = 200
 	cost := func(servers int) (change, tick float64) {
 		list := zonedEndpoints(servers)
 		b, h := startLoaded(t, 7, 900, list, 30)
-		begun := b.endpointsVisited
+		before := b.endpointsVisited
 		for i := range changes {
 			e := list[i*servers/changes]
 			e.State = Removed
@@ -161,26 +162,28 @@
 			e.ID, e.State, e.Started = e.ID+"-next", Ready, h.now
 			b.Endpoints(h.now, ListChanges, []Endpoint{e})
 		}
-		change, begun = float64(b.endpointsVisited-begun)/changes/2, b.endpointsVisited
+		change, before = float64(b.endpointsVisited-before)/changes/2, b.endpointsVisited
 		for range 10 {
 			b.arrivals = 180
 			h.now += tickInterval
 			b.Timer(h.now, tokenTick)
 		}
-		return change, float64(b.endpointsVisited-begun) / 10
+		return change, float64(b.endpointsVisited-before) / 10
 	}
-	usualChange, usualTick := cost(200)
+	normalChange, normalTick := cost(200)
 	change, tick := cost(3200)
-	t.Logf("looked at: %.1f and %.1f a change, %.1f and %.1f a tick", usualChange, change, usualTick, tick)
-	// Of the usual fleet all endpoints are in the subset, of the large one few.
-	if change > usualChange/10 {
-		t.Errorf("a change has %.1f endpoints looked at among 3200, %.1f among 200", change, usualChange)
+	t.Logf("endpoints visited: %.1f and %.1f per change, %.1f and %.1f per tick", normalChange, change, normalTick, tick)
+	// The subset has all endpoints of the normal fleet, and few of the large one.
+	if change > normalChange/10 {
+		t.Errorf("a change visits %.1f of 3200 endpoints, %.1f of 200", change, normalChange)
 	}
-	if tick > 1.5*usualTick {
-		t.Errorf("a tick has %.1f endpoints looked at among 3200, %.1f among 200", tick, usualTick)
+	if tick > 1.5*normalTick {
+		t.Errorf("a tick visits %.1f of 3200 endpoints, %.1f of 200", tick, normalTick)
 	}
 }
 
+// TestNumberOfActiveEndpoints checks that the number of endpoints in use depends on the sidecar's traffic and
+// does not grow with a wide fleet.
 func TestNumberOfActiveEndpoints(t *testing.T) {
 	for _, tt := range []struct {
 		name        string
@@ -188,42 +191,43 @@
 		rate        float64
 		least, most int
 	}{
-		{"usual fleet, usual traffic", 200, 30, 200, 200},
-		{"wider by half", 300, 30, 300, 300},
-		{"between", 350, 30, 200, 220},
+		{"normal fleet, normal traffic", 200, 30, 200, 200},
+		{"half as many servers more", 300, 30, 300, 300},
+		{"transition to a wide fleet", 350, 30, 200, 220},
 		{"sixteen times the servers", 3200, 30, 145, 155},
-		{"less wide, more traffic", 640, 60, 110, 122},
-		{"and more traffic", 3200, 100, 440, 460},
-		{"and little traffic", 3200, 3, 50, 60},
+		{"640 servers, twice the traffic", 640, 60, 110, 122},
+		{"sixteen times the servers, more traffic", 3200, 100, 440, 460},
+		{"sixteen times the servers, little traffic", 3200, 3, 50, 60},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			b, _ := startLoaded(t, 7, 900, zonedEndpoints(tt.servers), tt.rate)
 			if n := len(b.active); n < tt.least || n > tt.most {
-				t.Errorf("%d endpoints are used, want %d to %d", n, tt.least, tt.most)
+				t.Errorf("%d endpoints are active, want %d to %d", n, tt.least, tt.most)
 			}
 		})
 	}
 }
 
-// TestListChangesMoveFewSubsetMembers changes a large fleet, one endpoint at a time: each change brings a subset one new
-// member at most, and over all no more come than have gone, or started in their midst.
+// TestListChangesMoveFewSubsetMembers changes a large fleet by one endpoint at a time. Each change adds at
+// most one member to a subset, and in total there are hardly more new members than members that were removed
+// and new endpoints within the subset.
 func TestListChangesMoveFewSubsetMembers(t *testing.T) {
 	numbered := func(i int) string { return fmt.Sprintf("s%05d", 5000+i) }
 	rng := rand.New(rand.NewPCG(1, 1))
 	random := func(int) string { return fmt.Sprintf("%016x", rng.Uint64()) }
 	for _, tt := range []struct {
-		name       string
-		gone, come int
-		called     func(int) string
+		name           string
+		removed, added int
+		newID          func(int) string
 	}{
-		{"half are replaced, names are counted on", 1600, 1600, numbered},
-		{"half are replaced, names are drawn", 1600, 1600, random},
-		{"half as many more", 0, 1600, numbered},
-		{"half leave", 1600, 0, random},
+		{"half are replaced, consecutive IDs", 1600, 1600, numbered},
+		{"half are replaced, random IDs", 1600, 1600, random},
+		{"half as many are added", 0, 1600, numbered},
+		{"half are removed", 1600, 0, random},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			order, list := rng.Perm(3200), zonedEndpoints(3200)
-			moved, caused := 0, 0
+			moved, due := 0, 0
 			for self := range 2 {
 				b, h := startLoaded(t, self, 900, list, 30)
 				change := func(e Endpoint) {
@@ -238,42 +242,42 @@
 							fresh++
 						}
 						if e.State == Ready && m.ID == e.ID {
-							caused++
+							due++
 						}
 					}
 					if e.State == Removed && before[e.ID] {
-						caused++
+						due++
 					}
 					if moved += fresh; fresh > 1 {
-						t.Fatalf("%v brings %d new members", e, fresh)
+						t.Fatalf("change %v adds %d members to the subset", e, fresh)
 					}
 				}
-				for i := range max(tt.gone, tt.come) {
+				for i := range max(tt.removed, tt.added) {
 					e := list[order[i]]
-					if e.State = Removed; i < tt.gone {
+					if e.State = Removed; i < tt.removed {
 						change(e)
 					}
-					if e.ID, e.State = tt.called(i), Ready; i < tt.come {
+					if e.ID, e.State = tt.newID(i), Ready; i < tt.added {
 						change(e)
 					}
 				}
 			}
-			if caused == 0 || float64(moved) > 1.15*float64(caused) {
-				t.Errorf("%d new members, %d of them were due", moved, caused)
+			if due == 0 || float64(moved) > 1.15*float64(due) {
+				t.Errorf("%d new subset members, want at most 1.15 times the %d that changed endpoints account for", moved, due)
 			}
 		})
 	}
 }
 
-// TestSubsetsStayEvenAfterReplacement replaces a whole fleet, one endpoint at a time: the subsets of all sidecars are still
-// spread over it.
+// TestSubsetsStayEvenAfterReplacement replaces a whole fleet, one endpoint at a time: the subsets of all
+// sidecars must still be spread evenly over it.
 func TestSubsetsStayEvenAfterReplacement(t *testing.T) {
 	const peers = 150
 	for _, tt := range []struct {
-		name    string
-		servers int
-		rate    float64
-		off     float64 // of the mean, at most
+		name         string
+		servers      int
+		rate         float64
+		maxDeviation float64 // maximum deviation from the mean, as a share of it
 	}{
 		{"idle sidecars", 200, 0, 0.34},
 		{"subsets of 60", 200, 10, 0.1},
@@ -307,8 +311,8 @@
 				n := float64(users[fmt.Sprint("next", i)])
 				low, high = min(low, n), max(high, n)
 			}
-			t.Logf("%.0f to %.0f sidecars use an endpoint, %.1f in the mean", low, high, mean)
-			if low < (1-tt.off)*mean || high > (1+tt.off)*mean {
+			t.Logf("%.0f to %.0f sidecars use an endpoint, %.1f on average", low, high, mean)
+			if low < (1-tt.maxDeviation)*mean || high > (1+tt.maxDeviation)*mean {
 				t.Errorf("%.0f to %.0f sidecars use an endpoint, want about %.1f", low, high, mean)
 			}
 		})
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -7,7 +7,7 @@
 	"milletramp.example/milletramp/balance"
 )
 
-// printer is a sidecar's host that prints what it is asked to do.
+// printer is a host that prints the actions it is called for.
 type printer struct{}
 
 func (printer) Send(id balance.RequestID, endpoint string, _ time.Duration) {
@@ -21,7 +21,7 @@
 	time.Duration,
 	uint64,
 ) {
-}                               // a real host calls Balancer.Timer when it is due
+}                               // a real host calls Balancer.Timer when the timer expires
 func (printer) Subscribe()      {}
 func (printer) Log(text string) { fmt.Println(text) }
 
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -12,19 +12,20 @@
 	"pgregory.net/rapid"
 )
 
-// sidecarFleet is many sidecars that share nothing but the list of endpoints, which all get at the same moment.
+// sidecarFleet is a number of sidecars that share nothing but the list of endpoints, which all receive at the
+// same time.
 type sidecarFleet struct {
 	balancers         []*Balancer
 	hosts             []*host
 	now               Time
 	rng               *rand.Rand
 	next              RequestID
-	pending           []pendingResponse // in order
+	pending           []pendingResponse // in order of time
 	sends             map[string][]Time
-	rejectShare       map[string]float64 // share that an endpoint turns away at once
-	responseRate      float64            // answers a second that an endpoint gives, more is turned away; 0: any number
-	busyUntil         map[string]Time    // until when those that it has given take it
-	cumulativeTraffic []float64          // of the traffic, by sidecar, summed up; nil: all have the same
+	rejectShare       map[string]float64 // share of the attempts that an endpoint rejects at once
+	responseRate      float64            // responses per second of an endpoint, which rejects more; 0: no limit
+	busyUntil         map[string]Time    // when an endpoint has processed the attempts it has accepted
+	cumulativeTraffic []float64          // cumulative sum of the traffic by sidecar; nil: equal traffic
 }
 
 type pendingResponse struct {
@@ -57,7 +58,7 @@
 	}
 }
 
-// collectSent takes over what a sidecar sent.
+// collectSent records the attempts that a sidecar has sent since the last call.
 func (f *sidecarFleet) collectSent(i int) {
 	h := f.hosts[i]
 	for _, s := range h.sent {
@@ -67,7 +68,7 @@
 	h.sent = h.sent[:0]
 }
 
-// restart replaces a sidecar by one that knows the list alone, as its process was killed.
+// restart replaces a sidecar by one without history, as after a kill of its process; it has the list only.
 func (f *sidecarFleet) restart(t tester, i int, set Settings, list []Endpoint) {
 	set.Ordinal, set.Peers, set.Seed = i, len(f.balancers), f.rng.Uint64()
 	b, err := New(set, f.hosts[i])
@@ -80,7 +81,7 @@
 	f.collectSent(i)
 }
 
-// drawSidecar draws the sidecar that gets the next request.
+// drawSidecar selects the sidecar that gets the next request, in proportion to the traffic.
 func (f *sidecarFleet) drawSidecar() int {
 	if f.cumulativeTraffic == nil {
 		return f.rng.IntN(len(f.balancers))
@@ -89,7 +90,7 @@
 	return min(sort.SearchFloat64s(f.cumulativeTraffic, x), len(f.balancers)-1)
 }
 
-// accepts tells whether an endpoint can take one more now; what comes together may take it a quarter of a
+// accepts reports whether an endpoint accepts one more attempt now. It may have a backlog of a quarter of a
 // second.
 func (f *sidecarFleet) accepts(id string) bool {
 	if f.responseRate == 0 {
@@ -102,7 +103,7 @@
 	return true
 }
 
-// run has requests come to the sidecars at random, so many a second in all.
+// run sends requests to random sidecars at random times, rate per second in total.
 func (f *sidecarFleet) run(length time.Duration, rate float64) {
 	end, tick := f.now+length, f.now
 	for f.now < end {
@@ -129,11 +130,11 @@
 	}
 }
 
-// TestColdEndpointsGetTheirShare has all sidecars be told at one moment that a part of the fleet has
-// started cold. From then on each cold endpoint gets, over the fleet and in any window of the rule on cold
-// endpoints, no more than the rule allows, and over the time until it is warm a good part of its share.
-// Danger: each of many sidecars that counts its own turns from the news on leaves a new endpoint idle until
-// it is warm, and the others carry the whole load.
+// TestColdEndpointsGetTheirShare has part of a fleet start cold, which all sidecars learn at the same time.
+// In no overload window may the requests of all sidecars to a cold endpoint exceed the limit, and until the
+// endpoint is warmed up it must get a good part of its share. If each of many sidecars counted only its own
+// requests since the list change, a new endpoint would be idle until it is warmed up and the others would
+// carry the whole load.
 func TestColdEndpointsGetTheirShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sidecars := rapid.SampledFrom([]int{1, 2, 3, 10, 80, 300}).Draw(t, "sidecars")
@@ -142,8 +143,8 @@
 	})
 }
 
-// TestColdEndpointsGetTheirShareOf2000Sidecars is the same at the end of the range, with the cold endpoints
-// behind the warm ones in the rotation, and among them.
+// TestColdEndpointsGetTheirShareOf2000Sidecars checks the same at the upper end of the range of sidecars,
+// with the cold endpoints after the warmed-up ones in the rotation and among them.
 func TestColdEndpointsGetTheirShareOf2000Sidecars(t *testing.T) {
 	for _, mixed := range []bool{false, true} {
 		t.Run(fmt.Sprint("mixed ", mixed), func(t *testing.T) { checkShares(t, 2000, 10, 4, mixed) })
@@ -155,6 +156,8 @@
 	Errorf(string, ...any)
 }
 
+// checkShares runs a fleet with a number of warmed-up and cold endpoints and checks the requests to the cold
+// ones. If mixed is set, the cold endpoints are among the others in the rotation.
 func checkShares(t tester, sidecars, warm, cold int, mixed bool) {
 	set := settings()
 	set.SlowStartWindow, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow = 8*time.Second, 0.3, 4, 2*time.Second
@@ -167,18 +170,18 @@
 		list = append(list, Endpoint{ID: id, Zone: "x", Kind: "big", Weight: 1})
 	}
 	f := newSidecarFleet(t, set, sidecars, list[:warm])
-	const each = 40.0 // requests a second for each warm endpoint
+	const each = 40.0 // requests per second for each warmed-up endpoint
 	rate := each * float64(warm)
 	f.run(4*time.Second, rate)
-	told := f.now
+	started := f.now
 	for i := range list[warm:] {
-		list[warm+i].Started = told
+		list[warm+i].Started = started
 	}
 	f.applyList(ListChanges, list[warm:])
 	f.run(set.SlowStartWindow, rate)
 	for _, e := range list[warm:] {
 		sends := f.sends[e.ID]
-		for i, at := range sends { // each window that begins with a send
+		for i, at := range sends { // each window that begins with an attempt
 			window, last := 0.0, at
 			for _, to := range sends[i:] {
 				if to > at+set.OverloadWindow {
@@ -186,10 +189,10 @@
 				}
 				window, last = window+1, to
 			}
-			capacity := set.SlowStartCapacity + (1-set.SlowStartCapacity)*(last-told).Seconds()/set.SlowStartWindow.Seconds()
+			capacity := set.SlowStartCapacity + (1-set.SlowStartCapacity)*(last-started).Seconds()/set.SlowStartWindow.Seconds()
 			if most := set.OverloadMultiple * capacity * each * set.OverloadWindow.Seconds(); window > most {
 				t.Errorf(
-					"%d sidecars: %v requests to a cold endpoint within %v, the rule allows %.0f",
+					"%d sidecars: %v requests to a cold endpoint within %v, limit %.0f",
 					sidecars,
 					window,
 					set.OverloadWindow,
@@ -198,12 +201,11 @@
 				return
 			}
 		}
-		// As a warm one would get: the load over what all have of their capacity, which is 0.65 on the mean
-		// of the cold.
+		// The share in proportion to capacity: a cold endpoint has 0.65 of its full capacity on average.
 		fair := rate / (float64(warm) + 0.65*float64(cold)) * 0.65 * set.SlowStartWindow.Seconds()
 		if got := float64(len(sends)); got < 0.6*fair || got > 1.5*fair {
 			t.Errorf(
-				"%d sidecars, %d warm: a cold endpoint of %d got %v requests, %.0f would be even",
+				"%d sidecars, %d endpoints warmed up: a cold endpoint of %d got %v requests, an even share is %.0f",
 				sidecars,
 				warm,
 				cold,
@@ -214,12 +216,12 @@
 	}
 }
 
-// TestThirtySidecarsStayWithinOverloadLimit steps thirty sidecars with uneven traffic, some of which are restarted
-// again and again, beside an endpoint that has started cold while all others turn away a part of what
-// comes, in a burst: the sum of what all send in any window of the rule is within what fells it, N + 2 x
-// root N + 2, whatever multiple of its capacity the settings say.
+// TestThirtySidecarsStayWithinOverloadLimit runs thirty sidecars with uneven traffic, some of which are
+// restarted repeatedly, in a burst. One endpoint has started cold, and all others reject part of the
+// requests. In any overload window the sum of all requests to the cold endpoint must not exceed its limit of
+// N + 2*sqrt(N) + 2, for each configured overload multiple.
 func TestThirtySidecarsStayWithinOverloadLimit(t *testing.T) {
-	const sidecars, warm, each, burst, away = 30, 10, 40.0, 1.5, 0.3
+	const sidecars, warm, each, burst, rejected = 30, 10, 40.0, 1.5, 0.3
 	for _, multiple := range []float64{1.25, 2, 4} {
 		set := settings()
 		set.SlowStartWindow, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow = 8*time.Second, 0.3, multiple, 2*time.Second
@@ -234,11 +236,11 @@
 			f.cumulativeTraffic = append(f.cumulativeTraffic, sum)
 		}
 		f.run(4*time.Second, each*warm)
-		cold, told := &list[warm], f.now
-		cold.Started = told
+		cold, started := &list[warm], f.now
+		cold.Started = started
 		f.rejectShare = map[string]float64{}
 		for _, e := range list[:warm] {
-			f.rejectShare[e.ID] = away
+			f.rejectShare[e.ID] = rejected
 		}
 		f.applyList(ListChanges, list[warm:])
 		for range 20 {
@@ -254,15 +256,15 @@
 		for i, at := range sends {
 			behind := sends[i:]
 			window := sort.Search(len(behind), func(n int) bool { return behind[n] > at+set.OverloadWindow })
-			capacity := set.SlowStartCapacity + (1-set.SlowStartCapacity)*(at-told).Seconds()/set.SlowStartWindow.Seconds()
+			capacity := set.SlowStartCapacity + (1-set.SlowStartCapacity)*(at-started).Seconds()/set.SlowStartWindow.Seconds()
 			n := multiple * capacity * each * set.OverloadWindow.Seconds()
 			if most := n + 2*math.Sqrt(n) + 2; float64(window) > most {
 				t.Errorf(
-					"multiple %v: %d requests within %v from %v on, %.0f fell it",
+					"multiple %v: %d requests within %v from %v on, the overload limit is %.0f",
 					multiple,
 					window,
 					set.OverloadWindow,
-					at-told,
+					at-started,
 					most,
 				)
 				break
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// serveRequests plays n requests, 20 ms apart, each answered after took by the one endpoint it was sent to.
+// serveRequests sends n requests, 20 ms apart, each served after took by the endpoint that it was sent to.
 func serveRequests(b *Balancer, h *host, n int, took time.Duration) {
 	for range n {
 		h.now += 20 * time.Millisecond
@@ -24,7 +24,7 @@
 	return []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}, {ID: "b", Zone: "x", Kind: "big", Weight: 1}}
 }
 
-// sendRequest sends one request and returns where it went, or "".
+// sendRequest sends one request and returns the endpoint of its first attempt, or "" if there is none.
 func sendRequest(b *Balancer, h *host, id RequestID) string {
 	before := len(h.sent)
 	b.Request(h.now, Request{ID: id, Tenant: -1, Timeout: 3 * time.Second})
@@ -34,6 +34,8 @@
 	return h.sent[before].to
 }
 
+// TestFastFailingEndpointIsEjected has an endpoint fail every request at once. Without an ejection it would
+// look idle and attract all requests.
 func TestFastFailingEndpointIsEjected(t *testing.T) {
 	set := settings()
 	set.MaxAttempts = 1
@@ -56,7 +58,7 @@
 	if failed == 0 || failed > 3 {
 		t.Errorf("%d requests went to an endpoint that fails every one, want 1 to 3", failed)
 	}
-	// When its time is over it comes back, and the next fault ejects it at once.
+	// After the ejection the endpoint is used again, and the next failure ejects it at once.
 	h.now += ejectionTime + time.Second
 	b.Timer(h.now, tokenTick)
 	back := 0
@@ -73,18 +75,19 @@
 		)
 	}
 	if back != 1 {
-		t.Errorf("%d requests after its return, want 1", back)
+		t.Errorf("%d requests after the end of the ejection, want 1", back)
 	}
 }
 
+// TestPanicUsesEjectedEndpoints has every endpoint ejected. The cause is then probably on the sidecar's own
+// side, and requests must still be sent.
 func TestPanicUsesEjectedEndpoints(t *testing.T) {
-	// With every endpoint ejected, the fault is taken to be our own, and requests still go out.
 	b, h := start(t, settings(), twoEndpoints())
 	for _, e := range b.listed {
 		e.ejectedUntil = h.now + time.Hour
 	}
 	if sendRequest(b, h, 1) != "" {
-		t.Error("an ejected endpoint was used before the share was counted")
+		t.Error("an ejected endpoint was used before the check of the panic threshold")
 	}
 	b.Timer(h.now, tokenTick)
 	if sendRequest(b, h, 2) == "" {
@@ -92,48 +95,54 @@
 	}
 }
 
+// TestSilentEndpointGetsNoRequests leaves a request to an endpoint without a response for two latency
+// objectives: the endpoint must get no further requests.
 func TestSilentEndpointGetsNoRequests(t *testing.T) {
 	b, h := start(t, settings(), twoEndpoints())
 	serveRequests(b, h, 100, 20*time.Millisecond)
-	first := sendRequest(b, h, 1) // never answered
+	first := sendRequest(b, h, 1) // gets no response
 	h.now += 2 * time.Second
 	for i := RequestID(10); i < 20; i++ {
 		to := sendRequest(b, h, i)
 		if to == first {
-			t.Fatalf("request %d went to an endpoint that has been silent for two aims", i)
+			t.Fatalf("request %d went to an endpoint that has not responded for two latency objectives", i)
 		}
 		b.Result(h.now, Result{ID: i, Endpoint: to, Took: 20 * time.Millisecond, Finished: true})
 	}
 }
 
+// TestSlowEstimateDecaysUntilTested has all endpoints respond too late, which rejects all requests. Without
+// new responses the estimate must decay until a request tests it, or the sidecar would reject requests for
+// ever.
 func TestSlowEstimateDecaysUntilTested(t *testing.T) {
-	bar := rejectObjectiveShare * settings().Classes[0].LatencyObjective.Seconds()
+	limit := rejectObjectiveShare * settings().Classes[0].LatencyObjective.Seconds()
 	for _, tt := range []struct {
-		name   string
-		took   float64 // times the bar
-		unused float64 // of the memory's time, when it must not be tried yet
-		then   float64 // and when it must
+		name     string
+		took     float64 // multiple of the limit
+		rejected float64 // share of decayTimeConstant after which a request is still rejected
+		sent     float64 // share after which a request is sent
 	}{
 		{"a little too slow", 1.2, 0.1, 0.25},
-		{"twice too slow", 2, 0.4, 0.6},
-		{"far beyond the aim", 12, 0.85, 1.05},
+		{"twice the limit", 2, 0.4, 0.6},
+		{"twelve times the limit", 12, 0.85, 1.05},
 	} {
 		b, h := start(t, settings(), twoEndpoints())
-		serveRequests(b, h, 2, time.Duration(tt.took*bar*float64(time.Second)))
+		serveRequests(b, h, 2, time.Duration(tt.took*limit*float64(time.Second)))
 		at := h.now
-		h.now = at + time.Duration(tt.unused*float64(decayTimeConstant))
+		h.now = at + time.Duration(tt.rejected*float64(decayTimeConstant))
 		if to := sendRequest(b, h, 1); to != "" {
-			t.Errorf("%s: sent to %s though no answer in time is expected", tt.name, to)
+			t.Errorf("%s: request sent to %s although no timely response is expected", tt.name, to)
 		}
-		h.now = at + time.Duration(tt.then*float64(decayTimeConstant))
+		h.now = at + time.Duration(tt.sent*float64(decayTimeConstant))
 		if sendRequest(b, h, 2) == "" {
-			t.Errorf("%s: an unused endpoint is not tried, so that nothing can be learnt", tt.name)
+			t.Errorf("%s: no request tests an endpoint that has been unused for long", tt.name)
 		}
 	}
 }
 
+// TestWaitingTimeRaisesEstimate has two endpoints respond in 200 ms each. Then endpoint a is stuck with two
+// requests in flight, for less time than the limit: the expected response time must rise before any response.
 func TestWaitingTimeRaisesEstimate(t *testing.T) {
-	// Both endpoints answered in 200 ms each; then "a" is stuck with two requests, for less time than the bar.
 	b, h := start(t, settings(), twoEndpoints())
 	serveRequests(b, h, 20, 200*time.Millisecond)
 	for i := range RequestID(4) {
@@ -142,51 +151,53 @@
 		}
 	}
 	if b.known["a"].inFlight == 0 {
-		t.Fatal("nothing is out at the endpoint")
+		t.Fatal("no request is in flight at endpoint a")
 	}
 	before := b.expectedTime(b.known["a"], h.now)
 	h.now += 600 * time.Millisecond
 	if after := b.expectedTime(b.known["a"], h.now); after < before*1.2 {
-		t.Errorf("a stuck endpoint is expected to answer in %.3f s, %.3f before", after, before)
+		t.Errorf("a stuck endpoint is expected to respond in %.3f s, %.3f s before", after, before)
 	}
 }
 
+// TestLowPriorityClassIsShedOnlyUnderOverload checks that a class of low priority is served until all
+// endpoints are at capacity and is shed then, while the class of high priority is still served.
 func TestLowPriorityClassIsShedOnlyUnderOverload(t *testing.T) {
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
 	set.Classes[1].Priority = 3
-	aim := set.Classes[0].LatencyObjective
+	objective := set.Classes[0].LatencyObjective
 	b, h := start(t, set, twoEndpoints())
-	serveRequests(b, h, 40, time.Duration(float64(aim)*rejectObjectiveShare*0.8))
-	b.meanResponseTime[1] = b.meanResponseTime[0] // the lesser class has a third of the worth: its bar is at 0.58 of the other's
+	serveRequests(b, h, 40, time.Duration(float64(objective)*rejectObjectiveShare*0.8))
+	b.meanResponseTime[1] = b.meanResponseTime[0] // the class of low priority has a third of the priority weight: its limit is 0.58 of the other's
 	if sendRequest(b, h, 1) == "" {
-		t.Fatal("the lesser class is refused though nothing was full")
+		t.Fatal("the low-priority class is rejected although no endpoint is at capacity")
 	}
-	b.Result(h.now, Result{ID: 1, Endpoint: h.sent[0].to, Took: aim / 2, Finished: true})
+	b.Result(h.now, Result{ID: 1, Endpoint: h.sent[0].to, Took: objective / 2, Finished: true})
 	b.overloadedUntil = h.now + decayTimeConstant
 	if to := sendRequest(b, h, 2); to != "" {
-		t.Error("the lesser class does not give way")
+		t.Error("the low-priority class is not shed")
 	}
 	b.Request(h.now, Request{ID: 3, Class: 1, Tenant: -1, Timeout: 3 * time.Second})
 	if last := h.sent[len(h.sent)-1]; last.id != 3 {
-		t.Error("the dearer class gives way too")
+		t.Error("the high-priority class is shed too")
 	}
-	// Requests of the dearer class fill both endpoints, which makes it tight.
+	// Requests of the class of high priority fill both endpoints, which counts as overload.
 	b, h = start(t, set, twoEndpoints())
-	serveRequests(b, h, 40, aim/2)
+	serveRequests(b, h, 40, objective/2)
 	for i := RequestID(10); sendRequest(b, h, i) != ""; i++ {
 		if i > 100 {
 			t.Fatal("nothing is ever full")
 		}
 	}
 	if h.now >= b.overloadedUntil {
-		t.Error("all is full, and it does not count as tight")
+		t.Error("all endpoints are at capacity, and this does not count as overload")
 	}
 }
 
-// TestShedClassDoesNotProlongOverload has a lesser class refused by its own lowered bar while the
-// dearer one finds room: that is no news of the load, and the time in which lesser classes give way must
-// come to its end.
+// TestShedClassDoesNotProlongOverload rejects a class of low priority at its own lower limit while there is
+// capacity for the class of high priority. Such a rejection is no sign of overload: if it prolonged the
+// overload, the class would be shed for ever.
 func TestShedClassDoesNotProlongOverload(t *testing.T) {
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
@@ -198,22 +209,22 @@
 	end := h.now + decayTimeConstant/2
 	b.overloadedUntil = end
 	if to := sendRequest(b, h, 1); to != "" || len(h.rejected) != 1 {
-		t.Fatalf("the lesser class goes to %q, refused %v: it does not give way", to, h.rejected)
+		t.Fatalf("low-priority request sent to %q, rejected %v: the class is not shed", to, h.rejected)
 	}
 	if b.overloadedUntil != end {
-		t.Errorf("its refusal has lesser classes give way for %v more", b.overloadedUntil-end)
+		t.Errorf("the rejection prolongs the overload by %v", b.overloadedUntil-end)
 	}
 }
 
-// TestSheddingEndsWithOverload has a lesser class find all full for a moment: once that is worked off, it
-// is served again, though its answers take longer than its lowered bar.
+// TestSheddingEndsWithOverload sheds a class of low priority during a short overload. Once the backlog is
+// processed the class must be served again, although its responses take longer than its limit under overload.
 func TestSheddingEndsWithOverload(t *testing.T) {
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
 	set.Classes[1].Priority = 3
-	aim := set.Classes[0].LatencyObjective
+	objective := set.Classes[0].LatencyObjective
 	b, h := start(t, set, twoEndpoints())
-	serveRequests(b, h, 40, time.Duration(float64(aim)*rejectObjectiveShare*0.8))
+	serveRequests(b, h, 40, time.Duration(float64(objective)*rejectObjectiveShare*0.8))
 	b.meanResponseTime[1] = b.meanResponseTime[0]
 	for i := RequestID(1); h.now >= b.overloadedUntil; i++ {
 		if i > 100 {
@@ -222,18 +233,20 @@
 		sendRequest(b, h, i)
 	}
 	for _, s := range h.sent {
-		b.Result(h.now+aim/2, Result{ID: s.id, Endpoint: s.to, Took: aim / 2, Finished: true})
+		b.Result(h.now+objective/2, Result{ID: s.id, Endpoint: s.to, Took: objective / 2, Finished: true})
 	}
-	h.now += aim / 2
+	h.now += objective / 2
 	if to := sendRequest(b, h, 200); to != "" {
-		t.Errorf("the lesser class goes to %q half an aim after all was full: it does not give way", to)
+		t.Errorf("low-priority request sent to %q half a latency objective after the overload: the class is not shed", to)
 	}
-	h.now += aim
+	h.now += objective
 	if to := sendRequest(b, h, 201); to == "" {
-		t.Error("the lesser class still gives way an aim after the crowd, with nothing in flight")
+		t.Error("the low-priority class is still shed a latency objective after the overload, with nothing in flight")
 	}
 }
 
+// TestRestartResetsObservations checks that an endpoint whose process has restarted starts without history,
+// in slow start.
 func TestRestartResetsObservations(t *testing.T) {
 	b, h := start(t, settings(), twoEndpoints())
 	serveRequests(b, h, 40, 20*time.Millisecond)
@@ -243,10 +256,12 @@
 	again.Started = h.now
 	b.Endpoints(h.now, ListChanges, []Endpoint{again})
 	if e.ejectedUntil != 0 || e.responseInFlight != 0 || e.capacityShare >= 1 {
-		t.Errorf("a restarted endpoint keeps its past: %+v", e)
+		t.Errorf("a restarted endpoint keeps its observations: %+v", e)
 	}
 }
 
+// TestRemovedEndpointsAreForgotten replaces the only endpoint a thousand times: removed endpoints must not
+// accumulate.
 func TestRemovedEndpointsAreForgotten(t *testing.T) {
 	b, h := start(t, settings(), twoEndpoints())
 	for i := range 1000 {
@@ -255,10 +270,12 @@
 		serveRequests(b, h, 2, time.Millisecond)
 	}
 	if len(b.known) > 2 || len(b.listed) != 1 || len(b.requests) != 0 {
-		t.Errorf("%d endpoints and %d requests are still known", len(b.known), len(b.requests))
+		t.Errorf("%d endpoints and %d requests are still in memory", len(b.known), len(b.requests))
 	}
 }
 
+// TestOneDiscoveryCallInFlight checks that discovery is not called again while a call is in flight, and that
+// a failed call leaves the list as it is.
 func TestOneDiscoveryCallInFlight(t *testing.T) {
 	set := settings()
 	set.PollDiscovery, set.MaxListAge = true, 10*time.Second
@@ -268,12 +285,12 @@
 		b.Timer(h.now, tokenDiscovery)
 		b.Timer(h.now, tokenDiscovery)
 		if h.subscribed != calls+1 {
-			t.Fatalf("%d calls, want one more than %d: a call is out", h.subscribed, calls)
+			t.Fatalf("%d discovery calls, want one more than %d while a call is in flight", h.subscribed, calls)
 		}
 		b.Endpoints(h.now, ListFailed, nil)
 	}
 	if len(b.listed) != 2 {
-		t.Error("a refused call lost the list in hand")
+		t.Error("a failed discovery call discarded the endpoint list")
 	}
 }
 
@@ -292,7 +309,7 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		h.sent, h.timers = h.sent[:0], h.timers[:0]
-		if h.now += 10 * time.Millisecond; i%10 == 0 { // at 100 requests a second all 60 are in use
+		if h.now += 10 * time.Millisecond; i%10 == 0 { // at 100 requests per second all 60 are in use
 			bal.Timer(h.now, tokenTick)
 		}
 		bal.Request(h.now, Request{ID: RequestID(i), Tenant: -1, Timeout: time.Second})
@@ -300,9 +317,10 @@
 	}
 }
 
+// TestEstimateOfUnusedEndpointReliesOnItsGroup has two idle small endpoints respond fast and a busy big one,
+// of twice the weight, slowly. A small endpoint without responses must not be expected to be slower than the
+// big one.
 func TestEstimateOfUnusedEndpointReliesOnItsGroup(t *testing.T) {
-	// Small endpoints are idle and quick, big ones crowded and slow, though twice the size. A small one that was
-	// never used must not be expected to be slower than the big ones.
 	list := []Endpoint{
 		{ID: "a", Zone: "x", Kind: "big", Weight: 2},
 		{ID: "b", Zone: "x", Kind: "small", Weight: 1},
@@ -321,12 +339,13 @@
 	unused := b.known["c"]
 	unused.responseSeconds, unused.responseInFlight = 0, 0
 	if got := b.expectedTime(unused, h.now); got > 0.15 {
-		t.Errorf("an unused endpoint of a quick group is expected to take %.3f s", got)
+		t.Errorf("an unused endpoint of a fast group is expected to respond in %.3f s", got)
 	}
 }
 
+// TestSlowClassHasLowerOverloadLimit has two classes of the same priority weight, where the responses of the
+// second take four times as long: under overload its limit is half that of the first.
 func TestSlowClassHasLowerOverloadLimit(t *testing.T) {
-	// Two classes of one worth; the answers of the second take four times as long, and with them the same worth.
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
 	b, h := start(t, set, twoEndpoints())
@@ -337,15 +356,16 @@
 		to := h.sent[len(h.sent)-1].to
 		b.Result(h.now+took, Result{ID: i, Endpoint: to, Took: took, Finished: true})
 	}
-	light, heavy := b.overloadTimeLimit(0), b.overloadTimeLimit(1)
-	if ratio := heavy / light; ratio < 0.45 || ratio > 0.55 || light != rejectObjectiveShare*b.objective {
-		t.Errorf("the tight bars are %.3f and %.3f s, want the full bar and half of it", light, heavy)
+	fast, slow := b.overloadTimeLimit(0), b.overloadTimeLimit(1)
+	if ratio := slow / fast; ratio < 0.45 || ratio > 0.55 || fast != rejectObjectiveShare*b.objective {
+		t.Errorf("the limits under overload are %.3f and %.3f s, want the full limit and half of it", fast, slow)
 	}
 }
 
+// TestWaitingTimeRaisesEstimateOfGroup has three endpoints of a group, fast so far, each leave a request
+// without a response for half a second. The fourth, idle and without responses, must not be expected to be
+// fast either.
 func TestWaitingTimeRaisesEstimateOfGroup(t *testing.T) {
-	// Three endpoints of one group, quick so far, hold a request each for half a second: the fourth, idle
-	// and never heard of, is not expected to be quick either.
 	b, h := start(t, settings(), fleet(4))
 	serveRequests(b, h, 40, 20*time.Millisecond)
 	for i := range RequestID(3) {
@@ -357,12 +377,12 @@
 	h.now += tickInterval * 5
 	b.Timer(h.now, tokenTick)
 	if after := b.expectedTime(idle, h.now); after < 1.3*before {
-		t.Errorf("%.4f s are expected of it while its peers owe answers, %.4f before", after, before)
+		t.Errorf("expected response time %.4f s while requests to the rest of the group wait, %.4f s before", after, before)
 	}
 }
 
-// TestRetryAfterOfRejection has clients ask a busy endpoint for more than it can do: each is told to come back
-// when what is there will have been worked off. Without that they come back at once, all together.
+// TestRetryAfterOfRejection fills an endpoint: rejected clients must be advised to retry when the backlog
+// will have been processed. Without that advice all of them would retry at once.
 func TestRetryAfterOfRejection(t *testing.T) {
 	b, h := start(t, settings(), []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}})
 	b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: time.Second})
@@ -370,42 +390,42 @@
 	b.Result(h.now, Result{ID: 1, Outcome: Served, Took: 200 * time.Millisecond, Finished: true})
 	for i := RequestID(2); len(h.rejected) == 0; i++ {
 		if i > 1000 {
-			t.Fatal("never full")
+			t.Fatal("no request is ever rejected")
 		}
 		b.Request(h.now, Request{ID: i, Tenant: -1, Timeout: time.Second})
 	}
 	first := h.retryAfter
-	if aim := b.settings.Classes[0].LatencyObjective; first <= 0 || first > aim {
-		t.Errorf("advice to wait %v with an aim of %v", first, aim)
+	if objective := b.settings.Classes[0].LatencyObjective; first <= 0 || first > objective {
+		t.Errorf("Retry-After of %v with a latency objective of %v", first, objective)
 	}
 	h.rejected = nil
 	b.Request(h.now+100*time.Millisecond, Request{ID: 2000, Tenant: -1, Timeout: 0})
 	if len(h.rejected) != 1 || h.retryAfter != 0 {
-		t.Errorf("%d refusals of what has no time left, advice to wait %v", len(h.rejected), h.retryAfter)
+		t.Errorf("%d rejections of a request without time left, Retry-After %v, want 1 and 0", len(h.rejected), h.retryAfter)
 	}
 }
 
-// TestRetryLeavesTimeToArrive has a keyed request fail near the end of the time for which its repeats are
-// dropped: one that has to connect first would arrive after it and take effect twice.
+// TestRetryLeavesTimeToArrive has a deduplicated request fail near the end of its dedupe window. A retry that
+// has to connect first would arrive after the window and take effect twice.
 func TestRetryLeavesTimeToArrive(t *testing.T) {
 	for _, tt := range []struct {
 		after   time.Duration
-		repeats int
+		retries int
 	}{{4 * time.Second, 1}, {4800 * time.Millisecond, 0}} {
 		set := settings()
 		set.Classes[0].Effect, set.Classes[0].Scope, set.Classes[0].DedupeWindow = Deduplicated, ScopeAll, 5*time.Second
 		b, h := start(t, set, twoEndpoints())
 		b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: 10 * time.Second})
 		h.finishAttempts(b, h.now+tt.after, Errored)
-		if len(h.sent) != tt.repeats {
-			t.Errorf("%d repeats after %v, want %d", len(h.sent), tt.after, tt.repeats)
+		if len(h.sent) != tt.retries {
+			t.Errorf("%d retries after %v, want %d", len(h.sent), tt.after, tt.retries)
 		}
 	}
 }
 
-// TestSendTimeoutOfRetries: a repeat of a keyed request may begin only as long as the attempt before it has
-// its repeats dropped, counted from the sending of that one, not from the request's arrival. Attempts at
-// others may begin at any time.
+// TestSendTimeoutOfRetries checks the time within which a retry of a deduplicated request must begin: the
+// dedupe window counts from the sending of the attempt that may have been executed, not from the arrival of
+// the request. Attempts of other classes, and after attempts that were not executed, have no limit.
 func TestSendTimeoutOfRetries(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
@@ -413,34 +433,34 @@
 		outcome Outcome
 		want    time.Duration
 	}{
-		{"keyed, may have run", Deduplicated, Errored, 2*time.Second - arrivalMargin},
-		{"keyed, never ran", Deduplicated, ConnectFailed, 0},
+		{"deduplicated, may have been executed", Deduplicated, Errored, 2*time.Second - arrivalMargin},
+		{"deduplicated, not executed", Deduplicated, ConnectFailed, 0},
 		{"idempotent", Idempotent, Errored, 0},
-		{"at most once, never ran", AtMostOnce, ConnectFailed, 0},
+		{"at most once, not executed", AtMostOnce, ConnectFailed, 0},
 	} {
 		set := settings()
 		set.Classes[0].Effect, set.Classes[0].Scope, set.Classes[0].DedupeWindow = tt.effect, ScopeAll, 5*time.Second
 		b, h := start(t, set, twoEndpoints())
 		b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: 10 * time.Second})
 		if first := h.sent[0]; first.within != 0 {
-			t.Errorf("%s: the first attempt is to begin within %v", tt.name, first.within)
+			t.Errorf("%s: the first attempt must begin within %v, want no limit", tt.name, first.within)
 		}
 		if h.finishAttempts(b, h.now+3*time.Second, tt.outcome); len(h.sent) != 1 || h.sent[0].within != tt.want {
-			t.Errorf("%s: %+v, want a repeat within %v", tt.name, h.sent, tt.want)
+			t.Errorf("%s: sent %+v, want a retry within %v", tt.name, h.sent, tt.want)
 		}
 	}
 }
 
-// TestRejectedClassDoesNotAffectOthers has one endpoint turn one class away and serve the other: the first
-// class goes elsewhere, and the endpoint keeps its even share of the other class and passes for as quick as
-// it is.
+// TestRejectedClassDoesNotAffectOthers has one endpoint reject one class and serve the other. The first class
+// must go elsewhere, and the endpoint must keep its even share of the other class and its expected response
+// time.
 func TestRejectedClassDoesNotAffectOthers(t *testing.T) {
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
 	b, h := start(t, set, twoEndpoints())
 	serveRequests(b, h, 40, 20*time.Millisecond)
 	before := b.expectedTime(b.known["a"], h.now)
-	var away, other, tries int
+	var rejected, other, attempts int
 	for i := range RequestID(400) {
 		h.now += 5 * time.Millisecond
 		first := len(h.sent)
@@ -449,32 +469,32 @@
 			outcome := Served
 			if h.sent[n].to == "a" && i/2%2 == 0 {
 				outcome = Saturated
-				away++
+				rejected++
 			} else if h.sent[n].to == "a" {
 				other++
 			}
-			tries++
+			attempts++
 			b.Result(h.now, Result{ID: i, Attempt: n - first, Endpoint: h.sent[n].to, Outcome: outcome,
 				Took: 20 * time.Millisecond, Finished: outcome == Served})
 		}
 	}
-	if len(h.rejected)+len(h.failed) > 0 || tries-away != 400 {
-		t.Errorf("%d served, %d refused, %d failed of 400", tries-away, len(h.rejected), len(h.failed))
+	if len(h.rejected)+len(h.failed) > 0 || attempts-rejected != 400 {
+		t.Errorf("%d served, %d rejected, %d failed of 400", attempts-rejected, len(h.rejected), len(h.failed))
 	}
-	if away == 0 || away > 3 {
-		t.Errorf("the class was turned away %d times in 2 s", away)
+	if rejected == 0 || rejected > 3 {
+		t.Errorf("the class was rejected %d times in 2 s, want 1 to 3", rejected)
 	}
 	if other < 90 {
-		t.Errorf("the endpoint had %d of 200 requests of the class that it serves", other)
+		t.Errorf("the endpoint got %d of 200 requests of the class that it serves", other)
 	}
 	if after := b.expectedTime(b.known["a"], h.now); after > before*1.1 {
-		t.Errorf("it is expected to answer in %.4f s, %.4f before", after, before)
+		t.Errorf("the endpoint is expected to respond in %.4f s, %.4f s before", after, before)
 	}
 }
 
-// TestSwallowedClassIsEjected has one endpoint never answer one class and serve the other: after four losses
-// the class goes elsewhere, one request at a time tries again, and the first answer opens the endpoint to
-// all.
+// TestSwallowedClassIsEjected has one endpoint never respond to one class and serve the other. After four
+// losses the class must go elsewhere, one request at a time probes the endpoint, and the first response
+// readmits the class.
 func TestSwallowedClassIsEjected(t *testing.T) {
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
@@ -497,7 +517,7 @@
 	for range 8 { // requests of the class, half of which go to a
 		if to := send(0); to == "a" {
 			h.now += 3 * time.Second
-			e.lastResponse = h.now // it answered others meanwhile
+			e.lastResponse = h.now // it responded to others meanwhile
 			end(id, to, TimedOut, 3*time.Second)
 		} else {
 			end(id, to, Served, 20*time.Millisecond)
@@ -514,23 +534,23 @@
 		return n
 	}
 	if n := share(0); n > 0 {
-		t.Errorf("%d of 20 requests of the class go where it was swallowed each time", n)
+		t.Errorf("%d of 20 requests of the lost class go to the endpoint that loses all of them", n)
 	}
 	if n := share(1); n < 9 {
-		t.Errorf("%d of 20 requests of the other class go there", n)
+		t.Errorf("%d of 20 requests of the other class go to the endpoint, want 9 at least", n)
 	}
 	h.now += ejectionTime
-	var tries []RequestID
+	var probes []RequestID
 	for range 6 {
 		if send(0) == "a" {
-			tries = append(tries, id)
+			probes = append(probes, id)
 		}
 	}
-	if len(tries) != 1 {
-		t.Fatalf("requests %v try it at once, want one", tries)
+	if len(probes) != 1 {
+		t.Fatalf("requests %v probe the endpoint at the same time, want one", probes)
 	}
-	end(tries[0], "a", Served, 20*time.Millisecond)
+	end(probes[0], "a", Served, 20*time.Millisecond)
 	if n := share(0); n < 9 {
-		t.Errorf("%d of 20 requests of the class go there after an answer", n)
+		t.Errorf("%d of 20 requests of the class go to the endpoint after a response, want 9 at least", n)
 	}
 }
--- a/balance/host_test.go
+++ b/balance/host_test.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// sentAttempt is one Send that a host was asked for.
+// sentAttempt is one call of Send.
 type sentAttempt struct {
 	id      RequestID
 	to      string
 	within  time.Duration
-	attempt int // of the request, from 0
+	attempt int // index among the attempts of the request
 }
 
-// host records what a Balancer asks for.
+// host records the actions of a Balancer.
 type host struct {
 	now        Time
 	sent       []sentAttempt
 	rejected   []RequestID
-	retryAfter time.Duration // with the last refusal
+	retryAfter time.Duration // of the last rejection
 	failed     []RequestID
 	cancelled  int
 	attempts   map[RequestID]int
@@ -43,7 +43,7 @@
 func (h *host) Subscribe()                          { h.subscribed++ }
 func (h *host) Log(text string)                     { h.logs = append(h.logs, text) }
 
-// finishAttempts ends all attempts out, in order, and leaves none recorded.
+// finishAttempts ends all attempts in flight, in order, and clears the record of sent attempts.
 func (h *host) finishAttempts(b *Balancer, now Time, outcome Outcome) {
 	h.now = now
 	sent := h.sent
@@ -54,7 +54,7 @@
 	}
 }
 
-// settings are those of a small deployment with one safe class.
+// settings returns the settings of a small deployment with one idempotent class.
 func settings() Settings {
 	return Settings{Seed: 1, Peers: 1, Zone: "x", Zones: []string{"x", "y"}, Kinds: []string{"big", "small"},
 		Service: "backend", MaxAttempts: 3, SlowStartWindow: 10 * time.Second, SlowStartCapacity: 0.3, OverloadMultiple: 3,
@@ -64,7 +64,7 @@
 		}}
 }
 
-// start returns a running Balancer that knows list.
+// start returns a running Balancer with a list of endpoints.
 func start(t testing.TB, set Settings, list []Endpoint) (*Balancer, *host) {
 	t.Helper()
 	h := &host{now: time.Minute}
@@ -76,6 +76,8 @@
 	return b, h
 }
 
+// TestInvalidCallsAreIgnored makes calls that a correct host does not make: they must lead to no action and
+// leave the state unchanged.
 func TestInvalidCallsAreIgnored(t *testing.T) {
 	b, h := start(t, settings(), []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}})
 	b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: time.Second})
@@ -89,10 +91,10 @@
 		{"duplicate request", func() { b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: time.Second}) }},
 		{"unknown class", func() { b.Request(h.now, Request{ID: 2, Class: 9, Tenant: -1, Timeout: time.Second}) }},
 		{"result of an unknown request", func() { b.Result(h.now, Result{ID: 7}) }},
-		{"result of an attempt not made", func() { b.Result(h.now, Result{ID: 1, Attempt: 1}) }},
+		{"result of an attempt not sent", func() { b.Result(h.now, Result{ID: 1, Attempt: 1}) }},
 		{"result of a negative attempt", func() { b.Result(h.now, Result{ID: 1, Attempt: -1}) }},
-		{"answer of an unknown request", func() { b.ResponseStarted(h.now, 7, 0) }},
-		{"answer of an attempt not made", func() { b.ResponseStarted(h.now, 1, 4) }},
+		{"response to an unknown request", func() { b.ResponseStarted(h.now, 7, 0) }},
+		{"response to an attempt not sent", func() { b.ResponseStarted(h.now, 1, 4) }},
 		{"unknown client gone", func() { b.ClientGone(h.now, 7) }},
 		{"unknown endpoint removed", func() { b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "z", State: Removed}}) }},
 		{"unknown timer", func() { b.Timer(h.now, 99) }},
@@ -101,22 +103,22 @@
 			sent, timers := len(h.sent), len(h.timers)
 			tt.do()
 			if len(h.sent) != sent || len(h.timers) != timers || len(h.rejected)+len(h.failed)+h.cancelled > 0 {
-				t.Errorf("it led to an action: %+v", h)
+				t.Errorf("the call led to an action: %+v", h)
 			}
 			if len(b.requests) != 1 || b.known["a"].inFlight != 1 || len(b.listed) != 1 {
-				t.Errorf("it changed the state: %d requests, %d in flight", len(b.requests), b.known["a"].inFlight)
+				t.Errorf("the call changed the state: %d requests, %d in flight", len(b.requests), b.known["a"].inFlight)
 			}
 		})
 	}
 	b.Result(h.now, Result{ID: 1, Outcome: Served, Took: time.Millisecond, Finished: true})
 	b.Result(h.now, Result{ID: 1, Outcome: Served, Took: time.Millisecond, Finished: true})
 	if e := b.known["a"]; len(b.requests) != 0 || e.inFlight != 0 || e.waitingSinceSum != 0 {
-		t.Errorf("%d requests, %d in flight after the end, told twice", len(b.requests), e.inFlight)
+		t.Errorf("%d requests, %d in flight after two results of the same attempt", len(b.requests), e.inFlight)
 	}
 }
 
+// TestTimeGoingBack has the clock go back: each request must still end once and leave no state behind.
 func TestTimeGoingBack(t *testing.T) {
-	// Each request still ends once, and nothing is left over.
 	b, h := start(t, settings(), twoEndpoints())
 	for i := range RequestID(200) {
 		h.now += time.Duration(i%7-3) * 300 * time.Millisecond
@@ -125,6 +127,6 @@
 		h.finishAttempts(b, h.now-time.Duration(i%3)*time.Second, Served)
 	}
 	if len(b.requests) != 0 || b.known["a"].inFlight+b.known["b"].inFlight != 0 || len(h.failed) != 0 {
-		t.Errorf("%d requests left, %d failed", len(b.requests), len(h.failed))
+		t.Errorf("%d requests are left, %d failed", len(b.requests), len(h.failed))
 	}
 }
