--- a/balance/hedge_test.go
+++ b/balance/hedge_test.go
@@ -61,7 +61,7 @@
 				lost bool
 			}
 			fault, endpoints, firsts := false, map[string]*cores{}, map[RequestID]sent{}
-			f.answer = func(f *lossyHost, to string, _ int) (time.Duration, bool) {
+			f.respond = func(f *lossyHost, to string, _ int) (time.Duration, bool) {
 				if endpoints[to] == nil {
 					endpoints[to] = &cores{}
 				}
--- a/balance/late_attempt_test.go
+++ b/balance/late_attempt_test.go
@@ -7,8 +7,8 @@
 	"milletramp.example/milletramp/internal/lossdetect"
 )
 
-// TestDeadConnectionIsNotASlowEndpoint has one attempt stay without an answer while its endpoint answers
-// all others: it must not count against the endpoint. Where the endpoint is silent to all, it must.
+// TestDeadConnectionIsNotASlowEndpoint leaves one attempt without a response while its endpoint responds to
+// all others: the attempt must not count against the endpoint. If the endpoint responds to none, it must.
 func TestDeadConnectionIsNotASlowEndpoint(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		b, h := start(t, settings(), twoEndpoints())
@@ -21,25 +21,25 @@
 		if e.lastResponse = 0; !silent {
 			e.lastResponse = h.now
 		}
-		if owed := e.waitingSeconds(h.now); owed < 0.9 {
-			t.Fatalf("%v s are owed before it is late", owed)
+		if waiting := e.waitingSeconds(h.now); waiting < 0.9 {
+			t.Fatalf("waiting time %v s before the check of the late attempt, want 0.9 s at least", waiting)
 		}
 		b.Timer(h.now, late)
-		if owed := e.waitingSeconds(h.now); (owed < 0.1) == silent || (e.inFlight == 0) == silent {
-			t.Errorf("silent to all %v: %d in flight, %v s are owed", silent, e.inFlight, owed)
+		if waiting := e.waitingSeconds(h.now); (waiting < 0.1) == silent || (e.inFlight == 0) == silent {
+			t.Errorf("endpoint silent %v: %d in flight, waiting time %v s", silent, e.inFlight, waiting)
 		}
 		b.Result(h.now, Result{ID: 1, Endpoint: to, Outcome: TimedOut, Took: time.Second})
-		if len(h.sent) > 0 { // its next attempt, at the other one
+		if len(h.sent) > 0 { // the next attempt, at the other endpoint
 			b.Result(h.now, Result{ID: 1, Attempt: 1, Endpoint: h.sent[0].to, Finished: true})
 		}
 		if e.inFlight != 0 || e.waitingSinceSum != 0 || len(b.requests) != 0 {
-			t.Errorf("%d in flight, %v owed since, %d requests are left", e.inFlight, e.waitingSinceSum, len(b.requests))
+			t.Errorf("%d in flight, sum of waiting times %v, %d requests are left", e.inFlight, e.waitingSinceSum, len(b.requests))
 		}
 	}
 }
 
-// TestSwallowedRequestsDoNotSlowEndpoint has attempts time out while their endpoint answers all others, and then
-// while it answers none: only then does it look slower, and only then are they its own fault.
+// TestSwallowedRequestsDoNotSlowEndpoint has attempts time out while their endpoint responds to all others,
+// and then while it responds to none: only then may the endpoint look slower and be ejected.
 func TestSwallowedRequestsDoNotSlowEndpoint(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		b, h := start(t, settings(), identicalEndpoints(4))
@@ -50,7 +50,7 @@
 		for i := range RequestID(28) {
 			sendRequest(b, h, i+1)
 		}
-		out, late := h.sent, h.timers
+		sent, late := h.sent, h.timers
 		h.sent = nil
 		if !silent {
 			serveRequests(b, h, 12, 20*time.Millisecond)
@@ -58,56 +58,56 @@
 		for _, token := range late {
 			b.Timer(h.now, token)
 		}
-		h.now += 3 * time.Second // and so no time is left for another attempt
-		for _, s := range out {
+		h.now += 3 * time.Second // no time is left for another attempt
+		for _, s := range sent {
 			if !silent {
 				serveRequests(b, h, 12, 20*time.Millisecond)
 			}
 			b.Result(h.now, Result{ID: s.id, Endpoint: s.to, Outcome: TimedOut, Took: 3 * time.Second})
 		}
 		if after := b.expectedTime(b.known["a"], h.now); (after > 1.5*before) != silent {
-			t.Errorf("silent to all %v: %.3f s are expected after time-outs, %.3f before", silent, after, before)
+			t.Errorf("endpoints silent %v: expected response time %.3f s after time-outs, %.3f s before", silent, after, before)
 		}
 		if n := len(h.logs); (n == 4) != silent || n > 0 && !silent {
-			t.Errorf("silent to all %v: %d of 4 endpoints were ejected", silent, n)
+			t.Errorf("endpoints silent %v: %d of 4 endpoints were ejected", silent, n)
 		}
 	}
 }
 
-// TestSlowEndpointIsProbed has one endpoint be far too slow while the other goes on answering: it is tried
-// again in time, with one request at a time, and as long as it is slow only now and then.
+// TestSlowEndpointIsProbed has one endpoint be far too slow while the other responds as before. The slow one
+// must be probed from time to time, with one request at a time.
 func TestSlowEndpointIsProbed(t *testing.T) {
 	b, h := start(t, settings(), twoEndpoints())
 	serveRequests(b, h, 200, 20*time.Millisecond)
 	e := b.known["a"]
 	e.responseSeconds, e.lastSample = e.responseInFlight*10*b.objective, h.now
-	begun, tries, out := h.now, 0, Result{}
-	for i := RequestID(1e6); h.now < begun+5*decayTimeConstant; i++ {
+	started, probes, pending := h.now, 0, Result{}
+	for i := RequestID(1e6); h.now < started+5*decayTimeConstant; i++ {
 		h.now += 20 * time.Millisecond
-		if e.inFlight > 0 && h.now >= Time(out.ID) { // it is as slow as ever
-			out.ID, out.Took, out.Finished = RequestID(tries), 2*time.Second, true
-			b.Result(h.now, out)
+		if e.inFlight > 0 && h.now >= Time(pending.ID) { // it is still as slow
+			pending.ID, pending.Took, pending.Finished = RequestID(probes), 2*time.Second, true
+			b.Result(h.now, pending)
 		}
 		id := i
 		if e.inFlight == 0 {
-			id = RequestID(tries + 1)
+			id = RequestID(probes + 1)
 		}
 		if to := sendRequest(b, h, id); to != "a" {
 			b.Result(h.now, Result{ID: id, Endpoint: to, Took: 20 * time.Millisecond, Finished: true})
 			continue
 		}
-		if tries++; e.inFlight > 1 {
-			t.Fatal("a second try before the first has told")
+		if probes++; e.inFlight > 1 {
+			t.Fatal("a second probe while the first is in flight")
 		}
-		out = Result{ID: RequestID(h.now + 2*time.Second), Endpoint: "a"}
+		pending = Result{ID: RequestID(h.now + 2*time.Second), Endpoint: "a"}
 	}
-	if tries < 2 || tries > 8 {
-		t.Errorf("it was tried %d times in %v", tries, 5*decayTimeConstant)
+	if probes < 2 || probes > 8 {
+		t.Errorf("the slow endpoint was probed %d times in %v, want 2 to 8", probes, 5*decayTimeConstant)
 	}
 }
 
-// TestLateAttemptIsCheckedAgain has an endpoint be silent to all until an attempt is late and then answer
-// others: the attempt is on a dead connection, and counts no more from then on.
+// TestLateAttemptIsCheckedAgain has an endpoint respond to nothing until an attempt is late and then respond
+// to others: the attempt is on a dead connection and must no longer count as in flight.
 func TestLateAttemptIsCheckedAgain(t *testing.T) {
 	b, h := start(t, settings(), twoEndpoints())
 	serveRequests(b, h, 200, 20*time.Millisecond)
@@ -117,30 +117,30 @@
 	h.now += time.Second
 	b.Timer(h.now, late)
 	if e.inFlight != 1 {
-		t.Fatalf("%d in flight while it is silent to all", e.inFlight)
+		t.Fatalf("%d in flight while the endpoint responds to nothing, want 1", e.inFlight)
 	}
 	e.lastResponse = h.now
 	b.Timer(h.now+tickInterval, h.timers[len(h.timers)-1])
 	if e.inFlight != 0 {
-		t.Error("an attempt on a dead connection counts as in flight though its endpoint answers others")
+		t.Error("an attempt on a dead connection counts as in flight although its endpoint responds to others")
 	}
 }
 
-// TestSwallowedRequestIsRetried has one request in six swallowed while all others are answered: once that
-// is seen, late attempts are called off and made anew, a payment's never. Where answers just come late, or
-// where requests are no longer swallowed, nothing is called off.
+// TestSwallowedRequestIsRetried has one request in six get no response while all others do. Once the loss is
+// detected, late attempts must be cancelled and retried, except those of a class without repeats. If
+// responses are merely late, or nothing is lost, nothing may be cancelled.
 func TestSwallowedRequestIsRetried(t *testing.T) {
 	for _, tt := range []struct {
 		name      string
 		effect    Effect
 		swallowed bool
 		late      bool
-		want      bool // some are called off
+		want      bool // some attempts are cancelled
 	}{
 		{"swallowed", Idempotent, true, false, true},
-		{"swallowed payments", AtMostOnce, true, false, false},
+		{"swallowed, at most once", AtMostOnce, true, false, false},
 		{"late", Idempotent, false, true, false},
-		{"quick", Idempotent, false, false, false},
+		{"in time", Idempotent, false, false, false},
 	} {
 		set := settings()
 		set.CancelAllowed, set.Classes[0].Effect = true, tt.effect
@@ -150,8 +150,8 @@
 			at Time
 			Result
 		}
-		var out []end
-		off := 0
+		var pending []end
+		cancelled := 0
 		for i := RequestID(1e6); i < 1e6+2000; i++ {
 			h.now += 10 * time.Millisecond
 			h.timers, h.sent, h.cancelled = nil, nil, 0
@@ -165,53 +165,54 @@
 				if tt.swallowed && i%6 == 0 {
 					r = end{h.now + time.Second, Result{ID: s.id, Endpoint: s.to, Outcome: TimedOut, Took: time.Second}}
 				}
-				out = append(out, r)
+				pending = append(pending, r)
 			}
-			late := h.timers // of this request: it is looked at again at half an aim
-			due := out[:0:0]
-			for _, r := range out {
+			late := h.timers // of this request: it is checked after half a latency objective
+			due := pending[:0:0]
+			for _, r := range pending {
 				if r.at > h.now {
 					due = append(due, r)
 					continue
 				}
 				b.Result(h.now, r.Result)
 			}
-			out = due
+			pending = due
 			for _, token := range late {
-				out := b.requests[i]
-				if out == nil {
+				q := b.requests[i]
+				if q == nil {
 					continue
 				}
-				out.attempts[0].sent -= set.Classes[0].LatencyObjective / 2 // as if half an aim had passed
+				q.attempts[0].sent -= set.Classes[0].LatencyObjective / 2 // as if half a latency objective had passed
 				b.Timer(h.now, token)
-				out.attempts[0].sent += set.Classes[0].LatencyObjective / 2
+				q.attempts[0].sent += set.Classes[0].LatencyObjective / 2
 			}
-			off += h.cancelled
+			cancelled += h.cancelled
 			if i%10 == 0 {
 				b.Timer(h.now, tokenTick)
 			}
 		}
-		if (off > 20) != tt.want { // a hundredth: the first late answers are not told from lost ones
-			t.Errorf("%s: %d of 2000 requests were called off", tt.name, off)
+		if (cancelled > 20) != tt.want { // a hundredth: the first late responses cannot be distinguished from lost ones
+			t.Errorf("%s: %d of 2000 requests were cancelled", tt.name, cancelled)
 		}
 	}
 }
 
-// TestPauseDoesNotEject has an endpoint pause with many requests out, each for longer than nearly all
-// answers take. Danger: where all is nearly full, a pause that takes the largest endpoint out for seconds
-// leaves the others overrun. Danger: one that has vanished swallows what is sent to it until it is known.
-// So what is sent later tells more at once, and what was out counts in full once the silence lasts.
+// TestPauseDoesNotEject has an endpoint pause with many requests in flight, each for longer than nearly all
+// responses take. If the pause ejected the largest endpoint of a nearly full fleet for seconds, the others
+// would be overloaded. An endpoint that is gone, however, loses all requests until it is ejected. Therefore
+// attempts sent after the detection count at once, and those in flight count in full once the silence
+// persists.
 func TestPauseDoesNotEject(t *testing.T) {
 	const survival, requests = 0.001, 40
 	for _, tt := range []struct {
 		name    string
-		later   bool          // each is sent after the last was missed
-		noticed time.Duration // after which the rest of them is missed
+		later   bool          // each attempt is sent after the detection of the previous one
+		noticed time.Duration // time after which the other attempts are detected as late
 		ejected bool
 	}{
 		{"a pause", false, 200 * time.Millisecond, false},
-		{"what is sent later", true, 0, true},
-		{"it lasts", false, time.Duration(maxPauseObjectives * float64(time.Second)), true},
+		{"attempts sent later", true, 0, true},
+		{"the silence persists", false, time.Duration(maxPauseObjectives * float64(time.Second)), true},
 	} {
 		b, h := start(t, settings(), identicalEndpoints(4))
 		serveRequests(b, h, 400, 20*time.Millisecond)
--- a/balance/loadlevel_test.go
+++ b/balance/loadlevel_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// TestCongestionIsShedAtOnce has a fleet of 40 endpoints answer six times as late from one moment on. Danger: a
-// sidecar that goes by what answers have taught over seconds goes on as before, and so do all others.
+// TestCongestionIsShedAtOnce has a fleet of 40 endpoints respond six times as late from one moment on. A
+// sidecar that relied on response times observed over seconds would continue as before, as would all others,
+// and congest the fleet.
 func TestCongestionIsShedAtOnce(t *testing.T) {
 	set := settings()
 	set.Classes[0].LatencyObjective = 300 * time.Millisecond
@@ -17,38 +18,38 @@
 		to   string
 		took time.Duration
 	}
-	var out []due
-	run := func(length, took time.Duration) (asked, refused int) {
+	var inFlight []due
+	run := func(length, took time.Duration) (requests, rejected int) {
 		before := len(h.rejected)
 		for end := h.now + length; h.now < end; h.now += 20 * time.Millisecond {
 			if h.now%(100*time.Millisecond) == 0 {
 				b.Timer(h.now, tokenTick)
 			}
-			for len(out) > 0 && out[0].at <= h.now {
-				d := out[0]
-				out = out[1:]
+			for len(inFlight) > 0 && inFlight[0].at <= h.now {
+				d := inFlight[0]
+				inFlight = inFlight[1:]
 				b.Result(h.now, Result{ID: d.id, Endpoint: d.to, Took: d.took, Finished: true})
 			}
 			h.sent = nil
 			sendRequest(b, h, RequestID(h.now))
 			for _, s := range h.sent {
-				out = append(out, due{h.now + took, s.id, s.to, took})
+				inFlight = append(inFlight, due{h.now + took, s.id, s.to, took})
 			}
-			asked++
+			requests++
 		}
-		return asked, len(h.rejected) - before
+		return requests, len(h.rejected) - before
 	}
-	run(20*time.Second, 100*time.Millisecond) // until answers tell
-	if _, refused := run(5*time.Second, 100*time.Millisecond); refused > 0 {
-		t.Fatalf("%d requests were refused on a calm day", refused)
+	run(20*time.Second, 100*time.Millisecond) // until the response times are known
+	if _, rejected := run(5*time.Second, 100*time.Millisecond); rejected > 0 {
+		t.Fatalf("%d requests were rejected under normal load", rejected)
 	}
-	asked, refused := run(1200*time.Millisecond, 600*time.Millisecond)
-	if refused*5 < asked {
-		t.Errorf("%d of %d requests were refused in the first 1.2 s of a jam, a fifth is wanted", refused, asked)
+	requests, rejected := run(1200*time.Millisecond, 600*time.Millisecond)
+	if rejected*5 < requests {
+		t.Errorf("%d of %d requests were rejected in the first 1.2 s of the congestion, want a fifth at least", rejected, requests)
 	}
 }
 
-// manyIdenticalEndpoints is a list of many endpoints that are alike.
+// manyIdenticalEndpoints returns n endpoints that differ in their IDs only, for more than 26 of them.
 func manyIdenticalEndpoints(n int) (list []Endpoint) {
 	for i := range n {
 		list = append(
@@ -59,13 +60,13 @@
 	return list
 }
 
-// TestSilentGroupDoesNotRaiseLoadLevel has all endpoints of a kind fall silent while the others answer as ever: neither what
-// is out at those nor its time-outs say how long the others take. Danger: as a zone is lost, requests that
-// the rest could serve are refused.
+// TestSilentGroupDoesNotRaiseLoadLevel has all endpoints of a kind stop responding while the others respond
+// as before. Neither the requests in flight at the silent kind nor their time-outs may raise the load level,
+// or the loss of a zone would reject requests that the rest could serve.
 func TestSilentGroupDoesNotRaiseLoadLevel(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
-		silent bool // else the kind answers, but much later
+		silent bool // otherwise the kind responds, but much later
 		low    float64
 		high   float64
 	}{{"silent", true, 1, 1.2}, {"late", false, 2, 99}} {
@@ -87,11 +88,11 @@
 				z.homeGroup.lastResponse = h.now
 			}
 		}
-		z.inFlight, z.waitingSinceSum = 10, 10*(h.now-Time(time.Second)) // ten have been out for a second
+		z.inFlight, z.waitingSinceSum = 10, 10*(h.now-Time(time.Second)) // ten have been in flight for a second
 		a := attempt{endpoint: z, sent: h.now - 3*time.Second, inFlightAtSend: 2, expectedNow: 0.02}
 		b.recordOutcome(&a, Result{Outcome: TimedOut, Took: 3 * time.Second}, h.now)
 		if tick(); b.loadLevel.Level() < tt.low || b.loadLevel.Level() > tt.high {
-			t.Errorf("%s: level %.2f, want %v to %v", tt.name, b.loadLevel.Level(), tt.low, tt.high)
+			t.Errorf("%s: load level %.2f, want %v to %v", tt.name, b.loadLevel.Level(), tt.low, tt.high)
 		}
 	}
 }
--- a/balance/oncall_test.go
+++ b/balance/oncall_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestLogLinesAreDocumented keeps docs/oncall.md in step with what the module logs.
+// TestLogLinesAreDocumented checks that docs/oncall.md lists the log lines of this package.
 func TestLogLinesAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../docs/oncall.md")
 	if err != nil {
@@ -28,12 +28,12 @@
 		t.Fatal("failing endpoints left no log line")
 	}
 	before := len(h.logs)
-	for i := range RequestID(2) { // the second is not told again
+	for i := range RequestID(2) { // the second ejection is not logged again
 		b.Result(h.now, Result{ID: 100 + i, Endpoint: sendRequest(b, h, 100+i), Outcome: Saturated, Finished: true})
 		h.now += classEjectionTime
 	}
 	if n := len(h.logs) - before; n != 1 {
-		t.Errorf("%d log lines for an endpoint that turns a class away twice, want 1", n)
+		t.Errorf("%d log lines for an endpoint that rejects a class twice, want 1", n)
 	}
 	for _, line := range h.logs {
 		for _, e := range b.listed {
--- a/balance/peers_test.go
+++ b/balance/peers_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// peerReportRig is a Balancer with n endpoints of one weight in one group, and the actions that it took.
+// peerReportRig is a Balancer with n endpoints of equal weight in one group, and a record of its actions.
 type peerReportRig struct {
 	*Balancer
 	recorded *actionRecorder
@@ -31,7 +31,7 @@
 	r.lines = append(r.lines, fmt.Sprint("cancel ", id, n))
 }
 func (r *actionRecorder) Reject(id RequestID, after time.Duration) {
-	r.lines = append(r.lines, fmt.Sprint("refuse ", id, after))
+	r.lines = append(r.lines, fmt.Sprint("reject ", id, after))
 }
 func (r *actionRecorder) Fail(id RequestID) { r.lines = append(r.lines, fmt.Sprint("fail ", id)) }
 func (r *actionRecorder) Timer(after time.Duration, token uint64) {
@@ -64,10 +64,10 @@
 	return w
 }
 
-// sendSequentially plays n requests one after another and counts attempts by endpoint. Each is answered after 50 ms,
-// but for those at silent endpoints.
+// sendSequentially sends n requests one after another and counts the attempts by endpoint. Each is served
+// after 50 ms, except those at silent endpoints.
 func (w *peerReportRig) sendSequentially(n int, silent ...string) map[string]int {
-	went := map[string]int{}
+	counts := map[string]int{}
 	for range n {
 		w.next++
 		w.recorded.sent = nil
@@ -75,44 +75,44 @@
 		w.now += 50 * time.Millisecond
 		w.Timer(w.now, tokenTick)
 		for i, to := range w.recorded.sent {
-			went[to]++
+			counts[to]++
 			if !slices.Contains(silent, to) {
 				w.Result(w.now, Result{ID: w.next, Attempt: i, Endpoint: to, Took: 50 * time.Millisecond, Finished: true})
 			}
 		}
 	}
-	return went
+	return counts
 }
 
-// TestSuspectedEndpointsAreUsedLast: an endpoint that peers suspect gets no request while another has capacity,
-// and is used where there is no other.
+// TestSuspectedEndpointsAreUsedLast checks that an endpoint that peers suspect gets no request while another
+// has capacity, and is used if there is no other.
 func TestSuspectedEndpointsAreUsedLast(t *testing.T) {
 	w := newPeerReportRig(t, 6)
-	if went := w.sendSequentially(60); went["e1"] < 6 {
-		t.Fatalf("without a report it is not in the rotation: %v", went)
+	if counts := w.sendSequentially(60); counts["e1"] < 6 {
+		t.Fatalf("without a report endpoint e1 is not in the rotation: %v", counts)
 	}
 	w.SetSuspected([]PeerReport{{"e1", w.now + 1}, {"nobody", w.now + 1}})
 	w.now += 2
-	went := w.sendSequentially(30)
-	if went["e1"] > 0 || went["nobody"] > 0 || len(went) != 5 {
-		t.Errorf("suspected: %v", went)
+	counts := w.sendSequentially(30)
+	if counts["e1"] > 0 || counts["nobody"] > 0 || len(counts) != 5 {
+		t.Errorf("attempts %v while e1 is suspected", counts)
 	}
 	for _, id := range []string{"e0", "e2", "e3", "e4", "e5"} {
 		if !w.SetAdminDown(w.now, id, true) {
-			t.Fatal("not known: ", id)
+			t.Fatal("SetAdminDown reports a listed endpoint as unknown: ", id)
 		}
 	}
-	if went = w.sendSequentially(1); went["e1"] != 1 {
-		t.Errorf("the only one left, suspected: %v", went)
+	if counts = w.sendSequentially(1); counts["e1"] != 1 {
+		t.Errorf("attempts %v, want 1 at e1, which is suspected and the only endpoint left", counts)
 	}
 }
 
-// TestSuspicionEnds: a peer's report counts until it expires, this sidecar gets an answer itself, the endpoint is
-// restarted, or the peers withdraw it.
+// TestSuspicionEnds checks that a peer's report is in force until it expires, this sidecar gets a response
+// itself, the endpoint is restarted, or the peers withdraw the report.
 func TestSuspicionEnds(t *testing.T) {
 	for name, end := range map[string]func(w *peerReportRig){
 		"expired":         func(w *peerReportRig) { w.now += peerReportLifetime },
-		"own answer":      func(w *peerReportRig) { w.known["e1"].lastResponse = w.now },
+		"own response":    func(w *peerReportRig) { w.known["e1"].lastResponse = w.now },
 		"withdrawn":       func(w *peerReportRig) { w.SetSuspected(nil) },
 		"restarted":       func(w *peerReportRig) { w.SetAdminDown(w.now, "e1", true); w.SetAdminDown(w.now, "e1", false) },
 		"others reported": func(w *peerReportRig) { w.SetSuspected([]PeerReport{{"e2", w.now}}) },
@@ -131,9 +131,9 @@
 	}
 }
 
-// TestPeerReportsAdmitNoEndpoint: whatever peers report, an endpoint that is draining, removed or
-// administratively down gets no request, at most maxSuspectedShare of the ready weight is suspected, and a
-// request that finds an endpoint without the reports finds one with them.
+// TestPeerReportsAdmitNoEndpoint checks that, whatever peers report, an endpoint that is draining, removed or
+// administratively down gets no request, at most maxSuspectedShare of the ready weight is suspected, and
+// requests still find an endpoint.
 func TestPeerReportsAdmitNoEndpoint(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "endpoints")
@@ -170,15 +170,15 @@
 			}
 		}
 		if suspected > maxSuspectedShare*ready {
-			t.Errorf("%v of %v is suspected", suspected, ready)
+			t.Errorf("weight %v of %v is suspected", suspected, ready)
 		}
-		went := w.sendSequentially(3)
-		for id := range went {
+		counts := w.sendSequentially(3)
+		for id := range counts {
 			if unusable[id] {
-				t.Errorf("%s got a request", id)
+				t.Errorf("unusable endpoint %s got a request", id)
 			}
 		}
-		if len(unusable) < n && len(went) == 0 {
+		if len(unusable) < n && len(counts) == 0 {
 			t.Error("no request found an endpoint")
 		}
 	})
@@ -190,8 +190,8 @@
 	w.observed = append(w.observed, fmt.Sprint(endpoint, " ", s))
 }
 
-// TestObserverChangesNoAction: the same events with and without an observer, and with reports about unknown
-// endpoints, lead to the same actions.
+// TestObserverChangesNoAction checks that the same events lead to the same actions with and without an
+// observer, and with reports about unknown endpoints.
 func TestObserverChangesNoAction(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plain, watched := newPeerReportRig(t, 5), newPeerReportRig(t, 5)
@@ -215,7 +215,7 @@
 	})
 }
 
-// TestObservationsOfEachOutcome: the observer is notified of what each outcome of an attempt shows.
+// TestObservationsOfEachOutcome checks which observation each outcome of an attempt leads to.
 func TestObservationsOfEachOutcome(t *testing.T) {
 	for outcome, want := range map[Outcome][]string{Served: {"e0 0"}, Errored: {"e0 3"}, Reset: {"e0 3"}, ConnectFailed: {"e0 4"}, Saturated: nil,
 		Cancelled: nil, NotSent: nil} {
@@ -236,12 +236,12 @@
 	w.next++
 	w.now++
 	w.Request(w.now, Request{ID: w.next, Tenant: -1, Timeout: 10 * time.Second})
-	for range 30 { // its answer does not come
+	for range 30 { // without a response
 		w.now += tickInterval
 		w.Timer(w.now, tokenTick)
 		w.Timer(w.now, tokenAttempt+uint64(w.next)*maxAttemptsPerRequest)
 	}
 	if !slices.Equal(seen.observed, []string{"e0 1", "e0 2"}) {
-		t.Errorf("one without an answer is observed as %v, want late once and silent once", seen.observed)
+		t.Errorf("observations of an attempt without a response: %v, want late once and no response once", seen.observed)
 	}
 }
--- a/balance/reject_test.go
+++ b/balance/reject_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestMayReject asks whether a host may refuse a request by itself while an attempt is in flight, and once
-// none is or the request is not known.
+// TestMayReject checks whether a host may reject a request by itself while an attempt is in flight, and once
+// the request is over or if it is unknown.
 func TestMayReject(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
@@ -14,9 +14,9 @@
 		want  bool // with an attempt in flight
 	}{
 		{"idempotent", Class{Effect: Idempotent}, true},
-		{"keyed, repeats are dropped everywhere", Class{Effect: Deduplicated, Scope: ScopeAll, DedupeWindow: time.Minute}, true},
-		{"keyed, repeats are dropped in a zone", Class{Effect: Deduplicated, Scope: ScopeZone, DedupeWindow: time.Minute}, false},
-		{"unsafe to repeat", Class{Effect: AtMostOnce}, false},
+		{"deduplicated in all zones", Class{Effect: Deduplicated, Scope: ScopeAll, DedupeWindow: time.Minute}, true},
+		{"deduplicated within a zone", Class{Effect: Deduplicated, Scope: ScopeZone, DedupeWindow: time.Minute}, false},
+		{"at most once", Class{Effect: AtMostOnce}, false},
 	} {
 		set := settings()
 		tt.class.LatencyObjective, tt.class.Deadline, tt.class.Priority = time.Second, 3*time.Second, 1
@@ -29,13 +29,13 @@
 		if got := b.MayReject(1); got != tt.want {
 			t.Errorf("%s, in flight: %v, want %v", tt.name, got, tt.want)
 		}
-		b.Result(h.now, Result{ID: 1, Outcome: ConnectFailed}) // and the next attempt is in flight
+		b.Result(h.now, Result{ID: 1, Outcome: ConnectFailed}) // the next attempt is in flight
 		if got := b.MayReject(1); got != tt.want || len(h.sent) != 2 {
 			t.Errorf("%s, second attempt in flight: %v after %d attempts, want %v", tt.name, got, len(h.sent), tt.want)
 		}
 		b.ClientGone(h.now, 1)
 		if b.MayReject(1) || b.MayReject(2) {
-			t.Errorf("%s: a request that is over or unknown may be refused", tt.name)
+			t.Errorf("%s: a request that is over or unknown may be rejected", tt.name)
 		}
 	}
 }
