--- a/balance/route_test.go
+++ b/balance/route_test.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// TestBestRule checks which of several matching rules applies.
 func TestBestRule(t *testing.T) {
 	rule := func(name string, source Match) Rule {
 		return Rule{Name: name, Source: source, Service: Match{"service": "backend"}}
@@ -18,20 +19,20 @@
 		rules  []Rule
 		want   string
 	}{
-		{"A: the newest of identical selectors", mobile,
+		{"newest of identical selectors", mobile,
 			[]Rule{rule("1", Match{"service": "mobile"}), rule("2", Match{"service": "mobile"})}, "2"},
-		{"B: more tags", mobile,
+		{"more tags", mobile,
 			[]Rule{rule("1", Match{"service": "mobile", "version": "2"}), rule("2", Match{"service": "mobile"})}, "1"},
-		{"B: more tags though one is any", mobile,
+		{"more tags, one of which is any", mobile,
 			[]Rule{rule("1", Match{"service": "mobile", "version": "*"}), rule("2", Match{"service": "mobile"})}, "1"},
-		{"C: exact over any", mobile,
+		{"exact over any", mobile,
 			[]Rule{rule("1", Match{"service": "mobile"}), rule("2", Match{"service": "*"})}, "1"},
-		{"D: the newest of different tags", mobile,
+		{"newest of different tags", mobile,
 			[]Rule{rule("1", Match{"service": "mobile", "version": "2"}),
 				rule("2", Match{"service": "mobile", "region": "eu"})}, "2"},
-		{"a client without service and version meets any", map[string]string{"region": "eu"},
+		{"client without service and version matches any", map[string]string{"region": "eu"},
 			[]Rule{rule("1", Match{"service": "*"}), rule("2", Match{"service": "mobile"})}, "1"},
-		{"a tag that the client lacks is not met by any value", map[string]string{"region": "eu"},
+		{"tag that the client lacks does not match any", map[string]string{"region": "eu"},
 			[]Rule{rule("1", Match{"service": "*"}), rule("2", Match{"service": "*", "version": "*"})}, "1"},
 		{"no source matches", mobile, []Rule{rule("1", Match{"service": "desktop"})}, ""},
 		{"another service", mobile,
@@ -52,7 +53,7 @@
 	}
 }
 
-// routes plays n requests, each answered at once, and returns the endpoints in the order of their turns.
+// routes sends n requests, each served at once, and returns the endpoints in the order of selection.
 func routes(t *testing.T, rules []Rule, list []Endpoint, n int) []string {
 	t.Helper()
 	set := settings()
@@ -71,6 +72,7 @@
 	return order
 }
 
+// count counts the selections by endpoint.
 func count(order []string) map[string]int {
 	n := map[string]int{}
 	for _, id := range order {
@@ -79,6 +81,7 @@
 	return n
 }
 
+// canary returns a rule that splits traffic between kinds by weight.
 func canary(weights ...float64) []Rule {
 	kinds := []string{"big", "small"}
 	r := Rule{Name: "canary", Source: Match{"service": "*"}, Service: Match{"service": "*"}}
@@ -91,6 +94,7 @@
 	return []Rule{r}
 }
 
+// TestWeightedSplitIsInterleaved checks that a split of 80 to 20 holds over every five requests.
 func TestWeightedSplitIsInterleaved(t *testing.T) {
 	list := []Endpoint{
 		{ID: "a", Zone: "x", Kind: "big", Weight: 1},
@@ -98,15 +102,16 @@
 	}
 	order := routes(t, canary(80, 20), list, 100)
 	if got := count(order); got["a"] != 80 || got["b"] != 20 {
-		t.Fatalf("split %v, want 80 and 20", got)
+		t.Fatalf("split is %v, want 80 and 20", got)
 	}
 	for i := 0; i+5 <= len(order); i++ {
 		if got := count(order[i : i+5]); got["b"] != 1 {
-			t.Fatalf("turns %d to %d are %v: not interleaved", i, i+5, order[i:i+5])
+			t.Fatalf("selections %d to %d are %v: not interleaved", i, i+5, order[i:i+5])
 		}
 	}
 }
 
+// TestRotationIsEven checks that equal endpoints are selected in a fixed order.
 func TestRotationIsEven(t *testing.T) {
 	var list []Endpoint
 	for _, id := range []string{"a", "b", "c", "d"} {
@@ -115,21 +120,24 @@
 	order := routes(t, nil, list, 40)
 	for i := 4; i < len(order); i++ {
 		if order[i] != order[i-4] {
-			t.Fatalf("turn %d went to %s after %v", i, order[i], order[i-4:i])
+			t.Fatalf("selection %d is %s after %v", i, order[i], order[i-4:i])
 		}
 	}
 }
 
+// TestRotationFollowsWeight checks that endpoints are selected in proportion to their weight.
 func TestRotationFollowsWeight(t *testing.T) {
 	list := []Endpoint{
 		{ID: "a", Zone: "x", Kind: "big", Weight: 3},
 		{ID: "b", Zone: "x", Kind: "small", Weight: 1},
 	}
 	if got := count(routes(t, nil, list, 40)); got["a"] != 30 || got["b"] != 10 {
-		t.Errorf("turns %v, want 30 and 10", got)
+		t.Errorf("selections %v, want 30 and 10", got)
 	}
 }
 
+// TestGroupWeightFollowsReadyMembers drains one of two members of a group, which halves the weight of the
+// group. With its full weight the remaining member would be overloaded.
 func TestGroupWeightFollowsReadyMembers(t *testing.T) {
 	list := []Endpoint{
 		{ID: "a", Zone: "x", Kind: "big", Weight: 1},
@@ -145,26 +153,28 @@
 		[]Endpoint{{ID: "b", Zone: "x", Kind: "big", Weight: 1, State: Draining}},
 	)
 	if w := b.groups[0].weight(b.zoneWeight); math.Abs(w-25) > 1e-9 {
-		t.Errorf("a group that lost half of its members weighs %v, want 25", w)
+		t.Errorf("a group that lost half of its members has weight %v, want 25", w)
 	}
 }
 
+// TestEmptyGroups checks that the traffic of a group without members goes to the other groups, and that all
+// ready endpoints form one group if no group has a member.
 func TestEmptyGroups(t *testing.T) {
-	// A group without members gives its turns to the others; with no member in any, all ready ones are one
-	// group.
 	one := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}}
 	if got := count(routes(t, canary(50, 50), one, 10)); got["a"] != 10 {
-		t.Errorf("turns %v, want all at a", got)
+		t.Errorf("selections %v, want all 10 at a", got)
 	}
 	unknown := []Endpoint{
 		{ID: "a", Zone: "x", Kind: "new", Weight: 1},
 		{ID: "b", Zone: "x", Kind: "new", Weight: 1},
 	}
 	if got := count(routes(t, canary(50, 50), unknown, 10)); got["a"] != 5 || got["b"] != 5 {
-		t.Errorf("turns %v, want 5 each", got)
+		t.Errorf("selections %v, want 5 each", got)
 	}
 }
 
+// TestRotationSkipsBusierEndpoint checks that the next endpoint in the rotation is skipped if it has more
+// requests in flight than the one after it.
 func TestRotationSkipsBusierEndpoint(t *testing.T) {
 	b, h := start(
 		t,
@@ -174,21 +184,23 @@
 	for i := range 4 {
 		b.Request(h.now, Request{ID: RequestID(i), Tenant: -1, Timeout: time.Second})
 	}
-	// a and b hold two each. Once the one whose turn is next holds more, it yields.
-	due := b.groups[0].subset[b.groups[0].nextIndex%2]
+	// Endpoints a and b have two requests in flight each. Then one at the endpoint that is not next ends.
+	next := b.groups[0].subset[b.groups[0].nextIndex%2]
 	other := h.sent[0]
 	for _, s := range h.sent {
-		if s.to != due.ID {
+		if s.to != next.ID {
 			other = s
 		}
 	}
 	b.Result(h.now, Result{ID: other.id, Endpoint: other.to, Took: time.Millisecond, Finished: true})
 	b.Request(h.now, Request{ID: 9, Tenant: -1, Timeout: time.Second})
-	if got := h.sent[len(h.sent)-1].to; got == due.ID {
-		t.Errorf("the turn went to %s, which holds more than the next", got)
+	if got := h.sent[len(h.sent)-1].to; got == next.ID {
+		t.Errorf("%s was selected, which has more requests in flight than the next endpoint", got)
 	}
 }
 
+// TestRotationsStartAtDifferentEndpoints checks that sidecars with different seeds start their rotations at
+// different endpoints.
 func TestRotationsStartAtDifferentEndpoints(t *testing.T) {
 	list := []Endpoint{}
 	for _, id := range strings.Split("abcdefghij", "") {
@@ -203,56 +215,57 @@
 		first[h.sent[0].to] = true
 	}
 	if len(first) < 5 {
-		t.Errorf("20 sidecars began at only %d of 10 endpoints", len(first))
+		t.Errorf("the rotations of 20 sidecars start at only %d of 10 endpoints", len(first))
 	}
 }
 
+// TestInvalidSettings checks that the error for invalid settings names the field.
 func TestInvalidSettings(t *testing.T) {
 	tests := []struct {
-		name  string
-		spoil func(*Settings)
-		want  string
+		name   string
+		change func(*Settings)
+		want   string
 	}{
 		{"no classes", func(s *Settings) { s.Classes = nil }, "field Classes"},
-		{"no aim", func(s *Settings) { s.Classes[0].LatencyObjective = 0 }, `class 0, "read": field Aim`},
+		{"no latency objective", func(s *Settings) { s.Classes[0].LatencyObjective = 0 }, `class 0, "read": field Aim`},
 		{
-			"deadline before the aim",
+			"deadline shorter than the latency objective",
 			func(s *Settings) { s.Classes[0].Deadline = time.Millisecond },
 			"field Deadline",
 		},
 		{"unknown effect", func(s *Settings) { s.Classes[0].Effect = 9 }, "field Effect"},
 		{"unknown scope", func(s *Settings) { s.Classes[0].Scope = -1 }, "field Scope"},
-		{"worth is no number", func(s *Settings) { s.Classes[0].Priority = math.NaN() }, "field Worth"},
-		{"late answers worth more", func(s *Settings) { s.Classes[0].LatePriorityShare = 1.5 }, "field LateWorth"},
-		{"negative window", func(s *Settings) { s.Classes[0].DedupeWindow = -1 }, "field DedupeWindow"},
+		{"priority weight is not a number", func(s *Settings) { s.Classes[0].Priority = math.NaN() }, "field Worth"},
+		{"late responses with a higher priority weight", func(s *Settings) { s.Classes[0].LatePriorityShare = 1.5 }, "field LateWorth"},
+		{"negative dedupe window", func(s *Settings) { s.Classes[0].DedupeWindow = -1 }, "field DedupeWindow"},
 		{
 			"negative allowance",
 			func(s *Settings) { s.Tenants = []Tenant{{"t", -1}} },
 			`tenant 0, "t": field Allowance`,
 		},
 		{"no peers", func(s *Settings) { s.Peers = 0 }, "field Peers"},
-		{"number beyond its peers", func(s *Settings) { s.Ordinal = 1 }, "field Ordinal: sidecar 1 of 1"},
+		{"ordinal beyond the number of sidecars", func(s *Settings) { s.Ordinal = 1 }, "field Ordinal: sidecar 1 of 1"},
 		{"no attempts", func(s *Settings) { s.MaxAttempts = 0 }, "field MaxAttempts"},
-		{"cold share above all", func(s *Settings) { s.SlowStartCapacity = 1.1 }, "field StartCapacity"},
-		{"negative multiple", func(s *Settings) { s.OverloadMultiple = -1 }, "field FallMultiple"},
-		{"endless charge", func(s *Settings) { s.CrossZoneCharge = math.Inf(1) }, "field CrossCharge"},
-		{"negative call time", func(s *Settings) { s.MaxListAge = -1 }, "field MustAsk"},
-		{"negative cold time", func(s *Settings) { s.SlowStartWindow = -1 }, "field ColdTime"},
-		{"negative fall time", func(s *Settings) { s.OverloadWindow = -1 }, "field FallTime"},
+		{"slow start capacity above 1", func(s *Settings) { s.SlowStartCapacity = 1.1 }, "field StartCapacity"},
+		{"negative overload multiple", func(s *Settings) { s.OverloadMultiple = -1 }, "field FallMultiple"},
+		{"infinite cross-zone charge", func(s *Settings) { s.CrossZoneCharge = math.Inf(1) }, "field CrossCharge"},
+		{"negative maximum list age", func(s *Settings) { s.MaxListAge = -1 }, "field MustAsk"},
+		{"negative slow start window", func(s *Settings) { s.SlowStartWindow = -1 }, "field ColdTime"},
+		{"negative overload window", func(s *Settings) { s.OverloadWindow = -1 }, "field FallTime"},
 		{"negative weight", func(s *Settings) { s.Rules = canary(2, -1) },
 			`"canary": field Destinations[1]: weight -1`},
-		{"weight is no number", func(s *Settings) { s.Rules = canary(math.NaN(), 2) },
+		{"weight is not a number", func(s *Settings) { s.Rules = canary(math.NaN(), 2) },
 			`"canary": field Destinations[0]`},
-		{"weights without a sum", func(s *Settings) { s.Rules = canary(math.MaxFloat64, math.MaxFloat64) },
+		{"sum of weights overflows", func(s *Settings) { s.Rules = canary(math.MaxFloat64, math.MaxFloat64) },
 			`"canary": field Destinations`},
-		{"no weight", func(s *Settings) { s.Rules = canary(0, 0) }, `"canary": field Destinations`},
+		{"sum of weights is zero", func(s *Settings) { s.Rules = canary(0, 0) }, `"canary": field Destinations`},
 		{"no destination", func(s *Settings) { s.Rules = canary() }, `"canary": field Destinations`},
 		{
 			"no source",
 			func(s *Settings) { s.Rules = canary(1, 1); s.Rules[0].Source = nil },
 			`"canary": field Source`,
 		},
-		{"destinations by other tags", func(s *Settings) {
+		{"service selector with another tag", func(s *Settings) {
 			s.Rules = canary(1, 1)
 			s.Rules[0].Service = Match{"region": "x"}
 		}, `Service: tag "region"`},
@@ -260,21 +273,21 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			set := settings()
-			tt.spoil(&set)
+			tt.change(&set)
 			if _, err := New(set, &host{}); err == nil || !strings.Contains(err.Error(), tt.want) {
-				t.Errorf("error %v, want one that names %q", err, tt.want)
+				t.Errorf("error %v, want one that contains %q", err, tt.want)
 			}
 		})
 	}
 	if _, err := New(settings(), nil); err == nil {
-		t.Error("no error without actions")
+		t.Error("New accepts nil Actions")
 	}
 }
 
+// TestLowCrossZoneChargeShiftsMoreTraffic has the own zone respond in 200 ms and the other in 50 ms. The
+// difference is 0.15 of the latency objective and exceeds only a low cross-zone charge.
 func TestLowCrossZoneChargeShiftsMoreTraffic(t *testing.T) {
-	// The own zone answers in 200 ms, the other one in 50 ms: an eighth of the aim, and more than a cheap
-	// crossing.
-	abroad := func(charge float64) float64 {
+	otherZoneWeight := func(charge float64) float64 {
 		set := settings()
 		set.CrossZoneCharge = charge
 		b, h := start(
@@ -295,34 +308,35 @@
 		}
 		return b.zoneWeight[1]
 	}
-	if cheap, dear := abroad(0.01), abroad(0.1); cheap < 0.3 || dear > 0.1 {
-		t.Errorf("other zones weigh %.3f with cheap crossings and %.3f with dear ones", cheap, dear)
+	if low, high := otherZoneWeight(0.01), otherZoneWeight(0.1); low < 0.3 || high > 0.1 {
+		t.Errorf("weight of other zones %.3f with a low charge and %.3f with a high one", low, high)
 	}
 }
 
-// TestRemoteZoneIsNotAtCapacity has the own zone busy and an idle endpoint in a zone far away, whose answers take the
-// way there and back: it gets the next request, and nothing is tight.
+// TestRemoteZoneIsNotAtCapacity has a busy own zone and an idle endpoint in a remote zone, whose response
+// time includes a long round trip. The remote endpoint must get the next requests, and this must not count as
+// overload.
 func TestRemoteZoneIsNotAtCapacity(t *testing.T) {
-	far := Endpoint{ID: "far", Zone: "y", Kind: "big", Weight: 1}
-	b, h := start(t, settings(), append(twoEndpoints(), far))
-	aim := b.settings.Classes[0].LatencyObjective
-	away := twoEndpoints()
-	away[0].State, away[1].State = Draining, Draining
-	b.Endpoints(h.now, ListChanges, away)
-	serveRequests(b, h, 20, aim*6/10)
+	remote := Endpoint{ID: "remote", Zone: "y", Kind: "big", Weight: 1}
+	b, h := start(t, settings(), append(twoEndpoints(), remote))
+	objective := b.settings.Classes[0].LatencyObjective
+	draining := twoEndpoints()
+	draining[0].State, draining[1].State = Draining, Draining
+	b.Endpoints(h.now, ListChanges, draining)
+	serveRequests(b, h, 20, objective*6/10)
 	b.Endpoints(h.now, ListChanges, twoEndpoints())
-	b.known["far"].ejectedUntil = h.now + time.Hour // the own zone answers in a tenth of that time
-	serveRequests(b, h, 200, aim*6/100)
-	b.known["far"].ejectedUntil, b.zoneWeight[1] = 0, minZoneWeight
+	b.known["remote"].ejectedUntil = h.now + time.Hour // the own zone responds in a tenth of that time
+	serveRequests(b, h, 200, objective*6/100)
+	b.known["remote"].ejectedUntil, b.zoneWeight[1] = 0, minZoneWeight
 	for i := range RequestID(100) {
 		switch to := sendRequest(b, h, i+1); {
 		case to == "":
-			t.Fatalf("request %d is refused, and the idle far endpoint has had none", i)
+			t.Fatalf("request %d is rejected before the idle remote endpoint got any", i)
 		case h.now < b.overloadedUntil:
-			t.Fatalf("request %d finds all full, and the idle far endpoint has had none", i)
-		case to == "far":
+			t.Fatalf("request %d finds all endpoints at capacity before the idle remote endpoint got any", i)
+		case to == "remote":
 			return
 		}
 	}
-	t.Fatal("the far endpoint gets nothing")
+	t.Fatal("the remote endpoint gets no request")
 }
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -8,35 +8,37 @@
 	"time"
 )
 
-// checker is a host that holds every action against the rules. It keeps its own books, apart from the
-// module's.
+// checker is a host that checks every action against the rules. It tracks requests and endpoints
+// independently of the Balancer.
 type checker struct {
-	set      Settings
-	now      Time
-	requests map[RequestID]*openRequest
-	servers  map[string]*server
-	order    []string // server ids
-	timers   map[Time][]uint64
-	asked    int
-	faults   []string
-	sends    int
-	done     []string        // actions in order
-	out      map[string]bool // servers taken out by hand
+	set           Settings
+	now           Time
+	requests      map[RequestID]*openRequest
+	servers       map[string]*server
+	order         []string // server IDs
+	timers        map[Time][]uint64
+	subscriptions int
+	faults        []string
+	sends         int
+	done          []string        // actions in order
+	adminDown     map[string]bool // servers that are administratively down
 }
 
+// openRequest is a request without a final response, or with attempts in flight.
 type openRequest struct {
 	class    *Class
 	deadline Time
 	ended    bool
-	attempts []sentTry
+	attempts []sentAttemptState
 }
 
-type sentTry struct {
-	to   string
-	sent Time
-	done bool
-	ran  bool
-	free bool // done, and got nowhere
+// sentAttemptState is one attempt of a request.
+type sentAttemptState struct {
+	to      string
+	sent    Time
+	done    bool
+	ran     bool
+	notSent bool // done, and never reached an endpoint
 }
 
 type server struct {
@@ -60,22 +62,22 @@
 		c.fault("rule 3: send to %s, which is not ready", to)
 		return
 	}
-	if c.out[to] {
-		c.fault("send to %s, which is out by hand", to)
+	if c.adminDown[to] {
+		c.fault("send to %s, which is administratively down", to)
 	}
 	if timeout < 0 {
 		c.fault("negative timeout")
 	}
 	if len(r.attempts) >= c.set.MaxAttempts {
-		c.fault("attempt %d", len(r.attempts))
+		c.fault("attempt %d exceeds MaxAttempts", len(r.attempts))
 	}
-	out := 0
+	inFlight := 0
 	for _, a := range r.attempts {
 		if !a.done {
-			out++
+			inFlight++
 		}
-		if out > 1 || out > 0 && !c.set.HedgingAllowed {
-			c.fault("rule 2: %d attempts of %d are out already", out, id)
+		if inFlight > 1 || inFlight > 0 && !c.set.HedgingAllowed {
+			c.fault("rule 2: %d attempts of request %d are in flight already", inFlight, id)
 		}
 		if a.done && !a.ran || r.class.Effect == Idempotent {
 			continue
@@ -83,26 +85,27 @@
 		first := c.servers[a.to]
 		switch {
 		case r.class.Effect == AtMostOnce:
-			c.fault("rule 2: at-most-once request %d again", id)
+			c.fault("rule 2: at-most-once request %d is repeated", id)
 		case c.now-a.sent >= r.class.DedupeWindow:
-			c.fault("rule 2: request %d again after its window", id)
+			c.fault("rule 2: request %d is repeated after its dedupe window", id)
 		case r.class.Scope == ScopeZone && first.Zone != s.Zone,
 			r.class.Scope == ScopePodGroup && first.PodGroup != s.PodGroup:
-			c.fault("rule 2: request %d again outside its scope", id)
+			c.fault("rule 2: request %d is repeated outside its scope", id)
 		}
 	}
-	r.attempts = append(r.attempts, sentTry{to: to, sent: c.now})
+	r.attempts = append(r.attempts, sentAttemptState{to: to, sent: c.now})
 }
 
+// finish ends a request with a final response and returns it, or nil if it is over.
 func (c *checker) finish(id RequestID) *openRequest {
 	c.done = append(c.done, fmt.Sprint("end ", id))
 	r := c.requests[id]
 	if r == nil || r.ended {
-		c.fault("rule 1: second answer for %d", id)
+		c.fault("rule 1: second response to request %d", id)
 		return nil
 	}
 	if c.now > r.deadline+10*time.Millisecond {
-		c.fault("rule 1: late answer for %d", id)
+		c.fault("rule 1: late response to request %d", id)
 	}
 	r.ended = true
 	return r
@@ -114,17 +117,17 @@
 		return
 	}
 	if after < 0 || after.Seconds() > c.shortestObjective() {
-		c.fault("advice to wait %v", after) // a client that waits longer than its aim comes back for nothing
+		c.fault("Retry-After of %v", after) // a retry after the latency objective is useless
 	}
 	for _, a := range r.attempts {
 		if (!a.done || a.ran) &&
 			(r.class.Effect == AtMostOnce || r.class.Effect == Deduplicated && r.class.Scope != ScopeAll) {
-			c.fault("rule 2: refusal of %d, which may have run", id)
+			c.fault("rule 2: rejection of request %d, which may have been executed", id)
 		}
 	}
 }
 
-// shortestObjective is in seconds.
+// shortestObjective returns the shortest latency objective in seconds.
 func (c *checker) shortestObjective() float64 {
 	shortest := c.set.Classes[0].LatencyObjective
 	for _, class := range c.set.Classes {
@@ -137,7 +140,7 @@
 
 func (c *checker) Cancel(id RequestID, attempt int) {
 	if r := c.requests[id]; !c.set.CancelAllowed || r == nil || attempt >= len(r.attempts) {
-		c.fault("cancel of %d, attempt %d", id, attempt)
+		c.fault("cancel of request %d, attempt %d", id, attempt)
 	}
 }
 
@@ -149,14 +152,14 @@
 
 func (c *checker) Subscribe() {
 	if !c.set.PollDiscovery {
-		c.fault("subscription where changes are pushed")
+		c.fault("Subscribe called although changes are pushed")
 	}
-	c.asked++
+	c.subscriptions++
 }
 
 func (c *checker) Log(string) {}
 
-// play runs a random day in steps of a millisecond and returns the checker with its faults.
+// play runs a random sequence of events in steps of a millisecond and returns the checker with its faults.
 func play(t testing.TB, seed uint64, steps int) *checker {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 7))
@@ -173,14 +176,14 @@
 			DedupeWindow: 300 * time.Millisecond, LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, Priority: float64(1 + i)})
 	}
 	c := &checker{
-		set:      set,
-		now:      time.Minute,
-		requests: map[RequestID]*openRequest{},
-		servers:  map[string]*server{},
-		timers:   map[Time][]uint64{},
-		out:      map[string]bool{},
-	}
-	staff := rand.New(rand.NewPCG(seed, 8))
+		set:       set,
+		now:       time.Minute,
+		requests:  map[RequestID]*openRequest{},
+		servers:   map[string]*server{},
+		timers:    map[Time][]uint64{},
+		adminDown: map[string]bool{},
+	}
+	operator := rand.New(rand.NewPCG(seed, 8))
 	b, err := New(set, c)
 	if err != nil {
 		t.Fatal(err)
@@ -193,7 +196,7 @@
 				PodGroup: rng.IntN(2), Weight: 1},
 		)
 	}
-	tell := func(kind ListKind, entries []Endpoint) {
+	applyList := func(kind ListKind, entries []Endpoint) {
 		if kind != ListChanges {
 			for _, s := range c.servers {
 				s.listed = false
@@ -210,8 +213,8 @@
 		}
 		b.Endpoints(c.now, kind, entries)
 	}
-	tell(ListCached, list)
-	bad := map[string]Outcome{} // servers in trouble, and how they fail
+	applyList(ListCached, list)
+	faults := map[string]Outcome{} // faulty servers and the outcome of their attempts
 	type ending struct {
 		at  Time
 		id  RequestID
@@ -226,11 +229,11 @@
 			b.Timer(c.now, token)
 		}
 		delete(c.timers, c.now)
-		for ; c.asked > 0; c.asked-- {
+		for ; c.subscriptions > 0; c.subscriptions-- {
 			if flip(.5) {
 				b.Endpoints(c.now, ListFailed, nil)
 			} else {
-				tell(ListFull, list)
+				applyList(ListFull, list)
 			}
 		}
 		if flip(.01) { // the list changes
@@ -251,23 +254,23 @@
 				kind = ListFull
 				entries = slices.DeleteFunc(slices.Clone(list), func(e Endpoint) bool { return e.State == Removed })
 			}
-			tell(kind, entries)
+			applyList(kind, entries)
 		}
-		if staff.Float64() < .01 { // the staff takes a server out, or puts it back, some that are not listed too
-			id, out := list[staff.IntN(len(list))].ID, staff.IntN(2) == 0
-			known := c.servers[id].listed || c.out[id]
-			if got := b.SetAdminDown(c.now, id, out); got != known {
-				c.fault("%s is known: %v, want %v", id, got, known)
+		if operator.Float64() < .01 { // the operator sets a server, listed or not, administratively down or up
+			id, down := list[operator.IntN(len(list))].ID, operator.IntN(2) == 0
+			known := c.servers[id].listed || c.adminDown[id]
+			if got := b.SetAdminDown(c.now, id, down); got != known {
+				c.fault("SetAdminDown reports server %s as known: %v, want %v", id, got, known)
 			} else if known {
-				c.out[id] = out
+				c.adminDown[id] = down
 			}
 		}
-		if flip(.005) { // a server falls ill or recovers
+		if flip(.005) { // a server becomes faulty or recovers
 			id := list[rng.IntN(len(list))].ID
-			if _, ill := bad[id]; ill {
-				delete(bad, id)
+			if _, faulty := faults[id]; faulty {
+				delete(faults, id)
 			} else {
-				bad[id] = Outcome(1 + rng.IntN(7))
+				faults[id] = Outcome(1 + rng.IntN(7))
 			}
 		}
 		burst := 0
@@ -284,7 +287,7 @@
 			c.requests[next] = &openRequest{class: &set.Classes[r.Class], deadline: c.now + r.Timeout}
 			b.Request(c.now, r)
 			if flip(.02) && !c.requests[next].ended {
-				b.Request(c.now, r) // a mistake of the host's
+				b.Request(c.now, r) // a duplicate call by the host
 			}
 		}
 		for id := max(next, 3000) - 2999; id <= next; id++ {
@@ -298,7 +301,7 @@
 					continue
 				}
 				e := ending{at: c.now + time.Duration(20+rng.IntN(20))*time.Millisecond, id: id, n: n, how: Served}
-				if how, ill := bad[r.attempts[n].to]; ill {
+				if how, faulty := faults[r.attempts[n].to]; faulty {
 					e.how = how
 					e.at = c.now + time.Duration(10+rng.IntN(390))*time.Millisecond
 				}
@@ -331,28 +334,29 @@
 			b.Result(c.now, Result{ID: e.id, Attempt: e.n, Endpoint: a.to, Outcome: e.how,
 				Took: c.now - a.sent, Finished: r.ended})
 			if flip(.02) {
-				b.Result(c.now, Result{ID: e.id, Attempt: e.n, Endpoint: a.to, Outcome: e.how}) // told twice
+				b.Result(c.now, Result{ID: e.id, Attempt: e.n, Endpoint: a.to, Outcome: e.how}) // a duplicate result
 			}
 		}
 		for id, r := range c.requests {
 			if !r.ended && c.now > r.deadline+15*time.Millisecond {
-				c.fault("rule 1: no answer for %d", id)
+				c.fault("rule 1: no response to request %d", id)
 				r.ended = true
 			}
 		}
 		for id, r := range c.requests {
-			open := !r.ended || slices.ContainsFunc(r.attempts, func(a sentTry) bool { return !a.done })
+			open := !r.ended || slices.ContainsFunc(r.attempts, func(a sentAttemptState) bool { return !a.done })
 			if !open {
 				delete(c.requests, id)
 			}
 		}
 	}
 	if len(b.requests) > len(c.requests) {
-		c.fault("%d requests are still known, %d are open", len(b.requests), len(c.requests))
+		c.fault("the Balancer has %d open requests, want %d at most", len(b.requests), len(c.requests))
 	}
 	return c
 }
 
+// TestRandomEventsKeepRules checks every action of a Balancer in random sequences of events.
 func TestRandomEventsKeepRules(t *testing.T) {
 	sends := 0
 	for seed := range uint64(40) {
@@ -366,10 +370,11 @@
 		}
 	}
 	if sends < 5000 {
-		t.Errorf("only %d sends: the days test little", sends)
+		t.Errorf("only %d attempts were sent: the sequences test too little", sends)
 	}
 }
 
+// TestActionsAreDeterministic checks that the same events lead to the same actions.
 func TestActionsAreDeterministic(t *testing.T) {
 	for seed := range uint64(5) {
 		a, b := play(t, seed, 3000), play(t, seed, 3000)
@@ -379,10 +384,10 @@
 	}
 }
 
-// coldSends plays a burst on a fleet of warm endpoints that take 20 ms a request and a freshly started one,
-// and returns how many sends the started one gets in each FallTime at most, and how many it may get from
-// this sidecar.
-func coldSends(t *testing.T, peers int, retries bool) (most int, part float64) {
+// coldSends sends a burst to two warmed-up endpoints with a response time of 20 ms and to one that has just
+// started. It returns the maximum number of attempts at the latter within an overload window, and the number
+// that this sidecar may send.
+func coldSends(t *testing.T, peers int, retries bool) (most int, limit float64) {
 	t.Helper()
 	set := settings()
 	set.Peers = peers
@@ -411,12 +416,12 @@
 		}
 	}
 	b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "c", Zone: "x", Kind: "big", Weight: 1, Started: h.now}})
-	var cold []Time
+	var coldAttempts []Time
 	for range 50 {
 		step(20)
 		for n := 0; n < len(h.sent); n++ {
 			if h.sent[n].to == "c" {
-				cold = append(cold, h.now)
+				coldAttempts = append(coldAttempts, h.now)
 				if retries {
 					b.Result(h.now, Result{ID: h.sent[n].id, Endpoint: "c", Outcome: Saturated})
 				}
@@ -424,40 +429,42 @@
 		}
 		h.sent = h.sent[:0]
 	}
-	for i, from := range cold {
+	for i, from := range coldAttempts {
 		n := 0
-		for _, at := range cold[i:] {
+		for _, at := range coldAttempts[i:] {
 			if at-from < set.OverloadWindow {
 				n++
 			}
 		}
 		most = max(most, n)
 	}
-	// At the end of the second its share of capacity is a little higher than at the start.
+	// At the end of the second the endpoint's share of its capacity is a little higher than at the start.
 	share := set.SlowStartCapacity + (1-set.SlowStartCapacity)*1.0/set.SlowStartWindow.Seconds()
 	return most, set.OverloadMultiple * share * 50 * set.OverloadWindow.Seconds() / float64(peers)
 }
 
+// TestSlowStartAllowance checks that a sidecar sends a cold endpoint no more than its part of the overload
+// limit, also if the endpoint rejects requests.
 func TestSlowStartAllowance(t *testing.T) {
 	for _, peers := range []int{1, 2, 5} {
 		for _, retries := range []bool{false, true} {
-			most, part := coldSends(t, peers, retries)
-			if float64(most) > max(part, 1) || most == 0 {
+			most, limit := coldSends(t, peers, retries)
+			if float64(most) > max(limit, 1) || most == 0 {
 				t.Errorf(
-					"%d peers, retries %v: %d sends to the cold endpoint, want 1 to %.1f",
+					"%d peers, retries %v: %d attempts at the cold endpoint, want 1 to %.1f",
 					peers,
 					retries,
 					most,
-					part,
+					limit,
 				)
 			}
 		}
 	}
 }
 
-// overShares counts which of the requests of two equal tenants count as beyond their share in one of a
-// thousand sidecars that gets rate requests a second for 20 s, of which the second tenant sends the given
-// part.
+// overShares runs one of a thousand sidecars at rate requests per second for 20 s. Two tenants have equal
+// allowances, and the second sends the given share of the requests. It returns, by tenant, the share of
+// requests that count as beyond the allowance.
 func overShares(t *testing.T, rate, second float64) (over [2]float64) {
 	t.Helper()
 	set := settings()
@@ -469,7 +476,7 @@
 	for range int(20 / tickInterval.Seconds()) {
 		h.now += tickInterval
 		b.Timer(h.now, tokenTick)
-		for owed := rate * tickInterval.Seconds(); rng.Float64() < owed; owed-- {
+		for expected := rate * tickInterval.Seconds(); rng.Float64() < expected; expected-- {
 			i := 0
 			if rng.Float64() < second {
 				i = 1
@@ -483,20 +490,22 @@
 	return [2]float64{over[0] / max(all[0], 1), over[1] / max(all[1], 1)}
 }
 
+// TestTenantAllowanceOfManySidecars checks that in a large fleet few requests of usual traffic count as
+// beyond the tenants' allowances, and more of a tenant that sends most of the traffic.
 func TestTenantAllowanceOfManySidecars(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
 		rate, second float64
-		low, high    [2]float64 // bounds of the shares that count as beyond
+		low, high    [2]float64 // bounds of the shares that count as beyond the allowance
 	}{
-		{"usual traffic", 1, .5, [2]float64{0, 0}, [2]float64{.1, .1}},
-		{"a busy sidecar", 10, .5, [2]float64{0, 0}, [2]float64{.35, .35}},
-		{"a tenant that takes the most", 10, .9, [2]float64{0, .2}, [2]float64{0, .6}},
+		{"normal traffic", 1, .5, [2]float64{0, 0}, [2]float64{.1, .1}},
+		{"busy sidecar", 10, .5, [2]float64{0, 0}, [2]float64{.35, .35}},
+		{"tenant with most of the traffic", 10, .9, [2]float64{0, .2}, [2]float64{0, .6}},
 	} {
 		got := overShares(t, tt.rate, tt.second)
 		for i := range got {
 			if got[i] < tt.low[i] || got[i] > tt.high[i] {
-				t.Errorf("%s: %.2f of tenant %d is beyond its share, want %.2f to %.2f", tt.name, got[i], i, tt.low[i],
+				t.Errorf("%s: share %.2f of the requests of tenant %d is beyond its allowance, want %.2f to %.2f", tt.name, got[i], i, tt.low[i],
 					tt.high[i])
 			}
 		}
--- a/balance/sequence_test.go
+++ b/balance/sequence_test.go
@@ -12,25 +12,25 @@
 	"milletramp.example/milletramp/internal/lab/testrun"
 )
 
-// sequences is how many random sequences of events are played, unless -rapid.checks asks for another number.
+// sequences is the number of random sequences of events, unless -rapid.checks sets another.
 const sequences = 10_000
 
-// TestSequences plays short random sequences of events, in which attempts are answered, lost, broken and
-// turned away in any order. The checker holds the rules on repeats and answers; here are further the budget
-// for what goes out again, by class and in all, and that a request with nothing out is answered at once.
+// TestSequences runs short random sequences of events, in which attempts are served, lost, reset and rejected
+// in any order. The checker checks the rules on repeats and responses. In addition the test checks the retry
+// budget, by class and in total, and that a request without attempts in flight is over.
 func TestSequences(t *testing.T) {
 	if f := flag.Lookup("rapid.checks"); f != nil && f.Value.String() == f.DefValue {
 		_ = f.Value.Set(fmt.Sprint(testrun.Draws(sequences)))
 		defer func() { _ = f.Value.Set(f.DefValue) }()
 	}
-	copies := 0 // sequences that had one
+	hedgedSequences := 0 // sequences with a hedged request
 	rapid.Check(t, func(t *rapid.T) {
 		set := settings()
 		set.MaxAttempts = rapid.IntRange(1, 4).Draw(t, "attempts at most")
 		set.CancelAllowed, set.HedgingAllowed = rapid.Bool().
 			Draw(t, "cancelling"),
 			rapid.Bool().
-				Draw(t, "second copies")
+				Draw(t, "hedging")
 		set.Classes = nil
 		for i, e := range []Effect{Idempotent, Deduplicated, Deduplicated, AtMostOnce} {
 			set.Classes = append(set.Classes, Class{Name: fmt.Sprint(i), Effect: e, Scope: ScopePodGroup,
@@ -50,14 +50,14 @@
 		}
 		b.Endpoints(c.now, ListCached, list)
 		var next RequestID
-		var asked []*openRequest // by number
-		extra, answers := 0, 0
+		var sent []*openRequest // by ID
+		hedges, responses := 0, 0
 		served := map[*Class]float64{}
 		request := func(class int, within time.Duration) *openRequest {
 			next++
 			r := &openRequest{class: &set.Classes[class], deadline: c.now + within}
 			c.requests[next] = r
-			asked = append(asked, r)
+			sent = append(sent, r)
 			b.Request(
 				c.now,
 				Request{ID: next, Class: class, Tenant: -1, Timeout: within, Retry: next > 60 && next%3 == 0},
@@ -67,10 +67,10 @@
 		end := func(id RequestID, n int, how Outcome) {
 			r := c.requests[id]
 			a := &r.attempts[n]
-			a.free = how == ConnectFailed || how == NotSent
-			a.done, a.ran = true, how != Saturated && !a.free
+			a.notSent = how == ConnectFailed || how == NotSent
+			a.done, a.ran = true, how != Saturated && !a.notSent
 			if how == Served {
-				answers++
+				responses++
 				served[r.class]++
 				r.ended = true
 			}
@@ -83,9 +83,9 @@
 		var ns []int
 		open := func() ([]RequestID, []int) {
 			ids, ns = ids[:0], ns[:0]
-			for i := max(len(asked)-30, 0); i < len(asked); i++ {
-				for n := range asked[i].attempts {
-					if !asked[i].attempts[n].done {
+			for i := max(len(sent)-30, 0); i < len(sent); i++ {
+				for n := range sent[i].attempts {
+					if !sent[i].attempts[n].done {
 						ids, ns = append(ids, RequestID(i+1)), append(ns, n)
 					}
 				}
@@ -98,15 +98,15 @@
 				for _, token := range c.timers[c.now] {
 					before := c.sends
 					b.Timer(c.now, token)
-					extra += c.sends - before // only a second copy is sent for a timer
+					hedges += c.sends - before // only hedged attempts are sent by a timer
 				}
 				delete(c.timers, c.now)
 				if len(b.requests) == 0 {
 					continue
 				}
 				ids, ns := open()
-				for i, id := range ids { // no attempt outlasts its client, nor one that was called off
-					r := asked[id-1]
+				for i, id := range ids { // an attempt ends at the latest with its client or its cancellation
+					r := sent[id-1]
 					switch {
 					case r.ended && set.CancelAllowed:
 						end(id, ns[i], Cancelled)
@@ -116,7 +116,7 @@
 				}
 			}
 		}
-		for i := range 60 { // enough to know how long answers take
+		for i := range 60 { // enough to estimate response times
 			request(i%4, time.Second)
 			wait(time.Duration(2+i%3) * time.Millisecond)
 			ids, ns := open()
@@ -124,7 +124,7 @@
 				end(id, ns[i], Served)
 			}
 		}
-		extra, answers = 0, 0 // the budget is full by now
+		hedges, responses = 0, 0 // the retry budget is at its maximum by now
 		clear(served)
 		warm, spent := next, map[*Class]float64{}
 		t.Repeat(map[string]func(*rapid.T){
@@ -134,7 +134,7 @@
 					time.Duration(rapid.SampledFrom([]int{20, 200, 1000}).Draw(t, "within"))*time.Millisecond,
 				)
 			},
-			"burst": func(t *rapid.T) { // that would take more than what is put by
+			"burst": func(t *rapid.T) { // with more failures than the retry budget allows
 				class := rapid.IntRange(0, 1).Draw(t, "class")
 				for range 12 {
 					request(class, time.Second)
@@ -163,10 +163,10 @@
 			"wait": func(t *rapid.T) {
 				wait(time.Duration(rapid.SampledFrom([]int{1, 5, 20, 60, 150, 300}).Draw(t, "ms")) * time.Millisecond)
 			},
-			"answer": func(t *rapid.T) {
+			"respond": func(t *rapid.T) {
 				ids, ns := open()
 				if len(ids) == 0 {
-					t.Skip("nothing is out")
+					t.Skip("nothing is in flight")
 				}
 				i := rapid.IntRange(0, len(ids)-1).Draw(t, "which")
 				end(ids[i], ns[i], Served)
@@ -174,14 +174,14 @@
 			"fail": func(t *rapid.T) {
 				ids, ns := open()
 				if len(ids) == 0 {
-					t.Skip("nothing is out")
+					t.Skip("nothing is in flight")
 				}
 				i := rapid.IntRange(0, len(ids)-1).Draw(t, "which")
 				how := rapid.SampledFrom([]Outcome{Errored, Saturated, ConnectFailed, Reset, Cancelled, NotSent}).
 					Draw(t, "how")
 				end(ids[i], ns[i], how)
 			},
-			"leave": func(t *rapid.T) {
+			"disconnect": func(t *rapid.T) {
 				id := RequestID(rapid.IntRange(1, int(next)).Draw(t, "who"))
 				if r := c.requests[id]; !r.ended {
 					r.ended = true
@@ -193,37 +193,37 @@
 					t.Fatal(c.faults[0])
 				}
 				clear(spent)
-				whole := 0.0
+				total := 0.0
 				for id := warm + 1; id <= next; id++ {
 					r := c.requests[id]
-					if !r.ended && !slices.ContainsFunc(r.attempts, func(a sentTry) bool { return !a.done }) {
-						t.Fatalf("request %d has nothing out and no answer", id)
+					if !r.ended && !slices.ContainsFunc(r.attempts, func(a sentAttemptState) bool { return !a.done }) {
+						t.Fatalf("request %d has no attempt in flight and no response", id)
 					}
 					for n := 1; n < len(r.attempts); n++ {
-						if slices.ContainsFunc(r.attempts[:n], func(a sentTry) bool { return !a.free }) {
+						if slices.ContainsFunc(r.attempts[:n], func(a sentAttemptState) bool { return !a.notSent }) {
 							spent[r.class]++
-							whole++
+							total++
 						}
 					}
 				}
 				for class, n := range spent {
 					if most := retryBudgetMax + retryBudgetRatio*served[class]; n > most+1e-6 {
 						t.Fatalf(
-							"%.0f further attempts of a class after %.0f answers, want %.0f at most",
+							"%.0f further attempts of a class after %.0f responses of the class, want %.0f at most",
 							n,
 							served[class],
 							most,
 						)
 					}
 				}
-				if most := retryBudgetMax + retryBudgetRatio*float64(answers); whole > most+1e-6 {
-					t.Fatalf("%.0f further attempts after %d answers, want %.0f at most", whole, answers, most)
+				if most := retryBudgetMax + retryBudgetRatio*float64(responses); total > most+1e-6 {
+					t.Fatalf("%.0f further attempts after %d responses, want %.0f at most", total, responses, most)
 				}
 			},
 		})
-		copies += min(extra, 1)
+		hedgedSequences += min(hedges, 1)
 	})
-	if copies < 100 {
-		t.Errorf("second copies in %d sequences alone: they test nothing", copies)
+	if hedgedSequences < 100 {
+		t.Errorf("hedged requests in only %d sequences, want 100 at least", hedgedSequences)
 	}
 }
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// fleet lists n alike endpoints of one group.
+// fleet returns n equal endpoints of one group.
 func fleet(n int) (list []Endpoint) {
 	for i := range n {
 		list = append(list, Endpoint{ID: fmt.Sprintf("s%04d", i), Zone: "x", Kind: "big", Weight: 1})
@@ -16,7 +16,7 @@
 	return list
 }
 
-// startSidecar starts number self of peers on a fleet.
+// startSidecar starts the sidecar with ordinal self of a number of peers.
 func startSidecar(t *testing.T, self, peers int, list []Endpoint) (*Balancer, *host) {
 	t.Helper()
 	set := settings()
@@ -24,6 +24,7 @@
 	return start(t, set, list)
 }
 
+// ids returns the IDs of the members.
 func ids(members []*endpoint) (out []string) {
 	for _, e := range members {
 		out = append(out, e.ID)
@@ -31,6 +32,7 @@
 	return out
 }
 
+// TestSubsetsSpreadEvenly checks that the subsets of 1000 idle sidecars spread evenly over 200 endpoints.
 func TestSubsetsSpreadEvenly(t *testing.T) {
 	const peers, servers = 1000, 200
 	list := fleet(servers)
@@ -52,22 +54,24 @@
 	}
 }
 
+// TestSubsetSizeFollowsTraffic checks that the subset grows with the sidecar's traffic and keeps its members.
 func TestSubsetSizeFollowsTraffic(t *testing.T) {
 	b, h := startSidecar(t, 3, 10, fleet(200))
 	first := ids(b.active)
-	for range 300 { // 30 s of 10 requests a second
+	for range 300 { // 30 s of 10 requests per second
 		h.now += tickInterval
 		b.Timer(h.now, tokenTick)
 		serveRequests(b, h, 1, 10*time.Millisecond)
 	}
 	if n, want := len(b.active), 10*decayTimeConstant.Seconds(); float64(n) < want*0.8 || float64(n) > want*1.2 {
-		t.Errorf("at 10 requests a second %d endpoints are used, want about %.0f", n, want)
+		t.Errorf("at 10 requests per second %d endpoints are active, want about %.0f", n, want)
 	}
 	if got := ids(b.active); !slices.Equal(got[:len(first)], first) {
-		t.Errorf("a wider subset begins with %v, the narrow one was %v", got[:len(first)], first)
+		t.Errorf("the larger subset begins with %v, the smaller one was %v", got[:len(first)], first)
 	}
 }
 
+// TestSubsetReplacesEjectedEndpoints checks that the subset has one more member for an ejected one.
 func TestSubsetReplacesEjectedEndpoints(t *testing.T) {
 	b, h := startSidecar(t, 3, 10, fleet(200))
 	first := ids(b.active)
@@ -88,10 +92,12 @@
 		t.Fatalf("%d ejections, want 1", len(h.logs))
 	}
 	if n, want := len(b.active), int(math.Ceil(b.arrivals))+1; n != want {
-		t.Errorf("%d endpoints are used with one ejected, want %d", n, want)
+		t.Errorf("%d endpoints are active with one ejected, want %d", n, want)
 	}
 }
 
+// TestAddedEndpointMovesFewSubsetMembers checks that one added endpoint changes at most one member of each
+// subset on average.
 func TestAddedEndpointMovesFewSubsetMembers(t *testing.T) {
 	const servers = 200
 	moved := 0
@@ -107,16 +113,16 @@
 	}
 	if moved > 100 {
 		t.Errorf(
-			"one more endpoint among %d moved %d members of 100 subsets, want one a subset at most",
+			"one endpoint added to %d changed %d members of 100 subsets, want 100 at most",
 			servers,
 			moved,
 		)
 	}
 }
 
-// TestColdEndpointAmongManySidecars guards rule 4: what all sidecars together send to a cold endpoint stays
-// within its turns, also when each has nowhere else to go, whatever their number, and with none of them
-// knowing it.
+// TestColdEndpointAmongManySidecars checks that the attempts of all sidecars at a cold endpoint stay within
+// its share, whatever the number of sidecars, also if all other endpoints reject and the sidecars do not
+// coordinate (rule 4).
 func TestColdEndpointAmongManySidecars(t *testing.T) {
 	const seconds = 2
 	for _, peers := range []int{5, 100, 1000} {
@@ -132,12 +138,12 @@
 				h.now += tickInterval
 				b.Timer(h.now, tokenTick)
 				for share := 8000 / peers * (self % 2); int(id)*seconds*10 < share*(tick+1); {
-					id++ // half of the sidecars carry all traffic
+					id++ // half of the sidecars have all the traffic
 					to := sendRequest(b, h, id)
 					if all++; to == fresh.ID {
 						cold++
 					}
-					if to != "" { // all others turn requests away at once
+					if to != "" { // all other endpoints reject at once
 						outcome := Saturated
 						if to == fresh.ID {
 							outcome = Served
@@ -147,11 +153,11 @@
 				}
 			}
 		}
-		// The mean endpoint gets one of 20 requests, and each request may be tried three times.
+		// On average an endpoint gets one of 20 requests, and each request may be attempted three times.
 		warm := settings().SlowStartCapacity + (1-settings().SlowStartCapacity)*seconds/settings().SlowStartWindow.Seconds()
 		if most := all / 20 * 3 * warm; cold > most {
 			t.Errorf(
-				"%d sidecars sent %.0f of %.0f requests to a cold endpoint, want %.0f at most",
+				"%d sidecars sent %.0f of %.0f requests to the cold endpoint, want %.0f at most",
 				peers,
 				cold,
 				all,
@@ -161,7 +167,7 @@
 	}
 }
 
-// pollingHost records when a Balancer is to call discovery.
+// pollingHost records the delay after which a Balancer calls discovery.
 type pollingHost struct {
 	host
 	after time.Duration
@@ -173,6 +179,8 @@
 	}
 }
 
+// TestFirstDiscoveryCallsAreSpread checks that the first discovery calls of 1000 sidecars that start together
+// are spread evenly over half of the maximum list age.
 func TestFirstDiscoveryCallsAreSpread(t *testing.T) {
 	set := settings()
 	set.PollDiscovery, set.MaxListAge, set.Peers = true, 10*time.Second, 1000
@@ -183,20 +191,20 @@
 			t.Fatal(err)
 		}
 		if a.after < 0 || a.after >= set.MaxListAge/2 {
-			t.Fatalf("sidecar %d calls after %v, want half of MustAsk at most", set.Ordinal, a.after)
+			t.Fatalf("sidecar %d calls discovery after %v, want half of MaxListAge at most", set.Ordinal, a.after)
 		}
 		seconds[a.after/time.Second]++
 	}
 	for i, n := range seconds {
 		if n < 150 || n > 250 {
-			t.Errorf("%d of 1000 sidecars call in second %d, want about 200", n, i)
+			t.Errorf("%d of 1000 sidecars call discovery in second %d, want about 200", n, i)
 		}
 	}
 }
 
-// TestColdFleetServesRequests guards the time after a power cut: where every endpoint has just started, requests still go
-// out, and none of the endpoints gets much more than its share. Danger: turns kept to the letter leave
-// nearly every request without one.
+// TestColdFleetServesRequests has every endpoint just started, as after a power failure. Requests must still
+// be sent, and no endpoint may get much more than its share. If slow start were applied strictly, nearly
+// every request would be rejected.
 func TestColdFleetServesRequests(t *testing.T) {
 	set := settings()
 	set.Zones = []string{"x", "y", "z"}
@@ -223,7 +231,7 @@
 		h.finishAttempts(b, h.now, Served)
 	}
 	if n := len(h.rejected); n > requests/20 {
-		t.Errorf("%d of %d requests are refused while all endpoints are idle and cold", n, requests)
+		t.Errorf("%d of %d requests were rejected while all endpoints are idle and cold", n, requests)
 	}
 	for id, n := range got {
 		if most := maxOverflowShares*requests/12 + 2; float64(n) > most {
