--- a/balance/admin_test.go
+++ b/balance/admin_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// countByEndpoint sends n requests a millisecond apart, each answered at once, and counts the attempts by
+// countByEndpoint sends n requests a millisecond apart, each served at once, and counts the attempts by
 // endpoint.
 func countByEndpoint(b *Balancer, h *host, n int) map[string]int {
 	got := map[string]int{}
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -14,7 +14,7 @@
 	fmt.Println("send", id, "to", endpoint)
 }
 func (printer) Cancel(id balance.RequestID, attempt int)     { fmt.Println("cancel", id, attempt) }
-func (printer) Reject(id balance.RequestID, _ time.Duration) { fmt.Println("refuse", id) }
+func (printer) Reject(id balance.RequestID, _ time.Duration) { fmt.Println("reject", id) }
 func (printer) Fail(id balance.RequestID)                    { fmt.Println("fail", id) }
 
 func (printer) Timer(
@@ -52,5 +52,5 @@
 		Outcome: balance.Errored, Took: 50 * time.Millisecond})
 	// Output:
 	// send 7 to 10.0.0.1:80
-	// refuse 7
+	// reject 7
 }
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -28,12 +28,14 @@
 	cumulativeTraffic []float64          // cumulative sum of the traffic by sidecar; nil: equal traffic
 }
 
+// pendingResponse is an attempt of one sidecar and the time of its response.
 type pendingResponse struct {
 	at Time
 	by int
 	s  sentAttempt
 }
 
+// fleetResponseTime is the response time of all endpoints.
 const fleetResponseTime = 20 * time.Millisecond
 
 func newSidecarFleet(t tester, set Settings, sidecars int, list []Endpoint) *sidecarFleet {
@@ -151,6 +153,7 @@
 	}
 }
 
+// tester is the part of testing.T and rapid.T that the fleet tests use.
 type tester interface {
 	Fatal(...any)
 	Errorf(string, ...any)
--- a/balance/loss_test.go
+++ b/balance/loss_test.go
@@ -32,11 +32,13 @@
 	sending  RequestID // request for whose attempt respond is called
 }
 
+// scheduledCall is a call at a simulated time.
 type scheduledCall struct {
 	at Time
 	do func()
 }
 
+// after schedules a call after a delay.
 func (f *lossyHost) after(d time.Duration, do func()) {
 	at := f.now + max(d, 0)
 	n, _ := slices.BinarySearchFunc(f.events, at, func(o scheduledCall, at Time) int {
@@ -48,6 +50,7 @@
 	f.events = slices.Insert(f.events, n, scheduledCall{at, do})
 }
 
+// advanceTo makes the scheduled calls up to a time.
 func (f *lossyHost) advanceTo(end Time) {
 	for len(f.events) > 0 && f.events[0].at <= end {
 		o := f.events[0]
@@ -80,11 +83,13 @@
 	}
 }
 
+// clientTimeout is the time after which a client stops waiting.
 const clientTimeout = 500 * time.Millisecond
 
 // timeLeft returns the time until the client's timeout. A request's ID is the time at which it was sent.
 func (f *lossyHost) timeLeft(id RequestID) time.Duration { return Time(id) + clientTimeout - f.now }
 
+// result ends attempt n of a request, unless it has ended already.
 func (f *lossyHost) result(id RequestID, n int, sent Time, how Outcome) {
 	if f.done[id][n] {
 		return
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -111,8 +111,8 @@
 		capacity += c.capacity * seconds * (set.SlowStartCapacity + (1-set.SlowStartCapacity)*seconds/2/set.SlowStartWindow.Seconds())
 		for i, at := range sends {
 			window := sort.Search(len(sends)-i, func(n int) bool { return sends[i+n] > at+set.OverloadWindow })
-			warm := set.SlowStartCapacity + (1-set.SlowStartCapacity)*(at-started).Seconds()/set.SlowStartWindow.Seconds()
-			if n := c.multiple * warm * c.capacity * set.OverloadWindow.Seconds(); float64(window) > overloadLimit(n) {
+			capacityShare := set.SlowStartCapacity + (1-set.SlowStartCapacity)*(at-started).Seconds()/set.SlowStartWindow.Seconds()
+			if n := c.multiple * capacityShare * c.capacity * set.OverloadWindow.Seconds(); float64(window) > overloadLimit(n) {
 				t.Fatalf(
 					"%d requests within %v from %v on, the overload limit is %.0f",
 					window,
