--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -132,10 +132,10 @@
 	}
 }
 
-// TestColdEndpointsGetTheirShare has part of a fleet start cold, which all sidecars learn at the same time.
-// In no overload window may the requests of all sidecars to a cold endpoint exceed the limit, and until the
-// endpoint is warmed up it must get a good part of its share. If each of many sidecars counted only its own
-// requests since the list change, a new endpoint would be idle until it is warmed up and the others would
+// TestColdEndpointsGetTheirShare has part of a fleet start cold; all sidecars receive the change at the same
+// time. In no overload window may the requests of all sidecars to a cold endpoint exceed the limit, and until
+// the endpoint is warmed up it must get a good part of its share. If each of many sidecars counted only its
+// own requests since the change, a new endpoint would be idle until it is warmed up and the others would
 // carry the whole load.
 func TestColdEndpointsGetTheirShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
