--- a/cmd/adapter/host.go
+++ b/cmd/adapter/host.go
@@ -16,7 +16,7 @@
 type host struct {
 	writer    *wire.Writer
 	instances map[int]*instance
-	now       balance.Time // of the current batch
+	now       balance.Time // time of the current batch
 	selected  int          // number of the instance that the next events concern
 }
 
--- a/cmd/adapter/recorded_test.go
+++ b/cmd/adapter/recorded_test.go
@@ -171,8 +171,8 @@
 	id, zone, model string
 	started         string // start time in the endpoint list, "-" if unknown
 	failing, silent bool
-	slow            float64 // factor of the response time; 0 counts as 1
-	inFlight        int     // attempts
+	slow            float64 // factor of the response time; values below 1 count as 1
+	inFlight        int     // number of attempts in flight
 }
 
 // recorder plays a scenario against an adapter and records the events.
@@ -180,7 +180,7 @@
 	random   *rand.Rand
 	servers  []*recordedServer
 	now      float64
-	due      []dueEvent // by time
+	due      []dueEvent // scheduled events, sorted by time
 	changed  []string   // list entries that changed since the last list was sent
 	events   bytes.Buffer
 	attempts map[string]int  // number of attempts by request
@@ -313,7 +313,7 @@
 	}
 }
 
-// request returns a client's request. Of the clients, 1 in 30 leaves after 0.03 s.
+// request returns a client's request. On average, 1 in 30 clients leaves after 0.03 s.
 func (r *recorder) request() string {
 	r.requests++
 	id := strconv.Itoa(r.requests)
--- a/internal/admin/forward.go
+++ b/internal/admin/forward.go
@@ -66,6 +66,6 @@
 
 // readResponseError converts an error response to a ResponseError.
 func readResponseError(resp *http.Response) *ResponseError {
-	detail, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorDetailBytes)) // a partially read body is used as it is
+	detail, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorDetailBytes)) // incomplete if reading fails
 	return &ResponseError{StatusCode: resp.StatusCode, Detail: string(bytes.TrimSpace(detail))}
 }
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -24,7 +24,7 @@
 // conn is an accepted connection.
 type conn struct {
 	net.Conn
-	listener *listener     // its mu guards the fields below
+	listener *listener     // listener.mu guards the fields below
 	element  *list.Element // element of listener.incomplete; nil: the call is complete or the connection is closed
 	isClosed bool
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -52,9 +52,9 @@
 const MaxConnections = 16
 
 const (
-	readTimeout    = 2 * time.Second        // for receiving a call
-	backendTimeout = 800 * time.Millisecond // for the Sidecar to carry out a call
-	writeTimeout   = 2 * time.Second        // for sending the response
+	readTimeout    = 2 * time.Second        // time limit for receiving a call
+	backendTimeout = 800 * time.Millisecond // time limit for the Sidecar to carry out a call
+	writeTimeout   = 2 * time.Second        // time limit for sending the response
 
 	// drainPollInterval is the interval at which Close checks for complete calls without a response.
 	drainPollInterval = 2 * time.Millisecond
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,8 +1,9 @@
 // Package config reads and validates a sidecar's configuration: the JSON file that PROXY_CONFIG names, with PROXY_NAME,
 // PROXY_LISTEN, PROXY_DISCOVERY and PROXY_CONSOLE from the environment. A file with any fault is rejected as a whole.
 //
-// Load reads the configuration when the process starts, and Config.Reload reads it again while the process runs. A
-// reloaded file must have every key of the file in use. The caller decides which of its changes take effect.
+// Load reads the configuration when the process starts, and Config.Reload reads it again while the process runs.
+// Config.Reload rejects a file without a key that the file in use has, unless the key is optional. The caller decides
+// which changes take effect.
 //
 // The package starts no goroutine and has no global state. Its errors name the file and the path of the invalid key.
 package config
@@ -36,8 +37,8 @@
 	Names            *wire.Names
 	Limits           wire.Limits
 
-	Getenv   func(string) string // environment of the configuration
-	document map[string]any      // complete file without the endpoint list
+	Getenv   func(string) string // returns the value of an environment variable
+	document map[string]any      // decoded file without the endpoint list
 }
 
 // Defaults of optional keys.
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -23,7 +23,7 @@
 	// slowListTimeout ends a watch that has not delivered its first list, counted from the start of the watch. After
 	// FirstListTimeout a second watch is opened as well.
 	slowListTimeout = 5 * time.Second
-	// listTimeout is the time after the first byte of a list from which further bytes of it do not count as progress.
+	// listTimeout is the maximum time since the first byte of a list for its further bytes to count as progress.
 	listTimeout = 2 * time.Second
 	// minConnectTimeout is the minimum timeout for opening a connection to discovery.
 	minConnectTimeout = 500 * time.Millisecond
@@ -36,8 +36,8 @@
 const MaxStaleness = 6 * time.Second
 
 // MaxUpdateDelay is the maximum time from the last byte of a watch to a new list if one call fails although discovery
-// is reachable: the silence timeout expires, a call is made after a backoff and fails, and the next call succeeds after
-// another backoff. It must be less than MaxStaleness.
+// is reachable. It is the sum of the silence timeout, a backoff, the timeout of the failed call, and the backoff before
+// the call that succeeds. It must be less than MaxStaleness.
 const MaxUpdateDelay = watchSilenceTimeout + balance.FirstDiscoveryBackoff +
 	FirstListTimeout + 2*balance.FirstDiscoveryBackoff
 
@@ -57,7 +57,8 @@
 	silenceTimeout   time.Duration
 	firstListTimeout time.Duration
 	listTimeout      time.Duration
-	// onSlow is called when the first list is late; the watch continues up to slowListTimeout. nil: it ends.
+	// onSlow is called when the first list is late, and the watch then continues up to slowListTimeout. If onSlow is
+	// nil, a late first list ends the watch.
 	onSlow func()
 }
 
@@ -96,7 +97,7 @@
 	}
 	if response.StatusCode != http.StatusOK {
 		_ = response.Body.Close()
-		return nil, fmt.Errorf("status %d", response.StatusCode)
+		return nil, fmt.Errorf("discovery responded with status %d", response.StatusCode)
 	}
 	return response.Body, nil
 }
--- a/internal/discovery/splitter.go
+++ b/internal/discovery/splitter.go
@@ -17,7 +17,7 @@
 	depth     int // number of open brackets and braces
 	inString  bool
 	escaped   bool      // the previous byte of the string was an unescaped backslash
-	startedAt time.Time // when the first byte of the current object was scanned
+	startedAt time.Time // time at which the first byte of the current object was scanned
 }
 
 // inObject reports whether an object has begun and is not complete.
--- a/internal/discovery/start_times.go
+++ b/internal/discovery/start_times.go
@@ -20,10 +20,10 @@
 // used by one goroutine only.
 type StartTimes struct {
 	wallClock   func() time.Time
-	clock       func() balance.Time     // monotonic
-	starts      map[string]*serverStart // by endpoint ID
-	confirmedAt balance.Time            // when the latest list was last known to be current; 0: never
-	delisted    []*serverStart          // in order of delisting; may contain servers that were listed again
+	clock       func() balance.Time     // monotonic clock
+	starts      map[string]*serverStart // start of each server, by endpoint ID
+	confirmedAt balance.Time            // time at which the latest list was last confirmed as current; 0: never
+	delisted    []*serverStart          // servers in order of delisting; may contain servers that were listed again
 }
 
 // serverStart is the most recent start of a server.
--- a/internal/discovery/start_times_test.go
+++ b/internal/discovery/start_times_test.go
@@ -66,8 +66,8 @@
 }
 
 // TestStartIsKeptWhileServerIsDelisted delists a server and lists it again with the same reported start. Its start time
-// must not change. A server that only a new discovery address lists must count as started after the last list of the
-// previous address.
+// must not change. After a change of the discovery address, a server that the previous address did not list must count
+// as started after the last list of that address.
 func TestStartIsKeptWhileServerIsDelisted(t *testing.T) {
 	withTestEventLoop(t, func(t *testing.T, loop *testEventLoop, update updateFunc) {
 		warmServer := endpointStartedAt("s-0", time.Now().Add(-time.Minute).Round(0))
--- a/internal/discovery/subscriptions.go
+++ b/internal/discovery/subscriptions.go
@@ -32,9 +32,9 @@
 
 // Options configure how a Subscriptions opens watches.
 type Options struct {
-	Address        string        // of discovery
-	Revision       int64         // of the list that the subscriber already has; -1: none
-	ConnectTimeout time.Duration // for opening a connection
+	Address        string        // address of discovery
+	Revision       int64         // revision of the list that the subscriber already has; -1: none
+	ConnectTimeout time.Duration // timeout for opening a connection
 	Dial           DialFunc      // opens connections to discovery; nil: over TCP
 	Log            *slog.Logger
 }
@@ -48,12 +48,12 @@
 	subscriber Subscriber
 	options    Options
 
-	address        string        // of discovery, as last configured
+	address        string        // address of discovery in the latest configuration
 	addressRetries int           // number of failed calls to a new address
-	revision       int64         // of the latest list; completeListRevision: there is none
+	revision       int64         // revision of the latest list; completeListRevision: there is none
 	current        *subscription // the watch whose updates are applied; nil: none
 	next           *subscription // the watch at a new address, until its first list arrives; nil: none
-	slow           *subscription // a replaced watch whose first list is late, not ended; nil: none
+	slow           *subscription // a replaced watch that still waits for its late first list; nil: none
 	// lastWatchTimedOut is set if no list has arrived since a watch timed out. The next watch then requests the
 	// complete list, which discovery sends immediately.
 	lastWatchTimedOut bool
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -32,7 +32,7 @@
 type watch struct {
 	client       *Client
 	cancel       context.CancelCauseFunc // ends the watch
-	revision     int64                   // of the last list; below 0: the requested complete list has not arrived
+	revision     int64                   // revision of the last list; below 0: no complete list has arrived yet
 	splitter     jsonSplitter
 	slowTimer    *time.Timer // calls the client's onSlow; nil: onSlow is not set or no complete list was requested
 	silenceTimer *time.Timer // ends a watch without progress
--- a/internal/fleetadapter/policy_handler.go
+++ b/internal/fleetadapter/policy_handler.go
@@ -16,8 +16,8 @@
 const (
 	// callTimeout bounds a call. Operators expect a response within 1 s.
 	callTimeout = 700 * time.Millisecond
-	// maxProposalBytes is the maximum size of a proposal: its document, which JSON encoding may lengthen, and the other
-	// fields.
+	// maxProposalBytes is the maximum size of a proposal. It allows twice the maximum size of the document, which JSON
+	// encoding may lengthen, plus the other fields.
 	maxProposalBytes = 2*policy.MaxDocumentBytes + 4096
 	// maxReplacementBytes is the maximum size of the body of a call to replace a voter.
 	maxReplacementBytes = 4096
@@ -29,7 +29,7 @@
 type policyHandler struct {
 	*policyagent.Agent
 	mux          *http.ServeMux
-	proposalSlot chan struct{} // contains a value while a proposal is served; concurrent ones could exhaust memory
+	proposalSlot chan struct{} // contains a value while a proposal is served; concurrent proposals could exhaust memory
 }
 
 // newPolicyHandler returns a handler for calls on the policy of an agent.
@@ -62,7 +62,7 @@
 
 // serveDocument responds with the policy that has the requested number, or with the one in force.
 func (h *policyHandler) serveDocument(w http.ResponseWriter, r *http.Request) {
-	number := uint64(0) // the one in force
+	number := uint64(0) // 0 selects the policy in force
 	if text := r.FormValue("number"); text != "" {
 		var err error
 		number, err = strconv.ParseUint(text, 10, 64)
--- a/internal/hotrestart/errors.go
+++ b/internal/hotrestart/errors.go
@@ -9,10 +9,10 @@
 	tooLong invalidReason = iota + 1
 	notStateFile
 	unsupportedVersion
-	lengthMismatch // incompletely written
+	lengthMismatch // for example in an incompletely written file
 	checksumMismatch
 	malformedJSON
-	otherSidecar // belongs to a sidecar with another name or listen address
+	otherSidecar // the file belongs to a sidecar with another name or listen address
 	unknownPhase
 	tooManyServers
 )
--- a/internal/hotrestart/member.go
+++ b/internal/hotrestart/member.go
@@ -36,7 +36,7 @@
 	state      State // Name and ListenAddress are set by Join, never change, and are read without mu
 	hasLeft    bool
 	backoff    time.Duration // delay before the next retry of a failed write; 0: the state file is up to date
-	retryTimer *time.Timer   // starts that retry; nil: no write has failed so far
+	retryTimer *time.Timer   // timer of the next retry; nil: no write has failed so far
 }
 
 // Join publishes the state of this process in a directory below dir, which the processes of the sidecar share. It sets
--- a/internal/hotrestart/member_test.go
+++ b/internal/hotrestart/member_test.go
@@ -77,7 +77,7 @@
 	if err := ended.Update(func(s *State) { s.AdminDown = []string{"s-1"} }); err != nil {
 		t.Fatal(err)
 	}
-	if err := ended.lockFile.Close(); err != nil { // as when its process ends
+	if err := ended.lockFile.Close(); err != nil { // the end of the process would also release the lock
 		t.Fatal(err)
 	}
 	var log bytes.Buffer
--- a/internal/hotrestart/others.go
+++ b/internal/hotrestart/others.go
@@ -71,7 +71,7 @@
 		return State{}, false
 	}
 	if !running {
-		m.log.Info("hot restart: removed the files of a process that has ended", "process", files.id)
+		m.log.Info("hot restart: removing the files of a process that has ended", "process", files.id)
 		_ = files.remove() // another process may remove them at the same time
 		return State{}, false
 	}
--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -23,13 +23,13 @@
 
 // State is the state that a process publishes to the other processes of its sidecar.
 type State struct {
-	Name          string    `json:"name"`            // of the sidecar
+	Name          string    `json:"name"`            // name of the sidecar
 	ListenAddress string    `json:"listen"`          // address for clients
 	AdminAddress  string    `json:"console"`         // address for operators; "": none
 	FleetAddress  string    `json:"fleet,omitempty"` // address for other sidecars; "": not part of a fleet
 	Started       time.Time `json:"started"`
-	// Generation is one more than the highest generation that was present when the process joined, from 1. 0: the
-	// build of the process has no generations.
+	// Generation is one more than the highest generation of the other processes when the process joined. The first
+	// generation is 1, and 0 means that the build of the process does not support generations.
 	Generation uint64   `json:"generation,omitempty"`
 	Phase      Phase    `json:"phase"`
 	AdminDown  []string `json:"out"` // IDs of the servers that are administratively down
--- a/internal/hotrestart/write.go
+++ b/internal/hotrestart/write.go
@@ -48,7 +48,7 @@
 func (m *Member) retryWrite() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.hasLeft || m.backoff == 0 { // another call, which held mu when the timer fired, has left or written the state
+	if m.hasLeft || m.backoff == 0 { // the process left, or Update wrote the state, after the timer had fired
 		return
 	}
 	err := m.writeState()
--- a/internal/sidecar/client_conns_test.go
+++ b/internal/sidecar/client_conns_test.go
@@ -57,8 +57,8 @@
 }
 
 // TestResponsesCloseConnectionsNearLimit: clients that send one request and keep their connections do not exhaust the
-// limit. Responses close further connections before it is reached, so that new requests are still accepted.
-// Connections used before that are kept alive.
+// limit. The first connections are kept alive. When their number nears the limit, each response closes its connection,
+// so that new requests are still accepted.
 func TestResponsesCloseConnectionsNearLimit(t *testing.T) {
 	p := start(t, strings.Replace(configFor(t, startBackend(t, "ok")), `"sockets":1024`, `"sockets":64`, 1))
 	budget := newSocketBudget(&config.Config{Sockets: 64})
--- a/internal/sidecar/client_disconnect_test.go
+++ b/internal/sidecar/client_disconnect_test.go
@@ -80,7 +80,7 @@
 	pay := testserver.RequestHead("POST", "gone", "pay")
 	for _, tt := range []struct {
 		name, text string
-		waits      bool // for a policy
+		waits      bool // the request waits for a policy
 	}{
 		{"during the head", pay, false},
 		{"during the body", pay + "Content-Length: 8\r\n\r\nhalf", false},
@@ -110,8 +110,8 @@
 }
 
 // TestNoAttemptAfterDisconnectWhileConnecting: a client disconnects while the upstream connection for its request is
-// being established. Although the settings disable the cancellation of attempts, no attempt is made, as it has not
-// started.
+// being established. No attempt is made, although the settings disable the cancellation of attempts, because that
+// setting concerns only attempts that have started.
 func TestNoAttemptAfterDisconnectWhileConnecting(t *testing.T) {
 	b := startBackend(t, "ok")
 	p := start(t, strings.Replace(configFor(t, b), `"cancelling":true`, `"cancelling":false`, 1))
--- a/internal/sidecar/client_errors_test.go
+++ b/internal/sidecar/client_errors_test.go
@@ -100,7 +100,7 @@
 				fmt.Fprintf(c, "%s\r\n%s", testserver.RequestHead("GET", "good", "read"), bad[:len(bad)-later])
 				testserver.Receive(t, b.Requests, "first request")
 				fmt.Fprint(c, bad[len(bad)-later:])
-				_ = c.SetReadDeadline(time.Now().Add(100 * time.Millisecond)) // no response is expected however long the wait
+				_ = c.SetReadDeadline(time.Now().Add(100 * time.Millisecond)) // no response arrives later either
 				if n, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 					t.Errorf("%d bytes, error %v while the first request is in flight", n, err)
 				}
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -10,21 +10,21 @@
 // drainTimes are the time limits of a planned restart.
 type drainTimes struct {
 	acceptPeriod             time.Duration // minimum time for which new connections are accepted
-	quietPeriod              time.Duration // of a drain round of the accept queue, and between connection checks
-	idleGracePeriod          time.Duration // before idle connections are closed, as clients may still send on them
-	unusedGracePeriod        time.Duration // before a connection is closed on which no request was ever received
-	firstListTimeout         time.Duration // for the first response of discovery while a predecessor serves
-	successorIdleGracePeriod time.Duration // idleGracePeriod if a successor accepts new connections
-	maxKillDeadline          time.Duration // limit on the longest deadline when the time of the kill is calculated
+	quietPeriod              time.Duration // length of a drain round, and interval between connection checks
+	idleGracePeriod          time.Duration // wait before idle connections are closed, as clients may still send on them
+	unusedGracePeriod        time.Duration // wait before a connection without any request is closed
+	firstListTimeout         time.Duration // limit on the wait for the first endpoint list while a predecessor serves
+	successorIdleGracePeriod time.Duration // used instead of idleGracePeriod if a successor accepts new connections
+	maxKillDeadline          time.Duration // upper limit of the longest deadline, for the calculation of the kill time
 }
 
 // drain stops serving once every request that was read has its response. Closing the listener resets the connections in
-// its accept queue, and their requests are lost. So the process first continues to accept and serve, and only requests
-// with "Connection: close" that clients close their connections.
+// its accept queue, and their requests are lost. The process therefore first continues to accept and serve. Each
+// response contains "Connection: close" and closes its connection.
 func (p *process) drain() error {
-	p.handler.Drain(p.times.maxKillDeadline) // first, because the time until the kill is already running
+	p.handler.Drain(p.times.maxKillDeadline) // called first, because the time until the kill is already running
 	hasSuccessor := p.operator.group.hasSuccessor()
-	p.log.Info("draining", "has_successor", hasSuccessor)
+	p.log.Info("process is draining", "has_successor", hasSuccessor)
 	p.setPhase(hotrestart.Draining, "cannot publish the draining phase to the process group")
 	acceptPeriod, idleGracePeriod := p.times.acceptPeriod, p.times.idleGracePeriod
 	if hasSuccessor {
@@ -50,7 +50,7 @@
 		p.log.Warn("cannot leave the process group: other processes regard this one as running until it exits",
 			"err", err)
 	}
-	p.log.Info("drained")
+	p.log.Info("process has drained")
 	return nil
 }
 
--- a/internal/sidecar/drain_load_test.go
+++ b/internal/sidecar/drain_load_test.go
@@ -25,7 +25,7 @@
 var drainRounds = flag.Int("stop.rounds", 40, "rounds of TestDrainUnderLoadAnswersEachRequestRead")
 
 // TestDrainUnderLoadAnswersEachRequestRead stops the process repeatedly while clients send requests on persistent
-// connections. Each request that was read gets its response; a request that was not read has its connection reset.
+// connections. Each request that was read gets its response. The connection of a request that was not read is reset.
 func TestDrainUnderLoadAnswersEachRequestRead(t *testing.T) {
 	b := startBackend(t, "ok")
 	discardRequests(b)
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -183,7 +183,7 @@
 // forwarding process already does so before it responds to its operator.
 func (o *operator) publishToFleet(ctx context.Context, id string, down, known, forwarded bool) (string, error) {
 	participant := o.fleetParticipant()
-	if participant != nil && !known { // not listed here, but the fleet may have a call for it
+	if participant != nil && !known { // the fleet may have a record of a call for a server that is not listed here
 		var err error
 		known, err = participant.KnowsServer(ctx, id)
 		if err != nil {
@@ -207,7 +207,7 @@
 }
 
 // replicationError returns the error for the operator of a call that was not replicated. During a hot restart it is nil
-// for ErrSuperseded, as the other process, which represents the sidecar in the fleet, has the call as well.
+// for ErrSuperseded, because the other process represents the sidecar in the fleet and receives the same call.
 func (o *operator) replicationError(err error) error {
 	switch {
 	case !errors.Is(err, ErrSuperseded):
--- a/internal/sidecar/fleet_admin_test.go
+++ b/internal/sidecar/fleet_admin_test.go
@@ -113,7 +113,7 @@
 	participant *adminDownParticipant // nil: not in a fleet
 	other       bool                  // another process of the sidecar is running
 	known       bool
-	forwarded   bool // by another process
+	forwarded   bool // another process forwarded the call
 	note        string
 	err         string // part of the expected error; "": no error
 	wrapped     error  // error that the expected error wraps; nil: any
--- a/internal/sidecar/fleet_suspicions_test.go
+++ b/internal/sidecar/fleet_suspicions_test.go
@@ -139,7 +139,7 @@
 		if p.send() == firstServer {
 			n++
 		}
-		time.Sleep(10 * time.Millisecond) // of the simulated clock
+		time.Sleep(10 * time.Millisecond) // on the simulated clock
 	}
 	return n
 }
--- a/internal/sidecar/forward_test.go
+++ b/internal/sidecar/forward_test.go
@@ -120,7 +120,7 @@
 	ending := make(chan *hotrestart.Member, 1)
 	dir := t.TempDir()
 	p := startInDir(t, dir)
-	joinOtherProcess(t, dir, "") // keeps running
+	joinOtherProcess(t, dir, "") // this process keeps running
 	ending <- joinOtherProcess(t, dir, startFakeAdminServer(t, func(http.ResponseWriter, *http.Request) {
 		_ = (<-ending).Leave()
 		panic(http.ErrAbortHandler)
--- a/internal/sidecar/local_failures_test.go
+++ b/internal/sidecar/local_failures_test.go
@@ -192,7 +192,7 @@
 	configText, requestCount := configFor(t, b, b), 0
 	rapid.Check(t, func(rt *rapid.T) {
 		f := &testserver.Failures{}
-		draw := func() { // for listeners and clients fewer failures in a row than there are retries
+		draw := func() { // for listeners and clients, fewer consecutive failures than retries
 			f.Set("accept", drawFailures(rt, "accept", 5, testserver.AcceptErrnos)...)
 			f.Set("connect", drawFailures(rt, "connect", 20, testserver.MachineErrnos)...)
 			f.Set("server read", drawFailures(rt, "server read", 12, testserver.StreamErrnos)...)
--- a/internal/sidecar/operator.go
+++ b/internal/sidecar/operator.go
@@ -25,7 +25,7 @@
 	readyAnnounced   atomic.Bool                  // the ready phase is published to the process group
 	participant      atomic.Pointer[Participant]  // nil: not a member of a fleet
 	gate             *proxy.PolicyGate            // set before clients are served; nil: the fleet has no policy
-	adminDownChanged chan struct{}                // receives a value when the fleet has changed the state of servers
+	adminDownChanged chan struct{}                // receives a value when the fleet changes the list of down servers
 
 	publishMu sync.Mutex // held by publishAdminDown while it reads and writes the state
 
@@ -100,7 +100,7 @@
 
 // SetAdminDown implements admin.Sidecar. During a hot restart it takes effect in both processes before it returns. A
 // successor that is still starting reads the published state, and one that has started receives the forwarded call.
-// Publishing first and forwarding second reaches it in either case.
+// The call is published before it is forwarded, because a successor that starts in between must not miss it.
 func (o *operator) SetAdminDown(ctx context.Context, id string, down, forwarded bool) (note string, err error) {
 	known := false
 	if err := o.loop.Do(ctx, func() { known = o.loop.SetAdminDown(id, down) }); err != nil {
@@ -111,7 +111,7 @@
 			return "", err
 		}
 	}
-	knownElsewhere := forwarded // the other process lists the server, and discovery will list it here soon
+	knownElsewhere := forwarded // the other process may list the server before this one does
 	if !forwarded {
 		knownElsewhere, err = o.group.forwardAdminDown(ctx, id, down)
 		if err != nil {
@@ -127,7 +127,7 @@
 	return o.publishToFleet(ctx, id, down, known || knownElsewhere && !forwarded, forwarded)
 }
 
-// inheritAdminDown sets the servers administratively down that are so in other processes.
+// inheritAdminDown sets the servers that are administratively down in other processes administratively down here.
 func (o *operator) inheritAdminDown(ctx context.Context) error {
 	ids := o.group.adminDown()
 	if len(ids) == 0 {
@@ -142,8 +142,8 @@
 	return errors.Join(err, o.publishAdminDown(ctx))
 }
 
-// publishAdminDown publishes the servers that are administratively down to the process group. Calls are serialized: of
-// two overlapping calls, the one that read the older list could write last, after both operators had their responses.
+// publishAdminDown publishes the servers that are administratively down to the process group. It serializes calls.
+// Otherwise a call that read an older list could overwrite the newer list of a concurrent call without an error.
 func (o *operator) publishAdminDown(ctx context.Context) error {
 	o.publishMu.Lock()
 	defer o.publishMu.Unlock()
--- a/internal/sidecar/participant.go
+++ b/internal/sidecar/participant.go
@@ -32,7 +32,7 @@
 	// CaughtUp returns a channel that is closed once the participant has the fleet's state, or once its time limit for
 	// catching up has passed.
 	CaughtUp() <-chan struct{}
-	// Ready reports whether the participant has the fleet's current state, and its phase.
+	// Ready reports whether the participant has the fleet's current state, and returns its phase.
 	Ready(ctx context.Context) (ready bool, phase string)
 	// UpdateServers replaces the servers of this sidecar's endpoint list. It does not block.
 	UpdateServers(servers []ListedServer)
--- a/internal/sidecar/participant_test.go
+++ b/internal/sidecar/participant_test.go
@@ -28,7 +28,7 @@
 	wait         time.Duration
 	ok           bool
 	reads        int
-	advanceAfter int // number of reads after which the next policy is in force; 0: no change
+	advanceAfter int // number of reads after which the next policy is in force; 0: the policy does not change
 }
 
 func (f *fakeParticipant) Address() string { return "" }
--- a/internal/sidecar/policy_test.go
+++ b/internal/sidecar/policy_test.go
@@ -29,12 +29,12 @@
 				class, resp.StatusCode, resp.Header.Get(proxy.PolicyHeader), status, policy)
 		}
 	}
-	expectResponse("read", 503, "") // no lease
+	expectResponse("read", 503, "") // the sidecar has no lease
 	if ready, reason := p.operator.Ready(); ready || !strings.Contains(reason, "policy") {
 		t.Errorf("ready %v: %s", ready, reason)
 	}
 	f.setPolicy(3, 0, true)
-	expectResponse("read", 503, "") // in force but not checked here
+	expectResponse("read", 503, "") // the policy is in force, but this sidecar has not checked it
 	f.expectCheck(t, 3, f.policyDocument(t, ""), "")
 	expectResponse("read", 200, "3")
 	expectResponse("pay", 200, "3")
@@ -44,14 +44,14 @@
 	expectResponse("pay", 400, "")
 	expectResponse("read", 200, "4")
 	f.setPolicy(0, 300*time.Millisecond, false)
-	time.AfterFunc(50*time.Millisecond, func() { f.setPolicy(4, 0, true) }) // before the wait ends
+	time.AfterFunc(50*time.Millisecond, func() { f.setPolicy(4, 0, true) }) // before the wait for a policy ends
 	expectResponse("read", 200, "4")
 	f.setPolicy(0, 0, false)
 	expectResponse("read", 503, "")
 	f.setPolicy(4, 0, true)
 	sent := b.RequestCount()
 	f.mu.Lock()
-	f.reads, f.advanceAfter = 0, 1 // replaced between the read of the head and the admission of the request
+	f.reads, f.advanceAfter = 0, 1 // the policy changes between the read of the head and the admission
 	f.mu.Unlock()
 	f.expectCheck(t, 5, f.policyDocument(t, ""), "")
 	expectResponse("read", 200, "5")
--- a/internal/sidecar/process.go
+++ b/internal/sidecar/process.go
@@ -59,10 +59,10 @@
 	}()
 }
 
-// awaitServers waits, while the predecessor serves, for the first endpoint list from discovery, for at most
-// firstListTimeout, and then until an endpoint list is available. The list in the configuration is older than the one
-// that the predecessor uses, and a process that listens without servers rejects requests that the predecessor would
-// serve. awaitServers returns false if stop is done first.
+// awaitServers is called while a predecessor serves. It waits up to firstListTimeout for the first endpoint list from
+// discovery, because the list in the configuration is older than the one that the predecessor uses. It then waits until
+// any endpoint list is available, because a process that listens without servers rejects requests that the predecessor
+// would serve. It returns false if stop is done first.
 func (p *process) awaitServers(stop context.Context) bool {
 	select {
 	case <-p.loop.FirstUpdate():
--- a/internal/sidecar/process_group.go
+++ b/internal/sidecar/process_group.go
@@ -119,8 +119,8 @@
 		case <-ctx.Done():
 			return
 		}
-		// A killed process leaves its files, which does not change the directory's revision. So while there are two
-		// processes every poll reads the files.
+		// The directory's revision does not change when a process is killed, because its files remain. Every poll
+		// therefore reads the files while there are two processes.
 		revision := g.member.DirRevision()
 		if revision == lastRevision && g.processCount.Load() == 1 {
 			continue
--- a/internal/sidecar/process_group_test.go
+++ b/internal/sidecar/process_group_test.go
@@ -43,7 +43,7 @@
 	select {
 	case <-started:
 		t.Error("it listens without an endpoint list")
-	case <-time.After(50 * time.Millisecond): // without awaitServers it listens immediately
+	case <-time.After(50 * time.Millisecond): // without awaitServers, the process would have listened by now
 	}
 	w.Lines <- testserver.ServingList(1, b, b)
 	op := testserver.Receive(t, started, "start of listening")
@@ -65,7 +65,7 @@
 
 // TestSidecarServesWhileSharedDirectoryIsMissing: while the shared directory of the process group is missing, the
 // sidecar continues to serve, and an operator's call fails because a successor would not see it. Once the directory is
-// back the successor sees the call without a further one.
+// back, the successor sees the effect of the failed call, and the operator does not need to repeat it.
 func TestSidecarServesWhileSharedDirectoryIsMissing(t *testing.T) {
 	dir := t.TempDir()
 	one, two := startBackend(t, "one"), startBackend(t, "two")
--- a/internal/sidecar/socket_budget.go
+++ b/internal/sidecar/socket_budget.go
@@ -12,10 +12,10 @@
 	// reservedDescriptors is the number of descriptors for the client listener, the discovery watches, a connection
 	// being closed, and the runtime.
 	reservedDescriptors = 20
-	// requestDivisor divides the number of all descriptors; the quotient limits the requests in flight.
+	// requestDivisor is the number of descriptors per request in flight.
 	requestDivisor = 3
-	// keepAliveFraction is the fraction of the maximum number of requests in flight that client connections may be kept
-	// alive for. The rest is for bursts.
+	// keepAliveFraction is KeepAliveConns as a fraction of the maximum number of requests in flight. The rest is for
+	// bursts.
 	keepAliveFraction = 0.75
 )
 
@@ -23,7 +23,7 @@
 type socketBudget struct {
 	Requests       int // maximum number of requests in flight; each uses a client connection
 	ClientConns    int // maximum number of open client connections
-	KeepAliveConns int // number of used client connections from which on responses close their connections
+	KeepAliveConns int // at this number of used client connections, responses begin to close their connections
 	UpstreamConns  int // maximum number of open connections to servers
 }
 
