--- a/internal/fleet/raftlog/compaction.go
+++ b/internal/fleet/raftlog/compaction.go
@@ -7,12 +7,12 @@
 	"milletramp.example/milletramp/internal/fsys"
 )
 
-// defaultCompactionThreshold is the size in bytes from which a file is rewritten, where it has also doubled since it
-// was begun.
+// defaultCompactionThreshold is the size in bytes above which a file is rewritten, if it has also grown to more than
+// twice its initial size.
 const defaultCompactionThreshold = 4 << 20
 
-// compactIfDue rewrites a file that has grown. Where that fails the file goes on growing until the next attempt: all
-// records are in it.
+// compactIfDue rewrites a file that has grown. If that fails, the file contains all records and grows until the next
+// attempt.
 func (l *Log) compactIfDue() {
 	if l.size <= max(l.compactionThreshold, 2*l.initialSize, l.compactionRetrySize) {
 		return
@@ -22,9 +22,9 @@
 	}
 }
 
-// rewrite begins a further file, which holds a state as its first record, and drops the former file. After an error the
-// former file is as it was. Once the further one may have its name, though, it is what the next process reads, so that
-// nothing may be appended to the former one any more.
+// rewrite creates a new file with the state as its first record, and removes the previous file. After an error the
+// previous file is unchanged. If the new file may already have its final name, however, the next process reads that
+// one, so nothing may be appended to the previous file any more.
 func (l *Log) rewrite(state PersistentState) error {
 	data, err := encodeState(state)
 	if err != nil {
@@ -37,14 +37,14 @@
 	}
 	if err := l.writeAndRename(file, path, data); err != nil {
 		err = errors.Join(wrapFolderError(err), file.Close())
-		_ = l.fs.Remove(path + tempSuffix) // a full disk needs its space; the next attempt replaces it anyway
+		_ = l.fs.Remove(path + tempSuffix) // frees space on a full disk; the next attempt replaces the file anyway
 		return err
 	}
 	l.replaceFile(file, state, int64(len(data)))
 	return nil
 }
 
-// encodeState returns the first record of a file.
+// encodeState encodes a state as the first record of a file.
 func encodeState(state PersistentState) ([]byte, error) {
 	r, err := newRecord(consensus.Batch{
 		HardState: &state.Raft.HardState,
@@ -61,7 +61,7 @@
 	return encodeRecord(r)
 }
 
-// writeAndRename writes the content of a temporary file, and gives it its name once the content is durable.
+// writeAndRename writes the content of a temporary file, and renames it to its final name once the content is durable.
 func (l *Log) writeAndRename(file fsys.File, path string, data []byte) error {
 	if _, err := file.Write(data); err != nil {
 		return err
@@ -69,18 +69,18 @@
 	if err := file.Sync(); err != nil {
 		return err
 	}
-	l.tailUnknown = true // also after an error of Rename or SyncDir the file may have its name
+	l.tailUnknown = true // the file may have its final name even if Rename or SyncDir fails
 	if err := l.fs.Rename(path+tempSuffix, path); err != nil {
 		return err
 	}
 	return l.fs.SyncDir(l.dir)
 }
 
-// replaceFile has a file that holds a state, and no more, take the place of the former one.
+// replaceFile makes a file that contains just the state the current file, and removes the previous one.
 func (l *Log) replaceFile(file fsys.File, state PersistentState, size int64) {
 	if l.file != nil {
-		_ = l.file.Close()                        // nothing more is written to it
-		_ = l.fs.Remove(l.filePath(l.fileNumber)) // one that remains is ignored
+		_ = l.file.Close()                        // nothing is written to it any more
+		_ = l.fs.Remove(l.filePath(l.fileNumber)) // if it remains, it is ignored
 	}
 	l.file = file
 	l.fileNumber++
--- a/internal/fleet/raftlog/lock.go
+++ b/internal/fleet/raftlog/lock.go
@@ -9,11 +9,12 @@
 
 const lockFileName = "lock"
 
-// ErrLocked says that another process has the folder open, as the former one of an upgrade has until it ends.
+// ErrLocked is returned if another process has the folder open, such as the predecessor process of an upgrade until it
+// exits.
 var ErrLocked = errors.New("another process has it")
 
-// lockFolder locks a folder as long as the returned file is open. Two processes that wrote one log, as in an upgrade,
-// would each forget what the other has acknowledged.
+// lockFolder locks a folder until the returned file is closed. Without the lock two processes could write the same log
+// during an upgrade, and each would lose what the other one has acknowledged.
 func lockFolder(path string) (*os.File, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
--- a/internal/fleet/raftlog/raftlog.go
+++ b/internal/fleet/raftlog/raftlog.go
@@ -1,17 +1,18 @@
-// Package raftlog stores what a voter of a consensus group must not forget: its identity, its group, the known
-// incarnations of the other voters, and its part of the group's Raft log. It decides nothing; package consensus does.
+// Package raftlog stores the persistent state of a voter of a consensus group: its identity, its group, the known
+// incarnations of the other voters, and its copy of the group's Raft log. All decisions are made by package consensus.
 //
-// A Log owns one folder, which one process at a time has open, and in it one file of records. A record is one batch:
-// its length, a checksum of the length, a checksum of the content, and the content as CBOR. A batch is written and
-// synced before anything that rests on it is sent, so that only the last record can be torn. A torn record is dropped.
+// A Log owns one folder, which only one process at a time can open. The folder contains one file of records. A record
+// is one batch: the length of the content, a checksum of the length, a checksum of the content, and the content as
+// CBOR. A batch is written and synced before any message that depends on it is sent, so only the last record can be
+// torn. A torn record is dropped.
 //
-// A file that has grown is rewritten: a further file gets the whole state as its first record, and its name once that
-// is durable. The newest file with a name holds all.
+// A file that has grown is rewritten: a new file gets the complete state as its first record, and is renamed to its
+// final name once that record is durable. The newest file with a final name contains the complete state.
 //
-// A Log is safe for concurrent use, and starts no goroutines. Its errors: ErrLocked, where another process has the
-// folder; ErrCorrupt, where a file has been changed anywhere but at its end; and errors of the file system, after which
-// the same write is to be retried. Not detected are a file that was cut between two records and a folder that was
-// restored from a copy; package consensus detects the latter by the incarnations.
+// A Log is safe for concurrent use, and starts no goroutines. It returns ErrLocked if another process has the folder
+// open, ErrCorrupt if a file was changed anywhere but at its end, and errors of the file system, after which the caller
+// retries the same write. A file truncated between two records and a folder restored from a copy are not detected here;
+// package consensus detects the latter by the incarnations.
 package raftlog
 
 import (
@@ -27,36 +28,36 @@
 	"milletramp.example/milletramp/internal/fsys"
 )
 
-// ErrCorrupt says that a file holds, before its end, what was never written so. The voter must not take part with it,
-// as it may have forgotten what it has acknowledged.
+// ErrCorrupt is returned if a file contains invalid data before its last record. The voter must not take part with such
+// a folder, as it may have lost votes and entries that it has acknowledged.
 var ErrCorrupt = errors.New("the folder is spoilt: give this decider an empty one and add it anew")
 
-// errClosed says that the log is closed.
+// errClosed is returned for writes to a closed log.
 var errClosed = errors.New("consensus folder: closed")
 
-// wrapFolderError says of an error that it is one of the folder.
+// wrapFolderError adds the prefix of folder errors to an error.
 func wrapFolderError(err error) error { return fmt.Errorf("consensus folder: %w", err) }
 
-// Log is an open folder.
+// Log is the open folder of a voter.
 type Log struct {
 	dir                 string
 	fs                  fsys.FS
 	compactionThreshold int64 // bytes
 	lockFile            *os.File
 
-	mu                  sync.Mutex // guards what follows
+	mu                  sync.Mutex // guards the fields below
 	file                fsys.File
 	fileNumber          uint64
 	size                int64 // of the file, in bytes
 	initialSize         int64 // of the file's first record, in bytes
-	compactionRetrySize int64 // no compaction below this size, as one has failed
+	compactionRetrySize int64 // no compaction up to this size, in bytes, as one has failed
 	state               PersistentState
-	tailUnknown         bool // the file may end with a torn record, or a newer file may have its name: append no more
+	tailUnknown         bool // the file may end with a torn record, or a newer file may exist: do not append
 	closed              bool
 }
 
-// Open opens a folder for a further incarnation of its voter, and creates one where there is none. newID is the ID of
-// a voter without any state. dropped is the size in bytes of a torn record that was dropped.
+// Open opens the folder of a voter for its next incarnation, and creates the folder if it does not exist. A voter
+// without any state gets the ID newID. dropped is the size in bytes of a torn record that was dropped.
 func Open(dir string, newID uint64) (l *Log, dropped int, err error) {
 	return open(dir, newID, fsys.OS{}, defaultCompactionThreshold)
 }
@@ -83,16 +84,16 @@
 	return l, dropped, nil
 }
 
-// State returns what the folder holds. The caller must not change the snapshot and the data of the entries.
+// State returns the stored state. The caller must not change the snapshot and the data of the entries.
 func (l *Log) State() PersistentState {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state.clone()
 }
 
-// Persist writes a batch. After an error nothing that rests on the batch may be sent, though the next process may read
-// it all the same. The same batch is to be persisted again until that succeeds: each attempt writes the whole state
-// into a new file, as it is not known what the failed write or sync has left in the former one.
+// Persist writes a batch. After an error no message that depends on the batch may be sent, although the next process
+// may read the batch. The caller persists the same batch again until that succeeds. Each further attempt writes the
+// complete state to a new file, as the failed write or sync may have left any content in the previous one.
 func (l *Log) Persist(b consensus.Batch) error {
 	r, err := newRecord(b)
 	if err != nil {
@@ -101,13 +102,13 @@
 	return l.append(r)
 }
 
-// SaveBootstrap writes which group the voter is in.
+// SaveBootstrap writes the group that the voter is in.
 func (l *Log) SaveBootstrap(b consensus.Bootstrap) error { return l.append(record{Bootstrap: &b}) }
 
 // Compact writes a snapshot, which replaces the entries up to its index.
 func (l *Log) Compact(s raftpb.Snapshot) error { return l.Persist(consensus.Batch{Snapshot: &s}) }
 
-// append writes a record, and rewrites the file where that is due.
+// append writes a record, and rewrites the file if compaction is due.
 func (l *Log) append(r record) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// writeAndSync appends to the file.
+// writeAndSync appends data to the file and syncs it.
 func (l *Log) writeAndSync(data []byte) error {
 	if _, err := l.file.Write(data); err != nil {
 		return err
@@ -143,7 +144,7 @@
 	return l.file.Sync()
 }
 
-// Close closes the file, and unlocks the folder for another process.
+// Close closes the file and unlocks the folder.
 func (l *Log) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fleet/raftlog/record.go
+++ b/internal/fleet/raftlog/record.go
@@ -15,15 +15,15 @@
 const (
 	formatVersion  = 1
 	headerBytes    = 4 + 4 + 8 // content length, checksum of the length, checksum of the content
-	maxRecordBytes = 64 << 20  // of the content: a snapshot, or some policies
+	maxRecordBytes = 64 << 20  // of the content: a snapshot, or a batch with several policies
 )
 
-// errTorn says that the last write to a file did not complete.
+// errTorn is returned for a record at the end of a file whose write did not complete.
 var errTorn = errors.New("torn record")
 
-// record is what a file consists of. The first one of a file holds the whole state, each further one a change of it.
+// record is one record of a file. The first record contains the complete state, each later one a change to it.
 type record struct {
-	Format       int                  `cbor:"1,keyasint,omitempty"` // of the first record
+	Format       int                  `cbor:"1,keyasint,omitempty"` // set in the first record only
 	Self         *consensus.Identity  `cbor:"2,keyasint,omitempty"`
 	Bootstrap    *consensus.Bootstrap `cbor:"3,keyasint,omitempty"`
 	Incarnations map[uint64]uint64    `cbor:"4,keyasint,omitempty"` // of other voters, by ID
@@ -55,7 +55,7 @@
 	return r, nil
 }
 
-// encodeRecord returns a record as it stands in a file.
+// encodeRecord returns the stored form of a record: header and content.
 func encodeRecord(r record) ([]byte, error) {
 	content, err := cbor.Marshal(r)
 	if err != nil {
@@ -71,8 +71,8 @@
 	return append(data, content...), nil
 }
 
-// decodeRecord returns the content of the record that data begins with, and the size of the record. The error is
-// errTorn where this can be the unfinished last write to the file, and else ErrCorrupt.
+// decodeRecord returns the content of the record at the start of data, and the size of the record including its header.
+// The error is errTorn if the data may be an incomplete last write to the file, and ErrCorrupt otherwise.
 func decodeRecord(data []byte) (content []byte, size int, err error) {
 	if len(data) < headerBytes {
 		return nil, 0, errTorn
@@ -96,6 +96,6 @@
 	return content, size, nil
 }
 
-// allZero tells whether data can be space that a crash has left in a file: its length had grown, its content was not
-// written yet. It holds for no data.
+// allZero reports whether data contains only zeros, or nothing. A crash can leave zeros at the end of a file, whose
+// length had grown before its content was written.
 func allZero(data []byte) bool { return len(bytes.Trim(data, "\x00")) == 0 }
--- a/internal/fleet/raftlog/recovery.go
+++ b/internal/fleet/raftlog/recovery.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	filePrefix = "council-" // of a log file, whose number follows in hexadecimal
-	tempSuffix = ".new"     // of a log file that is not complete
+	filePrefix = "council-" // of a log file name; followed by the file number in hexadecimal
+	tempSuffix = ".new"     // of the name of an incomplete log file
 )
 
-// recoverState takes in the newest file of the folder for a further incarnation of the voter, and writes a file of its
-// own: nothing is ever appended to a torn record. dropped is the size of a torn record that was passed over.
+// recoverState reads the newest file of the folder for the next incarnation of the voter, and writes the state to a new
+// file, so that nothing is appended to a torn record. dropped is the size in bytes of a torn record that was dropped.
 func (l *Log) recoverState(newID uint64) (dropped int, err error) {
 	numbers, err := l.listFiles()
 	if err != nil {
 		return 0, err
 	}
 	if len(numbers) > 0 {
-		// A file gets its name once it is complete, so the newest one holds the whole state.
+		// A file gets its final name once it is complete, so the newest one contains the complete state.
 		l.fileNumber = numbers[len(numbers)-1]
 		if l.state, dropped, err = readFile(l.filePath(l.fileNumber)); err != nil {
 			return 0, err
@@ -39,7 +39,7 @@
 		return 0, err
 	}
 	for _, number := range numbers {
-		_ = os.Remove(l.filePath(number)) // one that remains is older than the file in use, and ignored
+		_ = os.Remove(l.filePath(number)) // if it remains, it is ignored, as it is older than the current file
 	}
 	return dropped, nil
 }
@@ -48,7 +48,7 @@
 	return filepath.Join(l.dir, fmt.Sprintf("%s%016x", filePrefix, number))
 }
 
-// listFiles lists the numbers of the complete files in order, and removes the incomplete ones.
+// listFiles returns the numbers of the complete files in ascending order, and removes the incomplete files.
 func (l *Log) listFiles() (numbers []uint64, err error) {
 	entries, err := os.ReadDir(l.dir)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return numbers, nil
 }
 
-// readFile returns the state that the records of a file come to. dropped is the size of a torn one at its end.
+// readFile returns the state after the records of a file. dropped is the size in bytes of a torn record at its end.
 func readFile(path string) (state PersistentState, dropped int, err error) {
 	state = emptyState()
 	data, err := os.ReadFile(path)
@@ -104,7 +104,7 @@
 		}
 		offset += size
 	}
-	if state.Self.ID == 0 { // the first record was complete before the file had its name
+	if state.Self.ID == 0 { // the first record is complete before the file gets its final name
 		return state, 0, fmt.Errorf("%s: %w: it has no first record", path, ErrCorrupt)
 	}
 	return state, dropped, nil
--- a/internal/fleet/raftlog/state.go
+++ b/internal/fleet/raftlog/state.go
@@ -10,32 +10,32 @@
 	"milletramp.example/milletramp/internal/fleet/consensus"
 )
 
-// PersistentState is what a voter must not forget.
+// PersistentState is the complete state that a voter stores in its folder.
 type PersistentState struct {
 	Self         consensus.Identity
 	Bootstrap    *consensus.Bootstrap // nil: the voter is in no group yet
-	Incarnations map[uint64]uint64    // highest known ones of other voters, by ID
+	Incarnations map[uint64]uint64    // highest known incarnations of other voters, by ID
 	Raft         consensus.PersistentState
 }
 
-// emptyState returns the state of a voter that has none yet.
+// emptyState returns the state of a voter with an empty folder.
 func emptyState() PersistentState { return PersistentState{Incarnations: map[uint64]uint64{}} }
 
-// clone returns a copy that shares entries and snapshot, which are never changed in place.
+// clone returns a copy that shares the content of the entries and of the snapshot, which is never changed in place.
 func (s PersistentState) clone() PersistentState {
 	s.Raft.Entries = slices.Clone(s.Raft.Entries)
 	s.Incarnations = maps.Clone(s.Incarnations)
 	return s
 }
 
-// withRecord returns the state with a record applied. The state that it is called on stays as it is.
+// withRecord returns the state with a record applied. The receiver is unchanged.
 func (s PersistentState) withRecord(r record) (PersistentState, error) {
 	s.Incarnations = maps.Clone(s.Incarnations)
 	err := s.applyRecord(r)
 	return s, err
 }
 
-// applyRecord applies a record. After an error the state is of no use.
+// applyRecord applies a record. After an error the state must not be used.
 func (s *PersistentState) applyRecord(r record) error {
 	if r.Self != nil {
 		s.Self = *r.Self
@@ -55,7 +55,7 @@
 	return s.applyEntries(r.Entries)
 }
 
-// applyHardState replaces the hard state; nil: it is unchanged.
+// applyHardState replaces the hard state, unless data is nil.
 func (s *PersistentState) applyHardState(data []byte) error {
 	if data == nil {
 		return nil
@@ -64,7 +64,7 @@
 	return s.Raft.HardState.Unmarshal(data)
 }
 
-// applySnapshot replaces the snapshot, and drops the entries that it covers; nil: it is unchanged.
+// applySnapshot replaces the snapshot and drops the entries that it covers, unless data is nil.
 func (s *PersistentState) applySnapshot(data []byte) error {
 	if data == nil {
 		return nil
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// applyEntries appends entries. They replace those of the same indices and all behind these.
+// applyEntries appends entries. They replace the existing entries from the first one's index on.
 func (s *PersistentState) applyEntries(encoded [][]byte) error {
 	if len(encoded) == 0 {
 		return nil
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// entriesBefore returns the entries before an index.
+// entriesBefore returns the entries with a smaller index.
 func entriesBefore(entries []raftpb.Entry, index uint64) []raftpb.Entry {
 	i := slices.IndexFunc(entries, func(e raftpb.Entry) bool { return e.Index >= index })
 	if i < 0 {
@@ -110,7 +110,7 @@
 	return entries[:i]
 }
 
-// entriesAfter returns the entries behind an index.
+// entriesAfter returns the entries with a larger index.
 func entriesAfter(entries []raftpb.Entry, index uint64) []raftpb.Entry {
 	i := slices.IndexFunc(entries, func(e raftpb.Entry) bool { return e.Index > index })
 	if i < 0 {
