--- a/internal/fleet/consensus/bootstrap.go
+++ b/internal/fleet/consensus/bootstrap.go
@@ -84,7 +84,7 @@
 	// ErrNotInGroup is returned if there is a group that does not contain this voter with this folder. Either the voter
 	// never belonged to the group, or it has lost its folder and could contradict its former votes. It waits until it
 	// replaces a voter.
-	ErrNotInGroup = errors.New("consensus: there is a group without this voter and folder; it is to replace a voter")
+	ErrNotInGroup = errors.New("consensus: this voter with this folder is not in the group; it must replace a voter")
 	// ErrConfigMismatch is returned if another voter's settings name different voters or a different initial policy.
 	ErrConfigMismatch = errors.New("consensus: two voters' settings differ in the voters or in the initial policy")
 )
@@ -122,13 +122,13 @@
 	_, named := b.configured.Voters[name]
 	switch {
 	case len(b.configured.Voters) != len(voters) || len(voters) != 3 && len(voters) != 5:
-		return nil, fmt.Errorf("consensus: voters %v: three or five are needed, each named once", voters)
+		return nil, fmt.Errorf("consensus: voters %v: want three or five distinct names", voters)
 	case !named:
-		return nil, fmt.Errorf("consensus: %q is none of the voters %v", name, voters)
+		return nil, fmt.Errorf("consensus: %q is not one of the voters %v", name, voters)
 	case identity.ID == 0:
-		return nil, errors.New("consensus: a voter without an ID")
+		return nil, errors.New("consensus: missing voter ID")
 	case known != nil && known.KnownVoters()[name] != identity.ID:
-		return nil, fmt.Errorf("consensus: the folder of %s is another voter's", name)
+		return nil, fmt.Errorf("consensus: the folder of %s belongs to another voter", name)
 	}
 	return b, nil
 }
@@ -171,7 +171,7 @@
 	case h.Voters[b.name] == b.identity.ID: // this voter has replaced another one
 		group.VotersAtJoin = h.Voters
 	default:
-		return fmt.Errorf("%w (%s, by %s)", ErrNotInGroup, b.name, h.Name)
+		return fmt.Errorf("%w (voter %s, according to %s)", ErrNotInGroup, b.name, h.Name)
 	}
 	b.bootstrap = &group
 	return nil
--- a/internal/fleet/raftlog/lock.go
+++ b/internal/fleet/raftlog/lock.go
@@ -11,7 +11,7 @@
 
 // ErrLocked is returned if another process has the folder open, such as the predecessor process of an upgrade until it
 // exits.
-var ErrLocked = errors.New("another process has it")
+var ErrLocked = errors.New("locked by another process")
 
 // lockFolder locks a folder until the returned file is closed. Without the lock two processes could write the same log
 // during an upgrade, and each would lose what the other one has acknowledged.
--- a/internal/fleet/raftlog/raftlog.go
+++ b/internal/fleet/raftlog/raftlog.go
@@ -30,7 +30,7 @@
 
 // ErrCorrupt is returned if a file contains invalid data before its last record. The voter must not take part with such
 // a folder, as it may have lost votes and entries that it has acknowledged.
-var ErrCorrupt = errors.New("the folder is spoilt: give this decider an empty one and add it anew")
+var ErrCorrupt = errors.New("the folder is corrupt: give this voter an empty folder and add it to the group again")
 
 // errClosed is returned for writes to a closed log.
 var errClosed = errors.New("consensus folder: closed")
--- a/internal/fleet/raftlog/recovery.go
+++ b/internal/fleet/raftlog/recovery.go
@@ -68,7 +68,7 @@
 		}
 		var number uint64
 		if _, err := fmt.Sscanf(digits, "%016x", &number); err != nil {
-			return nil, fmt.Errorf("consensus folder: %s: no file of this program", entry.Name())
+			return nil, fmt.Errorf("consensus folder: %s: not a log file, as its name has no number", entry.Name())
 		}
 		numbers = append(numbers, number)
 	}
@@ -97,7 +97,7 @@
 			return state, 0, fmt.Errorf("%s: byte %d: %w: %w", path, offset, ErrCorrupt, err)
 		}
 		if offset == 0 && r.Format != formatVersion {
-			return state, 0, fmt.Errorf("%s: format %d, this program knows %d", path, r.Format, formatVersion)
+			return state, 0, fmt.Errorf("%s: unsupported format %d, want %d", path, r.Format, formatVersion)
 		}
 		if err := state.applyRecord(r); err != nil {
 			return state, 0, fmt.Errorf("%s: byte %d: %w: %w", path, offset, ErrCorrupt, err)
@@ -105,7 +105,7 @@
 		offset += size
 	}
 	if state.Self.ID == 0 { // the first record is complete before the file gets its final name
-		return state, 0, fmt.Errorf("%s: %w: it has no first record", path, ErrCorrupt)
+		return state, 0, fmt.Errorf("%s: %w: the first record is missing", path, ErrCorrupt)
 	}
 	return state, dropped, nil
 }
