--- a/internal/fleet/consensus/bootstrap_test.go
+++ b/internal/fleet/consensus/bootstrap_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// bootstrapCluster is configured voters that send each other hellos, lose their folders and return.
+// bootstrapCluster simulates configured voters that exchange hellos, crash, lose their folders and restart.
 type bootstrapCluster struct {
 	t          *rapid.T
 	now        time.Duration
@@ -19,8 +19,8 @@
 	folders    map[string]folder
 	lastID     uint64
 	delayed    []func()
-	groups     map[uint64]map[string]uint64 // by group: who has been in it, and with which folder's ID
-	folderLost bool                         // some folder was lost
+	groups     map[uint64]map[string]uint64 // by group ID: the voters that have been in it, as voter IDs by name
+	folderLost bool                         // at least one folder was lost
 }
 
 type folder struct {
@@ -28,7 +28,7 @@
 	bootstrap *Bootstrap
 }
 
-// inGroup tells whether the folder is of a group.
+// inGroup reports whether the folder's voter is in the group with an ID.
 func (f folder) inGroup(group uint64) bool {
 	return f.bootstrap != nil && f.bootstrap.GroupID() == group
 }
@@ -48,7 +48,8 @@
 	c.machines[name] = m
 }
 
-// receive has a voter take in a hello, and persists its group.
+// receive delivers a hello to a voter and persists its group. It fails the test if the voter changes its group, or is
+// in a group that does not contain its ID.
 func (c *bootstrapCluster) receive(name string, h Hello) {
 	m := c.machines[name]
 	if m == nil {
@@ -59,7 +60,7 @@
 	}
 	f := c.folders[name]
 	if f.bootstrap != nil && !f.inGroup(m.Bootstrap().GroupID()) {
-		c.t.Fatalf("%s was of %v and is of %v", name, f.bootstrap, m.Bootstrap())
+		c.t.Fatalf("%s was in %v and is now in %v", name, f.bootstrap, m.Bootstrap())
 	}
 	if m.Bootstrap() == nil {
 		return
@@ -72,11 +73,11 @@
 	}
 	c.groups[group][name] = f.identity.ID
 	if f.bootstrap.Voters[name] != f.identity.ID {
-		c.t.Fatalf("%s with folder %x is of %v", name, f.identity.ID, f.bootstrap)
+		c.t.Fatalf("%s with ID %x is in %v, which does not contain it", name, f.identity.ID, f.bootstrap)
 	}
 }
 
-// step does one drawn thing.
+// step performs a randomly drawn action.
 func (c *bootstrapCluster) step() {
 	c.now += time.Duration(rapid.IntRange(0, 400).Draw(c.t, "ms")) * time.Millisecond
 	name := rapid.SampledFrom(c.names).Draw(c.t, "who")
@@ -96,8 +97,8 @@
 	}
 }
 
-// loseFolder has a drawn part of the folders be lost, but never the last one of a group: no voter can know of that, and
-// the operators have to see to it.
+// loseFolder deletes a voter's folder with a drawn probability, but never the last folder of a group: no voter can
+// detect that loss, so operators have to handle it.
 func (c *bootstrapCluster) loseFolder(name string) {
 	inGroup := 0
 	for _, f := range c.folders {
@@ -111,7 +112,7 @@
 	}
 }
 
-// deliverDelayed delivers one of the hellos that were held back.
+// deliverDelayed delivers one of the delayed hellos.
 func (c *bootstrapCluster) deliverDelayed() {
 	if len(c.delayed) == 0 {
 		return
@@ -122,7 +123,7 @@
 	deliver()
 }
 
-// sendHellos sends a voter's hello to all others; some are late, and some of these are lost.
+// sendHellos sends a voter's hello to all others. Some hellos are delayed or lost.
 func (c *bootstrapCluster) sendHellos(name string) {
 	m := c.machines[name]
 	if m == nil {
@@ -140,8 +141,8 @@
 	}
 }
 
-// groupsWithMajority lists the groups that have a majority of their own. A voter is in one group only, so that two with
-// a majority need two folders of one name that both were of one.
+// groupsWithMajority returns the groups of which a majority of the voters still has the folder. A folder belongs to one
+// group only, so two such groups need a voter that lost its folder and joined a second group.
 func (c *bootstrapCluster) groupsWithMajority() (groups []uint64) {
 	for group, voters := range c.groups {
 		n := 0
@@ -157,7 +158,7 @@
 	return groups
 }
 
-// exchangeHellos starts all voters, and has each receive the hellos of all others twice.
+// exchangeHellos starts all voters and delivers the hellos of each to all others, twice.
 func (c *bootstrapCluster) exchangeHellos() {
 	for _, name := range c.names {
 		if c.machines[name] == nil {
@@ -175,8 +176,8 @@
 	}
 }
 
-// TestBootstrappedOnce: whatever is lost of hellos and folders, no two groups ever have a majority of their own; a
-// voter whose folder is lost is in no group that it was in before; and where none is lost, all are in one.
+// TestBootstrappedOnce checks that lost hellos and folders never lead to two groups with a majority each, that a voter
+// that has lost its folder does not rejoin its group, and that all voters are in one group if no folder was lost.
 func TestBootstrappedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := &bootstrapCluster{
@@ -201,7 +202,7 @@
 		}
 		c.exchangeHellos()
 		if len(c.groups) != 1 {
-			t.Fatalf("no folder was lost, all hellos were received, and there are groups %v",
+			t.Fatalf("groups %v after all hellos were received and no folder was lost, want one group",
 				slices.Collect(maps.Keys(c.groups)))
 		}
 	})
@@ -218,7 +219,7 @@
 	return b
 }
 
-// receiveHello has a bootstrapper take in a hello, and checks the error.
+// receiveHello delivers a hello to a bootstrapper and checks the error.
 func receiveHello(t *testing.T, b *Bootstrapper, now time.Duration, h Hello, want error) {
 	t.Helper()
 	if err := b.Receive(now, h); !errors.Is(err, want) {
@@ -226,54 +227,55 @@
 	}
 }
 
-// TestBootstrapper: what it takes to form a group, and what becomes of a voter that has lost its folder.
+// TestBootstrapper checks the conditions under which a group is formed, and that a voter that has lost its folder joins
+// the group only after it has replaced its former identity.
 func TestBootstrapper(t *testing.T) {
 	a := newTestBootstrapper(t, "a", 1, "x", nil)
 	b := newTestBootstrapper(t, "b", 2, "x", nil)
 	c := newTestBootstrapper(t, "c", 3, "x", nil)
 	receiveHello(t, a, 1, b.Hello(), nil)
 	if a.Bootstrap() != nil {
-		t.Error("two of three form a group")
+		t.Error("two of three voters formed a group")
 	}
 	receiveHello(t, a, 1+helloLifetime, c.Hello(), nil)
 	if a.Bootstrap() != nil {
-		t.Error("a hello that is too old counts")
+		t.Error("an expired hello counted towards the bootstrap")
 	}
 	otherPolicy := newTestBootstrapper(t, "b", 2, "y", nil)
 	receiveHello(t, a, 1+helloLifetime, otherPolicy.Hello(), ErrConfigMismatch)
 	receiveHello(t, a, 1+helloLifetime, b.Hello(), nil)
 	if a.Bootstrap() == nil || a.Bootstrap().Voters["c"] != 3 {
-		t.Fatalf("%v, all three are there", a.Bootstrap())
+		t.Fatalf("bootstrap %v after the hellos of all three voters", a.Bootstrap())
 	}
 	receiveHello(t, b, 1, a.Hello(), nil)
 	if b.Bootstrap() == nil || b.Bootstrap().GroupID() != a.Bootstrap().GroupID() {
-		t.Errorf("%v, it is named in %v", b.Bootstrap(), a.Bootstrap())
+		t.Errorf("bootstrap of b is %v, want that of a: %v", b.Bootstrap(), a.Bootstrap())
 	}
-	// c returns without its folder: both know it with another one.
+	// c restarts without its folder, so it has a new ID that the group does not contain.
 	withNewFolder := newTestBootstrapper(t, "c", 9, "x", nil)
 	receiveHello(t, withNewFolder, 1, a.Hello(), ErrNotInGroup)
 	receiveHello(t, withNewFolder, 1, b.Hello(), ErrNotInGroup)
 	if withNewFolder.Bootstrap() != nil {
-		t.Errorf("%v without its folder", withNewFolder.Bootstrap())
+		t.Errorf("a voter that has lost its folder joined %v", withNewFolder.Bootstrap())
 	}
 	if _, err := NewBootstrapper("c", Identity{9, 1}, testVoters, nil, a.Bootstrap()); err == nil {
-		t.Error("another voter's folder is accepted")
+		t.Error("a folder of another voter was accepted")
 	}
-	// It replaces its former self, and returns with what it has persisted of that.
+	// The group replaces c's former ID by the new one. c then joins, and restarts from its persisted bootstrap.
 	helloAfterReplacement := a.Hello()
 	helloAfterReplacement.Voters = map[string]uint64{"a": 1, "b": 2, "c": 9}
 	receiveHello(t, withNewFolder, 2, helloAfterReplacement, nil)
 	got := withNewFolder.Bootstrap()
 	if got == nil || got.GroupID() != a.Bootstrap().GroupID() || got.KnownVoters()["c"] != 9 {
-		t.Fatalf("%v, it has replaced its former self", got)
+		t.Fatalf("bootstrap %v after replacing the former ID of c", got)
 	}
 	restarted, err := NewBootstrapper("c", Identity{9, 2}, testVoters, nil, got)
 	if err != nil || restarted.Bootstrap() == nil {
-		t.Errorf("%v, error %v", restarted, err)
+		t.Errorf("restarted as %v, error %v", restarted, err)
 	}
 }
 
-// TestBootstrapperRejects: configurations and hellos that are refused.
+// TestBootstrapperRejects checks that invalid configurations and hellos are rejected.
 func TestBootstrapperRejects(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
@@ -281,13 +283,13 @@
 	}{
 		{"no voters", nil},
 		{"two voters", []string{"a", "b"}},
-		{"a voter twice", []string{"a", "b", "b"}},
-		{"other voters", []string{"b", "c", "d"}},
+		{"duplicate voter", []string{"a", "b", "b"}},
+		{"own name missing", []string{"b", "c", "d"}},
 		{"four voters", []string{"a", "b", "c", "d"}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			if _, err := NewBootstrapper("a", Identity{1, 1}, tt.voters, nil, nil); err == nil {
-				t.Errorf("voters %v are accepted", tt.voters)
+				t.Errorf("voters %v were accepted", tt.voters)
 			}
 		})
 	}
@@ -296,13 +298,13 @@
 		hello Hello
 	}{
 		{"empty hello", Hello{}},
-		{"hello of no voter", Hello{Name: "z", ID: 4}},
+		{"unknown voter", Hello{Name: "z", ID: 4}},
 		{"own hello", Hello{Name: "a", ID: 1}},
 		{"hello without an ID", Hello{Name: "b"}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			if err := newTestBootstrapper(t, "a", 1, "x", nil).Receive(1, tt.hello); err == nil {
-				t.Errorf("%+v is accepted", tt.hello)
+				t.Errorf("%+v was accepted", tt.hello)
 			}
 		})
 	}
--- a/internal/fleet/consensus/cluster_test.go
+++ b/internal/fleet/consensus/cluster_test.go
@@ -17,16 +17,16 @@
 	"milletramp.example/milletramp/internal/fleet/policy"
 )
 
-// stepInterval is how far a step of a cluster moves the time on.
+// stepInterval is the simulated time that one step of a cluster takes.
 const stepInterval = 10 * time.Millisecond
 
 var initialPolicy = []byte("first")
 
-// testBootstrap is of the voters 1, 2 and 3.
+// testBootstrap is a group of the voters 1, 2 and 3.
 var testBootstrap = Bootstrap{Voters: map[string]uint64{"a": 1, "b": 2, "c": 3}, InitialPolicy: initialPolicy}
 
-// cluster steps voters, each with what it has persisted, and sidecars in simulated time. Messages are lost and late,
-// links are cut, and voters and sidecars pause, crash and return; voters return with what they have persisted.
+// cluster runs voters and sidecars in simulated time. Messages are lost and delayed, and voters and sidecars pause,
+// crash, restart and are partitioned. Voters restart from their persisted state.
 type cluster struct {
 	t             *testing.T
 	random        *rand.Rand
@@ -39,8 +39,8 @@
 	tokens        uint64
 	callbacks     map[uint64]func(LeaseReply) // by token
 	highestServed uint64
-	outcomes      map[string]policy.State // the furthest seen of each change, by ID
-	violation     string                  // the last rule seen broken; "": none
+	outcomes      map[string]policy.State // the latest state observed of each change, by ID
+	violation     string                  // the last violated invariant; "": none
 }
 
 type event struct {
@@ -55,7 +55,7 @@
 	machine          *Machine // nil: crashed
 	persisted        PersistentState
 	incarnations     map[uint64]uint64
-	lostState        bool // some of what it persisted is gone
+	lostState        bool // part of the persisted state was removed
 	pausedUntil      time.Duration
 	partitionedUntil time.Duration
 	incarnation      int
@@ -82,7 +82,7 @@
 	return c
 }
 
-// testSettings are those of a voter of testBootstrap that has persisted nothing.
+// testSettings returns the settings of a voter of testBootstrap without persisted state.
 func testSettings(id, incarnation uint64) Settings {
 	return Settings{
 		Identity:  Identity{id, incarnation},
@@ -113,7 +113,7 @@
 	c.queue = slices.Insert(c.queue, i, e)
 }
 
-// send has something happen at the receiver's end of a link, unless it is lost.
+// send schedules a delivery after the delay of a link, unless the message is lost.
 func (c *cluster) send(do func()) {
 	if c.random.Float64() < c.loss {
 		return
@@ -125,7 +125,8 @@
 	c.schedule(delay, do)
 }
 
-// run has a voter take in an event, when it is not paused, and does what follows from that.
+// run passes an event to a voter, after its pause if it is paused. It then persists batches, and sends the resulting
+// messages and replies.
 func (v *voter) run(do func(m *Machine)) {
 	if v.machine == nil {
 		return
@@ -153,7 +154,7 @@
 	}
 }
 
-// persistBatches persists batches until there are no more.
+// persistBatches persists batches until Batch returns no more.
 func (v *voter) persistBatches() {
 	for {
 		b, ok := v.machine.Batch()
@@ -174,7 +175,7 @@
 	}
 }
 
-// deliver sends a message to another voter, unless one of the two is cut off.
+// deliver sends a message to another voter, unless one of the two is partitioned.
 func (v *voter) deliver(msg Message) {
 	to := v.cluster.voters[msg.To-1]
 	if v.partitionedUntil > v.cluster.now || to.partitionedUntil > v.cluster.now {
@@ -193,7 +194,7 @@
 	})
 }
 
-// persist stands for the disk.
+// persist applies a batch to the simulated disk.
 func (v *voter) persist(b Batch) {
 	maps.Copy(v.incarnations, b.Incarnations)
 	if b.HardState != nil {
@@ -213,7 +214,7 @@
 	v.persisted.Entries = slices.DeleteFunc(slices.Clone(v.persisted.Entries), drop)
 }
 
-// step moves the time on by stepInterval, and checks the rules.
+// step advances the time by stepInterval and checks the invariants.
 func (c *cluster) step() {
 	c.now += stepInterval
 	for len(c.queue) > 0 && c.queue[0].at <= c.now {
@@ -240,7 +241,8 @@
 	}
 }
 
-// checkOutcomes checks that no final outcome contradicts another. Voters have applied different parts of the log.
+// checkOutcomes checks that a change is not both committed and refused. The ledgers of the voters may contain different
+// prefixes of the log.
 func (c *cluster) checkOutcomes(l *policy.Ledger) {
 	for _, o := range l.Outcomes() {
 		was, known := c.outcomes[o.ID]
@@ -252,7 +254,7 @@
 	}
 }
 
-// leader is the voter that leads and grants leases; nil: none does.
+// leader returns the voter that leads and grants leases, or nil if there is none.
 func (c *cluster) leader() *voter {
 	for _, v := range c.voters {
 		if v.machine != nil && v.pausedUntil <= c.now && v.machine.leases != nil && v.machine.Leader() == v.id {
@@ -262,7 +264,7 @@
 	return nil
 }
 
-// propose proposes a change at the leader, and returns its ID; "": there is no leader.
+// propose proposes a change at the leader and returns its ID, or "" if it was not accepted.
 func (c *cluster) propose(text string) (id string) {
 	v := c.leader()
 	if v == nil {
@@ -279,7 +281,7 @@
 	return id
 }
 
-// startCrashed starts the voters that have crashed.
+// startCrashed restarts the crashed voters.
 func (c *cluster) startCrashed() {
 	for _, v := range c.voters {
 		if v.machine == nil {
@@ -288,17 +290,17 @@
 	}
 }
 
-// requireProgress fails the test, unless a change comes into force at the leader within three seconds.
+// requireProgress fails the test unless a change comes into force at the leader within three seconds.
 func (c *cluster) requireProgress() {
 	c.t.Helper()
 	id := c.propose("another")
 	c.steps(300)
 	if l := c.leader(); l == nil || l.machine.Ledger().Outcome(id).State != policy.InForce || c.violation != "" {
-		c.t.Errorf("the others make no progress: %s", c.violation)
+		c.t.Errorf("the remaining voters make no progress, or violate an invariant: %q", c.violation)
 	}
 }
 
-// injectFault has a drawn voter or sidecar pause, crash or be cut off for up to four seconds.
+// injectFault pauses, crashes or partitions a randomly drawn voter or sidecar for up to four seconds.
 func (c *cluster) injectFault() {
 	until := c.now + time.Duration(c.random.Int64N(int64(4*time.Second)))
 	v, s := c.voters[c.random.IntN(len(c.voters))], c.sidecars[c.random.IntN(len(c.sidecars))]
@@ -325,7 +327,7 @@
 	}
 }
 
-// endFaults ends all faults.
+// endFaults ends all faults and restarts crashed voters.
 func (c *cluster) endFaults() {
 	c.loss = 0
 	for _, s := range c.sidecars {
--- a/internal/fleet/consensus/consensus_test.go
+++ b/internal/fleet/consensus/consensus_test.go
@@ -10,10 +10,10 @@
 	"milletramp.example/milletramp/internal/fleet/policy"
 )
 
-var seeds = flag.Int("consensus.plays", 12, "drawn runs of TestConsensus")
+var seeds = flag.Int("consensus.plays", 12, "number of random runs of TestConsensus")
 
-// TestConsensus proposes changes to three voters under drawn faults: no two sidecars ever serve under different
-// policies, no outcome is contradicted, and once the faults are over a change comes into force everywhere.
+// TestConsensus proposes changes to three voters under random faults. It checks that no two sidecars ever serve under
+// different policies, that no outcome is contradicted, and that after the faults a change comes into force everywhere.
 func TestConsensus(t *testing.T) {
 	for seed := range uint64(*seeds) {
 		c := newCluster(t, seed, 3, 4)
@@ -33,7 +33,7 @@
 		c.steps(1500)
 		id := c.propose("the last")
 		if id == "" {
-			t.Fatalf("seed %d: nobody leads", seed)
+			t.Fatalf("seed %d: no leader after the faults", seed)
 		}
 		c.steps(300)
 		if c.violation != "" {
@@ -43,24 +43,24 @@
 	}
 }
 
-// checkInForceEverywhere checks that all voters have a change in force, and all sidecars serve under it.
+// checkInForceEverywhere checks that a change is in force at all voters and that all sidecars serve under it.
 func (c *cluster) checkInForceEverywhere(seed uint64, id string) {
 	c.t.Helper()
 	for _, v := range c.voters {
 		if o := v.machine.Ledger().Outcome(id); o.State != policy.InForce {
-			c.t.Errorf("seed %d: at voter %d the last change is %v (%s)", seed, v.id, o.State, o.Reason)
+			c.t.Errorf("seed %d: last change at voter %d is %v (%s), want in force", seed, v.id, o.State, o.Reason)
 		}
 	}
 	for _, s := range c.sidecars {
 		number, _, ok := s.Serves(c.now)
 		if !ok || number != c.voters[0].machine.Ledger().InForce().Number {
-			c.t.Errorf("seed %d: %s serves under %d, %v", seed, s.name, number, ok)
+			c.t.Errorf("seed %d: %s serves under policy %d (%v), want the last one", seed, s.name, number, ok)
 		}
 	}
 }
 
-// TestMinorityLost: with one of three voters gone changes go on, with two gone they stop, and serving goes on for the
-// leases' length and no longer.
+// TestMinorityLost checks that changes continue after the loss of one of three voters. After the loss of two they stop,
+// and sidecars serve until their leases expire and no longer.
 func TestMinorityLost(t *testing.T) {
 	c := newCluster(t, 1, 3, 3)
 	c.steps(600)
@@ -69,29 +69,31 @@
 	id := c.propose("second")
 	c.steps(300)
 	if l := c.leader(); l == nil || l.machine.Ledger().Outcome(id).State != policy.InForce {
-		t.Fatalf("with one voter gone: leader %v", l)
+		t.Fatalf("change not in force after the loss of one voter: leader %v", l)
 	}
 	c.leader().machine = nil
 	c.steps(100)
 	if got := c.servingCount(); got != 3 {
-		t.Errorf("%d of 3 serve 1 s after the majority was lost", got)
+		t.Errorf("%d of 3 sidecars serve 1 s after the loss of the majority", got)
 	}
 	if c.propose("third") != "" {
-		t.Error("one voter of three accepts a change")
+		t.Error("one of three voters accepted a change")
 	}
 	c.steps(400)
 	if got := c.servingCount(); got != 0 {
-		t.Errorf("%d of 3 serve 5 s after the majority was lost: leases last %v", got, policy.DefaultTerms.Length)
+		t.Errorf("%d of 3 sidecars serve 5 s after the loss of the majority: leases last %v",
+			got, policy.DefaultTerms.Length)
 	}
 	c.startCrashed()
 	c.steps(600)
 	inForce := c.leader().machine.Ledger().InForce().Number
 	if got := c.servingCount(); got != 3 || inForce != 2 || c.violation != "" {
-		t.Errorf("back again: %d of 3 serve, policy %d is in force, %s", got, inForce, c.violation)
+		t.Errorf("after the restart: %d of 3 sidecars serve, policy %d is in force, want 3 and policy 2; violation %q",
+			got, inForce, c.violation)
 	}
 }
 
-// TestRestoreFromPersistedState: what a voter has persisted brings it to where it was, also behind a snapshot.
+// TestRestoreFromPersistedState checks that a voter restores its ledger from its persisted snapshot and entries.
 func TestRestoreFromPersistedState(t *testing.T) {
 	c := newCluster(t, 2, 3, 1)
 	c.steps(600)
@@ -106,20 +108,20 @@
 	}
 	index, entries := v.persisted.Snapshot.Metadata.Index, len(v.persisted.Entries)
 	if index == 0 || entries > 2*snapshotThreshold {
-		t.Errorf("snapshot at %d, %d entries behind it", index, entries)
+		t.Errorf("snapshot at %d, %d entries after it", index, entries)
 	}
 	v.start()
 	c.steps(200)
 	if got, err := v.machine.Ledger().Encode(); err != nil || string(got) != string(want) {
-		t.Errorf("%d bytes, before %d, error %v", len(got), len(want), err)
+		t.Errorf("restored ledger differs: %d bytes, before %d, error %v", len(got), len(want), err)
 	}
 	if v.machine.Ledger().InForce().Number < 20 {
-		t.Errorf("policy %d is in force", v.machine.Ledger().InForce().Number)
+		t.Errorf("policy %d is in force, want 20 or later", v.machine.Ledger().InForce().Number)
 	}
 }
 
-// TestRejectUnknownMessages: what no member sent is refused, and so are a voter that is no member and a proposal to one
-// that does not lead.
+// TestRejectUnknownMessages checks that malformed messages, a voter that is not a member, and a proposal to a follower
+// are rejected.
 func TestRejectUnknownMessages(t *testing.T) {
 	c := newCluster(t, 3, 3, 1)
 	m := c.voters[0].machine
@@ -134,14 +136,14 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			if err := m.Step(tt.message); err == nil {
-				t.Errorf("%d bytes are accepted", len(tt.message))
+				t.Errorf("a malformed message of %d bytes was accepted", len(tt.message))
 			}
 		})
 	}
 	if _, err := New(0, testSettings(9, 1), slog.New(slog.DiscardHandler)); err == nil {
-		t.Error("one that is no member starts")
+		t.Error("a voter that is not a member was started")
 	}
 	if err := m.Propose(policy.Proposal{ID: "x"}); !errors.Is(err, ErrNoLeader) {
-		t.Errorf("error %v from one that does not lead", err)
+		t.Errorf("error %v of a follower, want ErrNoLeader", err)
 	}
 }
--- a/internal/fleet/consensus/encoding_test.go
+++ b/internal/fleet/consensus/encoding_test.go
@@ -9,7 +9,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// TestEncodedForms holds what is stored and sent to the bytes that build af0b01d encoded, before names were changed.
+// TestEncodedForms checks that the stored and transmitted types still encode to the bytes that build af0b01d wrote, so
+// that a renamed identifier cannot change the format.
 func TestEncodedForms(t *testing.T) {
 	voters := map[string]uint64{"a": 1}
 	bootstrap := Bootstrap{voters, []byte("p"), map[string]uint64{"b": 2}}
@@ -41,7 +42,7 @@
 		})
 	}
 	if got, want := bootstrap.GroupID(), uint64(9768058050192613145); got != want {
-		t.Errorf("group %d, want %d", got, want)
+		t.Errorf("group ID %d, want %d", got, want)
 	}
 	settings := testSettings(1, 2)
 	settings.Bootstrap = Bootstrap{Voters: voters, InitialPolicy: []byte("p")}
@@ -51,6 +52,6 @@
 	}
 	s, err := m.storage.Snapshot()
 	if got := hex.EncodeToString(s.Data); err != nil || got != "a201417003a1616101" {
-		t.Errorf("a group's first snapshot is %s, error %v", got, err)
+		t.Errorf("initial snapshot is %s, error %v", got, err)
 	}
 }
--- a/internal/fleet/consensus/envelope_test.go
+++ b/internal/fleet/consensus/envelope_test.go
@@ -11,19 +11,19 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// TestOlderFolderCopy: a voter that returns with a copy of its folder from an earlier incarnation is not believed,
-// whatever it sends; the others go on.
+// TestOlderFolderCopy checks that a voter restarted from an older copy of its folder is rejected by the other voters
+// and stops with ErrLostState, as it could contradict its later acknowledgements. The other voters make progress.
 func TestOlderFolderCopy(t *testing.T) {
 	c := newCluster(t, 5, 3, 2)
 	c.steps(600)
 	v := c.voters[0]
 	older := v.persisted
 	older.Entries = slices.Clone(older.Entries)
-	for range 2 { // two further incarnations, in which it acknowledges more
+	for range 2 { // two more incarnations, in which the voter acknowledges further entries
 		v.start()
 		c.steps(300)
 		if c.propose(fmt.Sprint("text ", v.incarnation)) == "" {
-			t.Fatal("nobody leads")
+			t.Fatal("no leader")
 		}
 		c.steps(200)
 	}
@@ -41,19 +41,19 @@
 		}
 	}
 	if refused != 2 {
-		t.Errorf("%d of 2 refuse it", refused)
+		t.Errorf("%d of 2 voters rejected the voter with the older folder", refused)
 	}
 	c.steps(200)
 	if !errors.Is(v.machine.fatalErr, ErrLostState) {
-		t.Errorf("it takes part: %v", v.machine.fatalErr)
+		t.Errorf("voter with the older folder has error %v, want ErrLostState", v.machine.fatalErr)
 	}
 	v.machine = nil
 	c.steps(600)
 	c.requireProgress()
 }
 
-// TestTruncatedFolder: a voter that has lost entries of its present incarnation finds that out from the leader's commit
-// index, and stops; the others go on.
+// TestTruncatedFolder checks that a voter whose log was truncated detects the lost entries from the leader's commit
+// index and stops. Incarnations cannot reveal such a loss. The other voters make progress.
 func TestTruncatedFolder(t *testing.T) {
 	c := newCluster(t, 6, 3, 2)
 	c.steps(600)
@@ -73,13 +73,13 @@
 	v.start()
 	c.steps(300)
 	if !errors.Is(v.machine.fatalErr, ErrLostState) {
-		t.Errorf("it takes part: %v", v.machine.fatalErr)
+		t.Errorf("voter with the truncated log has error %v, want ErrLostState", v.machine.fatalErr)
 	}
 	c.requireProgress()
 }
 
-// TestEnvelopeVerifier: envelopes of unknown senders, of another group and of former incarnations are refused, and a
-// further incarnation is learned once.
+// TestEnvelopeVerifier checks that envelopes from unknown senders, another group and earlier incarnations are rejected,
+// and that a new incarnation is reported once.
 func TestEnvelopeVerifier(t *testing.T) {
 	m := newCluster(t, 7, 3, 1).voters[0].machine
 	m.verifier.incarnations = map[uint64]uint64{}
@@ -92,20 +92,20 @@
 		return text
 	}
 	group := testBootstrap.GroupID()
-	for _, tt := range []struct { // one after another, of one verifier
+	for _, tt := range []struct { // applied in order to the same verifier
 		name                     string
 		group, from, incarnation uint64
 		newIncarnations          map[uint64]uint64
 		err                      error
 	}{
-		{"first of a voter", group, 2, 5, map[uint64]uint64{2: 5}, nil},
-		{"the same again", group, 2, 5, nil, nil},
-		{"a former one", group, 2, 4, nil, errStaleIncarnation},
-		{"a further one", group, 2, 7, map[uint64]uint64{2: 7}, nil},
-		{"first of another voter", group, 3, 1, map[uint64]uint64{3: 1}, nil},
+		{"first envelope of a voter", group, 2, 5, map[uint64]uint64{2: 5}, nil},
+		{"same incarnation", group, 2, 5, nil, nil},
+		{"earlier incarnation", group, 2, 4, nil, errStaleIncarnation},
+		{"later incarnation", group, 2, 7, map[uint64]uint64{2: 7}, nil},
+		{"first envelope of another voter", group, 3, 1, map[uint64]uint64{3: 1}, nil},
 		{"another group", group + 1, 2, 9, nil, errUnknownSender},
-		{"no member", group, 4, 1, nil, errUnknownSender},
-		{"no incarnation", group, 3, 0, nil, errUnknownSender},
+		{"not a member", group, 4, 1, nil, errUnknownSender},
+		{"missing incarnation", group, 3, 0, nil, errUnknownSender},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			text := seal(Envelope{GroupID: tt.group, From: tt.from, Incarnation: tt.incarnation})
@@ -119,9 +119,9 @@
 	known := map[uint64]uint64{1: 3, 3: 6}
 	text := seal(Envelope{GroupID: group, From: 2, Incarnation: 9, Incarnations: known})
 	if err := m.Step(text); !errors.Is(err, ErrLostState) || !errors.Is(m.Step(nil), ErrLostState) {
-		t.Errorf("error %v of a message whose sender knows a later incarnation of this voter", err)
+		t.Errorf("error %v after a message whose sender knows a later incarnation, want ErrLostState", err)
 	}
 	if _, err := New(0, testSettings(1, 0), slog.New(slog.DiscardHandler)); err == nil {
-		t.Error("a voter without an incarnation starts")
+		t.Error("a voter without an incarnation was started")
 	}
 }
--- a/internal/fleet/consensus/sidecar_test.go
+++ b/internal/fleet/consensus/sidecar_test.go
@@ -7,7 +7,7 @@
 	"milletramp.example/milletramp/internal/fleet/policy"
 )
 
-// sidecar holds a lease, and asks drawn voters to renew it.
+// sidecar is a simulated sidecar that sends requests to renew its lease to randomly drawn voters.
 type sidecar struct {
 	*policy.Holder
 	name             string
@@ -29,7 +29,7 @@
 	}
 	q, sent, incarnation := s.Request(), c.now, s.incarnation
 	to := c.voters[c.random.IntN(len(c.voters))]
-	for _, v := range c.voters { // as a sidecar that remembers the leader
+	for _, v := range c.voters { // most requests go to the leader, as sidecars store its ID
 		if v.machine != nil && v.machine.Leader() != 0 && c.random.IntN(4) > 0 {
 			to = c.voters[v.machine.Leader()-1]
 		}
@@ -58,8 +58,8 @@
 	}
 }
 
-// stepSidecars has sidecars renew their leases, and checks that they serve under one policy, and never under an earlier
-// one than before.
+// stepSidecars makes sidecars renew their leases. It checks that all sidecars serve under the same policy, and never
+// under an earlier policy than before.
 func (c *cluster) stepSidecars() {
 	serving := map[uint64]bool{}
 	for _, s := range c.sidecars {
@@ -72,7 +72,7 @@
 		if number, _, ok := s.Serves(c.now); ok {
 			serving[number] = true
 			if number < c.highestServed {
-				c.violation = fmt.Sprintf("%v: %s serves under %d after %d was served",
+				c.violation = fmt.Sprintf("%v: %s serves under policy %d after policy %d was in use",
 					c.now, s.name, number, c.highestServed)
 			}
 		}
@@ -81,11 +81,11 @@
 		c.highestServed = max(c.highestServed, number)
 	}
 	if len(serving) > 1 {
-		c.violation = fmt.Sprintf("%v: %v are served at once", c.now, serving)
+		c.violation = fmt.Sprintf("%v: policies %v are in use at the same time", c.now, serving)
 	}
 }
 
-// servingCount counts the sidecars that serve.
+// servingCount returns the number of sidecars that serve.
 func (c *cluster) servingCount() (n int) {
 	for _, s := range c.sidecars {
 		if _, _, ok := s.Serves(c.now); ok {
