--- a/cmd/milletramp/policy_change.go
+++ b/cmd/milletramp/policy_change.go
@@ -92,7 +92,7 @@
 			continue
 		}
 		line := fmt.Sprintf("%s, waits for %s, %.1f s at most",
-			c.outcome.State, strings.Join(voter.Waiting, ", "), voter.Seconds)
+			c.outcome.State, strings.Join(voter.Waiting, ", "), voter.WaitSeconds)
 		if line != c.printed {
 			fmt.Fprintln(os.Stderr, line)
 			c.printed = line
--- a/cmd/milletramp/policy_status.go
+++ b/cmd/milletramp/policy_status.go
@@ -64,19 +64,19 @@
 		fmt.Fprintf(&b, "; change %s to policy %d by %s: %s", p.ID, p.Number, p.Author, p.State)
 	}
 	if len(v.Waiting) > 0 {
-		fmt.Fprintf(&b, ", waits for %s, %.1f s at most", strings.Join(v.Waiting, ", "), v.Seconds)
+		fmt.Fprintf(&b, ", waits for %s, %.1f s at most", strings.Join(v.Waiting, ", "), v.WaitSeconds)
 	}
 	if !v.Settled && v.Bootstrapped {
 		b.WriteString("; one decider is taking the place of another")
 	}
-	if v.NotAdmitted {
+	if v.Standby {
 		b.WriteString("; waits for a place: `milletramp policy replace`")
 	}
-	if len(v.Candidates) > 0 {
-		fmt.Fprintf(&b, "; may take a place: %s", strings.Join(v.Candidates, ", "))
+	if len(v.Standbys) > 0 {
+		fmt.Fprintf(&b, "; may take a place: %s", strings.Join(v.Standbys, ", "))
 	}
-	if v.Broken != "" {
-		fmt.Fprintf(&b, "; takes part no more: %s", v.Broken)
+	if v.StopReason != "" {
+		fmt.Fprintf(&b, "; takes part no more: %s", v.StopReason)
 	}
 	return b.String()
 }
--- a/deploy/policy_test.go
+++ b/deploy/policy_test.go
@@ -321,7 +321,7 @@
 			_, text := at.ask("GET", "/ops/policy/status", "")
 			var s policyagent.Status
 			return json.Unmarshal([]byte(text), &s) == nil && slices.ContainsFunc(s.Voters, func(d policyagent.VoterState) bool {
-				return d.Leader == d.Voter && slices.Contains(d.Candidates, name)
+				return d.Leader == d.Voter && slices.Contains(d.Standbys, name)
 			})
 		})
 	}
--- a/internal/fleet/consensus/sidecar_test.go
+++ b/internal/fleet/consensus/sidecar_test.go
@@ -48,10 +48,10 @@
 		c.schedule(s.pausedUntil-c.now, func() { c.receiveReply(s, incarnation, sent, a) })
 		return
 	}
-	if number := s.Update(c.now, sent, a.Grant); number > 0 {
+	if number := s.ApplyResponse(c.now, sent, a.Grant); number > 0 {
 		c.schedule(5*time.Millisecond, func() {
 			if s.incarnation == incarnation {
-				s.Checked(number, "")
+				s.RecordCheck(number, "")
 				c.requestLease(s)
 			}
 		})
@@ -66,7 +66,7 @@
 		if s.pausedUntil > c.now {
 			continue
 		}
-		if c.now-s.requestedAt >= policy.DefaultTerms.Short/3 {
+		if c.now-s.requestedAt >= policy.DefaultTerms.ShortLength/3 {
 			c.requestLease(s)
 		}
 		if number, _, ok := s.Serves(c.now); ok {
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -36,7 +36,7 @@
 	terms := policy.DefaultTerms
 	if p.LeaseMS > 0 {
 		terms.Length = time.Duration(p.LeaseMS) * time.Millisecond
-		terms.Short = min(terms.Short, terms.Length/4)
+		terms.ShortLength = min(terms.ShortLength, terms.Length/4)
 	}
 	return terms
 }
--- a/internal/fleet/policy/changes_test.go
+++ b/internal/fleet/policy/changes_test.go
@@ -96,7 +96,7 @@
 			}
 		}
 	}
-	took, least, most := w.now-began, w.terms.Length-w.terms.Short, w.terms.Length+2*time.Second
+	took, least, most := w.now-began, w.terms.Length-w.terms.ShortLength, w.terms.Length+2*time.Second
 	if took < least || took > most || stopped == 0 || len(w.violations) > 0 {
 		t.Errorf("in force after %v, cut off it stopped after %v, %v", took, stopped-began, w.violations)
 	}
--- a/internal/fleet/policy/holder.go
+++ b/internal/fleet/policy/holder.go
@@ -8,18 +8,18 @@
 // Holder is a sidecar's side of the leases: under which policy, if any, it may take a request now. It isn't safe for
 // concurrent use.
 type Holder struct {
-	name        string
-	incarnation uint64
-	terms       Terms
-	latest      Stamp           // of the latest response applied
-	checked     uint64          // document checked last
-	fault       string          // why that one cannot run; "": it can
-	runnable    map[uint64]bool // documents that it can run
-	number      uint64          // policy leased; 0: none
-	expiry      Time
-	next        uint64 // policy leased after that; 0: none
-	nextStart   Time
-	nextExpiry  Time
+	name          string
+	incarnation   uint64
+	terms         Terms
+	latest        Stamp           // of the latest response applied
+	lastChecked   uint64          // document checked last
+	lastFault     string          // why that one cannot run; "": it can
+	runnable      map[uint64]bool // documents that it can run
+	currentNumber uint64          // policy leased; 0: none
+	currentExpiry Time
+	nextNumber    uint64 // policy leased after that; 0: none
+	nextStart     Time
+	nextExpiry    Time
 }
 
 // NewHolder returns the side of a process that has no lease and no document yet, and so serves nothing.
@@ -39,40 +39,40 @@
 		Sidecar:     h.name,
 		Incarnation: h.incarnation,
 		Latest:      h.latest,
-		Checked:     h.checked,
-		Fault:       h.fault,
+		Checked:     h.lastChecked,
+		Fault:       h.lastFault,
 	}
 }
 
-// Checked records that a document was checked completely by the code that runs it. fault says why it cannot run here,
+// RecordCheck records that a document was checked completely by the code that runs it. fault says why it cannot run here,
 // "" that it can.
-func (h *Holder) Checked(number uint64, fault string) {
-	h.checked, h.fault = number, fault
+func (h *Holder) RecordCheck(number uint64, fault string) {
+	h.lastChecked, h.lastFault = number, fault
 	if fault == "" {
 		h.runnable[number] = true
 	}
 	for n := range h.runnable {
-		if n != h.number && n != h.next && n != h.checked {
+		if n != h.currentNumber && n != h.nextNumber && n != h.lastChecked {
 			delete(h.runnable, n)
 		}
 	}
 }
 
-// Update applies the response to a request that was sent at a time, and returns the number of a document that is to be
+// ApplyResponse applies the response to a request that was sent at a time, and returns the number of a document that is to be
 // fetched and checked, 0 for none. Responses may come late and in any order; one that is older than the latest applied
 // changes nothing, as a later one may have leased less.
-func (h *Holder) Update(now, sent Time, response LeaseResponse) (check uint64) {
+func (h *Holder) ApplyResponse(now, sent Time, response LeaseResponse) (check uint64) {
 	if response.Stamp.Compare(h.latest) <= 0 {
 		return 0
 	}
 	h.latest = response.Stamp
-	h.number, h.expiry = response.Number, sent+h.terms.lowerBound(response.Duration)
-	h.next, h.nextStart, h.nextExpiry = 0, 0, 0
+	h.currentNumber, h.currentExpiry = response.Number, sent+h.terms.lowerBound(response.Duration)
+	h.nextNumber, h.nextStart, h.nextExpiry = 0, 0, 0
 	if response.Next > 0 {
 		// The switch comes at one time by the leader's clock. By this clock the lease on the former policy ends at the
 		// earliest, and the next one begins at the latest, that this can be.
-		h.expiry = min(h.expiry, sent+h.terms.lowerBound(response.NextIn))
-		h.next, h.nextStart = response.Next, now+h.terms.upperBound(response.NextIn)
+		h.currentExpiry = min(h.currentExpiry, sent+h.terms.lowerBound(response.NextIn))
+		h.nextNumber, h.nextStart = response.Next, now+h.terms.upperBound(response.NextIn)
 		h.nextExpiry = sent + h.terms.lowerBound(response.NextIn+response.NextDuration)
 	}
 	switch {
@@ -80,7 +80,7 @@
 		return response.Number
 	case response.Next > 0 && !h.runnable[response.Next]:
 		return response.Next
-	case response.Check > h.checked:
+	case response.Check > h.lastChecked:
 		return response.Check
 	}
 	return 0
@@ -94,13 +94,13 @@
 // have expired meanwhile.
 func (h *Holder) Serves(now Time) (number uint64, wait time.Duration, ok bool) {
 	switch {
-	case h.number > 0 && now < h.expiry && h.runnable[h.number]:
-		return h.number, 0, true
-	case h.next > 0 && now >= h.nextStart && now < h.nextExpiry && h.runnable[h.next]:
-		return h.next, 0, true
-	case h.next > 0 && now < h.nextStart && h.runnable[h.next]:
+	case h.currentNumber > 0 && now < h.currentExpiry && h.runnable[h.currentNumber]:
+		return h.currentNumber, 0, true
+	case h.nextNumber > 0 && now >= h.nextStart && now < h.nextExpiry && h.runnable[h.nextNumber]:
+		return h.nextNumber, 0, true
+	case h.nextNumber > 0 && now < h.nextStart && h.runnable[h.nextNumber]:
 		return 0, h.nextStart - now, false
-	case h.number > 0 && now < max(h.expiry, h.nextExpiry)+h.terms.Short:
+	case h.currentNumber > 0 && now < max(h.currentExpiry, h.nextExpiry)+h.terms.ShortLength:
 		return 0, renewalPollInterval, false
 	}
 	return 0, 0, false
--- a/internal/fleet/policy/interleavings_test.go
+++ b/internal/fleet/policy/interleavings_test.go
@@ -24,9 +24,9 @@
 	first := newModel(size.sidecars)
 	first.changes, first.crashes, first.losses = size.changes, size.crashes, size.losses
 	seen := map[uint64]struct{}{first.key(): {}}
-	for left := []*model{first}; len(left) > 0; {
-		m := left[len(left)-1]
-		left = left[:len(left)-1]
+	for unexplored := []*model{first}; len(unexplored) > 0; {
+		m := unexplored[len(unexplored)-1]
+		unexplored = unexplored[:len(unexplored)-1]
 		highest = max(highest, m.ledger.InForce().Number)
 		for _, next := range m.successors(size.ticks) {
 			if skipWait && next.term != m.term {
@@ -38,7 +38,7 @@
 			key := next.key()
 			if _, known := seen[key]; !known {
 				seen[key] = struct{}{}
-				left = append(left, next)
+				unexplored = append(unexplored, next)
 			}
 		}
 	}
--- a/internal/fleet/policy/lease.go
+++ b/internal/fleet/policy/lease.go
@@ -25,21 +25,21 @@
 	// Length is how long a lease lasts. A sidecar that is cut off serves on for this long at most, and a change of
 	// policy waits for it as long.
 	Length time.Duration
-	// Short is the length of leases that are given while a change waits to switch, so that the switch comes soon.
-	Short time.Duration
+	// ShortLength is the length of leases that are given while a change waits to switch, so that the switch comes soon.
+	ShortLength time.Duration
 	// Drift is the share by which the clocks of two sidecars may run apart: 0.01 is 10 ms a second.
 	Drift float64
 }
 
 // DefaultTerms hold where the operator's file sets none.
-var DefaultTerms = Terms{Length: 3 * time.Second, Short: 300 * time.Millisecond, Drift: 0.01}
+var DefaultTerms = Terms{Length: 3 * time.Second, ShortLength: 300 * time.Millisecond, Drift: 0.01}
 
 // Check returns an error that wraps ErrTerms where no change could be made under the terms.
 func (t Terms) Check() error {
 	switch {
-	case t.Short < minShortLease || t.Length < 2*t.Short:
+	case t.ShortLength < minShortLease || t.Length < 2*t.ShortLength:
 		return fmt.Errorf("%w: a lease of %v, of %v while a change switches: at least %v, and twice that, are needed",
-			ErrTerms, t.Length, t.Short, minShortLease)
+			ErrTerms, t.Length, t.ShortLength, minShortLease)
 	case t.Drift < 0 || t.Drift > maxDrift:
 		return fmt.Errorf("%w: clocks that run apart by %v: 0 to %v are allowed", ErrTerms, t.Drift, maxDrift)
 	}
--- a/internal/fleet/policy/lease_table.go
+++ b/internal/fleet/policy/lease_table.go
@@ -17,7 +17,7 @@
 type leaseHolder struct {
 	incarnation uint64
 	leases      []grantedLease
-	checked     uint64
+	lastChecked uint64
 }
 
 // expire drops the leases that are over.
@@ -62,7 +62,7 @@
 // Before each call the host must have confirmed with a majority, asked after the request came, that no later Raft term
 // has begun, and l must hold at least the entries committed by then (Raft's ReadIndex). Otherwise a leader that was
 // deposed could give a lease after its successor has begun to count the earlier ones.
-func (t *LeaseTable) Renew(now Time, l *Ledger, request LeaseRequest) (response LeaseResponse, write []Entry) {
+func (t *LeaseTable) Renew(now Time, l *Ledger, request LeaseRequest) (response LeaseResponse, entries []Entry) {
 	// A request may be answered long after it was confirmed, with the ledger of that time. By it the sidecar would get
 	// a lease that this leader no longer counts with.
 	if l.applied < t.minApplied {
@@ -79,18 +79,18 @@
 		if request.Checked != pending.Number {
 			response.Check = pending.Number
 		} else if request.Fault != "" && pending.State == Proposed {
-			write = append(write, Entry{Refuse: &Refusal{pending.Number, request.Sidecar + ": " + request.Fault}})
+			entries = append(entries, Entry{Refuse: &Refusal{pending.Number, request.Sidecar + ": " + request.Fault}})
 		}
 	}
 	// A sidecar that cannot run the policy in force serves nothing. With a lease, all changes would wait until it had
 	// checked them, also the one that lets it serve again.
 	if request.Fault != "" && request.Checked == l.InForce().Number {
-		return response, write
+		return response, entries
 	}
 	t.grant(&response, now, l)
 	if response.Duration <= 0 && response.Next == 0 {
 		response.Number = 0
-		return response, write
+		return response, entries
 	}
 	longest := response.Duration
 	if response.Next > 0 {
@@ -98,7 +98,7 @@
 	}
 	expiry := now + t.terms.upperBound(longest)
 	holder.leases = append(holder.leases, grantedLease{request.Incarnation, response.Stamp, expiry})
-	return response, write
+	return response, entries
 }
 
 // updateHolder applies what a request says of its sidecar, and returns it, or nil if a later process has its name.
@@ -113,11 +113,11 @@
 	}
 	if request.Incarnation > holder.incarnation {
 		// The leases of the former process stay: it may still be serving.
-		holder.incarnation, holder.checked = request.Incarnation, 0
+		holder.incarnation, holder.lastChecked = request.Incarnation, 0
 	}
 	holder.supersede(request.Incarnation, request.Latest)
 	holder.expire(now)
-	holder.checked = max(holder.checked, request.Checked)
+	holder.lastChecked = max(holder.lastChecked, request.Checked)
 	return holder
 }
 
@@ -128,7 +128,7 @@
 	case pending == nil || pending.State == Proposed:
 		response.Number, response.Duration = inForce, t.terms.Length
 	case pending.State == Committed && t.switchTime(pending) == 0:
-		response.Number, response.Duration = inForce, t.terms.Short
+		response.Number, response.Duration = inForce, t.terms.ShortLength
 	case pending.State == Committed: // the entry that switches is being written
 		response.Number, response.Duration = inForce, max(t.switchAt-now, 0)
 	default:
@@ -145,10 +145,10 @@
 		}
 		t.switchNumber, t.switchAt = pending.Number, now
 	}
-	left := max(t.switchAt-now, 0)
-	response.Number, response.Duration = inForce, left
-	response.Next, response.NextIn = pending.Number, left
-	response.NextDuration = t.terms.Length - left // the next leader waits for Length, so no lease may last longer
+	untilSwitch := max(t.switchAt-now, 0)
+	response.Number, response.Duration = inForce, untilSwitch
+	response.Next, response.NextIn = pending.Number, untilSwitch
+	response.NextDuration = t.terms.Length - untilSwitch // the next leader waits for Length, so no lease may last longer
 }
 
 // switchTime is when a change switches, as this leader has fixed it; 0: it has not.
@@ -160,7 +160,7 @@
 }
 
 // Tick returns the entries that are to be written to the log now. The host calls it many times while a lease lasts.
-func (t *LeaseTable) Tick(now Time, l *Ledger) (write []Entry) {
+func (t *LeaseTable) Tick(now Time, l *Ledger) (entries []Entry) {
 	t.minApplied = max(t.minApplied, l.applied)
 	for name, holder := range t.holders {
 		holder.expire(now)
@@ -179,7 +179,7 @@
 		}
 	case Committed:
 		if t.switchTime(p) == 0 {
-			if last := t.lastExpiry(); last <= now+t.terms.upperBound(t.terms.Short) {
+			if last := t.lastExpiry(); last <= now+t.terms.upperBound(t.terms.ShortLength) {
 				t.switchNumber, t.switchAt = p.Number, max(last, now+1)
 			}
 		}
@@ -200,7 +200,7 @@
 // allChecked says whether every sidecar that holds a lease has checked a document completely.
 func (t *LeaseTable) allChecked(number uint64) bool {
 	for _, holder := range t.holders {
-		if holder.checked < number {
+		if holder.lastChecked < number {
 			return false
 		}
 	}
@@ -219,7 +219,7 @@
 
 // writeOnce returns an entry, and the same one again only after some time, as it may have been lost.
 func (t *LeaseTable) writeOnce(now Time, entry Entry) []Entry {
-	if t.lastWritten == entry && now-t.lastWrittenAt < t.terms.Short {
+	if t.lastWritten == entry && now-t.lastWrittenAt < t.terms.ShortLength {
 		return nil
 	}
 	t.lastWritten, t.lastWrittenAt = entry, now
@@ -230,7 +230,7 @@
 func (t *LeaseTable) Waiting(now Time, pending Pending) (names []string, longest time.Duration) {
 	for _, name := range slices.Sorted(maps.Keys(t.holders)) {
 		holder := t.holders[name]
-		if holder.checked >= pending.Number {
+		if holder.lastChecked >= pending.Number {
 			continue
 		}
 		names = append(names, name)
--- a/internal/fleet/policy/lease_test.go
+++ b/internal/fleet/policy/lease_test.go
@@ -18,10 +18,10 @@
 		bad  Terms
 	}{
 		{"none", Terms{}},
-		{"no shorter while a change switches", Terms{Length: time.Second, Short: time.Second}},
-		{"too short while a change switches", Terms{Length: time.Second, Short: time.Millisecond}},
-		{"clocks too far apart", Terms{Length: time.Second, Short: 100 * time.Millisecond, Drift: 0.5}},
-		{"a negative drift", Terms{Length: time.Second, Short: 100 * time.Millisecond, Drift: -1}},
+		{"no shorter while a change switches", Terms{Length: time.Second, ShortLength: time.Second}},
+		{"too short while a change switches", Terms{Length: time.Second, ShortLength: time.Millisecond}},
+		{"clocks too far apart", Terms{Length: time.Second, ShortLength: 100 * time.Millisecond, Drift: 0.5}},
+		{"a negative drift", Terms{Length: time.Second, ShortLength: 100 * time.Millisecond, Drift: -1}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			if err := tt.bad.Check(); !errors.Is(err, ErrTerms) {
@@ -50,9 +50,9 @@
 			return h
 		}
 		one, all := newHolder(), newHolder()
-		one.Update(time.Hour, time.Hour, responses[len(responses)-1])
+		one.ApplyResponse(time.Hour, time.Hour, responses[len(responses)-1])
 		for _, response := range rapid.Permutation(responses).Draw(t, "order") {
-			all.Update(time.Hour, time.Hour, response)
+			all.ApplyResponse(time.Hour, time.Hour, response)
 		}
 		for _, at := range []Time{0, time.Second, 2 * time.Second, 4 * time.Second} {
 			n1, _, ok1 := one.Serves(time.Hour + at)
@@ -68,7 +68,7 @@
 // at all where there was no lease. It isn't taken under any policy meanwhile.
 func TestHolderWaitsForLateRenewal(t *testing.T) {
 	const at, short = Time(time.Hour), 300 * time.Millisecond
-	terms := Terms{Length: 3 * time.Second, Short: short}
+	terms := Terms{Length: 3 * time.Second, ShortLength: short}
 	for _, tt := range []struct {
 		name     string
 		response LeaseResponse
@@ -88,8 +88,8 @@
 				t.Errorf("before any response: %v, %v", wait, ok)
 			}
 			tt.response.Stamp = Stamp{1, 1}
-			h.Update(at, at, tt.response)
-			for _, look := range []struct {
+			h.ApplyResponse(at, at, tt.response)
+			for _, instant := range []struct {
 				after time.Duration
 				waits bool
 			}{
@@ -97,8 +97,8 @@
 				{tt.expiry + short - time.Millisecond, tt.waits},
 				{tt.expiry + short + time.Millisecond, false},
 			} {
-				if _, wait, ok := h.Serves(at + look.after); ok || (wait > 0) != look.waits {
-					t.Errorf("%v later: waits %v, serves %v; want to wait: %v", look.after, wait, ok, look.waits)
+				if _, wait, ok := h.Serves(at + instant.after); ok || (wait > 0) != instant.waits {
+					t.Errorf("%v later: waits %v, serves %v; want to wait: %v", instant.after, wait, ok, instant.waits)
 				}
 			}
 		})
--- a/internal/fleet/policy/ledger.go
+++ b/internal/fleet/policy/ledger.go
@@ -180,14 +180,14 @@
 	case e.Switch == p.Number && p.State == Committed:
 		p.State = Switching
 	case e.InForce == p.Number && p.State == Switching:
-		l.storeFormer(l.inForce)
+		l.addFormer(l.inForce)
 		l.inForce, p.State = p.Document, InForce
 		l.endPending()
 	}
 }
 
-// storeFormer adds a policy that is replaced, and drops the earliest ones over the limits.
-func (l *Ledger) storeFormer(d Document) {
+// addFormer adds a policy that is replaced, and drops the earliest ones over the limits.
+func (l *Ledger) addFormer(d Document) {
 	l.former = append(l.former, d)
 	bytes := 0
 	for _, former := range l.former {
--- a/internal/fleet/policy/model_test.go
+++ b/internal/fleet/policy/model_test.go
@@ -44,7 +44,7 @@
 }
 
 // modelTerms are leases of two ticks, and of one while a change switches.
-var modelTerms = Terms{Length: 2 * time.Second, Short: time.Second}
+var modelTerms = Terms{Length: 2 * time.Second, ShortLength: time.Second}
 
 func tickTime(n int) Time { return time.Hour + Time(n)*time.Second }
 
@@ -85,7 +85,7 @@
 	table := *m.table
 	table.holders = make(map[string]*leaseHolder, len(m.table.holders))
 	for name, h := range m.table.holders {
-		table.holders[name] = &leaseHolder{h.incarnation, slices.Clone(h.leases), h.checked}
+		table.holders[name] = &leaseHolder{h.incarnation, slices.Clone(h.leases), h.lastChecked}
 	}
 	m.table = &table
 	return &table
@@ -118,16 +118,16 @@
 		sidecars[i] = string(appendNumbers(nil, uint64(len(text)))) + string(text)
 	}
 	slices.Sort(sidecars)
-	whole := appendNumbers(nil, uint64(m.now), uint64(m.changes), uint64(m.crashes), uint64(m.losses), m.highest,
+	encoded := appendNumbers(nil, uint64(m.now), uint64(m.changes), uint64(m.crashes), uint64(m.losses), m.highest,
 		m.ledger.inForce.Number, m.ledger.lastNumber, m.timeLeft(m.table.earlierLeasesEnd))
 	if p := m.ledger.pending; p != nil {
 		switchAt := m.table.switchTime(p)
-		whole = appendNumbers(whole, p.Number, uint64(p.State), m.timeLeft(switchAt), min(uint64(switchAt), 1))
+		encoded = appendNumbers(encoded, p.Number, uint64(p.State), m.timeLeft(switchAt), min(uint64(switchAt), 1))
 	}
 	for _, text := range sidecars {
-		whole = append(whole, text...)
+		encoded = append(encoded, text...)
 	}
-	return xxhash.Sum64(whole)
+	return xxhash.Sum64(encoded)
 }
 
 // sidecarKey is what a sidecar, its message and what the leader knows of it come to.
@@ -140,12 +140,12 @@
 	if m.lastRequests[i] == m.now {
 		requested = 1
 	}
-	text := appendNumbers(nil, rank(holder.latest), holder.checked, runnableBits(holder), holder.number,
-		m.timeLeft(holder.expiry), requested, uint64(message.kind))
-	if m.timeLeft(holder.nextExpiry) > 0 && holder.next > 0 {
-		text = appendNumbers(text, holder.next, m.timeLeft(holder.nextStart), m.timeLeft(holder.nextExpiry))
+	text := appendNumbers(nil, rank(holder.latest), holder.lastChecked, runnableBits(holder), holder.currentNumber,
+		m.timeLeft(holder.currentExpiry), requested, uint64(message.kind))
+	if m.timeLeft(holder.nextExpiry) > 0 && holder.nextNumber > 0 {
+		text = appendNumbers(text, holder.nextNumber, m.timeLeft(holder.nextStart), m.timeLeft(holder.nextExpiry))
 	} else {
-		text = appendNumbers(text, holder.next, 0, 0)
+		text = appendNumbers(text, holder.nextNumber, 0, 0)
 	}
 	switch message.kind {
 	case requestMessage:
@@ -158,7 +158,7 @@
 			uint64(r.NextDuration), r.Check, uint64(m.now-message.sent))
 	}
 	if known != nil {
-		text = appendNumbers(text, 1+holder.incarnation-known.incarnation, known.checked)
+		text = appendNumbers(text, 1+holder.incarnation-known.incarnation, known.lastChecked)
 		for _, lease := range leases {
 			text = appendNumbers(text, holder.incarnation-lease.incarnation, rank(lease.stamp),
 				m.timeLeft(lease.expiry))
@@ -222,31 +222,31 @@
 
 // successors returns all states that may follow before or at the last tick.
 func (m *model) successors(lastTick int) (all []*model) {
-	try := func(possible bool, event func(c *model)) {
+	addSuccessor := func(possible bool, event func(c *model)) {
 		if possible {
 			c := m.clone()
 			event(c)
 			all = append(all, c)
 		}
 	}
-	try(m.now < lastTick, func(c *model) { c.now++ })
+	addSuccessor(m.now < lastTick, func(c *model) { c.now++ })
 	// The leader calls Tick many times while a lease lasts. Were it once a tick, the three steps of a change would take
 	// three ticks, and leases of two would be over whatever the leader did.
-	try(m.ledger.Pending() != nil, func(c *model) { c.apply(c.mutableTable().Tick(tickTime(c.now), c.ledger)) })
+	addSuccessor(m.ledger.Pending() != nil, func(c *model) { c.apply(c.mutableTable().Tick(tickTime(c.now), c.ledger)) })
 	for i, message := range m.messages {
 		switch message.kind {
 		case noMessage:
-			try(m.lastRequests[i] < m.now, func(c *model) { c.send(i) })
+			addSuccessor(m.lastRequests[i] < m.now, func(c *model) { c.send(i) })
 		case requestMessage:
-			try(true, func(c *model) { c.respond(i) })
+			addSuccessor(true, func(c *model) { c.respond(i) })
 		case responseMessage:
-			try(true, func(c *model) { c.receive(i) })
+			addSuccessor(true, func(c *model) { c.receive(i) })
 		}
-		try(message.kind != noMessage && m.losses > 0, func(c *model) { c.lose(i) })
-		try(m.crashes > 0, func(c *model) { c.crash(i) })
+		addSuccessor(message.kind != noMessage && m.losses > 0, func(c *model) { c.lose(i) })
+		addSuccessor(m.crashes > 0, func(c *model) { c.crash(i) })
 	}
-	try(m.crashes > 0, (*model).changeLeader)
-	try(m.changes > 0, (*model).propose)
+	addSuccessor(m.crashes > 0, (*model).changeLeader)
+	addSuccessor(m.changes > 0, (*model).propose)
 	return all
 }
 
@@ -268,8 +268,8 @@
 	arrived := m.messages[i]
 	m.messages[i] = message{}
 	h := m.mutableHolder(i)
-	if number := h.Update(tickTime(m.now), tickTime(arrived.sent), arrived.response); number > 0 {
-		h.Checked(number, "")
+	if number := h.ApplyResponse(tickTime(m.now), tickTime(arrived.sent), arrived.response); number > 0 {
+		h.RecordCheck(number, "")
 	}
 }
 
--- a/internal/fleet/policy/simulation_test.go
+++ b/internal/fleet/policy/simulation_test.go
@@ -132,7 +132,7 @@
 	return w.cachedLedger
 }
 
-func (w *simulation) after(d time.Duration, do func()) {
+func (w *simulation) schedule(d time.Duration, do func()) {
 	at := w.now + d
 	later := func(e event, at time.Duration) int { return cmp.Compare(e.at, at) }
 	i, _ := slices.BinarySearchFunc(w.queue, at+1, later)
@@ -154,7 +154,7 @@
 // appendEntries has a leader append to the log, if it still leads when the entries arrive.
 func (w *simulation) appendEntries(l *leader, entries []Entry) {
 	for _, e := range entries {
-		w.after(w.draw(writeDelay), func() {
+		w.schedule(w.draw(writeDelay), func() {
 			if l.term == w.term {
 				w.log = append(w.log, e)
 			}
@@ -176,7 +176,7 @@
 	x := &exchange{sidecar: s, incarnation: s.incarnation, sent: s.read(w.now), request: s.holder.Request()}
 	delay, ok := w.networkDelay()
 	if ok && s.cutUntil <= w.now {
-		w.after(delay, func() { w.arrive(x) })
+		w.schedule(delay, func() { w.arrive(x) })
 	}
 }
 
@@ -187,7 +187,7 @@
 		x.leader = w.leader()
 	}
 	if x.leader.pausedUntil <= w.now {
-		w.after(w.draw(10*time.Millisecond), func() { w.confirm(x) })
+		w.schedule(w.draw(10*time.Millisecond), func() { w.confirm(x) })
 	}
 }
 
@@ -201,7 +201,7 @@
 		pause = w.draw(maxPause)
 	}
 	confirmed := w.ledger()
-	w.after(pause, func() { w.respond(x, confirmed) })
+	w.schedule(pause, func() { w.respond(x, confirmed) })
 }
 
 // respond answers by the ledger of now, or, by a leader deposed meanwhile, by that of when it was confirmed.
@@ -214,7 +214,7 @@
 	w.appendEntries(x.leader, write)
 	delay, ok := w.networkDelay()
 	if ok && x.cutUntil <= w.now {
-		w.after(delay, func() { w.deliver(x, response) })
+		w.schedule(delay, func() { w.deliver(x, response) })
 	}
 }
 
@@ -225,14 +225,14 @@
 		return
 	}
 	if s.pausedUntil > w.now {
-		w.after(s.pausedUntil-w.now, func() { w.deliver(x, response) })
+		w.schedule(s.pausedUntil-w.now, func() { w.deliver(x, response) })
 		return
 	}
-	number := s.holder.Update(s.read(w.now), x.sent, response)
+	number := s.holder.ApplyResponse(s.read(w.now), x.sent, response)
 	if number == 0 {
 		return
 	}
-	w.after(w.draw(checkDelay), func() {
+	w.schedule(w.draw(checkDelay), func() {
 		if s.incarnation != x.incarnation || s.down {
 			return
 		}
@@ -240,7 +240,7 @@
 		if s.rejects[number] {
 			fault = "it has a class without a name"
 		}
-		s.holder.Checked(number, fault)
+		s.holder.RecordCheck(number, fault)
 		w.request(s)
 	})
 }
@@ -258,7 +258,7 @@
 			w.appendEntries(l, l.table.Tick(l.read(w.now), w.ledger()))
 		}
 	}
-	interval := w.terms.Short / 3
+	interval := w.terms.ShortLength / 3
 	for _, s := range w.sidecars {
 		if !s.down && s.pausedUntil <= w.now && w.now-s.lastRequest >= interval {
 			w.request(s)
@@ -273,7 +273,7 @@
 	}
 }
 
-func (w *simulation) violate(format string, a ...any) {
+func (w *simulation) recordViolation(format string, a ...any) {
 	w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, a...))
 }
 
@@ -292,7 +292,7 @@
 		w.longestGap = max(w.longestGap, w.now-w.lastServing[s.index])
 	}
 	if len(serving) > 1 {
-		w.violate("served %v", serving)
+		w.recordViolation("served %v", serving)
 	}
 	for number := range serving {
 		if w.firstServed[number] == 0 {
@@ -300,13 +300,13 @@
 		}
 		for _, later := range w.firstServed[number+1:] {
 			if later > 0 {
-				w.violate("policy %d is served after a later one", number)
+				w.recordViolation("policy %d is served after a later one", number)
 			}
 		}
 	}
 	for _, o := range w.ledger().Outcomes() {
 		if before := w.states[o.ID]; contradicts(before, o.State) {
-			w.violate("change %s was %v and is %v", o.ID, before, o.State)
+			w.recordViolation("change %s was %v and is %v", o.ID, before, o.State)
 		}
 		w.states[o.ID] = o.State
 	}
@@ -339,7 +339,7 @@
 		s.cutUntil = until
 	case 4:
 		s.down = true
-		w.after(until-w.now, func() {
+		w.schedule(until-w.now, func() {
 			if s.down {
 				w.startProcess(s)
 			}
--- a/internal/fleet/policy/snapshot.go
+++ b/internal/fleet/policy/snapshot.go
@@ -12,12 +12,12 @@
 
 // snapshot is a ledger as it is stored and sent. Its keys must stay as they are.
 type snapshot struct {
-	InForce  snapshotDocument   `cbor:"1,keyasint"`
-	Last     uint64             `cbor:"2,keyasint"`
-	Applied  uint64             `cbor:"3,keyasint"`
-	Pending  *snapshotPending   `cbor:"4,keyasint,omitempty"`
-	Outcomes []Outcome          `cbor:"5,keyasint"`
-	Former   []snapshotDocument `cbor:"6,keyasint"`
+	InForce    snapshotDocument   `cbor:"1,keyasint"`
+	LastNumber uint64             `cbor:"2,keyasint"`
+	Applied    uint64             `cbor:"3,keyasint"`
+	Pending    *snapshotPending   `cbor:"4,keyasint,omitempty"`
+	Outcomes   []Outcome          `cbor:"5,keyasint"`
+	Former     []snapshotDocument `cbor:"6,keyasint"`
 }
 
 type snapshotDocument struct {
@@ -33,10 +33,10 @@
 // Encode returns a snapshot of the ledger, for DecodeLedger.
 func (l *Ledger) Encode() ([]byte, error) {
 	s := snapshot{
-		InForce:  snapshotDocument{l.inForce.Number, l.inForce.Text},
-		Last:     l.lastNumber,
-		Applied:  l.applied,
-		Outcomes: l.outcomes,
+		InForce:    snapshotDocument{l.inForce.Number, l.inForce.Text},
+		LastNumber: l.lastNumber,
+		Applied:    l.applied,
+		Outcomes:   l.outcomes,
 	}
 	if l.pending != nil {
 		s.Pending = &snapshotPending{l.pending.Outcome, l.pending.Document.Text}
@@ -53,13 +53,13 @@
 	if err := cbor.Unmarshal(text, &s); err != nil {
 		return nil, fmt.Errorf("%w: %d bytes: %w", ErrSnapshot, len(text), err)
 	}
-	if s.InForce.Number == 0 || s.Last < s.InForce.Number {
+	if s.InForce.Number == 0 || s.LastNumber < s.InForce.Number {
 		return nil, fmt.Errorf("%w: policy %d is in force, and %d is the last number",
-			ErrSnapshot, s.InForce.Number, s.Last)
+			ErrSnapshot, s.InForce.Number, s.LastNumber)
 	}
 	l := &Ledger{
 		inForce:    NewDocument(s.InForce.Number, s.InForce.Text),
-		lastNumber: s.Last,
+		lastNumber: s.LastNumber,
 		applied:    s.Applied,
 		outcomes:   s.Outcomes,
 	}
--- a/internal/fleet/policyagent/agent_test.go
+++ b/internal/fleet/policyagent/agent_test.go
@@ -20,7 +20,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var sixNames = []string{"n0", "n1", "n2", "n3", "n4", "n5"}
+var sixSidecars = []string{"n0", "n1", "n2", "n3", "n4", "n5"}
 
 // TestSettingsCheck: Start refuses settings under which the sidecar could not take its part.
 func TestSettingsCheck(t *testing.T) {
@@ -56,16 +56,16 @@
 // is refused, the fault that one sidecar finds refuses a change for all, and documents can be fetched again.
 func TestChangeReachesAll(t *testing.T) {
 	c := newCluster(t, 6)
-	c.waitAllServe(1, sixNames...)
+	c.waitAllServe(1, sixSidecars...)
 	if number := c.proposeInForce("n4", "c1", 1, "second"); number != 2 {
 		t.Fatalf("the change has number %d", number)
 	}
-	c.waitAllServe(2, sixNames...)
+	c.waitAllServe(2, sixSidecars...)
 	o := c.propose("n5", "c2", 1, "other")
 	if o.State != policy.Refused || !strings.Contains(o.Reason, "2 is in force") {
 		t.Errorf("%+v of one that follows the former policy", o)
 	}
-	c.locked(func() { c.faults["n3"] = "class x has no effect" })
+	c.withLock(func() { c.faults["n3"] = "class x has no effect" })
 	o = c.propose("n0", "c3", 2, "bad")
 	if o.State != policy.Refused || !strings.Contains(o.Reason, "n3: class x has no effect") {
 		t.Errorf("%+v, one finds a fault", o)
@@ -99,10 +99,10 @@
 func TestPartitionedSidecar(t *testing.T) {
 	c := newCluster(t, 5)
 	c.start("n5", true)
-	c.waitAllServe(1, sixNames...)
-	c.locked(func() { c.partitioned["n4"], c.partitioned["n5"] = true, true })
+	c.waitAllServe(1, sixSidecars...)
+	c.withLock(func() { c.partitioned["n4"], c.partitioned["n5"] = true, true })
 	c.proposeInForce("n3", "c1", 1, "second")
-	c.waitAllServe(2, sixNames[:4]...)
+	c.waitAllServe(2, sixSidecars[:4]...)
 	if _, _, ok := c.agent("n4").Serves(); ok {
 		t.Error("one that is partitioned serves on")
 	}
@@ -114,8 +114,8 @@
 	if s := c.agent("n5").Status(ctx); !s.WithoutLease || len(s.Unresponsive) != 3 {
 		t.Errorf("%+v", s)
 	}
-	c.locked(func() { clear(c.partitioned) })
-	c.waitAllServe(2, sixNames...)
+	c.withLock(func() { clear(c.partitioned) })
+	c.waitAllServe(2, sixSidecars...)
 	c.checkNoOverlap()
 }
 
@@ -123,7 +123,7 @@
 // when they come back with their folders. What was in force still is.
 func TestVotersLost(t *testing.T) {
 	c := newCluster(t, 5)
-	five := sixNames[:5]
+	five := sixSidecars[:5]
 	c.waitAllServe(1, five...)
 	c.kill("n0")
 	c.proposeInForce("n4", "c1", 1, "second")
@@ -145,32 +145,32 @@
 // partitioned and started anew.
 func TestChangesUnderFaults(t *testing.T) {
 	c := newCluster(t, 6)
-	c.waitAllServe(1, sixNames...)
-	c.locked(func() { c.lossRate = 0.15 })
+	c.waitAllServe(1, sixSidecars...)
+	c.withLock(func() { c.lossRate = 0.15 })
 	rng := rand.New(rand.NewPCG(1, 2))
 	inForce := uint64(1)
 	for i := range 6 {
-		faulty := sixNames[rng.IntN(len(sixNames))]
+		faulty := sixSidecars[rng.IntN(len(sixSidecars))]
 		switch rng.IntN(3) {
 		case 0:
-			c.locked(func() { c.partitioned[faulty] = true })
+			c.withLock(func() { c.partitioned[faulty] = true })
 		case 1:
 			c.kill(faulty)
 			c.start(faulty, false)
 		}
-		at := sixNames[rng.IntN(len(sixNames))]
+		at := sixSidecars[rng.IntN(len(sixSidecars))]
 		if at == faulty {
-			at = sixNames[(rng.IntN(len(sixNames)-1)+1+int(faulty[1]-'0'))%len(sixNames)]
+			at = sixSidecars[(rng.IntN(len(sixSidecars)-1)+1+int(faulty[1]-'0'))%len(sixSidecars)]
 		}
 		if o := c.propose(at, fmt.Sprint("c", i), inForce, fmt.Sprint("text ", i)); o.State != policy.InForce {
 			t.Errorf("change %d, proposed at %s with faults at %s: %+v", i, at, faulty, o)
 		} else {
 			inForce = o.Number
 		}
-		c.locked(func() { clear(c.partitioned) })
+		c.withLock(func() { clear(c.partitioned) })
 	}
-	c.locked(func() { c.lossRate = 0 })
-	c.waitAllServe(inForce, sixNames...)
+	c.withLock(func() { c.lossRate = 0 })
+	c.waitAllServe(inForce, sixSidecars...)
 	c.checkNoOverlap()
 }
 
@@ -190,10 +190,10 @@
 	}
 }
 
-// logLines passes on what is logged.
-type logLines chan string
+// logChannel passes on what is logged.
+type logChannel chan string
 
-func (l logLines) Write(text []byte) (int, error) {
+func (l logChannel) Write(text []byte) (int, error) {
 	select {
 	case l <- string(text):
 	default: // the test reads no further lines
@@ -209,7 +209,7 @@
 	if err := os.WriteFile(blocked, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	logged := make(logLines, 1)
+	logged := make(logChannel, 1)
 	c.log = slog.NewTextHandler(logged, nil)
 	c.start("n0", false)
 	if line := <-logged; !strings.Contains(line, syscall.ENOTDIR.Error()) {
--- a/internal/fleet/policyagent/cluster_test.go
+++ b/internal/fleet/policyagent/cluster_test.go
@@ -22,7 +22,7 @@
 
 var (
 	voters     = []string{"n0", "n1", "n2"}
-	shortTerms = policy.Terms{Length: 900 * time.Millisecond, Short: 150 * time.Millisecond, Drift: 0.01}
+	shortTerms = policy.Terms{Length: 900 * time.Millisecond, ShortLength: 150 * time.Millisecond, Drift: 0.01}
 	errNetwork = errors.New("not reached")
 )
 
@@ -180,7 +180,7 @@
 	return c.agents[name]
 }
 
-func (c *cluster) locked(do func()) {
+func (c *cluster) withLock(do func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	do()
--- a/internal/fleet/policyagent/durations_test.go
+++ b/internal/fleet/policyagent/durations_test.go
@@ -52,9 +52,9 @@
 		t.Logf("%d sidecars, %s: %v to %v, median %v", sidecars, what, took[0], took[len(took)-1], took[len(took)/2])
 	}
 	change("all well", "n3")
-	c.locked(func() { c.lossRate = 0.2 })
+	c.withLock(func() { c.lossRate = 0.2 })
 	change("a fifth of the calls lost", "n4")
-	c.locked(func() {
+	c.withLock(func() {
 		c.lossRate = 0
 		for i := 3; i < sidecars; i += 10 {
 			c.partitioned[all[i]] = true
--- a/internal/fleet/policyagent/messages.go
+++ b/internal/fleet/policyagent/messages.go
@@ -22,8 +22,8 @@
 
 // replacement has a candidate take a voter's place.
 type replacement struct {
-	Out string `cbor:"1,keyasint"`
-	In  string `cbor:"2,keyasint"`
+	Outgoing string `cbor:"1,keyasint"`
+	Incoming string `cbor:"2,keyasint"`
 }
 
 // response is a voter's answer to a request.
@@ -46,20 +46,20 @@
 type VoterState struct {
 	Voter        string           `cbor:"1,keyasint" json:"decider"`
 	Leader       string           `cbor:"2,keyasint" json:"leader"`
-	Broken       string           `cbor:"3,keyasint" json:"takes_part_no_more,omitempty"` // why
+	StopReason   string           `cbor:"3,keyasint" json:"takes_part_no_more,omitempty"` // why
 	Bootstrapped bool             `cbor:"4,keyasint" json:"founded"`
 	InForce      uint64           `cbor:"5,keyasint" json:"in_force"` // policy's number
 	Digest       string           `cbor:"6,keyasint" json:"digest"`   // of the policy in force
 	Pending      *policy.Outcome  `cbor:"7,keyasint" json:"under_way,omitempty"`
 	Outcomes     []policy.Outcome `cbor:"8,keyasint" json:"changes"`
 	// Waiting are, on the leader, the sidecars that the pending change waits for, and Seconds how long at most.
-	Waiting []string `cbor:"9,keyasint,omitempty" json:"waits_for,omitempty"`
-	Seconds float64  `cbor:"10,keyasint,omitempty" json:"waits_s,omitempty"`
+	Waiting     []string `cbor:"9,keyasint,omitempty" json:"waits_for,omitempty"`
+	WaitSeconds float64  `cbor:"10,keyasint,omitempty" json:"waits_s,omitempty"`
 	// Voters are the present ones. Settled is false while one takes the place of another. Candidates may take one.
-	Voters      []string `cbor:"11,keyasint" json:"deciders"`
-	Settled     bool     `cbor:"12,keyasint" json:"settled"`
-	Candidates  []string `cbor:"13,keyasint,omitempty" json:"candidates,omitempty"`
-	NotAdmitted bool     `cbor:"14,keyasint,omitempty" json:"waits_for_a_place,omitempty"`
+	Voters   []string `cbor:"11,keyasint" json:"deciders"`
+	Settled  bool     `cbor:"12,keyasint" json:"settled"`
+	Standbys []string `cbor:"13,keyasint,omitempty" json:"candidates,omitempty"`
+	Standby  bool     `cbor:"14,keyasint,omitempty" json:"waits_for_a_place,omitempty"`
 }
 
 // FaultError says that a voter did not carry out a request.
@@ -79,13 +79,13 @@
 	if err := cbor.Unmarshal(text, &req); err != nil {
 		return nil, fmt.Errorf("policy: a call that cannot be read: %w", err)
 	}
-	return cbor.Marshal(a.answer(ctx, req))
+	return cbor.Marshal(a.serveRequest(ctx, req))
 }
 
 // call calls a voter, which may be this sidecar itself.
 func (a *Agent) call(ctx context.Context, voter string, req request) (resp response, err error) {
 	if voter == a.settings.Name {
-		return a.answer(ctx, req), nil
+		return a.serveRequest(ctx, req), nil
 	}
 	text, err := cbor.Marshal(req)
 	if err != nil {
@@ -100,8 +100,8 @@
 	return resp, nil
 }
 
-// do calls a voter, and makes a fault in its response a FaultError. The response is valid all the same.
-func (a *Agent) do(ctx context.Context, voter string, req request) (response, error) {
+// callChecked calls a voter, and makes a fault in its response a FaultError. The response is valid all the same.
+func (a *Agent) callChecked(ctx context.Context, voter string, req request) (response, error) {
 	resp, err := a.call(ctx, voter, req)
 	if err == nil && resp.Fault != "" {
 		err = &FaultError{voter, resp.Fault}
--- a/internal/fleet/policyagent/operations.go
+++ b/internal/fleet/policyagent/operations.go
@@ -21,12 +21,12 @@
 	outcome := policy.Outcome{ID: p.ID, Author: p.Author}
 	sent := false
 	for attempt := 0; ; attempt++ {
-		voter := a.target(attempt)
-		once, cancel := context.WithTimeout(ctx, callTimeout)
+		voter := a.nextVoter(attempt)
+		attemptCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		if !sent {
-			sent = a.sendProposal(once, voter, p)
+			sent = a.sendProposal(attemptCtx, voter, p)
 		}
-		if o, ok := a.outcomeBy(once, voter, p.ID); ok && o.State >= outcome.State {
+		if o, ok := a.fetchOutcome(attemptCtx, voter, p.ID); ok && o.State >= outcome.State {
 			outcome = o
 		}
 		cancel()
@@ -45,14 +45,14 @@
 
 // sendProposal says whether a voter, which leads, has taken a proposal.
 func (a *Agent) sendProposal(ctx context.Context, voter string, p policy.Proposal) bool {
-	resp, err := a.do(ctx, voter, request{Propose: &p})
+	resp, err := a.callChecked(ctx, voter, request{Propose: &p})
 	if fault := (*FaultError)(nil); errors.As(err, &fault) && resp.Leader != voter {
 		a.setLeader(resp.Leader)
 	}
 	return err == nil
 }
 
-func (a *Agent) outcomeBy(ctx context.Context, voter, id string) (policy.Outcome, bool) {
+func (a *Agent) fetchOutcome(ctx context.Context, voter, id string) (policy.Outcome, bool) {
 	resp, err := a.call(ctx, voter, request{Outcome: id})
 	if err != nil || resp.Outcome == nil {
 		return policy.Outcome{}, false
@@ -64,7 +64,7 @@
 func (a *Agent) Outcome(ctx context.Context, id string) policy.Outcome {
 	outcome := policy.Outcome{ID: id}
 	for _, voter := range a.voters() {
-		if o, ok := a.outcomeBy(ctx, voter, id); ok && o.State > outcome.State {
+		if o, ok := a.fetchOutcome(ctx, voter, id); ok && o.State > outcome.State {
 			outcome = o
 		}
 	}
@@ -76,7 +76,7 @@
 func (a *Agent) Document(ctx context.Context, number uint64) (policy.Document, error) {
 	var failed []error
 	for _, voter := range a.voters() {
-		d, err := a.documentBy(ctx, voter, number)
+		d, err := a.fetchDocument(ctx, voter, number)
 		if err == nil {
 			return policy.NewDocument(d.Number, d.Text), nil
 		}
@@ -85,9 +85,9 @@
 	return policy.Document{}, errors.Join(failed...)
 }
 
-func (a *Agent) documentBy(ctx context.Context, voter string, number uint64) (*document, error) {
+func (a *Agent) fetchDocument(ctx context.Context, voter string, number uint64) (*document, error) {
 	if number == 0 {
-		resp, err := a.do(ctx, voter, request{State: true})
+		resp, err := a.callChecked(ctx, voter, request{State: true})
 		if err != nil {
 			return nil, err
 		}
@@ -96,7 +96,7 @@
 		}
 		number = resp.State.InForce
 	}
-	resp, err := a.do(ctx, voter, request{Document: number})
+	resp, err := a.callChecked(ctx, voter, request{Document: number})
 	if err == nil && resp.Document == nil {
 		err = errNoDocument
 	}
@@ -108,9 +108,9 @@
 // leader answers it tries until ctx ends, and returns the last error.
 func (a *Agent) Replace(ctx context.Context, out, in string) error {
 	for attempt := 0; ; attempt++ {
-		voter := a.target(attempt)
-		once, cancel := context.WithTimeout(ctx, callTimeout)
-		resp, err := a.do(once, voter, request{Replace: &replacement{out, in}})
+		voter := a.nextVoter(attempt)
+		attemptCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		resp, err := a.callChecked(attemptCtx, voter, request{Replace: &replacement{out, in}})
 		cancel()
 		if err == nil {
 			return nil
--- a/internal/fleet/policyagent/renewal.go
+++ b/internal/fleet/policyagent/renewal.go
@@ -22,14 +22,14 @@
 // renewLoop keeps up the lease under which this sidecar serves, until the agent is closed.
 func (a *Agent) renewLoop() {
 	for attempt := 0; ; attempt++ {
-		if !sleep(a.ctx, a.renew(a.target(attempt))) {
+		if !sleep(a.ctx, a.renew(a.nextVoter(attempt))) {
 			return
 		}
 	}
 }
 
-// target is the voter to call: the leader, as far as it is known, or else another one on each attempt.
-func (a *Agent) target(attempt int) string {
+// nextVoter is the voter to call: the leader, as far as it is known, or else another one on each attempt.
+func (a *Agent) nextVoter(attempt int) string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.leader != "" {
@@ -79,7 +79,7 @@
 		return minRenewPause
 	}
 	a.mu.Lock()
-	number := a.holder.Update(a.now(), sent, *lease)
+	number := a.holder.ApplyResponse(a.now(), sent, *lease)
 	a.mu.Unlock()
 	if number == 0 {
 		return a.renewPause(lease.Duration)
@@ -90,7 +90,7 @@
 		return minRenewPause
 	}
 	a.mu.Lock()
-	a.holder.Checked(number, fault)
+	a.holder.RecordCheck(number, fault)
 	a.mu.Unlock()
 	return 0 // the leader waits for what was found
 }
@@ -122,7 +122,7 @@
 func (a *Agent) renewPause(length time.Duration) time.Duration {
 	pause := min(length, a.settings.Terms.Length) / renewalsPerLease
 	if a.now() < a.renewOftenUntil {
-		pause = min(pause, a.settings.Terms.Short/renewalsPerLease)
+		pause = min(pause, a.settings.Terms.ShortLength/renewalsPerLease)
 	}
 	return max(pause, minRenewPause)
 }
@@ -132,7 +132,7 @@
 func (a *Agent) checkDocument(voter string, number uint64) (fault string, err error) {
 	ctx, cancel := context.WithTimeout(a.ctx, voterCallTimeout)
 	defer cancel()
-	resp, err := a.do(ctx, voter, request{Document: number})
+	resp, err := a.callChecked(ctx, voter, request{Document: number})
 	if err != nil {
 		return "", errors.Join(errNoDocument, err)
 	}
--- a/internal/fleet/policyagent/voter.go
+++ b/internal/fleet/policyagent/voter.go
@@ -34,8 +34,8 @@
 	done     chan struct{}
 }
 
-// answer has the Raft node's goroutine carry out a request, and waits for its response.
-func (a *Agent) answer(ctx context.Context, req request) response {
+// serveRequest has the Raft node's goroutine carry out a request, and waits for its response.
+func (a *Agent) serveRequest(ctx context.Context, req request) response {
 	if !a.isVoter {
 		return response{Fault: a.settings.Name + " is no decider"}
 	}
@@ -43,7 +43,7 @@
 	defer cancel()
 	call := &nodeCall{request: req, done: make(chan struct{})}
 	select {
-	case a.events <- func(now raftnode.Time) { defer close(call.done); a.carryOut(now, call) }:
+	case a.events <- func(now raftnode.Time) { defer close(call.done); a.execute(now, call) }:
 	default:
 		return response{Fault: faultBusy}
 	}
@@ -62,11 +62,11 @@
 func awaitLease(ctx context.Context, call *nodeCall) response {
 	resp := call.response
 	select {
-	case answer := <-call.lease:
-		if answer.Err != nil {
-			resp.Fault = answer.Err.Error()
+	case reply := <-call.lease:
+		if reply.Err != nil {
+			resp.Fault = reply.Err.Error()
 		} else {
-			resp.Lease = &answer.Grant
+			resp.Lease = &reply.Grant
 		}
 	case <-ctx.Done():
 		resp.Fault = faultBusy
@@ -74,8 +74,8 @@
 	return resp
 }
 
-// carryOut does what a request asks for. It runs on the Raft node's goroutine.
-func (a *Agent) carryOut(now raftnode.Time, call *nodeCall) {
+// execute does what a request asks for. It runs on the Raft node's goroutine.
+func (a *Agent) execute(now raftnode.Time, call *nodeCall) {
 	req, resp := call.request, &call.response
 	resp.Leader = a.node.Leader()
 	var err error
@@ -86,24 +86,24 @@
 		a.lastToken++
 		call.lease = make(chan consensus.LeaseReply, 1)
 		a.pendingLeases[a.lastToken] = call.lease
-		a.node.Ask(now, a.lastToken, *req.Lease)
+		a.node.RequestLease(now, a.lastToken, *req.Lease)
 		resp.Voters, _ = a.node.Voters()
 	case req.Propose != nil:
 		err = a.node.Propose(now, *req.Propose)
 	case req.Replace != nil:
-		err = a.node.Replace(now, req.Replace.Out, req.Replace.In)
+		err = a.node.Replace(now, req.Replace.Outgoing, req.Replace.Incoming)
 	case req.State:
 		resp.State = a.voterState(now)
 	default:
-		lookUp(a.node.Ledger(), req, resp)
+		lookUpLedger(a.node.Ledger(), req, resp)
 	}
 	if err != nil {
 		resp.Fault = err.Error()
 	}
 }
 
-// lookUp answers a request for what a ledger holds.
-func lookUp(l *policy.Ledger, req request, resp *response) {
+// lookUpLedger answers a request for what a ledger holds.
+func lookUpLedger(l *policy.Ledger, req request, resp *response) {
 	switch {
 	case l == nil:
 		resp.Fault = "no consensus group yet"
@@ -129,12 +129,12 @@
 		Voter:        a.settings.Name,
 		Leader:       a.node.Leader(),
 		Bootstrapped: l != nil,
-		Candidates:   a.node.Standbys(now),
-		NotAdmitted:  a.node.IsStandby(),
+		Standbys:     a.node.Standbys(now),
+		Standby:      a.node.IsStandby(),
 	}
 	s.Voters, s.Settled = a.node.Voters()
 	if err := a.node.Err(); err != nil {
-		s.Broken = err.Error()
+		s.StopReason = err.Error()
 	}
 	if l == nil {
 		return s
@@ -143,7 +143,7 @@
 	s.InForce, s.Digest, s.Outcomes = d.Number, d.Digest.String(), l.Outcomes()
 	var longest time.Duration
 	s.Waiting, longest = a.node.Waiting(now)
-	s.Seconds = longest.Round(time.Millisecond).Seconds()
+	s.WaitSeconds = longest.Round(time.Millisecond).Seconds()
 	if p := l.Pending(); p != nil {
 		s.Pending = &p.Outcome
 	}
@@ -175,32 +175,32 @@
 		select {
 		case <-a.ctx.Done():
 			return
-		case do := <-a.events:
-			do(a.now())
+		case event := <-a.events:
+			event(a.now())
 		case <-tick.C:
 			a.node.Tick(a.now())
 		}
-		a.sendOut()
+		a.sendActions()
 		if a.node.Err() != nil {
 			a.failPendingLeases()
 		}
 	}
 }
 
-// sendOut passes on what the Raft node has to send. A message for a voter whose queue is full is lost, as it may be on
+// sendActions passes on what the Raft node has to send. A message for a voter whose queue is full is lost, as it may be on
 // the network; Raft sends again.
-func (a *Agent) sendOut() {
-	out := a.node.Out()
+func (a *Agent) sendActions() {
+	out := a.node.TakeActions()
 	for _, message := range out.Send {
 		select {
 		case a.queueTo(message.To) <- message.Payload:
 		default:
 		}
 	}
-	for _, answer := range out.Answers {
-		if lease := a.pendingLeases[answer.Token]; lease != nil {
-			delete(a.pendingLeases, answer.Token)
-			lease <- answer // doesn't block: it is buffered, and each token is answered once
+	for _, reply := range out.LeaseReplies {
+		if lease := a.pendingLeases[reply.Token]; lease != nil {
+			delete(a.pendingLeases, reply.Token)
+			lease <- reply // doesn't block: it is buffered, and each token is answered once
 		}
 	}
 }
@@ -233,7 +233,7 @@
 			return
 		case text := <-queue:
 			ctx, cancel := context.WithTimeout(a.ctx, voterCallTimeout)
-			if _, err := a.do(ctx, voter, request{Raft: text}); err != nil {
+			if _, err := a.callChecked(ctx, voter, request{Raft: text}); err != nil {
 				a.log.Debug("message to a voter failed", "voter", voter, "err", err)
 			}
 			cancel()
@@ -254,8 +254,8 @@
 			}
 			return folder
 		}
-		held, errno := errors.Is(err, raftlog.ErrLocked), syscall.Errno(0)
-		if !held && !errors.As(err, &errno) {
+		locked, errno := errors.Is(err, raftlog.ErrLocked), syscall.Errno(0)
+		if !locked && !errors.As(err, &errno) {
 			a.log.Error("this voter takes no part", "err", err)
 			return nil
 		}
@@ -263,7 +263,7 @@
 			a.log.Warn("waiting for the folder", "err", err)
 		}
 		delay = min(2*delay, maxFolderRetryDelay)
-		if held {
+		if locked {
 			delay = folderRetryInterval
 		}
 		if !sleep(a.ctx, delay) {
--- a/internal/fleet/raftnode/cluster_test.go
+++ b/internal/fleet/raftnode/cluster_test.go
@@ -25,17 +25,17 @@
 // cluster is three voters with folders on disk. Messages are lost and late; voters crash at any moment, also in the
 // midst of a write, pause, and lose their folders; and folders fail for a while.
 type cluster struct {
-	t        *testing.T
-	random   *rand.Rand
-	dir      string
-	now      time.Duration
-	loss     float64
-	members  map[string]*member
-	order    []string // of the members' names
-	delayed  []func()
-	answers  map[uint64]consensus.LeaseReply // by token
-	outcomes map[string]policy.Outcome       // as first seen: refused or in force
-	lastID   uint64
+	t            *testing.T
+	random       *rand.Rand
+	dir          string
+	now          time.Duration
+	loss         float64
+	members      map[string]*member
+	order        []string // of the members' names
+	delayed      []func()
+	leaseReplies map[uint64]consensus.LeaseReply // by token
+	outcomes     map[string]policy.Outcome       // as first seen: refused or in force
+	lastID       uint64
 }
 
 type member struct {
@@ -46,7 +46,7 @@
 	pausedUntil time.Duration
 	killAtWrite int           // of the writes to come, the one that kills it; 0: none does
 	failsUntil  time.Duration // its folder fails
-	logged      *bytes.Buffer
+	logOutput   *bytes.Buffer
 }
 
 // faultyStorage is a folder that fails for a while, of a process that is killed behind one of its writes, before it can
@@ -85,13 +85,13 @@
 // newCluster returns a cluster whose voters are all down. It is closed when the test ends.
 func newCluster(t *testing.T, seed uint64) *cluster {
 	c := &cluster{
-		t:        t,
-		random:   rand.New(rand.NewPCG(seed, 0x7ab1e)),
-		dir:      t.TempDir(),
-		now:      time.Hour,
-		members:  map[string]*member{},
-		answers:  map[uint64]consensus.LeaseReply{},
-		outcomes: map[string]policy.Outcome{},
+		t:            t,
+		random:       rand.New(rand.NewPCG(seed, 0x7ab1e)),
+		dir:          t.TempDir(),
+		now:          time.Hour,
+		members:      map[string]*member{},
+		leaseReplies: map[uint64]consensus.LeaseReply{},
+		outcomes:     map[string]policy.Outcome{},
 	}
 	for _, name := range voterNames {
 		c.add(name, voterNames)
@@ -116,13 +116,13 @@
 
 // add adds a member that is down.
 func (c *cluster) add(name string, configured []string) *member {
-	c.members[name] = &member{name: name, configured: configured, logged: &bytes.Buffer{}}
+	c.members[name] = &member{name: name, configured: configured, logOutput: &bytes.Buffer{}}
 	c.order = append(c.order, name)
 	return c.members[name]
 }
 
-// drawn returns one of the first voters.
-func (c *cluster) drawn() *member { return c.members[voterNames[c.random.IntN(len(voterNames))]] }
+// randomVoter returns one of the first voters.
+func (c *cluster) randomVoter() *member { return c.members[voterNames[c.random.IntN(len(voterNames))]] }
 
 // loseFolder has a member return without its folder.
 func (c *cluster) loseFolder(name string) {
@@ -183,7 +183,7 @@
 		InitialPolicy: []byte("first"),
 		Terms:         policy.DefaultTerms,
 	}
-	m.node, err = New(c.now, settings, faultyStorage{log, c, m}, slog.New(slog.NewTextHandler(m.logged, nil)))
+	m.node, err = New(c.now, settings, faultyStorage{log, c, m}, slog.New(slog.NewTextHandler(m.logOutput, nil)))
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -222,7 +222,7 @@
 	}
 	suspended := m.node.Err() != nil
 	do(m.node)
-	out := m.node.Out()
+	out := m.node.TakeActions()
 	if suspended && m.node.Err() != nil && len(out.Send) > 0 {
 		c.t.Fatalf("%s sends %d messages while it is suspended", m.name, len(out.Send))
 	}
@@ -233,8 +233,8 @@
 	for _, msg := range out.Send {
 		c.send(msg)
 	}
-	for _, a := range out.Answers {
-		c.answers[a.Token] = a
+	for _, a := range out.LeaseReplies {
+		c.leaseReplies[a.Token] = a
 	}
 }
 
--- a/internal/fleet/raftnode/hello.go
+++ b/internal/fleet/raftnode/hello.go
@@ -105,7 +105,7 @@
 	}
 	voters, _ := n.machine.Voters()
 	if voters[hello.Name] != hello.ID {
-		if err := n.noteStandby(now, hello); err != nil {
+		if err := n.recordStandby(now, hello); err != nil {
 			return err
 		}
 	}
@@ -115,8 +115,8 @@
 	return nil
 }
 
-// noteStandby keeps a standby for Replace. It fails where there are too many.
-func (n *Node) noteStandby(now Time, hello consensus.Hello) error {
+// recordStandby keeps a standby for Replace. It fails where there are too many.
+func (n *Node) recordStandby(now Time, hello consensus.Hello) error {
 	maps.DeleteFunc(n.standbys, func(_ string, s standby) bool { return s.expired(now) })
 	if _, known := n.standbys[hello.Name]; !known && len(n.standbys) >= maxStandbys {
 		return fmt.Errorf("raftnode: there are %d standbys already", maxStandbys)
--- a/internal/fleet/raftnode/node.go
+++ b/internal/fleet/raftnode/node.go
@@ -62,8 +62,8 @@
 
 // Actions are what the host is to do after an event.
 type Actions struct {
-	Send    []Message
-	Answers []consensus.LeaseReply
+	Send         []Message
+	LeaseReplies []consensus.LeaseReply
 }
 
 // Node is one voter of the group, or a standby: a sidecar that is in no group yet and may replace a voter.
@@ -183,15 +183,15 @@
 
 // Waiting lists the sidecars whose leases the pending change waits for, and for how long at most. It is empty on a node
 // that does not lead.
-func (n *Node) Waiting(now Time) (names []string, most time.Duration) {
+func (n *Node) Waiting(now Time) (names []string, longest time.Duration) {
 	if !n.running() {
 		return nil, 0
 	}
 	return n.machine.Waiting(now)
 }
 
-// Out returns what is to be sent and answered, and forgets it.
-func (n *Node) Out() Actions {
+// TakeActions returns what is to be sent and answered, and forgets it.
+func (n *Node) TakeActions() Actions {
 	out := n.actions
 	n.actions = Actions{}
 	return out
@@ -240,11 +240,12 @@
 	return err
 }
 
-// Ask takes in a sidecar's question for a lease. Its answer follows in Out under the token; its error is
+// RequestLease takes in a sidecar's question for a lease. Its answer follows in Out under the token; its error is
 // consensus.ErrNoLeader where this node does not lead.
-func (n *Node) Ask(now Time, token uint64, q policy.LeaseRequest) {
+func (n *Node) RequestLease(now Time, token uint64, q policy.LeaseRequest) {
 	if !n.running() {
-		n.actions.Answers = append(n.actions.Answers, consensus.LeaseReply{Token: token, Err: consensus.ErrNoLeader})
+		n.actions.LeaseReplies = append(n.actions.LeaseReplies,
+			consensus.LeaseReply{Token: token, Err: consensus.ErrNoLeader})
 		return
 	}
 	n.machine.RequestLease(now, token, q)
@@ -280,7 +281,7 @@
 			n.send(to, packet{Envelope: m.Payload})
 		}
 	}
-	n.actions.Answers = append(n.actions.Answers, out.LeaseReplies...)
+	n.actions.LeaseReplies = append(n.actions.LeaseReplies, out.LeaseReplies...)
 }
 
 // batchPersisted advances the machine, and compacts the log where that is due.
--- a/internal/fleet/raftnode/node_test.go
+++ b/internal/fleet/raftnode/node_test.go
@@ -20,7 +20,7 @@
 			c := newCluster(t, seed)
 			c.loss = 0.1
 			for range 20 + c.random.IntN(280) {
-				c.crashOrStart(c.drawn())
+				c.injectFault(c.randomVoter())
 				c.step()
 			}
 			c.endFaults()
@@ -37,8 +37,8 @@
 	}
 }
 
-// crashOrStart has a drawn fault happen to a member, or ends one, or proposes a change.
-func (c *cluster) crashOrStart(m *member) {
+// injectFault has a drawn fault happen to a member, or ends one, or proposes a change.
+func (c *cluster) injectFault(m *member) {
 	switch c.random.IntN(30) {
 	case 0, 1:
 		c.kill(m)
@@ -86,9 +86,9 @@
 	if a.Err() != nil || a.Ledger().Outcome(second).State != policy.InForce {
 		t.Errorf("the one that has its folder: %v, %v", a.Err(), a.Ledger().Outcome(second))
 	}
-	a.Ask(c.now, 7, policy.LeaseRequest{Sidecar: "n1", Incarnation: 1})
+	a.RequestLease(c.now, 7, policy.LeaseRequest{Sidecar: "n1", Incarnation: 1})
 	c.steps(100)
-	if got, ok := c.answers[7]; ok && got.Err == nil {
+	if got, ok := c.leaseReplies[7]; ok && got.Err == nil {
 		t.Errorf("one of three grants a lease: %+v", got.Grant)
 	}
 }
--- a/internal/fleet/raftnode/replace_test.go
+++ b/internal/fleet/raftnode/replace_test.go
@@ -106,7 +106,7 @@
 			c := newRunningCluster(t, seed+100)
 			c.loss = 0.1
 			for range 400 {
-				if c.loseOrReplace(c.drawn()) {
+				if c.injectFaultOrReplace(c.randomVoter()) {
 					replaced++
 				}
 				c.step()
@@ -131,9 +131,9 @@
 	}
 }
 
-// loseOrReplace has a drawn fault happen to a member, or ends one, or proposes a change; replaced tells whether the
+// injectFaultOrReplace has a drawn fault happen to a member, or ends one, or proposes a change; replaced tells whether the
 // member has replaced its former self. Folders are lost one at a time: with two lost nobody can say what was committed.
-func (c *cluster) loseOrReplace(m *member) (replaced bool) {
+func (c *cluster) injectFaultOrReplace(m *member) (replaced bool) {
 	switch c.random.IntN(40) {
 	case 0:
 		c.kill(m)
--- a/internal/fleet/raftnode/write_test.go
+++ b/internal/fleet/raftnode/write_test.go
@@ -57,7 +57,7 @@
 			c.steps(100)
 			c.requireChange("its folder can be written again")
 			for _, line := range []string{"suspended until its folder can be written", "folder written again"} {
-				if n := strings.Count(m.logged.String(), line); n != 1 {
+				if n := strings.Count(m.logOutput.String(), line); n != 1 {
 					t.Errorf("it logs %d times %q", n, line)
 				}
 			}
@@ -79,8 +79,8 @@
 // checkSuspended fails the test where a member answers a request for a lease, or seems to run.
 func (c *cluster) checkSuspended(m *member) {
 	c.t.Helper()
-	c.run(m, func(n *Node) { n.Ask(c.now, 7, policy.LeaseRequest{Sidecar: "n1", Incarnation: 1}) })
-	if got := c.answers[7]; !errors.Is(got.Err, consensus.ErrNoLeader) ||
+	c.run(m, func(n *Node) { n.RequestLease(c.now, 7, policy.LeaseRequest{Sidecar: "n1", Incarnation: 1}) })
+	if got := c.leaseReplies[7]; !errors.Is(got.Err, consensus.ErrNoLeader) ||
 		!errors.Is(m.node.Err(), syscall.ENOSPC) || m.node.Leader() != "" {
 		c.t.Errorf("it answers %+v, error %v, leader %q", got, m.node.Err(), m.node.Leader())
 	}
--- a/internal/fleet/transport/receive_test.go
+++ b/internal/fleet/transport/receive_test.go
@@ -13,19 +13,19 @@
 	"time"
 )
 
-// taker is a Handler that counts datagrams.
-type taker struct{ came int }
+// countingHandler is a Handler that counts datagrams.
+type countingHandler struct{ datagrams int }
 
 // Datagram implements Handler.
-func (h *taker) Datagram(string, []byte) { h.came++ }
+func (h *countingHandler) Datagram(string, []byte) { h.datagrams++ }
 
 // Snapshot implements Handler.
-func (*taker) Snapshot(context.Context) ([]byte, error) { return nil, nil }
+func (*countingHandler) Snapshot(context.Context) ([]byte, error) { return nil, nil }
 
 // TestReceiveFails has receiving fail for a while: it goes on, and the processor is not used up meanwhile.
 func TestReceiveFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		calls, h, begun := 0, &taker{}, time.Now()
+		calls, h, begun := 0, &countingHandler{}, time.Now()
 		readDatagrams(func([]byte) (int, netip.AddrPort, error) {
 			switch calls++; {
 			case calls <= 100:
@@ -35,8 +35,8 @@
 			}
 			return 0, netip.AddrPort{}, net.ErrClosed
 		}, h, 10)
-		if took := time.Since(begun); took != 100*failurePause || h.came != 1 || calls != 102 {
-			t.Errorf("%d datagrams after %d calls in %v", h.came, calls, took)
+		if took := time.Since(begun); took != 100*failurePause || h.datagrams != 1 || calls != 102 {
+			t.Errorf("%d datagrams after %d calls in %v", h.datagrams, calls, took)
 		}
 	})
 }
--- a/internal/fleet/transport/transport.go
+++ b/internal/fleet/transport/transport.go
@@ -23,9 +23,9 @@
 	maxSnapshots   = 4        // served at a time
 	// exchangeTimeout bounds a snapshot or a call, from the connection's first byte to its last.
 	exchangeTimeout = 2 * time.Second
-	// maxPortTries is how many ports are tried for both sockets. A port that is free for datagrams is often taken for
+	// maxPortAttempts is how many ports are tried for both sockets. A port that is free for datagrams is often taken for
 	// connections on a machine where tens of thousands of them have just closed.
-	maxPortTries = 64
+	maxPortAttempts = 64
 	// failurePause follows a system call that failed, which may fail again for some time.
 	failurePause = 10 * time.Millisecond
 )
@@ -38,8 +38,8 @@
 
 // Errors of calls that this sidecar does not serve.
 var (
-	errNoCalls   = errors.New("fleet: nobody answers calls")
-	errLargeCall = errors.New("fleet: another large call is being served")
+	errNoCallHandler       = errors.New("fleet: nobody answers calls")
+	errLargeCallInProgress = errors.New("fleet: another large call is being served")
 )
 
 // Handler takes what comes. Its methods are called from the Transport's goroutines, datagrams one at a time.
@@ -87,8 +87,8 @@
 	}
 	t.ctx, t.stop = context.WithCancel(context.Background())
 	port := at.Port()
-	for range maxPortTries {
-		if err = t.bind(netip.AddrPortFrom(at.Addr(), port)); err == nil {
+	for range maxPortAttempts {
+		if err = t.openSockets(netip.AddrPortFrom(at.Addr(), port)); err == nil {
 			return t, nil
 		}
 		port = 0 // any other
@@ -97,13 +97,13 @@
 	return nil, fmt.Errorf("fleet: %w", err)
 }
 
-// bind opens both sockets at one address. Port 0 is a port that is free for datagrams.
-func (t *Transport) bind(at netip.AddrPort) (err error) {
+// openSockets opens both sockets at one address. Port 0 is a port that is free for datagrams.
+func (t *Transport) openSockets(at netip.AddrPort) (err error) {
 	if t.datagrams, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at)); err != nil {
 		return err
 	}
-	same := netip.AddrPortFrom(at.Addr(), t.datagrams.LocalAddr().(*net.UDPAddr).AddrPort().Port())
-	if t.listener, err = net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(same)); err != nil {
+	address := netip.AddrPortFrom(at.Addr(), t.datagrams.LocalAddr().(*net.UDPAddr).AddrPort().Port())
+	if t.listener, err = net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(address)); err != nil {
 		return errors.Join(err, t.datagrams.Close())
 	}
 	return nil
@@ -210,7 +210,7 @@
 // serveCall reads a call and returns its answer.
 func (t *Transport) serveCall(c net.Conn) ([]byte, error) {
 	if t.callHandler == nil {
-		return nil, errNoCalls
+		return nil, errNoCallHandler
 	}
 	var head [4]byte
 	if _, err := io.ReadFull(c, head[:]); err != nil {
@@ -225,7 +225,7 @@
 		case t.largeCallSlot <- struct{}{}:
 			defer func() { <-t.largeCallSlot }()
 		default:
-			return nil, errLargeCall
+			return nil, errLargeCallInProgress
 		}
 	}
 	text, err := readMessage(c, n)
@@ -274,15 +274,15 @@
 	if len(text) > MaxCall {
 		return nil, fmt.Errorf("fleet: a call of %d bytes, %d are allowed", len(text), MaxCall)
 	}
-	answer, err := t.exchange(ctx, to, callHello, text, MaxCall)
+	response, err := t.exchange(ctx, to, callHello, text, MaxCall)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: call of %s: %w", to, err)
 	}
-	return answer, nil
+	return response, nil
 }
 
 // exchange greets another sidecar, sends it a text, nil: none, and returns what it answers.
-func (t *Transport) exchange(ctx context.Context, from, hello string, send []byte, most int) ([]byte, error) {
+func (t *Transport) exchange(ctx context.Context, from, hello string, send []byte, maxBytes int) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	// From the own address: that is what a firewall between sidecars goes by.
@@ -306,8 +306,8 @@
 		return nil, err
 	}
 	n := binary.BigEndian.Uint32(head[:])
-	if int64(n) > int64(most) {
-		return nil, fmt.Errorf("%d bytes, %d are allowed", n, most)
+	if int64(n) > int64(maxBytes) {
+		return nil, fmt.Errorf("%d bytes, %d are allowed", n, maxBytes)
 	}
 	return readMessage(c, n)
 }
--- a/internal/fleet/transport/transport_test.go
+++ b/internal/fleet/transport/transport_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/goleak"
 )
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
@@ -29,7 +29,7 @@
 
 func (h *handler) Snapshot(context.Context) ([]byte, error) { return h.snapshot, h.err }
 
-func open(t *testing.T, h *handler) *Transport {
+func startTransport(t *testing.T, h *handler) *Transport {
 	t.Helper()
 	h.datagrams = make(chan string, 100)
 	l, err := Listen("127.0.0.1:0", 1<<20)
@@ -48,7 +48,7 @@
 // TestBothWays sends a datagram and gets a snapshot, a large and an empty one.
 func TestBothWays(t *testing.T) {
 	h := &handler{snapshot: bytes.Repeat([]byte("x"), 1<<20)}
-	a, b := open(t, &handler{}), open(t, h)
+	a, b := startTransport(t, &handler{}), startTransport(t, h)
 	if err := a.Send(b.Address(), []byte("hello")); err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 		if got != "hello" {
 			t.Errorf("got %q", got)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("no datagram")
 	}
 	if got, err := a.Fetch(context.Background(), b.Address()); err != nil || !bytes.Equal(got, h.snapshot) {
@@ -75,7 +75,7 @@
 
 // TestPortInUse has a second process listen where one does: it gets another port of the same address.
 func TestPortInUse(t *testing.T) {
-	a := open(t, &handler{})
+	a := startTransport(t, &handler{})
 	b, err := Listen(a.Address(), 100)
 	if err != nil {
 		t.Fatal(err)
@@ -96,14 +96,14 @@
 
 // TestBadPeers has peers say what they should not, and too much: each is turned away in time and the link goes on.
 func TestBadPeers(t *testing.T) {
-	a, b := open(t, &handler{}), open(t, &handler{snapshot: []byte("state")})
+	a, b := startTransport(t, &handler{}), startTransport(t, &handler{snapshot: []byte("state")})
 	for _, text := range [][]byte{[]byte("GET / HTTP/1.1\r\n\r\n      "), bytes.Repeat([]byte("x"), 4096)} {
 		c, err := net.Dial("tcp", b.Address())
 		if err != nil {
 			t.Fatal(err)
 		}
 		_, _ = c.Write(text)
-		_ = c.SetReadDeadline(time.Now().Add(patience))
+		_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 		if got, err := io.ReadAll(c); len(got) > 0 || errors.Is(err, context.DeadlineExceeded) {
 			t.Errorf("got %q, error %v", got, err)
 		}
@@ -117,7 +117,7 @@
 		}
 		defer c.Close()
 	}
-	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
 		if got, err := a.Fetch(context.Background(), b.Address()); err == nil && string(got) == "state" {
 			break
 		}
