--- a/internal/fleet/policy/holder.go
+++ b/internal/fleet/policy/holder.go
@@ -2,38 +2,39 @@
 
 import "time"
 
-// renewalPollInterval is how soon a request that waits for a late renewal looks again.
+// renewalPollInterval is how often a waiting request checks whether a late lease renewal has arrived.
 const renewalPollInterval = 5 * time.Millisecond
 
-// Holder is a sidecar's side of the leases: under which policy, if any, it may take a request now. It isn't safe for
-// concurrent use.
+// Holder is the lease state of a sidecar. It decides under which policy, if any, the sidecar may accept a request now.
+// It is not safe for concurrent use.
 type Holder struct {
 	name          string
 	incarnation   uint64
 	terms         Terms
-	latest        Stamp           // of the latest response applied
-	lastChecked   uint64          // document checked last
-	lastFault     string          // why that one cannot run; "": it can
-	runnable      map[uint64]bool // documents that it can run
-	currentNumber uint64          // policy leased; 0: none
+	latest        Stamp           // of the latest applied response
+	lastChecked   uint64          // number of the last checked document
+	lastFault     string          // why the last checked document cannot run; "": it can run
+	runnable      map[uint64]bool // numbers of checked documents that can run
+	currentNumber uint64          // policy leased now; 0: none
 	currentExpiry Time
-	nextNumber    uint64 // policy leased after that; 0: none
+	nextNumber    uint64 // policy leased after the switch; 0: none
 	nextStart     Time
 	nextExpiry    Time
 }
 
-// NewHolder returns the side of a process that has no lease and no document yet, and so serves nothing.
+// NewHolder returns the Holder of a new process. It has no lease and no checked document, so it serves no requests.
 func NewHolder(name string, incarnation uint64, terms Terms) *Holder {
 	return &Holder{name: name, incarnation: incarnation, terms: terms, runnable: map[uint64]bool{}}
 }
 
-// RaiseIncarnation takes the incarnation that the fleet has given to this process, if that is higher than its own. A
-// request under a lower one than a former process had is not answered. Leases under the lower one stay valid.
+// RaiseIncarnation sets the incarnation that the fleet has assigned to this process, if it is higher than the current
+// one. The leader grants no lease to an incarnation lower than that of an earlier process with the same name. Leases
+// granted under the former incarnation stay valid.
 func (h *Holder) RaiseIncarnation(incarnation uint64) {
 	h.incarnation = max(h.incarnation, incarnation)
 }
 
-// Request returns what is to be sent to the leader now. The host notes the time of sending for Update.
+// Request returns the next lease request for the leader. The host records the time of sending for ApplyResponse.
 func (h *Holder) Request() LeaseRequest {
 	return LeaseRequest{
 		Sidecar:     h.name,
@@ -44,8 +45,8 @@
 	}
 }
 
-// RecordCheck records that a document was checked completely by the code that runs it. fault says why it cannot run here,
-// "" that it can.
+// RecordCheck records that the code that runs documents has checked one completely. fault is the reason why the
+// document cannot run on this sidecar, or "" if it can.
 func (h *Holder) RecordCheck(number uint64, fault string) {
 	h.lastChecked, h.lastFault = number, fault
 	if fault == "" {
@@ -58,9 +59,9 @@
 	}
 }
 
-// ApplyResponse applies the response to a request that was sent at a time, and returns the number of a document that is to be
-// fetched and checked, 0 for none. Responses may come late and in any order; one that is older than the latest applied
-// changes nothing, as a later one may have leased less.
+// ApplyResponse applies the response to a request that was sent at the time sent. It returns the number of a document
+// to fetch and check, or 0 if there is none. Responses may arrive late and in any order. A response older than the
+// latest applied one is ignored, as the newer one may have granted a shorter lease.
 func (h *Holder) ApplyResponse(now, sent Time, response LeaseResponse) (check uint64) {
 	if response.Stamp.Compare(h.latest) <= 0 {
 		return 0
@@ -69,8 +70,8 @@
 	h.currentNumber, h.currentExpiry = response.Number, sent+h.terms.lowerBound(response.Duration)
 	h.nextNumber, h.nextStart, h.nextExpiry = 0, 0, 0
 	if response.Next > 0 {
-		// The switch comes at one time by the leader's clock. By this clock the lease on the former policy ends at the
-		// earliest, and the next one begins at the latest, that this can be.
+		// The switch happens at a fixed time of the leader's clock, which maps to an interval of this clock. The lease
+		// on the current policy ends at the start of the interval, the lease on the next policy begins at its end.
 		h.currentExpiry = min(h.currentExpiry, sent+h.terms.lowerBound(response.NextIn))
 		h.nextNumber, h.nextStart = response.Next, now+h.terms.upperBound(response.NextIn)
 		h.nextExpiry = sent + h.terms.lowerBound(response.NextIn+response.NextDuration)
@@ -86,12 +87,12 @@
 	return 0
 }
 
-// Serves returns the number of the policy under which a request may be taken now, if ok. Otherwise wait is after what
-// time the request should ask again, 0 if it should not wait: either the lease on the next policy is about to begin, or
-// a lease has just expired and its renewal is late.
+// Serves returns the number of the policy under which a request may be accepted now, if ok is true. Otherwise wait is
+// the delay after which the request should call Serves again, or 0 if it should not wait. A request waits if the lease
+// on the next policy is about to begin, or if a lease has just expired and its renewal is late.
 //
-// The host must read the clock anew for each request, after anything that may have stopped the process, as a lease may
-// have expired meanwhile.
+// The host must read the clock for each request, after any point where the process may have been paused, because the
+// lease may have expired in the meantime.
 func (h *Holder) Serves(now Time) (number uint64, wait time.Duration, ok bool) {
 	switch {
 	case h.currentNumber > 0 && now < h.currentExpiry && h.runnable[h.currentNumber]:
--- a/internal/fleet/policy/lease_table.go
+++ b/internal/fleet/policy/lease_table.go
@@ -6,48 +6,48 @@
 	"time"
 )
 
-// grantedLease is a lease that a sidecar may hold. Its response may have been lost.
+// grantedLease is a lease that a sidecar may hold. The response that granted it may have been lost.
 type grantedLease struct {
 	incarnation uint64
 	stamp       Stamp
-	expiry      Time // latest, by the leader's clock
+	expiry      Time // upper bound, on the leader's clock
 }
 
-// leaseHolder is what the leader knows of a sidecar.
+// leaseHolder is the leader's record of a sidecar.
 type leaseHolder struct {
 	incarnation uint64
 	leases      []grantedLease
 	lastChecked uint64
 }
 
-// expire drops the leases that are over.
+// expire removes the expired leases.
 func (h *leaseHolder) expire(now Time) {
 	h.leases = slices.DeleteFunc(h.leases, func(lease grantedLease) bool { return lease.expiry <= now })
 }
 
-// supersede drops the leases that a later response, which the same process has applied, took the place of.
+// supersede removes the leases that were replaced by a later response which the same process has applied.
 func (h *leaseHolder) supersede(incarnation uint64, latest Stamp) {
 	h.leases = slices.DeleteFunc(h.leases, func(lease grantedLease) bool {
 		return lease.incarnation == incarnation && lease.stamp.Compare(latest) < 0
 	})
 }
 
-// LeaseTable is the leader's side of the leases. It is made when the leader's Raft term begins and dropped when that
-// ends; it knows of the leases of earlier leaders only by when the last of them is over. It isn't safe for concurrent
-// use.
+// LeaseTable is the leader's record of the granted leases. It is created when the leader's Raft term begins and
+// discarded when the term ends. Of the leases granted by earlier leaders it contains only the time by which all have
+// expired. It is not safe for concurrent use.
 type LeaseTable struct {
 	terms            Terms
-	stamp            Stamp // of the last response
-	earlierLeasesEnd Time  // until then leases of earlier leaders may last
+	stamp            Stamp // of the latest response
+	earlierLeasesEnd Time  // until then leases granted by earlier leaders may be valid
 	holders          map[string]*leaseHolder
-	lastWritten      Entry // returned last, to be written
+	lastWritten      Entry // latest entry that was returned to be written
 	lastWrittenAt    Time
-	minApplied       uint64 // entries in the latest ledger that was used
-	switchNumber     uint64 // policy whose switch is fixed
-	switchAt         Time   // no lease on its predecessor lasts longer
+	minApplied       uint64 // number of entries of the most recent ledger used
+	switchNumber     uint64 // policy whose switch time is fixed
+	switchAt         Time   // no lease on its predecessor is valid after that
 }
 
-// NewLeaseTable returns the leader's side for a Raft term that begins now.
+// NewLeaseTable returns the LeaseTable for a Raft term that begins now.
 func NewLeaseTable(now Time, term uint64, terms Terms) *LeaseTable {
 	return &LeaseTable{
 		terms:            terms,
@@ -57,14 +57,15 @@
 	}
 }
 
-// Renew answers a sidecar. The entries are to be written to the log. An empty response grants nothing.
+// Renew returns the response to a sidecar's request, and the entries to write to the log. An empty response grants no
+// lease.
 //
-// Before each call the host must have confirmed with a majority, asked after the request came, that no later Raft term
-// has begun, and l must hold at least the entries committed by then (Raft's ReadIndex). Otherwise a leader that was
-// deposed could give a lease after its successor has begun to count the earlier ones.
+// Before each call, and after the request arrived, the host must have confirmed with a majority that no later Raft term
+// has begun, and l must contain at least the entries committed by then (Raft's ReadIndex). Otherwise a deposed leader
+// could grant a lease after its successor has started to wait for the leases of earlier leaders.
 func (t *LeaseTable) Renew(now Time, l *Ledger, request LeaseRequest) (response LeaseResponse, entries []Entry) {
-	// A request may be answered long after it was confirmed, with the ledger of that time. By it the sidecar would get
-	// a lease that this leader no longer counts with.
+	// A request may be processed long after it was confirmed, with the ledger of that time. Such a ledger would grant a
+	// lease that this leader no longer takes into account.
 	if l.applied < t.minApplied {
 		return LeaseResponse{}, nil
 	}
@@ -82,8 +83,8 @@
 			entries = append(entries, Entry{Refuse: &Refusal{pending.Number, request.Sidecar + ": " + request.Fault}})
 		}
 	}
-	// A sidecar that cannot run the policy in force serves nothing. With a lease, all changes would wait until it had
-	// checked them, also the one that lets it serve again.
+	// A sidecar that cannot run the policy in force serves no requests. If it held a lease, each change would wait
+	// until this sidecar has checked it, including the change that lets the sidecar serve again.
 	if request.Fault != "" && request.Checked == l.InForce().Number {
 		return response, entries
 	}
@@ -101,7 +102,7 @@
 	return response, entries
 }
 
-// updateHolder applies what a request says of its sidecar, and returns it, or nil if a later process has its name.
+// updateHolder updates the record of a request's sidecar and returns it, or nil if a later process has the same name.
 func (t *LeaseTable) updateHolder(now Time, request LeaseRequest) *leaseHolder {
 	holder := t.holders[request.Sidecar]
 	if holder == nil {
@@ -112,7 +113,7 @@
 		return nil
 	}
 	if request.Incarnation > holder.incarnation {
-		// The leases of the former process stay: it may still be serving.
+		// The leases of the former process are kept, because it may still be serving.
 		holder.incarnation, holder.lastChecked = request.Incarnation, 0
 	}
 	holder.supersede(request.Incarnation, request.Latest)
@@ -121,7 +122,7 @@
 	return holder
 }
 
-// grant sets which policies a response leases, and for how long, as the state of the pending change allows.
+// grant sets the leased policies of a response and the lease durations, according to the state of the pending change.
 func (t *LeaseTable) grant(response *LeaseResponse, now Time, l *Ledger) {
 	pending, inForce := l.Pending(), l.InForce().Number
 	switch {
@@ -129,17 +130,17 @@
 		response.Number, response.Duration = inForce, t.terms.Length
 	case pending.State == Committed && t.switchTime(pending) == 0:
 		response.Number, response.Duration = inForce, t.terms.ShortLength
-	case pending.State == Committed: // the entry that switches is being written
+	case pending.State == Committed: // the Switch entry is being written
 		response.Number, response.Duration = inForce, max(t.switchAt-now, 0)
 	default:
 		t.grantSwitching(response, now, inForce, pending)
 	}
 }
 
-// grantSwitching leases the policy in force until the switch, and the pending one from then on.
+// grantSwitching grants a lease on the policy in force until the switch, and on the pending policy after the switch.
 func (t *LeaseTable) grantSwitching(response *LeaseResponse, now Time, inForce uint64, pending *Pending) {
 	if t.switchTime(pending) == 0 {
-		// An earlier leader has leased the pending policy from a time that this one does not know.
+		// An earlier leader has granted leases on the pending policy from a switch time that is not known here.
 		if now < t.earlierLeasesEnd {
 			return
 		}
@@ -148,10 +149,10 @@
 	untilSwitch := max(t.switchAt-now, 0)
 	response.Number, response.Duration = inForce, untilSwitch
 	response.Next, response.NextIn = pending.Number, untilSwitch
-	response.NextDuration = t.terms.Length - untilSwitch // the next leader waits for Length, so no lease may last longer
+	response.NextDuration = t.terms.Length - untilSwitch // a new leader waits for Length, so no lease may be longer
 }
 
-// switchTime is when a change switches, as this leader has fixed it; 0: it has not.
+// switchTime returns the switch time that this leader has fixed for a change, or 0 if it has fixed none.
 func (t *LeaseTable) switchTime(pending *Pending) Time {
 	if t.switchNumber == pending.Number {
 		return t.switchAt
@@ -159,7 +160,7 @@
 	return 0
 }
 
-// Tick returns the entries that are to be written to the log now. The host calls it many times while a lease lasts.
+// Tick returns the entries to write to the log now. The host calls it many times per lease duration.
 func (t *LeaseTable) Tick(now Time, l *Ledger) (entries []Entry) {
 	t.minApplied = max(t.minApplied, l.applied)
 	for name, holder := range t.holders {
@@ -169,7 +170,7 @@
 		}
 	}
 	p := l.Pending()
-	if p == nil || now < t.earlierLeasesEnd { // until then other sidecars may hold leases
+	if p == nil || now < t.earlierLeasesEnd { // until then unknown sidecars may hold leases
 		return nil
 	}
 	switch p.State {
@@ -197,7 +198,7 @@
 	return nil
 }
 
-// allChecked says whether every sidecar that holds a lease has checked a document completely.
+// allChecked reports whether every sidecar that holds a lease has completely checked a document.
 func (t *LeaseTable) allChecked(number uint64) bool {
 	for _, holder := range t.holders {
 		if holder.lastChecked < number {
@@ -207,7 +208,7 @@
 	return true
 }
 
-// lastExpiry is when the last lease is over; 0: there is none.
+// lastExpiry returns the latest expiry of all leases, or 0 if there is none.
 func (t *LeaseTable) lastExpiry() (last Time) {
 	for _, holder := range t.holders {
 		for _, lease := range holder.leases {
@@ -217,7 +218,7 @@
 	return last
 }
 
-// writeOnce returns an entry, and the same one again only after some time, as it may have been lost.
+// writeOnce returns an entry. The same entry is returned again only after ShortLength, in case it was lost.
 func (t *LeaseTable) writeOnce(now Time, entry Entry) []Entry {
 	if t.lastWritten == entry && now-t.lastWrittenAt < t.terms.ShortLength {
 		return nil
@@ -226,7 +227,7 @@
 	return []Entry{entry}
 }
 
-// Waiting lists the sidecars that have not checked a pending change yet, and for how long it waits for them at most.
+// Waiting returns the sidecars that have not checked a pending change yet, and the maximum remaining wait for them.
 func (t *LeaseTable) Waiting(now Time, pending Pending) (names []string, longest time.Duration) {
 	for _, name := range slices.Sorted(maps.Keys(t.holders)) {
 		holder := t.holders[name]
--- a/internal/fleet/policy/ledger.go
+++ b/internal/fleet/policy/ledger.go
@@ -1,14 +1,14 @@
-// Package policy decides which policy of the fleet is in force, and which sidecars may serve under it.
+// Package policy determines which policy of the fleet is in force, and which sidecars may serve under it.
 //
-// Ledger is the state that a replicated log comes to: the policy in force, the change that is under way, and the
-// outcomes of earlier ones. LeaseTable, on the leader of the voters, and Holder, on each sidecar, keep leases (Gray and
-// Cheriton, "Leases: an efficient fault-tolerant mechanism for distributed file cache consistency", SOSP 1989): a
-// sidecar takes requests only under a policy that it holds a lease on, and a change comes into force when no lease on
-// the former policy can be valid any more. So no two sidecars serve under different policies at one time.
+// Ledger is the replicated state machine: the policy in force, the pending change, and the outcomes of earlier changes.
+// LeaseTable, on the leader of the voters, and Holder, on each sidecar, implement leases (Gray and Cheriton, "Leases:
+// an efficient fault-tolerant mechanism for distributed file cache consistency", SOSP 1989). A sidecar accepts requests
+// only under a policy for which it holds a lease. A change comes into force when no lease on the former policy can be
+// valid any more. Therefore no two sidecars serve under different policies at the same time.
 //
-// All three are stepped by their host, which passes messages, log entries and readings of a monotonic clock. None has a
-// clock, a socket or a goroutine, and none may be used by two goroutines at once. Clocks of different hosts are never
-// compared; they need to run at the same rate within Terms.Drift. docs/design/policy.md has the design.
+// The host drives all three types: it passes messages, log entries and readings of a monotonic clock. They have no
+// clock, socket or goroutine, and are not safe for concurrent use. Clocks of different hosts are never compared, but
+// their rates must agree within Terms.Drift. docs/design/policy.md describes the design.
 package policy
 
 import (
@@ -18,69 +18,69 @@
 	"slices"
 )
 
-// Limits of what a Ledger holds.
+// Limits of the contents of a Ledger.
 const (
 	MaxDocumentBytes   = 1 << 20 // of a document
-	maxIDBytes         = 64      // of a proposal's id, and of its author's name
-	maxReasonBytes     = 1024    // of why a proposal was refused
-	maxOutcomes        = 1024    // of ended changes
-	maxFormerDocuments = 16      // that can be proposed again
-	maxFormerBytes     = 2 << 20 // of these together, so that a snapshot fits into one message
+	maxIDBytes         = 64      // of a proposal's ID, and of its author's name
+	maxReasonBytes     = 1024    // of the reason for a refusal
+	maxOutcomes        = 1024    // of completed changes
+	maxFormerDocuments = 16      // that remain available
+	maxFormerBytes     = 2 << 20 // total size of former documents, so that a snapshot fits into one message
 )
 
-// Digest identifies a document by its text.
+// Digest is the SHA-256 hash of a document's text.
 type Digest [sha256.Size]byte
 
-// String returns the first 8 bytes in hex.
+// String returns the first 8 bytes in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:8]) }
 
-// Document is a policy. Its text must not be changed; another text gets another number.
+// Document is the text of a policy with its number. The text is immutable: a different text has a different number.
 type Document struct {
 	Number uint64
 	Digest Digest
 	Text   []byte
 }
 
-// NewDocument returns a document with its digest. It keeps text.
+// NewDocument returns a document with its digest. The document retains text.
 func NewDocument(number uint64, text []byte) Document {
 	return Document{number, sha256.Sum256(text), text}
 }
 
-// Entry is an entry of the log: exactly one of its fields is set. Commit, Switch and InForce hold the number of the
-// pending change. An entry that does not fit its state changes nothing.
+// Entry is an entry of the replicated log. Exactly one of its fields is set. Commit, Switch and InForce contain the
+// number of the pending change. An entry that is not valid in the state of the pending change has no effect.
 type Entry struct {
 	Propose *Proposal `cbor:"1,keyasint,omitempty"`
 	Refuse  *Refusal  `cbor:"2,keyasint,omitempty"`
-	Commit  uint64    `cbor:"3,keyasint,omitempty"` // it will come into force, whatever fails
-	Switch  uint64    `cbor:"4,keyasint,omitempty"` // no new lease on its predecessor outlasts the switch
-	InForce uint64    `cbor:"5,keyasint,omitempty"` // no lease on its predecessor is valid
+	Commit  uint64    `cbor:"3,keyasint,omitempty"` // the change will come into force, and can no longer be refused
+	Switch  uint64    `cbor:"4,keyasint,omitempty"` // no new lease on the predecessor ends after the switch
+	InForce uint64    `cbor:"5,keyasint,omitempty"` // no lease on the predecessor is valid any more
 }
 
-// Proposal asks for a change of policy.
+// Proposal is a proposed change of policy.
 type Proposal struct {
-	ID      string `cbor:"1,keyasint"` // chosen by the author, who asks for the outcome by it
+	ID      string `cbor:"1,keyasint"` // chosen by the author, and used to look up the outcome
 	Author  string `cbor:"2,keyasint"`
-	Follows uint64 `cbor:"3,keyasint"` // number of the policy that must be in force
+	Follows uint64 `cbor:"3,keyasint"` // number of the policy that must be in force when this is applied
 	Text    []byte `cbor:"4,keyasint"`
 }
 
-// Refusal ends a change that is not committed yet.
+// Refusal ends a change that is not committed.
 type Refusal struct {
 	Number uint64 `cbor:"1,keyasint"`
 	Reason string `cbor:"2,keyasint"`
 }
 
-// State is how far a change has come. Its numbers are stored and sent.
+// State is the progress of a change. Its numeric values are stored and sent.
 type State uint8
 
 // The states of a change.
 const (
-	Unknown   State = iota // no such id, or dropped after maxOutcomes later ones
-	Proposed               // the sidecars are checking it
-	Committed              // it will come into force
-	Switching              // in force once the last lease on its predecessor is over
+	Unknown   State = iota // no change has this ID, or its outcome was dropped after maxOutcomes later ones
+	Proposed               // the sidecars check the document
+	Committed              // the change will come into force
+	Switching              // comes into force once the last lease on the predecessor has expired
 	InForce
-	Refused // final: it never was in force
+	Refused // final: the change was never in force
 )
 
 var stateNames = [...]string{"unknown", "proposed", "committed", "switching", "in force", "refused"}
@@ -88,43 +88,43 @@
 // String returns the state's name.
 func (s State) String() string { return stateNames[s] }
 
-// Outcome is what has become of a proposal. It is encoded by the names of its fields.
+// Outcome is the result of a proposal. It is encoded with the names of its fields.
 type Outcome struct {
 	ID     string
 	Author string
-	Number uint64 // 0: it was refused before it was given one
+	Number uint64 // 0: refused before a number was assigned
 	State  State
-	Reason string // why it was refused
+	Reason string // of a refusal
 }
 
-// Pending is the change that is under way.
+// Pending is the change that is neither refused nor in force yet.
 type Pending struct {
 	Outcome
 	Document Document
 }
 
-// Ledger is the state machine of the log. Replicas that have applied the same entries hold the same ledger, so Apply
-// must not change in a way that an older build would not follow.
+// Ledger is the state machine of the replicated log. Replicas that have applied the same entries have the same ledger,
+// so the results of Apply must stay the same as in older builds.
 type Ledger struct {
 	inForce    Document
-	lastNumber uint64 // given to a proposal
+	lastNumber uint64 // latest number assigned to a proposal
 	pending    *Pending
-	applied    uint64    // entries
-	outcomes   []Outcome // of changes that have ended, the earliest first
+	applied    uint64    // number of entries
+	outcomes   []Outcome // of completed changes, the earliest first
 	former     []Document
 }
 
-// NewLedger returns the ledger of an empty log. The text, which must be the same on all replicas, is policy 1, in
-// force.
+// NewLedger returns the ledger of an empty log. Policy 1, with the given text, is in force. The text must be the same
+// on all replicas.
 func NewLedger(text []byte) *Ledger { return &Ledger{inForce: NewDocument(1, text), lastNumber: 1} }
 
-// InForce returns the policy in force; while a change is Switching that is still its predecessor.
+// InForce returns the policy in force. While a change is Switching, this is still the predecessor.
 func (l *Ledger) InForce() Document { return l.inForce }
 
-// Pending returns the change that is under way, nil where there is none. It is valid until the next Apply.
+// Pending returns the pending change, or nil if there is none. The result is valid until the next call of Apply.
 func (l *Ledger) Pending() *Pending { return l.pending }
 
-// Former returns a policy that was in force earlier, if it is still stored.
+// Former returns a policy that was in force earlier, if the ledger still contains it.
 func (l *Ledger) Former(number uint64) (Document, bool) {
 	i := slices.IndexFunc(l.former, func(d Document) bool { return d.Number == number })
 	if i < 0 {
@@ -133,7 +133,7 @@
 	return l.former[i], true
 }
 
-// Document returns a document that a sidecar may hold a lease on or is to check: in force, or pending.
+// Document returns a document that may be leased or has to be checked: the policy in force or the pending one.
 func (l *Ledger) Document(number uint64) (Document, bool) {
 	switch {
 	case number == l.inForce.Number:
@@ -144,7 +144,7 @@
 	return Document{}, false
 }
 
-// Outcome returns what has become of a proposal. Once Committed it goes on to InForce; Refused and InForce are final.
+// Outcome returns the outcome of a proposal. A Committed change always reaches InForce. Refused and InForce are final.
 func (l *Ledger) Outcome(id string) Outcome {
 	if l.pending != nil && l.pending.ID == id {
 		return l.pending.Outcome
@@ -155,7 +155,7 @@
 	return Outcome{ID: id}
 }
 
-// Outcomes lists the changes, the earliest first; the pending one is the last.
+// Outcomes returns the outcomes of all changes, the earliest first. The pending change is the last.
 func (l *Ledger) Outcomes() []Outcome {
 	all := slices.Clone(l.outcomes)
 	if l.pending != nil {
@@ -186,7 +186,7 @@
 	}
 }
 
-// addFormer adds a policy that is replaced, and drops the earliest ones over the limits.
+// addFormer adds a replaced policy to the former ones, and drops the earliest ones above the limits.
 func (l *Ledger) addFormer(d Document) {
 	l.former = append(l.former, d)
 	bytes := 0
@@ -199,15 +199,15 @@
 	}
 }
 
-// propose makes a proposal the pending change, or refuses it.
+// propose makes a proposal the pending change, or records its refusal.
 func (l *Ledger) propose(p Proposal) {
 	if l.Outcome(p.ID).State != Unknown {
-		return // a repeat: the id is the idempotency key
+		return // a duplicate: the ID is the idempotency key
 	}
 	o := Outcome{ID: p.ID, Author: p.Author, State: Refused}
 	switch {
 	case p.ID == "" || len(p.ID) > maxIDBytes || len(p.Author) > maxIDBytes:
-		return // nobody could ask for its outcome
+		return // no outcome can be looked up for such an ID or author
 	case l.pending != nil:
 		o.Reason = fmt.Sprintf("change %q by %q is under way", l.pending.ID, l.pending.Author)
 	case p.Follows != l.inForce.Number:
--- a/internal/fleet/policy/snapshot.go
+++ b/internal/fleet/policy/snapshot.go
@@ -10,7 +10,7 @@
 // ErrSnapshot is wrapped by the errors of DecodeLedger.
 var ErrSnapshot = errors.New("snapshot of a ledger cannot be read")
 
-// snapshot is a ledger as it is stored and sent. Its keys must stay as they are.
+// snapshot is the stored and sent form of a ledger. Its CBOR keys must not change.
 type snapshot struct {
 	InForce    snapshotDocument   `cbor:"1,keyasint"`
 	LastNumber uint64             `cbor:"2,keyasint"`
@@ -30,7 +30,7 @@
 	Text    []byte  `cbor:"2,keyasint"`
 }
 
-// Encode returns a snapshot of the ledger, for DecodeLedger.
+// Encode returns a snapshot of the ledger that DecodeLedger can read.
 func (l *Ledger) Encode() ([]byte, error) {
 	s := snapshot{
 		InForce:    snapshotDocument{l.inForce.Number, l.inForce.Text},
