--- a/internal/fleet/raftnode/hello.go
+++ b/internal/fleet/raftnode/hello.go
@@ -17,15 +17,15 @@
 	maxNameBytes    = 64
 )
 
-// standby is a sidecar that is in no group and sends hellos, as it may replace a voter.
+// standby is a sidecar that is in no group and sends hellos. It may replace a voter.
 type standby struct {
-	id        uint64 // of its folder, as it said itself
+	id        uint64 // of its folder, as received in its hello
 	lastHello Time
 }
 
 func (s standby) expired(now Time) bool { return now-s.lastHello >= standbyLifetime }
 
-// Standbys are the names, in order, of the sidecars that may replace a voter.
+// Standbys returns the sorted names of the sidecars that may replace a voter.
 func (n *Node) Standbys(now Time) (names []string) {
 	for name, s := range n.standbys {
 		if !s.expired(now) {
@@ -36,10 +36,10 @@
 	return names
 }
 
-// IsStandby tells whether there is a group without this node, which may replace one of its voters.
+// IsStandby reports whether a group exists that does not include this node. The node may replace one of its voters.
 func (n *Node) IsStandby() bool { return n.notInGroup && n.machine == nil }
 
-// sendHellos says to the other voters that this node is in no group.
+// sendHellos sends a hello, which announces that this node is in no group, to each of helloTargets.
 func (n *Node) sendHellos() {
 	hello := n.bootstrapper.Hello()
 	for _, name := range n.helloTargets {
@@ -49,7 +49,7 @@
 	}
 }
 
-// receiveHello takes in a hello, and replies to one of a node that is in no group, where this node is in one.
+// receiveHello processes a hello. If this node is in a group, it replies to a hello from a node that is in none.
 func (n *Node) receiveHello(now Time, hello consensus.Hello) error {
 	if n.machine != nil {
 		return n.replyToHello(now, hello)
@@ -63,7 +63,7 @@
 	if bootstrap == nil {
 		return err
 	}
-	// The others count on what this node says of its group, so that it must not forget it.
+	// Other nodes rely on the group that this node announces, so it must be persisted before it is sent.
 	n.write(now, func() error { return n.storage.SaveBootstrap(*bootstrap) }, n.bootstrapPersisted)
 	if n.Err() == nil && hello.Bootstrap == nil {
 		return n.replyToHello(now, hello)
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// bootstrapPersisted has this node take part in the group that its folder is of since the last write.
+// bootstrapPersisted starts this node's part in the group that SaveBootstrap has just stored in its folder.
 func (n *Node) bootstrapPersisted(now Time) {
 	state := n.storage.State()
 	n.log.Info("raftnode: joined a consensus group", "group", state.Bootstrap.String())
@@ -82,8 +82,8 @@
 	n.flush(now)
 }
 
-// becomeStandby takes in that there is a group without this node. From then on it sends hellos to the group's present
-// voters too: the leader, which has to know of it, need not be in its settings.
+// becomeStandby records that a group exists that does not include this node. From then on the node also sends hellos to
+// the group's current voters, because the leader needs to receive them and may be missing from this node's settings.
 func (n *Node) becomeStandby(hello consensus.Hello, reason error) {
 	n.helloTargets = n.settings.Voters
 	for _, name := range slices.Sorted(maps.Keys(hello.Voters)) {
@@ -97,7 +97,7 @@
 	}
 }
 
-// replyToHello replies to a node that is in no group with this one's group, and notes it as a standby unless it is a
+// replyToHello sends this node's group to a node that is in no group, and records that node as a standby unless it is a
 // voter.
 func (n *Node) replyToHello(now Time, hello consensus.Hello) error {
 	if hello.Bootstrap != nil || hello.ID == 0 || hello.Name == "" || len(hello.Name) > maxNameBytes {
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// recordStandby keeps a standby for Replace. It fails where there are too many.
+// recordStandby records a standby for Replace. It returns an error if there are maxStandbys already.
 func (n *Node) recordStandby(now Time, hello consensus.Hello) error {
 	maps.DeleteFunc(n.standbys, func(_ string, s standby) bool { return s.expired(now) })
 	if _, known := n.standbys[hello.Name]; !known && len(n.standbys) >= maxStandbys {
--- a/internal/fleet/raftnode/node.go
+++ b/internal/fleet/raftnode/node.go
@@ -1,12 +1,12 @@
-// Package raftnode runs one voter of the policy's consensus group: it finds or forms the group
-// (consensus.Bootstrapper), runs its part in it (consensus.Machine), and has everything that must survive a crash
-// persisted (package raftlog) before anything that rests on it is sent.
+// Package raftnode runs one voter of the policy's consensus group. It joins or forms the group
+// (consensus.Bootstrapper), runs the voter's state machine (consensus.Machine), and persists all state that must
+// survive a crash (package raftlog) before it sends any message that depends on that state.
 //
-// While a write of Storage fails, the node is suspended: it neither votes, acknowledges nor answers, and drops the
-// messages that arrive, as a paused process would. It retries the write with a backoff, and goes on once that succeeds.
+// While a write of Storage fails, the node is suspended: like a paused process it does not vote, acknowledge or
+// respond, and it drops incoming messages. It retries the write with a backoff and resumes when the write succeeds.
 //
-// A Node is a stepped state machine as these two are, without clock, socket or goroutine. It is not safe for concurrent
-// use: one goroutine calls it, and blocks while Storage writes.
+// A Node, like the Bootstrapper and the Machine, is a state machine without clock, socket or goroutine, and is driven
+// by its host. It is not safe for concurrent use: one goroutine calls it, and blocks while Storage writes.
 package raftnode
 
 import (
@@ -28,11 +28,11 @@
 // Time is a reading of the host's monotonic clock.
 type Time = time.Duration
 
-// maxMessageBytes bounds an encoded message: entries and a snapshot.
+// maxMessageBytes is the maximum size of an encoded message, which may contain entries and a snapshot.
 const maxMessageBytes = 8 << 20
 
-// Storage keeps what must survive the process. *raftlog.Log is one. Its writes return once the data is durable; after
-// an error the node repeats the same write until it succeeds.
+// Storage stores the state that must survive the process. *raftlog.Log implements it. A write returns when the data is
+// durable. After an error the node repeats the same write until it succeeds.
 type Storage interface {
 	State() raftlog.PersistentState
 	SaveBootstrap(consensus.Bootstrap) error
@@ -40,27 +40,27 @@
 	Compact(raftpb.Snapshot) error
 }
 
-// Settings are from the operator's file.
+// Settings are the settings of a Node from the operator's file.
 type Settings struct {
 	Name          string
-	Voters        []string // names of all voters, this one among them
+	Voters        []string // names of all voters, including this one
 	InitialPolicy []byte   // the policy in force before any change
 	Terms         policy.Terms
 }
 
-// packet is what nodes send each other: exactly one of its fields is set.
+// packet is the unit of communication between nodes. Exactly one of its fields is set.
 type packet struct {
 	Hello    *consensus.Hello `cbor:"1,keyasint,omitempty"`
 	Envelope []byte           `cbor:"2,keyasint,omitempty"`
 }
 
-// Message is for another node.
+// Message is a message to another node.
 type Message struct {
-	To      string // its name
+	To      string // name of the other node
 	Payload []byte // an encoded packet
 }
 
-// Actions are what the host is to do after an event.
+// Actions are the actions that the host has to perform after an event.
 type Actions struct {
 	Send         []Message
 	LeaseReplies []consensus.LeaseReply
@@ -78,15 +78,15 @@
 	failedWrite  *failedWrite // not nil: this node is suspended
 
 	nextHello    Time
-	helloTargets []string           // the configured voters and, of a group without this node, the present ones
-	notInGroup   bool               // a voter of a group has said that this node is not in it
+	helloTargets []string           // configured voters and, on a standby, current voters of the group
+	notInGroup   bool               // a voter has replied that its group does not include this node
 	standbys     map[string]standby // by name
 
 	actions Actions
 }
 
-// New returns the node of a process that starts now. It fails where the settings are wrong, where the folder is another
-// voter's, and where the persisted state is not consistent.
+// New returns the node of a process that starts now. It returns an error if the settings are invalid, if the folder
+// belongs to another voter, or if the persisted state is inconsistent.
 func New(now Time, settings Settings, storage Storage, log *slog.Logger) (*Node, error) {
 	state := storage.State()
 	bootstrapper, err := consensus.NewBootstrapper(
@@ -109,7 +109,7 @@
 	return n, nil
 }
 
-// startMachine takes part in the group that the folder is of.
+// startMachine starts this node's part in the group that is stored in its folder.
 func (n *Node) startMachine(now Time, state raftlog.PersistentState) error {
 	machine, err := consensus.New(now, consensus.Settings{
 		Identity:     state.Self,
@@ -126,11 +126,11 @@
 	return nil
 }
 
-// running tells whether this node takes part in a group, and is not suspended.
+// running reports whether this node is an active member of a group, that is, neither stopped nor suspended.
 func (n *Node) running() bool { return n.machine != nil && n.Err() == nil }
 
-// Voters are the names of the present voters in order, as far as is known here; settled is false while one replaces
-// another. There are none, where this node is in no group.
+// Voters returns the sorted names of the current voters, as known to this node. settled is false while one voter is
+// being replaced. If this node is in no group, Voters returns no names.
 func (n *Node) Voters() (names []string, settled bool) {
 	if n.machine == nil {
 		return nil, false
@@ -139,8 +139,8 @@
 	return slices.Sorted(maps.Keys(voters)), settled
 }
 
-// Replace has a standby that this node knows of replace a voter. It returns once the change is proposed;
-// consensus.ErrNoLeader says that this node does not lead.
+// Replace proposes the replacement of a voter by a standby that has sent hellos to this node. It returns when the
+// change is proposed. The error is consensus.ErrNoLeader if this node is not the leader.
 func (n *Node) Replace(now Time, outgoing, incoming string) error {
 	if !n.running() {
 		return consensus.ErrNoLeader
@@ -155,9 +155,9 @@
 	return err
 }
 
-// Err says why this node takes no part; it is nil while the node runs. With an error of Storage the node is suspended
-// until the write succeeds. With any other, as consensus.ErrReplaced or consensus.ErrLostState, it has stopped; another
-// process may go on with the same folder, where that is whole.
+// Err returns the reason why this node is suspended or stopped, or nil while it runs. With an error of Storage the node
+// is suspended until the write succeeds. With any other error, such as consensus.ErrReplaced or consensus.ErrLostState,
+// it has stopped. Another process may continue with the same folder, if that is intact.
 func (n *Node) Err() error {
 	if n.fatalErr == nil && n.failedWrite != nil {
 		return n.failedWrite.err
@@ -165,7 +165,7 @@
 	return n.fatalErr
 }
 
-// Ledger is what the log comes to here, which may be old; nil: this node is in no group.
+// Ledger returns this node's ledger, which may be out of date, or nil if the node is in no group.
 func (n *Node) Ledger() *policy.Ledger {
 	if n.machine == nil {
 		return nil
@@ -173,7 +173,7 @@
 	return n.machine.Ledger()
 }
 
-// Leader is the name of the leader as far as is known here; "": none is known.
+// Leader returns the name of the leader as known to this node, or "" if none is known.
 func (n *Node) Leader() string {
 	if !n.running() {
 		return ""
@@ -181,8 +181,8 @@
 	return n.voterNames[n.machine.Leader()]
 }
 
-// Waiting lists the sidecars whose leases the pending change waits for, and for how long at most. It is empty on a node
-// that does not lead.
+// Waiting returns the sidecars whose leases the pending change waits for, and the maximum remaining wait. It returns no
+// sidecars on a node that is not the leader.
 func (n *Node) Waiting(now Time) (names []string, longest time.Duration) {
 	if !n.running() {
 		return nil, 0
@@ -190,14 +190,14 @@
 	return n.machine.Waiting(now)
 }
 
-// TakeActions returns what is to be sent and answered, and forgets it.
+// TakeActions returns the pending actions and removes them from the node.
 func (n *Node) TakeActions() Actions {
 	out := n.actions
 	n.actions = Actions{}
 	return out
 }
 
-// Tick does what is due. It is to be called every consensus.TickInterval.
+// Tick performs the work that is due. The host calls it every consensus.TickInterval.
 func (n *Node) Tick(now Time) {
 	switch {
 	case n.fatalErr != nil:
@@ -212,8 +212,8 @@
 	}
 }
 
-// Receive takes in a message of another node. Its error says what is wrong with that message; Err says whether this
-// node takes part.
+// Receive processes a message from another node. The error describes a defect of the message. For the state of this
+// node, see Err.
 func (n *Node) Receive(now Time, payload []byte) error {
 	if n.Err() != nil {
 		return nil
@@ -229,7 +229,7 @@
 	case p.Hello != nil:
 		return n.receiveHello(now, *p.Hello)
 	case n.machine == nil:
-		return nil // of a group that this node has yet to learn of
+		return nil // sent by a group that this node has not joined yet
 	}
 	err := n.machine.Step(p.Envelope)
 	if errors.Is(err, consensus.ErrLostState) {
@@ -240,8 +240,8 @@
 	return err
 }
 
-// RequestLease takes in a sidecar's question for a lease. Its answer follows in Out under the token; its error is
-// consensus.ErrNoLeader where this node does not lead.
+// RequestLease processes a sidecar's lease request. The reply follows in Actions.LeaseReplies, with the same token. Its
+// error is consensus.ErrNoLeader if this node is not the leader.
 func (n *Node) RequestLease(now Time, token uint64, q policy.LeaseRequest) {
 	if !n.running() {
 		n.actions.LeaseReplies = append(n.actions.LeaseReplies,
@@ -252,8 +252,8 @@
 	n.flush(now)
 }
 
-// Propose proposes a change of policy. Its outcome is in the ledger under its ID; consensus.ErrNoLeader says that it
-// was not accepted and must go to the leader.
+// Propose proposes a change of policy. The ledger holds the outcome under the proposal's ID. If the error is
+// consensus.ErrNoLeader, the proposal was not accepted and has to be sent to the leader.
 func (n *Node) Propose(now Time, p policy.Proposal) error {
 	if !n.running() {
 		return consensus.ErrNoLeader
@@ -263,7 +263,7 @@
 	return err
 }
 
-// flush persists what is to be persisted, and then sends what rests on it.
+// flush persists the batches that are due, and then queues the messages and replies that depend on them.
 func (n *Node) flush(now Time) {
 	for n.Err() == nil {
 		b, due := n.machine.Batch()
@@ -275,16 +275,16 @@
 	if n.fatalErr != nil {
 		return
 	}
-	out := n.machine.TakeActions() // rests on persisted batches alone, also where the write of a later one has failed
+	out := n.machine.TakeActions() // depends only on persisted batches, even if a later write has failed
 	for _, m := range out.Send {
-		if to := n.voterNames[m.To]; to != "" { // else it was replaced meanwhile
+		if to := n.voterNames[m.To]; to != "" { // "": the voter was replaced meanwhile
 			n.send(to, packet{Envelope: m.Payload})
 		}
 	}
 	n.actions.LeaseReplies = append(n.actions.LeaseReplies, out.LeaseReplies...)
 }
 
-// batchPersisted advances the machine, and compacts the log where that is due.
+// batchPersisted advances the machine after a batch was persisted, and compacts the log if that is due.
 func (n *Node) batchPersisted(now Time) {
 	if err := n.machine.Advance(now); err != nil {
 		n.stop(err)
@@ -315,7 +315,7 @@
 	n.actions.Send = append(n.actions.Send, Message{to, payload})
 }
 
-// stop has this node take part no more. What is not sent yet is dropped, as it may rest on state that was not
+// stop stops this node permanently. It drops all pending actions, because they may depend on state that was not
 // persisted.
 func (n *Node) stop(err error) {
 	n.fatalErr = err
--- a/internal/fleet/raftnode/write.go
+++ b/internal/fleet/raftnode/write.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	minWriteBackoff = 2 * consensus.TickInterval // until a write that failed is retried; it doubles
+	minWriteBackoff = 2 * consensus.TickInterval // before the first retry of a failed write; it doubles with each retry
 	maxWriteBackoff = 5 * time.Second
 )
 
-// failedWrite is a write of Storage that has failed and is retried. The node is suspended until it succeeds.
+// failedWrite is a failed write of Storage that is being retried. The node is suspended until the write succeeds.
 type failedWrite struct {
 	write     func() error
-	persisted func(now Time) // does what rests on the write
+	persisted func(now Time) // performs the actions that depend on the write
 	err       error          // of the last attempt
 	backoff   time.Duration
 	retryAt   Time
 }
 
-// write has Storage write something, and then calls persisted, which does what rests on it. Where the write fails the
-// node is suspended, and persisted is called once a retry succeeds.
+// write calls the function write, which writes to Storage, and then persisted, which performs the actions that depend
+// on the write. If the write fails, the node is suspended, and persisted is called after a retry has succeeded.
 func (n *Node) write(now Time, write func() error, persisted func(now Time)) {
 	if err := write(); err != nil {
 		n.failedWrite = &failedWrite{
@@ -37,7 +37,7 @@
 	persisted(now)
 }
 
-// retryWrite retries the write that has failed, when that is due, and goes on where it succeeds.
+// retryWrite retries the failed write when the retry is due, and resumes the node if the write succeeds.
 func (n *Node) retryWrite(now Time) {
 	failed := n.failedWrite
 	if now < failed.retryAt {
