--- a/internal/fleet/transport/transport.go
+++ b/internal/fleet/transport/transport.go
@@ -1,5 +1,6 @@
-// Package transport holds the only sockets between sidecars: one for datagrams and a listener for snapshots and
-// calls, at one address. It decides nothing. What comes is bounded in size, number and time before it is handed on.
+// Package transport provides the communication between sidecars: a UDP socket for datagrams, and a TCP listener for
+// snapshots and calls at the same address. It contains no other logic of the fleet. It limits the size, number and
+// duration of incoming messages before it passes them to their handlers.
 package transport
 
 import (
@@ -14,66 +15,69 @@
 	"time"
 )
 
-// MaxCall is the largest size of a call and of its answer, in bytes. Calls over maxSmallCall come one at a time.
+// MaxCall is the maximum size of a call and of its response, in bytes. Calls above maxSmallCall are served one at a
+// time.
 const MaxCall = 8 << 20
 
 const (
 	maxSmallCall   = 64 << 10 // bytes
-	maxConnections = 64       // at a time
+	maxConnections = 64       // served at a time
 	maxSnapshots   = 4        // served at a time
-	// exchangeTimeout bounds a snapshot or a call, from the connection's first byte to its last.
+	// exchangeTimeout is the timeout of a snapshot or a call, from the opening of its connection to the last byte.
 	exchangeTimeout = 2 * time.Second
-	// maxPortAttempts is how many ports are tried for both sockets. A port that is free for datagrams is often taken for
-	// connections on a machine where tens of thousands of them have just closed.
+	// maxPortAttempts is the number of ports that are tried for both sockets. On a machine where tens of thousands of
+	// connections have just closed, a port that is free for UDP is often in use for TCP.
 	maxPortAttempts = 64
-	// failurePause follows a system call that failed, which may fail again for some time.
+	// failurePause is the pause after a failed system call, because the next one may fail too.
 	failurePause = 10 * time.Millisecond
 )
 
-// The first bytes of a connection say what it is for. Both are of one length.
+// A connection starts with one of these texts, which identifies its purpose. Both have the same length.
 const (
 	snapshotHello = "milletramp-fleet 1\n"
 	callHello     = "milletramp-call  1\n"
 )
 
-// Errors of calls that this sidecar does not serve.
+// Errors of calls that this sidecar rejects.
 var (
 	errNoCallHandler       = errors.New("fleet: nobody answers calls")
 	errLargeCallInProgress = errors.New("fleet: another large call is being served")
 )
 
-// Handler takes what comes. Its methods are called from the Transport's goroutines, datagrams one at a time.
+// Handler handles datagrams and requests for snapshots. Its methods are called from the Transport's goroutines,
+// Datagram by one goroutine at a time.
 type Handler interface {
-	// Datagram takes a datagram. text is the handler's only until it returns.
+	// Datagram handles a datagram. text is valid only until the method returns.
 	Datagram(from string, text []byte)
-	// Snapshot returns what a caller gets.
+	// Snapshot returns the snapshot that is sent to a caller.
 	Snapshot(ctx context.Context) ([]byte, error)
 }
 
-// CallHandler answers calls. Its method is called from many goroutines.
+// CallHandler handles calls. Implementations must be safe for concurrent use.
 type CallHandler interface {
 	Call(ctx context.Context, text []byte) ([]byte, error)
 }
 
-// Transport connects a sidecar to the others. Its methods may be called from many goroutines.
+// Transport connects a sidecar to the others. It is safe for concurrent use.
 type Transport struct {
 	datagrams   *net.UDPConn
 	listener    *net.TCPListener
 	maxSnapshot int         // bytes
 	callHandler CallHandler // nil: calls are rejected
 
-	ctx        context.Context // ends with Close, and with it all connections
+	ctx        context.Context // canceled by Close, which closes all connections
 	stop       context.CancelFunc
 	goroutines sync.WaitGroup
 
-	// Each of these channels holds one element for each of its kind that is being served.
+	// These channels are semaphores: each holds one element per connection, snapshot or large call that is being
+	// served.
 	connectionSlots chan struct{}
 	snapshotSlots   chan struct{}
 	largeCallSlot   chan struct{}
 }
 
-// Listen listens at an address, of IPv4 and with a port. Where another process has the port, as in an upgrade, any
-// other port of the same address serves: others hear of it from this sidecar itself. maxSnapshot is in bytes.
+// Listen listens at an IPv4 address with a port. If another process uses the port, as in an upgrade, Listen uses any
+// other port of the same IP address; this sidecar announces its actual address to the others. maxSnapshot is in bytes.
 func Listen(address string, maxSnapshot int) (*Transport, error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil || !at.Addr().Is4() {
@@ -91,13 +95,13 @@
 		if err = t.openSockets(netip.AddrPortFrom(at.Addr(), port)); err == nil {
 			return t, nil
 		}
-		port = 0 // any other
+		port = 0 // any free port
 	}
 	t.stop()
 	return nil, fmt.Errorf("fleet: %w", err)
 }
 
-// openSockets opens both sockets at one address. Port 0 is a port that is free for datagrams.
+// openSockets opens both sockets at one address. Port 0 selects a port that is free for UDP.
 func (t *Transport) openSockets(at netip.AddrPort) (err error) {
 	if t.datagrams, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at)); err != nil {
 		return err
@@ -109,14 +113,14 @@
 	return nil
 }
 
-// Address is where others reach this sidecar.
+// Address returns the address at which others reach this sidecar.
 func (t *Transport) Address() string { return t.listener.Addr().String() }
 
-// SetCallHandler has calls be answered. It is to be called before Serve, where there is to be an answer.
+// SetCallHandler sets the handler of calls. It must be called before Serve. Without a handler, calls are rejected.
 func (t *Transport) SetCallHandler(c CallHandler) { t.callHandler = c }
 
-// Serve hands to h what comes, until Close. Datagrams of more than maxDatagram bytes are passed on one byte longer than
-// that, so that h can tell.
+// Serve passes incoming datagrams and snapshot requests to h until Close is called. A datagram of more than maxDatagram
+// bytes is truncated to maxDatagram+1 bytes, so that h can detect it.
 func (t *Transport) Serve(h Handler, maxDatagram int) {
 	t.goroutines.Add(2)
 	go func() { // ends when Close closes the socket
@@ -129,9 +133,9 @@
 	}()
 }
 
-// readDatagrams hands to h each datagram that read returns, until its socket is closed.
+// readDatagrams passes each datagram returned by read to h, until the socket is closed.
 func readDatagrams(read func([]byte) (int, netip.AddrPort, error), h Handler, maxDatagram int) {
-	buffer := make([]byte, maxDatagram+1) // a byte more shows that one is too long
+	buffer := make([]byte, maxDatagram+1) // the extra byte shows that a datagram is too long
 	for {
 		n, from, err := read(buffer)
 		switch {
@@ -162,18 +166,18 @@
 		select {
 		case t.connectionSlots <- struct{}{}:
 			t.goroutines.Add(1)
-			go func() { // ends within exchangeTimeout, or with Close
+			go func() { // ends within exchangeTimeout or at Close
 				defer t.goroutines.Done()
 				t.serveConnection(c, h)
 				<-t.connectionSlots
 			}()
 		default:
-			_ = c.Close() // its peer asks another sidecar
+			_ = c.Close() // the peer tries another sidecar
 		}
 	}
 }
 
-// serveConnection gives a caller a snapshot, or the answer to a call: its length in 4 bytes, and its bytes.
+// serveConnection sends a snapshot, or the response to a call, to the caller.
 func (t *Transport) serveConnection(c net.Conn, h Handler) {
 	defer c.Close()
 	defer context.AfterFunc(t.ctx, func() { c.Close() })()
@@ -203,11 +207,11 @@
 		return
 	}
 	if err == nil {
-		_ = writeMessage(c, text) // the caller sees the end
+		_ = writeMessage(c, text) // the caller detects a truncated message
 	}
 }
 
-// serveCall reads a call and returns its answer.
+// serveCall reads a call and returns the response to it.
 func (t *Transport) serveCall(c net.Conn) ([]byte, error) {
 	if t.callHandler == nil {
 		return nil, errNoCallHandler
@@ -220,7 +224,7 @@
 	if n > MaxCall {
 		return nil, fmt.Errorf("fleet: a call of %d bytes, %d are allowed", n, MaxCall)
 	}
-	if n > maxSmallCall { // many large ones at once would take all memory
+	if n > maxSmallCall { // many large calls at once would exhaust the memory
 		select {
 		case t.largeCallSlot <- struct{}{}:
 			defer func() { <-t.largeCallSlot }()
@@ -235,13 +239,13 @@
 	return t.callHandler.Call(t.ctx, text)
 }
 
-// writeMessage writes a length in 4 bytes, and so many bytes.
+// writeMessage writes the length of text as 4 bytes, big-endian, followed by text.
 func writeMessage(c net.Conn, text []byte) error {
 	_, err := c.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...))
 	return err
 }
 
-// readMessage reads so many bytes. Memory is taken as they come: a length alone must not take any.
+// readMessage reads n bytes. It allocates memory as data arrives, so that an announced length alone allocates none.
 func readMessage(c net.Conn, n uint32) ([]byte, error) {
 	text, err := io.ReadAll(io.LimitReader(c, int64(n)))
 	if err == nil && len(text) < int(n) {
@@ -250,7 +254,7 @@
 	return text, err
 }
 
-// Send sends a datagram. What cannot be sent is lost, as on the way.
+// Send sends a datagram. A datagram that cannot be sent is dropped, as if it was lost on the network.
 func (t *Transport) Send(to string, text []byte) error {
 	at, err := netip.ParseAddrPort(to)
 	if err != nil {
@@ -260,7 +264,7 @@
 	return err
 }
 
-// Fetch gets a snapshot from another sidecar.
+// Fetch fetches a snapshot from another sidecar.
 func (t *Transport) Fetch(ctx context.Context, from string) ([]byte, error) {
 	text, err := t.exchange(ctx, from, snapshotHello, nil, t.maxSnapshot)
 	if err != nil {
@@ -269,7 +273,7 @@
 	return text, nil
 }
 
-// Call calls another sidecar and returns its answer.
+// Call sends a call to another sidecar and returns the response.
 func (t *Transport) Call(ctx context.Context, to string, text []byte) ([]byte, error) {
 	if len(text) > MaxCall {
 		return nil, fmt.Errorf("fleet: a call of %d bytes, %d are allowed", len(text), MaxCall)
@@ -281,11 +285,11 @@
 	return response, nil
 }
 
-// exchange greets another sidecar, sends it a text, nil: none, and returns what it answers.
+// exchange connects to another sidecar, sends hello and, unless it is nil, the message send, and returns the response.
 func (t *Transport) exchange(ctx context.Context, from, hello string, send []byte, maxBytes int) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	// From the own address: that is what a firewall between sidecars goes by.
+	// The connection is opened from this sidecar's own address, which a firewall between sidecars filters by.
 	own := t.listener.Addr().(*net.TCPAddr).AddrPort().Addr()
 	c, err := (&net.Dialer{LocalAddr: &net.TCPAddr{IP: own.AsSlice()}}).DialContext(ctx, "tcp4", from)
 	if err != nil {
@@ -312,7 +316,7 @@
 	return readMessage(c, n)
 }
 
-// Close ends the sockets and waits for all that was begun.
+// Close closes the sockets and waits for the end of all goroutines.
 func (t *Transport) Close() error {
 	t.stop()
 	err := errors.Join(t.datagrams.Close(), t.listener.Close())
