--- a/cmd/milletramp/policy_status.go
+++ b/cmd/milletramp/policy_status.go
@@ -75,8 +75,8 @@
 	if len(v.Standbys) > 0 {
 		fmt.Fprintf(&b, "; may take a place: %s", strings.Join(v.Standbys, ", "))
 	}
-	if v.StopReason != "" {
-		fmt.Fprintf(&b, "; takes part no more: %s", v.StopReason)
+	if v.NodeError != "" {
+		fmt.Fprintf(&b, "; takes part no more: %s", v.NodeError)
 	}
 	return b.String()
 }
--- a/internal/fleet/policyagent/agent.go
+++ b/internal/fleet/policyagent/agent.go
@@ -1,9 +1,10 @@
-// Package policyagent takes a sidecar's part in the fleet's policy. On every sidecar it keeps up the lease under which
-// requests may be taken (policy.Holder), and has new documents checked by the code that would run them. On a voter it
-// also hosts the Raft node (package raftnode) and answers the other sidecars. What is decided, and when a lease is
-// valid, follows from packages policy and consensus; this package moves messages and reads the clock.
+// Package policyagent connects a sidecar to the fleet's policy. On every sidecar it renews the lease under which
+// requests may be accepted (policy.Holder), and passes new documents to the code that would run them to be checked. On
+// a voter it also hosts the Raft node (package raftnode) and responds to the other sidecars. Packages policy and
+// consensus contain the rules for changes and for the validity of leases; this package transfers messages and reads the
+// clock.
 //
-// An Agent owns the goroutines that it starts; Close ends them and waits.
+// An Agent owns the goroutines that it starts. Close ends them and waits for their end.
 package policyagent
 
 import (
@@ -21,38 +22,38 @@
 )
 
 const (
-	callTimeout      = time.Second     // of a call that a voter answers from memory
-	voterCallTimeout = 3 * time.Second // of a message between voters, or of a call for a document
-	clockBase        = time.Hour       // added to all readings, so that none is 0
+	callTimeout      = time.Second     // of a call that a voter serves from memory
+	voterCallTimeout = 3 * time.Second // of a message between voters, or a call that fetches a document
+	clockBase        = time.Hour       // added to all clock readings, so that none is 0
 	maxNameBytes     = 64              // of a sidecar's or author's name
 )
 
 // ErrSettings is wrapped by the errors of Start.
 var ErrSettings = errors.New("policy")
 
-// Peers calls other sidecars by their names. It is used by several goroutines at once.
+// Peers calls other sidecars by name. Implementations must be safe for concurrent use.
 type Peers interface {
-	// Call sends text to a sidecar that is known to be in the fleet, and returns its answer. It returns when ctx ends.
+	// Call sends text to a known sidecar of the fleet and returns its response. It returns early if ctx ends.
 	Call(ctx context.Context, name string, text []byte) ([]byte, error)
 }
 
-// Settings of an Agent.
+// Settings are the settings of an Agent.
 type Settings struct {
 	Name          string       // of this sidecar
-	Incarnation   uint64       // of this process, to begin with; see RaiseIncarnation
-	Voters        []string     // by the operator's file
+	Incarnation   uint64       // initial one of this process; see RaiseIncarnation
+	Voters        []string     // from the operator's file
 	InitialPolicy []byte       // in force before any change
-	Folder        string       // of the voter's Raft log; "": this sidecar is no voter
+	Folder        string       // of the voter's Raft log; "": this sidecar is not a voter
 	Terms         policy.Terms // the same on all sidecars
-	// ServeWithoutLease has a sidecar that holds no lease serve on under the policy that it served last. Two policies
-	// may then be served at one time.
+	// ServeWithoutLease lets a sidecar without a lease continue to serve under the policy that it served last. Sidecars
+	// may then serve under two policies at the same time.
 	ServeWithoutLease bool
-	// Check reads a document completely, with the code that would run it, and returns why it cannot run, "" if it can.
-	// From then on the sidecar must be able to run that number.
+	// Check completely checks a document with the code that would run it. It returns the reason why the document cannot
+	// run, or "" if it can. In the latter case the sidecar must be able to run the document from then on.
 	Check func(number uint64, text []byte) (fault string)
 }
 
-// check returns an error that wraps ErrSettings.
+// check returns an error that wraps ErrSettings if the settings are invalid.
 func (s *Settings) check() error {
 	if err := s.Terms.Check(); err != nil {
 		return fmt.Errorf("%w: %w", ErrSettings, err)
@@ -70,29 +71,30 @@
 	return nil
 }
 
-// Agent is a sidecar's part. Its methods may be called by any goroutine.
+// Agent maintains a sidecar's lease and, on a voter, hosts the Raft node. It is safe for concurrent use.
 type Agent struct {
 	settings   Settings
 	peers      Peers
 	log        *slog.Logger
 	started    time.Time
-	isVoter    bool // by the operator's file
+	isVoter    bool // according to the operator's file
 	ctx        context.Context
 	stop       context.CancelFunc
 	goroutines sync.WaitGroup
 
-	mu           sync.Mutex // guards the holder and what follows
+	mu           sync.Mutex // guards the fields up to the next blank line
 	holder       *policy.Holder
-	candidates   []string // to be asked: the voters, then others of the operator's file; never changed in place
-	voterCount   int      // of candidates: by the file, or by the last leader that answered
+	candidates   []string // the voters, then others from the operator's file; never modified in place
+	voterCount   int      // of candidates: from the file, or from the last leader that responded
 	lastServed   uint64
-	withoutLease bool   // it serves without a lease
-	leader       string // that answered last; "": not known
+	withoutLease bool   // the policy last returned by Serves was not leased
+	leader       string // known leader; "": none
 
-	// Of renewLoop's goroutine alone.
-	renewOftenUntil time.Duration // a change may be under way
+	// Used only by renewLoop's goroutine.
+	renewOftenUntil time.Duration // until then a change may be pending
 
-	// events are run by runNode's goroutine once it has its node. It alone uses what follows.
+	// events are executed by runNode's goroutine after it has created the node. Only this goroutine uses the fields
+	// below.
 	events        chan func(now raftnode.Time)
 	node          *raftnode.Node
 	pendingLeases map[uint64]chan consensus.LeaseReply // by token
@@ -100,7 +102,7 @@
 	queues        map[string]chan []byte // by voter
 }
 
-// Start checks the settings and starts a sidecar's part. Close must be called at the end.
+// Start checks the settings and starts an agent. The caller must call Close when the agent is no longer used.
 func Start(settings Settings, peers Peers, log *slog.Logger) (*Agent, error) {
 	if err := settings.check(); err != nil {
 		return nil, err
@@ -126,7 +128,7 @@
 	return a, nil
 }
 
-// spawn runs a goroutine that Close ends, by ctx, and waits for.
+// spawn starts a goroutine. Close cancels a.ctx to end it, and waits for its end.
 func (a *Agent) spawn(run func()) {
 	a.goroutines.Add(1)
 	go func() {
@@ -135,16 +137,16 @@
 	}()
 }
 
-// Close ends all goroutines of the agent and returns when they have ended. Calls under way fail.
+// Close ends all goroutines of the agent and returns when they have ended. Calls in progress fail.
 func (a *Agent) Close() {
 	a.stop()
 	a.goroutines.Wait()
 }
 
-// now reads the monotonic clock: leases must not last longer when the clock of day is set.
+// now reads the monotonic clock, so that a change of the wall clock does not extend leases.
 func (a *Agent) now() time.Duration { return clockBase + time.Since(a.started) }
 
-// sleep returns false if ctx ends first.
+// sleep waits for d. It returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -154,17 +156,17 @@
 	}
 }
 
-// RaiseIncarnation takes the incarnation that the fleet has given to this process: it is higher than that of any former
-// process under the name. A lower one than before changes nothing.
+// RaiseIncarnation sets the incarnation that the fleet has assigned to this process, which is higher than that of any
+// earlier process with the same name. A value lower than the current incarnation has no effect.
 func (a *Agent) RaiseIncarnation(incarnation uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.holder.RaiseIncarnation(incarnation)
 }
 
-// Serves returns the number of the policy under which a request may be taken now, if ok. Otherwise wait is after what
-// time the request should ask again, 0 if it should not wait. It reads the clock itself, so it must be called for each
-// request, after anything that may have stopped the process.
+// Serves returns the number of the policy under which a request may be accepted now, if ok is true. Otherwise wait is
+// the delay after which the request should call Serves again, or 0 if it should not wait. It reads the clock, so it
+// must be called for each request, after any point where the process may have been paused.
 func (a *Agent) Serves() (number uint64, wait time.Duration, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/fleet/policyagent/messages.go
+++ b/internal/fleet/policyagent/messages.go
@@ -9,32 +9,32 @@
 	"milletramp.example/milletramp/internal/fleet/policy"
 )
 
-// request is a call to a voter: exactly one of its fields is set.
+// request is a call to a voter. Exactly one of its fields is set.
 type request struct {
 	Raft     []byte               `cbor:"1,keyasint,omitempty"` // from another voter
 	Lease    *policy.LeaseRequest `cbor:"2,keyasint,omitempty"`
-	Document uint64               `cbor:"3,keyasint,omitempty"` // by number
+	Document uint64               `cbor:"3,keyasint,omitempty"` // number of a document to return
 	Propose  *policy.Proposal     `cbor:"4,keyasint,omitempty"`
-	Outcome  string               `cbor:"5,keyasint,omitempty"` // of a proposal, by id
+	Outcome  string               `cbor:"5,keyasint,omitempty"` // ID of a proposal whose outcome to return
 	State    bool                 `cbor:"6,keyasint,omitempty"`
 	Replace  *replacement         `cbor:"7,keyasint,omitempty"`
 }
 
-// replacement has a candidate take a voter's place.
+// replacement is the replacement of a voter by a standby.
 type replacement struct {
 	Outgoing string `cbor:"1,keyasint"`
 	Incoming string `cbor:"2,keyasint"`
 }
 
-// response is a voter's answer to a request.
+// response is a voter's response to a request.
 type response struct {
-	Fault    string                `cbor:"1,keyasint,omitempty"` // why the request was not carried out
-	Leader   string                `cbor:"2,keyasint,omitempty"` // as far as the voter knows
+	Fault    string                `cbor:"1,keyasint,omitempty"` // reason why the request was not executed
+	Leader   string                `cbor:"2,keyasint,omitempty"` // as known to the voter
 	Lease    *policy.LeaseResponse `cbor:"3,keyasint,omitempty"`
 	Document *document             `cbor:"4,keyasint,omitempty"`
 	Outcome  *policy.Outcome       `cbor:"5,keyasint,omitempty"`
 	State    *VoterState           `cbor:"6,keyasint,omitempty"`
-	Voters   []string              `cbor:"7,keyasint,omitempty"` // present ones, with a lease
+	Voters   []string              `cbor:"7,keyasint,omitempty"` // current voters; sent along with a lease
 }
 
 type document struct {
@@ -42,27 +42,29 @@
 	Text   []byte `cbor:"2,keyasint"`
 }
 
-// VoterState is what a voter holds.
+// VoterState is the state of a voter, for operators.
 type VoterState struct {
 	Voter        string           `cbor:"1,keyasint" json:"decider"`
 	Leader       string           `cbor:"2,keyasint" json:"leader"`
-	StopReason   string           `cbor:"3,keyasint" json:"takes_part_no_more,omitempty"` // why
+	NodeError    string           `cbor:"3,keyasint" json:"takes_part_no_more,omitempty"` // why it is not running
 	Bootstrapped bool             `cbor:"4,keyasint" json:"founded"`
-	InForce      uint64           `cbor:"5,keyasint" json:"in_force"` // policy's number
+	InForce      uint64           `cbor:"5,keyasint" json:"in_force"` // number of the policy in force
 	Digest       string           `cbor:"6,keyasint" json:"digest"`   // of the policy in force
 	Pending      *policy.Outcome  `cbor:"7,keyasint" json:"under_way,omitempty"`
 	Outcomes     []policy.Outcome `cbor:"8,keyasint" json:"changes"`
-	// Waiting are, on the leader, the sidecars that the pending change waits for, and Seconds how long at most.
+	// Waiting and WaitSeconds are set on the leader: the sidecars that the pending change waits for, and the maximum
+	// wait.
 	Waiting     []string `cbor:"9,keyasint,omitempty" json:"waits_for,omitempty"`
 	WaitSeconds float64  `cbor:"10,keyasint,omitempty" json:"waits_s,omitempty"`
-	// Voters are the present ones. Settled is false while one takes the place of another. Candidates may take one.
+	// Voters are the current voters. Settled is false while one is being replaced. Standbys may replace a voter.
+	// Standby is true if this sidecar is one.
 	Voters   []string `cbor:"11,keyasint" json:"deciders"`
 	Settled  bool     `cbor:"12,keyasint" json:"settled"`
 	Standbys []string `cbor:"13,keyasint,omitempty" json:"candidates,omitempty"`
 	Standby  bool     `cbor:"14,keyasint,omitempty" json:"waits_for_a_place,omitempty"`
 }
 
-// FaultError says that a voter did not carry out a request.
+// FaultError is the error of a request that a voter did not execute.
 type FaultError struct {
 	Voter string
 	Fault string // the voter's reason
@@ -71,9 +73,9 @@
 // Error returns the voter's reason.
 func (e *FaultError) Error() string { return e.Fault }
 
-// Call answers a call from another sidecar, as transport.Called asks for. It is called by any goroutine, and returns
-// within callTimeout. A request that is not carried out is answered by a fault; an error is a request that cannot be
-// read.
+// Call implements transport.CallHandler: it serves a call from another sidecar. It is safe for concurrent use and
+// returns within callTimeout. The response to a request that was not executed contains a fault. An error means that the
+// request could not be decoded.
 func (a *Agent) Call(ctx context.Context, text []byte) ([]byte, error) {
 	var req request
 	if err := cbor.Unmarshal(text, &req); err != nil {
@@ -82,7 +84,7 @@
 	return cbor.Marshal(a.serveRequest(ctx, req))
 }
 
-// call calls a voter, which may be this sidecar itself.
+// call sends a request to a voter, which may be this sidecar itself, and returns the response.
 func (a *Agent) call(ctx context.Context, voter string, req request) (resp response, err error) {
 	if voter == a.settings.Name {
 		return a.serveRequest(ctx, req), nil
@@ -100,7 +102,7 @@
 	return resp, nil
 }
 
-// callChecked calls a voter, and makes a fault in its response a FaultError. The response is valid all the same.
+// callChecked is like call, but returns a FaultError if the response contains a fault. The response is then valid too.
 func (a *Agent) callChecked(ctx context.Context, voter string, req request) (response, error) {
 	resp, err := a.call(ctx, voter, req)
 	if err == nil && resp.Fault != "" {
--- a/internal/fleet/policyagent/operations.go
+++ b/internal/fleet/policyagent/operations.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	pollInterval   = 100 * time.Millisecond // between two calls for an outcome, or two attempts
-	resendProposal = 10                     // attempts after which a proposal that no voter knows is sent again
+	pollInterval   = 100 * time.Millisecond // between two requests for an outcome, or two attempts
+	resendProposal = 10                     // attempts after which a proposal without a known outcome is sent again
 )
 
-// Propose proposes a change and waits until it is in force or refused, or until ctx ends. The outcome then says how far
-// it has come; it can be had later by its id, and the same proposal can be made again.
+// Propose proposes a change and waits until it is in force or refused, or until ctx ends. It returns the last known
+// outcome. The caller can later fetch the outcome by its ID, or make the same proposal again.
 func (a *Agent) Propose(ctx context.Context, p policy.Proposal) policy.Outcome {
 	p.Author = p.Author[:min(len(p.Author), maxNameBytes)]
 	outcome := policy.Outcome{ID: p.ID, Author: p.Author}
@@ -33,7 +33,7 @@
 		if outcome.State == policy.InForce || outcome.State == policy.Refused {
 			return outcome
 		}
-		// It may have been lost with its leader. Its id is the idempotency key.
+		// The proposal may have been lost with its leader. Its ID is the idempotency key, so it can be sent again.
 		if outcome.State == policy.Unknown && attempt%resendProposal == resendProposal-1 {
 			sent = false
 		}
@@ -43,7 +43,7 @@
 	}
 }
 
-// sendProposal says whether a voter, which leads, has taken a proposal.
+// sendProposal sends a proposal to a voter, and reports whether the voter, as the leader, has accepted it.
 func (a *Agent) sendProposal(ctx context.Context, voter string, p policy.Proposal) bool {
 	resp, err := a.callChecked(ctx, voter, request{Propose: &p})
 	if fault := (*FaultError)(nil); errors.As(err, &fault) && resp.Leader != voter {
@@ -60,7 +60,7 @@
 	return *resp.Outcome, true
 }
 
-// Outcome returns what has become of a proposal, as far as any voter that answers knows.
+// Outcome returns the most advanced outcome of a proposal that is known to any voter that responds.
 func (a *Agent) Outcome(ctx context.Context, id string) policy.Outcome {
 	outcome := policy.Outcome{ID: id}
 	for _, voter := range a.voters() {
@@ -71,8 +71,8 @@
 	return outcome
 }
 
-// Document fetches a document from any voter that has it; number 0 is the one in force. Its error joins those of all
-// voters.
+// Document fetches a document from any voter that has it. Number 0 is the policy in force. The error joins the errors
+// of all voters.
 func (a *Agent) Document(ctx context.Context, number uint64) (policy.Document, error) {
 	var failed []error
 	for _, voter := range a.voters() {
@@ -103,9 +103,9 @@
 	return resp.Document, err
 }
 
-// Replace has a candidate take a voter's place: the name may be the same, where that voter has lost its folder. It
-// returns nil once the leader has begun; Status shows when it is done. A FaultError is the leader's refusal. Where no
-// leader answers it tries until ctx ends, and returns the last error.
+// Replace replaces a voter by a standby. Both may have the same name, if that voter has lost its folder. Replace
+// returns nil when the leader has begun the replacement; Status shows its completion. A FaultError means that the
+// leader refused. While no leader responds, Replace retries until ctx ends, and then returns the last error.
 func (a *Agent) Replace(ctx context.Context, out, in string) error {
 	for attempt := 0; ; attempt++ {
 		voter := a.nextVoter(attempt)
@@ -127,16 +127,16 @@
 	}
 }
 
-// Status is what this sidecar and the voters hold.
+// Status is the state of this sidecar and of the voters.
 type Status struct {
-	Serves       uint64       `json:"serves_under"` // policy's number; 0: it takes no requests now
+	Serves       uint64       `json:"serves_under"` // number of a policy; 0: no requests are accepted now
 	WithoutLease bool         `json:"without_a_promise"`
-	LastVoter    string       `json:"asks"` // that answered last
+	LastVoter    string       `json:"asks"` // leader known to this sidecar; "": none
 	Voters       []VoterState `json:"deciders"`
 	Unresponsive []string     `json:"silent_deciders"`
 }
 
-// Status calls all voters, one after the other.
+// Status returns the status. It calls all voters, one after the other.
 func (a *Agent) Status(ctx context.Context) (s Status) {
 	number, _, ok := a.Serves()
 	a.mu.Lock()
--- a/internal/fleet/policyagent/renewal.go
+++ b/internal/fleet/policyagent/renewal.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	minRenewPause = 50 * time.Millisecond // between two requests
-	// renewalsPerLease is how many requests are sent while a lease lasts, so that two of them may get lost.
+	minRenewPause = 50 * time.Millisecond // between two lease requests
+	// renewalsPerLease is the number of requests per lease duration, so that two of them may be lost.
 	renewalsPerLease = 3
-	maxVoters        = 9 // that a leader may name
+	maxVoters        = 9 // accepted from a leader
 )
 
-// errNoDocument says that a voter could not be asked for a document, or did not have it.
+// errNoDocument means that a request for a document failed, or that the voter did not have the document.
 var errNoDocument = errors.New("policy: no document")
 
-// renewLoop keeps up the lease under which this sidecar serves, until the agent is closed.
+// renewLoop renews the lease under which this sidecar serves, until the agent is closed.
 func (a *Agent) renewLoop() {
 	for attempt := 0; ; attempt++ {
 		if !sleep(a.ctx, a.renew(a.nextVoter(attempt))) {
@@ -28,7 +28,7 @@
 	}
 }
 
-// nextVoter is the voter to call: the leader, as far as it is known, or else another one on each attempt.
+// nextVoter returns the voter to call: the leader if it is known, otherwise a different candidate on each attempt.
 func (a *Agent) nextVoter(attempt int) string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -38,15 +38,15 @@
 	return a.candidates[attempt%len(a.candidates)]
 }
 
-// voters returns the voters, as far as this sidecar knows.
+// voters returns the current voters, as known to this sidecar.
 func (a *Agent) voters() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.candidates[:a.voterCount]
 }
 
-// setVoters takes the voters from a leader that a majority follows. Those of the operator's file stay behind them, to
-// be asked when all of the voters are gone.
+// setVoters sets the voters to those named by a leader that a majority has confirmed. The voters from the operator's
+// file remain as further candidates, for the case that none of the current voters is reachable.
 func (a *Agent) setVoters(names []string) {
 	if len(names) == 0 || len(names) > maxVoters {
 		return
@@ -62,7 +62,7 @@
 	a.candidates, a.voterCount = candidates, len(names)
 }
 
-// setLeader notes the leader; "": none is known. A name that no sidecar can have counts as none.
+// setLeader sets the known leader. It is "" if none is known, or if the name is too long for a sidecar.
 func (a *Agent) setLeader(name string) {
 	if len(name) > maxNameBytes {
 		name = ""
@@ -72,7 +72,7 @@
 	a.leader = name
 }
 
-// renew requests a lease once, and returns after what pause to request the next.
+// renew requests a lease once, and returns the pause before the next request.
 func (a *Agent) renew(voter string) (pause time.Duration) {
 	sent, lease := a.requestLease(voter)
 	if lease == nil {
@@ -92,10 +92,10 @@
 	a.mu.Lock()
 	a.holder.RecordCheck(number, fault)
 	a.mu.Unlock()
-	return 0 // the leader waits for what was found
+	return 0 // the leader waits for the result of the check
 }
 
-// requestLease requests a lease, and takes leader and voters from the response. It returns nil without a lease.
+// requestLease requests a lease, and sets leader and voters from the response. lease is nil if there is no lease.
 func (a *Agent) requestLease(voter string) (sent time.Duration, lease *policy.LeaseResponse) {
 	ctx, cancel := context.WithTimeout(a.ctx, callTimeout)
 	defer cancel()
@@ -117,8 +117,8 @@
 	return sent, resp.Lease
 }
 
-// renewPause is the pause after a lease was renewed. While a change may be under way it is shorter, as each step of the
-// change waits for the next request of the last sidecar.
+// renewPause returns the pause after a renewed lease. It is shorter while a change may be pending, because each step of
+// a change waits for the next request of the slowest sidecar.
 func (a *Agent) renewPause(length time.Duration) time.Duration {
 	pause := min(length, a.settings.Terms.Length) / renewalsPerLease
 	if a.now() < a.renewOftenUntil {
@@ -127,8 +127,8 @@
 	return max(pause, minRenewPause)
 }
 
-// checkDocument fetches a document and has it checked. It returns why the document cannot run here, "" if it can, or an
-// error that wraps errNoDocument if there is no document to be checked.
+// checkDocument fetches and checks a document. It returns the reason why the document cannot run on this sidecar, or ""
+// if it can. The error wraps errNoDocument if no document was received.
 func (a *Agent) checkDocument(voter string, number uint64) (fault string, err error) {
 	ctx, cancel := context.WithTimeout(a.ctx, voterCallTimeout)
 	defer cancel()
--- a/internal/fleet/policyagent/voter.go
+++ b/internal/fleet/policyagent/voter.go
@@ -17,16 +17,16 @@
 const (
 	maxQueuedEvents     = 1024                   // for the Raft node
 	maxQueuedMessages   = 64                     // for one voter
-	maxQueues           = 64                     // voters, present and former ones, that messages are sent to
-	folderRetryInterval = 200 * time.Millisecond // while another process has the folder open
-	maxFolderRetryDelay = 5 * time.Second        // between two attempts to open a folder that fails
+	maxQueues           = 64                     // current and former voters with a message queue
+	folderRetryInterval = 200 * time.Millisecond // while another process holds the lock of the folder
+	maxFolderRetryDelay = 5 * time.Second        // between two attempts to open a folder after a system error
 )
 
-// faultBusy is sent for a request that the Raft node could not take, or not answer in time.
+// faultBusy is the fault of a request that the Raft node could not accept, or did not process in time.
 const faultBusy = "policy: this decider is busy"
 
-// nodeCall is a request on its way through the Raft node's goroutine. The response, and the channel of a lease, may be
-// read once done is closed; the caller may have given up by then.
+// nodeCall is a request that is executed by the Raft node's goroutine. The fields response and lease may be read after
+// done is closed. The caller may have timed out by then.
 type nodeCall struct {
 	request  request
 	response response
@@ -34,7 +34,7 @@
 	done     chan struct{}
 }
 
-// serveRequest has the Raft node's goroutine carry out a request, and waits for its response.
+// serveRequest passes a request to the Raft node's goroutine and waits for the response.
 func (a *Agent) serveRequest(ctx context.Context, req request) response {
 	if !a.isVoter {
 		return response{Fault: a.settings.Name + " is no decider"}
@@ -58,7 +58,7 @@
 	return awaitLease(ctx, call)
 }
 
-// awaitLease waits until the leader has confirmed that it leads, and returns the response with the lease.
+// awaitLease waits until the leader has confirmed its leadership, and returns the response with the lease.
 func awaitLease(ctx context.Context, call *nodeCall) response {
 	resp := call.response
 	select {
@@ -74,7 +74,7 @@
 	return resp
 }
 
-// execute does what a request asks for. It runs on the Raft node's goroutine.
+// execute executes a request. It runs on the Raft node's goroutine.
 func (a *Agent) execute(now raftnode.Time, call *nodeCall) {
 	req, resp := call.request, &call.response
 	resp.Leader = a.node.Leader()
@@ -102,7 +102,7 @@
 	}
 }
 
-// lookUpLedger answers a request for what a ledger holds.
+// lookUpLedger sets the response to a request for a document or an outcome from a ledger.
 func lookUpLedger(l *policy.Ledger, req request, resp *response) {
 	switch {
 	case l == nil:
@@ -134,7 +134,7 @@
 	}
 	s.Voters, s.Settled = a.node.Voters()
 	if err := a.node.Err(); err != nil {
-		s.StopReason = err.Error()
+		s.NodeError = err.Error()
 	}
 	if l == nil {
 		return s
@@ -150,7 +150,7 @@
 	return s
 }
 
-// runNode is the Raft node's goroutine.
+// runNode runs the Raft node until the agent is closed. It is the body of the Raft node's goroutine.
 func (a *Agent) runNode() {
 	folder := a.openFolder()
 	if folder == nil {
@@ -164,7 +164,7 @@
 	}, folder, a.log)
 	if err != nil {
 		a.log.Error("this voter takes no part", "err", err)
-		_ = folder.Close() // nothing was written
+		_ = folder.Close() // nothing was written, so an error loses no data
 		return
 	}
 	a.node = node
@@ -187,8 +187,8 @@
 	}
 }
 
-// sendActions passes on what the Raft node has to send. A message for a voter whose queue is full is lost, as it may be on
-// the network; Raft sends again.
+// sendActions performs the Raft node's pending actions. A message to a voter whose queue is full is dropped, as if it
+// was lost on the network. Raft sends it again.
 func (a *Agent) sendActions() {
 	out := a.node.TakeActions()
 	for _, message := range out.Send {
@@ -200,12 +200,12 @@
 	for _, reply := range out.LeaseReplies {
 		if lease := a.pendingLeases[reply.Token]; lease != nil {
 			delete(a.pendingLeases, reply.Token)
-			lease <- reply // doesn't block: it is buffered, and each token is answered once
+			lease <- reply // does not block: the channel is buffered and each token has one reply
 		}
 	}
 }
 
-// failPendingLeases answers all requests for a lease, as the Raft node no longer will.
+// failPendingLeases fails all pending lease requests, because the Raft node will not reply to them.
 func (a *Agent) failPendingLeases() {
 	for token, lease := range a.pendingLeases {
 		delete(a.pendingLeases, token)
@@ -213,8 +213,8 @@
 	}
 }
 
-// queueTo returns the queue of messages to a voter, nil if there are too many. It is made with its goroutine when it is
-// first used, as a voter that takes the place of another is not in the operator's file.
+// queueTo returns the message queue of a voter, or nil if there are maxQueues already. A queue and its goroutine are
+// created on first use, because a voter that has replaced another is not in the operator's file.
 func (a *Agent) queueTo(voter string) chan<- []byte {
 	queue := a.queues[voter]
 	if queue == nil && len(a.queues) < maxQueues {
@@ -225,7 +225,7 @@
 	return queue
 }
 
-// sendQueued sends what is queued for one voter, one message at a time.
+// sendQueued sends the queued messages of one voter, one at a time, until the agent is closed.
 func (a *Agent) sendQueued(voter string, queue <-chan []byte) {
 	for {
 		select {
@@ -241,9 +241,9 @@
 	}
 }
 
-// openFolder opens the voter's folder once no other process has it open (during an upgrade, the former process has) and
-// the system no longer fails it. It returns nil if the agent is closed, or if what the folder holds is wrong, which a
-// retry does not mend; this sidecar then serves, but does not vote.
+// openFolder opens the voter's folder. It retries while another process has the folder open, such as the predecessor
+// process during an upgrade, and after system errors. It returns nil if the agent is closed, or if the contents of the
+// folder are invalid, which a retry cannot fix. In the latter case this sidecar serves requests but does not vote.
 func (a *Agent) openFolder() *raftlog.Log {
 	delay := folderRetryInterval
 	for attempt := 0; ; attempt++ {
--- a/internal/fleet/policyagent/wire_test.go
+++ b/internal/fleet/policyagent/wire_test.go
@@ -13,7 +13,7 @@
 // TestEncodedForms holds what is sent to voters and to the console to the bytes that af0b01d wrote.
 func TestEncodedForms(t *testing.T) {
 	state := VoterState{
-		Voter: "n0", Leader: "n1", StopReason: "broken", Bootstrapped: true, InForce: 2, Digest: "d",
+		Voter: "n0", Leader: "n1", NodeError: "broken", Bootstrapped: true, InForce: 2, Digest: "d",
 		Pending:  &policy.Outcome{ID: "b", Author: "y", Number: 3, State: policy.Proposed},
 		Outcomes: []policy.Outcome{{ID: "a", Author: "x", Number: 2, State: policy.Refused, Reason: "no"}},
 		Waiting:  []string{"n4"}, WaitSeconds: 1.5, Voters: []string{"n0"}, Settled: true, Standbys: []string{"n5"},
