--- a/internal/fleet/policy/lease.go
+++ b/internal/fleet/policy/lease.go
@@ -18,7 +18,7 @@
 )
 
 // ErrTerms is wrapped by the errors of Terms.Check.
-var ErrTerms = errors.New("terms of a lease out of bounds")
+var ErrTerms = errors.New("lease terms out of bounds")
 
 // Terms are the operator's settings for all leases. They must be the same on all sidecars.
 type Terms struct {
@@ -39,10 +39,11 @@
 func (t Terms) Check() error {
 	switch {
 	case t.ShortLength < minShortLease || t.Length < 2*t.ShortLength:
-		return fmt.Errorf("%w: a lease of %v, of %v while a change switches: at least %v, and twice that, are needed",
+		return fmt.Errorf("%w: a lease lasts %v, and %v while a change switches; "+
+			"the latter must be at least %v, and the former at least twice the latter",
 			ErrTerms, t.Length, t.ShortLength, minShortLease)
 	case t.Drift < 0 || t.Drift > maxDrift:
-		return fmt.Errorf("%w: clocks that run apart by %v: 0 to %v are allowed", ErrTerms, t.Drift, maxDrift)
+		return fmt.Errorf("%w: clock drift of %v is not between 0 and %v", ErrTerms, t.Drift, maxDrift)
 	}
 	return nil
 }
--- a/internal/fleet/policyagent/agent.go
+++ b/internal/fleet/policyagent/agent.go
@@ -59,14 +59,14 @@
 		return fmt.Errorf("%w: %w", ErrSettings, err)
 	}
 	if slices.Contains(s.Voters, s.Name) && s.Folder == "" {
-		return fmt.Errorf("%w: %s is a voter and has no folder", ErrSettings, s.Name)
+		return fmt.Errorf("%w: %s is a voter but has no folder", ErrSettings, s.Name)
 	}
 	if n := len(s.InitialPolicy); n == 0 || n > policy.MaxDocumentBytes {
-		return fmt.Errorf("%w: an initial policy of %d bytes, 1 to %d are allowed",
+		return fmt.Errorf("%w: initial policy of %d bytes is not between 1 and %d bytes",
 			ErrSettings, n, policy.MaxDocumentBytes)
 	}
 	if fault := s.Check(1, s.InitialPolicy); fault != "" {
-		return fmt.Errorf("%w: the initial one: %s", ErrSettings, fault)
+		return fmt.Errorf("%w: the initial policy cannot run: %s", ErrSettings, fault)
 	}
 	return nil
 }
--- a/internal/fleet/policyagent/messages.go
+++ b/internal/fleet/policyagent/messages.go
@@ -79,7 +79,7 @@
 func (a *Agent) Call(ctx context.Context, text []byte) ([]byte, error) {
 	var req request
 	if err := cbor.Unmarshal(text, &req); err != nil {
-		return nil, fmt.Errorf("policy: a call that cannot be read: %w", err)
+		return nil, fmt.Errorf("policy: malformed call: %w", err)
 	}
 	return cbor.Marshal(a.serveRequest(ctx, req))
 }
--- a/internal/fleet/policyagent/renewal.go
+++ b/internal/fleet/policyagent/renewal.go
@@ -140,7 +140,7 @@
 		return "", errNoDocument
 	}
 	if fault = a.settings.Check(number, resp.Document.Text); fault != "" {
-		a.log.Warn("this sidecar cannot run a policy", "number", number, "why", fault)
+		a.log.Warn("this sidecar cannot run a policy document", "policy", number, "reason", fault)
 	}
 	return fault, nil
 }
--- a/internal/fleet/policyagent/voter.go
+++ b/internal/fleet/policyagent/voter.go
@@ -163,7 +163,7 @@
 		Terms:         a.settings.Terms,
 	}, folder, a.log)
 	if err != nil {
-		a.log.Error("this voter takes no part", "err", err)
+		a.log.Error("policy voter not started; this sidecar does not vote", "err", err)
 		_ = folder.Close() // nothing was written, so an error loses no data
 		return
 	}
@@ -234,7 +234,7 @@
 		case text := <-queue:
 			ctx, cancel := context.WithTimeout(a.ctx, voterCallTimeout)
 			if _, err := a.callChecked(ctx, voter, request{Raft: text}); err != nil {
-				a.log.Debug("message to a voter failed", "voter", voter, "err", err)
+				a.log.Debug("sending a message to a voter failed", "voter", voter, "err", err)
 			}
 			cancel()
 		}
@@ -250,17 +250,18 @@
 		folder, dropped, err := raftlog.Open(a.settings.Folder, rand.Uint64()|1)
 		if err == nil {
 			if dropped > 0 {
-				a.log.Warn("a torn record was dropped", "folder", a.settings.Folder, "bytes", dropped)
+				a.log.Warn("dropped an incomplete last record of the voter's folder",
+					"folder", a.settings.Folder, "bytes", dropped)
 			}
 			return folder
 		}
 		locked, errno := errors.Is(err, raftlog.ErrLocked), syscall.Errno(0)
 		if !locked && !errors.As(err, &errno) {
-			a.log.Error("this voter takes no part", "err", err)
+			a.log.Error("policy voter not started; this sidecar does not vote", "err", err)
 			return nil
 		}
 		if attempt == 0 {
-			a.log.Warn("waiting for the folder", "err", err)
+			a.log.Warn("voter's folder cannot be opened; retrying", "err", err)
 		}
 		delay = min(2*delay, maxFolderRetryDelay)
 		if locked {
--- a/internal/fleet/raftnode/hello.go
+++ b/internal/fleet/raftnode/hello.go
@@ -93,7 +93,7 @@
 	}
 	if !n.notInGroup {
 		n.notInGroup = true
-		n.log.Warn("raftnode: standby, waits to replace a voter", "reason", reason)
+		n.log.Warn("raftnode: standby, waiting to replace a voter", "reason", reason)
 	}
 }
 
@@ -119,7 +119,7 @@
 func (n *Node) recordStandby(now Time, hello consensus.Hello) error {
 	maps.DeleteFunc(n.standbys, func(_ string, s standby) bool { return s.expired(now) })
 	if _, known := n.standbys[hello.Name]; !known && len(n.standbys) >= maxStandbys {
-		return fmt.Errorf("raftnode: there are %d standbys already", maxStandbys)
+		return fmt.Errorf("raftnode: limit of %d standbys is reached", maxStandbys)
 	}
 	n.standbys[hello.Name] = standby{hello.ID, now}
 	return nil
--- a/internal/fleet/raftnode/node.go
+++ b/internal/fleet/raftnode/node.go
@@ -219,7 +219,7 @@
 		return nil
 	}
 	if len(payload) > maxMessageBytes {
-		return fmt.Errorf("raftnode: a message of %d bytes, %d are allowed", len(payload), maxMessageBytes)
+		return fmt.Errorf("raftnode: message of %d bytes exceeds the limit of %d bytes", len(payload), maxMessageBytes)
 	}
 	var p packet
 	if err := cbor.Unmarshal(payload, &p); err != nil {
--- a/internal/fleet/raftnode/write.go
+++ b/internal/fleet/raftnode/write.go
@@ -50,7 +50,7 @@
 		return
 	}
 	n.failedWrite = nil
-	n.log.Info("raftnode: folder written again, voter goes on")
+	n.log.Info("raftnode: folder can be written again, voter resumed")
 	if failed.persisted(now); n.machine != nil && n.fatalErr == nil {
 		n.flush(now)
 	}
--- a/internal/fleet/transport/transport.go
+++ b/internal/fleet/transport/transport.go
@@ -40,8 +40,8 @@
 
 // Errors of calls that this sidecar rejects.
 var (
-	errNoCallHandler       = errors.New("fleet: nobody answers calls")
-	errLargeCallInProgress = errors.New("fleet: another large call is being served")
+	errNoCallHandler       = errors.New("fleet: this sidecar serves no calls")
+	errLargeCallInProgress = errors.New("fleet: another large call is in progress")
 )
 
 // Handler handles datagrams and requests for snapshots. Its methods are called from the Transport's goroutines,
@@ -81,7 +81,7 @@
 func Listen(address string, maxSnapshot int) (*Transport, error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil || !at.Addr().Is4() {
-		return nil, fmt.Errorf("fleet: address %q: an IPv4 address and a port are needed", address)
+		return nil, fmt.Errorf("fleet: address %q is not an IPv4 address with a port", address)
 	}
 	t := &Transport{
 		maxSnapshot:     maxSnapshot,
@@ -222,7 +222,7 @@
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if n > MaxCall {
-		return nil, fmt.Errorf("fleet: a call of %d bytes, %d are allowed", n, MaxCall)
+		return nil, fmt.Errorf("fleet: call of %d bytes exceeds the limit of %d bytes", n, MaxCall)
 	}
 	if n > maxSmallCall { // many large calls at once would exhaust the memory
 		select {
@@ -268,7 +268,7 @@
 func (t *Transport) Fetch(ctx context.Context, from string) ([]byte, error) {
 	text, err := t.exchange(ctx, from, snapshotHello, nil, t.maxSnapshot)
 	if err != nil {
-		return nil, fmt.Errorf("fleet: snapshot of %s: %w", from, err)
+		return nil, fmt.Errorf("fleet: snapshot from %s: %w", from, err)
 	}
 	return text, nil
 }
@@ -276,7 +276,7 @@
 // Call sends a call to another sidecar and returns the response.
 func (t *Transport) Call(ctx context.Context, to string, text []byte) ([]byte, error) {
 	if len(text) > MaxCall {
-		return nil, fmt.Errorf("fleet: a call of %d bytes, %d are allowed", len(text), MaxCall)
+		return nil, fmt.Errorf("fleet: call of %d bytes exceeds the limit of %d bytes", len(text), MaxCall)
 	}
 	response, err := t.exchange(ctx, to, callHello, text, MaxCall)
 	if err != nil {
