--- a/internal/fleet/policy/changes_test.go
+++ b/internal/fleet/policy/changes_test.go
@@ -8,12 +8,12 @@
 	"pgregory.net/rapid"
 )
 
-// stepsToSettle is more steps than a simulation without faults takes until all sidecars serve.
+// stepsToSettle exceeds the number of steps until all sidecars of a simulation without faults serve.
 const stepsToSettle = 1000
 
-// TestOnePolicyAtATime makes changes under drawn faults. At no step do two sidecars serve under different policies, or
-// any under an earlier one after a later was served; no answer to an author is contradicted; and once the faults are
-// over, the pending change ends and a further one comes into force.
+// TestOnePolicyAtATime makes changes under random faults. At no step may two sidecars serve under different policies, a
+// sidecar serve under an earlier policy after a later one was served, or an outcome be contradicted. After the faults
+// have ended, the pending change must complete and a further change must come into force.
 func TestOnePolicyAtATime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 6).Draw(t, "sidecars"), true)
@@ -26,24 +26,25 @@
 		w.endFaults()
 		settle := int(2*w.terms.upperBound(w.terms.Length)/stepLength) + stepsToSettle
 		w.steps(settle)
-		id := w.propose("the last")
+		id := w.propose("last change")
 		w.steps(settle)
 		if len(w.violations) > 0 {
 			t.Fatal(w.violations[0])
 		}
 		last := w.ledger()
-		if o := last.Outcome(id); o.State != InForce || string(last.InForce().Text) != "the last" {
-			t.Fatalf("the last change is %v (%s), %+v", o.State, o.Reason, last.Pending())
+		if o := last.Outcome(id); o.State != InForce || string(last.InForce().Text) != "last change" {
+			t.Fatalf("the last change has state %v (reason %q), pending change %+v", o.State, o.Reason, last.Pending())
 		}
 		for _, s := range w.sidecars {
 			if number, _, ok := s.holder.Serves(s.read(w.now)); !ok || number != last.InForce().Number {
-				t.Errorf("sidecar %d serves under %d (%v), %d is in force", s.index, number, ok, last.InForce().Number)
+				t.Errorf("sidecar %d serves under policy %d (%v), want policy %d",
+					s.index, number, ok, last.InForce().Number)
 			}
 		}
 	})
 }
 
-// drawEvents injects a fault in one of 150 steps, and makes a proposal in one of 250, some of which a sidecar rejects.
+// drawEvents injects a fault in 1 of 150 steps, and makes a proposal in 1 of 250, of which a sidecar rejects 1 of 4.
 func (w *simulation) drawEvents(step int) {
 	if w.rng.IntN(150) == 0 {
 		w.injectFault()
@@ -58,8 +59,8 @@
 	}
 }
 
-// TestChangeWithoutFaults: a change is in force everywhere in less than a second, and no sidecar is without a policy
-// for longer than some messages take.
+// TestChangeWithoutFaults requires that a change is in force everywhere within a second, and that no sidecar is without
+// a policy for longer than 50 ms, the time of a few messages.
 func TestChangeWithoutFaults(t *testing.T) {
 	for _, n := range []int{1, 10, 100} {
 		t.Run(fmt.Sprint(n, " sidecars"), func(t *testing.T) {
@@ -72,16 +73,17 @@
 			}
 			took := w.now - began
 			w.steps(200)
-			t.Logf("in force after %v, longest without a policy %v", took, w.longestGap)
+			t.Logf("in force after %v, longest time without a policy %v", took, w.longestGap)
 			if took > time.Second || w.longestGap > 50*time.Millisecond || len(w.violations) > 0 {
-				t.Errorf("in force after %v, longest without a policy %v, %v", took, w.longestGap, w.violations)
+				t.Errorf("in force after %v, longest time without a policy %v, violations %v",
+					took, w.longestGap, w.violations)
 			}
 		})
 	}
 }
 
-// TestChangeWaitsForUnresponsiveHolder: a sidecar that is cut off delays the change until its lease expires, and serves
-// no longer than that.
+// TestChangeWaitsForUnresponsiveHolder requires that a partitioned sidecar delays a change until its lease expires, and
+// does not serve after that.
 func TestChangeWaitsForUnresponsiveHolder(t *testing.T) {
 	w := newSimulation(2, 5, false)
 	w.steps(stepsToSettle)
@@ -98,16 +100,18 @@
 	}
 	took, least, most := w.now-began, w.terms.Length-w.terms.ShortLength, w.terms.Length+2*time.Second
 	if took < least || took > most || stopped == 0 || len(w.violations) > 0 {
-		t.Errorf("in force after %v, cut off it stopped after %v, %v", took, stopped-began, w.violations)
+		t.Errorf("in force after %v, partitioned sidecar stopped serving after %v, violations %v",
+			took, stopped-began, w.violations)
 	}
 	s.cutUntil = 0
 	w.steps(200)
 	if number, _, ok := s.holder.Serves(s.read(w.now)); !ok || number != 2 {
-		t.Errorf("back again it serves under %d, %v", number, ok)
+		t.Errorf("after the partition: Serves() = %d, %v; want policy 2", number, ok)
 	}
 }
 
-// TestOneRejectionRefusesChange: a fault that one sidecar finds refuses the change for all, and the reason names both.
+// TestOneRejectionRefusesChange requires that a fault found by one sidecar refuses the change for all sidecars, and
+// that the reason names the sidecar and the fault.
 func TestOneRejectionRefusesChange(t *testing.T) {
 	w := newSimulation(3, 5, false)
 	w.steps(stepsToSettle)
@@ -116,9 +120,9 @@
 	w.steps(1000)
 	o := w.ledger().Outcome(id)
 	if o.State != Refused || o.Reason != "n2: it has a class without a name" || len(w.violations) > 0 {
-		t.Errorf("%v, %q, %v", o.State, o.Reason, w.violations)
+		t.Errorf("state %v, reason %q, violations %v", o.State, o.Reason, w.violations)
 	}
 	if w.ledger().InForce().Number != 1 {
-		t.Errorf("policy %d is in force", w.ledger().InForce().Number)
+		t.Errorf("policy %d is in force, want 1", w.ledger().InForce().Number)
 	}
 }
--- a/internal/fleet/policy/interleavings_test.go
+++ b/internal/fleet/policy/interleavings_test.go
@@ -11,15 +11,15 @@
 
 type modelSize struct{ sidecars, changes, crashes, losses, ticks int }
 
-// modelSizes are small enough for CI. Larger ones are explored by the flag.
+// modelSizes are small enough for CI. A larger one can be set by -policy.explore.
 var modelSizes = []modelSize{{1, 1, 1, 1, 5}, {2, 1, 0, 0, 4}, {2, 1, 1, 0, 3}}
 
 var exploreFlag = flag.String("policy.explore", "",
 	"a further size for TestAllInterleavings to explore: sidecars,changes,crashes,losses,ticks")
 
-// explore goes through every order of events, and returns how many states there are, the highest policy that came into
-// force, and the first guarantee that is broken, if any is. With skipWait, leaders do not wait until the leases of
-// earlier leaders are over.
+// explore visits the states of every order of events. It returns the number of states, the highest policy that came
+// into force, and the first violated guarantee, or "" if there is none. With skipWait, leaders do not wait until the
+// leases of earlier leaders have expired.
 func explore(size modelSize, skipWait bool) (states int, highest uint64, violation string) {
 	first := newModel(size.sidecars)
 	first.changes, first.crashes, first.losses = size.changes, size.crashes, size.losses
@@ -33,7 +33,7 @@
 				next.table.earlierLeasesEnd = tickTime(next.now)
 			}
 			if why := next.violation(); why != "" {
-				return len(seen), highest, fmt.Sprintf("%s at tick %d after %d entries", why, next.now, next.entries)
+				return len(seen), highest, fmt.Sprintf("%s, at tick %d after %d entries", why, next.now, next.entries)
 			}
 			key := next.key()
 			if _, known := seen[key]; !known {
@@ -45,12 +45,13 @@
 	return len(seen), highest, ""
 }
 
-// TestAllInterleavings goes through every order of requests, responses, losses, crashes and changes of leader in small
-// fleets, up to a number of ticks: in no state do two sidecars serve under different policies, or any under an earlier
-// one after a later. With leaders that do not wait for the leases of earlier leaders, in some state they do.
+// TestAllInterleavings explores every order of requests, responses, losses, crashes and leader changes in small fleets,
+// up to a number of ticks. In no state may two sidecars serve under different policies, or a sidecar serve under an
+// earlier policy after a later one was served. To show that the exploration finds violations, it must find one if
+// leaders do not wait for the leases of earlier leaders.
 func TestAllInterleavings(t *testing.T) {
 	all := modelSizes
-	if testrun.RaceEnabled { // there is one goroutine
+	if testrun.RaceEnabled { // the model runs in one goroutine, so the race detector adds nothing
 		all = modelSizes[:1]
 	}
 	if *exploreFlag != "" {
@@ -65,19 +66,19 @@
 		t.Run(fmt.Sprintf("%+v", size), func(t *testing.T) {
 			t.Parallel()
 			states, highest, violation := explore(size, false)
-			t.Logf("%d states, policies up to %d in force", states, highest)
+			t.Logf("%d states, highest policy in force %d", states, highest)
 			if violation != "" || highest < 2 {
-				t.Errorf("%s, policies up to %d in force", violation, highest)
+				t.Errorf("violation %q, highest policy in force %d, want at least 2", violation, highest)
 			}
 		})
 	}
 	t.Run("leaders that do not wait", func(t *testing.T) {
 		t.Parallel()
 		if testrun.RaceEnabled {
-			t.Skip("one goroutine: run without the race detector")
+			t.Skip("the model runs in one goroutine: run without the race detector")
 		}
 		if states, _, violation := explore(modelSize{2, 1, 1, 0, 3}, true); violation == "" {
-			t.Errorf("no violation is found in %d states", states)
+			t.Errorf("no violation found in %d states", states)
 		}
 	})
 }
--- a/internal/fleet/policy/lease_test.go
+++ b/internal/fleet/policy/lease_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestTermsCheck turns down terms that no change could keep to.
+// TestTermsCheck requires that Check accepts the default terms and rejects terms out of bounds.
 func TestTermsCheck(t *testing.T) {
 	if err := DefaultTerms.Check(); err != nil {
 		t.Error(err)
@@ -17,11 +17,11 @@
 		name string
 		bad  Terms
 	}{
-		{"none", Terms{}},
-		{"no shorter while a change switches", Terms{Length: time.Second, ShortLength: time.Second}},
-		{"too short while a change switches", Terms{Length: time.Second, ShortLength: time.Millisecond}},
-		{"clocks too far apart", Terms{Length: time.Second, ShortLength: 100 * time.Millisecond, Drift: 0.5}},
-		{"a negative drift", Terms{Length: time.Second, ShortLength: 100 * time.Millisecond, Drift: -1}},
+		{"zero terms", Terms{}},
+		{"short length equal to length", Terms{Length: time.Second, ShortLength: time.Second}},
+		{"short length below minimum", Terms{Length: time.Second, ShortLength: time.Millisecond}},
+		{"drift above maximum", Terms{Length: time.Second, ShortLength: 100 * time.Millisecond, Drift: 0.5}},
+		{"negative drift", Terms{Length: time.Second, ShortLength: 100 * time.Millisecond, Drift: -1}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			if err := tt.bad.Check(); !errors.Is(err, ErrTerms) {
@@ -31,7 +31,7 @@
 	}
 }
 
-// TestHolderTakesLatestResponse: responses in any order leave the holder where the latest alone would.
+// TestHolderTakesLatestResponse requires that responses in any order have the same effect as the latest one alone.
 func TestHolderTakesLatestResponse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var responses []LeaseResponse
@@ -58,14 +58,15 @@
 			n1, _, ok1 := one.Serves(time.Hour + at)
 			n2, _, ok2 := all.Serves(time.Hour + at)
 			if n1 != n2 || ok1 != ok2 {
-				t.Errorf("after %v: %d, %v and %d, %v", at, n1, ok1, n2, ok2)
+				t.Errorf("after %v: latest response alone serves %d, %v; all responses serve %d, %v",
+					at, n1, ok1, n2, ok2)
 			}
 		}
 	})
 }
 
-// TestHolderWaitsForLateRenewal: while a renewal is late a request waits, for as long as a short lease lasts, and not
-// at all where there was no lease. It isn't taken under any policy meanwhile.
+// TestHolderWaitsForLateRenewal requires that a request waits for a late renewal, up to the short lease duration after
+// the expiry, and does not wait if there was no lease. Meanwhile it must not be accepted under any policy.
 func TestHolderWaitsForLateRenewal(t *testing.T) {
 	const at, short = Time(time.Hour), 300 * time.Millisecond
 	terms := Terms{Length: 3 * time.Second, ShortLength: short}
@@ -75,8 +76,8 @@
 		expiry   time.Duration // of the last lease in it
 		waits    bool
 	}{
-		{"a lease", LeaseResponse{Number: 1, Duration: time.Second}, time.Second, true},
-		{"a lease on the next policy",
+		{"lease", LeaseResponse{Number: 1, Duration: time.Second}, time.Second, true},
+		{"lease on the next policy",
 			LeaseResponse{Number: 1, Duration: short, Next: 2, NextIn: short, NextDuration: time.Second},
 			short + time.Second, true},
 		{"no lease", LeaseResponse{}, 0, false},
@@ -85,7 +86,7 @@
 			h := NewHolder("n", 1, terms)
 			h.runnable[1], h.runnable[2] = true, true
 			if _, wait, ok := h.Serves(at); ok || wait != 0 {
-				t.Errorf("before any response: %v, %v", wait, ok)
+				t.Errorf("before any response: wait %v, ok %v", wait, ok)
 			}
 			tt.response.Stamp = Stamp{1, 1}
 			h.ApplyResponse(at, at, tt.response)
@@ -98,18 +99,18 @@
 				{tt.expiry + short + time.Millisecond, false},
 			} {
 				if _, wait, ok := h.Serves(at + instant.after); ok || (wait > 0) != instant.waits {
-					t.Errorf("%v later: waits %v, serves %v; want to wait: %v", instant.after, wait, ok, instant.waits)
+					t.Errorf("%v later: wait %v, ok %v; want waiting %v", instant.after, wait, ok, instant.waits)
 				}
 			}
 		})
 	}
 }
 
-// TestIncarnationsUnderClockSteps has a sidecar start again after the clock of day has stepped, and request a lease
-// at once, while the leader still counts that of the former process. It gets one under the incarnation that the fleet
-// gives it, and not under one that may be lower than the former process's.
+// TestIncarnationsUnderClockSteps restarts a sidecar after a step of the wall clock, while the leader still has the
+// lease of the former process. The initial incarnation comes from the wall clock, so it may be lower than that of the
+// former process, and then the request gets no lease. It must get one with the incarnation that the fleet assigns.
 func TestIncarnationsUnderClockSteps(t *testing.T) {
-	const former = 10_000_000 // the former process's incarnation, in milliseconds of the clock of day
+	const former = 10_000_000 // the former process's incarnation, in milliseconds of the wall clock
 	for _, step := range []time.Duration{-time.Hour, -3 * time.Second, 3 * time.Second, time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
 			ledger, table := NewLedger([]byte("first")), NewLeaseTable(time.Hour, 1, DefaultTerms)
@@ -118,7 +119,7 @@
 				return response.Number == 1 && response.Duration > 0
 			}
 			if !leased(NewHolder("n0", former, DefaultTerms)) {
-				t.Fatal("the former process gets no lease")
+				t.Fatal("no lease for the former process")
 			}
 			h := NewHolder("n0", uint64(former+(time.Second+step).Milliseconds()), DefaultTerms)
 			if got := leased(h); got != (step > 0) {
@@ -126,7 +127,7 @@
 			}
 			h.RaiseIncarnation(former + 1)
 			if !leased(h) {
-				t.Error("no lease under the incarnation that the fleet gives it")
+				t.Error("no lease with the incarnation assigned by the fleet")
 			}
 		})
 	}
--- a/internal/fleet/policy/model_test.go
+++ b/internal/fleet/policy/model_test.go
@@ -10,8 +10,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// model is a state of a small fleet, from which all orders of what may happen next are tried. Time goes in ticks; a
-// sidecar has one message under way at a time.
+// model is a state of a small fleet, from which every possible next event is explored. Time advances in ticks. A
+// sidecar has at most one message in flight.
 type model struct {
 	now          int // tick
 	entries      int
@@ -21,11 +21,11 @@
 	holders      []*Holder
 	incarnations []uint64
 	messages     []message // by sidecar
-	lastRequests []int     // tick of its last request: one a tick
+	lastRequests []int     // by sidecar, tick of its last request; at most one per tick
 	changes      int       // that may still be proposed
-	crashes      int       // left, of sidecars and of leaders
-	losses       int       // left
-	highest      uint64    // number served so far
+	crashes      int       // remaining, of sidecars and leaders
+	losses       int       // remaining
+	highest      uint64    // highest policy number served so far
 }
 
 type messageKind int
@@ -43,7 +43,7 @@
 	response LeaseResponse
 }
 
-// modelTerms are leases of two ticks, and of one while a change switches.
+// modelTerms are terms with leases of two ticks, and of one tick while a change waits for its switch.
 var modelTerms = Terms{Length: 2 * time.Second, ShortLength: time.Second}
 
 func tickTime(n int) Time { return time.Hour + Time(n)*time.Second }
@@ -57,7 +57,7 @@
 		lastRequests: slices.Repeat([]int{-1}, sidecars),
 		holders:      make([]*Holder, sidecars),
 	}
-	// The leader's term began so long ago that no earlier lease is left.
+	// The leader's term began so long ago that the leases of earlier leaders have expired.
 	m.table = NewLeaseTable(tickTime(0)-modelTerms.Length-time.Second, 1, modelTerms)
 	for i := range sidecars {
 		m.startProcess(i)
@@ -70,7 +70,7 @@
 	m.holders[i] = NewHolder(fmt.Sprint("n", i), m.incarnations[i], modelTerms)
 }
 
-// clone returns a state of its own, except for what it holds by pointers, which is copied before it is changed.
+// clone returns a copy. The objects that it references by pointers are shared, and copied before they are modified.
 func (m *model) clone() *model {
 	c := *m
 	c.holders = slices.Clone(m.holders)
@@ -80,7 +80,7 @@
 	return &c
 }
 
-// mutableTable replaces the leader's side by a copy, and returns that.
+// mutableTable replaces the lease table by a copy and returns the copy.
 func (m *model) mutableTable() *LeaseTable {
 	table := *m.table
 	table.holders = make(map[string]*leaseHolder, len(m.table.holders))
@@ -91,7 +91,7 @@
 	return &table
 }
 
-// mutableHolder replaces a sidecar's side by a copy, and returns that.
+// mutableHolder replaces a sidecar's holder by a copy and returns the copy.
 func (m *model) mutableHolder(i int) *Holder {
 	h := *m.holders[i]
 	h.runnable = maps.Clone(h.runnable)
@@ -106,11 +106,12 @@
 	return text
 }
 
-// timeLeft is how far a time lies ahead; 0: it does not.
+// timeLeft returns the time from now until at, or 0 if at has passed.
 func (m *model) timeLeft(at Time) uint64 { return uint64(max(at-tickTime(m.now), 0)) }
 
-// key identifies the state: states of one key have the same futures. Sidecars differ by name alone, so their order does
-// not matter; of stamps and incarnations only the order within one sidecar does, and of what is over nothing.
+// key returns a hash of the state. States with the same key have equivalent successors. Sidecars differ only by name,
+// so their order does not matter. Of stamps and incarnations only the order within one sidecar matters. Expired leases
+// do not matter.
 func (m *model) key() uint64 {
 	sidecars := make([]string, len(m.holders))
 	for i := range m.holders {
@@ -130,7 +131,7 @@
 	return xxhash.Sum64(encoded)
 }
 
-// sidecarKey is what a sidecar, its message and what the leader knows of it come to.
+// sidecarKey encodes a sidecar, its message and the leader's record of it.
 func (m *model) sidecarKey(i int) []byte {
 	holder, message := m.holders[i], m.messages[i]
 	known := m.table.holders[holder.name]
@@ -179,7 +180,7 @@
 	return valid
 }
 
-// stampRanks returns the rank of a stamp among all that concern a sidecar.
+// stampRanks returns a function that returns the rank of a stamp among all stamps of a sidecar.
 func stampRanks(holder *Holder, message message, leases []grantedLease) func(Stamp) uint64 {
 	stamps := []Stamp{holder.latest}
 	switch message.kind {
@@ -220,7 +221,7 @@
 	}
 }
 
-// successors returns all states that may follow before or at the last tick.
+// successors returns all possible next states up to the last tick.
 func (m *model) successors(lastTick int) (all []*model) {
 	addSuccessor := func(possible bool, event func(c *model)) {
 		if possible {
@@ -230,9 +231,11 @@
 		}
 	}
 	addSuccessor(m.now < lastTick, func(c *model) { c.now++ })
-	// The leader calls Tick many times while a lease lasts. Were it once a tick, the three steps of a change would take
-	// three ticks, and leases of two would be over whatever the leader did.
-	addSuccessor(m.ledger.Pending() != nil, func(c *model) { c.apply(c.mutableTable().Tick(tickTime(c.now), c.ledger)) })
+	// The leader can call Tick many times per tick of the model. With one call per tick, the three steps of a change
+	// would take three ticks, and all leases of two ticks would have expired regardless of the leader's decisions.
+	addSuccessor(m.ledger.Pending() != nil, func(c *model) {
+		c.apply(c.mutableTable().Tick(tickTime(c.now), c.ledger))
+	})
 	for i, message := range m.messages {
 		switch message.kind {
 		case noMessage:
@@ -250,20 +253,20 @@
 	return all
 }
 
-// send has a sidecar send its request.
+// send sends a sidecar's request.
 func (m *model) send(i int) {
 	m.messages[i] = message{kind: requestMessage, sent: m.now, request: m.holders[i].Request()}
 	m.lastRequests[i] = m.now
 }
 
-// respond has the leader answer a sidecar's request.
+// respond makes the leader respond to a sidecar's request.
 func (m *model) respond(i int) {
 	response, write := m.mutableTable().Renew(tickTime(m.now), m.ledger, m.messages[i].request)
 	m.apply(write)
 	m.messages[i] = message{kind: responseMessage, sent: m.messages[i].sent, response: response}
 }
 
-// receive has a sidecar apply its response, and check a document at once.
+// receive makes a sidecar apply its response, and immediately check the document to be checked.
 func (m *model) receive(i int) {
 	arrived := m.messages[i]
 	m.messages[i] = message{}
@@ -273,20 +276,20 @@
 	}
 }
 
-// lose drops a sidecar's message.
+// lose drops the message of a sidecar.
 func (m *model) lose(i int) {
 	m.losses--
 	m.messages[i] = message{}
 }
 
-// crash has a new process take a sidecar's place.
+// crash replaces a sidecar's process by a new one.
 func (m *model) crash(i int) {
 	m.crashes--
 	m.messages[i] = message{}
 	m.startProcess(i)
 }
 
-// changeLeader begins another term. Requests that the former leader has not answered are lost.
+// changeLeader starts a new term. Requests that the former leader has not responded to are lost.
 func (m *model) changeLeader() {
 	m.crashes--
 	m.term++
@@ -298,7 +301,7 @@
 	}
 }
 
-// propose writes a proposal on top of the policy in force.
+// propose appends a proposal that follows the policy in force.
 func (m *model) propose() {
 	m.changes--
 	m.apply([]Entry{{Propose: &Proposal{
@@ -309,7 +312,7 @@
 	}}})
 }
 
-// violation says which guarantee the state breaks, "" for none.
+// violation describes the guarantee that the state violates, "" if none.
 func (m *model) violation() string {
 	serving := map[uint64]bool{}
 	for _, h := range m.holders {
@@ -319,12 +322,12 @@
 	}
 	for number := range serving {
 		if number < m.highest {
-			return fmt.Sprintf("policy %d is served after %d", number, m.highest)
+			return fmt.Sprintf("policy %d is served after policy %d", number, m.highest)
 		}
 		m.highest = max(m.highest, number)
 	}
 	if len(serving) > 1 {
-		return fmt.Sprintf("%v are served at once", slices.Sorted(maps.Keys(serving)))
+		return fmt.Sprintf("policies %v are served at the same time", slices.Sorted(maps.Keys(serving)))
 	}
 	return ""
 }
--- a/internal/fleet/policy/simulation_test.go
+++ b/internal/fleet/policy/simulation_test.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// simulation steps leaders and sidecars in simulated time. Consensus is a list that only the leader of the latest
-// term can append to. Clocks run apart; messages get lost, and arrive late and in any order; leaders change, pause,
-// and answer long after they were confirmed; sidecars pause, crash and come back.
+// simulation runs leaders and sidecars in simulated time. The replicated log is a list to which only the leader of the
+// latest term can append. Clocks drift. Messages are lost, delayed and reordered. Leaders change, pause, and respond
+// long after their leadership was confirmed. Sidecars pause, crash and restart.
 type simulation struct {
 	rng          *rand.Rand
 	terms        Terms
-	now          time.Duration // real
+	now          time.Duration // real time, not of a host's clock
 	term         uint64
 	log          []Entry
-	cachedLedger *Ledger // of the first applied entries
+	cachedLedger *Ledger // after the first applied entries
 	applied      int
 	leaders      []*leader
 	sidecars     []*sidecar
-	queue        []event // by time
+	queue        []event // sorted by time
 	faulty       bool
 	violations   []string
-	firstServed  []time.Duration // by number
+	firstServed  []time.Duration // by policy number
 	states       map[string]State
-	// Checks of running sidecars, and those of them in which the sidecar served.
+	// Number of checks of running sidecars, and of those in which the sidecar served.
 	checks, servingChecks int
 	longestGap            time.Duration
 	lastServing           map[int]time.Duration
@@ -37,7 +37,7 @@
 	do func()
 }
 
-// clock is that of one host: it runs up to the drift faster than real time.
+// clock is the clock of one host. It runs faster than real time by up to Terms.Drift.
 type clock struct {
 	rate   float64
 	offset time.Duration
@@ -59,19 +59,19 @@
 	holder      *Holder
 	down        bool
 	pausedUntil time.Duration
-	cutUntil    time.Duration // off the network
+	cutUntil    time.Duration // partitioned until then
 	lastRequest time.Duration
-	rejects     map[uint64]bool // documents that it finds a fault in
+	rejects     map[uint64]bool // by number, documents in which the sidecar finds a fault
 }
 
 const (
 	stepLength   = 5 * time.Millisecond
-	maxDelay     = 40 * time.Millisecond // of most messages
-	maxLateDelay = 4 * time.Second       // of the others: longer than a lease
-	maxPause     = 5 * time.Second       // of a leader that has confirmed that it leads
+	maxDelay     = 40 * time.Millisecond // of 9 in 10 messages
+	maxLateDelay = 4 * time.Second       // of the other messages: longer than a lease
+	maxPause     = 5 * time.Second       // of a leader after the confirmation of its leadership
 	maxFault     = 6 * time.Second
-	writeDelay   = 20 * time.Millisecond // to the log, at most
-	checkDelay   = 20 * time.Millisecond // of a document, at most
+	writeDelay   = 20 * time.Millisecond // maximum delay of a write to the log
+	checkDelay   = 20 * time.Millisecond // maximum duration of the check of a document
 )
 
 func newSimulation(seed uint64, sidecars int, faulty bool) *simulation {
@@ -92,7 +92,7 @@
 	return w
 }
 
-// draw returns a duration below a limit.
+// draw returns a random duration below a limit.
 func (w *simulation) draw(limit time.Duration) time.Duration {
 	return time.Duration(w.rng.Int64N(int64(limit)))
 }
@@ -107,7 +107,7 @@
 	s.holder = NewHolder(fmt.Sprint("n", s.index), s.incarnation, w.terms)
 }
 
-// elect begins a term with a new leader. The two before it go on, deposed.
+// elect starts a term with a new leader. The two leaders before it continue to run, deposed.
 func (w *simulation) elect() {
 	w.term++
 	l := &leader{clock: w.clock(), term: w.term}
@@ -120,7 +120,7 @@
 
 func (w *simulation) leader() *leader { return w.leaders[len(w.leaders)-1] }
 
-// ledger is what the log comes to now. Later entries do not change it.
+// ledger returns the ledger after all entries of the log. Later entries do not change it.
 func (w *simulation) ledger() *Ledger {
 	if w.cachedLedger == nil || w.applied < len(w.log) {
 		l := NewLedger([]byte("first"))
@@ -139,7 +139,7 @@
 	w.queue = slices.Insert(w.queue, i, event{at, do})
 }
 
-// networkDelay draws how long a message takes; false: it gets lost.
+// networkDelay returns a random delay of a message, and false if the message is lost.
 func (w *simulation) networkDelay() (time.Duration, bool) {
 	if !w.faulty {
 		return w.draw(5 * time.Millisecond), true
@@ -151,7 +151,7 @@
 	return d, w.rng.IntN(5) > 0
 }
 
-// appendEntries has a leader append to the log, if it still leads when the entries arrive.
+// appendEntries appends entries to the log after a delay, if the leader has not been deposed by then.
 func (w *simulation) appendEntries(l *leader, entries []Entry) {
 	for _, e := range entries {
 		w.schedule(w.draw(writeDelay), func() {
@@ -162,11 +162,11 @@
 	}
 }
 
-// exchange is a request on its way to a leader and back.
+// exchange is a lease request and its response.
 type exchange struct {
 	*sidecar
 	incarnation uint64
-	sent        Time // by the sidecar's clock
+	sent        Time // on the sidecar's clock
 	request     LeaseRequest
 	leader      *leader
 }
@@ -180,7 +180,7 @@
 	}
 }
 
-// arrive has a leader, which may be deposed, confirm that it leads before it answers.
+// arrive delivers a request to a leader, which may be deposed and has to confirm its leadership before it responds.
 func (w *simulation) arrive(x *exchange) {
 	x.leader = w.leaders[w.rng.IntN(len(w.leaders))]
 	if !w.faulty {
@@ -191,7 +191,7 @@
 	}
 }
 
-// confirm goes on with a request if a majority says that the leader is not deposed. It may pause before it answers.
+// confirm continues a request if the leader is not deposed. The leader may pause before it responds.
 func (w *simulation) confirm(x *exchange) {
 	if x.leader.term != w.term {
 		return
@@ -204,7 +204,8 @@
 	w.schedule(pause, func() { w.respond(x, confirmed) })
 }
 
-// respond answers by the ledger of now, or, by a leader deposed meanwhile, by that of when it was confirmed.
+// respond sends the response. The leader uses the current ledger, or if it has been deposed since, the ledger at the
+// time of its confirmation.
 func (w *simulation) respond(x *exchange, confirmed *Ledger) {
 	ledger := confirmed
 	if x.leader.term == w.term {
@@ -218,7 +219,8 @@
 	}
 }
 
-// deliver has the process that sent a request apply the response, unless it has ended. A paused one does so later.
+// deliver applies the response in the process that sent the request, unless that has ended. If the process is paused,
+// it applies the response after the pause.
 func (w *simulation) deliver(x *exchange, response LeaseResponse) {
 	s := x.sidecar
 	if s.incarnation != x.incarnation || s.down {
@@ -245,7 +247,7 @@
 	})
 }
 
-// step moves time on by a step, does what is due, and checks all guarantees.
+// step advances the time by stepLength, runs the events that are due, and checks all guarantees.
 func (w *simulation) step() {
 	w.now += stepLength
 	for len(w.queue) > 0 && w.queue[0].at <= w.now {
@@ -292,7 +294,7 @@
 		w.longestGap = max(w.longestGap, w.now-w.lastServing[s.index])
 	}
 	if len(serving) > 1 {
-		w.recordViolation("served %v", serving)
+		w.recordViolation("policies served at the same time, with their sidecars: %v", serving)
 	}
 	for number := range serving {
 		if w.firstServed[number] == 0 {
@@ -300,19 +302,19 @@
 		}
 		for _, later := range w.firstServed[number+1:] {
 			if later > 0 {
-				w.recordViolation("policy %d is served after a later one", number)
+				w.recordViolation("policy %d is served after a later policy", number)
 			}
 		}
 	}
 	for _, o := range w.ledger().Outcomes() {
 		if before := w.states[o.ID]; contradicts(before, o.State) {
-			w.recordViolation("change %s was %v and is %v", o.ID, before, o.State)
+			w.recordViolation("the state of change %s went from %v to %v", o.ID, before, o.State)
 		}
 		w.states[o.ID] = o.State
 	}
 }
 
-// contradicts says whether an outcome that had one state must not have the other later.
+// contradicts reports whether a change must not go from state before to state now.
 func contradicts(before, now State) bool {
 	switch before {
 	case Refused, InForce:
@@ -324,7 +326,7 @@
 	}
 }
 
-// injectFault draws a fault and how long it lasts.
+// injectFault injects a random fault of random duration.
 func (w *simulation) injectFault() {
 	s := w.sidecars[w.rng.IntN(len(w.sidecars))]
 	until := w.now + w.draw(maxFault)
@@ -351,7 +353,7 @@
 	}
 }
 
-// endFaults lets all sidecars and the leader go on.
+// endFaults ends all faults of sidecars and of the leader.
 func (w *simulation) endFaults() {
 	w.faulty = false
 	for _, s := range w.sidecars {
@@ -363,7 +365,7 @@
 	w.leader().pausedUntil = 0
 }
 
-// propose writes a proposal on top of the policy in force, and returns its id.
+// propose appends a proposal that follows the policy in force, and returns its ID.
 func (w *simulation) propose(text string) string {
 	id := fmt.Sprintf("p%d", len(w.log))
 	follows := w.ledger().InForce().Number
--- a/internal/fleet/policy/wire_test.go
+++ b/internal/fleet/policy/wire_test.go
@@ -8,7 +8,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// TestEncodedForms holds what is sent, and stored in logs and snapshots, to the bytes that af0b01d wrote.
+// TestEncodedForms requires that messages, log entries and snapshots are encoded to the same bytes as by commit
+// af0b01d.
 func TestEncodedForms(t *testing.T) {
 	stored := ledgerOf(proposal("a", 1, "x"), Entry{Commit: 2}, Entry{Switch: 2}, Entry{InForce: 2},
 		proposal("b", 1, "z"), proposal("c", 2, "y"))
--- a/internal/fleet/policyagent/agent_test.go
+++ b/internal/fleet/policyagent/agent_test.go
@@ -22,7 +22,7 @@
 
 var sixSidecars = []string{"n0", "n1", "n2", "n3", "n4", "n5"}
 
-// TestSettingsCheck: Start refuses settings under which the sidecar could not take its part.
+// TestSettingsCheck requires that Start rejects invalid settings.
 func TestSettingsCheck(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
@@ -30,11 +30,11 @@
 		text   string
 	}{
 		{"terms out of bounds", func(s *Settings) { s.Terms = policy.Terms{} }, "terms"},
-		{"a voter without a folder", func(s *Settings) { s.Folder = "" }, "no folder"},
+		{"voter without folder", func(s *Settings) { s.Folder = "" }, "no folder"},
 		{"no initial policy", func(s *Settings) { s.InitialPolicy = nil }, "0 bytes"},
-		{"an initial policy too large",
+		{"initial policy too large",
 			func(s *Settings) { s.InitialPolicy = make([]byte, policy.MaxDocumentBytes+1) }, "1048577 bytes"},
-		{"an initial policy that cannot run", func(s *Settings) { s.InitialPolicy = []byte("bad") }, "no such class"},
+		{"initial policy that cannot run", func(s *Settings) { s.InitialPolicy = []byte("bad") }, "no such class"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c := newCluster(t, 0)
@@ -46,34 +46,35 @@
 				agent.Close()
 			}
 			if !errors.Is(err, ErrSettings) || !strings.Contains(err.Error(), tt.text) {
-				t.Errorf("error %v, want one that wraps %v and says %q", err, ErrSettings, tt.text)
+				t.Errorf("error %v, want one that wraps %v and contains %q", err, ErrSettings, tt.text)
 			}
 		})
 	}
 }
 
-// TestChangeReachesAll: a change proposed anywhere is in force everywhere, a further one that follows the former policy
-// is refused, the fault that one sidecar finds refuses a change for all, and documents can be fetched again.
+// TestChangeReachesAll requires that a change proposed at any sidecar is in force at all, that a change which follows
+// the former policy is refused, that a fault found by one sidecar refuses a change for all, and that outcomes and
+// documents can be fetched later.
 func TestChangeReachesAll(t *testing.T) {
 	c := newCluster(t, 6)
 	c.waitAllServe(1, sixSidecars...)
 	if number := c.proposeInForce("n4", "c1", 1, "second"); number != 2 {
-		t.Fatalf("the change has number %d", number)
+		t.Fatalf("the change has number %d, want 2", number)
 	}
 	c.waitAllServe(2, sixSidecars...)
 	o := c.propose("n5", "c2", 1, "other")
 	if o.State != policy.Refused || !strings.Contains(o.Reason, "2 is in force") {
-		t.Errorf("%+v of one that follows the former policy", o)
+		t.Errorf("change that follows the former policy: %+v", o)
 	}
 	c.withLock(func() { c.faults["n3"] = "class x has no effect" })
 	o = c.propose("n0", "c3", 2, "bad")
 	if o.State != policy.Refused || !strings.Contains(o.Reason, "n3: class x has no effect") {
-		t.Errorf("%+v, one finds a fault", o)
+		t.Errorf("change in which one sidecar finds a fault: %+v", o)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if o := c.agent("n5").Outcome(ctx, "c1"); o.State != policy.InForce {
-		t.Errorf("asked for again: %+v", o)
+		t.Errorf("outcome fetched later: %+v", o)
 	}
 	for number, want := range map[uint64]string{0: "second", 1: "first", 2: "second"} {
 		if d, err := c.agent("n4").Document(ctx, number); err != nil || string(d.Text) != want {
@@ -93,9 +94,9 @@
 	c.checkNoOverlap()
 }
 
-// TestPartitionedSidecar: a sidecar that is partitioned during a change stops by itself before the others begin with
-// the new policy, and serves again once it has learnt of it. One that is set to serve without a lease does, and says
-// so.
+// TestPartitionedSidecar requires that a sidecar that is partitioned during a change stops serving before the others
+// serve under the new policy, and serves again after it has received the new policy. With ServeWithoutLease a sidecar
+// must continue to serve and report that in its status.
 func TestPartitionedSidecar(t *testing.T) {
 	c := newCluster(t, 5)
 	c.start("n5", true)
@@ -104,10 +105,10 @@
 	c.proposeInForce("n3", "c1", 1, "second")
 	c.waitAllServe(2, sixSidecars[:4]...)
 	if _, _, ok := c.agent("n4").Serves(); ok {
-		t.Error("one that is partitioned serves on")
+		t.Error("a partitioned sidecar continues to serve")
 	}
 	if n, _, ok := c.agent("n5").Serves(); !ok || n != 1 {
-		t.Errorf("one that is to serve on: %d, %v", n, ok)
+		t.Errorf("with ServeWithoutLease: serves under %d, %v; want policy 1", n, ok)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -119,8 +120,8 @@
 	c.checkNoOverlap()
 }
 
-// TestVotersLost: with one of three voters lost, changes go on; with two, serving ends with the leases, and goes on
-// when they come back with their folders. What was in force still is.
+// TestVotersLost requires that changes continue with one of three voters down. With two down, serving must end when the
+// leases expire, and resume when the voters restart with their folders. The policy in force must be preserved.
 func TestVotersLost(t *testing.T) {
 	c := newCluster(t, 5)
 	five := sixSidecars[:5]
@@ -128,12 +129,12 @@
 	c.kill("n0")
 	c.proposeInForce("n4", "c1", 1, "second")
 	c.kill("n1")
-	c.waitUntil("leases end", func() bool { _, _, ok := c.agent("n4").Serves(); return !ok })
+	c.waitUntil("leases expire", func() bool { _, _, ok := c.agent("n4").Serves(); return !ok })
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	o := c.agent("n4").Propose(ctx, policy.Proposal{ID: "c2", Follows: 2, Text: []byte("third")})
 	if o.State == policy.InForce || o.State == policy.Refused {
-		t.Errorf("with two lost: %+v", o)
+		t.Errorf("change with two voters down: %+v", o)
 	}
 	c.start("n0", false)
 	c.start("n1", false)
@@ -141,8 +142,8 @@
 	c.checkNoOverlap()
 }
 
-// TestChangesUnderFaults proposes one change after another while calls get lost and sidecars, voters too, are
-// partitioned and started anew.
+// TestChangesUnderFaults proposes a sequence of changes while calls are lost, and sidecars including voters are
+// partitioned or restarted.
 func TestChangesUnderFaults(t *testing.T) {
 	c := newCluster(t, 6)
 	c.waitAllServe(1, sixSidecars...)
@@ -163,7 +164,7 @@
 			at = sixSidecars[(rng.IntN(len(sixSidecars)-1)+1+int(faulty[1]-'0'))%len(sixSidecars)]
 		}
 		if o := c.propose(at, fmt.Sprint("c", i), inForce, fmt.Sprint("text ", i)); o.State != policy.InForce {
-			t.Errorf("change %d, proposed at %s with faults at %s: %+v", i, at, faulty, o)
+			t.Errorf("change %d, proposed at %s during a fault at %s: %+v", i, at, faulty, o)
 		} else {
 			inForce = o.Number
 		}
@@ -174,8 +175,8 @@
 	c.checkNoOverlap()
 }
 
-// TestRaisedIncarnation has the fleet give a sidecar a higher incarnation, and then a lower one: it requests leases
-// under the highest.
+// TestRaisedIncarnation assigns a higher incarnation to a sidecar, and then a lower one. The sidecar must request
+// leases with the highest.
 func TestRaisedIncarnation(t *testing.T) {
 	c := newCluster(t, 1)
 	agent := c.agent("n0")
@@ -185,12 +186,12 @@
 		got := agent.holder.Request().Incarnation
 		agent.mu.Unlock()
 		if got != 7 {
-			t.Errorf("raised to %d: it requests under incarnation %d, want 7", incarnation, got)
+			t.Errorf("after RaiseIncarnation(%d): request with incarnation %d, want 7", incarnation, got)
 		}
 	}
 }
 
-// logChannel passes on what is logged.
+// logChannel is an io.Writer that sends log lines to a channel.
 type logChannel chan string
 
 func (l logChannel) Write(text []byte) (int, error) {
@@ -201,9 +202,9 @@
 	return len(text), nil
 }
 
-// TestFolderFailsAtTheStart has a voter's folder fail when it is opened: the sidecar runs on, and votes once the folder
-// can be opened.
-func TestFolderFailsAtTheStart(t *testing.T) {
+// TestFolderOpenFailsAtStart makes opening a voter's folder fail with a system error. The sidecar must keep running,
+// and vote when the folder can be opened.
+func TestFolderOpenFailsAtStart(t *testing.T) {
 	c := newCluster(t, 0)
 	blocked := filepath.Join(c.dir, "n0")
 	if err := os.WriteFile(blocked, nil, 0o600); err != nil {
@@ -213,7 +214,7 @@
 	c.log = slog.NewTextHandler(logged, nil)
 	c.start("n0", false)
 	if line := <-logged; !strings.Contains(line, syscall.ENOTDIR.Error()) {
-		t.Errorf("it logs %q", line)
+		t.Errorf("log line %q, want one that contains %q", line, syscall.ENOTDIR)
 	}
 	for _, name := range voters[1:] {
 		c.start(name, false)
@@ -221,5 +222,5 @@
 	if err := os.Remove(blocked); err != nil {
 		t.Fatal(err)
 	}
-	c.waitAllServe(1, voters...) // none does before all voters are there
+	c.waitAllServe(1, voters...) // no sidecar serves until all voters are running
 }
--- a/internal/fleet/policyagent/cluster_test.go
+++ b/internal/fleet/policyagent/cluster_test.go
@@ -17,36 +17,36 @@
 
 const (
 	testTimeout   = 30 * time.Second
-	lostCallDelay = 20 * time.Millisecond // until a caller learns that its call was lost
+	lostCallDelay = 20 * time.Millisecond // until the caller of a lost call receives an error
 )
 
 var (
 	voters     = []string{"n0", "n1", "n2"}
 	shortTerms = policy.Terms{Length: 900 * time.Millisecond, ShortLength: 150 * time.Millisecond, Drift: 0.01}
-	errNetwork = errors.New("not reached")
+	errNetwork = errors.New("peer not reachable")
 )
 
-// cluster is sidecars that call each other directly, unless one is partitioned or the call gets lost.
+// cluster is a set of sidecars that call each other directly, unless one of them is partitioned or the call is lost.
 type cluster struct {
 	t     *testing.T
 	dir   string
 	terms policy.Terms
-	log   slog.Handler // of sidecars that start
+	log   slog.Handler // of sidecars started from now on
 
 	mu           sync.Mutex
 	agents       map[string]*Agent
 	incarnations map[string]uint64
 	partitioned  map[string]bool // from all others
 	lossRate     float64
-	faults       map[string]string // that a sidecar finds in documents that begin with "bad"
+	faults       map[string]string // by sidecar, found in documents with the prefix "bad"
 	begun        time.Time
-	lastServed   map[uint64]time.Duration // start of the latest observation of a policy
-	firstServed  map[uint64]time.Duration // end of the earliest one
+	lastServed   map[uint64]time.Duration // by policy, start of the latest observation
+	firstServed  map[uint64]time.Duration // by policy, end of the earliest observation
 	stop         chan struct{}
 	observers    sync.WaitGroup
 }
 
-// peer is a sidecar's way to the others.
+// peer implements Peers for one sidecar of a cluster.
 type peer struct {
 	*cluster
 	name string
@@ -94,7 +94,7 @@
 	return c
 }
 
-// settings are those of a new process of a sidecar.
+// settings returns the settings of a new process of a sidecar.
 func (c *cluster) settings(name string) Settings {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,7 +117,7 @@
 	}
 }
 
-// start starts a sidecar. What one serves without a lease is not held against the others.
+// start starts a sidecar. A sidecar with serveWithoutLease is excluded from the check for overlaps.
 func (c *cluster) start(name string, serveWithoutLease bool) {
 	c.t.Helper()
 	settings := c.settings(name)
@@ -139,7 +139,7 @@
 	}()
 }
 
-// observe notes under what a sidecar serves, as a request would find it.
+// observe records the policies under which a sidecar serves, as a request would see them.
 func (c *cluster) observe(agent *Agent) {
 	for {
 		select {
@@ -186,7 +186,7 @@
 	do()
 }
 
-// checkNoOverlap fails where two policies were served at one time.
+// checkNoOverlap fails the test if two policies were served at the same time.
 func (c *cluster) checkNoOverlap() {
 	c.t.Helper()
 	c.mu.Lock()
@@ -204,12 +204,12 @@
 	c.t.Helper()
 	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			c.t.Fatalf("never: %s", what)
+			c.t.Fatalf("timeout: %s", what)
 		}
 	}
 }
 
-// waitAllServe waits until sidecars serve under a policy.
+// waitAllServe waits until all named sidecars serve under a policy.
 func (c *cluster) waitAllServe(number uint64, names ...string) {
 	c.t.Helper()
 	what := fmt.Sprintf("%v serve under policy %d", names, number)
@@ -236,7 +236,7 @@
 	c.t.Helper()
 	outcome := c.propose(at, id, follows, text)
 	if outcome.State != policy.InForce {
-		c.t.Fatalf("%+v", outcome)
+		c.t.Fatalf("change %s is not in force: %+v", id, outcome)
 	}
 	return outcome.Number
 }
--- a/internal/fleet/policyagent/durations_test.go
+++ b/internal/fleet/policyagent/durations_test.go
@@ -13,18 +13,18 @@
 )
 
 var sizesFlag = flag.String("policyagent.sizes", "",
-	"numbers of sidecars, by commas, that TestChangeDurations times changes at")
+	"comma-separated numbers of sidecars for which TestChangeDurations measures changes")
 
-// TestChangeDurations prints how long changes take, from proposing to in force, with the usual lease: without faults,
-// with one of ten sidecars partitioned, and with a fifth of all calls lost.
+// TestChangeDurations logs the durations of changes from the proposal until they are in force, with the default terms:
+// without faults, with a fifth of all calls lost, and with one of ten sidecars partitioned.
 func TestChangeDurations(t *testing.T) {
 	if *sizesFlag == "" {
-		t.Skip("no sizes are named by -policyagent.sizes")
+		t.Skip("no sizes are set by -policyagent.sizes")
 	}
 	for _, text := range strings.Split(*sizesFlag, ",") {
 		n, err := strconv.Atoi(text)
 		if err != nil || n < 10 {
-			t.Fatalf("size %q", text)
+			t.Fatalf("size %q, want a number of at least 10", text)
 		}
 		t.Run(text, func(t *testing.T) { timeChanges(t, n) })
 	}
@@ -51,7 +51,7 @@
 		slices.Sort(took)
 		t.Logf("%d sidecars, %s: %v to %v, median %v", sidecars, what, took[0], took[len(took)-1], took[len(took)/2])
 	}
-	change("all well", "n3")
+	change("no faults", "n3")
 	c.withLock(func() { c.lossRate = 0.2 })
 	change("a fifth of the calls lost", "n4")
 	c.withLock(func() {
@@ -60,6 +60,6 @@
 			c.partitioned[all[i]] = true
 		}
 	})
-	change("one of ten silent", "n4") // the first of them waits for leases to expire
+	change("one of ten partitioned", "n4") // the first of these changes waits for leases to expire
 	c.checkNoOverlap()
 }
--- a/internal/fleet/policyagent/wire_test.go
+++ b/internal/fleet/policyagent/wire_test.go
@@ -10,7 +10,8 @@
 	"milletramp.example/milletramp/internal/fleet/policy"
 )
 
-// TestEncodedForms holds what is sent to voters and to the console to the bytes that af0b01d wrote.
+// TestEncodedForms requires that calls to voters and the status for the console are encoded to the same bytes as by
+// commit af0b01d.
 func TestEncodedForms(t *testing.T) {
 	state := VoterState{
 		Voter: "n0", Leader: "n1", NodeError: "broken", Bootstrapped: true, InForce: 2, Digest: "d",
--- a/internal/fleet/raftnode/cluster_test.go
+++ b/internal/fleet/raftnode/cluster_test.go
@@ -22,8 +22,8 @@
 
 var voterNames = []string{"a", "b", "c"}
 
-// cluster is three voters with folders on disk. Messages are lost and late; voters crash at any moment, also in the
-// midst of a write, pause, and lose their folders; and folders fail for a while.
+// cluster is three voters, and possibly standbys, with folders on disk. Messages are lost or delayed. Voters crash at
+// any time, including right after a write, pause, and lose their folders. Writes to folders fail for some time.
 type cluster struct {
 	t            *testing.T
 	random       *rand.Rand
@@ -31,26 +31,26 @@
 	now          time.Duration
 	loss         float64
 	members      map[string]*member
-	order        []string // of the members' names
+	order        []string // names of the members, in the order of their addition
 	delayed      []func()
 	leaseReplies map[uint64]consensus.LeaseReply // by token
-	outcomes     map[string]policy.Outcome       // as first seen: refused or in force
+	outcomes     map[string]policy.Outcome       // final ones, by the ID of the change
 	lastID       uint64
 }
 
 type member struct {
 	name        string
-	configured  []string // voters, by its settings
+	configured  []string // voters in its settings
 	node        *Node    // nil: down
 	log         *raftlog.Log
 	pausedUntil time.Duration
-	killAtWrite int           // of the writes to come, the one that kills it; 0: none does
-	failsUntil  time.Duration // its folder fails
+	killAtWrite int           // number of writes until it is killed; 0: it is not
+	failsUntil  time.Duration // until then, writes to its folder fail
 	logOutput   *bytes.Buffer
 }
 
-// faultyStorage is a folder that fails for a while, of a process that is killed behind one of its writes, before it can
-// send anything.
+// faultyStorage is a folder whose writes fail for some time. It can also kill its process right after a write, before
+// the process can send a message.
 type faultyStorage struct {
 	*raftlog.Log
 	cluster *cluster
@@ -82,7 +82,7 @@
 	return s.write(func() error { return s.Log.Compact(image) })
 }
 
-// newCluster returns a cluster whose voters are all down. It is closed when the test ends.
+// newCluster returns a cluster whose voters are all down. All members are killed when the test ends.
 func newCluster(t *testing.T, seed uint64) *cluster {
 	c := &cluster{
 		t:            t,
@@ -114,17 +114,17 @@
 
 func (c *cluster) folder(name string) string { return filepath.Join(c.dir, name) }
 
-// add adds a member that is down.
+// add adds a member without starting it.
 func (c *cluster) add(name string, configured []string) *member {
 	c.members[name] = &member{name: name, configured: configured, logOutput: &bytes.Buffer{}}
 	c.order = append(c.order, name)
 	return c.members[name]
 }
 
-// randomVoter returns one of the first voters.
+// randomVoter returns a random one of the initial voters.
 func (c *cluster) randomVoter() *member { return c.members[voterNames[c.random.IntN(len(voterNames))]] }
 
-// loseFolder has a member return without its folder.
+// loseFolder restarts a member without its folder.
 func (c *cluster) loseFolder(name string) {
 	c.kill(c.members[name])
 	if err := os.RemoveAll(c.folder(name)); err != nil {
@@ -133,7 +133,7 @@
 	c.start(c.members[name])
 }
 
-// leader is the member that leads and answers; nil: none does.
+// leader returns the running member that is the leader, or nil if there is none.
 func (c *cluster) leader() *member {
 	for _, name := range c.order {
 		if m := c.members[name]; m.node != nil && m.pausedUntil <= c.now && m.node.Leader() == m.name {
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// replace has the leader replace a voter, and tells whether that has begun.
+// replace makes the leader replace a voter, and reports whether the replacement has begun.
 func (c *cluster) replace(outgoing, incoming string) (begun bool) {
 	if m := c.leader(); m != nil {
 		c.run(m, func(n *Node) { begun = n.Replace(c.now, outgoing, incoming) == nil })
@@ -151,7 +151,8 @@
 	return begun
 }
 
-// settled tells whether the leader knows of no replacement under way, and each voter has the folder that it counts on.
+// settled reports whether no replacement is in progress at the leader, and each voter runs with the folder whose ID the
+// leader has recorded.
 func (c *cluster) settled() bool {
 	m := c.leader()
 	if m == nil {
@@ -167,7 +168,7 @@
 	return settled
 }
 
-// start starts a member, unless it is up.
+// start starts a member that is down.
 func (c *cluster) start(m *member) {
 	if m.node != nil {
 		return
@@ -205,7 +206,7 @@
 	m.node, m.killAtWrite = nil, 0
 }
 
-// endFaults ends all faults, and starts who is down.
+// endFaults ends all faults and starts all members that are down.
 func (c *cluster) endFaults() {
 	c.loss = 0
 	for _, m := range c.members {
@@ -214,8 +215,8 @@
 	c.startAll()
 }
 
-// run has a member take in an event, unless it is paused, and does what follows from that. It fails the test where a
-// member that is suspended sends anything.
+// run passes an event to a member that is neither down nor paused, and performs the resulting actions. It fails the
+// test if a suspended member sends a message.
 func (c *cluster) run(m *member, do func(*Node)) {
 	if m.node == nil || m.pausedUntil > c.now {
 		return
@@ -224,7 +225,7 @@
 	do(m.node)
 	out := m.node.TakeActions()
 	if suspended && m.node.Err() != nil && len(out.Send) > 0 {
-		c.t.Fatalf("%s sends %d messages while it is suspended", m.name, len(out.Send))
+		c.t.Fatalf("%s sent %d messages while suspended", m.name, len(out.Send))
 	}
 	if errors.Is(m.node.Err(), errKilled) {
 		c.kill(m)
@@ -238,11 +239,12 @@
 	}
 }
 
-// send delivers a message, unless it is lost or late.
+// send delivers, delays or drops a message.
 func (c *cluster) send(msg Message) {
 	deliver := func() {
 		c.run(c.members[msg.To], func(n *Node) {
-			// What former incarnations and other groups have sent is still under way, and refused.
+			// Messages from earlier incarnations and from other groups may still arrive, and are rejected with an
+			// error.
 			_ = n.Receive(c.now, msg.Payload)
 		})
 	}
@@ -255,7 +257,7 @@
 	}
 }
 
-// step is a tick of all members. It fails the test where a final outcome contradicts another.
+// step runs a tick of all members. It fails the test if two final outcomes of a change differ.
 func (c *cluster) step() {
 	c.now += consensus.TickInterval
 	for _, name := range c.order {
@@ -281,7 +283,7 @@
 			continue
 		}
 		if was, seen := c.outcomes[o.ID]; seen && was != o {
-			c.t.Fatalf("change %s: %+v, and at %s %+v", o.ID, was, m.name, o)
+			c.t.Fatalf("change %s: first outcome %+v, outcome at %s %+v", o.ID, was, m.name, o)
 		}
 		c.outcomes[o.ID] = o
 	}
@@ -293,7 +295,7 @@
 	}
 }
 
-// propose proposes a change at the leader, and returns its ID; "": there is no leader.
+// propose proposes a change at the leader and returns its ID, or "" if no leader has accepted it.
 func (c *cluster) propose() (id string) {
 	m := c.leader()
 	if m == nil {
@@ -311,28 +313,28 @@
 	return id
 }
 
-// requireChange has a change come into force, and fails the test where it does not.
+// requireChange proposes a change, and fails the test if it does not come into force.
 func (c *cluster) requireChange(when string) {
 	c.t.Helper()
 	id := c.propose()
 	c.steps(200)
 	if id == "" || c.outcomes[id].State != policy.InForce {
-		c.t.Fatalf("%s: change %q: %+v", when, id, c.outcomes[id])
+		c.t.Fatalf("%s: change %q is not in force: %+v", when, id, c.outcomes[id])
 	}
 }
 
-// requireInForceEverywhere has a change come into force, and fails the test where a member is not up or does not have
-// it in force.
+// requireInForceEverywhere proposes a change, and fails the test if a member is not running or does not have the change
+// in force.
 func (c *cluster) requireInForceEverywhere() {
 	c.t.Helper()
 	id := c.propose()
 	c.steps(200)
 	for _, m := range c.members {
 		if m.node.Err() != nil || m.node.Ledger() == nil {
-			c.t.Fatalf("%s: %v, ledger %v", m.name, m.node.Err(), m.node.Ledger())
+			c.t.Fatalf("%s: error %v, ledger %v", m.name, m.node.Err(), m.node.Ledger())
 		}
 		if o := m.node.Ledger().Outcome(id); id == "" || o.State != policy.InForce {
-			c.t.Errorf("%s: the last change %q is %v (%s)", m.name, id, o.State, o.Reason)
+			c.t.Errorf("%s: last change %q has state %v (reason %q)", m.name, id, o.State, o.Reason)
 		}
 	}
 }
--- a/internal/fleet/raftnode/node_test.go
+++ b/internal/fleet/raftnode/node_test.go
@@ -9,11 +9,12 @@
 	"milletramp.example/milletramp/internal/fleet/policy"
 )
 
-var seeds = flag.Int("raftnode.plays", 5, "drawn runs of TestCrashAnywhere; TestReplaceVoterAnywhere has twice as many")
+var seeds = flag.Int("raftnode.plays", 5,
+	"number of seeds for TestCrashAnywhere; TestReplaceVoterAnywhere uses twice as many")
 
-// TestCrashAnywhere has three voters on disk crash at any moment, behind any write, and their folders fail for a while:
-// no outcome that was ever seen is contradicted, they are of one group, and once the faults are over changes come into
-// force.
+// TestCrashAnywhere crashes three voters at random times and after random writes, and makes writes to their folders
+// fail for some time. No final outcome may be contradicted, all voters must be in one group, and after the faults a
+// change must come into force.
 func TestCrashAnywhere(t *testing.T) {
 	for seed := range uint64(*seeds) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -31,13 +32,13 @@
 				groups[m.node.bootstrapper.Bootstrap().GroupID()] = true
 			}
 			if len(groups) != 1 {
-				t.Errorf("%d groups", len(groups))
+				t.Errorf("%d groups, want 1", len(groups))
 			}
 		})
 	}
 }
 
-// injectFault has a drawn fault happen to a member, or ends one, or proposes a change.
+// injectFault injects a random fault at a member, restarts the member, proposes a change, or does nothing.
 func (c *cluster) injectFault(m *member) {
 	switch c.random.IntN(30) {
 	case 0, 1:
@@ -55,68 +56,69 @@
 	}
 }
 
-// TestFolderLost: a voter that returns with an empty folder is a standby, and the others go on. It is the same with a
-// majority of them, after which nobody can say what was committed: nothing comes into force any more.
+// TestFolderLost requires that a voter that restarts with an empty folder becomes a standby, and the others continue.
+// After a majority has lost its folders, the committed entries are unknown, so no further change may come into force.
 func TestFolderLost(t *testing.T) {
 	c := newRunningCluster(t, 1)
 	first := c.propose()
 	c.steps(150)
 	if c.outcomes[first].State != policy.InForce {
-		t.Fatalf("%+v", c.outcomes[first])
+		t.Fatalf("first change is not in force: %+v", c.outcomes[first])
 	}
 	c.loseFolder("c")
 	c.steps(100)
 	if n := c.members["c"].node; !n.IsStandby() || n.Ledger() != nil {
-		t.Errorf("without its folder it is a standby: %v, ledger %v", n.IsStandby(), n.Ledger())
+		t.Errorf("c without its folder: standby %v, ledger %v", n.IsStandby(), n.Ledger())
 	}
 	second := c.propose()
 	c.steps(150)
 	if c.outcomes[second].State != policy.InForce {
-		t.Errorf("the others do not go on: %+v", c.outcomes[second])
+		t.Errorf("change among the other voters is not in force: %+v", c.outcomes[second])
 	}
 	c.loseFolder("b")
 	c.steps(200)
 	if n := c.members["b"].node; !n.IsStandby() || n.Ledger() != nil {
-		t.Errorf("the second without its folder is a standby: %v, ledger %v", n.IsStandby(), n.Ledger())
+		t.Errorf("b without its folder: standby %v, ledger %v", n.IsStandby(), n.Ledger())
 	}
 	if id := c.propose(); id != "" && c.outcomes[id].State == policy.InForce {
-		t.Errorf("%+v with one folder of three", c.outcomes[id])
+		t.Errorf("change with one folder of three: %+v", c.outcomes[id])
 	}
 	a := c.members["a"].node
 	if a.Err() != nil || a.Ledger().Outcome(second).State != policy.InForce {
-		t.Errorf("the one that has its folder: %v, %v", a.Err(), a.Ledger().Outcome(second))
+		t.Errorf("a, which has its folder: error %v, outcome %v", a.Err(), a.Ledger().Outcome(second))
 	}
 	a.RequestLease(c.now, 7, policy.LeaseRequest{Sidecar: "n1", Incarnation: 1})
 	c.steps(100)
 	if got, ok := c.leaseReplies[7]; ok && got.Err == nil {
-		t.Errorf("one of three grants a lease: %+v", got.Grant)
+		t.Errorf("lease granted by one voter of three: %+v", got.Grant)
 	}
 }
 
-// TestRejectMalformedMessages: what is no message is an error, in a group and before there is one, and stops nothing.
+// TestRejectMalformedMessages requires that a malformed message causes an error and does not stop the node, both before
+// a group exists and in a group.
 func TestRejectMalformedMessages(t *testing.T) {
 	c := newCluster(t, 2)
 	c.startAll()
-	for _, state := range []string{"before there is a group", "in a group"} {
+	for _, state := range []string{"before a group exists", "in a group"} {
 		for _, tt := range []struct {
 			name    string
 			message []byte
 		}{
 			{"empty", nil},
 			{"one byte", []byte{1}},
-			{"text", []byte("who is there")},
+			{"text", []byte("plain text")},
 			{"zeros", make([]byte, 5000)},
 			{"too long", make([]byte, maxMessageBytes+1)},
 		} {
 			t.Run(state+"/"+tt.name, func(t *testing.T) {
 				if err := c.members["a"].node.Receive(c.now, tt.message); err == nil {
-					t.Errorf("%d bytes are accepted", len(tt.message))
+					t.Errorf("message of %d bytes accepted", len(tt.message))
 				}
 			})
 		}
 		c.steps(100)
 	}
 	if err := c.members["a"].node.Err(); err != nil || c.propose() == "" {
-		t.Errorf("the group does not go on: %v", err)
+		t.Errorf("the group does not accept changes: %v", err)
 	}
 }
--- a/internal/fleet/raftnode/replace_test.go
+++ b/internal/fleet/raftnode/replace_test.go
@@ -10,11 +10,12 @@
 	"milletramp.example/milletramp/internal/fleet/consensus"
 )
 
-// TestReplaceVoter: a voter that has lost its folder replaces its former self, and others of other names replace one
-// that is gone for good and the leader, while changes go on; each counts from then on, and who was replaced does not.
+// TestReplaceVoter replaces a voter that has lost its folder by a voter with the same name, then a voter that is down
+// and the leader by sidecars with other names. Changes must continue to come into force. Each new voter must count for
+// a majority from then on, and a replaced voter must not.
 func TestReplaceVoter(t *testing.T) {
 	c := newRunningCluster(t, 3)
-	c.requireChange("all there")
+	c.requireChange("all voters running")
 	c.checkReplaceFormerSelf()
 	c.checkReplaceByAnother()
 	for _, name := range []string{"a", "c", "d"} {
@@ -24,25 +25,25 @@
 	c.checkReplaceLeader([]string{"a", "c", "d"})
 }
 
-// checkReplaceFormerSelf has c, of a, b and c, lose its folder and replace its former self.
+// checkReplaceFormerSelf makes voter c lose its folder, and replaces it by the new c.
 func (c *cluster) checkReplaceFormerSelf() {
 	c.t.Helper()
 	c.loseFolder("c")
 	if c.replace("c", "c") {
-		c.t.Error("one that has sent no hello replaces a voter")
+		c.t.Error("replaced a voter by a sidecar that has sent no hello")
 	}
 	c.steps(100)
 	for _, tt := range []struct{ name, outgoing, incoming string }{
-		{"one that is no voter", "x", "c"},
+		{"a sidecar that is not a voter", "x", "c"},
 		{"a voter by another voter", "a", "b"},
-		{"a voter by one that has sent no hello", "c", "d"},
+		{"a voter by a sidecar that has sent no hello", "c", "d"},
 	} {
 		if c.replace(tt.outgoing, tt.incoming) {
 			c.t.Errorf("replaced %s", tt.name)
 		}
 	}
 	if !c.replace("c", "c") || c.replace("c", "c") {
-		c.t.Fatal("c does not replace its former self, or does so twice at once")
+		c.t.Fatal("c does not replace its former self, or is replaced twice at once")
 	}
 	c.steps(100)
 	if got, settled := c.leader().node.Voters(); !settled || !slices.Equal(got, voterNames) || !c.settled() {
@@ -50,10 +51,10 @@
 	}
 	c.kill(c.members["b"]) // so that c is needed for a majority
 	c.steps(100)
-	c.requireChange("a and the c that lost its folder")
+	c.requireChange("a and the new c")
 }
 
-// checkReplaceByAnother has d replace b, which is down.
+// checkReplaceByAnother replaces b, which is down, by d.
 func (c *cluster) checkReplaceByAnother() {
 	c.t.Helper()
 	c.start(c.add("d", []string{"a", "c", "d"}))
@@ -65,18 +66,19 @@
 	c.kill(c.members["a"])
 	c.steps(100)
 	c.requireChange("c and d")
-	c.start(c.members["b"]) // it knows nothing of all that, and in its configuration one other makes a majority
+	// b is not aware of the replacements, and in its settings b and one other voter are a majority.
+	c.start(c.members["b"])
 	c.kill(c.members["c"])
 	c.steps(200)
 	if m := c.leader(); m != nil {
-		c.t.Errorf("%s leads with one voter of three there", m.name)
+		c.t.Errorf("%s is the leader with one of three voters running", m.name)
 	}
 	c.start(c.members["c"])
 	c.steps(200)
-	c.requireChange("c and d again")
+	c.requireChange("c and d after the restart of c")
 }
 
-// checkReplaceLeader has a standby with an empty folder, whose settings do not name the leader, replace it.
+// checkReplaceLeader replaces the leader by a standby with an empty folder whose settings do not include the leader.
 func (c *cluster) checkReplaceLeader(voters []string) {
 	c.t.Helper()
 	leader := c.leader().name
@@ -84,21 +86,21 @@
 	c.start(c.add("e", append(others, "e")))
 	c.steps(100)
 	if now := c.leader(); now == nil || now.name != leader {
-		c.t.Fatalf("%v leads, with nothing amiss; %s did", now, leader)
+		c.t.Fatalf("leader %v without any fault, want %s", now, leader)
 	}
 	if !c.replace(leader, "e") {
-		c.t.Fatalf("e does not replace %s, which leads", leader)
+		c.t.Fatalf("e does not replace the leader %s", leader)
 	}
 	c.steps(200)
 	c.requireChange("without the former leader")
 	if err := c.members[leader].node.Err(); !errors.Is(err, consensus.ErrReplaced) {
-		c.t.Errorf("%s, which was replaced: %v", leader, err)
+		c.t.Errorf("replaced voter %s: error %v", leader, err)
 	}
 }
 
-// TestReplaceVoterAnywhere has voters lose their folders one after another and replace their former selves, while any
-// crash behind any write, pause, and messages are lost: no outcome is contradicted, and in the end all are there again
-// and changes go on.
+// TestReplaceVoterAnywhere makes random voters lose their folders, one at a time, and replaces them by voters with the
+// same names, while voters crash after random writes or pause, and messages are lost. No final outcome may be
+// contradicted. In the end all voters must be members again and a change must come into force.
 func TestReplaceVoterAnywhere(t *testing.T) {
 	replaced := 0
 	for seed := range uint64(2 * *seeds) {
@@ -122,17 +124,18 @@
 			c.steps(100)
 			c.requireInForceEverywhere()
 			if !c.settled() {
-				t.Error("not all are there again")
+				t.Error("not all voters are members again")
 			}
 		})
 	}
 	if replaced < *seeds {
-		t.Errorf("%d voters were replaced in %d runs: too few to show anything", replaced, 2**seeds)
+		t.Errorf("%d voters were replaced in %d runs, too few for a conclusive test", replaced, 2**seeds)
 	}
 }
 
-// injectFaultOrReplace has a drawn fault happen to a member, or ends one, or proposes a change; replaced tells whether the
-// member has replaced its former self. Folders are lost one at a time: with two lost nobody can say what was committed.
+// injectFaultOrReplace injects a random fault at a member, restarts or replaces the member, or proposes a change.
+// replaced reports whether the member replaces its former self. Only one folder is lost at a time, because with two
+// lost folders the committed entries are unknown.
 func (c *cluster) injectFaultOrReplace(m *member) (replaced bool) {
 	switch c.random.IntN(40) {
 	case 0:
--- a/internal/fleet/transport/receive_test.go
+++ b/internal/fleet/transport/receive_test.go
@@ -22,8 +22,9 @@
 // Snapshot implements Handler.
 func (*countingHandler) Snapshot(context.Context) ([]byte, error) { return nil, nil }
 
-// TestReceiveFails has receiving fail for a while: it goes on, and the processor is not used up meanwhile.
-func TestReceiveFails(t *testing.T) {
+// TestReceiveErrors makes reads from the socket fail for some time. The read loop must continue, and pause after each
+// failure instead of using all processor time.
+func TestReceiveErrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		calls, h, begun := 0, &countingHandler{}, time.Now()
 		readDatagrams(func([]byte) (int, netip.AddrPort, error) {
@@ -36,7 +37,7 @@
 			return 0, netip.AddrPort{}, net.ErrClosed
 		}, h, 10)
 		if took := time.Since(begun); took != 100*failurePause || h.datagrams != 1 || calls != 102 {
-			t.Errorf("%d datagrams after %d calls in %v", h.datagrams, calls, took)
+			t.Errorf("%d datagrams after %d reads in %v", h.datagrams, calls, took)
 		}
 	})
 }
--- a/internal/fleet/transport/transport_test.go
+++ b/internal/fleet/transport/transport_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// handler takes what comes.
+// handler is a Handler that queues datagrams and returns a fixed snapshot or error.
 type handler struct {
 	datagrams chan string
 	snapshot  []byte
@@ -45,8 +45,8 @@
 	return l
 }
 
-// TestBothWays sends a datagram and gets a snapshot, a large and an empty one.
-func TestBothWays(t *testing.T) {
+// TestDatagramAndSnapshot sends a datagram, and fetches a large and an empty snapshot and one that fails.
+func TestDatagramAndSnapshot(t *testing.T) {
 	h := &handler{snapshot: bytes.Repeat([]byte("x"), 1<<20)}
 	a, b := startTransport(t, &handler{}), startTransport(t, h)
 	if err := a.Send(b.Address(), []byte("hello")); err != nil {
@@ -55,25 +55,25 @@
 	select {
 	case got := <-h.datagrams:
 		if got != "hello" {
-			t.Errorf("got %q", got)
+			t.Errorf("datagram %q, want hello", got)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("no datagram")
+		t.Fatal("no datagram received")
 	}
 	if got, err := a.Fetch(context.Background(), b.Address()); err != nil || !bytes.Equal(got, h.snapshot) {
-		t.Errorf("%d bytes, error %v", len(got), err)
+		t.Errorf("large snapshot: %d bytes, error %v", len(got), err)
 	}
 	h.snapshot = nil
 	if got, err := a.Fetch(context.Background(), b.Address()); err != nil || len(got) != 0 {
-		t.Errorf("%d bytes, error %v of an empty one", len(got), err)
+		t.Errorf("empty snapshot: %d bytes, error %v", len(got), err)
 	}
-	h.err = errors.New("no")
+	h.err = errors.New("snapshot failed")
 	if _, err := a.Fetch(context.Background(), b.Address()); err == nil {
-		t.Error("a snapshot that there is not")
+		t.Error("no error for a failed snapshot")
 	}
 }
 
-// TestPortInUse has a second process listen where one does: it gets another port of the same address.
+// TestPortInUse requires that Listen uses another port if the port is in use, and rejects invalid addresses.
 func TestPortInUse(t *testing.T) {
 	a := startTransport(t, &handler{})
 	b, err := Listen(a.Address(), 100)
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	if b.Address() == a.Address() {
-		t.Error("both have one address")
+		t.Error("both transports have the same address")
 	}
 	if err := b.Close(); err != nil {
 		t.Error(err)
@@ -89,13 +89,14 @@
 	for _, bad := range []string{"", "nowhere", "[::1]:7000", "127.0.0.1"} {
 		if l, err := Listen(bad, 100); err == nil {
 			l.Close()
-			t.Errorf("it listens at %q", bad)
+			t.Errorf("no error for address %q", bad)
 		}
 	}
 }
 
-// TestBadPeers has peers say what they should not, and too much: each is turned away in time and the link goes on.
-func TestBadPeers(t *testing.T) {
+// TestMisbehavingPeers connects peers that send invalid or too much data, or none. Each must be rejected within its
+// timeout, and the transport must continue to serve others.
+func TestMisbehavingPeers(t *testing.T) {
 	a, b := startTransport(t, &handler{}), startTransport(t, &handler{snapshot: []byte("state")})
 	for _, text := range [][]byte{[]byte("GET / HTTP/1.1\r\n\r\n      "), bytes.Repeat([]byte("x"), 4096)} {
 		c, err := net.Dial("tcp", b.Address())
@@ -105,11 +106,11 @@
 		_, _ = c.Write(text)
 		_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 		if got, err := io.ReadAll(c); len(got) > 0 || errors.Is(err, context.DeadlineExceeded) {
-			t.Errorf("got %q, error %v", got, err)
+			t.Errorf("response %q to an invalid hello, error %v", got, err)
 		}
 		c.Close()
 	}
-	// Callers that say nothing hold their places for a time, and then others have them.
+	// Connections without data occupy their slots until they time out. Then others are served.
 	for range maxSnapshots {
 		c, err := net.Dial("tcp", b.Address())
 		if err != nil {
@@ -122,10 +123,10 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("silent callers keep others away for good")
+			t.Fatal("connections without data block others permanently")
 		}
 	}
-	// A peer that says that it has more than is allowed, and one that breaks off.
+	// A peer that announces more than the maximum size, and one that closes the connection early.
 	for _, length := range []uint32{1<<20 + 1, 1 << 20} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -143,7 +144,7 @@
 			fmt.Fprintf(c, "%s%s", binary.BigEndian.AppendUint32(nil, length), "half")
 		}()
 		if got, err := a.Fetch(context.Background(), l.Addr().String()); err == nil {
-			t.Errorf("%d bytes of %d were taken", len(got), length)
+			t.Errorf("no error after %d of %d bytes", len(got), length)
 		}
 		l.Close()
 		<-done
