--- a/internal/fleet/policyagent/operations.go
+++ b/internal/fleet/policyagent/operations.go
@@ -131,7 +131,7 @@
 type Status struct {
 	Serves       uint64       `json:"serves_under"` // number of a policy; 0: no requests are accepted now
 	WithoutLease bool         `json:"without_a_promise"`
-	LastVoter    string       `json:"asks"` // leader known to this sidecar; "": none
+	KnownLeader  string       `json:"asks"` // leader known to this sidecar; "": none
 	Voters       []VoterState `json:"deciders"`
 	Unresponsive []string     `json:"silent_deciders"`
 }
@@ -140,7 +140,7 @@
 func (a *Agent) Status(ctx context.Context) (s Status) {
 	number, _, ok := a.Serves()
 	a.mu.Lock()
-	s.LastVoter, s.WithoutLease = a.leader, a.withoutLease
+	s.KnownLeader, s.WithoutLease = a.leader, a.withoutLease
 	a.mu.Unlock()
 	if ok {
 		s.Serves = number
--- a/internal/fleet/transport/transport.go
+++ b/internal/fleet/transport/transport.go
@@ -286,12 +286,12 @@
 }
 
 // exchange connects to another sidecar, sends hello and, unless it is nil, the message send, and returns the response.
-func (t *Transport) exchange(ctx context.Context, from, hello string, send []byte, maxBytes int) ([]byte, error) {
+func (t *Transport) exchange(ctx context.Context, address, hello string, send []byte, maxBytes int) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	// The connection is opened from this sidecar's own address, which a firewall between sidecars filters by.
 	own := t.listener.Addr().(*net.TCPAddr).AddrPort().Addr()
-	c, err := (&net.Dialer{LocalAddr: &net.TCPAddr{IP: own.AsSlice()}}).DialContext(ctx, "tcp4", from)
+	c, err := (&net.Dialer{LocalAddr: &net.TCPAddr{IP: own.AsSlice()}}).DialContext(ctx, "tcp4", address)
 	if err != nil {
 		return nil, err
 	}
