--- a/internal/fleet/policyagent/voter.go
+++ b/internal/fleet/policyagent/voter.go
@@ -17,16 +17,16 @@
 const (
 	maxQueuedEvents     = 1024                   // for the Raft node
 	maxQueuedMessages   = 64                     // for one voter
-	maxQueues           = 64                     // voters, present and former ones, that messages are sent to
-	folderRetryInterval = 200 * time.Millisecond // while another process has the folder open
-	maxFolderRetryDelay = 5 * time.Second        // between two attempts to open a folder that fails
+	maxQueues           = 64                     // current and former voters with a message queue
+	folderRetryInterval = 200 * time.Millisecond // while another process holds the lock of the folder
+	maxFolderRetryDelay = 5 * time.Second        // between two attempts to open a folder after a system error
 )
 
-// faultBusy is sent for a request that the Raft node could not take, or not answer in time.
+// faultBusy is the fault of a request that the Raft node could not accept, or did not process in time.
 const faultBusy = "policy: this decider is busy"
 
-// nodeCall is a request on its way through the Raft node's goroutine. The response, and the channel of a lease, may be
-// read once done is closed; the caller may have given up by then.
+// nodeCall is a request that is executed by the Raft node's goroutine. The fields response and lease may be read after
+// done is closed. The caller may have timed out by then.
 type nodeCall struct {
 	request  request
 	response response
@@ -34,8 +34,8 @@
 	done     chan struct{}
 }
 
-// answer has the Raft node's goroutine carry out a request, and waits for its response.
-func (a *Agent) answer(ctx context.Context, req request) response {
+// serveRequest passes a request to the Raft node's goroutine and waits for the response.
+func (a *Agent) serveRequest(ctx context.Context, req request) response {
 	if !a.isVoter {
 		return response{Fault: a.settings.Name + " is no decider"}
 	}
@@ -43,7 +43,7 @@
 	defer cancel()
 	call := &nodeCall{request: req, done: make(chan struct{})}
 	select {
-	case a.events <- func(now raftnode.Time) { defer close(call.done); a.carryOut(now, call) }:
+	case a.events <- func(now raftnode.Time) { defer close(call.done); a.execute(now, call) }:
 	default:
 		return response{Fault: faultBusy}
 	}
@@ -58,15 +58,15 @@
 	return awaitLease(ctx, call)
 }
 
-// awaitLease waits until the leader has confirmed that it leads, and returns the response with the lease.
+// awaitLease waits until the leader has confirmed its leadership, and returns the response with the lease.
 func awaitLease(ctx context.Context, call *nodeCall) response {
 	resp := call.response
 	select {
-	case answer := <-call.lease:
-		if answer.Err != nil {
-			resp.Fault = answer.Err.Error()
+	case reply := <-call.lease:
+		if reply.Err != nil {
+			resp.Fault = reply.Err.Error()
 		} else {
-			resp.Lease = &answer.Grant
+			resp.Lease = &reply.Grant
 		}
 	case <-ctx.Done():
 		resp.Fault = faultBusy
@@ -74,8 +74,8 @@
 	return resp
 }
 
-// carryOut does what a request asks for. It runs on the Raft node's goroutine.
-func (a *Agent) carryOut(now raftnode.Time, call *nodeCall) {
+// execute executes a request. It runs on the Raft node's goroutine.
+func (a *Agent) execute(now raftnode.Time, call *nodeCall) {
 	req, resp := call.request, &call.response
 	resp.Leader = a.node.Leader()
 	var err error
@@ -86,24 +86,24 @@
 		a.lastToken++
 		call.lease = make(chan consensus.LeaseReply, 1)
 		a.pendingLeases[a.lastToken] = call.lease
-		a.node.Ask(now, a.lastToken, *req.Lease)
+		a.node.RequestLease(now, a.lastToken, *req.Lease)
 		resp.Voters, _ = a.node.Voters()
 	case req.Propose != nil:
 		err = a.node.Propose(now, *req.Propose)
 	case req.Replace != nil:
-		err = a.node.Replace(now, req.Replace.Out, req.Replace.In)
+		err = a.node.Replace(now, req.Replace.Outgoing, req.Replace.Incoming)
 	case req.State:
 		resp.State = a.voterState(now)
 	default:
-		lookUp(a.node.Ledger(), req, resp)
+		lookUpLedger(a.node.Ledger(), req, resp)
 	}
 	if err != nil {
 		resp.Fault = err.Error()
 	}
 }
 
-// lookUp answers a request for what a ledger holds.
-func lookUp(l *policy.Ledger, req request, resp *response) {
+// lookUpLedger sets the response to a request for a document or an outcome from a ledger.
+func lookUpLedger(l *policy.Ledger, req request, resp *response) {
 	switch {
 	case l == nil:
 		resp.Fault = "no consensus group yet"
@@ -129,12 +129,12 @@
 		Voter:        a.settings.Name,
 		Leader:       a.node.Leader(),
 		Bootstrapped: l != nil,
-		Candidates:   a.node.Standbys(now),
-		NotAdmitted:  a.node.IsStandby(),
+		Standbys:     a.node.Standbys(now),
+		Standby:      a.node.IsStandby(),
 	}
 	s.Voters, s.Settled = a.node.Voters()
 	if err := a.node.Err(); err != nil {
-		s.Broken = err.Error()
+		s.NodeError = err.Error()
 	}
 	if l == nil {
 		return s
@@ -143,14 +143,14 @@
 	s.InForce, s.Digest, s.Outcomes = d.Number, d.Digest.String(), l.Outcomes()
 	var longest time.Duration
 	s.Waiting, longest = a.node.Waiting(now)
-	s.Seconds = longest.Round(time.Millisecond).Seconds()
+	s.WaitSeconds = longest.Round(time.Millisecond).Seconds()
 	if p := l.Pending(); p != nil {
 		s.Pending = &p.Outcome
 	}
 	return s
 }
 
-// runNode is the Raft node's goroutine.
+// runNode runs the Raft node until the agent is closed. It is the body of the Raft node's goroutine.
 func (a *Agent) runNode() {
 	folder := a.openFolder()
 	if folder == nil {
@@ -163,8 +163,8 @@
 		Terms:         a.settings.Terms,
 	}, folder, a.log)
 	if err != nil {
-		a.log.Error("this voter takes no part", "err", err)
-		_ = folder.Close() // nothing was written
+		a.log.Error("policy voter not started; this sidecar does not vote", "err", err)
+		_ = folder.Close() // nothing was written, so an error loses no data
 		return
 	}
 	a.node = node
@@ -175,37 +175,37 @@
 		select {
 		case <-a.ctx.Done():
 			return
-		case do := <-a.events:
-			do(a.now())
+		case event := <-a.events:
+			event(a.now())
 		case <-tick.C:
 			a.node.Tick(a.now())
 		}
-		a.sendOut()
+		a.sendActions()
 		if a.node.Err() != nil {
 			a.failPendingLeases()
 		}
 	}
 }
 
-// sendOut passes on what the Raft node has to send. A message for a voter whose queue is full is lost, as it may be on
-// the network; Raft sends again.
-func (a *Agent) sendOut() {
-	out := a.node.Out()
+// sendActions performs the Raft node's pending actions. A message to a voter whose queue is full is dropped, as if it
+// was lost on the network. Raft sends it again.
+func (a *Agent) sendActions() {
+	out := a.node.TakeActions()
 	for _, message := range out.Send {
 		select {
 		case a.queueTo(message.To) <- message.Payload:
 		default:
 		}
 	}
-	for _, answer := range out.Answers {
-		if lease := a.pendingLeases[answer.Token]; lease != nil {
-			delete(a.pendingLeases, answer.Token)
-			lease <- answer // doesn't block: it is buffered, and each token is answered once
+	for _, reply := range out.LeaseReplies {
+		if lease := a.pendingLeases[reply.Token]; lease != nil {
+			delete(a.pendingLeases, reply.Token)
+			lease <- reply // does not block: the channel is buffered and each token has one reply
 		}
 	}
 }
 
-// failPendingLeases answers all requests for a lease, as the Raft node no longer will.
+// failPendingLeases fails all pending lease requests, because the Raft node will not reply to them.
 func (a *Agent) failPendingLeases() {
 	for token, lease := range a.pendingLeases {
 		delete(a.pendingLeases, token)
@@ -213,8 +213,8 @@
 	}
 }
 
-// queueTo returns the queue of messages to a voter, nil if there are too many. It is made with its goroutine when it is
-// first used, as a voter that takes the place of another is not in the operator's file.
+// queueTo returns the message queue of a voter, or nil if there are maxQueues already. A queue and its goroutine are
+// created on first use, because a voter that has replaced another is not in the operator's file.
 func (a *Agent) queueTo(voter string) chan<- []byte {
 	queue := a.queues[voter]
 	if queue == nil && len(a.queues) < maxQueues {
@@ -225,7 +225,7 @@
 	return queue
 }
 
-// sendQueued sends what is queued for one voter, one message at a time.
+// sendQueued sends the queued messages of one voter, one at a time, until the agent is closed.
 func (a *Agent) sendQueued(voter string, queue <-chan []byte) {
 	for {
 		select {
@@ -233,37 +233,38 @@
 			return
 		case text := <-queue:
 			ctx, cancel := context.WithTimeout(a.ctx, voterCallTimeout)
-			if _, err := a.do(ctx, voter, request{Raft: text}); err != nil {
-				a.log.Debug("message to a voter failed", "voter", voter, "err", err)
+			if _, err := a.callChecked(ctx, voter, request{Raft: text}); err != nil {
+				a.log.Debug("sending a message to a voter failed", "voter", voter, "err", err)
 			}
 			cancel()
 		}
 	}
 }
 
-// openFolder opens the voter's folder once no other process has it open (during an upgrade, the former process has) and
-// the system no longer fails it. It returns nil if the agent is closed, or if what the folder holds is wrong, which a
-// retry does not mend; this sidecar then serves, but does not vote.
+// openFolder opens the voter's folder. It retries while another process has the folder open, such as the predecessor
+// process during an upgrade, and after system errors. It returns nil if the agent is closed, or if the contents of the
+// folder are invalid, which a retry cannot fix. In the latter case this sidecar serves requests but does not vote.
 func (a *Agent) openFolder() *raftlog.Log {
 	delay := folderRetryInterval
 	for attempt := 0; ; attempt++ {
 		folder, dropped, err := raftlog.Open(a.settings.Folder, rand.Uint64()|1)
 		if err == nil {
 			if dropped > 0 {
-				a.log.Warn("a torn record was dropped", "folder", a.settings.Folder, "bytes", dropped)
+				a.log.Warn("dropped an incomplete last record of the voter's folder",
+					"folder", a.settings.Folder, "bytes", dropped)
 			}
 			return folder
 		}
-		held, errno := errors.Is(err, raftlog.ErrLocked), syscall.Errno(0)
-		if !held && !errors.As(err, &errno) {
-			a.log.Error("this voter takes no part", "err", err)
+		locked, errno := errors.Is(err, raftlog.ErrLocked), syscall.Errno(0)
+		if !locked && !errors.As(err, &errno) {
+			a.log.Error("policy voter not started; this sidecar does not vote", "err", err)
 			return nil
 		}
 		if attempt == 0 {
-			a.log.Warn("waiting for the folder", "err", err)
+			a.log.Warn("voter's folder cannot be opened; retrying", "err", err)
 		}
 		delay = min(2*delay, maxFolderRetryDelay)
-		if held {
+		if locked {
 			delay = folderRetryInterval
 		}
 		if !sleep(a.ctx, delay) {
