--- a/internal/fleet/admin.go
+++ b/internal/fleet/admin.go
@@ -47,7 +47,7 @@
 		if !ok {
 			return 0, 0, ErrClosed
 		}
-		return confirmation.Holders, confirmation.Asked, nil
+		return confirmation.Holders, confirmation.Recipients, nil
 	case <-ctx.Done():
 		return 0, 0, fmt.Errorf("fleet: %w", context.Cause(ctx))
 	}
@@ -102,7 +102,7 @@
 	for key, pending := range f.admin.pendingConfirms {
 		for _, confirmed := range pending {
 			if !ownsName {
-				confirmed <- gossip.Confirmation{Key: key, Asked: 1}
+				confirmed <- gossip.Confirmation{Key: key, Recipients: 1}
 			}
 			close(confirmed)
 		}
--- a/internal/fleet/gossip/antientropy.go
+++ b/internal/fleet/gossip/antientropy.go
@@ -65,7 +65,7 @@
 		return
 	}
 	state.requestedAt = max(now.Time, 1)
-	m.figures.Wants++
+	m.counters.ItemRequests++
 	m.trySend(now.Time, address, Packet{WantMissing: &digest})
 }
 
@@ -122,11 +122,11 @@
 
 // Divergence is how a peer's copy compares to this one.
 type Divergence struct {
-	Name  string
-	Known bool          // it has sent its sums
-	Equal bool          // the last ones were equal to this copy's
-	For   time.Duration // since they last were; 0 where Equal
-	Kinds []replication.Kind
+	Name        string
+	Known       bool          // it has sent its sums
+	Equal       bool          // the last ones were equal to this copy's
+	DivergedFor time.Duration // since they last were; 0 where Equal
+	Kinds       []replication.Kind
 }
 
 // Divergences returns how the copies of all present members compare, sorted by name.
@@ -153,7 +153,7 @@
 	if d.Equal {
 		return d
 	}
-	d.For = now - state.equalAt
+	d.DivergedFor = now - state.equalAt
 	for kind := range replication.NumKinds {
 		if state.sums[kind] != ours[kind] {
 			d.Kinds = append(d.Kinds, kind)
--- a/internal/fleet/gossip/catchup.go
+++ b/internal/fleet/gossip/catchup.go
@@ -66,7 +66,7 @@
 		m.nextFetch = now.Time + isolatedFetchInterval
 	}
 	for _, address := range m.fetchTargets() {
-		m.figures.Fetches++
+		m.counters.SnapshotsRequested++
 		m.actions.Fetch = append(m.actions.Fetch, address)
 	}
 }
@@ -113,7 +113,7 @@
 	}
 	s, err := DecodeSnapshot(encoded, m.settings.Label)
 	if err != nil {
-		m.figures.Malformed++
+		m.counters.Malformed++
 		return err
 	}
 	m.mergeMembers(now, s.From, s.Members)
--- a/internal/fleet/gossip/confirm.go
+++ b/internal/fleet/gossip/confirm.go
@@ -21,9 +21,9 @@
 
 // Confirmation is the result of Confirm.
 type Confirmation struct {
-	Key     replication.Key
-	Holders int // other members that hold the item
-	Asked   int // members that it was sent to; 0: there is no other
+	Key        replication.Key
+	Holders    int // other members that hold the item
+	Recipients int // members that it was sent to; 0: there is no other
 }
 
 // pendingConfirm is an item that other members are to hold.
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -161,12 +161,12 @@
 	}
 	all[0].Confirm(now, recordCall(t, all[0], now, "r", true))
 	held = run(t, &now, time.Second, all[0]) // its packets get lost
-	if len(held) != 1 || held[0].Holders != 0 || held[0].Asked == 0 {
+	if len(held) != 1 || held[0].Holders != 0 || held[0].Recipients == 0 {
 		t.Errorf("confirmations %+v, want no holder of those asked", held)
 	}
 	alone := newMachine(now, 9)
 	alone.Confirm(now, recordCall(t, alone, now, "r", true))
-	if held := exchange(t, now, alone); len(held) != 1 || held[0].Asked != 0 {
+	if held := exchange(t, now, alone); len(held) != 1 || held[0].Recipients != 0 {
 		t.Errorf("confirmations %+v, want none asked", held)
 	}
 }
@@ -200,7 +200,7 @@
 			t.Errorf("divergence %+v", d)
 		}
 	}
-	if all[0].Figures().Recovered == 0 {
+	if all[0].Counters().Recovered == 0 {
 		t.Error("no item was counted as recovered")
 	}
 }
@@ -229,7 +229,7 @@
 			}
 		})
 	}
-	if f := m.Figures(); f.Foreign != 2 || f.Malformed != 5 || f.Received != 0 || m.Members.NumPresent() != 1 {
+	if f := m.Counters(); f.Foreign != 2 || f.Malformed != 5 || f.Received != 0 || m.Members.NumPresent() != 1 {
 		t.Errorf("figures %+v, %d members", f, m.Members.NumPresent())
 	}
 }
@@ -244,16 +244,16 @@
 	run(t, &now, 10*time.Second, all...)
 	const limit = MaxBytesPerSecond + maxBurstBytes + 10*MaxPacketBytes // with ten probes and acks
 	for second := range 10 {
-		before := all[0].Figures().Bytes
+		before := all[0].Counters().Bytes
 		for range 20 {
 			broadcastRows(t, now, all[0], 60)
 			run(t, &now, 50*time.Millisecond, all...)
 		}
-		if sent := all[0].Figures().Bytes - before; sent > limit {
+		if sent := all[0].Counters().Bytes - before; sent > limit {
 			t.Errorf("%d bytes in second %d, %d are allowed", sent, second, limit)
 		}
 	}
-	if all[0].Figures().Throttled == 0 {
+	if all[0].Counters().Throttled == 0 {
 		t.Error("nothing was held back, so nothing was tested")
 	}
 }
--- a/internal/fleet/gossip/machine.go
+++ b/internal/fleet/gossip/machine.go
@@ -63,15 +63,17 @@
 	ReportServers []string // servers on which this sidecar is to report to the whole fleet
 }
 
-// Figures are counters since a machine's start.
-type Figures struct {
-	Packets, Bytes   uint64 // sent
-	Received         uint64 // packets of this fleet
-	Malformed        uint64 `json:"Bad"` // packets and items that could not be decoded or are invalid
-	Foreign          uint64 // packets of another fleet or format
-	Throttled        uint64 `json:"Held"` // packets and rumors that a bound held back
-	Fetches, Serves  uint64 // snapshots asked for, and given
-	Wants, Recovered uint64 // requests of anti-entropy, and items that came in answer to them
+// Counters count events since a machine's start.
+type Counters struct {
+	Packets, Bytes     uint64 // sent
+	Received           uint64 // packets of this fleet
+	Malformed          uint64 `json:"Bad"` // packets and items that could not be decoded or are invalid
+	Foreign            uint64 // packets of another fleet or format
+	Throttled          uint64 `json:"Held"` // packets and rumors not sent because a limit was reached
+	SnapshotsRequested uint64 `json:"Fetches"`
+	SnapshotsServed    uint64 `json:"Serves"`
+	ItemRequests       uint64 `json:"Wants"` // of anti-entropy
+	Recovered          uint64 // items received in response to ItemRequests
 }
 
 // Machine is one member's state machine. Its owner passes in datagrams (Receive), snapshots (ReceiveSnapshot) and the
@@ -85,7 +87,7 @@
 	settings Settings
 	rng      *rand.Rand
 	quorum   failuredetector.ReportQuorum
-	figures  Figures
+	counters Counters
 	actions  Actions
 
 	rumors        []rumor
@@ -145,8 +147,7 @@
 	return m
 }
 
-// Figures returns the counters.
-func (m *Machine) Figures() Figures { return m.figures }
+func (m *Machine) Counters() Counters { return m.counters }
 
 // TakeActions returns what is to be done since the last call.
 func (m *Machine) TakeActions() Actions {
@@ -177,14 +178,14 @@
 func (m *Machine) Receive(now replication.Now, from string, payload []byte) error {
 	p, err := DecodePacket(payload, m.settings.Label)
 	if errors.Is(err, ErrForeign) {
-		m.figures.Foreign++
+		m.counters.Foreign++
 		return err
 	}
 	if err != nil {
-		m.figures.Malformed++
+		m.counters.Malformed++
 		return err
 	}
-	m.figures.Received++
+	m.counters.Received++
 	if self, _ := m.Members.Self(); p.From.Name == self.Name && p.From.ProcessIncarnation == self.ProcessIncarnation {
 		return nil // its own, come back
 	}
@@ -196,7 +197,7 @@
 	}
 	m.receiveAntiEntropy(now, from, p)
 	if s := m.peers[p.From.Name]; s != nil && now.Time-s.requestedAt < antiEntropyInterval && s.requestedAt > 0 {
-		m.figures.Recovered += uint64(updated)
+		m.counters.Recovered += uint64(updated)
 	}
 	m.flushMembership(now, p.From)
 	m.forwardToSuccessor(now, m.unforwarded)
--- a/internal/fleet/gossip/merge.go
+++ b/internal/fleet/gossip/merge.go
@@ -17,7 +17,7 @@
 		updated, err = m.Store.Merge(now, item, from)
 	}
 	if err != nil {
-		m.figures.Malformed++
+		m.counters.Malformed++
 		return false
 	}
 	if !updated {
@@ -38,7 +38,7 @@
 	for _, encoded := range items {
 		var item replication.Item
 		if err := decMode.Unmarshal(encoded, &item); err != nil {
-			m.figures.Malformed++
+			m.counters.Malformed++
 			continue
 		}
 		if m.mergeItem(now, item, from) {
@@ -53,7 +53,7 @@
 	self, _ := m.Members.Self()
 	all := slices.Concat([]membership.Member{from}, members)
 	if err := m.Members.Merge(now.Time, all, from.Name); err != nil {
-		m.figures.Malformed++
+		m.counters.Malformed++
 	}
 	if current, bears := m.Members.Self(); bears {
 		m.Store.SetIncarnation(current.ProcessIncarnation)
@@ -130,7 +130,7 @@
 		}
 		payload, err := p.Encode()
 		if err != nil || len(payload) > MaxPacketBytes {
-			m.figures.Malformed++
+			m.counters.Malformed++
 			return
 		}
 		m.enqueue(m.successor, payload)
--- a/internal/fleet/gossip/notes_test.go
+++ b/internal/fleet/gossip/notes_test.go
@@ -54,7 +54,7 @@
 	if sent > maxBurstBytes+MaxPacketBytes || sent == 0 {
 		t.Errorf("%d bytes at once", sent)
 	}
-	if all[0].Figures().Throttled == 0 {
+	if all[0].Counters().Throttled == 0 {
 		t.Error("nothing was held back, so nothing was tested")
 	}
 }
--- a/internal/fleet/gossip/rumor.go
+++ b/internal/fleet/gossip/rumor.go
@@ -29,7 +29,7 @@
 func (m *Machine) Broadcast(key replication.Key) {
 	m.rumors = slices.DeleteFunc(m.rumors, func(r rumor) bool { return r.key == key })
 	if len(m.rumors) >= maxRumors {
-		m.figures.Throttled++
+		m.counters.Throttled++
 		return
 	}
 	m.rumorsAdded++
--- a/internal/fleet/gossip/send.go
+++ b/internal/fleet/gossip/send.go
@@ -33,14 +33,14 @@
 	p.setHeader(m)
 	payload, err := p.Encode()
 	if err != nil || len(payload) > MaxPacketBytes {
-		m.figures.Malformed++
+		m.counters.Malformed++
 		return false
 	}
 	m.tokens = min(m.tokens+(now-m.tokensAt).Seconds()*MaxBytesPerSecond, maxBurstBytes)
 	m.tokensAt = now
 	size := float64(len(payload))
 	if bounded && m.tokens < size {
-		m.figures.Throttled++
+		m.counters.Throttled++
 		return false
 	}
 	m.tokens = max(m.tokens-size, -maxBurstBytes)
@@ -49,8 +49,8 @@
 }
 
 func (m *Machine) enqueue(to string, payload []byte) {
-	m.figures.Packets++
-	m.figures.Bytes += uint64(len(payload))
+	m.counters.Packets++
+	m.counters.Bytes += uint64(len(payload))
 	m.actions.Send = append(m.actions.Send, Datagram{to, payload})
 }
 
@@ -64,7 +64,7 @@
 		}
 		encoded, err := encMode.Marshal(item)
 		if err != nil || len(encoded) > MaxPacketBytes/2 {
-			m.figures.Malformed++ // such an item travels by snapshot alone
+			m.counters.Malformed++ // such an item travels by snapshot alone
 			continue
 		}
 		if len(encoded) > left {
--- a/internal/fleet/gossip/snapshot.go
+++ b/internal/fleet/gossip/snapshot.go
@@ -58,7 +58,7 @@
 		}
 		s.Items = append(s.Items, encoded)
 	}
-	m.figures.Serves++
+	m.counters.SnapshotsServed++
 	return s.Encode()
 }
 
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -23,7 +23,7 @@
 	Members           []MemberStatus    `json:"members"`
 	Servers           []ServerStatus    `json:"by_hand"`
 	Suspicions        []SuspicionStatus `json:"in_doubt"`
-	Figures           gossip.Figures    `json:"figures"`
+	Figures           gossip.Counters   `json:"figures"`
 }
 
 // SuspicionStatus is a server on which some sidecar has reported.
@@ -106,7 +106,7 @@
 		Members:           f.memberStatus(now),
 		Servers:           f.serverStatus(),
 		Suspicions:        f.suspicionStatus(now),
-		Figures:           f.machine.Figures(),
+		Figures:           f.machine.Counters(),
 	}
 }
 
@@ -133,7 +133,7 @@
 			Incarnation:        member.Incarnation,
 			LastContactSeconds: -1,
 			InSync:             divergence.Known && divergence.Equal,
-			DivergedSeconds:    seconds(divergence.For),
+			DivergedSeconds:    seconds(divergence.DivergedFor),
 		}
 		if contact, ok := f.machine.Members.LastContact(member.Name); ok {
 			status.LastContactSeconds = seconds(now.Time - contact)
--- a/internal/lab/fleet/mutants/mutants_test.go
+++ b/internal/lab/fleet/mutants/mutants_test.go
@@ -64,7 +64,8 @@
 		"slices.Clone(settings.Predecessors),", "slices.Clone(settings.Predecessors[:0]),",
 		"nothing acknowledged forgotten", "sim TestUpgrades"},
 	{"nothing asked for again", "gossip/antientropy.go",
-		"	m.figures.Wants++\n	m.trySend(now.Time, address, Packet{WantMissing: &digest})\n", "	m.figures.Wants++\n",
+		"	m.counters.ItemRequests++\n	m.trySend(now.Time, address, Packet{WantMissing: &digest})\n",
+		"	m.counters.ItemRequests++\n",
 		"copies equal", ""},
 }
 
--- a/internal/lab/fleet/sim/cost_test.go
+++ b/internal/lab/fleet/sim/cost_test.go
@@ -17,7 +17,7 @@
 func (f *Fleet) totalSent() (bytes, packets uint64) {
 	for _, s := range f.Sidecars {
 		if s.Machine != nil {
-			figures := s.Machine.Figures()
+			figures := s.Machine.Counters()
 			bytes, packets = bytes+figures.Bytes, packets+figures.Packets
 		}
 	}
