--- a/internal/fleet/membership/machine.go
+++ b/internal/fleet/membership/machine.go
@@ -70,7 +70,7 @@
 }
 
 // Self returns this member's own state, and whether it still bears its name: it does until a later process takes it.
-func (m *Machine) Self() (self Member, bears bool) { return m.self, !m.superseded }
+func (m *Machine) Self() (self Member, ownsName bool) { return m.self, !m.superseded }
 
 // MarkJoined tells the machine that it has received the fleet's state. Until then a process of a higher number under
 // its own name is its former one; from then on it is another process.
@@ -166,8 +166,8 @@
 	m.enqueueBroadcast(m.self.Name)
 }
 
-func (m *Machine) adjustLocalHealth(by int) {
-	m.localHealth = min(max(m.localHealth+by, 0), maxLocalHealth)
+func (m *Machine) adjustLocalHealth(delta int) {
+	m.localHealth = min(max(m.localHealth+delta, 0), maxLocalHealth)
 }
 
 // scaleByLocalHealth stretches a duration while this member is unhealthy: a member that is slow itself would otherwise
--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -28,12 +28,12 @@
 }
 
 // Compare orders processes by number, then by nonce.
-func (l ProcessIncarnation) Compare(o ProcessIncarnation) int {
-	return cmp.Or(cmp.Compare(l.Number, o.Number), cmp.Compare(l.Nonce, o.Nonce))
+func (p ProcessIncarnation) Compare(o ProcessIncarnation) int {
+	return cmp.Or(cmp.Compare(p.Number, o.Number), cmp.Compare(p.Nonce, o.Nonce))
 }
 
 // String implements fmt.Stringer.
-func (l ProcessIncarnation) String() string { return fmt.Sprintf("%d.%016x", l.Number, l.Nonce) }
+func (p ProcessIncarnation) String() string { return fmt.Sprintf("%d.%016x", p.Number, p.Nonce) }
 
 // State is the state of a member. A later one overrides an earlier one of the same process and incarnation.
 type State uint8
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -58,7 +58,7 @@
 	})
 }
 
-// testFleet steps machines in simulated time. cut tells which datagrams get lost.
+// testFleet steps machines in simulated time. lost reports which datagrams get lost.
 type testFleet struct {
 	t        testing.TB
 	now      Time
@@ -118,8 +118,8 @@
 		if to == nil || f.stopped[s.To] || f.lost(a, s.To) {
 			continue
 		}
-		self, bears := m.Self()
-		if !bears {
+		self, ownsName := m.Self()
+		if !ownsName {
 			continue
 		}
 		if err := to.Merge(f.now, append([]Member{self}, m.Broadcasts(12, to.self)...), self.Name); err != nil {
@@ -195,8 +195,8 @@
 // TestPartitionHeals partitions the fleet until members are dead to each other: afterwards all rejoin.
 func TestPartitionHeals(t *testing.T) {
 	for _, tt := range []struct {
-		name string
-		cut  func(from, to string) bool
+		name   string
+		isLost func(from, to string) bool
 	}{
 		{"halves", func(from, to string) bool { return (from < "a5") != (to < "a5") }},
 		{"single members", func(string, string) bool { return true }},
@@ -204,7 +204,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			f := newTestFleet(t, 10)
 			f.run(20 * time.Second)
-			f.lost = tt.cut
+			f.lost = tt.isLost
 			f.run(2 * time.Minute)
 			if f.stateOf("a0", "n9") != Dead {
 				t.Errorf("a0 holds n9 as %v during the partition", f.stateOf("a0", "n9"))
@@ -260,8 +260,8 @@
 	if err := f.machines["a4"].Merge(f.now, []Member{before}, "n0"); err != nil {
 		t.Fatal(err)
 	}
-	if self, bears := f.machines["a4"].Self(); !bears || self.ProcessIncarnation != after.ProcessIncarnation {
-		t.Errorf("after the merge of its former life it is %+v, bears its name %v", self, bears)
+	if self, ownsName := f.machines["a4"].Self(); !ownsName || self.ProcessIncarnation != after.ProcessIncarnation {
+		t.Errorf("after the merge of its former life it is %+v, bears its name %v", self, ownsName)
 	}
 }
 
@@ -277,14 +277,14 @@
 	f.run(20 * time.Second)
 	later.MarkJoined()
 	f.run(40 * time.Second)
-	if _, bears := f.machines["a4"].Self(); bears {
+	if _, ownsName := f.machines["a4"].Self(); ownsName {
 		t.Error("the former life still bears the name")
 	}
 	superseded := slices.ContainsFunc(f.changes["a4"], func(c Change) bool {
 		return c.Superseded && c.Member.Address == "b4"
 	})
-	if self, bears := later.Self(); !bears || self.Incarnation > 1 || !superseded {
-		t.Errorf("the later life is %+v, bears the name %v; the former one is superseded: %v", self, bears, superseded)
+	if self, ownsName := later.Self(); !ownsName || self.Incarnation > 1 || !superseded {
+		t.Errorf("the later life is %+v, bears the name %v; the former one is superseded: %v", self, ownsName, superseded)
 	}
 	if m, _ := f.machines["a0"].Member("n4"); m.Address != "b4" || m.State != Alive {
 		t.Errorf("it is held as %+v", m)
@@ -300,8 +300,8 @@
 		f.run(20 * time.Second)
 		return float64(f.packets-before) / 20 / float64(n)
 	}
-	if few, many := perSecond(10), perSecond(100); many > 1.2*few || many > 5 {
-		t.Errorf("%.1f messages a second and member at 10 members, %.1f at 100", few, many)
+	if small, large := perSecond(10), perSecond(100); large > 1.2*small || large > 5 {
+		t.Errorf("%.1f messages a second and member at 10 members, %.1f at 100", small, large)
 	}
 }
 
@@ -312,9 +312,9 @@
 	f.Fuzz(func(t *testing.T, name, address string, number, nonce uint64, incarnation uint32, state, kind uint8,
 		target string,
 	) {
-		life := ProcessIncarnation{number, nonce}
+		process := ProcessIncarnation{number, nonce}
 		m := New(0, Settings{Name: "self", Address: "s", IncarnationNonce: 9})
-		err := m.Merge(1, []Member{{name, address, life, incarnation, State(state)}}, name)
+		err := m.Merge(1, []Member{{name, address, process, incarnation, State(state)}}, name)
 		if err == nil && (name == "" || state >= uint8(numStates)) {
 			t.Errorf("%q in state %d was accepted", name, state)
 		}
@@ -322,7 +322,7 @@
 			t.Errorf("error %v is no ErrInvalidMember", err)
 		}
 		message := Message{Kind: MessageKind(kind), Seq: 1, Target: target, TargetAddress: address}
-		m.Receive(2, address, name, life, message)
+		m.Receive(2, address, name, process, message)
 		for i := range 20 {
 			m.Tick(time.Duration(i) * time.Second)
 			m.TakeOutput()
@@ -337,12 +337,12 @@
 // only after it has joined: that one is over, whatever its number. A process at another address, of a higher number,
 // takes the name.
 func TestRestartAfterClockStep(t *testing.T) {
-	const began = 10_000_000 // of the former process, in Unix milliseconds
+	const formerNumber = 10_000_000 // of the former process, in Unix milliseconds
 	for _, step := range []time.Duration{-time.Hour, -3 * time.Second, 3 * time.Second, time.Hour} {
 		for _, tt := range []struct {
-			name   string
-			former Member
-			bears  bool
+			name     string
+			former   Member
+			ownsName bool
 		}{
 			{"alive, at the own address", Member{Address: "a0", State: Alive}, true},
 			{"suspect, at the own address", Member{Address: "a0", State: Suspect, Incarnation: 3}, true},
@@ -351,16 +351,16 @@
 			{"alive, at another address", Member{Address: "b0", State: Alive}, step > 0},
 		} {
 			t.Run(fmt.Sprintf("%s, %v", tt.name, step), func(t *testing.T) {
-				number := uint64(began + (time.Second + step).Milliseconds())
+				number := uint64(formerNumber + (time.Second + step).Milliseconds())
 				m := New(0, Settings{Name: "n0", Address: "a0", Seed: 7, IncarnationNonce: 2, IncarnationNumber: number})
 				m.MarkJoined()
-				tt.former.Name, tt.former.ProcessIncarnation = "n0", ProcessIncarnation{Number: began, Nonce: 1}
+				tt.former.Name, tt.former.ProcessIncarnation = "n0", ProcessIncarnation{Number: formerNumber, Nonce: 1}
 				if err := m.Merge(1, []Member{tt.former}, "n1"); err != nil {
 					t.Fatal(err)
 				}
-				self, bears := m.Self()
-				if bears != tt.bears || bears && self.ProcessIncarnation.Compare(tt.former.ProcessIncarnation) <= 0 || self.ProcessIncarnation.Nonce != 2 {
-					t.Errorf("it is %+v, bears its name %v, want %v", self, bears, tt.bears)
+				self, ownsName := m.Self()
+				if ownsName != tt.ownsName || ownsName && self.ProcessIncarnation.Compare(tt.former.ProcessIncarnation) <= 0 || self.ProcessIncarnation.Nonce != 2 {
+					t.Errorf("it is %+v, bears its name %v, want %v", self, ownsName, tt.ownsName)
 				}
 			})
 		}
--- a/internal/fleet/membership/merge.go
+++ b/internal/fleet/membership/merge.go
@@ -27,17 +27,17 @@
 // mergeSelf takes in what others hold under this member's name. What they hold of its former process must not pass for
 // its own state, and a process that starts while this one runs, as in an upgrade, must not contend with it for ever.
 func (m *Machine) mergeSelf(received Member) {
-	switch order := received.ProcessIncarnation.Compare(m.self.ProcessIncarnation); {
-	case order < 0: // a former process: this one's state replaces it
+	switch comparison := received.ProcessIncarnation.Compare(m.self.ProcessIncarnation); {
+	case comparison < 0: // a former process: this one's state replaces it
 		m.enqueueBroadcast(m.self.Name)
-	case order == 0:
+	case comparison == 0:
 		m.refute(received)
 	case m.superseded:
 	case !m.joined || m.isFormerIncarnation(received):
 		m.self.ProcessIncarnation.Number, m.self.Incarnation = received.ProcessIncarnation.Number+1, 0
 		m.enqueueBroadcast(m.self.Name)
 	default:
-		m.yieldTo(received)
+		m.markSuperseded(received)
 	}
 }
 
@@ -54,8 +54,8 @@
 	m.enqueueBroadcast(m.self.Name)
 }
 
-// yieldTo gives the name up to a later process.
-func (m *Machine) yieldTo(later Member) {
+// markSuperseded gives the name up to a later process.
+func (m *Machine) markSuperseded(later Member) {
 	m.superseded = true
 	m.version++
 	m.dropBroadcast(m.self.Name)
@@ -103,9 +103,9 @@
 // suspicionTimeout returns how long a suspect has to refute a suspicion that a number of other members has confirmed.
 func (m *Machine) suspicionTimeout(confirmations int) time.Duration {
 	scale := max(1, math.Log10(float64(len(m.present)+1)))
-	least := suspicionMult * scale * float64(m.settings.ProbeInterval)
-	confirmed := min(1, math.Log(float64(confirmations)+1)/math.Log(suspicionConfirmations+1))
-	return time.Duration(least * (suspicionMaxMult - (suspicionMaxMult-1)*confirmed))
+	minTimeout := suspicionMult * scale * float64(m.settings.ProbeInterval)
+	confirmedFraction := min(1, math.Log(float64(confirmations)+1)/math.Log(suspicionConfirmations+1))
+	return time.Duration(minTimeout * (suspicionMaxMult - (suspicionMaxMult-1)*confirmedFraction))
 }
 
 // confirmSuspicion counts another member's suspicion, and passes it on as it is new.
