--- a/internal/fleet/gossip/catchup.go
+++ b/internal/fleet/gossip/catchup.go
@@ -44,7 +44,7 @@
 	m.phase, m.phaseSince = p, now
 	if p == CatchingUp {
 		clear(m.unsynced)
-		m.nextFetch, m.syncedAnswer = now, false
+		m.nextFetch, m.syncedResponse = now, false
 	} else {
 		m.Members.MarkJoined()
 	}
@@ -55,7 +55,7 @@
 // they hold nothing.
 func (m *Machine) requestSnapshots(now replication.Now) {
 	if m.phase == CatchingUp && now.Time-m.phaseSince >= m.settings.CatchUpTimeout {
-		m.catchUpTimedOut(now.Time)
+		m.endCatchUp(now.Time)
 		return
 	}
 	if m.phase != CatchingUp && m.phase != Isolated || now.Time < m.nextFetch {
@@ -71,10 +71,10 @@
 	}
 }
 
-// catchUpTimedOut goes on without the answers that are missing: a predecessor's, or those of all synced members.
-func (m *Machine) catchUpTimedOut(now Time) {
+// endCatchUp goes on without the answers that are missing: a predecessor's, or those of all synced members.
+func (m *Machine) endCatchUp(now Time) {
 	m.predecessors = nil
-	if m.syncedAnswer {
+	if m.syncedResponse {
 		m.enterPhase(now, Synced)
 		return
 	}
@@ -100,15 +100,15 @@
 // ReceiveSnapshot takes in the snapshot that was fetched from an address, or the error of the fetch. It returns that
 // error, or one that wraps ErrForeign or ErrMalformed.
 func (m *Machine) ReceiveSnapshot(now replication.Now, from string, encoded []byte, fetchErr error) error {
-	awaited := slices.Contains(m.predecessors, from)
+	fromPredecessor := slices.Contains(m.predecessors, from)
 	m.predecessors = slices.DeleteFunc(m.predecessors, func(a string) bool { return a == from })
 	if fetchErr != nil {
-		if awaited { // the predecessor has ended; a synced member may have answered before
-			m.snapshotAnswered(now, "", false)
+		if fromPredecessor { // the predecessor has ended; a synced member may have answered before
+			m.advancePhase(now, "", false)
 		}
 		return fetchErr
 	}
-	if awaited { // so that the predecessor knows of its successor, and forwards to it what it still receives
+	if fromPredecessor { // so that the predecessor knows of its successor, and forwards to it what it still receives
 		m.send(now.Time, from, Packet{})
 	}
 	s, err := DecodeSnapshot(encoded, m.settings.Label)
@@ -119,25 +119,25 @@
 	m.mergeMembers(now, s.From, s.Members)
 	m.mergeItems(now, s.Items, s.From.Name)
 	m.flushMembership(now, membership.Member{})
-	m.snapshotAnswered(now, from, s.Synced)
+	m.advancePhase(now, from, s.Synced)
 	return nil
 }
 
-// snapshotAnswered enters the next phase once it may. from is the address that has answered, or "", and synced is
+// advancePhase enters the next phase once it may. from is the address that has answered, or "", and synced is
 // whether the member there is synced.
-func (m *Machine) snapshotAnswered(now replication.Now, from string, synced bool) {
+func (m *Machine) advancePhase(now replication.Now, from string, synced bool) {
 	if m.phase != CatchingUp && m.phase != Isolated {
 		return
 	}
 	if from != "" {
 		m.unsynced[from] = !synced
 	}
-	m.syncedAnswer = m.syncedAnswer || synced
+	m.syncedResponse = m.syncedResponse || synced
 	if len(m.predecessors) > 0 {
 		return
 	}
 	switch {
-	case m.syncedAnswer:
+	case m.syncedResponse:
 		m.enterPhase(now.Time, Synced)
 	case m.phase == CatchingUp && m.allSeedsUnsynced():
 		m.enterPhase(now.Time, Bootstrapped)
--- a/internal/fleet/gossip/catchup_test.go
+++ b/internal/fleet/gossip/catchup_test.go
@@ -18,30 +18,30 @@
 	all := newSyncedTrio(t, &now)
 	expectPhase(t, all[0], Bootstrapped, 0)
 	recordCall(t, all[0], now, "s", true)
-	last := newMachine(now, 3, "a0", "a1", "a2")
-	last.Tick(now)
-	expectPhase(t, last, CatchingUp, 0)
-	exchange(t, now, append(all, last)...)
-	expectPhase(t, last, Synced, 1)
+	joiner := newMachine(now, 3, "a0", "a1", "a2")
+	joiner.Tick(now)
+	expectPhase(t, joiner, CatchingUp, 0)
+	exchange(t, now, append(all, joiner)...)
+	expectPhase(t, joiner, Synced, 1)
 
-	lost := newMachine(now, 4, "a7", "a8")
-	run(t, &now, defaultCatchUpTimeout+100*time.Millisecond, lost)
-	expectPhase(t, lost, Isolated, 0)
+	isolated := newMachine(now, 4, "a7", "a8")
+	run(t, &now, defaultCatchUpTimeout+100*time.Millisecond, isolated)
+	expectPhase(t, isolated, Isolated, 0)
 
 	advance(&now, time.Minute)
-	last.Tick(now)
-	expectPhase(t, last, CatchingUp, 1)
-	exchange(t, now, append(all, last)...)
-	expectPhase(t, last, Synced, 1)
+	joiner.Tick(now)
+	expectPhase(t, joiner, CatchingUp, 1)
+	exchange(t, now, append(all, joiner)...)
+	expectPhase(t, joiner, Synced, 1)
 
-	self, _ := last.Members.Self()
+	self, _ := joiner.Members.Self()
 	self.State = membership.Dead
 	from, _ := all[0].Members.Self()
 	packet := Packet{Format: Format, Label: "test", From: from, Members: []membership.Member{self}}
-	if err := last.Receive(now, "a0", encodePacket(t, packet)); err != nil {
+	if err := joiner.Receive(now, "a0", encodePacket(t, packet)); err != nil {
 		t.Fatal(err)
 	}
-	expectPhase(t, last, CatchingUp, 1)
+	expectPhase(t, joiner, CatchingUp, 1)
 }
 
 // TestIsolatedMembersSync: an isolated member's snapshot is not a synced one, and two isolated members sync once they
@@ -66,10 +66,10 @@
 }
 
 // expectPhase fails unless a machine is in a phase and has some servers administratively down.
-func expectPhase(t testing.TB, m *Machine, want Phase, down int) {
+func expectPhase(t testing.TB, m *Machine, want Phase, wantDown int) {
 	t.Helper()
-	if p, _ := m.Phase(); p != want || len(m.Store.AdminDown()) != down {
-		t.Errorf("phase %v with %v down, want %v with %d", p, m.Store.AdminDown(), want, down)
+	if p, _ := m.Phase(); p != want || len(m.Store.AdminDown()) != wantDown {
+		t.Errorf("phase %v with %v down, want %v with %d", p, m.Store.AdminDown(), want, wantDown)
 	}
 }
 
@@ -108,7 +108,7 @@
 	successor.Tick(now)
 	exchange(t, now, predecessor, successor)
 	expectPhase(t, successor, Synced, 1)
-	if _, bears := predecessor.Members.Self(); bears {
+	if _, ownsName := predecessor.Members.Self(); ownsName {
 		t.Error("the predecessor does not know that it is superseded")
 	}
 	recordCall(t, third, now, "s-1", true)
@@ -147,8 +147,8 @@
 		t.Fatal(err)
 	}
 	expectPhase(t, successor, CatchingUp, 0)
-	refused := errors.New("refused")
-	if err := successor.ReceiveSnapshot(now, "a0", nil, refused); !errors.Is(err, refused) {
+	errFetch := errors.New("refused")
+	if err := successor.ReceiveSnapshot(now, "a0", nil, errFetch); !errors.Is(err, errFetch) {
 		t.Errorf("error %v of a failed fetch", err)
 	}
 	expectPhase(t, successor, Synced, 0)
--- a/internal/fleet/gossip/confirm.go
+++ b/internal/fleet/gossip/confirm.go
@@ -28,12 +28,12 @@
 
 // pendingConfirm is an item that other members are to hold.
 type pendingConfirm struct {
-	key      replication.Key
-	seq      uint64
-	asked    map[string]bool // addresses
-	holders  map[string]bool // names
-	nextTry  Time
-	deadline Time
+	key         replication.Key
+	seq         uint64
+	recipients  map[string]bool // addresses
+	holders     map[string]bool // names
+	nextAttempt Time
+	deadline    Time
 }
 
 // Confirm sends an item to some other members; a Confirmation follows in the Actions once enough hold it, or after
@@ -41,30 +41,31 @@
 // sidecar died at once.
 func (m *Machine) Confirm(now replication.Now, key replication.Key) {
 	m.confirmsStarted++
-	m.confirms = append(m.confirms, pendingConfirm{
-		key:      key,
-		seq:      m.confirmsStarted | confirmSeqBit,
-		asked:    map[string]bool{},
-		holders:  map[string]bool{},
-		nextTry:  now.Time,
-		deadline: now.Time + confirmTimeout,
+	m.pendingConfirms = append(m.pendingConfirms, pendingConfirm{
+		key:         key,
+		seq:         m.confirmsStarted | confirmSeqBit,
+		recipients:  map[string]bool{},
+		holders:     map[string]bool{},
+		nextAttempt: now.Time,
+		deadline:    now.Time + confirmTimeout,
 	})
 	m.retryConfirms(now)
 }
 
 // retryConfirms ends the confirms that are complete or over, and sends the items of the others again.
 func (m *Machine) retryConfirms(now replication.Now) {
-	enough := min(confirmReplicas, m.Members.NumPresent()-1)
-	m.confirms = slices.DeleteFunc(m.confirms, func(c pendingConfirm) bool {
-		if len(c.holders) < enough && now.Time < c.deadline {
+	required := min(confirmReplicas, m.Members.NumPresent()-1)
+	m.pendingConfirms = slices.DeleteFunc(m.pendingConfirms, func(c pendingConfirm) bool {
+		if len(c.holders) < required && now.Time < c.deadline {
 			return false
 		}
-		m.actions.Confirmations = append(m.actions.Confirmations, Confirmation{c.key, len(c.holders), len(c.asked)})
+		m.actions.Confirmations = append(m.actions.Confirmations,
+			Confirmation{c.key, len(c.holders), len(c.recipients)})
 		return true
 	})
-	for i := range m.confirms {
-		if c := &m.confirms[i]; now.Time >= c.nextTry {
-			c.nextTry = now.Time + confirmRetryInterval
+	for i := range m.pendingConfirms {
+		if c := &m.pendingConfirms[i]; now.Time >= c.nextAttempt {
+			c.nextAttempt = now.Time + confirmRetryInterval
 			m.sendConfirm(now, c)
 		}
 	}
@@ -79,16 +80,16 @@
 		p := Packet{Probe: &membership.Message{Kind: membership.Ping, Seq: c.seq, Target: to.Name}}
 		m.appendItems(now, &p, []replication.Key{c.key})
 		if m.send(now.Time, to.Address, p) {
-			c.asked[to.Address] = true
+			c.recipients[to.Address] = true
 		}
 	}
 }
 
-// confirmAcked counts a member that has acknowledged a ping of Confirm.
-func (m *Machine) confirmAcked(seq uint64, by string) {
-	for i := range m.confirms {
-		if m.confirms[i].seq == seq {
-			m.confirms[i].holders[by] = true
+// handleConfirmAck counts a member that has acknowledged a ping of Confirm.
+func (m *Machine) handleConfirmAck(seq uint64, by string) {
+	for i := range m.pendingConfirms {
+		if m.pendingConfirms[i].seq == seq {
+			m.pendingConfirms[i].holders[by] = true
 		}
 	}
 }
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -102,15 +102,15 @@
 }
 
 // run ticks machines for some time.
-func run(t testing.TB, now *replication.Now, d time.Duration, all ...*Machine) (held []Confirmation) {
+func run(t testing.TB, now *replication.Now, d time.Duration, all ...*Machine) (confirmations []Confirmation) {
 	t.Helper()
 	for end := now.Time + d; now.Time < end; advance(now, 50*time.Millisecond) {
 		for _, m := range all {
 			m.Tick(*now)
 		}
-		held = append(held, exchange(t, *now, all...)...)
+		confirmations = append(confirmations, exchange(t, *now, all...)...)
 	}
-	return held
+	return confirmations
 }
 
 func newSyncedTrio(t testing.TB, now *replication.Now) []*Machine {
@@ -150,9 +150,9 @@
 	now := start
 	all := newSyncedTrio(t, &now)
 	all[0].Confirm(now, recordCall(t, all[0], now, "s", true))
-	held := exchange(t, now, all...)
-	if len(held) != 1 || held[0].Holders != 2 {
-		t.Errorf("confirmations %+v, want two holders", held)
+	confirmations := exchange(t, now, all...)
+	if len(confirmations) != 1 || confirmations[0].Holders != 2 {
+		t.Errorf("confirmations %+v, want two holders", confirmations)
 	}
 	for _, m := range all {
 		if len(m.Store.AdminDown()) != 1 {
@@ -160,14 +160,14 @@
 		}
 	}
 	all[0].Confirm(now, recordCall(t, all[0], now, "r", true))
-	held = run(t, &now, time.Second, all[0]) // its packets get lost
-	if len(held) != 1 || held[0].Holders != 0 || held[0].Recipients == 0 {
-		t.Errorf("confirmations %+v, want no holder of those asked", held)
+	confirmations = run(t, &now, time.Second, all[0]) // its packets get lost
+	if len(confirmations) != 1 || confirmations[0].Holders != 0 || confirmations[0].Recipients == 0 {
+		t.Errorf("confirmations %+v, want no holder of those asked", confirmations)
 	}
-	alone := newMachine(now, 9)
-	alone.Confirm(now, recordCall(t, alone, now, "r", true))
-	if held := exchange(t, now, alone); len(held) != 1 || held[0].Recipients != 0 {
-		t.Errorf("confirmations %+v, want none asked", held)
+	single := newMachine(now, 9)
+	single.Confirm(now, recordCall(t, single, now, "r", true))
+	if confirmations := exchange(t, now, single); len(confirmations) != 1 || confirmations[0].Recipients != 0 {
+		t.Errorf("confirmations %+v, want none asked", confirmations)
 	}
 }
 
@@ -205,8 +205,8 @@
 	}
 }
 
-// TestBadPacketsAreRejected: a packet of another fleet or format, and one that is malformed, is counted and not used.
-func TestBadPacketsAreRejected(t *testing.T) {
+// TestInvalidPacketsAreRejected: a packet of another fleet or format, and one that is malformed, is counted and not used.
+func TestInvalidPacketsAreRejected(t *testing.T) {
 	now := start
 	m := newMachine(now, 0)
 	member := membership.Member{Name: "x", Address: "ax", ProcessIncarnation: membership.ProcessIncarnation{Number: 1, Nonce: 1}}
@@ -244,12 +244,12 @@
 	run(t, &now, 10*time.Second, all...)
 	const limit = MaxBytesPerSecond + maxBurstBytes + 10*MaxPacketBytes // with ten probes and acks
 	for second := range 10 {
-		before := all[0].Counters().Bytes
+		bytesBefore := all[0].Counters().Bytes
 		for range 20 {
 			broadcastRows(t, now, all[0], 60)
 			run(t, &now, 50*time.Millisecond, all...)
 		}
-		if sent := all[0].Counters().Bytes - before; sent > limit {
+		if sent := all[0].Counters().Bytes - bytesBefore; sent > limit {
 			t.Errorf("%d bytes in second %d, %d are allowed", sent, second, limit)
 		}
 	}
--- a/internal/fleet/gossip/machine.go
+++ b/internal/fleet/gossip/machine.go
@@ -98,47 +98,47 @@
 	peers              map[string]*peerState // by name
 	membersRequestedAt Time
 
-	confirms        []pendingConfirm
+	pendingConfirms []pendingConfirm
 	confirmsStarted uint64
 
 	// The token bucket of the bound on what is sent, in bytes.
-	tokens   float64
-	tokensAt Time
-
-	tickedAt  Time
-	expiredAt Time
-
-	phase              Phase
-	phaseSince         Time
-	nextFetch          Time
-	unsynced           map[string]bool // addresses that have answered: true where they are not synced themselves
-	predecessors       []string        // that are still waited for
-	syncedAnswer       bool            // a synced member has answered
-	refutedIncarnation uint32          // least incarnation in which being held for dead is not known yet
-
-	successor   string            // address of the later incarnation that has taken the name; "": none
-	unforwarded []replication.Key // changed since the last packet to the successor
+	tokens          float64
+	tokensUpdatedAt Time
+
+	lastTick   Time
+	lastExpiry Time
+
+	phase                   Phase
+	phaseSince              Time
+	nextFetch               Time
+	unsynced                map[string]bool // addresses that have answered: true where they are not synced themselves
+	predecessors            []string        // that are still waited for
+	syncedResponse          bool            // a synced member has answered
+	minUnrefutedIncarnation uint32          // least incarnation in which being held for dead is not known yet
+
+	successor      string            // address of the later incarnation that has taken the name; "": none
+	pendingForward []replication.Key // changed since the last packet to the successor
 }
 
-// New returns a machine that is catching up. warm is the state that a former incarnation has left on disk, and may be
+// New returns a machine that is catching up. saved is the state that a former incarnation has left on disk, and may be
 // empty.
-func New(now replication.Now, settings Settings, warm []replication.Item) *Machine {
+func New(now replication.Now, settings Settings, saved []replication.Item) *Machine {
 	settings.CatchUpTimeout = cmp.Or(settings.CatchUpTimeout, defaultCatchUpTimeout)
 	m := &Machine{
-		Members:      membership.New(now.Time, settings.Membership),
-		settings:     settings,
-		rng:          rand.New(rand.NewPCG(settings.Membership.Seed, ^settings.Membership.IncarnationNonce)),
-		peers:        map[string]*peerState{},
-		tokens:       maxBurstBytes,
-		tokensAt:     now.Time,
-		tickedAt:     now.Time,
-		phaseSince:   now.Time,
-		unsynced:     map[string]bool{},
-		predecessors: slices.Clone(settings.Predecessors),
+		Members:         membership.New(now.Time, settings.Membership),
+		settings:        settings,
+		rng:             rand.New(rand.NewPCG(settings.Membership.Seed, ^settings.Membership.IncarnationNonce)),
+		peers:           map[string]*peerState{},
+		tokens:          maxBurstBytes,
+		tokensUpdatedAt: now.Time,
+		lastTick:        now.Time,
+		phaseSince:      now.Time,
+		unsynced:        map[string]bool{},
+		predecessors:    slices.Clone(settings.Predecessors),
 	}
 	self, _ := m.Members.Self()
 	m.Store = replication.New(self.Name, self.ProcessIncarnation)
-	for _, item := range warm {
+	for _, item := range saved {
 		m.mergeItem(now, item, "")
 	}
 	if len(settings.Membership.Peers) == 0 && len(m.predecessors) == 0 {
@@ -147,6 +147,7 @@
 	return m
 }
 
+// Counters returns the current values of the counters.
 func (m *Machine) Counters() Counters { return m.counters }
 
 // TakeActions returns what is to be done since the last call.
@@ -158,14 +159,14 @@
 
 // Tick does what is due at a time. It is to be called about every 50 ms.
 func (m *Machine) Tick(now replication.Now) {
-	if now.Time-m.tickedAt >= stallThreshold && m.phase != CatchingUp {
+	if now.Time-m.lastTick >= stallThreshold && m.phase != CatchingUp {
 		m.enterPhase(now.Time, CatchingUp)
 	}
-	m.tickedAt = now.Time
+	m.lastTick = now.Time
 	m.Members.Tick(now.Time)
 	m.flushMembership(now, membership.Member{})
-	if now.Time-m.expiredAt >= expiryInterval {
-		m.expiredAt = now.Time
+	if now.Time-m.lastExpiry >= expiryInterval {
+		m.lastExpiry = now.Time
 		m.Store.Expire(now)
 	}
 	m.gossipRound(now, false)
@@ -200,7 +201,7 @@
 		m.counters.Recovered += uint64(updated)
 	}
 	m.flushMembership(now, p.From)
-	m.forwardToSuccessor(now, m.unforwarded)
+	m.forwardToSuccessor(now, m.pendingForward)
 	m.retryConfirms(now)
 	m.gossipRound(now, m.urgentPending)
 	return nil
@@ -211,7 +212,7 @@
 	switch {
 	case p.Probe == nil:
 	case p.Probe.Kind == membership.Ack && p.Probe.Seq&confirmSeqBit != 0:
-		m.confirmAcked(p.Probe.Seq, p.From.Name)
+		m.handleConfirmAck(p.Probe.Seq, p.From.Name)
 	default:
 		m.Members.Receive(now.Time, from, p.From.Name, p.From.ProcessIncarnation, *p.Probe)
 	}
--- a/internal/fleet/gossip/merge.go
+++ b/internal/fleet/gossip/merge.go
@@ -21,12 +21,12 @@
 		return false
 	}
 	if !updated {
-		m.damp(key)
+		m.countDuplicateRow(key)
 		return false
 	}
 	m.Broadcast(key)
-	if m.successor != "" && len(m.unforwarded) < maxRumors {
-		m.unforwarded = append(m.unforwarded, key)
+	if m.successor != "" && len(m.pendingForward) < maxRumors {
+		m.pendingForward = append(m.pendingForward, key)
 	}
 	m.urgentPending = m.urgentPending || key.Kind == replication.KindRow
 	m.actions.Updated = append(m.actions.Updated, key)
@@ -55,7 +55,7 @@
 	if err := m.Members.Merge(now.Time, all, from.Name); err != nil {
 		m.counters.Malformed++
 	}
-	if current, bears := m.Members.Self(); bears {
+	if current, ownsName := m.Members.Self(); ownsName {
 		m.Store.SetIncarnation(current.ProcessIncarnation)
 	}
 	for _, received := range members {
@@ -64,8 +64,8 @@
 			continue
 		}
 		// Others have held this member for dead: what they changed meanwhile was not sent to it.
-		if received.Incarnation >= m.refutedIncarnation && m.phase != CatchingUp {
-			m.refutedIncarnation = received.Incarnation + 1
+		if received.Incarnation >= m.minUnrefutedIncarnation && m.phase != CatchingUp {
+			m.minUnrefutedIncarnation = received.Incarnation + 1
 			m.enterPhase(now.Time, CatchingUp)
 		}
 	}
@@ -94,7 +94,7 @@
 func (m *Machine) memberChanged(change membership.Change) {
 	m.actions.Changes = append(m.actions.Changes, change)
 	if change.Superseded {
-		m.successor, m.unforwarded = change.Member.Address, m.Store.Keys()
+		m.successor, m.pendingForward = change.Member.Address, m.Store.Keys()
 		return
 	}
 	if change.Previous.ProcessIncarnation != change.Member.ProcessIncarnation {
@@ -121,7 +121,7 @@
 	if m.successor == "" || len(keys) == 0 {
 		return
 	}
-	m.unforwarded = nil
+	m.pendingForward = nil
 	for range maxForwardPackets {
 		var p Packet
 		p.setHeader(m)
--- a/internal/fleet/gossip/notes.go
+++ b/internal/fleet/gossip/notes.go
@@ -4,8 +4,8 @@
 
 // SendNote sends what this sidecar has noted of a server to the server's collectors.
 func (m *Machine) SendNote(now Time, note failuredetector.Note) {
-	self, bears := m.Members.Self()
-	if !bears {
+	self, ownsName := m.Members.Self()
+	if !ownsName {
 		return
 	}
 	names, addresses := []string{self.Name}, map[string]string{}
--- a/internal/fleet/gossip/notes_test.go
+++ b/internal/fleet/gossip/notes_test.go
@@ -7,17 +7,17 @@
 	"milletramp.example/milletramp/internal/fleet/failuredetector"
 )
 
-// TestQuorumOfNotesAsksForReports has sidecars note late answers of a server: the owners of a quorum of notes are
+// TestQuorumOfNotesRequestsReports has sidecars note late answers of a server: the owners of a quorum of notes are
 // asked to report, nobody else is, and nobody at all where an answer has come since.
-func TestQuorumOfNotesAsksForReports(t *testing.T) {
+func TestQuorumOfNotesRequestsReports(t *testing.T) {
 	now := start
 	all := newSyncedFleet(t, &now, 8)
-	asked := map[string]int{}
+	reportRequests := map[string]int{}
 	note := func(i int, kind failuredetector.NoteKind) {
 		all[i].SendNote(now.Time, failuredetector.Note{Server: "s-1", Kind: kind})
 		_, reports := exchangeAll(t, now, all...)
 		for name, n := range reports {
-			asked[name] += n
+			reportRequests[name] += n
 		}
 	}
 	for _, i := range []int{0, 1, 2} {
@@ -27,15 +27,15 @@
 	for _, i := range []int{0, 1, 2} {
 		note(i, failuredetector.NoteLate)
 	}
-	for name, n := range asked {
+	for name, n := range reportRequests {
 		if n > 0 {
 			t.Errorf("three notes are no quorum, and %s is asked", name)
 		}
 	}
 	note(5, failuredetector.NoteLate)
 	for i := range all {
-		if want := i < 3 || i == 5; (asked[fmt.Sprint("n", i)] > 0) != want {
-			t.Errorf("sidecar %d is asked %d times, want any: %v", i, asked[fmt.Sprint("n", i)], want)
+		if want := i < 3 || i == 5; (reportRequests[fmt.Sprint("n", i)] > 0) != want {
+			t.Errorf("sidecar %d is asked %d times, want any: %v", i, reportRequests[fmt.Sprint("n", i)], want)
 		}
 	}
 }
--- a/internal/fleet/gossip/packet.go
+++ b/internal/fleet/gossip/packet.go
@@ -91,12 +91,12 @@
 	return p, checkHeader(p.Format, p.Label, label, p.From)
 }
 
-func checkHeader(format uint8, theirs, ours string, from membership.Member) error {
+func checkHeader(format uint8, label, wantLabel string, from membership.Member) error {
 	switch {
 	case format != Format:
 		return fmt.Errorf("%w: format %d, this sidecar knows %d", ErrForeign, format, Format)
-	case theirs != ours:
-		return fmt.Errorf("%w: of fleet %.40q, this is %.40q", ErrForeign, theirs, ours)
+	case label != wantLabel:
+		return fmt.Errorf("%w: of fleet %.40q, this is %.40q", ErrForeign, label, wantLabel)
 	case from.Name == "" || from.ProcessIncarnation == membership.ProcessIncarnation{}:
 		return fmt.Errorf("%w: no sender", ErrMalformed)
 	}
--- a/internal/fleet/gossip/rumor.go
+++ b/internal/fleet/gossip/rumor.go
@@ -47,9 +47,9 @@
 	m.gossipRound(now, true)
 }
 
-// damp counts a row that a peer has sent too as transmitted once: rows come by the hundred when much fails, and one
-// that is known widely need not be sent again (rumor mongering with feedback).
-func (m *Machine) damp(key replication.Key) {
+// countDuplicateRow counts a row that a peer has sent too as transmitted once: rows come by the hundred when much fails,
+// and one that is known widely need not be sent again (rumor mongering with feedback).
+func (m *Machine) countDuplicateRow(key replication.Key) {
 	if key.Kind != replication.KindRow {
 		return
 	}
@@ -70,13 +70,13 @@
 	m.nextRound, m.urgentPending = now.Time+gossipInterval, false
 	for _, to := range m.Members.SamplePresent(gossipFanout) {
 		p := Packet{Members: m.Members.Broadcasts(maxPacketMembers, membership.Member{})}
-		before := slices.Clone(m.rumors)
+		previous := slices.Clone(m.rumors)
 		m.appendRumors(now, &p)
 		if len(p.Items)+len(p.Members) == 0 {
 			return
 		}
 		if !m.trySend(now.Time, to.Address, p) {
-			m.rumors = before
+			m.rumors = previous
 			return
 		}
 	}
--- a/internal/fleet/gossip/send.go
+++ b/internal/fleet/gossip/send.go
@@ -20,14 +20,14 @@
 }
 
 // trySend sends a packet, unless the bound on bytes holds it back: then nothing is sent, and it returns false.
-func (m *Machine) trySend(now Time, to string, p Packet) bool { return m.sendBounded(now, to, p, true) }
+func (m *Machine) trySend(now Time, to string, p Packet) bool { return m.sendLimited(now, to, p, true) }
 
 // send sends a packet beyond the bound on bytes, which still counts it. It returns false for a member that has been
 // superseded, and for a packet that is too large.
-func (m *Machine) send(now Time, to string, p Packet) bool { return m.sendBounded(now, to, p, false) }
+func (m *Machine) send(now Time, to string, p Packet) bool { return m.sendLimited(now, to, p, false) }
 
-func (m *Machine) sendBounded(now Time, to string, p Packet, bounded bool) bool {
-	if _, bears := m.Members.Self(); !bears {
+func (m *Machine) sendLimited(now Time, to string, p Packet, limited bool) bool {
+	if _, ownsName := m.Members.Self(); !ownsName {
 		return false // a later incarnation sends under the name
 	}
 	p.setHeader(m)
@@ -36,10 +36,10 @@
 		m.counters.Malformed++
 		return false
 	}
-	m.tokens = min(m.tokens+(now-m.tokensAt).Seconds()*MaxBytesPerSecond, maxBurstBytes)
-	m.tokensAt = now
+	m.tokens = min(m.tokens+(now-m.tokensUpdatedAt).Seconds()*MaxBytesPerSecond, maxBurstBytes)
+	m.tokensUpdatedAt = now
 	size := float64(len(payload))
-	if bounded && m.tokens < size {
+	if limited && m.tokens < size {
 		m.counters.Throttled++
 		return false
 	}
@@ -56,7 +56,7 @@
 
 // appendItems puts items into a packet until one does not fit, and returns the keys of that one and those after it.
 func (m *Machine) appendItems(now replication.Now, p *Packet, keys []replication.Key) (rest []replication.Key) {
-	left := MaxPacketBytes - m.encodedSize(*p)
+	remaining := MaxPacketBytes - m.encodedSize(*p)
 	for i, key := range keys {
 		item, ok := m.Store.Item(now, key)
 		if !ok {
@@ -67,10 +67,10 @@
 			m.counters.Malformed++ // such an item travels by snapshot alone
 			continue
 		}
-		if len(encoded) > left {
+		if len(encoded) > remaining {
 			return keys[i:]
 		}
-		left -= len(encoded)
+		remaining -= len(encoded)
 		p.Items = append(p.Items, encoded)
 	}
 	return nil
--- a/internal/fleet/gossip/snapshot.go
+++ b/internal/fleet/gossip/snapshot.go
@@ -40,10 +40,10 @@
 // EncodeSnapshot returns an encoded Snapshot of all that this member holds. A superseded member receives nothing any
 // more, so its snapshot is not a synced one; its successor may need it all the same.
 func (m *Machine) EncodeSnapshot(now replication.Now) ([]byte, error) {
-	_, bears := m.Members.Self()
+	_, ownsName := m.Members.Self()
 	s := m.newSnapshot()
-	s.Synced = bears && (m.phase == Synced || m.phase == Bootstrapped)
-	left := MaxSnapshotBytes / 2 // the other half is for the members
+	s.Synced = ownsName && (m.phase == Synced || m.phase == Bootstrapped)
+	remaining := MaxSnapshotBytes / 2 // the other half is for the members
 	for _, key := range m.Store.Keys() {
 		item, ok := m.Store.Item(now, key)
 		if !ok {
@@ -53,7 +53,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("snapshot: %v of server %q: %w", key.Kind, key.Server, err)
 		}
-		if left -= len(encoded); left < 0 {
+		if remaining -= len(encoded); remaining < 0 {
 			break
 		}
 		s.Items = append(s.Items, encoded)
