--- a/internal/fleet/membership/broadcast.go
+++ b/internal/fleet/membership/broadcast.go
@@ -9,18 +9,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// broadcast is a member whose state is to be passed on with other messages (SWIM's piggybacking).
+// broadcast is a member whose state is to be disseminated by piggybacking it on other messages (SWIM).
 type broadcast struct {
 	name          string
 	transmitsLeft int
 }
 
-// Broadcasts returns up to n members whose state is to be sent to a member, and counts each as transmitted once. Those
-// transmitted least come first.
+// Broadcasts returns up to n members whose state is to be sent to receiver, and counts each as transmitted once. The
+// members transmitted least often come first.
 //
-// Ahead of them goes what is held of the receiver, where it is newer than the receiver's own state: one that is held
-// for dead must know so to refute it, and one that has restarted must know of its former process. The receiver may be
-// the zero Member.
+// The state held for the receiver itself precedes them if it is newer than the receiver's own state: a member that is
+// considered dead needs it to refute that state, and a restarted member needs it to detect its former process. The
+// receiver may be the zero Member.
 func (m *Machine) Broadcasts(n int, receiver Member) []Member {
 	list := make([]Member, 0, n)
 	if p := m.peers[receiver.Name]; p != nil && p.Compare(receiver) > 0 && n > 0 {
@@ -41,11 +41,12 @@
 	return list
 }
 
-// HasBroadcasts reports whether any member's state is still to be passed on.
+// HasBroadcasts reports whether the state of any member is still to be disseminated.
 func (m *Machine) HasBroadcasts() bool { return len(m.broadcasts) > 0 }
 
-// enqueueBroadcast has a member's state passed on a number of times that grows with the logarithm of the fleet's size:
-// enough to reach all with near certainty, while what one member sends does not grow with the fleet.
+// enqueueBroadcast schedules a member's state for transmission. The number of transmissions grows with the logarithm of
+// the fleet's size: this reaches all members with near certainty, while the rate at which one member sends stays
+// independent of the fleet's size.
 func (m *Machine) enqueueBroadcast(name string) {
 	m.version++
 	if m.superseded && name == m.self.Name {
@@ -60,7 +61,7 @@
 	m.broadcasts = slices.DeleteFunc(m.broadcasts, func(b broadcast) bool { return b.name == name })
 }
 
-// Digest returns a hash that is equal for machines that hold the same of all present members, themselves included.
+// Digest returns a hash that is equal for machines that hold equal states of all present members, including themselves.
 func (m *Machine) Digest() uint64 {
 	if m.digestVersion != m.version {
 		m.digest, m.digestVersion = m.computeDigest(), m.version
@@ -68,7 +69,7 @@
 	return m.digest
 }
 
-// computeDigest sums over present members alone: the others are dropped at different times by each machine.
+// computeDigest sums the hashes of present members only, as machines remove the other members at different times.
 func (m *Machine) computeDigest() (sum uint64) {
 	for _, p := range m.peers {
 		if p.Present() {
--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -1,13 +1,15 @@
-// Package membership keeps a list of the fleet's members and detects those that fail: SWIM (Das, Gupta and Motivala
-// 2002) with Lifeguard's local health, dynamic suspicion timeouts and nacks (Dadgar, Phillips and Currey 2018).
+// Package membership maintains the list of the fleet's members and detects failed members. It implements SWIM (Das,
+// Gupta and Motivala 2002) with Lifeguard's local health, dynamic suspicion timeouts and nacks (Dadgar, Phillips and
+// Currey 2018).
 //
-// It is a stepped state machine: messages and the time go in, messages and changes come out. It has no clock, socket
-// or goroutine; the same seed and events always give the same actions. A Machine must not be used by two goroutines
-// at once.
+// The package is a deterministic state machine: its inputs are messages and the time, its outputs are messages and
+// membership changes. It has no clock, socket or goroutine; the same seed and events always produce the same output. A
+// Machine must not be used by two goroutines at once.
 //
-// It differs from what is published in two ways. A member is known by its name, and each process of it has a number
-// above the incarnation, so that a process that restarts is the same member but never its former self. And a message
-// from a suspect itself counts against the suspicion.
+// It differs from the published protocols in two ways. First, a member is identified by its name, and each process of
+// the member has a ProcessIncarnation that takes precedence over the SWIM incarnation. A restarted process is therefore
+// the same member, but state of the earlier process never applies to it. Second, a message received directly from a
+// suspect counts as evidence against the suspicion.
 package membership
 
 import (
@@ -20,14 +22,14 @@
 // Time is a reading of the host's monotonic clock, from any origin that the host chooses.
 type Time = time.Duration
 
-// ProcessIncarnation identifies one process of a member, from its start to its end. A later one has the higher number;
-// the nonce tells two apart that took the same number unknown to each other.
+// ProcessIncarnation identifies one process of a member, from its start to its end. A later process has a higher
+// number. The nonce distinguishes two processes that chose the same number independently.
 type ProcessIncarnation struct {
 	Number uint64 `cbor:"1,keyasint"`
 	Nonce  uint64 `cbor:"2,keyasint"`
 }
 
-// Compare orders processes by number, then by nonce.
+// Compare orders process incarnations by number, then by nonce.
 func (p ProcessIncarnation) Compare(o ProcessIncarnation) int {
 	return cmp.Or(cmp.Compare(p.Number, o.Number), cmp.Compare(p.Nonce, o.Nonce))
 }
@@ -35,15 +37,15 @@
 // String implements fmt.Stringer.
 func (p ProcessIncarnation) String() string { return fmt.Sprintf("%d.%016x", p.Number, p.Nonce) }
 
-// State is the state of a member. A later one overrides an earlier one of the same process and incarnation.
+// State is the state of a member. For the same process and incarnation, a higher State overrides a lower one.
 type State uint8
 
 // The states of a member.
 const (
 	Alive   State = iota
-	Suspect       // it failed a probe, and may still refute the suspicion
-	Dead          // it did not refute the suspicion in time
-	Left          // it has announced that it leaves
+	Suspect       // failed a probe and may still refute the suspicion
+	Dead          // did not refute the suspicion in time
+	Left          // announced that it is leaving
 	numStates
 )
 
@@ -57,18 +59,19 @@
 	return fmt.Sprintf("state %d", uint8(s))
 }
 
-// Member is the state of one member, as it is passed on. The zero ProcessIncarnation is no valid one.
+// Member is the state of one member as members exchange it. The zero ProcessIncarnation is invalid.
 type Member struct {
 	Name               string             `cbor:"1,keyasint"`
-	Address            string             `cbor:"2,keyasint"` // for messages
+	Address            string             `cbor:"2,keyasint"` // to which messages are sent
 	ProcessIncarnation ProcessIncarnation `cbor:"3,keyasint"`
-	// Incarnation is raised by the member alone, to refute what others hold of this process.
+	// Incarnation is the SWIM incarnation. Only the member itself increments it, to refute the state that others hold
+	// of this process.
 	Incarnation uint32 `cbor:"4,keyasint"`
 	State       State  `cbor:"5,keyasint"`
 }
 
-// Compare orders states of one member: the greater overrides the lesser, no matter who sends it and in whatever order
-// they arrive. So machines that have received the same hold the same.
+// Compare orders states of one member. The greater state overrides the lesser one, regardless of the sender and of the
+// order of arrival, so machines that have received the same states converge.
 func (m Member) Compare(o Member) int {
 	return cmp.Or(
 		m.ProcessIncarnation.Compare(o.ProcessIncarnation),
@@ -78,7 +81,7 @@
 	)
 }
 
-// Newer returns the greater of two states of one member.
+// Newer returns the greater of two states of one member, as ordered by Compare.
 func Newer(a, b Member) Member {
 	if a.Compare(b) < 0 {
 		return b
@@ -86,7 +89,7 @@
 	return a
 }
 
-// Present reports whether the member counts as part of the fleet: it is Alive or Suspect.
+// Present reports whether the member counts as part of the fleet, that is, whether it is Alive or Suspect.
 func (m Member) Present() bool { return m.State == Alive || m.State == Suspect }
 
 const (
@@ -94,7 +97,7 @@
 	maxAddressBytes = 64
 )
 
-// ErrInvalidMember is wrapped by the errors of Merge: a member cannot be what it was received as.
+// ErrInvalidMember is wrapped by the errors of Merge for a received member whose fields are invalid.
 var ErrInvalidMember = errors.New("invalid member")
 
 func (m Member) validate() error {
--- a/internal/fleet/membership/merge.go
+++ b/internal/fleet/membership/merge.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Merge takes in the members that a peer holds; from is the peer's name. Invalid ones are skipped: the error is that of
-// the first, and wraps ErrInvalidMember.
+// Merge merges member states received from a peer; from is the peer's name. It skips invalid members and returns the
+// error of the first one, which wraps ErrInvalidMember.
 func (m *Machine) Merge(now Time, members []Member, from string) (err error) {
 	for _, member := range members {
 		if invalid := member.validate(); invalid != nil {
@@ -24,11 +24,12 @@
 	return err
 }
 
-// mergeSelf takes in what others hold under this member's name. What they hold of its former process must not pass for
-// its own state, and a process that starts while this one runs, as in an upgrade, must not contend with it for ever.
+// mergeSelf merges a state that others hold under this member's own name. The state of a former process must not be
+// mistaken for this process's state, and this process must not contend indefinitely with one that starts while it still
+// runs, as in an upgrade.
 func (m *Machine) mergeSelf(received Member) {
 	switch comparison := received.ProcessIncarnation.Compare(m.self.ProcessIncarnation); {
-	case comparison < 0: // a former process: this one's state replaces it
+	case comparison < 0: // an earlier process: this process's state overrides it
 		m.enqueueBroadcast(m.self.Name)
 	case comparison == 0:
 		m.refute(received)
@@ -41,7 +42,7 @@
 	}
 }
 
-// refute raises the incarnation where others hold this process in a state that is not its own.
+// refute raises the incarnation if others hold this process in a state other than its actual one.
 func (m *Machine) refute(received Member) {
 	if m.superseded || m.self.State == Left {
 		return
@@ -50,11 +51,11 @@
 		return
 	}
 	m.self.Incarnation = received.Incarnation + 1
-	m.adjustLocalHealth(1) // it was suspected: others did not get its acks in time
+	m.adjustLocalHealth(1) // suspected: others did not receive its acks in time
 	m.enqueueBroadcast(m.self.Name)
 }
 
-// markSuperseded gives the name up to a later process.
+// markSuperseded records that a later process has taken over this member's name.
 func (m *Machine) markSuperseded(later Member) {
 	m.superseded = true
 	m.version++
@@ -62,8 +63,9 @@
 	m.changes = append(m.changes, Change{Member: later, Previous: m.self, Superseded: true})
 }
 
-// isFormerIncarnation reports whether a process of a higher number under this member's name has ended. Its number may
-// be the higher one where the wall clock has stepped back since. No other process can have this one's address.
+// isFormerIncarnation reports whether a process with a higher number under this member's name is a former process that
+// has ended. A former process has a higher number if the wall clock has stepped back since its start. A process at this
+// one's address must have ended, as no two processes can share an address.
 func (m *Machine) isFormerIncarnation(received Member) bool {
 	return received.Address == m.self.Address || !received.Present()
 }
@@ -100,7 +102,7 @@
 	m.changes = append(m.changes, Change{Member: received, Previous: previous})
 }
 
-// suspicionTimeout returns how long a suspect has to refute a suspicion that a number of other members has confirmed.
+// suspicionTimeout returns how long a suspect has to refute a suspicion, given the number of members that confirmed it.
 func (m *Machine) suspicionTimeout(confirmations int) time.Duration {
 	scale := max(1, math.Log10(float64(len(m.present)+1)))
 	minTimeout := suspicionMult * scale * float64(m.settings.ProbeInterval)
@@ -108,7 +110,7 @@
 	return time.Duration(minTimeout * (suspicionMaxMult - (suspicionMaxMult-1)*confirmedFraction))
 }
 
-// confirmSuspicion counts another member's suspicion, and passes it on as it is new.
+// confirmSuspicion counts the suspicion of another member and broadcasts it if that member was not counted before.
 func (m *Machine) confirmSuspicion(p *peer, from string) {
 	if p.suspectedBy[from] || len(p.suspectedBy) > suspicionConfirmations {
 		return
@@ -118,7 +120,8 @@
 	m.enqueueBroadcast(p.Name)
 }
 
-// expirePeers declares suspects dead whose time is over, and drops those that have been dead or left for long.
+// expirePeers declares suspects dead whose deadline has passed, and removes members that have been dead or left for the
+// retention period.
 func (m *Machine) expirePeers(now Time) {
 	for _, name := range slices.Clone(m.notAlive) {
 		p := m.peers[name]
@@ -137,9 +140,9 @@
 	}
 }
 
-// refutedByContact reports whether this member alone suspects a peer that it has received a message from of late. Such
-// a peer is alive: it is this member's own messages that get lost, and without this rule it would declare everybody
-// dead.
+// refutedByContact reports whether this member is the only one that suspects a peer and has recently received a message
+// from it. Such a peer is alive and this member's own messages are being lost; without this rule, this member would
+// declare all others dead.
 func (m *Machine) refutedByContact(now Time, p *peer) bool {
 	if len(p.suspectedBy) > 1 || !p.suspectedBy[m.self.Name] || p.lastContact == 0 {
 		return false
@@ -147,7 +150,7 @@
 	return now-p.lastContact < m.scaleByLocalHealth(recentContactIntervals*m.settings.ProbeInterval)
 }
 
-// rebuildLists lists the peers that are present, and those that are not Alive.
+// rebuildLists rebuilds the sorted lists of present peers and of peers that are not Alive.
 func (m *Machine) rebuildLists() {
 	m.present, m.notAlive = m.present[:0], m.notAlive[:0]
 	for name, p := range m.peers {
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -4,31 +4,31 @@
 
 // probe is the probe in flight.
 type probe struct {
-	name         string // of the member that is probed
+	name         string // of the probed member
 	seq          uint64
-	indirectSent bool // indirect probes were asked for
-	indirectAt   Time // when they are
+	indirectSent bool // indirect probes have been requested
+	indirectAt   Time // when indirect probes are requested
 	deadline     Time
-	probers      int // members that were asked for an indirect probe
-	nacks        int // of these, that said that they had no ack either
+	probers      int // number of members from which an indirect probe was requested
+	nacks        int // number of nacks received from them
 }
 
-// relay is an indirect probe in flight for another member.
+// relay is an indirect probe in flight on behalf of another member.
 type relay struct {
-	requester    string // its address
+	requester    string // address of the member that requested the probe
 	requesterSeq uint64
-	deadline     Time // of the nack first, then of the relay itself
+	deadline     Time // for sending the nack; after that, for dropping the relay
 	nackSent     bool
 }
 
-// Receive takes in a message of a process of a member, from its address.
+// Receive handles a message from a process of the named member. from is the sender's address.
 func (m *Machine) Receive(now Time, from, name string, incarnation ProcessIncarnation, message Message) {
 	if p := m.peers[name]; p != nil && p.ProcessIncarnation == incarnation {
-		p.lastContact = max(now, 1) // 0 stands for never
+		p.lastContact = max(now, 1) // 0 means never
 	}
 	switch message.Kind {
 	case Ping:
-		// A process that has taken over the address of a dead member must not answer for it.
+		// A process that reuses the address of a dead member must not acknowledge pings for that member.
 		if message.Target == "" || message.Target == m.self.Name && !m.superseded {
 			m.send(from, Message{Kind: Ack, Seq: message.Seq})
 		}
@@ -43,7 +43,7 @@
 	}
 }
 
-// relayPing pings a member for another one, unless too many relays are in flight.
+// relayPing pings a member on behalf of another one, unless maxRelays relays are in flight.
 func (m *Machine) relayPing(now Time, from string, request Message) {
 	if len(m.relays) >= maxRelays || request.TargetAddress == "" {
 		return
@@ -64,7 +64,7 @@
 	}
 }
 
-// expireRelays sends a nack for each relay that has no ack in time, and drops the relay one probe interval later.
+// expireRelays sends a nack for each relay without an ack by its deadline and drops the relay one probe interval later.
 func (m *Machine) expireRelays(now Time) {
 	for seq, r := range m.relays {
 		switch {
@@ -79,7 +79,7 @@
 	}
 }
 
-// startProbe pings the next member in the order of this round. The order is drawn anew for each round, so a member is
+// startProbe pings the next member in the order of this round. Each round uses a new random order, so each member is
 // probed within two rounds (SWIM, section 4.3).
 func (m *Machine) startProbe(now Time) {
 	if m.probe != nil {
@@ -109,7 +109,7 @@
 	}
 }
 
-// advanceProbe asks for indirect probes once the direct one has timed out, and suspects the member at the deadline.
+// advanceProbe requests indirect probes once the direct probe has timed out, and suspects the member at the deadline.
 func (m *Machine) advanceProbe(now Time) {
 	current := m.probe
 	if current == nil {
@@ -126,17 +126,17 @@
 	if now < current.deadline {
 		return
 	}
-	// Probers that sent neither ack nor nack point at a fault of this member's own (Lifeguard, section IV-A).
+	// Probers that sent neither ack nor nack indicate a fault of this member itself (Lifeguard, section IV-A).
 	m.adjustLocalHealth(max(current.probers-current.nacks, 1))
 	m.probe = nil
 	suspect := p.Member
-	suspect.State = Suspect // where it is one already, this changes nothing
+	suspect.State = Suspect // no effect if it is a suspect already
 	m.mergePeer(now, suspect, m.self.Name)
 }
 
 func (m *Machine) requestIndirectProbes(current *probe, address string) {
 	current.indirectSent = true
-	for _, prober := range m.SamplePresent(indirectProbers + 1) { // one more, as the target may be drawn
+	for _, prober := range m.SamplePresent(indirectProbers + 1) { // one extra, as the sample may include the target
 		if prober.Name == current.name || current.probers >= indirectProbers {
 			continue
 		}
@@ -146,8 +146,8 @@
 	}
 }
 
-// rejoin pings one seed that no present member has the address of, or one dead member: a partition that heals leaves
-// two fleets that hold each other for dead.
+// rejoin pings one random address among the dead members and the seeds that are not the address of a present member.
+// After a partition heals, each side still considers the other dead and would otherwise not contact it.
 func (m *Machine) rejoin() {
 	present := map[string]bool{m.self.Address: true}
 	var candidates []string
