--- a/internal/fleet/gossip/antientropy.go
+++ b/internal/fleet/gossip/antientropy.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	antiEntropyInterval = time.Second // least time between two requests to a peer, and between two replies
-	maxReplyPackets     = 4           // of one reply
+	antiEntropyInterval = time.Second // minimum time between two requests to a peer, and between two replies to it
+	maxReplyPackets     = 4           // packets in one reply
 )
 
-// peerState is what is known of a peer's copy, and what was exchanged with it. The zero Time stands for never.
+// peerState is the last known state of a peer's store and the times of exchanges with the peer. The zero Time means
+// never.
 type peerState struct {
-	sums          [replication.NumKinds]uint64 // that it last sent
+	sums          [replication.NumKinds]uint64 // checksums that it last sent, by kind
 	sumsAt        Time
-	equalAt       Time // when its sums were last equal to this member's
+	equalAt       Time // when its checksums last equaled this member's
 	requestedAt   Time // when missing items were last requested from it
 	repliedAt     Time // when missing items were last sent to it
 	membersSentAt Time // when members were last sent to it
@@ -32,7 +33,7 @@
 	return state
 }
 
-// receiveAntiEntropy takes in the sums and requests of a packet.
+// receiveAntiEntropy handles the checksums and anti-entropy requests of a packet.
 func (m *Machine) receiveAntiEntropy(now replication.Now, from string, p Packet) {
 	if p.Sums != nil {
 		m.compareSums(now, from, p)
@@ -45,7 +46,8 @@
 	}
 }
 
-// compareSums requests what a peer's copy has and this one lacks, and members where their digests differ.
+// compareSums requests missing items from a peer whose checksums differ from this member's, and members if the digests
+// of the members differ.
 func (m *Machine) compareSums(now replication.Now, address string, p Packet) {
 	digest := m.Store.Digest()
 	state := m.peer(p.From.Name)
@@ -60,7 +62,8 @@
 		state.equalAt = now.Time
 		return
 	}
-	// While rumors are on their way copies differ everywhere, and all would request what is about to come.
+	// While rumors are in flight, stores differ throughout the fleet, and every member would request items that it is
+	// about to receive anyway.
 	if len(m.rumors) > 0 || state.requestedAt > 0 && now.Time-state.requestedAt < antiEntropyInterval {
 		return
 	}
@@ -69,7 +72,7 @@
 	m.trySend(now.Time, address, Packet{WantMissing: &digest})
 }
 
-// sendMembers sends a peer some members, drawn anew each time.
+// sendMembers sends a new random sample of members to a peer.
 func (m *Machine) sendMembers(now replication.Now, name, address string) {
 	state := m.peer(name)
 	if state.membersSentAt > 0 && now.Time-state.membersSentAt < antiEntropyInterval {
@@ -82,8 +85,8 @@
 	}
 }
 
-// sendMissing sends a peer the items in the buckets that differ, as many as maxReplyPackets hold, and requests in
-// return what this copy may lack.
+// sendMissing sends a peer the items in the buckets that differ, up to maxReplyPackets packets, and in turn requests
+// the items that this member's store may lack.
 func (m *Machine) sendMissing(now replication.Now, address string, request Packet) {
 	state := m.peer(request.From.Name)
 	if state.repliedAt > 0 && now.Time-state.repliedAt < antiEntropyInterval {
@@ -104,8 +107,8 @@
 	}
 }
 
-// differingKeys returns the keys in the buckets that differ, from a random one on: where not all fit into the reply, it
-// is not always the same that are left out.
+// differingKeys returns the keys in the buckets that differ, rotated to start at a random key, so that a reply too
+// small for all of them does not always omit the same items.
 func (m *Machine) differingKeys(ours, theirs replication.Digest) []replication.Key {
 	var keys []replication.Key
 	for _, key := range m.Store.Keys() {
@@ -120,16 +123,16 @@
 	return slices.Concat(keys[first:], keys[:first])
 }
 
-// Divergence is how a peer's copy compares to this one.
+// Divergence describes how a peer's store differs from this member's.
 type Divergence struct {
 	Name        string
-	Known       bool          // it has sent its sums
-	Equal       bool          // the last ones were equal to this copy's
-	DivergedFor time.Duration // since they last were; 0 where Equal
+	Known       bool          // the peer has sent its checksums
+	Equal       bool          // its last checksums were equal to this member's
+	DivergedFor time.Duration // time since they were last equal; 0 if Equal
 	Kinds       []replication.Kind
 }
 
-// Divergences returns how the copies of all present members compare, sorted by name.
+// Divergences returns the divergence of each present member, sorted by name.
 func (m *Machine) Divergences(now Time) []Divergence {
 	ours := m.Store.Digest().PerKind()
 	var divergences []Divergence
--- a/internal/fleet/gossip/catchup.go
+++ b/internal/fleet/gossip/catchup.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	fetchInterval         = 250 * time.Millisecond // between two requests for snapshots while catching up
+	fetchInterval         = 250 * time.Millisecond // between two rounds of snapshot requests while catching up
 	isolatedFetchInterval = time.Second            // the same while isolated
-	fetchFanout           = 3                      // members that are asked at once, predecessors apart
+	fetchFanout           = 3                      // members requested at once, not counting predecessors
 )
 
-// Phase is how far a member has caught up with the fleet's state.
+// Phase is a member's progress in catching up with the fleet's state.
 type Phase uint8
 
-// The phases.
+// The phases of catching up.
 const (
-	CatchingUp   Phase = iota // it fetches snapshots
-	Synced                    // it holds what the fleet holds
-	Bootstrapped              // no member holds anything: all have started anew
-	Isolated                  // no synced member has answered in time; it goes by what it holds, and fetches on
+	CatchingUp   Phase = iota // fetches snapshots
+	Synced                    // holds the fleet's state
+	Bootstrapped              // no member holds any state: all have just started
+	Isolated                  // no synced member responded in time; uses its own state and continues to fetch
 	numPhases
 )
 
@@ -37,7 +37,7 @@
 	return fmt.Sprintf("phase %d", uint8(p))
 }
 
-// Phase returns how far this member has caught up, and since when.
+// Phase returns the current phase and the time at which it was entered.
 func (m *Machine) Phase() (Phase, Time) { return m.phase, m.phaseSince }
 
 func (m *Machine) enterPhase(now Time, p Phase) {
@@ -51,8 +51,8 @@
 	m.actions.Phases = append(m.actions.Phases, p)
 }
 
-// requestSnapshots fetches snapshots when they are due, until a synced member has answered, or all have answered that
-// they hold nothing.
+// requestSnapshots requests snapshots at intervals while the machine is in phase CatchingUp or Isolated: until a synced
+// member has responded, or all seeds (CatchingUp) or all present members (Isolated) have responded as not synced.
 func (m *Machine) requestSnapshots(now replication.Now) {
 	if m.phase == CatchingUp && now.Time-m.phaseSince >= m.settings.CatchUpTimeout {
 		m.endCatchUp(now.Time)
@@ -71,7 +71,7 @@
 	}
 }
 
-// endCatchUp goes on without the answers that are missing: a predecessor's, or those of all synced members.
+// endCatchUp ends the phase CatchingUp without the missing responses: those of predecessors, or of all synced members.
 func (m *Machine) endCatchUp(now Time) {
 	m.predecessors = nil
 	if m.syncedResponse {
@@ -82,7 +82,7 @@
 	m.nextFetch = now + isolatedFetchInterval
 }
 
-// fetchTargets returns the addresses of all predecessors, and of some seeds and present members.
+// fetchTargets returns the addresses of all awaited predecessors and of some random seeds and present members.
 func (m *Machine) fetchTargets() []string {
 	addresses := slices.Clone(m.settings.Membership.Peers)
 	for _, member := range m.Members.Members() {
@@ -97,18 +97,18 @@
 	return slices.Concat(m.predecessors, addresses[:min(len(addresses), fetchFanout)])
 }
 
-// ReceiveSnapshot takes in the snapshot that was fetched from an address, or the error of the fetch. It returns that
+// ReceiveSnapshot handles the snapshot that was fetched from an address, or the error of the fetch. It returns that
 // error, or one that wraps ErrForeign or ErrMalformed.
 func (m *Machine) ReceiveSnapshot(now replication.Now, from string, encoded []byte, fetchErr error) error {
 	fromPredecessor := slices.Contains(m.predecessors, from)
 	m.predecessors = slices.DeleteFunc(m.predecessors, func(a string) bool { return a == from })
 	if fetchErr != nil {
-		if fromPredecessor { // the predecessor has ended; a synced member may have answered before
+		if fromPredecessor { // the predecessor has ended; a synced member may have responded before
 			m.advancePhase(now, "", false)
 		}
 		return fetchErr
 	}
-	if fromPredecessor { // so that the predecessor knows of its successor, and forwards to it what it still receives
+	if fromPredecessor { // notifies the predecessor, which then forwards the items that it still receives
 		m.send(now.Time, from, Packet{})
 	}
 	s, err := DecodeSnapshot(encoded, m.settings.Label)
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// advancePhase enters the next phase once it may. from is the address that has answered, or "", and synced is
-// whether the member there is synced.
+// advancePhase enters the next phase if its conditions hold. from is the address that has responded, or "", and synced
+// reports whether the member there is synced.
 func (m *Machine) advancePhase(now replication.Now, from string, synced bool) {
 	if m.phase != CatchingUp && m.phase != Isolated {
 		return
@@ -142,19 +142,20 @@
 	case m.phase == CatchingUp && m.allSeedsUnsynced():
 		m.enterPhase(now.Time, Bootstrapped)
 	case m.phase == Isolated && m.allPresentUnsynced():
-		m.enterPhase(now.Time, Synced) // no member that is present holds more
+		m.enterPhase(now.Time, Synced) // no present member holds more state
 	}
 }
 
-// allSeedsUnsynced reports whether all seeds have answered, none of them synced. One that has not answered may hold all
-// that there is.
+// allSeedsUnsynced reports whether all seeds have responded and none of them is synced. A seed that has not responded
+// may hold the fleet's state.
 func (m *Machine) allSeedsUnsynced() bool {
 	return !slices.ContainsFunc(m.settings.Membership.Peers, func(address string) bool {
 		return address != m.settings.Membership.Address && !m.unsynced[address]
 	})
 }
 
-// allPresentUnsynced reports whether all present members, one other at least, have answered, none of them synced.
+// allPresentUnsynced reports whether all other present members have responded, none of them is synced, and there is at
+// least one.
 func (m *Machine) allPresentUnsynced() bool {
 	present := 0
 	for _, member := range m.Members.Members() {
--- a/internal/fleet/gossip/confirm.go
+++ b/internal/fleet/gossip/confirm.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	confirmReplicas      = 3                      // other members that are to hold the item
-	confirmRetryInterval = 200 * time.Millisecond // between two pings of a member
-	// confirmTimeout ends the wait with fewer holders. An operator's call is to be answered within 1 s, also where the
-	// machine is busy.
+	confirmReplicas      = 3                      // number of other members that must hold the item
+	confirmRetryInterval = 200 * time.Millisecond // between two rounds of pings
+	// confirmTimeout is the time after which Confirm stops waiting for further holders. An operator's call has to be
+	// answered within 1 s, even on a busy host.
 	confirmTimeout = 500 * time.Millisecond
-	// confirmSeqBit marks the sequence numbers of pings that carry an item to be confirmed; membership's own have it
-	// unset.
+	// confirmSeqBit is set in the sequence numbers of pings that carry an item to be confirmed, and is not set in those
+	// of package membership.
 	confirmSeqBit = 1 << 63
 )
 
 // Confirmation is the result of Confirm.
 type Confirmation struct {
 	Key        replication.Key
-	Holders    int // other members that hold the item
-	Recipients int // members that it was sent to; 0: there is no other
+	Holders    int // number of other members that hold the item
+	Recipients int // number of members to which it was sent; 0: there is no other member
 }
 
-// pendingConfirm is an item that other members are to hold.
+// pendingConfirm is an item whose confirmation by other members is pending.
 type pendingConfirm struct {
 	key         replication.Key
 	seq         uint64
@@ -36,9 +36,9 @@
 	deadline    Time
 }
 
-// Confirm sends an item to some other members; a Confirmation follows in the Actions once enough hold it, or after
-// confirmTimeout. An operator's call is acknowledged then: were it acknowledged before, it would be lost if this
-// sidecar died at once.
+// Confirm sends an item to some other members. A Confirmation follows in the Actions once confirmReplicas members (or
+// all others, if fewer) hold the item, or after confirmTimeout. An operator's call is acknowledged only then: a call
+// acknowledged earlier would be lost if this sidecar crashed immediately afterwards.
 func (m *Machine) Confirm(now replication.Now, key replication.Key) {
 	m.confirmsStarted++
 	m.pendingConfirms = append(m.pendingConfirms, pendingConfirm{
@@ -52,7 +52,7 @@
 	m.retryConfirms(now)
 }
 
-// retryConfirms ends the confirms that are complete or over, and sends the items of the others again.
+// retryConfirms ends the confirmations that are complete or timed out, and resends the items of the others when due.
 func (m *Machine) retryConfirms(now replication.Now) {
 	required := min(confirmReplicas, m.Members.NumPresent()-1)
 	m.pendingConfirms = slices.DeleteFunc(m.pendingConfirms, func(c pendingConfirm) bool {
@@ -71,7 +71,7 @@
 	}
 }
 
-// sendConfirm pings members that have not acknowledged an item, with the item in the packet.
+// sendConfirm pings random members that have not acknowledged an item, with the item in the packet.
 func (m *Machine) sendConfirm(now replication.Now, c *pendingConfirm) {
 	for _, to := range m.Members.SamplePresent(2 * confirmReplicas) {
 		if c.holders[to.Name] || len(c.holders)+1 > confirmReplicas {
@@ -85,7 +85,7 @@
 	}
 }
 
-// handleConfirmAck counts a member that has acknowledged a ping of Confirm.
+// handleConfirmAck records the member that acknowledged a ping of Confirm as a holder of the item.
 func (m *Machine) handleConfirmAck(seq uint64, by string) {
 	for i := range m.pendingConfirms {
 		if m.pendingConfirms[i].seq == seq {
--- a/internal/fleet/gossip/machine.go
+++ b/internal/fleet/gossip/machine.go
@@ -1,16 +1,17 @@
-// Package gossip keeps the replicated state of all sidecars of a fleet equal, by the epidemic algorithms of Demers et
-// al. 1987. It joins membership and replication in one stepped state machine, and decides what is sent to whom, and
-// when:
+// Package gossip replicates state among all sidecars of a fleet with the epidemic algorithms of Demers et al. 1987. It
+// combines the packages membership and replication in one deterministic state machine and decides what is sent to which
+// member and when:
 //
-//   - Rumors: changed items and members travel piggyback on membership's probes and acks, and in gossip rounds of their
-//     own to a few random members.
-//   - Anti-entropy: each probe and ack carries sums of what its sender holds. Where they differ, the receiver sends its
-//     digest and gets the items whose buckets differ (push-pull).
-//   - Snapshots: a member that starts, or was cut off, fetches all that a peer holds before it counts as caught up.
+//   - Rumors: changed items and members are piggybacked on membership's probes and acks, and are also sent to a few
+//     random members in separate gossip rounds.
+//   - Anti-entropy: each probe and ack carries checksums of the sender's store. If they differ from the receiver's, the
+//     receiver sends its digest and receives the items in the buckets that differ (push-pull).
+//   - Snapshots: a member that starts or was partitioned fetches the complete state of a peer before it counts as
+//     caught up.
 //   - Confirmation: an operator's call is acknowledged once some other members hold it.
 //
-// What a member sends is bounded in bytes a second, whatever the fleet's size. The package has no clock, socket or
-// goroutine, so that a thousand sidecars can be stepped in one process.
+// The number of bytes that a member sends per second is limited, independently of the fleet's size. The package has no
+// clock, socket or goroutine, so that a thousand sidecars can be simulated in one process.
 package gossip
 
 import (
@@ -30,37 +31,38 @@
 
 const (
 	defaultCatchUpTimeout = 2 * time.Second
-	// stallThreshold is the time without a Tick after which the process must have been stopped, or had no processor,
-	// while the fleet went on.
+	// stallThreshold is the time without a Tick after which the process is assumed to have been stopped, or starved of
+	// processor time, while the rest of the fleet continued.
 	stallThreshold = 3 * time.Second
-	expiryInterval = time.Second // between two searches for expired items
+	expiryInterval = time.Second // between two scans for expired items
 )
 
-// Settings configure a Machine.
+// Settings configures a Machine.
 type Settings struct {
 	Membership     membership.Settings
-	Label          string        // of the fleet; packets of other fleets are rejected
-	CatchUpTimeout time.Duration // after which it goes on without a snapshot; default 2 s
-	// Predecessors are the addresses of the process that this one replaces, as in an upgrade. It is asked first, and
-	// waited for even if another member has answered: in a partition it may hold operators' calls that no other has.
+	Label          string        // label of the fleet; packets of other fleets are rejected
+	CatchUpTimeout time.Duration // after which the machine continues without a snapshot; default 2 s
+	// Predecessors are the addresses of the process that this one replaces, as in an upgrade. The machine requests a
+	// snapshot from them first, and waits for it even if another member has responded: in a partition, the predecessor
+	// may hold operators' calls that no other member has.
 	Predecessors []string
 }
 
-// Datagram is a payload for an address.
+// Datagram is a payload to send to an address.
 type Datagram struct {
 	To      string
 	Payload []byte
 }
 
-// Actions are what the owner of a Machine is to do after an event.
+// Actions lists what the owner of a Machine has to do after an event.
 type Actions struct {
 	Send          []Datagram
-	Fetch         []string // addresses to fetch a snapshot from; a ReceiveSnapshot follows for each
+	Fetch         []string // addresses to fetch a snapshot from; the owner calls ReceiveSnapshot for each
 	Changes       []membership.Change
-	Updated       []replication.Key // items that peers have changed in the store
-	Phases        []Phase           // that were entered, in order
+	Updated       []replication.Key // items in the store that were changed by data of peers
+	Phases        []Phase           // phases entered, in order
 	Confirmations []Confirmation
-	ReportServers []string // servers on which this sidecar is to report to the whole fleet
+	ReportServers []string // servers on which this sidecar has to report to the complete fleet
 }
 
 // Counters count events since a machine's start.
@@ -73,14 +75,15 @@
 	SnapshotsRequested uint64 `json:"Fetches"`
 	SnapshotsServed    uint64 `json:"Serves"`
 	ItemRequests       uint64 `json:"Wants"` // of anti-entropy
-	Recovered          uint64 // items received in response to ItemRequests
+	Recovered          uint64 // items updated by responses to ItemRequests
 }
 
-// Machine is one member's state machine. Its owner passes in datagrams (Receive), snapshots (ReceiveSnapshot) and the
-// time (Tick), and carries out what TakeActions returns. It must not be used by two goroutines at once.
+// Machine is the gossip state machine of one member. Its owner passes in datagrams (Receive), snapshots
+// (ReceiveSnapshot) and the time (Tick), and performs the Actions that TakeActions returns. A Machine must not be used
+// by two goroutines at once.
 type Machine struct {
-	// Members and Store are to be read alone. A caller that writes an item of this sidecar's own to the Store passes
-	// its key to Broadcast or BroadcastUrgent.
+	// Members and Store are read-only for callers, with one exception: a caller may write this sidecar's own items to
+	// the Store, and then passes their keys to Broadcast or BroadcastUrgent.
 	Members *membership.Machine
 	Store   *replication.Store
 
@@ -91,9 +94,9 @@
 	actions  Actions
 
 	rumors        []rumor
-	rumorsAdded   int  // orders rumors by age
-	urgentPending bool // evidence is among the rumors
-	nextRound     Time // of gossip
+	rumorsAdded   int  // number of rumors added so far; orders rumors by age
+	urgentPending bool // the rumors include evidence on a server
+	nextRound     Time // time of the next gossip round
 
 	peers              map[string]*peerState // by name
 	membersRequestedAt Time
@@ -101,7 +104,7 @@
 	pendingConfirms []pendingConfirm
 	confirmsStarted uint64
 
-	// The token bucket of the bound on what is sent, in bytes.
+	// Token bucket, in bytes, that limits the send rate.
 	tokens          float64
 	tokensUpdatedAt Time
 
@@ -111,17 +114,17 @@
 	phase                   Phase
 	phaseSince              Time
 	nextFetch               Time
-	unsynced                map[string]bool // addresses that have answered: true where they are not synced themselves
-	predecessors            []string        // that are still waited for
-	syncedResponse          bool            // a synced member has answered
-	minUnrefutedIncarnation uint32          // least incarnation in which being held for dead is not known yet
+	unsynced                map[string]bool // by address that has responded: true if the member there is not synced
+	predecessors            []string        // addresses whose response is still awaited
+	syncedResponse          bool            // a synced member has responded
+	minUnrefutedIncarnation uint32          // lowest incarnation whose report as dead has not been handled yet
 
-	successor      string            // address of the later incarnation that has taken the name; "": none
-	pendingForward []replication.Key // changed since the last packet to the successor
+	successor      string            // address of the later process that has taken over the name; "": none
+	pendingForward []replication.Key // keys of the items changed since they were last forwarded to the successor
 }
 
-// New returns a machine that is catching up. saved is the state that a former incarnation has left on disk, and may be
-// empty.
+// New returns a machine in phase CatchingUp, or Bootstrapped if it has neither seeds nor predecessors. saved holds the
+// items that a former process has stored on disk, and may be empty.
 func New(now replication.Now, settings Settings, saved []replication.Item) *Machine {
 	settings.CatchUpTimeout = cmp.Or(settings.CatchUpTimeout, defaultCatchUpTimeout)
 	m := &Machine{
@@ -150,14 +153,14 @@
 // Counters returns the current values of the counters.
 func (m *Machine) Counters() Counters { return m.counters }
 
-// TakeActions returns what is to be done since the last call.
+// TakeActions returns and clears the actions accumulated since the last call.
 func (m *Machine) TakeActions() Actions {
 	actions := m.actions
 	m.actions = Actions{}
 	return actions
 }
 
-// Tick does what is due at a time. It is to be called about every 50 ms.
+// Tick runs the work that is due at the given time. The owner calls it about every 50 ms.
 func (m *Machine) Tick(now replication.Now) {
 	if now.Time-m.lastTick >= stallThreshold && m.phase != CatchingUp {
 		m.enterPhase(now.Time, CatchingUp)
@@ -174,8 +177,8 @@
 	m.requestSnapshots(now)
 }
 
-// Receive takes in a datagram from an address. The error wraps ErrForeign or ErrMalformed; nothing of such a datagram
-// is used.
+// Receive handles a datagram from an address. The error wraps ErrForeign or ErrMalformed; a datagram with such an error
+// has no effect on the state.
 func (m *Machine) Receive(now replication.Now, from string, payload []byte) error {
 	p, err := DecodePacket(payload, m.settings.Label)
 	if errors.Is(err, ErrForeign) {
@@ -188,7 +191,7 @@
 	}
 	m.counters.Received++
 	if self, _ := m.Members.Self(); p.From.Name == self.Name && p.From.ProcessIncarnation == self.ProcessIncarnation {
-		return nil // its own, come back
+		return nil // sent by this process itself
 	}
 	m.mergeMembers(now, p.From, p.Members)
 	m.receiveProbe(now, from, p)
@@ -207,7 +210,7 @@
 	return nil
 }
 
-// receiveProbe passes the membership message of a packet on, unless it answers a ping of Confirm.
+// receiveProbe passes the membership message of a packet to Members, unless it acknowledges a ping of Confirm.
 func (m *Machine) receiveProbe(now replication.Now, from string, p Packet) {
 	switch {
 	case p.Probe == nil:
@@ -218,8 +221,8 @@
 	}
 }
 
-// Leave announces to some members that this one leaves. A member that a successor has replaced forwards all that it
-// holds to the successor instead.
+// Leave announces to some members that this one leaves. A member that has been replaced by a successor instead forwards
+// all its items to the successor.
 func (m *Machine) Leave(now replication.Now) {
 	if m.successor != "" {
 		m.forwardToSuccessor(now, m.Store.Keys())
@@ -232,8 +235,8 @@
 	}
 }
 
-// Suspicions returns the servers that the fleet suspects, the worst first. servers is the number of servers in this
-// sidecar's own list.
+// Suspicions returns the fleet's suspicions of servers, worst first. servers is the number of servers in this sidecar's
+// own endpoint list.
 func (m *Machine) Suspicions(now replication.Now, servers int) []replication.Suspicion {
 	return m.Store.Suspicions(now, m.isPresent, m.Members.NumPresent(), servers)
 }
--- a/internal/fleet/gossip/merge.go
+++ b/internal/fleet/gossip/merge.go
@@ -9,8 +9,7 @@
 	"milletramp.example/milletramp/internal/fleet/replication"
 )
 
-// mergeItem merges one item that a peer has sent, and reports whether it changed the store. A changed item becomes a
-// rumor.
+// mergeItem merges one item received from a peer and reports whether the store changed. A changed item becomes a rumor.
 func (m *Machine) mergeItem(now replication.Now, item replication.Item, from string) (updated bool) {
 	key, err := item.Key()
 	if err == nil {
@@ -33,7 +32,7 @@
 	return true
 }
 
-// mergeItems merges encoded items, and returns how many of them changed the store.
+// mergeItems merges encoded items and returns the number of those that changed the store.
 func (m *Machine) mergeItems(now replication.Now, items []cbor.RawMessage, from string) (updated int) {
 	for _, encoded := range items {
 		var item replication.Item
@@ -48,7 +47,7 @@
 	return updated
 }
 
-// mergeMembers merges a peer's own state and the members that it has sent.
+// mergeMembers merges a peer's own state and the member states that it sent.
 func (m *Machine) mergeMembers(now replication.Now, from membership.Member, members []membership.Member) {
 	self, _ := m.Members.Self()
 	all := slices.Concat([]membership.Member{from}, members)
@@ -63,7 +62,7 @@
 		if !isSelf || received.State != membership.Dead {
 			continue
 		}
-		// Others have held this member for dead: what they changed meanwhile was not sent to it.
+		// Other members considered this one dead and did not send it the changes made in the meantime.
 		if received.Incarnation >= m.minUnrefutedIncarnation && m.phase != CatchingUp {
 			m.minUnrefutedIncarnation = received.Incarnation + 1
 			m.enterPhase(now.Time, CatchingUp)
@@ -71,8 +70,8 @@
 	}
 }
 
-// flushMembership takes in what membership has changed, and sends its messages with rumors piggyback. receiver is the
-// member whose packet led to them, or the zero Member.
+// flushMembership handles the changes of package membership and sends its messages with piggybacked rumors. receiver is
+// the member whose packet caused them, or the zero Member.
 func (m *Machine) flushMembership(now replication.Now, receiver membership.Member) {
 	outgoing, changes := m.Members.TakeOutput()
 	for _, change := range changes {
@@ -105,18 +104,19 @@
 		m.Store.MarkDead(change.Member.Name, change.Member.ProcessIncarnation)
 		delete(m.peers, change.Member.Name)
 	case membership.Dead:
-		// It may live on, so its rows stay: were they dropped, an older version that another member still passes on
-		// would come back as new. They do not count while it is not present, and expire.
+		// The process may still run, so its rows are kept: if they were dropped, an older version that another member
+		// still sends would be merged as new. They do not count while the member is not present, and they expire.
 		delete(m.peers, change.Member.Name)
 	}
 }
 
-// maxForwardPackets is how many packets a socket's default buffer holds.
+// maxForwardPackets is the number of packets that the default buffer of a socket holds.
 const maxForwardPackets = 64
 
-// forwardToSuccessor sends items to the later incarnation that has taken this member's name, if there is one, in at
-// most maxForwardPackets packets. Other members may not know of that incarnation yet and still send to this one: what
-// only this one received, an operator's call for instance, the successor would not obey.
+// forwardToSuccessor sends items, in at most maxForwardPackets packets, to the later process that has taken over this
+// member's name, if there is one. Other members may not have received that process's state yet and still send to
+// this one. Without forwarding, the successor would not apply an item that only this process received, such as an
+// operator's call.
 func (m *Machine) forwardToSuccessor(now replication.Now, keys []replication.Key) {
 	if m.successor == "" || len(keys) == 0 {
 		return
--- a/internal/fleet/gossip/notes.go
+++ b/internal/fleet/gossip/notes.go
@@ -2,7 +2,7 @@
 
 import "milletramp.example/milletramp/internal/fleet/failuredetector"
 
-// SendNote sends what this sidecar has noted of a server to the server's collectors.
+// SendNote sends a note of this sidecar on a server to the server's collectors.
 func (m *Machine) SendNote(now Time, note failuredetector.Note) {
 	self, ownsName := m.Members.Self()
 	if !ownsName {
@@ -24,7 +24,7 @@
 	}
 }
 
-// receiveNote takes in a note of a sidecar, which may be this one.
+// receiveNote handles a note sent by a sidecar, which may be this one.
 func (m *Machine) receiveNote(now Time, from string, note failuredetector.Note) {
 	switch note.Kind {
 	case failuredetector.NoteLate:
@@ -38,7 +38,7 @@
 	}
 }
 
-// requestReport asks the owner of a note, which may be this sidecar, to report on a server to the whole fleet.
+// requestReport requests the owner of a note, which may be this sidecar, to report on a server to the complete fleet.
 func (m *Machine) requestReport(now Time, owner, server string) {
 	if self, _ := m.Members.Self(); owner == self.Name {
 		m.actions.ReportServers = append(m.actions.ReportServers, server)
--- a/internal/fleet/gossip/packet.go
+++ b/internal/fleet/gossip/packet.go
@@ -11,44 +11,45 @@
 	"milletramp.example/milletramp/internal/fleet/replication"
 )
 
-// Format is the version of packets and snapshots. Those of another one are rejected and counted: decoded in part, they
-// would yield state that nobody sent.
+// Format is the version of the format of packets and snapshots. Those of another version are rejected and counted:
+// decoding them partially would yield state that no member sent.
 const Format = 1
 
 const (
-	// MaxPacketBytes is the largest encoded Packet: no network fragments it.
+	// MaxPacketBytes is the maximum size of an encoded Packet. Networks transmit a datagram of this size unfragmented.
 	MaxPacketBytes = 1200
-	// maxPacketMembers is the most members in a packet.
+	// maxPacketMembers is the maximum number of members in a packet.
 	maxPacketMembers = 12
 )
 
-// The errors of decoding.
+// Errors returned by decoding.
 var (
-	// ErrForeign is wrapped where a packet or snapshot is of another fleet or format.
+	// ErrForeign indicates a packet or snapshot of another fleet or format.
 	ErrForeign = errors.New("foreign")
-	// ErrMalformed is wrapped where a packet or snapshot is too large, no valid CBOR, or without a sender.
+	// ErrMalformed indicates a packet or snapshot that is too large, is not valid CBOR or has no sender.
 	ErrMalformed = errors.New("malformed")
 )
 
-// Packet is one datagram between members. Format, Label and From are always set; any of the other fields may be.
+// Packet is the content of one datagram between members. Format, Label and From are always set, the other fields are
+// optional.
 type Packet struct {
 	Format  uint8                         `cbor:"1,keyasint"`
-	Label   string                        `cbor:"2,keyasint"` // of the fleet
+	Label   string                        `cbor:"2,keyasint"` // label of the fleet
 	From    membership.Member             `cbor:"3,keyasint"` // the sender's own state
 	Probe   *membership.Message           `cbor:"4,keyasint,omitempty"`
 	Members []membership.Member           `cbor:"5,keyasint,omitempty"`
-	Sums    *[replication.NumKinds]uint64 `cbor:"6,keyasint,omitempty"` // of the sender's store, for each kind
-	// WantMissing is the digest of the sender's store, with the request for what it lacks.
+	Sums    *[replication.NumKinds]uint64 `cbor:"6,keyasint,omitempty"` // checksums of the sender's store, by kind
+	// WantMissing is the digest of the sender's store and requests the items that differ.
 	WantMissing   *replication.Digest    `cbor:"7,keyasint,omitempty"`
-	MembersDigest uint64                 `cbor:"10,keyasint,omitempty"` // of the sender's members; with Sums
-	WantMembers   bool                   `cbor:"11,keyasint,omitempty"` // a request for some members
-	WantReply     bool                   `cbor:"8,keyasint,omitempty"`  // WantMissing answers another one
-	Items         []cbor.RawMessage      `cbor:"9,keyasint,omitempty"`  // each one encoded replication.Item
+	MembersDigest uint64                 `cbor:"10,keyasint,omitempty"` // digest of the sender's members; set with Sums
+	WantMembers   bool                   `cbor:"11,keyasint,omitempty"` // requests a sample of members
+	WantReply     bool                   `cbor:"8,keyasint,omitempty"`  // WantMissing is sent in reply to another one
+	Items         []cbor.RawMessage      `cbor:"9,keyasint,omitempty"`  // each an encoded replication.Item
 	Notes         []failuredetector.Note `cbor:"12,keyasint,omitempty"`
 }
 
-// The limits of what is decoded: a peer may send anything, and what nests deeply or claims to have a million members is
-// rejected as it is read.
+// Limits of the CBOR decoder. A peer may send arbitrary data; input that nests deeply or declares, for example, a
+// million members is rejected while it is decoded.
 const (
 	maxNestedLevels  = 8
 	maxArrayElements = 1 << 16
@@ -76,10 +77,10 @@
 	return dec, enc
 }
 
-// Encode encodes a packet.
+// Encode encodes a packet as CBOR.
 func (p Packet) Encode() ([]byte, error) { return encMode.Marshal(p) }
 
-// DecodePacket decodes a packet of the fleet of a label. The error wraps ErrForeign or ErrMalformed.
+// DecodePacket decodes a packet of the fleet with the given label. The error wraps ErrForeign or ErrMalformed.
 func DecodePacket(payload []byte, label string) (p Packet, err error) {
 	if len(payload) > MaxPacketBytes {
 		return Packet{}, fmt.Errorf("%w: a datagram of %d bytes, %d are allowed",
--- a/internal/fleet/gossip/rumor.go
+++ b/internal/fleet/gossip/rumor.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	gossipInterval = 100 * time.Millisecond // between two rounds while there are rumors
-	urgentInterval = 20 * time.Millisecond  // the same while evidence is among them
-	gossipFanout   = 3                      // members that a round sends to
-	retransmitMult = 3                      // transmissions of a rumor for each doubling of the fleet; rows: one
-	maxRumors      = 4096                   // beyond which changes are left to anti-entropy
+	gossipInterval = 100 * time.Millisecond // between two gossip rounds while there are rumors
+	urgentInterval = 20 * time.Millisecond  // the same while the rumors include evidence
+	gossipFanout   = 3                      // members to which a round sends
+	retransmitMult = 3                      // transmissions of a rumor for each doubling of the fleet; 1 for rows
+	maxRumors      = 4096                   // further changes are left to anti-entropy
 )
 
-// rumor is an item that is to be passed on.
+// rumor is an item that is still to be disseminated.
 type rumor struct {
 	key           replication.Key
 	transmitsLeft int
-	order         int // the later one has the higher
+	order         int // higher for later rumors
 }
 
-// Broadcast has an item passed on that this sidecar has changed in the Store.
+// Broadcast makes an item that has changed in the Store a rumor.
 func (m *Machine) Broadcast(key replication.Key) {
 	m.rumors = slices.DeleteFunc(m.rumors, func(r rumor) bool { return r.key == key })
 	if len(m.rumors) >= maxRumors {
@@ -40,15 +40,15 @@
 	m.rumors = append(m.rumors, rumor{key, transmits, m.rumorsAdded})
 }
 
-// BroadcastUrgent has an item passed on that this sidecar has changed in the Store, with the next round moved forward.
+// BroadcastUrgent is like Broadcast, but moves the next gossip round forward.
 func (m *Machine) BroadcastUrgent(now replication.Now, key replication.Key) {
 	m.Broadcast(key)
 	m.urgentPending = true
 	m.gossipRound(now, true)
 }
 
-// countDuplicateRow counts a row that a peer has sent too as transmitted once: rows come by the hundred when much fails,
-// and one that is known widely need not be sent again (rumor mongering with feedback).
+// countDuplicateRow counts a rumor of a row as transmitted once more if a peer has sent the same row (rumor mongering
+// with feedback). When many servers fail, there are hundreds of rows, and widely known ones need not be sent again.
 func (m *Machine) countDuplicateRow(key replication.Key) {
 	if key.Kind != replication.KindRow {
 		return
@@ -58,7 +58,7 @@
 	}
 }
 
-// gossipRound sends rumors and changed members to a few random members, if there are any and the round is due.
+// gossipRound sends rumors and changed members to a few random members if there are any to send and the round is due.
 func (m *Machine) gossipRound(now replication.Now, urgent bool) {
 	due := m.nextRound
 	if urgent {
@@ -82,7 +82,8 @@
 	}
 }
 
-// appendRumors puts as many rumors into a packet as fit, those transmitted least first, and the latest of these.
+// appendRumors appends as many rumors to a packet as fit: those with the most transmissions left first, and among these
+// the latest first.
 func (m *Machine) appendRumors(now replication.Now, p *Packet) {
 	if len(m.rumors) == 0 {
 		return
--- a/internal/fleet/gossip/send.go
+++ b/internal/fleet/gossip/send.go
@@ -2,33 +2,33 @@
 
 import "milletramp.example/milletramp/internal/fleet/replication"
 
-// The bound on what a member sends, as a token bucket of bytes. It does not grow with the fleet. Probes and acks are
-// sent beyond it, as a member that cannot send them is held for dead; their number for each member does not grow with
-// the fleet either.
+// Limits on the bytes that a member sends, enforced with a token bucket. They are independent of the fleet's size.
+// Probes and acks may exceed them, as a member that does not send these is declared dead; the number of probes and acks
+// per member does not grow with the fleet either.
 const (
 	MaxBytesPerSecond = 32 << 10
 	maxBurstBytes     = 16 << 10
 )
 
-// itemsHeaderBytes is the most that the list of items takes in a packet beyond the items.
+// itemsHeaderBytes is the maximum overhead of the list of items in a packet, not counting the items themselves.
 const itemsHeaderBytes = 8
 
-// setHeader fills in the fields that every packet has.
+// setHeader sets the fields that every packet has.
 func (p *Packet) setHeader(m *Machine) {
 	p.Format, p.Label = Format, m.settings.Label
 	p.From, _ = m.Members.Self()
 }
 
-// trySend sends a packet, unless the bound on bytes holds it back: then nothing is sent, and it returns false.
+// trySend sends a packet if the send rate limit permits. Otherwise it sends nothing and returns false.
 func (m *Machine) trySend(now Time, to string, p Packet) bool { return m.sendLimited(now, to, p, true) }
 
-// send sends a packet beyond the bound on bytes, which still counts it. It returns false for a member that has been
-// superseded, and for a packet that is too large.
+// send sends a packet even if it exceeds the send rate limit, and counts it against the limit. It returns false if this
+// member has been superseded or the packet is too large.
 func (m *Machine) send(now Time, to string, p Packet) bool { return m.sendLimited(now, to, p, false) }
 
 func (m *Machine) sendLimited(now Time, to string, p Packet, limited bool) bool {
 	if _, ownsName := m.Members.Self(); !ownsName {
-		return false // a later incarnation sends under the name
+		return false // a later process sends under this name
 	}
 	p.setHeader(m)
 	payload, err := p.Encode()
@@ -54,7 +54,7 @@
 	m.actions.Send = append(m.actions.Send, Datagram{to, payload})
 }
 
-// appendItems puts items into a packet until one does not fit, and returns the keys of that one and those after it.
+// appendItems appends items to a packet until one does not fit, and returns the keys of that one and those after it.
 func (m *Machine) appendItems(now replication.Now, p *Packet, keys []replication.Key) (rest []replication.Key) {
 	remaining := MaxPacketBytes - m.encodedSize(*p)
 	for i, key := range keys {
@@ -64,7 +64,7 @@
 		}
 		encoded, err := encMode.Marshal(item)
 		if err != nil || len(encoded) > MaxPacketBytes/2 {
-			m.counters.Malformed++ // such an item travels by snapshot alone
+			m.counters.Malformed++ // such an item is transferred by snapshots only
 			continue
 		}
 		if len(encoded) > remaining {
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// encodedSize returns the bytes of a packet with the header of its list of items.
+// encodedSize returns the size of a packet in bytes, including the header of its list of items.
 func (m *Machine) encodedSize(p Packet) int {
 	p.setHeader(m)
 	payload, err := p.Encode()
--- a/internal/fleet/gossip/snapshot.go
+++ b/internal/fleet/gossip/snapshot.go
@@ -9,23 +9,23 @@
 	"milletramp.example/milletramp/internal/fleet/replication"
 )
 
-// MaxSnapshotBytes is the largest encoded Snapshot.
+// MaxSnapshotBytes is the maximum size of an encoded Snapshot.
 const MaxSnapshotBytes = 2 << 20
 
-// Snapshot is all that a member holds, for one that has missed much.
+// Snapshot is the complete state of a member, for a member that has missed many updates.
 type Snapshot struct {
 	Format  uint8               `cbor:"1,keyasint"`
-	Label   string              `cbor:"2,keyasint"` // of the fleet
+	Label   string              `cbor:"2,keyasint"` // label of the fleet
 	From    membership.Member   `cbor:"3,keyasint"` // the sender
-	Synced  bool                `cbor:"4,keyasint"` // the sender holds what the fleet holds
+	Synced  bool                `cbor:"4,keyasint"` // the sender holds the fleet's state
 	Members []membership.Member `cbor:"5,keyasint"`
-	Items   []cbor.RawMessage   `cbor:"6,keyasint"` // each one encoded replication.Item
+	Items   []cbor.RawMessage   `cbor:"6,keyasint"` // each an encoded replication.Item
 }
 
-// Encode encodes a snapshot.
+// Encode encodes a snapshot as CBOR.
 func (s Snapshot) Encode() ([]byte, error) { return encMode.Marshal(s) }
 
-// DecodeSnapshot decodes a snapshot of the fleet of a label. The error wraps ErrForeign or ErrMalformed.
+// DecodeSnapshot decodes a snapshot of the fleet with the given label. The error wraps ErrForeign or ErrMalformed.
 func DecodeSnapshot(encoded []byte, label string) (s Snapshot, err error) {
 	if len(encoded) > MaxSnapshotBytes {
 		return Snapshot{}, fmt.Errorf("%w: a snapshot of %d bytes, %d are allowed",
@@ -37,13 +37,13 @@
 	return s, checkHeader(s.Format, s.Label, label, s.From)
 }
 
-// EncodeSnapshot returns an encoded Snapshot of all that this member holds. A superseded member receives nothing any
-// more, so its snapshot is not a synced one; its successor may need it all the same.
+// EncodeSnapshot returns an encoded Snapshot of this member's state. The snapshot of a superseded member is not marked
+// as synced, as such a member no longer receives updates; its successor may still need it.
 func (m *Machine) EncodeSnapshot(now replication.Now) ([]byte, error) {
 	_, ownsName := m.Members.Self()
 	s := m.newSnapshot()
 	s.Synced = ownsName && (m.phase == Synced || m.phase == Bootstrapped)
-	remaining := MaxSnapshotBytes / 2 // the other half is for the members
+	remaining := MaxSnapshotBytes / 2 // the other half is reserved for the members
 	for _, key := range m.Store.Keys() {
 		item, ok := m.Store.Item(now, key)
 		if !ok {
@@ -67,8 +67,8 @@
 	return Snapshot{Format: Format, Label: m.settings.Label, From: self, Members: m.Members.Members()}
 }
 
-// EncodeWarmStart returns an encoded Snapshot of what is to outlast all sidecars on disk: operators' calls, and the
-// members' addresses.
+// EncodeWarmStart returns an encoded Snapshot of the state that is stored on disk to survive a stop of all sidecars:
+// operators' calls and the members' addresses.
 func (m *Machine) EncodeWarmStart(now replication.Now) ([]byte, error) {
 	s := m.newSnapshot()
 	for _, key := range m.Store.Keys() {
@@ -85,8 +85,8 @@
 	return s.Encode()
 }
 
-// DecodeWarmStart decodes what EncodeWarmStart has returned: items, and addresses of members that have not left. The
-// error wraps ErrForeign or ErrMalformed.
+// DecodeWarmStart decodes the result of EncodeWarmStart. It returns the items and the addresses of members that have
+// not left. The error wraps ErrForeign or ErrMalformed.
 func DecodeWarmStart(encoded []byte, label string) (items []replication.Item, peers []string, err error) {
 	s, err := DecodeSnapshot(encoded, label)
 	if err != nil {
