--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -103,14 +103,14 @@
 func (m Member) validate() error {
 	switch {
 	case m.Name == "" || len(m.Name) > maxNameBytes:
-		return fmt.Errorf("%w: a name of %d bytes, 1 to %d are allowed", ErrInvalidMember, len(m.Name), maxNameBytes)
+		return fmt.Errorf("%w: name of %d bytes, want 1 to %d", ErrInvalidMember, len(m.Name), maxNameBytes)
 	case len(m.Address) == 0 || len(m.Address) > maxAddressBytes:
-		return fmt.Errorf("%w %q: an address of %d bytes, 1 to %d are allowed",
+		return fmt.Errorf("%w %q: address of %d bytes, want 1 to %d",
 			ErrInvalidMember, m.Name, len(m.Address), maxAddressBytes)
 	case m.State >= numStates:
-		return fmt.Errorf("%w %q: %v is unknown", ErrInvalidMember, m.Name, m.State)
+		return fmt.Errorf("%w %q: unknown %v", ErrInvalidMember, m.Name, m.State)
 	case m.ProcessIncarnation == ProcessIncarnation{}:
-		return fmt.Errorf("%w %q: no life", ErrInvalidMember, m.Name)
+		return fmt.Errorf("%w %q: no process incarnation", ErrInvalidMember, m.Name)
 	}
 	return nil
 }
