--- a/internal/fleet/gossip/packet.go
+++ b/internal/fleet/gossip/packet.go
@@ -83,11 +83,11 @@
 // DecodePacket decodes a packet of the fleet with the given label. The error wraps ErrForeign or ErrMalformed.
 func DecodePacket(payload []byte, label string) (p Packet, err error) {
 	if len(payload) > MaxPacketBytes {
-		return Packet{}, fmt.Errorf("%w: a datagram of %d bytes, %d are allowed",
+		return Packet{}, fmt.Errorf("%w: datagram of %d bytes exceeds the limit of %d bytes",
 			ErrMalformed, len(payload), MaxPacketBytes)
 	}
 	if err := decMode.Unmarshal(payload, &p); err != nil {
-		return Packet{}, fmt.Errorf("%w: a datagram: %w", ErrMalformed, err)
+		return Packet{}, fmt.Errorf("%w: decoding datagram: %w", ErrMalformed, err)
 	}
 	return p, checkHeader(p.Format, p.Label, label, p.From)
 }
@@ -95,9 +95,9 @@
 func checkHeader(format uint8, label, wantLabel string, from membership.Member) error {
 	switch {
 	case format != Format:
-		return fmt.Errorf("%w: format %d, this sidecar knows %d", ErrForeign, format, Format)
+		return fmt.Errorf("%w: format %d, want %d", ErrForeign, format, Format)
 	case label != wantLabel:
-		return fmt.Errorf("%w: of fleet %.40q, this is %.40q", ErrForeign, label, wantLabel)
+		return fmt.Errorf("%w: fleet %.40q, want %.40q", ErrForeign, label, wantLabel)
 	case from.Name == "" || from.ProcessIncarnation == membership.ProcessIncarnation{}:
 		return fmt.Errorf("%w: no sender", ErrMalformed)
 	}
--- a/internal/fleet/gossip/snapshot.go
+++ b/internal/fleet/gossip/snapshot.go
@@ -28,11 +28,11 @@
 // DecodeSnapshot decodes a snapshot of the fleet with the given label. The error wraps ErrForeign or ErrMalformed.
 func DecodeSnapshot(encoded []byte, label string) (s Snapshot, err error) {
 	if len(encoded) > MaxSnapshotBytes {
-		return Snapshot{}, fmt.Errorf("%w: a snapshot of %d bytes, %d are allowed",
+		return Snapshot{}, fmt.Errorf("%w: snapshot of %d bytes exceeds the limit of %d bytes",
 			ErrMalformed, len(encoded), MaxSnapshotBytes)
 	}
 	if err := decMode.Unmarshal(encoded, &s); err != nil {
-		return Snapshot{}, fmt.Errorf("%w: a snapshot: %w", ErrMalformed, err)
+		return Snapshot{}, fmt.Errorf("%w: decoding snapshot: %w", ErrMalformed, err)
 	}
 	return s, checkHeader(s.Format, s.Label, label, s.From)
 }
@@ -51,7 +51,7 @@
 		}
 		encoded, err := encMode.Marshal(item)
 		if err != nil {
-			return nil, fmt.Errorf("snapshot: %v of server %q: %w", key.Kind, key.Server, err)
+			return nil, fmt.Errorf("encoding snapshot: %v of server %q: %w", key.Kind, key.Server, err)
 		}
 		if remaining -= len(encoded); remaining < 0 {
 			break
@@ -78,7 +78,7 @@
 		}
 		encoded, err := encMode.Marshal(item)
 		if err != nil {
-			return nil, fmt.Errorf("server %q: %w", key.Server, err)
+			return nil, fmt.Errorf("encoding warm start: server %q: %w", key.Server, err)
 		}
 		s.Items = append(s.Items, encoded)
 	}
@@ -95,7 +95,7 @@
 	for _, encodedItem := range s.Items {
 		var item replication.Item
 		if err := decMode.Unmarshal(encodedItem, &item); err != nil {
-			return nil, nil, fmt.Errorf("%w: an item: %w", ErrMalformed, err)
+			return nil, nil, fmt.Errorf("%w: decoding item: %w", ErrMalformed, err)
 		}
 		items = append(items, item)
 	}
