--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -10,18 +10,18 @@
 	"pgregory.net/rapid"
 )
 
-// drawMember draws a state of member a.
+// drawMember draws a random state of member a.
 func drawMember(t *rapid.T) Member {
 	return Member{
 		Name:               "a",
 		Address:            rapid.SampledFrom([]string{"x", "y"}).Draw(t, "address"),
-		ProcessIncarnation: ProcessIncarnation{rapid.Uint64Range(1, 2).Draw(t, "life"), rapid.Uint64Range(1, 2).Draw(t, "nonce")},
+		ProcessIncarnation: ProcessIncarnation{rapid.Uint64Range(1, 2).Draw(t, "number"), rapid.Uint64Range(1, 2).Draw(t, "nonce")},
 		Incarnation:        rapid.Uint32Range(0, 2).Draw(t, "incarnation"),
 		State:              State(rapid.IntRange(0, 3).Draw(t, "state")),
 	}
 }
 
-// TestNewerIsSemilattice: Newer is commutative, associative and idempotent.
+// TestNewerIsSemilattice checks that Newer is commutative, associative and idempotent.
 func TestNewerIsSemilattice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawMember(t), drawMember(t), drawMember(t)
@@ -37,7 +37,7 @@
 	})
 }
 
-// TestMergeIgnoresOrder merges the same states in drawn orders, one of them twice: the result is the newest.
+// TestMergeIgnoresOrder merges the same states in random orders, one of them twice. The result must be the newest state.
 func TestMergeIgnoresOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		received := rapid.SliceOfN(rapid.Custom(drawMember), 1, 8).Draw(t, "received")
@@ -58,7 +58,7 @@
 	})
 }
 
-// testFleet steps machines in simulated time. lost reports which datagrams get lost.
+// testFleet runs machines in simulated time. lost reports whether a datagram between two addresses is lost.
 type testFleet struct {
 	t        testing.TB
 	now      Time
@@ -95,7 +95,7 @@
 	return m
 }
 
-// run steps all machines that are not stopped for some time.
+// run advances the time by d and ticks all machines that are not stopped.
 func (f *testFleet) run(d time.Duration) {
 	for end := f.now + d; f.now < end; f.now += 50 * time.Millisecond {
 		for _, a := range f.order {
@@ -107,7 +107,7 @@
 	}
 }
 
-// deliver delivers a machine's messages, and the replies to them.
+// deliver delivers the messages of the machine at address a, and the replies to them.
 func (f *testFleet) deliver(a string) {
 	m := f.machines[a]
 	sends, changes := m.TakeOutput()
@@ -130,7 +130,7 @@
 	}
 }
 
-// stateOf returns the state in which a machine holds a member.
+// stateOf returns the state of a member as held by the machine at an address, or numStates if it is unknown there.
 func (f *testFleet) stateOf(address, name string) State {
 	m, ok := f.machines[address].Member(name)
 	if !ok {
@@ -139,7 +139,7 @@
 	return m.State
 }
 
-// expectState fails unless all machines that run hold the member in a state.
+// expectState fails the test unless all running machines hold the member in the wanted state.
 func (f *testFleet) expectState(name string, want State) {
 	f.t.Helper()
 	for _, a := range f.order {
@@ -151,12 +151,13 @@
 	}
 }
 
-// TestJoinFailRefuteLeave starts from two seeds, stops one member and starts it again, and has another one leave.
+// TestJoinFailRefuteLeave starts a fleet from two seeds, stops one member and starts it again, and makes another leave.
+// All members must agree on the states at each step.
 func TestJoinFailRefuteLeave(t *testing.T) {
 	for _, n := range []int{3, 10, 50} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			f := newTestFleet(t, n)
-			f.run(20*time.Second + time.Duration(2*n)*time.Second) // each has probed each
+			f.run(20*time.Second + time.Duration(2*n)*time.Second) // long enough for each member to probe all others
 			for i := range n {
 				f.expectState(fmt.Sprintf("n%d", i), Alive)
 			}
@@ -168,7 +169,7 @@
 			f.run(20 * time.Second)
 			f.expectState("n"+last, Alive)
 			if self, _ := f.machines["a"+last].Self(); self.Incarnation == 0 {
-				t.Error("it is alive again without having raised its incarnation")
+				t.Error("member is alive again without having raised its incarnation")
 			}
 			f.machines["a1"].Leave()
 			f.run(10 * time.Second)
@@ -177,7 +178,7 @@
 	}
 }
 
-// TestLossCausesNoFalseDead: with a fifth of all messages lost no live member is declared dead.
+// TestLossCausesNoFalseDead checks that no live member is declared dead while a fifth of all messages is lost.
 func TestLossCausesNoFalseDead(t *testing.T) {
 	f := newTestFleet(t, 20)
 	sent := 0
@@ -192,7 +193,8 @@
 	}
 }
 
-// TestPartitionHeals partitions the fleet until members are dead to each other: afterwards all rejoin.
+// TestPartitionHeals partitions the fleet until members consider each other dead. After the partition heals, all
+// members must be alive again.
 func TestPartitionHeals(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
@@ -207,7 +209,7 @@
 			f.lost = tt.isLost
 			f.run(2 * time.Minute)
 			if f.stateOf("a0", "n9") != Dead {
-				t.Errorf("a0 holds n9 as %v during the partition", f.stateOf("a0", "n9"))
+				t.Errorf("a0 holds n9 as %v during the partition, want it dead", f.stateOf("a0", "n9"))
 			}
 			f.lost = func(string, string) bool { return false }
 			f.run(time.Minute)
@@ -218,8 +220,8 @@
 	}
 }
 
-// TestOneWayLossRaisesLocalHealth has a member receive all messages while its own get lost: it is declared dead, and
-// declares nobody dead itself.
+// TestOneWayLossRaisesLocalHealth makes a member receive all messages while all of its own are lost. The others must
+// declare it dead, and it must not declare any other member dead.
 func TestOneWayLossRaisesLocalHealth(t *testing.T) {
 	f := newTestFleet(t, 10)
 	f.run(20 * time.Second)
@@ -233,40 +235,41 @@
 		}
 	}
 	if dead > 0 {
-		t.Errorf("it declared %d members dead that it receives messages from", dead)
+		t.Errorf("member declared %d members dead although it receives their messages", dead)
 	}
 	if f.machines["a3"].LocalHealth() == 0 {
-		t.Error("its local health is that of a healthy member")
+		t.Error("local health score is 0 although the member's messages are lost")
 	}
 	f.lost = func(string, string) bool { return false }
 	f.run(30 * time.Second)
 	f.expectState("n3", Alive)
 }
 
-// TestRestartIsLaterIncarnation restarts a member with a clock that has stepped back: it is the same member in a later
-// process.
+// TestRestartIsLaterIncarnation restarts a member after its clock has stepped back. The others must see the same member
+// with a later process incarnation.
 func TestRestartIsLaterIncarnation(t *testing.T) {
 	f := newTestFleet(t, 5)
 	f.add("n4", "a4", 5, 1000)
 	f.run(20 * time.Second)
 	before, _ := f.machines["a0"].Member("n4")
-	f.add("n4", "a4", 77, 3) // by its clock it started before its former process
+	f.add("n4", "a4", 77, 3) // by its clock, it started before its former process
 	f.run(20 * time.Second)
 	after, _ := f.machines["a0"].Member("n4")
 	if after.State != Alive || after.ProcessIncarnation.Compare(before.ProcessIncarnation) <= 0 || after.ProcessIncarnation.Nonce != 77 {
-		t.Errorf("it is held as %+v, before as %+v", after, before)
+		t.Errorf("n4 is held as %+v, before the restart as %+v", after, before)
 	}
 	f.machines["a4"].MarkJoined()
 	if err := f.machines["a4"].Merge(f.now, []Member{before}, "n0"); err != nil {
 		t.Fatal(err)
 	}
 	if self, ownsName := f.machines["a4"].Self(); !ownsName || self.ProcessIncarnation != after.ProcessIncarnation {
-		t.Errorf("after the merge of its former life it is %+v, bears its name %v", self, ownsName)
+		t.Errorf("after merging its former process, the member is %+v, owns its name: %v", self, ownsName)
 	}
 }
 
-// TestDuplicateNameSupersedesOlder starts a second process under the name of a running one: the later process takes the
-// name, and the former one reports it and is silent. They do not contend.
+// TestDuplicateNameSupersedesOlder starts a second process under the name of a running one. The later process must take
+// over the name, and the earlier one must report that it is superseded and stop sending. They must not contend for the
+// name.
 func TestDuplicateNameSupersedesOlder(t *testing.T) {
 	f := newTestFleet(t, 5)
 	f.run(20 * time.Second)
@@ -278,20 +281,21 @@
 	later.MarkJoined()
 	f.run(40 * time.Second)
 	if _, ownsName := f.machines["a4"].Self(); ownsName {
-		t.Error("the former life still bears the name")
+		t.Error("the earlier process still owns the name")
 	}
 	superseded := slices.ContainsFunc(f.changes["a4"], func(c Change) bool {
 		return c.Superseded && c.Member.Address == "b4"
 	})
 	if self, ownsName := later.Self(); !ownsName || self.Incarnation > 1 || !superseded {
-		t.Errorf("the later life is %+v, bears the name %v; the former one is superseded: %v", self, ownsName, superseded)
+		t.Errorf("later process is %+v, owns the name: %v; earlier process is superseded: %v", self, ownsName, superseded)
 	}
 	if m, _ := f.machines["a0"].Member("n4"); m.Address != "b4" || m.State != Alive {
-		t.Errorf("it is held as %+v", m)
+		t.Errorf("n4 is held as %+v, want the process at b4 alive", m)
 	}
 }
 
-// TestMessageRateIndependentOfFleetSize: the messages that a member sends a second do not grow with the fleet.
+// TestMessageRateIndependentOfFleetSize checks that the number of messages that a member sends per second does not grow
+// with the fleet.
 func TestMessageRateIndependentOfFleetSize(t *testing.T) {
 	perSecond := func(n int) float64 {
 		f := newTestFleet(t, n)
@@ -301,11 +305,11 @@
 		return float64(f.packets-before) / 20 / float64(n)
 	}
 	if small, large := perSecond(10), perSecond(100); large > 1.2*small || large > 5 {
-		t.Errorf("%.1f messages a second and member at 10 members, %.1f at 100", small, large)
+		t.Errorf("%.1f messages per second and member with 10 members, %.1f with 100", small, large)
 	}
 }
 
-// FuzzMerge merges and receives arbitrary input: it never panics, and an invalid member is rejected.
+// FuzzMerge merges and receives arbitrary input. The machine must never panic and must reject invalid members.
 func FuzzMerge(f *testing.F) {
 	f.Add("a", "x", uint64(1), uint64(2), uint32(3), uint8(1), uint8(1), "self")
 	f.Add("self", "", uint64(0), uint64(0), uint32(0), uint8(9), uint8(3), "")
@@ -319,7 +323,7 @@
 			t.Errorf("%q in state %d was accepted", name, state)
 		}
 		if err != nil && !errors.Is(err, ErrInvalidMember) {
-			t.Errorf("error %v is no ErrInvalidMember", err)
+			t.Errorf("error %v does not wrap ErrInvalidMember", err)
 		}
 		message := Message{Kind: MessageKind(kind), Seq: 1, Target: target, TargetAddress: address}
 		m.Receive(2, address, name, process, message)
@@ -328,24 +332,24 @@
 			m.TakeOutput()
 		}
 		if len(m.peers) > 1 {
-			t.Errorf("it holds %d members of one", len(m.peers))
+			t.Errorf("machine holds %d members after receiving one", len(m.peers))
 		}
 	})
 }
 
-// TestRestartAfterClockStep restarts a member after a step of the wall clock, and has it receive its former process
-// only after it has joined: that one is over, whatever its number. A process at another address, of a higher number,
-// takes the name.
+// TestRestartAfterClockStep restarts a member after a step of the wall clock, and merges the state of its former
+// process only after the member has joined. The member must keep its name if the former process has ended, whatever its number.
+// A present process at another address with a higher number must take over the name.
 func TestRestartAfterClockStep(t *testing.T) {
-	const formerNumber = 10_000_000 // of the former process, in Unix milliseconds
+	const formerNumber = 10_000_000 // number of the former process: its start in Unix milliseconds
 	for _, step := range []time.Duration{-time.Hour, -3 * time.Second, 3 * time.Second, time.Hour} {
 		for _, tt := range []struct {
 			name     string
 			former   Member
 			ownsName bool
 		}{
-			{"alive, at the own address", Member{Address: "a0", State: Alive}, true},
-			{"suspect, at the own address", Member{Address: "a0", State: Suspect, Incarnation: 3}, true},
+			{"alive, at the same address", Member{Address: "a0", State: Alive}, true},
+			{"suspect, at the same address", Member{Address: "a0", State: Suspect, Incarnation: 3}, true},
 			{"dead, at another address", Member{Address: "b0", State: Dead}, true},
 			{"left, at another address", Member{Address: "b0", State: Left}, true},
 			{"alive, at another address", Member{Address: "b0", State: Alive}, step > 0},
@@ -360,7 +364,7 @@
 				}
 				self, ownsName := m.Self()
 				if ownsName != tt.ownsName || ownsName && self.ProcessIncarnation.Compare(tt.former.ProcessIncarnation) <= 0 || self.ProcessIncarnation.Nonce != 2 {
-					t.Errorf("it is %+v, bears its name %v, want %v", self, ownsName, tt.ownsName)
+					t.Errorf("member is %+v, owns its name: %v, want %v", self, ownsName, tt.ownsName)
 				}
 			})
 		}
