--- a/internal/fleet/gossip/catchup_test.go
+++ b/internal/fleet/gossip/catchup_test.go
@@ -11,8 +11,9 @@
 	"milletramp.example/milletramp/internal/fleet/replication"
 )
 
-// TestCatchUpPhases: a member is synced with a synced one's snapshot, bootstrapped where all start anew and isolated
-// where none answers. It catches up again after a stall, and when others have held it for dead.
+// TestCatchUpPhases checks that a member is synced after it received the snapshot of a synced member, bootstrapped if
+// all members have just started, and isolated if none responds. It must catch up again after a stall, and after others
+// have considered it dead.
 func TestCatchUpPhases(t *testing.T) {
 	now := start
 	all := newSyncedTrio(t, &now)
@@ -44,36 +45,37 @@
 	expectPhase(t, joiner, CatchingUp, 1)
 }
 
-// TestIsolatedMembersSync: an isolated member's snapshot is not a synced one, and two isolated members sync once they
-// have found each other, though one of their seeds never answers.
+// TestIsolatedMembersSync checks that the snapshot of an isolated member is not marked as synced, and that two isolated
+// members become synced once they have contacted each other, although one of their seeds never responds.
 func TestIsolatedMembersSync(t *testing.T) {
 	now := start
 	first := newMachine(now, 0, "a9")
 	run(t, &now, 5*time.Second, first)
 	expectPhase(t, first, Isolated, 0)
 	if s, err := DecodeSnapshot(encodeSnapshot(t, first, now), "test"); err != nil || s.Synced {
-		t.Errorf("snapshot is synced: %v, error %v", s.Synced, err)
+		t.Errorf("isolated member's snapshot is synced: %v, error %v", s.Synced, err)
 	}
 	recordCall(t, first, now, "s-1", true)
 	second := newMachine(now, 1, "a0", "a9")
 	run(t, &now, time.Second, first, second)
 	if p, _ := second.Phase(); p != CatchingUp {
-		t.Errorf("phase %v before the timeout", p)
+		t.Errorf("phase %v before the timeout, want catching up", p)
 	}
 	run(t, &now, 10*time.Second, first, second)
 	expectPhase(t, first, Synced, 1)
 	expectPhase(t, second, Synced, 1)
 }
 
-// expectPhase fails unless a machine is in a phase and has some servers administratively down.
+// expectPhase fails the test unless a machine is in the wanted phase and has the wanted number of servers
+// administratively down.
 func expectPhase(t testing.TB, m *Machine, want Phase, wantDown int) {
 	t.Helper()
 	if p, _ := m.Phase(); p != want || len(m.Store.AdminDown()) != wantDown {
-		t.Errorf("phase %v with %v down, want %v with %d", p, m.Store.AdminDown(), want, wantDown)
+		t.Errorf("phase %v with servers %v administratively down, want phase %v with %d servers", p, m.Store.AdminDown(), want, wantDown)
 	}
 }
 
-// encodeSnapshot returns a machine's snapshot.
+// encodeSnapshot returns the encoded snapshot of a machine.
 func encodeSnapshot(t testing.TB, m *Machine, now replication.Now) []byte {
 	t.Helper()
 	encoded, err := m.EncodeSnapshot(now)
@@ -83,7 +85,7 @@
 	return encoded
 }
 
-// newSuccessor returns a machine that replaces the one at a0, with a1 for a seed.
+// newSuccessor returns a machine that replaces the one at a0 and has a1 as its seed.
 func newSuccessor(now replication.Now, address string, number uint64) *Machine {
 	return New(now, Settings{Label: "test", Predecessors: []string{"a0"}, Membership: membership.Settings{
 		Name:              "n0",
@@ -94,12 +96,12 @@
 	}}, nil)
 }
 
-// TestSuccessorWaitsForPredecessor: a successor waits for its predecessor's snapshot, though another member has
-// answered, and the predecessor forwards what it receives afterwards, until it ends.
+// TestSuccessorWaitsForPredecessor checks that a successor waits for its predecessor's snapshot although another member
+// has responded, and that the predecessor forwards the items that it receives afterwards, until it ends.
 func TestSuccessorWaitsForPredecessor(t *testing.T) {
 	now := start
 	predecessor, third := newMachine(now, 0), newMachine(now, 1)
-	recordCall(t, predecessor, now, "s-0", true) // the third has not received it
+	recordCall(t, predecessor, now, "s-0", true) // not received by the third machine
 	successor := newSuccessor(advance(&now, time.Second), "b0", 9)
 	if err := successor.ReceiveSnapshot(now, "a1", encodeSnapshot(t, third, now), nil); err != nil {
 		t.Fatal(err)
@@ -109,7 +111,7 @@
 	exchange(t, now, predecessor, successor)
 	expectPhase(t, successor, Synced, 1)
 	if _, ownsName := predecessor.Members.Self(); ownsName {
-		t.Error("the predecessor does not know that it is superseded")
+		t.Error("the predecessor still owns its name")
 	}
 	recordCall(t, third, now, "s-1", true)
 	sendItem(t, now, third, predecessor, replication.Key{Kind: replication.KindAdmin, Server: "s-1"})
@@ -120,12 +122,12 @@
 	expectPhase(t, successor, Synced, 2)
 }
 
-// sendItem passes one item of the machine at a1 to another one.
+// sendItem sends one item of a machine to another one, with a1 as the address of the sender.
 func sendItem(t testing.TB, now replication.Now, from, to *Machine, key replication.Key) {
 	t.Helper()
 	item, ok := from.Store.Item(now, key)
 	if !ok {
-		t.Fatalf("no item %+v", key)
+		t.Fatalf("sender has no item %+v", key)
 	}
 	encoded, err := encMode.Marshal(item)
 	if err != nil {
@@ -138,7 +140,7 @@
 	}
 }
 
-// TestSuccessorOfDeadPredecessor: a predecessor that has ended is not waited for.
+// TestSuccessorOfDeadPredecessor checks that a successor does not wait for a predecessor that has ended.
 func TestSuccessorOfDeadPredecessor(t *testing.T) {
 	now := start
 	third := newMachine(now, 1)
@@ -149,7 +151,7 @@
 	expectPhase(t, successor, CatchingUp, 0)
 	errFetch := errors.New("refused")
 	if err := successor.ReceiveSnapshot(now, "a0", nil, errFetch); !errors.Is(err, errFetch) {
-		t.Errorf("error %v of a failed fetch", err)
+		t.Errorf("error %v, want the error of the failed fetch", err)
 	}
 	expectPhase(t, successor, Synced, 0)
 }
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -13,7 +13,7 @@
 	"milletramp.example/milletramp/internal/fleet/replication"
 )
 
-// start is the time at which tests begin.
+// start is the initial time of the tests.
 var start = replication.Now{Time: time.Hour, Wall: 1_700_000_000_000}
 
 func newMachine(now replication.Now, i int, seeds ...string) *Machine {
@@ -25,14 +25,14 @@
 	}}, nil)
 }
 
-// exchange carries out the actions of machines, in no time, until they have none left.
+// exchange performs the actions of machines, without advancing the time, until none are left.
 func exchange(t testing.TB, now replication.Now, all ...*Machine) []Confirmation {
 	t.Helper()
 	confirmations, _ := exchangeAll(t, now, all...)
 	return confirmations
 }
 
-// exchangeAll also returns how many reports each machine is asked for, by name.
+// exchangeAll is like exchange, but also returns the number of reports requested from each machine, by name.
 func exchangeAll(t testing.TB, now replication.Now, all ...*Machine) (
 	confirmations []Confirmation, reports map[string]int,
 ) {
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// deliver delivers datagrams to the machines that are there, and reports whether there was any.
+// deliver delivers datagrams to the machines among all, and reports whether it delivered any.
 func deliver(t testing.TB, now replication.Now, from string, datagrams []Datagram, all []*Machine) (delivered bool) {
 	t.Helper()
 	for _, d := range datagrams {
@@ -78,7 +78,7 @@
 	return delivered
 }
 
-// fetch fetches snapshots from the machines that are there, and reports whether there was any.
+// fetch fetches snapshots from the machines among all, and reports whether it fetched any.
 func fetch(t testing.TB, now replication.Now, m *Machine, addresses []string, all []*Machine) (fetched bool) {
 	t.Helper()
 	for _, from := range addresses {
@@ -101,7 +101,7 @@
 	return *now
 }
 
-// run ticks machines for some time.
+// run advances the time by d, ticks the machines and performs their actions.
 func run(t testing.TB, now *replication.Now, d time.Duration, all ...*Machine) (confirmations []Confirmation) {
 	t.Helper()
 	for end := now.Time + d; now.Time < end; advance(now, 50*time.Millisecond) {
@@ -118,7 +118,7 @@
 	return newSyncedFleet(t, now, 3)
 }
 
-// newSyncedFleet returns machines that have started together and found each other.
+// newSyncedFleet returns n machines that have started together and have joined each other.
 func newSyncedFleet(t testing.TB, now *replication.Now, n int) []*Machine {
 	t.Helper()
 	var all []*Machine
@@ -128,7 +128,7 @@
 	run(t, now, 10*time.Second, all...)
 	for _, m := range all {
 		if p, _ := m.Phase(); m.Members.NumPresent() != n || p == CatchingUp || p == Isolated {
-			t.Fatalf("%d members, phase %v", m.Members.NumPresent(), p)
+			t.Fatalf("%d members present, phase %v", m.Members.NumPresent(), p)
 		}
 	}
 	return all
@@ -144,15 +144,15 @@
 	return key
 }
 
-// TestConfirmCountsHolders: Confirm counts the members that hold an operator's call, and ends where none acknowledges
-// it and where there is no other member.
+// TestConfirmCountsHolders checks that Confirm counts the members that hold an operator's call, and that it ends if
+// none acknowledges the call or there is no other member.
 func TestConfirmCountsHolders(t *testing.T) {
 	now := start
 	all := newSyncedTrio(t, &now)
 	all[0].Confirm(now, recordCall(t, all[0], now, "s", true))
 	confirmations := exchange(t, now, all...)
 	if len(confirmations) != 1 || confirmations[0].Holders != 2 {
-		t.Errorf("confirmations %+v, want two holders", confirmations)
+		t.Errorf("confirmations %+v, want one with two holders", confirmations)
 	}
 	for _, m := range all {
 		if len(m.Store.AdminDown()) != 1 {
@@ -160,14 +160,14 @@
 		}
 	}
 	all[0].Confirm(now, recordCall(t, all[0], now, "r", true))
-	confirmations = run(t, &now, time.Second, all[0]) // its packets get lost
+	confirmations = run(t, &now, time.Second, all[0]) // its packets are lost
 	if len(confirmations) != 1 || confirmations[0].Holders != 0 || confirmations[0].Recipients == 0 {
-		t.Errorf("confirmations %+v, want no holder of those asked", confirmations)
+		t.Errorf("confirmations %+v, want one with recipients but no holder", confirmations)
 	}
 	single := newMachine(now, 9)
 	single.Confirm(now, recordCall(t, single, now, "r", true))
 	if confirmations := exchange(t, now, single); len(confirmations) != 1 || confirmations[0].Recipients != 0 {
-		t.Errorf("confirmations %+v, want none asked", confirmations)
+		t.Errorf("confirmations %+v, want one without recipients", confirmations)
 	}
 }
 
@@ -180,24 +180,24 @@
 	return payload
 }
 
-// TestAntiEntropyRecoversMissed: items that were never a rumor reach all members, as their sums differ.
+// TestAntiEntropyRecoversMissed checks that items that were never rumors reach all members by anti-entropy.
 func TestAntiEntropyRecoversMissed(t *testing.T) {
 	now := start
 	all := newSyncedTrio(t, &now)
 	for i := range 40 {
-		if _, err := all[1].Store.RecordCall(now, fmt.Sprint("s-", i), true); err != nil { // and no Broadcast
+		if _, err := all[1].Store.RecordCall(now, fmt.Sprint("s-", i), true); err != nil { // without a Broadcast
 			t.Fatal(err)
 		}
 	}
 	run(t, &now, 15*time.Second, all...)
 	for i, m := range all {
 		if n := len(m.Store.AdminDown()); n != 40 {
-			t.Errorf("copy %d has %d of 40", i, n)
+			t.Errorf("machine %d has %d of 40 items", i, n)
 		}
 	}
 	for _, d := range all[0].Divergences(now.Time) {
 		if !d.Known || !d.Equal {
-			t.Errorf("divergence %+v", d)
+			t.Errorf("divergence %+v, want equal stores", d)
 		}
 	}
 	if all[0].Counters().Recovered == 0 {
@@ -205,7 +205,8 @@
 	}
 }
 
-// TestInvalidPacketsAreRejected: a packet of another fleet or format, and one that is malformed, is counted and not used.
+// TestInvalidPacketsAreRejected checks that malformed packets and packets of another fleet or format are counted and
+// have no effect.
 func TestInvalidPacketsAreRejected(t *testing.T) {
 	now := start
 	m := newMachine(now, 0)
@@ -220,7 +221,7 @@
 		{"no sender", encodePacket(t, Packet{Format: Format, Label: "test"}), ErrMalformed},
 		{"empty", nil, ErrMalformed},
 		{"garbage", []byte(strings.Repeat("x", 300)), ErrMalformed},
-		{"too long", make([]byte, MaxPacketBytes+1), ErrMalformed},
+		{"too large", make([]byte, MaxPacketBytes+1), ErrMalformed},
 		{"a million members", []byte{0x9b, 0, 0, 0, 0, 0, 0x0f, 0x42, 0x40}, ErrMalformed},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -230,11 +231,12 @@
 		})
 	}
 	if f := m.Counters(); f.Foreign != 2 || f.Malformed != 5 || f.Received != 0 || m.Members.NumPresent() != 1 {
-		t.Errorf("figures %+v, %d members", f, m.Members.NumPresent())
+		t.Errorf("counters %+v, %d members present", f, m.Members.NumPresent())
 	}
 }
 
-// TestSendRateIsBounded has one member hold, and receive, far more than it may send: the bound holds in every second.
+// TestSendRateIsBounded makes one member change far more items than it may send. The send rate limit must hold in every
+// second.
 func TestSendRateIsBounded(t *testing.T) {
 	now := start
 	all := newSyncedTrio(t, &now)
@@ -242,7 +244,7 @@
 		all = append(all, newMachine(now, 3+i, "a0", "a1", "a2"))
 	}
 	run(t, &now, 10*time.Second, all...)
-	const limit = MaxBytesPerSecond + maxBurstBytes + 10*MaxPacketBytes // with ten probes and acks
+	const limit = MaxBytesPerSecond + maxBurstBytes + 10*MaxPacketBytes // including ten probes and acks
 	for second := range 10 {
 		bytesBefore := all[0].Counters().Bytes
 		for range 20 {
@@ -250,15 +252,15 @@
 			run(t, &now, 50*time.Millisecond, all...)
 		}
 		if sent := all[0].Counters().Bytes - bytesBefore; sent > limit {
-			t.Errorf("%d bytes in second %d, %d are allowed", sent, second, limit)
+			t.Errorf("%d bytes sent in second %d, want at most %d", sent, second, limit)
 		}
 	}
 	if all[0].Counters().Throttled == 0 {
-		t.Error("nothing was held back, so nothing was tested")
+		t.Error("no packet was throttled: the test did not reach the limit")
 	}
 }
 
-// broadcastRows has a machine write rows on some servers.
+// broadcastRows writes and broadcasts rows of a machine on a number of servers.
 func broadcastRows(t testing.TB, now replication.Now, m *Machine, servers int) {
 	t.Helper()
 	for i := range servers {
@@ -270,8 +272,8 @@
 	}
 }
 
-// FuzzReceive receives arbitrary input as a datagram and as a snapshot: it never panics, and a datagram that is
-// rejected changes nothing.
+// FuzzReceive receives arbitrary input as a datagram and as a snapshot. The machine must never panic, and a rejected
+// datagram must have no effect.
 func FuzzReceive(f *testing.F) {
 	member := membership.Member{Name: "x", Address: "ax", ProcessIncarnation: membership.ProcessIncarnation{Number: 1, Nonce: 1}}
 	ping := membership.Message{Kind: membership.Ping, Seq: math.MaxUint64}
@@ -290,7 +292,7 @@
 		m := newMachine(now, 0)
 		err := m.Receive(now, "ax", payload)
 		if err != nil && (m.Members.NumPresent() != 1 || len(m.Store.Keys()) != 0) {
-			t.Errorf("a datagram with error %v had an effect", err)
+			t.Errorf("datagram rejected with error %v changed the state", err)
 		}
 		_ = m.ReceiveSnapshot(now, "ax", payload, nil)
 		for i := range 10 {
--- a/internal/fleet/gossip/main_test.go
+++ b/internal/fleet/gossip/main_test.go
@@ -7,5 +7,5 @@
 	"milletramp.example/milletramp/internal/lab/testrun"
 )
 
-// TestMain runs these tests, which read no clock, in a slot for packages that only compute.
+// TestMain runs these tests, which do not depend on the clock, in a slot for packages that only compute.
 func TestMain(m *testing.M) { os.Exit(testrun.Compute(m)) }
--- a/internal/fleet/gossip/notes_test.go
+++ b/internal/fleet/gossip/notes_test.go
@@ -7,8 +7,8 @@
 	"milletramp.example/milletramp/internal/fleet/failuredetector"
 )
 
-// TestQuorumOfNotesRequestsReports has sidecars note late answers of a server: the owners of a quorum of notes are
-// asked to report, nobody else is, and nobody at all where an answer has come since.
+// TestQuorumOfNotesRequestsReports makes sidecars send notes on late responses of a server. Reports must be requested
+// from the senders of a quorum of notes and from no other sidecar, and from none if the server has responded since.
 func TestQuorumOfNotesRequestsReports(t *testing.T) {
 	now := start
 	all := newSyncedFleet(t, &now, 8)
@@ -29,18 +29,18 @@
 	}
 	for name, n := range reportRequests {
 		if n > 0 {
-			t.Errorf("three notes are no quorum, and %s is asked", name)
+			t.Errorf("%s is requested to report, but three notes are no quorum", name)
 		}
 	}
 	note(5, failuredetector.NoteLate)
 	for i := range all {
 		if want := i < 3 || i == 5; (reportRequests[fmt.Sprint("n", i)] > 0) != want {
-			t.Errorf("sidecar %d is asked %d times, want any: %v", i, reportRequests[fmt.Sprint("n", i)], want)
+			t.Errorf("sidecar %d is requested to report %d times, want any request: %v", i, reportRequests[fmt.Sprint("n", i)], want)
 		}
 	}
 }
 
-// TestNotesAreBounded: a burst of notes keeps to the bound on bytes.
+// TestNotesAreBounded checks that a burst of notes does not exceed the send rate limit.
 func TestNotesAreBounded(t *testing.T) {
 	now := start
 	all := newSyncedFleet(t, &now, 8)
@@ -52,9 +52,9 @@
 		sent += len(d.Payload)
 	}
 	if sent > maxBurstBytes+MaxPacketBytes || sent == 0 {
-		t.Errorf("%d bytes at once", sent)
+		t.Errorf("%d bytes sent in one burst", sent)
 	}
 	if all[0].Counters().Throttled == 0 {
-		t.Error("nothing was held back, so nothing was tested")
+		t.Error("no packet was throttled: the test did not reach the limit")
 	}
 }
