--- a/internal/fleet/gossip/notes_test.go
+++ b/internal/fleet/gossip/notes_test.go
@@ -7,17 +7,17 @@
 	"milletramp.example/milletramp/internal/fleet/failuredetector"
 )
 
-// TestQuorumOfNotesAsksForReports has sidecars note late answers of a server: the owners of a quorum of notes are
-// asked to report, nobody else is, and nobody at all where an answer has come since.
-func TestQuorumOfNotesAsksForReports(t *testing.T) {
+// TestQuorumOfNotesRequestsReports makes sidecars send notes on late responses of a server. Reports must be requested
+// from the senders of a quorum of notes and from no other sidecar, and from none if the server has responded since.
+func TestQuorumOfNotesRequestsReports(t *testing.T) {
 	now := start
 	all := newSyncedFleet(t, &now, 8)
-	asked := map[string]int{}
+	reportRequests := map[string]int{}
 	note := func(i int, kind failuredetector.NoteKind) {
 		all[i].SendNote(now.Time, failuredetector.Note{Server: "s-1", Kind: kind})
 		_, reports := exchangeAll(t, now, all...)
 		for name, n := range reports {
-			asked[name] += n
+			reportRequests[name] += n
 		}
 	}
 	for _, i := range []int{0, 1, 2} {
@@ -27,20 +27,20 @@
 	for _, i := range []int{0, 1, 2} {
 		note(i, failuredetector.NoteLate)
 	}
-	for name, n := range asked {
+	for name, n := range reportRequests {
 		if n > 0 {
-			t.Errorf("three notes are no quorum, and %s is asked", name)
+			t.Errorf("%s is requested to report, but three notes are no quorum", name)
 		}
 	}
 	note(5, failuredetector.NoteLate)
 	for i := range all {
-		if want := i < 3 || i == 5; (asked[fmt.Sprint("n", i)] > 0) != want {
-			t.Errorf("sidecar %d is asked %d times, want any: %v", i, asked[fmt.Sprint("n", i)], want)
+		if want := i < 3 || i == 5; (reportRequests[fmt.Sprint("n", i)] > 0) != want {
+			t.Errorf("sidecar %d is requested to report %d times, want any request: %v", i, reportRequests[fmt.Sprint("n", i)], want)
 		}
 	}
 }
 
-// TestNotesAreBounded: a burst of notes keeps to the bound on bytes.
+// TestNotesAreBounded checks that a burst of notes does not exceed the send rate limit.
 func TestNotesAreBounded(t *testing.T) {
 	now := start
 	all := newSyncedFleet(t, &now, 8)
@@ -52,9 +52,9 @@
 		sent += len(d.Payload)
 	}
 	if sent > maxBurstBytes+MaxPacketBytes || sent == 0 {
-		t.Errorf("%d bytes at once", sent)
+		t.Errorf("%d bytes sent in one burst", sent)
 	}
-	if all[0].Figures().Throttled == 0 {
-		t.Error("nothing was held back, so nothing was tested")
+	if all[0].Counters().Throttled == 0 {
+		t.Error("no packet was throttled: the test did not reach the limit")
 	}
 }
