--- a/internal/fleet/raftlog/fault_test.go
+++ b/internal/fleet/raftlog/fault_test.go
@@ -19,22 +19,22 @@
 	maxAttempts             = 50
 )
 
-// faultyFolder is a folder on a file system that fails, and what it has to hold.
+// faultyFolder is a folder on a file system with faults, with the state that it must contain.
 type faultyFolder struct {
 	dir          string
 	fs           *faultfs.FS
 	log          *Log
 	acknowledged PersistentState
-	attempted    PersistentState // acknowledged, and with the batch that was written last
+	attempted    PersistentState // acknowledged with the last written batch applied
 }
 
-// open opens the folder, in as many attempts as it takes, unless the process is killed.
+// open opens the folder, with retries until it succeeds or the process is killed.
 func (f *faultyFolder) open(t rapid.TB) {
 	for range maxAttempts {
 		l, _, err := open(f.dir, 1, f.fs, testCompactionThreshold)
 		if err == nil {
 			f.log = l
-			f.check(t, "opened", l.State(), f.acknowledged, f.attempted)
+			f.check(t, "state after opening:", l.State(), f.acknowledged, f.attempted)
 			f.acknowledged, f.attempted = l.State(), l.State()
 			return
 		}
@@ -42,10 +42,10 @@
 			return
 		}
 	}
-	t.Fatalf("never opened")
+	t.Fatalf("folder not opened after all attempts")
 }
 
-// persist persists a batch, in as many attempts as it takes, unless the process is killed.
+// persist persists a batch, with retries until it succeeds or the process is killed.
 func (f *faultyFolder) persist(t rapid.TB, b consensus.Batch) {
 	r, err := newRecord(b)
 	if err != nil {
@@ -58,15 +58,15 @@
 		if err = f.log.Persist(b); err == nil {
 			f.acknowledged = f.attempted
 		}
-		f.check(t, "holds", f.log.State(), f.acknowledged)
+		f.check(t, "state after persisting:", f.log.State(), f.acknowledged)
 		if err == nil || f.fs.Killed() {
 			return
 		}
 	}
-	t.Fatalf("never persisted: %v", err)
+	t.Fatalf("batch not persisted after all attempts: %v", err)
 }
 
-// endProcess ends the process, and reads what the next one would.
+// endProcess ends the process, and checks the state that the next process reads.
 func (f *faultyFolder) endProcess(t rapid.TB, powerLoss bool) {
 	if err := f.fs.EndProcess(powerLoss); err != nil {
 		t.Fatal(err)
@@ -76,15 +76,14 @@
 	}
 	l, _, err := open(f.dir, 1, fsys.OS{}, testCompactionThreshold)
 	if err != nil {
-		t.Fatalf("after the end: %v", err)
+		t.Fatalf("opening after the end of the process: %v", err)
 	}
-	f.check(t, "read", l.State(), f.acknowledged, f.attempted)
+	f.check(t, "state after the end of the process:", l.State(), f.acknowledged, f.attempted)
 	f.acknowledged, f.attempted, f.log = l.State(), l.State(), nil
 	closeLog(t, l)
 }
 
-// check fails unless a state is one of those that are wanted. Before the first process has opened it a folder holds
-// nothing.
+// check fails the test unless got is one of the wanted states. A folder that no process has opened yet must be empty.
 func (f *faultyFolder) check(t rapid.TB, what string, got PersistentState, want ...PersistentState) {
 	t.Helper()
 	for _, w := range want {
@@ -95,7 +94,7 @@
 	t.Fatalf("%s %+v, want one of %+v", what, got, want)
 }
 
-// persistBatches opens a new folder, persists the batches while the process lives, and ends it.
+// persistBatches opens a new folder, persists the batches until the process is killed, and ends the process.
 func persistBatches(t *testing.T, fs *faultfs.FS, powerLoss bool) {
 	f := &faultyFolder{dir: t.TempDir(), fs: fs}
 	f.open(t)
@@ -107,15 +106,15 @@
 	f.endProcess(t, powerLoss)
 }
 
-// TestAcknowledgedStateSurvivesEachFault has each operation of a short run fail, once or for a while, or be the one in
-// which the process is killed, with and without a loss of power: what was acknowledged is read by the next process, and
-// with a fault everything is acknowledged in the end.
+// TestAcknowledgedStateSurvivesEachFault makes each operation of a short run fail, once or for several operations, or
+// kills the process during it, with and without a loss of power. It checks that the next process reads all acknowledged
+// state, and that all batches are acknowledged in the end after a fault without a kill.
 func TestAcknowledgedStateSurvivesEachFault(t *testing.T) {
 	clean := faultfs.New(0)
 	persistBatches(t, clean, false)
 	operations := clean.Operations()
 	if operations < 3*len(batches()) {
-		t.Fatalf("only %d operations, so no file was rewritten", operations)
+		t.Fatalf("only %d operations, so no file was compacted", operations)
 	}
 	for _, tt := range []struct {
 		name      string
@@ -124,9 +123,9 @@
 		powerLoss bool
 	}{
 		{"ENOSPC once", syscall.ENOSPC, 1, false},
-		{"ENOSPC for a while", syscall.ENOSPC, 7, true},
+		{"ENOSPC repeatedly", syscall.ENOSPC, 7, true},
 		{"EIO once", syscall.EIO, 1, true},
-		{"EIO for a while", syscall.EIO, 7, false},
+		{"EIO repeatedly", syscall.EIO, 7, false},
 		{"kill", nil, 0, false},
 		{"loss of power", nil, 0, true},
 	} {
@@ -148,7 +147,8 @@
 	}
 }
 
-// TestAcknowledgedStateSurvivesDrawnFaults draws processes with batches, faults, kills and losses of power.
+// TestAcknowledgedStateSurvivesDrawnFaults checks that acknowledged state survives randomly drawn sequences of
+// processes, batches, faults, kills and losses of power.
 func TestAcknowledgedStateSurvivesDrawnFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "raftlog")
@@ -172,7 +172,7 @@
 	})
 }
 
-// drawFault has the file system fail or the process be killed at a drawn operation, in half of the cases.
+// drawFault draws, in half of the cases, an operation at which the file system fails or the process is killed.
 func drawFault(t *rapid.T, fs *faultfs.FS) {
 	operation := rapid.IntRange(0, 6).Draw(t, "skip")
 	switch rapid.IntRange(0, 9).Draw(t, "fault") {
@@ -185,7 +185,7 @@
 	}
 }
 
-// drawBatch draws a batch that may follow a state.
+// drawBatch draws a batch that is valid after a state.
 func drawBatch(t *rapid.T, state consensus.PersistentState, term *uint64) (b consensus.Batch) {
 	first := state.Snapshot.Metadata.Index + 1
 	end := first + uint64(len(state.Entries))
--- a/internal/fleet/raftlog/raftlog_test.go
+++ b/internal/fleet/raftlog/raftlog_test.go
@@ -14,13 +14,13 @@
 	"milletramp.example/milletramp/internal/fsys"
 )
 
-// fullDisk is a disk with little space left.
+// fullDisk is a file system with limited free space.
 type fullDisk struct {
 	fsys.FS
 	freeBytes *int
 }
 
-// fullDiskFile is a file on it.
+// fullDiskFile is a file on a fullDisk.
 type fullDiskFile struct {
 	fsys.File
 	freeBytes *int
@@ -42,8 +42,9 @@
 	return n, errDiskFull
 }
 
-// TestFullDiskLosesNoAcknowledgedBatch: on a full disk no batch is acknowledged, however often it is retried. With space
-// again all are, and the next process reads them. A process that ends before leaves what was acknowledged, or more.
+// TestFullDiskLosesNoAcknowledgedBatch checks that no batch is acknowledged on a full disk, also when it is retried.
+// Once there is space again, all batches are acknowledged, and the next process reads them. If the process ends while
+// the disk is full, the next one reads at least the acknowledged batches.
 func TestFullDiskLosesNoAcknowledgedBatch(t *testing.T) {
 	for space := 100; space < 3000; space += 13 {
 		for _, endsFull := range []bool{false, true} {
@@ -52,8 +53,8 @@
 	}
 }
 
-// checkFullDisk persists batches on a disk with some bytes of space. Once it is full, the process ends, or the disk gets
-// more space.
+// checkFullDisk persists batches on a disk with space free bytes. Once the disk is full, the process ends if endsFull
+// is set; otherwise space is freed.
 func checkFullDisk(t *testing.T, space int, endsFull bool) {
 	const compactionThreshold = 600
 	dir, freeBytes := t.TempDir(), space
@@ -64,18 +65,18 @@
 		}
 		return
 	}
-	acknowledged := l.State() // worked out without the folder from here
+	acknowledged := l.State() // updated below without reading the folder
 	for _, b := range append(batches(), batches()[4:]...) {
 		if err := l.Persist(b); err != nil {
 			if !errors.Is(err, errDiskFull) || l.Persist(b) == nil {
-				t.Errorf("space for %d bytes: %v, and persisted the next time", space, err)
+				t.Errorf("space for %d bytes: first error %v, or the retry on the full disk succeeded", space, err)
 			}
 			if endsFull {
 				break
 			}
 			freeBytes += 1 << 20
 			if err := l.Persist(b); err != nil {
-				t.Errorf("space for %d bytes, and more: %v", space, err)
+				t.Errorf("space for %d bytes: retry with free space failed: %v", space, err)
 			}
 		}
 		r, err := newRecord(b)
@@ -84,7 +85,7 @@
 		}
 	}
 	if !endsFull && !sameState(l.State(), acknowledged) {
-		t.Errorf("space for %d bytes: holds %+v, acknowledged %+v", space, l.State(), acknowledged)
+		t.Errorf("space for %d bytes: state %+v, acknowledged %+v", space, l.State(), acknowledged)
 	}
 	closeLog(t, l)
 
@@ -99,8 +100,8 @@
 	}
 }
 
-// TestHoldsSameStateAsMemoryStorage drives the log and the storage of the raft library with the same drawn batches,
-// through compactions and restarts.
+// TestHoldsSameStateAsMemoryStorage checks the log against the MemoryStorage of the raft library, with the same
+// randomly drawn batches, compactions and restarts.
 func TestHoldsSameStateAsMemoryStorage(t *testing.T) {
 	const compactionThreshold = 500
 	rapid.Check(t, func(t *rapid.T) {
@@ -158,7 +159,7 @@
 	return consensus.Batch{Entries: added}
 }
 
-// drawCompaction returns an empty batch where there is nothing to compact.
+// drawCompaction draws a snapshot of the model, and returns an empty batch if there is nothing to compact.
 func drawCompaction(t *rapid.T, model *raft.MemoryStorage) consensus.Batch {
 	first, _ := model.FirstIndex()
 	last, _ := model.LastIndex()
@@ -168,7 +169,7 @@
 	index := rapid.Uint64Range(first, last).Draw(t, "at")
 	snapshot, err := model.CreateSnapshot(index, nil, []byte("all"))
 	if err != nil {
-		return consensus.Batch{} // there is a newer one
+		return consensus.Batch{} // there is a newer snapshot
 	}
 	if err := model.Compact(index); err != nil {
 		t.Fatal(err)
@@ -176,7 +177,7 @@
 	return consensus.Batch{Snapshot: &snapshot}
 }
 
-// foreignSnapshot is one of another voter, which is ahead.
+// foreignSnapshot returns a snapshot of another voter, whose log is ahead.
 func foreignSnapshot(t *rapid.T, model *raft.MemoryStorage, term uint64) consensus.Batch {
 	last, _ := model.LastIndex()
 	metadata := raftpb.SnapshotMetadata{Index: last + 3, Term: term}
@@ -201,7 +202,7 @@
 	}
 	gotIndex, wantIndex := got.Snapshot.Metadata.Index, snapshot.Metadata.Index
 	if fmt.Sprint(got.Entries) != fmt.Sprint(want.Entries) || got.HardState != want.HardState || gotIndex != wantIndex {
-		t.Fatalf("holds %v, %v, snapshot %d; want %v, %v, %d",
+		t.Fatalf("entries %v, hard state %v, snapshot index %d; want %v, %v, %d",
 			got.Entries, got.HardState, gotIndex, want.Entries, want.HardState, wantIndex)
 	}
 }
--- a/internal/fleet/raftlog/recovery_test.go
+++ b/internal/fleet/raftlog/recovery_test.go
@@ -14,15 +14,15 @@
 	"milletramp.example/milletramp/internal/fsys"
 )
 
-// TestTruncatedFileKeepsCompleteRecords cuts the file at every byte: what was complete is there, nothing else is, and
-// the log goes on from there.
+// TestTruncatedFileKeepsCompleteRecords truncates the file at every byte. It checks that exactly the complete records
+// are read, and that later batches are stored.
 func TestTruncatedFileKeepsCompleteRecords(t *testing.T) {
 	data, sizes, states := writeExample(t, t.TempDir())
 	for cut := range len(data) + 1 {
-		for _, zeros := range []int{0, 40} { // of a file that had its new length, but not its content
+		for _, zeros := range []int{0, 40} { // zeros: a crash extended the file without writing its content
 			dir := t.TempDir()
 			writeFile(t, dir, firstFile, append(bytes.Clone(data[:cut]), make([]byte, zeros)...))
-			name := fmt.Sprintf("cut at %d with %d zeros", cut, zeros)
+			name := fmt.Sprintf("truncated at %d, followed by %d zeros", cut, zeros)
 			last := lastComplete(sizes, cut)
 			if last < 0 {
 				checkWithoutBootstrap(t, name, dir)
@@ -33,7 +33,7 @@
 	}
 }
 
-// lastComplete returns the number of the last record that a file of some length holds completely; -1: none of them.
+// lastComplete returns the index in sizes of the last complete record of a file with a length, or -1 if there is none.
 func lastComplete(sizes []int64, length int) int {
 	last := -1
 	for i, size := range sizes {
@@ -44,8 +44,8 @@
 	return last
 }
 
-// checkWithoutBootstrap opens a folder that was cut before the end of the bootstrap. Its first record, whose size is not
-// known, may be complete.
+// checkWithoutBootstrap opens a folder whose file was truncated before the end of the bootstrap record. The first
+// record, whose size is not known, may be complete.
 func checkWithoutBootstrap(t *testing.T, name, dir string) {
 	t.Helper()
 	l, _, err := open(dir, 9, fsys.OS{}, defaultCompactionThreshold)
@@ -61,8 +61,8 @@
 	}
 }
 
-// checkTruncated opens a folder that has to hold the first of the states, and goes on with it. With zeros behind the cut
-// it may hold the next state instead: what was missing of that record were zeros.
+// checkTruncated opens a folder that must contain the first of the states, and persists a further batch. With zeros
+// after the cut it may contain the second state instead, if the missing end of that record was all zeros.
 func checkTruncated(t *testing.T, name, dir string, states []PersistentState, zeros bool) {
 	t.Helper()
 	l, _, err := open(dir, 9, fsys.OS{}, defaultCompactionThreshold)
@@ -82,13 +82,13 @@
 	closeLog(t, l)
 	reopened, _ := openLog(t, dir, defaultCompactionThreshold)
 	if got := reopened.State().Raft; got.HardState.Term != 99 || len(got.Entries) != len(want.Raft.Entries) {
-		t.Errorf("%s, and gone on: %+v", name, got)
+		t.Errorf("%s: state after a further batch: %+v", name, got)
 	}
 	closeLog(t, reopened)
 }
 
-// TestCorruptionBeforeLastRecordIsDetected changes each byte. In the last record, which nobody may rely on yet, the
-// change may pass for a torn record; anywhere else it is an error.
+// TestCorruptionBeforeLastRecordIsDetected changes each byte of the file. A change in the last record may be taken for
+// a torn record, which was never acknowledged. A change anywhere else must return ErrCorrupt.
 func TestCorruptionBeforeLastRecordIsDetected(t *testing.T) {
 	data, sizes, states := writeExample(t, t.TempDir())
 	lastRecord := sizes[len(sizes)-2] // where it begins
@@ -106,30 +106,31 @@
 			continue
 		}
 		if int64(offset) < lastRecord || dropped == 0 || !sameState(l.State(), withoutLast) {
-			t.Errorf("byte %d: taken, with %d dropped", offset, dropped)
+			t.Errorf("byte %d: corruption not detected, %d bytes dropped", offset, dropped)
 		}
 		closeLog(t, l)
 	}
 }
 
-// TestFolderIsOpenInOneProcess: a folder that is open cannot be opened again, and a closed log takes no writes.
+// TestFolderIsOpenInOneProcess checks that an open folder cannot be opened again, and that a closed log rejects writes.
 func TestFolderIsOpenInOneProcess(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "new")
 	l, _ := openLog(t, dir, defaultCompactionThreshold)
 	if _, _, err := Open(dir, 7); !errors.Is(err, ErrLocked) {
-		t.Errorf("opened twice: error %v, want %v", err, ErrLocked)
+		t.Errorf("opening a second time: error %v, want %v", err, ErrLocked)
 	}
 	if err := l.SaveBootstrap(bootstrap); err != nil {
 		t.Fatal(err)
 	}
 	closeLog(t, l)
 	if err := l.SaveBootstrap(bootstrap); !errors.Is(err, errClosed) {
-		t.Errorf("written when closed: error %v, want %v", err, errClosed)
+		t.Errorf("writing to a closed log: error %v, want %v", err, errClosed)
 	}
 }
 
-// TestReopenedFolderKeepsIDAndCountsIncarnations: a folder keeps its voter's ID and group, and counts incarnations; of
-// two complete files the newer one counts; what is incomplete or old is removed.
+// TestReopenedFolderKeepsIDAndCountsIncarnations checks that a folder keeps its voter's ID and group and counts
+// incarnations. It also checks that the newer of two complete files is read, and that old and incomplete files are
+// removed.
 func TestReopenedFolderKeepsIDAndCountsIncarnations(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "new")
 	l, _ := openLog(t, dir, defaultCompactionThreshold)
@@ -166,19 +167,19 @@
 	onlyFile(t, dir)
 }
 
-// TestUnknownFileIsAnError: a file that has the prefix of log files, but no number, is not passed over.
+// TestUnknownFileIsAnError checks that a file with the prefix of log files but without a number is an error.
 func TestUnknownFileIsAnError(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openLog(t, dir, defaultCompactionThreshold)
 	closeLog(t, l)
 	writeFile(t, dir, filePrefix+"notes", nil)
 	if _, _, err := Open(dir, 7); err == nil {
-		t.Error("a file of somebody else was taken for a log file")
+		t.Error("a foreign file with the prefix of log files was accepted")
 	}
 }
 
-// TestFolderOfEarlierBuildIsRead opens a folder as the build f152def left it: with a bootstrap, hard states, entries
-// that were overwritten, and a snapshot.
+// TestFolderOfEarlierBuildIsRead opens a folder written by build f152def, with a bootstrap, hard states, overwritten
+// entries and a snapshot.
 func TestFolderOfEarlierBuildIsRead(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS("testdata/f152def")); err != nil {
