--- a/internal/fleet/consensus/bootstrap.go
+++ b/internal/fleet/consensus/bootstrap.go
@@ -30,7 +30,7 @@
 	VotersAtJoin map[string]uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// KnownVoters returns the voters that this voter knows without any log, as IDs by name.
+// KnownVoters returns the voters of the group as far as they are stored outside its log, as IDs by name.
 func (b Bootstrap) KnownVoters() map[string]uint64 {
 	if b.VotersAtJoin != nil {
 		return b.VotersAtJoin
--- a/internal/fleet/consensus/consensus.go
+++ b/internal/fleet/consensus/consensus.go
@@ -148,7 +148,7 @@
 // part in the group.
 func (m *Machine) Err() error { return m.fatalErr }
 
-// Leader returns the ID of the leader that this voter follows, or 0 if it knows none.
+// Leader returns the ID of the current leader according to Raft, or 0 if it is unknown.
 func (m *Machine) Leader() uint64 { return m.leader }
 
 // TakeActions returns and clears the pending messages and replies.
--- a/internal/fleet/consensus/envelope.go
+++ b/internal/fleet/consensus/envelope.go
@@ -14,14 +14,14 @@
 	From        uint64 `cbor:"2,keyasint"`
 	Incarnation uint64 `cbor:"3,keyasint"` // the sender's
 	Payload     []byte `cbor:"4,keyasint"` // a raftpb.Message
-	// Incarnations holds the latest incarnations of the other voters that the sender knows, by ID.
+	// Incarnations holds the latest incarnations of the other voters known to the sender, by ID.
 	Incarnations map[uint64]uint64 `cbor:"5,keyasint,omitempty"`
 }
 
 // envelopeVerifier rejects messages from voters that may have lost state. A voter whose folder was replaced by an older
 // copy no longer has some of the votes and entries that it has acknowledged, so a majority that includes it guarantees
 // nothing. Such a voter starts with an incarnation that other voters have already seen, or an earlier one. Each
-// envelope carries the incarnations that its sender knows, so all voters detect this, including the one with the older
+// envelope carries the incarnations known to its sender, so all voters detect this, including the one with the older
 // copy.
 //
 // An older copy is not detected if no reachable voter has seen its later incarnations. Waiting for all other voters
