--- a/internal/fleet/gossip/machine.go
+++ b/internal/fleet/gossip/machine.go
@@ -75,7 +75,7 @@
 	SnapshotsRequested uint64 `json:"Fetches"`
 	SnapshotsServed    uint64 `json:"Serves"`
 	ItemRequests       uint64 `json:"Wants"` // of anti-entropy
-	Recovered          uint64 // items updated by responses to ItemRequests
+	Recovered          uint64 // items updated by packets of a peer within antiEntropyInterval of a request to it
 }
 
 // Machine is the gossip state machine of one member. Its owner passes in datagrams (Receive), snapshots
