--- a/internal/fleet/policyagent/operations.go
+++ b/internal/fleet/policyagent/operations.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	pollInterval   = 100 * time.Millisecond // between two calls for an outcome, or two attempts
-	resendProposal = 10                     // attempts after which a proposal that no voter knows is sent again
+	pollInterval   = 100 * time.Millisecond // between two requests for an outcome, or two attempts
+	resendProposal = 10                     // attempts after which a proposal without a known outcome is sent again
 )
 
-// Propose proposes a change and waits until it is in force or refused, or until ctx ends. The outcome then says how far
-// it has come; it can be had later by its id, and the same proposal can be made again.
+// Propose proposes a change and waits until it is in force or refused, or until ctx ends. It returns the last known
+// outcome. The caller can later fetch the outcome by its ID, or make the same proposal again.
 func (a *Agent) Propose(ctx context.Context, p policy.Proposal) policy.Outcome {
 	p.Author = p.Author[:min(len(p.Author), maxNameBytes)]
 	outcome := policy.Outcome{ID: p.ID, Author: p.Author}
 	sent := false
 	for attempt := 0; ; attempt++ {
-		voter := a.target(attempt)
-		once, cancel := context.WithTimeout(ctx, callTimeout)
+		voter := a.nextVoter(attempt)
+		attemptCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		if !sent {
-			sent = a.sendProposal(once, voter, p)
+			sent = a.sendProposal(attemptCtx, voter, p)
 		}
-		if o, ok := a.outcomeBy(once, voter, p.ID); ok && o.State >= outcome.State {
+		if o, ok := a.fetchOutcome(attemptCtx, voter, p.ID); ok && o.State >= outcome.State {
 			outcome = o
 		}
 		cancel()
 		if outcome.State == policy.InForce || outcome.State == policy.Refused {
 			return outcome
 		}
-		// It may have been lost with its leader. Its id is the idempotency key.
+		// The proposal may have been lost with its leader. Its ID is the idempotency key, so it can be sent again.
 		if outcome.State == policy.Unknown && attempt%resendProposal == resendProposal-1 {
 			sent = false
 		}
@@ -43,16 +43,16 @@
 	}
 }
 
-// sendProposal says whether a voter, which leads, has taken a proposal.
+// sendProposal sends a proposal to a voter, and reports whether the voter, as the leader, has accepted it.
 func (a *Agent) sendProposal(ctx context.Context, voter string, p policy.Proposal) bool {
-	resp, err := a.do(ctx, voter, request{Propose: &p})
+	resp, err := a.callChecked(ctx, voter, request{Propose: &p})
 	if fault := (*FaultError)(nil); errors.As(err, &fault) && resp.Leader != voter {
 		a.setLeader(resp.Leader)
 	}
 	return err == nil
 }
 
-func (a *Agent) outcomeBy(ctx context.Context, voter, id string) (policy.Outcome, bool) {
+func (a *Agent) fetchOutcome(ctx context.Context, voter, id string) (policy.Outcome, bool) {
 	resp, err := a.call(ctx, voter, request{Outcome: id})
 	if err != nil || resp.Outcome == nil {
 		return policy.Outcome{}, false
@@ -60,23 +60,23 @@
 	return *resp.Outcome, true
 }
 
-// Outcome returns what has become of a proposal, as far as any voter that answers knows.
+// Outcome returns the most advanced outcome of a proposal that is known to any voter that responds.
 func (a *Agent) Outcome(ctx context.Context, id string) policy.Outcome {
 	outcome := policy.Outcome{ID: id}
 	for _, voter := range a.voters() {
-		if o, ok := a.outcomeBy(ctx, voter, id); ok && o.State > outcome.State {
+		if o, ok := a.fetchOutcome(ctx, voter, id); ok && o.State > outcome.State {
 			outcome = o
 		}
 	}
 	return outcome
 }
 
-// Document fetches a document from any voter that has it; number 0 is the one in force. Its error joins those of all
-// voters.
+// Document fetches a document from any voter that has it. Number 0 is the policy in force. The error joins the errors
+// of all voters.
 func (a *Agent) Document(ctx context.Context, number uint64) (policy.Document, error) {
 	var failed []error
 	for _, voter := range a.voters() {
-		d, err := a.documentBy(ctx, voter, number)
+		d, err := a.fetchDocument(ctx, voter, number)
 		if err == nil {
 			return policy.NewDocument(d.Number, d.Text), nil
 		}
@@ -85,9 +85,9 @@
 	return policy.Document{}, errors.Join(failed...)
 }
 
-func (a *Agent) documentBy(ctx context.Context, voter string, number uint64) (*document, error) {
+func (a *Agent) fetchDocument(ctx context.Context, voter string, number uint64) (*document, error) {
 	if number == 0 {
-		resp, err := a.do(ctx, voter, request{State: true})
+		resp, err := a.callChecked(ctx, voter, request{State: true})
 		if err != nil {
 			return nil, err
 		}
@@ -96,21 +96,21 @@
 		}
 		number = resp.State.InForce
 	}
-	resp, err := a.do(ctx, voter, request{Document: number})
+	resp, err := a.callChecked(ctx, voter, request{Document: number})
 	if err == nil && resp.Document == nil {
 		err = errNoDocument
 	}
 	return resp.Document, err
 }
 
-// Replace has a candidate take a voter's place: the name may be the same, where that voter has lost its folder. It
-// returns nil once the leader has begun; Status shows when it is done. A FaultError is the leader's refusal. Where no
-// leader answers it tries until ctx ends, and returns the last error.
+// Replace replaces a voter by a standby. Both may have the same name, if that voter has lost its folder. Replace
+// returns nil when the leader has begun the replacement; Status shows its completion. A FaultError means that the
+// leader refused. While no leader responds, Replace retries until ctx ends, and then returns the last error.
 func (a *Agent) Replace(ctx context.Context, out, in string) error {
 	for attempt := 0; ; attempt++ {
-		voter := a.target(attempt)
-		once, cancel := context.WithTimeout(ctx, callTimeout)
-		resp, err := a.do(once, voter, request{Replace: &replacement{out, in}})
+		voter := a.nextVoter(attempt)
+		attemptCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		resp, err := a.callChecked(attemptCtx, voter, request{Replace: &replacement{out, in}})
 		cancel()
 		if err == nil {
 			return nil
@@ -127,16 +127,16 @@
 	}
 }
 
-// Status is what this sidecar and the voters hold.
+// Status is the state of this sidecar and of the voters.
 type Status struct {
-	Serves       uint64       `json:"serves_under"` // policy's number; 0: it takes no requests now
+	Serves       uint64       `json:"serves_under"` // number of a policy; 0: no requests are accepted now
 	WithoutLease bool         `json:"without_a_promise"`
-	LastVoter    string       `json:"asks"` // that answered last
+	LastVoter    string       `json:"asks"` // leader known to this sidecar; "": none
 	Voters       []VoterState `json:"deciders"`
 	Unresponsive []string     `json:"silent_deciders"`
 }
 
-// Status calls all voters, one after the other.
+// Status returns the status. It calls all voters, one after the other.
 func (a *Agent) Status(ctx context.Context) (s Status) {
 	number, _, ok := a.Serves()
 	a.mu.Lock()
