--- a/internal/fleet/evidence.go
+++ b/internal/fleet/evidence.go
@@ -65,21 +65,21 @@
 // own list does not have, or has with another boot time, does not count.
 func (f *Fleet) updateSuspicions(now replication.Now) {
 	var suspicions []Suspicion
-	lastInVain := map[string]time.Duration{}
+	lastBad := map[string]time.Duration{}
 	suspectedSince := map[string]time.Duration{}
 	for _, s := range f.machine.Suspicions(now, len(f.servers.list)) {
 		if boot, listed := f.servers.bootTimes[s.Server]; !listed || boot != s.Boot {
 			continue
 		}
-		suspicions = append(suspicions, Suspicion{ID: s.Server, Age: now.Time - s.Newest})
-		lastInVain[s.Server] = s.Newest
+		suspicions = append(suspicions, Suspicion{ID: s.Server, Age: now.Time - s.LastBad})
+		lastBad[s.Server] = s.LastBad
 		suspectedSince[s.Server] = now.Time
 		if since, known := f.evidence.suspectedSince[s.Server]; known {
 			suspectedSince[s.Server] = since
 		}
 	}
 	f.evidence.suspectedSince = suspectedSince
-	f.evidence.recorder.SetSuspected(now.Time, lastInVain)
+	f.evidence.recorder.SetSuspected(now.Time, lastBad)
 	if len(suspicions) > 0 || f.evidence.reported {
 		f.evidence.reported = len(suspicions) > 0
 		f.callbacks.OnSuspicions(suspicions)
--- a/internal/fleet/failuredetector/failuredetector_test.go
+++ b/internal/fleet/failuredetector/failuredetector_test.go
@@ -29,16 +29,16 @@
 	}{
 		{"answers", []step{{1, Answered}, {1, Answered}}, false, 0, nil},
 		{"late alone is for collectors", []step{late, late}, false, 0, nil},
-		{"late, and a collector asks", []step{late}, true, 0, []replication.Evidence{{Tries: 1, Late: 1, Bad: 300}}},
+		{"late, and a collector asks", []step{late}, true, 0, []replication.Evidence{{Attempts: 1, Late: 1, SinceBadMS: 300}}},
 		{"late, answered, and a collector asks", []step{late, {1, Answered}}, true, 0, nil},
-		{"silent", []step{late, silent}, false, 0, []replication.Evidence{{Tries: 1, Late: 1, Unanswered: 1}}},
-		{"refused", []step{{1, Refused}}, false, 0, []replication.Evidence{{Tries: 1, Refused: 1}}},
+		{"silent", []step{late, silent}, false, 0, []replication.Evidence{{Attempts: 1, Late: 1, Unanswered: 1}}},
+		{"refused", []step{{1, Refused}}, false, 0, []replication.Evidence{{Attempts: 1, Refused: 1}}},
 		{"errors say nothing", []step{{1, Failed}, {1, Failed}}, false, 0, nil},
 		{"silent, and the fleet knows", []step{late, silent}, false, time.Second, nil},
 		{"it answers, and peers suspect it", []step{{1, Answered}}, false, time.Second,
-			[]replication.Evidence{{Good: 300}}},
+			[]replication.Evidence{{SinceGoodMS: 300}}},
 		{"taken back", []step{late, silent, {time.Second, Answered}}, false, 0,
-			[]replication.Evidence{{Tries: 1, Late: 1, Unanswered: 1}, {Good: 1}}},
+			[]replication.Evidence{{Attempts: 1, Late: 1, Unanswered: 1}, {SinceGoodMS: 1}}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			b, now := New(1), start
@@ -78,7 +78,7 @@
 	for range 200 {
 		for _, e := range b.DueRows(now, 10) {
 			at = append(at, now-start)
-			if bad := time.Duration(e.Evidence.Bad) * time.Millisecond; now-bad != start {
+			if bad := time.Duration(e.Evidence.SinceBadMS) * time.Millisecond; now-bad != start {
 				t.Errorf("after %v: the last bad end is said to be %v old", now-start, bad)
 			}
 		}
@@ -130,10 +130,10 @@
 			t.Errorf("%d notes: asked %v", i+1, ask)
 		}
 	}
-	if ask := c.AddLate(now+askInterval/2, "s", "n9", 80); !slices.Equal(ask, []string{"n9"}) {
+	if ask := c.AddLate(now+reportRequestInterval/2, "s", "n9", 80); !slices.Equal(ask, []string{"n9"}) {
 		t.Errorf("asked %v, the others have just been", ask)
 	}
-	if ask := c.AddLate(now+askInterval, "s", "n9", 80); len(ask) != quorumSize {
+	if ask := c.AddLate(now+reportRequestInterval, "s", "n9", 80); len(ask) != quorumSize {
 		t.Errorf("asked %v", ask)
 	}
 	for range 2 * quorumSize { // the same one again and again
--- a/internal/fleet/failuredetector/quorum.go
+++ b/internal/fleet/failuredetector/quorum.go
@@ -10,12 +10,12 @@
 
 // In any fleet some answers are late, and reporting each one to everybody would leave no capacity for anything else. So
 // a late answer is noted to few collectors, the same ones for all sidecars, and only once these hold a quorum of notes
-// on a server do they ask the owners of the notes to report to the whole fleet.
+// on a server do they requested the owners of the notes to report to the whole fleet.
 const (
-	noteLifetime = 2 * time.Second        // for which a note counts unless it is retracted
-	askInterval  = 500 * time.Millisecond // least time between two requests to one owner
-	maxServers   = 512                    // servers of which notes are held
-	maxOwners    = 32                     // owners whose notes on one server are held
+	noteLifetime          = 2 * time.Second        // for which a note counts unless it is retracted
+	reportRequestInterval = 500 * time.Millisecond // least time between two requests to one owner
+	maxServers            = 512                    // servers of which notes are held
+	maxOwners             = 32                     // owners whose notes on one server are held
 	// quorumSize is how many owners' notes lead to reports: as many as bad outcomes make a suspicion.
 	quorumSize      = 4
 	smallQuorumSize = 2 // in a fleet of smallFleetSize sidecars or fewer
@@ -72,28 +72,28 @@
 
 // ReportQuorum collects notes on late answers. The zero value is ready. It must not be used by two goroutines at once.
 type ReportQuorum struct {
-	notes map[string]map[string]heldNote // by server and owner
+	notes map[string]map[string]receivedNote // by server and owner
 }
 
-// heldNote is a note that counts.
-type heldNote struct {
-	received Time
-	asked    Time // when its owner was asked to report; 0: not yet
+// receivedNote is a note that counts.
+type receivedNote struct {
+	received    Time
+	requestedAt Time // when its owner was asked to report; 0: not yet
 }
 
 // expired reports whether the note counts no longer.
-func (n heldNote) expired(now Time) bool { return now-n.received >= noteLifetime }
+func (n receivedNote) expired(now Time) bool { return now-n.received >= noteLifetime }
 
-// AddLate counts a note and returns the owners to ask for a report, in order: none as long as there is no quorum.
+// AddLate counts a note and returns the owners to requested for a report, in order: none as long as there is no quorum.
 // sidecars is how many there are in the fleet.
-func (q *ReportQuorum) AddLate(now Time, server, owner string, sidecars int) (ask []string) {
+func (q *ReportQuorum) AddLate(now Time, server, owner string, sidecars int) (requested []string) {
 	notes := q.notesOn(now, server)
 	if notes == nil {
 		return nil
 	}
-	maps.DeleteFunc(notes, func(_ string, n heldNote) bool { return n.expired(now) })
+	maps.DeleteFunc(notes, func(_ string, n receivedNote) bool { return n.expired(now) })
 	if note, known := notes[owner]; known || len(notes) < maxOwners {
-		notes[owner] = heldNote{received: now, asked: note.asked}
+		notes[owner] = receivedNote{received: now, requestedAt: note.requestedAt}
 	}
 	needed := quorumSize
 	if sidecars <= smallFleetSize {
@@ -103,23 +103,23 @@
 		return nil
 	}
 	for owner, note := range notes {
-		if note.asked == 0 || now-note.asked >= askInterval {
-			note.asked = now
+		if note.requestedAt == 0 || now-note.requestedAt >= reportRequestInterval {
+			note.requestedAt = now
 			notes[owner] = note
-			ask = append(ask, owner)
+			requested = append(requested, owner)
 		}
 	}
-	slices.Sort(ask)
-	return ask
+	slices.Sort(requested)
+	return requested
 }
 
 // notesOn returns the notes on a server, nil where notes on too many servers are held already.
-func (q *ReportQuorum) notesOn(now Time, server string) map[string]heldNote {
+func (q *ReportQuorum) notesOn(now Time, server string) map[string]receivedNote {
 	if notes := q.notes[server]; notes != nil {
 		return notes
 	}
 	if q.notes == nil {
-		q.notes = map[string]map[string]heldNote{}
+		q.notes = map[string]map[string]receivedNote{}
 	}
 	if len(q.notes) >= maxServers {
 		q.evictExpired(now)
@@ -127,7 +127,7 @@
 	if len(q.notes) >= maxServers {
 		return nil
 	}
-	notes := map[string]heldNote{}
+	notes := map[string]receivedNote{}
 	q.notes[server] = notes
 	return notes
 }
@@ -140,8 +140,8 @@
 
 // evictExpired drops notes that count no longer.
 func (q *ReportQuorum) evictExpired(now Time) {
-	maps.DeleteFunc(q.notes, func(_ string, notes map[string]heldNote) bool {
-		maps.DeleteFunc(notes, func(_ string, n heldNote) bool { return n.expired(now) })
+	maps.DeleteFunc(q.notes, func(_ string, notes map[string]receivedNote) bool {
+		maps.DeleteFunc(notes, func(_ string, n receivedNote) bool { return n.expired(now) })
 		return len(notes) == 0
 	})
 }
--- a/internal/fleet/failuredetector/recorder.go
+++ b/internal/fleet/failuredetector/recorder.go
@@ -36,9 +36,9 @@
 	minRowInterval = 500 * time.Millisecond
 	// renewInterval is when a row that still holds is written again; other sidecars count it for twice that.
 	renewInterval = time.Second
-	// renewFor is how long after the last bad outcome a row is renewed. A server that everybody avoids gets no
+	// renewalPeriod is how long after the last bad outcome a row is renewed. A server that everybody avoids gets no
 	// request that could show that it has recovered, so all rows on it expire and it gets its turns again.
-	renewFor = 3 * time.Second
+	renewalPeriod = 3 * time.Second
 	// recordLifetime is how long a server is remembered after it was last seen or written of.
 	recordLifetime = 10 * time.Second
 	// maxRecords bounds the servers that are remembered; nothing is written of further ones.
@@ -48,9 +48,9 @@
 	fleetRowRate = 256.0
 	// rowBurst is how many rows a sidecar may write at once.
 	rowBurst = 16.0
-	// refuteWithin bounds the random delay before a sidecar refutes a suspicion: one refutation is enough, and the
+	// maxRefutationDelay bounds the random delay before a sidecar refutes a suspicion: one refutation is enough, and the
 	// first spares the others.
-	refuteWithin = 200 * time.Millisecond
+	maxRefutationDelay = 200 * time.Millisecond
 )
 
 // Row is a row of evidence to be written to the fleet's replicated state.
@@ -111,7 +111,7 @@
 	case Late:
 		record.lastLate, record.noteSent = now, true
 		record.sinceGood.Late++
-		record.sinceGood.Tries++
+		record.sinceGood.Attempts++
 		return Note{server, NoteLate}, true
 	case Silent: // was counted as a try when it was late
 		record.lastBad = now
@@ -120,11 +120,11 @@
 	case Refused:
 		record.lastBad = now
 		record.sinceGood.Refused++
-		record.sinceGood.Tries++
+		record.sinceGood.Attempts++
 		r.pending[server] = true
 	case Failed: // says nothing of silence
 		record.sinceGood.Failed++
-		record.sinceGood.Tries++
+		record.sinceGood.Attempts++
 	}
 	return Note{}, false
 }
@@ -142,7 +142,7 @@
 // observeAnswer records a good answer.
 func (r *Recorder) observeAnswer(now Time, server string, record *serverRecord) (note Note, due bool) {
 	record.lastGood, record.sinceGood = now, replication.Evidence{}
-	if record.suspectedAt > 0 || accuses(record.row) {
+	if record.suspectedAt > 0 || hasBadOutcomes(record.row) {
 		r.pending[server] = true
 	}
 	if !record.noteSent {
@@ -166,7 +166,7 @@
 	for _, server := range slices.Sorted(maps.Keys(r.servers)) { // in order, as random delays are drawn
 		record := r.servers[server]
 		if record.suspectedAt == 0 && suspected[server] > 0 {
-			record.refuteAt = now + Time(r.random.Int64N(int64(refuteWithin)))
+			record.refuteAt = now + Time(r.random.Int64N(int64(maxRefutationDelay)))
 		}
 		record.suspectedAt = suspected[server]
 		if record.suspectedAt > 0 {
@@ -220,23 +220,23 @@
 }
 
 // accuses reports whether a row counts against its server.
-func accuses(row replication.Evidence) bool { return row.Unanswered+row.Refused+row.Late > 0 }
+func hasBadOutcomes(row replication.Evidence) bool { return row.Unanswered+row.Refused+row.Late > 0 }
 
 // writeRow returns the row that stands for the record from now on.
 func (s *serverRecord) writeRow(now Time) replication.Evidence {
 	s.rowWritten, s.row = now, s.sinceGood
 	if s.lastGood > 0 && now-s.lastGood < recordLifetime {
-		s.row.Good = uint32(max(now-s.lastGood, time.Millisecond) / time.Millisecond)
+		s.row.SinceGoodMS = uint32(max(now-s.lastGood, time.Millisecond) / time.Millisecond)
 	}
-	if bad := max(s.lastBad, s.lastLate); accuses(s.row) {
-		s.row.Bad = uint32((now - bad) / time.Millisecond)
+	if bad := max(s.lastBad, s.lastLate); hasBadOutcomes(s.row) {
+		s.row.SinceBadMS = uint32((now - bad) / time.Millisecond)
 	}
 	return s.row
 }
 
 // settled reports whether no row on the server can become due without a new event.
 func (s *serverRecord) settled() bool {
-	return s.suspectedAt == 0 && !accuses(s.row) && s.lastBad <= s.rowWritten && s.reportRequested <= s.rowWritten
+	return s.suspectedAt == 0 && !hasBadOutcomes(s.row) && s.lastBad <= s.rowWritten && s.reportRequested <= s.rowWritten
 }
 
 // rowDue reports whether a row is to be written now.
@@ -248,7 +248,7 @@
 	if s.reportRequested > 0 {
 		bad = max(bad, s.lastLate)
 	}
-	standing := accuses(s.row)
+	standing := hasBadOutcomes(s.row)
 	switch {
 	case s.lastGood >= bad: // retract the own row, or refute the peers' suspicion
 		return s.lastGood > s.rowWritten && (standing || s.refutes(now))
@@ -256,7 +256,7 @@
 		// What the fleet knows already is not repeated by everybody: the rate of rows is needed for what is new.
 		return s.suspectedAt == 0 || standing
 	}
-	return standing && now-bad < renewFor && now-s.rowWritten >= renewInterval
+	return standing && now-bad < renewalPeriod && now-s.rowWritten >= renewInterval
 }
 
 // refutes reports whether the last good answer speaks against the peers' suspicion and it is this sidecar's time to say
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -262,7 +262,7 @@
 func broadcastRows(t testing.TB, now replication.Now, m *Machine, servers int) {
 	t.Helper()
 	for i := range servers {
-		key, err := m.Store.WriteRow(now, fmt.Sprint("s-", i), 0, replication.Evidence{Tries: 9, Unanswered: 9})
+		key, err := m.Store.WriteRow(now, fmt.Sprint("s-", i), 0, replication.Evidence{Attempts: 9, Unanswered: 9})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fleet/replication/admin.go
+++ b/internal/fleet/replication/admin.go
@@ -44,62 +44,62 @@
 }
 
 // Down reports whether the server is administratively down: one standing call that says so is enough.
-func (h AdminState) Down() bool {
-	return slices.ContainsFunc(h.Standing, func(c OperatorCall) bool { return c.Down })
+func (s AdminState) Down() bool {
+	return slices.ContainsFunc(s.Standing, func(c OperatorCall) bool { return c.Down })
 }
 
 // equal reports whether two states of one server are the same.
-func (h AdminState) equal(o AdminState) bool {
-	return h.Listed == o.Listed && slices.Equal(h.Standing, o.Standing) && slices.Equal(h.Seen, o.Seen)
+func (s AdminState) equal(o AdminState) bool {
+	return s.Listed == o.Listed && slices.Equal(s.Standing, o.Standing) && slices.Equal(s.Seen, o.Seen)
 }
 
 // Disputed reports whether concurrent calls say different things.
-func (h AdminState) Disputed() bool {
-	return h.Down() && slices.ContainsFunc(h.Standing, func(c OperatorCall) bool { return !c.Down })
+func (s AdminState) Disputed() bool {
+	return s.Down() && slices.ContainsFunc(s.Standing, func(c OperatorCall) bool { return !c.Down })
 }
 
 // seenCount returns how many calls of an incarnation have been seen.
-func (h AdminState) seenCount(nonce uint64) uint64 {
-	if i, ok := slices.BinarySearchFunc(h.Seen, Dot{Nonce: nonce}, Dot.compare); ok {
-		return h.Seen[i].Count
+func (s AdminState) seenCount(nonce uint64) uint64 {
+	if i, ok := slices.BinarySearchFunc(s.Seen, Dot{Nonce: nonce}, Dot.compare); ok {
+		return s.Seen[i].Count
 	}
 	return 0
 }
 
 // standingCall returns the call of an incarnation that stands, if any.
-func (h AdminState) standingCall(nonce uint64) (OperatorCall, bool) {
+func (s AdminState) standingCall(nonce uint64) (OperatorCall, bool) {
 	i, ok := slices.BinarySearchFunc(
-		h.Standing,
+		s.Standing,
 		nonce,
 		func(c OperatorCall, n uint64) int { return cmp.Compare(c.Dot.Nonce, n) },
 	)
 	if !ok {
 		return OperatorCall{}, false
 	}
-	return h.Standing[i], true
+	return s.Standing[i], true
 }
 
 // mergeAdminStates returns the join of two states. It is associative, commutative and idempotent: a call stands if each
 // side either has it standing or has not seen it.
 func mergeAdminStates(a, b AdminState) AdminState {
 	out := AdminState{Server: a.Server, Listed: max(a.Listed, b.Listed)}
-	keep := func(from, other AdminState) {
+	addStanding := func(from, other AdminState) {
 		for _, c := range from.Standing {
-			twin, stands := other.standingCall(c.Dot.Nonce)
+			counterpart, stands := other.standingCall(c.Dot.Nonce)
 			switch {
-			case stands && twin.Dot.Count == c.Dot.Count:
-				c = laterCall(c, twin)
+			case stands && counterpart.Dot.Count == c.Dot.Count:
+				c = laterCall(c, counterpart)
 			case other.seenCount(c.Dot.Nonce) >= c.Dot.Count:
 				continue // the other side knows what took its place
 			}
-			if _, twice := out.standingCall(c.Dot.Nonce); !twice {
+			if _, added := out.standingCall(c.Dot.Nonce); !added {
 				i, _ := slices.BinarySearchFunc(out.Standing, c, OperatorCall.compare)
 				out.Standing = slices.Insert(out.Standing, i, c)
 			}
 		}
 	}
-	keep(a, b)
-	keep(b, a)
+	addStanding(a, b)
+	addStanding(b, a)
 	for i, j := 0, 0; i < len(a.Seen) || j < len(b.Seen); {
 		switch {
 		case j == len(b.Seen) || i < len(a.Seen) && a.Seen[i].Nonce < b.Seen[j].Nonce:
@@ -136,41 +136,41 @@
 }
 
 // withCall returns the state after a further call of an incarnation, which replaces all calls that were seen here.
-func (h AdminState) withCall(by string, nonce uint64, out bool, at Stamp) AdminState {
-	dot := Dot{by, nonce, h.seenCount(nonce) + 1}
-	own := AdminState{Server: h.Server, Standing: []OperatorCall{{dot, out, at}}, Seen: []Dot{dot}, Listed: h.Listed}
-	for i := range h.Seen { // all that was seen has this call in its place
-		if h.Seen[i].Nonce != nonce {
-			own.Seen = append(own.Seen, h.Seen[i])
+func (s AdminState) withCall(by string, nonce uint64, down bool, at Stamp) AdminState {
+	dot := Dot{by, nonce, s.seenCount(nonce) + 1}
+	next := AdminState{Server: s.Server, Standing: []OperatorCall{{dot, down, at}}, Seen: []Dot{dot}, Listed: s.Listed}
+	for i := range s.Seen { // all that was seen has this call in its place
+		if s.Seen[i].Nonce != nonce {
+			next.Seen = append(next.Seen, s.Seen[i])
 		}
 	}
-	slices.SortFunc(own.Seen, Dot.compare)
-	return own
+	slices.SortFunc(next.Seen, Dot.compare)
+	return next
 }
 
 // check returns what is wrong with a state that a peer sent.
-func (h AdminState) check() error {
+func (s AdminState) check() error {
 	switch {
-	case h.Server == "" || len(h.Server) > maxKeyBytes:
-		return fmt.Errorf("a server's id of %d bytes, 1 to %d are allowed", len(h.Server), maxKeyBytes)
-	case len(h.Seen) == 0 || len(h.Seen) > maxIncarnations:
-		return fmt.Errorf("server %q: calls of %d lives, 1 to %d are allowed", h.Server, len(h.Seen), maxIncarnations)
-	case !slices.IsSortedFunc(h.Seen, Dot.compare) || !slices.IsSortedFunc(h.Standing, OperatorCall.compare):
-		return fmt.Errorf("server %q: calls out of order", h.Server)
-	case len(h.Standing) == 0:
-		return fmt.Errorf("server %q: no call stands", h.Server)
+	case s.Server == "" || len(s.Server) > maxKeyBytes:
+		return fmt.Errorf("a server's id of %d bytes, 1 to %d are allowed", len(s.Server), maxKeyBytes)
+	case len(s.Seen) == 0 || len(s.Seen) > maxIncarnations:
+		return fmt.Errorf("server %q: calls of %d lives, 1 to %d are allowed", s.Server, len(s.Seen), maxIncarnations)
+	case !slices.IsSortedFunc(s.Seen, Dot.compare) || !slices.IsSortedFunc(s.Standing, OperatorCall.compare):
+		return fmt.Errorf("server %q: calls out of order", s.Server)
+	case len(s.Standing) == 0:
+		return fmt.Errorf("server %q: no call stands", s.Server)
 	}
-	for i, d := range h.Seen {
-		if d.Count == 0 || len(d.By) > maxKeyBytes || i > 0 && d.Nonce == h.Seen[i-1].Nonce {
-			return fmt.Errorf("server %q: calls of life %x given twice or not at all", h.Server, d.Nonce)
+	for i, d := range s.Seen {
+		if d.Count == 0 || len(d.By) > maxKeyBytes || i > 0 && d.Nonce == s.Seen[i-1].Nonce {
+			return fmt.Errorf("server %q: calls of life %x given twice or not at all", s.Server, d.Nonce)
 		}
 	}
-	for i, c := range h.Standing {
-		twice := i > 0 && c.Dot.Nonce == h.Standing[i-1].Dot.Nonce
-		unseen := c.Dot.Count == 0 || h.seenCount(c.Dot.Nonce) < c.Dot.Count
-		if twice || unseen || len(c.Dot.By) > maxKeyBytes {
+	for i, c := range s.Standing {
+		duplicate := i > 0 && c.Dot.Nonce == s.Standing[i-1].Dot.Nonce
+		unseen := c.Dot.Count == 0 || s.seenCount(c.Dot.Nonce) < c.Dot.Count
+		if duplicate || unseen || len(c.Dot.By) > maxKeyBytes {
 			return fmt.Errorf("server %q: call %d of life %x stands and was not seen",
-				h.Server, c.Dot.Count, c.Dot.Nonce)
+				s.Server, c.Dot.Count, c.Dot.Nonce)
 		}
 	}
 	return nil
--- a/internal/fleet/replication/item.go
+++ b/internal/fleet/replication/item.go
@@ -50,7 +50,7 @@
 
 func (t Test) compare(o Test) int {
 	return cmp.Or(cmp.Compare(t.Version, o.Version), strings.Compare(t.Tester, o.Tester), cmp.Compare(t.Boot, o.Boot),
-		compareBool(t.Ended, o.Ended), compareBool(o.Well, t.Well)) // of two forged ones: that it is not well
+		compareBools(t.Ended, o.Ended), compareBools(o.Well, t.Well)) // of two forged ones: that it is not well
 }
 
 // check returns what is wrong with a test that a peer sent.
@@ -62,7 +62,7 @@
 	return nil
 }
 
-func compareBool(a, b bool) int {
+func compareBools(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
--- a/internal/fleet/replication/row.go
+++ b/internal/fleet/replication/row.go
@@ -13,13 +13,13 @@
 
 // Evidence is what one sidecar has observed of one server of late, in its own requests alone.
 type Evidence struct {
-	Tries      uint32 `cbor:"1,keyasint,omitempty"` // that ended, or are out for longer than usual
-	Unanswered uint32 `cbor:"2,keyasint,omitempty"` // of these, without an answer
-	Failed     uint32 `cbor:"3,keyasint,omitempty"` // answered with an error, or reset
-	Refused    uint32 `cbor:"4,keyasint,omitempty"` // connections refused, or that never came up
-	Late       uint32 `cbor:"5,keyasint,omitempty"` // answered late
-	Good       uint32 `cbor:"6,keyasint,omitempty"` // milliseconds since its last good answer; 0: none of late
-	Bad        uint32 `cbor:"7,keyasint,omitempty"` // milliseconds since the last that was silent, late or refused
+	Attempts    uint32 `cbor:"1,keyasint,omitempty"` // that ended, or are out for longer than usual
+	Unanswered  uint32 `cbor:"2,keyasint,omitempty"` // of these, without an answer
+	Failed      uint32 `cbor:"3,keyasint,omitempty"` // answered with an error, or reset
+	Refused     uint32 `cbor:"4,keyasint,omitempty"` // connections refused, or that never came up
+	Late        uint32 `cbor:"5,keyasint,omitempty"` // answered late
+	SinceGoodMS uint32 `cbor:"6,keyasint,omitempty"` // milliseconds since its last good answer; 0: none of late
+	SinceBadMS  uint32 `cbor:"7,keyasint,omitempty"` // milliseconds since the last that was silent, late or refused
 }
 
 // Row is the evidence of one sidecar on one server. Its owner alone writes it.
@@ -43,13 +43,13 @@
 
 func (e Evidence) compare(o Evidence) int {
 	return cmp.Or(
-		cmp.Compare(e.Tries, o.Tries),
+		cmp.Compare(e.Attempts, o.Attempts),
 		cmp.Compare(e.Unanswered, o.Unanswered),
 		cmp.Compare(e.Failed, o.Failed),
 		cmp.Compare(e.Refused, o.Refused),
 		cmp.Compare(e.Late, o.Late),
-		cmp.Compare(e.Good, o.Good),
-		cmp.Compare(e.Bad, o.Bad),
+		cmp.Compare(e.SinceGoodMS, o.SinceGoodMS),
+		cmp.Compare(e.SinceBadMS, o.SinceBadMS),
 	)
 }
 
--- a/internal/fleet/replication/store.go
+++ b/internal/fleet/replication/store.go
@@ -277,12 +277,12 @@
 	return former.compare(t) < 0, nil
 }
 
-// previousIncarnation returns the greatest incarnation that is less than l.
-func previousIncarnation(l membership.ProcessIncarnation) membership.ProcessIncarnation {
-	if l.Nonce == 0 {
-		return membership.ProcessIncarnation{Number: l.Number - 1, Nonce: math.MaxUint64}
+// previousIncarnation returns the greatest incarnation that is less than the given one.
+func previousIncarnation(incarnation membership.ProcessIncarnation) membership.ProcessIncarnation {
+	if incarnation.Nonce == 0 {
+		return membership.ProcessIncarnation{Number: incarnation.Number - 1, Nonce: math.MaxUint64}
 	}
-	return membership.ProcessIncarnation{Number: l.Number, Nonce: l.Nonce - 1}
+	return membership.ProcessIncarnation{Number: incarnation.Number, Nonce: incarnation.Nonce - 1}
 }
 
 // MarkDead records that an owner's incarnation is over: its rows go, and none of that incarnation or an earlier one
--- a/internal/fleet/replication/store_test.go
+++ b/internal/fleet/replication/store_test.go
@@ -12,14 +12,14 @@
 	"milletramp.example/milletramp/internal/fleet/membership"
 )
 
-var lives = []membership.ProcessIncarnation{{Number: 1, Nonce: 1}, {Number: 2, Nonce: 1}, {Number: 2, Nonce: 2}}
+var incarnations = []membership.ProcessIncarnation{{Number: 1, Nonce: 1}, {Number: 2, Nonce: 1}, {Number: 2, Nonce: 2}}
 
 // drawHand draws what some sidecars' calls on one server may have left: it plays calls and exchanges between three.
-func drawHands(t *rapid.T) [3]AdminState {
-	hands := [3]AdminState{}
+func drawAdminStates(t *rapid.T) [3]AdminState {
+	states := [3]AdminState{}
 	clock := clock{}
-	for i := range hands {
-		hands[i] = AdminState{
+	for i := range states {
+		states[i] = AdminState{
 			Server: "s",
 		}.withCall(
 			fmt.Sprint("n", i),
@@ -31,20 +31,20 @@
 	for range rapid.IntRange(0, 12).Draw(t, "steps") {
 		i, j := rapid.IntRange(0, 2).Draw(t, "one"), rapid.IntRange(0, 2).Draw(t, "other")
 		if i == j {
-			hands[i] = hands[i].withCall(fmt.Sprint("n", i), uint64(i+1), rapid.Bool().Draw(t, "out"), clock.next(1))
+			states[i] = states[i].withCall(fmt.Sprint("n", i), uint64(i+1), rapid.Bool().Draw(t, "out"), clock.next(1))
 		} else {
-			hands[i] = mergeAdminStates(hands[i], hands[j])
+			states[i] = mergeAdminStates(states[i], states[j])
 		}
-		hands[i].Listed = max(hands[i].Listed, rapid.Int64Range(0, 2).Draw(t, "listed"))
+		states[i].Listed = max(states[i].Listed, rapid.Int64Range(0, 2).Draw(t, "listed"))
 	}
-	return hands
+	return states
 }
 
 // TestMergesAreJoins: each kind's merge is associative, commutative and idempotent.
 func TestMergesAreJoins(t *testing.T) {
 	t.Run("by hand", rapid.MakeCheck(func(t *rapid.T) {
-		h := drawHands(t)
-		joins(t, h[0], h[1], h[2], mergeAdminStates, func(a, b AdminState) bool { return reflect.DeepEqual(a, b) })
+		h := drawAdminStates(t)
+		checkJoin(t, h[0], h[1], h[2], mergeAdminStates, func(a, b AdminState) bool { return reflect.DeepEqual(a, b) })
 		for _, hand := range h {
 			if err := hand.check(); err != nil {
 				t.Error(err)
@@ -56,14 +56,14 @@
 			return Row{
 				Owner:       "n",
 				Server:      "s",
-				Incarnation: rapid.SampledFrom(lives).Draw(t, "life"),
+				Incarnation: rapid.SampledFrom(incarnations).Draw(t, "life"),
 				Version:     rapid.Uint64Range(1, 2).Draw(t, "version"),
 				Boot:        rapid.Int64Range(0, 1).Draw(t, "boot"),
-				Evidence:    Evidence{Tries: rapid.Uint32Range(0, 1).Draw(t, "tries")},
+				Evidence:    Evidence{Attempts: rapid.Uint32Range(0, 1).Draw(t, "tries")},
 				writtenAt:   Time(rapid.Int64Range(0, 2).Draw(t, "born")),
 			}
 		}
-		joins(t, draw(), draw(), draw(), laterRow, func(a, b Row) bool { return a == b })
+		checkJoin(t, draw(), draw(), draw(), laterRow, func(a, b Row) bool { return a == b })
 	}))
 	t.Run("tests", rapid.MakeCheck(func(t *rapid.T) {
 		draw := func() Test {
@@ -76,7 +76,7 @@
 				writtenAt: Time(rapid.Int64Range(0, 2).Draw(t, "born")),
 			}
 		}
-		joins(t, draw(), draw(), draw(), laterTest, func(a, b Test) bool { return a == b })
+		checkJoin(t, draw(), draw(), draw(), laterTest, func(a, b Test) bool { return a == b })
 	}))
 	t.Run("witnesses", rapid.MakeCheck(func(t *rapid.T) {
 		var all []Row
@@ -92,7 +92,7 @@
 	}))
 }
 
-func joins[T any](t *rapid.T, a, b, c T, merge func(T, T) T, same func(T, T) bool) {
+func checkJoin[T any](t *rapid.T, a, b, c T, merge func(T, T) T, same func(T, T) bool) {
 	if x, y := merge(a, b), merge(b, a); !same(x, y) {
 		t.Errorf("the order matters: %+v and %+v give %+v or %+v", a, b, x, y)
 	}
@@ -105,7 +105,7 @@
 }
 
 // copies are stores that exchange pieces.
-func copies(n int) []*Store {
+func newStores(n int) []*Store {
 	var all []*Store
 	for i := range n {
 		all = append(all, New(fmt.Sprint("n", i), membership.ProcessIncarnation{Number: 1, Nonce: uint64(i + 1)}))
@@ -113,8 +113,8 @@
 	return all
 }
 
-// give has one copy hear a piece of another.
-func give(t rapid.TB, now Now, to, from *Store, k Key) {
+// replicate has one copy hear a piece of another.
+func replicate(t rapid.TB, now Now, to, from *Store, k Key) {
 	t.Helper()
 	if item, ok := from.Item(now, k); ok {
 		if _, err := to.Merge(now, item, from.name); err != nil {
@@ -128,7 +128,7 @@
 // exactly if some last call on it, of which no later caller knew otherwise, says so.
 func TestCopiesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all, now := copies(3), Now{Time: time.Minute, Wall: 1e12}
+		all, now := newStores(3), Now{Time: time.Minute, Wall: 1e12}
 		type call struct {
 			out  bool
 			knew []int // earlier calls
@@ -147,7 +147,7 @@
 				calls[server] = append(calls[server], call{out, slices.Clone(knows[i][server])})
 				knows[i][server] = append(knows[i][server], len(calls[server])-1)
 			case 1:
-				if _, err := all[i].WriteRow(now, server, 0, Evidence{Tries: 1, Unanswered: 1}); err != nil {
+				if _, err := all[i].WriteRow(now, server, 0, Evidence{Attempts: 1, Unanswered: 1}); err != nil {
 					t.Fatal(err)
 				}
 			case 2:
@@ -160,7 +160,7 @@
 				j := rapid.IntRange(0, 2).Draw(t, "from")
 				for _, k := range all[j].Keys() {
 					if k.Server == server && rapid.IntRange(0, 3).Draw(t, "lost") > 0 {
-						give(t, now, all[i], all[j], k)
+						replicate(t, now, all[i], all[j], k)
 						if k.Kind == KindAdmin {
 							for _, c := range knows[j][server] {
 								if !slices.Contains(knows[i][server], c) {
@@ -176,7 +176,7 @@
 			for i := range all {
 				for j := range all {
 					for _, k := range all[j].Keys() {
-						give(t, now, all[i], all[j], k)
+						replicate(t, now, all[i], all[j], k)
 					}
 				}
 			}
@@ -201,11 +201,11 @@
 
 // TestOutWins plays the two sides of a cut, and who may end it.
 func TestOutWins(t *testing.T) {
-	c, now := copies(2), Now{Time: time.Minute, Wall: 1e12}
+	c, now := newStores(2), Now{Time: time.Minute, Wall: 1e12}
 	both := func() {
 		for range 2 {
-			give(t, now, c[0], c[1], Key{KindAdmin, "s", ""})
-			give(t, now, c[1], c[0], Key{KindAdmin, "s", ""})
+			replicate(t, now, c[0], c[1], Key{KindAdmin, "s", ""})
+			replicate(t, now, c[1], c[0], Key{KindAdmin, "s", ""})
 		}
 	}
 	call := func(i int, wall int64, out bool) {
@@ -246,13 +246,13 @@
 // TestRowsDie: a row fades, dies with its owner, and never comes back from a former incarnation, in whatever order it
 // arrives.
 func TestRowsDie(t *testing.T) {
-	c, now := copies(2), Now{Time: time.Minute, Wall: 1e12}
-	k, err := c[0].WriteRow(now, "s", 0, Evidence{Tries: 3, Unanswered: 3})
+	c, now := newStores(2), Now{Time: time.Minute, Wall: 1e12}
+	k, err := c[0].WriteRow(now, "s", 0, Evidence{Attempts: 3, Unanswered: 3})
 	if err != nil {
 		t.Fatal(err)
 	}
 	former, _ := c[0].Item(now, k)
-	give(t, now, c[1], c[0], k)
+	replicate(t, now, c[1], c[0], k)
 	has := func(n int) {
 		t.Helper()
 		if got := len(c[1].Rows(now, "s")); got != n {
@@ -267,10 +267,10 @@
 	}
 	has(0)
 	c[0].SetIncarnation(membership.ProcessIncarnation{Number: 2, Nonce: 1})
-	if k, err = c[0].WriteRow(now, "s", 0, Evidence{Tries: 3, Unanswered: 3}); err != nil {
+	if k, err = c[0].WriteRow(now, "s", 0, Evidence{Attempts: 3, Unanswered: 3}); err != nil {
 		t.Fatal(err)
 	}
-	give(t, now, c[1], c[0], k)
+	replicate(t, now, c[1], c[0], k)
 	has(1)
 	former, _ = c[0].Item(now, k)
 	late := now
@@ -287,7 +287,7 @@
 	if news, _ := c[1].Merge(now, Item{Row: &old}, "n0"); news {
 		t.Error("a faded row came back")
 	}
-	mine := Row{Owner: "n1", Incarnation: c[1].incarnation, Server: "s", Version: 99, Evidence: Evidence{Tries: 9, Unanswered: 9}}
+	mine := Row{Owner: "n1", Incarnation: c[1].incarnation, Server: "s", Version: 99, Evidence: Evidence{Attempts: 9, Unanswered: 9}}
 	if news, _ := c[1].Merge(now, Item{Row: &mine}, "n0"); news {
 		t.Error("another one wrote the own row")
 	}
@@ -295,16 +295,16 @@
 
 // TestForgotten: what the staff said is kept as long as any sidecar lists the server, and a day longer.
 func TestForgotten(t *testing.T) {
-	c, now := copies(2), Now{Time: time.Minute, Wall: 1e12}
+	c, now := newStores(2), Now{Time: time.Minute, Wall: 1e12}
 	if _, err := c[0].RecordCall(now, "s", true); err != nil {
 		t.Fatal(err)
 	}
-	give(t, now, c[1], c[0], Key{KindAdmin, "s", ""})
+	replicate(t, now, c[1], c[0], Key{KindAdmin, "s", ""})
 	day := int64(24 * time.Hour / time.Millisecond)
 	for range 30 { // a month on one list
 		now.Wall += day
 		c[1].MarkListed(now, []string{"s"})
-		give(t, now, c[0], c[1], Key{KindAdmin, "s", ""})
+		replicate(t, now, c[0], c[1], Key{KindAdmin, "s", ""})
 		c[0].Expire(now)
 		c[1].Expire(now)
 	}
@@ -324,12 +324,12 @@
 
 // TestBounds has a peer tell of far too much: what is held stays bounded, and what the staff says here is still taken.
 func TestBounds(t *testing.T) {
-	s, now := New("n0", lives[0]), Now{Time: time.Minute, Wall: 1e12}
+	s, now := New("n0", incarnations[0]), Now{Time: time.Minute, Wall: 1e12}
 	refused := 0
 	for i := range 100_000 {
 		server := fmt.Sprint("s-", i)
 		for _, item := range []Item{
-			{Row: &Row{Owner: fmt.Sprint("n", i%500), Incarnation: lives[1], Server: server, Version: 1, Evidence: Evidence{Tries: 1, Unanswered: 1}}},
+			{Row: &Row{Owner: fmt.Sprint("n", i%500), Incarnation: incarnations[1], Server: server, Version: 1, Evidence: Evidence{Attempts: 1, Unanswered: 1}}},
 			{Start: &Start{server, 1e12}}, {Test: &Test{Server: server, Version: 1, Tester: "x"}},
 		} {
 			if _, err := s.Merge(now, item, "peer"); err != nil {
@@ -346,10 +346,10 @@
 	for i := range 1000 {
 		r := Row{
 			Owner:       fmt.Sprint("n", i),
-			Incarnation: lives[1],
+			Incarnation: incarnations[1],
 			Server:      "s-0",
 			Version:     1,
-			Evidence:    Evidence{Tries: 1, Unanswered: 1},
+			Evidence:    Evidence{Attempts: 1, Unanswered: 1},
 		}
 		if _, err := s.Merge(now, Item{Row: &r}, "peer"); err != nil {
 			t.Fatal(err)
@@ -373,10 +373,10 @@
 	for name, item := range map[string]Item{
 		"nothing": {}, "two kinds": {Admin: &good, Start: &Start{"s", 1}}, "a life twice": {Admin: &twice},
 		"a call not seen": {Admin: &unseen}, "no call": {Admin: &none}, "no server": {Start: &Start{"", 1}},
-		"a start to come": {Start: &Start{"s", 1e12 + 60_000}}, "a row of nobody": {Row: &Row{Server: "s", Version: 1, Incarnation: lives[0]}},
-		"a row of no version": {Row: &Row{Server: "s", Owner: "x", Incarnation: lives[0]}}, "a test by nobody": {Test: &Test{Server: "s", Version: 1}},
+		"a start to come": {Start: &Start{"s", 1e12 + 60_000}}, "a row of nobody": {Row: &Row{Server: "s", Version: 1, Incarnation: incarnations[0]}},
+		"a row of no version": {Row: &Row{Server: "s", Owner: "x", Incarnation: incarnations[0]}}, "a test by nobody": {Test: &Test{Server: "s", Version: 1}},
 	} {
-		s := New("n0", lives[0])
+		s := New("n0", incarnations[0])
 		if news, err := s.Merge(now, item, "peer"); err == nil || news || s.Digest() != (Digest{}) {
 			t.Errorf("%s: news %v, error %v", name, news, err)
 		}
@@ -403,11 +403,11 @@
 	now := Now{Time: time.Minute, Wall: 1e12}
 	for k, change := range map[Kind]func(*Store) error{
 		KindAdmin: func(s *Store) error { _, err := s.RecordCall(now, "s", true); return err },
-		KindRow:   func(s *Store) error { _, err := s.WriteRow(now, "s", 0, Evidence{Tries: 1}); return err },
+		KindRow:   func(s *Store) error { _, err := s.WriteRow(now, "s", 0, Evidence{Attempts: 1}); return err },
 		KindStart: func(s *Store) error { s.RecordStart(now, "s", 1e12); return nil },
 		KindTest:  func(s *Store) error { _, err := s.RecordTest(now, "s", 0, false, false); return err },
 	} {
-		s := New("n0", lives[0])
+		s := New("n0", incarnations[0])
 		for range 2 { // a first one, and a change to it
 			before := s.Digest().PerKind()
 			now.Wall++
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -198,8 +198,8 @@
 			Refused:         row.Evidence.Refused,
 			LastGoodSeconds: -1,
 		}
-		if row.Evidence.Good > 0 {
-			status.LastGoodSeconds = fromMilliseconds(row.Evidence.Good)
+		if row.Evidence.SinceGoodMS > 0 {
+			status.LastGoodSeconds = fromMilliseconds(row.Evidence.SinceGoodMS)
 		}
 		all = append(all, status)
 	}
--- a/internal/lab/fleet/mutants/mutants_test.go
+++ b/internal/lab/fleet/mutants/mutants_test.go
@@ -33,17 +33,17 @@
 		"range f.evidence.recorder.DueRows(now.Time, f.machine.Members.NumPresent())[:0] {",
 		"silent servers known to all", "processes TestServersFallSilent"},
 	{"words that stand for good", "failuredetector/recorder.go",
-		"s.row.Bad = uint32((now - bad) / time.Millisecond)",
-		"s.lastBad, s.row.Bad = now, uint32((now-max(bad, now))/time.Millisecond)",
+		"s.row.SinceBadMS = uint32((now - bad) / time.Millisecond)",
+		"s.lastBad, s.row.SinceBadMS = now, uint32((now-max(bad, now))/time.Millisecond)",
 		"no doubt that lasts without silence", "processes TestServersFallSilent"},
 	{"merge by arrival", "replication/store.go",
 		"	merged := mergeAdminStates(former, h)\n", "	merged := h\n", "nothing acknowledged forgotten", ""},
 	{"up wins", "replication/admin.go",
-		"return slices.ContainsFunc(h.Standing, func(c OperatorCall) bool { return c.Down })",
-		"return len(h.Standing) > 0 && !slices.ContainsFunc(h.Standing, func(c OperatorCall) bool { return !c.Down })",
+		"return slices.ContainsFunc(s.Standing, func(c OperatorCall) bool { return c.Down })",
+		"return len(s.Standing) > 0 && !slices.ContainsFunc(s.Standing, func(c OperatorCall) bool { return !c.Down })",
 		"nothing acknowledged forgotten", ""},
-	{"the later clock wins", "replication/admin.go", "	keep(b, a)\n",
-		"	keep(b, a)\n" +
+	{"the later clock wins", "replication/admin.go", "	addStanding(b, a)\n",
+		"	addStanding(b, a)\n" +
 			"	slices.SortFunc(out.Standing, func(x, y OperatorCall) int { return y.At.compare(x.At) })\n" +
 			"	out.Standing = out.Standing[:min(len(out.Standing), 1)]\n",
 		"nothing acknowledged forgotten", ""},
--- a/internal/lab/fleet/sim/evidence.go
+++ b/internal/lab/fleet/sim/evidence.go
@@ -6,7 +6,7 @@
 )
 
 // sampleEvidence is what each row that a sidecar writes holds: only its version matters here.
-var sampleEvidence = replication.Evidence{Tries: 4, Unanswered: 1}
+var sampleEvidence = replication.Evidence{Attempts: 4, Unanswered: 1}
 
 // writeEvidencePeriodically writes a row each EvidenceInterval.
 func (s *Sidecar) writeEvidencePeriodically() {
--- a/internal/lab/sim/gossip.go
+++ b/internal/lab/sim/gossip.go
@@ -160,7 +160,7 @@
 		return nil
 	}
 	every := max(s.options.Fleet.FalseEvery, 1)
-	evidence := replication.Evidence{Tries: falseReportTries, Unanswered: falseReportTries}
+	evidence := replication.Evidence{Attempts: falseReportTries, Unanswered: falseReportTries}
 	var rows []failuredetector.Row
 	for i, srv := range s.servers {
 		if srv.listed && i%every == 0 {
@@ -194,9 +194,9 @@
 		if !known || suspicion.Boot != m.bootTime(srv) { // it concerns an earlier process
 			continue
 		}
-		reports = append(reports, balance.PeerReport{ID: srv.ID, WrittenAt: suspicion.Newest})
+		reports = append(reports, balance.PeerReport{ID: srv.ID, WrittenAt: suspicion.LastBad})
 		suspected[srv.ID] = true
-		suspectedSince[srv.ID] = suspicion.Newest
+		suspectedSince[srv.ID] = suspicion.LastBad
 	}
 	policy.SetSuspected(reports)
 	m.recorder.SetSuspected(now.Time, suspectedSince)
