--- a/internal/fleet/failuredetector/quorum.go
+++ b/internal/fleet/failuredetector/quorum.go
@@ -8,38 +8,40 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// In any fleet some answers are late, and reporting each one to everybody would leave no capacity for anything else. So
-// a late answer is noted to few collectors, the same ones for all sidecars, and only once these hold a quorum of notes
-// on a server do they requested the owners of the notes to report to the whole fleet.
+// Some responses are late in any fleet, and broadcasting a report of each one would use up the network capacity of the
+// fleet. A sidecar therefore sends a note of a late response to a few collectors, which are the same for all sidecars.
+// Once a collector holds a quorum of notes on a server, it requests their owners to report to the whole fleet.
 const (
-	noteLifetime          = 2 * time.Second        // for which a note counts unless it is retracted
-	reportRequestInterval = 500 * time.Millisecond // least time between two requests to one owner
-	maxServers            = 512                    // servers of which notes are held
-	maxOwners             = 32                     // owners whose notes on one server are held
-	// quorumSize is how many owners' notes lead to reports: as many as bad outcomes make a suspicion.
+	noteLifetime          = 2 * time.Second        // how long a note counts unless it is retracted
+	reportRequestInterval = 500 * time.Millisecond // minimum time between two requests to one owner
+	maxServers            = 512                    // maximum number of servers with notes
+	maxOwners             = 32                     // maximum number of owners of notes on one server
+	// quorumSize is the number of owners whose notes trigger reports. It equals the number of bad outcomes that a
+	// suspicion requires.
 	quorumSize      = 4
-	smallQuorumSize = 2 // in a fleet of smallFleetSize sidecars or fewer
+	smallQuorumSize = 2 // quorum in a fleet of at most smallFleetSize sidecars
 	smallFleetSize  = 4
 )
 
-// Note is what a sidecar with a late request sends to the collectors, or what a collector asks of it.
+// Note is a message about one server between a sidecar with a late request and a collector.
 type Note struct {
 	Server string   `cbor:"1,keyasint"`
 	Kind   NoteKind `cbor:"2,keyasint"`
 }
 
-// NoteKind says what a note means.
+// NoteKind is the meaning of a Note.
 type NoteKind uint8
 
-// The kinds of notes.
+// Kinds of notes.
 const (
-	NoteLate     NoteKind = 1 + iota // to the collectors: an answer is late
-	NoteAnswered                     // to the collectors: there has been an answer
-	NoteReport                       // to the owner: a quorum is late; report to everybody
+	NoteLate     NoteKind = 1 + iota // to the collectors: a response is late
+	NoteAnswered                     // to the collectors: a response has arrived
+	NoteReport                       // to the owner: a quorum has late responses; report to the whole fleet
 )
 
-// Collectors returns those of the sidecars that collect notes on a server: the two of the highest rendezvous hash
-// (Thaler and Ravishankar 1998). Sidecars need not agree on who they are: notes that go astray are too few to act upon.
+// Collectors returns the sidecars that collect notes on a server: the two with the highest rendezvous hash (Thaler and
+// Ravishankar 1998). Sidecars with different member lists may choose different collectors; notes that reach the wrong
+// collector do not make up a quorum and have no effect.
 func Collectors(server string, sidecars []string) []string {
 	var first, second string
 	var firstRank, secondRank uint64
@@ -60,32 +62,32 @@
 	return []string{first, second}
 }
 
-// rendezvousRank is the weight of a sidecar for a server.
+// rendezvousRank returns the rendezvous hash of a sidecar for a server.
 func rendezvousRank(server, sidecar string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
-	_, _ = digest.WriteString(server) // a Digest never fails
+	_, _ = digest.WriteString(server) // Digest.WriteString never fails
 	_, _ = digest.Write([]byte{1})
 	_, _ = digest.WriteString(sidecar)
 	return digest.Sum64()
 }
 
-// ReportQuorum collects notes on late answers. The zero value is ready. It must not be used by two goroutines at once.
+// ReportQuorum collects notes on late responses. The zero value is ready for use. It is not safe for concurrent use.
 type ReportQuorum struct {
-	notes map[string]map[string]receivedNote // by server and owner
+	notes map[string]map[string]receivedNote // keyed by server, then by owner
 }
 
-// receivedNote is a note that counts.
+// receivedNote is a note that a collector holds.
 type receivedNote struct {
 	received    Time
-	requestedAt Time // when its owner was asked to report; 0: not yet
+	requestedAt Time // when its owner was last requested to report; 0: never
 }
 
-// expired reports whether the note counts no longer.
+// expired reports whether the note has reached noteLifetime.
 func (n receivedNote) expired(now Time) bool { return now-n.received >= noteLifetime }
 
-// AddLate counts a note and returns the owners to requested for a report, in order: none as long as there is no quorum.
-// sidecars is how many there are in the fleet.
+// AddLate adds a note and returns the owners to request a report from, sorted by name. It returns none without a
+// quorum. sidecars is the number of sidecars in the fleet.
 func (q *ReportQuorum) AddLate(now Time, server, owner string, sidecars int) (requested []string) {
 	notes := q.notesOn(now, server)
 	if notes == nil {
@@ -113,7 +115,7 @@
 	return requested
 }
 
-// notesOn returns the notes on a server, nil where notes on too many servers are held already.
+// notesOn returns the notes on a server, or nil if the server is new and there are already notes on maxServers servers.
 func (q *ReportQuorum) notesOn(now Time, server string) map[string]receivedNote {
 	if notes := q.notes[server]; notes != nil {
 		return notes
@@ -132,13 +134,13 @@
 	return notes
 }
 
-// Clear drops the notes on a server, as a late answer has come after all: a slow server is not silent, and its answer
-// speaks against all notes that were written before it, no matter who wrote them.
+// Clear drops all notes on a server after a late response has arrived. The response shows that the server is slow but
+// responsive, so it refutes the earlier notes of all owners.
 func (q *ReportQuorum) Clear(server string) {
 	clear(q.notes[server])
 }
 
-// evictExpired drops notes that count no longer.
+// evictExpired drops expired notes, and servers without notes.
 func (q *ReportQuorum) evictExpired(now Time) {
 	maps.DeleteFunc(q.notes, func(_ string, notes map[string]receivedNote) bool {
 		maps.DeleteFunc(notes, func(_ string, n receivedNote) bool { return n.expired(now) })
--- a/internal/fleet/failuredetector/recorder.go
+++ b/internal/fleet/failuredetector/recorder.go
@@ -1,10 +1,10 @@
 // Package failuredetector decides what a sidecar reports to the fleet about servers that seem to have failed, and when.
 //
 // Recorder turns the outcomes of the sidecar's own attempts into rows of evidence. ReportQuorum collects notes on late
-// answers, so that a report goes to the whole fleet only where several sidecars wait for one server at the same time.
-// Both are stepped state machines: outcomes, peers' messages and the time go in, rows and notes come out. They have no
-// clock, socket or goroutine and must not be used by two goroutines at once. A row holds the sidecar's own experience
-// alone; package replication weighs the rows of all sidecars.
+// responses, so that a report is sent to the whole fleet only if several sidecars wait for one server at the same time.
+// Both are deterministic state machines: outcomes, messages of peers and the current time are inputs, rows and notes
+// are outputs. They use no clock, socket or goroutine and are not safe for concurrent use. A row contains only the
+// observations of its own sidecar; package replication evaluates the rows of all sidecars.
 package failuredetector
 
 import (
@@ -16,40 +16,40 @@
 	"milletramp.example/milletramp/internal/fleet/replication"
 )
 
-// Time is a reading of the host's monotonic clock. 0 means never.
+// Time is a reading of the host's monotonic clock; 0 means never.
 type Time = time.Duration
 
-// Outcome is how an attempt at a server ended, as far as it tells of the server.
+// Outcome is the result of an attempt at a server, as used for failure detection.
 type Outcome uint8
 
-// The outcomes of attempts.
+// Outcomes of attempts.
 const (
-	Answered Outcome = iota // well
-	Late                    // no answer in the time in which nearly all come; it may still come
-	Silent                  // a late attempt: no answer for longer than all but one in a thousand take
-	Failed                  // an error, or the connection broke
-	Refused                 // no connection
+	Answered Outcome = iota // good response
+	Late                    // no response within the time of nearly all responses; one may still arrive
+	Silent                  // late attempt with no response for longer than all but one in a thousand responses take
+	Failed                  // error response, or the connection broke
+	Refused                 // connection refused or not established
 )
 
 const (
-	// minRowInterval is the least time between two rows on one server.
+	// minRowInterval is the minimum time between two rows on one server.
 	minRowInterval = 500 * time.Millisecond
-	// renewInterval is when a row that still holds is written again; other sidecars count it for twice that.
+	// renewInterval is how often a row that still holds is rewritten. Other sidecars count a row for twice as long.
 	renewInterval = time.Second
-	// renewalPeriod is how long after the last bad outcome a row is renewed. A server that everybody avoids gets no
-	// request that could show that it has recovered, so all rows on it expire and it gets its turns again.
+	// renewalPeriod is the time after the last bad outcome during which a row is renewed. A server that all sidecars
+	// avoid gets no request that could show its recovery. Its rows therefore expire, and it gets requests again.
 	renewalPeriod = 3 * time.Second
-	// recordLifetime is how long a server is remembered after it was last seen or written of.
+	// recordLifetime is how long a record is kept after the last observation of its server and the last row on it.
 	recordLifetime = 10 * time.Second
-	// maxRecords bounds the servers that are remembered; nothing is written of further ones.
+	// maxRecords is the maximum number of servers with records; observations of further servers are dropped.
 	maxRecords = 2048
-	// fleetRowRate is how many rows a second all sidecars write together. When much fails at once everybody has much
-	// to report, and the cost of a copy of the fleet's state grows with what is reported.
+	// fleetRowRate is the maximum number of rows per second that all sidecars together write. If many servers fail at
+	// once, all sidecars have many rows to write, and the cost of a replica grows with the number of rows.
 	fleetRowRate = 256.0
-	// rowBurst is how many rows a sidecar may write at once.
+	// rowBurst is the maximum number of rows that one sidecar writes at once.
 	rowBurst = 16.0
-	// maxRefutationDelay bounds the random delay before a sidecar refutes a suspicion: one refutation is enough, and the
-	// first spares the others.
+	// maxRefutationDelay is the upper bound of the random delay before a sidecar refutes a suspicion: one refutation is
+	// enough, and the first one makes those of the other sidecars unnecessary.
 	maxRefutationDelay = 200 * time.Millisecond
 )
 
@@ -59,36 +59,36 @@
 	Evidence replication.Evidence
 }
 
-// Recorder keeps what one sidecar has observed of servers of late. New returns one that is ready.
+// Recorder stores the recent observations of servers by one sidecar. Use New to create one.
 type Recorder struct {
 	random    *rand.Rand
 	servers   map[string]*serverRecord
-	pending   map[string]bool // servers of which a row may be due
+	pending   map[string]bool // servers on which a row may be due
 	evictedAt Time
-	rowTokens float64 // rows that may be written now
+	rowTokens float64 // number of rows that may be written now
 	tokensAt  Time    // when rowTokens was last updated
 }
 
-// serverRecord is what was observed of one server.
+// serverRecord holds the observations of one server.
 type serverRecord struct {
-	sinceGood replication.Evidence // outcomes since the last good answer
+	sinceGood replication.Evidence // outcomes since the last good response
 	lastSeen  Time
-	lastGood  Time // last good answer
-	lastBad   Time // last attempt that is silent or was refused
+	lastGood  Time // last good response
+	lastBad   Time // last outcome Silent or Refused
 	lastLate  Time
 
-	noteSent        bool // the collectors hold a note of this sidecar
-	reportRequested Time // when a collector last asked for a report
+	noteSent        bool // a NoteLate was sent that no NoteAnswered has retracted
+	reportRequested Time // when a collector last requested a report
 
-	// suspectedAt is when one of the peers that suspect the server last waited in vain; 0: nobody suspects it.
+	// suspectedAt is the time of the last bad outcome at the peers that suspect the server; 0: it is not suspected.
 	suspectedAt Time
-	refuteAt    Time // a row in the server's favour may go from then on
+	refuteAt    Time // earliest time of a row that refutes the suspicion
 
 	rowWritten Time
-	row        replication.Evidence // as last written
+	row        replication.Evidence // the last row written
 }
 
-// New returns a recorder that has seen nothing. seed determines the random delays that it draws.
+// New returns an empty Recorder. seed determines its random delays.
 func New(seed uint64) *Recorder {
 	return &Recorder{
 		random:    rand.New(rand.NewPCG(seed, 0xb00c)),
@@ -98,7 +98,7 @@
 	}
 }
 
-// Observe records how an attempt ended, or that it is late, and returns a note for the collectors where one is due.
+// Observe records the outcome of an attempt, and returns a note for the collectors if one is due.
 func (r *Recorder) Observe(now Time, server string, outcome Outcome) (note Note, due bool) {
 	record := r.record(server)
 	if record == nil {
@@ -113,7 +113,7 @@
 		record.sinceGood.Late++
 		record.sinceGood.Attempts++
 		return Note{server, NoteLate}, true
-	case Silent: // was counted as a try when it was late
+	case Silent: // its Late outcome has already counted the attempt
 		record.lastBad = now
 		record.sinceGood.Unanswered++
 		r.pending[server] = true
@@ -122,14 +122,14 @@
 		record.sinceGood.Refused++
 		record.sinceGood.Attempts++
 		r.pending[server] = true
-	case Failed: // says nothing of silence
+	case Failed: // an error response does not count against the server
 		record.sinceGood.Failed++
 		record.sinceGood.Attempts++
 	}
 	return Note{}, false
 }
 
-// record returns the record of a server, nil where there are too many already.
+// record returns the record of a server, or nil if there is none and maxRecords is reached.
 func (r *Recorder) record(server string) *serverRecord {
 	record := r.servers[server]
 	if record == nil && len(r.servers) < maxRecords {
@@ -139,10 +139,10 @@
 	return record
 }
 
-// observeAnswer records a good answer.
+// observeAnswer records a good response.
 func (r *Recorder) observeAnswer(now Time, server string, record *serverRecord) (note Note, due bool) {
 	record.lastGood, record.sinceGood = now, replication.Evidence{}
-	if record.suspectedAt > 0 || hasBadOutcomes(record.row) {
+	if record.suspectedAt > 0 || hasBadOutcome(record.row) {
 		r.pending[server] = true
 	}
 	if !record.noteSent {
@@ -152,7 +152,8 @@
 	return Note{server, NoteAnswered}, true
 }
 
-// RequestReport records that a collector asks this sidecar to report what it has noted to everybody.
+// RequestReport records a collector's request to report a late response of the server to the whole fleet. It is ignored
+// if a good response has arrived since.
 func (r *Recorder) RequestReport(now Time, server string) {
 	if record := r.servers[server]; record != nil && record.lastLate > record.lastGood {
 		record.reportRequested = now
@@ -160,10 +161,10 @@
 	}
 }
 
-// SetSuspected replaces the servers that peers suspect, each with the time at which one of these peers last waited for
-// an answer in vain.
+// SetSuspected replaces the set of servers that peers suspect. The values are the times of the last bad outcome at
+// these peers.
 func (r *Recorder) SetSuspected(now Time, suspected map[string]Time) {
-	for _, server := range slices.Sorted(maps.Keys(r.servers)) { // in order, as random delays are drawn
+	for _, server := range slices.Sorted(maps.Keys(r.servers)) { // sorted, to draw random delays in a fixed order
 		record := r.servers[server]
 		if record.suspectedAt == 0 && suspected[server] > 0 {
 			record.refuteAt = now + Time(r.random.Int64N(int64(maxRefutationDelay)))
@@ -175,14 +176,14 @@
 	}
 }
 
-// Forget drops what was observed of a server, as its process is another one.
+// Forget drops the observations of a server, for example because its process has been replaced.
 func (r *Recorder) Forget(server string) {
 	delete(r.servers, server)
 	delete(r.pending, server)
 }
 
-// DueRows returns the rows that are to be written now, by server, in a fleet of so many sidecars. It is to be called
-// after a bad outcome and about each 50 ms.
+// DueRows returns the rows to write now, sorted by server. sidecars is the number of sidecars in the fleet. Call it
+// after each bad outcome and about every 50 ms.
 func (r *Recorder) DueRows(now Time, sidecars int) (rows []Row) {
 	r.refillRowTokens(now, sidecars)
 	for _, server := range slices.Sorted(maps.Keys(r.pending)) {
@@ -199,14 +200,14 @@
 	return rows
 }
 
-// refillRowTokens adds this sidecar's part of what the fleet may write since the last call.
+// refillRowTokens adds this sidecar's share of fleetRowRate for the time since the last call.
 func (r *Recorder) refillRowTokens(now Time, sidecars int) {
 	rate := fleetRowRate / float64(max(sidecars, 1))
 	r.rowTokens = min(r.rowTokens+rate*(now-r.tokensAt).Seconds(), rowBurst)
 	r.tokensAt = now
 }
 
-// evict drops records that are out of date.
+// evict drops the records that have reached recordLifetime.
 func (r *Recorder) evict(now Time) {
 	if now-r.evictedAt < renewInterval {
 		return
@@ -219,16 +220,16 @@
 	}
 }
 
-// accuses reports whether a row counts against its server.
-func hasBadOutcomes(row replication.Evidence) bool { return row.Unanswered+row.Refused+row.Late > 0 }
+// hasBadOutcome reports whether a row has an outcome that counts against its server.
+func hasBadOutcome(row replication.Evidence) bool { return row.Unanswered+row.Refused+row.Late > 0 }
 
-// writeRow returns the row that stands for the record from now on.
+// writeRow builds the row for the record, stores it as the last row written and returns it.
 func (s *serverRecord) writeRow(now Time) replication.Evidence {
 	s.rowWritten, s.row = now, s.sinceGood
 	if s.lastGood > 0 && now-s.lastGood < recordLifetime {
 		s.row.SinceGoodMS = uint32(max(now-s.lastGood, time.Millisecond) / time.Millisecond)
 	}
-	if bad := max(s.lastBad, s.lastLate); hasBadOutcomes(s.row) {
+	if bad := max(s.lastBad, s.lastLate); hasBadOutcome(s.row) {
 		s.row.SinceBadMS = uint32((now - bad) / time.Millisecond)
 	}
 	return s.row
@@ -236,10 +237,10 @@
 
 // settled reports whether no row on the server can become due without a new event.
 func (s *serverRecord) settled() bool {
-	return s.suspectedAt == 0 && !hasBadOutcomes(s.row) && s.lastBad <= s.rowWritten && s.reportRequested <= s.rowWritten
+	return s.suspectedAt == 0 && !hasBadOutcome(s.row) && s.lastBad <= s.rowWritten && s.reportRequested <= s.rowWritten
 }
 
-// rowDue reports whether a row is to be written now.
+// rowDue reports whether a row on the server is due now.
 func (s *serverRecord) rowDue(now Time) bool {
 	if s.rowWritten > 0 && now-s.rowWritten < minRowInterval {
 		return false
@@ -248,19 +249,19 @@
 	if s.reportRequested > 0 {
 		bad = max(bad, s.lastLate)
 	}
-	standing := hasBadOutcomes(s.row)
+	standing := hasBadOutcome(s.row)
 	switch {
-	case s.lastGood >= bad: // retract the own row, or refute the peers' suspicion
+	case s.lastGood >= bad: // retract the previous row, or refute the peers' suspicion
 		return s.lastGood > s.rowWritten && (standing || s.refutes(now))
 	case bad > s.rowWritten:
-		// What the fleet knows already is not repeated by everybody: the rate of rows is needed for what is new.
+		// A suspicion that exists already needs no row from every sidecar: the row rate is reserved for new evidence.
 		return s.suspectedAt == 0 || standing
 	}
 	return standing && now-bad < renewalPeriod && now-s.rowWritten >= renewInterval
 }
 
-// refutes reports whether the last good answer speaks against the peers' suspicion and it is this sidecar's time to say
-// so.
+// refutes reports whether the last good response refutes the peers' suspicion and the random delay before a refutation
+// has passed.
 func (s *serverRecord) refutes(now Time) bool {
 	return s.suspectedAt > 0 && s.lastGood > s.suspectedAt && now >= s.refuteAt
 }
