--- a/internal/fleet/replication/admin.go
+++ b/internal/fleet/replication/admin.go
@@ -7,8 +7,9 @@
 	"strings"
 )
 
-// Dot names an operator's call, in the sense of dotted version vectors (Preguica et al. 2010): the Count'th that one
-// incarnation of a sidecar took. The nonce alone tells incarnations apart; the name is for people.
+// Dot identifies an operator's call, in the sense of dotted version vectors (Preguica et al. 2010). Count is the number
+// of the call among those that one incarnation of a sidecar recorded on one server. Incarnations are distinguished by
+// the nonce alone; the sidecar's name is for operators.
 type Dot struct {
 	By    string `cbor:"1,keyasint"`
 	Nonce uint64 `cbor:"2,keyasint"`
@@ -18,47 +19,47 @@
 // String implements fmt.Stringer.
 func (d Dot) String() string { return fmt.Sprintf("%s.%x.%d", d.By, d.Nonce, d.Count) }
 
-// compare orders dots by incarnation.
+// compare orders dots by the nonce of their incarnation.
 func (d Dot) compare(o Dot) int { return cmp.Compare(d.Nonce, o.Nonce) }
 
-// OperatorCall is a call of an operator that no later one has replaced.
+// OperatorCall is a call of an operator that sets a server administratively down or up.
 type OperatorCall struct {
 	Dot  Dot   `cbor:"1,keyasint"`
 	Down bool  `cbor:"2,keyasint"`
-	At   Stamp `cbor:"3,keyasint"` // for people; it decides nothing
+	At   Stamp `cbor:"3,keyasint"` // for operators; not used for conflict resolution
 }
 
-// compare orders calls by the incarnation that took them.
+// compare orders calls by the nonce of the incarnation that recorded them.
 func (c OperatorCall) compare(o OperatorCall) int { return c.Dot.compare(o.Dot) }
 
-// AdminState is what operators have said of one server: the calls that no call made with knowledge of them has
-// replaced, and for each incarnation how many of its calls have been seen. A call replaces those that its sidecar had
-// seen. Two concurrent calls both stand until a third one, and meanwhile the server is down if either says so. No clock
-// decides: a sidecar whose clock is an hour ahead would overrule all others for an hour.
+// AdminState is the state of the operators' calls on one server: the standing calls, which no later call has replaced,
+// and for each incarnation the number of its calls that have been seen. A call replaces the calls that its sidecar had
+// seen. Two concurrent calls both stand until a third call replaces them; until then the server is down if either call
+// sets it down. No clock is involved: a sidecar whose clock is an hour ahead would overrule all others for an hour.
 type AdminState struct {
 	Server   string         `cbor:"1,keyasint"`
-	Standing []OperatorCall `cbor:"2,keyasint"` // by nonce; one of each incarnation at most
-	Seen     []Dot          `cbor:"3,keyasint"` // by nonce; the last one of each incarnation
-	// Listed is when some sidecar last had the server in its list, in Unix hours.
+	Standing []OperatorCall `cbor:"2,keyasint"` // sorted by nonce; at most one per incarnation
+	Seen     []Dot          `cbor:"3,keyasint"` // sorted by nonce; the latest one per incarnation
+	// Listed is the last Unix hour at which any sidecar had the server in its endpoint list.
 	Listed int64 `cbor:"4,keyasint"`
 }
 
-// Down reports whether the server is administratively down: one standing call that says so is enough.
+// Down reports whether the server is administratively down: one standing call that sets it down is enough.
 func (s AdminState) Down() bool {
 	return slices.ContainsFunc(s.Standing, func(c OperatorCall) bool { return c.Down })
 }
 
-// equal reports whether two states of one server are the same.
+// equal reports whether two states of one server are equal.
 func (s AdminState) equal(o AdminState) bool {
 	return s.Listed == o.Listed && slices.Equal(s.Standing, o.Standing) && slices.Equal(s.Seen, o.Seen)
 }
 
-// Disputed reports whether concurrent calls say different things.
+// Disputed reports whether concurrent calls conflict: one sets the server down, another one up.
 func (s AdminState) Disputed() bool {
 	return s.Down() && slices.ContainsFunc(s.Standing, func(c OperatorCall) bool { return !c.Down })
 }
 
-// seenCount returns how many calls of an incarnation have been seen.
+// seenCount returns the number of calls of an incarnation that have been seen.
 func (s AdminState) seenCount(nonce uint64) uint64 {
 	if i, ok := slices.BinarySearchFunc(s.Seen, Dot{Nonce: nonce}, Dot.compare); ok {
 		return s.Seen[i].Count
@@ -66,7 +67,7 @@
 	return 0
 }
 
-// standingCall returns the call of an incarnation that stands, if any.
+// standingCall returns the standing call of an incarnation, if any.
 func (s AdminState) standingCall(nonce uint64) (OperatorCall, bool) {
 	i, ok := slices.BinarySearchFunc(
 		s.Standing,
@@ -79,8 +80,8 @@
 	return s.Standing[i], true
 }
 
-// mergeAdminStates returns the join of two states. It is associative, commutative and idempotent: a call stands if each
-// side either has it standing or has not seen it.
+// mergeAdminStates returns the join of two states. It is associative, commutative and idempotent: a call stands if on
+// each side it either stands or has not been seen.
 func mergeAdminStates(a, b AdminState) AdminState {
 	out := AdminState{Server: a.Server, Listed: max(a.Listed, b.Listed)}
 	addStanding := func(from, other AdminState) {
@@ -90,7 +91,7 @@
 			case stands && counterpart.Dot.Count == c.Dot.Count:
 				c = laterCall(c, counterpart)
 			case other.seenCount(c.Dot.Nonce) >= c.Dot.Count:
-				continue // the other side knows what took its place
+				continue // the other side has seen a call that replaces it
 			}
 			if _, added := out.standingCall(c.Dot.Nonce); !added {
 				i, _ := slices.BinarySearchFunc(out.Standing, c, OperatorCall.compare)
@@ -113,7 +114,7 @@
 	return out
 }
 
-// laterDot returns the later of two dots of one incarnation. Two of the same count differ only where one was forged.
+// laterDot returns the later of two dots of one incarnation. Dots with the same count differ only if one was forged.
 func laterDot(a, b Dot) Dot {
 	if cmp.Or(cmp.Compare(a.Count, b.Count), strings.Compare(a.By, b.By)) < 0 {
 		return b
@@ -121,7 +122,7 @@
 	return a
 }
 
-// laterCall decides between two texts of one call, which differ only where one was forged: down wins.
+// laterCall selects one of two versions of one call, which differ only if one was forged: down wins.
 func laterCall(a, b OperatorCall) OperatorCall {
 	switch {
 	case a.Down != b.Down:
@@ -135,11 +136,11 @@
 	return a
 }
 
-// withCall returns the state after a further call of an incarnation, which replaces all calls that were seen here.
+// withCall returns the state after a further call of an incarnation, which replaces all calls that have been seen.
 func (s AdminState) withCall(by string, nonce uint64, down bool, at Stamp) AdminState {
 	dot := Dot{by, nonce, s.seenCount(nonce) + 1}
 	next := AdminState{Server: s.Server, Standing: []OperatorCall{{dot, down, at}}, Seen: []Dot{dot}, Listed: s.Listed}
-	for i := range s.Seen { // all that was seen has this call in its place
+	for i := range s.Seen { // the new call replaces all calls that have been seen
 		if s.Seen[i].Nonce != nonce {
 			next.Seen = append(next.Seen, s.Seen[i])
 		}
@@ -148,28 +149,28 @@
 	return next
 }
 
-// check returns what is wrong with a state that a peer sent.
+// check returns an error if a state from a peer is invalid.
 func (s AdminState) check() error {
 	switch {
 	case s.Server == "" || len(s.Server) > maxKeyBytes:
-		return fmt.Errorf("a server's id of %d bytes, 1 to %d are allowed", len(s.Server), maxKeyBytes)
+		return fmt.Errorf("server ID has %d bytes, want 1 to %d", len(s.Server), maxKeyBytes)
 	case len(s.Seen) == 0 || len(s.Seen) > maxIncarnations:
-		return fmt.Errorf("server %q: calls of %d lives, 1 to %d are allowed", s.Server, len(s.Seen), maxIncarnations)
+		return fmt.Errorf("server %q: calls of %d incarnations, want 1 to %d", s.Server, len(s.Seen), maxIncarnations)
 	case !slices.IsSortedFunc(s.Seen, Dot.compare) || !slices.IsSortedFunc(s.Standing, OperatorCall.compare):
-		return fmt.Errorf("server %q: calls out of order", s.Server)
+		return fmt.Errorf("server %q: calls are not sorted by nonce", s.Server)
 	case len(s.Standing) == 0:
-		return fmt.Errorf("server %q: no call stands", s.Server)
+		return fmt.Errorf("server %q: no standing call", s.Server)
 	}
 	for i, d := range s.Seen {
 		if d.Count == 0 || len(d.By) > maxKeyBytes || i > 0 && d.Nonce == s.Seen[i-1].Nonce {
-			return fmt.Errorf("server %q: calls of life %x given twice or not at all", s.Server, d.Nonce)
+			return fmt.Errorf("server %q: invalid or duplicate dot of incarnation %x", s.Server, d.Nonce)
 		}
 	}
 	for i, c := range s.Standing {
 		duplicate := i > 0 && c.Dot.Nonce == s.Standing[i-1].Dot.Nonce
 		unseen := c.Dot.Count == 0 || s.seenCount(c.Dot.Nonce) < c.Dot.Count
 		if duplicate || unseen || len(c.Dot.By) > maxKeyBytes {
-			return fmt.Errorf("server %q: call %d of life %x stands and was not seen",
+			return fmt.Errorf("server %q: standing call %d of incarnation %x is a duplicate or not a seen call",
 				s.Server, c.Dot.Count, c.Dot.Nonce)
 		}
 	}
--- a/internal/fleet/replication/digest.go
+++ b/internal/fleet/replication/digest.go
@@ -6,14 +6,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// NumBuckets is the number of buckets in which a kind is compared.
+// NumBuckets is the number of buckets into which the keys of each kind are hashed.
 const NumBuckets = 8
 
-// Digest tells copies apart: for each kind and bucket the sum of the hashes of what is held there. Different states
-// have the same sum with a chance of one in 2^64.
+// Digest summarizes the state of a replica: for each kind and bucket it has the sum of the hashes of the items there.
+// Different states have equal sums with a probability of 2^-64.
 type Digest [NumKinds][NumBuckets]uint64
 
-// PerKind returns one sum for each kind.
+// PerKind returns one combined sum for each kind.
 func (d Digest) PerKind() (sums [NumKinds]uint64) {
 	for k := range d {
 		for _, part := range d[k] {
@@ -23,10 +23,10 @@
 	return sums
 }
 
-// Bucket returns the bucket of its kind that a key is in.
+// Bucket returns the bucket of a key within its kind.
 func (k Key) Bucket() int { return int(xxhash.Sum64String(k.Server) % NumBuckets) }
 
-// Digest returns the digest of what the copy holds. Ages do not count: they grow on the way.
+// Digest returns the digest of the replica's state. It excludes ages, which differ between replicas.
 func (s *Store) Digest() Digest {
 	if s.digestStale {
 		s.digestCache, s.digestStale = s.computeDigest(), false
@@ -38,7 +38,7 @@
 	add := func(k Key, parts ...uint64) {
 		var h xxhash.Digest
 		h.Reset()
-		_, _ = h.WriteString(k.Server) // a Digest never fails
+		_, _ = h.WriteString(k.Server) // xxhash.Digest.WriteString never fails
 		_, _ = h.Write([]byte{0, byte(k.Kind)})
 		_, _ = h.WriteString(k.Owner)
 		for _, p := range parts {
--- a/internal/fleet/replication/item.go
+++ b/internal/fleet/replication/item.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// Kind is a kind of state.
+// Kind is a kind of replicated state.
 type Kind uint8
 
-// The kinds of state.
+// Kinds of replicated state.
 const (
 	KindAdmin Kind = iota
 	KindRow
@@ -28,14 +28,14 @@
 	return fmt.Sprintf("kind %d", uint8(k))
 }
 
-// Start is the last start of a server's process that any sidecar knows of: the latest wins.
+// Start is the latest known start of a server's process. In a merge the later start wins.
 type Start struct {
 	Server string `cbor:"1,keyasint"`
 	Boot   int64  `cbor:"2,keyasint"` // Unix milliseconds
 }
 
-// Test is the test of a suspect server: who does it and how it ended. Each step raises the version; of two concurrent
-// ones that of the greater name counts.
+// Test is the test of a suspected server: the sidecar that runs it and its result. Each step increments the version; of
+// two concurrent steps, the one of the tester with the greater name wins.
 type Test struct {
 	Server  string `cbor:"1,keyasint"`
 	Boot    int64  `cbor:"2,keyasint,omitempty"`
@@ -43,21 +43,21 @@
 	Tester  string `cbor:"4,keyasint"`
 	Ended   bool   `cbor:"5,keyasint,omitempty"`
 	Well    bool   `cbor:"6,keyasint,omitempty"`
-	Age     uint32 `cbor:"7,keyasint,omitempty"` // milliseconds since the step, as sent
+	Age     uint32 `cbor:"7,keyasint,omitempty"` // milliseconds since the step, at the time of sending
 
 	writtenAt Time
 }
 
 func (t Test) compare(o Test) int {
 	return cmp.Or(cmp.Compare(t.Version, o.Version), strings.Compare(t.Tester, o.Tester), cmp.Compare(t.Boot, o.Boot),
-		compareBools(t.Ended, o.Ended), compareBools(o.Well, t.Well)) // of two forged ones: that it is not well
+		compareBools(t.Ended, o.Ended), compareBools(o.Well, t.Well)) // if one is forged, the failed test wins
 }
 
-// check returns what is wrong with a test that a peer sent.
+// check returns an error if a test from a peer is invalid.
 func (t Test) check() error {
 	nameless := t.Server == "" || t.Tester == ""
 	if nameless || len(t.Server) > maxKeyBytes || len(t.Tester) > maxKeyBytes || t.Version == 0 {
-		return fmt.Errorf("a test of server %.80q by %.80q, version %d", t.Server, t.Tester, t.Version)
+		return fmt.Errorf("invalid test of server %.80q by %.80q, version %d", t.Server, t.Tester, t.Version)
 	}
 	return nil
 }
@@ -82,7 +82,7 @@
 	return a
 }
 
-// Item is one piece of state, as it is passed on: exactly one of its fields is set.
+// Item is one item of replicated state as sent between sidecars: exactly one of its fields is set.
 type Item struct {
 	Admin *AdminState `cbor:"1,keyasint,omitempty"`
 	Row   *Row        `cbor:"2,keyasint,omitempty"`
@@ -90,14 +90,14 @@
 	Test  *Test       `cbor:"4,keyasint,omitempty"`
 }
 
-// Key names a piece of state.
+// Key identifies an item of replicated state.
 type Key struct {
 	Kind   Kind
 	Server string
-	Owner  string // KindRow
+	Owner  string // of a KindRow item; "" for other kinds
 }
 
-// Key returns the key of an item, or an error where not exactly one field is set.
+// Key returns the key of an item, or an error unless exactly one field is set.
 func (i Item) Key() (Key, error) {
 	set, key := 0, Key{}
 	if i.Admin != nil {
@@ -113,7 +113,7 @@
 		set, key = set+1, Key{KindTest, i.Test.Server, ""}
 	}
 	if set != 1 {
-		return Key{}, fmt.Errorf("an item with %d kinds, 1 is allowed", set)
+		return Key{}, fmt.Errorf("item has %d kinds, want 1", set)
 	}
 	return key, nil
 }
--- a/internal/fleet/replication/query.go
+++ b/internal/fleet/replication/query.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// AdminDown returns the servers that are administratively down, in order.
+// AdminDown returns the servers that are administratively down, sorted.
 func (s *Store) AdminDown() (servers []string) {
 	for server, h := range s.adminStates {
 		if h.Down() {
@@ -19,13 +19,13 @@
 	return servers
 }
 
-// AdminState returns what operators have said of a server, if anything.
+// AdminState returns the state of the operators' calls on a server, if there are any.
 func (s *Store) AdminState(server string) (AdminState, bool) {
 	h, ok := s.adminStates[server]
 	return h, ok
 }
 
-// Rows returns the evidence on a server, each row with its age.
+// Rows returns the rows of evidence on a server, with their ages as of now.
 func (s *Store) Rows(now Now, server string) []Row {
 	rows := slices.Clone(s.rows[server])
 	for i := range rows {
@@ -34,10 +34,10 @@
 	return rows
 }
 
-// ServersWithEvidence returns the servers on which evidence is held, in order.
+// ServersWithEvidence returns the servers on which there is evidence, sorted.
 func (s *Store) ServersWithEvidence() []string { return slices.Sorted(maps.Keys(s.rows)) }
 
-// Boot returns the last known start of a server in Unix milliseconds, 0 where none is known.
+// Boot returns the last known start of a server in Unix milliseconds, or 0 if none is known.
 func (s *Store) Boot(server string) int64 { return s.starts[server].Boot }
 
 // Test returns the test of a server, if there is one.
@@ -48,7 +48,7 @@
 
 func age(now Now, born Time) uint32 { return uint32(max(now.Time-born, 0) / time.Millisecond) }
 
-// Item returns a piece of state with its age as of now, if it is held.
+// Item returns the item with a key, with its age as of now, if the replica has it.
 func (s *Store) Item(now Now, k Key) (Item, bool) {
 	switch k.Kind {
 	case KindAdmin:
@@ -72,7 +72,7 @@
 	return Item{}, false
 }
 
-// Keys returns the keys of all that the copy holds, in order: what operators said comes first.
+// Keys returns the keys of all items in the replica, sorted by kind, server and owner. KindAdmin comes first.
 func (s *Store) Keys() (keys []Key) {
 	for server := range s.adminStates {
 		keys = append(keys, Key{KindAdmin, server, ""})
--- a/internal/fleet/replication/store.go
+++ b/internal/fleet/replication/store.go
@@ -1,11 +1,11 @@
-// Package replication holds one sidecar's copy of the fleet's state and merges what peers send. It is a stepped state
-// machine like package balance: operators' calls, peers' items and the time go in, what is to be passed on comes out.
-// It has no clock, socket or goroutine. A Store must not be used by two goroutines at once.
+// Package replication holds one sidecar's replica of the fleet's state and merges the items that peers send. It is a
+// deterministic state machine like package balance: operators' calls, items of peers and the current time are inputs,
+// the keys of items to send are outputs. It uses no clock, socket or goroutine. A Store is not safe for concurrent use.
 //
-// There are four kinds of state: what operators have said of a server (AdminState), evidence on servers (Row), their
-// starts (Start) and tests of suspect servers (Test). Each has a merge that is associative, commutative and idempotent,
-// a state-based CRDT (Shapiro et al. 2011): copies that have received the same items hold the same state, in whatever
-// order and however often the items came.
+// There are four kinds of state: operators' calls on servers (AdminState), evidence on servers (Row), their starts
+// (Start) and tests of suspected servers (Test). Each kind is a state-based CRDT (Shapiro et al. 2011), whose merge is
+// associative, commutative and idempotent: replicas that have received the same items hold the same state, regardless
+// of the order and number of deliveries.
 package replication
 
 import (
@@ -22,54 +22,54 @@
 // Time is a reading of the host's monotonic clock.
 type Time = time.Duration
 
-// Bounds of what a Store holds.
+// Size limits of a Store.
 const (
-	maxKeyBytes     = 64   // of a server's id or a sidecar's name
-	maxAdminStates  = 1024 // servers of which operators have said anything
-	maxIncarnations = 256  // incarnations of sidecars whose calls on one server are distinguished
-	maxObservers    = 16   // sidecars whose evidence on one server is held
-	maxSuspects     = 512  // servers on which evidence is held
-	maxOwners       = 4096 // sidecars whose incarnations are distinguished
-	maxStarts       = 2048 // servers whose start is held
-	maxTests        = 512  // servers that are tested
+	maxKeyBytes     = 64   // length of a server's ID or a sidecar's name
+	maxAdminStates  = 1024 // servers with operators' calls
+	maxIncarnations = 256  // incarnations of sidecars with calls on one server
+	maxObservers    = 16   // sidecars with evidence on one server
+	maxSuspects     = 512  // servers with evidence
+	maxOwners       = 4096 // sidecars in deadIncarnations
+	maxStarts       = 2048 // servers with a known start
+	maxTests        = 512  // servers with a test
 )
 
-// Lifetimes of items that are not written again.
+// Lifetimes of items that are not rewritten.
 const (
 	rowLifetime  = 10 * time.Second
 	testLifetime = time.Minute
-	// startLifetime is long enough for every server to be warm and every list to have it.
+	// startLifetime is long enough for the server to warm up and to appear in every endpoint list.
 	startLifetime = 10 * time.Minute
-	// retentionHours is how long a server is on no list before what operators said of it is dropped.
+	// retentionHours is how long operators' calls are kept after any sidecar last had the server in its endpoint list.
 	retentionHours = 24
 )
 
-// errFull is returned where a Store holds as much of a kind as it may.
+// errFull is returned if a Store has reached the size limit of a kind.
 var errFull = errors.New("full")
 
-// Now is the time of an event by both clocks.
+// Now is the time of an event by the monotonic clock and the wall clock.
 type Now struct {
 	Time Time  // monotonic
-	Wall int64 // wall clock in Unix milliseconds; it may be off and may step
+	Wall int64 // wall clock in Unix milliseconds; it may be wrong and may jump
 }
 
-// Store is one sidecar's copy of the fleet's state.
+// Store is one sidecar's replica of the fleet's state.
 type Store struct {
 	name        string
 	incarnation membership.ProcessIncarnation
 	clock       clock
 	adminStates map[string]AdminState
-	rows        map[string][]Row // by server, as sampleRows leaves them
+	rows        map[string][]Row // by server; at most maxObservers rows each, selected by sampleRows
 	starts      map[string]Start
 	tests       map[string]Test
-	// deadIncarnations has an incarnation for each owner: rows of it and of earlier ones do not count.
+	// deadIncarnations maps each owner to its latest dead incarnation. Rows of that and earlier ones are rejected.
 	deadIncarnations map[string]membership.ProcessIncarnation
-	ownVersions      map[string]uint64 // last version of the own row by server, held or not
+	ownVersions      map[string]uint64 // last version of this sidecar's own row, by server
 	digestCache      Digest
 	digestStale      bool // the state has changed since digestCache was computed
 }
 
-// New returns an empty copy.
+// New returns an empty replica.
 func New(name string, incarnation membership.ProcessIncarnation) *Store {
 	return &Store{
 		name:             name,
@@ -83,12 +83,12 @@
 	}
 }
 
-// SetIncarnation sets the incarnation that this sidecar's calls and rows bear from now on.
+// SetIncarnation sets the incarnation for this sidecar's later calls and rows.
 func (s *Store) SetIncarnation(incarnation membership.ProcessIncarnation) {
 	s.incarnation = incarnation
 }
 
-// RecordCall records an operator's call to this sidecar and returns the key of the state that it changed.
+// RecordCall records an operator's call to this sidecar and returns the key of the changed item.
 func (s *Store) RecordCall(now Now, server string, down bool) (Key, error) {
 	h, known := s.adminStates[server]
 	switch {
@@ -103,11 +103,11 @@
 	return Key{KindAdmin, server, ""}, nil
 }
 
-// wallHours converts Unix milliseconds to whole hours. Listings are counted in hours so that they seldom change.
+// wallHours converts Unix milliseconds to whole hours. AdminState.Listed is in hours so that it rarely changes.
 func wallHours(wall int64) int64 { return wall / time.Hour.Milliseconds() }
 
-// MarkListed records which servers this sidecar's own list has, and returns the keys that have changed. What operators
-// said of a server is kept while any sidecar lists it, and for retentionHours after that.
+// MarkListed records that the servers are in this sidecar's endpoint list, and returns the keys of the changed items.
+// Operators' calls on a server are kept while any sidecar lists it, and for retentionHours after that.
 func (s *Store) MarkListed(now Now, servers []string) (changed []Key) {
 	for _, server := range servers {
 		if h, ok := s.adminStates[server]; ok && h.Listed < wallHours(now.Wall) {
@@ -138,13 +138,13 @@
 	return Key{KindRow, server, s.name}, err
 }
 
-// RecordStart records a server's start, in Unix milliseconds, and reports whether it was new.
+// RecordStart records a server's start, in Unix milliseconds, and returns its key and whether the item has changed.
 func (s *Store) RecordStart(now Now, server string, boot int64) (Key, bool) {
 	changed, err := s.Merge(now, Item{Start: &Start{server, boot}}, "")
 	return Key{KindStart, server, ""}, changed && err == nil
 }
 
-// RecordTest writes a step of a test, as the next version to the one that is known.
+// RecordTest writes a step of a test, with the version after the last known one.
 func (s *Store) RecordTest(now Now, server string, boot int64, ended, well bool) (Key, error) {
 	t := Test{
 		Server:  server,
@@ -158,8 +158,8 @@
 	return Key{KindTest, server, ""}, err
 }
 
-// Merge merges an item of a peer and reports whether it was new. An item that cannot be valid is an error and changes
-// nothing.
+// Merge merges an item of a peer and reports whether the replica has changed. An invalid item returns an error and
+// changes nothing.
 func (s *Store) Merge(now Now, item Item, from string) (changed bool, err error) {
 	key, err := item.Key()
 	if err != nil {
@@ -173,7 +173,8 @@
 		if err := r.check(); err != nil {
 			return false, err
 		}
-		// Nobody else writes the own rows, not even a former incarnation: the version says which came later.
+		// Only this process writes its own rows. A peer's copy of one is ignored, also one of an earlier incarnation:
+		// the version orders them.
 		if r.Owner == s.name && r.Incarnation.Compare(s.incarnation) <= 0 {
 			return false, nil
 		}
@@ -195,10 +196,10 @@
 	if err := h.check(); err != nil {
 		return false, err
 	}
-	// Copies whose clocks differ must hold the same hour, so it is bounded only where a clock is off by days.
+	// Replicas with different clocks must store the same hour, so it is limited only if a clock is wrong by days.
 	h.Listed = min(h.Listed, wallHours(now.Wall)+2*retentionHours)
 	if wallHours(now.Wall)-h.Listed > retentionHours {
-		return false, nil // it has been dropped here
+		return false, nil // this replica has dropped the server
 	}
 	for _, c := range h.Standing {
 		s.clock.follow(c.At, now.Wall)
@@ -206,14 +207,14 @@
 	former, known := s.adminStates[h.Server]
 	if !known {
 		if len(s.adminStates) >= maxAdminStates {
-			return false, fmt.Errorf("server %q: %d others are known: %w", h.Server, len(s.adminStates), errFull)
+			return false, fmt.Errorf("server %q: %d others have calls: %w", h.Server, len(s.adminStates), errFull)
 		}
 		s.adminStates[h.Server] = h
 		return true, nil
 	}
 	merged := mergeAdminStates(former, h)
 	if len(merged.Seen) > maxIncarnations {
-		return false, fmt.Errorf("server %q: calls of more than %d lives: %w", h.Server, maxIncarnations, errFull)
+		return false, fmt.Errorf("server %q: over %d incarnations with calls: %w", h.Server, maxIncarnations, errFull)
 	}
 	s.adminStates[h.Server] = merged
 	return !merged.equal(former), nil
@@ -221,13 +222,13 @@
 
 func (s *Store) mergeRow(now Now, r Row) (bool, error) {
 	if now.Time-r.writtenAt >= rowLifetime || r.Incarnation.Compare(s.deadIncarnations[r.Owner]) <= 0 {
-		return false, nil // it has expired, or its owner is dead
+		return false, nil // the row has expired, or its incarnation is dead
 	}
-	s.MarkDead(r.Owner, previousIncarnation(r.Incarnation)) // a later incarnation ends the earlier ones
+	s.MarkDead(r.Owner, previousIncarnation(r.Incarnation)) // a later incarnation invalidates earlier ones
 	s.digestStale = true
 	rows, known := s.rows[r.Server]
 	if !known && len(s.rows) >= maxSuspects {
-		return false, fmt.Errorf("server %q: evidence on %d others is held: %w", r.Server, len(s.rows), errFull)
+		return false, fmt.Errorf("server %q: evidence on %d other servers: %w", r.Server, len(s.rows), errFull)
 	}
 	i := slices.IndexFunc(rows, func(o Row) bool { return o.Owner == r.Owner })
 	if i < 0 {
@@ -243,15 +244,15 @@
 func (s *Store) mergeStart(now Now, b Start) (bool, error) {
 	switch age := now.Wall - b.Boot; {
 	case b.Server == "" || len(b.Server) > maxKeyBytes:
-		return false, fmt.Errorf("a server's id of %d bytes, 1 to %d are allowed", len(b.Server), maxKeyBytes)
-	case age < -maxAheadMillis: // no start is known before it happens
-		return false, fmt.Errorf("server %q: starts in %v", b.Server, time.Duration(-age)*time.Millisecond)
+		return false, fmt.Errorf("server ID has %d bytes, want 1 to %d", len(b.Server), maxKeyBytes)
+	case age < -maxAheadMillis: // a start cannot be in the future
+		return false, fmt.Errorf("server %q: start is %v in the future", b.Server, time.Duration(-age)*time.Millisecond)
 	case age >= startLifetime.Milliseconds():
 		return false, nil
 	}
 	former, known := s.starts[b.Server]
 	if !known && len(s.starts) >= maxStarts {
-		return false, fmt.Errorf("server %q: starts of %d others are held: %w", b.Server, len(s.starts), errFull)
+		return false, fmt.Errorf("server %q: starts of %d others known: %w", b.Server, len(s.starts), errFull)
 	}
 	if known && former.Boot >= b.Boot {
 		return false, nil
@@ -267,7 +268,7 @@
 	s.digestStale = true
 	former, known := s.tests[t.Server]
 	if !known && len(s.tests) >= maxTests {
-		return false, fmt.Errorf("server %q: %d others are tested: %w", t.Server, len(s.tests), errFull)
+		return false, fmt.Errorf("server %q: %d other servers have tests: %w", t.Server, len(s.tests), errFull)
 	}
 	if !known {
 		s.tests[t.Server] = t
@@ -285,8 +286,8 @@
 	return membership.ProcessIncarnation{Number: incarnation.Number, Nonce: incarnation.Nonce - 1}
 }
 
-// MarkDead records that an owner's incarnation is over: its rows go, and none of that incarnation or an earlier one
-// comes back.
+// MarkDead records that an owner's incarnation has ended. It drops the rows of that incarnation and earlier ones, and
+// later merges reject such rows.
 func (s *Store) MarkDead(owner string, incarnation membership.ProcessIncarnation) {
 	if incarnation.Compare(s.deadIncarnations[owner]) <= 0 {
 		return
@@ -308,13 +309,13 @@
 	}
 }
 
-// Expire drops what is too old. It is to be called about once a second.
+// Expire drops expired items. Call it about once a second.
 func (s *Store) Expire(now Now) {
 	s.digestStale = true
 	for server, rows := range s.rows {
 		s.setRows(server, slices.DeleteFunc(rows, func(r Row) bool { return now.Time-r.writtenAt >= rowLifetime }))
 	}
-	if len(s.deadIncarnations) > maxOwners { // made up, most likely; the age of their rows still binds
+	if len(s.deadIncarnations) > maxOwners { // probably forged; old rows are still rejected by age
 		held := map[string]bool{}
 		for _, rows := range s.rows {
 			for _, r := range rows {
--- a/internal/fleet/replication/suspicion.go
+++ b/internal/fleet/replication/suspicion.go
@@ -7,54 +7,57 @@
 	"time"
 )
 
-// A server is suspected where enough sidecars have had no answer from it and none has had one since.
+// A server is suspected if enough sidecars have had bad outcomes at it and none has had a good response since.
 const (
-	// rowCountsFor is how long a row counts; its owner writes it again sooner while it holds.
+	// rowCountsFor is how long a row counts. Its owner rewrites it more often than that while it holds.
 	rowCountsFor = 2 * time.Second
-	// minBadOutcomes is how many requests without an answer are needed over all sidecars that accuse a server, of which
-	// one sidecar brings maxBadPerSidecar at most.
+	// minBadOutcomes is the minimum number of bad outcomes over all sidecars that report a server. At most
+	// maxBadPerSidecar of one sidecar count.
 	minBadOutcomes   = 4
 	maxBadPerSidecar = 2
-	// quorum is how many sidecars have to agree, this one among them, and smallQuorum in a fleet of quorum or fewer.
+	// quorum is the number of sidecars, including this one, that must report a server. In a fleet of at most quorum
+	// sidecars it is smallQuorum.
 	quorum      = 3
 	smallQuorum = 2
-	// maxReportedShare is the share of the servers that a sidecar may accuse and be believed: beyond it the fault is
-	// likely its own.
+	// maxReportedShare is the maximum share of the servers that a sidecar may report. The rows of a sidecar that
+	// reports more do not count, as the fault is probably its own.
 	maxReportedShare = 0.5
 )
 
-// badOutcomes counts what accuses a server since its last good answer. Errors do not: a server that fails some of its
-// requests serves the others. A peer may write counts of any size.
+// badOutcomes returns the number of outcomes that count against a server since its last good response. Error responses
+// do not count: a server that fails some of its requests serves the others. Peers may send counts of any size.
 func (e Evidence) badOutcomes() uint64 { return uint64(max(e.Unanswered, e.Late)) + uint64(e.Refused) }
 
-// accuses reports whether a row counts against its server now.
+// reportsFailure reports whether a row counts against its server now.
 func (r Row) reportsFailure(now Now) bool {
 	return now.Time-r.writtenAt < rowCountsFor && r.Evidence.badOutcomes() > 0
 }
 
-// lastGood returns when the row's owner last had a good answer, and whether the row says so.
+// lastGood returns when the row's owner last had a good response, and whether the row has this time.
 func (r Row) lastGood() (at Time, known bool) {
 	return r.writtenAt - Time(r.Evidence.SinceGoodMS)*time.Millisecond, r.Evidence.SinceGoodMS > 0
 }
 
-// lastBad returns when the row's owner last waited in vain. Writing a row again does not make that any younger: a good
-// answer would otherwise be outdated by the next row of an owner that has not tried the server since.
+// lastBad returns when the row's owner last had a bad outcome. Rewriting a row does not change this time: otherwise the
+// next row of an owner that has made no attempt since would override a good response.
 func (r Row) lastBad() Time { return r.writtenAt - Time(r.Evidence.SinceBadMS)*time.Millisecond }
 
-// Suspicion is a server that the fleet suspects.
+// Suspicion describes a server that the fleet suspects.
 type Suspicion struct {
 	Server   string
-	Boot     int64 // of the process that is spoken of
-	Sidecars int   // that accuse it
-	LastBad  Time  // when one of them last waited in vain
+	Boot     int64 // start of the suspected process, Unix milliseconds
+	Sidecars int   // number of sidecars that report it
+	LastBad  Time  // time of the last bad outcome at any of them
 }
 
-// Suspicions weighs the rows of sidecars that are here, on the process of each server that most of them accuse.
-// members is how many sidecars there are, servers how many servers. The most widely suspected come first.
+// Suspicions evaluates the rows of this sidecar and of those that present accepts, for the process of each server that
+// most rows report. members is the number of sidecars, and servers the number of servers. The result is sorted by
+// descending number of reporting sidecars.
 //
-// A sidecar whose network is broken believes all servers dead; it is not believed. Late answers are no silence: a
-// good answer of anybody after an owner's last bad outcome refutes its row. So one sidecar's word is enough to have
-// the others decide as if there were no fleet, which does no harm.
+// The rows of a sidecar that reports more than maxReportedShare of the servers do not count, as its own network is
+// probably broken. A good response at any sidecar after an owner's last bad outcome refutes the owner's row, as late
+// responses do not mean that a server is unresponsive. One sidecar can therefore refute a suspicion; the others then
+// decide as they would without a fleet, which does no harm.
 func (s *Store) Suspicions(now Now, present func(owner string) bool, members, servers int) (suspicions []Suspicion) {
 	reported := s.countReportedServers(now)
 	counts := func(r Row) bool {
@@ -77,7 +80,7 @@
 	return suspicions
 }
 
-// countReportedServers counts the servers that each sidecar accuses.
+// countReportedServers returns the number of servers that each sidecar reports.
 func (s *Store) countReportedServers(now Now) map[string]int {
 	reported := map[string]int{}
 	for _, rows := range s.rows {
@@ -90,7 +93,7 @@
 	return reported
 }
 
-// weigh returns what the rows that count say of one server, and the bad outcomes that they bring.
+// evaluateRows returns the suspicion of one server by the rows that count, and the number of their bad outcomes.
 func evaluateRows(now Now, server string, rows []Row, counts func(Row) bool) (suspicion Suspicion, outcomes uint64) {
 	suspicion = Suspicion{Server: server, Boot: mostReportedBoot(now, rows)}
 	answered := Time(0)
@@ -110,8 +113,8 @@
 	return suspicion, outcomes
 }
 
-// mostReportedBoot returns the process of a server that most rows accuse, of two the newer one. Were it the newest that
-// any row names, one false start would void the rows of all others.
+// mostReportedBoot returns the start of the process that most rows report, or the latest such start on a tie. If it
+// used the latest start in any row, one wrong start would invalidate the rows of all other sidecars.
 func mostReportedBoot(now Now, rows []Row) (boot int64) {
 	count := map[int64]int{}
 	for _, r := range rows {
