--- a/internal/fleet/admin.go
+++ b/internal/fleet/admin.go
@@ -11,15 +11,16 @@
 	"milletramp.example/milletramp/internal/fleet/replication"
 )
 
-// adminState is the loop's state of operators' calls, beyond what is replicated.
+// adminState is the loop's state for operators' calls, in addition to the replicated state.
 type adminState struct {
-	// pendingConfirms are the calls that wait until others hold their item. Each channel has capacity for one.
+	// pendingConfirms has the channels of calls that wait until other members have stored their item. Each channel
+	// has capacity for one value.
 	pendingConfirms map[replication.Key][]chan gossip.Confirmation
-	down            []string // what OnAdminDown got last
-	notifyDue       bool     // OnAdminDown is due even if this has not changed
+	down            []string // argument of the last call of OnAdminDown
+	notifyDue       bool     // OnAdminDown is due even if down has not changed
 }
 
-// resolve passes a confirmation to those that wait for it.
+// resolve passes a confirmation to the calls that wait for it.
 func (s *adminState) resolve(confirmation gossip.Confirmation) {
 	for _, confirmed := range s.pendingConfirms[confirmation.Key] {
 		confirmed <- confirmation
@@ -27,8 +28,9 @@
 	delete(s.pendingConfirms, confirmation.Key)
 }
 
-// SetAdminDown records an operator's call that takes a server administratively down, or up again. With confirm it waits
-// for other members to hold the call. It returns how many do by then, and how many were asked; 0: there is no other.
+// SetAdminDown records an operator's call that sets a server administratively down or up. With confirm it waits for
+// other members to store the call. It returns how many have confirmed by then, and how many were requested to; 0 means
+// that there is no other member.
 func (f *Fleet) SetAdminDown(ctx context.Context, server string, down, confirm bool) (holders, asked int, err error) {
 	confirmed := make(chan gossip.Confirmation, 1)
 	callErr := f.call(ctx, func(now replication.Now) {
@@ -53,7 +55,7 @@
 	}
 }
 
-// recordCall writes an operator's call to the replicated state, and broadcasts it.
+// recordCall writes an operator's call to the replicated state and broadcasts it.
 func (f *Fleet) recordCall(now replication.Now, server string, down bool) (key replication.Key, err error) {
 	if _, ownsName := f.machine.Members.Self(); !ownsName {
 		return key, ErrSuperseded
@@ -69,7 +71,7 @@
 	return key, nil
 }
 
-// callIDs lists the standing calls on a server.
+// callIDs returns the IDs of the standing calls on a server, separated by commas.
 func callIDs(state replication.AdminState) string {
 	var ids []string
 	for _, call := range state.Standing {
@@ -78,13 +80,13 @@
 	return strings.Join(ids, ",")
 }
 
-// KnowsServer tells whether an operator has ever made a call on a server.
+// KnowsServer reports whether the replicated state has an operator's call on a server.
 func (f *Fleet) KnowsServer(ctx context.Context, server string) (known bool, err error) {
 	err = f.call(ctx, func(replication.Now) { _, known = f.machine.Store.AdminState(server) })
 	return known, err
 }
 
-// notifyAdminDown calls OnAdminDown where the administratively down servers have changed.
+// notifyAdminDown calls OnAdminDown if it is due or the set of administratively down servers has changed.
 func (f *Fleet) notifyAdminDown() {
 	down := f.machine.Store.AdminDown()
 	if !f.admin.notifyDue && slices.Equal(down, f.admin.down) {
@@ -95,8 +97,8 @@
 	f.callbacks.OnAdminDown(slices.Clone(down))
 }
 
-// endPendingConfirms ends all waits for a confirmation. Where a later process has taken the name, it has been given all
-// calls and counts as their one holder to be asked.
+// endPendingConfirms ends all waits for a confirmation. If a later process has taken the name, it has received all
+// calls and counts as their only recipient.
 func (f *Fleet) endPendingConfirms() {
 	_, ownsName := f.machine.Members.Self()
 	for key, pending := range f.admin.pendingConfirms {
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	maxConfigBytes = 1 << 20 // of the file
+	maxConfigBytes = 1 << 20 // size of the file
 	maxLabelBytes  = 64
 	maxPeers       = 1024
 
@@ -22,34 +22,36 @@
 	defaultCatchUpTimeout = 2 * time.Second
 )
 
-// Config is the operator's file on the fleet (deploy/fleet.toml).
+// Config is the fleet configuration file of the operator (deploy/fleet.toml).
 type Config struct {
-	Label   string `toml:"label"`   // of the fleet; sidecars with another one are ignored
-	Address string `toml:"address"` // where the others reach this sidecar: IPv4 and port
-	// Advertise is the address that the others get, where it differs from the one that this sidecar listens at.
+	Label   string `toml:"label"`   // of the fleet; sidecars with another label are ignored
+	Address string `toml:"address"` // IPv4 address and port at which this sidecar listens
+	// Advertise is the address that the other sidecars use, if it differs from Address.
 	Advertise string   `toml:"advertise"`
-	Peers     []string `toml:"peers"` // addresses of some sidecars, to find the others by
-	// SnapshotFolder is where the sidecar saves operators' calls, for a fleet that is lost completely; "": nowhere.
+	Peers     []string `toml:"peers"` // addresses of some sidecars, through which the others are found
+	// SnapshotFolder is the folder of the snapshot file with operators' calls, from which a fleet recovers after all
+	// sidecars have stopped; "": there is no such file.
 	SnapshotFolder string `toml:"folder"`
 	Limits         Limits `toml:"limits"`
-	// Policy says who votes on the fleet's policy; nil: each sidecar follows its own file.
+	// Policy configures the voters on the fleet's policy; nil: each sidecar uses its own policy file.
 	Policy *PolicyConfig `toml:"policy"`
 
-	clockOffset time.Duration // that is added to the wall clock; for tests
+	clockOffset time.Duration // added to the wall clock; for tests
 }
 
-// Limits are what the operator may bound.
+// Limits are the limits that the operator can configure.
 type Limits struct {
-	// CatchUpMS is after how long a sidecar that reaches no other goes by what it knows; 0: the default of 2000.
+	// CatchUpMS is the time in milliseconds after which a sidecar that reaches no other uses its own state; 0: the
+	// default of 2000.
 	CatchUpMS int `toml:"catch_up_ms"`
 }
 
-// CatchUp is after how long a sidecar that reaches no other goes by what it knows.
+// CatchUp returns the time after which a sidecar that reaches no other uses its own state.
 func (c *Config) CatchUp() time.Duration {
 	return cmp.Or(time.Duration(c.Limits.CatchUpMS)*time.Millisecond, defaultCatchUpTimeout)
 }
 
-// ReadConfig reads a file. An unknown or invalid key is an error that names it.
+// ReadConfig reads a configuration file. The error for an unknown or invalid key names the key.
 func ReadConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -77,7 +79,7 @@
 	return c, nil
 }
 
-// check checks all settings but those of the policy.
+// check validates all settings except those of the policy.
 func (c *Config) check() error {
 	switch {
 	case c.Label == "" || len(c.Label) > maxLabelBytes || strings.TrimSpace(c.Label) != c.Label:
@@ -94,7 +96,7 @@
 	return c.checkPeers()
 }
 
-// checkOwnAddresses checks the addresses of this sidecar that are set.
+// checkOwnAddresses validates the addresses of this sidecar that are set.
 func (c *Config) checkOwnAddresses() error {
 	if c.Address != "" {
 		if err := checkAddress(c.Address); err != nil {
@@ -134,8 +136,8 @@
 	return nil
 }
 
-// advertisedAddress is the address that the others get. Where this sidecar listens at another port than the file says,
-// as in an upgrade, it is the advertised host with that port.
+// advertisedAddress returns the address that the other sidecars use. If this sidecar listens at another port than the
+// configured one, as during an upgrade, it is the advertised host with the actual port.
 func (c *Config) advertisedAddress(listenAddress string) string {
 	if c.Advertise == "" {
 		return listenAddress
--- a/internal/fleet/environment.go
+++ b/internal/fleet/environment.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// The variables of the environment.
+// Environment variables.
 const (
-	configVariable    = "MILLETRAMP_FLEET" // names the file; package sidecar has it too
+	configVariable    = "MILLETRAMP_FLEET" // path of the configuration file; package sidecar reads it too
 	addressVariable   = "MILLETRAMP_FLEET_ADDRESS"
 	advertiseVariable = "MILLETRAMP_FLEET_ADVERTISE"
-	// clockOffsetVariable is for tests alone: seconds that are added to the wall clock where the fleet reads it. No
-	// decision rests on that clock: stamps are for people, membership raises the number of an incarnation, and what
-	// expires by the hour is kept for a day after its last listing.
+	// clockOffsetVariable is for tests only: seconds added to the wall clock readings of this package. No decision
+	// depends on that clock: stamps are for operators, membership raises the number of an incarnation if needed, and
+	// what expires by the hour is kept for a day after its last listing.
 	clockOffsetVariable = "MILLETRAMP_FLEET_CLOCK_S"
 )
 
-// FromEnvironment reads the file that MILLETRAMP_FLEET names. MILLETRAMP_FLEET_ADDRESS and MILLETRAMP_FLEET_ADVERTISE
-// override its address and the advertised one, so that sidecars can share a file. Where the first variable is empty
-// there is no fleet: nil, and no error.
+// FromEnvironment reads the configuration file at the path in MILLETRAMP_FLEET. MILLETRAMP_FLEET_ADDRESS and
+// MILLETRAMP_FLEET_ADVERTISE override the addresses in the file, so that several sidecars can share it. If
+// MILLETRAMP_FLEET is empty, there is no fleet and the result is nil without an error.
 func FromEnvironment(getenv func(string) string) (*Config, error) {
 	path := getenv(configVariable)
 	if path == "" {
@@ -43,7 +43,7 @@
 	return c, nil
 }
 
-// overrideAddresses replaces the addresses of the file by those of the environment. One of them must name an address.
+// overrideAddresses replaces the addresses of the file by those of the environment. Either must set Address.
 func (c *Config) overrideAddresses(getenv func(string) string) error {
 	c.Address = cmp.Or(getenv(addressVariable), c.Address)
 	if c.Address == "" {
--- a/internal/fleet/evidence.go
+++ b/internal/fleet/evidence.go
@@ -9,15 +9,15 @@
 	"milletramp.example/milletramp/internal/fleet/replication"
 )
 
-// evidenceState is the loop's state of servers that seem to have failed.
+// evidenceState is the loop's state of failure detection.
 type evidenceState struct {
-	recorder       *failuredetector.Recorder // of this sidecar's own observations
-	suspectedSince map[string]time.Duration  // suspected servers, and since when without a break
-	reported       bool                      // OnSuspicions got some last
+	recorder       *failuredetector.Recorder // holds this sidecar's own observations
+	suspectedSince map[string]time.Duration  // by server: start of the current uninterrupted suspicion
+	reported       bool                      // the last call of OnSuspicions had suspicions
 }
 
-// Observe takes in how an attempt of this sidecar at a server ended. It does not wait; while the loop is overloaded
-// some observations are dropped.
+// Observe records the outcome of an attempt of this sidecar at a server. It does not block; while the queue of the loop
+// is full, observations are dropped.
 func (f *Fleet) Observe(server string, outcome failuredetector.Outcome) {
 	f.tryPost(func(now replication.Now) {
 		if note, due := f.evidence.recorder.Observe(now.Time, server, outcome); due {
@@ -29,7 +29,7 @@
 	})
 }
 
-// handleEvidence reports on the servers that collectors have asked for, and weighs evidence that peers have changed.
+// handleEvidence writes the reports that collectors have requested, and evaluates changed evidence of peers.
 func (f *Fleet) handleEvidence(actions gossip.Actions) {
 	now := f.now()
 	for _, server := range actions.ReportServers {
@@ -46,7 +46,7 @@
 
 func isRow(key replication.Key) bool { return key.Kind == replication.KindRow }
 
-// writeEvidence writes the rows that are due to the replicated state, and broadcasts them.
+// writeEvidence writes the due rows to the replicated state and broadcasts them.
 func (f *Fleet) writeEvidence(now replication.Now) {
 	if _, ownsName := f.machine.Members.Self(); !ownsName {
 		return
@@ -54,15 +54,15 @@
 	for _, row := range f.evidence.recorder.DueRows(now.Time, f.machine.Members.NumPresent()) {
 		key, err := f.machine.Store.WriteRow(now, row.Server, f.servers.bootTimes[row.Server], row.Evidence)
 		if err != nil {
-			f.log.Debug("not written", "server", row.Server, "err", err)
+			f.log.Debug("evidence row not written", "server", row.Server, "err", err)
 			continue
 		}
 		f.machine.BroadcastUrgent(now, key)
 	}
 }
 
-// updateSuspicions weighs the evidence of all sidecars and calls OnSuspicions. Evidence on a server that the sidecar's
-// own list does not have, or has with another boot time, does not count.
+// updateSuspicions evaluates the evidence of all sidecars and calls OnSuspicions. Evidence on a server that is not in
+// the sidecar's own endpoint list, or is there with another boot time, does not count.
 func (f *Fleet) updateSuspicions(now replication.Now) {
 	var suspicions []Suspicion
 	lastBad := map[string]time.Duration{}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,18 +1,18 @@
-// Package fleet is one sidecar's part in the fleet: what the sidecars know in common of administratively down servers,
-// of servers that seem to have failed and of the policy in force. It decides little itself. Package gossip replicates
-// the state, failuredetector decides what to report, policyagent follows the policy, transport has the sockets; this
-// package connects them to each other, to the clock and to the sidecar.
+// Package fleet implements a sidecar's membership in the fleet. The sidecars of a fleet share the administratively down
+// servers, the servers that seem to have failed, and the policy in force. Package gossip replicates the state,
+// failuredetector decides what to report, policyagent maintains the policy, and transport has the sockets. This package
+// connects them to each other, to the clock and to the sidecar.
 //
-// Start starts these goroutines; Close ends them and waits for them:
+// Start starts these goroutines; Close stops them and waits for them:
 //
-//   - the loop (run), which alone uses the state machines and calls the Callbacks;
-//   - the writer of the snapshot file, where the operator names a folder for it;
+//   - the loop (run), the only goroutine that uses the state machines and calls OnAdminDown and OnSuspicions;
+//   - the writer of the snapshot file, if the operator has configured a folder for it;
 //   - one for each snapshot that is being fetched from another sidecar;
-//   - those of the transport and of the policy agent, which belong to these packages.
+//   - those of the transport and of the policy agent, which these packages manage.
 //
-// The methods of Fleet may be called from any goroutine. They pass events to the loop; those that wait for it end with
-// their context, and with ErrClosed once the Fleet is closed. ErrSuperseded says that a later process has taken this
-// sidecar's name. Errors of the configuration name the file and the key.
+// The methods of Fleet may be called from any goroutine. They pass events to the loop. Methods that wait for the loop
+// return when their context ends, or with ErrClosed once the Fleet is closed. They return ErrSuperseded if a later
+// process has taken this sidecar's name. Configuration errors name the file and the key.
 package fleet
 
 import (
@@ -35,43 +35,43 @@
 	"milletramp.example/milletramp/internal/wallclock"
 )
 
-// monotonicOrigin is added to the readings of the monotonic clock, so that none is 0.
+// monotonicOrigin is added to readings of the monotonic clock so that none is 0, which means never.
 const monotonicOrigin = time.Hour
 
-// ErrSuperseded says that a later process has taken this sidecar's name, as in an upgrade, and that this one sends
-// nothing any more.
-var ErrSuperseded = errors.New("another process speaks for this sidecar")
+// ErrSuperseded is returned when a later process has taken this sidecar's name, as in an upgrade. This process no
+// longer sends anything.
+var ErrSuperseded = errors.New("fleet: a later process has taken this sidecar's name")
 
-// ErrClosed says that the Fleet has been closed.
+// ErrClosed is returned after the Fleet has been closed.
 var ErrClosed = errors.New("fleet: it has ended")
 
-// Fleet is a sidecar's part in the fleet. Close must be called at the end.
+// Fleet is a running member of the fleet. Callers must call Close.
 type Fleet struct {
 	log         *slog.Logger
 	callbacks   Callbacks
 	transport   *transport.Transport
-	address     string             // that is advertised to the other sidecars
+	address     string             // advertised to the other sidecars
 	agent       *policyagent.Agent // nil: the fleet has no policy
 	startedAt   time.Time
-	clockOffset time.Duration // that is added to the wall clock; for tests
+	clockOffset time.Duration // added to the wall clock; for tests
 
-	ctx        context.Context // ends with Close
+	ctx        context.Context // canceled by Close
 	stop       context.CancelFunc
 	goroutines sync.WaitGroup
-	events     chan func(now replication.Now) // which the loop runs
-	caughtUp   chan struct{}                  // closed by the loop once it has caught up for the first time
+	events     chan func(now replication.Now) // events for the loop
+	caughtUp   chan struct{}                  // closed by the loop after the first catch-up
 
-	// Of the loop alone.
+	// Used by the loop only.
 	machine          *gossip.Machine
 	hasCaughtUp      bool                // caughtUp is closed
-	raiseIncarnation func(number uint64) // of the policy agent; nil: there is none
+	raiseIncarnation func(number uint64) // notifies the policy agent; nil: there is none
 	admin            adminState
 	servers          serverState
 	evidence         evidenceState
-	saver            *snapshotSaver // nil: the operator names no folder
+	saver            *snapshotSaver // nil: no folder is configured
 }
 
-// Start starts a sidecar's part. predecessors are the addresses of the sidecar's other processes, which this one
+// Start starts a member of the fleet. predecessors are the addresses of the sidecar's other processes, which this one
 // replaces.
 func Start(c *Config, name string, predecessors []string, log *slog.Logger, callbacks Callbacks) (*Fleet, error) {
 	sockets, err := transport.Listen(c.Address, gossip.MaxSnapshotBytes)
@@ -91,7 +91,7 @@
 		},
 	}
 	incarnationNumber := f.createMachine(settings, items)
-	f.log.Info("joining", "label", c.Label, "address", sockets.Address(), "peers", len(c.Peers))
+	f.log.Info("joining the fleet", "label", c.Label, "address", sockets.Address(), "peers", len(c.Peers))
 	f.goroutines.Add(1)
 	go func() {
 		defer f.goroutines.Done()
@@ -125,7 +125,7 @@
 	return f
 }
 
-// startSaver starts the writer of the snapshot file, where there is one, and returns what the file holds.
+// startSaver starts the writer of the snapshot file, if one is configured, and returns the content of the file.
 func (f *Fleet) startSaver(c *Config, name string) (items []replication.Item, peers []string) {
 	path := c.snapshotPath(name)
 	if path == "" {
@@ -133,9 +133,9 @@
 	}
 	items, peers, err := readSnapshot(path, c.Label)
 	if err != nil {
-		f.log.Warn("dropped what a former life left", "err", err)
+		f.log.Warn("fleet snapshot file ignored, as it cannot be read", "err", err)
 	} else if len(items)+len(peers) > 0 {
-		f.log.Info("took what a former life left", "servers", len(items), "peers", len(peers))
+		f.log.Info("fleet snapshot file read", "servers", len(items), "peers", len(peers))
 	}
 	f.saver = &snapshotSaver{snapshots: make(chan []byte, 1)}
 	writer := &snapshotWriter{log: f.log, fs: fsys.OS{}, path: path}
@@ -147,11 +147,11 @@
 	return items, peers
 }
 
-// createMachine draws this process's identity, and creates the machine with the items of a snapshot file. It returns
-// the number of this process's incarnation in the fleet.
+// createMachine creates the gossip machine with a random incarnation nonce and the items of a snapshot file. It returns
+// the number of this process's incarnation.
 func (f *Fleet) createMachine(settings gossip.Settings, items []replication.Item) (incarnationNumber uint64) {
 	var random [16]byte
-	_, _ = rand.Read(random[:]) // never fails
+	_, _ = rand.Read(random[:]) // crypto/rand.Read never fails
 	seed := binary.LittleEndian.Uint64(random[:8])
 	now := f.now()
 	incarnationNumber = uint64(max(now.Wall, 1))
@@ -171,7 +171,7 @@
 	}
 }
 
-// Close tells the other sidecars that this one leaves, ends all goroutines and waits for them.
+// Close notifies the other sidecars that this one leaves, stops all goroutines and waits for them.
 func (f *Fleet) Close() error {
 	if f.agent != nil {
 		f.agent.Close()
--- a/internal/fleet/loop.go
+++ b/internal/fleet/loop.go
@@ -13,10 +13,10 @@
 
 const (
 	tickInterval    = 50 * time.Millisecond
-	maxQueuedEvents = 256 // that wait for the loop; further datagrams are lost, as on the network
+	maxQueuedEvents = 256 // capacity of the queue for the loop; further datagrams are dropped
 )
 
-// run is the loop. It ends with Close.
+// run is the event loop. It ends with Close.
 func (f *Fleet) run() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -34,7 +34,7 @@
 	}
 }
 
-// tick does what is due.
+// tick runs the periodic work.
 func (f *Fleet) tick(now replication.Now) {
 	f.machine.Tick(now)
 	if now.Time-f.servers.markedAt >= markListedInterval {
@@ -45,19 +45,19 @@
 	f.updateSuspicions(now)
 }
 
-// leave is the end of the loop.
+// leave notifies the other members, ends pending calls and saves the last snapshot, before the loop ends.
 func (f *Fleet) leave() {
 	f.machine.Leave(f.now())
 	f.carryOutActions()
 	f.endPendingConfirms()
 	if f.saver != nil {
-		f.saver.savedAt = 0 // the last snapshot is not to wait
+		f.saver.savedAt = 0 // skip the minimum interval for the last snapshot
 		f.saveSnapshot(f.now())
 		close(f.saver.snapshots)
 	}
 }
 
-// post queues an event for the loop, and does not wait until it has run. It returns false if ctx ends, or f is closed,
+// post queues an event for the loop without waiting for its execution. It returns false if ctx ends or f is closed
 // while the queue is full.
 func (f *Fleet) post(ctx context.Context, event func(replication.Now)) bool {
 	select {
@@ -69,7 +69,7 @@
 	return false
 }
 
-// tryPost queues an event for the loop, unless the queue is full.
+// tryPost queues an event for the loop, or drops it if the queue is full.
 func (f *Fleet) tryPost(event func(replication.Now)) {
 	select {
 	case f.events <- event:
@@ -77,7 +77,7 @@
 	}
 }
 
-// call has the loop run an event, and waits until it has. After an error the event may still run later.
+// call runs an event in the loop and waits for its completion. After an error the event may still run later.
 func (f *Fleet) call(ctx context.Context, event func(replication.Now)) error {
 	done := make(chan struct{})
 	if f.post(ctx, func(now replication.Now) { event(now); close(done) }) {
@@ -94,7 +94,7 @@
 	return ErrClosed
 }
 
-// carryOutActions does what the machine asks for, and notifies the sidecar of what has changed.
+// carryOutActions executes the actions of the machine and notifies the sidecar of changes.
 func (f *Fleet) carryOutActions() {
 	actions := f.machine.TakeActions()
 	f.sendDatagrams(actions.Send)
@@ -116,12 +116,12 @@
 func (f *Fleet) sendDatagrams(datagrams []gossip.Datagram) {
 	for _, datagram := range datagrams {
 		if err := f.transport.Send(datagram.To, datagram.Payload); err != nil {
-			f.log.Debug("not sent", "to", datagram.To, "err", err)
+			f.log.Debug("datagram not sent", "to", datagram.To, "err", err)
 		}
 	}
 }
 
-// fetchSnapshots fetches a snapshot from each address, in a goroutine that ends with the fetch or with Close.
+// fetchSnapshots fetches a snapshot from each address, each in a goroutine that ends with the fetch or with Close.
 func (f *Fleet) fetchSnapshots(addresses []string) {
 	for _, address := range addresses {
 		f.goroutines.Add(1)
@@ -130,20 +130,20 @@
 			snapshot, err := f.transport.Fetch(f.ctx, address)
 			f.post(f.ctx, func(now replication.Now) {
 				if err := f.machine.ReceiveSnapshot(now, address, snapshot, err); err != nil {
-					f.log.Debug("no snapshot", "from", address, "err", err)
+					f.log.Debug("snapshot not received", "from", address, "err", err)
 				}
 			})
 		}()
 	}
 }
 
-// Datagram implements transport.Handler. While the queue is full datagrams are lost, so that a flood takes no memory;
-// anti-entropy finds what is missing.
+// Datagram implements transport.Handler. While the queue is full, datagrams are dropped to bound memory use during a
+// flood; anti-entropy repairs the loss.
 func (f *Fleet) Datagram(from string, payload []byte) {
 	payload = slices.Clone(payload)
 	f.tryPost(func(now replication.Now) {
 		if err := f.machine.Receive(now, from, payload); err != nil {
-			f.log.Debug("passed over", "from", from, "err", err)
+			f.log.Debug("datagram ignored", "from", from, "err", err)
 		}
 	})
 }
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -9,13 +9,13 @@
 	"milletramp.example/milletramp/internal/fleet/replication"
 )
 
-// Address is where other sidecars reach this one.
+// Address returns the address at which other sidecars reach this one.
 func (f *Fleet) Address() string { return f.address }
 
-// CaughtUp is closed once this sidecar holds what the fleet holds, or has tried for long enough.
+// CaughtUp returns a channel that is closed once this sidecar has the fleet's state, or its catch-up has timed out.
 func (f *Fleet) CaughtUp() <-chan struct{} { return f.caughtUp }
 
-// Ready tells whether this sidecar holds what the fleet holds, or has tried for long enough, and in which phase it is.
+// Ready reports whether this sidecar has finished or given up catching up with the fleet, and its phase.
 func (f *Fleet) Ready(ctx context.Context) (ready bool, phase string) {
 	if err := f.call(ctx, func(replication.Now) {
 		p, _ := f.machine.Phase()
@@ -27,17 +27,17 @@
 	return ready, phase
 }
 
-// enterPhase takes in that the machine has entered a phase.
+// enterPhase logs a new phase of the machine, and closes caughtUp after the first catch-up.
 func (f *Fleet) enterPhase(phase gossip.Phase) {
-	f.log.Info("caught up", "phase", phase.String(), "members", f.machine.Members.NumPresent())
+	f.log.Info("fleet phase changed", "phase", phase.String(), "members", f.machine.Members.NumPresent())
 	if phase != gossip.CatchingUp && !f.hasCaughtUp {
 		f.hasCaughtUp = true
 		close(f.caughtUp)
 	}
 }
 
-// followIncarnation passes the number of this process's incarnation to the policy agent. It rises where membership
-// finds that a former process had a higher one.
+// followIncarnation passes the number of this process's incarnation to the policy agent. The number rises if membership
+// discovers that an earlier process had a higher one.
 func (f *Fleet) followIncarnation() {
 	if self, ownsName := f.machine.Members.Self(); ownsName && f.raiseIncarnation != nil {
 		f.raiseIncarnation(self.ProcessIncarnation.Number)
@@ -47,19 +47,20 @@
 func (f *Fleet) logMemberChange(change membership.Change) {
 	member := change.Member
 	if change.Superseded {
-		f.log.Warn("another process bears this sidecar's name; this one is silent from now on",
-			"at", member.Address, "life", member.ProcessIncarnation)
+		f.log.Warn("another process has taken this sidecar's name; this process stops sending",
+			"address", member.Address, "process_incarnation", member.ProcessIncarnation)
 		return
 	}
 	level := slog.LevelInfo
 	if member.State == membership.Suspect {
 		level = slog.LevelDebug
 	}
-	f.log.Log(f.ctx, level, "member", "name", member.Name, "state", member.State.String(),
-		"address", member.Address, "life", member.ProcessIncarnation.Number, "incarnation", member.Incarnation)
+	f.log.Log(f.ctx, level, "fleet member state changed", "name", member.Name, "state", member.State.String(),
+		"address", member.Address, "process_incarnation", member.ProcessIncarnation.Number,
+		"incarnation", member.Incarnation)
 }
 
-// addressOf returns the address of a member that is present; "": there is none of this name.
+// addressOf returns the address of the present member with a name, or "" if there is none.
 func (f *Fleet) addressOf(name string) (address string) {
 	for _, member := range f.machine.Members.Members() {
 		if member.Name == name && member.Present() {
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -17,21 +17,21 @@
 	"milletramp.example/milletramp/internal/fleet/replication"
 )
 
-// raftFolderFormat is the name of a voter's folder, by the hash of the sidecar's name.
+// raftFolderFormat is the format of the name of a voter's folder, with the hash of the sidecar's name.
 const raftFolderFormat = "council-%016x"
 
-// PolicyConfig is the part of the file on the fleet's policy.
+// PolicyConfig is the section of the configuration file for the fleet's policy.
 type PolicyConfig struct {
 	Voters            []string `toml:"deciders"`   // names of three or five sidecars
 	InitialPolicyFile string   `toml:"first"`      // holds the policy in force before any change
-	RaftFolder        string   `toml:"folder"`     // where each voter has a folder of its own, which must outlast it
+	RaftFolder        string   `toml:"folder"`     // parent of each voter's own folder; must persist across restarts
 	LeaseMS           int      `toml:"promise_ms"` // the length of a lease; 0: the default of 3000
-	ServeWithoutLease bool     `toml:"serve_on"`   // a sidecar without a lease serves under the policy that it had
+	ServeWithoutLease bool     `toml:"serve_on"`   // a sidecar without a lease serves under its last policy
 
 	initialPolicy []byte
 }
 
-// Terms are those of the leases.
+// Terms returns the lease terms.
 func (p *PolicyConfig) Terms() policy.Terms {
 	terms := policy.DefaultTerms
 	if p.LeaseMS > 0 {
@@ -41,7 +41,7 @@
 	return terms
 }
 
-// load checks the settings, and reads the initial policy, whose path may be relative to dir.
+// load validates the settings and reads the initial policy, whose path may be relative to dir.
 func (p *PolicyConfig) load(dir string) (err error) {
 	if len(p.Voters) != 3 && len(p.Voters) != 5 {
 		return fmt.Errorf("policy.deciders: %d, three or five are needed", len(p.Voters))
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// agentSettings are those of this sidecar's policy agent.
+// agentSettings returns the settings of this sidecar's policy agent.
 func (p *PolicyConfig) agentSettings(name string, incarnationNumber uint64) policyagent.Settings {
 	return policyagent.Settings{
 		Name:              name,
@@ -80,7 +80,7 @@
 	}
 }
 
-// startAgent starts this sidecar's policy agent. The loop runs already.
+// startAgent starts this sidecar's policy agent. The loop must be running.
 func (f *Fleet) startAgent(p *PolicyConfig, name string, incarnationNumber uint64, log *slog.Logger) (err error) {
 	settings := p.agentSettings(name, incarnationNumber)
 	settings.Check = f.callbacks.CheckPolicy
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// Policy is this sidecar's policy agent; nil: the operator's file names no voters.
+// Policy returns this sidecar's policy agent, or nil if the configuration file has no policy section.
 func (f *Fleet) Policy() *policyagent.Agent { return f.agent }
 
 // Call implements policyagent.Peers.
--- a/internal/fleet/servers.go
+++ b/internal/fleet/servers.go
@@ -6,25 +6,25 @@
 	"milletramp.example/milletramp/internal/fleet/replication"
 )
 
-// markListedInterval is how often the listed servers are marked as such in the replicated state, which forgets
+// markListedInterval is how often the listed servers are marked as listed in the replicated state, which drops
 // operators' calls on servers that no sidecar lists.
 const markListedInterval = time.Minute
 
 // Server is an entry of the sidecar's own endpoint list.
 type Server struct {
 	ID   string
-	Boot int64 // its last start in Unix milliseconds; 0: not known, or long ago
+	Boot int64 // last start in Unix milliseconds; 0: unknown or long ago
 }
 
 // serverState is the loop's copy of the sidecar's own endpoint list.
 type serverState struct {
 	list      []Server
-	bootTimes map[string]int64 // of the list, by ID
+	bootTimes map[string]int64 // boot times of the listed servers, by ID
 	markedAt  time.Duration    // when the list was last marked in the replicated state
 }
 
-// SetServers passes on the sidecar's endpoint list. It does not wait; while the loop is overloaded a list is dropped,
-// and the next one serves as well.
+// SetServers sets the sidecar's endpoint list. It does not block; while the queue of the loop is full, a list is
+// dropped, and the next one takes effect.
 func (f *Fleet) SetServers(servers []Server) {
 	f.tryPost(func(now replication.Now) {
 		former := f.servers.bootTimes
@@ -33,14 +33,14 @@
 		for _, server := range servers {
 			f.servers.bootTimes[server.ID] = server.Boot
 			if boot, known := former[server.ID]; known && boot != server.Boot {
-				f.evidence.recorder.Forget(server.ID) // it is of a former process
+				f.evidence.recorder.Forget(server.ID) // the observations are of an earlier process
 			}
 		}
 		f.markListed(now)
 	})
 }
 
-// markListed broadcasts which servers the list has, and when they were started.
+// markListed broadcasts which servers are listed and when they were started, as far as that has changed.
 func (f *Fleet) markListed(now replication.Now) {
 	f.servers.markedAt = now.Time
 	ids := make([]string, 0, len(f.servers.list))
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -23,37 +23,37 @@
 const (
 	snapshotMagic      = "milletramp-fleet-warm"
 	snapshotFormat     = 1
-	snapshotFileFormat = "fleet-%016x.state" // by the hash of the sidecar's name
+	snapshotFileFormat = "fleet-%016x.state" // with the hash of the sidecar's name
 	maxHeaderBytes     = 1000
 
-	snapshotInterval   = time.Second     // least time between two snapshots, and backoff of the first retry
-	maxSnapshotBackoff = 5 * time.Second // until a write that failed is retried; it doubles up to this
+	snapshotInterval   = time.Second     // minimum time between two snapshots, and backoff of the first retry
+	maxSnapshotBackoff = 5 * time.Second // maximum backoff of retries, which doubles
 )
 
-// encodeSnapshot puts a header before a snapshot: magic, format, length and checksum.
+// encodeSnapshot prepends a header to a snapshot: magic, format, length and checksum.
 func encodeSnapshot(content []byte) []byte {
 	header := fmt.Sprintf("%s %d %d %016x\n", snapshotMagic, snapshotFormat, len(content), xxhash.Sum64(content))
 	return append([]byte(header), content...)
 }
 
-// decodeSnapshot returns the content behind a header. It is an error if that is torn, corrupt or of another format.
+// decodeSnapshot returns the content after the header, or an error if it is truncated, corrupt or in another format.
 func decodeSnapshot(data []byte) ([]byte, error) {
 	header, content, ok := bytes.Cut(data, []byte("\n"))
 	fields := strings.Split(string(header), " ")
 	switch {
 	case !ok || len(fields) != 4 || fields[0] != snapshotMagic:
-		return nil, errors.New("is no state of a fleet")
+		return nil, errors.New("is not a fleet snapshot file")
 	case fields[1] != strconv.Itoa(snapshotFormat):
-		return nil, fmt.Errorf("is of form %.20q, this process knows %d", fields[1], snapshotFormat)
+		return nil, fmt.Errorf("has format %.20q, want %d", fields[1], snapshotFormat)
 	case fields[2] != strconv.Itoa(len(content)):
-		return nil, fmt.Errorf("has %d bytes, its head says %.20q", len(content), fields[2])
+		return nil, fmt.Errorf("has %d bytes after the header, the header has length %.20q", len(content), fields[2])
 	case fields[3] != fmt.Sprintf("%016x", xxhash.Sum64(content)):
-		return nil, fmt.Errorf("has the checksum %016x, its head says %.20q", xxhash.Sum64(content), fields[3])
+		return nil, fmt.Errorf("has checksum %016x, the header has %.20q", xxhash.Sum64(content), fields[3])
 	}
 	return content, nil
 }
 
-// snapshotPath is the path of a sidecar's snapshot file; "": it has none.
+// snapshotPath returns the path of a sidecar's snapshot file, or "" if no folder is configured.
 func (c *Config) snapshotPath(name string) string {
 	if c.SnapshotFolder == "" {
 		return ""
@@ -61,7 +61,7 @@
 	return filepath.Join(c.SnapshotFolder, fmt.Sprintf(snapshotFileFormat, xxhash.Sum64String(name)))
 }
 
-// readSnapshot reads a snapshot file: items, and addresses of members. One that does not exist is empty.
+// readSnapshot reads items and addresses of members from a snapshot file. A missing file yields none and no error.
 func readSnapshot(path, label string) (items []replication.Item, peers []string, err error) {
 	file, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -85,21 +85,21 @@
 	return items, peers, nil
 }
 
-// writeSnapshot replaces a snapshot file. A reader finds the former or the new content, also after a loss of power.
-// Another process of the sidecar may write at the same time, as in an upgrade.
+// writeSnapshot replaces a snapshot file atomically: a reader finds the previous or the new content, also after a loss
+// of power. Another process of the sidecar may write at the same time, as in an upgrade.
 func writeSnapshot(fs fsys.FS, path string, content []byte) error {
 	temp := fmt.Sprintf("%s.new%016x", path, rand.Uint64())
 	return fsys.Replace(fs, temp, path, encodeSnapshot(content), true)
 }
 
-// snapshotSaver is the loop's state of the snapshot file.
+// snapshotSaver is the loop's state for the snapshot file.
 type snapshotSaver struct {
-	snapshots chan []byte   // to the writer; it holds one, the newest
-	digest    uint64        // of the state that was saved last
+	snapshots chan []byte   // to the writer; buffers the newest one only
+	digest    uint64        // of the last saved state
 	savedAt   time.Duration // 0: never
 }
 
-// saveSnapshot passes operators' calls and members' addresses to the writer, where they have changed.
+// saveSnapshot passes operators' calls and members' addresses to the writer if they have changed.
 func (f *Fleet) saveSnapshot(now replication.Now) {
 	saver := f.saver
 	if saver == nil {
@@ -111,14 +111,14 @@
 	}
 	content, err := f.machine.EncodeWarmStart(now)
 	if err != nil {
-		f.log.Warn("nothing is left for the next life", "err", err)
+		f.log.Warn("fleet snapshot cannot be encoded; snapshot file not updated", "err", err)
 		return
 	}
 	select {
-	case <-saver.snapshots: // the writer has not begun with it
+	case <-saver.snapshots: // discard a snapshot that the writer has not received
 	default:
 	}
-	saver.snapshots <- content // does not wait, as no other goroutine sends
+	saver.snapshots <- content // does not block, as no other goroutine sends
 	saver.digest = digest
 	saver.savedAt = now.Time
 }
@@ -130,10 +130,10 @@
 	path string
 }
 
-// run writes each snapshot that comes, until the channel is closed. A write that fails is retried with a backoff, until
-// it succeeds or a newer snapshot comes, and once more at the end.
+// run writes each received snapshot until the channel is closed. A failed write is retried with a backoff until it
+// succeeds or a newer snapshot arrives, and once more at the end.
 func (w *snapshotWriter) run(snapshots <-chan []byte) {
-	var unwritten []byte // nil: all is written
+	var unwritten []byte // nil: the newest snapshot has been written
 	failing := false
 	backoff := snapshotInterval
 	retry := time.NewTimer(0)
@@ -163,12 +163,13 @@
 	}
 }
 
-// logResult logs the first of several writes that fail, and the one that succeeds after them.
+// logResult logs the first of several failed writes and the successful write after them. In between, a fleet whose
+// sidecars all stop would lose the latest operators' calls.
 func (w *snapshotWriter) logResult(err error, failedBefore bool) {
 	switch {
 	case err != nil && !failedBefore:
-		w.log.Warn("a fleet that is lost as a whole will not know what is out by hand; it is tried again", "err", err)
+		w.log.Warn("fleet snapshot file not written; retrying", "err", err)
 	case err == nil && failedBefore:
-		w.log.Info("what is out by hand is written down again")
+		w.log.Info("fleet snapshot file written after failures")
 	}
 }
--- a/internal/fleet/snapshot_fault_test.go
+++ b/internal/fleet/snapshot_fault_test.go
@@ -94,7 +94,7 @@
 		if got := readSnapshotText(t, path); got != want {
 			t.Errorf("the file has %q, want %q", got, want)
 		}
-		for _, line := range []string{"will not know", "written down again"} {
+		for _, line := range []string{"fleet snapshot file not written; retrying", "fleet snapshot file written after failures"} {
 			if n := strings.Count(log.String(), line); n != 1 {
 				t.Errorf("the log says %d times %q", n, line)
 			}
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -9,16 +9,16 @@
 	"milletramp.example/milletramp/internal/fleet/replication"
 )
 
-// Status is what this sidecar holds of the fleet, for operators. The JSON keys are an interface to them.
+// Status is this sidecar's view of the fleet, for operators. The JSON keys are a public interface.
 type Status struct {
 	Name              string            `json:"name"`
 	Address           string            `json:"address"`
 	IncarnationNumber uint64            `json:"life"`
-	OwnsName          bool              `json:"bears_its_name"` // false: a later process has it, this one sends nothing
+	OwnsName          bool              `json:"bears_its_name"` // false: a later process has it
 	Phase             string            `json:"phase"`
 	PhaseSeconds      float64           `json:"phase_for_s"`
-	NumPresent        int               `json:"members_here"` // this one included
-	LocalHealth       int               `json:"own_trouble"`  // 0: good; up to 8: others' answers do not arrive
+	NumPresent        int               `json:"members_here"` // including this one
+	LocalHealth       int               `json:"own_trouble"`  // 0: good; up to 8: responses of others do not arrive
 	Digests           map[string]string `json:"sums"`         // of the replicated state, by kind
 	Members           []MemberStatus    `json:"members"`
 	Servers           []ServerStatus    `json:"by_hand"`
@@ -26,12 +26,12 @@
 	Figures           gossip.Counters   `json:"figures"`
 }
 
-// SuspicionStatus is a server on which some sidecar has reported.
+// SuspicionStatus describes a server on which at least one sidecar has reported.
 type SuspicionStatus struct {
 	ID               string      `json:"id"`
-	Suspected        bool        `json:"in_doubt"` // false: too few have reported, or one has had an answer
-	SuspectedSeconds float64     `json:"for_s"`    // without a break
-	Listed           bool        `json:"listed"`   // here, with the boot time of the reports, which else do not count
+	Suspected        bool        `json:"in_doubt"` // false: too few reports, or refuted by a good response
+	SuspectedSeconds float64     `json:"for_s"`    // uninterrupted
+	Listed           bool        `json:"listed"`   // with the boot time of the reports, else not counted
 	Rows             []RowStatus `json:"rows"`
 }
 
@@ -42,10 +42,10 @@
 	Late            uint32  `json:"late"`
 	Unresponsive    uint32  `json:"silent"`
 	Refused         uint32  `json:"refused"`
-	LastGoodSeconds float64 `json:"good_s_before"` // from the last good answer to the report; -1: no recent one
+	LastGoodSeconds float64 `json:"good_s_before"` // from the last good response to the report; -1: no recent one
 }
 
-// MemberStatus is what this sidecar holds of another.
+// MemberStatus is this sidecar's view of another one.
 type MemberStatus struct {
 	Name               string   `json:"name"`
 	Address            string   `json:"address"`
@@ -53,20 +53,20 @@
 	IncarnationNumber  uint64   `json:"life"`
 	Incarnation        uint32   `json:"incarnation"`
 	LastContactSeconds float64  `json:"heard_s_ago"` // -1: never
-	InSync             bool     `json:"same_copy"`   // by the last digest that it sent
+	InSync             bool     `json:"same_copy"`   // by its last digest
 	DivergedSeconds    float64  `json:"differs_for_s"`
 	DivergedKinds      []string `json:"differs_in,omitempty"`
 }
 
-// ServerStatus is a server on which operators have made calls.
+// ServerStatus describes a server on which operators have made calls.
 type ServerStatus struct {
 	ID        string       `json:"id"`
 	AdminDown bool         `json:"out"`
-	Disputed  bool         `json:"disputed"` // concurrent calls differ; the one that takes it down wins
+	Disputed  bool         `json:"disputed"` // concurrent calls conflict; the one that sets it down wins
 	Calls     []CallStatus `json:"calls"`
 }
 
-// CallStatus is a standing call of an operator.
+// CallStatus describes a standing call of an operator.
 type CallStatus struct {
 	ID        string `json:"id"`
 	By        string `json:"by"`
@@ -83,7 +83,7 @@
 	return direction + " by " + c.By + " at " + c.At
 }
 
-// Status returns what this sidecar holds.
+// Status returns this sidecar's view of the fleet.
 func (f *Fleet) Status(ctx context.Context) (s Status, err error) {
 	err = f.call(ctx, func(now replication.Now) { s = f.status(now) })
 	return s, err
