--- a/internal/fleet/config_test.go
+++ b/internal/fleet/config_test.go
@@ -8,12 +8,12 @@
 	"testing"
 )
 
-// policyText is a file with a policy, whose key for the folder is the last.
+// policyText is a configuration file with a policy section, in which folder is the last key.
 const policyText = "label = \"x\"\n[policy]\ndeciders = [\"a\", \"b\", \"c\"]\nfirst = \"0\"\nfolder = \"x\"\n"
 
-// TestConfigErrorNamesTheKey reads valid files, and invalid ones, whose error names the key.
+// TestConfigErrorNamesTheKey reads valid and invalid files. The error for an invalid file names the key.
 func TestConfigErrorNamesTheKey(t *testing.T) {
-	dir := t.TempDir() // the first file serves as the initial policy of others
+	dir := t.TempDir() // the first file is the initial policy of others
 	for i, tt := range []struct{ text, key string }{
 		{"label = \"x\"\naddress = \"127.0.0.1:7000\"\npeers = [\"127.0.0.1:7001\"]\n[limits]\ncatch_up_ms = 500\n", ""},
 		{"label = \"x\"\n", ""},
@@ -40,13 +40,13 @@
 		}
 		_, err := ReadConfig(path)
 		if (err == nil) != (tt.key == "") || err != nil && !strings.Contains(err.Error(), tt.key) {
-			t.Errorf("%q: error %v, want one on %q", tt.text, err, tt.key)
+			t.Errorf("%q: error %v, want one that names %q", tt.text, err, tt.key)
 		}
 	}
 }
 
-// TestEnvironmentOverridesAddress: without a file there is no fleet; a file without an address needs one of the
-// environment.
+// TestEnvironmentOverridesAddress checks that there is no fleet without a file, and that a file without an address needs
+// one from the environment.
 func TestEnvironmentOverridesAddress(t *testing.T) {
 	environment := map[string]string{}
 	getenv := func(key string) string { return environment[key] }
@@ -59,7 +59,7 @@
 	}
 	environment[configVariable] = path
 	if _, err := FromEnvironment(getenv); err == nil {
-		t.Error("no address is needed")
+		t.Error("missing address accepted")
 	}
 	environment[addressVariable] = "127.0.0.1:7009"
 	if c, err := FromEnvironment(getenv); err != nil || c.Address != "127.0.0.1:7009" {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -13,22 +13,22 @@
 	"milletramp.example/milletramp/internal/fleet/replication"
 )
 
-// TestOperatorCallReachesAllMembers starts three members one after the other on sockets: each catches up, a call at one
-// reaches all, and all know of one that leaves.
+// TestOperatorCallReachesAllMembers starts three members on sockets one after the other. Each catches up, a call at one
+// member reaches all, and the others detect that one leaves.
 func TestOperatorCallReachesAllMembers(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	a := startMember(t, "a")
 	address := a.transport.Address()
 	if holders, asked, err := a.SetAdminDown(ctx, "s-0", true, true); holders != 0 || asked != 0 || err != nil {
-		t.Errorf("held by %d of %d, error %v where there is no other member", holders, asked, err)
+		t.Errorf("confirmed by %d of %d, error %v without another member", holders, asked, err)
 	}
 	b, c := startMember(t, "b", address), startMember(t, "c", address)
 	for _, m := range []*testMember{b, c} {
 		select {
 		case <-m.CaughtUp():
 		case <-ctx.Done():
-			t.Fatal("never caught up")
+			t.Fatal("member has not caught up")
 		}
 		m.waitForAdminDown(t, "s-0")
 		if ready, phase := m.Ready(ctx); !ready || phase != "whole" {
@@ -37,7 +37,7 @@
 	}
 	c.SetServers([]Server{{ID: "s-1", Boot: time.Now().UnixMilli()}, {ID: "s-0"}})
 	if holders, _, err := c.SetAdminDown(ctx, "s-1", true, true); err != nil || holders == 0 {
-		t.Errorf("held by %d, error %v", holders, err)
+		t.Errorf("confirmed by %d, error %v", holders, err)
 	}
 	a.waitForAdminDown(t, "s-0", "s-1")
 	b.waitForAdminDown(t, "s-0", "s-1")
@@ -62,17 +62,17 @@
 	if err := c.Close(); err != nil {
 		t.Error(err)
 	}
-	waitFor(t, "a knows that c has left", func() bool {
+	waitFor(t, "a has c in state left", func() bool {
 		return slices.ContainsFunc(a.status(t).Members, func(m MemberStatus) bool {
 			return m.Name == "c" && m.State == "left"
 		})
 	})
 	if _, _, err := c.SetAdminDown(ctx, "s-9", true, true); err == nil {
-		t.Error("a closed member takes calls")
+		t.Error("closed member accepts a call")
 	}
 }
 
-// startMembers starts members, and waits until each knows all.
+// startMembers starts n members and waits until each has all of them as present.
 func startMembers(t *testing.T, n int) (all []*testMember) {
 	t.Helper()
 	var peers []string
@@ -82,15 +82,15 @@
 		peers = append(peers, m.transport.Address())
 		<-m.CaughtUp()
 	}
-	waitFor(t, "all members know each other", func() bool {
+	waitFor(t, "each member has all members as present", func() bool {
 		return !slices.ContainsFunc(all, func(m *testMember) bool { return m.status(t).NumPresent != n })
 	})
 	return all
 }
 
-// TestSuspicionReachesMembersThatListTheServer has five of six members wait in vain for servers. Each member whose list
-// has a server is notified, though it made no attempt itself; one whose list has it with another boot time, or does not
-// have it, is not. The first good answer at any member ends the suspicion.
+// TestSuspicionReachesMembersThatListTheServer has five of six members observe late responses of servers. Each member
+// with a server in its list is notified, also without an attempt of its own. A member is not notified if its list has
+// the server with another boot time or not at all. The first good response at any member ends the suspicion.
 func TestSuspicionReachesMembersThatListTheServer(t *testing.T) {
 	all := startMembers(t, 6)
 	observers, last := all[:5], all[5]
@@ -105,8 +105,8 @@
 		}
 		m.SetServers(list)
 	}
-	// Late answers alone lead to suspicion, as several members have them at a time. The observations are repeated:
-	// reports expire some seconds after the last one, and the machine may be slow.
+	// Late responses alone cause a suspicion if several members have them at a time. The observations are repeated, as
+	// reports expire some seconds after the last one and the machine may be slow.
 	observeLate := func(servers ...string) {
 		for _, m := range observers {
 			for _, server := range servers {
@@ -114,7 +114,7 @@
 			}
 		}
 	}
-	waitFor(t, "all members know of three servers", func() bool {
+	waitFor(t, "members are notified of the suspected servers in their lists", func() bool {
 		observeLate("s-1", "s-2", "s-3")
 		suspicions := last.status(t).Suspicions
 		if len(suspicions) < 3 || slices.ContainsFunc(suspicions, func(s SuspicionStatus) bool {
@@ -124,20 +124,20 @@
 		}
 		for _, s := range suspicions {
 			if want := s.ID == "s-1"; s.Listed != want {
-				t.Fatalf("status %+v, listed wanted: %v", s, want)
+				t.Fatalf("status %+v, want listed %v", s, want)
 			}
 		}
 		return all[0].hasSuspected("s-1", "s-2", "s-3") && last.hasSuspected("s-1")
 	})
 	all[2].Observe("s-1", failuredetector.Answered)
-	waitFor(t, "one good answer ends the suspicion at all members", func() bool {
+	waitFor(t, "one good response ends the suspicion at all members", func() bool {
 		observeLate("s-2", "s-3")
 		return last.hasSuspected() && all[0].hasSuspected("s-2", "s-3")
 	})
 }
 
-// TestPolicyAgentFollowsIncarnation has membership rise to a higher number of this process's incarnation, as a former
-// process had a high one: the policy agent gets it.
+// TestPolicyAgentFollowsIncarnation checks that the policy agent receives the new number when membership raises the
+// number of this process's incarnation above that of an earlier process.
 func TestPolicyAgentFollowsIncarnation(t *testing.T) {
 	const formerNumber = 1 << 60
 	c := &Config{
@@ -158,7 +158,7 @@
 	}
 	f.post(t.Context(), func(now replication.Now) {
 		if f.raiseIncarnation == nil {
-			t.Error("the policy agent does not get the number")
+			t.Error("loop has no function to raise the incarnation of the policy agent")
 		}
 		f.raiseIncarnation = func(number uint64) { raised <- number }
 		if err := f.machine.Members.Merge(now.Time, []membership.Member{former}, "n1"); err != nil {
@@ -168,10 +168,10 @@
 	select {
 	case got := <-raised:
 		if got != formerNumber+1 {
-			t.Errorf("the policy agent gets %d, want %d", got, uint64(formerNumber+1))
+			t.Errorf("policy agent received incarnation %d, want %d", got, uint64(formerNumber+1))
 		}
 	case <-time.After(patience):
-		t.Error("the policy agent gets no number")
+		t.Error("policy agent received no incarnation")
 	}
 	if err := f.Close(); err != nil {
 		t.Error(err)
--- a/internal/fleet/helpers_test.go
+++ b/internal/fleet/helpers_test.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	patience     = 30 * time.Second // until a condition must hold
+	patience     = 30 * time.Second // timeout for a condition to hold
 	pollInterval = 20 * time.Millisecond
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testMember is a member of a fleet, and the notifications that it has had.
+// testMember is a member of a fleet with the notifications that it has received.
 type testMember struct {
 	*Fleet
 	adminDownUpdates chan []string
 
 	mu        sync.Mutex
-	suspected []string // by the last notification
+	suspected []string // servers in the last notification
 }
 
-// startMember starts a member, which is closed when the test ends.
+// startMember starts a member and closes it when the test ends.
 func startMember(t *testing.T, name string, peers ...string) *testMember {
 	t.Helper()
 	m := &testMember{adminDownUpdates: make(chan []string, 100)}
@@ -60,14 +60,14 @@
 	slices.Sort(m.suspected)
 }
 
-// hasSuspected tells whether the last notification named these suspected servers and no others.
+// hasSuspected reports whether the last notification had exactly these suspected servers.
 func (m *testMember) hasSuspected(want ...string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Equal(m.suspected, want)
 }
 
-// waitForAdminDown waits for a notification that these servers, and no others, are administratively down.
+// waitForAdminDown waits for a notification that exactly these servers are administratively down.
 func (m *testMember) waitForAdminDown(t *testing.T, want ...string) {
 	t.Helper()
 	for timeout := time.After(patience); ; {
@@ -77,12 +77,12 @@
 				return
 			}
 		case <-timeout:
-			t.Fatalf("never notified that %v are down", want)
+			t.Fatalf("no notification that exactly %v are administratively down", want)
 		}
 	}
 }
 
-// status fails where the member does not answer.
+// status returns the member's status, and fails the test if the member does not respond.
 func (m *testMember) status(t *testing.T) Status {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
@@ -94,12 +94,12 @@
 	return s
 }
 
-// waitFor checks a condition until it holds.
+// waitFor polls a condition until it holds, and fails the test after patience.
 func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); !holds(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("condition not met within %v: %s", patience, what)
 		}
 	}
 }
--- a/internal/fleet/replication/main_test.go
+++ b/internal/fleet/replication/main_test.go
@@ -9,8 +9,8 @@
 	"milletramp.example/milletramp/internal/lab/testrun"
 )
 
-// TestMain tries properties 10,000 times, unless the call says otherwise, in a slot for packages that only compute.
+// TestMain checks properties with 10,000 draws unless a flag sets another number, in a slot for CPU-bound packages.
 func TestMain(m *testing.M) {
-	_ = flag.Set("rapid.checks", fmt.Sprint(testrun.Draws(10000))) // a flag of a library that is there
+	_ = flag.Set("rapid.checks", fmt.Sprint(testrun.Draws(10000))) // flag of package rapid, which always exists
 	os.Exit(testrun.Compute(m))
 }
--- a/internal/fleet/replication/store_test.go
+++ b/internal/fleet/replication/store_test.go
@@ -14,7 +14,7 @@
 
 var incarnations = []membership.ProcessIncarnation{{Number: 1, Nonce: 1}, {Number: 2, Nonce: 1}, {Number: 2, Nonce: 2}}
 
-// drawHand draws what some sidecars' calls on one server may have left: it plays calls and exchanges between three.
+// drawAdminStates draws the states of three sidecars after random calls on one server and random merges.
 func drawAdminStates(t *rapid.T) [3]AdminState {
 	states := [3]AdminState{}
 	clock := clock{}
@@ -29,7 +29,7 @@
 		)
 	}
 	for range rapid.IntRange(0, 12).Draw(t, "steps") {
-		i, j := rapid.IntRange(0, 2).Draw(t, "one"), rapid.IntRange(0, 2).Draw(t, "other")
+		i, j := rapid.IntRange(0, 2).Draw(t, "to"), rapid.IntRange(0, 2).Draw(t, "from")
 		if i == j {
 			states[i] = states[i].withCall(fmt.Sprint("n", i), uint64(i+1), rapid.Bool().Draw(t, "out"), clock.next(1))
 		} else {
@@ -40,13 +40,13 @@
 	return states
 }
 
-// TestMergesAreJoins: each kind's merge is associative, commutative and idempotent.
+// TestMergesAreJoins checks that the merge of each kind is associative, commutative and idempotent.
 func TestMergesAreJoins(t *testing.T) {
-	t.Run("by hand", rapid.MakeCheck(func(t *rapid.T) {
-		h := drawAdminStates(t)
-		checkJoin(t, h[0], h[1], h[2], mergeAdminStates, func(a, b AdminState) bool { return reflect.DeepEqual(a, b) })
-		for _, hand := range h {
-			if err := hand.check(); err != nil {
+	t.Run("operators' calls", rapid.MakeCheck(func(t *rapid.T) {
+		states := drawAdminStates(t)
+		checkJoin(t, states[0], states[1], states[2], mergeAdminStates, func(a, b AdminState) bool { return reflect.DeepEqual(a, b) })
+		for _, state := range states {
+			if err := state.check(); err != nil {
 				t.Error(err)
 			}
 		}
@@ -56,7 +56,7 @@
 			return Row{
 				Owner:       "n",
 				Server:      "s",
-				Incarnation: rapid.SampledFrom(incarnations).Draw(t, "life"),
+				Incarnation: rapid.SampledFrom(incarnations).Draw(t, "incarnation"),
 				Version:     rapid.Uint64Range(1, 2).Draw(t, "version"),
 				Boot:        rapid.Int64Range(0, 1).Draw(t, "boot"),
 				Evidence:    Evidence{Attempts: rapid.Uint32Range(0, 1).Draw(t, "tries")},
@@ -70,7 +70,7 @@
 			return Test{
 				Server:    "s",
 				Version:   rapid.Uint64Range(1, 2).Draw(t, "version"),
-				Tester:    rapid.SampledFrom([]string{"a", "b"}).Draw(t, "by"),
+				Tester:    rapid.SampledFrom([]string{"a", "b"}).Draw(t, "tester"),
 				Ended:     rapid.Bool().Draw(t, "ended"),
 				Well:      rapid.Bool().Draw(t, "well"),
 				writtenAt: Time(rapid.Int64Range(0, 2).Draw(t, "born")),
@@ -78,7 +78,7 @@
 		}
 		checkJoin(t, draw(), draw(), draw(), laterTest, func(a, b Test) bool { return a == b })
 	}))
-	t.Run("witnesses", rapid.MakeCheck(func(t *rapid.T) {
+	t.Run("samples of rows", rapid.MakeCheck(func(t *rapid.T) {
 		var all []Row
 		for i := range rapid.IntRange(0, 60).Draw(t, "rows") {
 			all = append(all, Row{Owner: fmt.Sprint("n", i), Server: "s"})
@@ -87,24 +87,25 @@
 		cut := rapid.IntRange(0, len(all)).Draw(t, "cut")
 		parts := append(slices.Clone(sampleRows(slices.Clone(all[:cut]))), sampleRows(slices.Clone(all[cut:]))...)
 		if parts = sampleRows(parts); !slices.Equal(parts, once) {
-			t.Errorf("kept %v in parts, %v at once", parts, once)
+			t.Errorf("sample %v in two steps, want %v as in one step", parts, once)
 		}
 	}))
 }
 
+// checkJoin checks that merge is commutative, associative and idempotent for a, b and c.
 func checkJoin[T any](t *rapid.T, a, b, c T, merge func(T, T) T, same func(T, T) bool) {
 	if x, y := merge(a, b), merge(b, a); !same(x, y) {
-		t.Errorf("the order matters: %+v and %+v give %+v or %+v", a, b, x, y)
+		t.Errorf("merge is not commutative: %+v and %+v give %+v or %+v", a, b, x, y)
 	}
 	if x, y := merge(merge(a, b), c), merge(a, merge(b, c)); !same(x, y) {
-		t.Errorf("the grouping matters: %+v, %+v and %+v give %+v or %+v", a, b, c, x, y)
+		t.Errorf("merge is not associative: %+v, %+v and %+v give %+v or %+v", a, b, c, x, y)
 	}
 	if x := merge(a, a); !same(x, a) {
-		t.Errorf("twice is not once: %+v gives %+v", a, x)
+		t.Errorf("merge is not idempotent: %+v gives %+v", a, x)
 	}
 }
 
-// copies are stores that exchange pieces.
+// newStores returns n empty replicas named n0, n1 and so on.
 func newStores(n int) []*Store {
 	var all []*Store
 	for i := range n {
@@ -113,7 +114,7 @@
 	return all
 }
 
-// replicate has one copy hear a piece of another.
+// replicate merges an item of one replica into another one, if it exists.
 func replicate(t rapid.TB, now Now, to, from *Store, k Key) {
 	t.Helper()
 	if item, ok := from.Item(now, k); ok {
@@ -123,29 +124,29 @@
 	}
 }
 
-// TestCopiesAgree has three copies write and exchange pieces in any order, some of them twice. Once each has heard
-// what the others hold, all hold the same, and nothing acknowledged to the staff is forgotten: a server is out
-// exactly if some last call on it, of which no later caller knew otherwise, says so.
-func TestCopiesAgree(t *testing.T) {
+// TestReplicasConverge has three replicas write and exchange items in random order, some of them twice. After a complete
+// exchange all replicas are equal, and no operator's call is lost: a server is down exactly if a call set it down that
+// no later call with knowledge of it has replaced.
+func TestReplicasConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all, now := newStores(3), Now{Time: time.Minute, Wall: 1e12}
 		type call struct {
-			out  bool
-			knew []int // earlier calls
+			down  bool
+			known []int // indexes of earlier calls
 		}
 		calls := map[string][]call{}
-		knows := [3]map[string][]int{{}, {}, {}} // by copy: the calls that its state stems from
+		seen := [3]map[string][]int{{}, {}, {}} // by replica and server: indexes of the calls in its state
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			i, server := rapid.IntRange(0, 2).Draw(t, "copy"), rapid.SampledFrom([]string{"s", "r"}).Draw(t, "server")
+			i, server := rapid.IntRange(0, 2).Draw(t, "replica"), rapid.SampledFrom([]string{"s", "r"}).Draw(t, "server")
 			now.Wall = 1e12 + rapid.Int64Range(-2000, 2000).Draw(t, "clock")
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
-				out := rapid.Bool().Draw(t, "out")
-				if _, err := all[i].RecordCall(now, server, out); err != nil {
+				down := rapid.Bool().Draw(t, "down")
+				if _, err := all[i].RecordCall(now, server, down); err != nil {
 					t.Fatal(err)
 				}
-				calls[server] = append(calls[server], call{out, slices.Clone(knows[i][server])})
-				knows[i][server] = append(knows[i][server], len(calls[server])-1)
+				calls[server] = append(calls[server], call{down, slices.Clone(seen[i][server])})
+				seen[i][server] = append(seen[i][server], len(calls[server])-1)
 			case 1:
 				if _, err := all[i].WriteRow(now, server, 0, Evidence{Attempts: 1, Unanswered: 1}); err != nil {
 					t.Fatal(err)
@@ -162,9 +163,9 @@
 					if k.Server == server && rapid.IntRange(0, 3).Draw(t, "lost") > 0 {
 						replicate(t, now, all[i], all[j], k)
 						if k.Kind == KindAdmin {
-							for _, c := range knows[j][server] {
-								if !slices.Contains(knows[i][server], c) {
-									knows[i][server] = append(knows[i][server], c)
+							for _, c := range seen[j][server] {
+								if !slices.Contains(seen[i][server], c) {
+									seen[i][server] = append(seen[i][server], c)
 								}
 							}
 						}
@@ -172,7 +173,7 @@
 				}
 			}
 		}
-		for range 2 { // all hear all
+		for range 2 { // complete exchange
 			for i := range all {
 				for j := range all {
 					for _, k := range all[j].Keys() {
@@ -183,69 +184,70 @@
 		}
 		for i := range all {
 			if all[i].Digest() != all[0].Digest() {
-				t.Errorf("copies 0 and %d differ", i)
+				t.Errorf("replicas 0 and %d differ", i)
 			}
 		}
 		for server, list := range calls {
 			want := false
 			for n, c := range list {
-				answered := slices.ContainsFunc(list, func(later call) bool { return slices.Contains(later.knew, n) })
-				want = want || c.out && !answered
+				replaced := slices.ContainsFunc(list, func(later call) bool { return slices.Contains(later.known, n) })
+				want = want || c.down && !replaced
 			}
 			if got := slices.Contains(all[0].AdminDown(), server); got != want {
-				t.Errorf("%s is out %v, want %v by calls %v", server, got, want, list)
+				t.Errorf("server %s down: %v, want %v after calls %v", server, got, want, list)
 			}
 		}
 	})
 }
 
-// TestOutWins plays the two sides of a cut, and who may end it.
-func TestOutWins(t *testing.T) {
+// TestConcurrentCallsDownWins checks that of concurrent calls on both sides of a network partition the one that sets the
+// server down wins, and that a later call replaces both, whatever the clocks are.
+func TestConcurrentCallsDownWins(t *testing.T) {
 	c, now := newStores(2), Now{Time: time.Minute, Wall: 1e12}
-	both := func() {
+	exchange := func() {
 		for range 2 {
 			replicate(t, now, c[0], c[1], Key{KindAdmin, "s", ""})
 			replicate(t, now, c[1], c[0], Key{KindAdmin, "s", ""})
 		}
 	}
-	call := func(i int, wall int64, out bool) {
+	call := func(i int, wall int64, down bool) {
 		t.Helper()
-		if _, err := c[i].RecordCall(Now{now.Time, wall}, "s", out); err != nil {
+		if _, err := c[i].RecordCall(Now{now.Time, wall}, "s", down); err != nil {
 			t.Fatal(err)
 		}
 	}
-	want := func(out bool) {
+	want := func(down bool) {
 		t.Helper()
 		for i := range c {
-			if got := len(c[i].AdminDown()) == 1; got != out {
-				t.Errorf("copy %d has it out %v, want %v", i, got, out)
+			if got := len(c[i].AdminDown()) == 1; got != down {
+				t.Errorf("replica %d has the server down: %v, want %v", i, got, down)
 			}
 		}
 	}
 	call(0, 1e12, true)
-	both()
+	exchange()
 	want(true)
-	call(1, 1e12+3600_000, false) // an hour ahead; it has seen the other call
-	both()
+	call(1, 1e12+3600_000, false) // its clock is an hour ahead; it has seen the previous call
+	exchange()
 	want(false)
-	call(0, 1e12+1, true) // and has seen this one
-	both()
+	call(0, 1e12+1, true) // has seen the previous call
+	exchange()
 	want(true)
-	call(0, 1e12+2, false) // a cut: both call
+	call(0, 1e12+2, false) // network partition: both sidecars record a call
 	call(1, 1e12+3, true)
-	both()
+	exchange()
 	want(true)
 	if h, _ := c[0].AdminState("s"); !h.Disputed() {
-		t.Error("nobody sees that two calls stand beside each other")
+		t.Error("concurrent calls are not reported as disputed")
 	}
 	call(0, 1e12+4, false)
-	both()
+	exchange()
 	want(false)
 }
 
-// TestRowsDie: a row fades, dies with its owner, and never comes back from a former incarnation, in whatever order it
-// arrives.
-func TestRowsDie(t *testing.T) {
+// TestRowsExpire checks that a row is dropped when it has expired or its owner is dead, and that neither an expired row
+// nor one of a dead incarnation nor a peer's version of an own row is merged.
+func TestRowsExpire(t *testing.T) {
 	c, now := newStores(2), Now{Time: time.Minute, Wall: 1e12}
 	k, err := c[0].WriteRow(now, "s", 0, Evidence{Attempts: 3, Unanswered: 3})
 	if err != nil {
@@ -253,55 +255,55 @@
 	}
 	former, _ := c[0].Item(now, k)
 	replicate(t, now, c[1], c[0], k)
-	has := func(n int) {
+	wantRows := func(n int) {
 		t.Helper()
 		if got := len(c[1].Rows(now, "s")); got != n {
 			t.Errorf("%d rows, want %d", got, n)
 		}
 	}
-	has(1)
+	wantRows(1)
 	c[1].MarkDead("n0", membership.ProcessIncarnation{Number: 1, Nonce: 1})
-	has(0)
-	if news, _ := c[1].Merge(now, former, "n0"); news {
-		t.Error("a dead one's row came back")
+	wantRows(0)
+	if changed, _ := c[1].Merge(now, former, "n0"); changed {
+		t.Error("row of a dead incarnation merged")
 	}
-	has(0)
+	wantRows(0)
 	c[0].SetIncarnation(membership.ProcessIncarnation{Number: 2, Nonce: 1})
 	if k, err = c[0].WriteRow(now, "s", 0, Evidence{Attempts: 3, Unanswered: 3}); err != nil {
 		t.Fatal(err)
 	}
 	replicate(t, now, c[1], c[0], k)
-	has(1)
+	wantRows(1)
 	former, _ = c[0].Item(now, k)
 	late := now
 	late.Time += rowLifetime - time.Millisecond
 	c[1].Expire(late)
-	has(1)
+	wantRows(1)
 	late.Time += time.Millisecond
 	c[1].Expire(late)
 	if len(c[1].ServersWithEvidence()) != 0 {
-		t.Error("a row that was not written again has not faded")
+		t.Error("row that was not renewed has not expired")
 	}
 	old := *former.Row
 	old.Age = uint32(rowLifetime / time.Millisecond)
-	if news, _ := c[1].Merge(now, Item{Row: &old}, "n0"); news {
-		t.Error("a faded row came back")
+	if changed, _ := c[1].Merge(now, Item{Row: &old}, "n0"); changed {
+		t.Error("expired row merged")
 	}
-	mine := Row{Owner: "n1", Incarnation: c[1].incarnation, Server: "s", Version: 99, Evidence: Evidence{Attempts: 9, Unanswered: 9}}
-	if news, _ := c[1].Merge(now, Item{Row: &mine}, "n0"); news {
-		t.Error("another one wrote the own row")
+	own := Row{Owner: "n1", Incarnation: c[1].incarnation, Server: "s", Version: 99, Evidence: Evidence{Attempts: 9, Unanswered: 9}}
+	if changed, _ := c[1].Merge(now, Item{Row: &own}, "n0"); changed {
+		t.Error("peer's version of an own row merged")
 	}
 }
 
-// TestForgotten: what the staff said is kept as long as any sidecar lists the server, and a day longer.
-func TestForgotten(t *testing.T) {
+// TestCallsAreRetained checks that operators' calls are kept while any sidecar lists the server, and for a day after that.
+func TestCallsAreRetained(t *testing.T) {
 	c, now := newStores(2), Now{Time: time.Minute, Wall: 1e12}
 	if _, err := c[0].RecordCall(now, "s", true); err != nil {
 		t.Fatal(err)
 	}
 	replicate(t, now, c[1], c[0], Key{KindAdmin, "s", ""})
 	day := int64(24 * time.Hour / time.Millisecond)
-	for range 30 { // a month on one list
+	for range 30 { // a month in the list of one sidecar
 		now.Wall += day
 		c[1].MarkListed(now, []string{"s"})
 		replicate(t, now, c[0], c[1], Key{KindAdmin, "s", ""})
@@ -309,23 +311,23 @@
 		c[1].Expire(now)
 	}
 	if len(c[0].AdminDown()) != 1 {
-		t.Fatal("it was forgotten while a sidecar listed it")
+		t.Fatal("call dropped while a sidecar lists the server")
 	}
-	left, _ := c[1].Item(now, Key{KindAdmin, "s", ""})
+	item, _ := c[1].Item(now, Key{KindAdmin, "s", ""})
 	now.Wall += 2 * day
 	c[0].Expire(now)
 	if len(c[0].AdminDown()) != 0 {
-		t.Error("it was not forgotten")
+		t.Error("call not dropped after the retention period")
 	}
-	if news, _ := c[0].Merge(now, left, "n1"); news || len(c[0].AdminDown()) != 0 {
-		t.Error("what was forgotten came back")
+	if changed, _ := c[0].Merge(now, item, "n1"); changed || len(c[0].AdminDown()) != 0 {
+		t.Error("dropped call merged again")
 	}
 }
 
-// TestBounds has a peer tell of far too much: what is held stays bounded, and what the staff says here is still taken.
-func TestBounds(t *testing.T) {
+// TestSizeLimits has a peer send too many items. The size of the store stays limited, and it still records operators' calls.
+func TestSizeLimits(t *testing.T) {
 	s, now := New("n0", incarnations[0]), Now{Time: time.Minute, Wall: 1e12}
-	refused := 0
+	rejected := 0
 	for i := range 100_000 {
 		server := fmt.Sprint("s-", i)
 		for _, item := range []Item{
@@ -333,15 +335,15 @@
 			{Start: &Start{server, 1e12}}, {Test: &Test{Server: server, Version: 1, Tester: "x"}},
 		} {
 			if _, err := s.Merge(now, item, "peer"); err != nil {
-				refused++
+				rejected++
 			}
 		}
 	}
-	if len(s.rows) > maxSuspects || len(s.starts) > maxStarts || len(s.tests) > maxTests || refused == 0 {
-		t.Errorf("it holds evidence on %d, starts of %d, tests of %d", len(s.rows), len(s.starts), len(s.tests))
+	if len(s.rows) > maxSuspects || len(s.starts) > maxStarts || len(s.tests) > maxTests || rejected == 0 {
+		t.Errorf("store has evidence on %d servers, starts of %d, tests of %d", len(s.rows), len(s.starts), len(s.tests))
 	}
 	if _, err := s.RecordCall(now, "s-1", true); err != nil {
-		t.Errorf("no room for the staff: %v", err)
+		t.Errorf("operator's call rejected: %v", err)
 	}
 	for i := range 1000 {
 		r := Row{
@@ -360,8 +362,8 @@
 	}
 }
 
-// TestBadItems turns down what cannot be.
-func TestBadItems(t *testing.T) {
+// TestInvalidItemsAreRejected checks that each invalid item returns an error and changes nothing.
+func TestInvalidItemsAreRejected(t *testing.T) {
 	now := Now{Time: time.Minute, Wall: 1e12}
 	good := AdminState{Server: "s"}.withCall("n", 1, true, Stamp{1, 0})
 	twice := good
@@ -371,35 +373,36 @@
 	none := good
 	none.Standing = nil
 	for name, item := range map[string]Item{
-		"nothing": {}, "two kinds": {Admin: &good, Start: &Start{"s", 1}}, "a life twice": {Admin: &twice},
-		"a call not seen": {Admin: &unseen}, "no call": {Admin: &none}, "no server": {Start: &Start{"", 1}},
-		"a start to come": {Start: &Start{"s", 1e12 + 60_000}}, "a row of nobody": {Row: &Row{Server: "s", Version: 1, Incarnation: incarnations[0]}},
-		"a row of no version": {Row: &Row{Server: "s", Owner: "x", Incarnation: incarnations[0]}}, "a test by nobody": {Test: &Test{Server: "s", Version: 1}},
+		"no field set": {}, "two fields set": {Admin: &good, Start: &Start{"s", 1}}, "duplicate incarnation": {Admin: &twice},
+		"standing call not seen": {Admin: &unseen}, "no standing call": {Admin: &none}, "empty server ID": {Start: &Start{"", 1}},
+		"start in the future": {Start: &Start{"s", 1e12 + 60_000}}, "row without owner": {Row: &Row{Server: "s", Version: 1, Incarnation: incarnations[0]}},
+		"row without version": {Row: &Row{Server: "s", Owner: "x", Incarnation: incarnations[0]}}, "test without tester": {Test: &Test{Server: "s", Version: 1}},
 	} {
 		s := New("n0", incarnations[0])
-		if news, err := s.Merge(now, item, "peer"); err == nil || news || s.Digest() != (Digest{}) {
-			t.Errorf("%s: news %v, error %v", name, news, err)
+		if changed, err := s.Merge(now, item, "peer"); err == nil || changed || s.Digest() != (Digest{}) {
+			t.Errorf("%s: changed %v, error %v; want an error and no change", name, changed, err)
 		}
 	}
 }
 
-// TestStamps: a clock that is ahead takes nobody along, one that steps back makes no stamp twice.
+// TestStamps checks that stamps follow other sidecars' stamps, except those too far ahead, and increase when the wall clock
+// jumps back.
 func TestStamps(t *testing.T) {
 	var c clock
 	first := c.next(1000)
 	c.follow(Stamp{1000 + 3600_000, 0}, 1000)
 	second := c.next(900)
 	if first.compare(second) >= 0 || second.Wall > 1000+maxAheadMillis {
-		t.Errorf("stamps %v, %v", first, second)
+		t.Errorf("stamps %v, %v: want increasing ones close to the wall clock", first, second)
 	}
 	c.follow(Stamp{3000, 7}, 1000)
 	if third := c.next(1000); third.compare(Stamp{3000, 7}) <= 0 {
-		t.Errorf("stamp %v is not behind one that was seen", third)
+		t.Errorf("stamp %v is not later than a followed stamp", third)
 	}
 }
 
-// TestDigestTellsKinds: a change of any kind shows, and in its own part.
-func TestDigestTellsKinds(t *testing.T) {
+// TestDigestDistinguishesKinds checks that a change of any kind of item changes the sum of that kind and no other.
+func TestDigestDistinguishesKinds(t *testing.T) {
 	now := Now{Time: time.Minute, Wall: 1e12}
 	for k, change := range map[Kind]func(*Store) error{
 		KindAdmin: func(s *Store) error { _, err := s.RecordCall(now, "s", true); return err },
@@ -408,7 +411,7 @@
 		KindTest:  func(s *Store) error { _, err := s.RecordTest(now, "s", 0, false, false); return err },
 	} {
 		s := New("n0", incarnations[0])
-		for range 2 { // a first one, and a change to it
+		for range 2 { // creation and update
 			before := s.Digest().PerKind()
 			now.Wall++
 			if err := change(s); err != nil {
@@ -419,7 +422,7 @@
 			}
 			for other, sum := range s.Digest().PerKind() {
 				if changed := sum != before[other]; changed != (Kind(other) == k) {
-					t.Errorf("a change of %v: sum of %v changed %v", k, Kind(other), changed)
+					t.Errorf("after a change of %v: sum of %v changed: %v", k, Kind(other), changed)
 				}
 			}
 		}
--- a/internal/fleet/snapshot_fault_test.go
+++ b/internal/fleet/snapshot_fault_test.go
@@ -31,23 +31,23 @@
 	return string(content)
 }
 
-// snapshotFault is a fault that begins with an operation of the second write.
+// snapshotFault is a fault that starts at an operation of the second write.
 type snapshotFault struct {
 	name       string
 	err        error // nil: the process is killed
-	operations int   // that fail
-	newer      bool  // a newer snapshot comes meanwhile
-	ends       bool  // the Fleet is closed meanwhile
+	operations int   // number of failing operations
+	newer      bool  // a newer snapshot arrives during the fault
+	ends       bool  // the writer is stopped during the fault
 }
 
-// TestSnapshotFileSurvivesEachFault has each operation of a write fail for a while, or be the one in which the process
-// is killed: the file has the former snapshot or the new one, and the new one as soon as that is possible, with one line
-// of the log at each end.
+// TestSnapshotFileSurvivesEachFault makes each operation of a write fail for a while, or kills the process at it. The
+// file always has the previous or the new snapshot, and the new one once the fault is over. The start and the end of the
+// fault are logged once each.
 func TestSnapshotFileSurvivesEachFault(t *testing.T) {
 	for _, fault := range []snapshotFault{
 		{"ENOSPC once", syscall.ENOSPC, 1, false, false},
 		{"ENOSPC for a while", syscall.ENOSPC, 30, false, false},
-		{"EIO for a while, and a newer snapshot", syscall.EIO, 30, true, false},
+		{"EIO for a while and a newer snapshot", syscall.EIO, 30, true, false},
 		{"EIO to the end", syscall.EIO, 1000, false, true},
 		{"kill", nil, 0, false, true},
 	} {
@@ -59,7 +59,7 @@
 	}
 }
 
-// checkSnapshotFault runs in a bubble of synctest.
+// checkSnapshotFault injects a fault at an operation and checks the file and the log. It runs in a synctest bubble.
 func checkSnapshotFault(t *testing.T, fault snapshotFault, operation int) {
 	var log bytes.Buffer
 	path := filepath.Join(t.TempDir(), "x.state")
@@ -86,17 +86,17 @@
 		send(want)
 	}
 	if got := readSnapshotText(t, path); got != "former" && got != "next" && got != want {
-		t.Errorf("meanwhile the file has %q", got)
+		t.Errorf("file has %q during the fault", got)
 	}
 	if !fault.ends {
 		time.Sleep(time.Duration(fault.operations) * maxSnapshotBackoff)
 		synctest.Wait()
 		if got := readSnapshotText(t, path); got != want {
-			t.Errorf("the file has %q, want %q", got, want)
+			t.Errorf("file has %q after the fault, want %q", got, want)
 		}
 		for _, line := range []string{"fleet snapshot file not written; retrying", "fleet snapshot file written after failures"} {
 			if n := strings.Count(log.String(), line); n != 1 {
-				t.Errorf("the log says %d times %q", n, line)
+				t.Errorf("log has %d lines %q, want 1", n, line)
 			}
 		}
 	}
@@ -107,6 +107,6 @@
 		t.Error(err)
 	}
 	if got := readSnapshotText(t, path); got != "former" && got != want {
-		t.Errorf("in the end the file has %q", got)
+		t.Errorf("file has %q after the end of the writer, want \"former\" or %q", got, want)
 	}
 }
--- a/internal/fleet/snapshot_test.go
+++ b/internal/fleet/snapshot_test.go
@@ -13,8 +13,8 @@
 	"milletramp.example/milletramp/internal/fsys"
 )
 
-// TestSnapshotFileOutlastsTheWholeFleet restarts the one member of a fleet, with and without a folder: with one it
-// knows the operators' calls.
+// TestSnapshotFileOutlastsTheWholeFleet restarts the only member of a fleet with and without a snapshot folder. With one,
+// the operators' calls are restored.
 func TestSnapshotFileOutlastsTheWholeFleet(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -46,7 +46,8 @@
 	}
 }
 
-// TestDamagedSnapshotFileIsRejected cuts a file at each byte and changes each: all are rejected, with a reason.
+// TestDamagedSnapshotFileIsRejected truncates a file at each byte and changes each byte. All results are rejected with an
+// error.
 func TestDamagedSnapshotFileIsRejected(t *testing.T) {
 	const content = "operators' calls"
 	path := filepath.Join(t.TempDir(), "x.state")
@@ -62,31 +63,30 @@
 	}
 	for i := range data {
 		if _, err := decodeSnapshot(data[:i]); err == nil {
-			t.Errorf("cut at byte %d it is taken", i)
+			t.Errorf("file truncated at byte %d accepted", i)
 		}
 		corrupt := slices.Clone(data)
 		corrupt[i] ^= 0x20
 		if _, err := decodeSnapshot(corrupt); err == nil {
-			t.Errorf("with byte %d changed it is taken", i)
+			t.Errorf("file with byte %d changed accepted", i)
 		}
 	}
 	if err := os.WriteFile(path, data[:len(data)-1], 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := readSnapshot(path, "test"); err == nil || !strings.Contains(err.Error(), "bytes") {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want one with the number of bytes", err)
 	}
 	if items, _, err := readSnapshot(path+"x", "test"); err != nil || items != nil {
-		t.Errorf("%v, error %v where there is no file", items, err)
+		t.Errorf("items %v, error %v for a missing file", items, err)
 	}
 }
 
-// TestSnapshotFileOfEarlierBuildIsRead reads a file as the build f152def wrote it, under the name and label of its
-// sidecar.
+// TestSnapshotFileOfEarlierBuildIsRead reads a file that build f152def wrote, under the name and label of its sidecar.
 func TestSnapshotFileOfEarlierBuildIsRead(t *testing.T) {
 	c := &Config{Label: "test", SnapshotFolder: filepath.Join("testdata", "f152def")}
 	if _, err := os.Stat(c.snapshotPath("a")); err != nil {
-		t.Fatal(err) // readSnapshot takes no file for an empty one
+		t.Fatal(err) // readSnapshot returns no error for a missing file
 	}
 	items, peers, err := readSnapshot(c.snapshotPath("a"), c.Label)
 	if err != nil || len(items) != 3 || !slices.Equal(peers, []string{"127.0.0.1:59228"}) {
@@ -109,12 +109,12 @@
 		got, dot := items[i].Admin, replication.Dot{By: "a", Nonce: nonce, Count: want.count}
 		if got == nil || got.Server != want.server || got.Listed != listed ||
 			!slices.Equal(got.Seen, []replication.Dot{dot}) || len(got.Standing) != 1 {
-			t.Errorf("item %d read as %+v, want %+v", i, got, want)
+			t.Errorf("item %d is %+v, want %+v", i, got, want)
 			continue
 		}
 		call := got.Standing[0]
 		if call.Dot != dot || call.Down != want.down || call.At.String() != want.at {
-			t.Errorf("item %d read with the call %+v, want %+v", i, call, want)
+			t.Errorf("item %d has call %+v, want %+v", i, call, want)
 		}
 	}
 }
