--- a/internal/fleet/replication/suspicion.go
+++ b/internal/fleet/replication/suspicion.go
@@ -7,66 +7,69 @@
 	"time"
 )
 
-// A server is suspected where enough sidecars have had no answer from it and none has had one since.
+// A server is suspected if enough sidecars have had bad outcomes at it and none has had a good response since.
 const (
-	// rowCountsFor is how long a row counts; its owner writes it again sooner while it holds.
+	// rowCountsFor is how long a row counts. Its owner rewrites it more often than that while it holds.
 	rowCountsFor = 2 * time.Second
-	// minBadOutcomes is how many requests without an answer are needed over all sidecars that accuse a server, of which
-	// one sidecar brings maxBadPerSidecar at most.
+	// minBadOutcomes is the minimum number of bad outcomes over all sidecars that report a server. At most
+	// maxBadPerSidecar of one sidecar count.
 	minBadOutcomes   = 4
 	maxBadPerSidecar = 2
-	// quorum is how many sidecars have to agree, this one among them, and smallQuorum in a fleet of quorum or fewer.
+	// quorum is the number of sidecars, including this one, that must report a server. In a fleet of at most quorum
+	// sidecars it is smallQuorum.
 	quorum      = 3
 	smallQuorum = 2
-	// maxAccusedShare is the share of the servers that a sidecar may accuse and be believed: beyond it the fault is
-	// likely its own.
-	maxAccusedShare = 0.5
+	// maxReportedShare is the maximum share of the servers that a sidecar may report. The rows of a sidecar that
+	// reports more do not count, as the fault is probably its own.
+	maxReportedShare = 0.5
 )
 
-// badOutcomes counts what accuses a server since its last good answer. Errors do not: a server that fails some of its
-// requests serves the others. A peer may write counts of any size.
+// badOutcomes returns the number of outcomes that count against a server since its last good response. Error responses
+// do not count: a server that fails some of its requests serves the others. Peers may send counts of any size.
 func (e Evidence) badOutcomes() uint64 { return uint64(max(e.Unanswered, e.Late)) + uint64(e.Refused) }
 
-// accuses reports whether a row counts against its server now.
-func (r Row) accuses(now Now) bool {
+// reportsFailure reports whether a row counts against its server now.
+func (r Row) reportsFailure(now Now) bool {
 	return now.Time-r.writtenAt < rowCountsFor && r.Evidence.badOutcomes() > 0
 }
 
-// lastGood returns when the row's owner last had a good answer, and whether the row says so.
+// lastGood returns when the row's owner last had a good response, and whether the row has this time.
 func (r Row) lastGood() (at Time, known bool) {
-	return r.writtenAt - Time(r.Evidence.Good)*time.Millisecond, r.Evidence.Good > 0
+	return r.writtenAt - Time(r.Evidence.SinceGoodMS)*time.Millisecond, r.Evidence.SinceGoodMS > 0
 }
 
-// lastBad returns when the row's owner last waited in vain. Writing a row again does not make that any younger: a good
-// answer would otherwise be outdated by the next row of an owner that has not tried the server since.
-func (r Row) lastBad() Time { return r.writtenAt - Time(r.Evidence.Bad)*time.Millisecond }
+// lastBad returns when the row's owner last had a bad outcome. Rewriting a row does not change this time: otherwise the
+// next row of an owner that has made no attempt since would override a good response.
+func (r Row) lastBad() Time { return r.writtenAt - Time(r.Evidence.SinceBadMS)*time.Millisecond }
 
-// Suspicion is a server that the fleet suspects.
+// Suspicion describes a server that the fleet suspects.
 type Suspicion struct {
 	Server   string
-	Boot     int64 // of the process that is spoken of
-	Sidecars int   // that accuse it
-	Newest   Time  // when one of them last waited in vain
+	Boot     int64 // start of the suspected process, Unix milliseconds
+	Sidecars int   // number of sidecars that report it
+	LastBad  Time  // time of the last bad outcome at any of them
 }
 
-// Suspicions weighs the rows of sidecars that are here, on the process of each server that most of them accuse.
-// members is how many sidecars there are, servers how many servers. The most widely suspected come first.
+// Suspicions evaluates the rows of this sidecar and of those that present accepts, for the process of each server that
+// most rows report. members is the number of sidecars, and servers the number of servers. The result is sorted by
+// descending number of reporting sidecars.
 //
-// A sidecar whose network is broken believes all servers dead; it is not believed. Late answers are no silence: a
-// good answer of anybody after an owner's last bad outcome refutes its row. So one sidecar's word is enough to have
-// the others decide as if there were no fleet, which does no harm.
-func (s *Store) Suspicions(now Now, here func(owner string) bool, members, servers int) (suspicions []Suspicion) {
-	accused := s.accusedByOwner(now)
+// The rows of a sidecar that reports more than maxReportedShare of the servers do not count, as its own network is
+// probably broken. A good response at any sidecar after an owner's last bad outcome refutes the owner's row, as late
+// responses do not mean that a server is unresponsive. One sidecar can therefore refute a suspicion; the others then
+// decide as they would without a fleet, which does no harm.
+func (s *Store) Suspicions(now Now, present func(owner string) bool, members, servers int) (suspicions []Suspicion) {
+	reported := s.countReportedServers(now)
 	counts := func(r Row) bool {
-		believed := float64(accused[r.Owner]) <= max(maxAccusedShare*float64(servers), 1)
-		return believed && (r.Owner == s.name || here(r.Owner))
+		credible := float64(reported[r.Owner]) <= max(maxReportedShare*float64(servers), 1)
+		return credible && (r.Owner == s.name || present(r.Owner))
 	}
 	needed := quorum
 	if members <= quorum {
 		needed = smallQuorum
 	}
 	for server, rows := range s.rows {
-		suspicion, outcomes := weigh(now, server, rows, counts)
+		suspicion, outcomes := evaluateRows(now, server, rows, counts)
 		if suspicion.Sidecars >= needed && outcomes >= minBadOutcomes {
 			suspicions = append(suspicions, suspicion)
 		}
@@ -77,22 +80,22 @@
 	return suspicions
 }
 
-// accusedByOwner counts the servers that each sidecar accuses.
-func (s *Store) accusedByOwner(now Now) map[string]int {
-	accused := map[string]int{}
+// countReportedServers returns the number of servers that each sidecar reports.
+func (s *Store) countReportedServers(now Now) map[string]int {
+	reported := map[string]int{}
 	for _, rows := range s.rows {
 		for _, r := range rows {
-			if r.accuses(now) {
-				accused[r.Owner]++
+			if r.reportsFailure(now) {
+				reported[r.Owner]++
 			}
 		}
 	}
-	return accused
+	return reported
 }
 
-// weigh returns what the rows that count say of one server, and the bad outcomes that they bring.
-func weigh(now Now, server string, rows []Row, counts func(Row) bool) (suspicion Suspicion, outcomes uint64) {
-	suspicion = Suspicion{Server: server, Boot: accusedProcess(now, rows)}
+// evaluateRows returns the suspicion of one server by the rows that count, and the number of their bad outcomes.
+func evaluateRows(now Now, server string, rows []Row, counts func(Row) bool) (suspicion Suspicion, outcomes uint64) {
+	suspicion = Suspicion{Server: server, Boot: mostReportedBoot(now, rows)}
 	answered := Time(0)
 	for _, r := range rows {
 		if at, known := r.lastGood(); known && r.Boot == suspicion.Boot && counts(r) {
@@ -100,22 +103,22 @@
 		}
 	}
 	for _, r := range rows {
-		if r.Boot != suspicion.Boot || !counts(r) || !r.accuses(now) || r.lastBad() <= answered {
+		if r.Boot != suspicion.Boot || !counts(r) || !r.reportsFailure(now) || r.lastBad() <= answered {
 			continue
 		}
 		outcomes += min(r.Evidence.badOutcomes(), maxBadPerSidecar)
 		suspicion.Sidecars++
-		suspicion.Newest = max(suspicion.Newest, r.lastBad())
+		suspicion.LastBad = max(suspicion.LastBad, r.lastBad())
 	}
 	return suspicion, outcomes
 }
 
-// accusedProcess returns the process of a server that most rows accuse, of two the newer one. Were it the newest that
-// any row names, one false start would void the rows of all others.
-func accusedProcess(now Now, rows []Row) (boot int64) {
+// mostReportedBoot returns the start of the process that most rows report, or the latest such start on a tie. If it
+// used the latest start in any row, one wrong start would invalidate the rows of all other sidecars.
+func mostReportedBoot(now Now, rows []Row) (boot int64) {
 	count := map[int64]int{}
 	for _, r := range rows {
-		if r.accuses(now) {
+		if r.reportsFailure(now) {
 			count[r.Boot]++
 		}
 	}
