--- a/balance/admin.go
+++ b/balance/admin.go
@@ -21,7 +21,8 @@
 		b.applyAdminDown(now, id, true)
 		b.actions.Log("server " + id + " set administratively down")
 	default:
-		// The endpoint was probably restarted while it was down, which discovery may report late or never.
+		// The endpoint was probably restarted while it was down. Discovery may report the restart late or
+		// never.
 		b.restored[id] = now
 		if e != nil {
 			b.forgetObservations(e, now, now)
@@ -35,8 +36,8 @@
 	return true
 }
 
-// AdoptAdminDown makes endpoints administratively down that are so already elsewhere, such as in the
-// predecessor process, whether or not they are listed.
+// AdoptAdminDown makes endpoints administratively down, whether or not they are listed. The caller passes the
+// endpoints that are administratively down elsewhere, such as in the predecessor process.
 func (b *Balancer) AdoptAdminDown(now Time, ids []string) {
 	for _, id := range ids {
 		b.applyAdminDown(now, id, true)
--- a/balance/admin_test.go
+++ b/balance/admin_test.go
@@ -73,7 +73,7 @@
 			if e := b.known["a"]; e.Started != h.now {
 				t.Errorf("endpoint put back in service at %v counts as started at %v", h.now, e.Started)
 			}
-			b.Endpoints(h.now, ListFull, restarted) // an earlier start that is reported late does not end slow start
+			b.Endpoints(h.now, ListFull, restarted) // discovery reports an earlier start late: slow start continues
 			if e := b.known["a"]; e.Started != h.now {
 				t.Errorf("after a list the endpoint counts as started at %v, want %v", e.Started, h.now)
 			}
--- a/balance/admission.go
+++ b/balance/admission.go
@@ -9,11 +9,10 @@
 // This file contains admission control and load shedding.
 
 const (
-	// atCapacityFactor is the multiple of the mean expected response time of idle endpoints of the same zone and
-	// weight up to which no endpoint counts as at capacity.
+	// atCapacityFactor limits the expected response time of an endpoint below capacity, as a multiple of the
+	// mean expected response time of idle endpoints of the same zone and weight.
 	atCapacityFactor = 2.5
-	// spilloverObjectiveShare is the share of the shortest latency objective up to which no endpoint counts as
-	// at capacity.
+	// spilloverObjectiveShare is the minimum of that limit, as a share of the shortest latency objective.
 	spilloverObjectiveShare = 0.5
 	// rejectObjectiveShare is the share of the shortest latency objective above which an expected response is
 	// too late to be useful.
@@ -33,8 +32,8 @@
 
 // selectEndpoint selects an endpoint that is below capacity, or else one from which a timely response can
 // still be expected. If there is none, it returns by how many seconds the best endpoint exceeds its limit.
-// Classes of lower priority are shed only while all endpoints are at capacity: their limit may be below the
-// response time of an idle slow endpoint, and endpoints would be used unevenly at low load.
+// Classes of lower priority are shed only while all endpoints are at capacity. Their limit may be below the
+// response time of a slow endpoint that is idle; applied at low load, it would distribute requests unevenly.
 func (b *Balancer) selectEndpoint(q *request, now Time) (to *endpoint, excessSeconds float64) {
 	excessSeconds = b.objective
 	for pass := range numPasses {
@@ -46,11 +45,11 @@
 		if result.endpoint != nil {
 			return result.endpoint, 0
 		}
-		// A retry that has no endpoint left says nothing about the load: anyAtCapacity and anyAvailable are both
-		// false then.
+		// If no endpoint is in service, anyAtCapacity and anyAvailable are both false, and this is no
+		// evidence of overload.
 		if result.anyAtCapacity && !result.anyAvailable {
-			// The present backlog is processed within one latency objective; after a longer time endpoints would be
-			// idle.
+			// The present backlog is processed within one latency objective. Shedding for longer would leave
+			// endpoints idle.
 			b.overloadedUntil = now + time.Duration(b.objective*float64(time.Second))
 		}
 	}
@@ -79,7 +78,7 @@
 			continue
 		}
 		endpointLimit := limit
-		if pass == passNormal { // the zone's mean: a slow kind or a remote zone alone is no sign of overload
+		if pass == passNormal { // relative to the zone's mean: a slow kind or a remote zone alone is no overload
 			zoneLimit := atCapacityFactor * (1 + assumedOtherRequests) * zoneMean[e.zoneIndex] / e.Weight
 			endpointLimit = min(limit, max(spilloverObjectiveShare*b.objective, zoneLimit))
 		}
@@ -141,10 +140,10 @@
 	return rejectObjectiveShare * b.objective * math.Sqrt(own/highest)
 }
 
-// overAllowance reports whether a request exceeds its tenant's allowance, as far as this sidecar can
-// determine. The sidecar's part of the allowance is an equal part, or a part in proportion to its own traffic
-// where that is more. In a fleet of a thousand sidecars most have little traffic and some have much more, and
-// an equal part would be less than one request per second.
+// overAllowance reports whether a request exceeds this sidecar's part of its tenant's allowance. That part is
+// the larger of an equal part and a part in proportion to the sidecar's own traffic. In a fleet of a thousand
+// sidecars, most have little traffic and some have much more; an equal part would be less than one request
+// per second.
 func (b *Balancer) overAllowance(i int, now Time) bool {
 	b.arrivals++
 	if i < 0 || i >= len(b.tenants) {
--- a/balance/api.go
+++ b/balance/api.go
@@ -93,12 +93,12 @@
 	HedgingAllowed bool // a request may have two attempts in flight at the same time
 
 	PollDiscovery bool          // list changes are delivered only to a subscriber
-	MaxListAge    time.Duration // after this long without a discovery call, changes count as notified
+	MaxListAge    time.Duration // changes count as notified after this time without a discovery call
 
 	SlowStartWindow   time.Duration // time from its start until an endpoint is warmed up
 	SlowStartCapacity float64       // share of its capacity that an endpoint has when it starts
-	OverloadMultiple  float64       // an endpoint that gets more than this multiple of its capacity
-	OverloadWindow    time.Duration // within this time is overloaded
+	OverloadMultiple  float64       // multiple of its capacity above which an endpoint is overloaded
+	OverloadWindow    time.Duration // time over which OverloadMultiple applies
 
 	CrossZoneCharge float64 // cost of crossing zones, as a share of a request's priority weight
 }
@@ -114,30 +114,29 @@
 )
 
 // After a failed discovery call, the next one is made within FirstDiscoveryBackoff; the bound doubles with
-// each further failure, up to MaxDiscoveryBackoff. Where lists are pushed, each sidecar has its own agent and
-// the next call is made within PushedDiscoveryBackoff, because whatever the agent receives once discovery has
-// recovered counts as notified immediately.
+// each further failure, up to MaxDiscoveryBackoff. Where lists are pushed, each sidecar has its own agent,
+// and a change counts as notified once the agent has received it. Therefore the next call is made within
+// PushedDiscoveryBackoff.
 const (
 	FirstDiscoveryBackoff  = 500 * time.Millisecond
 	MaxDiscoveryBackoff    = 1500 * time.Millisecond
 	PushedDiscoveryBackoff = 200 * time.Millisecond
 )
 
-// SchedulingStall is the longest time for which a process is assumed to be stalled between a check, such as
-// reading its clock, and the write that the check allowed. Every timing rule for a write allows for it:
+// SchedulingStall is the longest assumed stall of a process between a check, such as reading its clock, and
+// the write that the check allowed. Every timing rule for a write allows for it:
 //
-//   - Time left that an attempt announces to its server: the tolerance of the rule is as long as the stall
-//     and covers it completely. The network delay comes out of the margin that the host keeps before the
-//     client's deadline.
+//   - Remaining time sent to the server with an attempt: the tolerance of the rule is as long as the stall
+//     and covers it completely. The host's margin before the client's deadline covers the network delay.
 //   - Final response: it may arrive up to half a second after the client's deadline, which is longer than the
 //     stall.
 //   - Drain: no attempt may begin later than 1 s after the notification. The host checks the list again just
-//     before the first byte of an attempt, so that a list applied late by one stall and a write delayed by
-//     another take 0.3 s.
+//     before the first byte of an attempt. A list applied late by one stall and a write delayed by another
+//     take 0.3 s together.
 //   - Dedupe window: no tolerance covers the stall, so arrivalMargin reserves time for it.
 //   - Client that has disconnected: the tolerance of 0.1 s is less than the stall, and no margin helps. The
-//     host reads the clock first and checks the client's connection last, so that a stall after reading the
-//     clock is over by then.
+//     host reads the clock first and checks the client's connection last. A stall after reading the clock
+//     ends before that last check.
 //   - Kill: the host reserves time for the stall between the last responses and the earliest kill.
 const SchedulingStall = 150 * time.Millisecond
 
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -20,8 +20,8 @@
 	// measurements of current response times.
 	decayTimeConstant  = 6 * time.Second
 	recentTimeConstant = time.Second
-	// panicThreshold is the share of the active weight above which ejection is suspended: if more is ejected,
-	// the fault is likely that of this sidecar.
+	// panicThreshold is the ejected share of the active weight above which ejection is suspended: the cause
+	// is then probably on this sidecar's side.
 	panicThreshold = 0.5
 )
 
@@ -49,7 +49,7 @@
 	requests                map[RequestID]*request
 	tenants                 []quota.Meter                   // this sidecar's part of each tenant's allowance
 	meanResponseTime        []float64                       // in seconds, by class
-	responseTimeDeviation   []float64                       // mean deviation from that in seconds, by class
+	responseTimeDeviation   []float64                       // mean deviation from meanResponseTime, by class
 	overallMeanResponseTime float64                         // in seconds, of all classes
 	endedAttempts           float64                         // decaying count of attempts that ended
 	failedAttempts          float64                         // decaying count of attempts that failed
@@ -99,7 +99,8 @@
 	b.makeGroups()
 	act.Timer(time.Duration(b.random.Float64()*float64(tickInterval)), tokenTick)
 	if set.PollDiscovery {
-		// All sidecars start at the same time, and the list service handles few calls concurrently.
+		// The first call of each sidecar is in its own part of the interval, as all sidecars start at the
+		// same time and the list service handles few calls concurrently.
 		phase := (float64(set.Ordinal) + b.random.Float64()) / float64(set.Peers)
 		act.Timer(time.Duration(phase*float64(max(set.MaxListAge/2, time.Second))), tokenDiscovery)
 	}
@@ -159,7 +160,8 @@
 			ejected += e.Weight
 		}
 	}
-	// Where attempts are lost, the time that they have been in flight says nothing about response times.
+	// The waiting time of lost attempts is no measure of response times. Therefore the sum is reduced as the
+	// loss share rises, down to 0 at partialLossShare.
 	waiting *= max(0, 1-b.fleetLosses.Share(defaultLossShare)/partialLossShare)
 	b.loadLevel.Decay(
 		math.Pow(factor, decayTimeConstant.Seconds()/recentTimeConstant.Seconds()),
--- a/balance/configure.go
+++ b/balance/configure.go
@@ -36,10 +36,11 @@
 	}
 }
 
-// Configure replaces the settings, except for those of the sidecar's place in the deployment: its number,
-// zone and rules. Open requests keep their class, and observations of endpoints are kept. It returns the
-// index of each new class from now on, for Request, or an error, in which case nothing has changed. Classes
-// are identified by name, and a removed class keeps its index.
+// Configure replaces the settings, except those that describe the sidecar's place in the deployment: seed,
+// ordinal, peers, zones, kinds, service, tags, rules and PollDiscovery. Open requests keep their class, and
+// observations of endpoints are kept. For each class of set it returns the index to be used in later
+// requests. After an error nothing has changed. Classes are identified by name, and a removed class keeps its
+// index.
 func (b *Balancer) Configure(set Settings) (indexes []int, err error) {
 	return b.configure(set, true)
 }
@@ -80,8 +81,8 @@
 	return indexes, nil
 }
 
-// mergeClasses merges new classes into the old ones by name. It returns all classes, which of them are no
-// longer in the settings, and the index of each new class.
+// mergeClasses merges the classes of new settings into the old ones by name. It returns all classes, a flag
+// for each that is no longer in the settings, and the index in merged of each class of the new settings.
 func mergeClasses(old, classes []Class) (merged []Class, removed []bool, indexes []int, err error) {
 	merged, removed = slices.Clone(old), make([]bool, len(old))
 	for i := range removed {
--- a/balance/ejection_test.go
+++ b/balance/ejection_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestFailuresOfAllEndpointsEjectNone has one response in fifteen fail at every endpoint, which ejects hardly
-// any, and then has one endpoint fail always, which ejects it.
+// TestFailuresOfAllEndpointsEjectNone has one response in fifteen fail at every endpoint. Hardly any endpoint
+// may be ejected. Then one endpoint always fails and must be ejected.
 func TestFailuresOfAllEndpointsEjectNone(t *testing.T) {
 	set := settings()
 	set.MaxAttempts = 1
@@ -90,8 +90,8 @@
 	}
 }
 
-// TestPanicPrefersEndpointsNotEjected has three of four endpoints ejected, which exceeds the panic threshold:
-// the fourth still takes precedence while it is below capacity.
+// TestPanicPrefersEndpointsNotEjected has three of four endpoints ejected, which exceeds the panic threshold.
+// The fourth must still have precedence while it is below capacity.
 func TestPanicPrefersEndpointsNotEjected(t *testing.T) {
 	b, h := start(t, settings(), identicalEndpoints(4))
 	serveRequests(b, h, 200, 20*time.Millisecond)
@@ -118,8 +118,8 @@
 	}
 }
 
-// TestResetsEjectHalfOfTheEndpoints has four of nine endpoints reset half of their requests: each of the four
-// is ejected, although the others of the four do the same.
+// TestResetsEjectHalfOfTheEndpoints has four of nine endpoints reset half of their requests. Each of the four
+// must be ejected although the other three fail as often.
 func TestResetsEjectHalfOfTheEndpoints(t *testing.T) {
 	set := settings()
 	set.MaxAttempts = 1
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -20,13 +20,13 @@
 	lastResponse       Time // when it last responded
 	suspicionWrittenAt Time // when the newest peer report against it was written; 0: none
 
-	capacityShare        float64         // share of its capacity that it has; below 1 it is warming up
-	awaitsFirstSelection bool            // its process has started and its first selection is not drawn yet
+	capacityShare        float64         // present share of its full capacity; below 1: warming up
+	awaitsFirstSelection bool            // its process has started, and its first selection is still to be drawn
 	slowStart            selectionCredit // credit towards its next selection while it is warming up
 
 	zoneIndex int      // 0 in the sidecar's own zone, 1 in others
 	memberOf  []*group // groups of the rule whose tags it matches
-	homeGroup *group   // the first of memberOf or else Balancer.allEndpoints; its members perform alike
+	homeGroup *group   // the first of memberOf, or Balancer.allEndpoints: the group for its estimates
 	ringKey   uint64   // position on the rings of its groups
 
 	listed               bool    // contained in index.listed
@@ -36,8 +36,8 @@
 	countedCapacityShare float64 // capacity share included in the capacities of its groups
 	active               bool    // in the subset of one of its groups
 
-	eligible        bool    // may be selected for the request being decided
-	expectedSeconds float64 // expected response time for that request
+	eligible        bool    // may be selected for the current request
+	expectedSeconds float64 // expected response time for the current request
 }
 
 // Endpoints applies an endpoint list from discovery. A failed discovery call leaves the endpoints as they
@@ -94,8 +94,8 @@
 	return e
 }
 
-// dropRemovedEndpoints drops removed endpoints without attempts in flight, and the restarts of unknown
-// endpoints that are no longer relevant for slow start.
+// dropRemovedEndpoints drops removed endpoints that have no attempt in flight. It also drops the times in
+// restored of unknown endpoints once they are no longer relevant for slow start.
 func (b *Balancer) dropRemovedEndpoints(now Time) {
 	maps.DeleteFunc(b.restored, func(id string, restoredAt Time) bool {
 		return b.known[id] == nil && now-restoredAt > b.settings.SlowStartWindow
@@ -116,7 +116,7 @@
 	b.subscribed = false
 	wait := min(FirstDiscoveryBackoff<<min(b.discoveryFailures, 8), MaxDiscoveryBackoff)
 	if !b.settings.PollDiscovery {
-		wait = PushedDiscoveryBackoff // the agent belongs to this sidecar: what it has received counts as notified
+		wait = PushedDiscoveryBackoff // a change counts as notified once the sidecar's own agent has received it
 	}
 	b.discoveryFailures++
 	b.actions.Timer(time.Duration((1+3*b.random.Float64())*float64(wait)/4), tokenDiscovery)
--- a/balance/endpoints_test.go
+++ b/balance/endpoints_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestIndexMatchesList draws lists, changes of lists and of administrative states, and checks that the index,
-// which is updated entry by entry, matches one computed from scratch.
+// TestIndexMatchesList applies random lists, list changes and changes of administrative states. The index,
+// which is updated entry by entry, must match one computed from scratch.
 func TestIndexMatchesList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, err := New(settings(), &host{})
@@ -57,7 +57,7 @@
 			case "reorder": // as when a fleet becomes wide or normal
 				b.reorderRings(!b.ringsHashed)
 				b.chooseSubsets(now)
-			case "request": // without a response: its endpoint stays known after its removal
+			case "request": // the request gets no response: its endpoint stays known after its removal
 				b.Request(now, Request{ID: RequestID(now), Tenant: -1, Timeout: time.Minute})
 			}
 			checkIndex(t, b, listed, adminDown)
@@ -136,7 +136,7 @@
 	return list
 }
 
-// startLoaded starts a sidecar whose traffic has been rate requests per second for long.
+// startLoaded starts a sidecar as after a long time at rate requests per second.
 func startLoaded(t *testing.T, self, peers int, list []Endpoint, rate float64) (*Balancer, *host) {
 	t.Helper()
 	set := settings()
@@ -173,7 +173,7 @@
 	normalChange, normalTick := cost(200)
 	change, tick := cost(3200)
 	t.Logf("endpoints visited: %.1f and %.1f per change, %.1f and %.1f per tick", normalChange, change, normalTick, tick)
-	// The subset has all endpoints of the normal fleet, and few of the large one.
+	// The subset contains all endpoints of the normal fleet, and few of the large one.
 	if change > normalChange/10 {
 		t.Errorf("a change visits %.1f of 3200 endpoints, %.1f of 200", change, normalChange)
 	}
@@ -208,9 +208,9 @@
 	}
 }
 
-// TestListChangesMoveFewSubsetMembers changes a large fleet by one endpoint at a time. Each change adds at
-// most one member to a subset, and in total there are hardly more new members than members that were removed
-// and new endpoints within the subset.
+// TestListChangesMoveFewSubsetMembers changes a large fleet by one endpoint at a time. Each change may add at
+// most one member to a subset. In total, the number of new members may hardly exceed the number of removed
+// members and of new endpoints within the subset.
 func TestListChangesMoveFewSubsetMembers(t *testing.T) {
 	numbered := func(i int) string { return fmt.Sprintf("s%05d", 5000+i) }
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -269,15 +269,15 @@
 	}
 }
 
-// TestSubsetsStayEvenAfterReplacement replaces a whole fleet, one endpoint at a time: the subsets of all
-// sidecars must still be spread evenly over it.
+// TestSubsetsStayEvenAfterReplacement replaces a whole fleet, one endpoint at a time. The subsets of all
+// sidecars must still be spread evenly over the fleet.
 func TestSubsetsStayEvenAfterReplacement(t *testing.T) {
 	const peers = 150
 	for _, tt := range []struct {
 		name         string
 		servers      int
 		rate         float64
-		maxDeviation float64 // maximum deviation from the mean, as a share of it
+		maxDeviation float64 // maximum deviation from the mean, as a share of the mean
 	}{
 		{"idle sidecars", 200, 0, 0.34},
 		{"subsets of 60", 200, 10, 0.1},
--- a/balance/estimate_test.go
+++ b/balance/estimate_test.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// TestOldEstimateDecaysTowardsGroup has an endpoint that is expected to be far too slow get no requests for
-// twice decayTimeConstant. Its estimate must then equal that of its group, and a group's that of the fleet,
-// and the endpoint must not be tested while the fleet is observed to be as slow. If each of 80 sidecars took
-// untested endpoints for idle, it would test each of 60 endpoints in turn, and these tests alone would keep a
-// fleet at capacity there. If there have been no responses at all, the endpoint must be tested.
+// TestOldEstimateDecaysTowardsGroup checks the estimate of an endpoint that is expected to be far too slow,
+// after twice decayTimeConstant without requests. The estimate of the endpoint must equal that of its group,
+// and the estimate of a group that of the fleet. The endpoint must not be tested while the fleet is observed
+// to be as slow. If each of 80 sidecars considered untested endpoints idle, it would test each of 60
+// endpoints in turn, and these tests alone would keep a fleet at capacity. If there have been no responses at
+// all, the endpoint must be tested.
 func TestOldEstimateDecaysTowardsGroup(t *testing.T) {
 	const fast, slow = 0.02, 2.0 // seconds per request in flight; the limit is 0.85
 	for _, tt := range []struct {
@@ -70,7 +71,7 @@
 
 // TestRestartResetsGroupEstimate has all endpoints of a kind stop responding and then restart: they must be
 // expected to respond as fast as the others. Otherwise the servers of a zone that has returned would get no
-// requests because of what their former processes left unanswered.
+// requests because of the requests to which their former processes did not respond.
 func TestRestartResetsGroupEstimate(t *testing.T) {
 	list := append(
 		identicalEndpoints(4),
@@ -107,9 +108,9 @@
 	}
 }
 
-// TestRequestsOfFormerProcessDoNotCount has requests in flight at an endpoint that restarts: they must no
-// longer count, neither while in flight nor when they end. Otherwise the servers of a zone that has returned
-// would count as slow until the requests to their former processes end.
+// TestRequestsOfFormerProcessDoNotCount has requests in flight at an endpoint that restarts. They must not
+// count while in flight, and not when they end. Otherwise the servers of a zone that has returned would count
+// as slow until the requests to their former processes end.
 func TestRequestsOfFormerProcessDoNotCount(t *testing.T) {
 	b, h := start(t, settings(), identicalEndpoints(3))
 	serveRequests(b, h, 300, 20*time.Millisecond)
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// sidecarFleet is a number of sidecars that share nothing but the list of endpoints, which all receive at the
-// same time.
+// sidecarFleet is a number of sidecars that share only the list of endpoints. All receive it at the same
+// time.
 type sidecarFleet struct {
 	balancers         []*Balancer
 	hosts             []*host
@@ -23,8 +23,8 @@
 	pending           []pendingResponse // in order of time
 	sends             map[string][]Time
 	rejectShare       map[string]float64 // share of the attempts that an endpoint rejects at once
-	responseRate      float64            // responses per second of an endpoint, which rejects more; 0: no limit
-	busyUntil         map[string]Time    // when an endpoint has processed the attempts it has accepted
+	responseRate      float64            // maximum responses per second of an endpoint, which rejects others; 0: no limit
+	busyUntil         map[string]Time    // when an endpoint will have processed its accepted attempts
 	cumulativeTraffic []float64          // cumulative sum of the traffic by sidecar; nil: equal traffic
 }
 
@@ -68,7 +68,7 @@
 	h.sent = h.sent[:0]
 }
 
-// restart replaces a sidecar by one without history, as after a kill of its process; it has the list only.
+// restart replaces a sidecar by one that has only the list and no history, as after a kill of its process.
 func (f *sidecarFleet) restart(t tester, i int, set Settings, list []Endpoint) {
 	set.Ordinal, set.Peers, set.Seed = i, len(f.balancers), f.rng.Uint64()
 	b, err := New(set, f.hosts[i])
@@ -130,11 +130,11 @@
 	}
 }
 
-// TestColdEndpointsGetTheirShare has part of a fleet start cold, which all sidecars learn at the same time.
-// In no overload window may the requests of all sidecars to a cold endpoint exceed the limit, and until the
-// endpoint is warmed up it must get a good part of its share. If each of many sidecars counted only its own
-// requests since the list change, a new endpoint would be idle until it is warmed up and the others would
-// carry the whole load.
+// TestColdEndpointsGetTheirShare has part of a fleet start cold. All sidecars are notified at the same time.
+// The requests of all sidecars to a cold endpoint may not exceed the limit in any overload window, and until
+// the endpoint is warmed up it must get a large part of its share. If each of many sidecars counted only its
+// own requests since the list change, a new endpoint would be idle until it is warmed up, and the others
+// would get all requests.
 func TestColdEndpointsGetTheirShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sidecars := rapid.SampledFrom([]int{1, 2, 3, 10, 80, 300}).Draw(t, "sidecars")
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -35,7 +35,7 @@
 }
 
 // TestFastFailingEndpointIsEjected has an endpoint fail every request at once. Without an ejection it would
-// look idle and attract all requests.
+// seem idle and get all requests.
 func TestFastFailingEndpointIsEjected(t *testing.T) {
 	set := settings()
 	set.MaxAttempts = 1
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestPanicUsesEjectedEndpoints has every endpoint ejected. The cause is then probably on the sidecar's own
-// side, and requests must still be sent.
+// TestPanicUsesEjectedEndpoints has every endpoint ejected. Requests must still be sent, because the cause is
+// probably on the sidecar's own side.
 func TestPanicUsesEjectedEndpoints(t *testing.T) {
 	b, h := start(t, settings(), twoEndpoints())
 	for _, e := range b.listed {
@@ -95,8 +95,8 @@
 	}
 }
 
-// TestSilentEndpointGetsNoRequests leaves a request to an endpoint without a response for two latency
-// objectives: the endpoint must get no further requests.
+// TestSilentEndpointGetsNoRequests has an endpoint not respond to a request for two latency objectives. The
+// endpoint must get no further requests.
 func TestSilentEndpointGetsNoRequests(t *testing.T) {
 	b, h := start(t, settings(), twoEndpoints())
 	serveRequests(b, h, 100, 20*time.Millisecond)
@@ -111,9 +111,9 @@
 	}
 }
 
-// TestSlowEstimateDecaysUntilTested has all endpoints respond too late, which rejects all requests. Without
-// new responses the estimate must decay until a request tests it, or the sidecar would reject requests for
-// ever.
+// TestSlowEstimateDecaysUntilTested has all endpoints respond too late, so the sidecar rejects all requests.
+// Without new responses the estimate must decay until a request tests an endpoint. Otherwise the sidecar
+// would reject all requests permanently.
 func TestSlowEstimateDecaysUntilTested(t *testing.T) {
 	limit := rejectObjectiveShare * settings().Classes[0].LatencyObjective.Seconds()
 	for _, tt := range []struct {
@@ -140,8 +140,8 @@
 	}
 }
 
-// TestWaitingTimeRaisesEstimate has two endpoints respond in 200 ms each. Then endpoint a is stuck with two
-// requests in flight, for less time than the limit: the expected response time must rise before any response.
+// TestWaitingTimeRaisesEstimate has two endpoints respond in 200 ms each. Then endpoint a does not respond to
+// two requests, for less time than the limit. Its expected response time must rise before any response.
 func TestWaitingTimeRaisesEstimate(t *testing.T) {
 	b, h := start(t, settings(), twoEndpoints())
 	serveRequests(b, h, 20, 200*time.Millisecond)
@@ -161,7 +161,7 @@
 }
 
 // TestLowPriorityClassIsShedOnlyUnderOverload checks that a class of low priority is served until all
-// endpoints are at capacity and is shed then, while the class of high priority is still served.
+// endpoints are at capacity. From then on it must be shed while the class of high priority is still served.
 func TestLowPriorityClassIsShedOnlyUnderOverload(t *testing.T) {
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
@@ -169,7 +169,7 @@
 	objective := set.Classes[0].LatencyObjective
 	b, h := start(t, set, twoEndpoints())
 	serveRequests(b, h, 40, time.Duration(float64(objective)*rejectObjectiveShare*0.8))
-	b.meanResponseTime[1] = b.meanResponseTime[0] // the class of low priority has a third of the priority weight: its limit is 0.58 of the other's
+	b.meanResponseTime[1] = b.meanResponseTime[0] // the class of low priority has a third of the weight of the other: its limit is 0.58 of that of the other
 	if sendRequest(b, h, 1) == "" {
 		t.Fatal("the low-priority class is rejected although no endpoint is at capacity")
 	}
@@ -197,7 +197,7 @@
 
 // TestShedClassDoesNotProlongOverload rejects a class of low priority at its own lower limit while there is
 // capacity for the class of high priority. Such a rejection is no sign of overload: if it prolonged the
-// overload, the class would be shed for ever.
+// overload, the class would be shed permanently.
 func TestShedClassDoesNotProlongOverload(t *testing.T) {
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
@@ -317,9 +317,9 @@
 	}
 }
 
-// TestEstimateOfUnusedEndpointReliesOnItsGroup has two idle small endpoints respond fast and a busy big one,
-// of twice the weight, slowly. A small endpoint without responses must not be expected to be slower than the
-// big one.
+// TestEstimateOfUnusedEndpointReliesOnItsGroup has two idle small endpoints that respond fast and a busy big
+// one, of twice the weight, that responds slowly. A small endpoint without responses must not be expected to
+// be slower than the big one.
 func TestEstimateOfUnusedEndpointReliesOnItsGroup(t *testing.T) {
 	list := []Endpoint{
 		{ID: "a", Zone: "x", Kind: "big", Weight: 2},
@@ -343,8 +343,8 @@
 	}
 }
 
-// TestSlowClassHasLowerOverloadLimit has two classes of the same priority weight, where the responses of the
-// second take four times as long: under overload its limit is half that of the first.
+// TestSlowClassHasLowerOverloadLimit has two classes of the same priority weight. The responses of the second
+// class take four times as long: under overload its limit must be half that of the first.
 func TestSlowClassHasLowerOverloadLimit(t *testing.T) {
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
@@ -362,9 +362,9 @@
 	}
 }
 
-// TestWaitingTimeRaisesEstimateOfGroup has three endpoints of a group, fast so far, each leave a request
-// without a response for half a second. The fourth, idle and without responses, must not be expected to be
-// fast either.
+// TestWaitingTimeRaisesEstimateOfGroup has three endpoints of a group, fast so far, not respond to one
+// request each for half a second. The fourth endpoint, which is idle and has no responses, must not be
+// expected to be fast either.
 func TestWaitingTimeRaisesEstimateOfGroup(t *testing.T) {
 	b, h := start(t, settings(), fleet(4))
 	serveRequests(b, h, 40, 20*time.Millisecond)
@@ -381,8 +381,8 @@
 	}
 }
 
-// TestRetryAfterOfRejection fills an endpoint: rejected clients must be advised to retry when the backlog
-// will have been processed. Without that advice all of them would retry at once.
+// TestRetryAfterOfRejection fills an endpoint. A rejection must contain the time until the backlog is
+// processed; without it all rejected clients would retry at once.
 func TestRetryAfterOfRejection(t *testing.T) {
 	b, h := start(t, settings(), []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}})
 	b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: time.Second})
@@ -423,9 +423,9 @@
 	}
 }
 
-// TestSendTimeoutOfRetries checks the time within which a retry of a deduplicated request must begin: the
-// dedupe window counts from the sending of the attempt that may have been executed, not from the arrival of
-// the request. Attempts of other classes, and after attempts that were not executed, have no limit.
+// TestSendTimeoutOfRetries checks the send timeout of a retry of a deduplicated request. It depends on the
+// dedupe window, which starts when the attempt that may have been executed was sent, not when the request
+// arrived. There is no timeout for other classes, or if no earlier attempt may have been executed.
 func TestSendTimeoutOfRetries(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
@@ -492,10 +492,10 @@
 	}
 }
 
-// TestSwallowedClassIsEjected has one endpoint never respond to one class and serve the other. After four
+// TestUnansweredClassIsEjected has one endpoint never respond to one class and serve the other. After four
 // losses the class must go elsewhere, one request at a time probes the endpoint, and the first response
 // readmits the class.
-func TestSwallowedClassIsEjected(t *testing.T) {
+func TestUnansweredClassIsEjected(t *testing.T) {
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
 	b, h := start(t, set, twoEndpoints())
@@ -517,7 +517,7 @@
 	for range 8 { // requests of the class, half of which go to a
 		if to := send(0); to == "a" {
 			h.now += 3 * time.Second
-			e.lastResponse = h.now // it responded to others meanwhile
+			e.lastResponse = h.now // the endpoint has responded to others in the meantime
 			end(id, to, TimedOut, 3*time.Second)
 		} else {
 			end(id, to, Served, 20*time.Millisecond)
--- a/balance/hedge_test.go
+++ b/balance/hedge_test.go
@@ -22,9 +22,9 @@
 }
 
 // TestHedgedRequests counts hedged requests by whether the first attempt was lost or would have got a
-// response. While a sixth of the endpoints is four times slower nothing is lost, and each hedged request is
-// needless. Where requests are lost, nearly all must be hedged, at most 5% later than was measured before the
-// hedge delay included the slowdown of an endpoint.
+// response. While a sixth of the endpoints is four times slower, nothing is lost, and each hedged request is
+// unnecessary. If requests are lost, nearly all of them must be hedged. The delay may exceed the delay
+// measured before the hedge delay included the slowdown of an endpoint by at most 5%.
 func TestHedgedRequests(t *testing.T) {
 	const length, step = 10 * time.Second, 2 * time.Millisecond
 	faulty := func(to string) bool { return to < "c" } // two of twelve
@@ -32,7 +32,7 @@
 		name     string
 		slower   float64                            // factor by which the faulty endpoints are slower
 		lost     func(to string, draw float64) bool // whether an attempt is lost
-		needless float64                            // maximum share of requests that are hedged needlessly
+		needless float64                            // maximum share of requests that are hedged unnecessarily
 		after    time.Duration                      // maximum mean time until a lost attempt is hedged
 	}{
 		{"a sixth of the endpoints is slow", 4, func(string, float64) bool { return false }, 0.001, 0},
@@ -110,7 +110,7 @@
 
 // TestSlowdownDelaysHedging has an attempt in flight at an endpoint that has lost some attempts and responds
 // to others. If its other responses are as late, the attempt must not be hedged yet and must count as in
-// flight, or the endpoint would look idle.
+// flight. Otherwise the endpoint would seem idle.
 func TestSlowdownDelaysHedging(t *testing.T) {
 	const normal = 20 * time.Millisecond
 	for _, tt := range []struct {
--- a/balance/hedging.go
+++ b/balance/hedging.go
@@ -17,8 +17,8 @@
 	retryBudgetMax   = 20.0
 	// minCheckDelay is the minimum time in seconds between two checks of an attempt.
 	minCheckDelay = 0.005
-	// A response is late after lateDeviations mean deviations above the mean response time, which few responses
-	// exceed, and in any case after lateObjectiveShare of its class's latency objective.
+	// A response is late once it takes longer than the mean response time plus lateDeviations mean
+	// deviations, as few responses do, or than lateObjectiveShare of its class's latency objective.
 	lateDeviations     = 4.0
 	lateObjectiveShare = 0.5
 )
@@ -28,10 +28,10 @@
 	b.actions.Timer(time.Duration(max(seconds, minCheckDelay)*float64(time.Second)), token)
 }
 
-// checkAttempt checks an attempt that has been in flight for long, and schedules further checks until it
-// ends: an endpoint may pause, then respond to other attempts and never to this one. Where the endpoint
-// responds to others, the connection of the attempt is dead, and counting the attempt as in flight would make
-// the endpoint look slow and at capacity for all requests.
+// checkAttempt checks an attempt that has been in flight for long, and schedules further checks until the
+// attempt ends: an endpoint may pause, then respond to other attempts and never to this one. If the endpoint
+// responds to others, the connection of this attempt is probably dead. The attempt then no longer counts as
+// in flight; otherwise the endpoint would seem slow and at capacity for all requests.
 func (b *Balancer) checkAttempt(q *request, n int, token uint64, now Time) {
 	if q == nil || n >= len(q.attempts) || q.attempts[n].done || q.ended {
 		return
@@ -41,8 +41,8 @@
 	slowdown := a.endpoint.slowdown.Factor()
 	a.expectedNow = max(a.expectedNow, b.expectedWithoutAttempt(a, q.Class, now)*slowdown)
 	delay, nextCheck := b.hedgeDelay(q, a), tickInterval.Seconds()
-	// The threshold allows for the slowdown: a slow endpoint whose late attempts no longer counted as in flight
-	// would look idle and attract requests.
+	// The threshold includes the slowdown. Otherwise the late attempts of a slow endpoint would no longer
+	// count as in flight, and the endpoint would seem idle and get more requests.
 	if answersOthers && elapsed >= min(delay, b.lateThreshold(q.Class)*slowdown) {
 		a.releaseInFlight()
 	}
@@ -64,9 +64,10 @@
 }
 
 // expectedWithoutAttempt returns the response time in seconds currently expected at the endpoint of an
-// attempt. An endpoint that has slowed down since the attempt was sent would otherwise seem to have lost the
-// attempts that it is still processing. The waiting time of the attempt itself is left out: with little else
-// in flight there, it would raise the expectation so that the attempt never counts as lost.
+// attempt. The time expected at sending may be too short: if the endpoint has slowed down since then, the
+// attempts that it is still processing would count as lost. The waiting time of the attempt itself is
+// excluded. With few other attempts in flight there, it would continuously raise the expected time, and the
+// attempt would never count as lost.
 func (b *Balancer) expectedWithoutAttempt(a *attempt, class int, now Time) float64 {
 	waited := now - a.sent
 	a.endpoint.waitingSinceSum += waited
@@ -75,10 +76,11 @@
 	return expected
 }
 
-// hedge sends a second attempt for one that is probably lost, while the first is still in flight if that is
-// allowed. If responses are merely late, further attempts add to the load that delays them. Therefore a
-// hedged request is sent only where there is capacity, to an endpoint with no higher loss, and is charged to
-// the retry budget.
+// hedge sends a second attempt for one that is probably lost. The first attempt remains in flight if
+// HedgingAllowed is set, and is cancelled otherwise. If responses are merely late, further attempts add to
+// the load that delays them. Therefore the second attempt is charged to the retry budget and sent only to an
+// endpoint below capacity. If the first endpoint responds to other attempts, the second one must not have a
+// higher loss share.
 func (b *Balancer) hedge(q *request, n int, now Time) {
 	a := &q.attempts[n]
 	allowed := b.settings.HedgingAllowed || b.settings.CancelAllowed
--- a/balance/host_test.go
+++ b/balance/host_test.go
@@ -76,8 +76,8 @@
 	return b, h
 }
 
-// TestInvalidCallsAreIgnored makes calls that a correct host does not make: they must lead to no action and
-// leave the state unchanged.
+// TestInvalidCallsAreIgnored makes calls that a correct host does not make. They must lead to no action and
+// must not change the state.
 func TestInvalidCallsAreIgnored(t *testing.T) {
 	b, h := start(t, settings(), []Endpoint{{ID: "a", Zone: "x", Kind: "big", Weight: 1}})
 	b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: time.Second})
@@ -117,7 +117,7 @@
 	}
 }
 
-// TestTimeGoingBack has the clock go back: each request must still end once and leave no state behind.
+// TestTimeGoingBack sets the clock back. Each request must still end once, and no state may remain.
 func TestTimeGoingBack(t *testing.T) {
 	b, h := start(t, settings(), twoEndpoints())
 	for i := range RequestID(200) {
--- a/balance/index.go
+++ b/balance/index.go
@@ -12,7 +12,7 @@
 	removedInFlight       []*endpoint          // removed, with attempts in flight
 	warmingUp             []*endpoint          // listed, and warming up at the last update
 	capacitySharesUpdated Time                 // when the capacity shares of warmingUp were last updated
-	started               []*endpoint          // awaiting the draw of their first selection
+	started               []*endpoint          // endpoints whose first selection may have to be drawn
 	listedByZone          [2]int               // how many are listed in the own zone and in the others
 	usableCount           int                  // how many are ready and not administratively down
 	groupsByTags          map[[2]string][]*group
@@ -21,7 +21,7 @@
 	resetSubsets bool // all subsets have to be chosen again, as for a new fleet
 	ringsHashed  bool // the rings are ordered by hash instead of by ID
 
-	endpointsVisited int // total by lists and ticks, a measure of their cost
+	endpointsVisited int // number of endpoints visited by lists and ticks, a measure of their cost
 }
 
 // addToIndex adds an endpoint to the index, and to its rings if it is ready and not administratively down.
@@ -93,7 +93,7 @@
 	for _, g := range b.groups {
 		g.removeAll()
 	}
-	b.allEndpoints.inUse = false // until refreshAfterChange fills it
+	b.allEndpoints.inUse = false // refreshAfterChange fills the group again if it is needed
 	for _, e := range b.known {
 		if e.listed, e.usable = false, false; e.State == Removed {
 			b.removedInFlight = append(b.removedInFlight, e)
--- a/balance/late_attempt_test.go
+++ b/balance/late_attempt_test.go
@@ -7,8 +7,9 @@
 	"milletramp.example/milletramp/internal/lossdetect"
 )
 
-// TestDeadConnectionIsNotASlowEndpoint leaves one attempt without a response while its endpoint responds to
-// all others: the attempt must not count against the endpoint. If the endpoint responds to none, it must.
+// TestDeadConnectionIsNotASlowEndpoint has one attempt without a response while its endpoint responds to all
+// others. The attempt must not raise the expected response time of the endpoint. If the endpoint responds to
+// no attempt, it must.
 func TestDeadConnectionIsNotASlowEndpoint(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		b, h := start(t, settings(), twoEndpoints())
@@ -38,9 +39,10 @@
 	}
 }
 
-// TestSwallowedRequestsDoNotSlowEndpoint has attempts time out while their endpoint responds to all others,
-// and then while it responds to none: only then may the endpoint look slower and be ejected.
-func TestSwallowedRequestsDoNotSlowEndpoint(t *testing.T) {
+// TestLostRequestsDoNotSlowEndpoint has attempts time out while their endpoint responds to all others,
+// and then while it responds to none. Only in the second case may the endpoint count as slower and be
+// ejected.
+func TestLostRequestsDoNotSlowEndpoint(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		b, h := start(t, settings(), identicalEndpoints(4))
 		serveRequests(b, h, 400, 20*time.Millisecond)
@@ -74,8 +76,8 @@
 	}
 }
 
-// TestSlowEndpointIsProbed has one endpoint be far too slow while the other responds as before. The slow one
-// must be probed from time to time, with one request at a time.
+// TestSlowEndpointIsProbed has one endpoint respond far too slowly while the other responds as before. The
+// slow one must be probed from time to time, with one request at a time.
 func TestSlowEndpointIsProbed(t *testing.T) {
 	b, h := start(t, settings(), twoEndpoints())
 	serveRequests(b, h, 200, 20*time.Millisecond)
@@ -106,8 +108,8 @@
 	}
 }
 
-// TestLateAttemptIsCheckedAgain has an endpoint respond to nothing until an attempt is late and then respond
-// to others: the attempt is on a dead connection and must no longer count as in flight.
+// TestLateAttemptIsCheckedAgain has an endpoint respond to nothing until an attempt is late, and then respond
+// to other attempts. The late attempt is on a dead connection and must no longer count as in flight.
 func TestLateAttemptIsCheckedAgain(t *testing.T) {
 	b, h := start(t, settings(), twoEndpoints())
 	serveRequests(b, h, 200, 20*time.Millisecond)
@@ -126,19 +128,19 @@
 	}
 }
 
-// TestSwallowedRequestIsRetried has one request in six get no response while all others do. Once the loss is
-// detected, late attempts must be cancelled and retried, except those of a class without repeats. If
-// responses are merely late, or nothing is lost, nothing may be cancelled.
-func TestSwallowedRequestIsRetried(t *testing.T) {
+// TestLostRequestIsRetried has one request in six get no response while all others get one. Once the
+// loss is detected, late attempts must be cancelled and retried, except those of a class without repeats. If
+// responses are merely late, or nothing is lost, hardly any attempt may be cancelled.
+func TestLostRequestIsRetried(t *testing.T) {
 	for _, tt := range []struct {
-		name      string
-		effect    Effect
-		swallowed bool
-		late      bool
-		want      bool // some attempts are cancelled
+		name   string
+		effect Effect
+		lost   bool
+		late   bool
+		want   bool // some attempts are cancelled
 	}{
-		{"swallowed", Idempotent, true, false, true},
-		{"swallowed, at most once", AtMostOnce, true, false, false},
+		{"lost", Idempotent, true, false, true},
+		{"lost, at most once", AtMostOnce, true, false, false},
 		{"late", Idempotent, false, true, false},
 		{"in time", Idempotent, false, false, false},
 	} {
@@ -162,12 +164,12 @@
 			}
 			for _, s := range h.sent {
 				r := end{h.now + took, Result{ID: s.id, Endpoint: s.to, Took: took, Finished: true}}
-				if tt.swallowed && i%6 == 0 {
+				if tt.lost && i%6 == 0 {
 					r = end{h.now + time.Second, Result{ID: s.id, Endpoint: s.to, Outcome: TimedOut, Took: time.Second}}
 				}
 				pending = append(pending, r)
 			}
-			late := h.timers // of this request: it is checked after half a latency objective
+			late := h.timers // timers of this request, which is checked after half a latency objective
 			due := pending[:0:0]
 			for _, r := range pending {
 				if r.at > h.now {
@@ -182,7 +184,7 @@
 				if q == nil {
 					continue
 				}
-				q.attempts[0].sent -= set.Classes[0].LatencyObjective / 2 // as if half a latency objective had passed
+				q.attempts[0].sent -= set.Classes[0].LatencyObjective / 2 // simulates that half a latency objective has passed
 				b.Timer(h.now, token)
 				q.attempts[0].sent += set.Classes[0].LatencyObjective / 2
 			}
@@ -199,9 +201,8 @@
 
 // TestPauseDoesNotEject has an endpoint pause with many requests in flight, each for longer than nearly all
 // responses take. If the pause ejected the largest endpoint of a nearly full fleet for seconds, the others
-// would be overloaded. An endpoint that is gone, however, loses all requests until it is ejected. Therefore
-// attempts sent after the detection count at once, and those in flight count in full once the silence
-// persists.
+// would be overloaded. A failed endpoint, however, loses all requests until it is ejected. Therefore attempts
+// sent after the detection count at once, and those in flight count if the endpoint remains silent.
 func TestPauseDoesNotEject(t *testing.T) {
 	const survival, requests = 0.001, 40
 	for _, tt := range []struct {
--- a/balance/loadlevel_test.go
+++ b/balance/loadlevel_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestCongestionIsShedAtOnce has a fleet of 40 endpoints respond six times as late from one moment on. A
-// sidecar that relied on response times observed over seconds would continue as before, as would all others,
-// and congest the fleet.
+// TestCongestionIsShedAtOnce has a fleet of 40 endpoints respond six times as late from one moment on. If all
+// sidecars relied on response times observed over seconds, they would continue to send as before and congest
+// the fleet.
 func TestCongestionIsShedAtOnce(t *testing.T) {
 	set := settings()
 	set.Classes[0].LatencyObjective = 300 * time.Millisecond
@@ -39,7 +39,7 @@
 		}
 		return requests, len(h.rejected) - before
 	}
-	run(20*time.Second, 100*time.Millisecond) // until the response times are known
+	run(20*time.Second, 100*time.Millisecond) // the sidecar measures the usual response times
 	if _, rejected := run(5*time.Second, 100*time.Millisecond); rejected > 0 {
 		t.Fatalf("%d requests were rejected under normal load", rejected)
 	}
@@ -61,12 +61,12 @@
 }
 
 // TestSilentGroupDoesNotRaiseLoadLevel has all endpoints of a kind stop responding while the others respond
-// as before. Neither the requests in flight at the silent kind nor their time-outs may raise the load level,
-// or the loss of a zone would reject requests that the rest could serve.
+// as before. Neither the requests in flight at the silent kind nor their time-outs may raise the load level.
+// Otherwise, after the loss of a zone, sidecars would reject requests that the other zones can serve.
 func TestSilentGroupDoesNotRaiseLoadLevel(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
-		silent bool // otherwise the kind responds, but much later
+		silent bool // the kind does not respond; false: it responds, but much later
 		low    float64
 		high   float64
 	}{{"silent", true, 1, 1.2}, {"late", false, 2, 99}} {
--- a/balance/locality.go
+++ b/balance/locality.go
@@ -3,19 +3,22 @@
 // This file contains locality-aware weighting: the traffic that other zones get.
 
 const (
-	// crossZoneObjectiveFactor converts the cost of crossing zones to response time: crossing zones pays if the
-	// response arrives sooner by this factor times the cost times the shortest latency objective.
+	// crossZoneObjectiveFactor converts the cost of crossing zones to response time. Crossing zones is worth
+	// its cost if it shortens the response time by the product of this factor, the cost and the shortest
+	// latency objective.
 	crossZoneObjectiveFactor = 8.0
 	// minZoneWeight is the minimum weight of other zones, sufficient to measure them.
 	minZoneWeight = 0.001
-	// zoneWeightStep is the part of the remaining difference by which a tick changes the weight of other zones.
+	// zoneWeightStep is the fraction of the difference to its target by which a tick changes the weight of
+	// other zones.
 	zoneWeightStep = 0.03
 )
 
-// updateZoneWeight updates the weight of other zones relative to the own zone, which may have more traffic
-// than its servers can process. Other zones have the full weight once responses from the own zone are later
-// by the cost of crossing zones, at most spilloverObjectiveShare, and the minimum weight below half of that.
-// The weight changes slowly so that the rotation stays even.
+// updateZoneWeight updates the weight of other zones relative to the own zone, as the own zone may have more
+// traffic than its servers can process. The threshold is the cost of crossing zones as a response time, from
+// 0.01 to spilloverObjectiveShare of the shortest latency objective. If responses from the own zone are
+// expected later than others by the threshold, the target is the full weight. If the difference is less than
+// half the threshold, the target is the minimum weight. The weight changes slowly to keep the rotation even.
 func (b *Balancer) updateZoneWeight(now Time) {
 	var wait, weight [2]float64
 	for _, e := range b.active {
--- a/balance/loss_test.go
+++ b/balance/loss_test.go
@@ -128,8 +128,8 @@
 	return requests
 }
 
-// TestLosses runs without a fault and then with one. Requests that the fault affects may be lost, all others
-// must be served in time, and hardly any request may be hedged where nothing is lost.
+// TestLosses runs without a fault and then with one. Requests that the fault affects may be lost, and all
+// others must be served in time. If nothing is lost, hardly any request may be hedged.
 func TestLosses(t *testing.T) {
 	normal := func(f *lossyHost) time.Duration {
 		return time.Duration(20 * math.Exp(f.rng.NormFloat64()*0.4) * float64(time.Millisecond))
@@ -262,7 +262,7 @@
 	}
 	b, h := start(t, settings(), identicalEndpoints(6))
 	b.Request(h.now, Request{ID: 1, Tenant: -1, Timeout: time.Second})
-	b.requests[1].retryPaid = true // as when its first attempt was cancelled for a retry
+	b.requests[1].retryPaid = true // the state after the cancellation of its first attempt for a retry
 	for b.retryBudget.Spend(0) {
 	}
 	h.finishAttempts(b, h.now, Cancelled)
--- a/balance/losses.go
+++ b/balance/losses.go
@@ -14,15 +14,15 @@
 	defaultLossShare = 0.001
 	// maxLossShareForTimes is the loss share from which response times are not added to the distribution.
 	maxLossShareForTimes = 0.03
-	// partialLossShare is the share of a partial loss: an endpoint that loses this much still responds, and a
-	// few losses in a row are no evidence of a total loss.
+	// partialLossShare is the loss share assumed for an endpoint with a partial loss. Such an endpoint still
+	// responds, and a few consecutive losses are no evidence of a total loss.
 	partialLossShare = 0.2
-	// minTimeoutLossShare is the minimum loss share assumed for an attempt that outlasts its client.
+	// minTimeoutLossShare is the minimum loss share assumed for an attempt that ends with TimedOut.
 	minTimeoutLossShare = 0.05
 	// totalLossShare is the loss share at which an endpoint is ejected, altogether or for a class.
 	totalLossShare = 0.95
-	// maxPauseObjectives is the time, as a multiple of the shortest latency objective, after which an endpoint
-	// that does not respond is more than paused.
+	// maxPauseObjectives is the maximum length of a pause, as a multiple of the shortest latency objective.
+	// If an endpoint does not respond for longer, it is not merely paused.
 	maxPauseObjectives = 6.0
 )
 
@@ -105,9 +105,9 @@
 
 // recordNoResponse records an attempt without a response; lost is its probability of loss. An endpoint that
 // loses all attempts is ejected, and one that loses all attempts of a class is ejected for that class. An
-// endpoint that loses a part of them still has the rest of its capacity, and ejecting it would overload the
-// others, whose responses would then be late. Therefore both ejections require evidence of a total loss,
-// tested against the baseline loss share of the endpoint, and attempts sent before an ejection are no new
+// endpoint that loses a part of its attempts still has the rest of its capacity. Ejecting it would overload
+// the other endpoints and delay their responses. Therefore both ejections require evidence of a total loss,
+// tested against the baseline loss share of the endpoint. Attempts sent before an ejection are no new
 // evidence.
 func (b *Balancer) recordNoResponse(class int, a *attempt, survival, lost float64, now Time) {
 	e := a.endpoint
@@ -130,9 +130,10 @@
 	}
 }
 
-// recordSilence records an attempt whose endpoint has not responded at all since it was sent. A pause of the
-// endpoint delays everything in flight there and counts as one silence, not many: until the silence exceeds
-// maxPauseObjectives, only attempts that are sent after its detection count, and those that have ended.
+// recordSilence records an attempt whose endpoint has been silent, which means without any response, since
+// the attempt was sent. A pause of the endpoint delays all attempts in flight there and has to count as one
+// silence. Therefore an attempt counts only if it was sent after the last silence was detected, if it has
+// ended, or if that silence was detected at least maxPauseObjectives ago.
 func (b *Balancer) recordSilence(a *attempt, survival float64, now Time) {
 	e := a.endpoint
 	first := a.sent >= e.lastSilence
@@ -150,7 +151,8 @@
 	}
 }
 
-// recordLoss records an attempt as lost with a probability, which replaces the one recorded for it before.
+// recordLoss records the probability that an attempt is lost. It replaces a probability recorded earlier for
+// the same attempt.
 func (b *Balancer) recordLoss(class int, a *attempt, lost float64) {
 	for _, r := range []struct {
 		record *lossdetect.LossRate
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -15,14 +15,15 @@
 	ejectFailureShare = 0.8
 	// ejectionTime is the duration of an ejection; the next failure after it ejects the endpoint again.
 	ejectionTime = 5 * time.Second
-	// classEjectionTime is how long an endpoint that rejected a class gets no requests of that class.
+	// classEjectionTime is the duration of an ejection for a class after a rejection. After lost attempts,
+	// the first ejection takes about as long, and each failed probe doubles the time, up to four times.
 	classEjectionTime = time.Second
 )
 
 // observations is what the sidecar has observed of the current process of an endpoint.
 type observations struct {
 	responseSeconds  float64                 // decaying sum of response times, in seconds
-	responseInFlight float64                 // decaying sum of the requests in flight at the sending of these
+	responseInFlight float64                 // decaying sum, over these attempts, of the requests in flight when sent
 	lastSample       Time                    // when an attempt last yielded a response time
 	endedAttempts    float64                 // decaying count of attempts that ended
 	failedAttempts   float64                 // decaying count of attempts that failed
@@ -31,7 +32,7 @@
 	ejectedUntil     Time                    // 0: never ejected
 	losses           lossdetect.LossRate     // losses while the endpoint responded to other attempts
 	silenceAlarm     lossdetect.Alarm        // raised if the endpoint loses all attempts
-	lastSilence      Time                    // when a silence was last counted
+	lastSilence      Time                    // when the endpoint was last detected as silent
 	slowdown         lossdetect.Slowdown     // of recent response times relative to the expected ones
 	classes          []lossdetect.ClassState // by class
 }
@@ -41,14 +42,14 @@
 	return observations{lastSample: now, classes: make([]lossdetect.ClassState, len(b.settings.Classes))}
 }
 
-// recordOutcome records the end of an attempt at its endpoint. Where some connections are dead or swallow
-// requests, each such attempt costs a timeout, which is many times the response time. An endpoint that has
-// responded since the attempt was sent is neither slow, as its responses show, nor silent: its losses are
-// counted separately. A slow or overloaded endpoint is detected by its late responses, a silent one by their
-// absence.
+// recordOutcome records the end of an attempt at its endpoint. On a dead connection, an attempt ends with a
+// timeout, which is many times the response time. An endpoint that has responded since the attempt was sent
+// is neither slow nor silent. Therefore such a timeout is no sample of its response time, and its losses are
+// counted separately. A slow or overloaded endpoint is detected by late responses, and a silent one by
+// missing responses.
 func (b *Balancer) recordOutcome(a *attempt, r Result, now Time) {
-	swallowed := r.Outcome == TimedOut && a.endpoint.lastResponse >= a.sent
-	if r.Outcome == Served || r.Outcome == TimedOut && !swallowed {
+	lost := r.Outcome == TimedOut && a.endpoint.lastResponse >= a.sent
+	if r.Outcome == Served || r.Outcome == TimedOut && !lost {
 		b.recordTimeSample(a, r, now)
 	}
 	b.recordFailure(a, r, now)
@@ -79,11 +80,11 @@
 	return [...]*group{e.homeGroup, b.allEndpoints, &b.zoneResponseTimes[e.zoneIndex]}
 }
 
-// recordFailure counts the outcome of an attempt for or against its endpoint, and ejects an endpoint that
-// fails much more than the others: one that fails fast looks idle and attracts all requests. Where
-// connections break or invalid responses come from all endpoints alike, an absolute limit would eject each of
-// them, so the failure share is compared with that of the others. Connections that break together count as
-// one failure: only attempts sent after it show whether the fault persists.
+// recordFailure counts an attempt as a success or a failure of its endpoint, and ejects an endpoint that
+// fails much more often than the others. An endpoint that fails fast would otherwise seem idle and get all
+// requests. The failure share is compared with that of the other endpoints: if connections break or responses
+// are invalid at all endpoints alike, an absolute limit would eject each of them. Connections that break
+// together count as one failure. Only attempts sent after that failure show whether the fault persists.
 func (b *Balancer) recordFailure(a *attempt, r Result, now Time) {
 	e := a.endpoint
 	othersShare := (b.failedAttempts - e.failedAttempts) / math.Max(b.endedAttempts-e.endedAttempts, 1)
@@ -114,10 +115,9 @@
 	}
 }
 
-// forgetObservations discards what was observed of an endpoint whose process has restarted. Otherwise the
-// requests that the servers of a failed zone left unanswered would remain in the response times of their
-// group and in the in-flight counts, and the servers would count as slow and get no requests after their
-// return.
+// forgetObservations discards the observations of an endpoint whose process has restarted. Otherwise, when a
+// failed zone returns, the requests to its servers that had no response would remain in the response times of
+// their group and in the in-flight counts. The servers would count as slow and get no requests.
 func (b *Balancer) forgetObservations(e *endpoint, started, now Time) {
 	for _, g := range b.responseTimeGroups(e) {
 		g.responseSeconds = max(g.responseSeconds-e.responseSeconds, 0)
--- a/balance/peers.go
+++ b/balance/peers.go
@@ -5,8 +5,7 @@
 // This file contains the exchange of observations with other sidecars.
 
 const (
-	// maxSuspectedShare is the maximum share of the ready weight that peer reports may move behind the other
-	// endpoints.
+	// maxSuspectedShare is the maximum share of the ready weight to which peer reports apply.
 	maxSuspectedShare = 0.5
 	// peerReportLifetime is the time from the writing of a report to its expiry.
 	peerReportLifetime = 3 * time.Second
@@ -21,9 +20,9 @@
 	}
 }
 
-// SetSuspected replaces the endpoints that peers suspect, given in descending order of suspicion. They stay
-// in use, after all others. As reports may be false, they apply to at most maxSuspectedShare of the ready
-// weight.
+// SetSuspected replaces the endpoints that peers suspect, in descending order of suspicion. Suspected
+// endpoints are used only if no other endpoint can be selected. Reports may be false: they apply to at most
+// maxSuspectedShare of the ready weight.
 func (b *Balancer) SetSuspected(reports []PeerReport) {
 	if len(reports) == 0 && b.suspectedCount == 0 {
 		return
--- a/balance/peers_test.go
+++ b/balance/peers_test.go
@@ -131,9 +131,9 @@
 	}
 }
 
-// TestPeerReportsAdmitNoEndpoint checks that, whatever peers report, an endpoint that is draining, removed or
-// administratively down gets no request, at most maxSuspectedShare of the ready weight is suspected, and
-// requests still find an endpoint.
+// TestPeerReportsAdmitNoEndpoint checks three rules for arbitrary peer reports: an endpoint that is draining,
+// removed or administratively down gets no request, at most maxSuspectedShare of the ready weight is
+// suspected, and requests are still sent.
 func TestPeerReportsAdmitNoEndpoint(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "endpoints")
--- a/balance/requests.go
+++ b/balance/requests.go
@@ -35,7 +35,7 @@
 	endpoint         *endpoint
 	sent             Time
 	waitingSince     Time    // start of the current wait for a response
-	inFlightAtSend   float64 // in flight at the endpoint when sent, with this one and assumedOtherRequests
+	inFlightAtSend   float64 // requests in flight there at sending, with this one and assumedOtherRequests
 	done             bool    // has a result
 	mayHaveRun       bool    // done, and may have been executed
 	released         bool    // no longer counts as in flight
@@ -44,7 +44,7 @@
 	hedged           bool    // another attempt was sent because this one was probably lost
 	expectedAtSend   float64 // response time in seconds expected when it was sent
 	expectedNow      float64 // response time in seconds expected now
-	alarmWeight      float64 // its weight in the loss test of its class
+	alarmWeight      float64 // weight last added to the loss alarm for it; 0: none
 	lossProbability  float64 // probability with which it is recorded as lost; 0: not recorded
 }
 
@@ -96,7 +96,7 @@
 		return
 	}
 	if b.capacity.warmedUpWeight[1] == 0 {
-		b.sentAttempts++ // while all endpoints are warming up, only rejected requests add to their credit
+		b.sentAttempts++ // rejected requests add to the credit only while all endpoints are warming up
 	}
 	if b.mayReject(q) {
 		b.actions.Reject(q.ID, time.Duration(min(max(excess, 0), b.objective)*float64(time.Second)))
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -9,17 +9,17 @@
 
 // Margins before the end of the dedupe window.
 const (
-	// retryMargin is the least time left in the window for a retry to be selected.
+	// retryMargin is the minimum time left in the window when a retry is selected.
 	retryMargin = 500 * time.Millisecond
-	// arrivalMargin is the least time left in the window when the last byte of a retry is sent. The write may
-	// stall after the host has checked the time, and the request then crosses the network.
+	// arrivalMargin is the minimum time left in the window when the last byte of a retry is sent. The write
+	// may stall after the host has checked the time, and the request then crosses the network.
 	arrivalMargin = SchedulingStall + networkMargin
 	networkMargin = 25 * time.Millisecond
 )
 
-// mayAttemptAt reports whether the request may be attempted at e. No endpoint gets a request twice. An
-// attempt that may have been executed is repeated only as its class allows: never, anywhere, or where repeats
-// are dropped and early enough within the dedupe window, so that no effect happens twice.
+// mayAttemptAt reports whether the request may be attempted at e. No endpoint gets a request twice. After an
+// attempt that may have been executed, the class decides: it allows a repeat at any other endpoint, no
+// repeat, or a repeat early enough within the dedupe window at an endpoint that drops repeats.
 func (b *Balancer) mayAttemptAt(q *request, e *endpoint, now Time) bool {
 	for i := range q.attempts {
 		a := &q.attempts[i]
@@ -30,7 +30,7 @@
 	return true
 }
 
-// allowsRetry reports whether a retry at e is allowed after attempt a, given that a may have been executed.
+// allowsRetry reports whether attempt a allows a retry at e.
 func (c *Class) allowsRetry(a *attempt, e *endpoint, now Time) bool {
 	if a.done && !a.mayHaveRun {
 		return true
--- a/balance/rings.go
+++ b/balance/rings.go
@@ -16,8 +16,8 @@
 	return !slices.ContainsFunc(b.groups[:len(b.groups)-1], func(g *group) bool { return len(g.endpoints) > 0 })
 }
 
-// setFallbackGroup fills the group of all usable endpoints, which is used while no group of the rule has any,
-// or empties it.
+// setFallbackGroup fills or empties the group of all usable endpoints. It is used while no group of the rule
+// has a usable endpoint.
 func (b *Balancer) setFallbackGroup(used bool) {
 	g := b.allEndpoints
 	b.subsetsStale, b.resetSubsets, g.inUse = true, true, used
--- a/balance/route_test.go
+++ b/balance/route_test.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// TestGroupWeightFollowsReadyMembers drains one of two members of a group, which halves the weight of the
-// group. With its full weight the remaining member would be overloaded.
+// TestGroupWeightFollowsReadyMembers drains one of two members of a group, which must halve the weight of the
+// group. At full weight the remaining member would be overloaded.
 func TestGroupWeightFollowsReadyMembers(t *testing.T) {
 	list := []Endpoint{
 		{ID: "a", Zone: "x", Kind: "big", Weight: 1},
@@ -284,8 +284,8 @@
 	}
 }
 
-// TestLowCrossZoneChargeShiftsMoreTraffic has the own zone respond in 200 ms and the other in 50 ms. The
-// difference is 0.15 of the latency objective and exceeds only a low cross-zone charge.
+// TestLowCrossZoneChargeShiftsMoreTraffic has the own zone respond in 200 ms and the other zone in 50 ms. The
+// difference is 0.15 of the latency objective, which exceeds only a low cross-zone charge.
 func TestLowCrossZoneChargeShiftsMoreTraffic(t *testing.T) {
 	otherZoneWeight := func(charge float64) float64 {
 		set := settings()
--- a/balance/routing.go
+++ b/balance/routing.go
@@ -72,7 +72,7 @@
 	lastResponse     Time    // when any of its endpoints last responded
 	lastSample       Time    // when an attempt last yielded a response time
 	responseSeconds  float64 // decaying sum of response times, in seconds
-	responseInFlight float64 // decaying sum of the requests in flight per unit of weight at the sending of these
+	responseInFlight float64 // decaying sum, over the same attempts, of the requests in flight per unit of weight
 	waitingSeconds   float64 // total waiting time of the requests in flight at the last tick, in seconds
 
 	nextIndex int     // index in subset of the next member in the rotation
@@ -111,8 +111,8 @@
 	return joins
 }
 
-// weight returns the weight of the group in proportion to the current capacity of its ready endpoints. With
-// its full weight, a group that shrinks or warms up would overload its remaining endpoints.
+// weight returns the weight of the group in proportion to the current capacity of its ready endpoints. At
+// full weight, a group with fewer endpoints, or with endpoints that are warming up, would be overloaded.
 func (g *group) weight(zoneWeight [2]float64) float64 {
 	capacity := g.capacity[0]*zoneWeight[0] + g.capacity[1]*zoneWeight[1]
 	if g.destination.PerEndpointWeight {
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -117,7 +117,7 @@
 		return
 	}
 	if after < 0 || after.Seconds() > c.shortestObjective() {
-		c.fault("Retry-After of %v", after) // a retry after the latency objective is useless
+		c.fault("Retry-After of %v", after) // a retry after the latency objective is too late
 	}
 	for _, a := range r.attempts {
 		if (!a.done || a.ran) &&
@@ -443,8 +443,8 @@
 	return most, set.OverloadMultiple * share * 50 * set.OverloadWindow.Seconds() / float64(peers)
 }
 
-// TestSlowStartAllowance checks that a sidecar sends a cold endpoint no more than its part of the overload
-// limit, also if the endpoint rejects requests.
+// TestSlowStartAllowance checks that a sidecar sends a cold endpoint at most the sidecar's part of the
+// overload limit, also if the endpoint rejects requests.
 func TestSlowStartAllowance(t *testing.T) {
 	for _, peers := range []int{1, 2, 5} {
 		for _, retries := range []bool{false, true} {
@@ -491,7 +491,8 @@
 }
 
 // TestTenantAllowanceOfManySidecars checks that in a large fleet few requests of usual traffic count as
-// beyond the tenants' allowances, and more of a tenant that sends most of the traffic.
+// beyond the tenants' allowances. If one tenant sends most of the traffic, more of its requests must count
+// so.
 func TestTenantAllowanceOfManySidecars(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
--- a/balance/sequence_test.go
+++ b/balance/sequence_test.go
@@ -105,7 +105,7 @@
 					continue
 				}
 				ids, ns := open()
-				for i, id := range ids { // an attempt ends at the latest with its client or its cancellation
+				for i, id := range ids { // an attempt ends at the latest at the client's deadline or its cancellation
 					r := sent[id-1]
 					switch {
 					case r.ended && set.CancelAllowed:
@@ -134,7 +134,7 @@
 					time.Duration(rapid.SampledFrom([]int{20, 200, 1000}).Draw(t, "within"))*time.Millisecond,
 				)
 			},
-			"burst": func(t *rapid.T) { // with more failures than the retry budget allows
+			"burst": func(t *rapid.T) { // more attempts fail than the retry budget allows to retry
 				class := rapid.IntRange(0, 1).Draw(t, "class")
 				for range 12 {
 					request(class, time.Second)
@@ -147,7 +147,7 @@
 					}
 				}
 			},
-			"lose": func(t *rapid.T) { // a third
+			"lose": func(t *rapid.T) { // a third of the attempts is lost
 				for i := range 12 {
 					request(i%4, 150*time.Millisecond)
 				}
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -17,21 +17,21 @@
 // The variance of the sum of such counts is at most that of a Poisson process of the same mean, whatever the
 // number of sidecars and however uneven their traffic. A Poisson count of mean 0.7 N exceeds the limit with a
 // probability of 2 in 100,000 at the least favourable N, which is 30 (mean 21, limit 42.9), and with a lower
-// one for any other N. Therefore overloadShare is 0.7.
+// probability at any other N. Therefore overloadShare is 0.7.
 //
-// The capacity is not published. A sidecar estimates its part of it from the responses of warmed-up endpoints
-// per unit of weight over capacityTimeConstant, which cannot exceed the true capacity. Until it has an
-// estimate, it limits an endpoint to a share of its own traffic, which a burst may raise to 1.4 times the
-// capacity of warmed-up endpoints; hence unknownCapacityShare. Where the whole fleet and the sidecars have
-// just started, the capacity cannot be estimated, and only these shares limit the rate.
+// The capacity is not published. A sidecar estimates its part of the capacity from the responses of warmed-up
+// endpoints per unit of weight over capacityTimeConstant. These cannot exceed the true capacity. Without an
+// estimate, the sidecar limits an endpoint to a share of the sidecar's own traffic. A burst may raise that
+// traffic to 1.4 times the capacity of warmed-up endpoints; hence unknownCapacityShare. Where the whole fleet
+// and the sidecars have just started, the capacity cannot be estimated, and only these shares limit the rate.
 const (
-	overloadShare        = 0.7                 // of N: mean of what all sidecars send, at most
-	unknownCapacityShare = overloadShare / 1.4 // of N, where the capacity is not known
-	maxOverflowShares    = 2.0                 // shares an endpoint gets at most if all others are at capacity
+	overloadShare        = 0.7                 // maximum mean of the requests of all sidecars, as a share of N
+	unknownCapacityShare = overloadShare / 1.4 // the same while the capacity is unknown
+	maxOverflowShares    = 2.0                 // maximum for an endpoint if all others are at capacity, in shares
 
 	capacityTimeConstant = 30 * time.Second // time in which the responses of warmed-up endpoints decay to 1/e
-	minServedResponses   = 0.5              // the capacity counts as known from this many responses
-	minMeasuredSeconds   = 2.0              // and this measuring time on
+	minServedResponses   = 0.5              // minimum number of responses for a known capacity
+	minMeasuredSeconds   = 2.0              // minimum measuring time for a known capacity
 
 	minCapacity = 1e-9 // keeps a ratio finite where no endpoint has capacity
 )
@@ -40,8 +40,8 @@
 type capacityMeter struct {
 	served         float64    // decaying count of their responses
 	seconds        float64    // decaying measuring time
-	weightSeconds  [2]float64 // decaying sum of weight times seconds in use: with and without the zone weight
-	warmedUpWeight [2]float64 // current weight of those in use, likewise
+	weightSeconds  [2]float64 // decaying sum of weight times seconds in use, with and without the zone weight
+	warmedUpWeight [2]float64 // current weight of warmed-up endpoints in use, with and without the zone weight
 }
 
 // advance adds a period with the endpoints that are currently in use.
@@ -60,9 +60,9 @@
 }
 
 // selectionCredit is the accumulated credit towards the next selection of an endpoint that is warming up;
-// from a credit of 1 on it may be selected. Credit accumulates at the rates in force at the time. If it were
-// recomputed from the capacity share, which has risen since, sidecars with little traffic would all select
-// the endpoint well before its time.
+// with a credit of 1 it may be selected. Credit accumulates at the rates in force at the time. The capacity
+// share rises in the meantime: if the credit were recomputed from the present share, all sidecars with little
+// traffic would select the endpoint much too early.
 type selectionCredit struct {
 	countedSends   float64 // value of Balancer.sentAttempts up to which credit is counted
 	countedUntil   Time    // time up to which credit is counted
@@ -75,8 +75,8 @@
 	aheadOfRotation bool
 }
 
-// reset starts the credit for the next selection at a phase from 0 to 1. The phase is the same for all parts,
-// which have to come due together.
+// reset starts the credit for the next selection at a phase from 0 to 1. All parts have the same phase, as
+// they have to become due at the same time.
 func (t *selectionCredit) reset(sends float64, now Time, phase float64) {
 	*t = selectionCredit{
 		countedSends:   sends,
@@ -88,8 +88,8 @@
 	}
 }
 
-// updateCredit updates the credit of an endpoint that is warming up, and returns what the request being
-// decided adds to its zoneTraffic and fleetTraffic.
+// updateCredit updates the credit of an endpoint that is warming up, and returns how much the current request
+// adds to its zoneTraffic and fleetTraffic.
 func (b *Balancer) updateCredit(e *endpoint, now Time) (inZone, inFleet float64) {
 	credit, meter, capacity := &e.slowStart, &b.capacity, e.Weight*e.capacityShare
 	inZone, inFleet = 1, maxOverflowShares
@@ -103,9 +103,10 @@
 		elapsed := max(now-credit.countedUntil, 0).Seconds()
 		allowed := overloadShare * b.settings.OverloadMultiple * capacity * meter.served * elapsed
 		if meter.warmedUpWeight[1] > 0 {
-			// If each zone sends to its own endpoints only, the sidecars of one zone may use up the allowance, and the
-			// requests that all others send ahead of schedule are added to it: one allowance less the own zone's part
-			// of the whole.
+			// If each zone sends to its own endpoints only, the sidecars of one zone may use the complete
+			// allowance. All other sidecars may add requests ahead of schedule, up to one allowance less the
+			// own zone's part of the fleet. The total is 2 less that part, in allowances; dividing by it
+			// limits the total to one allowance.
 			allowed /= 2 - meter.weightSeconds[0]/meter.weightSeconds[1]
 		}
 		credit.zoneAllowance += allowed * b.zoneWeight[e.zoneIndex] / meter.weightSeconds[0]
@@ -121,8 +122,7 @@
 }
 
 // fleetUsedShare returns the part of the fleet that all sidecars use if each uses as much as this one. A few
-// sidecars that start with small subsets, or keep to one zone each, concentrate their traffic on those
-// endpoints.
+// sidecars that start with small subsets, or use one zone each, concentrate their traffic on those endpoints.
 func (b *Balancer) fleetUsedShare(used float64) float64 {
 	total := 0.0
 	for _, g := range b.groups {
@@ -133,13 +133,14 @@
 
 // slowStartAllows reports whether an endpoint is warmed up, or due for its next selection according to its
 // capacity share. If all sidecars selected an endpoint that is warming up whenever it alone seems to have
-// capacity, they would overload it. If each keeps to its schedule, the endpoint gets no more in relation to
-// its capacity than the mean of the fleet, whatever the number of sidecars.
+// capacity, they would overload it. If each follows its schedule, the traffic of the endpoint in relation to
+// its capacity is at most the mean of the fleet, whatever the number of sidecars.
 //
-// overflow is set for a request that finds no endpoint with capacity left: it may select one ahead of
-// schedule, in any zone. Where the whole fleet is warming up, the schedule alone would leave most requests
-// without an endpoint. Selections ahead of schedule are counted across the fleet: all sidecars together make
-// no more than maxOverflowShares of the endpoint's share. No selection exceeds the allowance.
+// overflow is set for a request for which no endpoint has capacity left. Such a request may select an
+// endpoint ahead of schedule, in any zone. Where the whole fleet is warming up, the schedule alone would
+// leave most requests without an endpoint. Selections ahead of schedule are counted across the fleet: all
+// sidecars together make at most maxOverflowShares times the endpoint's share. No selection exceeds the
+// allowance.
 func (b *Balancer) slowStartAllows(e *endpoint, overflow bool, now Time) bool {
 	if e.capacityShare >= 1 {
 		return true
@@ -156,8 +157,8 @@
 	return dueInZone || overflow && dueInFleet
 }
 
-// capacityShareAt returns the share of its capacity that an endpoint has, which rises linearly from its
-// start.
+// capacityShareAt returns the present share of an endpoint's full capacity. It rises linearly from
+// SlowStartCapacity to 1 over SlowStartWindow.
 func (b *Balancer) capacityShareAt(e *endpoint, now Time) float64 {
 	age, window, start := now-e.Started, b.settings.SlowStartWindow, b.settings.SlowStartCapacity
 	if e.Started <= 0 || age >= window {
@@ -166,10 +167,10 @@
 	return start + (1-start)*max(age.Seconds(), 0)/window.Seconds()
 }
 
-// drawFirstSelections draws at random when started endpoints are first due, within one period of their
-// schedule. Sidecars that are notified at the same time must not send at the same time. With many sidecars,
-// the period of each is long: if each started with a full period, the endpoint would remain idle until it is
-// warmed up.
+// drawFirstSelections draws a random phase for the first selection of each started endpoint, within one
+// period of its schedule. Sidecars that are notified at the same time must not send at the same time. With
+// many sidecars, the period of each is long: if each started with a full period, the endpoint would remain
+// idle until it is warmed up.
 func (b *Balancer) drawFirstSelections(now Time) {
 	for _, e := range b.started {
 		if e.awaitsFirstSelection {
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -10,8 +10,8 @@
 	"milletramp.example/milletramp/internal/lab/testrun"
 )
 
-// overloadLimit returns the number of requests of mean work above which a cold endpoint is overloaded, where
-// the settings allow it n.
+// overloadLimit returns the number of requests of mean work above which a cold endpoint is overloaded, if the
+// settings allow n requests.
 func overloadLimit(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -22,7 +22,7 @@
 // warmingFleet is a fleet of ten endpoints at their capacity, before some of them start cold.
 type warmingFleet struct {
 	name     string
-	allCold  bool // all ten restart at the same time; otherwise an eleventh is added during a burst
+	allCold  bool // all ten restart at the same time; false: an eleventh starts during a burst
 	restarts bool // a tenth of the sidecars, at least one, is restarted each second
 	zones    int
 	sidecars int
@@ -61,7 +61,7 @@
 	set := settings()
 	set.SlowStartWindow, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow = 8*time.Second, 0.3, c.multiple, 2*time.Second
 	set.Zones = []string{"x", "y", "z"}[:c.zones]
-	list := fleet(servers + 1) // the first endpoint is added later, to the initial subset of the first sidecar
+	list := fleet(servers + 1) // the first endpoint, in the initial subset of the first sidecar, is added later
 	for i := range list {
 		list[i].Zone = set.Zones[i%c.zones]
 	}
@@ -129,8 +129,8 @@
 }
 
 // TestColdFleetOfUnknownCapacity starts a sidecar on a fleet that is entirely cold, so that its capacity is
-// unknown, with settings that allow less than a cold endpoint's share. The sidecar must send a part of its
-// requests and continue to do so.
+// unknown, and has settings that allow less than a cold endpoint's share. The sidecar must send a part of its
+// requests at all times.
 func TestColdFleetOfUnknownCapacity(t *testing.T) {
 	set, list := settings(), fleet(12)
 	set.OverloadMultiple = 1.25
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -13,20 +13,20 @@
 	// subsetInterval is the maximum time between two updates of the subsets.
 	subsetInterval = time.Second
 
-	// The transition to a wide fleet is gradual, from maxNormalFleetSize to wideFleetSize usable endpoints. In a
-	// wide fleet the traffic of a sidecar is the same as in a smaller one, and so is the number of endpoints
-	// that it can monitor and keep connections to. It uses at most wideFleetSubsetSize of them or, with more
-	// than normalFleetSize requests within decayTimeConstant, proportionally more. It also uses at most
-	// wideFleetBase plus one for each wideFleetStep listed endpoints.
+	// The transition to a wide fleet is gradual, from maxNormalFleetSize to wideFleetSize usable endpoints. A
+	// sidecar has no more traffic in a wide fleet than in a smaller one. Therefore it cannot monitor more
+	// endpoints, or keep connections to more. It uses at most wideFleetSubsetSize endpoints. This limit rises
+	// in proportion to the requests above normalFleetSize requests within decayTimeConstant. A second limit
+	// is wideFleetBase plus one for each wideFleetStep listed endpoints.
 	normalFleetSize     = 200
 	maxNormalFleetSize  = 300
 	wideFleetSize       = 400
 	wideFleetSubsetSize = 150
 	wideFleetBase       = 25
 	wideFleetStep       = 7
-	// maxDriftShare is the maximum distance of a long subset from its ideal position in such a fleet, as a share
-	// of its length, and longSubsetSize the length from which on a subset is long. A few short subsets out of
-	// position would spread the sidecars unevenly.
+	// maxDriftShare is the maximum distance of a long subset from its ideal position in a wide fleet, as a
+	// share of its length. A subset of at least longSubsetSize endpoints is long. The maximum is smaller for
+	// a shorter subset, as a few short subsets out of position would spread the sidecars unevenly.
 	maxDriftShare  = 1.0 / 8
 	longSubsetSize = 16
 )
@@ -34,7 +34,8 @@
 // chooseSubsets chooses this sidecar's subset of each group. Where endpoints are ready but none is in a group
 // of the rule, all ready endpoints form one group, as without a rule.
 func (b *Balancer) chooseSubsets(now Time) {
-	// In a wide fleet, the effect of one change on sizes and positions may move members of all groups.
+	// In a wide fleet, a single change does not update sizes and positions, as this might move members of all
+	// groups.
 	normal := b.wideFleetFactor() == 0
 	resize := !b.subsetsStale || b.resetSubsets || normal
 	b.subsetsStale, b.resetSubsets = false, false
@@ -127,10 +128,11 @@
 	}
 }
 
-// subsetStart returns the position on the ring at which the subset begins. If it followed the ideal position
-// of the sidecar among the usable endpoints, it would move with each endpoint added or removed anywhere on
-// the ring, to endpoints without connections. Therefore it stays at its first endpoint until it has drifted
-// so far that the sidecars would no longer be spread evenly. Then it moves back by one endpoint at a time.
+// subsetStart returns the position on the ring at which the subset begins. A subset that always begins at the
+// sidecar's ideal position among the usable endpoints would move with each endpoint added or removed anywhere
+// on the ring, to endpoints without connections. Therefore the subset keeps its first endpoint until its
+// distance from the ideal position exceeds the maximum. It then moves towards the ideal position by one
+// endpoint at a time, or directly if the maximum is 0 or the distance is at least the size of the subset.
 func (b *Balancer) subsetStart(g *group, want int, recenter bool) (first int) {
 	n := len(g.endpoints)
 	ideal := int(math.Mod(float64(b.settings.Ordinal)*(math.Sqrt(5)-1)/2, 1) * float64(n))
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// TestSubsetReplacesEjectedEndpoints checks that the subset has one more member for an ejected one.
+// TestSubsetReplacesEjectedEndpoints checks that the subset has one additional member for each ejected one.
 func TestSubsetReplacesEjectedEndpoints(t *testing.T) {
 	b, h := startSidecar(t, 3, 10, fleet(200))
 	first := ids(b.active)
@@ -121,8 +121,8 @@
 }
 
 // TestColdEndpointAmongManySidecars checks that the attempts of all sidecars at a cold endpoint stay within
-// its share, whatever the number of sidecars, also if all other endpoints reject and the sidecars do not
-// coordinate (rule 4).
+// its share, whatever the number of sidecars, also if all other endpoints reject requests and the sidecars do
+// not coordinate (rule 4).
 func TestColdEndpointAmongManySidecars(t *testing.T) {
 	const seconds = 2
 	for _, peers := range []int{5, 100, 1000} {
@@ -202,9 +202,9 @@
 	}
 }
 
-// TestColdFleetServesRequests has every endpoint just started, as after a power failure. Requests must still
-// be sent, and no endpoint may get much more than its share. If slow start were applied strictly, nearly
-// every request would be rejected.
+// TestColdFleetServesRequests has a fleet in which every endpoint has just started, as after a power failure.
+// Requests must still be sent, and no endpoint may get much more than its share. If slow start were applied
+// strictly, nearly every request would be rejected.
 func TestColdFleetServesRequests(t *testing.T) {
 	set := settings()
 	set.Zones = []string{"x", "y", "z"}
--- a/internal/loadlevel/loadlevel.go
+++ b/internal/loadlevel/loadlevel.go
@@ -3,15 +3,14 @@
 //
 // The package is pure: no clock, no randomness, no I/O and no allocation. Records decay only when the caller calls
 // Decay. By Little's law, a response time is the total time that attempts were in flight divided by the number of
-// responses. The time that attempts still in flight have waited so far is included: the attempts that have ended are
-// those that congestion did not delay, so they alone would show it late.
+// responses. The time that attempts in flight have waited so far is included. At the start of a congestion, only the
+// attempts without a delay have ended; they alone would show the congestion late.
 //
 // A Meter is not safe for concurrent use.
 package loadlevel
 
-// priorResponses is the number of responses with the former response time that are added to the recent ones, so that
-// few responses do not change the level much. It is also the minimum number of former responses: with fewer, the level
-// is 1.
+// priorResponses is the number of assumed responses with the former response time that are added to the recent ones.
+// They limit the effect of few responses on the level. With fewer than priorResponses former responses, the level is 1.
 const priorResponses = 2
 
 // minSeconds is the lower bound of the former response time. It keeps the level finite if the former responses took no
@@ -51,7 +50,7 @@
 }
 
 // Decay multiplies the recent and the former record by the given factors, from 0 to 1, and recomputes the level.
-// outstanding is the total time, in seconds, that attempts in flight have waited, without those presumed lost.
+// outstanding is the total waiting time of the attempts in flight, in seconds, without those presumed lost.
 func (m *Meter) Decay(keepRecent, keepFormer, outstanding float64) {
 	m.recent.decay(keepRecent)
 	m.former.decay(keepFormer)
@@ -64,6 +63,6 @@
 	m.excess = max(present/max(former, minSeconds)-1, 0)
 }
 
-// Level returns the load level, 1 or more. A level below 1 is not reported: the response times themselves show that
-// responses have become faster, and a delay until they do is harmless.
+// Level returns the load level, 1 or more. When responses become faster, the level stays at 1: the response times
+// themselves decrease, and their delay is harmless.
 func (m *Meter) Level() float64 { return 1 + m.excess }
--- a/internal/loadlevel/loadlevel_test.go
+++ b/internal/loadlevel/loadlevel_test.go
@@ -10,8 +10,8 @@
 // The interval between decays and the time constants of the recent and the former record, in seconds.
 const tick, recentTime, formerTime = 0.1, 1.0, 6.0
 
-// play simulates the given seconds with perTick responses in each tick, each after took seconds, and with outstanding
-// seconds waited by attempts in flight.
+// play simulates the given seconds. In each tick there are perTick responses after took seconds each, and the attempts
+// in flight have waited for outstanding seconds in total.
 func (m *Meter) play(seconds, perTick, took, outstanding float64) {
 	for range int(seconds / tick) {
 		for range int(perTick) {
--- a/internal/lossdetect/access.go
+++ b/internal/lossdetect/access.go
@@ -43,11 +43,11 @@
 	return isNew
 }
 
-// Unanswered records an attempt without a response that has been in flight for a time that only the share survival of
-// the responses exceeds. It returns the weight of this evidence, as Alarm.RecordFailure does, and the time for which
-// to eject the endpoint for the class, or 0 if the alarm is not raised. The time is firstWait and doubles with each
-// failed probe, up to four times firstWait. Attempts sent before the last ejection do not cause another one, as they
-// are no new evidence.
+// Unanswered records an attempt without a response. survival is the share of responses that take longer than the
+// attempt has been in flight. It returns the weight of this evidence, as Alarm.RecordFailure does, and the duration of
+// the ejection for the class, or 0 if there is none. The duration is firstWait and doubles with each further ejection,
+// up to four times firstWait. Attempts sent before the last ejection do not cause another one, as they are no new
+// evidence.
 func (c *ClassState) Unanswered(
 	sent, now, firstWait time.Duration,
 	survival, usual, alarming, previousWeight float64,
--- a/internal/lossdetect/lossdetect.go
+++ b/internal/lossdetect/lossdetect.go
@@ -21,12 +21,12 @@
 const (
 	binCount          = 40
 	firstBinEnd       = 0.05 // multiple of the expected time
-	log2BinsPerOctave = 2    // binary logarithm of the number of bins per octave, which have equal width
-	lastBinStart      = 38.4 // multiple at which the last bin starts, which has no upper limit
+	log2BinsPerOctave = 2    // binary logarithm of the number of bins per octave; those of an octave have equal width
+	lastBinStart      = 38.4 // multiple at which the last bin starts; this bin has no upper limit
 	minResponses      = 500  // number of responses below which Decay does not reduce the total
 )
 
-// The tests of Alarm and Record.
+// Parameters of Alarm, and the weight of priors.
 const (
 	// minUsualShare is the minimum of the usual share in the test of an alarm: a smaller one would raise the alarm at
 	// the second consecutive failure. maxUsualOfAlarming is its maximum, as a fraction of the alarming share: a larger
@@ -85,7 +85,7 @@
 	case multiple >= lastBinStart:
 		return binCount - 1
 	}
-	// the exponent and the leading bits of the mantissa
+	// The number of the bin consists of the exponent and the leading bits of the mantissa.
 	return int(math.Float64bits(multiple/firstBinEnd)>>(52-log2BinsPerOctave)) - 1023<<log2BinsPerOctave + 1
 }
 
@@ -197,21 +197,21 @@
 	return (r.lost + priorWeight*prior) / (r.ended + priorWeight)
 }
 
-// Alarm is the cumulative sum (CUSUM) test of Page (1954) for whether an endpoint loses or fails the alarming share of
-// its attempts, at which it is to be ejected, rather than the usual share. Its value is the sum of the log likelihood
-// ratios with a minimum of 0. A larger usual share requires more evidence.
+// Alarm is the cumulative sum (CUSUM) test of Page (1954). It decides between two shares of lost or failed attempts at
+// an endpoint: the usual share, and the alarming share, at which the endpoint has to be ejected. Its value is the sum
+// of the log likelihood ratios with a minimum of 0. A larger usual share requires more evidence.
 type Alarm float64
 
 // RecordSuccess records a response. The shares are the usual and the alarming share of failures.
 func (a *Alarm) RecordSuccess(usual, alarming float64) {
-	if *a > 0 { // a success only lowers it
+	if *a > 0 { // a success lowers the value, and the minimum is 0
 		*a = max(*a+Alarm(math.Log((1-alarming)/(1-clampUsualShare(usual, alarming)))), 0)
 	}
 }
 
-// RecordFailure records a failure, or, with a survival above 0, an attempt without a response that has been in flight
-// for a time that only this share of the responses exceeds. It returns the weight of this evidence. previousWeight is
-// the weight returned earlier for the same attempt, which the new one replaces, or 0.
+// RecordFailure records a failure, with a survival of 0, or an attempt without a response. For the latter, survival is
+// the share of responses that take longer than the attempt has been in flight. It returns the weight of this evidence.
+// previousWeight is the weight returned earlier for the same attempt, or 0; the new weight replaces it.
 func (a *Alarm) RecordFailure(survival, usual, alarming, previousWeight float64) float64 {
 	usual = clampUsualShare(usual, alarming)
 	weight := math.Log((alarming + (1-alarming)*survival) / (usual + (1-usual)*survival))
--- a/internal/lossdetect/lossdetect_test.go
+++ b/internal/lossdetect/lossdetect_test.go
@@ -9,8 +9,8 @@
 )
 
 // TestLossesAmongLateResponses simulates attempts of which a share is lost, and cancels each attempt once it is more
-// likely lost than not. The estimated share must be the true one, and few attempts may be cancelled that would have had
-// a response, although no response after the cancellation is ever observed.
+// likely lost than not. The estimated share must be the true one, although no response after a cancellation is
+// observed. Few of the cancelled attempts may be ones that would have had a response.
 func TestLossesAmongLateResponses(t *testing.T) {
 	for _, share := range []float64{0, 0.02, 0.1, 0.25, 0.5} {
 		rng := rand.New(rand.NewPCG(1, 2))
@@ -129,8 +129,8 @@
 const priorShare = 0.001
 
 // TestSlowdown checks that the factor remains between 1 and maxSlowdown for arbitrary responses, that a single outlier
-// after responses in the expected time changes it little, that four responses slower by a factor show at least half of
-// the slowdown, and that a full decay resets it to 1.
+// after responses in the expected time changes it little, that after four responses slower by a factor it includes at
+// least half of the slowdown, and that a full decay resets it to 1.
 func TestSlowdown(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Slowdown
--- a/internal/lossdetect/slowdown.go
+++ b/internal/lossdetect/slowdown.go
@@ -3,7 +3,7 @@
 const (
 	slowdownDecay       = 0.75 // factor of the record at each response: about the last four responses count
 	slowdownPriorWeight = 2.0  // weight of the prior factor of 1, in responses
-	maxSlowdown         = 4.0  // maximum multiple that a response counts with: a single outlier is weak evidence
+	maxSlowdown         = 4.0  // maximum multiple recorded for a response: a single outlier is weak evidence
 )
 
 // Slowdown estimates the factor by which an endpoint currently responds later than was expected when the requests were
@@ -12,7 +12,7 @@
 // late attempts from lost ones. The zero value has a factor of 1.
 type Slowdown struct{ responses, multiplesSum float64 }
 
-// Add records a response by its response time, as a multiple of the time that was expected when the request was sent.
+// Add records a response time, as a multiple of the time that was expected when the request was sent.
 func (s *Slowdown) Add(multiple float64) {
 	s.responses = s.responses*slowdownDecay + 1
 	s.multiplesSum = s.multiplesSum*slowdownDecay + min(multiple, maxSlowdown)
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -12,8 +12,8 @@
 }
 
 // Exceeds counts one event at the time now and reports whether it exceeds the rate, in events per second. The capacity
-// of the bucket is one event plus the events that the rate allows within burst. An event that exceeds the rate takes no
-// token.
+// of the bucket is one event plus the events that the rate allows within burst. An event that exceeds the rate removes
+// no token.
 func (m *Meter) Exceeds(now time.Duration, rate float64, burst time.Duration) bool {
 	earned := rate * (now - m.updated).Seconds()
 	capacity := 1 + rate*burst.Seconds()
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestExceeds checks for arbitrary event times that no more events pass than the rate and the burst allow, and that all
-// events of a steady stream within the rate pass.
+// TestExceeds checks for arbitrary event times that the number of events that do not exceed the rate is at most what
+// the rate and the burst allow. No event of a steady stream within the rate may exceed it.
 func TestExceeds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate, burst := rapid.Float64Range(0.1, 100).Draw(t, "rate"), 6*time.Second
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -5,8 +5,8 @@
 package retrybudget
 
 // Budget holds a balance for each class and a total balance, both in attempts. An additional attempt is deducted from
-// both: a class cannot use what other classes earned, and all classes together have the burst of a single one. A Budget
-// is not safe for concurrent use.
+// both: a class cannot use the attempts added by other classes, and the burst of all classes together is that of a
+// single class. A Budget is not safe for concurrent use.
 type Budget struct {
 	total    float64
 	classes  []float64
@@ -46,7 +46,7 @@
 }
 
 // Charge deducts the cost of a retry that a client made itself, down to a balance of 0. Such a retry is served in any
-// case, and leaves less budget for additional attempts.
+// case, and reduces the budget for additional attempts.
 func (b *Budget) Charge(class int) {
 	b.total = max(b.total-1, 0)
 	b.classes[class] = max(b.classes[class]-1, 0)
