--- a/internal/fleet/consensus/bootstrap.go
+++ b/internal/fleet/consensus/bootstrap.go
@@ -30,7 +30,8 @@
 	VotersAtJoin map[string]uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// KnownVoters returns the voters that this voter knows without any log, as IDs by name.
+// KnownVoters returns VotersAtJoin if it is set, and otherwise Voters. These voters are known before any entry of the
+// log is applied.
 func (b Bootstrap) KnownVoters() map[string]uint64 {
 	if b.VotersAtJoin != nil {
 		return b.VotersAtJoin
@@ -142,14 +143,14 @@
 }
 
 // Receive handles the hello of another voter. It returns ErrNotInGroup or ErrConfigMismatch if the hello shows that
-// this voter cannot be in the group, and another error for a hello that no other configured voter can have sent. Once
-// Bootstrap returns a group, the host persists it before it sends Hello again.
+// this voter cannot be in the group, and another error if the hello has no ID or if its sender is not one of the other
+// configured voters. Once Bootstrap returns a group, the host must persist the group before it sends the next Hello.
 func (b *Bootstrapper) Receive(now Time, h Hello) error {
 	if b.bootstrap != nil {
 		return nil
 	}
 	if _, named := b.configured.Voters[h.Name]; !named || h.Name == b.name || h.ID == 0 {
-		return fmt.Errorf("consensus: a hello of %.80q, which is none of the other voters", h.Name)
+		return fmt.Errorf("consensus: hello from %.80q, which is not one of the other voters", h.Name)
 	}
 	if h.Bootstrap != nil {
 		return b.join(h)
--- a/internal/fleet/consensus/bootstrap_test.go
+++ b/internal/fleet/consensus/bootstrap_test.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// groupsWithMajority returns the groups of which a majority of the voters still has the folder. A folder belongs to one
-// group only, so two such groups need a voter that lost its folder and joined a second group.
+// groupsWithMajority returns the groups for which a majority of the voters still have their folders. A folder belongs
+// to only one group, so two such groups can exist only if a voter has lost its folder and joined a second group.
 func (c *bootstrapCluster) groupsWithMajority() (groups []uint64) {
 	for group, voters := range c.groups {
 		n := 0
--- a/internal/fleet/consensus/consensus.go
+++ b/internal/fleet/consensus/consensus.go
@@ -135,20 +135,20 @@
 // change it.
 func (m *Machine) Ledger() *policy.Ledger { return m.ledger }
 
-// Waiting returns the names of the sidecars whose leases the pending change waits for, and the longest remaining wait.
-// On a voter that does not lead the list is empty.
-func (m *Machine) Waiting(now Time) (names []string, most time.Duration) {
+// Waiting returns the names of the sidecars that hold a lease and have not checked the pending change yet, and the
+// longest remaining wait. If this voter does not lead, or no change is pending, the list is empty.
+func (m *Machine) Waiting(now Time) (names []string, longest time.Duration) {
 	if p := m.ledger.Pending(); m.leases != nil && p != nil {
 		return m.leases.Waiting(now, *p)
 	}
 	return nil, 0
 }
 
-// Err returns the error for which this voter has stopped, ErrReplaced or ErrLostState. It is nil while the voter takes
-// part in the group.
+// Err returns the error that has stopped this voter, ErrReplaced or ErrLostState. It is nil while the voter takes part
+// in the group.
 func (m *Machine) Err() error { return m.fatalErr }
 
-// Leader returns the ID of the leader that this voter follows, or 0 if it knows none.
+// Leader returns the ID of the leader that this voter follows, or 0 if no leader is known.
 func (m *Machine) Leader() uint64 { return m.leader }
 
 // TakeActions returns and clears the pending messages and replies.
@@ -173,9 +173,9 @@
 	m.startReadRound(now)
 }
 
-// expireSnapshots reports snapshots as failed snapshotTimeout after they were sent, as they may have been lost. Raft
-// sends a voter no entries while the outcome of its snapshot is open. If the snapshot did arrive, the voter's next
-// acknowledgement corrects the report.
+// expireSnapshots reports a snapshot to Raft as failed when snapshotTimeout has passed since it was sent, because it
+// may have been lost. Until its result is reported, Raft sends no entries to that voter. If the snapshot did arrive,
+// the voter's next acknowledgement corrects the report.
 func (m *Machine) expireSnapshots(now Time) {
 	for to, at := range m.snapshotsSent {
 		if now-at >= snapshotTimeout {
@@ -185,8 +185,8 @@
 	}
 }
 
-// Step handles a message from another voter, an encoded Envelope. ErrLostState stops this voter. After any other error
-// the message was rejected.
+// Step handles a message from another voter, which is an encoded Envelope. ErrLostState stops this voter. Any other
+// error means that the message was rejected.
 func (m *Machine) Step(payload []byte) error {
 	if m.fatalErr != nil {
 		return m.fatalErr
@@ -204,7 +204,7 @@
 		return fmt.Errorf("consensus: malformed message: %w", err)
 	}
 	if msg.From != e.From || msg.To != m.settings.Identity.ID {
-		return fmt.Errorf("consensus: a message from %x to %x in an envelope of %x", msg.From, msg.To, e.From)
+		return fmt.Errorf("consensus: message from %x to %x in an envelope from %x", msg.From, msg.To, e.From)
 	}
 	if err := m.checkCommitted(msg); err != nil {
 		m.stop(err)
@@ -217,7 +217,7 @@
 }
 
 // checkCommitted compares the commit index of a leader's heartbeat with the log. The leader limits that index to the
-// entries that this voter has acknowledged, so a log that ends before it has lost entries.
+// entries that this voter has acknowledged. Therefore a log that ends before this index has lost entries.
 func (m *Machine) checkCommitted(msg raftpb.Message) error {
 	last, err := m.storage.LastIndex()
 	if err == nil && msg.Type == raftpb.MsgHeartbeat && msg.Commit > last && m.readyInFlight == nil {
@@ -248,8 +248,8 @@
 	return nil
 }
 
-// proposeEntries proposes entries derived from the state of the leases. A later Tick proposes a lost one again while it
-// is still due.
+// proposeEntries proposes entries derived from the state of the leases. If an entry is lost and is still due, a later
+// Tick or lease request proposes it again.
 func (m *Machine) proposeEntries(entries []policy.Entry) {
 	for _, e := range entries {
 		if encoded, err := cbor.Marshal(e); err == nil { // encoding these types never fails
@@ -258,8 +258,9 @@
 	}
 }
 
-// updateLeadership updates the leader and the lease table from Raft's status. A new leader does not know which entries
-// of earlier terms are committed, so it grants leases only once an entry of its own term is applied (Raft, section 8).
+// updateLeadership updates the leader and the lease table from Raft's status. A new leader cannot determine which
+// entries of earlier terms are committed, so it grants leases only once an entry of its own term is applied (Raft,
+// section 8).
 func (m *Machine) updateLeadership(now Time) {
 	status := m.rawNode.BasicStatus()
 	m.leader = status.Lead
--- a/internal/fleet/consensus/envelope.go
+++ b/internal/fleet/consensus/envelope.go
@@ -12,20 +12,21 @@
 type Envelope struct {
 	GroupID     uint64 `cbor:"1,keyasint"`
 	From        uint64 `cbor:"2,keyasint"`
-	Incarnation uint64 `cbor:"3,keyasint"` // the sender's
+	Incarnation uint64 `cbor:"3,keyasint"` // of the sender
 	Payload     []byte `cbor:"4,keyasint"` // a raftpb.Message
-	// Incarnations holds the latest incarnations of the other voters that the sender knows, by ID.
+	// Incarnations holds the latest incarnations of the other voters that are known to the sender, by ID.
 	Incarnations map[uint64]uint64 `cbor:"5,keyasint,omitempty"`
 }
 
 // envelopeVerifier rejects messages from voters that may have lost state. A voter whose folder was replaced by an older
-// copy no longer has some of the votes and entries that it has acknowledged, so a majority that includes it guarantees
-// nothing. Such a voter starts with an incarnation that other voters have already seen, or an earlier one. Each
-// envelope carries the incarnations that its sender knows, so all voters detect this, including the one with the older
-// copy.
+// copy no longer has some of the votes and entries that it has acknowledged, so a majority that includes it does not
+// guarantee anything. Such a voter may start with an incarnation earlier than one that other voters have already seen.
+// Each envelope contains the incarnations that are known to its sender, so all voters detect the older copy, including
+// the voter that started with it.
 //
-// An older copy is not detected if no reachable voter has seen its later incarnations. Waiting for all other voters
-// would detect it, but then one lost voter and one restarting voter would stop all changes.
+// An older copy is not detected if no reachable voter has seen an incarnation later than the one that starts with the
+// copy. If a starting voter waited for messages from all other voters, more copies would be detected, but then all
+// changes would stop if one voter is lost and another one restarts.
 type envelopeVerifier struct {
 	groupID      uint64
 	identity     Identity          // of this voter
@@ -34,8 +35,8 @@
 }
 
 var (
-	errUnknownSender    = errors.New("consensus: a message of no voter of this group")
-	errStaleIncarnation = errors.New("consensus: a message of a voter's former incarnation, or of an older folder")
+	errUnknownSender    = errors.New("consensus: the sender of a message is not a voter of this group")
+	errStaleIncarnation = errors.New("consensus: message from an earlier incarnation, or an older folder, of a voter")
 )
 
 // open decodes an envelope and checks its sender. newIncarnations holds the incarnations that were not known before.
@@ -53,7 +54,7 @@
 		return e, nil, fmt.Errorf("%w: this is its incarnation %d, voter %x knows of %d",
 			ErrLostState, v.identity.Incarnation, e.From, e.Incarnations[v.identity.ID])
 	case e.Incarnation < known:
-		return e, nil, fmt.Errorf("%w: voter %x, incarnation %d, known is %d",
+		return e, nil, fmt.Errorf("%w: voter %x, incarnation %d, latest known incarnation %d",
 			errStaleIncarnation, e.From, e.Incarnation, known)
 	}
 	newIncarnations = map[uint64]uint64{}
--- a/internal/fleet/consensus/read.go
+++ b/internal/fleet/consensus/read.go
@@ -30,7 +30,7 @@
 	id        uint64
 	reads     []pendingRead
 	startedAt Time
-	readIndex uint64 // must be applied before the replies to the reads; 0: not confirmed yet
+	readIndex uint64 // index of the last entry to apply before replying to the reads; 0: not confirmed yet
 }
 
 // RequestLease queues a sidecar's lease request. TakeActions returns the reply under the token once a majority has
--- a/internal/fleet/consensus/start.go
+++ b/internal/fleet/consensus/start.go
@@ -25,7 +25,7 @@
 	identity := settings.Identity
 	members := settings.Bootstrap.voterIDs()
 	if !slices.Contains(members, identity.ID) || identity.Incarnation == 0 {
-		return nil, fmt.Errorf("consensus: voter %x in its incarnation %d is none of %v",
+		return nil, fmt.Errorf("consensus: voter %x with incarnation %d does not belong to %v",
 			identity.ID, identity.Incarnation, settings.Bootstrap)
 	}
 	if err := settings.Terms.Check(); err != nil {
--- a/internal/fleet/consensus/voters.go
+++ b/internal/fleet/consensus/voters.go
@@ -10,8 +10,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// voterReplacement is the context of a configuration change entry. It carries the voters' names, which Raft does not
-// store.
+// voterReplacement is the context of a configuration change entry. It contains the voters' names, because Raft does not
+// store them.
 type voterReplacement struct {
 	Outgoing   string `cbor:"1,keyasint"`
 	Incoming   string `cbor:"2,keyasint"`
@@ -35,11 +35,11 @@
 	return names
 }
 
-// Replace proposes to replace a voter by another one. Both may have the same name, as a new folder, and thus a new ID,
-// makes a different voter. Until the change is complete, entries and elections need a majority of the former and one of
-// the new configuration (joint consensus; Raft, section 6), so no committed entry is lost if either of the two voters
-// fails. The change does not require the incoming voter to be reachable. ErrNoLeader means that this voter does not
-// lead.
+// Replace proposes the replacement of a voter by another one. Both may have the same name: a voter with a new folder
+// has a new ID and is a different voter. Until the change is complete, entries and elections need a majority of the
+// former configuration and a majority of the new one (joint consensus; Raft, section 6), so no committed entry is lost
+// if either of the two voters fails. The change does not require the incoming voter to be reachable. ErrNoLeader means
+// that this voter does not lead.
 func (m *Machine) Replace(outgoing, incoming string, incomingID uint64) error {
 	outgoingID, isVoter := m.voters[outgoing]
 	_, incomingIsVoter := m.voters[incoming]
@@ -86,7 +86,7 @@
 		m.voters[r.Incoming] = r.IncomingID
 	}
 	m.setConfState(*m.rawNode.ApplyConfChange(change))
-	m.snapshotDue = true // a new voter cannot start from a snapshot that does not name it
+	m.snapshotDue = true // a new voter cannot start from a snapshot whose configuration does not include it
 	return nil
 }
 
--- a/internal/fleet/policy/changes_test.go
+++ b/internal/fleet/policy/changes_test.go
@@ -44,7 +44,8 @@
 	})
 }
 
-// drawEvents injects a fault in 1 of 150 steps, and makes a proposal in 1 of 250, of which a sidecar rejects 1 of 4.
+// drawEvents injects a fault in 1 of 150 steps, and makes a proposal in 1 of 250 steps. One of the sidecars rejects 1
+// of 4 proposals.
 func (w *simulation) drawEvents(step int) {
 	if w.rng.IntN(150) == 0 {
 		w.injectFault()
--- a/internal/fleet/policy/holder.go
+++ b/internal/fleet/policy/holder.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// RecordCheck records that the code that runs documents has checked one completely. fault is the reason why the
-// document cannot run on this sidecar, or "" if it can.
+// RecordCheck records the result of a complete check of a document by the code that runs documents. fault is the reason
+// why the document cannot run on this sidecar, or "" if it can.
 func (h *Holder) RecordCheck(number uint64, fault string) {
 	h.lastChecked, h.lastFault = number, fault
 	if fault == "" {
@@ -70,8 +70,9 @@
 	h.currentNumber, h.currentExpiry = response.Number, sent+h.terms.lowerBound(response.Duration)
 	h.nextNumber, h.nextStart, h.nextExpiry = 0, 0, 0
 	if response.Next > 0 {
-		// The switch happens at a fixed time of the leader's clock, which maps to an interval of this clock. The lease
-		// on the current policy ends at the start of the interval, the lease on the next policy begins at its end.
+		// The switch happens at a fixed time on the leader's clock, which corresponds to an interval on this clock. The
+		// lease on the current policy ends at the start of the interval, and the lease on the next policy begins at its
+		// end.
 		h.currentExpiry = min(h.currentExpiry, sent+h.terms.lowerBound(response.NextIn))
 		h.nextNumber, h.nextStart = response.Next, now+h.terms.upperBound(response.NextIn)
 		h.nextExpiry = sent + h.terms.lowerBound(response.NextIn+response.NextDuration)
--- a/internal/fleet/policy/lease.go
+++ b/internal/fleet/policy/lease.go
@@ -39,8 +39,8 @@
 func (t Terms) Check() error {
 	switch {
 	case t.ShortLength < minShortLease || t.Length < 2*t.ShortLength:
-		return fmt.Errorf("%w: a lease lasts %v, and %v while a change switches; "+
-			"the latter must be at least %v, and the former at least twice the latter",
+		return fmt.Errorf("%w: leases last %v, and %v while a change waits for its switch; "+
+			"the second duration must be at least %v, and the first at least twice the second",
 			ErrTerms, t.Length, t.ShortLength, minShortLease)
 	case t.Drift < 0 || t.Drift > maxDrift:
 		return fmt.Errorf("%w: clock drift of %v is not between 0 and %v", ErrTerms, t.Drift, maxDrift)
@@ -72,7 +72,8 @@
 // LeaseRequest is a sidecar's request to the leader to renew its lease.
 type LeaseRequest struct {
 	Sidecar string `cbor:"1,keyasint"`
-	// Incarnation numbers the processes with the sidecar's name. A process does not hold its predecessor's leases.
+	// Incarnation identifies the process among all processes with the sidecar's name. A process does not hold its
+	// predecessor's leases.
 	Incarnation uint64 `cbor:"2,keyasint"`
 	Latest      Stamp  `cbor:"3,keyasint"` // of the latest response applied by the holder
 	Checked     uint64 `cbor:"4,keyasint"` // number of the last completely checked document
--- a/internal/fleet/policy/lease_table.go
+++ b/internal/fleet/policy/lease_table.go
@@ -33,8 +33,8 @@
 }
 
 // LeaseTable is the leader's record of the granted leases. It is created when the leader's Raft term begins and
-// discarded when the term ends. Of the leases granted by earlier leaders it contains only the time by which all have
-// expired. It is not safe for concurrent use.
+// discarded when the term ends. For the leases granted by earlier leaders it contains only the time by which all of
+// them have expired. It is not safe for concurrent use.
 type LeaseTable struct {
 	terms            Terms
 	stamp            Stamp // of the latest response
@@ -64,8 +64,8 @@
 // has begun, and l must contain at least the entries committed by then (Raft's ReadIndex). Otherwise a deposed leader
 // could grant a lease after its successor has started to wait for the leases of earlier leaders.
 func (t *LeaseTable) Renew(now Time, l *Ledger, request LeaseRequest) (response LeaseResponse, entries []Entry) {
-	// A request may be processed long after it was confirmed, with the ledger of that time. Such a ledger would grant a
-	// lease that this leader no longer takes into account.
+	// A request may be processed long after its confirmation, with a ledger older than that of an earlier call. With
+	// such a ledger this leader would grant a lease that it no longer takes into account.
 	if l.applied < t.minApplied {
 		return LeaseResponse{}, nil
 	}
@@ -140,7 +140,8 @@
 // grantSwitching grants a lease on the policy in force until the switch, and on the pending policy after the switch.
 func (t *LeaseTable) grantSwitching(response *LeaseResponse, now Time, inForce uint64, pending *Pending) {
 	if t.switchTime(pending) == 0 {
-		// An earlier leader has granted leases on the pending policy from a switch time that is not known here.
+		// An earlier leader may have granted leases on the pending policy. This leader cannot determine when they
+		// begin.
 		if now < t.earlierLeasesEnd {
 			return
 		}
@@ -227,7 +228,8 @@
 	return []Entry{entry}
 }
 
-// Waiting returns the sidecars that have not checked a pending change yet, and the maximum remaining wait for them.
+// Waiting returns the sidecars that hold a lease and have not checked the pending change yet, and the maximum remaining
+// wait. The wait also covers the leases granted by earlier leaders.
 func (t *LeaseTable) Waiting(now Time, pending Pending) (names []string, longest time.Duration) {
 	for _, name := range slices.Sorted(maps.Keys(t.holders)) {
 		holder := t.holders[name]
--- a/internal/fleet/policy/lease_test.go
+++ b/internal/fleet/policy/lease_test.go
@@ -73,7 +73,7 @@
 	for _, tt := range []struct {
 		name     string
 		response LeaseResponse
-		expiry   time.Duration // of the last lease in it
+		expiry   time.Duration // end of the last lease in the response
 		waits    bool
 	}{
 		{"lease", LeaseResponse{Number: 1, Duration: time.Second}, time.Second, true},
--- a/internal/fleet/policy/ledger.go
+++ b/internal/fleet/policy/ledger.go
@@ -207,7 +207,7 @@
 	o := Outcome{ID: p.ID, Author: p.Author, State: Refused}
 	switch {
 	case p.ID == "" || len(p.ID) > maxIDBytes || len(p.Author) > maxIDBytes:
-		return // no outcome can be looked up for such an ID or author
+		return // invalid ID or author: no outcome is recorded
 	case l.pending != nil:
 		o.Reason = fmt.Sprintf("change %q by %q is under way", l.pending.ID, l.pending.Author)
 	case p.Follows != l.inForce.Number:
--- a/internal/fleet/policy/model_test.go
+++ b/internal/fleet/policy/model_test.go
@@ -22,9 +22,9 @@
 	incarnations []uint64
 	messages     []message // by sidecar
 	lastRequests []int     // by sidecar, tick of its last request; at most one per tick
-	changes      int       // that may still be proposed
-	crashes      int       // remaining, of sidecars and leaders
-	losses       int       // remaining
+	changes      int       // number of changes that may still be proposed
+	crashes      int       // number of crashes of sidecars and leaders that may still happen
+	losses       int       // number of messages that may still be lost
 	highest      uint64    // highest policy number served so far
 }
 
@@ -266,7 +266,7 @@
 	m.messages[i] = message{kind: responseMessage, sent: m.messages[i].sent, response: response}
 }
 
-// receive makes a sidecar apply its response, and immediately check the document to be checked.
+// receive makes a sidecar apply its response and, if the response requires it, check a document.
 func (m *model) receive(i int) {
 	arrived := m.messages[i]
 	m.messages[i] = message{}
--- a/internal/fleet/policy/simulation_test.go
+++ b/internal/fleet/policy/simulation_test.go
@@ -17,7 +17,7 @@
 	now          time.Duration // real time, not of a host's clock
 	term         uint64
 	log          []Entry
-	cachedLedger *Ledger // after the first applied entries
+	cachedLedger *Ledger // state after the first entries of log, whose number is applied
 	applied      int
 	leaders      []*leader
 	sidecars     []*sidecar
--- a/internal/fleet/policyagent/agent.go
+++ b/internal/fleet/policyagent/agent.go
@@ -1,8 +1,7 @@
 // Package policyagent connects a sidecar to the fleet's policy. On every sidecar it renews the lease under which
-// requests may be accepted (policy.Holder), and passes new documents to the code that would run them to be checked. On
-// a voter it also hosts the Raft node (package raftnode) and responds to the other sidecars. Packages policy and
-// consensus contain the rules for changes and for the validity of leases; this package transfers messages and reads the
-// clock.
+// requests may be accepted (policy.Holder), and calls Settings.Check for each new document. On a voter it also hosts
+// the Raft node (package raftnode) and responds to the other sidecars. Packages policy and consensus contain the rules
+// for changes and for the validity of leases; this package transfers messages and reads the clock.
 //
 // An Agent owns the goroutines that it starts. Close ends them and waits for their end.
 package policyagent
@@ -85,7 +84,7 @@
 	mu           sync.Mutex // guards the fields up to the next blank line
 	holder       *policy.Holder
 	candidates   []string // the voters, then others from the operator's file; never modified in place
-	voterCount   int      // of candidates: from the file, or from the last leader that responded
+	voterCount   int      // number of current voters in candidates: from the file, or from the last leader's response
 	lastServed   uint64
 	withoutLease bool   // the policy last returned by Serves was not leased
 	leader       string // known leader; "": none
--- a/internal/fleet/policyagent/agent_test.go
+++ b/internal/fleet/policyagent/agent_test.go
@@ -197,7 +197,7 @@
 func (l logChannel) Write(text []byte) (int, error) {
 	select {
 	case l <- string(text):
-	default: // the test reads no further lines
+	default: // the channel is full, and the test needs only its first line
 	}
 	return len(text), nil
 }
--- a/internal/fleet/policyagent/messages.go
+++ b/internal/fleet/policyagent/messages.go
@@ -34,7 +34,7 @@
 	Document *document             `cbor:"4,keyasint,omitempty"`
 	Outcome  *policy.Outcome       `cbor:"5,keyasint,omitempty"`
 	State    *VoterState           `cbor:"6,keyasint,omitempty"`
-	Voters   []string              `cbor:"7,keyasint,omitempty"` // current voters; sent along with a lease
+	Voters   []string              `cbor:"7,keyasint,omitempty"` // current voters, in the response to a lease request
 }
 
 type document struct {
@@ -102,7 +102,7 @@
 	return resp, nil
 }
 
-// callChecked is like call, but returns a FaultError if the response contains a fault. The response is then valid too.
+// callChecked is like call, but if the response contains a fault, it returns a FaultError together with the response.
 func (a *Agent) callChecked(ctx context.Context, voter string, req request) (response, error) {
 	resp, err := a.call(ctx, voter, req)
 	if err == nil && resp.Fault != "" {
--- a/internal/fleet/policyagent/operations.go
+++ b/internal/fleet/policyagent/operations.go
@@ -60,7 +60,7 @@
 	return *resp.Outcome, true
 }
 
-// Outcome returns the most advanced outcome of a proposal that is known to any voter that responds.
+// Outcome returns the most advanced outcome of a proposal among the responses of all voters.
 func (a *Agent) Outcome(ctx context.Context, id string) policy.Outcome {
 	outcome := policy.Outcome{ID: id}
 	for _, voter := range a.voters() {
--- a/internal/fleet/policyagent/voter.go
+++ b/internal/fleet/policyagent/voter.go
@@ -250,7 +250,7 @@
 		folder, dropped, err := raftlog.Open(a.settings.Folder, rand.Uint64()|1)
 		if err == nil {
 			if dropped > 0 {
-				a.log.Warn("dropped an incomplete last record of the voter's folder",
+				a.log.Warn("voter's folder ended with an incomplete record, which was dropped",
 					"folder", a.settings.Folder, "bytes", dropped)
 			}
 			return folder
--- a/internal/fleet/raftlog/compaction.go
+++ b/internal/fleet/raftlog/compaction.go
@@ -23,8 +23,8 @@
 }
 
 // rewrite creates a new file with the state as its first record, and removes the previous file. After an error the
-// previous file is unchanged. If the new file may already have its final name, however, the next process reads that
-// one, so nothing may be appended to the previous file any more.
+// previous file is unchanged. If the new file may already have its final name, nothing more may be appended to the
+// previous file, because the next process reads the new one.
 func (l *Log) rewrite(state PersistentState) error {
 	data, err := encodeState(state)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return l.fs.SyncDir(l.dir)
 }
 
-// replaceFile makes a file that contains just the state the current file, and removes the previous one.
+// replaceFile switches to a new file, whose only record is the state, and removes the previous file.
 func (l *Log) replaceFile(file fsys.File, state PersistentState, size int64) {
 	if l.file != nil {
 		_ = l.file.Close()                        // nothing is written to it any more
--- a/internal/fleet/raftlog/fault_test.go
+++ b/internal/fleet/raftlog/fault_test.go
@@ -19,16 +19,16 @@
 	maxAttempts             = 50
 )
 
-// faultyFolder is a folder on a file system that fails, and what it has to hold.
+// faultyFolder is a folder on a file system with faults, and the states that may be stored in the folder.
 type faultyFolder struct {
 	dir          string
 	fs           *faultfs.FS
 	log          *Log
 	acknowledged PersistentState
-	attempted    PersistentState // acknowledged, and with the batch that was written last
+	attempted    PersistentState // acknowledged state with the last batch applied, which may not be acknowledged
 }
 
-// open opens the folder, in as many attempts as it takes, unless the process is killed.
+// open opens the folder. It retries after errors, but not after the process is killed.
 func (f *faultyFolder) open(t rapid.TB) {
 	for range maxAttempts {
 		l, _, err := open(f.dir, 1, f.fs, testCompactionThreshold)
@@ -45,7 +45,7 @@
 	t.Fatalf("never opened")
 }
 
-// persist persists a batch, in as many attempts as it takes, unless the process is killed.
+// persist persists a batch. It retries after errors, but not after the process is killed.
 func (f *faultyFolder) persist(t rapid.TB, b consensus.Batch) {
 	r, err := newRecord(b)
 	if err != nil {
@@ -66,7 +66,7 @@
 	t.Fatalf("never persisted: %v", err)
 }
 
-// endProcess ends the process, and reads what the next one would.
+// endProcess ends the process, and checks the state that the next process reads.
 func (f *faultyFolder) endProcess(t rapid.TB, powerLoss bool) {
 	if err := f.fs.EndProcess(powerLoss); err != nil {
 		t.Fatal(err)
@@ -83,8 +83,8 @@
 	closeLog(t, l)
 }
 
-// check fails unless a state is one of those that are wanted. Before the first process has opened it a folder holds
-// nothing.
+// check fails the test unless a state equals one of the wanted states. If the folder was never opened successfully, a
+// state without a group is accepted.
 func (f *faultyFolder) check(t rapid.TB, what string, got PersistentState, want ...PersistentState) {
 	t.Helper()
 	for _, w := range want {
@@ -95,7 +95,7 @@
 	t.Fatalf("%s %+v, want one of %+v", what, got, want)
 }
 
-// persistBatches opens a new folder, persists the batches while the process lives, and ends it.
+// persistBatches opens a new folder, persists the batches until the process is killed, and ends the process.
 func persistBatches(t *testing.T, fs *faultfs.FS, powerLoss bool) {
 	f := &faultyFolder{dir: t.TempDir(), fs: fs}
 	f.open(t)
@@ -107,9 +107,10 @@
 	f.endProcess(t, powerLoss)
 }
 
-// TestAcknowledgedStateSurvivesEachFault has each operation of a short run fail, once or for a while, or be the one in
-// which the process is killed, with and without a loss of power: what was acknowledged is read by the next process, and
-// with a fault everything is acknowledged in the end.
+// TestAcknowledgedStateSurvivesEachFault injects a fault into each operation of a short run: the operation fails once
+// or for a while, or the process is killed during it, with and without a loss of power. The next process must read the
+// acknowledged state, with or without the batch written last. Unless the process is killed, all batches must be
+// acknowledged in the end.
 func TestAcknowledgedStateSurvivesEachFault(t *testing.T) {
 	clean := faultfs.New(0)
 	persistBatches(t, clean, false)
@@ -148,7 +149,8 @@
 	}
 }
 
-// TestAcknowledgedStateSurvivesDrawnFaults draws processes with batches, faults, kills and losses of power.
+// TestAcknowledgedStateSurvivesDrawnFaults draws a sequence of processes with random batches, faults, kills and losses
+// of power. Each process must read the acknowledged state of the previous one, with or without the batch written last.
 func TestAcknowledgedStateSurvivesDrawnFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "raftlog")
@@ -172,7 +174,7 @@
 	})
 }
 
-// drawFault has the file system fail or the process be killed at a drawn operation, in half of the cases.
+// drawFault injects a fault or a kill at a random operation, in half of the cases.
 func drawFault(t *rapid.T, fs *faultfs.FS) {
 	operation := rapid.IntRange(0, 6).Draw(t, "skip")
 	switch rapid.IntRange(0, 9).Draw(t, "fault") {
@@ -185,7 +187,7 @@
 	}
 }
 
-// drawBatch draws a batch that may follow a state.
+// drawBatch draws a batch that is valid after a state.
 func drawBatch(t *rapid.T, state consensus.PersistentState, term *uint64) (b consensus.Batch) {
 	first := state.Snapshot.Metadata.Index + 1
 	end := first + uint64(len(state.Entries))
--- a/internal/fleet/raftlog/helpers_test.go
+++ b/internal/fleet/raftlog/helpers_test.go
@@ -17,7 +17,7 @@
 
 var bootstrap = consensus.Bootstrap{Voters: map[string]uint64{"a": 1, "b": 2, "c": 3}, InitialPolicy: []byte("first")}
 
-// openLog opens a folder, and returns how many bytes of a torn record were dropped.
+// openLog opens a folder. dropped is the size in bytes of a torn record that was dropped.
 func openLog(t rapid.TB, dir string, compactionThreshold int64) (l *Log, dropped int) {
 	t.Helper()
 	l, dropped, err := open(dir, 1, fsys.OS{}, compactionThreshold)
@@ -34,7 +34,7 @@
 	}
 }
 
-// entries returns those from one index to another, the latter included.
+// entries returns the entries from index first to index last, both included.
 func entries(first, last, term uint64) (all []raftpb.Entry) {
 	for i := first; i <= last; i++ {
 		all = append(all, raftpb.Entry{Index: i, Term: term, Data: fmt.Append(nil, "entry ", i, " of ", term)})
@@ -46,7 +46,7 @@
 	return &raftpb.Snapshot{Data: []byte("all"), Metadata: raftpb.SnapshotMetadata{Index: index, Term: term}}
 }
 
-// batches are one voter's, with entries that are overwritten and a snapshot.
+// batches returns the batches of one voter. They include overwritten entries and a snapshot.
 func batches() []consensus.Batch {
 	hardState := func(term, vote, commit uint64) *raftpb.HardState {
 		return &raftpb.HardState{Term: term, Vote: vote, Commit: commit}
@@ -61,7 +61,7 @@
 	}
 }
 
-// onlyFile is the path of the one log file of a folder.
+// onlyFile returns the path of the only log file in a folder.
 func onlyFile(t rapid.TB, dir string) string {
 	t.Helper()
 	found, err := filepath.Glob(filepath.Join(dir, filePrefix+"*"))
@@ -71,7 +71,7 @@
 	return found[0]
 }
 
-// writeFile puts a file into a folder.
+// writeFile writes a file in a folder.
 func writeFile(t rapid.TB, dir, name string, data []byte) {
 	t.Helper()
 	if err := os.WriteFile(filepath.Join(dir, name), data, 0o600); err != nil {
@@ -79,7 +79,7 @@
 	}
 }
 
-// sameState tells whether two states are the same but for the voter's own incarnation.
+// sameState reports whether two states are equal except for the voter's own incarnation.
 func sameState(a, b PersistentState) bool {
 	a.Self.Incarnation, b.Self.Incarnation = 0, 0
 	if len(a.Raft.Entries)+len(b.Raft.Entries) == 0 {
@@ -88,7 +88,8 @@
 	return reflect.DeepEqual(a, b)
 }
 
-// writeExample writes the bootstrap and the batches. It returns the file, and its size and the state after each record.
+// writeExample writes the bootstrap and the batches to a folder. It returns the content of the file, and the size of
+// the file and the state after each record.
 func writeExample(t rapid.TB, dir string) (data []byte, sizes []int64, states []PersistentState) {
 	t.Helper()
 	l, _ := openLog(t, dir, defaultCompactionThreshold)
--- a/internal/fleet/raftlog/lock.go
+++ b/internal/fleet/raftlog/lock.go
@@ -13,8 +13,8 @@
 // exits.
 var ErrLocked = errors.New("locked by another process")
 
-// lockFolder locks a folder until the returned file is closed. Without the lock two processes could write the same log
-// during an upgrade, and each would lose what the other one has acknowledged.
+// lockFolder locks a folder until the returned file is closed. Without the lock, two processes could write to the
+// folder at the same time during an upgrade, and each could lose state that the other one has acknowledged.
 func lockFolder(path string) (*os.File, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
--- a/internal/fleet/raftlog/raftlog.go
+++ b/internal/fleet/raftlog/raftlog.go
@@ -11,8 +11,9 @@
 //
 // A Log is safe for concurrent use, and starts no goroutines. It returns ErrLocked if another process has the folder
 // open, ErrCorrupt if a file was changed anywhere but at its end, and errors of the file system, after which the caller
-// retries the same write. A file truncated between two records and a folder restored from a copy are not detected here;
-// package consensus detects the latter by the incarnations.
+// retries the same write. A file that was truncated between two records, or a folder that was restored from a copy, is
+// not detected here. Package consensus can detect the truncation by the commit index of the leader, and the copy by the
+// incarnations.
 package raftlog
 
 import (
@@ -28,8 +29,8 @@
 	"milletramp.example/milletramp/internal/fsys"
 )
 
-// ErrCorrupt is returned if a file contains invalid data before its last record. The voter must not take part with such
-// a folder, as it may have lost votes and entries that it has acknowledged.
+// ErrCorrupt is returned if a file contains invalid data before its last record. The voter must not take part in its
+// group with such a folder, as it may have lost votes and entries that it has acknowledged.
 var ErrCorrupt = errors.New("the folder is corrupt: give this voter an empty folder and add it to the group again")
 
 // errClosed is returned for writes to a closed log.
@@ -50,7 +51,7 @@
 	fileNumber          uint64
 	size                int64 // of the file, in bytes
 	initialSize         int64 // of the file's first record, in bytes
-	compactionRetrySize int64 // no compaction up to this size, in bytes, as one has failed
+	compactionRetrySize int64 // after a failed compaction: file size, in bytes, above which the next one is attempted
 	state               PersistentState
 	tailUnknown         bool // the file may end with a torn record, or a newer file may exist: do not append
 	closed              bool
@@ -93,7 +94,7 @@
 
 // Persist writes a batch. After an error no message that depends on the batch may be sent, although the next process
 // may read the batch. The caller persists the same batch again until that succeeds. Each further attempt writes the
-// complete state to a new file, as the failed write or sync may have left any content in the previous one.
+// complete state to a new file, because after a failed write or sync the content of the previous file is undefined.
 func (l *Log) Persist(b consensus.Batch) error {
 	r, err := newRecord(b)
 	if err != nil {
--- a/internal/fleet/raftlog/raftlog_test.go
+++ b/internal/fleet/raftlog/raftlog_test.go
@@ -14,13 +14,13 @@
 	"milletramp.example/milletramp/internal/fsys"
 )
 
-// fullDisk is a disk with little space left.
+// fullDisk is a file system with a limited number of free bytes.
 type fullDisk struct {
 	fsys.FS
 	freeBytes *int
 }
 
-// fullDiskFile is a file on it.
+// fullDiskFile is a file on a fullDisk.
 type fullDiskFile struct {
 	fsys.File
 	freeBytes *int
@@ -42,8 +42,9 @@
 	return n, errDiskFull
 }
 
-// TestFullDiskLosesNoAcknowledgedBatch: on a full disk no batch is acknowledged, however often it is retried. With space
-// again all are, and the next process reads them. A process that ends before leaves what was acknowledged, or more.
+// TestFullDiskLosesNoAcknowledgedBatch requires that no batch is acknowledged while the disk is full, even after a
+// retry. When the disk has space again, all batches must be acknowledged, and the next process must read them. If the
+// process ends before that, the next one must read at least the acknowledged state.
 func TestFullDiskLosesNoAcknowledgedBatch(t *testing.T) {
 	for space := 100; space < 3000; space += 13 {
 		for _, endsFull := range []bool{false, true} {
@@ -52,8 +53,8 @@
 	}
 }
 
-// checkFullDisk persists batches on a disk with some bytes of space. Once it is full, the process ends, or the disk gets
-// more space.
+// checkFullDisk persists batches on a disk with a number of free bytes. When the disk is full, the process ends or the
+// disk gets more space.
 func checkFullDisk(t *testing.T, space int, endsFull bool) {
 	const compactionThreshold = 600
 	dir, freeBytes := t.TempDir(), space
@@ -64,18 +65,18 @@
 		}
 		return
 	}
-	acknowledged := l.State() // worked out without the folder from here
+	acknowledged := l.State() // from here on it is updated without the folder
 	for _, b := range append(batches(), batches()[4:]...) {
 		if err := l.Persist(b); err != nil {
 			if !errors.Is(err, errDiskFull) || l.Persist(b) == nil {
-				t.Errorf("space for %d bytes: %v, and persisted the next time", space, err)
+				t.Errorf("space for %d bytes: error %v; want a full disk, and a retry that fails too", space, err)
 			}
 			if endsFull {
 				break
 			}
 			freeBytes += 1 << 20
 			if err := l.Persist(b); err != nil {
-				t.Errorf("space for %d bytes, and more: %v", space, err)
+				t.Errorf("space for %d bytes, then more: %v", space, err)
 			}
 		}
 		r, err := newRecord(b)
@@ -99,8 +100,8 @@
 	}
 }
 
-// TestHoldsSameStateAsMemoryStorage drives the log and the storage of the raft library with the same drawn batches,
-// through compactions and restarts.
+// TestHoldsSameStateAsMemoryStorage writes the same random batches to the log and to the memory storage of the raft
+// library, and requires equal states, through compactions and restarts.
 func TestHoldsSameStateAsMemoryStorage(t *testing.T) {
 	const compactionThreshold = 500
 	rapid.Check(t, func(t *rapid.T) {
@@ -158,7 +159,7 @@
 	return consensus.Batch{Entries: added}
 }
 
-// drawCompaction returns an empty batch where there is nothing to compact.
+// drawCompaction draws a batch with a snapshot of the model. It returns an empty batch if there is nothing to compact.
 func drawCompaction(t *rapid.T, model *raft.MemoryStorage) consensus.Batch {
 	first, _ := model.FirstIndex()
 	last, _ := model.LastIndex()
@@ -168,7 +169,7 @@
 	index := rapid.Uint64Range(first, last).Draw(t, "at")
 	snapshot, err := model.CreateSnapshot(index, nil, []byte("all"))
 	if err != nil {
-		return consensus.Batch{} // there is a newer one
+		return consensus.Batch{} // the model already has a snapshot at this or a later index
 	}
 	if err := model.Compact(index); err != nil {
 		t.Fatal(err)
@@ -176,7 +177,7 @@
 	return consensus.Batch{Snapshot: &snapshot}
 }
 
-// foreignSnapshot is one of another voter, which is ahead.
+// foreignSnapshot returns a batch with a snapshot of another voter, whose log is longer.
 func foreignSnapshot(t *rapid.T, model *raft.MemoryStorage, term uint64) consensus.Batch {
 	last, _ := model.LastIndex()
 	metadata := raftpb.SnapshotMetadata{Index: last + 3, Term: term}
--- a/internal/fleet/raftlog/record.go
+++ b/internal/fleet/raftlog/record.go
@@ -96,6 +96,6 @@
 	return content, size, nil
 }
 
-// allZero reports whether data contains only zeros, or nothing. A crash can leave zeros at the end of a file, whose
-// length had grown before its content was written.
+// allZero reports whether data contains only zeros, or nothing. A crash can leave zeros at the end of a file if the
+// length of the file has grown before the content was written.
 func allZero(data []byte) bool { return len(bytes.Trim(data, "\x00")) == 0 }
--- a/internal/fleet/raftlog/recovery.go
+++ b/internal/fleet/raftlog/recovery.go
@@ -17,7 +17,7 @@
 	tempSuffix = ".new"     // of the name of an incomplete log file
 )
 
-// recoverState reads the newest file of the folder for the next incarnation of the voter, and writes the state to a new
+// recoverState reads the newest file of the folder and increments the voter's incarnation. It writes the state to a new
 // file, so that nothing is appended to a torn record. dropped is the size in bytes of a torn record that was dropped.
 func (l *Log) recoverState(newID uint64) (dropped int, err error) {
 	numbers, err := l.listFiles()
--- a/internal/fleet/raftlog/recovery_test.go
+++ b/internal/fleet/raftlog/recovery_test.go
@@ -14,12 +14,12 @@
 	"milletramp.example/milletramp/internal/fsys"
 )
 
-// TestTruncatedFileKeepsCompleteRecords cuts the file at every byte: what was complete is there, nothing else is, and
-// the log goes on from there.
+// TestTruncatedFileKeepsCompleteRecords truncates the file at every byte. The log must contain exactly the complete
+// records, and must accept further writes.
 func TestTruncatedFileKeepsCompleteRecords(t *testing.T) {
 	data, sizes, states := writeExample(t, t.TempDir())
 	for cut := range len(data) + 1 {
-		for _, zeros := range []int{0, 40} { // of a file that had its new length, but not its content
+		for _, zeros := range []int{0, 40} { // a file can grow by zeros before its content is written
 			dir := t.TempDir()
 			writeFile(t, dir, firstFile, append(bytes.Clone(data[:cut]), make([]byte, zeros)...))
 			name := fmt.Sprintf("cut at %d with %d zeros", cut, zeros)
@@ -33,7 +33,7 @@
 	}
 }
 
-// lastComplete returns the number of the last record that a file of some length holds completely; -1: none of them.
+// lastComplete returns the index of the last complete record of a file with the given length, or -1 if there is none.
 func lastComplete(sizes []int64, length int) int {
 	last := -1
 	for i, size := range sizes {
@@ -44,8 +44,8 @@
 	return last
 }
 
-// checkWithoutBootstrap opens a folder that was cut before the end of the bootstrap. Its first record, whose size is not
-// known, may be complete.
+// checkWithoutBootstrap opens a folder whose file was truncated before the end of the bootstrap. The size of the first
+// record is not known, so that record may be complete or truncated.
 func checkWithoutBootstrap(t *testing.T, name, dir string) {
 	t.Helper()
 	l, _, err := open(dir, 9, fsys.OS{}, defaultCompactionThreshold)
@@ -61,8 +61,9 @@
 	}
 }
 
-// checkTruncated opens a folder that has to hold the first of the states, and goes on with it. With zeros behind the cut
-// it may hold the next state instead: what was missing of that record were zeros.
+// checkTruncated opens a folder whose file was truncated, requires the first of the states, and writes to the folder.
+// If zeros follow the truncated data, the second state is valid too, because the missing bytes of the next record may
+// all have been zeros.
 func checkTruncated(t *testing.T, name, dir string, states []PersistentState, zeros bool) {
 	t.Helper()
 	l, _, err := open(dir, 9, fsys.OS{}, defaultCompactionThreshold)
@@ -82,16 +83,17 @@
 	closeLog(t, l)
 	reopened, _ := openLog(t, dir, defaultCompactionThreshold)
 	if got := reopened.State().Raft; got.HardState.Term != 99 || len(got.Entries) != len(want.Raft.Entries) {
-		t.Errorf("%s, and gone on: %+v", name, got)
+		t.Errorf("%s, after a further write: %+v", name, got)
 	}
 	closeLog(t, reopened)
 }
 
-// TestCorruptionBeforeLastRecordIsDetected changes each byte. In the last record, which nobody may rely on yet, the
-// change may pass for a torn record; anywhere else it is an error.
+// TestCorruptionBeforeLastRecordIsDetected changes each byte. A change before the last record must cause ErrCorrupt. A
+// change in the last record may also be treated as a torn record, because the messages that depend on it may not have
+// been sent.
 func TestCorruptionBeforeLastRecordIsDetected(t *testing.T) {
 	data, sizes, states := writeExample(t, t.TempDir())
-	lastRecord := sizes[len(sizes)-2] // where it begins
+	lastRecord := sizes[len(sizes)-2] // offset of the last record
 	withoutLast := states[len(states)-2]
 	for offset := range data {
 		corrupt := bytes.Clone(data)
@@ -106,13 +108,14 @@
 			continue
 		}
 		if int64(offset) < lastRecord || dropped == 0 || !sameState(l.State(), withoutLast) {
-			t.Errorf("byte %d: taken, with %d dropped", offset, dropped)
+			t.Errorf("byte %d: accepted, with %d bytes dropped", offset, dropped)
 		}
 		closeLog(t, l)
 	}
 }
 
-// TestFolderIsOpenInOneProcess: a folder that is open cannot be opened again, and a closed log takes no writes.
+// TestFolderIsOpenInOneProcess requires that an open folder cannot be opened again, and that a closed log rejects
+// writes.
 func TestFolderIsOpenInOneProcess(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "new")
 	l, _ := openLog(t, dir, defaultCompactionThreshold)
@@ -128,8 +131,8 @@
 	}
 }
 
-// TestReopenedFolderKeepsIDAndCountsIncarnations: a folder keeps its voter's ID and group, and counts incarnations; of
-// two complete files the newer one counts; what is incomplete or old is removed.
+// TestReopenedFolderKeepsIDAndCountsIncarnations requires that a folder keeps its voter's ID and group and counts
+// incarnations. If there are two complete files, the newer one must be read. Incomplete and old files must be removed.
 func TestReopenedFolderKeepsIDAndCountsIncarnations(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "new")
 	l, _ := openLog(t, dir, defaultCompactionThreshold)
@@ -166,19 +169,19 @@
 	onlyFile(t, dir)
 }
 
-// TestUnknownFileIsAnError: a file that has the prefix of log files, but no number, is not passed over.
+// TestUnknownFileIsAnError requires an error if the name of a file has the prefix of log files but no number.
 func TestUnknownFileIsAnError(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openLog(t, dir, defaultCompactionThreshold)
 	closeLog(t, l)
 	writeFile(t, dir, filePrefix+"notes", nil)
 	if _, _, err := Open(dir, 7); err == nil {
-		t.Error("a file of somebody else was taken for a log file")
+		t.Error("a file without a number in its name was accepted as a log file")
 	}
 }
 
-// TestFolderOfEarlierBuildIsRead opens a folder as the build f152def left it: with a bootstrap, hard states, entries
-// that were overwritten, and a snapshot.
+// TestFolderOfEarlierBuildIsRead opens a folder that was written by build f152def. It contains a bootstrap, hard
+// states, overwritten entries and a snapshot.
 func TestFolderOfEarlierBuildIsRead(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS("testdata/f152def")); err != nil {
--- a/internal/fleet/raftnode/hello.go
+++ b/internal/fleet/raftnode/hello.go
@@ -63,7 +63,7 @@
 	if bootstrap == nil {
 		return err
 	}
-	// Other nodes rely on the group that this node announces, so it must be persisted before it is sent.
+	// This node must persist the group before it sends the group to other nodes, because they rely on it.
 	n.write(now, func() error { return n.storage.SaveBootstrap(*bootstrap) }, n.bootstrapPersisted)
 	if n.Err() == nil && hello.Bootstrap == nil {
 		return n.replyToHello(now, hello)
--- a/internal/fleet/raftnode/node.go
+++ b/internal/fleet/raftnode/node.go
@@ -181,8 +181,8 @@
 	return n.voterNames[n.machine.Leader()]
 }
 
-// Waiting returns the sidecars whose leases the pending change waits for, and the maximum remaining wait. It returns no
-// sidecars on a node that is not the leader.
+// Waiting returns the names of the sidecars that hold a lease and have not checked the pending change yet, and the
+// longest remaining wait. It returns no names on a node that is not the leader.
 func (n *Node) Waiting(now Time) (names []string, longest time.Duration) {
 	if !n.running() {
 		return nil, 0
--- a/internal/fleet/raftnode/write.go
+++ b/internal/fleet/raftnode/write.go
@@ -20,8 +20,9 @@
 	retryAt   Time
 }
 
-// write calls the function write, which writes to Storage, and then persisted, which performs the actions that depend
-// on the write. If the write fails, the node is suspended, and persisted is called after a retry has succeeded.
+// write calls its parameter write, which writes to Storage. If the write succeeds, write calls persisted, which
+// performs the actions that depend on the write. If the write fails, the node is suspended, and persisted is called
+// after a retry has succeeded.
 func (n *Node) write(now Time, write func() error, persisted func(now Time)) {
 	if err := write(); err != nil {
 		n.failedWrite = &failedWrite{
--- a/internal/fleet/raftnode/write_test.go
+++ b/internal/fleet/raftnode/write_test.go
@@ -17,9 +17,9 @@
 func TestFolderFails(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
-		steps    int  // of all voters before the folder fails
-		leads    bool // the voter is the leader by then
-		majority bool // the other voters are a majority meanwhile
+		steps    int  // number of steps of all voters before the folder fails
+		leads    bool // the voter is the leader when its folder fails
+		majority bool // the other running voters are a majority
 	}{
 		{"before a group exists", 0, false, true},
 		{"follower", 100, false, true},
--- a/internal/fleet/transport/transport.go
+++ b/internal/fleet/transport/transport.go
@@ -119,8 +119,8 @@
 // SetCallHandler sets the handler of calls. It must be called before Serve. Without a handler, calls are rejected.
 func (t *Transport) SetCallHandler(c CallHandler) { t.callHandler = c }
 
-// Serve passes incoming datagrams and snapshot requests to h until Close is called. A datagram of more than maxDatagram
-// bytes is truncated to maxDatagram+1 bytes, so that h can detect it.
+// Serve passes incoming datagrams and snapshot requests to h, and calls to the CallHandler, until Close is called. A
+// datagram of more than maxDatagram bytes is truncated to maxDatagram+1 bytes, so that h can detect it.
 func (t *Transport) Serve(h Handler, maxDatagram int) {
 	t.goroutines.Add(2)
 	go func() { // ends when Close closes the socket
@@ -285,11 +285,12 @@
 	return response, nil
 }
 
-// exchange connects to another sidecar, sends hello and, unless it is nil, the message send, and returns the response.
+// exchange connects to another sidecar, sends hello and, unless send is nil, the message send, and returns the
+// response.
 func (t *Transport) exchange(ctx context.Context, address, hello string, send []byte, maxBytes int) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	// The connection is opened from this sidecar's own address, which a firewall between sidecars filters by.
+	// The connection is opened from this sidecar's own address, because firewalls between sidecars filter by it.
 	own := t.listener.Addr().(*net.TCPAddr).AddrPort().Addr()
 	c, err := (&net.Dialer{LocalAddr: &net.TCPAddr{IP: own.AsSlice()}}).DialContext(ctx, "tcp4", address)
 	if err != nil {
--- a/internal/fsys/faultfs/faultfs.go
+++ b/internal/fsys/faultfs/faultfs.go
@@ -33,7 +33,7 @@
 
 type rename struct {
 	from, to string
-	previous []byte // content of to before the rename; nil: to did not exist
+	previous []byte // content of the file at path to before the rename; nil: there was no such file
 }
 
 // New returns a file system without faults. The seed determines how much of each failing operation takes effect.
--- a/internal/fsys/fsys.go
+++ b/internal/fsys/fsys.go
@@ -31,7 +31,7 @@
 func (OS) Create(path string) (File, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
-		return nil, err // f would make a non-nil File that holds a nil pointer
+		return nil, err // f is a nil pointer, which would become a non-nil File
 	}
 	return f, nil
 }
