--- a/internal/fleet/raftlog/recovery_test.go
+++ b/internal/fleet/raftlog/recovery_test.go
@@ -91,7 +91,7 @@
 // a torn record, which was never acknowledged. A change anywhere else must return ErrCorrupt.
 func TestCorruptionBeforeLastRecordIsDetected(t *testing.T) {
 	data, sizes, states := writeExample(t, t.TempDir())
-	lastRecord := sizes[len(sizes)-2] // where it begins
+	lastRecord := sizes[len(sizes)-2] // offset of the last record
 	withoutLast := states[len(states)-2]
 	for offset := range data {
 		corrupt := bytes.Clone(data)
