--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -23,7 +23,7 @@
 // observations is what the sidecar has observed of the current process of an endpoint.
 type observations struct {
 	responseSeconds  float64                 // decaying sum of response times, in seconds
-	responseInFlight float64                 // decaying sum, over these attempts, of the requests in flight when sent
+	responseInFlight float64                 // decaying sum, over these, of the requests in flight when sent
 	lastSample       Time                    // when an attempt last yielded a response time
 	endedAttempts    float64                 // decaying count of attempts that ended
 	failedAttempts   float64                 // decaying count of attempts that failed
--- a/balance/routing.go
+++ b/balance/routing.go
@@ -72,7 +72,7 @@
 	lastResponse     Time    // when any of its endpoints last responded
 	lastSample       Time    // when an attempt last yielded a response time
 	responseSeconds  float64 // decaying sum of response times, in seconds
-	responseInFlight float64 // decaying sum, over the same attempts, of the requests in flight per unit of weight
+	responseInFlight float64 // decaying sum, over these, of the requests in flight per unit of weight
 	waitingSeconds   float64 // total waiting time of the requests in flight at the last tick, in seconds
 
 	nextIndex int     // index in subset of the next member in the rotation
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -27,7 +27,7 @@
 const (
 	overloadShare        = 0.7                 // maximum mean of the requests of all sidecars, as a share of N
 	unknownCapacityShare = overloadShare / 1.4 // the same while the capacity is unknown
-	maxOverflowShares    = 2.0                 // maximum for an endpoint if all others are at capacity, in shares
+	maxOverflowShares    = 2.0                 // maximum in shares for an endpoint if all others are at capacity
 
 	capacityTimeConstant = 30 * time.Second // time in which the responses of warmed-up endpoints decay to 1/e
 	minServedResponses   = 0.5              // minimum number of responses for a known capacity
