--- a/internal/fleet/failuredetector/recorder.go
+++ b/internal/fleet/failuredetector/recorder.go
@@ -107,7 +107,7 @@
 	record.lastSeen = now
 	switch outcome {
 	case Answered:
-		return r.observeAnswer(now, server, record)
+		return r.observeGoodResponse(now, server, record)
 	case Late:
 		record.lastLate, record.noteSent = now, true
 		record.sinceGood.Late++
@@ -139,8 +139,8 @@
 	return record
 }
 
-// observeAnswer records a good response.
-func (r *Recorder) observeAnswer(now Time, server string, record *serverRecord) (note Note, due bool) {
+// observeGoodResponse records a good response.
+func (r *Recorder) observeGoodResponse(now Time, server string, record *serverRecord) (note Note, due bool) {
 	record.lastGood, record.sinceGood = now, replication.Evidence{}
 	if record.suspectedAt > 0 || hasBadOutcome(record.row) {
 		r.pending[server] = true
--- a/internal/fleet/replication/store.go
+++ b/internal/fleet/replication/store.go
@@ -316,14 +316,14 @@
 		s.setRows(server, slices.DeleteFunc(rows, func(r Row) bool { return now.Time-r.writtenAt >= rowLifetime }))
 	}
 	if len(s.deadIncarnations) > maxOwners { // probably forged; old rows are still rejected by age
-		held := map[string]bool{}
+		ownersWithRows := map[string]bool{}
 		for _, rows := range s.rows {
 			for _, r := range rows {
-				held[r.Owner] = true
+				ownersWithRows[r.Owner] = true
 			}
 		}
 		maps.DeleteFunc(s.deadIncarnations, func(owner string, _ membership.ProcessIncarnation) bool {
-			return !held[owner]
+			return !ownersWithRows[owner]
 		})
 	}
 	maps.DeleteFunc(s.tests, func(_ string, t Test) bool { return now.Time-t.writtenAt >= testLifetime })
--- a/internal/fleet/replication/suspicion.go
+++ b/internal/fleet/replication/suspicion.go
@@ -96,14 +96,14 @@
 // evaluateRows returns the suspicion of one server by the rows that count, and the number of their bad outcomes.
 func evaluateRows(now Now, server string, rows []Row, counts func(Row) bool) (suspicion Suspicion, outcomes uint64) {
 	suspicion = Suspicion{Server: server, Boot: mostReportedBoot(now, rows)}
-	answered := Time(0)
+	lastGood := Time(0)
 	for _, r := range rows {
 		if at, known := r.lastGood(); known && r.Boot == suspicion.Boot && counts(r) {
-			answered = max(answered, at)
+			lastGood = max(lastGood, at)
 		}
 	}
 	for _, r := range rows {
-		if r.Boot != suspicion.Boot || !counts(r) || !r.reportsFailure(now) || r.lastBad() <= answered {
+		if r.Boot != suspicion.Boot || !counts(r) || !r.reportsFailure(now) || r.lastBad() <= lastGood {
 			continue
 		}
 		outcomes += min(r.Evidence.badOutcomes(), maxBadPerSidecar)
