--- a/internal/admin/forward.go
+++ b/internal/admin/forward.go
@@ -32,6 +32,7 @@
 func ForwardAdminDown(ctx context.Context, address, id string, down bool) error {
 	resp, err := sendAdminDown(ctx, address, id, down)
 	if err != nil {
+		// Responses to operators' calls contain this text.
 		return fmt.Errorf("pass on: %w", err)
 	}
 	defer resp.Body.Close()
@@ -65,6 +66,6 @@
 
 // readResponseError converts an error response to a ResponseError.
 func readResponseError(resp *http.Response) *ResponseError {
-	detail, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorDetailBytes)) // a partially read body is used as it is
+	detail, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorDetailBytes)) // incomplete if reading fails
 	return &ResponseError{StatusCode: resp.StatusCode, Detail: string(bytes.TrimSpace(detail))}
 }
