--- a/internal/fleet/admin.go
+++ b/internal/fleet/admin.go
@@ -28,10 +28,12 @@
 	delete(s.pendingConfirms, confirmation.Key)
 }
 
-// SetAdminDown records an operator's call that sets a server administratively down or up. With confirm it waits for
-// other members to store the call. It returns how many have confirmed by then, and how many were requested to; 0 means
-// that there is no other member.
-func (f *Fleet) SetAdminDown(ctx context.Context, server string, down, confirm bool) (holders, asked int, err error) {
+// SetAdminDown records an operator's call that sets a server administratively down or up. With confirm it waits until
+// other members have stored the call. It then returns the number of members that have confirmed, and the number to
+// which the call was sent; the latter is 0 if there is no other member.
+func (f *Fleet) SetAdminDown(
+	ctx context.Context, server string, down, confirm bool,
+) (holders, recipients int, err error) {
 	confirmed := make(chan gossip.Confirmation, 1)
 	callErr := f.call(ctx, func(now replication.Now) {
 		var key replication.Key
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -83,9 +83,9 @@
 func (c *Config) check() error {
 	switch {
 	case c.Label == "" || len(c.Label) > maxLabelBytes || strings.TrimSpace(c.Label) != c.Label:
-		return fmt.Errorf("label: %.80q: 1 to %d bytes with no space around them", c.Label, maxLabelBytes)
+		return fmt.Errorf("label: %.80q: want 1 to %d bytes without leading or trailing space", c.Label, maxLabelBytes)
 	case len(c.Peers) > maxPeers:
-		return fmt.Errorf("peers: %d, %d are allowed", len(c.Peers), maxPeers)
+		return fmt.Errorf("peers: %d addresses, %d are allowed", len(c.Peers), maxPeers)
 	case c.CatchUp() < minCatchUpTimeout || c.CatchUp() > maxCatchUpTimeout:
 		return fmt.Errorf("limits.catch_up_ms: %d is not from %d to %d",
 			c.Limits.CatchUpMS, minCatchUpTimeout.Milliseconds(), maxCatchUpTimeout.Milliseconds())
@@ -137,7 +137,7 @@
 }
 
 // advertisedAddress returns the address that the other sidecars use. If this sidecar listens at another port than the
-// configured one, as during an upgrade, it is the advertised host with the actual port.
+// configured one, as during an upgrade, the result has the advertised host and the actual port.
 func (c *Config) advertisedAddress(listenAddress string) string {
 	if c.Advertise == "" {
 		return listenAddress
--- a/internal/fleet/environment.go
+++ b/internal/fleet/environment.go
@@ -12,9 +12,10 @@
 	configVariable    = "MILLETRAMP_FLEET" // path of the configuration file; package sidecar reads it too
 	addressVariable   = "MILLETRAMP_FLEET_ADDRESS"
 	advertiseVariable = "MILLETRAMP_FLEET_ADVERTISE"
-	// clockOffsetVariable is for tests only: seconds added to the wall clock readings of this package. No decision
-	// depends on that clock: stamps are for operators, membership raises the number of an incarnation if needed, and
-	// what expires by the hour is kept for a day after its last listing.
+	// clockOffsetVariable is for tests only: seconds added to the wall clock readings of this package. Errors of
+	// that clock have limited effects: stamps are for operators, membership raises the number of an incarnation above
+	// that of a former process, and operators' calls are kept for a day after their server was last listed. Starts of
+	// servers are ignored if the clock is too far from the right time, see package replication.
 	clockOffsetVariable = "MILLETRAMP_FLEET_CLOCK_S"
 )
 
@@ -47,7 +48,7 @@
 func (c *Config) overrideAddresses(getenv func(string) string) error {
 	c.Address = cmp.Or(getenv(addressVariable), c.Address)
 	if c.Address == "" {
-		return fmt.Errorf("address: missing, there and in %s", addressVariable)
+		return fmt.Errorf("address: missing in the file and in %s", addressVariable)
 	}
 	c.Advertise = cmp.Or(getenv(advertiseVariable), c.Advertise)
 	return c.checkOwnAddresses()
--- a/internal/fleet/failuredetector/recorder.go
+++ b/internal/fleet/failuredetector/recorder.go
@@ -25,7 +25,7 @@
 // Outcomes of attempts.
 const (
 	Answered Outcome = iota // good response
-	Late                    // no response within the time of nearly all responses; one may still arrive
+	Late                    // no response within the time that nearly all responses take; one may still arrive
 	Silent                  // late attempt with no response for longer than all but one in a thousand responses take
 	Failed                  // error response, or the connection broke
 	Refused                 // connection refused or not established
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -64,7 +64,7 @@
 	// Used by the loop only.
 	machine          *gossip.Machine
 	hasCaughtUp      bool                // caughtUp is closed
-	raiseIncarnation func(number uint64) // notifies the policy agent; nil: there is none
+	raiseIncarnation func(number uint64) // of the policy agent; nil: the agent has not started
 	admin            adminState
 	servers          serverState
 	evidence         evidenceState
--- a/internal/fleet/gossip/catchup.go
+++ b/internal/fleet/gossip/catchup.go
@@ -71,7 +71,8 @@
 	}
 }
 
-// endCatchUp ends the phase CatchingUp without the missing responses: those of predecessors, or of all synced members.
+// endCatchUp ends the phase CatchingUp after its timeout. The next phase is Synced if a synced member has responded and
+// only responses of predecessors are missing, otherwise Isolated.
 func (m *Machine) endCatchUp(now Time) {
 	m.predecessors = nil
 	if m.syncedResponse {
@@ -103,7 +104,7 @@
 	fromPredecessor := slices.Contains(m.predecessors, from)
 	m.predecessors = slices.DeleteFunc(m.predecessors, func(a string) bool { return a == from })
 	if fetchErr != nil {
-		if fromPredecessor { // the predecessor has ended; a synced member may have responded before
+		if fromPredecessor { // this response is no longer awaited; a synced member may have responded before
 			m.advancePhase(now, "", false)
 		}
 		return fetchErr
--- a/internal/fleet/gossip/machine.go
+++ b/internal/fleet/gossip/machine.go
@@ -43,8 +43,8 @@
 	Label          string        // label of the fleet; packets of other fleets are rejected
 	CatchUpTimeout time.Duration // after which the machine continues without a snapshot; default 2 s
 	// Predecessors are the addresses of the process that this one replaces, as in an upgrade. The machine requests a
-	// snapshot from them first, and waits for it even if another member has responded: in a partition, the predecessor
-	// may hold operators' calls that no other member has.
+	// snapshot from each address, and waits for it even if another member has responded: in a partition, the
+	// predecessor may hold operators' calls that no other member has.
 	Predecessors []string
 }
 
@@ -95,7 +95,7 @@
 
 	rumors        []rumor
 	rumorsAdded   int  // number of rumors added so far; orders rumors by age
-	urgentPending bool // the rumors include evidence on a server
+	urgentPending bool // rumors with evidence were added since the last gossip round
 	nextRound     Time // time of the next gossip round
 
 	peers              map[string]*peerState // by name
@@ -117,7 +117,7 @@
 	unsynced                map[string]bool // by address that has responded: true if the member there is not synced
 	predecessors            []string        // addresses whose response is still awaited
 	syncedResponse          bool            // a synced member has responded
-	minUnrefutedIncarnation uint32          // lowest incarnation whose report as dead has not been handled yet
+	minUnrefutedIncarnation uint32          // lowest own incarnation whose report as dead starts a catch-up
 
 	successor      string            // address of the later process that has taken over the name; "": none
 	pendingForward []replication.Key // keys of the items changed since they were last forwarded to the successor
--- a/internal/fleet/gossip/rumor.go
+++ b/internal/fleet/gossip/rumor.go
@@ -12,7 +12,7 @@
 
 const (
 	gossipInterval = 100 * time.Millisecond // between two gossip rounds while there are rumors
-	urgentInterval = 20 * time.Millisecond  // the same while the rumors include evidence
+	urgentInterval = 20 * time.Millisecond  // the same once rumors with evidence were added
 	gossipFanout   = 3                      // members to which a round sends
 	retransmitMult = 3                      // transmissions of a rumor for each doubling of the fleet; 1 for rows
 	maxRumors      = 4096                   // further changes are left to anti-entropy
@@ -40,7 +40,7 @@
 	m.rumors = append(m.rumors, rumor{key, transmits, m.rumorsAdded})
 }
 
-// BroadcastUrgent is like Broadcast, but moves the next gossip round forward.
+// BroadcastUrgent is like Broadcast, but permits the next gossip round urgentInterval after the previous one.
 func (m *Machine) BroadcastUrgent(now replication.Now, key replication.Key) {
 	m.Broadcast(key)
 	m.urgentPending = true
--- a/internal/fleet/gossip/snapshot.go
+++ b/internal/fleet/gossip/snapshot.go
@@ -38,7 +38,7 @@
 }
 
 // EncodeSnapshot returns an encoded Snapshot of this member's state. The snapshot of a superseded member is not marked
-// as synced, as such a member no longer receives updates; its successor may still need it.
+// as synced, as such a member no longer receives updates; its successor may still need the snapshot.
 func (m *Machine) EncodeSnapshot(now replication.Now) ([]byte, error) {
 	_, ownsName := m.Members.Self()
 	s := m.newSnapshot()
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -15,7 +15,7 @@
 // CaughtUp returns a channel that is closed once this sidecar has the fleet's state, or its catch-up has timed out.
 func (f *Fleet) CaughtUp() <-chan struct{} { return f.caughtUp }
 
-// Ready reports whether this sidecar has finished or given up catching up with the fleet, and its phase.
+// Ready reports whether this sidecar's catch-up has ended, by success or by timeout, and returns the phase.
 func (f *Fleet) Ready(ctx context.Context) (ready bool, phase string) {
 	if err := f.call(ctx, func(replication.Now) {
 		p, _ := f.machine.Phase()
--- a/internal/fleet/membership/merge.go
+++ b/internal/fleet/membership/merge.go
@@ -25,8 +25,8 @@
 }
 
 // mergeSelf merges a state that others hold under this member's own name. The state of a former process must not be
-// mistaken for this process's state, and this process must not contend indefinitely with one that starts while it still
-// runs, as in an upgrade.
+// mistaken for this process's state. If a later process starts while this one still runs, as in an upgrade, the two
+// must not override each other's state indefinitely.
 func (m *Machine) mergeSelf(received Member) {
 	switch comparison := received.ProcessIncarnation.Compare(m.self.ProcessIncarnation); {
 	case comparison < 0: // an earlier process: this process's state overrides it
@@ -51,7 +51,7 @@
 		return
 	}
 	m.self.Incarnation = received.Incarnation + 1
-	m.adjustLocalHealth(1) // suspected: others did not receive its acks in time
+	m.adjustLocalHealth(1) // others did not receive this member's acks in time
 	m.enqueueBroadcast(m.self.Name)
 }
 
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -146,8 +146,8 @@
 	}
 }
 
-// rejoin pings one random address among the dead members and the seeds that are not the address of a present member.
-// After a partition heals, each side still considers the other dead and would otherwise not contact it.
+// rejoin pings one random address out of those of dead members and those of seeds at which no member is present. After
+// a partition heals, each side still considers the other dead and would otherwise not contact it.
 func (m *Machine) rejoin() {
 	present := map[string]bool{m.self.Address: true}
 	var candidates []string
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -44,11 +44,11 @@
 // load validates the settings and reads the initial policy, whose path may be relative to dir.
 func (p *PolicyConfig) load(dir string) (err error) {
 	if len(p.Voters) != 3 && len(p.Voters) != 5 {
-		return fmt.Errorf("policy.deciders: %d, three or five are needed", len(p.Voters))
+		return fmt.Errorf("policy.deciders: %d names, three or five are needed", len(p.Voters))
 	}
 	for i, name := range p.Voters {
 		if name == "" || slices.Contains(p.Voters[:i], name) {
-			return fmt.Errorf("policy.deciders[%d]: %q is no name, or given twice", i, name)
+			return fmt.Errorf("policy.deciders[%d]: %q is empty or given twice", i, name)
 		}
 	}
 	if p.RaftFolder == "" {
--- a/internal/fleet/replication/item.go
+++ b/internal/fleet/replication/item.go
@@ -50,7 +50,7 @@
 
 func (t Test) compare(o Test) int {
 	return cmp.Or(cmp.Compare(t.Version, o.Version), strings.Compare(t.Tester, o.Tester), cmp.Compare(t.Boot, o.Boot),
-		compareBools(t.Ended, o.Ended), compareBools(o.Well, t.Well)) // if one is forged, the failed test wins
+		compareBools(t.Ended, o.Ended), compareBools(o.Well, t.Well)) // differ only if one was forged: false wins
 }
 
 // check returns an error if a test from a peer is invalid.
--- a/internal/fleet/replication/row.go
+++ b/internal/fleet/replication/row.go
@@ -20,7 +20,7 @@
 	Refused     uint32 `cbor:"4,keyasint,omitempty"` // connections refused or not established
 	Late        uint32 `cbor:"5,keyasint,omitempty"` // late attempts
 	SinceGoodMS uint32 `cbor:"6,keyasint,omitempty"` // milliseconds; 0: no recent good response
-	SinceBadMS  uint32 `cbor:"7,keyasint,omitempty"` // milliseconds since the last silent, late or refused one
+	SinceBadMS  uint32 `cbor:"7,keyasint,omitempty"` // milliseconds since the last silent, late or refused attempt
 }
 
 // Row is the evidence of one sidecar on one server. Only its owner writes it.
--- a/internal/fleet/replication/stamp.go
+++ b/internal/fleet/replication/stamp.go
@@ -7,8 +7,8 @@
 	"milletramp.example/milletramp/internal/wallclock"
 )
 
-// Stamp is a reading of a hybrid logical clock (Kulkarni et al. 2014): later than all stamps that its sidecar had seen,
-// and close to wall-clock time. Stamps are for operators and are not used for conflict resolution.
+// Stamp is a reading of a hybrid logical clock (Kulkarni et al. 2014): later than all stamps that its sidecar had
+// issued or followed, and close to wall-clock time. Stamps are for operators and are not used for conflict resolution.
 type Stamp struct {
 	Wall  int64  `cbor:"1,keyasint"` // Unix milliseconds
 	Logic uint32 `cbor:"2,keyasint"`
--- a/internal/fleet/replication/store.go
+++ b/internal/fleet/replication/store.go
@@ -173,8 +173,8 @@
 		if err := r.check(); err != nil {
 			return false, err
 		}
-		// Only this process writes its own rows. A peer's copy of one is ignored, also one of an earlier incarnation:
-		// the version orders them.
+		// Only this process writes its own rows. Copies that peers send are ignored, also those of an earlier
+		// incarnation: the next own row replaces them.
 		if r.Owner == s.name && r.Incarnation.Compare(s.incarnation) <= 0 {
 			return false, nil
 		}
@@ -196,10 +196,11 @@
 	if err := h.check(); err != nil {
 		return false, err
 	}
-	// Replicas with different clocks must store the same hour, so it is limited only if a clock is wrong by days.
+	// The limit takes effect only if a clock is wrong by days, as replicas with different clocks must store the same
+	// hour.
 	h.Listed = min(h.Listed, wallHours(now.Wall)+2*retentionHours)
 	if wallHours(now.Wall)-h.Listed > retentionHours {
-		return false, nil // this replica has dropped the server
+		return false, nil // the state has expired
 	}
 	for _, c := range h.Standing {
 		s.clock.follow(c.At, now.Wall)
@@ -315,7 +316,7 @@
 	for server, rows := range s.rows {
 		s.setRows(server, slices.DeleteFunc(rows, func(r Row) bool { return now.Time-r.writtenAt >= rowLifetime }))
 	}
-	if len(s.deadIncarnations) > maxOwners { // probably forged; old rows are still rejected by age
+	if len(s.deadIncarnations) > maxOwners { // most names are probably forged; old rows are still rejected by age
 		held := map[string]bool{}
 		for _, rows := range s.rows {
 			for _, r := range rows {
--- a/internal/fleet/servers.go
+++ b/internal/fleet/servers.go
@@ -40,7 +40,8 @@
 	})
 }
 
-// markListed broadcasts which servers are listed and when they were started, as far as that has changed.
+// markListed records in the replicated state which servers are listed and when they were started. It broadcasts the
+// items that this changes.
 func (f *Fleet) markListed(now replication.Now) {
 	f.servers.markedAt = now.Time
 	ids := make([]string, 0, len(f.servers.list))
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -27,7 +27,7 @@
 	maxHeaderBytes     = 1000
 
 	snapshotInterval   = time.Second     // minimum time between two snapshots, and backoff of the first retry
-	maxSnapshotBackoff = 5 * time.Second // maximum backoff of retries, which doubles
+	maxSnapshotBackoff = 5 * time.Second // maximum backoff; it doubles with each retry
 )
 
 // encodeSnapshot prepends a header to a snapshot: magic, format, length and checksum.
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -18,7 +18,7 @@
 	Phase             string            `json:"phase"`
 	PhaseSeconds      float64           `json:"phase_for_s"`
 	NumPresent        int               `json:"members_here"` // including this one
-	LocalHealth       int               `json:"own_trouble"`  // 0: good; up to 8: responses of others do not arrive
+	LocalHealth       int               `json:"own_trouble"`  // 0: good; up to 8: probes of or by it fail
 	Digests           map[string]string `json:"sums"`         // of the replicated state, by kind
 	Members           []MemberStatus    `json:"members"`
 	Servers           []ServerStatus    `json:"by_hand"`
@@ -31,7 +31,7 @@
 	ID               string      `json:"id"`
 	Suspected        bool        `json:"in_doubt"` // false: too few reports, or refuted by a good response
 	SuspectedSeconds float64     `json:"for_s"`    // uninterrupted
-	Listed           bool        `json:"listed"`   // with the boot time of the reports, else not counted
+	Listed           bool        `json:"listed"`   // here; if Suspected, also with the reported boot time
 	Rows             []RowStatus `json:"rows"`
 }
 
@@ -53,7 +53,7 @@
 	IncarnationNumber  uint64   `json:"life"`
 	Incarnation        uint32   `json:"incarnation"`
 	LastContactSeconds float64  `json:"heard_s_ago"` // -1: never
-	InSync             bool     `json:"same_copy"`   // by its last digest
+	InSync             bool     `json:"same_copy"`   // its last checksums equaled this sidecar's
 	DivergedSeconds    float64  `json:"differs_for_s"`
 	DivergedKinds      []string `json:"differs_in,omitempty"`
 }
