--- a/internal/lab/fleet/checker/admindown.go
+++ b/internal/lab/fleet/checker/admindown.go
@@ -26,7 +26,7 @@
 		if reported[key] {
 			continue
 		}
-		if call, known, broken := r.disobeyedCall(attempt); broken {
+		if call, known, broken := r.violatedCall(attempt); broken {
 			reported[key] = true
 			violations = append(violations, newViolation(RuleAdminDownObeyed, attempt.At,
 				"%s sent to server %s, out since %v, known since %v", attempt.Sidecar, attempt.Server, call.At, known))
@@ -35,8 +35,8 @@
 	return violations
 }
 
-// disobeyedCall returns the first call against which an attempt was sent, and since when its sidecar could know of it.
-func (r *Record) disobeyedCall(attempt Attempt) (_ OperatorCall, knownSince time.Duration, broken bool) {
+// violatedCall returns the first call against which an attempt was sent, and since when its sidecar could know of it.
+func (r *Record) violatedCall(attempt Attempt) (_ OperatorCall, knownSince time.Duration, broken bool) {
 	for i, call := range r.OperatorCalls {
 		if call.Server != attempt.Server || !call.Down || call.At > attempt.At || r.isLost(call.ID) {
 			continue
--- a/internal/lab/fleet/checker/record.go
+++ b/internal/lab/fleet/checker/record.go
@@ -85,10 +85,10 @@
 
 // Outcome is how a request ended at a server, as the server saw it.
 type Outcome struct {
-	At       time.Duration
-	Sidecar  string
-	Server   string
-	Answered bool // false: its sidecar cancelled it before
+	At        time.Duration
+	Sidecar   string
+	Server    string
+	Responded bool // false: its sidecar cancelled it before
 }
 
 // Outage is a period in which a server was unresponsive to everybody.
--- a/internal/lab/fleet/checker/suspicions.go
+++ b/internal/lab/fleet/checker/suspicions.go
@@ -56,13 +56,13 @@
 				continue
 			}
 			began := s.At - age
-			tried := r.cancelledLately(server, s.At)
-			answered := r.answeredSince(server, began, s)
-			if answered || !tried {
+			cancelled := r.cancelledRecently(server, s.At)
+			responded := r.respondedSince(server, began, s)
+			if responded || !cancelled {
 				reported[key] = true
 				violations = append(violations, newViolation(RuleSuspicionsCleared, s.At,
 					"%s has doubted server %s since %v; it was tried without an answer %v, and has answered since %v",
-					s.Sidecar, server, began, tried, answered))
+					s.Sidecar, server, began, cancelled, responded))
 			}
 		}
 	}
@@ -76,18 +76,18 @@
 	})
 }
 
-// cancelledLately reports whether a sidecar cancelled a request at a server in the MaxSuspicionLinger before a time.
-func (r *Record) cancelledLately(server string, at time.Duration) bool {
+// cancelledRecently reports whether a sidecar cancelled a request at a server in the MaxSuspicionLinger before a time.
+func (r *Record) cancelledRecently(server string, at time.Duration) bool {
 	return slices.ContainsFunc(r.Outcomes, func(o Outcome) bool {
-		return o.Server == server && !o.Answered && o.At >= at-MaxSuspicionLinger && o.At <= at
+		return o.Server == server && !o.Responded && o.At >= at-MaxSuspicionLinger && o.At <= at
 	})
 }
 
-// answeredSince reports whether a server has answered a request since a suspicion began, so long before the snapshot
+// respondedSince reports whether a server has answered a request since a suspicion began, so long before the snapshot
 // that its sidecar should know: by ClearDeadline, with neither it nor the sidecar that was answered isolated since.
-func (r *Record) answeredSince(server string, began time.Duration, s *Snapshot) bool {
+func (r *Record) respondedSince(server string, began time.Duration, s *Snapshot) bool {
 	return slices.ContainsFunc(r.Outcomes, func(o Outcome) bool {
-		return o.Server == server && o.Answered && o.At >= began && o.At <= s.At-ClearDeadline &&
+		return o.Server == server && o.Responded && o.At >= began && o.At <= s.At-ClearDeadline &&
 			!r.IsolatedBetween(o.Sidecar, o.At, s.At) && !r.IsolatedBetween(s.Sidecar, o.At, s.At)
 	})
 }
--- a/internal/lab/fleet/faultplan/condition.go
+++ b/internal/lab/fleet/faultplan/condition.go
@@ -56,19 +56,19 @@
 }
 
 // ServerCondition says whether a server responds at a time, and how late.
-func (p Plan) ServerCondition(at time.Duration, server int) (mute bool, delay time.Duration) {
+func (p Plan) ServerCondition(at time.Duration, server int) (unresponsive bool, delay time.Duration) {
 	for _, f := range p.Faults {
 		if !f.concerns(at, server) {
 			continue
 		}
 		switch f.Kind {
 		case Unresponsive:
-			mute = true
+			unresponsive = true
 		case Slow:
 			delay += seconds(f.Amount)
 		}
 	}
-	return mute, delay
+	return unresponsive, delay
 }
 
 func seconds(amount float64) time.Duration { return time.Duration(amount * float64(time.Second)) }
--- a/internal/lab/fleet/faultplan/drawer.go
+++ b/internal/lab/fleet/faultplan/drawer.go
@@ -15,8 +15,8 @@
 	changeStream  = 0x706f6c69
 )
 
-// quietShare is the part of a plan, at its beginning, that is without faults, for the fleet to form: a sixth.
-const quietShare = 6
+// quietDivisor is the part of a plan, at its beginning, that is without faults, for the fleet to form: a sixth.
+const quietDivisor = 6
 
 // drawer draws a plan. The order in which it takes random numbers is part of what a seed means.
 type drawer struct {
@@ -37,7 +37,7 @@
 }
 
 // quietTime is how long the plan is without faults at its beginning.
-func (d *drawer) quietTime() time.Duration { return d.plan.Length / quietShare }
+func (d *drawer) quietTime() time.Duration { return d.plan.Length / quietDivisor }
 
 // drawTime draws a time from 0 to a span, in whole milliseconds.
 func (d *drawer) drawTime(span time.Duration) time.Duration {
@@ -84,8 +84,8 @@
 func (d *drawer) addFault(f Fault) { d.plan.Faults = append(d.plan.Faults, f) }
 
 // addCall adds an operator's call on a server that is drawn. It is a call that takes the server up once in odds draws.
-func (d *drawer) addCall(at time.Duration, sidecar, odds int) {
+func (d *drawer) addCall(at time.Duration, sidecar, oneIn int) {
 	call := Call{At: at, Sidecar: sidecar, Server: d.random.IntN(d.plan.Servers)}
-	call.Down = !d.drawOneIn(odds)
+	call.Down = !d.drawOneIn(oneIn)
 	d.plan.Calls = append(d.plan.Calls, call)
 }
--- a/internal/lab/fleet/faultplan/fault.go
+++ b/internal/lab/fleet/faultplan/fault.go
@@ -43,15 +43,15 @@
 	if f.Amount != 0 {
 		text += fmt.Sprintf(" %g", f.Amount)
 	}
-	text += " " + formatRuns(f.From)
+	text += " " + formatRanges(f.From)
 	if len(f.To) > 0 {
-		text += " -> " + formatRuns(f.To)
+		text += " -> " + formatRanges(f.To)
 	}
 	return text
 }
 
-// formatRuns writes numbers as runs: 0-3,7.
-func formatRuns(numbers []int) string {
+// formatRanges writes numbers as runs: 0-3,7.
+func formatRanges(numbers []int) string {
 	var parts []string
 	for first := 0; first < len(numbers); {
 		last := first
--- a/internal/lab/fleet/faultplan/shrink.go
+++ b/internal/lab/fleet/faultplan/shrink.go
@@ -16,13 +16,13 @@
 }
 
 // Shrink removes from a plan what it does not need to be bad.
-func Shrink(p Plan, bad func(Plan) bool) Plan {
+func Shrink(p Plan, fails func(Plan) bool) Plan {
 	for i := 0; ; {
 		shorter, ok := p.Without(i)
 		switch {
 		case !ok:
 			return p
-		case bad(shorter):
+		case fails(shorter):
 			p = shorter
 		default:
 			i++
--- a/internal/lab/fleet/processes/recorder.go
+++ b/internal/lab/fleet/processes/recorder.go
@@ -47,7 +47,7 @@
 func (c *recorder) addEnd(sidecarName, server string, answered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	end := checker.Outcome{At: c.clock.now(), Sidecar: sidecarName, Server: server, Answered: answered}
+	end := checker.Outcome{At: c.clock.now(), Sidecar: sidecarName, Server: server, Responded: answered}
 	c.record.Outcomes = append(c.record.Outcomes, end)
 }
 
