--- a/internal/lab/fleet/checker/admindown.go
+++ b/internal/lab/fleet/checker/admindown.go
@@ -5,17 +5,19 @@
 	"time"
 )
 
-// AdminDownGrace is how long a sidecar that could know of a call may still send to the server.
+// AdminDownGrace is how long a sidecar may still send requests to a server after a call that sets the server
+// administratively down could have reached it.
 const AdminDownGrace = time.Second
 
-// sidecarServer names a sidecar's view of a server, of which a rule reports the first violation only.
+// sidecarServer identifies a sidecar's view of a server. The rules that use it as a key report only the first violation
+// of each view.
 type sidecarServer struct {
 	sidecar string
 	server  string
 }
 
-// checkAdminDownObeyed requires that no sidecar that could have known of a call for AdminDownGrace sends new requests
-// to the server that the call took down.
+// checkAdminDownObeyed requires that a sidecar sends no new requests to a server later than AdminDownGrace after a call
+// that sets the server administratively down could have reached it.
 func checkAdminDownObeyed(r *Record) (violations []Violation) {
 	if r.KnownSince == nil {
 		return nil
@@ -35,7 +37,7 @@
 	return violations
 }
 
-// violatedCall returns the first call against which an attempt was sent, and since when its sidecar could know of it.
+// violatedCall returns the first call that an attempt violates, and when that call could have reached the sidecar.
 func (r *Record) violatedCall(attempt Attempt) (_ OperatorCall, knownSince time.Duration, broken bool) {
 	for i, call := range r.OperatorCalls {
 		if call.Server != attempt.Server || !call.Down || call.At > attempt.At || r.isLost(call.ID) {
--- a/internal/lab/fleet/checker/calls.go
+++ b/internal/lab/fleet/checker/calls.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// checkCallsRemembered requires that, in the end, each acknowledged call is in force or one that knew of it is, and
-// that a server is administratively down if one call in force says so.
+// checkCallsRemembered requires that, at the end, each acknowledged call is in force unless another acknowledged call
+// superseded it, and that a server is administratively down exactly if a call in force sets it down.
 func checkCallsRemembered(r *Record) (violations []Violation) {
 	last := r.lastSnapshots()
 	for _, server := range r.serversWithCalls() {
@@ -31,7 +31,7 @@
 	return violations
 }
 
-// serversWithCalls returns the servers on which a call was acknowledged, sorted.
+// serversWithCalls returns the servers with at least one acknowledged call, sorted by name.
 func (r *Record) serversWithCalls() []string {
 	servers := map[string]bool{}
 	for _, call := range r.OperatorCalls {
@@ -40,8 +40,8 @@
 	return slices.Sorted(maps.Keys(servers))
 }
 
-// expectedCalls returns the calls on a server that have to be in force in the end, sorted by id: those that no other
-// acknowledged call superseded.
+// expectedCalls returns the calls on a server that have to be in force at the end, sorted by ID. These are the calls
+// that are neither lost nor superseded by another acknowledged call.
 func (r *Record) expectedCalls(server string) (expected []ActiveCall) {
 	superseded := map[string]bool{}
 	for _, call := range r.OperatorCalls {
@@ -60,7 +60,8 @@
 	return expected
 }
 
-// isLost reports whether a call was lost with all sidecars that held it: none shows it in the end.
+// isLost reports whether a call was lost with all sidecars that held it: it is one of LostCalls, and no sidecar's last
+// snapshot contains it.
 func (r *Record) isLost(id string) bool {
 	if !r.LostCalls[id] {
 		return false
@@ -75,7 +76,7 @@
 	return true
 }
 
-// isSuperseded reports whether a call that knew of the given one was acknowledged by a time.
+// isSuperseded reports whether a call that supersedes the one with the given ID was acknowledged by the given time.
 func (r *Record) isSuperseded(id string, by time.Duration) bool {
 	return slices.ContainsFunc(r.OperatorCalls, func(call OperatorCall) bool {
 		return call.At <= by && slices.Contains(call.KnownCalls, id)
--- a/internal/lab/fleet/checker/convergence.go
+++ b/internal/lab/fleet/checker/convergence.go
@@ -1,9 +1,9 @@
 package checker
 
-// checkCopiesEqual requires that all sidecars show the same copy once the time to converge is over.
+// checkCopiesEqual requires that all sidecars show equal copies of the shared state after ConvergenceTime.
 func checkCopiesEqual(r *Record) (violations []Violation) {
 	last := r.lastSnapshots()
-	reference := "" // the sidecar with which all later ones are compared
+	reference := "" // name of the sidecar with which all later ones are compared
 	for _, name := range r.Sidecars {
 		s, ok := last[name]
 		switch {
--- a/internal/lab/fleet/checker/history.go
+++ b/internal/lab/fleet/checker/history.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// checkNothingResurrected requires of each incarnation of a sidecar: once it has shown a row of one incarnation of an
-// owner, it shows none of an earlier one; the versions of a row do not go back; and a call that was no longer in force
-// does not come back.
+// checkNothingResurrected checks three requirements on each incarnation of a sidecar: after a row of one incarnation of
+// an owner it shows no row of an earlier incarnation of that owner, the version of a row does not decrease, and a call
+// that is no longer in force does not reappear.
 func checkNothingResurrected(r *Record) (violations []Violation) {
 	histories := map[string]*history{}
 	for i := range r.Snapshots {
@@ -24,30 +24,30 @@
 	return violations
 }
 
-// history is what one incarnation of a sidecar has shown so far.
+// history holds the state that one incarnation of a sidecar has shown so far.
 type history struct {
 	sidecar     string
 	incarnation uint64
 
-	latestOwner map[string]uint64 // by owner: its latest incarnation of which a row was shown
+	latestOwner map[string]uint64 // by owner: its latest incarnation with a row shown
 	rows        map[rowKey]rowVersion
 	shownCalls  map[callKey]bool
-	endedCalls  map[callKey]bool // shown once, and then no longer
+	endedCalls  map[callKey]bool // shown in an earlier snapshot and missing from a later one
 }
 
-// rowKey names a row.
+// rowKey identifies a row.
 type rowKey struct {
 	owner  string
 	server string
 }
 
-// rowVersion orders the versions of one row.
+// rowVersion is the version of a row and the owner's incarnation that wrote it.
 type rowVersion struct {
 	incarnation uint64
 	version     uint64
 }
 
-// callKey names an operator's call.
+// callKey identifies an operator's call.
 type callKey struct {
 	server string
 	id     string
@@ -64,7 +64,7 @@
 	}
 }
 
-// addRow adds a row of a snapshot, and checks it against the rows shown before.
+// addRow checks a row of a snapshot against the rows shown before and records it.
 func (h *history) addRow(at time.Duration, row Row) (violations []Violation) {
 	key := rowKey{owner: row.Owner, server: row.Server}
 	latest := h.latestOwner[row.Owner]
@@ -83,7 +83,7 @@
 	return violations
 }
 
-// addCalls adds the calls that a snapshot shows on a server, and checks that none had ended before.
+// addCalls records the calls on a server in a snapshot and checks that none of them had ended before.
 func (h *history) addCalls(at time.Duration, server string, calls []ActiveCall) (violations []Violation) {
 	current := map[callKey]bool{}
 	for _, call := range calls {
--- a/internal/lab/fleet/checker/ownership.go
+++ b/internal/lab/fleet/checker/ownership.go
@@ -1,6 +1,6 @@
 package checker
 
-// checkRowsWrittenByOwners requires that no sidecar shows a version of a row that its owner has not written.
+// checkRowsWrittenByOwners requires that no sidecar shows a later version of a row than its owner has written.
 func checkRowsWrittenByOwners(r *Record) (violations []Violation) {
 	type incarnationKey struct {
 		rowKey
--- a/internal/lab/fleet/checker/readiness.go
+++ b/internal/lab/fleet/checker/readiness.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// minReadyPeers is the number of other ready sidecars from which on their common calls count as the fleet's.
+// minReadyPeers is the minimum number of other ready sidecars whose common calls count as those of the fleet.
 const minReadyPeers = 2
 
-// checkReadyWhenSynced requires that a sidecar that starts or comes back shows itself ready only with all calls that
-// every other ready sidecar holds, unless they are superseded by then.
+// checkReadyWhenSynced requires that a sidecar that starts or restarts becomes ready only after it holds all calls that
+// every other ready sidecar holds, except calls that are superseded by that time.
 func checkReadyWhenSynced(r *Record) (violations []Violation) {
-	checked := map[string]uint64{} // by sidecar: its incarnation that has been ready
-	last := map[string]Snapshot{}  // by sidecar
+	checked := map[string]uint64{} // by sidecar: its latest incarnation that has been ready
+	last := map[string]Snapshot{}  // by sidecar: its previous snapshot
 	for _, s := range r.Snapshots {
 		if s.Ready && checked[s.Sidecar] != s.Incarnation {
 			checked[s.Sidecar] = s.Incarnation
@@ -25,7 +25,8 @@
 	return violations
 }
 
-// missingCalls returns a violation for each call on a server that the others hold and a snapshot lacks.
+// missingCalls returns a violation for each call on a server that the other sidecars hold and that is missing from a
+// snapshot, unless it is superseded.
 func (r *Record) missingCalls(s Snapshot, server string, held []ActiveCall) (violations []Violation) {
 	for _, call := range held {
 		if !slices.Contains(s.Calls[server], call) && !r.isSuperseded(call.ID, s.At) {
@@ -36,8 +37,8 @@
 	return violations
 }
 
-// commonCalls returns the calls, by server, that all other running and ready sidecars showed last; none where there are
-// fewer than minReadyPeers of them.
+// commonCalls returns the calls, by server, that the last snapshots of all other running and ready sidecars have in
+// common. It returns none if there are fewer than minReadyPeers such sidecars.
 func commonCalls(last map[string]Snapshot, s Snapshot, interval time.Duration) map[string][]ActiveCall {
 	var common map[string][]ActiveCall
 	peers := 0
@@ -62,7 +63,7 @@
 	return common
 }
 
-// cloneCalls returns a deep copy.
+// cloneCalls returns a deep copy of the calls.
 func cloneCalls(calls map[string][]ActiveCall) map[string][]ActiveCall {
 	clone := make(map[string][]ActiveCall, len(calls))
 	for server, onServer := range calls {
--- a/internal/lab/fleet/checker/record.go
+++ b/internal/lab/fleet/checker/record.go
@@ -2,37 +2,39 @@
 
 import "time"
 
-// Record is what was seen of a fleet from outside. All times count from the start of the run.
+// Record holds the externally observed events of a fleet. All times are relative to the start of the run.
 type Record struct {
 	OperatorCalls []OperatorCall
-	Snapshots     []Snapshot // in the order of time
+	Snapshots     []Snapshot // in chronological order
 	Attempts      []Attempt
 	Outcomes      []Outcome
-	WrittenRows   []Row // by their owners: the last version of each row and incarnation
+	WrittenRows   []Row // last version that the owner wrote, by row and incarnation
 
-	// FaultsEnd is when the last fault was over.
+	// FaultsEnd is the time at which the last fault ended.
 	FaultsEnd time.Duration
-	// ConvergenceTime is how long after FaultsEnd the copies may differ.
+	// ConvergenceTime is how long after FaultsEnd the copies of the shared state may differ.
 	ConvergenceTime time.Duration
-	// SnapshotInterval is the longest time between two snapshots of a sidecar that runs.
+	// SnapshotInterval is the longest time between two snapshots of a running sidecar.
 	SnapshotInterval time.Duration
-	// Sidecars are the names of those that have to run in the end.
+	// Sidecars are the names of the sidecars that have to be running at the end.
 	Sidecars []string
 
-	// LostCalls are the calls of which every sidecar that held them was killed before it could send them to another.
+	// LostCalls are the IDs of the calls for which every sidecar that held the call was killed before it could send the
+	// call to another sidecar.
 	LostCalls map[string]bool
-	// KnownSince returns the earliest time at which the incarnation that a sidecar has at a given time could know of a
-	// call; false: it could not by the end of the record. What an earlier incarnation knew is lost with it, unless
-	// another sidecar that it can reach holds it too. Without this function the rule on sends is not checked.
+	// KnownSince returns the earliest time at which a call could have reached the incarnation that a sidecar has at the
+	// given time, or false if the call could not have reached it by the end of the record. The state of an earlier
+	// incarnation is lost unless another sidecar that the new incarnation can reach holds it too. If KnownSince is
+	// nil, RuleAdminDownObeyed is not checked.
 	KnownSince func(call OperatorCall, sidecar string, at time.Duration) (time.Duration, bool)
 
 	// Outages are the periods in which servers were unresponsive.
 	Outages []Outage
-	// IsolatedBetween reports whether a sidecar was cut off, suspended or down at any time between two.
+	// IsolatedBetween reports whether a sidecar was cut off, suspended or down at any time between from and to.
 	IsolatedBetween func(sidecar string, from, to time.Duration) bool
 }
 
-// ActiveCall is an operator's call on a server that a sidecar shows as in force.
+// ActiveCall is an operator's call on a server that a sidecar shows as being in force.
 type ActiveCall struct {
 	ID   string
 	Down bool
@@ -42,32 +44,32 @@
 type OperatorCall struct {
 	At         time.Duration
 	Server     string
-	ID         string // as the sidecar assigned it
+	ID         string // assigned by the sidecar
 	Down       bool
-	KnownCalls []string // the calls on the server that the sidecar showed just before; this one supersedes them
+	KnownCalls []string // calls on the server that the sidecar showed just before; this call supersedes them
 }
 
-// Row is a row of evidence on a server, which only its owner may write.
+// Row is a row of observations of a server. Only its owner may write it.
 type Row struct {
 	Owner       string
-	Incarnation uint64 // of the owner, counting up
+	Incarnation uint64 // of the owner, increasing
 	Server      string
 	Version     uint64
 }
 
-// Snapshot is what one sidecar showed at a time.
+// Snapshot is the state that a sidecar showed at one time.
 type Snapshot struct {
 	At          time.Duration
 	Sidecar     string
 	Incarnation uint64
-	Ready       bool                    // it says that it holds all that the fleet holds
+	Ready       bool                    // the sidecar reports that it holds the state of the fleet
 	Calls       map[string][]ActiveCall // by server
-	AdminDown   []string                // servers
+	AdminDown   []string                // servers that are administratively down
 	Rows        []Row
-	// Suspicions are the servers that it ranks behind all others because of other sidecars' observations, with the
-	// time for which it has done so without a break.
+	// Suspicions holds, by server, how long the sidecar has continuously ranked the server behind all others because of
+	// other sidecars' observations.
 	Suspicions map[string]time.Duration
-	Checksum   string // of its copy, in any form that is the same for equal copies
+	Checksum   string // of the sidecar's copy of the shared state; equal for equal copies
 }
 
 // suspects reports whether the sidecar suspects a server.
@@ -76,22 +78,22 @@
 	return suspected
 }
 
-// Attempt is the first attempt of a request, as a sidecar sent it to a server.
+// Attempt is the first attempt of a request, sent by a sidecar to a server.
 type Attempt struct {
 	At      time.Duration
 	Sidecar string
 	Server  string
 }
 
-// Outcome is how a request ended at a server, as the server saw it.
+// Outcome is the end of a request at a server, as observed by the server.
 type Outcome struct {
 	At        time.Duration
 	Sidecar   string
 	Server    string
-	Responded bool // false: its sidecar cancelled it before
+	Responded bool // false: the sidecar cancelled the request before the response
 }
 
-// Outage is a period in which a server was unresponsive to everybody.
+// Outage is a period in which a server was unresponsive to all sidecars.
 type Outage struct {
 	Server string
 	From   time.Duration
--- a/internal/lab/fleet/checker/suspicions.go
+++ b/internal/lab/fleet/checker/suspicions.go
@@ -7,16 +7,16 @@
 
 // The limits on suspicions.
 const (
-	// SuspicionDeadline is how long all sidecars have to suspect a server that has become unresponsive.
+	// SuspicionDeadline is the time within which all sidecars have to suspect a server that becomes unresponsive.
 	SuspicionDeadline = 4 * time.Second
-	// MaxSuspicionLinger is how long a suspicion may last after the outage that led to it, or without any.
+	// MaxSuspicionLinger is how long a suspicion may last after the end of an outage, or without an outage.
 	MaxSuspicionLinger = 6 * time.Second
-	// ClearDeadline is how long a suspicion may outlast a response of the server.
+	// ClearDeadline is how long a suspicion may last after a response of the server.
 	ClearDeadline = 2 * time.Second
 )
 
-// checkOutagesSuspected requires that each sidecar that took part throughout shows, within SuspicionDeadline, that it
-// suspects a server that became unresponsive.
+// checkOutagesSuspected requires that each sidecar shows a suspicion of a server within SuspicionDeadline after the
+// server becomes unresponsive. Sidecars that are isolated in that period and outages shorter than it are exempt.
 func checkOutagesSuspected(r *Record) (violations []Violation) {
 	for _, outage := range r.Outages {
 		deadline := outage.From + SuspicionDeadline
@@ -34,18 +34,18 @@
 	return violations
 }
 
-// suspectedBetween reports whether a sidecar showed between two times that it suspects a server.
+// suspectedBetween reports whether a snapshot of a sidecar between two times shows a suspicion of a server.
 func (r *Record) suspectedBetween(sidecar, server string, from, to time.Duration) bool {
 	return slices.ContainsFunc(r.Snapshots, func(s Snapshot) bool {
 		return s.Sidecar == sidecar && s.At >= from && s.At <= to && s.suspects(server)
 	})
 }
 
-// checkSuspicionsCleared requires that no sidecar goes on suspecting a server that has been responsive for some time.
+// checkSuspicionsCleared requires that no sidecar keeps suspecting a server that has been responsive for some time.
 //
-// A server that is so slow that sidecars cancel all that they send to it is unresponsive as far as any of them can
-// know. Such a suspicion is supported by recent cancelled requests, while the server has answered nobody since it
-// began.
+// If a server is so slow that the sidecars cancel all requests to it, they cannot distinguish it from an unresponsive
+// one. A suspicion of such a server is valid as long as there are recently cancelled requests and the server has sent
+// no response since the suspicion began.
 func checkSuspicionsCleared(r *Record) (violations []Violation) {
 	reported := map[sidecarServer]bool{}
 	for i := range r.Snapshots {
@@ -69,22 +69,23 @@
 	return violations
 }
 
-// hadOutage reports whether a server is in an outage at a time, or was until MaxSuspicionLinger before.
+// hadOutage reports whether a server has an outage at a time, or had one that ended at most MaxSuspicionLinger before.
 func (r *Record) hadOutage(server string, at time.Duration) bool {
 	return slices.ContainsFunc(r.Outages, func(outage Outage) bool {
 		return outage.Server == server && at >= outage.From && at <= outage.To+MaxSuspicionLinger
 	})
 }
 
-// cancelledRecently reports whether a sidecar cancelled a request at a server in the MaxSuspicionLinger before a time.
+// cancelledRecently reports whether any sidecar cancelled a request to a server in the MaxSuspicionLinger before a time.
 func (r *Record) cancelledRecently(server string, at time.Duration) bool {
 	return slices.ContainsFunc(r.Outcomes, func(o Outcome) bool {
 		return o.Server == server && !o.Responded && o.At >= at-MaxSuspicionLinger && o.At <= at
 	})
 }
 
-// respondedSince reports whether a server has answered a request since a suspicion began, so long before the snapshot
-// that its sidecar should know: by ClearDeadline, with neither it nor the sidecar that was answered isolated since.
+// respondedSince reports whether a server has responded to a request after a suspicion began and at least ClearDeadline
+// before the snapshot. Responses are ignored if the sidecar of the snapshot or the sidecar that received the response
+// was isolated at any time between the response and the snapshot, because the information may not have arrived.
 func (r *Record) respondedSince(server string, began time.Duration, s *Snapshot) bool {
 	return slices.ContainsFunc(r.Outcomes, func(o Outcome) bool {
 		return o.Server == server && o.Responded && o.At >= began && o.At <= s.At-ClearDeadline &&
