--- a/internal/lab/fleet/checker/check.go
+++ b/internal/lab/fleet/checker/check.go
@@ -28,7 +28,7 @@
 	// RuleAdminDownObeyed requires that no sidecar sends new requests to a server after a call that sets the server
 	// administratively down could have reached it.
 	RuleAdminDownObeyed Rule = "nothing new to a server out by hand"
-	// RuleReadyWhenSynced requires that a sidecar that becomes ready holds the calls that all other ready sidecars hold.
+	// RuleReadyWhenSynced requires that a sidecar that becomes ready holds the calls common to all other ready ones.
 	RuleReadyWhenSynced Rule = "ready only with what the fleet holds"
 	// RuleOutagesSuspected requires that all sidecars suspect an unresponsive server within SuspicionDeadline.
 	RuleOutagesSuspected Rule = "silent servers known to all"
--- a/internal/lab/fleet/checker/suspicions.go
+++ b/internal/lab/fleet/checker/suspicions.go
@@ -76,7 +76,8 @@
 	})
 }
 
-// cancelledRecently reports whether any sidecar cancelled a request to a server in the MaxSuspicionLinger before a time.
+// cancelledRecently reports whether any sidecar cancelled a request to a server at most MaxSuspicionLinger before
+// a time.
 func (r *Record) cancelledRecently(server string, at time.Duration) bool {
 	return slices.ContainsFunc(r.Outcomes, func(o Outcome) bool {
 		return o.Server == server && !o.Responded && o.At >= at-MaxSuspicionLinger && o.At <= at
--- a/internal/lab/fleet/faultplan/choices.go
+++ b/internal/lab/fleet/faultplan/choices.go
@@ -1,17 +1,19 @@
 package faultplan
 
-// choice is a fault that may be drawn. It completes and adds a fault whose times are given.
+// choice is a fault that may be drawn. It fills in the remaining fields of a fault whose times are set and adds it to
+// the plan.
 type choice func(d *drawer, f Fault)
 
-// addOneOf adds one of some faults.
+// addOneOf adds a fault by one of the choices, drawn at random.
 func (d *drawer) addOneOf(f Fault, choices []choice) {
 	choices[d.random.IntN(len(choices))](d, f)
 }
 
-// noFault adds nothing.
+// noFault is a choice that adds no fault.
 func noFault(*drawer, Fault) {}
 
-// onAllLinks has a fault concern each pair of sidecars, by an amount from least to least+span.
+// onAllLinks returns a choice that applies a fault to the links between all pairs of sidecars, with an amount from
+// least to least+span.
 func onAllLinks(kind Kind, least, span float64) choice {
 	return func(d *drawer, f Fault) {
 		f.Kind = kind
@@ -21,7 +23,8 @@
 	}
 }
 
-// onLinksFrom has a fault concern what one to most sidecars send, by an amount from least to least+span.
+// onLinksFrom returns a choice that applies a fault to all messages from one to most sidecars, with an amount from
+// least to least+span.
 func onLinksFrom(most int, kind Kind, least, span float64) choice {
 	return func(d *drawer, f Fault) {
 		f.Kind = kind
@@ -31,7 +34,7 @@
 	}
 }
 
-// cutOneWay has no other sidecar receive what one to most sidecars send.
+// cutOneWay returns a choice that drops all messages from one to most sidecars to the other sidecars.
 func cutOneWay(most int) choice {
 	return func(d *drawer, f Fault) {
 		f.Kind = Cut
@@ -41,15 +44,15 @@
 	}
 }
 
-// split cuts one to most sidecars off from the others, both ways.
+// split returns a choice that cuts one to most sidecars off from the others in both directions.
 func split(most int) choice {
 	return func(d *drawer, f Fault) { d.addSplit(f, d.drawSidecars(most)) }
 }
 
-// splitOne cuts one sidecar off from the others, both ways.
+// splitOne is a choice that cuts one sidecar off from the others in both directions.
 func splitOne(d *drawer, f Fault) { d.addSplit(f, []int{d.drawSidecar()}) }
 
-// addSplit adds a fault for each way.
+// addSplit adds a Cut fault for each direction between some sidecars and the others.
 func (d *drawer) addSplit(f Fault, side []int) {
 	f.Kind = Cut
 	f.From, f.To = d.otherSidecars(side), side
@@ -58,7 +61,7 @@
 	d.addFault(f)
 }
 
-// onSidecars has a fault concern one to most sidecars.
+// onSidecars returns a choice that applies a fault to one to most sidecars.
 func onSidecars(kind Kind, most int) choice {
 	return func(d *drawer, f Fault) {
 		f.Kind = kind
@@ -67,17 +70,18 @@
 	}
 }
 
-// suspendOne suspends one sidecar.
+// suspendOne is a choice that suspends one sidecar.
 func suspendOne(d *drawer, f Fault) {
 	f.Kind = Suspend
 	f.From = []int{d.drawSidecar()}
 	d.addFault(f)
 }
 
-// maxClockOffset bounds how far a clock is off, in seconds.
+// maxClockOffset is the maximum offset of a clock in either direction, in seconds.
 const maxClockOffset = 3600
 
-// clocksOff has the time of day of one to most sidecars off by up to an hour, to the end of the plan.
+// clocksOff returns a choice that shifts the time of day of one to most sidecars by up to an hour. The fault lasts for
+// the length of the plan.
 func clocksOff(most int) choice {
 	return func(d *drawer, f Fault) {
 		f.Kind = Clock
--- a/internal/lab/fleet/faultplan/condition.go
+++ b/internal/lab/fleet/faultplan/condition.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// LinkCondition is what a directed pair of sidecars does to messages at one moment.
+// LinkCondition is the combined effect of the faults on the link from one sidecar to another at one time.
 type LinkCondition struct {
 	Cut       bool
-	Drop      float64       // share
-	Duplicate float64       // share
-	Delay     time.Duration // upper bound: each message's is drawn evenly from 0 to this
-	Rate      float64       // bytes a second; 0: no bound
+	Drop      float64       // share of the messages that are lost
+	Duplicate float64       // share of the messages that arrive twice
+	Delay     time.Duration // upper bound: the delay of each message is uniform from 0 to this
+	Rate      float64       // bytes per second; 0: unlimited
 }
 
-// LinkCondition is what a directed pair does at a time.
+// LinkCondition returns the condition of the link from one sidecar to another at a time.
 func (p Plan) LinkCondition(at time.Duration, from, to int) (link LinkCondition) {
-	if from == to { // two processes of one sidecar are on one machine
+	if from == to { // two processes of one sidecar run on the same machine
 		return LinkCondition{}
 	}
 	for _, f := range p.Faults {
@@ -27,7 +27,7 @@
 	return link
 }
 
-// addFault adds a fault's effect. Of several faults of one kind the worst counts.
+// addFault adds the effect of a fault. If several faults of a kind overlap, the most severe one applies.
 func (l *LinkCondition) addFault(f Fault) {
 	switch f.Kind {
 	case Cut:
@@ -45,7 +45,7 @@
 	}
 }
 
-// ClockOffset is by how much a sidecar's time of day is off at a time.
+// ClockOffset returns the offset of a sidecar's time of day at a time, the sum of all its clock faults.
 func (p Plan) ClockOffset(at time.Duration, sidecar int) (offset time.Duration) {
 	for _, f := range p.Faults {
 		if f.Kind == Clock && f.concerns(at, sidecar) {
@@ -55,7 +55,7 @@
 	return offset
 }
 
-// ServerCondition says whether a server responds at a time, and how late.
+// ServerCondition reports whether a server is unresponsive at a time, and returns the delay of its responses.
 func (p Plan) ServerCondition(at time.Duration, server int) (unresponsive bool, delay time.Duration) {
 	for _, f := range p.Faults {
 		if !f.concerns(at, server) {
--- a/internal/lab/fleet/faultplan/draw.go
+++ b/internal/lab/fleet/faultplan/draw.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Draw draws a plan of some length with faults of all kinds but upgrades and those of servers. It is quiet at first,
-// and no fault but a clock's lasts for more than about half of it.
+// Draw draws a plan of the given length with faults of all kinds except upgrades and server faults. It starts without
+// faults, and no fault except a clock fault lasts for more than about half of the plan.
 func Draw(seed uint64, sidecars int, length time.Duration) Plan {
 	d := newDrawer(mixedStream, Plan{Seed: seed, Sidecars: sidecars, Servers: 4, Length: length})
 	choices := []choice{
@@ -32,8 +32,8 @@
 	return d.finish()
 }
 
-// DrawServers draws a plan in which servers do not respond and others are slow, while messages between sidecars are
-// lost, late and duplicated, and a sidecar or two are cut off or suspended for a time.
+// DrawServers draws a plan in which some servers are unresponsive and others are slow, while messages between sidecars
+// are lost, delayed or duplicated, or sidecars are cut off or suspended for a time.
 func DrawServers(seed uint64, sidecars int, length time.Duration) Plan {
 	d := newDrawer(serversStream, Plan{Seed: seed, Sidecars: sidecars, Servers: 8, Length: length})
 	order := d.random.Perm(d.plan.Servers)
@@ -54,15 +54,16 @@
 	return d.finish()
 }
 
-// addServerFault adds a fault of servers that lasts for half of the plan, after its quiet beginning.
+// addServerFault adds a server fault that lasts for half of the plan and starts after the period without faults.
 func (d *drawer) addServerFault(kind Kind, servers []int, amount float64) {
 	half := d.plan.Length / 2
 	at := d.quietTime() + d.drawTime(d.plan.Length-d.quietTime()-half)
 	d.addFault(Fault{Kind: kind, At: at, Duration: half, From: servers, Amount: amount})
 }
 
-// DrawChanges draws a plan, quiet at first, in which the policy is changed some times while messages are lost and late,
-// and sidecars are cut off, suspended, killed and upgraded, the first three, which are voters, among them.
+// DrawChanges draws a plan that starts without faults and in which the policy is changed several times while messages
+// are lost or delayed, or sidecars are cut off, suspended, killed or upgraded. These may include the first three
+// sidecars, which are voters.
 func DrawChanges(seed uint64, sidecars int, length time.Duration) Plan {
 	d := newDrawer(changeStream, Plan{Seed: seed, Sidecars: sidecars, Servers: 2, Length: length})
 	choices := []choice{
@@ -84,8 +85,9 @@
 	return d.finish()
 }
 
-// DrawUpgrades draws a plan, quiet at first, in which sidecars are upgraded, one or two of them while they are cut off,
-// others while messages are lost or late. Operators call at them shortly before, meanwhile and afterwards.
+// DrawUpgrades draws a plan that starts without faults and in which sidecars are upgraded, at least one of them while
+// it is cut off, and messages may be lost, delayed or duplicated. Operators call at the upgraded sidecars shortly before,
+// during and after the upgrades.
 func DrawUpgrades(seed uint64, sidecars int, length time.Duration) Plan {
 	d := newDrawer(upgradeStream, Plan{Seed: seed, Sidecars: sidecars, Servers: 4, Length: length})
 	order := d.random.Perm(sidecars)
@@ -99,7 +101,7 @@
 			}
 			d.addCutAround(at, side)
 		}
-		if d.drawOneIn(3) { // and again, back to where it was
+		if d.drawOneIn(3) { // second upgrade, back to the first slot
 			d.addUpgrade(at+length/3, upgraded)
 		}
 		for range d.drawNumber(1, 3) {
@@ -124,7 +126,8 @@
 	d.addFault(Fault{Kind: Upgrade, At: at, Duration: overlap, From: []int{sidecar}})
 }
 
-// addCutAround cuts some sidecars off from before a time until after it: both ways, or only what they send.
+// addCutAround cuts some sidecars off from before a time until after it, either in both directions or only for messages
+// that they send.
 func (d *drawer) addCutAround(at time.Duration, side []int) {
 	slices.Sort(side)
 	length := d.plan.Length
--- a/internal/lab/fleet/faultplan/drawer.go
+++ b/internal/lab/fleet/faultplan/drawer.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The second halves of the random generator's seeds: one seed gives an independent plan of each sort.
+// The second halves of the random generator's seeds. They differ so that one seed gives independent plans of each type.
 const (
 	mixedStream   = 0x706c616e
 	serversStream = 0x73657276
@@ -15,10 +15,12 @@
 	changeStream  = 0x706f6c69
 )
 
-// quietDivisor is the part of a plan, at its beginning, that is without faults, for the fleet to form: a sixth.
+// quietDivisor is the divisor of a plan's length that gives the initial period without faults, a sixth of the plan, in
+// which the fleet can form.
 const quietDivisor = 6
 
-// drawer draws a plan. The order in which it takes random numbers is part of what a seed means.
+// drawer draws a plan. The plan of a seed depends on the order in which random numbers are drawn, so this order must
+// not change.
 type drawer struct {
 	random *rand.Rand
 	plan   Plan
@@ -28,7 +30,7 @@
 	return &drawer{random: rand.New(rand.NewPCG(plan.Seed, stream)), plan: plan}
 }
 
-// finish returns the plan with all that it has in the order of time.
+// finish returns the plan with its faults, calls and changes in chronological order.
 func (d *drawer) finish() Plan {
 	slices.SortStableFunc(d.plan.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	slices.SortStableFunc(d.plan.Calls, func(a, b Call) int { return cmp.Compare(a.At, b.At) })
@@ -36,15 +38,15 @@
 	return d.plan
 }
 
-// quietTime is how long the plan is without faults at its beginning.
+// quietTime returns the length of the initial period without faults.
 func (d *drawer) quietTime() time.Duration { return d.plan.Length / quietDivisor }
 
-// drawTime draws a time from 0 to a span, in whole milliseconds.
+// drawTime draws a duration from 0 to span, rounded to milliseconds.
 func (d *drawer) drawTime(span time.Duration) time.Duration {
 	return time.Duration(d.random.Int64N(int64(span))).Round(time.Millisecond)
 }
 
-// drawTimeAfterQuiet draws a time of the plan after its quiet beginning.
+// drawTimeAfterQuiet draws a time in the plan after the initial period without faults.
 func (d *drawer) drawTimeAfterQuiet() time.Duration {
 	return d.quietTime() + d.drawTime(d.plan.Length-d.quietTime())
 }
@@ -52,15 +54,15 @@
 // drawAmount draws a number from least to least+span.
 func (d *drawer) drawAmount(least, span float64) float64 { return least + span*d.random.Float64() }
 
-// drawOneIn is true for one draw in n.
+// drawOneIn returns true with a probability of 1/n.
 func (d *drawer) drawOneIn(n int) bool { return d.random.IntN(n) == 0 }
 
-// drawNumber draws a whole number from least to most.
+// drawNumber draws an integer from least to most, both included.
 func (d *drawer) drawNumber(least, most int) int { return least + d.random.IntN(most-least+1) }
 
 func (d *drawer) drawSidecar() int { return d.random.IntN(d.plan.Sidecars) }
 
-// drawSidecars draws one to most sidecars, in order.
+// drawSidecars draws one to most sidecars, sorted by index.
 func (d *drawer) drawSidecars(most int) []int {
 	order := d.random.Perm(d.plan.Sidecars)
 	drawn := order[:d.drawNumber(1, max(1, most))]
@@ -68,10 +70,10 @@
 	return drawn
 }
 
-// allSidecars are all sidecars.
+// allSidecars returns the indexes of all sidecars.
 func (d *drawer) allSidecars() []int { return d.otherSidecars(nil) }
 
-// otherSidecars are all sidecars but those that are named.
+// otherSidecars returns all sidecars except the named ones.
 func (d *drawer) otherSidecars(named []int) (others []int) {
 	for i := range d.plan.Sidecars {
 		if !slices.Contains(named, i) {
@@ -83,7 +85,8 @@
 
 func (d *drawer) addFault(f Fault) { d.plan.Faults = append(d.plan.Faults, f) }
 
-// addCall adds an operator's call on a server that is drawn. It is a call that takes the server up once in odds draws.
+// addCall adds an operator's call on a random server. The call sets the server administratively up with a probability
+// of 1/oneIn, and down otherwise.
 func (d *drawer) addCall(at time.Duration, sidecar, oneIn int) {
 	call := Call{At: at, Sidecar: sidecar, Server: d.random.IntN(d.plan.Servers)}
 	call.Down = !d.drawOneIn(oneIn)
--- a/internal/lab/fleet/faultplan/fault.go
+++ b/internal/lab/fleet/faultplan/fault.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// Kind is what a fault does.
+// Kind is the kind of a fault.
 type Kind string
 
-// The kinds of faults. Those of links concern all messages from the sidecars in From to those in To.
+// The kinds of faults. Drop to Cut are link faults and apply to all messages from the sidecars in From to those in To.
 const (
-	Drop      Kind = "drop"      // a share of the messages is lost
-	Delay     Kind = "delay"     // messages are late, unevenly, and so also out of order
-	Duplicate Kind = "duplicate" // a share arrives twice
-	Throttle  Kind = "narrow"    // so many bytes a second pass
-	Cut       Kind = "cut"       // nothing passes; one way unless another fault cuts the other
+	Drop      Kind = "drop"      // a share Amount of the messages is lost
+	Delay     Kind = "delay"     // messages have random delays of up to Amount seconds, and may be reordered
+	Duplicate Kind = "duplicate" // a share Amount of the messages arrives twice
+	Throttle  Kind = "narrow"    // the link passes Amount bytes per second
+	Cut       Kind = "cut"       // no message passes; one direction only, unless another fault cuts the other
 
-	Kill    Kind = "kill"    // the processes in From end at once; they start after the fault, from nothing
-	Suspend Kind = "stop"    // they are suspended; what arrives for them waits
-	Upgrade Kind = "upgrade" // another process replaces each in From; the two overlap for a time
-	Clock   Kind = "clock"   // their time of day is off by Amount seconds
+	Kill    Kind = "kill"    // the sidecars in From are killed, and start without state when the fault ends
+	Suspend Kind = "stop"    // they are suspended; messages to them wait
+	Upgrade Kind = "upgrade" // a successor process replaces each sidecar in From; the two processes overlap
+	Clock   Kind = "clock"   // their time of day has an offset of Amount seconds
 
-	Unresponsive Kind = "mute" // the servers in From take requests and do not respond
-	Slow         Kind = "slow" // they respond Amount seconds late
+	Unresponsive Kind = "mute" // the servers in From accept requests and do not respond
+	Slow         Kind = "slow" // they respond with a delay of Amount seconds
 )
 
-// Fault is one fault for some time.
+// Fault is a fault that starts at At and lasts for Duration.
 type Fault struct {
 	Kind     Kind
 	At       time.Duration
 	Duration time.Duration
-	From     []int // sidecars; Unresponsive and Slow: servers
-	To       []int // Drop to Cut: sidecars
-	Amount   float64
+	From     []int   // indexes of sidecars, or of servers for Unresponsive and Slow
+	To       []int   // indexes of sidecars, for Drop to Cut
+	Amount   float64 // a share, bytes per second or seconds, depending on Kind; see the kinds
 }
 
 // String implements fmt.Stringer.
@@ -50,7 +50,7 @@
 	return text
 }
 
-// formatRanges writes numbers as runs: 0-3,7.
+// formatRanges formats sorted numbers as ranges, such as 0-3,7.
 func formatRanges(numbers []int) string {
 	var parts []string
 	for first := 0; first < len(numbers); {
@@ -68,10 +68,10 @@
 	return strings.Join(parts, ",")
 }
 
-// end is when the fault is over.
+// end returns the time at which the fault ends.
 func (f Fault) end() time.Duration { return f.At + f.Duration }
 
-// concerns says whether the fault lasts at a time and names a sidecar or server in From.
+// concerns reports whether the fault is active at a time and a sidecar or server is in its From.
 func (f Fault) concerns(at time.Duration, index int) bool {
 	return at >= f.At && at < f.end() && slices.Contains(f.From, index)
 }
--- a/internal/lab/fleet/faultplan/plan.go
+++ b/internal/lab/fleet/faultplan/plan.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// Plan is what happens to a fleet.
+// Plan holds the faults, operators' calls and policy changes of a run of a fleet.
 type Plan struct {
 	Seed     uint64
 	Sidecars int
 	Servers  int
-	Length   time.Duration // of the faults and calls; after that the fleet is left alone
+	Length   time.Duration // no fault, call or change starts after this time
 	Faults   []Fault
 	Calls    []Call
 	Changes  []Change
 }
 
-// Call is an operator's call at a sidecar, which takes a server down or up again.
+// Call is an operator's call at a sidecar that sets a server administratively down or up.
 type Call struct {
 	At      time.Duration
 	Sidecar int
@@ -34,7 +34,7 @@
 	return fmt.Sprintf("%8v sidecar %d: server %d %s", c.At, c.Sidecar, c.Server, state)
 }
 
-// Change is a proposal of a policy, at a sidecar's admin server.
+// Change is a proposal of a new policy at the admin server of a sidecar.
 type Change struct {
 	At      time.Duration
 	Sidecar int
@@ -61,7 +61,7 @@
 	return text.String()
 }
 
-// End is when the last fault, call and change are over.
+// End returns the time at which the last fault, call or change is over.
 func (p Plan) End() (end time.Duration) {
 	for _, f := range p.Faults {
 		end = max(end, f.end())
--- a/internal/lab/fleet/faultplan/shrink.go
+++ b/internal/lab/fleet/faultplan/shrink.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// Without returns the plan without one of its faults or calls, counted through both. ok is false after the last.
+// Without returns the plan without one of its faults or calls. The index i counts the faults first and then the calls;
+// ok is false if it is past the last call.
 func (p Plan) Without(i int) (shorter Plan, ok bool) {
 	switch {
 	case i < len(p.Faults):
@@ -15,7 +16,7 @@
 	return p, true
 }
 
-// Shrink removes from a plan what it does not need to be bad.
+// Shrink removes each fault and each call without which the plan still fails.
 func Shrink(p Plan, fails func(Plan) bool) Plan {
 	for i := 0; ; {
 		shorter, ok := p.Without(i)
