--- a/internal/lab/fleet/checker/admindown.go
+++ b/internal/lab/fleet/checker/admindown.go
@@ -31,7 +31,8 @@
 		if call, known, broken := r.violatedCall(attempt); broken {
 			reported[key] = true
 			violations = append(violations, newViolation(RuleAdminDownObeyed, attempt.At,
-				"%s sent to server %s, out since %v, known since %v", attempt.Sidecar, attempt.Server, call.At, known))
+				"%s sent a request to server %s, set administratively down at %v, known since %v",
+				attempt.Sidecar, attempt.Server, call.At, known))
 		}
 	}
 	return violations
--- a/internal/lab/fleet/checker/calls.go
+++ b/internal/lab/fleet/checker/calls.go
@@ -20,11 +20,11 @@
 			sortByID(got)
 			if !slices.Equal(got, want) {
 				violations = append(violations, newViolation(RuleCallsRemembered, s.At,
-					"%s holds %v of server %s, want %v", name, got, server, want))
+					"%s shows calls %v on server %s, want %v", name, got, server, want))
 			}
 			if slices.Contains(s.AdminDown, server) != down {
 				violations = append(violations, newViolation(RuleCallsRemembered, s.At,
-					"%s has server %s out %v, want %v", name, server, !down, down))
+					"%s shows server %s administratively down: %v, want %v", name, server, !down, down))
 			}
 		}
 	}
--- a/internal/lab/fleet/checker/convergence.go
+++ b/internal/lab/fleet/checker/convergence.go
@@ -8,12 +8,13 @@
 		s, ok := last[name]
 		switch {
 		case !ok || s.At < r.FaultsEnd+r.ConvergenceTime:
-			violations = append(violations, newViolation(RuleCopiesEqual, s.At, "%s showed nothing any more", name))
+			violations = append(violations, newViolation(RuleCopiesEqual, s.At,
+				"%s has no snapshot after the convergence time", name))
 		case reference == "":
 			reference = name
 		case s.Checksum != last[reference].Checksum:
 			violations = append(violations, newViolation(RuleCopiesEqual, s.At,
-				"%s holds %s, %s holds %s", name, s.Checksum, reference, last[reference].Checksum))
+				"%s has checksum %s, %s has %s", name, s.Checksum, reference, last[reference].Checksum))
 		}
 	}
 	return violations
--- a/internal/lab/fleet/checker/history.go
+++ b/internal/lab/fleet/checker/history.go
@@ -72,10 +72,11 @@
 	switch {
 	case row.Incarnation < latest:
 		violations = append(violations, newViolation(RuleNothingResurrected, at,
-			"%s shows a row of life %d of %s, it has shown one of %d", h.sidecar, row.Incarnation, row.Owner, latest))
+			"%s shows a row of incarnation %d of %s after one of incarnation %d",
+			h.sidecar, row.Incarnation, row.Owner, latest))
 	case row.Incarnation == previous.incarnation && row.Version < previous.version:
 		violations = append(violations, newViolation(RuleNothingResurrected, at,
-			"%s shows version %d of %s's row on %s, it has shown %d",
+			"%s shows version %d of %s's row on server %s after version %d",
 			h.sidecar, row.Version, row.Owner, row.Server, previous.version))
 	}
 	h.latestOwner[row.Owner] = max(latest, row.Incarnation)
@@ -91,7 +92,7 @@
 		current[key] = true
 		if h.endedCalls[key] {
 			violations = append(violations, newViolation(RuleNothingResurrected, at,
-				"%s shows call %s on server %s again", h.sidecar, call.ID, server))
+				"%s shows call %s on server %s again after it had ended", h.sidecar, call.ID, server))
 		}
 		h.shownCalls[key] = true
 	}
--- a/internal/lab/fleet/checker/ownership.go
+++ b/internal/lab/fleet/checker/ownership.go
@@ -19,7 +19,7 @@
 			last := written[keyOf(row)]
 			if row.Version > last {
 				violations = append(violations, newViolation(RuleRowsWrittenByOwners, s.At,
-					"%s shows version %d of %s's row on %s, the owner wrote %d",
+					"%s shows version %d of %s's row on server %s, the owner's last version is %d",
 					s.Sidecar, row.Version, row.Owner, row.Server, last))
 			}
 		}
--- a/internal/lab/fleet/checker/readiness.go
+++ b/internal/lab/fleet/checker/readiness.go
@@ -31,7 +31,8 @@
 	for _, call := range held {
 		if !slices.Contains(s.Calls[server], call) && !r.isSuperseded(call.ID, s.At) {
 			violations = append(violations, newViolation(RuleReadyWhenSynced, s.At,
-				"%s is ready without call %s on server %s, which all others hold", s.Sidecar, call.ID, server))
+				"%s is ready without call %s on server %s, which all other ready sidecars hold",
+				s.Sidecar, call.ID, server))
 		}
 	}
 	return violations
--- a/internal/lab/fleet/checker/suspicions.go
+++ b/internal/lab/fleet/checker/suspicions.go
@@ -27,7 +27,8 @@
 			if !r.suspectedBetween(name, outage.Server, outage.From, deadline) &&
 				!r.IsolatedBetween(name, outage.From, deadline) {
 				violations = append(violations, newViolation(RuleOutagesSuspected, deadline,
-					"%s never doubted server %s, silent from %v to %v", name, outage.Server, outage.From, outage.To))
+					"%s did not suspect server %s, unresponsive from %v to %v",
+					name, outage.Server, outage.From, outage.To))
 			}
 		}
 	}
@@ -61,7 +62,7 @@
 			if responded || !cancelled {
 				reported[key] = true
 				violations = append(violations, newViolation(RuleSuspicionsCleared, s.At,
-					"%s has doubted server %s since %v; it was tried without an answer %v, and has answered since %v",
+					"%s has suspected server %s since %v (recently cancelled requests: %v, responded since: %v)",
 					s.Sidecar, server, began, cancelled, responded))
 			}
 		}
--- a/internal/lab/fleet/faultplan/draw.go
+++ b/internal/lab/fleet/faultplan/draw.go
@@ -86,8 +86,8 @@
 }
 
 // DrawUpgrades draws a plan that starts without faults and in which sidecars are upgraded, at least one of them while
-// it is cut off, and messages may be lost, delayed or duplicated. Operators call at the upgraded sidecars shortly before,
-// during and after the upgrades.
+// it is cut off, and messages may be lost, delayed or duplicated. Operators call at the upgraded sidecars shortly
+// before, during and after the upgrades.
 func DrawUpgrades(seed uint64, sidecars int, length time.Duration) Plan {
 	d := newDrawer(upgradeStream, Plan{Seed: seed, Sidecars: sidecars, Servers: 4, Length: length})
 	order := d.random.Perm(sidecars)
