--- a/internal/lab/fleet/checker/check_test.go
+++ b/internal/lab/fleet/checker/check_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// snapshot returns what a sidecar shows at a time in a record that breaks no rule.
+// snapshot returns a snapshot of a sidecar that violates no rule in validRecord.
 func snapshot(at time.Duration, sidecar string, version uint64, checksum string) Snapshot {
 	return Snapshot{
 		At:          at,
@@ -20,7 +20,7 @@
 	}
 }
 
-// validRecord returns a record of two sidecars and one call that breaks no rule.
+// validRecord returns a record of two sidecars and one call that violates no rule.
 func validRecord() Record {
 	return Record{
 		OperatorCalls: []OperatorCall{{At: time.Second, Server: "s", ID: "a.1", Down: true}},
@@ -47,96 +47,100 @@
 	}
 }
 
-// withSuspicion returns a change of a record that has a snapshot show a suspicion of the given age of a server. The
-// record gets the given outcomes at that server, and a recent cancelled request if it was tried.
-func withSuspicion(age time.Duration, tried bool, outcomes ...Outcome) func(*Record) {
+// withSuspicion returns a change of a record that adds a suspicion of server r with the given age to a snapshot. The
+// record gets the given outcomes, and a recently cancelled request to r if cancelled is true.
+func withSuspicion(age time.Duration, cancelled bool, outcomes ...Outcome) func(*Record) {
 	return func(r *Record) {
 		r.Snapshots[2].Suspicions = map[string]time.Duration{"r": age}
 		r.Outcomes = outcomes
-		if tried {
+		if cancelled {
 			r.Outcomes = append(r.Outcomes, Outcome{8 * time.Second, "b", "r", false})
 		}
 	}
 }
 
-// TestCheck changes a valid record in one way after the other: each violation is found, by the rule that it breaks.
+// TestCheck checks that each change of a valid record is reported as a violation of the expected rule, or of none.
 func TestCheck(t *testing.T) {
 	if violations := Check(validRecord()); len(violations) != 0 {
-		t.Fatalf("violations in a valid record: %v", violations)
+		t.Fatalf("a valid record has the violations %v, want none", violations)
 	}
 	last := func(r *Record) *Snapshot { return &r.Snapshots[len(r.Snapshots)-1] }
 	for _, tt := range []struct {
 		name   string
-		rule   Rule // "": none
+		rule   Rule // "": no violation is expected
 		change func(*Record)
 	}{
-		{"copies differ", RuleCopiesEqual, func(r *Record) { last(r).Checksum = "z" }},
-		{"one is silent at the end", RuleCopiesEqual, func(r *Record) { r.Snapshots = r.Snapshots[:3] }},
-		{"a call is forgotten", RuleCallsRemembered, func(r *Record) { last(r).Calls, last(r).AdminDown = nil, nil }},
-		{"a call stands that was answered", RuleCallsRemembered, func(r *Record) {
+		{"copies of the shared state differ", RuleCopiesEqual, func(r *Record) { last(r).Checksum = "z" }},
+		{"sidecar without a snapshot at the end", RuleCopiesEqual, func(r *Record) { r.Snapshots = r.Snapshots[:3] }},
+		{"acknowledged call is missing at the end", RuleCallsRemembered, func(r *Record) {
+			last(r).Calls, last(r).AdminDown = nil, nil
+		}},
+		{"superseded call is still in force", RuleCallsRemembered, func(r *Record) {
 			r.OperatorCalls = append(r.OperatorCalls, OperatorCall{
 				At: 3 * time.Second, Server: "s", ID: "b.1", Down: true, KnownCalls: []string{"a.1"},
 			})
 		}},
-		{"two calls that did not know of each other: in wins", RuleCallsRemembered, func(r *Record) {
+		{"concurrent calls down and up, server shown as up", RuleCallsRemembered, func(r *Record) {
 			r.OperatorCalls = append(r.OperatorCalls, OperatorCall{At: 3 * time.Second, Server: "s", ID: "b.1"})
 			for i := range r.Snapshots[2:] {
 				s := &r.Snapshots[2+i]
 				s.Calls, s.AdminDown = map[string][]ActiveCall{"s": {{"a.1", true}, {"b.1", false}}}, nil
 			}
 		}},
-		{"a call lost with all that held it", "", func(r *Record) {
+		{"call lost with all sidecars that held it", "", func(r *Record) {
 			r.OperatorCalls = append(r.OperatorCalls, OperatorCall{At: 3 * time.Second, Server: "s", ID: "c.1", Down: true})
 			r.LostCalls = map[string]bool{"c.1": true}
 		}},
-		{"a row of a former life", RuleNothingResurrected, func(r *Record) {
+		{"row of an earlier incarnation of its owner", RuleNothingResurrected, func(r *Record) {
 			r.Snapshots[1].Rows = []Row{{"a", 2, "s", 1}}
 			r.WrittenRows = append(r.WrittenRows, Row{"a", 2, "s", 1})
 		}},
-		{"an older version of a row", RuleNothingResurrected, func(r *Record) {
+		{"earlier version of a row", RuleNothingResurrected, func(r *Record) {
 			r.Snapshots[1].Rows, last(r).Rows = last(r).Rows, r.Snapshots[1].Rows
 		}},
-		{"a call stands again", RuleNothingResurrected, func(r *Record) {
+		{"ended call reappears", RuleNothingResurrected, func(r *Record) {
 			r.Snapshots = slices.Insert(r.Snapshots, 2, Snapshot{
 				At: 3 * time.Second, Sidecar: "b", Incarnation: 1, Calls: map[string][]ActiveCall{"s": {}},
 			})
 		}},
-		{"and so it may for who has started again", "", func(r *Record) {
+		{"call reappears after a restart of the sidecar", "", func(r *Record) {
 			r.Snapshots = slices.Insert(r.Snapshots, 2, Snapshot{
 				At: 3 * time.Second, Sidecar: "b", Incarnation: 2, Calls: map[string][]ActiveCall{"s": {}},
 			})
 			last(r).Incarnation = 2
 		}},
-		{"a row that its owner did not write", RuleRowsWrittenByOwners, func(r *Record) {
+		{"row version that its owner did not write", RuleRowsWrittenByOwners, func(r *Record) {
 			r.WrittenRows = []Row{{"a", 1, "s", 1}}
 		}},
-		{"a send to a server that is out", RuleAdminDownObeyed, func(r *Record) { r.Attempts[1].At += 200 * time.Millisecond }},
-		{"by one who could not know", "", func(r *Record) {
+		{"request to a server administratively down", RuleAdminDownObeyed, func(r *Record) {
+			r.Attempts[1].At += 200 * time.Millisecond
+		}},
+		{"request by a sidecar that the call could not reach", "", func(r *Record) {
 			r.Attempts[1].At += time.Minute
 			r.KnownSince = func(OperatorCall, string, time.Duration) (time.Duration, bool) { return 0, false }
 		}},
-		{"a doubt that lasts and that nobody tries", RuleSuspicionsCleared, withSuspicion(7*time.Second, false)},
-		{"a doubt that outlasts an answer", RuleSuspicionsCleared,
+		{"suspicion without cancelled requests", RuleSuspicionsCleared, withSuspicion(7*time.Second, false)},
+		{"suspicion after a response", RuleSuspicionsCleared,
 			withSuspicion(7*time.Second, true, Outcome{5 * time.Second, "b", "r", true})},
-		{"one that began anew since the answer", "",
+		{"suspicion younger than MaxSuspicionLinger", "",
 			withSuspicion(5*time.Second, true, Outcome{5 * time.Second, "b", "r", true})},
-		{"one of which all that was sent was given up", "", withSuspicion(7*time.Second, true)},
-		{"one that is given up, behind an answer that is too young to be known", "",
+		{"suspicion with all requests cancelled", "", withSuspicion(7*time.Second, true)},
+		{"suspicion with a response within ClearDeadline", "",
 			withSuspicion(7*time.Second, true, Outcome{8500 * time.Millisecond, "b", "r", true})},
-		{"behind an answer to one who is cut off", "",
+		{"suspicion with a response to an isolated sidecar", "",
 			withSuspicion(7*time.Second, true, Outcome{5 * time.Second, "c", "r", true})},
-		{"a doubt behind a silence", "", func(r *Record) {
+		{"suspicion after an outage", "", func(r *Record) {
 			withSuspicion(7*time.Second, false)(r)
 			r.Outages = []Outage{{"r", time.Second, 3500 * time.Millisecond}}
 		}},
-		{"a silence that nobody knows of", RuleOutagesSuspected, func(r *Record) {
+		{"outage without a suspicion", RuleOutagesSuspected, func(r *Record) {
 			r.Outages = []Outage{{"r", 3 * time.Second, 8 * time.Second}}
 		}},
-		{"ready without what all others hold", RuleReadyWhenSynced, func(r *Record) {
+		{"ready without a call that all others hold", RuleReadyWhenSynced, func(r *Record) {
 			r.Sidecars = nil
 			r.Snapshots = append(r.Snapshots, Snapshot{At: 9100 * time.Millisecond, Sidecar: "c", Incarnation: 1, Ready: true})
 		}},
-		{"and not ready", "", func(r *Record) {
+		{"not ready and without a call that all others hold", "", func(r *Record) {
 			r.Sidecars = nil
 			r.Snapshots = append(r.Snapshots, Snapshot{At: 9100 * time.Millisecond, Sidecar: "c", Incarnation: 1})
 			r.OperatorCalls = nil
@@ -148,7 +152,7 @@
 			violations := Check(r)
 			found := slices.ContainsFunc(violations, func(v Violation) bool { return v.Rule == tt.rule })
 			if tt.rule == "" && len(violations) > 0 || tt.rule != "" && !found {
-				t.Errorf("violations %v, want of %q", violations, tt.rule)
+				t.Errorf("violations are %v, want one of rule %q (empty: none)", violations, tt.rule)
 			}
 		})
 	}
