--- a/internal/lab/fleet/processes/backend.go
+++ b/internal/lab/fleet/processes/backend.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	responseTime     = 15 * time.Millisecond // of a backend without a fault
-	mutePollInterval = responseTime          // until a backend without a response looks whether its fault is over
-	// untouchedBackends are further backends that no operator's call concerns.
-	untouchedBackends = 2
+	responseTime      = 15 * time.Millisecond // of a backend without a fault
+	faultPollInterval = responseTime          // until a backend without a response looks whether its fault is over
+	// extraBackends are further backends that no operator's call concerns.
+	extraBackends = 2
 )
 
 // backend is a server that sidecars forward requests to. The plan may have it respond late or not at all.
@@ -26,7 +26,7 @@
 // startBackends starts all backends and returns the list of them for discovery.
 func (r *fleetRun) startBackends() (endpoints []byte, err error) {
 	list := endpointList{Revision: 1, Complete: true}
-	for i := range r.plan.Servers + untouchedBackends {
+	for i := range r.plan.Servers + extraBackends {
 		address, err := r.serve(&backend{run: r, index: i})
 		if err != nil {
 			return nil, err
@@ -43,14 +43,14 @@
 	sidecarName, _, _ := strings.Cut(r.Header.Get(requestIDHeader), "-")
 	recorder, server := b.run.recorder, serverName(b.index)
 	recorder.addSend(sidecarName, server)
-	mute, delay := b.condition()
+	unresponsive, delay := b.condition()
 	select {
 	case <-time.After(responseTime + delay):
 	case <-r.Context().Done():
 		recorder.addEnd(sidecarName, server, false)
 		return
 	}
-	if mute {
+	if unresponsive {
 		b.withholdResponse(r)
 		return
 	}
@@ -62,17 +62,17 @@
 func (b *backend) withholdResponse(r *http.Request) {
 	for {
 		select {
-		case <-time.After(mutePollInterval):
+		case <-time.After(faultPollInterval):
 		case <-r.Context().Done():
 			return
 		}
-		if mute, _ := b.condition(); !mute {
+		if unresponsive, _ := b.condition(); !unresponsive {
 			panic(http.ErrAbortHandler)
 		}
 	}
 }
 
 // condition is what the plan has the backend do now.
-func (b *backend) condition() (mute bool, delay time.Duration) {
+func (b *backend) condition() (unresponsive bool, delay time.Duration) {
 	return b.run.plan.ServerCondition(b.run.clock.now(), b.index)
 }
--- a/internal/lab/fleet/processes/policy_author.go
+++ b/internal/lab/fleet/processes/policy_author.go
@@ -49,7 +49,7 @@
 
 // proposeChanges proposes what the plan says, one after another, and a last one after the last fault.
 func (r *fleetRun) proposeChanges(ctx context.Context) {
-	last := faultplan.Change{At: r.calmFrom() + finalChangeDelay, Sidecar: r.plan.Sidecars - 1}
+	last := faultplan.Change{At: r.faultsEnd() + finalChangeDelay, Sidecar: r.plan.Sidecars - 1}
 	for i, change := range append(slices.Clone(r.plan.Changes), last) {
 		select {
 		case <-time.After(change.At - r.clock.now()):
@@ -82,7 +82,7 @@
 		s := a.run.sidecars[sidecarIndex%len(a.run.sidecars)]
 		sidecarIndex++
 		if a.accepted {
-			a.noteOutcome(s.callAdmin(http.MethodGet, policyOutcomePath+"?id="+url.QueryEscape(a.proposal.ID), ""))
+			a.recordOutcome(s.callAdmin(http.MethodGet, policyOutcomePath+"?id="+url.QueryEscape(a.proposal.ID), ""))
 		} else if err := a.proposeAt(s); err != nil {
 			a.run.recorder.addFailure("%v", err)
 			return
@@ -110,15 +110,15 @@
 	if err != nil {
 		return err
 	}
-	a.accepted = a.noteOutcome(s.callAdmin(http.MethodPost, policyProposePath, string(body)))
+	a.accepted = a.recordOutcome(s.callAdmin(http.MethodPost, policyProposePath, string(body)))
 	if a.proposal.State == StateNotSent {
 		a.proposal.State = StateSent
 	}
 	return nil
 }
 
-// noteOutcome takes in a response about the proposal; ok says whether it was one.
-func (a *policyAuthor) noteOutcome(response adminResponse) (ok bool) {
+// recordOutcome takes in a response about the proposal; ok says whether it was one.
+func (a *policyAuthor) recordOutcome(response adminResponse) (ok bool) {
 	var outcome proposalOutcome
 	if response.status != http.StatusOK || json.Unmarshal([]byte(response.body), &outcome) != nil {
 		return false
--- a/internal/lab/fleet/processes/process.go
+++ b/internal/lab/fleet/processes/process.go
@@ -32,14 +32,14 @@
 }
 
 func (s *sidecar) environment(slot int) []string {
-	place := s.index + slot*s.run.plan.Sidecars // in the mesh
+	meshIndex := s.index + slot*s.run.plan.Sidecars // in the mesh
 	return []string{
 		"PROXY_CONFIG=" + s.configFile,
 		"PROXY_CONSOLE=" + s.adminAddresses[slot],
 		"TMPDIR=" + s.dir,
 		"MILLETRAMP_FLEET=" + s.run.fleetFile(),
-		"MILLETRAMP_FLEET_ADDRESS=" + s.run.mesh.Inside(place),
-		"MILLETRAMP_FLEET_ADVERTISE=" + s.run.mesh.Outside(place),
+		"MILLETRAMP_FLEET_ADDRESS=" + s.run.mesh.Inside(meshIndex),
+		"MILLETRAMP_FLEET_ADVERTISE=" + s.run.mesh.Outside(meshIndex),
 		fmt.Sprintf("MILLETRAMP_FLEET_CLOCK_S=%g", s.clockOffset()),
 	}
 }
--- a/internal/lab/fleet/processes/recorder.go
+++ b/internal/lab/fleet/processes/recorder.go
@@ -60,20 +60,20 @@
 	c.record.OperatorCalls = append(c.record.OperatorCalls, call)
 }
 
-// addShow notes what an incarnation showed.
-func (c *recorder) addShow(by incarnation, show checker.Snapshot) {
+// addSnapshot notes what an incarnation showed.
+func (c *recorder) addSnapshot(by incarnation, snapshot checker.Snapshot) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, calls := range show.Calls {
+	for _, calls := range snapshot.Calls {
 		for _, call := range calls {
-			c.noteFirstShown(call.ID, by, show.At)
+			c.recordFirstShown(call.ID, by, snapshot.At)
 		}
 	}
-	c.record.Snapshots = append(c.record.Snapshots, show)
+	c.record.Snapshots = append(c.record.Snapshots, snapshot)
 }
 
-// noteFirstShown is called with the lock held.
-func (c *recorder) noteFirstShown(call string, by incarnation, at time.Duration) {
+// recordFirstShown is called with the lock held.
+func (c *recorder) recordFirstShown(call string, by incarnation, at time.Duration) {
 	if c.firstShown[call] == nil {
 		c.firstShown[call] = map[incarnation]time.Duration{}
 	}
@@ -90,20 +90,20 @@
 	return at, ok
 }
 
-// noteLostCalls notes the calls that no running incarnation has shown. They may be lost with a process that was
+// addLostCalls notes the calls that no running incarnation has shown. They may be lost with a process that was
 // killed, and then the calls that they replaced may be in force or not.
-func (c *recorder) noteLostCalls(running map[incarnation]bool) {
+func (c *recorder) addLostCalls(running map[incarnation]bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.record.LostCalls == nil {
 		c.record.LostCalls = map[string]bool{}
 	}
 	for _, call := range c.record.OperatorCalls {
-		held := false
+		shown := false
 		for by := range c.firstShown[call.ID] {
-			held = held || running[by]
+			shown = shown || running[by]
 		}
-		if held {
+		if shown {
 			continue
 		}
 		c.record.LostCalls[call.ID] = true
--- a/internal/lab/fleet/processes/result.go
+++ b/internal/lab/fleet/processes/result.go
@@ -28,22 +28,22 @@
 	for _, s := range r.sidecars {
 		record.Sidecars = append(record.Sidecars, s.name)
 	}
-	record.FaultsEnd = r.calmFrom()
+	record.FaultsEnd = r.faultsEnd()
 	record.ConvergenceTime = r.options.SettleTime
-	record.SnapshotInterval = showsPerGap * r.options.PollInterval
+	record.SnapshotInterval = pollsPerSnapshotInterval * r.options.PollInterval
 	sort.SliceStable(record.Snapshots, func(i, j int) bool { return record.Snapshots[i].At < record.Snapshots[j].At })
 	sort.SliceStable(record.OperatorCalls, func(i, j int) bool {
 		return record.OperatorCalls[i].At < record.OperatorCalls[j].At
 	})
-	record.Outages = r.silences()
-	record.KnownSince = r.couldKnowSince
+	record.Outages = r.outages()
+	record.KnownSince = r.knownSince
 	record.IsolatedBetween = r.isolatedBetween
 	return record, c.policy, nil
 }
 
-// couldKnowSince says when the incarnation that a sidecar had at a time could have known of a call: when it showed the
+// knownSince says when the incarnation that a sidecar had at a time could have known of a call: when it showed the
 // call, or propagationTime after the call where no fault was near.
-func (r *fleetRun) couldKnowSince(call checker.OperatorCall, sidecarName string, at time.Duration) (
+func (r *fleetRun) knownSince(call checker.OperatorCall, sidecarName string, at time.Duration) (
 	time.Duration, bool,
 ) {
 	current, started := r.incarnationAt(sidecarName, at)
@@ -98,8 +98,8 @@
 	}
 }
 
-// silences are the spans in which the plan has backends without a response.
-func (r *fleetRun) silences() (spans []checker.Outage) {
+// outages are the spans in which the plan has backends without a response.
+func (r *fleetRun) outages() (spans []checker.Outage) {
 	for _, f := range r.plan.Faults {
 		if f.Kind != faultplan.Unresponsive {
 			continue
--- a/internal/lab/fleet/processes/run.go
+++ b/internal/lab/fleet/processes/run.go
@@ -17,8 +17,8 @@
 	startTimeout      = 30 * time.Second // until all sidecars are ready
 	startPollInterval = 20 * time.Millisecond
 	finalPollTimeout  = 10 * time.Second // until all sidecars show equal copies
-	// showsPerGap is how many poll intervals may pass between two shows of a sidecar that runs.
-	showsPerGap = 4
+	// pollsPerSnapshotInterval is how many poll intervals may pass between two shows of a sidecar that runs.
+	pollsPerSnapshotInterval = 4
 )
 
 // fleetRun is one run of a plan. Its fields, but for the recorder and the clock, do not change once the fleet is ready.
@@ -59,7 +59,7 @@
 		return record, history, err
 	}
 	started := r.recorder.restart()
-	r.playUntil(ctx, started.Add(r.calmFrom()+r.options.SettleTime))
+	r.executeUntil(ctx, started.Add(r.faultsEnd()+r.options.SettleTime))
 	if ctx.Err() != nil {
 		return record, history, context.Cause(ctx)
 	}
@@ -67,11 +67,11 @@
 	return r.result()
 }
 
-// calmFrom is when the last fault and call of the plan are over.
-func (r *fleetRun) calmFrom() time.Duration { return max(r.plan.End(), r.plan.Length) }
+// faultsEnd is when the last fault and call of the plan are over.
+func (r *fleetRun) faultsEnd() time.Duration { return max(r.plan.End(), r.plan.Length) }
 
-// playUntil carries out the plan, with requests and polls all the time, and returns when all of that has ended.
-func (r *fleetRun) playUntil(ctx context.Context, end time.Time) {
+// executeUntil carries out the plan, with requests and polls all the time, and returns when all of that has ended.
+func (r *fleetRun) executeUntil(ctx context.Context, end time.Time) {
 	ctx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
 	var running sync.WaitGroup
--- a/internal/lab/fleet/processes/sidecar.go
+++ b/internal/lab/fleet/processes/sidecar.go
@@ -112,7 +112,7 @@
 		current, _ := s.incarnationAt(r.clock.now())
 		running[current] = isRunning
 	}
-	r.recorder.noteLostCalls(running)
+	r.recorder.addLostCalls(running)
 }
 
 // suspend stops the process, as a virtual machine that is moved does.
--- a/internal/lab/fleet/processes/status.go
+++ b/internal/lab/fleet/processes/status.go
@@ -73,41 +73,41 @@
 	if !ok || !running || after != before {
 		return ""
 	}
-	show := status.asShow()
-	show.At = at
-	show.Sidecar = s.name
-	show.Incarnation = before.number
-	s.run.recorder.addShow(before, show)
-	return show.Checksum
+	snapshot := status.toSnapshot()
+	snapshot.At = at
+	snapshot.Sidecar = s.name
+	snapshot.Incarnation = before.number
+	s.run.recorder.addSnapshot(before, snapshot)
+	return snapshot.Checksum
 }
 
-// asShow is the status in the checker's terms.
-func (f fleetStatus) asShow() checker.Snapshot {
-	show := checker.Snapshot{
+// toSnapshot is the status in the checker's terms.
+func (f fleetStatus) toSnapshot() checker.Snapshot {
+	snapshot := checker.Snapshot{
 		Ready:      f.Phase == phaseSynced || f.Phase == phaseBootstrapped,
-		Checksum:   f.copySum(),
+		Checksum:   f.checksum(),
 		Calls:      map[string][]checker.ActiveCall{},
 		Suspicions: map[string]time.Duration{},
 	}
 	for _, server := range f.Servers {
 		if server.Out {
-			show.AdminDown = append(show.AdminDown, server.ID)
+			snapshot.AdminDown = append(snapshot.AdminDown, server.ID)
 		}
 		for _, call := range server.Calls {
-			standing := checker.ActiveCall{ID: callID(server.ID, call.ID), Down: call.Out}
-			show.Calls[server.ID] = append(show.Calls[server.ID], standing)
+			active := checker.ActiveCall{ID: callID(server.ID, call.ID), Down: call.Out}
+			snapshot.Calls[server.ID] = append(snapshot.Calls[server.ID], active)
 		}
 	}
 	for _, suspicion := range f.Suspicions {
 		if suspicion.Suspected && suspicion.Listed {
-			show.Suspicions[suspicion.ID] = time.Duration(suspicion.Seconds * float64(time.Second))
+			snapshot.Suspicions[suspicion.ID] = time.Duration(suspicion.Seconds * float64(time.Second))
 		}
 	}
-	return show
+	return snapshot
 }
 
-// copySum is the same for equal copies.
-func (f fleetStatus) copySum() string {
+// checksum is the same for equal copies.
+func (f fleetStatus) checksum() string {
 	parts := make([]string, 0, len(f.Sums))
 	for kind, sum := range f.Sums {
 		parts = append(parts, kind+" "+sum)
