--- a/internal/lab/fleet/processes/admin.go
+++ b/internal/lab/fleet/processes/admin.go
@@ -10,9 +10,10 @@
 )
 
 const (
-	// adminTimeout bounds a call of an admin server. That it responds within 1 s is tested where nothing else runs.
+	// adminTimeout is the time limit of a call to an admin server. Another test checks for a response within 1 s, on a
+	// machine where nothing else runs.
 	adminTimeout = 5 * time.Second
-	// operatorRetries is how often an operator calls again where the sidecar cannot say whether the fleet knows.
+	// operatorRetries is the maximum number of times an operator repeats a call that no other sidecar has confirmed.
 	operatorRetries = 3
 
 	readinessPath     = "/ops/readiness"
@@ -23,17 +24,18 @@
 	policyProposePath = "/ops/policy/propose"
 	policyOutcomePath = "/ops/policy/outcome"
 
-	// unconfirmedText is in the response to an operator's call that no other sidecar has confirmed (docs/fleet.md).
+	// unconfirmedText is part of the response to an operator's call that no other sidecar has confirmed
+	// (docs/fleet.md).
 	unconfirmedText = "it holds here, and the fleet may not know"
 )
 
-// adminResponse is an admin server's response.
+// adminResponse is the response of an admin server.
 type adminResponse struct {
-	status int // 0: there was none
+	status int // HTTP status; 0 if there was no response
 	body   string
 }
 
-// callAdmin makes a call at an admin server.
+// callAdmin sends a request to an admin server and returns its response. On any error the status is 0.
 func callAdmin(address, method, path, body string) (response adminResponse) {
 	ctx, cancel := context.WithTimeout(context.Background(), adminTimeout)
 	defer cancel()
@@ -53,12 +55,13 @@
 	return adminResponse{status: raw.StatusCode, body: string(text)}
 }
 
-// callAdmin makes a call at the admin server of the sidecar's current process.
+// callAdmin sends a request to the admin server of the sidecar's current process.
 func (s *sidecar) callAdmin(method, path, body string) adminResponse {
 	return callAdmin(s.adminAddresses[s.currentSlot()], method, path, body)
 }
 
-// setAdminDown takes a server down or up again, as an operator does at this sidecar.
+// setAdminDown sets a server administratively down or up through this sidecar's admin server, as an operator does. It
+// records a failure if the call fails while the plan has the sidecar running.
 func (s *sidecar) setAdminDown(server string, down bool) {
 	path := serverUpPath
 	if down {
@@ -67,7 +70,7 @@
 	body := fmt.Sprintf(`{"target":%q}`, server)
 	started, slot := s.run.clock.now(), s.currentSlot()
 	response := s.callAdmin(http.MethodPost, path, body)
-	if response.status == 0 && s.currentSlot() != slot { // an upgrade ended the process: its successor is called
+	if response.status == 0 && s.currentSlot() != slot { // an upgrade ended the process: call its successor
 		response = s.callAdmin(http.MethodPost, path, body)
 	}
 	for range operatorRetries {
@@ -81,7 +84,7 @@
 	}
 }
 
-// isUnconfirmed says whether the sidecar took the call and cannot say whether others know of it.
+// isUnconfirmed reports whether the sidecar accepted the call but no other sidecar has confirmed it.
 func (r adminResponse) isUnconfirmed() bool {
 	return r.status == http.StatusServiceUnavailable && strings.Contains(r.body, unconfirmedText)
 }
--- a/internal/lab/fleet/processes/backend.go
+++ b/internal/lab/fleet/processes/backend.go
@@ -10,12 +10,12 @@
 
 const (
 	responseTime      = 15 * time.Millisecond // of a backend without a fault
-	faultPollInterval = responseTime          // until a backend without a response looks whether its fault is over
-	// extraBackends are further backends that no operator's call concerns.
+	faultPollInterval = responseTime          // between two checks whether an unresponsive backend's fault is over
+	// extraBackends is the number of backends beyond those of the plan. No operator's call concerns them.
 	extraBackends = 2
 )
 
-// backend is a server that sidecars forward requests to. The plan may have it respond late or not at all.
+// backend is a server that sidecars forward requests to. The plan can make it respond late or not at all.
 type backend struct {
 	run   *fleetRun
 	index int
@@ -23,7 +23,7 @@
 
 func serverName(index int) string { return fmt.Sprint("s-", index) }
 
-// startBackends starts all backends and returns the list of them for discovery.
+// startBackends starts all backends and returns their endpoint list for discovery, as JSON.
 func (r *fleetRun) startBackends() (endpoints []byte, err error) {
 	list := endpointList{Revision: 1, Complete: true}
 	for i := range r.plan.Servers + extraBackends {
@@ -38,7 +38,8 @@
 	return json.Marshal(list)
 }
 
-// ServeHTTP responds to a request, whose id begins with its sidecar's name.
+// ServeHTTP responds to a request and records its arrival and, unless the backend is unresponsive, its end. The request
+// id begins with the name of the sidecar that forwarded it.
 func (b *backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	sidecarName, _, _ := strings.Cut(r.Header.Get(requestIDHeader), "-")
 	recorder, server := b.run.recorder, serverName(b.index)
@@ -58,7 +59,8 @@
 	fmt.Fprint(w, "ok")
 }
 
-// withholdResponse waits until the client goes or the fault is over. In the latter case it closes the connection.
+// withholdResponse waits until the client disconnects or the fault is over. In the latter case it closes the connection
+// without a response.
 func (b *backend) withholdResponse(r *http.Request) {
 	for {
 		select {
@@ -72,7 +74,7 @@
 	}
 }
 
-// condition is what the plan has the backend do now.
+// condition returns the backend's fault at the current time of the plan: no response at all, or an added delay.
 func (b *backend) condition() (unresponsive bool, delay time.Duration) {
 	return b.run.plan.ServerCondition(b.run.clock.now(), b.index)
 }
--- a/internal/lab/fleet/processes/client.go
+++ b/internal/lab/fleet/processes/client.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	requestTimeout = 5 * time.Second // until a sidecar that runs has responded
+	requestTimeout = 5 * time.Second // for the response of a running sidecar
 
 	requestIDHeader       = "X-Request-ID"
 	classHeader           = "X-Priority-Class"
 	timeoutHeader         = "X-Timeout-Ms"
-	requestTimeoutAllowed = time.Second // that clients name
+	requestTimeoutAllowed = time.Second // sent by clients in timeoutHeader
 	defaultClass          = "read"
 )
 
-// requestCounter numbers the requests of all runs in this process.
+// requestCounter makes request ids unique among all runs in this process.
 var requestCounter atomic.Int64
 
-// sendRequests sends one request after another until the context ends. Each must have a response unless the plan has
-// the sidecar down.
+// sendRequests sends one request after another until the context ends. It records a failure for a request without a
+// response unless the plan has the sidecar down.
 func (s *sidecar) sendRequests(ctx context.Context) {
 	client := newHTTPClient()
 	defer client.CloseIdleConnections()
@@ -52,7 +52,7 @@
 	return &http.Client{Timeout: requestTimeout, Transport: &http.Transport{}}
 }
 
-// newRequest returns a request of some class. Its id begins with the sidecar's name, which the backends record.
+// newRequest returns a request of the given class. Its id begins with the sidecar's name, which the backends record.
 func (s *sidecar) newRequest(class string) (*http.Request, error) {
 	request, err := http.NewRequest(http.MethodGet, "http://"+s.listenAddress+"/api", nil)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return request, nil
 }
 
-// roundTrip sends a request and reads the whole response.
+// roundTrip sends a request and reads the complete response.
 func roundTrip(client *http.Client, request *http.Request) (status int, err error) {
 	response, err := client.Do(request)
 	if err != nil {
--- a/internal/lab/fleet/processes/clock.go
+++ b/internal/lab/fleet/processes/clock.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// planClock tells the time since the plan began. It is safe for concurrent use.
+// planClock measures the time since the start of the plan. It is safe for concurrent use.
 type planClock struct {
 	started atomic.Pointer[time.Time]
 }
 
-// restart has the plan's time begin now.
+// restart sets the start of the plan to the current time.
 func (c *planClock) restart() (started time.Time) {
 	started = time.Now()
 	c.started.Store(&started)
--- a/internal/lab/fleet/processes/discovery.go
+++ b/internal/lab/fleet/processes/discovery.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// watchEventInterval is the time between two events of a watch.
+// watchEventInterval is the time between two watch events.
 const watchEventInterval = time.Second
 
-// endpoint is a backend as discovery lists it.
+// endpoint is a backend's entry in the endpoint list.
 type endpoint struct {
 	UID          string `json:"uid"`
 	Address      string `json:"endpoint"`
@@ -19,19 +19,19 @@
 	CapacityHint int    `json:"capacity_hint"`
 }
 
-// endpointList is a watch event with all endpoints.
+// endpointList is a watch event that contains all endpoints.
 type endpointList struct {
 	Revision int        `json:"rev"`
 	Complete bool       `json:"all"`
 	Targets  []endpoint `json:"targets"`
 }
 
-// discovery is the server that sidecars watch. The list never changes.
+// discovery is the HTTP server that sidecars watch. Its endpoint list never changes.
 type discovery struct {
 	list []byte
 }
 
-// ServeHTTP repeats the list until the client goes.
+// ServeHTTP sends the endpoint list every watchEventInterval until the client disconnects.
 func (d *discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	for {
 		fmt.Fprintf(w, "%s\n", d.list)
--- a/internal/lab/fleet/processes/errors.go
+++ b/internal/lab/fleet/processes/errors.go
@@ -2,9 +2,9 @@
 
 import "strings"
 
-// StartError says that the fleet was not ready in time.
+// StartError reports that the fleet was not ready within the time limit.
 type StartError struct {
-	// Details are the state of each sidecar that is not ready, and the failures recorded so far.
+	// Details lists the state of each sidecar that is not ready, followed by the failures recorded so far.
 	Details []string
 }
 
@@ -13,9 +13,9 @@
 	return "the fleet never found itself:\n" + strings.Join(e.Details, "\n")
 }
 
-// FailuresError says that the run itself failed, or that a sidecar broke a rule that needs no checker.
+// FailuresError reports failures of the run itself, or violations of rules that are checked without the checker.
 type FailuresError struct {
-	Failures []string // each with its time in the plan
+	Failures []string // each starts with its time in the plan
 }
 
 // Error implements error.
--- a/internal/lab/fleet/processes/files.go
+++ b/internal/lab/fleet/processes/files.go
@@ -16,31 +16,33 @@
 	folderPermissions = 0o700
 )
 
-// policySettings and readClass are the part of the settings that all configurations and policy documents share.
+// policySettings and readClass are the settings that all configurations and policy documents have in common.
 const (
 	policySettings = `"limits":{"try_limit":2,"cancelling":true},` +
 		`"rules":{"cold_s":0.5,"start_capacity":0.5,"fall_multiple":4,"fall_s":2}`
 	readClass = `{"name":"read","effect":"idempotent","aim_s":0.5,"deadline_s":2}`
 )
 
-// policyDocument returns a document, numbered from 0 on. It has a request class that no other document has.
+// policyDocument returns the policy document with a number, counted from 0. It has a request class that no other
+// document has.
 func policyDocument(number int) []byte {
 	return fmt.Appendf(nil, `{%s,"request_classes":[%s,{"name":%q,"effect":"idempotent","aim_s":0.5,"deadline_s":2}]}`,
 		policySettings, readClass, documentClass(number))
 }
 
-// documentClass is the request class that only one document has.
+// documentClass returns the name of the request class that only the document with this number has.
 func documentClass(number int) string { return fmt.Sprint("p", number) }
 
 func (r *fleetRun) fleetFile() string { return filepath.Join(r.options.Dir, fleetFileName) }
 
-// writeFleetFile writes the file that all sidecars read about the fleet, and the first policy where there is one.
+// writeFleetFile writes the fleet settings that all sidecars read, and the first policy document if the fleet has a
+// policy.
 func (r *fleetRun) writeFleetFile() error {
 	var peers []string
 	for i := range r.plan.Sidecars {
 		peers = append(peers, r.mesh.Outside(i))
 	}
-	peerList, err := json.Marshal(peers) // also a TOML array
+	peerList, err := json.Marshal(peers) // a JSON array of strings is also a TOML array
 	if err != nil {
 		return err
 	}
@@ -59,7 +61,7 @@
 	return os.WriteFile(r.fleetFile(), []byte(text), filePermissions)
 }
 
-// writeConfigFile writes the sidecar's own configuration.
+// writeConfigFile writes the sidecar's configuration.
 func (s *sidecar) writeConfigFile(discoveryAddress string, endpoints []byte) error {
 	text := fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"seed":"%016x",
 		"limits":{"cores":1.0,"memory_mb":64,"sockets":256},"known":%s,
--- a/internal/lab/fleet/processes/incarnation.go
+++ b/internal/lab/fleet/processes/incarnation.go
@@ -1,7 +1,8 @@
 package processes
 
-// incarnation is a sidecar from a start to the next kill. A process and the one that replaces it in an upgrade are one.
+// incarnation identifies a sidecar from a start to the next kill. A process and its successor in an upgrade belong to
+// the same incarnation.
 type incarnation struct {
 	sidecar string
-	number  uint64 // from 1 on; 0: none yet
+	number  uint64 // starts at 1; 0 if the sidecar has not started yet
 }
--- a/internal/lab/fleet/processes/log.go
+++ b/internal/lab/fleet/processes/log.go
@@ -10,10 +10,10 @@
 	"milletramp.example/milletramp/internal/lab/fleet/checker"
 )
 
-// operatorCallLine is the log line with which a sidecar says that it took an operator's call.
+// operatorCallLine matches the log line that a sidecar writes when it accepts an operator's call.
 var operatorCallLine = regexp.MustCompile(`msg="by hand".* server=(\S+) out=(\S+) call=(\S+) replaces=(\S*)`)
 
-// readLog reads a process's log to its end, and records the operators' calls that it names.
+// readLog reads a process's log to its end and records the operators' calls in it.
 func (s *sidecar) readLog(log io.Reader) {
 	lines := bufio.NewScanner(log)
 	for lines.Scan() {
@@ -27,7 +27,7 @@
 	}
 }
 
-// parseOperatorCall returns the operator's call that a log line names, without a time.
+// parseOperatorCall returns the operator's call in a log line; At is not set. ok is false if the line reports no call.
 func parseOperatorCall(line string) (call checker.OperatorCall, ok bool) {
 	fields := operatorCallLine.FindStringSubmatch(line)
 	if fields == nil {
@@ -44,5 +44,5 @@
 	return call, true
 }
 
-// callID makes a call's id unique: an incarnation numbers its calls for each server apart.
+// callID returns an id that is unique in the run: an incarnation numbers its calls for each server separately.
 func callID(server, id string) string { return server + "/" + id }
--- a/internal/lab/fleet/processes/options.go
+++ b/internal/lab/fleet/processes/options.go
@@ -11,19 +11,19 @@
 	defaultRequestInterval = 25 * time.Millisecond
 )
 
-// Options say how a plan is run.
+// Options configures the run of a plan.
 type Options struct {
-	Command         []string      // of a sidecar
-	Dir             string        // for files
-	SettleTime      time.Duration // from the end of the plan until copies must be equal
-	PollInterval    time.Duration // between two polls of an admin server; 0: 200 ms
-	RequestInterval time.Duration // between two requests of a sidecar's client; 0: 25 ms
-	Log             io.Writer     // of the sidecars; nil: none
-	PersistState    bool          // each sidecar keeps its state in a folder for its next incarnation
-	// WithPolicy gives the fleet a policy. The first three sidecars are its voters. It is changed as the plan says, and
-	// once more after the last fault.
+	Command         []string      // program and arguments that start a sidecar
+	Dir             string        // for the files of the run
+	SettleTime      time.Duration // from the end of the plan until all copies of the fleet state must be equal
+	PollInterval    time.Duration // between two polls of an admin server; default 200 ms
+	RequestInterval time.Duration // between two requests of a sidecar's client; default 25 ms
+	Log             io.Writer     // receives the sidecars' logs; may be nil
+	PersistState    bool          // sidecars store their state in Dir for their next incarnation
+	// WithPolicy runs the fleet with a policy, with the first three sidecars as voters. The run changes the policy
+	// according to the plan, and once more after the last fault.
 	WithPolicy bool
-	// SendGarbage sends bytes that are no message of the fleet to a sidecar's address until the context ends.
+	// SendGarbage, if set, sends bytes that are not valid fleet messages to a sidecar's address until the context ends.
 	SendGarbage func(ctx context.Context, address string)
 }
 
--- a/internal/lab/fleet/processes/policy_author.go
+++ b/internal/lab/fleet/processes/policy_author.go
@@ -15,39 +15,39 @@
 const (
 	leaseLength         = 1500 * time.Millisecond
 	outcomePollInterval = 100 * time.Millisecond
-	outcomeTimeout      = 20 * time.Second // until an author asks no more
-	finalChangeDelay    = 3 * time.Second  // from the end of the plan to the last change
+	outcomeTimeout      = 20 * time.Second // until an author gives up on a proposal
+	finalChangeDelay    = 3 * time.Second  // from the end of the plan to the final policy change
 )
 
-// policyAuthor proposes one change of policy and follows what becomes of it.
+// policyAuthor proposes one policy change and follows its outcome.
 type policyAuthor struct {
 	run      *fleetRun
 	proposal Proposal
-	accepted bool // a sidecar has taken the proposal
+	accepted bool // a sidecar has accepted the proposal
 }
 
-// proposalRequest is the body of a call that proposes a document.
+// proposalRequest is the body of an admin server call that proposes a policy document.
 type proposalRequest struct {
 	Author  string          `json:"author"`
-	Follows uint64          `json:"follows"` // the number of the policy that it replaces
+	Follows uint64          `json:"follows"` // number of the policy to replace
 	ID      string          `json:"id"`
 	Text    json.RawMessage `json:"text"`
 }
 
-// proposalOutcome is an admin server's response about a proposal.
+// proposalOutcome is an admin server's response with the state of a proposal.
 type proposalOutcome struct {
 	State  ProposalState `json:"state"`
 	Reason string        `json:"reason"`
 }
 
-// policyStatus is the part of an admin server's response that an author needs.
+// policyStatus is the part of an admin server's policy status that an author needs.
 type policyStatus struct {
 	Voters []struct {
 		InForce uint64 `json:"in_force"`
 	} `json:"deciders"`
 }
 
-// proposeChanges proposes what the plan says, one after another, and a last one after the last fault.
+// proposeChanges proposes the policy changes of the plan in order, and a final one after the last fault.
 func (r *fleetRun) proposeChanges(ctx context.Context) {
 	last := faultplan.Change{At: r.faultsEnd() + finalChangeDelay, Sidecar: r.plan.Sidecars - 1}
 	for i, change := range append(slices.Clone(r.plan.Changes), last) {
@@ -60,7 +60,7 @@
 	}
 }
 
-// propose proposes a document at a sidecar, or the next one that responds, and records what became of it.
+// propose proposes a document to a sidecar, or to the next one that responds, and records the outcome.
 func (r *fleetRun) propose(ctx context.Context, document, sidecarIndex int) {
 	author := policyAuthor{run: r, proposal: Proposal{
 		ID:         fmt.Sprint("change-", document),
@@ -75,7 +75,8 @@
 	r.recorder.addProposal(author.proposal)
 }
 
-// followOutcome asks one sidecar after another until the state is final, or for outcomeTimeout.
+// followOutcome sends the proposal until a sidecar accepts it, and then polls its outcome, from one sidecar after
+// another. It returns when the state is final, after outcomeTimeout, or when the context ends.
 func (a *policyAuthor) followOutcome(ctx context.Context, sidecarIndex int) {
 	deadline := a.run.clock.now() + outcomeTimeout
 	for a.run.clock.now() < deadline && ctx.Err() == nil {
@@ -94,8 +95,8 @@
 	}
 }
 
-// proposeAt sends the proposal to a sidecar, always with the same id. It sends nothing while the sidecar names no
-// policy in force.
+// proposeAt sends the proposal to a sidecar, with the same id in each attempt. It sends nothing while the sidecar
+// reports no policy in force.
 func (a *policyAuthor) proposeAt(s *sidecar) error {
 	follows := s.policyInForce()
 	if follows == 0 {
@@ -117,7 +118,8 @@
 	return nil
 }
 
-// recordOutcome takes in a response about the proposal; ok says whether it was one.
+// recordOutcome updates the proposal from an admin server's response; ok is false if the response has no outcome. It
+// records a contradiction if the response has another final state than an earlier response.
 func (a *policyAuthor) recordOutcome(response adminResponse) (ok bool) {
 	var outcome proposalOutcome
 	if response.status != http.StatusOK || json.Unmarshal([]byte(response.body), &outcome) != nil {
@@ -134,7 +136,8 @@
 	return true
 }
 
-// policyInForce is the number of the policy that the sidecar's voters have in force; 0: it names none.
+// policyInForce returns the highest number of a policy in force among the voters, as the sidecar reports it; 0 if it
+// reports none.
 func (s *sidecar) policyInForce() (number uint64) {
 	response := s.callAdmin(http.MethodGet, policyStatusPath, "")
 	var status policyStatus
--- a/internal/lab/fleet/processes/policy_client.go
+++ b/internal/lab/fleet/processes/policy_client.go
@@ -8,14 +8,14 @@
 
 const policyRequestInterval = 10 * time.Millisecond
 
-// sendPolicyRequests sends requests of the class of one document after another until the context ends, and records
-// those that are served. That each request has a response is seen to by sendRequests.
+// sendPolicyRequests sends requests until the context ends, each of the class of the next document in turn, and records
+// those that are served. It does not check that each request has a response; sendRequests does.
 func (s *sidecar) sendPolicyRequests(ctx context.Context) {
 	client := newHTTPClient()
 	defer client.CloseIdleConnections()
 	ticker := time.NewTicker(policyRequestInterval)
 	defer ticker.Stop()
-	documents := len(s.run.plan.Changes) + 2 // with the first one, and the one that is proposed after the last fault
+	documents := len(s.run.plan.Changes) + 2 // plus the first one and the one proposed after the last fault
 	for i := 0; ; i++ {
 		select {
 		case <-ticker.C:
--- a/internal/lab/fleet/processes/policy_history.go
+++ b/internal/lab/fleet/processes/policy_history.go
@@ -2,43 +2,43 @@
 
 import "time"
 
-// ServedRequest is a request that a sidecar served, and the policy document that the sidecar served it under. Its class
-// shows that without the sidecar's word for it: each document has a class that no other has.
+// ServedRequest is a request that a sidecar served, with the policy document that it was served under. The document is
+// derived from the request's class and not from the sidecar's status: each document has a class that no other has.
 type ServedRequest struct {
 	Sidecar        string
 	Document       int
 	Sent, Answered time.Duration
 }
 
-// ProposalState is what became of a proposal.
+// ProposalState is the state of a proposal.
 type ProposalState string
 
-// The states of a proposal: the author's own, and those of the admin server that the author acts on.
+// The states of a proposal. StateNotSent and StateSent are set by the author, the others are reported by admin servers.
 const (
 	StateNotSent ProposalState = "never asked"
-	StateSent    ProposalState = "asked" // without a response yet
+	StateSent    ProposalState = "asked" // no response yet
 	StateInForce ProposalState = "in force"
 	StateRefused ProposalState = "refused"
-	StateUnknown ProposalState = "unknown" // the sidecar does not know the proposal
+	StateUnknown ProposalState = "unknown" // the sidecar has no record of the proposal
 )
 
-// IsFinal says whether the state does not change any more.
+// IsFinal reports whether the state can no longer change.
 func (s ProposalState) IsFinal() bool { return s == StateInForce || s == StateRefused }
 
-// Proposal is a change of policy as its author saw it.
+// Proposal is a policy change as observed by its author.
 type Proposal struct {
 	ID         string
 	Document   int
 	ProposedAt time.Duration
-	DecidedAt  time.Duration // 0: its author does not know what became of it
-	State      ProposalState // the last known one
+	DecidedAt  time.Duration // 0 if the author received no final state
+	State      ProposalState // last known state
 	Reason     string
 }
 
-// PolicyHistory is what was seen of the policy.
+// PolicyHistory contains the observations of the policy in a run.
 type PolicyHistory struct {
 	Served    []ServedRequest
 	Proposals []Proposal
-	// Contradicted are the ids of proposals for which two admin servers named different final states.
+	// Contradicted lists the ids of proposals for which two responses had different final states.
 	Contradicted []string
 }
--- a/internal/lab/fleet/processes/process.go
+++ b/internal/lab/fleet/processes/process.go
@@ -13,10 +13,10 @@
 // process is one process of a sidecar.
 type process struct {
 	command *exec.Cmd
-	exited  chan struct{} // closed when it has ended and its log is read
+	exited  chan struct{} // closed when the process has ended and its log has been read
 }
 
-// launch starts a process in a slot. The lock is held.
+// launch starts a process in a slot. The caller holds s.mu.
 func (s *sidecar) launch(slot int) (*process, error) {
 	command := exec.Command(s.run.options.Command[0], s.run.options.Command[1:]...)
 	command.Env = append(os.Environ(), s.environment(slot)...)
@@ -27,12 +27,12 @@
 	}
 	p := &process{command: command, exited: make(chan struct{})}
 	started := make(chan error, 1)
-	go s.supervise(p, s.incarnationNumber, log, started) // ends with the process
+	go s.supervise(p, s.incarnationNumber, log, started) // returns when the process ends
 	return p, <-started
 }
 
 func (s *sidecar) environment(slot int) []string {
-	meshIndex := s.index + slot*s.run.plan.Sidecars // in the mesh
+	meshIndex := s.index + slot*s.run.plan.Sidecars // index of the process in the mesh
 	return []string{
 		"PROXY_CONFIG=" + s.configFile,
 		"PROXY_CONSOLE=" + s.adminAddresses[slot],
@@ -44,8 +44,8 @@
 	}
 }
 
-// supervise starts a process, reads its log and waits for its exit. It keeps the thread: Pdeathsig is sent when the
-// thread ends that started the process.
+// supervise starts a process, reads its log and waits for its exit. It stays locked to its OS thread because the kernel
+// sends Pdeathsig when the thread that started the process ends.
 func (s *sidecar) supervise(p *process, number uint64, log io.Reader, started chan<- error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -62,14 +62,14 @@
 	}
 }
 
-// isInUse says whether a process is to run: nobody has killed or replaced it.
+// isInUse reports whether a process is expected to run, because it has been neither killed nor replaced.
 func (s *sidecar) isInUse(p *process) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.current == p || s.next == p
 }
 
-// kill ends the process and waits for its exit.
+// kill sends SIGKILL to the process and waits for its exit.
 func (p *process) kill() {
 	_ = p.command.Process.Kill()
 	<-p.exited
@@ -77,7 +77,7 @@
 
 func (p *process) signal(signal syscall.Signal) { _ = p.command.Process.Signal(signal) }
 
-// waitExit says whether the process ends within a time.
+// waitExit waits for the process to end, up to a timeout, and reports whether it has ended.
 func (p *process) waitExit(timeout time.Duration) bool {
 	select {
 	case <-p.exited:
--- a/internal/lab/fleet/processes/recorder.go
+++ b/internal/lab/fleet/processes/recorder.go
@@ -9,18 +9,18 @@
 	"milletramp.example/milletramp/internal/lab/fleet/checker"
 )
 
-// maxFailures bounds what one cause can fill the report with.
+// maxFailures limits the number of recorded failures, so that one cause does not flood the report.
 const maxFailures = 10
 
-// recorder collects what is seen of the fleet. It is safe for concurrent use. What is noted with the time of its
-// noting gets that time under the lock, so it is in the order of time.
+// recorder collects the observations of the fleet. It is safe for concurrent use. Entries that are stamped by the
+// recorder get their time under the lock, so that they are in chronological order.
 type recorder struct {
 	clock *planClock
 
 	mu         sync.Mutex
 	record     checker.Record
 	policy     PolicyHistory
-	firstShown map[string]map[incarnation]time.Duration // by id of an operator's call
+	firstShown map[string]map[incarnation]time.Duration // by id of the operator's call
 	failures   []string
 }
 
@@ -28,7 +28,7 @@
 	return &recorder{clock: clock, firstShown: map[string]map[incarnation]time.Duration{}}
 }
 
-// restart has the plan's time begin, and forgets what was recorded while the fleet started.
+// restart sets the start of the plan to the current time and discards the record of the fleet's start.
 func (c *recorder) restart() (started time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -43,7 +43,7 @@
 	c.record.Attempts = append(c.record.Attempts, attempt)
 }
 
-// addEnd notes what became of a request at a server.
+// addEnd records the end of an attempt at a server, and whether the server responded.
 func (c *recorder) addEnd(sidecarName, server string, answered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -51,8 +51,8 @@
 	c.record.Outcomes = append(c.record.Outcomes, end)
 }
 
-// addOperatorCall notes a call that a sidecar has taken. It counts as acknowledged from here on: the calls that it
-// replaces are gone, whether the operator gets the response or not.
+// addOperatorCall records a call that a sidecar has accepted. The call counts as acknowledged from now on: the calls
+// that it replaces are gone, whether or not the operator receives the response.
 func (c *recorder) addOperatorCall(call checker.OperatorCall) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,7 +60,7 @@
 	c.record.OperatorCalls = append(c.record.OperatorCalls, call)
 }
 
-// addSnapshot notes what an incarnation showed.
+// addSnapshot records the status of an incarnation.
 func (c *recorder) addSnapshot(by incarnation, snapshot checker.Snapshot) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,7 +72,7 @@
 	c.record.Snapshots = append(c.record.Snapshots, snapshot)
 }
 
-// recordFirstShown is called with the lock held.
+// recordFirstShown records the time at which an incarnation first showed a call. The caller holds c.mu.
 func (c *recorder) recordFirstShown(call string, by incarnation, at time.Duration) {
 	if c.firstShown[call] == nil {
 		c.firstShown[call] = map[incarnation]time.Duration{}
@@ -82,7 +82,7 @@
 	}
 }
 
-// firstShownBy is when an incarnation first showed an operator's call.
+// firstShownBy returns the time at which an incarnation first showed an operator's call.
 func (c *recorder) firstShownBy(call string, by incarnation) (at time.Duration, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,8 +90,8 @@
 	return at, ok
 }
 
-// addLostCalls notes the calls that no running incarnation has shown. They may be lost with a process that was
-// killed, and then the calls that they replaced may be in force or not.
+// addLostCalls marks the calls that no running incarnation has shown as possibly lost with a killed process, and also
+// the calls that they replaced, which may or may not be in force again.
 func (c *recorder) addLostCalls(running map[incarnation]bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,7 +113,8 @@
 	}
 }
 
-// addFailure notes a failure of the run itself, or of a sidecar against a rule that needs no checker.
+// addFailure records a failure of the run itself, or a sidecar's violation of a rule that is checked without the
+// checker. It drops failures beyond maxFailures.
 func (c *recorder) addFailure(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -129,7 +130,7 @@
 	return slices.Clone(c.failures)
 }
 
-// addServed notes a request that was served now.
+// addServed records a served request, with the current time as the time of its response.
 func (c *recorder) addServed(request ServedRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/fleet/processes/result.go
+++ b/internal/lab/fleet/processes/result.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	recoveryTime    = 3 * time.Second // until a sidecar that was cut off or stopped takes part in the fleet again
-	propagationTime = 3 * time.Second // until an operator's call has reached all sidecars where there is no fault
-	// heavyLoss is the share of lost messages above which a sidecar counts as isolated.
+	recoveryTime    = 3 * time.Second // until an isolated or suspended sidecar participates in the fleet again
+	propagationTime = 3 * time.Second // until an operator's call has reached all sidecars in the absence of faults
+	// heavyLoss is the fraction of lost messages above which a sidecar counts as isolated.
 	heavyLoss = 0.4
 )
 
-// result returns what was seen, completed with what the plan says about it.
+// result returns the record and the policy history, with the fields that follow from the plan filled in.
 func (r *fleetRun) result() (record checker.Record, history PolicyHistory, err error) {
 	c := r.recorder
 	c.mu.Lock()
@@ -41,8 +41,8 @@
 	return record, c.policy, nil
 }
 
-// knownSince says when the incarnation that a sidecar had at a time could have known of a call: when it showed the
-// call, or propagationTime after the call where no fault was near.
+// knownSince returns the time since which the sidecar's incarnation at a given time could have received a call: when it
+// first showed the call, or propagationTime after the call if no fault was near; false if neither applies.
 func (r *fleetRun) knownSince(call checker.OperatorCall, sidecarName string, at time.Duration) (
 	time.Duration, bool,
 ) {
@@ -62,7 +62,7 @@
 	return call.At + propagationTime, true
 }
 
-// incarnationAt is the last incarnation that a sidecar had at a time, and when it started.
+// incarnationAt returns a sidecar's last incarnation at a given time, and when it started.
 func (r *fleetRun) incarnationAt(sidecarName string, at time.Duration) (last incarnation, started time.Duration) {
 	i := r.sidecarIndex(sidecarName)
 	if i < 0 {
@@ -71,13 +71,13 @@
 	return r.sidecars[i].incarnationAt(at)
 }
 
-// sidecarIndex is a sidecar's place in the plan; -1: there is none of that name.
+// sidecarIndex returns a sidecar's index in the plan, or -1 if there is none with that name.
 func (r *fleetRun) sidecarIndex(name string) int {
 	return slices.IndexFunc(r.sidecars, func(s *sidecar) bool { return s.name == name })
 }
 
-// isolatedBetween says whether the plan has a sidecar cut off, killed or stopped between two times, or has it lose
-// most of its messages.
+// isolatedBetween reports whether the plan has a fault between two times that isolates the sidecar (see isolates), or
+// had one less than recoveryTime before. A cut isolates only the sidecars in its From list.
 func (r *fleetRun) isolatedBetween(sidecarName string, from, to time.Duration) bool {
 	index := r.sidecarIndex(sidecarName)
 	return slices.ContainsFunc(r.plan.Faults, func(f faultplan.Fault) bool {
@@ -98,7 +98,7 @@
 	}
 }
 
-// outages are the spans in which the plan has backends without a response.
+// outages returns the periods in which the plan has backends that do not respond.
 func (r *fleetRun) outages() (spans []checker.Outage) {
 	for _, f := range r.plan.Faults {
 		if f.Kind != faultplan.Unresponsive {
--- a/internal/lab/fleet/processes/run.go
+++ b/internal/lab/fleet/processes/run.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	startTimeout      = 30 * time.Second // until all sidecars are ready
+	startTimeout      = 30 * time.Second // limit for all sidecars to become ready
 	startPollInterval = 20 * time.Millisecond
-	finalPollTimeout  = 10 * time.Second // until all sidecars show equal copies
-	// pollsPerSnapshotInterval is how many poll intervals may pass between two shows of a sidecar that runs.
+	finalPollTimeout  = 10 * time.Second // limit for all sidecars to show equal copies
+	// pollsPerSnapshotInterval is the maximum time between two snapshots of a running sidecar, in poll intervals.
 	pollsPerSnapshotInterval = 4
 )
 
-// fleetRun is one run of a plan. Its fields, but for the recorder and the clock, do not change once the fleet is ready.
+// fleetRun is one run of a plan. Its fields, except recorder and clock, do not change once the fleet is ready.
 type fleetRun struct {
 	plan       faultplan.Plan
 	options    Options
@@ -32,13 +32,13 @@
 	webServers []*http.Server
 }
 
-// Run runs a plan.
+// Run runs a plan and returns the record for the checker.
 func Run(ctx context.Context, p faultplan.Plan, options Options) (checker.Record, error) {
 	record, _, err := runPlan(ctx, p, options)
 	return record, err
 }
 
-// RunWithPolicy runs a plan with a fleet that has a policy, and also returns what was seen of that.
+// RunWithPolicy runs a plan against a fleet with a policy and also returns the observations of the policy.
 func RunWithPolicy(ctx context.Context, p faultplan.Plan, options Options) (checker.Record, PolicyHistory, error) {
 	options.WithPolicy = true
 	return runPlan(ctx, p, options)
@@ -67,10 +67,11 @@
 	return r.result()
 }
 
-// faultsEnd is when the last fault and call of the plan are over.
+// faultsEnd returns the time in the plan at which its last fault and call are over.
 func (r *fleetRun) faultsEnd() time.Duration { return max(r.plan.End(), r.plan.Length) }
 
-// executeUntil carries out the plan, with requests and polls all the time, and returns when all of that has ended.
+// executeUntil executes the plan, with clients and polls running until the end, and returns when all goroutines have
+// ended.
 func (r *fleetRun) executeUntil(ctx context.Context, end time.Time) {
 	ctx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
@@ -99,8 +100,8 @@
 	r.runScript(ctx)
 }
 
-// awaitConvergence polls all sidecars until they show equal copies, or for finalPollTimeout. On a busy machine backends
-// are late, and evidence about them may be on its way at any one moment.
+// awaitConvergence polls all sidecars until they show equal copies, or for finalPollTimeout. One poll is not enough: on
+// a busy machine backends respond late, and evidence about them may be in transit at any given moment.
 func (r *fleetRun) awaitConvergence() {
 	deadline := time.Now().Add(finalPollTimeout)
 	for {
@@ -115,7 +116,8 @@
 	}
 }
 
-// linkConditions is what a relay does now. An upgrade's second process has its sidecar's links.
+// linkConditions returns the conditions of a relay at the current time of the plan. The second process during an
+// upgrade has the link conditions of its sidecar.
 func (r *fleetRun) linkConditions(from, to int) mesh.Conditions {
 	link := r.plan.LinkCondition(r.clock.now(), from%r.plan.Sidecars, to%r.plan.Sidecars)
 	return mesh.Conditions{
@@ -127,7 +129,7 @@
 	}
 }
 
-// serve has a handler respond on loopback until stopAll.
+// serve starts an HTTP server with a handler on loopback. stopAll closes it.
 func (r *fleetRun) serve(handler http.Handler) (address string, err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -135,11 +137,11 @@
 	}
 	server := &http.Server{Handler: handler}
 	r.webServers = append(r.webServers, server)
-	go func() { _ = server.Serve(listener) }() // ends with stopAll
+	go func() { _ = server.Serve(listener) }() // returns when stopAll closes the server
 	return listener.Addr().String(), nil
 }
 
-// stopAll ends all processes and servers.
+// stopAll kills all processes and closes all HTTP servers.
 func (r *fleetRun) stopAll() {
 	for _, s := range r.sidecars {
 		s.kill()
--- a/internal/lab/fleet/processes/script.go
+++ b/internal/lab/fleet/processes/script.go
@@ -9,13 +9,13 @@
 	"milletramp.example/milletramp/internal/lab/fleet/faultplan"
 )
 
-// scriptEvent is something that the run does to a sidecar at a time of the plan.
+// scriptEvent is an action on a sidecar at a time of the plan.
 type scriptEvent struct {
 	at  time.Duration
 	run func()
 }
 
-// runScript carries out the plan's events, each at its time, until the context ends. It waits for those that it began.
+// runScript runs the plan's events, each at its time, until the context ends. It waits for the events that it started.
 func (r *fleetRun) runScript(ctx context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -34,8 +34,8 @@
 	<-ctx.Done()
 }
 
-// script returns the events of the plan in the order of time. Faults of links, clocks and backends are none: those are
-// looked up when they are needed.
+// script returns the events of the plan in chronological order. Faults of links, clocks and backends are not events:
+// they are looked up in the plan when needed.
 func (r *fleetRun) script() (events []scriptEvent) {
 	for _, f := range r.plan.Faults {
 		for _, i := range f.From {
@@ -50,7 +50,8 @@
 	return events
 }
 
-// faultEvents returns what a fault does to one of those that it names, which is a sidecar for these kinds alone.
+// faultEvents returns the events of a fault for one entry of its From list. The index refers to a sidecar only for the
+// kinds handled here.
 func (r *fleetRun) faultEvents(f faultplan.Fault, index int) []scriptEvent {
 	end := f.At + f.Duration
 	switch f.Kind {
@@ -67,7 +68,7 @@
 	}
 }
 
-// restart starts the incarnation after a kill.
+// restart starts a new incarnation after a kill.
 func (s *sidecar) restart() {
 	if err := s.start(); err != nil {
 		s.run.recorder.addFailure("%s does not start again: %v", s.name, err)
--- a/internal/lab/fleet/processes/sidecar.go
+++ b/internal/lab/fleet/processes/sidecar.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// processesPerSidecar is how many processes a sidecar has during an upgrade. Each has a slot: an admin server's
-	// address and a place in the mesh.
+	// processesPerSidecar is the number of processes that a sidecar has during an upgrade. Each has a slot: an admin
+	// server address and an index in the mesh.
 	processesPerSidecar = 2
-	// restartGrace is how long after a kill or a stop a sidecar may still give no response.
+	// restartGrace is the time after a kill or suspension during which a sidecar may fail to respond.
 	restartGrace = startTimeout / 10
-	// killOverlap is by how much a start may come before the end of its kill.
+	// killOverlap is the maximum time by which a start may precede the end of its kill.
 	killOverlap = 10 * time.Millisecond
 )
 
-// sidecar is one sidecar of the fleet over all its incarnations.
+// sidecar is one sidecar of the fleet across all its incarnations.
 type sidecar struct {
 	run            *fleetRun
 	index          int
@@ -34,14 +34,14 @@
 	configFile     string
 
 	mu                sync.Mutex
-	current           *process // nil: killed
-	next              *process // about to replace the current one; nil: there is none
+	current           *process // nil if killed
+	next              *process // successor during an upgrade, otherwise nil
 	slot              int      // of the current process
 	incarnationNumber uint64
 	incarnationStarts []time.Duration
 }
 
-// newSidecar returns a sidecar with a folder and addresses of its own. It is not started.
+// newSidecar returns a sidecar with its own folder and addresses. It does not start it.
 func (r *fleetRun) newSidecar(index int) (*sidecar, error) {
 	name := fmt.Sprint("n", index)
 	dir := filepath.Join(r.options.Dir, name)
@@ -59,7 +59,7 @@
 	return s, nil
 }
 
-// freeAddress returns an address at which nothing listens now.
+// freeAddress returns an address with a port that was free at the time of the call.
 func freeAddress(host string) (string, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
@@ -69,7 +69,8 @@
 	return listener.Addr().String(), nil
 }
 
-// start starts an incarnation. Where kills overlap in the plan, only the end of the last one does.
+// start starts an incarnation. It does nothing if the sidecar is running or another kill in the plan is still in
+// effect: where kills overlap, only the end of the last one starts the sidecar.
 func (s *sidecar) start() (err error) {
 	now := s.run.clock.now()
 	s.mu.Lock()
@@ -83,14 +84,14 @@
 	}
 	s.incarnationNumber++
 	if s.incarnationNumber == 1 {
-		now = 0 // it starts before the plan's time
+		now = 0 // the first incarnation starts before the plan
 	}
 	s.incarnationStarts = append(s.incarnationStarts, now)
 	s.current, err = s.launch(s.slot)
 	return err
 }
 
-// kill ends the incarnation at once, with both processes during an upgrade.
+// kill ends the incarnation immediately, including the second process during an upgrade.
 func (s *sidecar) kill() {
 	s.mu.Lock()
 	processes := []*process{s.current, s.next}
@@ -104,7 +105,7 @@
 	s.run.recordLostCalls()
 }
 
-// recordLostCalls notes which operators' calls no running sidecar holds.
+// recordLostCalls records the operators' calls that no running sidecar has shown.
 func (r *fleetRun) recordLostCalls() {
 	running := map[incarnation]bool{}
 	for _, s := range r.sidecars {
@@ -115,13 +116,13 @@
 	r.recorder.addLostCalls(running)
 }
 
-// suspend stops the process, as a virtual machine that is moved does.
+// suspend stops the process, as the live migration of a virtual machine does.
 func (s *sidecar) suspend() { s.signal(syscall.SIGSTOP) }
 
 // resume continues a suspended process.
 func (s *sidecar) resume() { s.signal(syscall.SIGCONT) }
 
-// signal sends a signal to the current process, if it runs.
+// signal sends a signal to the current process, if there is one.
 func (s *sidecar) signal(signal syscall.Signal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,14 +137,14 @@
 	return s.current != nil
 }
 
-// currentIncarnation is the last incarnation, and whether it runs.
+// currentIncarnation returns the last incarnation and whether it is running.
 func (s *sidecar) currentIncarnation() (last incarnation, running bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return incarnation{sidecar: s.name, number: s.incarnationNumber}, s.current != nil
 }
 
-// incarnationAt is the last incarnation that had started at a time, and when that was.
+// incarnationAt returns the last incarnation started at or before a given time, and its start time.
 func (s *sidecar) incarnationAt(at time.Duration) (last incarnation, started time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,7 +164,8 @@
 	return s.slot
 }
 
-// expectedDown says whether the plan has the sidecar killed or suspended at any time between two.
+// expectedDown reports whether the plan has the sidecar killed or suspended at any time between two times, or had it so
+// less than restartGrace before.
 func (s *sidecar) expectedDown(from, to time.Duration) bool {
 	return slices.ContainsFunc(s.run.plan.Faults, func(f faultplan.Fault) bool {
 		stops := f.Kind == faultplan.Kill || f.Kind == faultplan.Suspend
@@ -172,7 +174,7 @@
 	})
 }
 
-// clockOffset is by how many seconds the plan has the sidecar's clock off, at any time.
+// clockOffset returns the sidecar's clock error in the plan, in seconds. It applies for the complete run.
 func (s *sidecar) clockOffset() (seconds float64) {
 	for _, f := range s.run.plan.Faults {
 		if f.Kind == faultplan.Clock && slices.Contains(f.From, s.index) {
--- a/internal/lab/fleet/processes/start.go
+++ b/internal/lab/fleet/processes/start.go
@@ -38,7 +38,7 @@
 	return r.awaitReady()
 }
 
-// awaitReady waits until each sidecar is ready and knows all others.
+// awaitReady waits until each sidecar is ready and has all others in its member list.
 func (r *fleetRun) awaitReady() error {
 	deadline := time.Now().Add(startTimeout)
 	for {
@@ -58,7 +58,8 @@
 	}
 }
 
-// checkReady says what the sidecar shows of itself, and whether it is ready and knows all others.
+// checkReady reports whether the sidecar is ready and has all others in its member list. Otherwise detail describes its
+// state.
 func (s *sidecar) checkReady() (detail string, ready bool) {
 	status, ok := s.fleetStatus()
 	readiness := s.callAdmin(http.MethodGet, readinessPath, "")
--- a/internal/lab/fleet/processes/status.go
+++ b/internal/lab/fleet/processes/status.go
@@ -11,18 +11,18 @@
 	"milletramp.example/milletramp/internal/lab/fleet/checker"
 )
 
-// The phases, as an admin server names them, in which a sidecar vouches for holding what the fleet holds.
+// The phases, as named by the admin server, in which a sidecar guarantees that its copy of the fleet state is complete.
 const (
 	phaseSynced       = "whole"
 	phaseBootstrapped = "fresh"
 )
 
-// fleetStatus is what a sidecar's admin server shows of the fleet, as far as the checker needs it. It shares no type
+// fleetStatus is the part of the fleet status at a sidecar's admin server that the checker needs. It shares no type
 // with the sidecar.
 type fleetStatus struct {
 	Phase       string            `json:"phase"`
 	MembersHere int               `json:"members_here"`
-	Sums        map[string]string `json:"sums"` // by kind of row
+	Sums        map[string]string `json:"sums"` // checksums by kind of row
 	Servers     []struct {
 		ID    string `json:"id"`
 		Out   bool   `json:"out"`
@@ -47,7 +47,7 @@
 	return status, json.Unmarshal([]byte(response.body), &status) == nil
 }
 
-// pollStatus records what the sidecar shows at each interval until the context ends.
+// pollStatus records the sidecar's status every PollInterval until the context ends.
 func (s *sidecar) pollStatus(ctx context.Context) {
 	ticker := time.NewTicker(s.run.options.PollInterval)
 	defer ticker.Stop()
@@ -61,14 +61,15 @@
 	}
 }
 
-// observe records what the sidecar shows, and returns the sum of its copy; "": it shows nothing.
+// observe records the sidecar's status and returns the checksum of its copy. It returns "" without a record if the
+// sidecar is down, does not respond or is restarted meanwhile.
 func (s *sidecar) observe() (sum string) {
 	before, running := s.currentIncarnation()
 	if !running {
 		return ""
 	}
 	status, ok := s.fleetStatus()
-	at := s.run.clock.now() // not before: a suspended process shows what it holds when it is resumed
+	at := s.run.clock.now() // taken after the response: a suspended process responds with its state at resumption
 	after, running := s.currentIncarnation()
 	if !ok || !running || after != before {
 		return ""
@@ -81,7 +82,7 @@
 	return snapshot.Checksum
 }
 
-// toSnapshot is the status in the checker's terms.
+// toSnapshot converts the status to the checker's type.
 func (f fleetStatus) toSnapshot() checker.Snapshot {
 	snapshot := checker.Snapshot{
 		Ready:      f.Phase == phaseSynced || f.Phase == phaseBootstrapped,
@@ -106,7 +107,7 @@
 	return snapshot
 }
 
-// checksum is the same for equal copies.
+// checksum returns a string that is the same for equal copies.
 func (f fleetStatus) checksum() string {
 	parts := make([]string, 0, len(f.Sums))
 	for kind, sum := range f.Sums {
--- a/internal/lab/fleet/processes/upgrade.go
+++ b/internal/lab/fleet/processes/upgrade.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	readyTimeout      = 6 * time.Second // until a next process is ready, as the platform has it
+	readyTimeout      = 6 * time.Second // for the next process to become ready; the platform's limit
 	readyPollInterval = 20 * time.Millisecond
-	shutdownTimeout   = 4 * time.Second // until a former process ends: the longest deadline, and 0.7 s
+	shutdownTimeout   = 4 * time.Second // for the former process to end: the longest deadline plus 0.7 s
 )
 
-// upgrade replaces the sidecar's process as a platform does: the next process gets some time to become ready, and then
-// the former one is asked to end.
+// upgrade replaces the sidecar's process as a platform does: it waits up to readyTimeout for the next process to
+// become ready and then sends SIGTERM to the former one.
 func (s *sidecar) upgrade() {
 	former, next, slot, ok := s.beginUpgrade()
 	if !ok {
 		return
 	}
 	if !awaitReady(s.adminAddresses[slot]) {
-		if s.run.options.WithPolicy { // it may have to wait for voters: the former process goes on
+		if s.run.options.WithPolicy { // it may be waiting for voters: keep the former process
 			s.cancelUpgrade(next)
 			return
 		}
@@ -54,7 +54,8 @@
 	return former, next, slot, true
 }
 
-// awaitReady says whether the process with this admin server becomes ready within readyTimeout.
+// awaitReady waits up to readyTimeout for the process with this admin server to become ready, and reports whether it
+// did.
 func awaitReady(adminAddress string) bool {
 	deadline := time.Now().Add(readyTimeout)
 	for {
