--- a/internal/lab/fleet/processes/admin.go
+++ b/internal/lab/fleet/processes/admin.go
@@ -80,7 +80,8 @@
 		response = s.callAdmin(http.MethodPost, path, body)
 	}
 	if response.status != http.StatusOK && !s.expectedDown(started-adminTimeout, s.run.clock.now()) {
-		s.run.recorder.addFailure("%s answers a call on %s with %d %q", s.name, server, response.status, response.body)
+		s.run.recorder.addFailure("%s responded to a call on %s with %d %q",
+			s.name, server, response.status, response.body)
 	}
 }
 
--- a/internal/lab/fleet/processes/client.go
+++ b/internal/lab/fleet/processes/client.go
@@ -43,7 +43,7 @@
 		}
 		_, err = roundTrip(client, request)
 		if err != nil && !s.expectedDown(started-requestTimeout, s.run.clock.now()) {
-			s.run.recorder.addFailure("%s has no answer for its client: %v", s.name, err)
+			s.run.recorder.addFailure("%s did not respond to its client: %v", s.name, err)
 		}
 	}
 }
--- a/internal/lab/fleet/processes/errors.go
+++ b/internal/lab/fleet/processes/errors.go
@@ -10,7 +10,7 @@
 
 // Error implements error.
 func (e *StartError) Error() string {
-	return "the fleet never found itself:\n" + strings.Join(e.Details, "\n")
+	return "the fleet was not ready in time:\n" + strings.Join(e.Details, "\n")
 }
 
 // FailuresError reports failures of the run itself, or violations of rules that are checked without the checker.
--- a/internal/lab/fleet/processes/process.go
+++ b/internal/lab/fleet/processes/process.go
@@ -58,7 +58,7 @@
 	s.readLog(log)
 	err := p.command.Wait()
 	if s.isInUse(p) {
-		s.run.recorder.addFailure("%s ended by itself in life %d: %v", s.name, number, err)
+		s.run.recorder.addFailure("%s exited unexpectedly in incarnation %d: %v", s.name, number, err)
 	}
 }
 
--- a/internal/lab/fleet/processes/script.go
+++ b/internal/lab/fleet/processes/script.go
@@ -71,6 +71,6 @@
 // restart starts a new incarnation after a kill.
 func (s *sidecar) restart() {
 	if err := s.start(); err != nil {
-		s.run.recorder.addFailure("%s does not start again: %v", s.name, err)
+		s.run.recorder.addFailure("%s did not restart: %v", s.name, err)
 	}
 }
--- a/internal/lab/fleet/processes/start.go
+++ b/internal/lab/fleet/processes/start.go
@@ -66,6 +66,6 @@
 	if ok && status.MembersHere == s.run.plan.Sidecars && readiness.status == http.StatusOK {
 		return "", true
 	}
-	return fmt.Sprintf("%s: answers %v, %s, %d members, readiness %d %s", s.name, ok, status.Phase, status.MembersHere,
-		readiness.status, strings.TrimSpace(readiness.body)), false
+	return fmt.Sprintf("%s: fleet status received: %v, phase %s, %d members, readiness %d %s", s.name, ok, status.Phase,
+		status.MembersHere, readiness.status, strings.TrimSpace(readiness.body)), false
 }
--- a/internal/lab/fleet/processes/upgrade.go
+++ b/internal/lab/fleet/processes/upgrade.go
@@ -24,14 +24,14 @@
 			s.cancelUpgrade(next)
 			return
 		}
-		s.run.recorder.addFailure("%s: its next process is not ready after %v", s.name, readyTimeout)
+		s.run.recorder.addFailure("%s: next process not ready after %v", s.name, readyTimeout)
 	}
 	if !s.switchTo(next, slot) {
 		return
 	}
 	former.signal(syscall.SIGTERM)
 	if !former.waitExit(shutdownTimeout) {
-		s.run.recorder.addFailure("%s: its former process does not end within %v", s.name, shutdownTimeout)
+		s.run.recorder.addFailure("%s: former process did not exit within %v", s.name, shutdownTimeout)
 		former.kill()
 	}
 }
@@ -48,7 +48,7 @@
 	s.next = next
 	s.mu.Unlock()
 	if err != nil {
-		s.run.recorder.addFailure("%s: its next process: %v", s.name, err)
+		s.run.recorder.addFailure("%s: cannot start the next process: %v", s.name, err)
 		return nil, nil, 0, false
 	}
 	return former, next, slot, true
