--- a/internal/lab/fleet/processes/policy_test.go
+++ b/internal/lab/fleet/processes/policy_test.go
@@ -14,11 +14,11 @@
 	"milletramp.example/milletramp/internal/lab/testrun"
 )
 
-var changesFlag = flag.Int("fleet.changes", 1, "plans of changes of policy that TestChanges draws; each has four")
+var changesFlag = flag.Int("fleet.changes", 1, "number of plans with policy changes that TestChanges draws; each plan has four changes")
 
-// policyModel is what the fleet is to be for its authors and clients: one place that holds a document. A change that is in force has put
-// its document there at one moment between its asking and its end; a request that was served found its document there at one moment
-// between its sending and its answer.
+// policyModel is the sequential specification that the fleet has to be linearizable to: a register that holds one document. A change
+// that came into force writes its document at one moment between its proposal and its decision; a request that was served reads its
+// document at one moment between its start and its response.
 var policyModel = porcupine.Model{
 	Init: func() any { return 0 },
 	Step: func(state, input, output any) (bool, any) {
@@ -34,8 +34,8 @@
 	DescribeOperation: func(input, _ any) string { return fmt.Sprintf("%+v", input) },
 }
 
-// operationsOf is what was seen, for the model: refused changes are none, and of those whose author does not know what became of them
-// the ones that somebody was served under.
+// operationsOf converts a history to operations of the model. It leaves out refused changes, and changes with an unknown outcome that
+// no request was served under. Other changes with an unknown outcome have no end.
 func operationsOf(p PolicyHistory) (operations []porcupine.Operation) {
 	served := map[int]bool{}
 	clients := map[string]int{}
@@ -59,8 +59,9 @@
 	return operations
 }
 
-// TestChanges changes the policy of processes under drawn faults: what clients and authors see is as if there were one place that holds
-// the policy, no answer is contradicted, and once the faults are over a change is in force everywhere.
+// TestChanges changes the policy of a fleet of processes during randomly drawn faults. It guards against two policies in force at once:
+// the observations of clients and authors have to be linearizable, no two responses may report different final states of a change, and
+// after the last fault a change has to come into force at every sidecar.
 func TestChanges(t *testing.T) {
 	t.Parallel()
 	for i := range *changesFlag {
@@ -72,13 +73,13 @@
 			defer cancel()
 			_, seen, err := RunWithPolicy(ctx, p, Options{Command: sidecarCommand, Dir: testrun.MemoryDir(t), SettleTime: 28 * time.Second})
 			if err != nil {
-				t.Fatalf("%v\nin\n%v", err, p)
+				t.Fatalf("%v\nplan:\n%v", err, p)
 			}
 			if result := porcupine.CheckOperationsTimeout(policyModel, operationsOf(seen), time.Minute); result != porcupine.Ok {
-				t.Errorf("two policies at once: the history is %s", result)
+				t.Errorf("two policies in force at once: linearizability check: %s", result)
 			}
 			for _, id := range seen.Contradicted {
-				t.Errorf("answers on %s contradict each other", id)
+				t.Errorf("admin servers reported different final states of %s", id)
 			}
 			last := seen.Proposals[len(seen.Proposals)-1]
 			under := map[string]int{}
@@ -86,7 +87,7 @@
 				under[d.Sidecar] = d.Document
 			}
 			if last.State != "in force" || len(seen.Proposals) != len(p.Changes)+1 {
-				t.Errorf("when the faults are over: %+v", last)
+				t.Errorf("change proposed after the last fault (%d of %d recorded): %+v", len(seen.Proposals), len(p.Changes)+1, last)
 			}
 			for i := range p.Sidecars {
 				if name := fmt.Sprint("n", i); under[name] != last.Document {
@@ -94,11 +95,11 @@
 				}
 			}
 			for _, c := range seen.Proposals {
-				t.Logf("%s asked at %.2f s, %s at %.2f s %s", c.ID, c.ProposedAt.Seconds(), c.State, c.DecidedAt.Seconds(), c.Reason)
+				t.Logf("%s proposed at %.2f s, %s at %.2f s %s", c.ID, c.ProposedAt.Seconds(), c.State, c.DecidedAt.Seconds(), c.Reason)
 			}
 			t.Logf("%d requests served", len(seen.Served))
 			if t.Failed() {
-				t.Logf("by\n%v", p)
+				t.Logf("plan:\n%v", p)
 			}
 		})
 	}
--- a/internal/lab/fleet/processes/run_test.go
+++ b/internal/lab/fleet/processes/run_test.go
@@ -21,14 +21,14 @@
 )
 
 var (
-	plansFlag     = flag.Int("fleet.plans", 4, "plans that TestDrawnPlans draws")
-	firstSeedFlag = flag.Uint64("fleet.seed", 1, "the first of their seeds")
-	sidecarsFlag  = flag.Int("fleet.sidecars", 8, "sidecars of each")
+	plansFlag     = flag.Int("fleet.plans", 4, "number of plans that TestDrawnPlans draws")
+	firstSeedFlag = flag.Uint64("fleet.seed", 1, "seed of the first drawn plan; each further plan has the next seed")
+	sidecarsFlag  = flag.Int("fleet.sidecars", 8, "number of sidecars in each drawn plan")
 	logsFlag      = flag.String("fleet.logs", "", "folder for the sidecars' logs")
-	formerFlag    = flag.String("fleet.former", "", "an earlier build of fleetsidecar, which every second process runs")
+	formerFlag    = flag.String("fleet.former", "", "path of an earlier build of fleetsidecar, run by every second process")
 )
 
-// settleTime is as in the simulated play, but that no evidence has to fade.
+// settleTime is as in the simulated fleet, without the time for evidence to expire.
 const settleTime = 25 * time.Second
 
 var sidecarCommand []string
@@ -44,7 +44,7 @@
 		}
 	}
 	if err == nil && *formerFlag != "" {
-		sidecarCommand, err = alternating(dir, *formerFlag, sidecarCommand[0])
+		sidecarCommand, err = alternatingCommand(dir, *formerFlag, sidecarCommand[0])
 	}
 	release := func() {}
 	if err == nil {
@@ -56,12 +56,12 @@
 	}
 	status := m.Run()
 	release()
-	_ = os.RemoveAll(dir) // what is left is the system's
+	_ = os.RemoveAll(dir) // files that cannot be removed are left to the system
 	os.Exit(status)
 }
 
-// alternating returns a command that runs two programs in turn. It counts its starts by files in a folder.
-func alternating(dir, first, second string) (command []string, err error) {
+// alternatingCommand returns a command that runs two programs in turn. It creates a file per start to count the starts.
+func alternatingCommand(dir, first, second string) (command []string, err error) {
 	count, script := filepath.Join(dir, "starts"), filepath.Join(dir, "alternating")
 	if err := os.Mkdir(count, 0o700); err != nil {
 		return nil, err
@@ -77,9 +77,11 @@
 	return []string{script}, os.WriteFile(script, []byte(text), 0o700)
 }
 
-func playPlan(t *testing.T, p faultplan.Plan) checker.Record { return playPlanWith(t, p, Options{}) }
+func runTestPlan(t *testing.T, p faultplan.Plan) checker.Record {
+	return runTestPlanWith(t, p, Options{})
+}
 
-func playPlanWith(t *testing.T, p faultplan.Plan, set Options) checker.Record {
+func runTestPlanWith(t *testing.T, p faultplan.Plan, set Options) checker.Record {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), p.End()+p.Length+settleTime+time.Minute)
 	defer cancel()
@@ -97,53 +99,53 @@
 	}
 	r, err := Run(ctx, p, set)
 	if err != nil {
-		t.Fatalf("%v\nin\n%v", err, p)
+		t.Fatalf("%v\nplan:\n%v", err, p)
 	}
 	return r
 }
 
-// TestDrawnPlans plays drawn plans with processes. A failure prints the seed and the plan.
+// TestDrawnPlans runs randomly drawn plans against processes. A failure prints the seed and the plan.
 func TestDrawnPlans(t *testing.T) {
-	playDrawn(t, *plansFlag, func(seed uint64) faultplan.Plan { return faultplan.Draw(seed, *sidecarsFlag, 12*time.Second) })
+	runDrawnPlans(t, *plansFlag, func(seed uint64) faultplan.Plan { return faultplan.Draw(seed, *sidecarsFlag, 12*time.Second) })
 }
 
-// TestServersFallSilent plays plans in which servers fall silent or are slow while sidecars hear each other badly.
+// TestServersFallSilent runs plans in which servers stop responding or are slow while messages between sidecars are lost, late and duplicated.
 func TestServersFallSilent(t *testing.T) {
-	playDrawn(t, max(1, *plansFlag/4), func(seed uint64) faultplan.Plan { return faultplan.DrawServers(seed, *sidecarsFlag, 16*time.Second) })
+	runDrawnPlans(t, max(1, *plansFlag/4), func(seed uint64) faultplan.Plan { return faultplan.DrawServers(seed, *sidecarsFlag, 16*time.Second) })
 }
 
-// TestUpgrades plays plans in which sidecars are upgraded, some while they are cut off. What the staff said at one shortly before
-// outlasts it.
+// TestUpgrades runs plans in which sidecars are upgraded, some while they are isolated. It guards against the loss of an operator's call
+// that a sidecar accepted shortly before its upgrade.
 func TestUpgrades(t *testing.T) {
-	playDrawn(t, max(1, *plansFlag/4), func(seed uint64) faultplan.Plan { return faultplan.DrawUpgrades(seed, *sidecarsFlag, 16*time.Second) })
+	runDrawnPlans(t, max(1, *plansFlag/4), func(seed uint64) faultplan.Plan { return faultplan.DrawUpgrades(seed, *sidecarsFlag, 16*time.Second) })
 }
 
-func playDrawn(t *testing.T, plans int, draw func(seed uint64) faultplan.Plan) {
+func runDrawnPlans(t *testing.T, plans int, draw func(seed uint64) faultplan.Plan) {
 	t.Parallel()
 	for i := range plans {
 		seed := *firstSeedFlag + uint64(i)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			p := draw(seed)
-			r := playPlan(t, p)
+			r := runTestPlan(t, p)
 			for _, b := range checker.Check(r) {
 				t.Errorf("%v", b)
 			}
 			if t.Failed() {
-				t.Logf("by\n%v", p)
+				t.Logf("plan:\n%v", p)
 			}
 			if len(r.Snapshots) < *sidecarsFlag || len(r.Attempts) == 0 {
-				t.Errorf("%d shows and %d sends on record", len(r.Snapshots), len(r.Attempts))
+				t.Errorf("%d snapshots and %d attempts recorded", len(r.Snapshots), len(r.Attempts))
 			}
 		})
 	}
 }
 
-// playSmallFleet plays a plan of some sidecars' own in which something is out of the ordinary, and returns what each showed last.
-func playSmallFleet(t *testing.T, p faultplan.Plan, set Options) map[string]checker.Snapshot {
+// runSmallFleet runs a plan with the given options, checks the record and returns the last snapshot of each sidecar.
+func runSmallFleet(t *testing.T, p faultplan.Plan, set Options) map[string]checker.Snapshot {
 	t.Parallel()
 	set.SettleTime = 10 * time.Second
-	r := playPlanWith(t, p, set)
+	r := runTestPlanWith(t, p, set)
 	for _, b := range checker.Check(r) {
 		t.Errorf("%v", b)
 	}
@@ -152,28 +154,28 @@
 		last[s.Sidecar] = s
 	}
 	if len(last) != p.Sidecars {
-		t.Errorf("%d sidecars showed anything", len(last))
+		t.Errorf("%d sidecars have a snapshot, want %d", len(last), p.Sidecars)
 	}
 	return last
 }
 
-// TestAllKilledWithFolders has all sidecars be killed at once: with a folder each, the fleet still holds what the staff said.
+// TestAllKilledWithFolders kills all sidecars at once. It guards against the loss of operators' calls when every sidecar stores its state.
 func TestAllKilledWithFolders(t *testing.T) {
 	all := []int{0, 1, 2, 3}
-	last := playSmallFleet(t, faultplan.Plan{Seed: 7, Sidecars: 4, Servers: 2, Length: 8 * time.Second,
+	last := runSmallFleet(t, faultplan.Plan{Seed: 7, Sidecars: 4, Servers: 2, Length: 8 * time.Second,
 		Calls:  []faultplan.Call{{At: time.Second, Sidecar: 1, Server: 0, Down: true}, {At: 2 * time.Second, Sidecar: 2, Server: 1, Down: true}, {At: 3 * time.Second, Sidecar: 0, Server: 1}},
 		Faults: []faultplan.Fault{{Kind: faultplan.Kill, At: 6 * time.Second, Duration: time.Second, From: all}}}, Options{PersistState: true})
 	for name, s := range last {
 		if !slices.Equal(s.AdminDown, []string{serverName(0)}) {
-			t.Errorf("%s has %v out", name, s.AdminDown)
+			t.Errorf("%s has %v administratively down", name, s.AdminDown)
 		}
 	}
 }
 
-// TestRubbish has a stranger send bytes of all kinds to all sidecars, 10 MB over TCP among them, while servers are taken out
-// and back and fall silent: nothing is believed, and nothing held up.
+// TestRubbish sends invalid packets to all sidecars, and 10 MB of random bytes over TCP, while servers are set administratively down
+// and up and one stops responding. It guards against a sidecar that accepts such data or is delayed by it.
 func TestRubbish(t *testing.T) {
-	rubbish := func(until context.Context, address string) {
+	sendGarbage := func(ctx context.Context, address string) {
 		rng := rand.New(rand.NewPCG(1, 2))
 		bytes := make([]byte, 1<<20)
 		for i := range bytes {
@@ -195,9 +197,9 @@
 			t.Error(err)
 			return
 		}
-		for until.Err() == nil {
+		for ctx.Err() == nil {
 			for _, text := range [][]byte{foreign, newer, bytes[:1], bytes[:rng.IntN(1200)], bytes[:9000], {0x9b, 0, 0, 0, 0, 0, 1, 0x86, 0xa0}} {
-				_, _ = udp.Write(text) // whether it is taken is its reader's affair
+				_, _ = udp.Write(text) // delivery is not required
 			}
 			if tcp, err := net.DialTimeout("tcp4", address, time.Second); err == nil {
 				_ = tcp.SetDeadline(time.Now().Add(time.Second))
@@ -210,16 +212,16 @@
 			}
 			select {
 			case <-time.After(100 * time.Millisecond):
-			case <-until.Done():
+			case <-ctx.Done():
 			}
 		}
 	}
-	last := playSmallFleet(t, faultplan.Plan{Seed: 8, Sidecars: 4, Servers: 8, Length: 12 * time.Second,
+	last := runSmallFleet(t, faultplan.Plan{Seed: 8, Sidecars: 4, Servers: 8, Length: 12 * time.Second,
 		Calls:  []faultplan.Call{{At: time.Second, Sidecar: 1, Server: 0, Down: true}, {At: 2 * time.Second, Sidecar: 2, Server: 1, Down: true}, {At: 4 * time.Second, Sidecar: 0, Server: 1}},
-		Faults: []faultplan.Fault{{Kind: faultplan.Unresponsive, At: 5 * time.Second, Duration: 7 * time.Second, From: []int{4}}}}, Options{SendGarbage: rubbish})
+		Faults: []faultplan.Fault{{Kind: faultplan.Unresponsive, At: 5 * time.Second, Duration: 7 * time.Second, From: []int{4}}}}, Options{SendGarbage: sendGarbage})
 	for name, s := range last {
 		if !slices.Equal(s.AdminDown, []string{serverName(0)}) {
-			t.Errorf("%s has %v out", name, s.AdminDown)
+			t.Errorf("%s has %v administratively down", name, s.AdminDown)
 		}
 	}
 }
