--- a/internal/lab/fleet/sim/evidence.go
+++ b/internal/lab/fleet/sim/evidence.go
@@ -5,17 +5,17 @@
 	"milletramp.example/milletramp/internal/lab/fleet/checker"
 )
 
-// sampleEvidence is what each row that a sidecar writes holds: only its version matters here.
+// sampleEvidence is the content of every row that a sidecar writes. The checker does not examine it.
 var sampleEvidence = replication.Evidence{Attempts: 4, Unanswered: 1}
 
-// writeEvidencePeriodically writes a row each EvidenceInterval.
+// writeEvidencePeriodically writes a row every EvidenceInterval.
 func (s *Sidecar) writeEvidencePeriodically() {
 	s.fleet.scheduler.after(s.fleet.options.EvidenceInterval, s.writeEvidencePeriodically)
 	s.execute(s.writeEvidence)
 }
 
-// writeEvidence has the sidecar write its own row on a drawn server, until the plan's end and as long as no later
-// incarnation has taken its name.
+// writeEvidence writes the sidecar's own row for a random server. It writes nothing after the plan's end, or when a
+// later incarnation owns the sidecar's name.
 func (s *Sidecar) writeEvidence() {
 	f := s.fleet
 	if _, ownsName := s.Machine.Members.Self(); !ownsName || f.Now() > f.planEnd() {
@@ -27,7 +27,7 @@
 		return
 	}
 	s.Machine.Broadcast(key)
-	s.rowVersions[server]++ // counted independently of the sidecar's own count
+	s.rowVersions[server]++ // counted independently of the version in the store
 	self, _ := s.Machine.Members.Self()
 	f.Record.WrittenRows = append(f.Record.WrittenRows, checker.Row{
 		Owner:       s.Name,
--- a/internal/lab/fleet/sim/fleet.go
+++ b/internal/lab/fleet/sim/fleet.go
@@ -10,34 +10,34 @@
 )
 
 const (
-	// randomStream selects the generator's stream, so that it differs from those that draw the plan.
+	// randomStream selects a generator stream that is different from those used to draw plans.
 	randomStream = 0x776f726c64
-	// maxStartDelay bounds the time at which a sidecar first starts.
+	// maxStartDelay limits the random delay before a sidecar's first start.
 	maxStartDelay = time.Second
 )
 
-// Options are the settings of a run that the plan does not give.
+// Options are the settings of a run that are not part of the plan.
 type Options struct {
-	SeedPeers           int           // sidecars whose addresses each is configured with; it discovers the others
-	SettleTime          time.Duration // from the last fault until all copies must be equal
-	ObservationInterval time.Duration // between two observations of a sidecar; 0: only at the end
-	EvidenceInterval    time.Duration // between two rows of evidence that a sidecar writes; 0: it writes none
+	SeedPeers           int           // configured peers of each sidecar; the others are discovered
+	SettleTime          time.Duration // after the last fault, until all copies must be equal
+	ObservationInterval time.Duration // between observations of a sidecar; 0: observed only at the end
+	EvidenceInterval    time.Duration // between evidence rows written by a sidecar; 0: none are written
 }
 
-// Fleet is a fleet of sidecars that runs a plan in simulated time. It is not safe for concurrent use.
+// Fleet runs a plan on a fleet of sidecars in simulated time. It is not safe for concurrent use.
 type Fleet struct {
 	Plan     faultplan.Plan
 	Sidecars []*Sidecar
 	Record   checker.Record
-	// Lost and Sent count datagrams.
+	// Lost and Sent are numbers of datagrams.
 	Lost, Sent int
 
 	options     Options
 	rng         *rand.Rand
 	scheduler   scheduler
-	linkFreeAt  map[link]time.Duration              // when a link with a bounded rate has sent what is queued
-	deliveredAt map[string]map[string]time.Duration // by call and sidecar
-	callDots    map[string]replication.Dot          // by call
+	linkFreeAt  map[link]time.Duration              // when a rate-limited link has sent its queued datagrams
+	deliveredAt map[string]map[string]time.Duration // by call ID and sidecar name
+	callDots    map[string]replication.Dot          // by call ID
 	processes   map[string]*Sidecar                 // by address
 }
 
@@ -82,7 +82,7 @@
 	}
 }
 
-// scheduleFault schedules what a fault does to one sidecar's processes. Faults of links are looked up in the plan as
+// scheduleFault schedules the effects of a fault on one sidecar's processes. Link faults are looked up in the plan when
 // messages are sent.
 func (f *Fleet) scheduleFault(fault faultplan.Fault, s *Sidecar) {
 	end := fault.At + fault.Duration
@@ -97,12 +97,12 @@
 	}
 }
 
-// planEnd returns when the plan's faults and its length are over.
+// planEnd returns the end of the plan's last fault, or the plan's length if that is longer.
 func (f *Fleet) planEnd() time.Duration {
 	return max(f.Plan.End(), f.Plan.Length)
 }
 
-// Run runs to the plan's end and for the time to settle after it, and returns the record.
+// Run runs the plan to its end and for SettleTime after it, and returns the record.
 func (f *Fleet) Run() checker.Record {
 	f.RunUntil(f.planEnd() + f.options.SettleTime)
 	f.Record.FaultsEnd = f.planEnd()
@@ -119,7 +119,7 @@
 	return f.Record
 }
 
-// RunUntil runs up to a time of the plan.
+// RunUntil runs the simulation up to a time since the plan's start.
 func (f *Fleet) RunUntil(end time.Duration) { f.scheduler.runUntil(end) }
 
 // Now returns the time since the plan's start.
--- a/internal/lab/fleet/sim/network.go
+++ b/internal/lab/fleet/sim/network.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	maxLinkLatency  = 2 * time.Millisecond // of a message on a link without a fault
-	maxLinkQueueing = time.Second          // that a datagram waits on a link with a bounded rate before it is dropped
+	maxLinkLatency  = 2 * time.Millisecond // upper bound for a message on a link without faults
+	maxLinkQueueing = time.Second          // queueing delay at which a rate-limited link drops datagrams
 	fetchTimeout    = time.Second
 )
 
-// errFetchTimeout ends the fetch of a snapshot that was not answered in time.
+// errFetchTimeout ends a snapshot fetch without a response within fetchTimeout.
 var errFetchTimeout = errors.New("no answer")
 
 // link is a directed pair of sidecars, by their indexes.
 type link struct{ from, to int }
 
-// linkCondition returns what the plan does now to messages from one sidecar to another.
+// linkCondition returns the current condition, under the plan, of the link from one sidecar to another.
 func (f *Fleet) linkCondition(from, to *Sidecar) faultplan.LinkCondition {
 	return f.Plan.LinkCondition(f.Now(), from.Index, to.Index)
 }
 
-// drawLatency draws the time that a message takes on a link.
+// drawLatency draws the latency of a message on a link.
 func (f *Fleet) drawLatency(condition faultplan.LinkCondition) time.Duration {
 	base := time.Duration(f.rng.Int64N(int64(maxLinkLatency)))
 	added := time.Duration(f.rng.Float64() * float64(condition.Delay))
@@ -53,7 +53,7 @@
 	}
 }
 
-// transmit schedules the arrival of one copy of a datagram. A link with a bounded rate drops it when its queue is full.
+// transmit schedules the arrival of one copy of a datagram. A rate-limited link drops it when its queue is full.
 func (f *Fleet) transmit(sender, receiver *Sidecar, condition faultplan.LinkCondition, payload []byte) {
 	arrival := f.Now() + f.drawLatency(condition)
 	senderAddress := sender.address
@@ -69,22 +69,22 @@
 	}
 	f.scheduler.at(arrival, func() {
 		receiver.execute(func() {
-			// The machine counts the datagrams that it rejects in its figures.
+			// Rejected datagrams are included in the machine's counters.
 			_ = receiver.Machine.Receive(receiver.Clock(), senderAddress, payload)
 		})
 	})
 }
 
-// snapshotFetch is one fetch of a snapshot by one process of a sidecar.
+// snapshotFetch is a snapshot fetch by one process of a sidecar.
 type snapshotFetch struct {
 	sidecar *Sidecar
-	epoch   int // of the process that fetches
+	epoch   int // of the fetching process
 	address string
 	done    bool
 }
 
-// fetchSnapshot fetches a snapshot from an address over a connection: lost packets are sent again, but a cut link in
-// either direction fails the fetch.
+// fetchSnapshot fetches a snapshot from an address over a simulated connection. Packet loss does not fail the fetch, as
+// a connection retransmits lost packets, but a cut link in either direction does.
 func (s *Sidecar) fetchSnapshot(address string) {
 	f := s.fleet
 	fetch := &snapshotFetch{sidecar: s, epoch: s.epoch, address: address}
@@ -103,7 +103,7 @@
 	})
 }
 
-// respond has the source encode its snapshot and schedules the response's arrival.
+// respond encodes the source's snapshot and schedules the response's arrival, unless the link is cut.
 func (t *snapshotFetch) respond(source *Sidecar, response faultplan.LinkCondition) {
 	f := source.fleet
 	snapshot, err := source.Machine.EncodeSnapshot(source.Clock())
@@ -113,7 +113,7 @@
 	f.scheduler.after(f.drawLatency(response), func() { t.finish(snapshot, nil) })
 }
 
-// finish gives the machine the result of the fetch, once, if the process that began it is still there.
+// finish passes the result of the fetch to the machine, once, unless the fetching process has been replaced.
 func (t *snapshotFetch) finish(snapshot []byte, err error) {
 	if t.done {
 		return
@@ -124,7 +124,7 @@
 		return
 	}
 	s.execute(func() {
-		// The error is that of the fetch, or counted in the machine's figures.
+		// The error is that of the fetch, or is included in the machine's counters.
 		_ = s.Machine.ReceiveSnapshot(s.Clock(), t.address, snapshot, err)
 	})
 }
--- a/internal/lab/fleet/sim/observation.go
+++ b/internal/lab/fleet/sim/observation.go
@@ -9,7 +9,7 @@
 	"milletramp.example/milletramp/internal/lab/fleet/checker"
 )
 
-// observePeriodically records what the sidecar shows each ObservationInterval.
+// observePeriodically records an observation every ObservationInterval while the sidecar runs and is not suspended.
 func (s *Sidecar) observePeriodically() {
 	s.fleet.scheduler.after(s.fleet.options.ObservationInterval, s.observePeriodically)
 	if s.Machine != nil && !s.isSuspended() {
@@ -17,8 +17,8 @@
 	}
 }
 
-// observe records what the sidecar shows. While an upgrade's new process is catching up, operators still see its
-// predecessor.
+// observe records an observation of the sidecar. While the new process of an upgrade is catching up, its predecessor is
+// observed instead, as operators still see the predecessor.
 func (s *Sidecar) observe() {
 	if s.Machine == nil {
 		return
@@ -41,7 +41,7 @@
 	s.fleet.Record.Snapshots = append(s.fleet.Record.Snapshots, observation)
 }
 
-// standingCallsByServer returns the calls in force at this sidecar, for the servers that have any.
+// standingCallsByServer returns the calls in force at this sidecar by server, without servers that have none.
 func (s *Sidecar) standingCallsByServer() map[string][]checker.ActiveCall {
 	byServer := map[string][]checker.ActiveCall{}
 	for i := range s.fleet.Plan.Servers {
@@ -53,7 +53,7 @@
 	return byServer
 }
 
-// evidenceRows returns the evidence that the sidecar has on all servers.
+// evidenceRows returns the sidecar's stored evidence rows for all servers.
 func (s *Sidecar) evidenceRows() (rows []checker.Row) {
 	store := s.Machine.Store
 	for _, server := range store.ServersWithEvidence() {
@@ -69,7 +69,7 @@
 	return rows
 }
 
-// checksum returns a text that is the same for equal copies of the replicated state.
+// checksum returns a string that is the same for equal copies of the replicated state.
 func (s *Sidecar) checksum() string {
 	var checksums []string
 	for kind, sum := range s.Machine.Store.Digest().PerKind() {
--- a/internal/lab/fleet/sim/operators.go
+++ b/internal/lab/fleet/sim/operators.go
@@ -12,13 +12,13 @@
 // serverName returns the name of the plan's server with an index.
 func serverName(index int) string { return fmt.Sprintf("s-%d", index) }
 
-// callID returns the identifier of an operator's call. Each incarnation numbers its calls separately for each server.
+// callID returns the identifier of an operator call. Each incarnation numbers its calls separately for each server.
 func callID(server string, call replication.OperatorCall) string {
 	return server + "/" + call.Dot.String()
 }
 
-// setAdminDown is an operator's call that sets a server administratively down or up at this sidecar. The call is
-// recorded if the sidecar acknowledges it.
+// setAdminDown makes an operator call that sets a server administratively down or up at this sidecar, and records the
+// call if the sidecar acknowledges it.
 func (s *Sidecar) setAdminDown(server string, down bool) {
 	s.execute(func() {
 		known := []string{}
@@ -27,7 +27,7 @@
 		}
 		key, err := s.Machine.Store.RecordCall(s.Clock(), server, down)
 		if err != nil {
-			return // refused
+			return // rejected by the sidecar
 		}
 		s.Machine.Broadcast(key)
 		s.recordAck(server, down, known)
@@ -35,7 +35,7 @@
 	})
 }
 
-// recordAck records the acknowledgement of the call that was just made.
+// recordAck records the acknowledgement of the call just made.
 func (s *Sidecar) recordAck(server string, down bool, known []string) {
 	state, _ := s.Machine.Store.AdminState(server)
 	call := state.Standing[0]
@@ -66,7 +66,7 @@
 	})
 }
 
-// recordDeliveries records the calls that this sidecar has now and did not have before.
+// recordDeliveries records the first deliveries of calls in force at this sidecar.
 func (s *Sidecar) recordDeliveries() {
 	for i := range s.fleet.Plan.Servers {
 		for _, call := range s.standingCalls(serverName(i)) {
@@ -85,7 +85,7 @@
 	}
 }
 
-// recordLostCalls records the acknowledged calls that no process of the fleet has any more.
+// recordLostCalls records the acknowledged calls that no sidecar's current process has received.
 func (f *Fleet) recordLostCalls() {
 	for _, ack := range f.Record.OperatorCalls {
 		dot := f.callDots[ack.ID]
--- a/internal/lab/fleet/sim/process.go
+++ b/internal/lab/fleet/sim/process.go
@@ -10,18 +10,18 @@
 
 const (
 	tickInterval    = 50 * time.Millisecond
-	wallClockOrigin = 1_700_000_000_000 // Unix milliseconds at the plan's start
-	monotonicOrigin = time.Hour         // of the sidecars' monotonic clocks at the plan's start
-	maxPending      = 256               // actions that wait for a suspended process
+	wallClockOrigin = 1_700_000_000_000 // wall clock in Unix milliseconds at the plan's start
+	monotonicOrigin = time.Hour         // monotonic clock at the plan's start
+	maxPending      = 256               // limit on actions queued for a suspended process
 )
 
-// isSuspended reports whether the plan has the sidecar's processes suspended now.
+// isSuspended reports whether the sidecar's processes are suspended now.
 func (s *Sidecar) isSuspended() bool { return s.hasFault(faultplan.Suspend) }
 
-// isKilled reports whether the plan has the sidecar down now.
+// isKilled reports whether a Kill fault is active for the sidecar now.
 func (s *Sidecar) isKilled() bool { return s.hasFault(faultplan.Kill) }
 
-// hasFault reports whether the sidecar is under a fault of a kind now.
+// hasFault reports whether a fault of a kind is active for the sidecar now.
 func (s *Sidecar) hasFault(kind faultplan.Kind) bool {
 	now := s.fleet.Now()
 	return slices.ContainsFunc(s.fleet.Plan.Faults, func(fault faultplan.Fault) bool {
@@ -32,14 +32,14 @@
 	})
 }
 
-// Clock returns the time on the sidecar's clocks.
+// Clock returns the current time of the sidecar's monotonic and wall clocks.
 func (s *Sidecar) Clock() replication.Now {
 	now := s.fleet.Now()
 	wall := now + s.fleet.Plan.ClockOffset(now, s.Index)
 	return replication.Now{Time: monotonicOrigin + now, Wall: wallClockOrigin + wall.Milliseconds()}
 }
 
-// tick steps the machine each tickInterval, until another process takes its place.
+// tick steps the machine every tickInterval until its process ends or is replaced.
 func (s *Sidecar) tick(epoch int) {
 	if s.Machine == nil || s.epoch != epoch {
 		return
@@ -51,7 +51,7 @@
 	s.fleet.scheduler.after(tickInterval, func() { s.tick(epoch) })
 }
 
-// execute has the process run an action, or keeps the action while the process is suspended.
+// execute runs an action in the process, if one runs. While it is suspended, up to maxPending actions are queued.
 func (s *Sidecar) execute(action func()) {
 	switch {
 	case s.Machine == nil:
@@ -65,7 +65,7 @@
 	}
 }
 
-// resume runs the actions that waited while the sidecar's processes were suspended.
+// resume runs the actions that were queued while the sidecar's processes were suspended.
 func (s *Sidecar) resume() {
 	pending := s.pending
 	s.pending = nil
@@ -77,7 +77,7 @@
 	}
 }
 
-// performActions carries out the I/O that the machine requests.
+// performActions performs the I/O requested by the machine and records the deliveries of calls.
 func (s *Sidecar) performActions() {
 	actions := s.Machine.TakeActions()
 	for _, datagram := range actions.Send {
--- a/internal/lab/fleet/sim/scheduler.go
+++ b/internal/lab/fleet/sim/scheduler.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// scheduler holds the simulated time and the events to come.
+// scheduler holds the simulated time and the pending events.
 type scheduler struct {
 	now       time.Duration // since the plan's start
 	queue     eventQueue
-	scheduled int // events ever scheduled
+	scheduled int // number of events scheduled so far
 }
 
-// at schedules an event. Events of the same time run in the order in which they were scheduled.
+// at schedules an event. Events with the same time run in the order in which they were scheduled.
 func (s *scheduler) at(when time.Duration, run func()) {
 	s.scheduled++
 	heap.Push(&s.queue, event{at: when, order: s.scheduled, run: run})
@@ -23,7 +23,7 @@
 	s.at(s.now+delay, run)
 }
 
-// runUntil runs the events up to a time, with those that they schedule, and sets the time to it.
+// runUntil runs the events due up to a time, including those scheduled meanwhile, and sets the simulated time to it.
 func (s *scheduler) runUntil(end time.Duration) {
 	for len(s.queue) > 0 && s.queue[0].at <= end {
 		next := heap.Pop(&s.queue).(event)
@@ -36,11 +36,11 @@
 // event is a function to run at a simulated time.
 type event struct {
 	at    time.Duration
-	order int // among events of the same time
+	order int // sequence number that orders events with the same time
 	run   func()
 }
 
-// eventQueue implements heap.Interface, the earliest event first.
+// eventQueue implements heap.Interface with the earliest event first.
 type eventQueue []event
 
 // Len implements heap.Interface.
--- a/internal/lab/fleet/sim/sidecar.go
+++ b/internal/lab/fleet/sim/sidecar.go
@@ -14,18 +14,18 @@
 	upgradedSuffix = "b"
 )
 
-// Sidecar is one sidecar of the fleet: its current process and, while an upgrade overlaps, the one that this replaces.
+// Sidecar is one sidecar of the fleet: its current process and, during an upgrade, the process that is replaced.
 type Sidecar struct {
 	Name        string
 	Index       int
 	Machine     *gossip.Machine // nil: no process runs
-	Incarnation uint64          // starts so far; an upgrade does not count
+	Incarnation uint64          // number of starts so far, not counting upgrades
 	fleet       *Fleet
-	pending     []func()          // actions that wait for a suspended process
-	rowVersions map[string]uint64 // of the rows that this process has written, by server
-	epoch       int               // processes so far
-	address     string
-	predecessor *Sidecar // the process that this one replaces, while both run; else nil
+	pending     []func()          // actions queued while the process is suspended
+	rowVersions map[string]uint64 // by server, of the rows written by this process
+	epoch       int               // number of processes started so far, including upgrades
+	address     string            // of the current process
+	predecessor *Sidecar          // the process being replaced, while both run; otherwise nil
 }
 
 // sidecarName returns the name of the plan's sidecar with an index.
@@ -34,7 +34,7 @@
 // sidecarAddress returns the first address of the plan's sidecar with an index.
 func sidecarAddress(index int) string { return fmt.Sprintf("a%d", index) }
 
-// start starts a new incarnation, unless one runs or the plan has the sidecar down.
+// start starts a new incarnation, unless one runs or a Kill fault is active.
 func (s *Sidecar) start() {
 	if s.Machine != nil || s.isKilled() {
 		return
@@ -43,7 +43,7 @@
 	s.startProcess(nil)
 }
 
-// kill ends the sidecar's processes without notice.
+// kill ends the sidecar's processes without a graceful leave.
 func (s *Sidecar) kill() {
 	if s.Machine == nil {
 		return
@@ -57,7 +57,7 @@
 	s.fleet.recordLostCalls()
 }
 
-// upgrade replaces the process with a new one. Both run until the overlap is over, when the predecessor leaves.
+// upgrade replaces the process with a new one. Both run during the overlap; the predecessor then leaves the fleet.
 func (s *Sidecar) upgrade(overlap time.Duration) {
 	if s.Machine == nil || s.predecessor != nil {
 		return
@@ -74,7 +74,7 @@
 	s.fleet.scheduler.after(overlap, func() { s.endUpgrade(predecessor) })
 }
 
-// endUpgrade has the predecessor leave and ends it.
+// endUpgrade has the predecessor leave the fleet and ends its process.
 func (s *Sidecar) endUpgrade(predecessor *Sidecar) {
 	overlaps := s.predecessor == predecessor
 	if overlaps && predecessor.Machine != nil {
@@ -87,7 +87,7 @@
 	}
 }
 
-// otherAddress returns the one of the sidecar's two addresses that its process does not have.
+// otherAddress returns the sidecar's address that its current process does not use.
 func (s *Sidecar) otherAddress() string {
 	first := sidecarAddress(s.Index)
 	if s.address == first {
@@ -96,7 +96,7 @@
 	return first
 }
 
-// startProcess starts a process that replaces those at the predecessors' addresses.
+// startProcess starts a process that replaces the processes at the predecessors' addresses.
 func (s *Sidecar) startProcess(predecessors []string) {
 	s.epoch++
 	s.rowVersions = map[string]uint64{}
@@ -117,7 +117,7 @@
 	s.tick(s.epoch)
 }
 
-// seedAddresses returns the addresses that each sidecar is configured with.
+// seedAddresses returns the peer addresses in every sidecar's configuration.
 func (f *Fleet) seedAddresses() (addresses []string) {
 	for i := range min(f.options.SeedPeers, f.Plan.Sidecars) {
 		addresses = append(addresses, sidecarAddress(i))
