--- a/internal/lab/scenario/defaults.go
+++ b/internal/lab/scenario/defaults.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// defaults are the values of a scenario that says nothing else: a deployment of mixed nodes in three zones.
+// defaults returns the values of the keys that a scenario file omits. They describe a deployment in three zones; node
+// kinds and classes have no defaults.
 func defaults() *Scenario {
 	ms := func(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
 	return &Scenario{
--- a/internal/lab/scenario/faultkinds.go
+++ b/internal/lab/scenario/faultkinds.go
@@ -1,35 +1,35 @@
 package scenario
 
-// The kinds of faults, as a scenario file names them.
+// Values of the key kind of a [[trouble]] table.
 const (
 	FaultSlow            = "slow"             // nodes are slower by a factor
-	FaultBurst           = "burst"            // demand is higher by a factor
-	FaultFlood           = "flood"            // demand at some of the sidecars is higher by a factor
-	FaultHotKey          = "hot_key"          // one key gets a share of the demand
-	FaultRelease         = "release"          // nodes are replaced one after the other
-	FaultShrink          = "shrink"           // nodes leave one after the other
-	FaultLoseClass       = "swallow"          // nodes never answer requests of a class
+	FaultBurst           = "burst"            // the request rate is higher by a factor
+	FaultFlood           = "flood"            // the request rate at some of the sidecars is higher by a factor
+	FaultHotKey          = "hot_key"          // one key receives a share of the requests
+	FaultRelease         = "release"          // nodes are drained and replaced one after the other
+	FaultShrink          = "shrink"           // nodes are drained and removed one after the other
+	FaultLoseClass       = "swallow"          // nodes never respond to requests of a class
 	FaultRejectClass     = "turn_away"        // nodes reject requests of a class
-	FaultLoseShare       = "stray"            // nodes never answer a share of all requests
-	FaultErrors          = "errors"           // nodes answer a share of requests with errors
+	FaultLoseShare       = "stray"            // nodes never respond to a share of all requests
+	FaultErrors          = "errors"           // nodes respond to a share of requests with errors
 	FaultGarble          = "garble"           // nodes malform a share of their responses
-	FaultCutRequests     = "cut_requests"     // a share of connections break once a request has passed
+	FaultCutRequests     = "cut_requests"     // a share of connections break after the request has been forwarded
 	FaultCutResponses    = "cut_answers"      // a share of connections break in the middle of a response
-	FaultIsolateNodes    = "vanish"           // machines cannot be reached any more
-	FaultCrash           = "crash"            // nodes' processes die and start again
+	FaultIsolateNodes    = "vanish"           // machines become unreachable
+	FaultCrash           = "crash"            // processes of nodes crash and restart
 	FaultPowerCut        = "power_cut"        // all nodes crash, and the sidecars restart at the end
-	FaultZoneCut         = "zone_cut"         // a zone cannot be reached from the others
+	FaultZoneCut         = "zone_cut"         // a zone is unreachable from the other zones
 	FaultDiscoverySilent = "discovery_silent" // discovery sends nothing
-	FaultDiscoveryCut    = "discovery_cut"    // the next line of every watch ends midway, with its connection
-	FaultDiscoveryRewind = "discovery_back"   // discovery counts its versions anew and sends the whole list
-	FaultDiscoveryMoves  = "discovery_moves"  // discovery moves to a new address, which a reload brings
+	FaultDiscoveryCut    = "discovery_cut"    // every watch connection breaks in the middle of its next line
+	FaultDiscoveryRewind = "discovery_back"   // discovery restarts its version numbers and sends the complete list
+	FaultDiscoveryMoves  = "discovery_moves"  // discovery moves to a new address, which a configuration reload delivers
 	FaultSidecarsRestart = "sidecars_restart" // sidecars are killed and started again
 )
 
-// faultFields tells which fields a fault of a kind takes. What is not taken must be absent.
+// faultFields states which fields a kind of fault has. checkFaultFields rejects the others.
 type faultFields struct{ part, size, class, zone, lasts, drain bool }
 
-// faultKinds are the fields of each kind of fault.
+// faultKinds maps each kind of fault to its fields.
 var faultKinds = map[string]faultFields{
 	FaultSlow:            {part: true, size: true, lasts: true},
 	FaultBurst:           {size: true, lasts: true},
@@ -55,7 +55,7 @@
 	FaultSidecarsRestart: {part: true},
 }
 
-// sizedByShare are the kinds of faults whose size is a share; the size of the others is a factor.
+// sizedByShare lists the kinds of faults whose size is a share. The size of the other kinds is a factor.
 var sizedByShare = []string{
 	FaultHotKey, FaultLoseShare, FaultErrors, FaultGarble, FaultCutRequests, FaultCutResponses,
 }
--- a/internal/lab/scenario/fileerror.go
+++ b/internal/lab/scenario/fileerror.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// FileError is one thing wrong with a scenario file.
+// FileError is one error in a scenario file.
 type FileError struct {
 	File   string
-	Line   int // from 1; 0: the file as a whole
+	Line   int // counted from 1; 0: the error concerns the complete file
 	Reason string
 }
 
--- a/internal/lab/scenario/lineindex.go
+++ b/internal/lab/scenario/lineindex.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// lineIndex maps each key and table of a TOML text, by its path with the number of an array's entry in brackets, to its
-// line. It knows tables, arrays of tables and plain keys, which is all that a scenario has.
+// lineIndex returns the line number of each key and table of a TOML text by its path, such as "class[0].share". It
+// handles tables, arrays of tables and bare keys only, because scenario files use nothing else.
 func lineIndex(text string) map[string]int {
 	index, counts := map[string]int{}, map[string]int{}
 	table := ""
@@ -30,7 +30,7 @@
 			key, _, ok := strings.Cut(line, "=")
 			if key = strings.TrimSpace(key); ok && key != "" && key[0] != '#' {
 				index[table+key] = i + 1
-				if plain := unnumbered(table) + key; index[plain] == 0 { // as the decoder names what it does not know
+				if plain := unnumbered(table) + key; index[plain] == 0 { // the decoder omits entry numbers
 					index[plain] = i + 1
 				}
 			}
@@ -39,7 +39,7 @@
 	return index
 }
 
-// unnumbered takes the entries' numbers out of a path.
+// unnumbered removes the entry numbers from a path: "class[0].share" becomes "class.share".
 func unnumbered(path string) string {
 	for {
 		open := strings.IndexByte(path, '[')
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -13,7 +13,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Read reads and checks the scenario in a file. Its error joins a FileError for each thing that is wrong.
+// Read reads and validates a scenario file. The error joins one FileError for each error found.
 func Read(file string) (*Scenario, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -22,7 +22,8 @@
 	return Parse(file, string(text))
 }
 
-// Parse reads and checks a scenario's text; file names it in errors. What it extends is read from the same folder.
+// Parse parses and validates the text of a scenario. Errors contain file as the file name, and an extended scenario is
+// read from the directory of file.
 func Parse(file, text string) (*Scenario, error) {
 	s := defaults()
 	c := &validator{file: file, lines: lineIndex(text)}
@@ -45,9 +46,9 @@
 		if err := decode(c.baseFile, string(under), s, &validator{file: c.baseFile, lines: c.baseLines}); err != nil {
 			return nil, err
 		}
-		s.Faults, s.Expect = nil, Expect{} // each scenario has its own
+		s.Faults, s.Expect = nil, Expect{} // faults and expectations are not inherited
 		if _, ok := c.lines["load.rate"]; ok {
-			s.Load.Utilization = 0 // one stands for the other
+			s.Load.Utilization = 0 // rate and use exclude each other
 		}
 		if _, ok := c.lines["load.use"]; ok {
 			s.Load.Rate = 0
@@ -63,22 +64,24 @@
 	return s, nil
 }
 
-// extends is the scenario that a text extends, as far as the text can be read.
+// extends returns the name of the scenario that a text extends, and false if there is none or the text is not valid
+// TOML.
 func extends(text string) (string, bool) {
 	var head struct {
 		Extends *string `toml:"extends"`
 	}
 	if _, err := toml.Decode(text, &head); err != nil || head.Extends == nil {
-		return "", false // what cannot be read is said when the whole is
+		return "", false // decode reports the syntax error
 	}
 	return *head.Extends, true
 }
 
 var typeErrorPattern = regexp.MustCompile(`^toml: line (\d+) \(last key "([^"]*)"\): (.*)$`)
 
-// decode reads a text over what s holds. Its tables of an array replace all that s has there.
+// decode overwrites the values of s with those in a text. An array of tables in the text replaces the complete array
+// in s.
 func decode(file, text string, s *Scenario, c *validator) error {
-	// The decoder fills entries of an array over those that are there, and an absent key keeps the old value.
+	// The decoder writes into existing array entries, where an absent key would keep its old value.
 	for name, list := range map[string]any{"class": &s.Classes, "tenant": &s.Tenants, "trouble": &s.Faults,
 		"fleet.kind": &s.Fleet.Kinds} {
 		if _, ok := c.lines[name]; ok {
@@ -91,7 +94,7 @@
 		if errors.As(err, &bad) {
 			return FileError{file, bad.Position.Line, cmp.Or(bad.Message, bad.Error())}
 		}
-		// A value of the wrong type has its position in the text alone.
+		// For a value of the wrong type, the decoder reports the position only in the error text.
 		if m := typeErrorPattern.FindStringSubmatch(err.Error()); m != nil {
 			line, _ := strconv.Atoi(m[1])
 			return FileError{file, line, m[2] + ": " + m[3]}
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,6 +1,6 @@
-// Package scenario owns the description of a run that the lab plays: a fleet, a load, faults on a time line, and what
-// is expected of the sidecars at the end. A scenario is a TOML file, read strictly: each thing that is wrong with it is
-// a FileError with its file, line and reason.
+// Package scenario defines and reads the description of a lab run: a fleet, a load, timed faults, and the results
+// expected of the sidecars. A scenario is a TOML file. Unknown keys and invalid values are errors, each reported as a
+// FileError with file, line and reason.
 package scenario
 
 import (
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Duration is a time written with its unit, as "250ms" or "30s".
+// Duration is a duration written with its unit, such as "250ms" or "30s".
 type Duration time.Duration
 
-// UnmarshalText implements encoding.TextUnmarshaler. A number without a unit is an error.
+// UnmarshalText implements encoding.TextUnmarshaler. It rejects a number without a unit.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -21,17 +21,17 @@
 	return nil
 }
 
-// Std is the duration in the standard library's type.
+// Std returns the duration as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// Scenario is one run of the lab.
+// Scenario describes one run of the lab.
 type Scenario struct {
-	Extends string   `toml:"extends"` // a scenario of the same folder, whose values hold where this one has none
+	Extends string   `toml:"extends"` // scenario in the same directory that supplies the values of absent keys
 	Name    string   `toml:"name"`
-	About   string   `toml:"about"`  // one line for lists
-	Length  Duration `toml:"length"` // arrivals end then; the run ends when all is answered
-	Warmup  Duration `toml:"warmup"` // not counted, from the start
-	Seed    uint64   `toml:"seed"`   // the default one
+	About   string   `toml:"about"`  // one-line description for lists of scenarios
+	Length  Duration `toml:"length"` // arrivals end after this time; the run ends when every request has ended
+	Warmup  Duration `toml:"warmup"` // initial period that is not measured
+	Seed    uint64   `toml:"seed"`   // default seed
 
 	Fleet          Fleet          `toml:"fleet"`
 	Load           Load           `toml:"load"`
@@ -44,129 +44,130 @@
 	Expect         Expect         `toml:"expect"`
 }
 
-// Fleet is the nodes and sidecars.
+// Fleet describes the nodes and sidecars.
 type Fleet struct {
 	Sidecars int      `toml:"sidecars"`
 	Nodes    int      `toml:"nodes"`
 	Zones    []string `toml:"zones"`
-	PodSize  int      `toml:"pod_size"` // nodes of one pod: they deduplicate requests together
+	PodSize  int      `toml:"pod_size"` // nodes per pod group, which deduplicate requests together
 	Kinds    []Kind   `toml:"kind"`
 
-	SlotsPerCore      float64  `toml:"slots_per_core"` // requests in work at once, sharing the cores
-	QueuePerCore      float64  `toml:"queue_per_core"` // requests that wait; more are rejected
-	SlowStartCapacity float64  `toml:"cold_from"`      // share of its capacity that a started node has
-	SlowStartWindow   Duration `toml:"cold"`           // and is warm after this time, evenly
-	OverloadMultiple  float64  `toml:"fall_multiple"`  // a starting node with more than this times its capacity
+	SlotsPerCore      float64  `toml:"slots_per_core"` // requests in service at once, which share the cores
+	QueuePerCore      float64  `toml:"queue_per_core"` // requests that may wait; further ones are rejected
+	SlowStartCapacity float64  `toml:"cold_from"`      // share of its capacity that a node has when it starts
+	SlowStartWindow   Duration `toml:"cold"`           // time over which that share grows linearly to 1
+	OverloadMultiple  float64  `toml:"fall_multiple"`  // a starting node with more than this multiple of its capacity
 	OverloadWindow    Duration `toml:"fall"`           // within this time is overloaded
 
-	MaxConns         int      `toml:"conn_cap"`       // connections that a node holds at most
-	HandshakeRTTs    float64  `toml:"handshake_rtts"` // round trips that a connection takes to come up
-	HandshakeWork    Duration `toml:"handshake_work"` // work of a node for each
-	IdleClose        Duration `toml:"idle_close"`     // a node closes connections that idle this long
-	CacheSaving      float64  `toml:"key_gain"`       // share of the work that a key met lately saves
-	CacheTTL         Duration `toml:"key_for"`        // lately
-	CacheKeysPerCore int      `toml:"keys_per_core"`  // keys that a node remembers
-	SpeedCV          float64  `toml:"speed_cv"`       // spread of the nodes' true speeds about their kind's
-	ContentionAt     float64  `toml:"crowd_at"`       // requests in work a core; more are less efficient
-	ContentionCost   float64  `toml:"crowd"`          // work per request grows by this for each doubling beyond it
-	CollapseAt       float64  `toml:"choke_at"`       // waiting a core; with more for choke_over, the node collapses
-	CollapseAfter    Duration `toml:"choke_over"`
-	CollapseSlowdown float64  `toml:"choke_slower"`    // and is slower by this factor
-	RecoverBelow     float64  `toml:"choke_below"`     // until it holds fewer for each core
-	RecoverAfter     Duration `toml:"choke_rest"`      // for this time
-	MaxCollapse      Duration `toml:"choke_most"`      // or at the latest after this time
-	StopsCancelled   bool     `toml:"stops_cancelled"` // work stops when its request is cancelled
-}
-
-// Kind is a kind of node.
+	MaxConns         int      `toml:"conn_cap"`        // maximum number of connections of a node
+	HandshakeRTTs    float64  `toml:"handshake_rtts"`  // round trips to establish a connection
+	HandshakeWork    Duration `toml:"handshake_work"`  // work of a node per handshake
+	IdleClose        Duration `toml:"idle_close"`      // idle time after which a node closes a connection
+	CacheSaving      float64  `toml:"key_gain"`        // share of the work that a cached key saves
+	CacheTTL         Duration `toml:"key_for"`         // time for which a node caches a key
+	CacheKeysPerCore int      `toml:"keys_per_core"`   // maximum number of keys that a node caches per core
+	SpeedCV          float64  `toml:"speed_cv"`        // coefficient of variation of the true node speeds within a kind
+	ContentionAt     float64  `toml:"crowd_at"`        // requests in service per core above which each takes more work
+	ContentionCost   float64  `toml:"crowd"`           // share of work added by each doubling beyond that
+	CollapseAt       float64  `toml:"choke_at"`        // a node collapses with more waiting requests per core; 0: never
+	CollapseAfter    Duration `toml:"choke_over"`      // time above CollapseAt before it collapses
+	CollapseSlowdown float64  `toml:"choke_slower"`    // factor by which a collapsed node is slower
+	RecoverBelow     float64  `toml:"choke_below"`     // requests in flight per core up to which it recovers
+	RecoverAfter     Duration `toml:"choke_rest"`      // time up to RecoverBelow before it has recovered
+	MaxCollapse      Duration `toml:"choke_most"`      // time after which a node recovers in any case
+	StopsCancelled   bool     `toml:"stops_cancelled"` // a node stops the work of a cancelled request
+}
+
+// Kind describes a kind of node.
 type Kind struct {
 	Name  string  `toml:"name"`
 	Share float64 `toml:"share"`
 	Cores int     `toml:"cores"`
-	Speed float64 `toml:"speed"` // of a core, against a standard one
+	Speed float64 `toml:"speed"` // of a core, as a multiple of a standard core
 }
 
-// Load is what clients ask for.
+// Load describes the requests of clients. Either Rate or Utilization is set.
 type Load struct {
-	Rate        float64  `toml:"rate"`  // requests a second over all sidecars; or
-	Utilization float64  `toml:"use"`   // the share of the fleet's capacity that first requests need
-	Swing       float64  `toml:"swing"` // the rate waves by this share
-	SwingPeriod Duration `toml:"wave"`  // over this time
-	Skew        float64  `toml:"skew"`  // sidecar i gets a part in proportion to (i+1)^-skew
+	Rate        float64  `toml:"rate"`  // requests per second over all sidecars
+	Utilization float64  `toml:"use"`   // share of the fleet's capacity that first requests need
+	Swing       float64  `toml:"swing"` // amplitude of the sinusoidal variation of the rate, as a share of its mean
+	SwingPeriod Duration `toml:"wave"`  // period of that variation
+	Skew        float64  `toml:"skew"`  // sidecar i receives a share in proportion to (i+1)^-skew
 	Keys        int      `toml:"keys"`  // distinct keys
-	Zipf        float64  `toml:"zipf"`  // exponent of their popularity
+	Zipf        float64  `toml:"zipf"`  // exponent of the Zipf distribution of keys
 }
 
-// Class is a class of requests.
+// Class describes a class of requests.
 type Class struct {
 	Name             string   `toml:"name"`
 	Share            float64  `toml:"share"`
-	Work             Duration `toml:"work"` // mean, on a standard core
-	CV               float64  `toml:"cv"`   // spread of the work; 1: exponential
+	Work             Duration `toml:"work"` // mean on a standard core
+	CV               float64  `toml:"cv"`   // coefficient of variation of the work; 1: exponential
 	LatencyObjective Duration `toml:"aim"`
 	Deadline         Duration `toml:"deadline"`
 	Priority         float64  `toml:"worth"`
-	Effect           string   `toml:"effect"` // idempotent, deduplicated, at_most_once
-	Scope            string   `toml:"scope"`  // of deduplicated: all, zone, cell
-	DedupeWindow     Duration `toml:"window"` // of deduplicated
+	Effect           string   `toml:"effect"` // idempotent, deduplicated or at_most_once
+	Scope            string   `toml:"scope"`  // for deduplicated: all, zone or cell
+	DedupeWindow     Duration `toml:"window"` // for deduplicated
 }
 
-// Tenant is a tenant and its part of the demand.
+// Tenant describes a tenant and its share of the requests.
 type Tenant struct {
 	Name      string  `toml:"name"`
 	Share     float64 `toml:"share"`     // of the requests
-	Allowance float64 `toml:"allowance"` // requests a second over all sidecars
+	Allowance float64 `toml:"allowance"` // requests per second over all sidecars
 }
 
-// Clients say how clients behave.
+// Clients describes the behaviour of clients.
 type Clients struct {
-	Retries        float64  `toml:"retries"`    // of a request; a fraction is a probability
-	Backoff        Duration `toml:"backoff"`    // mean wait before the first
-	BackoffGrowth  float64  `toml:"growth"`     // of the wait with each
-	HonourShare    float64  `toml:"honour"`     // share that heeds Retry-After
-	MaxRetryAfter  Duration `toml:"most_after"` // and how long at most
-	ImpatientShare float64  `toml:"impatient"`  // share that leaves after half of its time
-	TimeoutShare   float64  `toml:"try_share"`  // of the deadline, as the timeout of one request
+	Retries        float64  `toml:"retries"`    // per request; the fraction is the probability of one more
+	Backoff        Duration `toml:"backoff"`    // mean wait before the first retry
+	BackoffGrowth  float64  `toml:"growth"`     // factor by which the wait grows with each retry
+	HonourShare    float64  `toml:"honour"`     // probability that a client honours Retry-After
+	MaxRetryAfter  Duration `toml:"most_after"` // limit on the Retry-After honoured
+	ImpatientShare float64  `toml:"impatient"`  // share of requests whose client disconnects after half of its timeout
+	TimeoutShare   float64  `toml:"try_share"`  // timeout of one request as a share of the deadline
 }
 
-// Network is the way between sidecars and nodes.
+// Network describes the network between sidecars and nodes.
 type Network struct {
-	SameZone       Duration `toml:"same"`  // one way inside a zone
-	CrossZone      Duration `toml:"cross"` // one way between zones
+	SameZone       Duration `toml:"same"`  // one-way latency within a zone
+	CrossZone      Duration `toml:"cross"` // one-way latency between zones
 	Jitter         float64  `toml:"jitter"`
-	ConnectTimeout Duration `toml:"connect"` // a connection not up by then has failed
+	ConnectTimeout Duration `toml:"connect"` // time-out for establishing a connection
 }
 
-// DiscoveryDelay is how long discovery takes to notify sidecars of a change.
+// DiscoveryDelay is the range of the delay after which discovery notifies a sidecar of a change.
 type DiscoveryDelay struct {
-	From Duration `toml:"from"` // drawn for each sidecar
+	From Duration `toml:"from"` // the delay is drawn for each sidecar
 	To   Duration `toml:"to"`
 }
 
-// Fault is what goes wrong, from At on.
+// Fault is a failure or a change of load that begins at At.
 type Fault struct {
 	Kind     string   `toml:"kind"`
 	At       Duration `toml:"at"`
 	Length   Duration `toml:"for"`
-	Share    float64  `toml:"part"`  // share of the nodes, or of the sidecars
-	Size     float64  `toml:"size"`  // factor or share, by the kind
-	Class    string   `toml:"class"` // of swallow and turn_away
-	Zone     string   `toml:"zone"`  // of zone_cut, or where the nodes are
-	Drain    Duration `toml:"drain"` // from the notice of a drain to the end of a node
-	Recovers bool     `toml:"heals"` // isolated machines come back
+	Share    float64  `toml:"part"`  // share of the nodes or sidecars affected
+	Size     float64  `toml:"size"`  // factor or share, depending on the kind
+	Class    string   `toml:"class"` // for swallow and turn_away
+	Zone     string   `toml:"zone"`  // for zone_cut; for faults of nodes, limits them to a zone
+	Drain    Duration `toml:"drain"` // time from the drain notice until the node stops
+	Recovers bool     `toml:"heals"` // isolated machines become reachable again
 }
 
-// Expect is what must hold at the end; zero values are not checked.
+// Expect holds the limits that the results of a run must meet. Zero values are not checked.
 type Expect struct {
-	InTime   float64  `toml:"in_time"`   // least share of priority served in time
-	Worst10s float64  `toml:"worst_10s"` // least share in the worst 10 s
-	Failed   float64  `toml:"failed"`    // greatest share of first requests that failed in the end
-	Attempts float64  `toml:"attempts"`  // most attempts for each request
-	Recover  Duration `toml:"recover"`   // longest time from the last fault's end until service is back
-	Useful   float64  `toml:"useful"`    // least share of the nodes' work that was served in time
+	InTime   float64  `toml:"in_time"`   // minimum share of priority served in time
+	Worst10s float64  `toml:"worst_10s"` // minimum share in the worst 10 s
+	Failed   float64  `toml:"failed"`    // maximum share of first requests that failed after all retries
+	Attempts float64  `toml:"attempts"`  // maximum number of attempts per request
+	Recover  Duration `toml:"recover"`   // maximum time from the end of the last fault until service has recovered
+	Useful   float64  `toml:"useful"`    // minimum share of the nodes' work that was served in time
 }
 
-// Capacity is what the fleet can do when all of it is warm, in seconds of standard work a second.
+// Capacity returns the capacity of the fleet with all nodes warmed up, in seconds of work on a standard core per
+// second.
 func (s *Scenario) Capacity() float64 {
 	sum := 0.0
 	for i := range s.Fleet.Nodes {
@@ -176,7 +177,8 @@
 	return sum
 }
 
-// KindOf is the kind of node i: kinds are distributed evenly by their shares, so that every zone has some of each.
+// KindOf returns the kind of node i. Kinds are interleaved in proportion to their shares, so that every zone has
+// nodes of each kind.
 func (s *Scenario) KindOf(i int) Kind {
 	credit := make([]float64, len(s.Fleet.Kinds))
 	best := 0
@@ -193,7 +195,7 @@
 	return s.Fleet.Kinds[best]
 }
 
-// MeanWork is the mean work of a request in seconds on a standard core, without what known keys save.
+// MeanWork returns the mean work of a request in seconds on a standard core, without the savings for cached keys.
 func (s *Scenario) MeanWork() float64 {
 	work := 0.0
 	for _, c := range s.Classes {
@@ -202,7 +204,7 @@
 	return work
 }
 
-// Rate is the mean rate of first requests a second, over all sidecars.
+// Rate returns the mean rate of first requests over all sidecars, in requests per second.
 func (s *Scenario) Rate() float64 {
 	if s.Load.Utilization > 0 {
 		return s.Load.Utilization * s.Capacity() / s.MeanWork()
--- a/internal/lab/scenario/set.go
+++ b/internal/lab/scenario/set.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Set returns a copy of a scenario with one value changed, named by its path in the file, as "load.use" or
-// "trouble[1].size", and checks the result. A time takes its unit in text, or is in seconds as a number.
+// Set returns a validated copy of the scenario with one value changed. path is the path of its key, such as "load.use"
+// or "trouble[1].size". A duration is written with its unit, or as a number of seconds.
 func (s *Scenario) Set(path, value string) (*Scenario, error) {
 	t := *s
 	t.Classes, t.Tenants, t.Faults = slices.Clone(s.Classes), slices.Clone(s.Tenants), slices.Clone(s.Faults)
@@ -37,7 +37,7 @@
 	if err := assign(v, value); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	switch path { // one stands for the other
+	switch path { // rate and use exclude each other
 	case "load.use":
 		t.Load.Rate = 0
 	case "load.rate":
@@ -50,7 +50,7 @@
 	return &t, nil
 }
 
-// fieldOf is the field of a struct that a key of the file names.
+// fieldOf returns the field of a struct with the TOML key, or the zero Value if there is none.
 func fieldOf(v reflect.Value, key string) reflect.Value {
 	for i := range v.NumField() {
 		if v.Type().Field(i).Tag.Get("toml") == key {
--- a/internal/lab/scenario/validate.go
+++ b/internal/lab/scenario/validate.go
@@ -8,16 +8,17 @@
 	"time"
 )
 
-// validator checks the values of a scenario and collects what is wrong with them.
+// validator checks the values of a scenario and collects the errors.
 type validator struct {
 	file      string
 	lines     map[string]int
-	baseFile  string // the file that this one extends
+	baseFile  string // file of the extended scenario
 	baseLines map[string]int
 	problems  []error
 }
 
-// fail adds a problem at a key's line, here or in the file that is extended, or at its table's where the key is absent.
+// fail adds an error at the line of a key in the file or in the extended file. If both omit the key, it uses the line
+// of the enclosing table.
 func (c *validator) fail(key, format string, args ...any) {
 	problem := FileError{c.file, 0, fmt.Sprintf(format, args...)}
 	for at := key; ; {
@@ -38,41 +39,41 @@
 	c.problems = append(c.problems, problem)
 }
 
-// checkNumber checks that a value lies in a range.
+// checkNumber checks that a value lies between low and high, inclusive. NaN fails.
 func (c *validator) checkNumber(key string, value, low, high float64) {
 	if !(value >= low && value <= high) {
 		c.fail(key, "%s is %v, must be from %v to %v", key, value, low, high)
 	}
 }
 
-// checkDuration checks that a time lies in a range.
+// checkDuration checks that a duration lies between low and high, inclusive.
 func (c *validator) checkDuration(key string, d Duration, low, high time.Duration) {
 	if d.Std() < low || d.Std() > high {
 		c.fail(key, "%s is %v, must be from %v to %v", key, d.Std(), low, high)
 	}
 }
 
-// maxDuration bounds the times that have no closer bound.
+// maxDuration is the limit on durations without a narrower limit.
 const maxDuration = 24 * time.Hour
 
-// shareTolerance is by how much a sum of shares may differ from 1.
+// shareTolerance is the permitted difference between a sum of shares and 1.
 const shareTolerance = 0.001
 
-// checkShares checks that the shares of what is named add up to 1.
+// checkShares checks that the shares of the owners, such as "classes", add up to 1.
 func (c *validator) checkShares(key, owners string, sum float64) {
 	if math.Abs(sum-1) > shareTolerance {
 		c.fail(key, "the %s' shares add up to %.3f, not to 1", owners, sum)
 	}
 }
 
-// checkName checks that the entry of an index has a name.
+// checkName checks that the name of an array entry is not empty.
 func (c *validator) checkName(path, what string, index int, name string) {
 	if name == "" {
 		c.fail(path+"name", "%s %d has no name", what, index+1)
 	}
 }
 
-// checkScenario checks a whole scenario.
+// checkScenario checks all values of a scenario.
 func (c *validator) checkScenario(s *Scenario) {
 	if s.Name == "" {
 		c.fail("name", "name is missing")
--- a/internal/lab/scenario/validate_fault.go
+++ b/internal/lab/scenario/validate_fault.go
@@ -12,7 +12,7 @@
 	maxFaultFactor = 1000.0
 )
 
-// checkFault checks a fault, whose entry in the file has a path.
+// checkFault checks the fault at a path of the file, such as "trouble[0].".
 func (c *validator) checkFault(s *Scenario, fault *Fault, path string) {
 	fields, known := faultKinds[fault.Kind]
 	if !known {
@@ -42,7 +42,7 @@
 	}
 }
 
-// checkFaultFields checks that a fault has no field that its kind does not take.
+// checkFaultFields checks that a fault sets no field that its kind does not have.
 func (c *validator) checkFaultFields(fault *Fault, fields faultFields, path string) {
 	for _, field := range []struct {
 		key          string
@@ -60,7 +60,7 @@
 	}
 }
 
-// maxSize is the greatest size of a fault of a kind.
+// maxSize returns the maximum size of a kind of fault.
 func maxSize(kind string) float64 {
 	if slices.Contains(sizedByShare, kind) {
 		return 1
--- a/internal/lab/scenario/validate_fleet.go
+++ b/internal/lab/scenario/validate_fleet.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// checkFleet checks the nodes and sidecars.
+// checkFleet checks the settings of nodes and sidecars.
 func (c *validator) checkFleet(f *Fleet) {
 	c.checkNumber("fleet.sidecars", float64(f.Sidecars), 1, 5000)
 	c.checkNumber("fleet.nodes", float64(f.Nodes), 1, 5000)
