--- a/internal/lab/workload/distribution.go
+++ b/internal/lab/workload/distribution.go
@@ -6,12 +6,13 @@
 	"sort"
 )
 
-// Zipf draws from 0 to n-1 with probabilities in proportion to (i+1)^-exponent, any exponent from 0 up.
+// Zipf is a Zipf distribution over 0 to n-1: the probability of i is proportional to (i+1)^-exponent. The
+// exponent may be any number from 0.
 type Zipf struct {
 	cumulative []float64
 }
 
-// NewZipf returns the distribution.
+// NewZipf returns the Zipf distribution over n numbers.
 func NewZipf(n int, exponent float64) *Zipf {
 	z := &Zipf{cumulative: make([]float64, n)}
 	sum := 0.0
@@ -22,20 +23,21 @@
 	return z
 }
 
-// Draw draws one number.
+// Draw returns a random number of the distribution.
 func (z *Zipf) Draw(random *rand.Rand) uint64 {
 	last := len(z.cumulative) - 1
 	i := sort.SearchFloat64s(z.cumulative, random.Float64()*z.cumulative[last])
 	return uint64(min(i, last))
 }
 
-// drawShare draws an index by cumulative shares whose sum is 1, but for rounding.
+// drawShare returns a random index whose probabilities have the given cumulative shares. The last share is 1 apart from
+// rounding errors.
 func drawShare(random *rand.Rand, cumulative []float64) int {
 	i := sort.SearchFloat64s(cumulative, random.Float64())
 	return min(i, len(cumulative)-1)
 }
 
-// drawCount draws a whole number with the given mean: one of the two next to it.
+// drawCount returns a random integer with the given mean, which is the mean rounded down or up.
 func drawCount(random *rand.Rand, mean float64) int {
 	whole, part := math.Modf(mean)
 	count := int(whole)
@@ -45,7 +47,8 @@
 	return count
 }
 
-// drawFactor draws a factor of mean 1 with a coefficient of variation: exponential at 1, else log-normal.
+// drawFactor returns a random factor with mean 1 and a coefficient of variation. It is constant for 0, exponential for
+// 1 and log-normal otherwise.
 func drawFactor(random *rand.Rand, cv float64) float64 {
 	switch cv {
 	case 0:
--- a/internal/lab/workload/doc.go
+++ b/internal/lab/workload/doc.go
@@ -1,4 +1,4 @@
-// Package workload draws what clients request: open-loop arrivals, which never wait for responses, with classes, keys,
-// work and timeouts, and what a client does with a response. It does no I/O and has no errors of its own. The same seed
-// always draws the same.
+// Package workload generates the requests of clients. Arrivals are open-loop: they do not wait for responses. Each has
+// a class, key, work and timeout, and Retry decides how its client reacts to the outcome. The package does no I/O and
+// returns no errors. The same seed always generates the same requests.
 package workload
--- a/internal/lab/workload/retry.go
+++ b/internal/lab/workload/retry.go
@@ -8,7 +8,7 @@
 	"milletramp.example/milletramp/internal/lab/scenario"
 )
 
-// minRetryTimeout is the least time before its deadline at which a client makes a retry.
+// minRetryTimeout is the minimum timeout of a retry. A client with less time to its deadline does not retry.
 const minRetryTimeout = 10 * time.Millisecond
 
 // Outcome is how a request ended for its client.
@@ -17,13 +17,13 @@
 // The outcomes of a request.
 const (
 	Served   Outcome = iota
-	Rejected         // a retry does no harm
+	Rejected         // a retry is safe for every class
 	Failed
-	Unreachable // no connection, or it broke before the request was written
+	Unreachable // the connection failed before the request was written
 )
 
-// Retry returns the client's retry of a request that has ended, and whether it makes one. retryAfter is the response's
-// Retry-After, 0 for none.
+// Retry returns the client's retry of a request that has ended, and false if the client does not retry. retryAfter is
+// the Retry-After of the response, or 0 if it has none.
 func Retry(s *scenario.Scenario, request Request, now time.Duration, outcome Outcome, retryAfter time.Duration,
 	random *rand.Rand) (Request, bool) {
 	class := &s.Classes[request.Class]
@@ -35,7 +35,7 @@
 	retry.RetriesLeft--
 	retry.RetriesMade++
 	retry.LeavesAfter = 0
-	untilDeadline := request.FirstAt + class.Deadline.Std() - retry.At // the deadline is that of the first request
+	untilDeadline := request.FirstAt + class.Deadline.Std() - retry.At // the deadline counts from the first request
 	retry.Timeout = min(request.Timeout, untilDeadline)
 	if retry.Timeout < minRetryTimeout {
 		return Request{}, false
@@ -43,7 +43,7 @@
 	return retry, true
 }
 
-// mayRetry reports whether a client may make a request of the class again after the outcome.
+// mayRetry reports whether a client may retry a request of the class after the outcome.
 func mayRetry(class *scenario.Class, outcome Outcome) bool {
 	switch outcome {
 	case Served:
@@ -55,7 +55,7 @@
 	}
 }
 
-// drawBackoff draws how long a client waits before a retry. Some clients honour Retry-After, up to a limit.
+// drawBackoff returns a random wait before a retry. A share of the clients honours Retry-After, up to a limit.
 func drawBackoff(clients *scenario.Clients, retriesMade int, retryAfter time.Duration,
 	random *rand.Rand) time.Duration {
 	growth := math.Pow(clients.BackoffGrowth, float64(retriesMade))
