--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -29,7 +29,7 @@
 	c := &validator{file: file, lines: lineIndex(text)}
 	if base, ok := extends(text); ok {
 		if filepath.Base(base) != base || base == "" {
-			c.fail("extends", "extends is %q, must be the name of a scenario beside this one", base)
+			c.fail("extends", "extends is %q, must be the name of a scenario in the same directory", base)
 			return nil, c.problems[0]
 		}
 		c.baseFile = filepath.Join(filepath.Dir(file), base+".toml")
@@ -39,7 +39,7 @@
 			return nil, c.problems[0]
 		}
 		if _, ok := extends(string(under)); ok {
-			c.fail("extends", "extends %q, which itself extends another: one step at most", base)
+			c.fail("extends", "extends %q, which itself extends a scenario; only one level is allowed", base)
 			return nil, c.problems[0]
 		}
 		c.baseLines = lineIndex(string(under))
--- a/internal/lab/scenario/read_test.go
+++ b/internal/lab/scenario/read_test.go
@@ -45,25 +45,25 @@
 	}
 	for _, tt := range []struct{ from, to, want string }{
 		{`length = "10s"`, `length = 10`, "good.toml:3: "},
-		{`length = "10s"`, `length = "10"`, `"10" is no time with a unit`},
-		{`length = "10s"`, `length = "10 parsecs"`, `is no time with a unit`},
+		{`length = "10s"`, `length = "10"`, `"10" is not a duration with a unit`},
+		{`length = "10s"`, `length = "10 parsecs"`, `is not a duration with a unit`},
 		{`sidecars = 2`, `sidecar = 2`, `good.toml:5: unknown key "fleet.sidecar"`},
 		{`sidecars = 2`, `sidecars = 0`, "good.toml:5: fleet.sidecars is 0, must be from 1"},
 		{`sidecars = 2`, `sidecars = "two"`, "good.toml:5: "},
 		{`zones = ["a", "b"]`, `zones = []`, "good.toml:7: fleet.zones is empty"},
-		{"share = 1\ncores", "share = 0.5\ncores", "good.toml:8: the kinds' shares add up to 0.500"},
+		{"share = 1\ncores", "share = 0.5\ncores", "good.toml:8: the shares of the kinds add up to 0.500, must add up to 1"},
 		{`speed = 1`, `speed = 0`, "good.toml:12: fleet.kind[0].speed is 0"},
 		{`use = 0.5`, `use = 0.5` + "\nrate = 3", "good.toml:13: load needs either"},
 		{`use = 0.5`, `use = nan`, "good.toml:14: load.use is NaN"},
-		{`share = 1` + "\nwork", `share = 0.9` + "\nwork", "good.toml:15: the classes' shares add up to 0.900"},
+		{`share = 1` + "\nwork", `share = 0.9` + "\nwork", "good.toml:15: the shares of the classes add up to 0.900, must add up to 1"},
 		{`aim = "400ms"`, `aim = "3s"`, "good.toml:21: class[0].deadline is 2s, must be from 3s"},
 		{`effect = "idempotent"`, `effect = "safe"`, `good.toml:23: class[0].effect is "safe"`},
 		{`effect = "idempotent"`, `effect = "deduplicated"`, "scope is \"\", must be all, zone or cell"},
-		{`effect = "idempotent"`, "effect = \"idempotent\"\nwindow = \"3s\"", "go with effect = \"deduplicated\" only"},
+		{`effect = "idempotent"`, "effect = \"idempotent\"\nwindow = \"3s\"", "scope and window require effect = \"deduplicated\""},
 		{`kind = "slow"`, `kind = "sloth"`, `good.toml:25: unknown trouble "sloth", known are burst, `},
 		{`at = "3s"`, `at = "30s"`, "good.toml:26: trouble[0].at is 30s, must be from 0s to 10s"},
 		{`part = 0.5`, `part = 1.5`, "good.toml:28: trouble[0].part is 1.5"},
-		{`size = 3`, `class = "read"`, "good.toml:29: trouble \"slow\" takes no class"},
+		{`size = 3`, `class = "read"`, "good.toml:29: trouble \"slow\" has no key class"},
 		{`kind = "slow"`, `kind = "swallow"` + "\nclass = \"write\"", `names class "write", which the scenario does not have`},
 		{`kind = "slow"`, `kind = "zone_cut"`, `names zone "", which the fleet does not have`},
 		{`about = "something"`, `about = "`, "good.toml:2: "},
@@ -100,7 +100,7 @@
 		t.Errorf("got %+v", s)
 	}
 	for text, want := range map[string]string{
-		"extends = \"far\"\nname = \"c\"":                 "one step at most",
+		"extends = \"far\"\nname = \"c\"":                 "only one level is allowed",
 		"extends = \"base\"\n[fleet]\nzones = [\"q\", 1]": "child.toml:3",
 		"extends = \"base\"\nlength = \"1s\"\n":           "base.toml:", // the warm-up of 2 s is too long then
 	} {
@@ -127,7 +127,7 @@
 		t.Errorf("size %v of the copy and %v of the original, error %v", changed.Faults[0].Size, s.Faults[0].Size, err)
 	}
 	for path, want := range map[string]string{"load.speed": "there is no", "trouble[4].size": "has no entry", "name": "cannot be varied",
-		"load.use.x": "nothing is below", "trouble[0].part": "must be from"} {
+		"load.use.x": "a float64 has no keys", "trouble[0].part": "must be from"} {
 		if _, err := s.Set(path, "7"); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: error %v, want %q", path, err, want)
 		}
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -15,7 +15,7 @@
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("%q is no time with a unit, such as \"250ms\" or \"30s\"", text)
+		return fmt.Errorf("%q is not a duration with a unit, such as \"250ms\" or \"30s\"", text)
 	}
 	*d = Duration(v)
 	return nil
--- a/internal/lab/scenario/set.go
+++ b/internal/lab/scenario/set.go
@@ -19,7 +19,7 @@
 	for part := range strings.SplitSeq(path, ".") {
 		name, index, indexed := strings.Cut(part, "[")
 		if v.Kind() != reflect.Struct {
-			return nil, fmt.Errorf("%s: nothing is below %s", path, v.Type())
+			return nil, fmt.Errorf("%s: a %s has no keys", path, v.Type())
 		}
 		field := fieldOf(v, name)
 		if !field.IsValid() {
@@ -75,7 +75,7 @@
 	}
 	f, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		return fmt.Errorf("%q is no number", text)
+		return fmt.Errorf("%q is not a number", text)
 	}
 	switch v.Kind() {
 	case reflect.Float64:
--- a/internal/lab/scenario/validate.go
+++ b/internal/lab/scenario/validate.go
@@ -62,7 +62,7 @@
 // checkShares checks that the shares of the owners, such as "classes", add up to 1.
 func (c *validator) checkShares(key, owners string, sum float64) {
 	if math.Abs(sum-1) > shareTolerance {
-		c.fail(key, "the %s' shares add up to %.3f, not to 1", owners, sum)
+		c.fail(key, "the shares of the %s add up to %.3f, must add up to 1", owners, sum)
 	}
 }
 
@@ -79,7 +79,7 @@
 		c.fail("name", "name is missing")
 	}
 	if s.About == "" {
-		c.fail("about", "about is missing: one line that says what the scenario is for")
+		c.fail("about", "about is missing: one line that describes the scenario")
 	}
 	c.checkDuration("length", s.Length, time.Second, time.Hour)
 	c.checkDuration("warmup", s.Warmup, 0, s.Length.Std()/2)
@@ -153,7 +153,7 @@
 
 func (c *validator) checkClasses(classes []Class) {
 	if len(classes) == 0 {
-		c.fail("class", "there is no [[class]]")
+		c.fail("class", "the scenario has no [[class]]")
 		return
 	}
 	sum := 0.0
@@ -182,6 +182,6 @@
 		}
 		c.checkDuration(path+"window", class.DedupeWindow, time.Second, maxDuration)
 	} else if class.Scope != "" || class.DedupeWindow != 0 {
-		c.fail(path+"scope", "scope and window go with effect = \"deduplicated\" only")
+		c.fail(path+"scope", "scope and window require effect = \"deduplicated\"")
 	}
 }
--- a/internal/lab/scenario/validate_fault.go
+++ b/internal/lab/scenario/validate_fault.go
@@ -55,7 +55,7 @@
 		{"for", fields.lasts, fault.Length != 0},
 	} {
 		if field.given && !field.taken {
-			c.fail(path+field.key, "trouble %q takes no %s", fault.Kind, field.key)
+			c.fail(path+field.key, "trouble %q has no key %s", fault.Kind, field.key)
 		}
 	}
 }
