--- a/internal/lab/scenario/read_test.go
+++ b/internal/lab/scenario/read_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// good is a scenario with nothing wrong. The faults below change one line each.
-const good = `name = "x"
+// validScenario is a scenario without errors. Each test case of TestParseErrors changes one line of it.
+const validScenario = `name = "x"
 about = "something"
 length = "10s"
 [fleet]
@@ -39,9 +39,9 @@
 size = 3
 `
 
-func TestFaultsAreNamed(t *testing.T) {
-	if _, err := Parse("good.toml", good); err != nil {
-		t.Fatalf("the scenario that is good: %v", err)
+func TestParseErrors(t *testing.T) {
+	if _, err := Parse("good.toml", validScenario); err != nil {
+		t.Fatalf("valid scenario: %v", err)
 	}
 	for _, tt := range []struct{ from, to, want string }{
 		{`length = "10s"`, `length = 10`, "good.toml:3: "},
@@ -71,21 +71,22 @@
 		{`about = "something"`, `extends = "../x"`, "good.toml:2: extends is \"../x\""},
 	} {
 		t.Run(tt.to, func(t *testing.T) {
-			text := strings.Replace(good, tt.from, tt.to, 1)
-			if text == good {
-				t.Fatalf("%q is not in the scenario", tt.from)
+			text := strings.Replace(validScenario, tt.from, tt.to, 1)
+			if text == validScenario {
+				t.Fatalf("validScenario does not contain %q", tt.from)
 			}
 			if _, err := Parse("good.toml", text); err == nil || !strings.Contains(err.Error(), tt.want) {
-				t.Errorf("error %v\nwant one with %q", err, tt.want)
+				t.Errorf("got error %v\nwant an error that contains %q", err, tt.want)
 			}
 		})
 	}
 }
 
-// TestExtends has a scenario over another: what it says replaces, what it does not say stays, and troubles are its own.
+// TestExtends checks that an extending scenario replaces the values that it contains and inherits the others except the
+// faults.
 func TestExtends(t *testing.T) {
 	dir := t.TempDir()
-	for name, text := range map[string]string{"base": good, "far": "extends = \"base\"\n"} {
+	for name, text := range map[string]string{"base": validScenario, "far": "extends = \"base\"\n"} {
 		if err := os.WriteFile(filepath.Join(dir, name+".toml"), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -102,18 +103,18 @@
 	for text, want := range map[string]string{
 		"extends = \"far\"\nname = \"c\"":                 "only one level is allowed",
 		"extends = \"base\"\n[fleet]\nzones = [\"q\", 1]": "child.toml:3",
-		"extends = \"base\"\nlength = \"1s\"\n":           "base.toml:", // the warm-up of 2 s is too long then
+		"extends = \"base\"\nlength = \"1s\"\n":           "base.toml:", // the default warm-up of 2 s exceeds half of the length
 	} {
 		if _, err := Parse(file, text); err == nil || !strings.Contains(err.Error(), want) {
 			if want != "base.toml:" || err == nil {
-				t.Errorf("%q: error %v, want %q", text, err, want)
+				t.Errorf("%q: got error %v, want an error that contains %q", text, err, want)
 			}
 		}
 	}
 }
 
 func TestSet(t *testing.T) {
-	s, err := Parse("good.toml", good)
+	s, err := Parse("good.toml", validScenario)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,12 +125,12 @@
 	}
 	changed, err := s.Set("trouble[0].size", "4")
 	if err != nil || changed.Faults[0].Size != 4 || s.Faults[0].Size != 3 {
-		t.Errorf("size %v of the copy and %v of the original, error %v", changed.Faults[0].Size, s.Faults[0].Size, err)
+		t.Errorf("got size %v in the copy, want 4, and %v in the original, want 3; error %v", changed.Faults[0].Size, s.Faults[0].Size, err)
 	}
 	for path, want := range map[string]string{"load.speed": "there is no", "trouble[4].size": "has no entry", "name": "cannot be varied",
 		"load.use.x": "a float64 has no keys", "trouble[0].part": "must be from"} {
 		if _, err := s.Set(path, "7"); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: error %v, want %q", path, err, want)
+			t.Errorf("%s: got error %v, want an error that contains %q", path, err, want)
 		}
 	}
 }
--- a/internal/lab/workload/source_test.go
+++ b/internal/lab/workload/source_test.go
@@ -11,7 +11,8 @@
 	"milletramp.example/milletramp/internal/lab/scenario"
 )
 
-// testScenario has all that changes what clients do: faults, classes of each effect and spread, tenants, retries.
+// testScenario returns a scenario with all settings that affect clients: faults, classes of each effect with several
+// coefficients of variation, tenants and retries.
 func testScenario() *scenario.Scenario {
 	second := scenario.Duration(time.Second)
 	return &scenario.Scenario{
@@ -36,7 +37,8 @@
 	}
 }
 
-// TestSameSeedSameArrivals: the same seed draws the arrivals and retries that it always drew, to the last bit.
+// TestSameSeedSameArrivals guards against changes of what a seed generates: the arrivals and retries must be identical to
+// those of earlier versions, to the last bit.
 func TestSameSeedSameArrivals(t *testing.T) {
 	const want = "1d4167ace4551d4447fbd9deccf7391cedb3787ca3f59fde19fc9e1bfcb5b825"
 	s := testScenario()
@@ -67,6 +69,6 @@
 		t.Errorf("%d arrivals and %d retries hash to %s, want %s", drawn, retried, got, want)
 	}
 	if drawn < 5000 || retried < 5000 {
-		t.Errorf("%d arrivals and %d retries are too few to show anything", drawn, retried)
+		t.Errorf("%d arrivals and %d retries generated, want at least 5000 of each", drawn, retried)
 	}
 }
