--- a/internal/lab/scenario/faultkinds.go
+++ b/internal/lab/scenario/faultkinds.go
@@ -27,32 +27,32 @@
 )
 
 // faultFields states which fields a kind of fault has. checkFaultFields rejects the others.
-type faultFields struct{ part, size, class, zone, lasts, drain bool }
+type faultFields struct{ share, size, class, zone, length, drain bool }
 
 // faultKinds maps each kind of fault to its fields.
 var faultKinds = map[string]faultFields{
-	FaultSlow:            {part: true, size: true, lasts: true},
-	FaultBurst:           {size: true, lasts: true},
-	FaultFlood:           {part: true, size: true, lasts: true},
-	FaultHotKey:          {size: true, lasts: true},
-	FaultRelease:         {part: true, lasts: true, drain: true},
-	FaultShrink:          {part: true, lasts: true, drain: true},
-	FaultLoseClass:       {part: true, class: true, lasts: true},
-	FaultRejectClass:     {part: true, class: true, lasts: true},
-	FaultLoseShare:       {part: true, size: true, lasts: true},
-	FaultErrors:          {part: true, size: true, lasts: true},
-	FaultGarble:          {part: true, size: true, lasts: true},
-	FaultCutRequests:     {part: true, size: true, lasts: true},
-	FaultCutResponses:    {part: true, size: true, lasts: true},
-	FaultIsolateNodes:    {part: true, lasts: true},
-	FaultCrash:           {part: true, lasts: true},
-	FaultPowerCut:        {lasts: true},
-	FaultZoneCut:         {zone: true, lasts: true},
-	FaultDiscoverySilent: {lasts: true},
+	FaultSlow:            {share: true, size: true, length: true},
+	FaultBurst:           {size: true, length: true},
+	FaultFlood:           {share: true, size: true, length: true},
+	FaultHotKey:          {size: true, length: true},
+	FaultRelease:         {share: true, length: true, drain: true},
+	FaultShrink:          {share: true, length: true, drain: true},
+	FaultLoseClass:       {share: true, class: true, length: true},
+	FaultRejectClass:     {share: true, class: true, length: true},
+	FaultLoseShare:       {share: true, size: true, length: true},
+	FaultErrors:          {share: true, size: true, length: true},
+	FaultGarble:          {share: true, size: true, length: true},
+	FaultCutRequests:     {share: true, size: true, length: true},
+	FaultCutResponses:    {share: true, size: true, length: true},
+	FaultIsolateNodes:    {share: true, length: true},
+	FaultCrash:           {share: true, length: true},
+	FaultPowerCut:        {length: true},
+	FaultZoneCut:         {zone: true, length: true},
+	FaultDiscoverySilent: {length: true},
 	FaultDiscoveryCut:    {},
 	FaultDiscoveryRewind: {},
 	FaultDiscoveryMoves:  {},
-	FaultSidecarsRestart: {part: true},
+	FaultSidecarsRestart: {share: true},
 }
 
 // sizedByShare lists the kinds of faults whose size is a share. The size of the other kinds is a factor.
--- a/internal/lab/scenario/lineindex.go
+++ b/internal/lab/scenario/lineindex.go
@@ -30,7 +30,7 @@
 			key, _, ok := strings.Cut(line, "=")
 			if key = strings.TrimSpace(key); ok && key != "" && key[0] != '#' {
 				index[table+key] = i + 1
-				if plain := unnumbered(table) + key; index[plain] == 0 { // the decoder omits entry numbers
+				if plain := removeEntryNumbers(table) + key; index[plain] == 0 { // the decoder omits entry numbers
 					index[plain] = i + 1
 				}
 			}
@@ -39,8 +39,8 @@
 	return index
 }
 
-// unnumbered removes the entry numbers from a path: "class[0].share" becomes "class.share".
-func unnumbered(path string) string {
+// removeEntryNumbers removes the entry numbers from a path: "class[0].share" becomes "class.share".
+func removeEntryNumbers(path string) string {
 	for {
 		open := strings.IndexByte(path, '[')
 		if open < 0 {
--- a/internal/lab/scenario/validate_fault.go
+++ b/internal/lab/scenario/validate_fault.go
@@ -21,11 +21,11 @@
 		return
 	}
 	c.checkDuration(path+"at", fault.At, 0, s.Length.Std())
-	if fields.lasts {
+	if fields.length {
 		c.checkDuration(path+"for", fault.Length, time.Millisecond, maxDuration)
 	}
 	c.checkFaultFields(fault, fields, path)
-	if fields.part {
+	if fields.share {
 		c.checkNumber(path+"part", fault.Share, minFaultShare, 1)
 	}
 	if fields.size {
@@ -45,16 +45,16 @@
 // checkFaultFields checks that a fault sets no field that its kind does not have.
 func (c *validator) checkFaultFields(fault *Fault, fields faultFields, path string) {
 	for _, field := range []struct {
-		key          string
-		taken, given bool
+		key              string
+		allowed, present bool
 	}{
-		{"part", fields.part, fault.Share != 0},
+		{"part", fields.share, fault.Share != 0},
 		{"size", fields.size, fault.Size != 0},
 		{"class", fields.class, fault.Class != ""},
 		{"drain", fields.drain, fault.Drain != 0},
-		{"for", fields.lasts, fault.Length != 0},
+		{"for", fields.length, fault.Length != 0},
 	} {
-		if field.given && !field.taken {
+		if field.present && !field.allowed {
 			c.fail(path+field.key, "trouble %q has no key %s", fault.Kind, field.key)
 		}
 	}
