--- a/internal/lab/scenario/validate_fault.go
+++ b/internal/lab/scenario/validate_fault.go
@@ -12,7 +12,7 @@
 	maxFaultFactor = 1000.0
 )
 
-// checkFault checks a fault, whose entry in the file has a path.
+// checkFault checks the fault at a path of the file, such as "trouble[0].".
 func (c *validator) checkFault(s *Scenario, fault *Fault, path string) {
 	fields, known := faultKinds[fault.Kind]
 	if !known {
@@ -21,11 +21,11 @@
 		return
 	}
 	c.checkDuration(path+"at", fault.At, 0, s.Length.Std())
-	if fields.lasts {
+	if fields.length {
 		c.checkDuration(path+"for", fault.Length, time.Millisecond, maxDuration)
 	}
 	c.checkFaultFields(fault, fields, path)
-	if fields.part {
+	if fields.share {
 		c.checkNumber(path+"part", fault.Share, minFaultShare, 1)
 	}
 	if fields.size {
@@ -42,25 +42,25 @@
 	}
 }
 
-// checkFaultFields checks that a fault has no field that its kind does not take.
+// checkFaultFields checks that a fault sets no field that its kind does not have.
 func (c *validator) checkFaultFields(fault *Fault, fields faultFields, path string) {
 	for _, field := range []struct {
-		key          string
-		taken, given bool
+		key              string
+		allowed, present bool
 	}{
-		{"part", fields.part, fault.Share != 0},
+		{"part", fields.share, fault.Share != 0},
 		{"size", fields.size, fault.Size != 0},
 		{"class", fields.class, fault.Class != ""},
 		{"drain", fields.drain, fault.Drain != 0},
-		{"for", fields.lasts, fault.Length != 0},
+		{"for", fields.length, fault.Length != 0},
 	} {
-		if field.given && !field.taken {
-			c.fail(path+field.key, "trouble %q takes no %s", fault.Kind, field.key)
+		if field.present && !field.allowed {
+			c.fail(path+field.key, "trouble %q has no key %s", fault.Kind, field.key)
 		}
 	}
 }
 
-// maxSize is the greatest size of a fault of a kind.
+// maxSize returns the maximum size of a kind of fault.
 func maxSize(kind string) float64 {
 	if slices.Contains(sizedByShare, kind) {
 		return 1
