--- a/internal/lab/servermodel/collapse.go
+++ b/internal/lab/servermodel/collapse.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// collapseState is whether a server has collapsed under its load. Spec has the conditions.
+// collapseState records whether and since when a server has collapsed under overload. Spec defines the conditions.
 type collapseState struct {
-	overloadedSince time.Duration // more than CollapseAt wait, or never
-	collapsedSince  time.Duration // or never
-	recoveringSince time.Duration // it holds fewer than RecoverBelow, or never
+	overloadedSince time.Duration // when the number of waiting requests exceeded CollapseAt, or never
+	collapsedSince  time.Duration // when the server collapsed, or never
+	recoveringSince time.Duration // when the requests in flight fell to RecoverBelow, or never
 }
 
 func newCollapseState() collapseState {
@@ -15,14 +15,14 @@
 
 func (c *collapseState) isCollapsed() bool { return c.collapsedSince >= 0 }
 
-// update takes in how many requests the server holds now.
+// update updates the state for the number of requests in flight now.
 func (c *collapseState) update(spec *Spec, now time.Duration, inFlight float64) {
 	if c.isCollapsed() {
 		c.updateRecovery(spec, now, inFlight)
 		return
 	}
 	cores := float64(spec.Cores)
-	waiting := inFlight - cores // those in a slot without a core of their own wait too
+	waiting := inFlight - cores // includes requests that have a slot but no core of their own
 	switch {
 	case waiting <= spec.CollapseAt*cores:
 		c.overloadedSince = never
--- a/internal/lab/servermodel/job.go
+++ b/internal/lab/servermodel/job.go
@@ -1,12 +1,12 @@
 package servermodel
 
-// Job is a request that a server holds. Its owner may embed it.
+// Job is a request that a server queues and serves. Its owner may embed it.
 type Job struct {
-	Work  float64 // seconds on a standard core
+	Work  float64 // in seconds on a standard core
 	Owner any
 
-	finishAt  float64 // attained service at which it is done
-	heapIndex int     // in the heap of jobs in service, or notInHeap
+	finishAt  float64 // attained service of the processor at which the job completes
+	heapIndex int     // index in the heap of jobs in service, or notInHeap
 	state     jobState
 }
 
@@ -16,12 +16,12 @@
 type jobState int
 
 const (
-	jobIdle jobState = iota // not held
+	jobIdle jobState = iota // neither queued nor in service
 	jobWaiting
 	jobInService
 )
 
-// jobHeap is a heap of jobs by the attained service at which they are done. It implements heap.Interface.
+// jobHeap is a min-heap of jobs, ordered by finishAt. It implements heap.Interface.
 type jobHeap []*Job
 
 func (h jobHeap) Len() int           { return len(h) }
@@ -41,7 +41,7 @@
 func (h *jobHeap) Pop() any {
 	last := len(*h) - 1
 	job := (*h)[last]
-	(*h)[last] = nil // lets go of the job
+	(*h)[last] = nil // releases the job for garbage collection
 	*h = (*h)[:last]
 	job.heapIndex = notInHeap
 	return job
--- a/internal/lab/servermodel/keycache.go
+++ b/internal/lab/servermodel/keycache.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// KeySettings say what a server saves on keys that it has served lately.
+// KeySettings configures how much work a server saves on keys that it has served recently.
 type KeySettings struct {
-	Saving   float64       // the share of a request's work
-	Lifetime time.Duration // of a key, since its last request
-	Max      int           // keys that a server remembers
+	Saving   float64       // share of a request's work that a cached key saves
+	Lifetime time.Duration // how long a key stays valid after its last request
+	Max      int           // maximum number of cached keys
 }
 
-// keyCache remembers the keys that a server has served, the least recently used of which it forgets first.
+// keyCache is an LRU cache of the keys that a server has served.
 type keyCache struct {
 	settings    KeySettings
 	entries     map[uint64]*list.Element
-	latestFirst *list.List // of *keyEntry
+	latestFirst *list.List // elements are *keyEntry, most recently used first
 }
 
 type keyEntry struct {
@@ -28,7 +28,7 @@
 	return keyCache{settings: settings, entries: map[uint64]*list.Element{}, latestFirst: list.New()}
 }
 
-// use reports whether the key was used within its lifetime, and remembers it from now on.
+// use reports whether the key was last used within its lifetime, and records its use now.
 func (c *keyCache) use(key uint64, now time.Duration) bool {
 	if c.settings.Max == 0 || c.settings.Saving == 0 {
 		return false
@@ -45,7 +45,7 @@
 	return isFresh
 }
 
-// add adds a key, in place of the least recently used one if the cache is full.
+// add adds a key and evicts the least recently used one if the cache is full.
 func (c *keyCache) add(key uint64, now time.Duration) {
 	c.entries[key] = c.latestFirst.PushFront(&keyEntry{key, now})
 	if c.latestFirst.Len() <= c.settings.Max {
--- a/internal/lab/servermodel/pod.go
+++ b/internal/lab/servermodel/pod.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Pod is what the servers of a pod group remember in common: the effects of requests, whose repeats they drop for a
-// time. It may be used by several goroutines.
+// Pod is the deduplication state shared by the servers of a pod group: the effects of recent requests, whose repeats
+// are dropped within the dedupe window. It is safe for concurrent use.
 type Pod struct {
 	mu          sync.Mutex
 	window      time.Duration
@@ -19,12 +19,13 @@
 	at time.Duration
 }
 
-// NewPod returns a pod that drops repeats for a time.
+// NewPod returns a pod that drops repeats within a dedupe window.
 func NewPod(window time.Duration) *Pod {
 	return &Pod{window: window, seenAt: map[uint64]time.Duration{}}
 }
 
-// isRepeat reports whether the pod remembers an effect, and remembers it from now on.
+// isRepeat reports whether an effect was seen within the dedupe window, and records a new effect. A repeat does not
+// extend the window.
 func (p *Pod) isRepeat(id uint64, now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -37,7 +38,7 @@
 	return false
 }
 
-// forgetBefore forgets the effects seen at a time or earlier.
+// forgetBefore removes the effects seen at or before limit.
 func (p *Pod) forgetBefore(limit time.Duration) {
 	for len(p.oldestFirst) > 0 && p.oldestFirst[0].at <= limit {
 		oldest := p.oldestFirst[0]
--- a/internal/lab/servermodel/processor.go
+++ b/internal/lab/servermodel/processor.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// updateInterval is how often the rate of service is updated while it changes with time alone.
+	// updateInterval is the interval between updates of the service rate while the rate depends on time.
 	updateInterval = 50 * time.Millisecond
 
-	// never stands for a time that is not set.
+	// never marks a time that is not set.
 	never time.Duration = -1
 )
 
-// Processor shares the cores of a server among the requests in service, in virtual time: all of them grow by the same
-// attained service, so that the next one to be done is the least of a heap.
+// Processor shares the cores of a server evenly among the requests in service. It uses virtual time: all requests in
+// service attain service at the same rate, so the next one to complete is the minimum of a heap.
 type Processor struct {
 	spec            Spec
-	now             time.Duration // the time of the state
-	attainedService float64       // of a request that has been in service from the start, in standard core seconds
-	serviceRate     float64       // at which it grows, each second
+	now             time.Duration // time up to which the state is computed
+	attainedService float64       // of a request in service since the start, in standard core seconds
+	serviceRate     float64       // increase of attainedService per second
 	inService       jobHeap
-	queue           []*Job  // in order of arrival; cancelled ones stay until their turn
+	queue           []*Job  // in order of arrival; cancelled jobs stay until they reach the front
 	waiting         int     // jobs in the queue that are not cancelled
-	slowdown        float64 // factor of a fault
+	slowdown        float64 // factor set by a fault; 1: none
 	collapse        collapseState
-	completedWork   float64 // of requests that are no longer in service, in standard core seconds
-	completed       []*Job  // since the last call of Advance
+	completedWork   float64 // done for requests no longer in service, in standard core seconds
+	completed       []*Job  // jobs completed since the last call of Advance
 }
 
 // NewProcessor returns a processor without requests.
@@ -37,7 +37,7 @@
 	return p
 }
 
-// Offer hands in a request. It returns false if neither a slot nor the queue has capacity for it.
+// Offer starts or queues a request. It returns false if there is no free slot and the queue is full.
 func (p *Processor) Offer(now time.Duration, job *Job) bool {
 	p.moveTo(now)
 	job.heapIndex = notInHeap
@@ -61,7 +61,7 @@
 	return len(p.inService) >= p.spec.Slots && p.waiting >= p.spec.QueueLimit
 }
 
-// Cancel lets go of a request, if the processor holds it.
+// Cancel removes a request if it is queued or in service.
 func (p *Processor) Cancel(now time.Duration, job *Job) {
 	p.moveTo(now)
 	switch job.state {
@@ -78,7 +78,7 @@
 	p.updateRate()
 }
 
-// Abort lets go of all requests, as when the server's process ends, and returns them.
+// Abort removes all requests, as when the server's process ends, and returns them.
 func (p *Processor) Abort(now time.Duration) []*Job {
 	p.moveTo(now)
 	aborted := make([]*Job, 0, p.InFlight())
@@ -99,8 +99,8 @@
 	return aborted
 }
 
-// Advance moves the clock and returns the requests that are done by then, in order. The slice is valid until the next
-// call.
+// Advance moves the clock to now and returns the requests completed by then, in order of completion. The slice is valid
+// until the next call.
 func (p *Processor) Advance(now time.Duration) []*Job {
 	p.completed = p.completed[:0]
 	p.moveTo(now)
@@ -108,12 +108,12 @@
 	return p.completed
 }
 
-// NextEvent returns when Advance has something to do, or -1.
+// NextEvent returns the time at which Advance must be called next, or -1 if there is none.
 func (p *Processor) NextEvent() time.Duration {
 	next := never
 	if len(p.inService) > 0 && p.serviceRate > 0 {
 		remaining := p.inService[0].finishAt - p.attainedService
-		next = p.now + max(p.serviceTime(remaining), 1) // rounded to 0 it would be due again and again
+		next = p.now + max(p.serviceTime(remaining), 1) // at least 1 ns: with 0 the event would be due repeatedly
 	}
 	if p.rateChanges() && (next < 0 || next > p.now+updateInterval) {
 		next = p.now + updateInterval
@@ -121,14 +121,14 @@
 	return next
 }
 
-// SetSlowdown makes the processor slower by a factor. A factor of 1 ends it.
+// SetSlowdown makes the processor slower by a factor. A factor of 1 ends the slowdown.
 func (p *Processor) SetSlowdown(now time.Duration, factor float64) {
 	p.moveTo(now)
 	p.slowdown = factor
 	p.updateRate()
 }
 
-// InFlight returns how many requests the processor holds.
+// InFlight returns the number of requests in service and waiting.
 func (p *Processor) InFlight() int { return len(p.inService) + p.waiting }
 
 // CompletedWork returns the work done so far, in seconds on a standard core.
@@ -140,7 +140,8 @@
 	return sum
 }
 
-// Backlog returns how long, in seconds, a request of some work would take if it came now and none after it.
+// Backlog returns the time, in seconds, that a request of the given work would take if it arrived now and no request
+// followed it.
 func (p *Processor) Backlog(work float64) float64 {
 	total := work
 	for _, job := range p.inService {
@@ -163,12 +164,12 @@
 	return job.Work - (job.finishAt - p.attainedService)
 }
 
-// serviceTime returns how long some more service takes at the present rate, rounded up.
+// serviceTime returns how long it takes to attain the given service at the current rate, rounded up.
 func (p *Processor) serviceTime(service float64) time.Duration {
 	return time.Duration(math.Ceil(service / p.serviceRate * float64(time.Second)))
 }
 
-// moveTo moves the state to a time, over all that is done until then.
+// moveTo moves the state to now and completes the requests that finish by then.
 func (p *Processor) moveTo(now time.Duration) {
 	for now > p.now {
 		until := now
@@ -186,8 +187,8 @@
 	}
 }
 
-// completeUntil moves the state to the end of the next request that is done, if that is no later than a time, and
-// reports whether there was one.
+// completeUntil completes the next request and moves the state to that time if it is no later than limit. It reports
+// whether a request was completed.
 func (p *Processor) completeUntil(limit time.Duration) bool {
 	if len(p.inService) == 0 || p.serviceRate <= 0 {
 		return false
@@ -212,11 +213,11 @@
 	heap.Push(&p.inService, job)
 }
 
-// startWaiting takes waiting requests into service, and cancelled ones out of the queue.
+// startWaiting starts waiting requests while slots are free and removes cancelled ones at the front of the queue.
 func (p *Processor) startWaiting() {
 	for len(p.queue) > 0 && (len(p.inService) < p.spec.Slots || p.queue[0].state != jobWaiting) {
 		job := p.queue[0]
-		p.queue[0] = nil // lets go of the job
+		p.queue[0] = nil // releases the job for garbage collection
 		p.queue = p.queue[1:]
 		if job.state == jobWaiting {
 			p.waiting--
@@ -225,13 +226,13 @@
 	}
 }
 
-// rateChanges reports whether the rate of service changes with time alone.
+// rateChanges reports whether the service rate can change without an arrival or a completion.
 func (p *Processor) rateChanges() bool {
 	warmsUpOrOverloaded := p.spec.speedShare(p.now) < 1 || p.collapse.overloadedSince >= 0
 	return len(p.inService) > 0 && warmsUpOrOverloaded || p.collapse.isCollapsed()
 }
 
-// updateRate updates the rate of service and whether the server has collapsed.
+// updateRate updates the service rate and the collapse state.
 func (p *Processor) updateRate() {
 	cores, inService := float64(p.spec.Cores), float64(len(p.inService))
 	if p.spec.CollapseAt > 0 {
--- a/internal/lab/servermodel/server.go
+++ b/internal/lab/servermodel/server.go
@@ -5,40 +5,40 @@
 	"time"
 )
 
-// deduplicationWork is what it takes to recognize a repeat, in seconds on a standard core.
+// deduplicationWork is the work needed to recognize a repeat, in seconds on a standard core.
 const deduplicationWork = 0.001
 
-// Admission is what becomes of a request that has arrived.
+// Admission is the result of admitting an arrived request.
 type Admission int
 
 // The admissions.
 const (
-	Admitted     Admission = iota // it is in service or waits; its job is done later
-	Deduplicated                  // the pod remembers its effect: its job takes little work and has no effect
-	Rejected                      // it has not run: the server is full, or a fault rejects its class
-	Swallowed                     // a fault: no response comes, and nothing runs
+	Admitted     Admission = iota // the request is in service or waits; its job completes later
+	Deduplicated                  // its effect is a repeat: the job takes little work and has no effect
+	Rejected                      // the request does not run: the server is full, or a fault rejects its class
+	Swallowed                     // the request is lost by a fault: it does not run and gets no response
 )
 
-// Outcome is how the server responds to a request that ran.
+// Outcome is the kind of response to a request that ran.
 type Outcome int
 
 // The outcomes.
 const (
 	Succeeded Outcome = iota
 	Failed            // 500
-	Malformed         // a response that cannot be read
+	Malformed         // a response that cannot be parsed
 )
 
-// Faults are what is wrong with a server.
+// Faults are the injected faults of a server.
 type Faults struct {
-	SwallowedClasses map[int]bool // classes to which no response comes
-	RejectedClasses  map[int]bool
-	LossShare        float64 // of all requests, to which no response comes
-	ErrorShare       float64 // of requests that ran, which fail
-	MalformedShare   float64 // of requests that ran, whose response cannot be read
+	SwallowedClasses map[int]bool // classes whose requests get no response
+	RejectedClasses  map[int]bool // classes whose requests are rejected
+	LossShare        float64      // share of all requests that get no response
+	ErrorShare       float64      // share of requests that ran and fail
+	MalformedShare   float64      // share of requests that ran and whose response cannot be parsed
 }
 
-// Server is a processor with what it remembers and its faults.
+// Server is a processor with deduplication, a key cache and injected faults.
 type Server struct {
 	*Processor
 	Faults Faults
@@ -63,18 +63,19 @@
 type Arrival struct {
 	Class         int
 	Key           uint64
-	Effect        uint64  // of which the pod drops repeats; 0: it drops none
-	HandshakeWork float64 // of its connection, in seconds on a standard core
+	Effect        uint64  // identifies the effect for deduplication; 0: not deduplicated
+	HandshakeWork float64 // work of the connection's handshake, in seconds on a standard core
 }
 
-// Arrive takes in a request. Its job has the work that it takes without any saving, and then what it takes here.
+// Arrive admits, rejects or loses a request. On entry job.Work is the work without savings; if the request is admitted
+// or deduplicated, Arrive replaces it by the work on this server.
 func (s *Server) Arrive(now time.Duration, job *Job, arrival Arrival) Admission {
 	switch {
 	case s.Faults.RejectedClasses[arrival.Class]:
 		return Rejected
 	case s.Faults.SwallowedClasses[arrival.Class] || s.drawLoss():
 		return Swallowed
-	case s.isFull(now): // before its effect is noted: the repeat of a rejected request has to run
+	case s.isFull(now): // checked before the effect is recorded: a retry of a rejected request has to run
 		return Rejected
 	}
 	admission := Admitted
@@ -89,12 +90,12 @@
 	return admission
 }
 
-// drawLoss draws whether the server loses a request.
+// drawLoss randomly decides whether the server loses a request.
 func (s *Server) drawLoss() bool {
 	return s.Faults.LossShare > 0 && s.random.Float64() < s.Faults.LossShare
 }
 
-// DrawOutcome draws how the server responds to a request that ran.
+// DrawOutcome randomly chooses the outcome of a request that ran.
 func (s *Server) DrawOutcome() Outcome {
 	if s.Faults.ErrorShare == 0 && s.Faults.MalformedShare == 0 {
 		return Succeeded
--- a/internal/lab/servermodel/spec.go
+++ b/internal/lab/servermodel/spec.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Spec is what a server is made of. All times are on its owner's clock.
+// Spec describes the capacity and the overload behavior of a server. All times are on its owner's clock.
 type Spec struct {
 	Cores      int
-	Speed      float64 // of a core, as a multiple of a standard one
-	Slots      int     // requests in service at once
-	QueueLimit int     // requests that may wait for a slot
+	Speed      float64 // of a core, as a multiple of a standard core
+	Slots      int     // maximum number of requests in service
+	QueueLimit int     // maximum number of requests waiting for a slot
 
-	WarmUpShare float64       // of its speed that it has at the start
-	WarmUp      time.Duration // from the start until it has its full speed; it grows evenly
-	StartedAt   time.Duration // 0: long ago
+	WarmUpShare float64       // share of the full speed at the start
+	WarmUp      time.Duration // from the start to full speed; the speed grows linearly
+	StartedAt   time.Duration // start of the server; 0: already warmed up
 
-	ContentionAt   float64 // requests in service for each core above which each takes more work; 0: never
-	ContentionCost float64 // the share of work that each doubling adds
+	ContentionAt   float64 // requests in service per core above which each takes more work; 0: no contention
+	ContentionCost float64 // share of work added by each doubling of the requests per core beyond ContentionAt
 
-	// A server collapses when more than CollapseAt requests for each core have waited for CollapseAfter. It is then
-	// slower by CollapseSlowdown until it has held fewer than RecoverBelow for each core for RecoverAfter, or for
-	// MaxCollapse in any case. With a CollapseAt of 0 it never does.
+	// A server collapses when more than CollapseAt requests per core have been waiting for CollapseAfter. It is then
+	// slower by the factor CollapseSlowdown until at most RecoverBelow requests per core have been in flight for
+	// RecoverAfter, but no longer than MaxCollapse. With a CollapseAt of 0 it never collapses.
 	CollapseAt       float64
 	CollapseAfter    time.Duration
 	CollapseSlowdown float64
@@ -27,7 +27,7 @@
 	MaxCollapse      time.Duration
 }
 
-// speedShare returns the share of its speed that the server has at a time, by its warm-up.
+// speedShare returns the share of its full speed that the server has reached at a time in its warm-up.
 func (s *Spec) speedShare(now time.Duration) float64 {
 	age := now - s.StartedAt
 	if s.StartedAt <= 0 || age >= s.WarmUp {
