--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -1,8 +1,9 @@
-// Package checker checks the recorded events of a run against the rules that bind every sidecar. It owns the state of
-// each request, of each node that starts, and of each sidecar's knowledge of draining nodes, and rebuilds all of it
-// from what was seen outside the sidecars. It shares no code with the sidecar, the decision module or the backends.
+// Package checker checks the recorded events of a run against the rules that every sidecar must follow. It tracks the
+// state of each request, of each starting node, and of the drain notices that each sidecar received. It derives this
+// state only from events observed outside the sidecars and shares no code with the sidecar, the decision module or the
+// backends.
 //
-// A broken rule is a Violation in the Verdict; there are no other errors.
+// Each broken rule is reported as a Violation in the Verdict; the package returns no errors.
 package checker
 
 import (
@@ -13,25 +14,25 @@
 	"milletramp.example/milletramp/internal/lab/record"
 )
 
-// maxViolations bounds the violations that are kept; all are counted.
+// maxViolations is the maximum number of violations kept with their details; all violations are counted.
 const maxViolations = 20
 
-// requestRetention is how long an ended request is kept, to find events that come after its response.
+// requestRetention is how long an ended request is kept to detect events after its response.
 const requestRetention = 10 * time.Second
 
 // Checker checks events as they are recorded. It is a record.Sink and is not safe for concurrent use.
 type Checker struct {
 	limits          Limits
 	requests        map[uint64]*request
-	ended           []endedRequest                // by time
-	drainingSince   map[sidecarNode]time.Duration // when a sidecar was notified that a node drains or is gone
+	ended           []endedRequest                // ordered by time of the end
+	drainingSince   map[sidecarNode]time.Duration // when a sidecar was notified that a node is draining or gone
 	warming         map[int32]*warmingNode
 	violationCounts map[Rule]int
 	violations      []Violation
 	requestCount    int
 }
 
-// sidecarNode is a node as one sidecar knows it.
+// sidecarNode identifies a node in the view of one sidecar.
 type sidecarNode struct{ sidecar, node int32 }
 
 type endedRequest struct {
@@ -39,7 +40,7 @@
 	id      uint64
 }
 
-// New returns a checker for a deployment.
+// New returns a checker with the limits of a deployment.
 func New(limits Limits) *Checker {
 	return &Checker{
 		limits:          limits,
@@ -75,7 +76,8 @@
 	}
 }
 
-// Verdict ends the run at a time and reports the requests that have no response by then.
+// Verdict returns the result of a run that ended at the given time. It adds a violation for each request whose response
+// is overdue by then.
 func (c *Checker) Verdict(end time.Duration) Verdict {
 	var lost []uint64
 	for id, request := range c.requests {
@@ -97,14 +99,14 @@
 	}
 }
 
-// requested begins a request and drops those that ended long ago.
+// requested starts tracking a request and drops those that ended more than requestRetention ago.
 func (c *Checker) requested(e *record.Event) {
 	c.requestCount++
 	c.requests[e.Request] = &request{event: *e, idleSince: e.At}
 	c.dropEnded(e.At)
 }
 
-// progressed follows a known request between its attempts and its response.
+// progressed handles events of a tracked request other than its start, its attempts being sent and its response.
 func (c *Checker) progressed(request *request, e *record.Event) {
 	switch e.Kind {
 	case record.ClientLeft:
@@ -118,7 +120,8 @@
 	}
 }
 
-// notified notes what a sidecar knows of a node. The first of several notices of a drain counts.
+// notified records the node state that a sidecar was notified of. If there are several notices of a drain, the grace
+// period starts with the first.
 func (c *Checker) notified(e *record.Event) {
 	key := sidecarNode{e.Sidecar, e.Node}
 	if e.State == record.Serving {
@@ -130,8 +133,8 @@
 	}
 }
 
-// sidecarDown abandons a sidecar's open requests and what it knew of nodes: when it starts again it has to be notified
-// anew.
+// sidecarDown abandons a sidecar's open requests and discards the drain notices it received: after a restart it has to
+// be notified again.
 func (c *Checker) sidecarDown(e *record.Event) {
 	for id, request := range c.requests {
 		if request.event.Sidecar == e.Sidecar && request.open() {
@@ -145,13 +148,13 @@
 	}
 }
 
-// abandon ends a request that needs no response any more.
+// abandon ends a request for which a response is no longer required.
 func (c *Checker) abandon(request *request, at time.Duration, id uint64) {
 	request.abandoned = true
 	c.ended = append(c.ended, endedRequest{at, id})
 }
 
-// dropEnded drops the requests that ended long ago.
+// dropEnded drops the requests that ended more than requestRetention ago.
 func (c *Checker) dropEnded(now time.Duration) {
 	expired := 0
 	for expired < len(c.ended) && now-c.ended[expired].endedAt > requestRetention {
--- a/internal/lab/checker/checks.go
+++ b/internal/lab/checker/checks.go
@@ -6,7 +6,7 @@
 	"milletramp.example/milletramp/internal/lab/record"
 )
 
-// checkResponse checks a response that a client got.
+// checkResponse checks a response that a client received.
 func (c *Checker) checkResponse(e *record.Event) {
 	request := c.requests[e.Request]
 	if request == nil {
@@ -51,7 +51,8 @@
 	}
 }
 
-// checkDrain checks that an attempt does not go to a node whose drain the sidecar has long known of.
+// checkDrain checks that an attempt is not sent to a node more than DrainGrace after the sidecar was notified of its
+// drain.
 func (c *Checker) checkDrain(e *record.Event) {
 	since, draining := c.drainingSince[sidecarNode{e.Sidecar, e.Node}]
 	if draining && e.At-since > c.limits.DrainGrace {
@@ -60,7 +61,8 @@
 	}
 }
 
-// checkSent checks that an attempt belongs to an open request and may follow the attempts before it.
+// checkSent checks that a sent attempt belongs to a known request without a final response, allowing for SendGrace, and
+// that it may follow the earlier attempts.
 func (c *Checker) checkSent(e *record.Event) {
 	request := c.requests[e.Request]
 	if request == nil {
@@ -78,7 +80,8 @@
 	request.attempts = append(request.attempts, attempt{number: e.Attempt, node: e.Node, sentAt: e.At})
 }
 
-// checkRetry checks that an attempt may follow an earlier one, which may have run unless its node rejected it.
+// checkRetry checks that an attempt may follow an earlier one. The earlier one may have run unless its node
+// rejected it.
 func (c *Checker) checkRetry(request *request, earlier attempt, e *record.Event) {
 	class := request.event.Class
 	rules := c.limits.Classes[class]
@@ -97,7 +100,7 @@
 	}
 }
 
-// checkRun checks that a node does not begin a request that another attempt has already begun.
+// checkRun checks that a request that is not idempotent does not run more than once.
 func (c *Checker) checkRun(request *request, e *record.Event) {
 	request.runs++
 	class := request.event.Class
--- a/internal/lab/checker/request.go
+++ b/internal/lab/checker/request.go
@@ -7,16 +7,16 @@
 	"milletramp.example/milletramp/internal/lab/record"
 )
 
-// request is what was seen of one request.
+// request is the tracked state of one request.
 type request struct {
-	event       record.Event // that began it
-	abandoned   bool         // no response is due: its client left or never reached the sidecar, or the sidecar died
-	responses   int
-	respondedAt time.Duration // of the first response
+	event       record.Event  // the event that started the request
+	abandoned   bool          // no response is due: client left or did not reach the sidecar, or sidecar went down
+	responses   int           // responses that the client received
+	respondedAt time.Duration // time of the first response
 	attempts    []attempt
-	runs        int           // attempts that a node began to work on
-	idleSince   time.Duration // when its last attempt in flight ended
-	tokens      []uint64      // of the responses that nodes wrote for it
+	runs        int           // times that a node started to run the request
+	idleSince   time.Duration // when the last attempt in flight ended, or when the request started
+	tokens      []uint64      // tokens of the successful responses that nodes returned for the request
 }
 
 // attempt is one attempt of a request at a node.
@@ -24,27 +24,27 @@
 	number   uint8
 	node     int32
 	sentAt   time.Duration
-	rejected bool // by the node, so that it has not run
+	rejected bool // rejected by the node, so it has not run
 	ended    bool
 }
 
-// deadline is the time by which a request must have its response, but for the slack.
+// deadline returns the time by which the client must receive the response, without ResponseSlack.
 func (r *request) deadline() time.Duration { return r.event.At + r.event.Wait }
 
-// open reports whether a response is due.
+// open reports whether the request still requires a response.
 func (r *request) open() bool { return r.responses == 0 && !r.abandoned }
 
-// mayHaveRun reports whether an attempt was sent and not rejected by its node.
+// mayHaveRun reports whether at least one attempt was sent and not rejected by its node.
 func (r *request) mayHaveRun() bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.rejected })
 }
 
-// inFlight reports whether an attempt has not ended.
+// inFlight reports whether at least one attempt has not ended.
 func (r *request) inFlight() bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.ended })
 }
 
-// replied notes what a node wrote as its response to an attempt.
+// replied records the response of a node to an attempt.
 func (r *request) replied(e *record.Event) {
 	if e.Status == record.Served {
 		r.tokens = append(r.tokens, e.Token)
@@ -59,7 +59,7 @@
 	}
 }
 
-// attemptEnded notes that an attempt is over.
+// attemptEnded records the end of an attempt.
 func (r *request) attemptEnded(e *record.Event) {
 	for i := range r.attempts {
 		if r.attempts[i].number == e.Attempt {
--- a/internal/lab/checker/rules.go
+++ b/internal/lab/checker/rules.go
@@ -5,53 +5,54 @@
 	"time"
 )
 
-// Rule names one of the binding rules. Its text is the one of reports.
+// Rule is the name of a rule, as printed in reports.
 type Rule string
 
 // The rules.
 const (
-	// RuleResponse: each request taken gets exactly one final response, at most a slack after its client's timeout.
+	// RuleResponse: each accepted request gets exactly one final response, at most ResponseSlack after its client's
+	// timeout.
 	RuleResponse Rule = "answer"
-	// RuleEffect: a request that may have run is retried only as its class allows, and rejected only then.
+	// RuleEffect: a request that may have run is retried or rejected only if its class allows it.
 	RuleEffect Rule = "effect"
-	// RuleDrain: a node that drains or is gone gets nothing new, but for a grace period.
+	// RuleDrain: no attempt is sent to a draining or gone node after the grace period.
 	RuleDrain Rule = "drain"
-	// RuleSlowStart: no node that has just started is overloaded.
+	// RuleSlowStart: a node that has just started is not overloaded.
 	RuleSlowStart Rule = "cold"
-	// RulePrompt: a request that was given up is answered at once.
+	// RulePrompt: a request that is given up gets its unsuccessful response within GiveUpGrace.
 	RulePrompt Rule = "prompt"
-	// RuleGenuine: no response is served that no node wrote, and no request is sent that no client made.
+	// RuleGenuine: each served response was returned by a node, and each request that is sent was made by a client.
 	RuleGenuine Rule = "genuine"
 )
 
-// Rules are all rules, in the order of reports.
+// Rules lists all rules in the order of reports.
 var Rules = []Rule{RuleResponse, RuleEffect, RuleDrain, RuleSlowStart, RulePrompt, RuleGenuine}
 
-// RetryRules says what may be done with a request of one class that may have run.
+// RetryRules are the permitted actions for a request of one class that may have run.
 type RetryRules struct {
 	Idempotent   bool                 // it may run any number of times
 	Deduplicated bool                 // it may be retried within DedupeWindow, on nodes of one PodGroup
-	DedupeWindow time.Duration        // from the first byte of the first attempt that may have run
-	PodGroup     func(node int32) int // the group of a node
+	DedupeWindow time.Duration        // since the first byte of the first attempt that may have run
+	PodGroup     func(node int32) int // returns the pod group of a node
 	MayReject    bool                 // it may be rejected though it may have run
 }
 
-// Limits are the classes of a deployment and how much the rules tolerate.
+// Limits are the retry rules of a deployment's classes and the tolerances of the rules.
 type Limits struct {
 	Classes       []RetryRules
 	ResponseSlack time.Duration // from the client's timeout to the final response
-	DrainGrace    time.Duration // from the notice of a drain to the last request that a sidecar sends to the node
-	GiveUpGrace   time.Duration // from the end of the last attempt in flight to the next attempt or the response
+	DrainGrace    time.Duration // from the notice of a drain to the last attempt that a sidecar may send to the node
+	GiveUpGrace   time.Duration // from the end of the last attempt, or the request, to an unsuccessful response
 	SendGrace     time.Duration // from the final response to the last attempt: a hedged request may be on its way
 
-	OverloadMultiple  float64       // of the work that a starting node can do within OverloadWindow
-	OverloadWindow    time.Duration // over which the work that reaches a node is summed
+	OverloadMultiple  float64       // permitted multiple of the work that a starting node can do within OverloadWindow
+	OverloadWindow    time.Duration // window over which the work that reaches a node is summed
 	OverloadSlack     float64       // work tolerated beyond the multiple, in seconds on a standard core
-	SlowStartCapacity float64       // share of its capacity that a node has when it starts
-	SlowStartWindow   time.Duration // in which its capacity grows to the whole
+	SlowStartCapacity float64       // share of its full capacity that a node has when it starts
+	SlowStartWindow   time.Duration // time in which its capacity grows to full capacity
 }
 
-// Violation is one rule broken once.
+// Violation is one violation of a rule.
 type Violation struct {
 	At     time.Duration
 	Rule   Rule
@@ -65,9 +66,9 @@
 
 // Verdict is the result of a run.
 type Verdict struct {
-	Requests   int          `json:"asked"`    // requests seen
-	Counts     map[Rule]int `json:"breaches"` // violations of each rule that was broken
-	Violations []Violation  `json:"first"`    // the first ones
+	Requests   int          `json:"asked"`    // number of requests
+	Counts     map[Rule]int `json:"breaches"` // number of violations per rule; rules without violations are absent
+	Violations []Violation  `json:"first"`    // the first maxViolations violations
 }
 
 // Clean reports whether no rule was broken.
--- a/internal/lab/checker/slowstart.go
+++ b/internal/lab/checker/slowstart.go
@@ -9,10 +9,10 @@
 // warmingNode is a node that started during the run.
 type warmingNode struct {
 	bootedAt   time.Duration
-	capacity   float64   // standard work a second once it is warm
-	arrivals   []arrival // within the overload window
-	work       float64   // of these arrivals
-	overloaded bool      // reported; it is not looked at again
+	capacity   float64   // work per second when warmed up, in seconds on a standard core
+	arrivals   []arrival // arrivals within the overload window
+	work       float64   // total work of these arrivals, in seconds on a standard core
+	overloaded bool      // the overload was reported; later arrivals are not checked
 }
 
 // arrival is an attempt that reached a node.
@@ -21,7 +21,7 @@
 	work float64
 }
 
-// add counts an attempt that reached the node and drops those that are older than the window.
+// add adds an arrival and drops those that are older than the window.
 func (n *warmingNode) add(a arrival, window time.Duration) {
 	n.arrivals = append(n.arrivals, a)
 	n.work += a.work
@@ -33,15 +33,15 @@
 	n.arrivals = n.arrivals[expired:]
 }
 
-// nodeStarted begins to watch a node that started during the run.
+// nodeStarted starts tracking a node that started during the run.
 func (c *Checker) nodeStarted(e *record.Event) {
 	if e.Boot > 0 {
 		c.warming[e.Node] = &warmingNode{bootedAt: e.Boot, capacity: e.Capacity}
 	}
 }
 
-// checkSlowStart checks that a starting node is not overloaded: the work that reaches it within any window stays under
-// a multiple of what it can do in that window.
+// checkSlowStart checks that a starting node is not overloaded: the work that reaches it within any OverloadWindow must
+// not exceed OverloadMultiple times the work it can do in that window, plus OverloadSlack.
 func (c *Checker) checkSlowStart(e *record.Event) {
 	node := c.warming[e.Node]
 	if node == nil || node.overloaded || e.At < node.bootedAt {
@@ -61,7 +61,8 @@
 	}
 }
 
-// capacityShare is the share of its capacity that a node has at an uptime. It grows linearly in the slow-start window.
+// capacityShare returns the share of its full capacity that a node has at the given uptime. The share grows linearly
+// during the slow-start window.
 func (l *Limits) capacityShare(uptime time.Duration) float64 {
 	if l.SlowStartWindow <= 0 || uptime >= l.SlowStartWindow {
 		return 1
