--- a/internal/lab/loopback/actions.go
+++ b/internal/lab/loopback/actions.go
@@ -93,7 +93,7 @@
 	case runplan.SlowNode:
 		server.SetSlowdown(now, action.Value)
 	case runplan.LoseClass:
-		server.Faults.SwallowedClasses[action.Class] = action.On
+		server.Faults.LostClasses[action.Class] = action.On
 	case runplan.RejectClass:
 		server.Faults.RejectedClasses[action.Class] = action.On
 	case runplan.LoseShare:
--- a/internal/lab/servermodel/server.go
+++ b/internal/lab/servermodel/server.go
@@ -16,7 +16,7 @@
 	Admitted     Admission = iota // the request is in service or waits; its job completes later
 	Deduplicated                  // its effect is a repeat: the job takes little work and has no effect
 	Rejected                      // the request does not run: the server is full, or a fault rejects its class
-	Swallowed                     // the request is lost by a fault: it does not run and gets no response
+	Lost                          // the request is lost by a fault: it does not run and gets no response
 )
 
 // Outcome is the kind of response to a request that ran.
@@ -31,11 +31,11 @@
 
 // Faults are the injected faults of a server.
 type Faults struct {
-	SwallowedClasses map[int]bool // classes whose requests get no response
-	RejectedClasses  map[int]bool // classes whose requests are rejected
-	LossShare        float64      // share of all requests that get no response
-	ErrorShare       float64      // share of requests that ran and fail
-	MalformedShare   float64      // share of requests that ran and whose response cannot be parsed
+	LostClasses     map[int]bool // classes whose requests get no response
+	RejectedClasses map[int]bool // classes whose requests are rejected
+	LossShare       float64      // share of all requests that get no response
+	ErrorShare      float64      // share of requests that ran and fail
+	MalformedShare  float64      // share of requests that ran and whose response cannot be parsed
 }
 
 // Server is a processor with deduplication, a key cache and injected faults.
@@ -52,7 +52,7 @@
 func NewServer(processor *Processor, pod *Pod, keys KeySettings, random *rand.Rand) *Server {
 	return &Server{
 		Processor: processor,
-		Faults:    Faults{SwallowedClasses: map[int]bool{}, RejectedClasses: map[int]bool{}},
+		Faults:    Faults{LostClasses: map[int]bool{}, RejectedClasses: map[int]bool{}},
 		pod:       pod,
 		keys:      newKeyCache(keys),
 		random:    random,
@@ -73,8 +73,8 @@
 	switch {
 	case s.Faults.RejectedClasses[arrival.Class]:
 		return Rejected
-	case s.Faults.SwallowedClasses[arrival.Class] || s.drawLoss():
-		return Swallowed
+	case s.Faults.LostClasses[arrival.Class] || s.drawLoss():
+		return Lost
 	case s.isFull(now): // checked before the effect is recorded: a retry of a rejected request has to run
 		return Rejected
 	}
--- a/internal/lab/servermodel/server_test.go
+++ b/internal/lab/servermodel/server_test.go
@@ -44,8 +44,8 @@
 			t.Errorf("request %d: verdict %v, work %v, want %v, %v", i, v, work, tt.want, tt.work)
 		}
 	}
-	b.Faults.SwallowedClasses[0] = true
-	if v, _ := arrive(b, time.Minute, 1, 0); v != Swallowed {
+	b.Faults.LostClasses[0] = true
+	if v, _ := arrive(b, time.Minute, 1, 0); v != Lost {
 		t.Errorf("verdict %v of a class that is swallowed", v)
 	}
 }
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -45,7 +45,7 @@
 		srv.SetSlowdown(s.now, act.Value)
 		srv.completeDueJobs()
 	case runplan.LoseClass:
-		srv.Faults.SwallowedClasses[act.Class] = act.On
+		srv.Faults.LostClasses[act.Class] = act.On
 	case runplan.RejectClass:
 		srv.Faults.RejectedClasses[act.Class] = act.On
 	case runplan.LoseShare:
--- a/internal/lab/sim/lossdetection.go
+++ b/internal/lab/sim/lossdetection.go
@@ -36,7 +36,7 @@
 
 // trueLossShare returns the share of a class's requests from a sidecar that a server loses now.
 func (s *simulation) trueLossShare(sc *sidecar, srv *server, class int) float64 {
-	if s.isCutOff(sc, srv) || srv.Faults.SwallowedClasses[class] {
+	if s.isCutOff(sc, srv) || srv.Faults.LostClasses[class] {
 		return 1
 	}
 	return srv.Faults.LossShare
--- a/internal/lab/sim/policy.go
+++ b/internal/lab/sim/policy.go
@@ -43,6 +43,6 @@
 
 // canServe reports whether a request of a class that a sidecar sends to a server now is served.
 func (s *simulation) canServe(sc *sidecar, srv *server, class int) bool {
-	responds := !srv.Faults.SwallowedClasses[class] && !srv.Faults.RejectedClasses[class]
+	responds := !srv.Faults.LostClasses[class] && !srv.Faults.RejectedClasses[class]
 	return responds && !srv.down && !s.isCutOff(sc, srv)
 }
--- a/internal/lab/sim/server.go
+++ b/internal/lab/sim/server.go
@@ -130,7 +130,7 @@
 		s.record(record.Event{Kind: record.Replied, Request: a.request.id, Attempt: a.number, Node: srv.index,
 			Status: record.Rejected})
 		a.endAfter(a.drawDelay(), record.Rejected)
-	case servermodel.Swallowed:
+	case servermodel.Lost:
 		a.noteLoss()
 	case servermodel.Deduplicated:
 		a.atServer = true
--- a/internal/standin/node_attempt.go
+++ b/internal/standin/node_attempt.go
@@ -95,7 +95,7 @@
 	case servermodel.Rejected:
 		a.reject(w)
 		return
-	case servermodel.Swallowed:
+	case servermodel.Lost:
 		<-r.Context().Done()
 		a.recordEnd(record.Cancelled)
 		panic(http.ErrAbortHandler)
