--- a/internal/lab/checker/checker_test.go
+++ b/internal/lab/checker/checker_test.go
@@ -97,7 +97,7 @@
 		{"attempt after the drain grace period", RuleDrain, idempotent, append([]record.Event{notified(-1000, 0, record.Gone)}, served...)},
 		{"second drain notice does not extend the grace period", RuleDrain, idempotent, append([]record.Event{notified(-1000, 0, record.Draining), notified(-1, 0, record.Gone)}, served...)},
 		{"node serving again", "", idempotent, append([]record.Event{notified(-1000, 0, record.Gone), notified(-1, 0, record.Serving)}, served...)},
-		{"cold node within its capacity", "", idempotent, append([]record.Event{arrived(2, 4, 1), arrived(900, 4, 0.9)}, served...)},
+		{"cold node within the overload limit", "", idempotent, append([]record.Event{arrived(2, 4, 1), arrived(900, 4, 0.9)}, served...)},
 		{"cold node overloaded", RuleSlowStart, idempotent, append([]record.Event{arrived(2, 4, 1.2), arrived(900, 4, 1.2)}, served...)},
 		{"work spread over more than one window", "", idempotent, append([]record.Event{arrived(2, 4, 1.2), arrived(1003, 4, 1)}, served...)},
 		{"more work at a warmed-up node", "", idempotent, append([]record.Event{arrived(2, 5, 9)}, served...)},
--- a/internal/lab/servermodel/server_test.go
+++ b/internal/lab/servermodel/server_test.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// TestServer has a server drop repeats within its pod's window alone, save work for a key it met, and note nothing of a
-// request that it turned away.
-func TestServer(t *testing.T) {
+// TestArrive checks that a server deduplicates repeats within the pod's dedupe window only, saves work on cached keys,
+// and records no effect of a rejected request.
+func TestArrive(t *testing.T) {
 	pod := NewPod(30 * time.Second)
-	server := func(room int) *Server {
-		processor := NewProcessor(Spec{Cores: 1, Speed: 1, Slots: 1, QueueLimit: room}, 0)
+	newServer := func(queueLimit int) *Server {
+		processor := NewProcessor(Spec{Cores: 1, Speed: 1, Slots: 1, QueueLimit: queueLimit}, 0)
 		keys := KeySettings{Saving: 0.5, Lifetime: 5 * time.Second, Max: 2}
 		return NewServer(processor, pod, keys, rand.New(rand.NewPCG(1, 2)))
 	}
-	a, b := server(0), server(9)
+	a, b := newServer(0), newServer(9)
 	arrive := func(s *Server, at time.Duration, key, effect uint64) (Admission, float64) {
-		j := &Job{Work: 0.1}
-		v := s.Arrive(at, j, Arrival{Key: key, Effect: effect})
-		return v, j.Work
+		job := &Job{Work: 0.1}
+		admission := s.Arrive(at, job, Arrival{Key: key, Effect: effect})
+		return admission, job.Work
 	}
 	for i, tt := range []struct {
 		s           *Server
@@ -30,27 +30,27 @@
 		work        float64
 	}{
 		{a, 0, 1, 7, Admitted, 0.1},
-		{a, 0, 2, 8, Rejected, 0.1},                      // no room
-		{b, 0, 2, 8, Admitted, 0.1},                      // and so not known
-		{b, time.Second, 1, 7, Deduplicated, 0.001},      // known to the pod
-		{b, time.Second, 2, 9, Admitted, 0.05},           // key met
-		{b, 7 * time.Second, 2, 10, Admitted, 0.1},       // too long ago
-		{b, 29 * time.Second, 3, 7, Deduplicated, 0.001}, //
-		{b, 30 * time.Second, 3, 7, Admitted, 0.1},       // out of the window
-		{b, 31 * time.Second, 4, 0, Admitted, 0.1},       // 2 is the one met longest ago, and forgotten
-		{b, 31 * time.Second, 2, 0, Admitted, 0.1},       //
+		{a, 0, 2, 8, Rejected, 0.1},                      // no free slot, no queue
+		{b, 0, 2, 8, Admitted, 0.1},                      // the rejected attempt left no effect
+		{b, time.Second, 1, 7, Deduplicated, 0.001},      // effect seen by another server of the pod
+		{b, time.Second, 2, 9, Admitted, 0.05},           // key cached
+		{b, 7 * time.Second, 2, 10, Admitted, 0.1},       // key expired
+		{b, 29 * time.Second, 3, 7, Deduplicated, 0.001}, // within the dedupe window
+		{b, 30 * time.Second, 3, 7, Admitted, 0.1},       // after the dedupe window
+		{b, 31 * time.Second, 4, 0, Admitted, 0.1},       // evicts key 2, the least recently used
+		{b, 31 * time.Second, 2, 0, Admitted, 0.1},       // key evicted
 	} {
-		if v, work := arrive(tt.s, tt.at, tt.key, tt.effect); v != tt.want || math.Abs(work-tt.work) > 1e-9 {
-			t.Errorf("request %d: verdict %v, work %v, want %v, %v", i, v, work, tt.want, tt.work)
+		if admission, work := arrive(tt.s, tt.at, tt.key, tt.effect); admission != tt.want || math.Abs(work-tt.work) > 1e-9 {
+			t.Errorf("request %d: admission %v, work %v, want %v, %v", i, admission, work, tt.want, tt.work)
 		}
 	}
 	b.Faults.LostClasses[0] = true
-	if v, _ := arrive(b, time.Minute, 1, 0); v != Lost {
-		t.Errorf("verdict %v of a class that is swallowed", v)
+	if admission, _ := arrive(b, time.Minute, 1, 0); admission != Lost {
+		t.Errorf("admission %v of a request of a lost class, want Lost", admission)
 	}
 }
 
-// TestDrawOutcome has a server fail and spoil the shares of responses that its faults say.
+// TestDrawOutcome checks that the shares of failed and malformed responses match the injected faults.
 func TestDrawOutcome(t *testing.T) {
 	const draws, tolerance = 10_000, 0.02
 	processor := NewProcessor(Spec{Cores: 1, Speed: 1, Slots: 1}, 0)
