--- a/internal/lab/checker/checker_test.go
+++ b/internal/lab/checker/checker_test.go
@@ -20,7 +20,7 @@
 		OverloadWindow: time.Second, SlowStartCapacity: 0.5, SlowStartWindow: 10 * time.Second}
 }
 
-// at sets the time of an event, in milliseconds, and its request to 1 if it has none.
+// at sets the time of an event, in milliseconds. The event is of request 1 and sidecar 0 unless it has others.
 func at(ms int, e record.Event) record.Event {
 	e.At = time.Duration(ms) * time.Millisecond
 	if e.Request == 0 {
