--- a/internal/lab/fleet/processes/backend.go
+++ b/internal/lab/fleet/processes/backend.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	responseTime     = 15 * time.Millisecond // of a backend without a fault
-	mutePollInterval = responseTime          // until a backend without a response looks whether its fault is over
-	// untouchedBackends are further backends that no operator's call concerns.
-	untouchedBackends = 2
+	responseTime      = 15 * time.Millisecond // of a backend without a fault
+	faultPollInterval = responseTime          // between two checks whether an unresponsive backend's fault is over
+	// extraBackends is the number of backends beyond those of the plan. No operator's call concerns them.
+	extraBackends = 2
 )
 
-// backend is a server that sidecars forward requests to. The plan may have it respond late or not at all.
+// backend is a server that sidecars forward requests to. The plan can make it respond late or not at all.
 type backend struct {
 	run   *fleetRun
 	index int
@@ -23,10 +23,10 @@
 
 func serverName(index int) string { return fmt.Sprint("s-", index) }
 
-// startBackends starts all backends and returns the list of them for discovery.
+// startBackends starts all backends and returns their endpoint list for discovery, as JSON.
 func (r *fleetRun) startBackends() (endpoints []byte, err error) {
 	list := endpointList{Revision: 1, Complete: true}
-	for i := range r.plan.Servers + untouchedBackends {
+	for i := range r.plan.Servers + extraBackends {
 		address, err := r.serve(&backend{run: r, index: i})
 		if err != nil {
 			return nil, err
@@ -38,19 +38,20 @@
 	return json.Marshal(list)
 }
 
-// ServeHTTP responds to a request, whose id begins with its sidecar's name.
+// ServeHTTP responds to a request and records its arrival and, unless the backend is unresponsive, its end. The request
+// id begins with the name of the sidecar that forwarded it.
 func (b *backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	sidecarName, _, _ := strings.Cut(r.Header.Get(requestIDHeader), "-")
 	recorder, server := b.run.recorder, serverName(b.index)
 	recorder.addSend(sidecarName, server)
-	mute, delay := b.condition()
+	unresponsive, delay := b.condition()
 	select {
 	case <-time.After(responseTime + delay):
 	case <-r.Context().Done():
 		recorder.addEnd(sidecarName, server, false)
 		return
 	}
-	if mute {
+	if unresponsive {
 		b.withholdResponse(r)
 		return
 	}
@@ -58,21 +59,22 @@
 	fmt.Fprint(w, "ok")
 }
 
-// withholdResponse waits until the client goes or the fault is over. In the latter case it closes the connection.
+// withholdResponse waits until the client disconnects or the fault is over. In the latter case it closes the connection
+// without a response.
 func (b *backend) withholdResponse(r *http.Request) {
 	for {
 		select {
-		case <-time.After(mutePollInterval):
+		case <-time.After(faultPollInterval):
 		case <-r.Context().Done():
 			return
 		}
-		if mute, _ := b.condition(); !mute {
+		if unresponsive, _ := b.condition(); !unresponsive {
 			panic(http.ErrAbortHandler)
 		}
 	}
 }
 
-// condition is what the plan has the backend do now.
-func (b *backend) condition() (mute bool, delay time.Duration) {
+// condition returns the backend's fault at the current time of the plan: no response at all, or an added delay.
+func (b *backend) condition() (unresponsive bool, delay time.Duration) {
 	return b.run.plan.ServerCondition(b.run.clock.now(), b.index)
 }
--- a/internal/lab/fleet/processes/status.go
+++ b/internal/lab/fleet/processes/status.go
@@ -11,18 +11,18 @@
 	"milletramp.example/milletramp/internal/lab/fleet/checker"
 )
 
-// The phases, as an admin server names them, in which a sidecar vouches for holding what the fleet holds.
+// The phases, as named by the admin server, in which a sidecar guarantees that its copy of the fleet state is complete.
 const (
 	phaseSynced       = "whole"
 	phaseBootstrapped = "fresh"
 )
 
-// fleetStatus is what a sidecar's admin server shows of the fleet, as far as the checker needs it. It shares no type
+// fleetStatus is the part of the fleet status at a sidecar's admin server that the checker needs. It shares no type
 // with the sidecar.
 type fleetStatus struct {
 	Phase       string            `json:"phase"`
 	MembersHere int               `json:"members_here"`
-	Sums        map[string]string `json:"sums"` // by kind of row
+	Sums        map[string]string `json:"sums"` // checksums by kind of row
 	Servers     []struct {
 		ID    string `json:"id"`
 		Out   bool   `json:"out"`
@@ -47,7 +47,7 @@
 	return status, json.Unmarshal([]byte(response.body), &status) == nil
 }
 
-// pollStatus records what the sidecar shows at each interval until the context ends.
+// pollStatus records the sidecar's status every PollInterval until the context ends.
 func (s *sidecar) pollStatus(ctx context.Context) {
 	ticker := time.NewTicker(s.run.options.PollInterval)
 	defer ticker.Stop()
@@ -61,53 +61,54 @@
 	}
 }
 
-// observe records what the sidecar shows, and returns the sum of its copy; "": it shows nothing.
+// observe records the sidecar's status and returns the checksum of its copy. It returns "" without a record if the
+// sidecar is down, does not respond or is restarted meanwhile.
 func (s *sidecar) observe() (sum string) {
 	before, running := s.currentIncarnation()
 	if !running {
 		return ""
 	}
 	status, ok := s.fleetStatus()
-	at := s.run.clock.now() // not before: a suspended process shows what it holds when it is resumed
+	at := s.run.clock.now() // taken after the response: a suspended process responds with its state at resumption
 	after, running := s.currentIncarnation()
 	if !ok || !running || after != before {
 		return ""
 	}
-	show := status.asShow()
-	show.At = at
-	show.Sidecar = s.name
-	show.Incarnation = before.number
-	s.run.recorder.addShow(before, show)
-	return show.Checksum
+	snapshot := status.toSnapshot()
+	snapshot.At = at
+	snapshot.Sidecar = s.name
+	snapshot.Incarnation = before.number
+	s.run.recorder.addSnapshot(before, snapshot)
+	return snapshot.Checksum
 }
 
-// asShow is the status in the checker's terms.
-func (f fleetStatus) asShow() checker.Snapshot {
-	show := checker.Snapshot{
+// toSnapshot converts the status to the checker's type.
+func (f fleetStatus) toSnapshot() checker.Snapshot {
+	snapshot := checker.Snapshot{
 		Ready:      f.Phase == phaseSynced || f.Phase == phaseBootstrapped,
-		Checksum:   f.copySum(),
+		Checksum:   f.checksum(),
 		Calls:      map[string][]checker.ActiveCall{},
 		Suspicions: map[string]time.Duration{},
 	}
 	for _, server := range f.Servers {
 		if server.Out {
-			show.AdminDown = append(show.AdminDown, server.ID)
+			snapshot.AdminDown = append(snapshot.AdminDown, server.ID)
 		}
 		for _, call := range server.Calls {
-			standing := checker.ActiveCall{ID: callID(server.ID, call.ID), Down: call.Out}
-			show.Calls[server.ID] = append(show.Calls[server.ID], standing)
+			active := checker.ActiveCall{ID: callID(server.ID, call.ID), Down: call.Out}
+			snapshot.Calls[server.ID] = append(snapshot.Calls[server.ID], active)
 		}
 	}
 	for _, suspicion := range f.Suspicions {
 		if suspicion.Suspected && suspicion.Listed {
-			show.Suspicions[suspicion.ID] = time.Duration(suspicion.Seconds * float64(time.Second))
+			snapshot.Suspicions[suspicion.ID] = time.Duration(suspicion.Seconds * float64(time.Second))
 		}
 	}
-	return show
+	return snapshot
 }
 
-// copySum is the same for equal copies.
-func (f fleetStatus) copySum() string {
+// checksum returns a string that is the same for equal copies.
+func (f fleetStatus) checksum() string {
 	parts := make([]string, 0, len(f.Sums))
 	for kind, sum := range f.Sums {
 		parts = append(parts, kind+" "+sum)
