--- a/internal/lab/fleet/checker/admindown.go
+++ b/internal/lab/fleet/checker/admindown.go
@@ -9,8 +9,8 @@
 // administratively down could have reached it.
 const AdminDownGrace = time.Second
 
-// sidecarServer identifies a sidecar's view of a server. The rules that use it as a key report only the first violation
-// of each view.
+// sidecarServer identifies a pair of a sidecar and a server. The rules that use it as a key report only the first
+// violation of each pair.
 type sidecarServer struct {
 	sidecar string
 	server  string
--- a/internal/lab/fleet/checker/history.go
+++ b/internal/lab/fleet/checker/history.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// checkNothingResurrected checks three requirements on each incarnation of a sidecar: after a row of one incarnation of
-// an owner it shows no row of an earlier incarnation of that owner, the version of a row does not decrease, and a call
-// that is no longer in force does not reappear.
+// checkNothingResurrected checks each incarnation of a sidecar for three requirements. After the sidecar shows a row of
+// one incarnation of an owner, it shows no row of an earlier incarnation of that owner. The version of a row does not
+// decrease. A call that is no longer in force does not reappear.
 func checkNothingResurrected(r *Record) (violations []Violation) {
 	histories := map[string]*history{}
 	for i := range r.Snapshots {
--- a/internal/lab/fleet/checker/readiness.go
+++ b/internal/lab/fleet/checker/readiness.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// minReadyPeers is the minimum number of other ready sidecars whose common calls count as those of the fleet.
+// minReadyPeers is the minimum number of other ready sidecars that checkReadyWhenSynced needs for a comparison. With
+// fewer, it requires no calls.
 const minReadyPeers = 2
 
 // checkReadyWhenSynced requires that a sidecar that starts or restarts becomes ready only after it holds all calls that
@@ -25,8 +26,8 @@
 	return violations
 }
 
-// missingCalls returns a violation for each call on a server that the other sidecars hold and that is missing from a
-// snapshot, unless it is superseded.
+// missingCalls returns a violation for each of the held calls on a server that a sidecar's snapshot does not contain.
+// Calls superseded by the time of the snapshot are exempt.
 func (r *Record) missingCalls(s Snapshot, server string, held []ActiveCall) (violations []Violation) {
 	for _, call := range held {
 		if !slices.Contains(s.Calls[server], call) && !r.isSuperseded(call.ID, s.At) {
--- a/internal/lab/fleet/checker/record.go
+++ b/internal/lab/fleet/checker/record.go
@@ -10,7 +10,7 @@
 	Outcomes      []Outcome
 	WrittenRows   []Row // last version that the owner wrote, by row and incarnation
 
-	// FaultsEnd is the time at which the last fault ended.
+	// FaultsEnd is the time by which all faults have ended.
 	FaultsEnd time.Duration
 	// ConvergenceTime is how long after FaultsEnd the copies of the shared state may differ.
 	ConvergenceTime time.Duration
@@ -19,8 +19,8 @@
 	// Sidecars are the names of the sidecars that have to be running at the end.
 	Sidecars []string
 
-	// LostCalls are the IDs of the calls for which every sidecar that held the call was killed before it could send the
-	// call to another sidecar.
+	// LostCalls are the IDs of the calls that may have been lost, because every sidecar that held the call was killed
+	// before it could send the call to another sidecar.
 	LostCalls map[string]bool
 	// KnownSince returns the earliest time at which a call could have reached the incarnation that a sidecar has at the
 	// given time, or false if the call could not have reached it by the end of the record. The state of an earlier
--- a/internal/lab/fleet/faultplan/choices.go
+++ b/internal/lab/fleet/faultplan/choices.go
@@ -1,10 +1,9 @@
 package faultplan
 
-// choice is a fault that may be drawn. It fills in the remaining fields of a fault whose times are set and adds it to
-// the plan.
+// choice is a function that completes a fault whose times are set and adds it to the plan.
 type choice func(d *drawer, f Fault)
 
-// addOneOf adds a fault by one of the choices, drawn at random.
+// addOneOf calls one of the choices, drawn at random, with a fault whose times are set.
 func (d *drawer) addOneOf(f Fault, choices []choice) {
 	choices[d.random.IntN(len(choices))](d, f)
 }
@@ -23,8 +22,8 @@
 	}
 }
 
-// onLinksFrom returns a choice that applies a fault to all messages from one to most sidecars, with an amount from
-// least to least+span.
+// onLinksFrom returns a choice that applies a fault to all messages sent by a random set of one to most sidecars, with
+// an amount from least to least+span.
 func onLinksFrom(most int, kind Kind, least, span float64) choice {
 	return func(d *drawer, f Fault) {
 		f.Kind = kind
@@ -34,7 +33,7 @@
 	}
 }
 
-// cutOneWay returns a choice that drops all messages from one to most sidecars to the other sidecars.
+// cutOneWay returns a choice that drops all messages sent by a random set of one to most sidecars to the others.
 func cutOneWay(most int) choice {
 	return func(d *drawer, f Fault) {
 		f.Kind = Cut
@@ -44,7 +43,7 @@
 	}
 }
 
-// split returns a choice that cuts one to most sidecars off from the others in both directions.
+// split returns a choice that cuts a random set of one to most sidecars off from the others in both directions.
 func split(most int) choice {
 	return func(d *drawer, f Fault) { d.addSplit(f, d.drawSidecars(most)) }
 }
@@ -61,7 +60,7 @@
 	d.addFault(f)
 }
 
-// onSidecars returns a choice that applies a fault to one to most sidecars.
+// onSidecars returns a choice that applies a fault to a random set of one to most sidecars.
 func onSidecars(kind Kind, most int) choice {
 	return func(d *drawer, f Fault) {
 		f.Kind = kind
@@ -80,8 +79,8 @@
 // maxClockOffset is the maximum offset of a clock in either direction, in seconds.
 const maxClockOffset = 3600
 
-// clocksOff returns a choice that shifts the time of day of one to most sidecars by up to an hour. The fault lasts for
-// the length of the plan.
+// clocksOff returns a choice that shifts the time of day of a random set of one to most sidecars by up to an hour. The
+// fault lasts for the length of the plan.
 func clocksOff(most int) choice {
 	return func(d *drawer, f Fault) {
 		f.Kind = Clock
--- a/internal/lab/fleet/faultplan/condition.go
+++ b/internal/lab/fleet/faultplan/condition.go
@@ -10,7 +10,7 @@
 	Cut       bool
 	Drop      float64       // share of the messages that are lost
 	Duplicate float64       // share of the messages that arrive twice
-	Delay     time.Duration // upper bound: the delay of each message is uniform from 0 to this
+	Delay     time.Duration // maximum; the delay of each message is uniform between 0 and Delay
 	Rate      float64       // bytes per second; 0: unlimited
 }
 
@@ -45,7 +45,8 @@
 	}
 }
 
-// ClockOffset returns the offset of a sidecar's time of day at a time, the sum of all its clock faults.
+// ClockOffset returns the offset of a sidecar's time of day at a time. It is the sum of the clock faults that are
+// active at that time.
 func (p Plan) ClockOffset(at time.Duration, sidecar int) (offset time.Duration) {
 	for _, f := range p.Faults {
 		if f.Kind == Clock && f.concerns(at, sidecar) {
--- a/internal/lab/fleet/faultplan/draw.go
+++ b/internal/lab/fleet/faultplan/draw.go
@@ -32,8 +32,8 @@
 	return d.finish()
 }
 
-// DrawServers draws a plan in which some servers are unresponsive and others are slow, while messages between sidecars
-// are lost, delayed or duplicated, or sidecars are cut off or suspended for a time.
+// DrawServers draws a plan in which some servers are unresponsive and others are slow. In addition, messages between
+// sidecars are lost, delayed or duplicated, or sidecars are cut off or suspended for a time.
 func DrawServers(seed uint64, sidecars int, length time.Duration) Plan {
 	d := newDrawer(serversStream, Plan{Seed: seed, Sidecars: sidecars, Servers: 8, Length: length})
 	order := d.random.Perm(d.plan.Servers)
@@ -61,9 +61,9 @@
 	d.addFault(Fault{Kind: kind, At: at, Duration: half, From: servers, Amount: amount})
 }
 
-// DrawChanges draws a plan that starts without faults and in which the policy is changed several times while messages
-// are lost or delayed, or sidecars are cut off, suspended, killed or upgraded. These may include the first three
-// sidecars, which are voters.
+// DrawChanges draws a plan that starts without faults and changes the policy several times. Meanwhile messages are lost
+// or delayed, or sidecars are cut off, suspended, killed or upgraded. The affected sidecars may include the first
+// three, which are voters.
 func DrawChanges(seed uint64, sidecars int, length time.Duration) Plan {
 	d := newDrawer(changeStream, Plan{Seed: seed, Sidecars: sidecars, Servers: 2, Length: length})
 	choices := []choice{
@@ -85,9 +85,9 @@
 	return d.finish()
 }
 
-// DrawUpgrades draws a plan that starts without faults and in which sidecars are upgraded, at least one of them while
-// it is cut off, and messages may be lost, delayed or duplicated. Operators call at the upgraded sidecars shortly
-// before, during and after the upgrades.
+// DrawUpgrades draws a plan that starts without faults and upgrades sidecars. At least one sidecar is cut off during
+// its upgrade, and messages may be lost, delayed or duplicated. Operators call at the upgraded sidecars shortly before,
+// during and after the upgrades.
 func DrawUpgrades(seed uint64, sidecars int, length time.Duration) Plan {
 	d := newDrawer(upgradeStream, Plan{Seed: seed, Sidecars: sidecars, Servers: 4, Length: length})
 	order := d.random.Perm(sidecars)
@@ -126,8 +126,8 @@
 	d.addFault(Fault{Kind: Upgrade, At: at, Duration: overlap, From: []int{sidecar}})
 }
 
-// addCutAround cuts some sidecars off from before a time until after it, either in both directions or only for messages
-// that they send.
+// addCutAround cuts some sidecars off in a period around a time, either in both directions or only for messages that
+// they send.
 func (d *drawer) addCutAround(at time.Duration, side []int) {
 	slices.Sort(side)
 	length := d.plan.Length
--- a/internal/lab/fleet/faultplan/drawer.go
+++ b/internal/lab/fleet/faultplan/drawer.go
@@ -15,8 +15,8 @@
 	changeStream  = 0x706f6c69
 )
 
-// quietDivisor is the divisor of a plan's length that gives the initial period without faults, a sixth of the plan, in
-// which the fleet can form.
+// quietDivisor determines the initial period without faults, in which the fleet can form. The period is a sixth of the
+// plan's length.
 const quietDivisor = 6
 
 // drawer draws a plan. The plan of a seed depends on the order in which random numbers are drawn, so this order must
@@ -62,7 +62,7 @@
 
 func (d *drawer) drawSidecar() int { return d.random.IntN(d.plan.Sidecars) }
 
-// drawSidecars draws one to most sidecars, sorted by index.
+// drawSidecars draws a random set of one to most sidecars, sorted by index.
 func (d *drawer) drawSidecars(most int) []int {
 	order := d.random.Perm(d.plan.Sidecars)
 	drawn := order[:d.drawNumber(1, max(1, most))]
--- a/internal/lab/fleet/processes/admin.go
+++ b/internal/lab/fleet/processes/admin.go
@@ -61,7 +61,7 @@
 }
 
 // setAdminDown sets a server administratively down or up through this sidecar's admin server, as an operator does. It
-// records a failure if the call fails while the plan has the sidecar running.
+// records a failure if the call fails, unless the sidecar is expected to be down (see expectedDown).
 func (s *sidecar) setAdminDown(server string, down bool) {
 	path := serverUpPath
 	if down {
@@ -80,7 +80,7 @@
 		response = s.callAdmin(http.MethodPost, path, body)
 	}
 	if response.status != http.StatusOK && !s.expectedDown(started-adminTimeout, s.run.clock.now()) {
-		s.run.recorder.addFailure("%s responded to a call on %s with %d %q",
+		s.run.recorder.addFailure("%s: operator's call on server %s failed: status %d, body %q",
 			s.name, server, response.status, response.body)
 	}
 }
--- a/internal/lab/fleet/processes/client.go
+++ b/internal/lab/fleet/processes/client.go
@@ -23,7 +23,7 @@
 var requestCounter atomic.Int64
 
 // sendRequests sends one request after another until the context ends. It records a failure for a request without a
-// response unless the plan has the sidecar down.
+// response, unless the sidecar is expected to be down (see expectedDown).
 func (s *sidecar) sendRequests(ctx context.Context) {
 	client := newHTTPClient()
 	defer client.CloseIdleConnections()
--- a/internal/lab/fleet/processes/files.go
+++ b/internal/lab/fleet/processes/files.go
@@ -23,14 +23,14 @@
 	readClass = `{"name":"read","effect":"idempotent","aim_s":0.5,"deadline_s":2}`
 )
 
-// policyDocument returns the policy document with a number, counted from 0. It has a request class that no other
-// document has.
+// policyDocument returns the policy document with the given number, counted from 0. Each document has a request class
+// of its own.
 func policyDocument(number int) []byte {
 	return fmt.Appendf(nil, `{%s,"request_classes":[%s,{"name":%q,"effect":"idempotent","aim_s":0.5,"deadline_s":2}]}`,
 		policySettings, readClass, documentClass(number))
 }
 
-// documentClass returns the name of the request class that only the document with this number has.
+// documentClass returns the name of the request class that exists only in the document with the given number.
 func documentClass(number int) string { return fmt.Sprint("p", number) }
 
 func (r *fleetRun) fleetFile() string { return filepath.Join(r.options.Dir, fleetFileName) }
--- a/internal/lab/fleet/processes/policy_author.go
+++ b/internal/lab/fleet/processes/policy_author.go
@@ -15,11 +15,11 @@
 const (
 	leaseLength         = 1500 * time.Millisecond
 	outcomePollInterval = 100 * time.Millisecond
-	outcomeTimeout      = 20 * time.Second // until an author gives up on a proposal
+	outcomeTimeout      = 20 * time.Second // limit for a proposal to reach a final state
 	finalChangeDelay    = 3 * time.Second  // from the end of the plan to the final policy change
 )
 
-// policyAuthor proposes one policy change and follows its outcome.
+// policyAuthor proposes one policy change and polls its outcome.
 type policyAuthor struct {
 	run      *fleetRun
 	proposal Proposal
@@ -40,7 +40,7 @@
 	Reason string        `json:"reason"`
 }
 
-// policyStatus is the part of an admin server's policy status that an author needs.
+// policyStatus is the part of an admin server's policy status that policyInForce reads.
 type policyStatus struct {
 	Voters []struct {
 		InForce uint64 `json:"in_force"`
--- a/internal/lab/fleet/processes/policy_client.go
+++ b/internal/lab/fleet/processes/policy_client.go
@@ -8,8 +8,8 @@
 
 const policyRequestInterval = 10 * time.Millisecond
 
-// sendPolicyRequests sends requests until the context ends, each of the class of the next document in turn, and records
-// those that are served. It does not check that each request has a response; sendRequests does.
+// sendPolicyRequests sends requests until the context ends and records those that are served. The requests have the
+// classes of the documents in turn. Unlike sendRequests, it does not check that each request has a response.
 func (s *sidecar) sendPolicyRequests(ctx context.Context) {
 	client := newHTTPClient()
 	defer client.CloseIdleConnections()
--- a/internal/lab/fleet/processes/policy_history.go
+++ b/internal/lab/fleet/processes/policy_history.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// ServedRequest is a request that a sidecar served, with the policy document that it was served under. The document is
-// derived from the request's class and not from the sidecar's status: each document has a class that no other has.
+// ServedRequest is a request that a sidecar served, and the policy document that was in force for the request. The
+// request's class identifies the document, as each document has a class of its own; the sidecar's status is not used.
 type ServedRequest struct {
 	Sidecar        string
 	Document       int
--- a/internal/lab/fleet/processes/policy_test.go
+++ b/internal/lab/fleet/processes/policy_test.go
@@ -34,8 +34,8 @@
 	DescribeOperation: func(input, _ any) string { return fmt.Sprintf("%+v", input) },
 }
 
-// operationsOf converts a history to operations of the model. It leaves out refused changes, and changes with an unknown outcome that
-// no request was served under. Other changes with an unknown outcome have no end.
+// operationsOf converts a history to operations of the model. It omits refused changes. It also omits a change with an
+// unknown outcome if no request was served under its document; other changes with an unknown outcome have no end.
 func operationsOf(p PolicyHistory) (operations []porcupine.Operation) {
 	served := map[int]bool{}
 	clients := map[string]int{}
--- a/internal/lab/fleet/processes/recorder.go
+++ b/internal/lab/fleet/processes/recorder.go
@@ -12,8 +12,8 @@
 // maxFailures limits the number of recorded failures, so that one cause does not flood the report.
 const maxFailures = 10
 
-// recorder collects the observations of the fleet. It is safe for concurrent use. Entries that are stamped by the
-// recorder get their time under the lock, so that they are in chronological order.
+// recorder collects the observations of the fleet. It is safe for concurrent use. The times that it sets itself are in
+// chronological order, because it sets them under the lock.
 type recorder struct {
 	clock *planClock
 
@@ -51,8 +51,8 @@
 	c.record.Outcomes = append(c.record.Outcomes, end)
 }
 
-// addOperatorCall records a call that a sidecar has accepted. The call counts as acknowledged from now on: the calls
-// that it replaces are gone, whether or not the operator receives the response.
+// addOperatorCall records a call that a sidecar has accepted. The call counts as acknowledged from now on, even if the
+// operator does not receive the response, because it has already replaced earlier calls.
 func (c *recorder) addOperatorCall(call checker.OperatorCall) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/fleet/processes/result.go
+++ b/internal/lab/fleet/processes/result.go
@@ -16,7 +16,8 @@
 	heavyLoss = 0.4
 )
 
-// result returns the record and the policy history, with the fields that follow from the plan filled in.
+// result returns the record and the policy history. It sets the fields of the record that are computed from the plan
+// and the options.
 func (r *fleetRun) result() (record checker.Record, history PolicyHistory, err error) {
 	c := r.recorder
 	c.mu.Lock()
@@ -41,8 +42,10 @@
 	return record, c.policy, nil
 }
 
-// knownSince returns the time since which the sidecar's incarnation at a given time could have received a call: when it
-// first showed the call, or propagationTime after the call if no fault was near; false if neither applies.
+// knownSince returns the earliest time at which a call could have reached the incarnation that the sidecar has at the
+// given time. This is the time at which that incarnation first showed the call. If it has not shown the call, the time
+// is propagationTime after the call, provided that the incarnation started before the call and no fault except clock
+// faults was active within propagationTime of the call. Otherwise knownSince returns false.
 func (r *fleetRun) knownSince(call checker.OperatorCall, sidecarName string, at time.Duration) (
 	time.Duration, bool,
 ) {
@@ -76,8 +79,8 @@
 	return slices.IndexFunc(r.sidecars, func(s *sidecar) bool { return s.name == name })
 }
 
-// isolatedBetween reports whether the plan has a fault between two times that isolates the sidecar (see isolates), or
-// had one less than recoveryTime before. A cut isolates only the sidecars in its From list.
+// isolatedBetween reports whether a fault in the plan that isolates the sidecar (see isolates) is active between two
+// times, or ended less than recoveryTime before the first of them. A cut isolates only the sidecars in its From list.
 func (r *fleetRun) isolatedBetween(sidecarName string, from, to time.Duration) bool {
 	index := r.sidecarIndex(sidecarName)
 	return slices.ContainsFunc(r.plan.Faults, func(f faultplan.Fault) bool {
--- a/internal/lab/fleet/processes/run.go
+++ b/internal/lab/fleet/processes/run.go
@@ -67,7 +67,7 @@
 	return r.result()
 }
 
-// faultsEnd returns the time in the plan at which its last fault and call are over.
+// faultsEnd returns the end of the plan's last fault, call or change, or the plan's length if that is later.
 func (r *fleetRun) faultsEnd() time.Duration { return max(r.plan.End(), r.plan.Length) }
 
 // executeUntil executes the plan, with clients and polls running until the end, and returns when all goroutines have
--- a/internal/lab/fleet/processes/run_test.go
+++ b/internal/lab/fleet/processes/run_test.go
@@ -56,7 +56,7 @@
 	}
 	status := m.Run()
 	release()
-	_ = os.RemoveAll(dir) // files that cannot be removed are left to the system
+	_ = os.RemoveAll(dir) // an error is ignored: the folder is temporary
 	os.Exit(status)
 }
 
--- a/internal/lab/fleet/processes/sidecar.go
+++ b/internal/lab/fleet/processes/sidecar.go
@@ -19,7 +19,7 @@
 	processesPerSidecar = 2
 	// restartGrace is the time after a kill or suspension during which a sidecar may fail to respond.
 	restartGrace = startTimeout / 10
-	// killOverlap is the maximum time by which a start may precede the end of its kill.
+	// killOverlap is how long before the end of a Kill fault the sidecar may be started.
 	killOverlap = 10 * time.Millisecond
 )
 
@@ -164,8 +164,8 @@
 	return s.slot
 }
 
-// expectedDown reports whether the plan has the sidecar killed or suspended at any time between two times, or had it so
-// less than restartGrace before.
+// expectedDown reports whether a fault in the plan that kills or suspends the sidecar is active between two times, or
+// ended less than restartGrace before the first of them.
 func (s *sidecar) expectedDown(from, to time.Duration) bool {
 	return slices.ContainsFunc(s.run.plan.Faults, func(f faultplan.Fault) bool {
 		stops := f.Kind == faultplan.Kill || f.Kind == faultplan.Suspend
--- a/internal/lab/fleet/processes/status.go
+++ b/internal/lab/fleet/processes/status.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// observe records the sidecar's status and returns the checksum of its copy. It returns "" without a record if the
+// observe records the sidecar's status and returns the checksum of its copy. It records nothing and returns "" if the
 // sidecar is down, does not respond or is restarted meanwhile.
 func (s *sidecar) observe() (sum string) {
 	before, running := s.currentIncarnation()
--- a/internal/lab/fleet/sim/fleet.go
+++ b/internal/lab/fleet/sim/fleet.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// planEnd returns the end of the plan's last fault, or the plan's length if that is longer.
+// planEnd returns the end of the plan's last fault, call or change, or the plan's length if that is later.
 func (f *Fleet) planEnd() time.Duration {
 	return max(f.Plan.End(), f.Plan.Length)
 }
--- a/internal/lab/fleet/sim/network.go
+++ b/internal/lab/fleet/sim/network.go
@@ -10,12 +10,12 @@
 
 const (
 	maxLinkLatency  = 2 * time.Millisecond // upper bound for a message on a link without faults
-	maxLinkQueueing = time.Second          // queueing delay at which a rate-limited link drops datagrams
+	maxLinkQueueing = time.Second          // queueing delay above which a rate-limited link drops datagrams
 	fetchTimeout    = time.Second
 )
 
-// errFetchTimeout ends a snapshot fetch without a response within fetchTimeout.
-var errFetchTimeout = errors.New("no answer")
+// errFetchTimeout is the result of a snapshot fetch that has no response within fetchTimeout.
+var errFetchTimeout = errors.New("snapshot fetch timed out")
 
 // link is a directed pair of sidecars, by their indexes.
 type link struct{ from, to int }
@@ -124,7 +124,7 @@
 		return
 	}
 	s.execute(func() {
-		// The error is that of the fetch, or is included in the machine's counters.
+		// The returned error is either err or included in the machine's counters.
 		_ = s.Machine.ReceiveSnapshot(s.Clock(), t.address, snapshot, err)
 	})
 }
--- a/internal/lab/fleet/sim/operators.go
+++ b/internal/lab/fleet/sim/operators.go
@@ -9,7 +9,7 @@
 	"milletramp.example/milletramp/internal/lab/fleet/checker"
 )
 
-// serverName returns the name of the plan's server with an index.
+// serverName returns the name of the server with the given index in the plan.
 func serverName(index int) string { return fmt.Sprintf("s-%d", index) }
 
 // callID returns the identifier of an operator call. Each incarnation numbers its calls separately for each server.
--- a/internal/lab/fleet/sim/process.go
+++ b/internal/lab/fleet/sim/process.go
@@ -51,7 +51,8 @@
 	s.fleet.scheduler.after(tickInterval, func() { s.tick(epoch) })
 }
 
-// execute runs an action in the process, if one runs. While it is suspended, up to maxPending actions are queued.
+// execute runs an action in the current process, or drops the action if no process runs. While the process is
+// suspended, up to maxPending actions are queued and further ones are dropped.
 func (s *Sidecar) execute(action func()) {
 	switch {
 	case s.Machine == nil:
--- a/internal/lab/fleet/sim/sidecar.go
+++ b/internal/lab/fleet/sim/sidecar.go
@@ -28,10 +28,10 @@
 	predecessor *Sidecar          // the process being replaced, while both run; otherwise nil
 }
 
-// sidecarName returns the name of the plan's sidecar with an index.
+// sidecarName returns the name of the sidecar with the given index in the plan.
 func sidecarName(index int) string { return fmt.Sprintf("n%d", index) }
 
-// sidecarAddress returns the first address of the plan's sidecar with an index.
+// sidecarAddress returns the first address of the sidecar with the given index in the plan.
 func sidecarAddress(index int) string { return fmt.Sprintf("a%d", index) }
 
 // start starts a new incarnation, unless one runs or a Kill fault is active.
@@ -74,7 +74,8 @@
 	s.fleet.scheduler.after(overlap, func() { s.endUpgrade(predecessor) })
 }
 
-// endUpgrade has the predecessor leave the fleet and ends its process.
+// endUpgrade ends the predecessor's process. The predecessor leaves the fleet first, unless the sidecar was killed
+// meanwhile.
 func (s *Sidecar) endUpgrade(predecessor *Sidecar) {
 	overlaps := s.predecessor == predecessor
 	if overlaps && predecessor.Machine != nil {
