--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -26,13 +26,13 @@
 	if !slices.Contains(Names, name) {
 		return nil, fmt.Errorf("unknown policy %q, known are module, %s", name, strings.Join(Names, ", "))
 	}
-	return func(set balance.Settings, act balance.Actions, view sim.View) (sim.Policy, error) {
+	return func(settings balance.Settings, actions balance.Actions, view sim.View) (sim.Policy, error) {
 		return &baseline{
 			name:     name,
-			set:      set,
-			act:      act,
+			settings: settings,
+			actions:  actions,
 			view:     view,
-			rng:      rand.New(rand.NewPCG(set.Seed, 0x217a1)),
+			random:   rand.New(rand.NewPCG(settings.Seed, 0x217a1)),
 			requests: map[balance.RequestID]*request{},
 			inFlight: map[string]int{},
 		}, nil
@@ -45,10 +45,10 @@
 // baseline is one of the policies of Names, for one sidecar.
 type baseline struct {
 	name     string
-	set      balance.Settings
-	act      balance.Actions
+	settings balance.Settings
+	actions  balance.Actions
 	view     sim.View
-	rng      *rand.Rand
+	random   *rand.Rand
 	list     []balance.Endpoint // by id
 	ready    []balance.Endpoint
 	next     int
@@ -75,11 +75,11 @@
 func (b *baseline) Request(now balance.Time, r balance.Request) {
 	q := &request{Request: r, deadline: now + r.Timeout}
 	b.requests[r.ID] = q
-	b.try(now, q)
+	b.sendAttempt(now, q)
 }
 
-// try makes a further attempt at a request, or ends it if none is allowed.
-func (b *baseline) try(now balance.Time, q *request) {
+// sendAttempt makes a further attempt at a request, or ends it if none is allowed.
+func (b *baseline) sendAttempt(now balance.Time, q *request) {
 	var allowed []balance.Endpoint
 	if len(q.attempts) < maxAttempts && now < q.deadline {
 		for _, e := range b.ready {
@@ -96,14 +96,14 @@
 	q.attempts = append(q.attempts, attempt{to: to, sent: now})
 	q.inFlight++
 	b.inFlight[to.ID]++
-	b.act.Send(q.ID, to.ID, 0)
+	b.actions.Send(q.ID, to.ID, 0)
 }
 
 // choose picks one of the nodes that the request may go to.
 func (b *baseline) choose(q *request, allowed []balance.Endpoint) int {
 	least := func(cost func(e balance.Endpoint) float64) int {
 		best, lowest := 0, math.Inf(1)
-		from := b.rng.IntN(len(allowed)) // ties go to anyone
+		from := b.random.IntN(len(allowed)) // ties go to anyone
 		for i := range allowed {
 			k := (from + i) % len(allowed)
 			if c := cost(allowed[k]); c < lowest {
@@ -120,23 +120,23 @@
 	case "least-requests":
 		return least(inFlight)
 	case "two-choices": // Mitzenmacher, 2001
-		x, y := b.rng.IntN(len(allowed)), b.rng.IntN(len(allowed))
+		x, y := b.random.IntN(len(allowed)), b.random.IntN(len(allowed))
 		if inFlight(allowed[y]) < inFlight(allowed[x]) {
 			return y
 		}
 		return x
 	case "oracle":
 		return least(func(e balance.Endpoint) float64 {
-			work := b.set.Classes[q.Class].LatencyObjective.Seconds() / 4
-			return b.view.ResponseTime(b.set.Ordinal, e.ID, q.Class, work)
+			work := b.settings.Classes[q.Class].LatencyObjective.Seconds() / 4
+			return b.view.ResponseTime(b.settings.Ordinal, e.ID, q.Class, work)
 		})
 	}
-	return b.rng.IntN(len(allowed))
+	return b.random.IntN(len(allowed))
 }
 
 // isAllowed reports whether a request may be sent to an endpoint, after the attempts that it has had.
 func (b *baseline) isAllowed(now balance.Time, q *request, e balance.Endpoint) bool {
-	c := b.set.Classes[q.Class]
+	c := b.settings.Classes[q.Class]
 	for _, a := range q.attempts {
 		switch {
 		case a.to.ID == e.ID:
@@ -154,12 +154,12 @@
 // finish gives a request that is not served its response: a rejection if it cannot have had an effect, or may be
 // repeated.
 func (b *baseline) finish(q *request) {
-	c := b.set.Classes[q.Class]
+	c := b.settings.Classes[q.Class]
 	if c.Effect == balance.Idempotent || c.Effect == balance.Deduplicated && c.Scope == balance.ScopeAll ||
 		!slices.ContainsFunc(q.attempts, func(a attempt) bool { return !a.done || a.mayRun }) {
-		b.act.Reject(q.ID, 0)
+		b.actions.Reject(q.ID, 0)
 	} else {
-		b.act.Fail(q.ID)
+		b.actions.Fail(q.ID)
 	}
 	b.end(q)
 }
@@ -168,7 +168,7 @@
 func (b *baseline) end(q *request) {
 	for i := range q.attempts {
 		if !q.attempts[i].done && !q.finished {
-			b.act.Cancel(q.ID, i)
+			b.actions.Cancel(q.ID, i)
 		}
 	}
 	if q.finished = true; q.inFlight == 0 {
@@ -191,7 +191,7 @@
 	case r.Finished || q.finished:
 		b.end(q)
 	case q.inFlight == 0:
-		b.try(now, q)
+		b.sendAttempt(now, q)
 	}
 }
 
--- a/internal/lab/sim/attempt.go
+++ b/internal/lab/sim/attempt.go
@@ -108,7 +108,7 @@
 // attemptArrived is the arrival of an attempt's last byte at its server.
 type attemptArrived struct{ attempt *attempt }
 
-func (e attemptArrived) happen(*simulation) {
+func (e attemptArrived) handle(*simulation) {
 	a := e.attempt
 	if !a.isServerAlive() {
 		a.resetByServer()
@@ -156,7 +156,7 @@
 	token   uint64 // names the server's response; 0: there is none
 }
 
-func (e attemptEnded) happen(*simulation) { e.attempt.finish(e.status, e.token) }
+func (e attemptEnded) handle(*simulation) { e.attempt.finish(e.status, e.token) }
 
 // finish ends the attempt for its sidecar, unless it has ended.
 func (a *attempt) finish(status record.Status, token uint64) {
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -25,7 +25,7 @@
 // clientArrived is the next arrival at a sidecar.
 type clientArrived struct{ sidecar *sidecar }
 
-func (e clientArrived) happen(*simulation) {
+func (e clientArrived) handle(*simulation) {
 	e.sidecar.receive(e.sidecar.nextRequest, notRetry)
 	e.sidecar.scheduleArrival()
 }
@@ -37,7 +37,7 @@
 	firstID  uint64
 }
 
-func (e retryDue) happen(s *simulation) {
+func (e retryDue) handle(s *simulation) {
 	e.sidecar.receive(e.workload, e.firstID)
 	s.openRequests-- // the retry is no longer to come
 }
@@ -102,7 +102,7 @@
 // clientLeft is a client that no longer waits for its response.
 type clientLeft struct{ request *request }
 
-func (e clientLeft) happen(s *simulation) {
+func (e clientLeft) handle(s *simulation) {
 	r, sc := e.request, e.request.sidecar
 	if r.completed || !r.isCurrent() {
 		return
--- a/internal/lab/sim/defects.go
+++ b/internal/lab/sim/defects.go
@@ -35,4 +35,4 @@
 	status  record.Status
 }
 
-func (e delayedResponse) happen(*simulation) { e.request.respond(e.status, 0, 0) }
+func (e delayedResponse) handle(*simulation) { e.request.respond(e.status, 0, 0) }
--- a/internal/lab/sim/discovery.go
+++ b/internal/lab/sim/discovery.go
@@ -68,7 +68,7 @@
 // notificationsDue is a time at which notifications reach a sidecar's policy.
 type notificationsDue struct{ sidecar *sidecar }
 
-func (e notificationsDue) happen(s *simulation) {
+func (e notificationsDue) handle(s *simulation) {
 	sc := e.sidecar
 	if s.discoveryPaused || sc.down {
 		return
@@ -109,4 +109,4 @@
 	state   balance.State
 }
 
-func (e notificationDelayed) happen(*simulation) { e.sidecar.recordNotified(e.server, e.state) }
+func (e notificationDelayed) handle(*simulation) { e.sidecar.recordNotified(e.server, e.state) }
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -6,30 +6,30 @@
 	"milletramp.example/milletramp/internal/lab/runplan"
 )
 
-// planActDue is an act of the plan.
-type planActDue struct{ act *runplan.Action }
+// plannedActionDue is an act of the plan.
+type plannedActionDue struct{ action *runplan.Action }
 
-func (e planActDue) happen(s *simulation) {
-	switch act := e.act; act.Kind {
+func (e plannedActionDue) handle(s *simulation) {
+	switch action := e.action; action.Kind {
 	case runplan.CutZone:
-		s.network.zoneCut[act.Node] = act.On
+		s.network.zoneCut[action.Node] = action.On
 	case runplan.SilenceDiscovery:
-		s.pauseDiscovery(act.On)
+		s.pauseDiscovery(action.On)
 	case runplan.CutWatch, runplan.RewindWatch, runplan.MoveWatch:
 		// A sidecar's network part hides these from its policy. The socket backend plays them.
 	case runplan.RestartSidecar:
-		s.sidecars[act.Node].crash()
+		s.sidecars[action.Node].crash()
 	case runplan.FaultOver:
 		s.record(record.Event{Kind: record.FaultOver})
 	default:
-		s.servers[act.Node].apply(act)
+		s.servers[action.Node].apply(action)
 	}
 }
 
 // apply does an act that concerns the server: a change of its process, or the begin or end of a fault.
-func (srv *server) apply(act *runplan.Action) {
+func (srv *server) apply(action *runplan.Action) {
 	s := srv.simulation
-	switch act.Kind {
+	switch action.Kind {
 	case runplan.StartNode, runplan.RestartNode:
 		srv.startProcess()
 	case runplan.DrainNode:
@@ -40,23 +40,23 @@
 	case runplan.CrashNode:
 		srv.stopProcess()
 	case runplan.IsolateNode:
-		srv.vanished = act.On
+		srv.vanished = action.On
 	case runplan.SlowNode:
-		srv.SetSlowdown(s.now, act.Value)
+		srv.SetSlowdown(s.now, action.Value)
 		srv.completeDueJobs()
 	case runplan.LoseClass:
-		srv.Faults.SwallowedClasses[act.Class] = act.On
+		srv.Faults.SwallowedClasses[action.Class] = action.On
 	case runplan.RejectClass:
-		srv.Faults.RejectedClasses[act.Class] = act.On
+		srv.Faults.RejectedClasses[action.Class] = action.On
 	case runplan.LoseShare:
-		srv.Faults.LossShare = act.Value
+		srv.Faults.LossShare = action.Value
 	case runplan.ErrorShare:
-		srv.Faults.ErrorShare = act.Value
+		srv.Faults.ErrorShare = action.Value
 	case runplan.GarbleShare:
-		srv.Faults.MalformedShare = act.Value
+		srv.Faults.MalformedShare = action.Value
 	case runplan.CutRequestShare:
-		srv.brokenRequestShare = act.Value
+		srv.brokenRequestShare = action.Value
 	case runplan.CutResponseShare:
-		srv.brokenResponseShare = act.Value
+		srv.brokenResponseShare = action.Value
 	}
 }
--- a/internal/lab/sim/gossip.go
+++ b/internal/lab/sim/gossip.go
@@ -38,7 +38,7 @@
 	wallClockAtZero = 1_700_000_000_000     // Unix milliseconds at the start of a run
 
 	falseReportInterval = 500 * time.Millisecond // between two false reports of a sidecar
-	falseReportTries    = 9                      // that a false report claims
+	falseReportAttempts = 9                      // that a false report claims
 )
 
 // sharingPolicy is a policy that hands out its observations and takes in which servers the fleet suspects.
@@ -112,7 +112,7 @@
 // gossipTicked is the time of a member's next tick.
 type gossipTicked struct{ member *member }
 
-func (e gossipTicked) happen(s *simulation) {
+func (e gossipTicked) handle(s *simulation) {
 	m := e.member
 	if !m.isCurrent() {
 		return
@@ -160,7 +160,7 @@
 		return nil
 	}
 	every := max(s.options.Fleet.FalseEvery, 1)
-	evidence := replication.Evidence{Attempts: falseReportTries, Unanswered: falseReportTries}
+	evidence := replication.Evidence{Attempts: falseReportAttempts, Unanswered: falseReportAttempts}
 	var rows []failuredetector.Row
 	for i, srv := range s.servers {
 		if srv.listed && i%every == 0 {
--- a/internal/lab/sim/gossipnetwork.go
+++ b/internal/lab/sim/gossipnetwork.go
@@ -46,8 +46,8 @@
 	payload  []byte
 }
 
-// happen ignores the error of Receive, as the machine counts what it cannot read.
-func (e datagramArrived) happen(*simulation) {
+// handle ignores the error of Receive, as the machine counts what it cannot read.
+func (e datagramArrived) handle(*simulation) {
 	if !e.to.isCurrent() {
 		return
 	}
@@ -102,7 +102,7 @@
 // snapshotTimedOut is the end of the time for a snapshot.
 type snapshotTimedOut struct{ fetch *snapshotFetch }
 
-func (e snapshotTimedOut) happen(*simulation) { e.fetch.finish(nil, errNoSnapshot) }
+func (e snapshotTimedOut) handle(*simulation) { e.fetch.finish(nil, errNoSnapshot) }
 
 // snapshotRequested is the arrival of the request at the member that has the snapshot.
 type snapshotRequested struct {
@@ -110,7 +110,7 @@
 	from  *member
 }
 
-func (e snapshotRequested) happen(s *simulation) {
+func (e snapshotRequested) handle(s *simulation) {
 	if !e.from.isCurrent() {
 		return
 	}
@@ -127,4 +127,4 @@
 	encoded []byte
 }
 
-func (e snapshotArrived) happen(*simulation) { e.fetch.finish(e.encoded, nil) }
+func (e snapshotArrived) handle(*simulation) { e.fetch.finish(e.encoded, nil) }
--- a/internal/lab/sim/request.go
+++ b/internal/lab/sim/request.go
@@ -94,8 +94,8 @@
 // deadlineExpired is the end of the time for a request's final response.
 type deadlineExpired struct{ request *request }
 
-// happen ends the attempts in flight, and fails the request if the policy has left it without a response.
-func (e deadlineExpired) happen(s *simulation) {
+// handle ends the attempts in flight, and fails the request if the policy has left it without a response.
+func (e deadlineExpired) handle(s *simulation) {
 	r := e.request
 	if !r.isCurrent() {
 		return
--- a/internal/lab/sim/scheduler.go
+++ b/internal/lab/sim/scheduler.go
@@ -4,8 +4,8 @@
 
 // event is something that happens at its time. Each kind of event is a type, declared in the file of what it changes.
 type event interface {
-	// happen carries the event out at the simulation's present time.
-	happen(s *simulation)
+	// handle carries the event out at the simulation's present time.
+	handle(s *simulation)
 }
 
 // scheduler owns the clock and the queue of events. Nothing else moves the clock.
--- a/internal/lab/sim/scheduler_test.go
+++ b/internal/lab/sim/scheduler_test.go
@@ -14,7 +14,7 @@
 	order int
 }
 
-func (scheduledCall) happen(*simulation) {}
+func (scheduledCall) handle(*simulation) {}
 
 // TestSchedulerOrder holds that events happen by time, those of one time in the order in which they were scheduled,
 // also where some are scheduled between others.
--- a/internal/lab/sim/server.go
+++ b/internal/lab/sim/server.go
@@ -10,8 +10,8 @@
 	"milletramp.example/milletramp/internal/lab/servermodel"
 )
 
-// notScheduled is the wakeAt of a server that has nothing to do.
-const notScheduled time.Duration = -1
+// noWakeScheduled is the wakeAt of a server that has nothing to do.
+const noWakeScheduled time.Duration = -1
 
 // deduplicated is the effect of classes whose repeats a pod recognizes, in a scenario's words.
 const deduplicated = "deduplicated"
@@ -29,7 +29,7 @@
 	listed              bool          // discovery has had it on its list
 	listedState         balance.State // as discovery has it
 	connections         int           // open ones, of all sidecars
-	wakeAt              time.Duration // when its next serverDue happens, or notScheduled
+	wakeAt              time.Duration // when its next serverDue happens, or noWakeScheduled
 	earlierWork         float64       // of its earlier processes, in seconds on a standard core
 	brokenRequestShare  float64       // of requests after which the connection breaks
 	brokenResponseShare float64       // of responses in which it breaks
@@ -45,7 +45,7 @@
 		down:        !fromStart,
 		listed:      fromStart,
 		listedState: balance.Ready,
-		wakeAt:      notScheduled,
+		wakeAt:      noWakeScheduled,
 	}
 	s.servers = append(s.servers, srv)
 	s.serverByID[machine.ID] = srv
@@ -165,8 +165,8 @@
 // serverDue is a time at which a server may have jobs to complete.
 type serverDue struct{ server *server }
 
-func (e serverDue) happen(*simulation) {
-	e.server.wakeAt = notScheduled
+func (e serverDue) handle(*simulation) {
+	e.server.wakeAt = noWakeScheduled
 	e.server.completeDueJobs()
 }
 
@@ -177,7 +177,7 @@
 		srv.reply(job.Owner.(*attempt))
 	}
 	next := srv.NextEvent()
-	if next >= 0 && (srv.wakeAt == notScheduled || next < srv.wakeAt) {
+	if next >= 0 && (srv.wakeAt == noWakeScheduled || next < srv.wakeAt) {
 		srv.wakeAt = max(next, s.now+1)
 		s.scheduleAt(srv.wakeAt, serverDue{srv})
 	}
@@ -206,7 +206,7 @@
 // cancelArrived is a server's notice that the response to an attempt is no longer wanted.
 type cancelArrived struct{ attempt *attempt }
 
-func (e cancelArrived) happen(*simulation) { e.attempt.server.cancel(e.attempt) }
+func (e cancelArrived) handle(*simulation) { e.attempt.server.cancel(e.attempt) }
 
 // cancel lets go of an attempt's job, where the scenario's servers stop cancelled work.
 func (srv *server) cancel(a *attempt) {
--- a/internal/lab/sim/sidecar.go
+++ b/internal/lab/sim/sidecar.go
@@ -134,8 +134,8 @@
 // sidecarRestarted is the start of the next process of a crashed sidecar.
 type sidecarRestarted struct{ sidecar *sidecar }
 
-// happen panics if the policy rejects its settings, as it accepted them at the first start.
-func (e sidecarRestarted) happen(*simulation) {
+// handle panics if the policy rejects its settings, as it accepted them at the first start.
+func (e sidecarRestarted) handle(*simulation) {
 	if err := e.sidecar.start(); err != nil {
 		panic(fmt.Sprintf("sim: sidecar %d does not start again: %v", e.sidecar.index, err))
 	}
@@ -170,7 +170,7 @@
 	token       uint64
 }
 
-func (e timerFired) happen(s *simulation) {
+func (e timerFired) handle(s *simulation) {
 	if e.sidecar.down || e.sidecar.incarnation != e.incarnation {
 		return
 	}
--- a/internal/lab/sim/simulation.go
+++ b/internal/lab/sim/simulation.go
@@ -20,8 +20,8 @@
 	// progressInterval is the simulated time between two reports of progress and checks of the context.
 	progressInterval = time.Second
 
-	// lateEventsTime is how long after the last deadline events still happen, such as delayed responses.
-	lateEventsTime = time.Second
+	// lateEventGrace is how long after the last deadline events still happen, such as delayed responses.
+	lateEventGrace = time.Second
 )
 
 // networkSeedSalt keeps the draws of the network and of discovery apart from what else is drawn with the plan's seed.
@@ -109,8 +109,8 @@
 		}
 	}
 	for i := range s.plan.Actions {
-		act := &s.plan.Actions[i]
-		s.scheduleAt(act.At, planActDue{act})
+		action := &s.plan.Actions[i]
+		s.scheduleAt(action.At, plannedActionDue{action})
 	}
 	return nil
 }
@@ -135,7 +135,7 @@
 			nextProgress += progressInterval
 		}
 		s.result.Events++
-		next.happen(s)
+		next.handle(s)
 	}
 }
 
@@ -144,7 +144,7 @@
 	length := s.plan.Scenario.Length.Std()
 	limit := length
 	for _, class := range s.plan.Scenario.Classes {
-		limit = max(limit, length+class.Deadline.Std()+lateEventsTime)
+		limit = max(limit, length+class.Deadline.Std()+lateEventGrace)
 	}
 	return limit
 }
