--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -1,6 +1,6 @@
-// Package baseline has other ways to choose a node, to compare the decision module with: what a user would get from a
-// plain load balancer. They keep the same rules on repeats and drains, retry up to two times, and refuse nothing of
-// themselves. They exist in simulated time alone.
+// Package baseline provides simple load-balancing policies for comparison with the decision module. They stand for a
+// plain load balancer. They follow the same rules on repeated attempts and draining, retry up to two times, and do not
+// shed load. They run only in simulated time.
 package baseline
 
 import (
@@ -15,10 +15,10 @@
 	"milletramp.example/milletramp/internal/lab/sim"
 )
 
-// Names are the baseline policies.
+// Names lists the names of the baseline policies.
 var Names = []string{"random", "round-robin", "least-requests", "two-choices", "oracle"}
 
-// New returns the maker of a policy: a baseline policy, or the decision module itself as "module".
+// New returns the constructor of the named policy: a baseline policy, or the decision module for "module" or "".
 func New(name string) (sim.NewPolicyFunc, error) {
 	if name == "module" || name == "" {
 		return sim.NewModule, nil
@@ -39,20 +39,20 @@
 	}, nil
 }
 
-// maxAttempts is how many attempts a request has.
+// maxAttempts is the maximum number of attempts per request, including the first.
 const maxAttempts = 3
 
-// baseline is one of the policies of Names, for one sidecar.
+// baseline implements the policies in Names for one sidecar.
 type baseline struct {
 	name     string
 	settings balance.Settings
 	actions  balance.Actions
 	view     sim.View
 	random   *rand.Rand
-	list     []balance.Endpoint // by id
+	list     []balance.Endpoint // sorted by id
 	ready    []balance.Endpoint
 	next     int
-	inFlight map[string]int // attempts of this sidecar, by endpoint
+	inFlight map[string]int // number of this sidecar's attempts in flight, by endpoint id
 	requests map[balance.RequestID]*request
 }
 
@@ -68,17 +68,17 @@
 	to     balance.Endpoint
 	sent   balance.Time
 	done   bool
-	mayRun bool // it may have run, or run yet
+	mayRun bool // whether the server may have executed it, or may still do so
 }
 
-// Request implements sim.Policy, as do the methods after it.
+// Request implements sim.Policy.
 func (b *baseline) Request(now balance.Time, r balance.Request) {
 	q := &request{Request: r, deadline: now + r.Timeout}
 	b.requests[r.ID] = q
 	b.sendAttempt(now, q)
 }
 
-// sendAttempt makes a further attempt at a request, or ends it if none is allowed.
+// sendAttempt sends another attempt of a request, or finishes the request if no endpoint is allowed.
 func (b *baseline) sendAttempt(now balance.Time, q *request) {
 	var allowed []balance.Endpoint
 	if len(q.attempts) < maxAttempts && now < q.deadline {
@@ -99,11 +99,11 @@
 	b.actions.Send(q.ID, to.ID, 0)
 }
 
-// choose picks one of the nodes that the request may go to.
+// choose returns the index of the endpoint to which the policy sends the request.
 func (b *baseline) choose(q *request, allowed []balance.Endpoint) int {
 	least := func(cost func(e balance.Endpoint) float64) int {
 		best, lowest := 0, math.Inf(1)
-		from := b.random.IntN(len(allowed)) // ties go to anyone
+		from := b.random.IntN(len(allowed)) // a random start index breaks ties
 		for i := range allowed {
 			k := (from + i) % len(allowed)
 			if c := cost(allowed[k]); c < lowest {
@@ -134,7 +134,7 @@
 	return b.random.IntN(len(allowed))
 }
 
-// isAllowed reports whether a request may be sent to an endpoint, after the attempts that it has had.
+// isAllowed reports whether a request may be sent to an endpoint, given its earlier attempts.
 func (b *baseline) isAllowed(now balance.Time, q *request, e balance.Endpoint) bool {
 	c := b.settings.Classes[q.Class]
 	for _, a := range q.attempts {
@@ -151,8 +151,8 @@
 	return true
 }
 
-// finish gives a request that is not served its response: a rejection if it cannot have had an effect, or may be
-// repeated.
+// finish ends a request that was not served. It rejects the request if it cannot have had an effect or may safely be
+// repeated, and fails it otherwise.
 func (b *baseline) finish(q *request) {
 	c := b.settings.Classes[q.Class]
 	if c.Effect == balance.Idempotent || c.Effect == balance.Deduplicated && c.Scope == balance.ScopeAll ||
@@ -164,7 +164,7 @@
 	b.end(q)
 }
 
-// end cancels the attempts of a request that are in flight.
+// end marks a request as finished and cancels its attempts in flight, if it was not finished before.
 func (b *baseline) end(q *request) {
 	for i := range q.attempts {
 		if !q.attempts[i].done && !q.finished {
@@ -176,7 +176,7 @@
 	}
 }
 
-// Result takes in how an attempt ended.
+// Result implements sim.Policy.
 func (b *baseline) Result(now balance.Time, r balance.Result) {
 	q := b.requests[r.ID]
 	if q == nil || q.attempts[r.Attempt].done {
@@ -195,14 +195,14 @@
 	}
 }
 
-// ClientGone takes in that the client has left.
+// ClientGone implements sim.Policy.
 func (b *baseline) ClientGone(_ balance.Time, id balance.RequestID) {
 	if q := b.requests[id]; q != nil && !q.finished {
 		b.end(q)
 	}
 }
 
-// Endpoints takes in an update of the endpoint list.
+// Endpoints implements sim.Policy.
 func (b *baseline) Endpoints(_ balance.Time, kind balance.ListKind, list []balance.Endpoint) {
 	if kind == balance.ListFailed {
 		return
@@ -228,5 +228,5 @@
 
 func compareID(e balance.Endpoint, id string) int { return strings.Compare(e.ID, id) }
 
-// Timer does nothing: no baseline policy asks for one.
+// Timer implements sim.Policy. It does nothing, as no baseline policy sets a timer.
 func (b *baseline) Timer(balance.Time, uint64) {}
--- a/internal/lab/sim/attempt.go
+++ b/internal/lab/sim/attempt.go
@@ -8,22 +8,22 @@
 	"milletramp.example/milletramp/internal/lab/servermodel"
 )
 
-// neverSent is the firstByteAt of an attempt without a connection.
+// neverSent is the firstByteAt of an attempt that has no connection.
 const neverSent time.Duration = -1
 
-// attempt is one try of a sidecar to have a request served by a server.
+// attempt is one attempt of a sidecar to have a request served by a server.
 type attempt struct {
-	servermodel.Job   // at the server
+	servermodel.Job   // the attempt's job at the server
 	request           *request
-	number            uint8 // among the request's attempts, from 0
+	number            uint8 // index among the request's attempts, from 0
 	server            *server
-	serverIncarnation int32 // of the server when the attempt started
-	newConnection     bool  // not one that was idle
+	serverIncarnation int32 // the server's incarnation when the attempt started
+	newConnection     bool  // whether the attempt opened its connection instead of reusing an idle one
 	startedAt         time.Duration
-	firstByteAt       time.Duration // when its first byte is written, or neverSent
-	ended             bool          // for its sidecar
+	firstByteAt       time.Duration // time at which the first byte is written, or neverSent
+	ended             bool          // whether the sidecar has ended the attempt
 	endedAt           time.Duration
-	atServer          bool // the server holds its job
+	atServer          bool // whether the job is queued or running at the server
 }
 
 // Send implements balance.Actions.
@@ -60,7 +60,8 @@
 	return a
 }
 
-// connect sends the attempt on a new connection. It ends unsent if that takes longer than within; 0 is no limit.
+// connect sends the attempt on a new connection. The attempt is cancelled unsent if the handshake takes longer than
+// within; 0 means no limit.
 func (a *attempt) connect(delay, within time.Duration) {
 	s := a.request.sidecar.simulation
 	scenario := s.plan.Scenario
@@ -81,17 +82,17 @@
 	}
 }
 
-// drawDelay draws a one-way delay between the attempt's sidecar and server.
+// drawDelay draws a random one-way delay between the attempt's sidecar and server.
 func (a *attempt) drawDelay() time.Duration {
 	return a.request.sidecar.simulation.drawDelay(a.request.sidecar, a.server)
 }
 
-// isCutOff reports whether nothing passes between the attempt's sidecar and server.
+// isCutOff reports whether the network between the attempt's sidecar and server drops all traffic.
 func (a *attempt) isCutOff() bool {
 	return a.request.sidecar.simulation.isCutOff(a.request.sidecar, a.server)
 }
 
-// isServerAlive reports whether the process to which the attempt was sent still runs.
+// isServerAlive reports whether the server process that the attempt was sent to is still running.
 func (a *attempt) isServerAlive() bool {
 	return a.serverIncarnation == a.server.incarnation && !a.server.down
 }
@@ -100,12 +101,12 @@
 	a.request.sidecar.noteLoss(a.server, a.request.workload.Class)
 }
 
-// endAfter has the attempt end without a response that has a token.
+// endAfter schedules the end of the attempt with the given status and without a response token.
 func (a *attempt) endAfter(delay time.Duration, status record.Status) {
 	a.request.sidecar.simulation.scheduleAfter(delay, attemptEnded{attempt: a, status: status})
 }
 
-// attemptArrived is the arrival of an attempt's last byte at its server.
+// attemptArrived is the event that the last byte of an attempt arrives at its server.
 type attemptArrived struct{ attempt *attempt }
 
 func (e attemptArrived) handle(*simulation) {
@@ -118,7 +119,7 @@
 		a.noteLoss()
 		return
 	}
-	if a.ended && a.newConnection && a.endedAt <= a.firstByteAt { // given up before it had a connection
+	if a.ended && a.newConnection && a.endedAt <= a.firstByteAt { // ended before the connection was established
 		return
 	}
 	a.recordArrival()
@@ -127,7 +128,7 @@
 	}
 }
 
-// resetByServer ends an attempt whose server's process has ended on its way.
+// resetByServer ends an attempt whose server process exited while the attempt was on the network.
 func (a *attempt) resetByServer() {
 	if a.ended || a.isCutOff() {
 		return
@@ -149,16 +150,17 @@
 		Node: a.server.index, Work: a.Work, Effect: r.id})
 }
 
-// attemptEnded is the end of an attempt for its sidecar.
+// attemptEnded is the event that an attempt ends for its sidecar.
 type attemptEnded struct {
 	attempt *attempt
 	status  record.Status
-	token   uint64 // names the server's response; 0: there is none
+	token   uint64 // identifies the server's response; 0 if there is none
 }
 
 func (e attemptEnded) handle(*simulation) { e.attempt.finish(e.status, e.token) }
 
-// finish ends the attempt for its sidecar, unless it has ended.
+// finish ends the attempt for its sidecar and reports the result to the policy. It does nothing if the attempt has
+// already ended or the sidecar process that received the request no longer runs.
 func (a *attempt) finish(status record.Status, token uint64) {
 	r := a.request
 	if a.ended || !r.isCurrent() {
@@ -185,7 +187,7 @@
 	r.releaseIfDone()
 }
 
-// outcomes are the policies' words for how an attempt ended.
+// outcomes maps the recorded status of an attempt to the outcome reported to the policy.
 var outcomes = [...]balance.Outcome{
 	record.Served:     balance.Served,
 	record.Rejected:   balance.Saturated,
@@ -196,8 +198,8 @@
 	record.TimedOut:   balance.TimedOut,
 }
 
-// outcome returns the policies' word for the attempt's end. As in the real sidecar, an attempt of which no byte was
-// written has outcomes of its own.
+// outcome returns the outcome reported to the policy for an attempt that ended with status. As in the real sidecar, an
+// attempt that was cancelled or timed out before its first byte was written has a different outcome.
 func (a *attempt) outcome(status record.Status) balance.Outcome {
 	if a.firstByteAt >= 0 && a.firstByteAt <= a.request.sidecar.simulation.now {
 		return outcomes[status]
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -8,13 +8,13 @@
 	"milletramp.example/milletramp/internal/lab/workload"
 )
 
-// clientSeedSalt keeps the draws of clients' retries apart from what else is drawn with the plan's seed.
+// clientSeedSalt separates the random stream of client retries from the other streams derived from the plan's seed.
 const clientSeedSalt = 0xc11e47
 
-// notRetry is the first request's id of a request that is no retry.
+// notRetry is the firstID passed to receive for a request that is not a retry.
 const notRetry = 0
 
-// scheduleArrival draws the sidecar's next arrival.
+// scheduleArrival draws the next client request at the sidecar and schedules its arrival.
 func (sc *sidecar) scheduleArrival() {
 	if next, ok := sc.source.Next(); ok {
 		sc.nextRequest = next
@@ -22,7 +22,7 @@
 	}
 }
 
-// clientArrived is the next arrival at a sidecar.
+// clientArrived is the event that the next client request arrives at a sidecar.
 type clientArrived struct{ sidecar *sidecar }
 
 func (e clientArrived) handle(*simulation) {
@@ -30,7 +30,7 @@
 	e.sidecar.scheduleArrival()
 }
 
-// retryDue is the time of a client's retry.
+// retryDue is the event that a client retries a request.
 type retryDue struct {
 	sidecar  *sidecar
 	workload workload.Request
@@ -39,10 +39,10 @@
 
 func (e retryDue) handle(s *simulation) {
 	e.sidecar.receive(e.workload, e.firstID)
-	s.openRequests-- // the retry is no longer to come
+	s.openRequests-- // the retry is no longer pending
 }
 
-// receive takes in a client's request.
+// receive handles the arrival of a client's request. firstID is the request that it retries, or notRetry.
 func (sc *sidecar) receive(requested workload.Request, firstID uint64) {
 	s := sc.simulation
 	s.result.Requests++
@@ -69,7 +69,7 @@
 	r.start()
 }
 
-// start hands the request to the policy.
+// start registers the request, schedules its deadline and passes it to the policy.
 func (r *request) start() {
 	sc, s := r.sidecar, r.sidecar.simulation
 	id := balance.RequestID(r.id)
@@ -88,18 +88,18 @@
 	})
 }
 
-// scheduleRetry schedules the client's retry of a request that has ended, if it makes one.
+// scheduleRetry schedules the client's retry of a completed request, if the client retries.
 func (r *request) scheduleRetry(outcome workload.Outcome, retryAfter time.Duration) {
 	s := r.sidecar.simulation
 	retry, ok := workload.Retry(s.plan.Scenario, r.workload, s.now, outcome, retryAfter, r.sidecar.clientRandom)
 	if !ok {
 		return
 	}
-	s.openRequests++ // a retry to come keeps the run going
+	s.openRequests++ // a pending retry keeps the run from ending
 	s.scheduleAt(retry.At, retryDue{r.sidecar, retry, r.firstID})
 }
 
-// clientLeft is a client that no longer waits for its response.
+// clientLeft is the event that a client stops waiting for its response.
 type clientLeft struct{ request *request }
 
 func (e clientLeft) handle(s *simulation) {
--- a/internal/lab/sim/discovery.go
+++ b/internal/lab/sim/discovery.go
@@ -7,21 +7,21 @@
 	"milletramp.example/milletramp/internal/lab/record"
 )
 
-// recordedStates are the recorded events' words for the states of an endpoint.
+// recordedStates maps endpoint states to the states used in recorded events.
 var recordedStates = map[balance.State]record.State{
 	balance.Ready:    record.Serving,
 	balance.Draining: record.Draining,
 	balance.Removed:  record.Gone,
 }
 
-// notification is a change of the endpoint list on its way to a sidecar.
+// notification is an endpoint list change in transit to a sidecar.
 type notification struct {
 	arrivesAt time.Duration
 	server    *server
 	endpoint  balance.Endpoint
 }
 
-// endpoint returns the server as discovery has it.
+// endpoint returns the server's entry in discovery's endpoint list.
 func (srv *server) endpoint() balance.Endpoint {
 	endpoint := balance.Endpoint{
 		ID:       srv.ID,
@@ -37,7 +37,8 @@
 	return endpoint
 }
 
-// notifyAll has discovery notify each sidecar of a server's new state, after a delay of its own and in order.
+// notifyAll schedules discovery's notifications of a server's new state. Each sidecar has its own random delay and
+// receives its notifications in order.
 func (s *simulation) notifyAll(srv *server, state balance.State) {
 	srv.listedState = state
 	delays := s.plan.Scenario.DiscoveryDelay
@@ -48,13 +49,13 @@
 		sc.lastNotification = arrivesAt
 		sc.notifications = append(sc.notifications, notification{arrivesAt, srv, srv.endpoint()})
 		s.scheduleAt(arrivesAt+listDelay, notificationsDue{sc})
-		if listDelay > 0 { // the sidecar has been notified even if its policy gets the list later
+		if listDelay > 0 { // records the notification when it arrives; the policy receives the list later
 			s.scheduleAt(arrivesAt, notificationDelayed{sc, srv, state})
 		}
 	}
 }
 
-// pauseDiscovery stops discovery's notifications, or delivers those that were stopped.
+// pauseDiscovery pauses discovery's notifications, or resumes them and delivers those that were held up.
 func (s *simulation) pauseDiscovery(paused bool) {
 	s.discoveryPaused = paused
 	if paused {
@@ -65,7 +66,7 @@
 	}
 }
 
-// notificationsDue is a time at which notifications reach a sidecar's policy.
+// notificationsDue is the event that notifications reach a sidecar's policy.
 type notificationsDue struct{ sidecar *sidecar }
 
 func (e notificationsDue) handle(s *simulation) {
@@ -84,7 +85,7 @@
 	}
 }
 
-// applyNotification changes the sidecar's list of endpoints.
+// applyNotification applies a notification to the sidecar's endpoint list.
 func (sc *sidecar) applyNotification(n notification) {
 	if n.endpoint.State == balance.Removed {
 		delete(sc.endpoints, n.server)
@@ -102,7 +103,8 @@
 		State: recordedStates[state]})
 }
 
-// notificationDelayed is a notification of a sidecar whose policy gets it later, as a defect has it.
+// notificationDelayed is the event that a notification reaches a sidecar whose policy receives it later because of
+// the defect ListDelay.
 type notificationDelayed struct {
 	sidecar *sidecar
 	server  *server
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -6,7 +6,7 @@
 	"milletramp.example/milletramp/internal/lab/runplan"
 )
 
-// plannedActionDue is an act of the plan.
+// plannedActionDue is the event that an action of the plan is due.
 type plannedActionDue struct{ action *runplan.Action }
 
 func (e plannedActionDue) handle(s *simulation) {
@@ -16,7 +16,7 @@
 	case runplan.SilenceDiscovery:
 		s.pauseDiscovery(action.On)
 	case runplan.CutWatch, runplan.RewindWatch, runplan.MoveWatch:
-		// A sidecar's network part hides these from its policy. The socket backend plays them.
+		// The network part of a sidecar hides these from its policy. Only the socket backend carries them out.
 	case runplan.RestartSidecar:
 		s.sidecars[action.Node].crash()
 	case runplan.FaultOver:
@@ -26,7 +26,7 @@
 	}
 }
 
-// apply does an act that concerns the server: a change of its process, or the begin or end of a fault.
+// apply carries out an action on the server: a process change, or the start or end of a fault.
 func (srv *server) apply(action *runplan.Action) {
 	s := srv.simulation
 	switch action.Kind {
--- a/internal/lab/sim/gossip.go
+++ b/internal/lab/sim/gossip.go
@@ -13,51 +13,53 @@
 	"milletramp.example/milletramp/internal/fleet/replication"
 )
 
-// Fleet has the sidecars of a run share their observations of servers by gossip. The messages go over the simulated
-// network, where a zone that is cut off loses them too.
+// Fleet configures the sidecars of a run to share their observations of servers by gossip. Messages use the simulated
+// network, which also drops them between a zone that is cut off and the others.
 type Fleet struct {
-	// DropShare is the share of messages that are lost.
+	// DropShare is the fraction of messages that are lost, from 0 to 1.
 	DropShare float64
 
-	// LinkCut reports whether nothing passes between two sidecars. If it is nil, zones that are cut off decide.
+	// LinkCut reports whether the link between two sidecars is cut. If it is nil, a link is cut if
+	// the network between the two zones is.
 	LinkCut func(at time.Duration, a, b int) bool
 
-	// FalseReports reports whether a sidecar reports that servers fail, whatever it observes. If it is nil, none does.
+	// FalseReports reports whether a sidecar reports server failures regardless of its observations. If it is nil, no
+	// sidecar does.
 	FalseReports func(at time.Duration, sidecar int) bool
 
-	// FalseEvery limits false reports to one server in so many. For 0 they concern all.
+	// FalseEvery limits false reports to one in FalseEvery servers. If it is 0, they cover all servers.
 	FalseEvery int
 
-	// Sent counts the messages of all sidecars.
+	// Sent counts the messages sent by all sidecars and their bytes.
 	Sent struct{ Messages, Bytes uint64 }
 }
 
 const (
-	gossipInterval  = 50 * time.Millisecond // between two ticks of a member
-	seedPeers       = 5                     // sidecars that each knows from the start
+	gossipInterval  = 50 * time.Millisecond // time between two ticks of a member
+	seedPeers       = 5                     // number of sidecars configured as initial peers of each sidecar
 	wallClockAtZero = 1_700_000_000_000     // Unix milliseconds at the start of a run
 
-	falseReportInterval = 500 * time.Millisecond // between two false reports of a sidecar
-	falseReportAttempts = 9                      // that a false report claims
+	falseReportInterval = 500 * time.Millisecond // time between two false reports of a sidecar
+	falseReportAttempts = 9                      // number of unanswered attempts in a false report
 )
 
-// sharingPolicy is a policy that hands out its observations and takes in which servers the fleet suspects.
+// sharingPolicy is a policy that publishes its observations and accepts the set of servers suspected by the fleet.
 type sharingPolicy interface {
 	SetObserver(o balance.Observer)
 	SetSuspected(reports []balance.PeerReport)
 }
 
-// member is the part of a sidecar's process in the fleet.
+// member is a sidecar process as a participant in the fleet.
 type member struct {
 	sidecar     *sidecar
-	incarnation int32 // of the sidecar
+	incarnation int32 // the sidecar's incarnation
 	machine     *gossip.Machine
 	recorder    *failuredetector.Recorder
 	random      *rand.Rand
-	suspected   map[string]bool // servers, by the policy's latest update
+	suspected   map[string]bool // servers suspected as of the latest policy update
 }
 
-// joinFleet makes the member of a process that has just started, if there is a fleet.
+// joinFleet creates the member of a sidecar process that has just started, if the run has a fleet.
 func (sc *sidecar) joinFleet() {
 	s := sc.simulation
 	if s.options.Fleet == nil {
@@ -91,7 +93,7 @@
 	s.scheduleAfter(firstTick, gossipTicked{m})
 }
 
-// seedAddresses returns the addresses that each member knows from the start.
+// seedAddresses returns the addresses of the initial peers of each member.
 func (s *simulation) seedAddresses() []string {
 	var addresses []string
 	for i := range min(seedPeers, s.plan.Scenario.Fleet.Sidecars) {
@@ -100,16 +102,16 @@
 	return addresses
 }
 
-// now is the present time on the fleet's clocks.
+// now returns the current time on the fleet's clocks.
 func (m *member) now() replication.Now {
 	s := m.sidecar.simulation
 	return replication.Now{Time: s.policyNow(), Wall: wallClockAtZero + s.now.Milliseconds()}
 }
 
-// isCurrent reports whether the process that the member belongs to still runs.
+// isCurrent reports whether the sidecar process that the member belongs to is still running.
 func (m *member) isCurrent() bool { return !m.sidecar.down && m.sidecar.incarnation == m.incarnation }
 
-// gossipTicked is the time of a member's next tick.
+// gossipTicked is the event that a member's next tick is due.
 type gossipTicked struct{ member *member }
 
 func (e gossipTicked) handle(s *simulation) {
@@ -137,7 +139,7 @@
 	m.performActions()
 }
 
-// publishObservations writes what the sidecar has observed to the store that members replicate.
+// publishObservations writes the sidecar's observations to the replicated store.
 func (m *member) publishObservations() {
 	s, now := m.sidecar.simulation, m.now()
 	rows := m.recorder.DueRows(now.Time, m.machine.Members.NumPresent())
@@ -154,7 +156,8 @@
 	}
 }
 
-// falseRows returns reports of failing servers for a sidecar that reports falsely, at the intervals for them.
+// falseRows returns the rows of a sidecar that reports server failures falsely. It returns none except once per
+// falseReportInterval.
 func (s *simulation) falseRows() []failuredetector.Row {
 	if s.now%falseReportInterval >= gossipInterval {
 		return nil
@@ -170,7 +173,8 @@
 	return rows
 }
 
-// bootTime returns the start of a server's process by the sidecar's endpoint list, in Unix milliseconds, or 0.
+// bootTime returns the start time of a server's process from the sidecar's endpoint list, in Unix milliseconds, or 0 if
+// it is unknown.
 func (m *member) bootTime(srv *server) int64 {
 	started := m.sidecar.endpoints[srv].Started
 	if started <= 0 {
@@ -179,7 +183,7 @@
 	return wallClockAtZero + (started - epoch).Milliseconds()
 }
 
-// updatePolicy hands the servers that the fleet suspects to the policy and the recorder.
+// updatePolicy passes the servers suspected by the fleet to the policy and the recorder.
 func (m *member) updatePolicy() {
 	policy, ok := m.sidecar.policy.(sharingPolicy)
 	if !ok {
@@ -191,7 +195,7 @@
 	suspectedSince := map[string]replication.Time{}
 	for _, suspicion := range m.machine.Suspicions(now, len(m.sidecar.endpoints)) {
 		srv, known := m.sidecar.simulation.serverByID[suspicion.Server]
-		if !known || suspicion.Boot != m.bootTime(srv) { // it concerns an earlier process
+		if !known || suspicion.Boot != m.bootTime(srv) { // the suspicion refers to an earlier process
 			continue
 		}
 		reports = append(reports, balance.PeerReport{ID: srv.ID, WrittenAt: suspicion.LastBad})
@@ -204,7 +208,7 @@
 	m.sidecar.detectLosses()
 }
 
-// performActions carries out what the gossip machine asks for.
+// performActions carries out the actions requested by the gossip state machine.
 func (m *member) performActions() {
 	actions := m.machine.TakeActions()
 	for _, datagram := range actions.Send {
--- a/internal/lab/sim/gossipnetwork.go
+++ b/internal/lab/sim/gossipnetwork.go
@@ -10,17 +10,17 @@
 	"milletramp.example/milletramp/internal/fleet/gossip"
 )
 
-// addressPrefix precedes a sidecar's index in its address.
+// addressPrefix is the prefix of a sidecar's address. The sidecar's index follows it.
 const addressPrefix = "a"
 
-// snapshotTimeout is the time after which a fetch of a snapshot has failed.
+// snapshotTimeout is the time after which a snapshot fetch fails.
 const snapshotTimeout = time.Second
 
 var errNoSnapshot = errors.New("no answer")
 
 func memberAddress(index int32) string { return fmt.Sprintf("%s%d", addressPrefix, index) }
 
-// memberAt returns the member at an address, or nil if none runs there.
+// memberAt returns the member at an address, or nil if no sidecar runs there.
 func (s *simulation) memberAt(address string) *member {
 	i, err := strconv.Atoi(strings.TrimPrefix(address, addressPrefix))
 	if err != nil || i < 0 || i >= len(s.sidecars) || s.sidecars[i].down {
@@ -29,7 +29,7 @@
 	return s.sidecars[i].member
 }
 
-// send sends a datagram, which the network may lose.
+// send sends a datagram. The simulated network may drop it.
 func (m *member) send(datagram gossip.Datagram) {
 	s := m.sidecar.simulation
 	sent := &s.options.Fleet.Sent
@@ -40,13 +40,13 @@
 	}
 }
 
-// datagramArrived is the arrival of a datagram at a member.
+// datagramArrived is the event that a datagram arrives at a member.
 type datagramArrived struct {
 	from, to *member
 	payload  []byte
 }
 
-// handle ignores the error of Receive, as the machine counts what it cannot read.
+// handle ignores the error of Receive, as the gossip state machine counts datagrams that it cannot decode.
 func (e datagramArrived) handle(*simulation) {
 	if !e.to.isCurrent() {
 		return
@@ -55,7 +55,7 @@
 	e.to.performActions()
 }
 
-// reaches draws whether a message from one member reaches another.
+// reaches reports whether a message to another member is delivered. It draws a random number for message loss.
 func (m *member) reaches(to *member) bool {
 	s, fleet := m.sidecar.simulation, m.sidecar.simulation.options.Fleet
 	cut := s.network.isCut(m.sidecar.zone, to.sidecar.zone)
@@ -65,19 +65,19 @@
 	return !cut && m.random.Float64() >= fleet.DropShare
 }
 
-// drawDelay draws the one-way delay of a message to another member.
+// drawDelay draws a random one-way delay of a message to another member.
 func (m *member) drawDelay(to *member) time.Duration {
 	return m.sidecar.simulation.network.drawDelay(m.sidecar.zone, to.sidecar.zone, m.random)
 }
 
-// snapshotFetch is a member's request of a snapshot from another.
+// snapshotFetch is a member's fetch of a snapshot from another member.
 type snapshotFetch struct {
 	member   *member
-	address  string // of the other
+	address  string // address of the other member
 	finished bool
 }
 
-// fetchSnapshot requests the snapshot of the member at an address.
+// fetchSnapshot starts a fetch of the snapshot of the member at an address.
 func (m *member) fetchSnapshot(address string) {
 	s := m.sidecar.simulation
 	fetch := &snapshotFetch{member: m, address: address}
@@ -87,8 +87,8 @@
 	}
 }
 
-// finish hands the snapshot or the error to the gossip machine, unless the fetch has finished. The error of
-// ReceiveSnapshot is ignored, as the machine counts what it cannot read.
+// finish passes the snapshot or the error to the gossip state machine, unless the fetch has already finished. The error
+// of ReceiveSnapshot is ignored, as the state machine counts snapshots that it cannot decode.
 func (f *snapshotFetch) finish(encoded []byte, fetchErr error) {
 	m := f.member
 	if f.finished || !m.isCurrent() {
@@ -99,12 +99,12 @@
 	m.performActions()
 }
 
-// snapshotTimedOut is the end of the time for a snapshot.
+// snapshotTimedOut is the event that a snapshot fetch times out.
 type snapshotTimedOut struct{ fetch *snapshotFetch }
 
 func (e snapshotTimedOut) handle(*simulation) { e.fetch.finish(nil, errNoSnapshot) }
 
-// snapshotRequested is the arrival of the request at the member that has the snapshot.
+// snapshotRequested is the event that a snapshot request arrives at the member that serves it.
 type snapshotRequested struct {
 	fetch *snapshotFetch
 	from  *member
@@ -121,7 +121,7 @@
 	s.scheduleAfter(e.fetch.member.drawDelay(e.from), snapshotArrived{e.fetch, encoded})
 }
 
-// snapshotArrived is the arrival of the snapshot.
+// snapshotArrived is the event that a snapshot arrives at the member that requested it.
 type snapshotArrived struct {
 	fetch   *snapshotFetch
 	encoded []byte
--- a/internal/lab/sim/lossdetection.go
+++ b/internal/lab/sim/lossdetection.go
@@ -8,33 +8,33 @@
 	"milletramp.example/milletramp/internal/lab/record"
 )
 
-// detectionShare is the part of a server's true share of losses that a policy's estimate has to reach to count as
-// detection.
+// detectionShare is the fraction of a server's true loss share that a policy's estimate has to reach for the loss to
+// count as detected.
 const detectionShare = 0.5
 
-// LossEstimator is a policy that estimates which share of a class's attempts a server loses.
+// LossEstimator is a policy that estimates the share of a class's attempts that a server loses.
 type LossEstimator interface {
 	LossShare(now balance.Time, endpoint string, class int) float64
 }
 
-// Policies are asked for these interfaces at run time. A method of the decision module that is renamed fails to
-// compile here.
+// Policies are checked for these interfaces at run time. These assertions fail to compile if a method of the decision
+// module is renamed.
 var (
 	_ LossEstimator = (*balance.Balancer)(nil)
 	_ sharingPolicy = (*balance.Balancer)(nil)
 )
 
-// loss is a server that loses requests of a sidecar.
+// loss describes a server that loses requests of a sidecar.
 type loss struct {
 	server   *server
-	class    int     // of the first request that was lost
-	share    float64 // truly lost of that class
-	since    time.Duration
-	attempts uint8 // that were lost, at most what the type can hold
+	class    int           // class of the first lost request
+	share    float64       // true share of lost requests of that class
+	since    time.Duration // time of the first lost request
+	attempts uint8         // lost attempts, capped at the maximum of the type
 	detected bool
 }
 
-// trueLossShare returns the share of a class's requests from a sidecar that a server loses now.
+// trueLossShare returns the share of a class's requests from a sidecar that a server currently loses.
 func (s *simulation) trueLossShare(sc *sidecar, srv *server, class int) float64 {
 	if s.isCutOff(sc, srv) || srv.Faults.SwallowedClasses[class] {
 		return 1
@@ -42,7 +42,7 @@
 	return srv.Faults.LossShare
 }
 
-// noteLoss notes that a request of the sidecar is lost at a server. The time until detection counts from the first.
+// noteLoss registers a request of the sidecar lost at a server. Detection time is measured from the first lost request.
 func (sc *sidecar) noteLoss(srv *server, class int) {
 	share := sc.simulation.trueLossShare(sc, srv, class)
 	if _, ok := sc.policy.(LossEstimator); !ok || share == 0 {
@@ -61,7 +61,7 @@
 	sc.losses = append(sc.losses, loss{server: srv, class: class, share: share, since: sc.simulation.now, attempts: 1})
 }
 
-// detectLosses records which losses the sidecar detects by now, and drops those of servers that have recovered.
+// detectLosses records the losses that the sidecar now detects, and removes the losses of servers that have recovered.
 func (sc *sidecar) detectLosses() {
 	if len(sc.losses) == 0 || sc.down {
 		return
@@ -70,7 +70,7 @@
 	for _, l := range sc.losses {
 		recovered := sc.simulation.trueLossShare(sc, l.server, l.class) == 0
 		switch {
-		case l.detected: // recorded before
+		case l.detected: // already recorded
 		case recovered:
 			sc.recordLoss(record.LossUndetected, &l)
 		case sc.detects(&l):
@@ -84,7 +84,7 @@
 	sc.losses = remaining
 }
 
-// detects reports whether the fleet suspects the server of a loss, or the sidecar's policy estimates enough of it.
+// detects reports whether the fleet suspects the server, or the sidecar's policy estimates a sufficient loss share.
 func (sc *sidecar) detects(l *loss) bool {
 	if sc.member != nil && sc.member.suspected[l.server.ID] {
 		return true
--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -7,11 +7,11 @@
 	"milletramp.example/milletramp/internal/lab/scenario"
 )
 
-// network is what lies between the zones of the service.
+// network is the simulated network within and between zones.
 type network struct {
 	settings scenario.Network
-	zoneCut  []bool     // whether a zone is cut off from the others
-	random   *rand.Rand // also draws discovery's delays and which connections break
+	zoneCut  []bool     // by zone: whether it is cut off from the other zones
+	random   *rand.Rand // also used for discovery delays and broken connections
 }
 
 // meanDelay returns the mean one-way delay between two zones.
@@ -22,22 +22,22 @@
 	return n.settings.SameZone
 }
 
-// drawDelay draws a one-way delay between two zones.
+// drawDelay draws a random one-way delay between two zones.
 func (n *network) drawDelay(a, b int, random *rand.Rand) time.Duration {
 	return time.Duration(float64(n.meanDelay(a, b)) * (1 + n.settings.Jitter*(2*random.Float64()-1)))
 }
 
-// isCut reports whether nothing passes between two zones.
+// isCut reports whether the network drops all traffic between two zones.
 func (n *network) isCut(a, b int) bool {
 	return a != b && (n.zoneCut[a] || n.zoneCut[b])
 }
 
-// drawDelay draws the one-way delay between a sidecar and a server.
+// drawDelay draws a random one-way delay between a sidecar and a server.
 func (s *simulation) drawDelay(sc *sidecar, srv *server) time.Duration {
 	return s.network.drawDelay(sc.zone, srv.Zone, s.network.random)
 }
 
-// isCutOff reports whether nothing passes between a sidecar and a server.
+// isCutOff reports whether the network drops all traffic between a sidecar and a server.
 func (s *simulation) isCutOff(sc *sidecar, srv *server) bool {
 	return srv.vanished || s.network.isCut(sc.zone, srv.Zone)
 }
--- a/internal/lab/sim/policy.go
+++ b/internal/lab/sim/policy.go
@@ -7,7 +7,7 @@
 	"milletramp.example/milletramp/balance"
 )
 
-// Policy balances the requests of one sidecar: the decision module, or a baseline policy.
+// Policy balances the requests of one sidecar. It is the decision module or a baseline policy.
 type Policy interface {
 	Request(now balance.Time, r balance.Request)
 	Result(now balance.Time, r balance.Result)
@@ -16,14 +16,14 @@
 	Timer(now balance.Time, token uint64)
 }
 
-// View is the true state of the servers, for baseline policies that are to know it.
+// View gives access to the true state of the servers, for baseline policies that use it.
 type View interface {
-	// ResponseTime returns how long a request of some work would take at a server now, in seconds, infinite where it
-	// cannot be served.
+	// ResponseTime returns the time in seconds that a request with the given work would take at a server now. It is
+	// infinite if the server cannot serve the request.
 	ResponseTime(sidecar int, endpoint string, class int, work float64) float64
 }
 
-// NewPolicyFunc makes the policy of a sidecar.
+// NewPolicyFunc creates the policy of a sidecar.
 type NewPolicyFunc func(settings balance.Settings, actions balance.Actions, view View) (Policy, error)
 
 // NewModule returns the decision module. It is a NewPolicyFunc.
@@ -41,7 +41,7 @@
 	return srv.Backlog(work) + 2*delay.Seconds()
 }
 
-// canServe reports whether a request of a class that a sidecar sends to a server now is served.
+// canServe reports whether a server would serve a request of a class that a sidecar sends now.
 func (s *simulation) canServe(sc *sidecar, srv *server, class int) bool {
 	responds := !srv.Faults.SwallowedClasses[class] && !srv.Faults.RejectedClasses[class]
 	return responds && !srv.down && !s.isCutOff(sc, srv)
--- a/internal/lab/sim/pool.go
+++ b/internal/lab/sim/pool.go
@@ -6,14 +6,14 @@
 	"milletramp.example/milletramp/internal/lab/record"
 )
 
-// idleConnection is a connection of a sidecar that no attempt uses.
+// idleConnection is a pooled connection of a sidecar that no attempt uses.
 type idleConnection struct {
-	since       time.Duration
-	incarnation int32 // of the server
+	since       time.Duration // time at which it became idle
+	incarnation int32         // the server's incarnation
 }
 
-// acquireIdle takes the longest idle connection to a server that is still good, as the real pool does, and reports
-// whether there is one. Connections are good for half the time after which a server closes them.
+// acquireIdle removes from the pool the usable connection to a server that has been idle longest, as the real pool
+// does, and reports whether there was one. A connection is usable for half the time after which a server closes it.
 func (sc *sidecar) acquireIdle(srv *server) bool {
 	s := sc.simulation
 	idleTimeout := s.plan.Scenario.Fleet.IdleClose.Std() / 2
@@ -41,8 +41,9 @@
 	sc.idle[srv.index] = sc.idle[srv.index][:0]
 }
 
-// releaseConnection returns the connection of an ended attempt to the pool, or closes it. Where it failed, the idle
-// ones to the server are closed too.
+// releaseConnection returns the connection of an ended attempt to the pool, or closes it. After a connection failure,
+// or a timeout with no response from the server since the attempt started, it also closes the idle connections to the
+// server.
 func (a *attempt) releaseConnection(status record.Status) {
 	sc, srv := a.request.sidecar, a.server
 	switch status {
@@ -69,7 +70,7 @@
 	}
 }
 
-// closeConnection closes the attempt's connection, of which the server learns later.
+// closeConnection closes the attempt's connection. The server is notified after the network delay.
 func (a *attempt) closeConnection() {
 	if a.isServerAlive() && a.firstByteAt >= 0 {
 		a.server.connections--
--- a/internal/lab/sim/request.go
+++ b/internal/lab/sim/request.go
@@ -8,41 +8,41 @@
 	"milletramp.example/milletramp/internal/lab/workload"
 )
 
-// deadlineMargin is kept free before the client's timeout, as in the real sidecar.
+// deadlineMargin is the time between a request's deadline and the client's timeout, as in the real sidecar.
 const deadlineMargin = 5 * time.Millisecond
 
 // request is a client's request at its sidecar.
 type request struct {
 	id               uint64
-	firstID          uint64 // of the request that it is a retry of; its own if it is none
+	firstID          uint64 // id of the original request if this is a retry, otherwise its own id
 	workload         workload.Request
 	sidecar          *sidecar
-	incarnation      int32         // of the sidecar when it received the request
-	deadline         time.Duration // for the final response
-	completed        bool          // it has its final response, or its client has left
+	incarnation      int32         // the sidecar's incarnation when it received the request
+	deadline         time.Duration // time by which the final response is due
+	completed        bool          // whether the final response was sent, the client has left or the sidecar crashed
 	attempts         []*attempt
 	attemptsInFlight int
 }
 
-// isCurrent reports whether the sidecar's process that received the request still runs.
+// isCurrent reports whether the sidecar process that received the request is still running.
 func (r *request) isCurrent() bool {
 	return r.incarnation == r.sidecar.incarnation && !r.sidecar.down
 }
 
-// complete closes the request. It gets no response after it.
+// complete marks the request as completed. No response is sent after that.
 func (r *request) complete() {
 	r.completed = true
 	r.sidecar.simulation.openRequests--
 }
 
-// releaseIfDone has the sidecar forget a completed request of which no attempt is in flight.
+// releaseIfDone removes a completed request from the sidecar if none of its attempts is in flight.
 func (r *request) releaseIfDone() {
 	if r.completed && r.attemptsInFlight == 0 {
 		delete(r.sidecar.requests, balance.RequestID(r.id))
 	}
 }
 
-// respond gives the request its final response, unless it is completed.
+// respond sends the final response to the client, unless the request is completed.
 func (r *request) respond(status record.Status, token uint64, retryAfter time.Duration) {
 	if r.completed {
 		return
@@ -67,7 +67,7 @@
 	}
 }
 
-// respondLocally gives a request the final response that its policy decided on, without one from a server.
+// respondLocally sends a final response that the policy decided on, without a response from a server.
 func (sc *sidecar) respondLocally(id balance.RequestID, status record.Status, retryAfter time.Duration) {
 	r := sc.requests[id]
 	if r == nil || r.completed {
@@ -91,10 +91,10 @@
 	r.releaseIfDone()
 }
 
-// deadlineExpired is the end of the time for a request's final response.
+// deadlineExpired is the event that a request's deadline passes.
 type deadlineExpired struct{ request *request }
 
-// handle ends the attempts in flight, and fails the request if the policy has left it without a response.
+// handle times out the attempts in flight, and fails the request if it still has no response.
 func (e deadlineExpired) handle(s *simulation) {
 	r := e.request
 	if !r.isCurrent() {
--- a/internal/lab/sim/scheduler.go
+++ b/internal/lab/sim/scheduler.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// event is something that happens at its time. Each kind of event is a type, declared in the file of what it changes.
+// event is a scheduled event. Each kind of event is a type, declared in the file with the state that it changes.
 type event interface {
-	// handle carries the event out at the simulation's present time.
+	// handle carries out the event at the current simulated time.
 	handle(s *simulation)
 }
 
-// scheduler owns the clock and the queue of events. Nothing else moves the clock.
+// scheduler owns the clock and the event queue. Only the scheduler advances the clock.
 type scheduler struct {
-	now   time.Duration // since the start of the run
+	now   time.Duration // simulated time since the start of the run
 	queue eventQueue
 }
 
-// scheduleAt has an event happen at a time.
+// scheduleAt schedules an event at a time.
 func (s *scheduler) scheduleAt(at time.Duration, e event) { s.queue.push(at, e) }
 
-// scheduleAfter has an event happen after a delay.
+// scheduleAfter schedules an event after a delay.
 func (s *scheduler) scheduleAfter(delay time.Duration, e event) { s.queue.push(s.now+delay, e) }
 
 // nextTime returns the time of the next event, and whether there is one.
@@ -28,7 +28,8 @@
 	return s.queue.heap[0].at, true
 }
 
-// advance moves the clock to the next event and returns it. There must be one.
+// advance removes the next event from the queue, sets the clock to its time and returns it. The queue must not be
+// empty.
 func (s *scheduler) advance() event {
 	next := s.queue.pop()
 	s.now = next.at
@@ -38,7 +39,7 @@
 // scheduledEvent is an event in the queue.
 type scheduledEvent struct {
 	at       time.Duration
-	sequence uint64 // keeps events of one time in the order in which they were scheduled
+	sequence uint64 // orders events with equal times as they were scheduled
 	event    event
 }
 
@@ -46,10 +47,11 @@
 	return e.at < other.at || e.at == other.at && e.sequence < other.sequence
 }
 
-// heapArity is the number of children of a node of the heap. With four it is half as deep as with two.
+// heapArity is the number of children of a heap node. A heap with four children per node is half as deep as a binary
+// heap.
 const heapArity = 4
 
-// eventQueue is a heap of events by time, then in the order in which they were scheduled.
+// eventQueue is a heap of events ordered by time, then by the order in which they were scheduled.
 type eventQueue struct {
 	heap         []scheduledEvent
 	lastSequence uint64
@@ -75,7 +77,7 @@
 	first := q.heap[0]
 	last := len(q.heap) - 1
 	moved := q.heap[last]
-	q.heap[last] = scheduledEvent{} // lets go of the event
+	q.heap[last] = scheduledEvent{} // allows the event to be garbage collected
 	q.heap = q.heap[:last]
 	if last > 0 {
 		q.siftDown(moved)
@@ -83,7 +85,7 @@
 	return first
 }
 
-// siftDown puts an event in the place of the root, and then below all that come before it.
+// siftDown inserts an event at the root and moves it down until it precedes all its children.
 func (q *eventQueue) siftDown(moved scheduledEvent) {
 	i := 0
 	for {
@@ -97,7 +99,7 @@
 	q.heap[i] = moved
 }
 
-// firstChild returns the child of a node that comes before its other children, or -1 if it has none.
+// firstChild returns the index of the earliest child of a node, or -1 if it has no children.
 func (q *eventQueue) firstChild(parent int) int {
 	first := -1
 	firstIndex := heapArity*parent + 1
--- a/internal/lab/sim/server.go
+++ b/internal/lab/sim/server.go
@@ -10,32 +10,32 @@
 	"milletramp.example/milletramp/internal/lab/servermodel"
 )
 
-// noWakeScheduled is the wakeAt of a server that has nothing to do.
+// noWakeScheduled is the wakeAt of a server without a scheduled serverDue event.
 const noWakeScheduled time.Duration = -1
 
-// deduplicated is the effect of classes whose repeats a pod recognizes, in a scenario's words.
+// deduplicated is the scenario's effect value for classes whose repeated requests are recognized by a pod group.
 const deduplicated = "deduplicated"
 
-// server is a machine of the plan with the process that runs on it.
+// server is a machine of the plan together with its current process.
 type server struct {
-	*servermodel.Server // of the process that runs, or ran last
+	*servermodel.Server // the current process, or the last one
 	runplan.Machine
 	simulation          *simulation
 	index               int32
-	incarnation         int32         // counts its processes
-	startedAt           time.Duration // of its process; 0: long ago
-	down                bool          // no process runs
-	vanished            bool          // nothing passes to or from its machine
-	listed              bool          // discovery has had it on its list
-	listedState         balance.State // as discovery has it
-	connections         int           // open ones, of all sidecars
-	wakeAt              time.Duration // when its next serverDue happens, or noWakeScheduled
-	earlierWork         float64       // of its earlier processes, in seconds on a standard core
-	brokenRequestShare  float64       // of requests after which the connection breaks
-	brokenResponseShare float64       // of responses in which it breaks
+	incarnation         int32         // number of processes started so far
+	startedAt           time.Duration // start time of the process; 0: long before the run
+	down                bool          // whether no process is running
+	vanished            bool          // whether the network drops all traffic to and from the machine
+	listed              bool          // whether discovery has ever listed the server
+	listedState         balance.State // state in discovery's endpoint list
+	connections         int           // open connections from all sidecars
+	wakeAt              time.Duration // time of the next serverDue event, or noWakeScheduled
+	earlierWork         float64       // work done by earlier processes, in seconds on a standard core
+	brokenRequestShare  float64       // share of requests after which the connection breaks
+	brokenResponseShare float64       // share of responses during which the connection breaks
 }
 
-// addServer adds a machine. Its process runs from the start unless it is born later.
+// addServer adds a machine. Its process runs from the start of the run unless the plan starts it later.
 func (s *simulation) addServer(machine runplan.Machine) {
 	fromStart := machine.StartsAt == 0
 	srv := &server{
@@ -55,7 +55,7 @@
 	}
 }
 
-// newProcess replaces the server's process by an empty one. The machine's faults stay.
+// newProcess replaces the server's process with a new, idle one. The machine's faults are retained.
 func (srv *server) newProcess(startedAt time.Duration) {
 	s := srv.simulation
 	fleet := &s.plan.Scenario.Fleet
@@ -80,7 +80,7 @@
 	srv.connections = 0
 }
 
-// pod returns what the servers of a pod group share.
+// pod returns the state shared by the servers of a pod group.
 func (s *simulation) pod(group int) *servermodel.Pod {
 	pod := s.pods[group]
 	if pod == nil {
@@ -96,15 +96,15 @@
 		Boot: srv.startedAt})
 }
 
-// startProcess starts a new process and has discovery list it.
+// startProcess starts a new process and adds it to discovery's endpoint list.
 func (srv *server) startProcess() {
-	srv.newProcess(max(srv.simulation.now, 1)) // 0 would be long ago
+	srv.newProcess(max(srv.simulation.now, 1)) // 0 would mean long before the run
 	srv.down, srv.listed = false, true
 	srv.recordStart()
 	srv.simulation.notifyAll(srv, balance.Ready)
 }
 
-// stopProcess ends the server's process. Its connections break.
+// stopProcess stops the server's process and breaks its connections.
 func (srv *server) stopProcess() {
 	if srv.down {
 		return
@@ -121,7 +121,7 @@
 	srv.connections = 0
 }
 
-// receive takes in an attempt whose last byte has arrived.
+// receive handles an attempt whose last byte has arrived.
 func (srv *server) receive(a *attempt) {
 	s := srv.simulation
 	a.Owner = a
@@ -148,7 +148,7 @@
 	srv.completeDueJobs()
 }
 
-// offer hands an attempt's job to the model of the server.
+// offer submits an attempt's job to the server model.
 func (srv *server) offer(a *attempt) servermodel.Admission {
 	scenario := srv.simulation.plan.Scenario
 	requested := &a.request.workload
@@ -162,7 +162,7 @@
 	return srv.Arrive(srv.simulation.now, &a.Job, arrival)
 }
 
-// serverDue is a time at which a server may have jobs to complete.
+// serverDue is the event that a server may have jobs to complete.
 type serverDue struct{ server *server }
 
 func (e serverDue) handle(*simulation) {
@@ -170,7 +170,7 @@
 	e.server.completeDueJobs()
 }
 
-// completeDueJobs responds to what is done by now and schedules when the server is due next.
+// completeDueJobs replies to the attempts whose jobs are done and schedules the next serverDue event.
 func (srv *server) completeDueJobs() {
 	s := srv.simulation
 	for _, job := range srv.Advance(s.now) {
@@ -183,7 +183,7 @@
 	}
 }
 
-// reply sends the response to an attempt whose job is done.
+// reply sends the response to an attempt whose job is complete.
 func (srv *server) reply(a *attempt) {
 	s := srv.simulation
 	a.atServer = false
@@ -203,12 +203,12 @@
 	}
 }
 
-// cancelArrived is a server's notice that the response to an attempt is no longer wanted.
+// cancelArrived is the event that the cancellation of an attempt arrives at its server.
 type cancelArrived struct{ attempt *attempt }
 
 func (e cancelArrived) handle(*simulation) { e.attempt.server.cancel(e.attempt) }
 
-// cancel lets go of an attempt's job, where the scenario's servers stop cancelled work.
+// cancel drops an attempt's job if the scenario's servers stop cancelled work.
 func (srv *server) cancel(a *attempt) {
 	s := srv.simulation
 	stops := s.plan.Scenario.Fleet.StopsCancelled
--- a/internal/lab/sim/sidecar.go
+++ b/internal/lab/sim/sidecar.go
@@ -13,33 +13,33 @@
 )
 
 const (
-	sidecarRestartTime = 300 * time.Millisecond // from a crash until the next process runs
-	minTimer           = time.Microsecond
+	sidecarRestartTime = 300 * time.Millisecond // time from a crash until the next process starts
+	minTimer           = time.Microsecond       // shortest delay of a policy's timer
 )
 
-// sidecar is a sidecar with its clients. It drives its policy and implements balance.Actions for it.
+// sidecar is a sidecar with its clients. It calls its policy and implements balance.Actions for it.
 type sidecar struct {
 	simulation  *simulation
 	index       int32
 	zone        int
-	incarnation int32 // counts its processes
-	down        bool  // no process runs
+	incarnation int32 // number of processes started so far
+	down        bool  // whether no process is running
 	policy      Policy
 
 	source       *workload.Source
-	nextRequest  workload.Request // the arrival that is scheduled
+	nextRequest  workload.Request // the request whose arrival is scheduled
 	clientRandom *rand.Rand
 
 	requests     map[balance.RequestID]*request
 	idle         [][]idleConnection // by server
 	lastResponse []time.Duration    // by server
 
-	endpoints        map[*server]balance.Endpoint // the list, as last notified
-	notifications    []notification               // on their way from discovery
-	lastNotification time.Duration                // when the latest of them arrives
+	endpoints        map[*server]balance.Endpoint // endpoint list as of the latest notification
+	notifications    []notification               // in transit from discovery
+	lastNotification time.Duration                // arrival time of the latest notification
 
-	losses []loss  // at servers that lose requests now
-	member *member // nil: it shares no observations
+	losses []loss  // servers that currently lose requests
+	member *member // nil if the sidecar shares no observations
 }
 
 // addSidecar adds a sidecar, starts it and schedules its first arrival.
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// start starts a process of the sidecar with the endpoint list as it was last notified.
+// start starts a sidecar process with the endpoint list from the latest notification.
 func (sc *sidecar) start() error {
 	s := sc.simulation
 	sc.down = false
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// endpointList returns the endpoints in the order of the servers.
+// endpointList returns the endpoints in server order.
 func (sc *sidecar) endpointList() []balance.Endpoint {
 	var list []balance.Endpoint
 	for _, srv := range sc.simulation.servers {
@@ -98,7 +98,7 @@
 	return list
 }
 
-// crash ends the sidecar's process with all its requests. The next one starts after a while.
+// crash stops the sidecar's process and aborts all its requests. The next process starts after sidecarRestartTime.
 func (sc *sidecar) crash() {
 	if sc.down {
 		return
@@ -111,13 +111,13 @@
 	}
 	lost := sc.requests
 	sc.requests = map[balance.RequestID]*request{}
-	for _, id := range slices.Sorted(maps.Keys(lost)) { // sorted, as a map has no order
+	for _, id := range slices.Sorted(maps.Keys(lost)) { // sorted, as the iteration order of a map is random
 		lost[id].abort()
 	}
 	s.scheduleAfter(sidecarRestartTime, sidecarRestarted{sc})
 }
 
-// abort ends a request whose sidecar has crashed.
+// abort ends the attempts of a request whose sidecar has crashed, and completes the request.
 func (r *request) abort() {
 	for _, a := range r.attempts {
 		if !a.ended {
@@ -131,7 +131,7 @@
 	}
 }
 
-// sidecarRestarted is the start of the next process of a crashed sidecar.
+// sidecarRestarted is the event that the next process of a crashed sidecar starts.
 type sidecarRestarted struct{ sidecar *sidecar }
 
 // handle panics if the policy rejects its settings, as it accepted them at the first start.
@@ -163,10 +163,10 @@
 	sc.simulation.scheduleAfter(max(after, minTimer), timerFired{sc, sc.incarnation, token})
 }
 
-// timerFired is the end of a timer that a policy has set.
+// timerFired is the event that a timer set by a policy expires.
 type timerFired struct {
 	sidecar     *sidecar
-	incarnation int32 // of the sidecar when it was set
+	incarnation int32 // the sidecar's incarnation when the timer was set
 	token       uint64
 }
 
@@ -178,7 +178,7 @@
 	e.sidecar.detectLosses()
 }
 
-// Subscribe implements balance.Actions. Every sidecar is notified, whether it has subscribed or not.
+// Subscribe implements balance.Actions. It does nothing, as every sidecar is notified whether subscribed or not.
 func (sc *sidecar) Subscribe() {}
 
 // Log implements balance.Actions.
--- a/internal/lab/sim/simulation.go
+++ b/internal/lab/sim/simulation.go
@@ -14,33 +14,33 @@
 )
 
 const (
-	// epoch is the policies' time at the start of a run. They take times up to 0 for long ago.
+	// epoch is the time on the policies' clock at the start of a run. Policies treat times up to 0 as long past.
 	epoch = 24 * time.Hour
 
-	// progressInterval is the simulated time between two reports of progress and checks of the context.
+	// progressInterval is the simulated time between two progress reports and context checks.
 	progressInterval = time.Second
 
-	// lateEventGrace is how long after the last deadline events still happen, such as delayed responses.
+	// lateEventGrace is the time after the last deadline in which events, such as delayed responses, are still handled.
 	lateEventGrace = time.Second
 )
 
-// networkSeedSalt keeps the draws of the network and of discovery apart from what else is drawn with the plan's seed.
+// networkSeedSalt separates the random stream of network and discovery from the others derived from the plan's seed.
 const networkSeedSalt = 0x0e7
 
-// Options are the parts of a run. The zero value plays the decision module.
+// Options configures a run. The zero value runs the decision module.
 type Options struct {
 	NewPolicy NewPolicyFunc                                    // nil: NewModule
-	Sink      record.Sink                                      // nil: the events are dropped
-	Defects   Defects                                          // of the sidecars' network part
+	Sink      record.Sink                                      // nil: events are discarded
+	Defects   Defects                                          // faults injected into the sidecars' network part
 	Fleet     *Fleet                                           // nil: sidecars share no observations
-	Progress  func(at time.Duration)                           // called each simulated second; may be nil
-	Log       func(at time.Duration, sidecar int, line string) // takes the policies' lines; may be nil
+	Progress  func(at time.Duration)                           // called once per simulated second; may be nil
+	Log       func(at time.Duration, sidecar int, line string) // receives the policies' log lines; may be nil
 }
 
-// Result counts what a run did. What happened in it goes to the sink.
+// Result holds the counts of a run. The recorded events are passed to the sink.
 type Result struct {
-	Events   uint64 // that the scheduler handled
-	Requests uint64 // of clients, retries included
+	Events   uint64 // events handled by the scheduler
+	Requests uint64 // client requests, including retries
 }
 
 // simulation is the state of a run.
@@ -54,14 +54,14 @@
 	pods            map[int]*servermodel.Pod // by pod group
 	sidecars        []*sidecar
 	discoveryPaused bool
-	openRequests    int    // requests without a final response, and retries to come
-	lastToken       uint64 // of a server's response
+	openRequests    int    // requests without a final response, plus pending retries
+	lastToken       uint64 // token of the latest server response
 	result          Result
 	defectCounts    defectCounts
-	recorded        record.Event // reused, so that recording an event allocates nothing
+	recorded        record.Event // reused so that recording an event does not allocate
 }
 
-// Run plays a plan to its end, or until ctx is done.
+// Run simulates a plan to its end, or until ctx is done.
 func Run(ctx context.Context, p *runplan.Plan, options Options) (Result, error) {
 	s := newSimulation(p, options)
 	if err := s.build(); err != nil {
@@ -96,7 +96,7 @@
 	}
 }
 
-// build makes the servers and sidecars, and schedules the first arrivals and the acts of the plan.
+// build creates the servers and sidecars, and schedules the first arrivals and the actions of the plan.
 func (s *simulation) build() error {
 	for _, machine := range s.plan.Machines {
 		s.addServer(machine)
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// handleEvents has all events of the run happen.
+// handleEvents handles the events of the run in order until the run ends or ctx is done.
 func (s *simulation) handleEvents(ctx context.Context) error {
 	length, limit := s.plan.Scenario.Length.Std(), s.timeLimit()
 	nextProgress := time.Duration(0)
@@ -139,7 +139,7 @@
 	}
 }
 
-// timeLimit returns the time after which no event happens.
+// timeLimit returns the time after which no event is handled.
 func (s *simulation) timeLimit() time.Duration {
 	length := s.plan.Scenario.Length.Std()
 	limit := length
@@ -149,15 +149,15 @@
 	return limit
 }
 
-// isIdleAt reports whether at a time the scenario and its faults are over and no request waits for a response.
+// isIdleAt reports whether the scenario and its faults are over at a time and no response or retry is pending.
 func (s *simulation) isIdleAt(at time.Duration) bool {
 	return at >= s.plan.Scenario.Length.Std() && at >= s.plan.LastFaultEnd && s.openRequests == 0
 }
 
-// policyNow is the present time on the policies' clock.
+// policyNow returns the current time on the policies' clock.
 func (s *simulation) policyNow() balance.Time { return s.now + epoch }
 
-// record hands an event to the sink. One without a time gets the present time.
+// record passes an event to the sink. An event without a time is given the current time.
 func (s *simulation) record(e record.Event) {
 	if e.At == 0 {
 		e.At = s.now
