--- a/internal/lab/fleet/sim/network.go
+++ b/internal/lab/fleet/sim/network.go
@@ -15,7 +15,7 @@
 )
 
 // errFetchTimeout ends a snapshot fetch without a response within fetchTimeout.
-var errFetchTimeout = errors.New("no answer")
+var errFetchTimeout = errors.New("no snapshot received within 1 s")
 
 // link is a directed pair of sidecars, by their indexes.
 type link struct{ from, to int }
