--- a/internal/lab/fleet/sim/history_test.go
+++ b/internal/lab/fleet/sim/history_test.go
@@ -10,8 +10,8 @@
 	"milletramp.example/milletramp/internal/lab/fleet/faultplan"
 )
 
-// hashRun runs a plan and returns a hash of all that the run yields. It goes through the fields of the record by position,
-// so that their names don't matter, and passes over functions, which have no printed form.
+// hashRun runs a plan and returns a hash of the run's results. It visits the record's fields by position, so that
+// renaming a field does not change the hash, and skips functions, which have no printed form.
 func hashRun(p faultplan.Plan) string {
 	hash := sha256.New()
 	fleet := newFleet(p)
@@ -25,9 +25,8 @@
 	return hex.EncodeToString(hash.Sum(nil)[:8])
 }
 
-// TestHistoryIsReproducible holds that a plan and its seed give the same history from one build to the next. A change of
-// this package alone must leave the hashes as they are; one of the fleet's protocol or of the drawing of plans may alter
-// them.
+// TestHistoryIsReproducible checks that a plan and its seed produce the same history in every build. A change to this
+// package alone must not change the hashes; a change to the fleet's protocol or to the drawing of plans may.
 func TestHistoryIsReproducible(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -42,7 +41,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			if hash := hashRun(c.plan); hash != c.hash {
-				t.Errorf("hash of the history %s, want %s", hash, c.hash)
+				t.Errorf("hash of the history = %s, want %s", hash, c.hash)
 			}
 		})
 	}
--- a/internal/lab/fleet/sim/main_test.go
+++ b/internal/lab/fleet/sim/main_test.go
@@ -7,5 +7,5 @@
 	"milletramp.example/milletramp/internal/lab/testrun"
 )
 
-// TestMain runs these tests, which run in simulated time, in a slot for packages that only compute.
+// TestMain runs the tests in a slot for packages that only compute, as they use simulated time.
 func TestMain(m *testing.M) { os.Exit(testrun.Compute(m)) }
