--- a/internal/lab/sim/gossipnetwork.go
+++ b/internal/lab/sim/gossipnetwork.go
@@ -16,7 +16,7 @@
 // snapshotTimeout is the time after which a snapshot fetch fails.
 const snapshotTimeout = time.Second
 
-var errNoSnapshot = errors.New("no answer")
+var errNoSnapshot = errors.New("snapshot fetch timed out")
 
 func memberAddress(index int32) string { return fmt.Sprintf("%s%d", addressPrefix, index) }
 
--- a/internal/lab/sim/sidecar.go
+++ b/internal/lab/sim/sidecar.go
@@ -137,7 +137,7 @@
 // handle panics if the policy rejects its settings, as it accepted them at the first start.
 func (e sidecarRestarted) handle(*simulation) {
 	if err := e.sidecar.start(); err != nil {
-		panic(fmt.Sprintf("sim: sidecar %d does not start again: %v", e.sidecar.index, err))
+		panic(fmt.Sprintf("sim: restart of sidecar %d failed: %v", e.sidecar.index, err))
 	}
 }
 
