--- a/internal/lab/sim/events_test.go
+++ b/internal/lab/sim/events_test.go
@@ -16,7 +16,7 @@
 	"milletramp.example/milletramp/internal/lab/sim"
 )
 
-// hashSink hashes all fields of each event, in the order of their declaration.
+// hashSink is a record.Sink that hashes all fields of each event in declaration order.
 type hashSink struct {
 	t      *testing.T
 	hash   hash.Hash
@@ -34,9 +34,9 @@
 	s.events++
 }
 
-// TestEventsAreReproducible holds that a plan gives the same recorded events to the byte as when the hashes were taken.
-// They change with the behaviour of the decision module, the server model, the workload or the simulation, and with
-// the fields of an event. A change that only moves or renames code keeps them.
+// TestEventsAreReproducible checks that the recorded events of a plan are byte-identical to those that the expected
+// hashes were computed from. The hashes change with the behaviour of the decision module, the server model, the
+// workload or the simulation, and with the fields of an event. Moving or renaming code does not change them.
 func TestEventsAreReproducible(t *testing.T) {
 	oracle, err := baseline.New("oracle")
 	if err != nil {
@@ -46,7 +46,7 @@
 	for _, tt := range []struct {
 		name, scenario, length string
 		seed                   uint64
-		want                   string // the first bytes of the hash
+		want                   string // the first 8 bytes of the hash, in hexadecimal
 		options                sim.Options
 	}{
 		{name: "calm", scenario: "short-calm", length: "9s", seed: 1, want: "27ce0321777d653c"},
--- a/internal/lab/sim/main_test.go
+++ b/internal/lab/sim/main_test.go
@@ -7,5 +7,5 @@
 	"milletramp.example/milletramp/internal/lab/testrun"
 )
 
-// TestMain runs these tests, which ask no clock, in a slot for packages that only compute.
+// TestMain runs the tests in a slot for CPU-bound packages, as they do not depend on the wall clock.
 func TestMain(m *testing.M) { os.Exit(testrun.Compute(m)) }
--- a/internal/lab/sim/scheduler_test.go
+++ b/internal/lab/sim/scheduler_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// scheduledCall is an event that notes when it was scheduled for, and in which order.
+// scheduledCall is an event with the time that it is scheduled for and its position in the scheduling order.
 type scheduledCall struct {
 	at    time.Duration
 	order int
@@ -16,8 +16,8 @@
 
 func (scheduledCall) handle(*simulation) {}
 
-// TestSchedulerOrder holds that events happen by time, those of one time in the order in which they were scheduled,
-// also where some are scheduled between others.
+// TestSchedulerOrder checks that events are handled in order of time, and events with equal times in the order in which
+// they were scheduled, also if events are scheduled while others are handled.
 func TestSchedulerOrder(t *testing.T) {
 	const events, times = 2000, 50
 	random := rand.New(rand.NewPCG(1, 2))
--- a/internal/lab/sim/simulation_test.go
+++ b/internal/lab/sim/simulation_test.go
@@ -21,8 +21,8 @@
 	return runplan.Draw(s, 1)
 }
 
-// TestRunEndsWithItsContext holds that a run whose context is done ends with the cause, at most a simulated second
-// later.
+// TestRunEndsWithItsContext checks that a run whose context is cancelled returns the cause of the cancellation, at most
+// one simulated second later.
 func TestRunEndsWithItsContext(t *testing.T) {
 	cause := errors.New("interrupted by the test")
 	ctx, cancel := context.WithCancelCause(t.Context())
@@ -43,7 +43,7 @@
 	}
 }
 
-// TestRunReturnsErrorOfPolicy holds that a policy that cannot be made ends the run before any event.
+// TestRunReturnsErrorOfPolicy checks that Run returns the error of a policy constructor before it handles any event.
 func TestRunReturnsErrorOfPolicy(t *testing.T) {
 	rejected := errors.New("settings rejected by the test")
 	newPolicy := func(balance.Settings, balance.Actions, sim.View) (sim.Policy, error) { return nil, rejected }
