--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// sidecarDown abandons a sidecar's open requests and discards the drain notices it received: after a restart it has to
-// be notified again.
+// sidecarDown abandons a sidecar's open requests and discards the drain notices it received. After a restart, the grace
+// period starts with the next notice.
 func (c *Checker) sidecarDown(e *record.Event) {
 	for id, request := range c.requests {
 		if request.event.Sidecar == e.Sidecar && request.open() {
--- a/internal/lab/checker/rules.go
+++ b/internal/lab/checker/rules.go
@@ -40,10 +40,10 @@
 // Limits are the retry rules of a deployment's classes and the tolerances of the rules.
 type Limits struct {
 	Classes       []RetryRules
-	ResponseSlack time.Duration // from the client's timeout to the final response
-	DrainGrace    time.Duration // from the notice of a drain to the last attempt that a sidecar may send to the node
-	GiveUpGrace   time.Duration // from the end of the last attempt, or the request, to an unsuccessful response
-	SendGrace     time.Duration // from the final response to the last attempt: a hedged request may be on its way
+	ResponseSlack time.Duration // maximum time from the client's timeout to the final response
+	DrainGrace    time.Duration // maximum time from a drain notice to an attempt sent to the node
+	GiveUpGrace   time.Duration // maximum time from the last attempt's end or request's start to an unsuccessful reply
+	SendGrace     time.Duration // maximum time from the final response to an attempt, such as a hedge in transit
 
 	OverloadMultiple  float64       // permitted multiple of the work that a starting node can do within OverloadWindow
 	OverloadWindow    time.Duration // window over which the work that reaches a node is summed
--- a/internal/lab/scenario/lineindex.go
+++ b/internal/lab/scenario/lineindex.go
@@ -30,7 +30,7 @@
 			key, _, ok := strings.Cut(line, "=")
 			if key = strings.TrimSpace(key); ok && key != "" && key[0] != '#' {
 				index[table+key] = i + 1
-				if plain := removeEntryNumbers(table) + key; index[plain] == 0 { // the decoder omits entry numbers
+				if plain := removeEntryNumbers(table) + key; index[plain] == 0 { // decoder paths have no entry numbers
 					index[plain] = i + 1
 				}
 			}
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -49,15 +49,15 @@
 	Sidecars int      `toml:"sidecars"`
 	Nodes    int      `toml:"nodes"`
 	Zones    []string `toml:"zones"`
-	PodSize  int      `toml:"pod_size"` // nodes per pod group, which deduplicate requests together
+	PodSize  int      `toml:"pod_size"` // nodes per pod group; the nodes of a group share the deduplication state
 	Kinds    []Kind   `toml:"kind"`
 
-	SlotsPerCore      float64  `toml:"slots_per_core"` // requests in service at once, which share the cores
-	QueuePerCore      float64  `toml:"queue_per_core"` // requests that may wait; further ones are rejected
+	SlotsPerCore      float64  `toml:"slots_per_core"` // maximum requests in service per core; they share the cores
+	QueuePerCore      float64  `toml:"queue_per_core"` // maximum waiting requests per core; others are rejected
 	SlowStartCapacity float64  `toml:"cold_from"`      // share of its capacity that a node has when it starts
 	SlowStartWindow   Duration `toml:"cold"`           // time over which that share grows linearly to 1
-	OverloadMultiple  float64  `toml:"fall_multiple"`  // a starting node with more than this multiple of its capacity
-	OverloadWindow    Duration `toml:"fall"`           // within this time is overloaded
+	OverloadMultiple  float64  `toml:"fall_multiple"`  // permitted multiple of a starting node's capacity
+	OverloadWindow    Duration `toml:"fall"`           // window over which the work of a starting node is summed
 
 	MaxConns         int      `toml:"conn_cap"`        // maximum number of connections of a node
 	HandshakeRTTs    float64  `toml:"handshake_rtts"`  // round trips to establish a connection
@@ -69,11 +69,11 @@
 	SpeedCV          float64  `toml:"speed_cv"`        // coefficient of variation of the true node speeds within a kind
 	ContentionAt     float64  `toml:"crowd_at"`        // requests in service per core above which each takes more work
 	ContentionCost   float64  `toml:"crowd"`           // share of work added by each doubling beyond that
-	CollapseAt       float64  `toml:"choke_at"`        // a node collapses with more waiting requests per core; 0: never
+	CollapseAt       float64  `toml:"choke_at"`        // waiting requests per core above which nodes collapse; 0: never
 	CollapseAfter    Duration `toml:"choke_over"`      // time above CollapseAt before it collapses
 	CollapseSlowdown float64  `toml:"choke_slower"`    // factor by which a collapsed node is slower
-	RecoverBelow     float64  `toml:"choke_below"`     // requests in flight per core up to which it recovers
-	RecoverAfter     Duration `toml:"choke_rest"`      // time up to RecoverBelow before it has recovered
+	RecoverBelow     float64  `toml:"choke_below"`     // maximum number of requests in flight per core for a recovery
+	RecoverAfter     Duration `toml:"choke_rest"`      // time at or below RecoverBelow after which a node recovers
 	MaxCollapse      Duration `toml:"choke_most"`      // time after which a node recovers in any case
 	StopsCancelled   bool     `toml:"stops_cancelled"` // a node stops the work of a cancelled request
 }
@@ -120,11 +120,11 @@
 
 // Clients describes the behaviour of clients.
 type Clients struct {
-	Retries        float64  `toml:"retries"`    // per request; the fraction is the probability of one more
+	Retries        float64  `toml:"retries"`    // number per request; the fraction is the probability of one more
 	Backoff        Duration `toml:"backoff"`    // mean wait before the first retry
 	BackoffGrowth  float64  `toml:"growth"`     // factor by which the wait grows with each retry
 	HonourShare    float64  `toml:"honour"`     // probability that a client honours Retry-After
-	MaxRetryAfter  Duration `toml:"most_after"` // limit on the Retry-After honoured
+	MaxRetryAfter  Duration `toml:"most_after"` // maximum Retry-After that a client honours
 	ImpatientShare float64  `toml:"impatient"`  // share of requests whose client disconnects after half of its timeout
 	TimeoutShare   float64  `toml:"try_share"`  // timeout of one request as a share of the deadline
 }
@@ -158,8 +158,8 @@
 
 // Expect holds the limits that the results of a run must meet. Zero values are not checked.
 type Expect struct {
-	InTime   float64  `toml:"in_time"`   // minimum share of priority served in time
-	Worst10s float64  `toml:"worst_10s"` // minimum share in the worst 10 s
+	InTime   float64  `toml:"in_time"`   // minimum share of priority-weighted work that was served in time
+	Worst10s float64  `toml:"worst_10s"` // minimum of that share in the worst 10 s
 	Failed   float64  `toml:"failed"`    // maximum share of first requests that failed after all retries
 	Attempts float64  `toml:"attempts"`  // maximum number of attempts per request
 	Recover  Duration `toml:"recover"`   // maximum time from the end of the last fault until service has recovered
--- a/internal/lab/servermodel/collapse.go
+++ b/internal/lab/servermodel/collapse.go
@@ -4,9 +4,9 @@
 
 // collapseState records whether and since when a server has collapsed under overload. Spec defines the conditions.
 type collapseState struct {
-	overloadedSince time.Duration // when the number of waiting requests exceeded CollapseAt, or never
-	collapsedSince  time.Duration // when the server collapsed, or never
-	recoveringSince time.Duration // when the requests in flight fell to RecoverBelow, or never
+	overloadedSince time.Duration // start of the period with waiting requests above CollapseAt, or never
+	collapsedSince  time.Duration // time of the collapse, or never
+	recoveringSince time.Duration // start of the period with requests in flight at or below RecoverBelow, or never
 }
 
 func newCollapseState() collapseState {
--- a/internal/lab/servermodel/job.go
+++ b/internal/lab/servermodel/job.go
@@ -5,7 +5,7 @@
 	Work  float64 // in seconds on a standard core
 	Owner any
 
-	finishAt  float64 // attained service of the processor at which the job completes
+	finishAt  float64 // the job completes when the processor's attained service reaches this value
 	heapIndex int     // index in the heap of jobs in service, or notInHeap
 	state     jobState
 }
--- a/internal/lab/servermodel/processor.go
+++ b/internal/lab/servermodel/processor.go
@@ -19,14 +19,14 @@
 type Processor struct {
 	spec            Spec
 	now             time.Duration // time up to which the state is computed
-	attainedService float64       // of a request in service since the start, in standard core seconds
+	attainedService float64       // service attained by a request in service since the start, in standard core seconds
 	serviceRate     float64       // increase of attainedService per second
 	inService       jobHeap
 	queue           []*Job  // in order of arrival; cancelled jobs stay until they reach the front
 	waiting         int     // jobs in the queue that are not cancelled
 	slowdown        float64 // factor set by a fault; 1: none
 	collapse        collapseState
-	completedWork   float64 // done for requests no longer in service, in standard core seconds
+	completedWork   float64 // work done for requests no longer in service, in standard core seconds
 	completed       []*Job  // jobs completed since the last call of Advance
 }
 
--- a/internal/lab/servermodel/server.go
+++ b/internal/lab/servermodel/server.go
@@ -67,8 +67,8 @@
 	HandshakeWork float64 // work of the connection's handshake, in seconds on a standard core
 }
 
-// Arrive admits, rejects or loses a request. On entry job.Work is the work without savings; if the request is admitted
-// or deduplicated, Arrive replaces it by the work on this server.
+// Arrive admits, rejects or loses a request. On entry, job.Work is the work for a key that is not cached, without the
+// handshake. If the request is admitted or deduplicated, Arrive sets job.Work to the work on this server.
 func (s *Server) Arrive(now time.Duration, job *Job, arrival Arrival) Admission {
 	switch {
 	case s.Faults.RejectedClasses[arrival.Class]:
--- a/internal/lab/sim/lossdetection.go
+++ b/internal/lab/sim/lossdetection.go
@@ -70,7 +70,7 @@
 	for _, l := range sc.losses {
 		recovered := sc.simulation.trueLossShare(sc, l.server, l.class) == 0
 		switch {
-		case l.detected: // already recorded
+		case l.detected: // the detection is already recorded
 		case recovered:
 			sc.recordLoss(record.LossUndetected, &l)
 		case sc.detects(&l):
--- a/internal/lab/sim/pool.go
+++ b/internal/lab/sim/pool.go
@@ -12,8 +12,8 @@
 	incarnation int32         // the server's incarnation
 }
 
-// acquireIdle removes from the pool the usable connection to a server that has been idle longest, as the real pool
-// does, and reports whether there was one. A connection is usable for half the time after which a server closes it.
+// acquireIdle removes the longest-idle usable connection to a server from the pool, as the real pool does, and reports
+// whether there was one. A connection is usable for half the time after which a server closes it.
 func (sc *sidecar) acquireIdle(srv *server) bool {
 	s := sc.simulation
 	idleTimeout := s.plan.Scenario.Fleet.IdleClose.Std() / 2
